--- a/Makefile
+++ b/Makefile
@@ -11,7 +11,7 @@
 proof: SHELL := /bin/bash
 proof: .SHELLFLAGS := -o pipefail -c
 proof:
-	@SPINDLEHITCH_PROOF=1 go test -count=1 -p 1 -v ./internal/fleet/proof/... | grep --line-buffered -E "^(---|FAIL|proof:)" | \
+	@SPINDLEHITCH_PROOF=1 go test -count=1 -p 1 -v ./internal/testbed/modelcheck/... | grep --line-buffered -E "^(---|FAIL|proof:)" | \
 	awk '{print} /^proof:/ {n += $$3; found += $$6; all += $$8} END {printf "proof: %d states searched, %d of %d planted mistakes found\n", n, found, all}'
 
 test:
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 type batch struct {
--- a/cmd/spindlehitch-model/main.go
+++ b/cmd/spindlehitch-model/main.go
@@ -19,8 +19,8 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/model"
-	"spindlehitch/internal/model/experiment"
+	"spindlehitch/internal/testbed/model"
+	"spindlehitch/internal/testbed/model/experiment"
 )
 
 // exitBroken is the exit code of an experiment in which a promise was broken.
--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -9,8 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/model/mesh"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/testbed/model/mesh"
 )
 
 // membersCommand measures the membership in virtual time: false verdicts, time to detect a death, cost.
@@ -32,7 +32,7 @@
 					if len(troubles) > 0 && !slices.Contains(troubles, t.Name) {
 						continue
 					}
-					set := members.Usual
+					set := membership.Usual
 					set.Plain = plain
 					row, err := mesh.Measure(mesh.Spec{Size: size, Zones: 3, Seed: seed, Settings: set, Delay: delay}, t, lasts, kills, encoded)
 					if err != nil {
@@ -63,7 +63,7 @@
 }
 
 // encoded is a message's size on the wire.
-func encoded(m *members.Message) int {
+func encoded(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 func main() {
--- a/cmd/spindlehitch-scale/run.go
+++ b/cmd/spindlehitch-scale/run.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/scale/run"
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/run"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 // exitNotHeld is the exit code of a run of which a limit is not held, or was not measured: its last line says how many.
--- a/cmd/spindlehitch-scale/slopes.go
+++ b/cmd/spindlehitch-scale/slopes.go
@@ -14,7 +14,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 // slopesCommand measures the slopes of docs/CAPACITY.md.
--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/process/config"
 )
 
 func agentCommand() *cobra.Command {
--- a/cmd/spindlehitch/bench_test.go
+++ b/cmd/spindlehitch/bench_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/instance"
 )
 
 // BenchmarkSmallRequest is a small read and a small write by turns on one connection, through the whole program to a stand-in
--- a/cmd/spindlehitch/change.go
+++ b/cmd/spindlehitch/change.go
@@ -10,9 +10,9 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/config"
 )
 
 func changeCommand() *cobra.Command {
@@ -21,12 +21,12 @@
 	f.add(cmd)
 	var sites, replaces string
 	var over int64
-	readFile := func(path string) (feed.Change, error) {
+	readFile := func(path string) (watchstream.Change, error) {
 		var known *config.Feed
 		if sites != "" {
 			var err error
 			if known, err = config.ReadFeed(sites); err != nil {
-				return feed.Change{}, fmt.Errorf("%s: %w", sites, err)
+				return watchstream.Change{}, fmt.Errorf("%s: %w", sites, err)
 			}
 		}
 		return config.ReadChange(path, known)
@@ -102,19 +102,19 @@
 }
 
 func (f *fleetFlags) showRecords(cmd *cobra.Command, args []string) error {
-	kinds := feed.Kinds[:]
+	kinds := watchstream.Kinds[:]
 	if len(args) > 0 {
-		var k feed.Kind
+		var k watchstream.Kind
 		if err := k.UnmarshalText([]byte(args[0])); err != nil {
 			return fmt.Errorf("kind: %w", err)
 		}
-		kinds = []feed.Kind{k}
+		kinds = []watchstream.Kind{k}
 	}
 	key := ""
 	if len(args) > 1 {
 		key = args[1]
 	}
-	all := []feed.Record{}
+	all := []watchstream.Record{}
 	for _, k := range kinds {
 		some, err := f.client.Records(cmd.Context(), k, key)
 		if err != nil {
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -13,10 +13,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/process/config"
 )
 
 // command runs a command line; the code is what the process would end with.
@@ -89,7 +89,7 @@
 	require.Contains(t, out, "t-1")
 	out, _, err = run("change", "show", "target", "t-1", "--json")
 	require.NoError(t, err)
-	var records []feed.Record
+	var records []watchstream.Record
 	require.NoError(t, json.Unmarshal([]byte(out), &records))
 	require.Len(t, records, 1)
 	require.Equal(t, uint64(1), records[0].Version)
@@ -99,7 +99,7 @@
 		require.Error(t, err)
 	}
 
-	f, err := edge.NewFollower(edge.Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []feed.Relay{{ID: "relay-1", Region: "north", Addr: at}}})
+	f, err := edge.NewFollower(edge.Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: at}}})
 	require.NoError(t, err)
 	go f.Run(ctx)
 	require.Eventually(t, func() bool {
@@ -139,9 +139,9 @@
 
 // TestInForceTable writes what is known of a version, also where it is little.
 func TestInForceTable(t *testing.T) {
-	v := agent.InForce{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: feed.Status{Epoch: "e", Version: 8, Known: 250, Have: 100, Share: 0.4, Silent: 1,
+	v := agent.InForce{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Known: 250, Have: 100, Share: 0.4, Silent: 1,
 		Refused: 1, SinceMs: 1500, HalfMs: -1, MostMs: -1, AllMs: -1,
-		Lagging: []feed.Lag{{Name: "n7", Relay: "r1", Has: 7, Why: feed.WhyRefused, HeardMs: 20, Refused: &feed.TurnedDown{Version: 8, Reason: "a: not a number"}}}}}
+		Lagging: []watchstream.Lag{{Name: "n7", Relay: "r1", Has: 7, Why: watchstream.WhyRefused, HeardMs: 20, Refused: &watchstream.TurnedDown{Version: 8, Reason: "a: not a number"}}}}}
 	var b bytes.Buffer
 	require.NoError(t, writeInForce(&b, v))
 	for _, want := range []string{"in force at 100 of 250 (40 in 100), put 1.5s ago", "half had it after not known", "n7", "version 8: a: not a number", "and 149 more that lag"} {
@@ -168,7 +168,7 @@
 	}()
 	client := &agent.Client{Addrs: []string{api}}
 	require.Eventually(t, func() bool {
-		records, err := client.Records(ctx, feed.Targets, "t")
+		records, err := client.Records(ctx, watchstream.Targets, "t")
 		return err == nil && len(records) == 1 && records[0].Version == 1
 	}, time.Minute, 50*time.Millisecond)
 	end()
--- a/cmd/spindlehitch/check.go
+++ b/cmd/spindlehitch/check.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/instance"
 )
 
 func checkCommand() *cobra.Command {
--- a/cmd/spindlehitch/conform.go
+++ b/cmd/spindlehitch/conform.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/nvme"
+	"spindlehitch/internal/datapath/nvme"
 )
 
 func conformCommand() *cobra.Command {
--- a/cmd/spindlehitch/drains_test.go
+++ b/cmd/spindlehitch/drains_test.go
@@ -21,7 +21,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/instance"
 )
 
 // pusher is discovery: an agent that answers at once with what it has, or as soon as there is news. It changes as a test says.
--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/process/config"
 )
 
 // fleetFlags are those of every command that asks the agents for the fleet.
@@ -121,15 +121,15 @@
 	return cmd
 }
 
-func readBudgets(path, against string) (fleet.Doc, error) {
+func readBudgets(path, against string) (quota.Doc, error) {
 	var c *config.Config
 	if against != "" {
 		text, err := os.ReadFile(against)
 		if err != nil {
-			return fleet.Doc{}, err
+			return quota.Doc{}, err
 		}
 		if c, err = config.Parse(text, func(string) string { return "" }); err != nil {
-			return fleet.Doc{}, fmt.Errorf("%s: %w", against, err)
+			return quota.Doc{}, fmt.Errorf("%s: %w", against, err)
 		}
 	}
 	return config.ReadBudgets(path, c)
@@ -137,14 +137,14 @@
 
 // budgetShown is one budget as the leader sees it.
 type budgetShown struct {
-	fleet.Budget
-	Pool    fleet.Amount `json:"pool"` // what is divided, beyond the floors
-	Agent   string       `json:"agent"`
-	Leads   bool         `json:"leads"`
-	AgeMs   int64        `json:"age_ms"`
-	WaitMs  int64        `json:"wait_ms"` // until a new leader gives anything new
-	Behind  []string     `json:"behind"`  // members that go by another version of the budgets
-	Holders []giver.Line `json:"holders"`
+	quota.Budget
+	Pool    quota.Amount     `json:"pool"` // what is divided, beyond the floors
+	Agent   string           `json:"agent"`
+	Leads   bool             `json:"leads"`
+	AgeMs   int64            `json:"age_ms"`
+	WaitMs  int64            `json:"wait_ms"` // until a new leader gives anything new
+	Behind  []string         `json:"behind"`  // members that go by another version of the budgets
+	Holders []allocator.Line `json:"holders"`
 }
 
 func shown(v agent.View, name string) (*budgetShown, error) {
@@ -153,7 +153,7 @@
 		return nil, fmt.Errorf("no budget %q", name)
 	}
 	s := &budgetShown{Budget: *b, Pool: v.Doc.Pool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, WaitMs: v.WaitMs,
-		Behind: []string{}, Holders: []giver.Line{}}
+		Behind: []string{}, Holders: []allocator.Line{}}
 	for _, l := range v.Lines {
 		if l.Budget == name {
 			s.Holders = append(s.Holders, l)
--- a/cmd/spindlehitch/large_test.go
+++ b/cmd/spindlehitch/large_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/instance"
 )
 
 // start runs an initiator of this configuration until the test ends.
--- a/cmd/spindlehitch/lease.go
+++ b/cmd/spindlehitch/lease.go
@@ -8,12 +8,12 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/watch"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/lease/outlierboard"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/process/config"
 )
 
 // taskLine is one task as lease list has it.
@@ -29,11 +29,11 @@
 // taskShown is one task as lease show has it.
 type taskShown struct {
 	lease.Task
-	Agent  string        `json:"agent"`
-	Leads  bool          `json:"leads"`
-	AgeMs  int64         `json:"age_ms"`
-	Leases []keeper.Seen `json:"leases"`
-	Board  []watch.Line  `json:"board,omitempty"`
+	Agent  string              `json:"agent"`
+	Leads  bool                `json:"leads"`
+	AgeMs  int64               `json:"age_ms"`
+	Leases []lessor.Seen       `json:"leases"`
+	Board  []outlierboard.Line `json:"board,omitempty"`
 }
 
 func leaseCommand() *cobra.Command {
@@ -78,7 +78,7 @@
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of tasks and change nothing", Args: cobra.ExactArgs(1)}
 	against := check.Flags().String("budgets", "", "the fleet's file of budgets, whose renewals, seats and clocks the tasks' times have to fit")
 	check.RunE = func(cmd *cobra.Command, args []string) error {
-		var doc *fleet.Doc
+		var doc *quota.Doc
 		if *against != "" {
 			d, err := config.ReadBudgets(*against, nil)
 			if err != nil {
@@ -116,7 +116,7 @@
 // change is the error of a change, with the exit code that tells whether it may have been made.
 func (f *fleetFlags) change(err error) error {
 	var refused *agent.Refusal
-	var why fleet.Reason
+	var why quota.Reason
 	if err == nil || errors.As(err, &refused) || errors.As(err, &why) {
 		return err
 	}
@@ -146,7 +146,7 @@
 	if t == nil {
 		return nil, fmt.Errorf("task: no task %q", name)
 	}
-	s := &taskShown{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []keeper.Seen{}}
+	s := &taskShown{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.Seen{}}
 	for _, l := range v.Leases {
 		if l.Task == name {
 			s.Leases = append(s.Leases, l)
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -15,8 +15,8 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/membership"
 )
 
 // exitDiffer is the exit code where two views that were compared are not the same.
@@ -68,7 +68,7 @@
 }
 
 // viewOf asks an instance for its view.
-func viewOf(ctx context.Context, addr string) (v members.View, err error) {
+func viewOf(ctx context.Context, addr string) (v membership.View, err error) {
 	ctx, done := context.WithTimeout(ctx, 2*time.Second)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/members", nil)
@@ -108,7 +108,7 @@
 	return writeView(out, v)
 }
 
-func writeView(out io.Writer, v members.View) error {
+func writeView(out io.Writer, v membership.View) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSTATE\tZONE\tHEARD\tSINCE\tINCARNATION\tLOAD\tADDRESS\tBIRTH\tWHY")
 	for _, m := range v.Members {
@@ -120,7 +120,7 @@
 			heard = seconds(m.HeardS) + " ago"
 		}
 		why := m.Why
-		if m.State == members.IsUnsure {
+		if m.State == membership.IsUnsure {
 			why += ", at most " + seconds(m.UntilS) + " more"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", m.Name, m.State, m.Zone, heard, seconds(m.SinceS), m.Inc, m.Load, m.Addr, m.Birth, why)
@@ -145,7 +145,7 @@
 	return (time.Duration(s*1000) * time.Millisecond).Round(10 * time.Millisecond).String()
 }
 
-func writeWays(out io.Writer, v members.View) error {
+func writeWays(out io.Writer, v membership.View) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FROM\tTO\tWHAT\tTOLD\tTIMES\tBY")
 	for _, x := range v.Ways {
@@ -159,11 +159,11 @@
 }
 
 // follow writes changes of a view as they come.
-func (of *membersOf) follow(ctx context.Context, out io.Writer, v members.View) error {
+func (of *membersOf) follow(ctx context.Context, out io.Writer, v membership.View) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	type change struct {
-		members.Event
+		membership.Event
 		AgoS float64 `json:"ago_s"`
 	}
 	seen := v.Ever
@@ -207,7 +207,7 @@
 	if err != nil {
 		return err
 	}
-	rows := members.Diff(a, b)
+	rows := membership.Diff(a, b)
 	out := cmd.OutOrStdout()
 	if of.form {
 		err = json.NewEncoder(out).Encode(map[string]any{"same": len(rows) == 0, "digests": []string{a.Digest, b.Digest}, "rows": rows})
--- a/cmd/spindlehitch/publish.go
+++ b/cmd/spindlehitch/publish.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/discovery"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/datapath/discovery"
 )
 
 func publishCommand() *cobra.Command {
@@ -50,7 +50,9 @@
 func (s *publishing) run(stop context.Context, log *slog.Logger) {
 	client := &agent.Client{Addrs: s.agents}
 	p := edge.NewPublisher(edge.PublisherOptions{Fleet: s.fleet, Put: client.PutChange, Shed: s.shed, Log: log,
-		Have: func(ctx context.Context) ([]feed.Record, error) { return client.Records(ctx, feed.Targets, "") }})
+		Have: func(ctx context.Context) ([]watchstream.Record, error) {
+			return client.Records(ctx, watchstream.Targets, "")
+		}})
 	var work sync.WaitGroup
 	work.Go(func() { discovery.New(discovery.Options{Addr: s.discovery, Seed: 1, Log: log}, p.Tell).Run(stop) })
 	p.Run(stop)
--- a/cmd/spindlehitch/relay.go
+++ b/cmd/spindlehitch/relay.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/process/config"
 )
 
 func relayCommand() *cobra.Command {
@@ -44,7 +44,7 @@
 	}
 	leader := &agent.Client{Addrs: set.Agents}
 	r, err := edge.NewRelay(edge.RelayOptions{ID: set.ID, Fleet: set.Fleet, Region: set.Region, Agents: set.Agents, Dir: set.Dir, Report: leader.Report, Log: log,
-		Source: feed.SourceOptions{Rate: float64(*set.Rate), Burst: float64(*set.Burst), Admit: float64(*set.Admit), AdmitBurst: float64(2 * *set.Admit),
+		Source: watchstream.SourceOptions{Rate: float64(*set.Rate), Burst: float64(*set.Burst), Admit: float64(*set.Admit), AdmitBurst: float64(2 * *set.Admit),
 			MaxReaders: *set.Readers}})
 	if err != nil {
 		l.Close()
--- a/cmd/spindlehitch/report.go
+++ b/cmd/spindlehitch/report.go
@@ -16,9 +16,9 @@
 	jsoniter "github.com/json-iterator/go"
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/accounts/disk"
-	"spindlehitch/internal/tasks"
+	"spindlehitch/internal/controlplane/lease/leasework"
+	"spindlehitch/internal/observability/accounts"
+	"spindlehitch/internal/observability/accounts/disk"
 )
 
 func reportCommand() *cobra.Command {
@@ -121,7 +121,7 @@
 
 // fleetReports lists the windows of the fleet's account.
 func fleetReports(w io.Writer, dir, form string) error {
-	all, err := tasks.Reports(dir)
+	all, err := leasework.Reports(dir)
 	if err != nil {
 		return fmt.Errorf("report: --fleet: %w", err)
 	}
--- a/cmd/spindlehitch/serve.go
+++ b/cmd/spindlehitch/serve.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/instance"
 )
 
 func serveCommand() *cobra.Command {
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -25,12 +25,12 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/instance"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/observability/accounts"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/instance"
+	"spindlehitch/internal/testbed/ports"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/cmd/spindlehitch/top.go
+++ b/cmd/spindlehitch/top.go
@@ -11,7 +11,7 @@
 	tea "charm.land/bubbletea/v2"
 	"github.com/spf13/cobra"
 
-	"spindlehitch/internal/accounts"
+	"spindlehitch/internal/observability/accounts"
 )
 
 func topCommand() *cobra.Command {
--- a/cmd/spindlehitch/upgrade_test.go
+++ b/cmd/spindlehitch/upgrade_test.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/instance"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/instance"
 )
 
 // TestUpgrades starts an initiator twice more beside itself, at a socket that all inherit, while clients ask without a
--- a/internal/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -18,7 +18,7 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 const (
--- a/internal/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -16,8 +16,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/ports"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -19,8 +19,8 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // Client speaks to the agents: any of them that answers, and through it the leader.
@@ -322,13 +322,13 @@
 }
 
 // Join asks for a seat. A fleet.Reason as error says that there is none, or not for it.
-func (c *Client) Join(ctx context.Context, m fleet.Member) (fleet.Member, fleet.Doc, error) {
+func (c *Client) Join(ctx context.Context, m quota.Member) (quota.Member, quota.Doc, error) {
 	j, err := send[joined](ctx, c, http.MethodPost, "/v1/fleet/members", m)
 	return j.Member, j.Doc, err
 }
 
 // Renew sends a renewal, with a claim where the member runs tasks, and brings the answers; the award is nil where there is none.
-func (c *Client) Renew(ctx context.Context, r fleet.Renewal, claim *lease.Claim) (fleet.Answer, *lease.Award, error) {
+func (c *Client) Renew(ctx context.Context, r quota.Renewal, claim *lease.Claim) (quota.Answer, *lease.Award, error) {
 	a, err := send[renewed](ctx, c, http.MethodPost, "/v1/fleet/renew", renewal{r, claim})
 	return a.Answer, a.Award, err
 }
@@ -364,10 +364,10 @@
 }
 
 // SetBudgets has the fleet go by another set of budgets.
-func (c *Client) SetBudgets(ctx context.Context, d fleet.Doc) (fleet.Doc, error) {
+func (c *Client) SetBudgets(ctx context.Context, d quota.Doc) (quota.Doc, error) {
 	ctx, done := bounded(ctx)
 	defer done()
-	return send[fleet.Doc](ctx, c, http.MethodPut, "/v1/fleet", d)
+	return send[quota.Doc](ctx, c, http.MethodPut, "/v1/fleet", d)
 }
 
 // Fleet shows the fleet as its leader sees it. Where there is none, or none that a majority agrees with, it is what some agent's
@@ -392,7 +392,7 @@
 	v, err = decode[T](c.do(ctx, call{method: method, path: path, body: text}))
 	var no *Refusal
 	if errors.As(err, &no) && no.Status == http.StatusConflict {
-		err = fleet.Reason(no.Text)
+		err = quota.Reason(no.Text)
 	}
 	return v, err
 }
--- a/internal/agent/desk.go
+++ b/internal/controlplane/agent/desk.go
@@ -14,14 +14,14 @@
 
 	"github.com/hashicorp/raft"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/failpoint"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/watch"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/lease/outlierboard"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
 )
 
 const (
@@ -44,10 +44,10 @@
 
 	mu     sync.Mutex
 	term   uint64 // of the giver; 0: this agent does not lead
-	giver  *giver.Giver
-	keeper *keeper.Keeper // as long as there is a giver
-	board  *watch.Board
-	desk   giver.Desk[chan<- bool]
+	giver  *allocator.Giver
+	keeper *lessor.Keeper // as long as there is a giver
+	board  *outlierboard.Board
+	desk   allocator.Desk[chan<- bool]
 	led    time.Duration // when this agent last led; 0: never
 }
 
@@ -149,8 +149,8 @@
 	reg, _ := d.a.store.register() // with mu held: two of these at a time must not take the log's word in the wrong order
 	now := monotone.Now()
 	if had == 0 {
-		d.giver, d.term = giver.New(now, reg.Doc, reg.Members), term
-		d.keeper, d.board = keeper.New(now, &reg), &watch.Board{}
+		d.giver, d.term = allocator.New(now, reg.Doc, reg.Members), term
+		d.keeper, d.board = lessor.New(now, &reg), &outlierboard.Board{}
 		d.a.opt.Log.Info("giving begins", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
 	} else {
 		d.giver.Update(now, reg.Doc, reg.Members)
@@ -222,14 +222,14 @@
 	}
 	var terms []uint64
 	for range out {
-		if giver.Majority(term, terms, agents) {
+		if allocator.Majority(term, terms, agents) {
 			break
 		}
 		if t := <-told; t > 0 {
 			terms = append(terms, t)
 		}
 	}
-	return giver.Majority(term, terms, agents)
+	return allocator.Majority(term, terms, agents)
 }
 
 func (d *fleetDesk) termOf(ctx context.Context, p config.Peer) (uint64, error) {
@@ -285,7 +285,7 @@
 
 // refuse answers with the reason that is told to members and operators.
 func refuse(w http.ResponseWriter, err error) {
-	var no fleet.Reason
+	var no quota.Reason
 	var r *Refusal
 	switch {
 	case errors.As(err, &no):
@@ -335,7 +335,7 @@
 	if err == nil && ren.Claim != nil {
 		answer.Award = d.claim(now, ren.ID, ren.Claim)
 	}
-	if errors.Is(err, fleet.UnknownMember) || err == nil {
+	if errors.Is(err, quota.UnknownMember) || err == nil {
 		// Also the word that a seat is gone must be that of an agent which really leads.
 		if !d.agree(r.Context()) {
 			refuse(w, errNoGiver)
@@ -392,7 +392,7 @@
 	if d.elsewhere(w, r) {
 		return
 	}
-	m, ok := read[fleet.Member](w, r)
+	m, ok := read[quota.Member](w, r)
 	if !ok {
 		return
 	}
@@ -440,7 +440,7 @@
 	if d.elsewhere(w, r) {
 		return
 	}
-	doc, ok := read[fleet.Doc](w, r)
+	doc, ok := read[quota.Doc](w, r)
 	if !ok {
 		return
 	}
@@ -516,26 +516,26 @@
 
 // View is the fleet as an agent sees it.
 type View struct {
-	Agent   string        `json:"agent"`
-	Leads   bool          `json:"leads"`  // and a majority has just agreed
-	AgeMs   int64         `json:"age_ms"` // since it heard of the leader last; how old this may be
-	Doc     fleet.Doc     `json:"doc"`
-	Members []giver.Seen  `json:"members"`
-	Lines   []giver.Line  `json:"lines,omitempty"` // only where it leads
-	WaitMs  int64         `json:"wait_ms"`         // until a new giver gives anything new
-	Tasks   lease.Doc     `json:"tasks"`
-	Leases  []keeper.Seen `json:"leases,omitempty"`
-	Board   []watch.Line  `json:"board,omitempty"` // only where it leads
+	Agent   string              `json:"agent"`
+	Leads   bool                `json:"leads"`  // and a majority has just agreed
+	AgeMs   int64               `json:"age_ms"` // since it heard of the leader last; how old this may be
+	Doc     quota.Doc           `json:"doc"`
+	Members []allocator.Seen    `json:"members"`
+	Lines   []allocator.Line    `json:"lines,omitempty"` // only where it leads
+	WaitMs  int64               `json:"wait_ms"`         // until a new giver gives anything new
+	Tasks   lease.Doc           `json:"tasks"`
+	Leases  []lessor.Seen       `json:"leases,omitempty"`
+	Board   []outlierboard.Line `json:"board,omitempty"` // only where it leads
 }
 
 // renewal is a renewal with the claim of a member that runs tasks; renewed answers both.
 type renewal struct {
-	fleet.Renewal
+	quota.Renewal
 	Claim *lease.Claim `json:"claim,omitempty"`
 }
 
 type renewed struct {
-	fleet.Answer
+	quota.Answer
 	Award *lease.Award `json:"award,omitempty"`
 }
 
@@ -561,7 +561,7 @@
 }
 
 // unknown is the state of members at an agent that does not lead.
-const unknown giver.State = "unknown"
+const unknown allocator.State = "unknown"
 
 // show answers with the fleet; with stale also where this agent does not lead, as far as its log goes.
 func (d *fleetDesk) show(w http.ResponseWriter, r *http.Request) {
@@ -589,10 +589,10 @@
 		}
 		v.Members, v.Lines, v.Leases, v.Board = nil, nil, nil, nil
 		for _, m := range reg.Members {
-			v.Members = append(v.Members, giver.Seen{Member: m, State: unknown, AgoMs: -1})
+			v.Members = append(v.Members, allocator.Seen{Member: m, State: unknown, AgoMs: -1})
 		}
 		for _, l := range reg.Leases {
-			v.Leases = append(v.Leases, keeper.Seen{Lease: l, State: string(unknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
+			v.Leases = append(v.Leases, lessor.Seen{Lease: l, State: string(unknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
 		}
 		v.AgeMs = d.age()
 	}
--- a/internal/agent/feed.go
+++ b/internal/controlplane/agent/feed.go
@@ -13,9 +13,9 @@
 
 	"github.com/hashicorp/raft"
 
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/process/monotone"
 )
 
 const (
@@ -36,7 +36,7 @@
 
 	mu    sync.Mutex
 	term  uint64 // of the tally
-	tally *feed.Tally
+	tally *watchstream.Tally
 	epoch string // what the tally knows to be committed
 	known uint64
 }
@@ -64,7 +64,7 @@
 }
 
 // Do implements the origin of a server: what the log says, as far as this agent has it.
-func (d *feedDesk) Do(do func(now time.Duration, s *feed.Source)) (<-chan struct{}, bool) {
+func (d *feedDesk) Do(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := d.a.heardAgo()
 	s := d.a.store
 	s.mu.Lock()
@@ -96,7 +96,7 @@
 	if d.a.elsewhere(w, r) {
 		return
 	}
-	c, ok := read[feed.Change](w, r)
+	c, ok := read[watchstream.Change](w, r)
 	if !ok {
 		return
 	}
@@ -115,9 +115,9 @@
 	if no, is := v.(error); is && err == nil {
 		err = no
 	}
-	var clash *feed.Conflict
-	var foreign *feed.Refusal
-	var field *feed.FieldError
+	var clash *watchstream.Conflict
+	var foreign *watchstream.Refusal
+	var field *watchstream.FieldError
 	switch e, _ := v.(Entry); {
 	case err == nil:
 		reply(w, http.StatusOK, Put{Version: e.Version})
@@ -163,7 +163,7 @@
 }
 
 // lead returns the tally, with mu held and the newest commits in it; nil where this agent doesn't lead, and then mu isn't held.
-func (d *feedDesk) lead() *feed.Tally {
+func (d *feedDesk) lead() *watchstream.Tally {
 	if d.a.raft.State() != raft.Leader {
 		return nil
 	}
@@ -176,7 +176,7 @@
 		fleet = s.feed.store.Fleet()
 	}
 	if fleet != "" && (d.tally == nil || d.term != term) {
-		d.term, d.tally, d.epoch, d.known = term, feed.NewTally(fleet, feed.TallyOptions{}), "", 0
+		d.term, d.tally, d.epoch, d.known = term, watchstream.NewTally(fleet, watchstream.TallyOptions{}), "", 0
 		d.a.opt.Log.Info("counting begins", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
 	commits := s.feed.since(d.epoch, d.known)
@@ -197,13 +197,13 @@
 	if d.a.elsewhere(w, r) {
 		return
 	}
-	rep, ok := readUpTo[feed.Report](w, r, mostReport)
+	rep, ok := readUpTo[watchstream.Report](w, r, mostReport)
 	if !ok {
 		return
 	}
 	answer, err := d.count(rep)
-	var no *feed.Refusal
-	var field *feed.FieldError
+	var no *watchstream.Refusal
+	var field *watchstream.FieldError
 	switch {
 	case err == nil:
 		reply(w, http.StatusOK, answer)
@@ -218,10 +218,10 @@
 
 var errNoTally = errors.New("nothing is counted at the moment")
 
-func (d *feedDesk) count(rep feed.Report) (feed.ReportAnswer, error) {
+func (d *feedDesk) count(rep watchstream.Report) (watchstream.ReportAnswer, error) {
 	t := d.lead()
 	if t == nil {
-		return feed.ReportAnswer{}, errNoTally
+		return watchstream.ReportAnswer{}, errNoTally
 	}
 	defer d.mu.Unlock()
 	return t.Take(monotone.Now(), rep)
@@ -242,8 +242,8 @@
 			return
 		case <-tick.C:
 		}
-		var rep feed.Report
-		d.Do(func(now time.Duration, s *feed.Source) { rep = s.Report(now, "agent/"+d.a.opt.ID, "") })
+		var rep watchstream.Report
+		d.Do(func(now time.Duration, s *watchstream.Source) { rep = s.Report(now, "agent/"+d.a.opt.ID, "") })
 		if ever = ever || len(rep.Readers) > 0; !ever {
 			continue
 		}
@@ -254,14 +254,14 @@
 			done()
 		}
 		if err == nil {
-			d.Do(func(_ time.Duration, s *feed.Source) { s.Reported(answer) })
+			d.Do(func(_ time.Duration, s *watchstream.Source) { s.Reported(answer) })
 		}
 	}
 }
 
 // InForce is who has a version, as an agent sees it.
 type InForce struct {
-	feed.Status
+	watchstream.Status
 	Agent  string `json:"agent"`
 	Leads  bool   `json:"leads"`         // and a majority has just agreed; else nothing is known of readers
 	OldMs  int64  `json:"old_ms"`        // since it heard of the leader; -1: never
@@ -288,10 +288,10 @@
 	if st == nil {
 		return v, false
 	}
-	v.Status = feed.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, MostMs: -1, AllMs: -1}
+	v.Status = watchstream.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, MostMs: -1, AllMs: -1}
 	v.Fleet, v.Head, v.Floor = st.Fleet(), st.Head(), st.Floor()
-	v.Count, v.Layer, v.Graves = st.Count(feed.Targets), st.Count(feed.Config), st.Tombstones(feed.Targets)
-	v.Bytes = st.Bytes(feed.Targets) + st.Bytes(feed.Config)
+	v.Count, v.Layer, v.Graves = st.Count(watchstream.Targets), st.Count(watchstream.Config), st.Tombstones(watchstream.Targets)
+	v.Bytes = st.Bytes(watchstream.Targets) + st.Bytes(watchstream.Config)
 	return v, true
 }
 
@@ -352,7 +352,7 @@
 		return
 	}
 	q := r.URL.Query()
-	var k feed.Kind
+	var k watchstream.Kind
 	if err := k.UnmarshalText([]byte(q.Get("kind"))); err != nil {
 		refuse(w, &Refusal{http.StatusUnprocessableEntity, "kind: " + err.Error()})
 		return
@@ -361,8 +361,8 @@
 	reply(w, http.StatusOK, d.page(k, q.Get("key"), after))
 }
 
-func (d *feedDesk) page(k feed.Kind, key string, after uint64) []feed.Record {
-	page := []feed.Record{}
+func (d *feedDesk) page(k watchstream.Kind, key string, after uint64) []watchstream.Record {
+	page := []watchstream.Record{}
 	s := d.a.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/agent/feed_test.go
+++ b/internal/controlplane/agent/feed_test.go
@@ -16,25 +16,27 @@
 	"github.com/hashicorp/raft"
 	"github.com/stretchr/testify/require"
 
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
 )
 
 const campus = "campus"
 
-func shared(text string) feed.Put {
-	return feed.Put{Kind: feed.Config, Key: "shared", Value: json.RawMessage(text)}
+func shared(text string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(text)}
 }
 
-func targetAt(i, port int) feed.Put {
+func targetAt(i, port int) watchstream.Put {
 	id := fmt.Sprint("t-", i)
-	return feed.Put{Kind: feed.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:%d","cell":%d,"state":"SERVING"}`, id, port, i)}
+	return watchstream.Put{Kind: watchstream.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:%d","cell":%d,"state":"SERVING"}`, id, port, i)}
 }
 
-func changeOf(puts ...feed.Put) feed.Change { return feed.Change{Fleet: campus, Puts: puts} }
+func changeOf(puts ...watchstream.Put) watchstream.Change {
+	return watchstream.Change{Fleet: campus, Puts: puts}
+}
 
 // putChange has a change made, as soon as there is a leader for it.
-func (g *three) putChange(c feed.Change) (v uint64) {
+func (g *three) putChange(c watchstream.Change) (v uint64) {
 	g.t.Helper()
 	g.until("a change is made", func() bool {
 		var err error
@@ -50,7 +52,7 @@
 func (g *three) relay(id string, agents ...string) string {
 	g.t.Helper()
 	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: campus, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).Report,
-		Source: feed.SourceOptions{Admit: 1000, AdmitBurst: 1000}})
+		Source: watchstream.SourceOptions{Admit: 1000, AdmitBurst: 1000}})
 	require.NoError(g.t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(g.t, err)
@@ -69,9 +71,9 @@
 
 func (g *three) follower(name string, relays ...string) *edge.Follower {
 	g.t.Helper()
-	var list []feed.Relay
+	var list []watchstream.Relay
 	for i, addr := range relays {
-		list = append(list, feed.Relay{ID: fmt.Sprint("relay-", i), Region: "north", Addr: addr})
+		list = append(list, watchstream.Relay{ID: fmt.Sprint("relay-", i), Region: "north", Addr: addr})
 	}
 	f, err := edge.NewFollower(edge.Options{Fleet: campus, Name: name, Region: "north", Relays: list})
 	require.NoError(g.t, err)
@@ -140,20 +142,20 @@
 		return errors.Is(err, ErrNotFound)
 	})
 	zero, five := uint64(0), uint64(5)
-	require.Equal(t, uint64(1), g.putChange(feed.Change{Fleet: campus, If: &zero, Puts: []feed.Put{shared(`{"a":1}`)}}))
+	require.Equal(t, uint64(1), g.putChange(watchstream.Change{Fleet: campus, If: &zero, Puts: []watchstream.Put{shared(`{"a":1}`)}}))
 	for _, c := range []struct {
-		c      feed.Change
+		c      watchstream.Change
 		status int
 		want   string
 	}{
-		{feed.Change{Fleet: "other", Puts: []feed.Put{shared("{}")}}, http.StatusConflict, "foreign"},
-		{feed.Change{Fleet: campus, If: &zero, Puts: []feed.Put{shared("{}")}}, http.StatusConflict, "at 1"},
-		{feed.Change{Fleet: campus, If: &five, Puts: []feed.Put{shared("{}")}}, http.StatusConflict, "version 5"},
-		{feed.Change{Fleet: campus}, http.StatusUnprocessableEntity, "puts"},
-		{feed.Change{Puts: []feed.Put{shared("{}")}}, http.StatusUnprocessableEntity, "fleet"},
+		{watchstream.Change{Fleet: "other", Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "foreign"},
+		{watchstream.Change{Fleet: campus, If: &zero, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "at 1"},
+		{watchstream.Change{Fleet: campus, If: &five, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "version 5"},
+		{watchstream.Change{Fleet: campus}, http.StatusUnprocessableEntity, "puts"},
+		{watchstream.Change{Puts: []watchstream.Put{shared("{}")}}, http.StatusUnprocessableEntity, "fleet"},
 		{changeOf(shared("{}"), shared("{}")), http.StatusUnprocessableEntity, "puts[1].key"},
 		{changeOf(shared("7")), http.StatusUnprocessableEntity, "puts[0].value"},
-		{changeOf(feed.Put{Kind: feed.Targets, Key: "t", Value: json.RawMessage(`{"x":"` + strings.Repeat("x", feed.MostTargetValue) + `"}`)}),
+		{changeOf(watchstream.Put{Kind: watchstream.Targets, Key: "t", Value: json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MostTargetValue) + `"}`)}),
 			http.StatusUnprocessableEntity, "puts[0].value"},
 	} {
 		_, err := g.PutChange(ctx, c.c)
@@ -186,19 +188,19 @@
 	ctx := context.Background()
 	const n = 2*mostPage + 7
 	for from := 0; from < n; from += 300 {
-		var c feed.Change
+		var c watchstream.Change
 		for i := from; i < min(from+300, n); i++ {
 			c.Puts = append(c.Puts, targetAt(i, 1))
 		}
 		g.putChange(changeOf(c.Puts...))
 	}
-	all, err := g.Records(ctx, feed.Targets, "")
+	all, err := g.Records(ctx, watchstream.Targets, "")
 	require.NoError(t, err)
 	require.Len(t, all, n)
-	one, err := g.Records(ctx, feed.Targets, "t-9")
+	one, err := g.Records(ctx, watchstream.Targets, "t-9")
 	require.NoError(t, err)
 	require.Len(t, one, 1)
-	none, err := g.Records(ctx, feed.Config, "")
+	none, err := g.Records(ctx, watchstream.Config, "")
 	require.NoError(t, err)
 	require.Empty(t, none)
 }
@@ -254,7 +256,7 @@
 // TestFeedSnapshot restores the feed from a snapshot, and takes one of format 3, which has none.
 func TestFeedSnapshot(t *testing.T) {
 	s := newStore()
-	for i, puts := range [][]feed.Put{{targetAt(0, 1), targetAt(1, 1), shared(`{"a":1}`)}, {{Kind: feed.Targets, Key: "t-1", Gone: true}}, {shared(`{"a":2}`)}} {
+	for i, puts := range [][]watchstream.Put{{targetAt(0, 1), targetAt(1, 1), shared(`{"a":1}`)}, {{Kind: watchstream.Targets, Key: "t-1", Gone: true}}, {shared(`{"a":2}`)}} {
 		c := changeOf(puts...)
 		c.Epoch = "e"
 		data, err := json.Marshal(change{Feed: &c})
--- a/internal/agent/feedclient.go
+++ b/internal/controlplane/agent/feedclient.go
@@ -9,11 +9,11 @@
 	"slices"
 	"strconv"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // PutChange has a change of the feed made, once, and returns its version. A *Refusal says that it was not made.
-func (c *Client) PutChange(ctx context.Context, ch feed.Change) (uint64, error) {
+func (c *Client) PutChange(ctx context.Context, ch watchstream.Change) (uint64, error) {
 	text, err := json.Marshal(ch)
 	if err != nil {
 		return 0, err
@@ -23,8 +23,8 @@
 }
 
 // Report brings the leader a relay's report.
-func (c *Client) Report(ctx context.Context, rep feed.Report) (feed.ReportAnswer, error) {
-	return send[feed.ReportAnswer](ctx, c, http.MethodPost, "/v1/feed/report", rep)
+func (c *Client) Report(ctx context.Context, rep watchstream.Report) (watchstream.ReportAnswer, error) {
+	return send[watchstream.ReportAnswer](ctx, c, http.MethodPost, "/v1/feed/report", rep)
 }
 
 // InForce tells who has a version; 0: the newest. Where there is no leader it is how far some agent's log goes: Leads is false then.
@@ -45,13 +45,13 @@
 }
 
 // Records are the live ones of a kind, or the one with that key, as the leader has them, in order of version.
-func (c *Client) Records(ctx context.Context, k feed.Kind, key string) (all []feed.Record, err error) {
+func (c *Client) Records(ctx context.Context, k watchstream.Kind, key string) (all []watchstream.Record, err error) {
 	ctx, done := bounded(ctx)
 	defer done()
 	after := uint64(0)
 	for {
 		at := "/v1/feed/records?kind=" + k.String() + "&key=" + url.QueryEscape(key) + "&after=" + strconv.FormatUint(after, 10)
-		page, err := decode[[]feed.Record](c.do(ctx, call{method: http.MethodGet, path: at}))
+		page, err := decode[[]watchstream.Record](c.do(ctx, call{method: http.MethodGet, path: at}))
 		if err != nil {
 			return nil, err
 		}
@@ -59,7 +59,7 @@
 		for i := range page {
 			again[page[i].Key] = true
 		}
-		all = append(slices.DeleteFunc(all, func(r feed.Record) bool { return again[r.Key] }), page...)
+		all = append(slices.DeleteFunc(all, func(r watchstream.Record) bool { return again[r.Key] }), page...)
 		if len(page) < mostPage {
 			return all, nil
 		}
--- a/internal/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -14,10 +14,10 @@
 
 	"github.com/hashicorp/raft"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/register"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/registry"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // Entry is one instance's configuration. Version grows with each change of any entry.
@@ -30,17 +30,17 @@
 
 // change is a command of the log: about one instance's configuration, or where one of the others is there, about the fleet.
 type change struct {
-	Name   string          `json:"name,omitempty"`
-	Config json.RawMessage `json:"config,omitempty"` // empty: take it away
-	If     *uint64         `json:"if,omitempty"`     // only where the entry has this version; 0: where there is none
-	ID     string          `json:"id,omitempty"`     // the caller's own: a change that comes twice is made once
-	Set    *fleet.Doc      `json:"set,omitempty"`    // the fleet's budgets
-	Join   *fleet.Member   `json:"join,omitempty"`   // a seat is asked for
-	Leave  []string        `json:"leave,omitempty"`  // seats are given back
-	Tasks  *lease.Doc      `json:"tasks,omitempty"`  // the fleet's tasks
-	Orders []lease.Order   `json:"orders,omitempty"` // leases are granted, planned to move, or freed
-	Seen   uint64          `json:"seen,omitempty"`   // with orders, or alone: a token that a place was shown
-	Feed   *feed.Change    `json:"feed,omitempty"`   // targets and configuration of the whole fleet
+	Name   string              `json:"name,omitempty"`
+	Config json.RawMessage     `json:"config,omitempty"` // empty: take it away
+	If     *uint64             `json:"if,omitempty"`     // only where the entry has this version; 0: where there is none
+	ID     string              `json:"id,omitempty"`     // the caller's own: a change that comes twice is made once
+	Set    *quota.Doc          `json:"set,omitempty"`    // the fleet's budgets
+	Join   *quota.Member       `json:"join,omitempty"`   // a seat is asked for
+	Leave  []string            `json:"leave,omitempty"`  // seats are given back
+	Tasks  *lease.Doc          `json:"tasks,omitempty"`  // the fleet's tasks
+	Orders []lease.Order       `json:"orders,omitempty"` // leases are granted, planned to move, or freed
+	Seen   uint64              `json:"seen,omitempty"`   // with orders, or alone: a token that a place was shown
+	Feed   *watchstream.Change `json:"feed,omitempty"`   // targets and configuration of the whole fleet
 }
 
 // mostRecent is how many changes are known by their ids.
@@ -48,8 +48,8 @@
 
 // joined answers a join.
 type joined struct {
-	Member fleet.Member `json:"member"`
-	Doc    fleet.Doc    `json:"doc"`
+	Member quota.Member `json:"member"`
+	Doc    quota.Doc    `json:"doc"`
 }
 
 // errConflict answers a change whose condition does not hold.
@@ -60,7 +60,7 @@
 	mu      sync.Mutex
 	entries map[string]Entry
 	recent  []Entry // what the last changes made, each known by its change's id
-	fleet   register.Register
+	fleet   registry.Register
 	feed    stream
 	changed chan struct{} // closed and renewed at each change
 }
@@ -104,7 +104,7 @@
 		return struct{}{}
 	case c.Tasks != nil:
 		defer s.announce()
-		if err := s.fleet.SetTasks(l.Index, *c.Tasks); errors.Is(err, fleet.NoBudgets) {
+		if err := s.fleet.SetTasks(l.Index, *c.Tasks); errors.Is(err, quota.NoBudgets) {
 			return err
 		} else if err != nil {
 			return &Refusal{http.StatusUnprocessableEntity, err.Error()}
@@ -173,7 +173,7 @@
 }
 
 // register returns what the log says of the fleet, and what is closed at the next change of anything.
-func (s *store) register() (register.Register, <-chan struct{}) {
+func (s *store) register() (registry.Register, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.Clone(), s.changed
@@ -191,8 +191,8 @@
 	Format  int               `json:"format"`
 	Entries map[string]Entry  `json:"entries"`
 	Recent  []Entry           `json:"recent,omitempty"`
-	Fleet   register.Register `json:"fleet"`
-	Feed    *feed.Copy        `json:"feed,omitempty"` // nil: no change of it has come yet
+	Fleet   registry.Register `json:"fleet"`
+	Feed    *watchstream.Copy `json:"feed,omitempty"` // nil: no change of it has come yet
 }
 
 const (
--- a/internal/agent/stream.go
+++ b/internal/controlplane/agent/stream.go
@@ -5,8 +5,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
 )
 
 // mostCommits is how many of the feed's last versions are known with when they were put into the log.
@@ -14,8 +14,8 @@
 
 // stream is the log's part of the feed. The store's lock guards it.
 type stream struct {
-	store   *feed.Store // nil: no change has come yet, so that the fleet's name is not known
-	source  *feed.Source
+	store   *watchstream.Store // nil: no change has come yet, so that the fleet's name is not known
+	source  *watchstream.Source
 	commits []commit // in order of version; not in snapshots
 }
 
@@ -27,10 +27,10 @@
 }
 
 // apply makes a change, the same at every agent, and returns its version.
-func (s *stream) apply(l *raft.Log, c feed.Change) (uint64, error) {
+func (s *stream) apply(l *raft.Log, c watchstream.Change) (uint64, error) {
 	store := s.store
 	if store == nil {
-		store = feed.NewStore(c.Fleet, feed.Limits{})
+		store = watchstream.NewStore(c.Fleet, watchstream.Limits{})
 	}
 	v, err := store.Apply(c)
 	if err != nil {
@@ -60,11 +60,11 @@
 }
 
 // begin has readers served from a store. The source's life grows over restarts, so that reports of an earlier one don't count.
-func (s *stream) begin(store *feed.Store) {
-	s.store, s.source = store, feed.NewSource(store, feed.SourceOptions{}, uint64(time.Now().UnixMilli()))
+func (s *stream) begin(store *watchstream.Store) {
+	s.store, s.source = store, watchstream.NewSource(store, watchstream.SourceOptions{}, uint64(time.Now().UnixMilli()))
 }
 
-func (s *stream) copy() *feed.Copy {
+func (s *stream) copy() *watchstream.Copy {
 	if s.store == nil {
 		return nil
 	}
@@ -73,14 +73,14 @@
 }
 
 // restore takes a snapshot's state; nil: it has none. Where it returns an error nothing has changed.
-func (s *stream) restore(c *feed.Copy) error {
+func (s *stream) restore(c *watchstream.Copy) error {
 	if c == nil {
 		*s = stream{}
 		return nil
 	}
 	store := s.store
 	if store == nil || store.Fleet() != c.Fleet {
-		store = feed.NewStore(c.Fleet, feed.Limits{})
+		store = watchstream.NewStore(c.Fleet, watchstream.Limits{})
 	}
 	if err := store.Restore(*c); err != nil {
 		return err
--- a/internal/place/place.go
+++ b/internal/controlplane/lease/casfile/place.go
@@ -1,9 +1,9 @@
-// Package place is a guarded folder: a state that many processes, on machines that share a file system, change by compare and swap, without
+// Package casfile is a guarded folder: a state that many processes, on machines that share a file system, change by compare and swap, without
 // locks that a paused process could keep. docs/leases.md, Places.
 //
 // The state is a chain of records, numbered from 1. A change is the next record, made whole under another name and then given its
 // number by link(2), which fails where another has it. The highest number is the state.
-package place
+package casfile
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/failpoint"
+	"spindlehitch/internal/process/failpoint"
 )
 
 const (
--- a/internal/place/place_test.go
+++ b/internal/controlplane/lease/casfile/place_test.go
@@ -1,4 +1,4 @@
-package place
+package casfile
 
 import (
 	"errors"
@@ -8,11 +8,11 @@
 	"sync"
 	"testing"
 
-	"spindlehitch/internal/fleet/guard"
+	"spindlehitch/internal/controlplane/lease/fencing"
 )
 
 type counted struct {
-	guard.Place
+	fencing.Place
 	Count int
 }
 
@@ -64,7 +64,7 @@
 			}
 			return c.Begin(2, 1)
 		})
-		var no *guard.Refusal
+		var no *fencing.Refusal
 		if !errors.As(err, &no) {
 			t.Errorf("%d others: an older token was not refused: %v", others, err)
 		}
--- a/internal/fleet/guard/guard.go
+++ b/internal/controlplane/lease/fencing/guard.go
@@ -1,7 +1,7 @@
-// Package guard is a place that tasks change, as it checks the tokens of leases: of any two acts whose changes it takes, one ends
+// Package fencing is a place that tasks change, as it checks the tokens of leases: of any two acts whose changes it takes, one ends
 // before the other begins, in the order of their tokens. It does no I/O; whoever keeps the state has to make each call of it, with
 // the change that goes with it, one atomic step (docs/leases.md, step 12).
-package guard
+package fencing
 
 import "fmt"
 
--- a/internal/fleet/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -9,7 +9,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // Kind is what a task does.
@@ -95,7 +95,7 @@
 
 // Check names the first field that can't be served. Times are held against the fleet's renewals, seats and clocks where f is
 // given.
-func (d *Doc) Check(f *fleet.Doc) error {
+func (d *Doc) Check(f *quota.Doc) error {
 	if len(d.Tasks) > MostTasks {
 		return fmt.Errorf("task: %d are too many, %d at most", len(d.Tasks), MostTasks)
 	}
@@ -113,10 +113,10 @@
 	return nil
 }
 
-func (t *Task) check(f *fleet.Doc) error {
+func (t *Task) check(f *quota.Doc) error {
 	switch {
-	case t.Name == "" || len(t.Name) > fleet.MostName:
-		return fmt.Errorf("name: wanted 1 to %d bytes", fleet.MostName)
+	case t.Name == "" || len(t.Name) > quota.MostName:
+		return fmt.Errorf("name: wanted 1 to %d bytes", quota.MostName)
 	case !slices.Contains(Kinds, t.Kind):
 		return fmt.Errorf("kind: %q is none of watch, account, drill", t.Kind)
 	}
--- a/internal/tasks/account.go
+++ b/internal/controlplane/lease/leasework/account.go
@@ -1,4 +1,4 @@
-package tasks
+package leasework
 
 import (
 	"context"
@@ -14,12 +14,12 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/failpoint"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/place"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease/casfile"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/observability/accounts"
+	"spindlehitch/internal/process/failpoint"
 )
 
 const (
@@ -34,7 +34,7 @@
 
 // ReportState is what the folder of the fleet's account holds.
 type ReportState struct {
-	guard.Place
+	fencing.Place
 	Windows []ReportWindow `json:"windows"` // written, in order of time
 }
 
@@ -51,7 +51,7 @@
 
 // Reports reads which reports a folder has.
 func Reports(dir string) ([]ReportWindow, error) {
-	s, n, err := place.Read[ReportState](dir)
+	s, n, err := casfile.Read[ReportState](dir)
 	if err == nil && n == 0 {
 		err = fmt.Errorf("%s: no report was ever written there", dir)
 	}
@@ -68,7 +68,7 @@
 // Act implements Job: one window at most, the oldest that is over and not written.
 func (j *Account) Act(ctx context.Context, a *Act) error {
 	dir := a.Task.Dir
-	state, err := place.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.N) })
+	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.N) })
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 			return err
 		}
 	}
-	_, err = place.Update(dir, func(s *ReportState) error { return s.End(a.Token, a.N) })
+	_, err = casfile.Update(dir, func(s *ReportState) error { return s.End(a.Token, a.N) })
 	return err
 }
 
@@ -165,7 +165,7 @@
 	if !a.Good() {
 		return errOver
 	}
-	state, err := place.Update(dir, func(s *ReportState) error {
+	state, err := casfile.Update(dir, func(s *ReportState) error {
 		if err := s.Take(a.Token, a.N); err != nil {
 			return err
 		}
@@ -204,7 +204,7 @@
 }
 
 // ask has one instance tell its accounts of a window.
-func (j *Account) ask(ctx context.Context, m fleet.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
+func (j *Account) ask(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
 	if m.Accounts == "" {
 		return s, errors.New("it keeps no accounts")
 	}
--- a/internal/tasks/drill.go
+++ b/internal/controlplane/lease/leasework/drill.go
@@ -1,4 +1,4 @@
-package tasks
+package leasework
 
 import (
 	"bytes"
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/failpoint"
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/place"
+	"spindlehitch/internal/controlplane/lease/casfile"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/process/failpoint"
 )
 
 // Drill acts at a guarded folder that holds nothing but what was done there: whether leases hold on these machines, on this file
@@ -25,7 +25,7 @@
 
 // DrillState is what a drill's folder holds for one shard.
 type DrillState struct {
-	guard.Place
+	fencing.Place
 	Count   uint64       `json:"count"`   // changes taken
 	Refused uint64       `json:"refused"` // acts turned away
 	Last    []DrillEntry `json:"last"`    // the newest of what was done
@@ -64,7 +64,7 @@
 // Act implements Job: begin, a few changes, end, each one atomic step of the folder.
 func (d *Drill) Act(ctx context.Context, a *Act) error {
 	dir := filepath.Join(a.Task.Dir, fmt.Sprintf("%s-%d", a.Task.Name, a.Shard))
-	step := func(op string, do func(*guard.Place) error) error {
+	step := func(op string, do func(*fencing.Place) error) error {
 		if !a.Good() {
 			return errOver
 		}
@@ -72,7 +72,7 @@
 		e := DrillEntry{Token: a.Token, Act: a.N, Op: op, Member: d.Name}
 		n := DrillNotice{DrillEntry: e, ID: fmt.Sprintf("%s-%d", d.Name, d.notice.Add(1)), Task: a.Task.Name, Shard: a.Shard}
 		d.tell(ctx, a, n)
-		_, err := place.Update(dir, func(s *DrillState) error {
+		_, err := casfile.Update(dir, func(s *DrillState) error {
 			if err := do(&s.Place); err != nil {
 				return err
 			}
@@ -83,13 +83,13 @@
 			s.note(e)
 			return nil
 		})
-		refused, is := err.(*guard.Refusal)
+		refused, is := err.(*fencing.Refusal)
 		if n.Return, n.Taken = true, err == nil; err != nil && !is {
 			n.Error = err.Error()
 		}
 		d.tell(ctx, a, n)
 		if is {
-			place.Update(dir, func(s *DrillState) error {
+			casfile.Update(dir, func(s *DrillState) error {
 				s.Refused++
 				e.Taken = false
 				s.note(e)
@@ -99,17 +99,17 @@
 		}
 		return err
 	}
-	if err := step("begin", func(p *guard.Place) error { return p.Begin(a.Token, a.N) }); err != nil {
+	if err := step("begin", func(p *fencing.Place) error { return p.Begin(a.Token, a.N) }); err != nil {
 		return err
 	}
 	failpoint.Hit("act.opened")
 	for range takes {
-		if err := step("take", func(p *guard.Place) error { return p.Take(a.Token, a.N) }); err != nil {
+		if err := step("take", func(p *fencing.Place) error { return p.Take(a.Token, a.N) }); err != nil {
 			return err
 		}
 		failpoint.Hit("act.taken")
 	}
-	return step("end", func(p *guard.Place) error { return p.End(a.Token, a.N) })
+	return step("end", func(p *fencing.Place) error { return p.End(a.Token, a.N) })
 }
 
 // tell tells the witness. What can't be told is missing there, and no more.
--- a/internal/tasks/probe.go
+++ b/internal/controlplane/lease/leasework/probe.go
@@ -1,4 +1,4 @@
-package tasks
+package leasework
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/failpoint"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
 )
 
-// Stock counts connections at targets (internal/ration).
+// Stock counts connections at targets (internal/controlplane/quota/quotasession).
 type Stock interface {
 	Open(target string) bool
 	Close(target string)
--- a/internal/tasks/tasks.go
+++ b/internal/controlplane/lease/leasework/tasks.go
@@ -1,6 +1,6 @@
-// Package tasks is an instance's edge of leases: it acts on the shards that the tenant holds (internal/fleet/tenant), brings claims and
+// Package leasework is an instance's edge of leases: it acts on the shards that the tenant holds (internal/controlplane/lease/lessee), brings claims and
 // awards to and from the renewals of the instance's seat, and has a job for each kind of task.
-package tasks
+package leasework
 
 import (
 	"context"
@@ -11,16 +11,16 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch/internal/failpoint"
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/tenant"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
 )
 
 // Act is one act under way.
 type Act struct {
-	tenant.Act
+	lessee.Act
 	Task lease.Task
 	r    *Runner
 }
@@ -56,7 +56,7 @@
 	wake chan struct{}
 
 	mu      sync.Mutex
-	t       *tenant.Tenant
+	t       *lessee.Tenant
 	avoids  []string
 	work    []string       // targets to be tried, of the shards held
 	found   []lease.Result // not told yet
@@ -70,7 +70,7 @@
 
 // New returns one that holds nothing.
 func New(opt Options) *Runner {
-	return &Runner{opt: opt, wake: make(chan struct{}, 1), t: tenant.New(opt.Runs), news: func([]lease.Result, time.Duration) {}}
+	return &Runner{opt: opt, wake: make(chan struct{}, 1), t: lessee.New(opt.Runs), news: func([]lease.Result, time.Duration) {}}
 }
 
 // OnNews has f called with what others found out about targets that are avoided here, and how long it has been on its way at most. It must
@@ -176,28 +176,28 @@
 		err = job.Act(ctx, a)
 	}
 	failpoint.Hit("act.ending")
-	how, seen := tenant.Done, uint64(0)
-	var no *guard.Refusal
+	how, seen := lessee.Done, uint64(0)
+	var no *fencing.Refusal
 	switch {
 	case errors.As(err, &no):
-		how, seen = tenant.Refused, no.Seen.Token
+		how, seen = lessee.Refused, no.Seen.Token
 	case err != nil:
-		how = tenant.Failed
+		how = lessee.Failed
 	}
 	r.mu.Lock()
 	r.t.Finish(a.Act, how, seen)
 	hurry := r.t.Hurry() && !r.stopped
 	switch how {
-	case tenant.Done:
+	case lessee.Done:
 		r.counts.done++
-	case tenant.Refused:
+	case lessee.Refused:
 		r.counts.refused++
-	case tenant.Failed:
+	case lessee.Failed:
 		r.counts.failed++
 	}
 	r.mu.Unlock()
 	if err != nil {
-		reason := map[tenant.End]string{tenant.Refused: "ACT_REFUSED", tenant.Failed: "ACT_FAILED"}[how]
+		reason := map[lessee.End]string{lessee.Refused: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
 		r.opt.Log.Warn("act not done", slog.String("reason", reason), slog.String("lease", a.Key.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
 	}
 	if hurry {
--- a/internal/fleet/tenant/tenant.go
+++ b/internal/controlplane/lease/lessee/tenant.go
@@ -1,7 +1,7 @@
-// Package tenant is a member's side of leases for fleet-wide tasks: what it holds and until when, whether an act may begin or go on, and
+// Package lessee is a member's side of leases for fleet-wide tasks: what it holds and until when, whether an act may begin or go on, and
 // what it tells the keeper. It does no I/O; time is passed in, and equal inputs give equal outputs. docs/leases.md argues for its
 // safety; the numbers in the comments here are that page's steps.
-package tenant
+package lessee
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
 )
 
 // Tenant is one process's. It is not safe for concurrent use.
--- a/internal/fleet/keeper/keeper.go
+++ b/internal/controlplane/lease/lessor/keeper.go
@@ -1,7 +1,7 @@
-// Package keeper is the leading agent's side of leases for fleet-wide tasks: until when each shard may be acted on by its holder, who is
+// Package lessor is the leading agent's side of leases for fleet-wide tasks: until when each shard may be acted on by its holder, who is
 // to have it next, and what a claim is answered. One keeper lasts for one term of one leader. It does no I/O; time is passed in,
 // and equal inputs give equal outputs. docs/leases.md argues for its safety; the numbers in the comments here are that page's steps.
-package keeper
+package lessor
 
 import (
 	"cmp"
@@ -13,10 +13,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/register"
-	"spindlehitch/internal/fleet/spread"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/rebalance"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/registry"
 )
 
 const (
@@ -29,18 +29,18 @@
 // Keeper is the book of one term.
 type Keeper struct {
 	since   time.Duration
-	doc     fleet.Doc
+	doc     quota.Doc
 	tasks   lease.Doc
 	token   uint64 // the newest that the log has given
 	seen    uint64 // the newest that a place has been shown, as a member said
 	members map[string]member
-	known   []fleet.Member // as the log had them last
+	known   []quota.Member // as the log had them last
 	rows    []row
 	bars    map[bar]barred
 }
 
 type member struct {
-	fleet.Member
+	quota.Member
 	seq   uint64
 	heard time.Duration // the last claim; of one that is only known from the log, when this keeper began
 	runs  map[string]bool
@@ -70,7 +70,7 @@
 }
 
 // New begins a term. The register is what the log has, all of it up to the term's beginning.
-func New(now time.Duration, r *register.Register) *Keeper {
+func New(now time.Duration, r *registry.Register) *Keeper {
 	k := &Keeper{since: now, members: map[string]member{}, bars: map[bar]barred{}}
 	k.Update(now, r)
 	return k
@@ -81,10 +81,10 @@
 func (k *Keeper) wait(t *lease.Task) time.Duration { return k.doc.Elsewhere(t.Lease() + t.Pause()) }
 
 // Update takes over what the log says.
-func (k *Keeper) Update(now time.Duration, r *register.Register) {
+func (k *Keeper) Update(now time.Duration, r *registry.Register) {
 	tasked := k.tasks.Version != r.Tasks.Version
 	k.doc, k.tasks, k.token = r.Doc, r.Tasks, max(k.token, r.Token)
-	joined, left := fleet.Changed(k.known, r.Members)
+	joined, left := quota.Changed(k.known, r.Members)
 	k.known = append(k.known[:0], r.Members...)
 	for _, m := range left {
 		delete(k.members, m.ID)
@@ -172,9 +172,9 @@
 	m, known := k.members[id]
 	switch {
 	case !known:
-		return lease.Award{}, fleet.UnknownMember
+		return lease.Award{}, quota.UnknownMember
 	case c.Seq <= m.seq:
-		return lease.Award{}, fleet.OldRenewal
+		return lease.Award{}, quota.OldRenewal
 	}
 	m.seq, m.heard, m.ready = c.Seq, now, true
 	m.load = c.Load
@@ -268,7 +268,7 @@
 	if len(able) == 0 {
 		able = spare // one that did nothing may do something again; nobody else can
 	}
-	var shards []spread.Shard
+	var shards []rebalance.Shard
 	ended := map[int]*row{}
 	moving := 0
 	for i := range k.rows {
@@ -276,7 +276,7 @@
 		if x.Task != t.Name {
 			continue
 		}
-		s := spread.Shard{ID: x.Shard, Holder: x.Holder, Fixed: x.Pin != "" && x.Pin == x.Holder}
+		s := rebalance.Shard{ID: x.Shard, Holder: x.Holder, Fixed: x.Pin != "" && x.Pin == x.Holder}
 		// A lease has ended when its holder gave it back, or has not renewed it in time and is not about to (2). One that its holder was
 		// never told of has not begun.
 		silent := !k.prompt(now, x.Holder) || dead[x.Holder]
@@ -320,7 +320,7 @@
 	for _, id := range able {
 		load[id] = k.members[id].load
 	}
-	given, moved := spread.Plan(t.Name, shards, able, load, max(0, t.MostMoves-moving))
+	given, moved := rebalance.Plan(t.Name, shards, able, load, max(0, t.MostMoves-moving))
 	for _, m := range given {
 		if x := ended[m.Shard]; x != nil {
 			x.taken = true
--- a/internal/fleet/keeper/keeper_test.go
+++ b/internal/controlplane/lease/lessor/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package lessor
 
 import (
 	"encoding/json"
@@ -7,16 +7,16 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/register"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/registry"
 )
 
 // world is a register and a keeper with so many members, all of which have claimed.
-func world(tb testing.TB, members, shards int, runs ...string) (*register.Register, *Keeper, []uint64) {
+func world(tb testing.TB, members, shards int, runs ...string) (*registry.Register, *Keeper, []uint64) {
 	tb.Helper()
-	r := &register.Register{}
-	if err := r.Set(1, fleet.Doc{Seats: 2000}); err != nil {
+	r := &registry.Register{}
+	if err := r.Set(1, quota.Doc{Seats: 2000}); err != nil {
 		tb.Fatal(err)
 	}
 	if err := r.SetTasks(2, lease.Doc{Tasks: []lease.Task{{Name: "t", Kind: lease.Watch, Shards: shards, PauseMs: 100}}}); err != nil {
@@ -24,7 +24,7 @@
 	}
 	for i := range members {
 		id := fmt.Sprintf("member-%04d", i)
-		if _, err := r.Join(uint64(3+i), fleet.Member{ID: id, Name: fmt.Sprint("n", i), Weight: 1}); err != nil {
+		if _, err := r.Join(uint64(3+i), quota.Member{ID: id, Name: fmt.Sprint("n", i), Weight: 1}); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -48,7 +48,7 @@
 }
 
 // settle has the log take what the keeper wants, until it wants nothing more.
-func settle(r *register.Register, k *Keeper, now time.Duration) (changes int) {
+func settle(r *registry.Register, k *Keeper, now time.Duration) (changes int) {
 	for index := uint64(10_000); ; index++ {
 		orders, seen := k.Orders(now)
 		if len(orders) == 0 && seen == 0 {
@@ -204,7 +204,7 @@
 	}
 }
 
-func shardOf(r *register.Register, id string) int {
+func shardOf(r *registry.Register, id string) int {
 	for _, l := range r.Leases {
 		if l.Holder == id {
 			return l.Shard
--- a/internal/fleet/watch/watch.go
+++ b/internal/controlplane/lease/outlierboard/watch.go
@@ -1,6 +1,6 @@
-// Package watch is the agents' board of targets that are avoided: which members avoid which, who is to try them, and what was found out,
+// Package outlierboard is the agents' board of targets that are avoided: which members avoid which, who is to try them, and what was found out,
 // with its age. It is a guarded place: a result counts under the newest token alone (docs/leases.md, Places). It does no I/O.
-package watch
+package outlierboard
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
 )
 
 // mostFound bounds the results that are kept.
--- a/internal/fleet/watch/watch_test.go
+++ b/internal/controlplane/lease/outlierboard/watch_test.go
@@ -1,10 +1,10 @@
-package watch
+package outlierboard
 
 import (
 	"testing"
 	"time"
 
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
 )
 
 // TestBoard has results come under older and newer tokens, of targets that are avoided and not: ages grow, an older token is refused, and
--- a/internal/fleet/spread/spread.go
+++ b/internal/controlplane/lease/rebalance/spread.go
@@ -1,5 +1,5 @@
-// Package spread divides shards among members: evenly, with as few moves as can be, and only so many at a time. It does no I/O.
-package spread
+// Package rebalance divides shards among members: evenly, with as few moves as can be, and only so many at a time. It does no I/O.
+package rebalance
 
 import (
 	"cmp"
--- a/internal/fleet/spread/spread_test.go
+++ b/internal/controlplane/lease/rebalance/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package rebalance
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/fleet/members/members_test.go
+++ b/internal/controlplane/membership/members_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/fleet/members/message.go
+++ b/internal/controlplane/membership/message.go
@@ -1,8 +1,8 @@
-// Package members is how initiators know each other without a leader: periodic probes, probes through others, suspicion that its
+// Package membership is how initiators know each other without a leader: periodic probes, probes through others, suspicion that its
 // member can refute, records carried on the probes, and an exchange of what two views do not share. It does no I/O; time and
 // randomness are passed in, and equal inputs give equal outputs. docs/members.md has the argument; the numbers in the comments here
 // are that page's steps.
-package members
+package membership
 
 import (
 	"errors"
--- a/internal/peers/peers.go
+++ b/internal/controlplane/membership/transport/peers.go
@@ -1,6 +1,6 @@
-// Package peers is an instance's edge of the membership: sockets, the clock, the encoding and the log around one machine, which one
+// Package transport is an instance's edge of the membership: sockets, the clock, the encoding and the log around one machine, which one
 // goroutine alone touches.
-package peers
+package transport
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/process/monotone"
 )
 
 const (
@@ -39,7 +39,7 @@
 	Name, Bind, Advertise, Zone string
 	Key                         string
 	Seeds                       []string
-	Settings                    members.Settings
+	Settings                    membership.Settings
 	Shared                      bool // a predecessor may still hold the address: another port is taken until it is free
 	Log                         *slog.Logger
 }
@@ -49,7 +49,7 @@
 	opt   Options
 	about func() (load uint16, agent string)
 	birth uint64
-	m     *members.Machine
+	m     *membership.Machine
 	in    chan came
 	do    chan func()
 	box   *sockets
@@ -62,14 +62,14 @@
 	bad, lost, sent, bytes atomic.Int64
 	foreign                sync.Once
 	agents                 atomic.Pointer[[]string]
-	verdicts               atomic.Pointer[[]members.Verdict]
+	verdicts               atomic.Pointer[[]membership.Verdict]
 	seen                   int
 	alone                  string
 }
 
 type came struct {
-	*members.Message
-	via members.Via
+	*membership.Message
+	via membership.Via
 }
 
 // sockets is where a member is reached.
@@ -99,8 +99,8 @@
 
 // New checks what the files can't; it listens nowhere yet.
 func New(opt Options) (*Peers, error) {
-	if len(opt.Name) > members.MostText {
-		return nil, fmt.Errorf("name: %d bytes are too long for fleet.members, %d at most", len(opt.Name), members.MostText)
+	if len(opt.Name) > membership.MostText {
+		return nil, fmt.Errorf("name: %d bytes are too long for fleet.members, %d at most", len(opt.Name), membership.MostText)
 	}
 	if opt.Advertise == "" {
 		opt.Advertise = opt.Bind
@@ -134,7 +134,7 @@
 	}
 	p.birth = rand.Uint64() | 1
 	now := monotone.Now()
-	p.m = members.New(p.opt.Settings, p.birth, members.Info{Name: p.opt.Name, Addr: at, Zone: p.opt.Zone}, p.opt.Seeds, now,
+	p.m = membership.New(p.opt.Settings, p.birth, membership.Info{Name: p.opt.Name, Addr: at, Zone: p.opt.Zone}, p.opt.Seeds, now,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	p.ended = make(chan struct{})
 	var ctx context.Context
@@ -209,7 +209,7 @@
 
 // publish leaves what others of this process read.
 func (p *Peers) publish() {
-	agents, verdicts := p.m.Agents(), p.m.Ended(members.MostRecords)
+	agents, verdicts := p.m.Agents(), p.m.Ended(membership.MostRecords)
 	p.agents.Store(&agents)
 	p.verdicts.Store(&verdicts)
 }
@@ -252,7 +252,7 @@
 }
 
 // View tells what this member knows of all.
-func (p *Peers) View() (v members.View, ok bool) {
+func (p *Peers) View() (v membership.View, ok bool) {
 	ok = p.inspect(func(now time.Duration) { v = p.m.View(now) })
 	return v, ok
 }
@@ -266,7 +266,7 @@
 }
 
 // Ended are the names that this member holds dead or gone, a bounded number, a period old at most.
-func (p *Peers) Ended() []members.Verdict {
+func (p *Peers) Ended() []membership.Verdict {
 	if l := p.verdicts.Load(); l != nil {
 		return *l
 	}
@@ -277,12 +277,12 @@
 func (p *Peers) Tell(to statsd.ExtendedStatSender) {
 	p.inspect(func(now time.Duration) {
 		v := p.m.View(now)
-		count := map[members.State]int64{}
+		count := map[membership.State]int64{}
 		for _, m := range v.Members {
 			count[m.State]++
 		}
 		to.Gauge("fleet.members.living", int64(v.Size), 1)
-		for _, s := range []members.State{members.IsUnsure, members.IsDead, members.IsCut, members.IsSlow} {
+		for _, s := range []membership.State{membership.IsUnsure, membership.IsDead, membership.IsCut, membership.IsSlow} {
 			to.Gauge("fleet.members."+string(s), count[s], 1)
 		}
 		to.Gauge("fleet.members.doubt", int64(v.Score), 1)
@@ -318,7 +318,7 @@
 }
 
 // send puts messages on their ways; what can't go is lost, as it may be on any way.
-func (p *Peers) send(list []members.Send) {
+func (p *Peers) send(list []membership.Send) {
 	streams := map[string][]byte{}
 	for _, s := range list {
 		b, err := p.enc.Marshal(s.Message)
@@ -328,7 +328,7 @@
 		}
 		p.sent.Add(1)
 		p.bytes.Add(int64(len(b)))
-		if s.Via == members.Stream {
+		if s.Via == membership.Stream {
 			streams[s.Addr] = append(binary.BigEndian.AppendUint16(streams[s.Addr], uint16(len(b))), b...)
 			continue
 		}
@@ -369,8 +369,8 @@
 }
 
 // arrive has a message read, if it is one.
-func (p *Peers) arrive(b []byte, via members.Via) {
-	x := &members.Message{}
+func (p *Peers) arrive(b []byte, via membership.Via) {
+	x := &membership.Message{}
 	if err := p.dec.Unmarshal(b, x); err != nil || x.Check() != nil {
 		p.bad.Add(1)
 		return
@@ -393,7 +393,7 @@
 		case n > mostFrame:
 			p.bad.Add(1)
 		default:
-			p.arrive(b[:n], members.Datagram)
+			p.arrive(b[:n], membership.Datagram)
 		}
 	}
 }
@@ -428,7 +428,7 @@
 				if _, err := io.ReadFull(c, b); err != nil {
 					return
 				}
-				p.arrive(b, members.Stream)
+				p.arrive(b, membership.Stream)
 			}
 		}()
 	}
--- a/internal/fleet/members/view.go
+++ b/internal/controlplane/membership/view.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"cmp"
--- a/internal/fleet/giver/desk.go
+++ b/internal/controlplane/quota/allocator/desk.go
@@ -1,4 +1,4 @@
-package giver
+package allocator
 
 // Desk keeps decisions back until a majority has confirmed, after they were taken, that no later term has begun (6). One
 // question serves all that wait for it.
--- a/internal/fleet/giver/desk_test.go
+++ b/internal/controlplane/quota/allocator/desk_test.go
@@ -1,4 +1,4 @@
-package giver
+package allocator
 
 import (
 	"slices"
--- a/internal/fleet/giver/giver.go
+++ b/internal/controlplane/quota/allocator/giver.go
@@ -1,7 +1,7 @@
-// Package giver is the leading agent's side of fleet-wide budgets: the book of what each member may still hold, and what a renewal is
+// Package allocator is the leading agent's side of fleet-wide budgets: the book of what each member may still hold, and what a renewal is
 // granted. One giver lasts for one term of one leader. It does no I/O; time is passed in, and equal inputs give equal outputs.
 // docs/fleet-budgets.md argues for its safety; the numbers in the comments here are that page's steps.
-package giver
+package allocator
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/divide"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/maxmin"
 )
 
 // mostAlike is how many processes may live under one name and address: two of an upgrade and one that was just killed.
@@ -21,16 +21,16 @@
 
 // Giver is the book of one term.
 type Giver struct {
-	doc     fleet.Doc
+	doc     quota.Doc
 	since   time.Duration
 	members map[string]member
 	order   []string       // ids of members
-	known   []fleet.Member // as the log had them last
-	book    map[fleet.Key]*page
+	known   []quota.Member // as the log had them last
+	book    map[quota.Key]*page
 }
 
 type member struct {
-	fleet.Member
+	quota.Member
 	seq     uint64
 	heard   time.Duration // the last renewal; of one that is only known from the log, when this giver began
 	renewed bool          // by this giver
@@ -43,15 +43,15 @@
 	id         string
 	share      float64 // as last reckoned
 	shared     bool    // it was
-	held       fleet.Amount
+	held       quota.Amount
 	heldEnd    time.Duration
-	granted    fleet.Amount
+	granted    quota.Amount
 	grantedEnd time.Duration
-	claim      fleet.Report
+	claim      quota.Report
 }
 
 // may is the most that its member may still hold.
-func (r row) may(now time.Duration) (a fleet.Amount) {
+func (r row) may(now time.Duration) (a quota.Amount) {
 	if now < r.heldEnd {
 		a = r.held
 	}
@@ -62,16 +62,16 @@
 }
 
 // New begins a term. The members are those in the log, all of it up to the term's beginning.
-func New(now time.Duration, doc fleet.Doc, members []fleet.Member) *Giver {
-	g := &Giver{doc: doc, since: now, members: map[string]member{}, book: map[fleet.Key]*page{}}
+func New(now time.Duration, doc quota.Doc, members []quota.Member) *Giver {
+	g := &Giver{doc: doc, since: now, members: map[string]member{}, book: map[quota.Key]*page{}}
 	g.Update(now, doc, members)
 	return g
 }
 
 // Update takes over what the log says. Who has no seat any more holds nothing: it said so, or its seat outlasted all that it held (1).
-func (g *Giver) Update(now time.Duration, doc fleet.Doc, members []fleet.Member) {
+func (g *Giver) Update(now time.Duration, doc quota.Doc, members []quota.Member) {
 	g.doc = doc
-	joined, left := fleet.Changed(g.known, members)
+	joined, left := quota.Changed(g.known, members)
 	g.known = append(g.known[:0], members...)
 	for _, m := range left {
 		delete(g.members, m.ID)
@@ -96,7 +96,7 @@
 }
 
 // held is how long, at the giver, something lasts that was given for a renewal that has just come (Time).
-func (g *Giver) held(b *fleet.Budget) time.Duration {
+func (g *Giver) held(b *quota.Budget) time.Duration {
 	return g.doc.Elsewhere(g.doc.Part() + b.Linger())
 }
 
@@ -116,10 +116,10 @@
 
 // Admit tells whether a process may join, or why not. The log has the last word on seats. One whose first answer was lost asks
 // again: its seat lasts from this asking on, unless it is being taken back.
-func (g *Giver) Admit(now time.Duration, m fleet.Member) error {
+func (g *Giver) Admit(now time.Duration, m quota.Member) error {
 	if x, known := g.members[m.ID]; known {
 		if x.gone {
-			return fleet.UnknownMember
+			return quota.UnknownMember
 		}
 		x.heard = now
 		g.members[m.ID] = x
@@ -131,12 +131,12 @@
 			continue
 		}
 		if x.Addr != m.Addr {
-			return fleet.NameTaken
+			return quota.NameTaken
 		}
 		alike++
 	}
 	if alike >= mostAlike {
-		return fleet.NameTaken
+		return quota.NameTaken
 	}
 	return nil
 }
@@ -155,24 +155,24 @@
 
 // Renew notes what a member says and decides what it gets. The answer may only go out once a majority has confirmed, after this
 // call, that no later term has begun (6).
-func (g *Giver) Renew(now time.Duration, r fleet.Renewal) (fleet.Answer, error) {
+func (g *Giver) Renew(now time.Duration, r quota.Renewal) (quota.Answer, error) {
 	m, known := g.members[r.ID]
 	switch {
 	case !known || m.gone:
-		return fleet.Answer{}, fleet.UnknownMember
-	case len(r.Reports) > fleet.MostKeys+fleet.MostBudgets:
-		return fleet.Answer{}, fleet.NoBudgets
+		return quota.Answer{}, quota.UnknownMember
+	case len(r.Reports) > quota.MostKeys+quota.MostBudgets:
+		return quota.Answer{}, quota.NoBudgets
 	case r.Seq <= m.seq:
-		return fleet.Answer{}, fleet.OldRenewal
+		return quota.Answer{}, quota.OldRenewal
 	}
 	m.seq, m.heard, m.renewed, m.version = r.Seq, now, true, r.Version
 	g.members[r.ID] = m
-	a := fleet.Answer{ID: r.ID, Seq: r.Seq}
+	a := quota.Answer{ID: r.ID, Seq: r.Seq}
 	if r.Version != g.doc.Version {
 		doc := g.doc
 		a.Doc = &doc
 	}
-	said := make(map[fleet.Key]bool, len(r.Reports))
+	said := make(map[quota.Key]bool, len(r.Reports))
 	for _, rep := range r.Reports {
 		b := g.doc.Budget(rep.Budget)
 		if b == nil || said[rep.Key] {
@@ -195,7 +195,7 @@
 		}
 		x := &p.rows[at]
 		*x = row{id: r.ID, share: x.share, shared: x.shared, held: held, heldEnd: now + g.held(b), claim: rep}
-		grant := fleet.Grant{Key: rep.Key}
+		grant := quota.Grant{Key: rep.Key}
 		left := g.left(now, b, p, at)
 		if now < g.since+g.held(b) {
 			grant.Amount, grant.Extends = least(rep.Held, left), true // (5)
@@ -217,18 +217,18 @@
 	return a, nil
 }
 
-func least(a, b fleet.Amount) fleet.Amount {
-	return fleet.Amount{Rate: min(a.Rate, b.Rate), Burst: min(a.Burst, b.Burst)}
+func least(a, b quota.Amount) quota.Amount {
+	return quota.Amount{Rate: min(a.Rate, b.Rate), Burst: min(a.Burst, b.Burst)}
 }
 
 // left is what nobody but this member may hold (2).
-func (g *Giver) left(now time.Duration, b *fleet.Budget, p *page, at int) fleet.Amount {
+func (g *Giver) left(now time.Duration, b *quota.Budget, p *page, at int) quota.Amount {
 	pool, others := g.doc.Pool(b), p.others(now, at)
-	return fleet.Amount{Rate: max(0, pool.Rate-others.Rate), Burst: max(0, pool.Burst-others.Burst)}
+	return quota.Amount{Rate: max(0, pool.Rate-others.Rate), Burst: max(0, pool.Burst-others.Burst)}
 }
 
 // grant is the member's share, as far as nobody else holds it.
-func (g *Giver) grant(now time.Duration, b *fleet.Budget, p *page, x *row, left fleet.Amount) fleet.Amount {
+func (g *Giver) grant(now time.Duration, b *quota.Budget, p *page, x *row, left quota.Amount) quota.Amount {
 	pool := g.doc.Pool(b)
 	if p.old || now-p.at >= g.doc.Renew()/20 || now < p.at {
 		g.divide(now, b, p)
@@ -239,39 +239,39 @@
 	}
 	amount := min(share, left.Rate)
 	if b.Stock() {
-		return fleet.Amount{Rate: math.Floor(amount + 1e-9)}
+		return quota.Amount{Rate: math.Floor(amount + 1e-9)}
 	}
 	if pool.Rate <= 0 {
-		return fleet.Amount{}
+		return quota.Amount{}
 	}
 	// Burst goes with the rate, so that all of both can be given.
 	burst := amount * pool.Burst / pool.Rate
 	if burst > left.Burst {
 		amount, burst = amount*left.Burst/burst, left.Burst
 	}
-	return fleet.Amount{Rate: amount, Burst: burst}
+	return quota.Amount{Rate: amount, Burst: burst}
 }
 
 // divide reckons the shares of all who live and have a claim.
-func (g *Giver) divide(now time.Duration, b *fleet.Budget, p *page) {
+func (g *Giver) divide(now time.Duration, b *quota.Budget, p *page) {
 	pool := g.doc.Pool(b)
 	most := pool.Rate
 	if b.Most > 0 {
 		most = min(most, b.Most-b.Least)
 	}
 	at := make([]int, 0, len(p.rows))
-	claims := make([]divide.Claim, 0, len(p.rows))
+	claims := make([]maxmin.Claim, 0, len(p.rows))
 	for i := range p.rows {
 		x := &p.rows[i]
 		x.share, x.shared = 0, false
 		if m, known := g.members[x.id]; known && g.live(now, m) {
 			at = append(at, i)
-			claims = append(claims, divide.Claim{Want: x.claim.Want - b.Least, Most: most, Weight: m.Weight})
+			claims = append(claims, maxmin.Claim{Want: x.claim.Want - b.Least, Most: most, Weight: m.Weight})
 		}
 	}
-	shares := divide.Shares(pool.Rate, claims)
+	shares := maxmin.Shares(pool.Rate, claims)
 	if b.Stock() {
-		shares = divide.Units(pool.Rate, shares)
+		shares = maxmin.Units(pool.Rate, shares)
 	}
 	for i, share := range shares {
 		p.rows[at[i]].share, p.rows[at[i]].shared = share, true
@@ -290,7 +290,7 @@
 
 // Seen is one member as the giver sees it.
 type Seen struct {
-	fleet.Member
+	quota.Member
 	State   State  `json:"state"`
 	AgoMs   int64  `json:"seen_ms_ago"` // since it was last heard, or the giver began
 	SeatMs  int64  `json:"seat_ms"`     // until its seat ends, if it stays silent
@@ -325,10 +325,10 @@
 
 // Line is what one member may hold of a whole.
 type Line struct {
-	fleet.Key
+	quota.Key
 	ID      string       `json:"id"`
 	Name    string       `json:"name"`
-	May     fleet.Amount `json:"may_hold"` // beyond its floor
+	May     quota.Amount `json:"may_hold"` // beyond its floor
 	Want    float64      `json:"want"`
 	Used    float64      `json:"used,omitempty"`
 	InUse   float64      `json:"in_use,omitempty"`
@@ -367,14 +367,14 @@
 }
 
 // Waits is how long it is until the giver gives anything new of a budget (7).
-func (g *Giver) Waits(now time.Duration, b *fleet.Budget) time.Duration {
+func (g *Giver) Waits(now time.Duration, b *quota.Budget) time.Duration {
 	return max(0, g.since+g.held(b)-now)
 }
 
 // String is the whole state as text: equal states print alike.
 func (g *Giver) String() string {
 	b := fmt.Appendf(nil, "%v %v %v %v", g.doc, g.since, g.members, g.order)
-	for _, k := range slices.SortedFunc(maps.Keys(g.book), func(a, b fleet.Key) int {
+	for _, k := range slices.SortedFunc(maps.Keys(g.book), func(a, b quota.Key) int {
 		return cmp.Or(strings.Compare(a.Budget, b.Budget), strings.Compare(a.Key, b.Key))
 	}) {
 		b = fmt.Appendf(b, "\n%v %v", k, g.book[k])
--- a/internal/fleet/giver/page.go
+++ b/internal/controlplane/quota/allocator/page.go
@@ -1,4 +1,4 @@
-package giver
+package allocator
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // page is one whole's: those who may hold of it, in order of their ids, so that sums are made in the same order each time.
@@ -24,7 +24,7 @@
 
 // sum is what the rows of a run may hold, from a moment until one of them may hold less: for want of a renewal.
 type sum struct {
-	may         fleet.Amount
+	may         quota.Amount
 	from, until time.Duration // known where from is before until
 }
 
@@ -59,7 +59,7 @@
 }
 
 // others is what all but the member of a row may hold.
-func (p *page) others(now time.Duration, but int) (all fleet.Amount) {
+func (p *page) others(now time.Duration, but int) (all quota.Amount) {
 	if len(p.sums) == 0 {
 		p.width = 1 << (bits.Len(uint(len(p.rows))) / 2)
 		p.sums = append(p.sums, make([]sum, (len(p.rows)+p.width-1)/p.width)...)
@@ -99,8 +99,8 @@
 	return s
 }
 
-func plus(a, b fleet.Amount) fleet.Amount {
-	return fleet.Amount{Rate: a.Rate + b.Rate, Burst: a.Burst + b.Burst}
+func plus(a, b quota.Amount) quota.Amount {
+	return quota.Amount{Rate: a.Rate + b.Rate, Burst: a.Burst + b.Burst}
 }
 
 // String is what the page says; sums follow from it.
--- a/internal/fleet/giver/page_test.go
+++ b/internal/controlplane/quota/allocator/page_test.go
@@ -1,4 +1,4 @@
-package giver
+package allocator
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // TestOthers holds the sums that are kept against those made anew, over random pages and times: rows come, go, change and run out, and the
@@ -17,8 +17,8 @@
 func TestOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, now := &page{}, time.Hour
-		amount := func() fleet.Amount {
-			return fleet.Amount{Rate: float64(rapid.IntRange(0, 8).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 8).Draw(t, "burst"))}
+		amount := func() quota.Amount {
+			return quota.Amount{Rate: float64(rapid.IntRange(0, 8).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 8).Draw(t, "burst"))}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := fmt.Sprint(rapid.IntRange(10, 59).Draw(t, "who"))
@@ -43,7 +43,7 @@
 				continue
 			}
 			but := rapid.IntRange(0, len(p.rows)-1).Draw(t, "but")
-			var want fleet.Amount
+			var want quota.Amount
 			for i, r := range p.rows {
 				if i != but {
 					want = plus(want, r.may(now))
@@ -66,7 +66,7 @@
 			id := fmt.Sprint(10 + i)
 			at, _ := p.find(id)
 			p.enter(at, id)
-			p.rows[at].held, p.rows[at].heldEnd = fleet.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
+			p.rows[at].held, p.rows[at].heldEnd = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
 			p.touch(at)
 			if look {
 				p.others(now, at)
@@ -94,7 +94,7 @@
 	for i := range rows {
 		id := fmt.Sprintf("%05d", i)
 		p.enter(i, id)
-		p.rows[i].held, p.rows[i].heldEnd = fleet.Amount{Rate: 1}, now+time.Minute
+		p.rows[i].held, p.rows[i].heldEnd = quota.Amount{Rate: 1}, now+time.Minute
 	}
 	p.others(now, 0)
 	summed := 0
--- a/internal/fleet/fleet.go
+++ b/internal/controlplane/quota/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet has the terms that members, givers and agents share: budgets, members, renewals and answers, and the checks of
+// Package quota has the terms that members, givers and agents share: budgets, members, renewals and answers, and the checks of
 // what an operator sets. It does no I/O. docs/fleet-budgets.md has the design and the argument for its safety.
-package fleet
+package quota
 
 import (
 	"fmt"
--- a/internal/fleet/divide/divide.go
+++ b/internal/controlplane/quota/maxmin/divide.go
@@ -1,7 +1,7 @@
-// Package divide shares a whole out by need: weighted max-min fairness (Bertsekas and Gallager, Data Networks, section 6.5.2,
+// Package maxmin shares a whole out by need: weighted max-min fairness (Bertsekas and Gallager, Data Networks, section 6.5.2,
 // with weights), so that nobody gets less than another, for its weight, unless it wants no more. It does no I/O; equal claims get equal
 // parts, and the same claims always the same.
-package divide
+package maxmin
 
 import (
 	"cmp"
--- a/internal/fleet/divide/divide_test.go
+++ b/internal/controlplane/quota/maxmin/divide_test.go
@@ -1,4 +1,4 @@
-package divide
+package maxmin
 
 import (
 	"math"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/fleet/holder/holder.go
+++ b/internal/controlplane/quota/quotaclient/holder.go
@@ -1,7 +1,7 @@
-// Package holder is a member's side of fleet-wide budgets: what it may use at a moment, what it asks for, and which answers it takes. It
+// Package quotaclient is a member's side of fleet-wide budgets: what it may use at a moment, what it asks for, and which answers it takes. It
 // does no I/O; time is passed in, and equal inputs give equal outputs. docs/fleet-budgets.md argues for its safety; the numbers
 // in the comments here are that page's steps.
-package holder
+package quotaclient
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 const (
@@ -25,15 +25,15 @@
 
 // Holder is one process's. It is not safe for concurrent use.
 type Holder struct {
-	governed map[fleet.Use]bool // nothing of these is used before the fleet's budgets are known
+	governed map[quota.Use]bool // nothing of these is used before the fleet's budgets are known
 	id       string
 	seated   bool
 	left     bool
 	seatedAt time.Duration
 	seatEnd  time.Duration
-	doc      fleet.Doc
+	doc      quota.Doc
 	known    bool // doc is
-	rows     map[fleet.Key]row
+	rows     map[quota.Key]row
 	out      map[string]float64 // connections by target
 	seq      uint64
 	began    time.Duration // when the renewal sent last was begun
@@ -46,7 +46,7 @@
 
 // row is one whole as this member has it.
 type row struct {
-	amount  fleet.Amount // beyond the floor
+	amount  quota.Amount // beyond the floor
 	until   time.Duration
 	tokens  float64
 	at      time.Duration // when tokens were last reckoned
@@ -59,8 +59,8 @@
 }
 
 // New returns a holder without a seat. Of the uses named nothing is allowed until the fleet's budgets are known.
-func New(governed []fleet.Use) *Holder {
-	h := &Holder{governed: map[fleet.Use]bool{}, rows: map[fleet.Key]row{}, out: map[string]float64{}}
+func New(governed []quota.Use) *Holder {
+	h := &Holder{governed: map[quota.Use]bool{}, rows: map[quota.Key]row{}, out: map[string]float64{}}
 	for _, u := range governed {
 		h.governed[u] = true
 	}
@@ -68,17 +68,17 @@
 }
 
 // Seat takes a seat over: began is when the join was begun. Buckets start empty (8).
-func (h *Holder) Seat(began time.Duration, id string, doc fleet.Doc) {
+func (h *Holder) Seat(began time.Duration, id string, doc quota.Doc) {
 	h.id, h.doc, h.known, h.seated, h.left = id, doc, true, true, false
 	h.seatedAt, h.seatEnd = began, began+doc.Seat()
-	h.rows = map[fleet.Key]row{}
+	h.rows = map[quota.Key]row{}
 	h.seq, h.wantsAt = 0, began
 }
 
 // Unseat gives everything up: the agents know no such member.
 func (h *Holder) Unseat() {
 	h.seated = false
-	h.rows = map[fleet.Key]row{}
+	h.rows = map[quota.Key]row{}
 }
 
 // Leave gives everything up for good. Nothing is used from now on, so the agents may be told.
@@ -94,23 +94,23 @@
 func (h *Holder) ID() string { return h.id }
 
 // Renew begins a renewal. Only its own answer will be taken from now on (4).
-func (h *Holder) Renew(now time.Duration) fleet.Renewal {
+func (h *Holder) Renew(now time.Duration) quota.Renewal {
 	h.seq++
 	h.began, h.heard, h.hungered, h.hungry, h.grew = now, false, h.hungry, false, false
-	r := fleet.Renewal{ID: h.id, Seq: h.seq, Version: h.doc.Version}
+	r := quota.Renewal{ID: h.id, Seq: h.seq, Version: h.doc.Version}
 	span := max((now - h.wantsAt).Seconds(), 1e-3)
 	h.wantsAt = now
 	for i := range h.doc.Budgets {
 		b := &h.doc.Budgets[i]
-		if b.Per == fleet.PerFleet {
-			h.row(now, fleet.Key{Budget: b.Name}) // always there: what is left over is shared out as well
+		if b.Per == quota.PerFleet {
+			h.row(now, quota.Key{Budget: b.Name}) // always there: what is left over is shared out as well
 		}
 		if b.Stock() {
 			for target := range h.out {
-				if !b.Governs(fleet.Draw{Use: b.Use, Target: target}) {
+				if !b.Governs(quota.Draw{Use: b.Use, Target: target}) {
 					continue
 				}
-				h.row(now, fleet.Key{Budget: b.Name, Key: target})
+				h.row(now, quota.Key{Budget: b.Name, Key: target})
 			}
 		}
 	}
@@ -124,21 +124,21 @@
 		x = h.need(b, k, x, span, now)
 		held := h.part(x, now)
 		idle := now - x.touched
-		if held == (fleet.Amount{}) && h.inUse(b, k) == 0 && b.Per != fleet.PerFleet && idle > forget && x.tokens >= b.LeastBurst-slack {
+		if held == (quota.Amount{}) && h.inUse(b, k) == 0 && b.Per != quota.PerFleet && idle > forget && x.tokens >= b.LeastBurst-slack {
 			delete(h.rows, k) // as a bucket that was never used
 			continue
 		}
 		h.rows[k] = x
-		r.Reports = append(r.Reports, fleet.Report{Key: k, Held: held, Want: x.want, InUse: h.inUse(b, k), Used: x.rate})
+		r.Reports = append(r.Reports, quota.Report{Key: k, Held: held, Want: x.want, InUse: h.inUse(b, k), Used: x.rate})
 	}
-	slices.SortFunc(r.Reports, func(a, b fleet.Report) int {
+	slices.SortFunc(r.Reports, func(a, b quota.Report) int {
 		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key.Key, b.Key.Key))
 	})
 	return r
 }
 
 // need reckons what is asked for: what was used and a little more, much more where something was denied.
-func (h *Holder) need(b *fleet.Budget, k fleet.Key, x row, span float64, now time.Duration) row {
+func (h *Holder) need(b *quota.Budget, k quota.Key, x row, span float64, now time.Duration) row {
 	has := b.Least + h.part(x, now).Rate
 	x.rate = x.used / span
 	want := x.rate * headroom
@@ -164,7 +164,7 @@
 
 // Accept takes an answer. One to another renewal than the last, to one already taken, or to a seat that it had before, is no
 // answer (4).
-func (h *Holder) Accept(now time.Duration, a fleet.Answer) bool {
+func (h *Holder) Accept(now time.Duration, a quota.Answer) bool {
 	if !h.seated || a.ID != h.id || a.Seq != h.seq || h.heard {
 		return false
 	}
@@ -202,8 +202,8 @@
 
 // row returns what there is of a whole, made at first need: its floor's bucket has filled since the seat was taken. Past the most
 // that may be kept there is nothing.
-func (h *Holder) row(now time.Duration, k fleet.Key) (x row, known bool) {
-	if x, known = h.rows[k]; !known && len(h.rows) < fleet.MostKeys {
+func (h *Holder) row(now time.Duration, k quota.Key) (x row, known bool) {
+	if x, known = h.rows[k]; !known && len(h.rows) < quota.MostKeys {
 		x, known = row{at: h.seatedAt, touched: now}, true
 		h.rows[k] = x
 	}
@@ -219,15 +219,15 @@
 }
 
 // part is what there is beyond the floor at that moment.
-func (h *Holder) part(x row, now time.Duration) fleet.Amount {
+func (h *Holder) part(x row, now time.Duration) quota.Amount {
 	if h.seated && now < x.until {
 		return x.amount
 	}
-	return fleet.Amount{}
+	return quota.Amount{}
 }
 
 // limit is what may be used at that moment, floor and part.
-func (h *Holder) limit(b *fleet.Budget, x row, now time.Duration) fleet.Amount {
+func (h *Holder) limit(b *quota.Budget, x row, now time.Duration) quota.Amount {
 	a := h.part(x, now)
 	if h.Seated(now) {
 		a.Rate += b.Least
@@ -236,12 +236,12 @@
 	return a
 }
 
-func (h *Holder) depth(b *fleet.Budget, x row, now time.Duration) float64 {
+func (h *Holder) depth(b *quota.Budget, x row, now time.Duration) float64 {
 	return h.limit(b, x, now).Burst
 }
 
 // reckon brings a bucket up to that moment, through whatever ended meanwhile.
-func (h *Holder) reckon(b *fleet.Budget, x row, now time.Duration) row {
+func (h *Holder) reckon(b *quota.Budget, x row, now time.Duration) row {
 	for x.at < now {
 		to := now
 		for _, end := range []time.Duration{x.until, h.seatEnd} {
@@ -257,7 +257,7 @@
 	return x
 }
 
-func (h *Holder) inUse(b *fleet.Budget, k fleet.Key) float64 {
+func (h *Holder) inUse(b *quota.Budget, k quota.Key) float64 {
 	if b.Stock() {
 		return h.out[k.Key]
 	}
@@ -265,10 +265,10 @@
 }
 
 // barred tells whether a use is governed while nothing is known of the fleet's budgets.
-func (h *Holder) barred(u fleet.Use) bool { return h.governed[u] && !h.known || h.left }
+func (h *Holder) barred(u quota.Use) bool { return h.governed[u] && !h.known || h.left }
 
 // Wait tells how long it is, at least, until the draw may be made; 0: now. Of a stock, Units is how many would be out.
-func (h *Holder) Wait(now time.Duration, d fleet.Draw) (wait time.Duration, governed bool) {
+func (h *Holder) Wait(now time.Duration, d quota.Draw) (wait time.Duration, governed bool) {
 	const poll = 50 * time.Millisecond
 	if h.barred(d.Use) {
 		return poll, true
@@ -282,7 +282,7 @@
 			continue
 		}
 		governed = true
-		k := fleet.Key{Budget: b.Name, Key: b.KeyOf(d)}
+		k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
 		x, known := h.row(now, k)
 		if !known {
 			wait = max(wait, poll)
@@ -308,8 +308,8 @@
 }
 
 // Take makes draws that Wait allowed at that moment, and tells until when they are good: the first byte has to go by then (9).
-func (h *Holder) Take(now time.Duration, draws ...fleet.Draw) (until time.Duration) {
-	until = now + fleet.Air
+func (h *Holder) Take(now time.Duration, draws ...quota.Draw) (until time.Duration) {
+	until = now + quota.Air
 	for _, d := range draws {
 		if !h.known {
 			continue
@@ -319,7 +319,7 @@
 			if !b.Governs(d) || b.Stock() {
 				continue
 			}
-			k := fleet.Key{Budget: b.Name, Key: b.KeyOf(d)}
+			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
 			x, known := h.row(now, k)
 			if !known {
 				return now - 1 // good for nothing
@@ -340,7 +340,7 @@
 
 // stock is the least that any stock allows of connections at a target; false: none is kept.
 func (h *Holder) stock(now time.Duration, target string) (limit float64, governed bool) {
-	if h.barred(fleet.Connection) {
+	if h.barred(quota.Connection) {
 		return 0, true
 	}
 	if !h.known {
@@ -348,8 +348,8 @@
 	}
 	limit = math.Inf(1)
 	for i := range h.doc.Budgets {
-		if b := &h.doc.Budgets[i]; b.Stock() && b.Governs(fleet.Draw{Use: b.Use, Target: target}) {
-			x, known := h.row(now, fleet.Key{Budget: b.Name, Key: target})
+		if b := &h.doc.Budgets[i]; b.Stock() && b.Governs(quota.Draw{Use: b.Use, Target: target}) {
+			x, known := h.row(now, quota.Key{Budget: b.Name, Key: target})
 			if governed = true; !known {
 				return 0, true
 			}
@@ -370,7 +370,7 @@
 		return !full
 	}
 	for i := range h.doc.Budgets {
-		b, k := &h.doc.Budgets[i], fleet.Key{Budget: h.doc.Budgets[i].Name, Key: target}
+		b, k := &h.doc.Budgets[i], quota.Key{Budget: h.doc.Budgets[i].Name, Key: target}
 		x, known := h.rows[k]
 		if !b.Stock() || !known {
 			continue
@@ -436,8 +436,8 @@
 
 // Has is one whole as it is here at a moment.
 type Has struct {
-	fleet.Key
-	Limit  fleet.Amount
+	quota.Key
+	Limit  quota.Amount
 	Until  time.Duration // of what is beyond the floor; in the past: nothing is
 	Tokens float64
 	InUse  float64
@@ -448,7 +448,7 @@
 // All is every whole that is known here, in order.
 func (h *Holder) All(now time.Duration) []Has {
 	var all []Has
-	for _, k := range slices.SortedFunc(maps.Keys(h.rows), func(a, b fleet.Key) int {
+	for _, k := range slices.SortedFunc(maps.Keys(h.rows), func(a, b quota.Key) int {
 		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key, b.Key))
 	}) {
 		b := h.doc.Budget(k.Budget)
@@ -470,10 +470,10 @@
 }
 
 // Limit is what may be used of a whole at a moment, floor and part.
-func (h *Holder) Limit(now time.Duration, k fleet.Key) fleet.Amount {
+func (h *Holder) Limit(now time.Duration, k quota.Key) quota.Amount {
 	b := h.doc.Budget(k.Budget)
 	if !h.known || b == nil {
-		return fleet.Amount{}
+		return quota.Amount{}
 	}
 	return h.limit(b, h.rows[k], now)
 }
--- a/internal/fleet/holder/holder_test.go
+++ b/internal/controlplane/quota/quotaclient/holder_test.go
@@ -1,38 +1,38 @@
-package holder
+package quotaclient
 
 import (
 	"fmt"
 	"testing"
 	"time"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 const begun = time.Hour
 
-func seated(t *testing.T, budgets ...fleet.Budget) *Holder {
+func seated(t *testing.T, budgets ...quota.Budget) *Holder {
 	t.Helper()
-	d := fleet.Doc{Version: 1, Seats: 2, Budgets: budgets}
+	d := quota.Doc{Version: 1, Seats: 2, Budgets: budgets}
 	if err := d.Check(); err != nil {
 		t.Fatal(err)
 	}
-	h := New(fleet.Uses)
+	h := New(quota.Uses)
 	h.Seat(begun, "m", d)
 	return h
 }
 
 // TestBarred has nothing of a governed use before the budgets are known or after leaving, and what no budget governs free after.
 func TestBarred(t *testing.T) {
-	work, cold := fleet.Draw{Use: fleet.Work, Units: 1}, fleet.Draw{Use: fleet.Cold, Target: "t", Units: 1}
-	h := New([]fleet.Use{fleet.Work})
+	work, cold := quota.Draw{Use: quota.Work, Units: 1}, quota.Draw{Use: quota.Cold, Target: "t", Units: 1}
+	h := New([]quota.Use{quota.Work})
 	if wait, governed := h.Wait(begun, work); wait == 0 || !governed {
 		t.Error("work before the budgets are known")
 	}
 	if wait, governed := h.Wait(begun, cold); wait != 0 || governed {
 		t.Error("a use that its file does not name is held up")
 	}
-	h = seated(t, fleet.Budget{Name: "cold", Use: fleet.Cold, Per: fleet.PerTarget, Only: []string{"u"}, Whole: 10, Burst: 10})
-	for _, d := range []fleet.Draw{work, cold} {
+	h = seated(t, quota.Budget{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Only: []string{"u"}, Whole: 10, Burst: 10})
+	for _, d := range []quota.Draw{work, cold} {
 		if wait, governed := h.Wait(begun, d); wait != 0 || governed {
 			t.Errorf("%v is governed by no budget", d)
 		}
@@ -49,19 +49,19 @@
 
 // TestWant asks for what was used and a quarter more, holds that steady, doubles where something is denied, and lets go slowly.
 func TestWant(t *testing.T) {
-	h := seated(t, fleet.Budget{Name: "work", Use: fleet.Work, Whole: 1000, Burst: 1000, Least: 1, LeastBurst: 1})
-	d := fleet.Draw{Use: fleet.Work, Units: 1}
+	h := seated(t, quota.Budget{Name: "work", Use: quota.Work, Whole: 1000, Burst: 1000, Least: 1, LeastBurst: 1})
+	d := quota.Draw{Use: quota.Work, Units: 1}
 	now, last := begun, 0.0
 	renew := func(uses float64, denied bool) float64 {
 		for range int(uses) {
 			h.Take(now, d)
 		}
 		if denied {
-			h.Wait(now, fleet.Draw{Use: fleet.Work, Units: 1e6})
+			h.Wait(now, quota.Draw{Use: quota.Work, Units: 1e6})
 		}
 		now += time.Second
 		r := h.Renew(now)
-		h.Accept(now, fleet.Answer{ID: "m", Seq: r.Seq, Grants: []fleet.Grant{{Key: r.Reports[0].Key, Amount: fleet.Amount{Rate: 99, Burst: 99}}}})
+		h.Accept(now, quota.Answer{ID: "m", Seq: r.Seq, Grants: []quota.Grant{{Key: r.Reports[0].Key, Amount: quota.Amount{Rate: 99, Burst: 99}}}})
 		return r.Reports[0].Want
 	}
 	for i, c := range []struct {
@@ -79,19 +79,19 @@
 
 // TestEnds keeps what is known bounded, and forgets what nobody draws from.
 func TestEnds(t *testing.T) {
-	h := seated(t, fleet.Budget{Name: "cold", Use: fleet.Cold, Per: fleet.PerTarget, Whole: 10, Burst: 10, Least: 1, LeastBurst: 1})
+	h := seated(t, quota.Budget{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 10, Burst: 10, Least: 1, LeastBurst: 1})
 	now := begun + time.Minute
-	for i := range 2 * fleet.MostKeys {
-		wait, _ := h.Wait(now, fleet.Draw{Use: fleet.Cold, Target: fmt.Sprint(i), Units: 1})
-		if (wait == 0) != (i < fleet.MostKeys) {
+	for i := range 2 * quota.MostKeys {
+		wait, _ := h.Wait(now, quota.Draw{Use: quota.Cold, Target: fmt.Sprint(i), Units: 1})
+		if (wait == 0) != (i < quota.MostKeys) {
 			t.Fatalf("target %d: wait %v", i, wait)
 		}
 	}
-	if n := len(h.Renew(now).Reports); n != fleet.MostKeys {
+	if n := len(h.Renew(now).Reports); n != quota.MostKeys {
 		t.Errorf("%d reports", n)
 	}
 	now += forget + time.Second
-	if h.Accept(now, fleet.Answer{ID: "m", Seq: 1}); !h.Seated(now) {
+	if h.Accept(now, quota.Answer{ID: "m", Seq: 1}); !h.Seated(now) {
 		t.Fatal("the seat has ended")
 	}
 	if n := len(h.Renew(now).Reports); n != 0 {
@@ -101,7 +101,7 @@
 
 // TestNext renews sooner for a new need and while asking brings more, and no more often than others where it is denied for good.
 func TestNext(t *testing.T) {
-	h := seated(t, fleet.Budget{Name: "work", Use: fleet.Work, Whole: 1000, Burst: 1000, Least: 1, LeastBurst: 1})
+	h := seated(t, quota.Budget{Name: "work", Use: quota.Work, Whole: 1000, Burst: 1000, Least: 1, LeastBurst: 1})
 	now := begun
 	for i, c := range []struct {
 		denied bool
@@ -109,9 +109,9 @@
 		sooner bool
 	}{{false, 10, false}, {true, 10, true}, {true, 10, false}, {true, 20, true}, {true, 20, false}, {false, 20, false}, {true, 20, true}} {
 		r := h.Renew(now)
-		h.Accept(now, fleet.Answer{ID: "m", Seq: r.Seq, Grants: []fleet.Grant{{Key: r.Reports[0].Key, Amount: fleet.Amount{Rate: c.gets, Burst: 9}}}})
+		h.Accept(now, quota.Answer{ID: "m", Seq: r.Seq, Grants: []quota.Grant{{Key: r.Reports[0].Key, Amount: quota.Amount{Rate: c.gets, Burst: 9}}}})
 		if c.denied {
-			h.Wait(now, fleet.Draw{Use: fleet.Work, Units: 1e6})
+			h.Wait(now, quota.Draw{Use: quota.Work, Units: 1e6})
 		}
 		if sooner := h.Next()-now < time.Second; sooner != c.sooner {
 			t.Errorf("renewal %d: next in %v", i, h.Next()-now)
--- a/internal/ration/ration.go
+++ b/internal/controlplane/quota/quotasession/ration.go
@@ -1,6 +1,6 @@
-// Package ration is an instance's edge of the fleet: it keeps a seat at the agents by renewals, and answers the module and the
-// targets' pools from the holder, on the clock that counts sleep. All decisions are the holder's (internal/fleet/holder).
-package ration
+// Package quotasession is an instance's edge of the fleet: it keeps a seat at the agents by renewals, and answers the module and the
+// targets' pools from the holder, on the clock that counts sleep. All decisions are the holder's (internal/controlplane/quota/quotaclient).
+package quotasession
 
 import (
 	"context"
@@ -14,11 +14,11 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"spindlehitch"
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/holder"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
+	"spindlehitch/internal/process/monotone"
 )
 
 // Options set up an instance's part in the fleet.
@@ -28,13 +28,13 @@
 	Agents []string
 	More   func() []string // agents that others know, where none of these answers; nil: nobody knows any
 	Weight float64
-	Uses   []fleet.Use // nothing of these is used before the fleet's budgets are known
+	Uses   []quota.Use // nothing of these is used before the fleet's budgets are known
 	Log    *slog.Logger
 	Duties Duties // nil: the instance runs no tasks
 	Tells  string // where it tells its latency accounts; empty: nowhere
 }
 
-// Duties is what an instance does for the whole fleet (internal/tasks): its claims go with the renewals of its seat.
+// Duties is what an instance does for the whole fleet (internal/controlplane/lease/leasework): its claims go with the renewals of its seat.
 type Duties interface {
 	Claim(now time.Duration) *lease.Claim
 	Accept(now time.Duration, a *lease.Award)
@@ -50,7 +50,7 @@
 	wake   chan struct{}
 
 	mu     sync.Mutex
-	h      *holder.Holder
+	h      *quotaclient.Holder
 	hurry  bool   // the next renewal is due at once
 	why    string // why there is no seat, or nothing beyond the floor; empty: there is
 	counts struct{ renewed, failed, lapsed, denied int64 }
@@ -58,7 +58,7 @@
 
 // New returns one that has no seat yet; Run gets it one.
 func New(opt Options) *Ration {
-	return &Ration{opt: opt, client: agent.Client{Addrs: opt.Agents, More: opt.More}, h: holder.New(opt.Uses), why: "JOINING",
+	return &Ration{opt: opt, client: agent.Client{Addrs: opt.Agents, More: opt.More}, h: quotaclient.New(opt.Uses), why: "JOINING",
 		wake: make(chan struct{}, 1), moved: func() {}}
 }
 
@@ -68,10 +68,10 @@
 // OnMove has f called whenever parts have changed. It must be called before Run, and f must not wait.
 func (r *Ration) OnMove(f func()) { r.moved = f }
 
-func draw(d spindlehitch.Draw) fleet.Draw {
-	use := [...]fleet.Use{spindlehitch.ColdWork: fleet.Cold, spindlehitch.Repeats: fleet.Repeat,
-		spindlehitch.Connections: fleet.Connection, spindlehitch.AllWork: fleet.Work}[d.Use]
-	return fleet.Draw{Use: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func draw(d spindlehitch.Draw) quota.Draw {
+	use := [...]quota.Use{spindlehitch.ColdWork: quota.Cold, spindlehitch.Repeats: quota.Repeat,
+		spindlehitch.Connections: quota.Connection, spindlehitch.AllWork: quota.Work}[d.Use]
+	return quota.Draw{Use: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
@@ -111,7 +111,7 @@
 func (r *Ration) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]fleet.Draw, len(draws))
+	all := make([]quota.Draw, len(draws))
 	for i, d := range draws {
 		all[i] = draw(d)
 	}
@@ -183,7 +183,7 @@
 	waits := backoff.ExponentialBackOff{InitialInterval: joinAgain, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: mostJoin}
 	for {
 		began := monotone.Now()
-		m, doc, err := r.client.Join(ctx, fleet.Member{ID: id, Name: r.opt.Name, Addr: r.opt.Addr, Weight: r.opt.Weight, Accounts: r.opt.Tells})
+		m, doc, err := r.client.Join(ctx, quota.Member{ID: id, Name: r.opt.Name, Addr: r.opt.Addr, Weight: r.opt.Weight, Accounts: r.opt.Tells})
 		if err == nil {
 			r.mu.Lock()
 			r.h.Seat(began, m.ID, doc)
@@ -198,7 +198,7 @@
 			return false
 		}
 		why := "NO_AGENT"
-		var no fleet.Reason
+		var no quota.Reason
 		if errors.As(err, &no) {
 			why = string(no)
 		}
@@ -209,7 +209,7 @@
 		if !again {
 			r.opt.Log.Warn("turned away from the fleet", slog.String("reason", "FLEET_"+why), slog.Any("error", err))
 		}
-		if no == fleet.UnknownMember {
+		if no == quota.UnknownMember {
 			id = rand.Text()
 		}
 		select {
@@ -290,7 +290,7 @@
 		}
 		r.mu.Lock()
 		switch {
-		case errors.Is(err, fleet.UnknownMember):
+		case errors.Is(err, quota.UnknownMember):
 			r.lost(err.Error())
 			r.mu.Unlock()
 			r.moved()
--- a/internal/fleet/register/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -1,16 +1,16 @@
-package register
+package registry
 
 import (
 	"slices"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // SetTasks takes a checked set of tasks over at the log's index, its new version; an error changes nothing. Shards come and go with it.
 func (r *Register) SetTasks(index uint64, d lease.Doc) error {
 	if r.Doc.Version == 0 {
-		return fleet.NoBudgets
+		return quota.NoBudgets
 	}
 	if err := d.Check(&r.Doc); err != nil {
 		return err
--- a/internal/feed/disk.go
+++ b/internal/controlplane/watchstream/distribution/disk.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/renameio/v2"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
 )
 
 // The copy is one file: a mark, the length and the checksum (xxhash) of what follows, and that. It is replaced as a whole, so that what
@@ -86,9 +86,9 @@
 
 // kept is what the copy on disk holds.
 type kept struct {
-	Turn  uint64     `json:"turn"`
-	Scope feed.Scope `json:"scope"` // another one is owed other layers
-	Copy  feed.Copy  `json:"copy"`
+	Turn  uint64            `json:"turn"`
+	Scope watchstream.Scope `json:"scope"` // another one is owed other layers
+	Copy  watchstream.Copy  `json:"copy"`
 }
 
 // manyTurns are more than a life has between two copies on disk.
@@ -125,7 +125,7 @@
 func (f *Follower) begin() {
 	f.mu.Lock()
 	mark := f.replica.Whole()
-	records := append(f.replica.Records(feed.Targets), f.replica.Records(feed.Config)...)
+	records := append(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)...)
 	f.mu.Unlock()
 	if mark.Epoch == "" {
 		return
@@ -144,7 +144,7 @@
 	if turn <= k.Turn {
 		turn = k.Turn + manyTurns // the machine's clock was set back
 	}
-	r := feed.NewReplica(f.opt.Fleet, f.replica.Scope(), turn, feed.Limits{})
+	r := watchstream.NewReplica(f.opt.Fleet, f.replica.Scope(), turn, watchstream.Limits{})
 	if err := r.Restore(k.Copy); err != nil {
 		return err
 	}
--- a/internal/feed/feed_test.go
+++ b/internal/controlplane/watchstream/distribution/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"bytes"
@@ -21,9 +21,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -43,16 +43,16 @@
 	addr    string
 	http    *httptest.Server
 	mu      sync.Mutex
-	store   *feed.Store
-	source  *feed.Source
+	store   *watchstream.Store
+	source  *watchstream.Source
 	changed chan struct{}
 	looks   int  // how often the source was asked
 	deaf    bool // it hears of no leader
 }
 
-func newBook(t *testing.T, o feed.SourceOptions) *book {
-	b := &book{t: t, store: feed.NewStore(fleet, feed.Limits{}), changed: make(chan struct{})}
-	b.source = feed.NewSource(b.store, o, 1)
+func newBook(t *testing.T, o watchstream.SourceOptions) *book {
+	b := &book{t: t, store: watchstream.NewStore(fleet, watchstream.Limits{}), changed: make(chan struct{})}
+	b.source = watchstream.NewSource(b.store, o, 1)
 	b.server = NewServer(b, 0)
 	mux := http.NewServeMux()
 	b.server.Routes(mux)
@@ -62,7 +62,7 @@
 	return b
 }
 
-func (b *book) Do(do func(time.Duration, *feed.Source)) (<-chan struct{}, bool) {
+func (b *book) Do(do func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := monotone.Now()
@@ -74,11 +74,11 @@
 	return b.changed, true
 }
 
-func (b *book) put(puts ...feed.Put) uint64 {
+func (b *book) put(puts ...watchstream.Put) uint64 {
 	b.t.Helper()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	v, err := b.store.Apply(feed.Change{Fleet: fleet, Epoch: "first", Puts: puts})
+	v, err := b.store.Apply(watchstream.Change{Fleet: fleet, Epoch: "first", Puts: puts})
 	require.NoError(b.t, err)
 	close(b.changed)
 	b.changed = make(chan struct{})
@@ -86,9 +86,9 @@
 }
 
 // has tells what the source knows to be in force at its readers.
-func (b *book) has() map[string]feed.Reading {
-	m := map[string]feed.Reading{}
-	b.Do(func(now time.Duration, s *feed.Source) {
+func (b *book) has() map[string]watchstream.Reading {
+	m := map[string]watchstream.Reading{}
+	b.Do(func(now time.Duration, s *watchstream.Source) {
 		for _, r := range s.Report(now, "book", "").Readers {
 			m[r.Name] = r
 		}
@@ -96,20 +96,20 @@
 	return m
 }
 
-func target(i, state int) feed.Put {
+func target(i, state int) watchstream.Put {
 	id := "t-" + strconv.Itoa(i)
-	return feed.Put{Kind: feed.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:%d","cell":%d,"state":"SERVING"}`, id, 1000+state, i)}
+	return watchstream.Put{Kind: watchstream.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:%d","cell":%d,"state":"SERVING"}`, id, 1000+state, i)}
 }
 
-func targets(n int) (list []feed.Put) {
+func targets(n int) (list []watchstream.Put) {
 	for i := range n {
 		list = append(list, target(i, 0))
 	}
 	return list
 }
 
-func layer(scope, text string) feed.Put {
-	return feed.Put{Kind: feed.Config, Key: scope, Value: json.RawMessage(text)}
+func layer(scope, text string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Config, Key: scope, Value: json.RawMessage(text)}
 }
 
 // heard is what a follower was told, in order.
@@ -171,26 +171,26 @@
 	eventually(h.t, func() bool { return h.State().InForce.Least() >= v }, fmt.Sprintf("%s has %d", h.opt.Name, v))
 }
 
-func to(addrs ...string) (list []feed.Relay) {
+func to(addrs ...string) (list []watchstream.Relay) {
 	for i, a := range addrs {
-		list = append(list, feed.Relay{ID: "r" + strconv.Itoa(i), Region: "north", Addr: a})
+		list = append(list, watchstream.Relay{ID: "r" + strconv.Itoa(i), Region: "north", Addr: a})
 	}
 	return list
 }
 
 // TestDelta brings a follower all there is, then what changes: each newest state once, and what is in force is acknowledged.
 func TestDelta(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	b.put(append(targets(300), layer("shared", `{"a":1}`), layer("region/south", `{"a":2}`))...)
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
-	require.Len(t, f.Records(feed.Targets), 300)
-	require.Len(t, f.Records(feed.Config), 1, "another region's layer is not its own")
-	v := b.put(target(7, 1), feed.Put{Kind: feed.Targets, Key: "t-8", Gone: true}, layer("instance/i1", `{"b":1}`))
+	require.Len(t, f.Records(watchstream.Targets), 300)
+	require.Len(t, f.Records(watchstream.Config), 1, "another region's layer is not its own")
+	v := b.put(target(7, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-8", Gone: true}, layer("instance/i1", `{"b":1}`))
 	f.at(v)
-	require.Len(t, f.Records(feed.Targets), 299)
-	require.Len(t, f.Records(feed.Config), 2)
-	var last []feed.Record
+	require.Len(t, f.Records(watchstream.Targets), 299)
+	require.Len(t, f.Records(watchstream.Config), 2)
+	var last []watchstream.Record
 	for _, c := range f.told() {
 		require.False(t, c.Whole)
 		for _, r := range c.Records {
@@ -211,15 +211,15 @@
 
 // TestWoken has a poll that waits be answered when a change comes, and not when its time is over.
 func TestWoken(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{Gather: time.Nanosecond})
+	b := newBook(t, watchstream.SourceOptions{Gather: time.Nanosecond})
 	v := b.put(target(0, 0))
-	r := feed.NewReplica(fleet, feed.Scope{Name: "i1"}, 1, feed.Limits{})
-	ask := func() (int, feed.Delta, time.Duration) {
+	r := watchstream.NewReplica(fleet, watchstream.Scope{Name: "i1"}, 1, watchstream.Limits{})
+	ask := func() (int, watchstream.Delta, time.Duration) {
 		h := r.Hello()
 		h.WaitMs = mostWait.Milliseconds()
 		from := time.Now()
 		status, body := post(t, b.addr, mustJSON(t, h), nil)
-		var d feed.Delta
+		var d watchstream.Delta
 		if status == http.StatusOK {
 			require.NoError(t, json.Unmarshal(body, &d))
 			_, err := r.Take(&d)
@@ -286,7 +286,7 @@
 
 // TestBusy has more followers come than are admitted: they are told when to come again, and all get there.
 func TestBusy(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{Admit: 20, AdmitBurst: 1})
+	b := newBook(t, watchstream.SourceOptions{Admit: 20, AdmitBurst: 1})
 	v := b.put(target(0, 0))
 	var all []*heard
 	for i := range 8 {
@@ -302,7 +302,7 @@
 
 // TestTurnedDown has a configuration turned down: the last good one stays in force and targets go on; a later one is taken.
 func TestTurnedDown(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0), layer("shared", `{"a":1}`))
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
@@ -332,16 +332,16 @@
 
 // TestSlowReaders has readers that take nothing of their answers: no other waits for them.
 func TestSlowReaders(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{Rate: 10 << 20, Burst: 20 << 20, Admit: 1000, AdmitBurst: 1000})
+	b := newBook(t, watchstream.SourceOptions{Rate: 10 << 20, Burst: 20 << 20, Admit: 1000, AdmitBurst: 1000})
 	long := make([]byte, 3000)
 	for i := range long {
 		long[i] = "0123456789abcdef"[(i*i+i/7)%16]
 	}
 	for n := range 20 {
-		var puts []feed.Put
+		var puts []watchstream.Put
 		for i := range 60 {
 			id := fmt.Sprintf("t-%d-%d", n, i)
-			puts = append(puts, feed.Put{Kind: feed.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"x":"%s"}`, id, long)})
+			puts = append(puts, watchstream.Put{Kind: watchstream.Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"x":"%s"}`, id, long)})
 		}
 		b.put(puts...)
 	}
@@ -349,7 +349,7 @@
 		c, err := net.Dial("tcp", b.addr)
 		require.NoError(t, err)
 		defer c.Close()
-		body := mustJSON(t, feed.Hello{Fleet: fleet, Scope: feed.Scope{Name: fmt.Sprint("slow", i)}, Turn: 1, Seq: 1})
+		body := mustJSON(t, watchstream.Hello{Fleet: fleet, Scope: watchstream.Scope{Name: fmt.Sprint("slow", i)}, Turn: 1, Seq: 1})
 		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", watchPath, len(body), body)
 		require.NoError(t, err)
 	}
@@ -361,7 +361,7 @@
 
 // TestCopies begins with the copy on disk; one that is torn anywhere, or another fleet's, is passed over and counted.
 func TestCopies(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(40), layer("shared", `{"a":1}`))...)
 	dir := t.TempDir()
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr), Dir: dir})
--- a/internal/feed/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -1,6 +1,6 @@
-// Package feed is the edge of the feed of changes: the server that readers poll, the follower that polls it, the copy on disk and the
-// relay that is made of them. internal/fleet/feed decides; here are sockets, the clock, the encoding and the log.
-package feed
+// Package distribution is the edge of the feed of changes: the server that readers poll, the follower that polls it, the copy on disk and the
+// relay that is made of them. internal/controlplane/watchstream decides; here are sockets, the clock, the encoding and the log.
+package distribution
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
 )
 
 const (
@@ -39,11 +39,11 @@
 // Options set up a follower.
 type Options struct {
 	Fleet, Name, Region, Zone string
-	All                       bool         // a relay: all scopes are taken
-	Relays                    []feed.Relay // what it may follow
-	Dir                       string       // where the copy is kept; empty: nowhere
-	Seed                      uint64       // of what is spread; 0: from the name
-	Moves                     feed.MoverOptions
+	All                       bool                // a relay: all scopes are taken
+	Relays                    []watchstream.Relay // what it may follow
+	Dir                       string              // where the copy is kept; empty: nowhere
+	Seed                      uint64              // of what is spread; 0: from the name
+	Moves                     watchstream.MoverOptions
 	Log                       *slog.Logger // nil: none
 	// Transport carries the polls; nil: one of the follower's own, and then State counts all bytes of its connections and not the
 	// bodies alone.
@@ -58,31 +58,31 @@
 
 // Change is what a follower has got.
 type Change struct {
-	Records  []feed.Record // the newest state of each key that changed; Gone: it was taken away. Values must not be written to
-	Whole    bool          // all there is, from the copy on disk
-	Position feed.Position // up to which everything is there
+	Records  []watchstream.Record // the newest state of each key that changed; Gone: it was taken away. Values must not be written to
+	Whole    bool                 // all there is, from the copy on disk
+	Position watchstream.Position // up to which everything is there
 }
 
 // State is what a follower tells of itself.
 type State struct {
-	Epoch    string            `json:"epoch,omitempty"`
-	Position feed.Position     `json:"position"` // up to which everything is there
-	InForce  feed.Position     `json:"in_force"`
-	Down     *feed.TurnedDown  `json:"refused,omitempty"` // the configuration that couldn't be served
-	AgeMs    int64             `json:"age_ms"`            // since it was known to be as the log is; -1: never
-	Relay    string            `json:"relay,omitempty"`   // that answered last
-	Region   string            `json:"region,omitempty"`  // of that relay
-	Moves    uint64            `json:"moves"`
-	Polls    uint64            `json:"polls"`
-	Deltas   uint64            `json:"deltas"`
-	Records  uint64            `json:"records"`
-	Failed   uint64            `json:"failed"` // polls without an answer
-	Busy     uint64            `json:"busy"`   // polls that were told to come again
-	Refused  map[string]uint64 `json:"turned"` // deltas that were not taken and hellos that were not, by reason
-	In       uint64            `json:"bytes_in"`
-	Out      uint64            `json:"bytes_out"`
-	Saved    uint64            `json:"saved"` // copies on disk
-	Torn     uint64            `json:"torn"`  // copies on disk that could not be used
+	Epoch    string                  `json:"epoch,omitempty"`
+	Position watchstream.Position    `json:"position"` // up to which everything is there
+	InForce  watchstream.Position    `json:"in_force"`
+	Down     *watchstream.TurnedDown `json:"refused,omitempty"` // the configuration that couldn't be served
+	AgeMs    int64                   `json:"age_ms"`            // since it was known to be as the log is; -1: never
+	Relay    string                  `json:"relay,omitempty"`   // that answered last
+	Region   string                  `json:"region,omitempty"`  // of that relay
+	Moves    uint64                  `json:"moves"`
+	Polls    uint64                  `json:"polls"`
+	Deltas   uint64                  `json:"deltas"`
+	Records  uint64                  `json:"records"`
+	Failed   uint64                  `json:"failed"` // polls without an answer
+	Busy     uint64                  `json:"busy"`   // polls that were told to come again
+	Refused  map[string]uint64       `json:"turned"` // deltas that were not taken and hellos that were not, by reason
+	In       uint64                  `json:"bytes_in"`
+	Out      uint64                  `json:"bytes_out"`
+	Saved    uint64                  `json:"saved"` // copies on disk
+	Torn     uint64                  `json:"torn"`  // copies on disk that could not be used
 }
 
 // Follower has a copy of the feed and keeps it up to date. One goroutine, that of Run, does all the work.
@@ -92,31 +92,31 @@
 	trans http.RoundTripper
 	own   *http.Transport // nil: another's
 	bytes meter
-	mover *feed.Mover // of Run alone
+	mover *watchstream.Mover // of Run alone
 
 	mu      sync.Mutex
-	replica *feed.Replica
+	replica *watchstream.Replica
 	changed chan struct{} // closed and renewed with each delta
 	fresh   time.Duration // when what it has was known to be as the log is; 0: never
 	state   State
 
-	told  feed.Position // of Run alone, as what follows
-	dirty bool          // records have changed since the copy on disk
-	moved bool          // the position has
-	due   time.Duration // the next copy
-	saved time.Duration // the last one
+	told  watchstream.Position // of Run alone, as what follows
+	dirty bool                 // records have changed since the copy on disk
+	moved bool                 // the position has
+	due   time.Duration        // the next copy
+	saved time.Duration        // the last one
 }
 
 // NewFollower checks the options and reads the copy on disk; it asks for nothing yet.
 func NewFollower(opt Options) (*Follower, error) {
-	scope := feed.Scope{Name: opt.Name, Region: opt.Region, Zone: opt.Zone, All: opt.All}
+	scope := watchstream.Scope{Name: opt.Name, Region: opt.Region, Zone: opt.Zone, All: opt.All}
 	switch err := scope.Check(); {
 	case err != nil:
 		return nil, err
 	case opt.Fleet == "":
-		return nil, &feed.FieldError{Field: "fleet", Why: "it is missing"}
+		return nil, &watchstream.FieldError{Field: "fleet", Why: "it is missing"}
 	case len(opt.Relays) == 0:
-		return nil, &feed.FieldError{Field: "relays", Why: "there are none"}
+		return nil, &watchstream.FieldError{Field: "relays", Why: "there are none"}
 	}
 	opt.Seed = cmp.Or(opt.Seed, xxhash.Sum64String(opt.Name))
 	f := &Follower{opt: opt, log: opt.Log, trans: opt.Transport, changed: make(chan struct{}), state: State{Refused: map[string]uint64{}}}
@@ -133,12 +133,12 @@
 		f.trans = f.own
 	}
 	turn := cmp.Or(opt.Turn, uint64(time.Now().UnixMilli()))
-	f.replica = feed.NewReplica(opt.Fleet, scope, turn, feed.Limits{})
+	f.replica = watchstream.NewReplica(opt.Fleet, scope, turn, watchstream.Limits{})
 	f.load()
 	if opt.All {
 		opt.Moves.Most = cmp.Or(opt.Moves.Most, relayMost)
 	}
-	f.mover = feed.NewMover(opt.Relays, opt.Region, opt.Name, opt.Seed, opt.Moves)
+	f.mover = watchstream.NewMover(opt.Relays, opt.Region, opt.Name, opt.Seed, opt.Moves)
 	return f, nil
 }
 
@@ -182,7 +182,7 @@
 	}
 }
 
-func (f *Follower) move(to feed.Relay, from string) {
+func (f *Follower) move(to watchstream.Relay, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if from == "" {
@@ -194,7 +194,7 @@
 }
 
 // poll asks a relay once, and takes what it answers: after is when to come again, age how old what it has may be.
-func (f *Follower) poll(ctx context.Context, relay feed.Relay) (out feed.Outcome, after, age time.Duration) {
+func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.Outcome, after, age time.Duration) {
 	f.mu.Lock()
 	h := f.replica.Hello()
 	f.state.Polls++
@@ -204,13 +204,13 @@
 	status, age, body, err := f.ask(ctx, relay.Addr, &h)
 	switch {
 	case ctx.Err() != nil:
-		return feed.Failed, 0, 0
+		return watchstream.Failed, 0, 0
 	case err != nil:
 		f.failed(relay, err)
 		if errors.Is(err, context.DeadlineExceeded) {
-			return feed.Silent, 0, 0
+			return watchstream.Silent, 0, 0
 		}
-		return feed.Failed, 0, 0
+		return watchstream.Failed, 0, 0
 	case status == http.StatusOK:
 		out, age := f.take(relay, body)
 		return out, 0, age
@@ -219,25 +219,25 @@
 		if monotone.Now()-began < hurried {
 			sleep(ctx, hurried) // it leaves, or doesn't wait: it isn't asked without a pause
 		}
-		return feed.Answered, 0, age
+		return watchstream.Answered, 0, age
 	}
 	var no Refused
 	if err := format.Unmarshal(body, &no); err != nil || no.Reason == "" {
 		f.failed(relay, fmt.Errorf("it answers %d, %.100q", status, body))
-		return feed.Failed, 0, 0
+		return watchstream.Failed, 0, 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if no.AfterMs > 0 {
 		f.state.Busy++
-		return feed.Turned, min(time.Duration(no.AfterMs)*time.Millisecond, time.Minute), 0
+		return watchstream.Turned, min(time.Duration(no.AfterMs)*time.Millisecond, time.Minute), 0
 	}
 	f.refused(relay, no.Reason, no.Why)
-	return feed.Refused, 0, 0
+	return watchstream.Refused, 0, 0
 }
 
 // ask makes one call. The answer is unpacked.
-func (f *Follower) ask(ctx context.Context, addr string, h *feed.Hello) (status int, age time.Duration, body []byte, err error) {
+func (f *Follower) ask(ctx context.Context, addr string, h *watchstream.Hello) (status int, age time.Duration, body []byte, err error) {
 	text, err := format.Marshal(h)
 	if err != nil {
 		return 0, 0, nil, err
@@ -285,21 +285,21 @@
 }
 
 // take has a delta taken, and applied.
-func (f *Follower) take(relay feed.Relay, body []byte) (out feed.Outcome, age time.Duration) {
-	var d feed.Delta
+func (f *Follower) take(relay watchstream.Relay, body []byte) (out watchstream.Outcome, age time.Duration) {
+	var d watchstream.Delta
 	if err := format.Unmarshal(body, &d); err != nil {
 		f.mu.Lock()
-		f.refused(relay, feed.Malformed, err.Error())
+		f.refused(relay, watchstream.Malformed, err.Error())
 		f.mu.Unlock()
-		return feed.Failed, 0
+		return watchstream.Failed, 0
 	}
 	f.mu.Lock()
 	records, err := f.replica.Take(&d)
-	var no *feed.Refusal
+	var no *watchstream.Refusal
 	if errors.As(err, &no) {
 		f.refused(relay, no.Reason, no.Why)
 		f.mu.Unlock()
-		return feed.Refused, 0
+		return watchstream.Refused, 0
 	}
 	f.state.Deltas++
 	f.state.Records += uint64(len(records))
@@ -311,11 +311,11 @@
 	age = time.Duration(max(0, d.AgeMs)) * time.Millisecond
 	f.heard(relay, age)
 	f.apply(Change{Records: records, Position: mark.Position}, mark)
-	return feed.Answered, age
+	return watchstream.Answered, age
 }
 
 // apply tells what is new, and acknowledges it as far as it is in force.
-func (f *Follower) apply(c Change, mark feed.Mark) {
+func (f *Follower) apply(c Change, mark watchstream.Mark) {
 	var err error
 	if f.opt.Changed != nil && (len(c.Records) > 0 || c.Whole || c.Position != f.told) {
 		err = f.opt.Changed(c)
@@ -332,14 +332,14 @@
 }
 
 // heard notes who answered, and how old that is what it has.
-func (f *Follower) heard(relay feed.Relay, age time.Duration) {
+func (f *Follower) heard(relay watchstream.Relay, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state.Relay, f.state.Region = relay.ID, relay.Region
 	f.fresh = max(f.fresh, monotone.Now()-age)
 }
 
-func (f *Follower) failed(relay feed.Relay, err error) {
+func (f *Follower) failed(relay watchstream.Relay, err error) {
 	f.mu.Lock()
 	f.state.Failed++
 	f.mu.Unlock()
@@ -347,7 +347,7 @@
 }
 
 // refused counts what was not taken. Its caller holds mu.
-func (f *Follower) refused(relay feed.Relay, why feed.Reason, text string) {
+func (f *Follower) refused(relay watchstream.Relay, why watchstream.Reason, text string) {
 	f.state.Refused[string(why)]++
 	f.log.Warn("feed refused", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
 }
@@ -368,7 +368,7 @@
 }
 
 // Records are the live ones of a kind that it has, in order of version; any goroutine may ask. Their values must not be written to.
-func (f *Follower) Records(k feed.Kind) []feed.Record {
+func (f *Follower) Records(k watchstream.Kind) []watchstream.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.replica.Records(k)
--- a/internal/feed/garbage_test.go
+++ b/internal/controlplane/watchstream/distribution/garbage_test.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"bytes"
@@ -13,14 +13,14 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // TestGarbageAsked sends what is no hello: each is refused with a status of its own, and nothing of it is kept.
 func TestGarbageAsked(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0))
-	good := mustJSON(t, feed.Hello{Fleet: fleet, Scope: feed.Scope{Name: "i1"}, Turn: 1, Seq: 1})
+	good := mustJSON(t, watchstream.Hello{Fleet: fleet, Scope: watchstream.Scope{Name: "i1"}, Turn: 1, Seq: 1})
 	var bomb bytes.Buffer
 	z := gzip.NewWriter(&bomb)
 	_, err := z.Write(make([]byte, 64<<20))
@@ -51,7 +51,7 @@
 		require.NoError(t, json.Unmarshal(text, &no), c.name)
 		require.NotEmpty(t, no.Reason, c.name)
 	}
-	b.Do(func(_ time.Duration, s *feed.Source) { require.Zero(t, s.Readers()) })
+	b.Do(func(_ time.Duration, s *watchstream.Source) { require.Zero(t, s.Readers()) })
 	status, _ := post(t, b.addr, good, nil)
 	require.Equal(t, http.StatusOK, status)
 	status, _ = post(t, b.addr, good, nil)
@@ -68,11 +68,11 @@
 // TestGarbageAnswered has sources answer what is no delta, or not this follower's: each is refused and counted, nothing is changed,
 // and the next good one is taken.
 func TestGarbageAnswered(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(5), layer("shared", `{"a":1}`))...)
-	delta := func(bend func(*feed.Delta)) []byte {
-		d := feed.Delta{Fleet: fleet, Epoch: "first", For: feed.Scope{Name: "i1", Region: "north"}, To: feed.Position{Targets: 1, Config: 1},
-			Head: feed.Position{Targets: 1, Config: 1}, Records: []feed.Record{{Kind: feed.Targets, Key: "bad", Version: 1, Value: target(0, 0).Value}}}
+	delta := func(bend func(*watchstream.Delta)) []byte {
+		d := watchstream.Delta{Fleet: fleet, Epoch: "first", For: watchstream.Scope{Name: "i1", Region: "north"}, To: watchstream.Position{Targets: 1, Config: 1},
+			Head: watchstream.Position{Targets: 1, Config: 1}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "bad", Version: 1, Value: target(0, 0).Value}}}
 		bend(&d)
 		return mustJSON(t, d)
 	}
@@ -89,18 +89,18 @@
 	}{
 		{"a page", "malformed", 200, false, []byte("<html>")},
 		{"nothing", "malformed", 200, false, nil},
-		{"cut", "malformed", 200, false, delta(func(*feed.Delta) {})[:90]},
+		{"cut", "malformed", 200, false, delta(func(*watchstream.Delta) {})[:90]},
 		{"a bomb", "failed", 200, true, bomb.Bytes()},
 		{"not packed", "failed", 200, true, []byte("{}")},
 		{"another status", "failed", 418, false, nil},
-		{"another fleet", string(feed.Foreign), 200, false, delta(func(d *feed.Delta) { d.Fleet = "other" })},
-		{"another reader", string(feed.Misdirect), 200, false, delta(func(d *feed.Delta) { d.For.Region = "south" })},
-		{"a gap", string(feed.Gap), 200, false, delta(func(d *feed.Delta) { d.From.Targets = 1 })},
-		{"out of order", string(feed.Disorder), 200, false, delta(func(d *feed.Delta) { d.Records[0].Version = 2 })},
-		{"a layer of others", string(feed.OutOf), 200, false, delta(func(d *feed.Delta) {
-			d.Records[0] = feed.Record{Kind: feed.Config, Key: "region/south", Version: 1, Value: json.RawMessage("{}")}
+		{"another fleet", string(watchstream.Foreign), 200, false, delta(func(d *watchstream.Delta) { d.Fleet = "other" })},
+		{"another reader", string(watchstream.Misdirect), 200, false, delta(func(d *watchstream.Delta) { d.For.Region = "south" })},
+		{"a gap", string(watchstream.Gap), 200, false, delta(func(d *watchstream.Delta) { d.From.Targets = 1 })},
+		{"out of order", string(watchstream.Disorder), 200, false, delta(func(d *watchstream.Delta) { d.Records[0].Version = 2 })},
+		{"a layer of others", string(watchstream.OutOf), 200, false, delta(func(d *watchstream.Delta) {
+			d.Records[0] = watchstream.Record{Kind: watchstream.Config, Key: "region/south", Version: 1, Value: json.RawMessage("{}")}
 		})},
-		{"a hello refused", string(feed.Foreign), 409, false, []byte(`{"reason":"foreign","why":"not here"}`)},
+		{"a hello refused", string(watchstream.Foreign), 409, false, []byte(`{"reason":"foreign","why":"not here"}`)},
 	} {
 		var bad sync.Once
 		odd := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -125,7 +125,7 @@
 		} else {
 			require.Equal(t, uint64(1), s.Refused[c.count], "%s: %v", c.name, s.Refused)
 		}
-		for _, r := range f.Records(feed.Targets) {
+		for _, r := range f.Records(watchstream.Targets) {
 			require.NotEqual(t, "bad", r.Key, c.name)
 		}
 		f.stop()
--- a/internal/feed/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/datapath/listing"
 )
 
 const (
@@ -22,9 +22,9 @@
 // PublisherOptions set up a publisher.
 type PublisherOptions struct {
 	Fleet string
-	Put   func(context.Context, feed.Change) (uint64, error) // makes a change
-	Have  func(context.Context) ([]feed.Record, error)       // the targets in the stream
-	Shed  bool                                               // whole lists may take away more than half
+	Put   func(context.Context, watchstream.Change) (uint64, error) // makes a change
+	Have  func(context.Context) ([]watchstream.Record, error)       // the targets in the stream
+	Shed  bool                                                      // whole lists may take away more than half
 	Log   *slog.Logger
 }
 
@@ -192,16 +192,16 @@
 }
 
 // next is the next change of what differs.
-func (p *Publisher) next(have map[string]listing.Entry) feed.Change {
+func (p *Publisher) next(have map[string]listing.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c := feed.Change{Fleet: p.opt.Fleet}
+	c := watchstream.Change{Fleet: p.opt.Fleet}
 	for id := range p.dirty {
 		if len(c.Puts) >= mostTogether {
 			break
 		}
 		delete(p.dirty, id)
-		put := feed.Put{Kind: feed.Targets, Key: id}
+		put := watchstream.Put{Kind: watchstream.Targets, Key: id}
 		is, there := have[id]
 		e, wanted := p.want[id]
 		switch {
@@ -212,7 +212,7 @@
 		default:
 			var err error
 			if put.Value, err = format.Marshal(e); err == nil {
-				one := feed.Change{Fleet: p.opt.Fleet, Puts: []feed.Put{put}}
+				one := watchstream.Change{Fleet: p.opt.Fleet, Puts: []watchstream.Put{put}}
 				err = one.Check()
 			}
 			if err != nil {
--- a/internal/feed/publisher_test.go
+++ b/internal/controlplane/watchstream/distribution/publisher_test.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // published is a publisher before a book.
@@ -20,12 +20,12 @@
 	*Publisher
 	b       *book
 	mu      sync.Mutex
-	changes []feed.Change
+	changes []watchstream.Change
 	lose    int // so many answers are lost: the change is made all the same
 }
 
 func newPublished(t *testing.T, shed bool) *published {
-	p := &published{b: newBook(t, feed.SourceOptions{})}
+	p := &published{b: newBook(t, watchstream.SourceOptions{})}
 	p.Publisher = NewPublisher(PublisherOptions{Fleet: fleet, Put: p.put, Have: p.have, Shed: shed, Log: slog.New(slog.DiscardHandler)})
 	ctx, end := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -34,7 +34,7 @@
 	return p
 }
 
-func (p *published) put(_ context.Context, c feed.Change) (uint64, error) {
+func (p *published) put(_ context.Context, c watchstream.Change) (uint64, error) {
 	v := p.b.put(c.Puts...)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -46,10 +46,10 @@
 	return v, nil
 }
 
-func (p *published) have(context.Context) ([]feed.Record, error) {
+func (p *published) have(context.Context) ([]watchstream.Record, error) {
 	p.b.mu.Lock()
 	defer p.b.mu.Unlock()
-	return p.b.store.Records(feed.Targets), nil
+	return p.b.store.Records(watchstream.Targets), nil
 }
 
 func (p *published) puts() (n int) {
@@ -92,7 +92,7 @@
 // TestPublish puts what a list says into the stream: what differs and no more, in few changes, and once also where an answer is lost.
 func TestPublish(t *testing.T) {
 	p := newPublished(t, false)
-	p.b.put(target(0, 7), feed.Put{Kind: feed.Targets, Key: "old", Value: []byte(`{"id":"old"}`)}, layer("shared", "{}"))
+	p.b.put(target(0, 7), watchstream.Put{Kind: watchstream.Targets, Key: "old", Value: []byte(`{"id":"old"}`)}, layer("shared", "{}"))
 	p.Tell(some(entries(5, 6, 1))) // before a whole one has come it says nothing of the rest
 	first := entries(0, 3, 1007)
 	p.Tell(whole(first))
@@ -114,7 +114,7 @@
 	puts := p.puts()
 	p.Tell(whole(append(entries(0, 1, 1007), entries(1, 2, 1009)...)))
 	odd := entries(3, 4, 1)
-	odd[0].Zone = strings.Repeat("z", feed.MostTargetValue)
+	odd[0].Zone = strings.Repeat("z", watchstream.MostTargetValue)
 	p.Tell(some(append(odd, entries(4, 5, 1)...)))
 	want["t-4"] = "127.0.0.1:1"
 	p.is(t, want)
--- a/internal/feed/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
 )
 
 const (
@@ -28,9 +28,9 @@
 	ID, Fleet, Region string
 	Agents            []string // where the agents answer; any of them is followed
 	Dir               string   // where the copy is kept; empty: nowhere
-	Source            feed.SourceOptions
+	Source            watchstream.SourceOptions
 	// Report brings the agents' leader what the readers have; nil: nobody wants to know.
-	Report func(context.Context, feed.Report) (feed.ReportAnswer, error)
+	Report func(context.Context, watchstream.Report) (watchstream.ReportAnswer, error)
 	Log    *slog.Logger
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -40,7 +40,7 @@
 	opt      RelayOptions
 	log      *slog.Logger
 	follower *Follower
-	source   *feed.Source // under the follower's lock
+	source   *watchstream.Source // under the follower's lock
 	server   *Server
 	http     http.Server
 	conns    atomic.Int64
@@ -53,17 +53,17 @@
 	if r.log == nil {
 		r.log = slog.New(slog.DiscardHandler)
 	}
-	agents := make([]feed.Relay, len(opt.Agents))
+	agents := make([]watchstream.Relay, len(opt.Agents))
 	for i, addr := range opt.Agents {
-		agents[i] = feed.Relay{ID: addr, Region: opt.Region, Addr: addr}
+		agents[i] = watchstream.Relay{ID: addr, Region: opt.Region, Addr: addr}
 	}
 	var err error
 	r.follower, err = NewFollower(Options{Fleet: opt.Fleet, Name: opt.ID, Region: opt.Region, All: true, Relays: agents, Dir: opt.Dir, Log: opt.Log, Dial: opt.Dial})
 	if err != nil {
 		return nil, err
 	}
-	r.opt.Source.MaxReaders = cmp.Or(opt.Source.MaxReaders, feed.Fair.MaxReaders)
-	r.source = feed.NewSource(r.follower.replica.Store(), r.opt.Source, r.follower.replica.Turn())
+	r.opt.Source.MaxReaders = cmp.Or(opt.Source.MaxReaders, watchstream.Fair.MaxReaders)
+	r.source = watchstream.NewSource(r.follower.replica.Store(), r.opt.Source, r.follower.replica.Turn())
 	r.server = NewServer(r, r.opt.Source.MaxReaders)
 	mux := http.NewServeMux()
 	r.server.Routes(mux)
@@ -73,7 +73,7 @@
 }
 
 // Do implements Origin.
-func (r *Relay) Do(do func(now time.Duration, s *feed.Source)) (<-chan struct{}, bool) {
+func (r *Relay) Do(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
 	f := r.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,8 +111,8 @@
 func (r *Relay) report(ctx context.Context) {
 	failing := false
 	for sleep(ctx, reportEvery) {
-		var rep feed.Report
-		r.Do(func(now time.Duration, s *feed.Source) { rep = s.Report(now, r.opt.ID, r.opt.Region) })
+		var rep watchstream.Report
+		r.Do(func(now time.Duration, s *watchstream.Source) { rep = s.Report(now, r.opt.ID, r.opt.Region) })
 		within, done := context.WithTimeout(ctx, reportIn)
 		answer, err := r.opt.Report(within, rep)
 		done()
@@ -125,32 +125,32 @@
 		}
 		r.reports.sent.Add(1)
 		failing = false
-		r.Do(func(_ time.Duration, s *feed.Source) { s.Reported(answer) })
+		r.Do(func(_ time.Duration, s *watchstream.Source) { s.Reported(answer) })
 	}
 }
 
 // RelayState is what a relay tells of itself.
 type RelayState struct {
-	ID       string                 `json:"id"`
-	Readers  int                    `json:"readers"`
-	Refused  map[feed.Reason]uint64 `json:"refused,omitempty"` // hellos
-	Busy     uint64                 `json:"busy"`              // readers that were told to come again
-	Served   Served                 `json:"served"`
-	Follower State                  `json:"follower"`
-	Reports  uint64                 `json:"reports"`
-	Lost     uint64                 `json:"reports_failed"`
-	Targets  int                    `json:"targets"`
-	Layers   int                    `json:"layers"`
+	ID       string                        `json:"id"`
+	Readers  int                           `json:"readers"`
+	Refused  map[watchstream.Reason]uint64 `json:"refused,omitempty"` // hellos
+	Busy     uint64                        `json:"busy"`              // readers that were told to come again
+	Served   Served                        `json:"served"`
+	Follower State                         `json:"follower"`
+	Reports  uint64                        `json:"reports"`
+	Lost     uint64                        `json:"reports_failed"`
+	Targets  int                           `json:"targets"`
+	Layers   int                           `json:"layers"`
 }
 
 // State tells of the relay; any goroutine may ask.
 func (r *Relay) State() RelayState {
 	s := RelayState{ID: r.opt.ID, Served: r.server.Served(), Follower: r.follower.State(), Reports: r.reports.sent.Load(), Lost: r.reports.failed.Load()}
-	r.Do(func(_ time.Duration, src *feed.Source) {
+	r.Do(func(_ time.Duration, src *watchstream.Source) {
 		s.Readers = src.Readers()
 		s.Refused, s.Busy = src.Counts()
 		store := r.follower.replica.Store()
-		s.Targets, s.Layers = store.Count(feed.Targets), store.Count(feed.Config)
+		s.Targets, s.Layers = store.Count(watchstream.Targets), store.Count(watchstream.Config)
 	})
 	return s
 }
--- a/internal/feed/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/ports"
 )
 
 // relayed is a relay on the loopback that can be stopped and started again at its address.
@@ -60,7 +60,7 @@
 // count stands in for the agents' leader.
 type count struct {
 	mu    sync.Mutex
-	tally *feed.Tally
+	tally *watchstream.Tally
 	gone  bool
 }
 
@@ -74,20 +74,20 @@
 func (c *count) renew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally = feed.NewTally(fleet, feed.TallyOptions{})
+	c.tally = watchstream.NewTally(fleet, watchstream.TallyOptions{})
 	c.tally.Committed(monotone.Now(), "first", 1)
 }
 
-func (c *count) report(_ context.Context, r feed.Report) (feed.ReportAnswer, error) {
+func (c *count) report(_ context.Context, r watchstream.Report) (watchstream.ReportAnswer, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone {
-		return feed.ReportAnswer{}, fmt.Errorf("no leader at the moment")
+		return watchstream.ReportAnswer{}, fmt.Errorf("no leader at the moment")
 	}
 	return c.tally.Take(monotone.Now(), r)
 }
 
-func (c *count) status(v uint64) feed.Status {
+func (c *count) status(v uint64) watchstream.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally.Status(monotone.Now(), v)
@@ -97,13 +97,13 @@
 // leader in the midst.
 func TestRelayKilled(t *testing.T) {
 	const n = 12
-	b, c := newBook(t, feed.SourceOptions{}), newCount()
+	b, c := newBook(t, watchstream.SourceOptions{}), newCount()
 	v := b.put(append(targets(50), layer("shared", `{"a":1}`))...)
 	var relays []*relayed
 	var addrs []string
 	for i := range 3 {
 		relays = append(relays, relayAt(t, "127.0.0.1:0", RelayOptions{ID: fmt.Sprint("relay", i), Agents: []string{b.addr}, Report: c.report,
-			Source: feed.SourceOptions{Admit: 1000, AdmitBurst: 1000}}))
+			Source: watchstream.SourceOptions{Admit: 1000, AdmitBurst: 1000}}))
 		addrs = append(addrs, relays[i].addr)
 	}
 	var all []*heard
@@ -151,20 +151,20 @@
 // TestRelayCopy starts a relay that has an old copy: it serves that at once, with its age, and is brought up by what differs. A torn copy is
 // passed over.
 func TestRelayCopy(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(200), layer("shared", `{"a":1}`), layer("zone/far", `{"a":2}`))...)
 	dir := t.TempDir()
 	opt := RelayOptions{ID: "relay", Agents: []string{b.addr}, Dir: dir}
 	r := relayAt(t, "127.0.0.1:0", opt)
 	eventually(t, func() bool { return r.State().Follower.InForce.Least() == v }, "up to date")
 	r.stop()
-	later := b.put(target(5, 1), feed.Put{Kind: feed.Targets, Key: "t-6", Gone: true})
+	later := b.put(target(5, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-6", Gone: true})
 	alone := opt
 	alone.Agents = []string{"127.0.0.1:1"}
 	r = relayAt(t, "127.0.0.1:0", alone)
 	f := follow(t, Options{Name: "i1", Relays: to(r.addr)})
 	f.at(v)
-	require.Len(t, f.Records(feed.Targets), 200)
+	require.Len(t, f.Records(watchstream.Targets), 200)
 	require.Greater(t, f.State().AgeMs, int64(1), "it has heard of no agent")
 	f.stop()
 	r.stop()
@@ -219,7 +219,7 @@
 // TestRelayCut cuts a relay off from all agents: it goes on serving what it has, readers hear how old that is, and once it hears again it
 // and they are brought up.
 func TestRelayCut(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(20), layer("shared", `{"a":1}`))...)
 	g := &gate{open: map[net.Conn]bool{}}
 	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Dial: g.dial})
@@ -240,9 +240,9 @@
 }
 
 // homed names a reader whose home is the first of these relays.
-func homed(relays []feed.Relay) string {
+func homed(relays []watchstream.Relay) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprint("i", i); feed.Order(relays, "north", name)[0] == relays[0] {
+		if name := fmt.Sprint("i", i); watchstream.Order(relays, "north", name)[0] == relays[0] {
 			return name
 		}
 	}
@@ -251,13 +251,13 @@
 // TestRelayCutAlone cuts one of two relays off from the agents: it answers still, and its readers hear what is new from the other, soon. Once it
 // hears again they come back.
 func TestRelayCutAlone(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(20), layer("shared", `{"a":1}`))...)
 	g := &gate{open: map[net.Conn]bool{}}
 	cut := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "cut", Agents: []string{b.addr}, Dial: g.dial})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
-	relays := []feed.Relay{{ID: "cut", Region: "north", Addr: cut.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: feed.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
+	relays := []watchstream.Relay{{ID: "cut", Region: "north", Addr: cut.addr}, {ID: "other", Region: "north", Addr: other.addr}}
+	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: watchstream.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "cut", f.State().Relay)
 	g.set(true)
@@ -278,12 +278,12 @@
 
 // TestHome has a reader's home not answer for a while: it goes to the other relay, and home once that answers again.
 func TestHome(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(targets(3)...)
 	home := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "home", Agents: []string{b.addr}})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
-	relays := []feed.Relay{{ID: "home", Region: "north", Addr: home.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: feed.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
+	relays := []watchstream.Relay{{ID: "home", Region: "north", Addr: home.addr}, {ID: "other", Region: "north", Addr: other.addr}}
+	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: watchstream.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "home", f.State().Relay)
 	home.kill()
@@ -296,10 +296,10 @@
 
 // TestAnotherFleet has a relay of another fleet and a follower of ours: nothing is taken, and it is counted.
 func TestAnotherFleet(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0))
 	f := follow(t, Options{Fleet: "other", Name: "i1", Relays: to(b.addr)})
-	eventually(t, func() bool { return f.State().Refused[string(feed.Foreign)] > 1 }, "refused")
+	eventually(t, func() bool { return f.State().Refused[string(watchstream.Foreign)] > 1 }, "refused")
 	require.Empty(t, f.told())
 	require.Zero(t, f.State().Position)
 	require.Zero(t, f.State().Records)
@@ -307,9 +307,9 @@
 
 // TestRelayBounds has a relay be asked for more than it takes: readers over its number hear when to come again.
 func TestRelayBounds(t *testing.T) {
-	b := newBook(t, feed.SourceOptions{})
+	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(target(0, 0))
-	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Source: feed.SourceOptions{MaxReaders: 2}})
+	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Source: watchstream.SourceOptions{MaxReaders: 2}})
 	first, second := follow(t, Options{Name: "i1", Relays: to(r.addr)}), follow(t, Options{Name: "i2", Relays: to(r.addr)})
 	first.at(v)
 	second.at(v)
--- a/internal/feed/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -1,4 +1,4 @@
-package feed
+package distribution
 
 import (
 	"cmp"
@@ -11,8 +11,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
 )
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -31,20 +31,20 @@
 type Origin interface {
 	// Do runs f while nobody else touches the source or its store, and returns what is closed at the store's next change. Without
 	// a source there is nothing to serve yet, and f isn't run.
-	Do(f func(now time.Duration, s *feed.Source)) (changed <-chan struct{}, ok bool)
+	Do(f func(now time.Duration, s *watchstream.Source)) (changed <-chan struct{}, ok bool)
 }
 
 // Refused is what a source answers to a hello that it doesn't take.
 type Refused struct {
-	Reason  feed.Reason `json:"reason"`
-	Why     string      `json:"why,omitempty"`
-	AfterMs int64       `json:"after_ms,omitempty"` // come again then, here or elsewhere
+	Reason  watchstream.Reason `json:"reason"`
+	Why     string             `json:"why,omitempty"`
+	AfterMs int64              `json:"after_ms,omitempty"` // come again then, here or elsewhere
 }
 
 func (e *Refused) Error() string { return string(e.Reason) + ": " + e.Why }
 
 // busy is the reason that the source is used up for now.
-const busy feed.Reason = "busy"
+const busy watchstream.Reason = "busy"
 
 // Server answers readers' polls. What a reader is owed is read off the store when it can be sent, so that a slow one has nothing but its
 // own connection.
@@ -100,13 +100,13 @@
 	ctl := http.NewResponseController(w)
 	_ = ctl.SetWriteDeadline(time.Now().Add(mostWait + answerIn)) // a writer that can't is bounded by its server
 	defer func() { _ = ctl.SetWriteDeadline(time.Time{}) }()
-	var h feed.Hello
+	var h watchstream.Hello
 	body, err := readAll(http.MaxBytesReader(w, r.Body, mostHello), r.Header.Get(packedHead) == zipWord, mostHello)
 	if err == nil {
 		err = format.Unmarshal(body, &h)
 	}
 	if err != nil {
-		s.refuse(w, http.StatusBadRequest, &Refused{Reason: feed.Malformed, Why: "body: " + err.Error()})
+		s.refuse(w, http.StatusBadRequest, &Refused{Reason: watchstream.Malformed, Why: "body: " + err.Error()})
 		return
 	}
 	if status, no := s.hear(h); no != nil {
@@ -123,33 +123,33 @@
 }
 
 // hear brings the source a reader's word.
-func (s *Server) hear(h feed.Hello) (status int, no *Refused) {
+func (s *Server) hear(h watchstream.Hello) (status int, no *Refused) {
 	var err error
-	if _, ok := s.from.Do(func(now time.Duration, src *feed.Source) { err = src.Hear(now, h) }); !ok {
-		return http.StatusServiceUnavailable, &Refused{feed.Unready, "there is nothing here yet", retryIn.Milliseconds()}
+	if _, ok := s.from.Do(func(now time.Duration, src *watchstream.Source) { err = src.Hear(now, h) }); !ok {
+		return http.StatusServiceUnavailable, &Refused{watchstream.Unready, "there is nothing here yet", retryIn.Milliseconds()}
 	}
-	var full *feed.Busy
-	var refusal *feed.Refusal
+	var full *watchstream.Busy
+	var refusal *watchstream.Refusal
 	switch {
 	case err == nil:
 		return 0, nil
 	case errors.As(err, &full):
 		return http.StatusServiceUnavailable, &Refused{busy, err.Error(), max(1, full.After.Milliseconds())}
-	case errors.As(err, &refusal) && refusal.Reason == feed.Unready:
+	case errors.As(err, &refusal) && refusal.Reason == watchstream.Unready:
 		return http.StatusServiceUnavailable, &Refused{refusal.Reason, refusal.Why, retryIn.Milliseconds()}
-	case errors.As(err, &refusal) && refusal.Reason != feed.Malformed:
+	case errors.As(err, &refusal) && refusal.Reason != watchstream.Malformed:
 		return http.StatusConflict, &Refused{Reason: refusal.Reason, Why: refusal.Why}
 	}
-	return http.StatusUnprocessableEntity, &Refused{Reason: feed.Malformed, Why: err.Error()}
+	return http.StatusUnprocessableEntity, &Refused{Reason: watchstream.Malformed, Why: err.Error()}
 }
 
 // next waits for what a reader is to get; nil: nothing within the time that it waits.
-func (s *Server) next(r *http.Request, h feed.Hello) (d *feed.Delta, age time.Duration) {
+func (s *Server) next(r *http.Request, h watchstream.Hello) (d *watchstream.Delta, age time.Duration) {
 	until := monotone.Now() + min(time.Duration(max(h.WaitMs, 0))*time.Millisecond, mostWait)
 	var timer *time.Timer
 	for {
 		var wait, at time.Duration
-		changed, _ := s.from.Do(func(now time.Duration, src *feed.Source) {
+		changed, _ := s.from.Do(func(now time.Duration, src *watchstream.Source) {
 			d, wait = src.Next(now, h.Name)
 			age, at = src.Age(now), now
 		})
@@ -179,7 +179,7 @@
 }
 
 // send writes a delta, within a time that doesn't hang on its reader, and tells the source what it and its question took.
-func (s *Server) send(w http.ResponseWriter, r *http.Request, d *feed.Delta, asked int) {
+func (s *Server) send(w http.ResponseWriter, r *http.Request, d *watchstream.Delta, asked int) {
 	text, err := format.Marshal(d)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -191,7 +191,7 @@
 			w.Header().Set(packedHead, zipWord)
 		}
 	}
-	s.from.Do(func(_ time.Duration, src *feed.Source) { src.Sent(d.For.Name, d, asked+len(text)+headBytes) })
+	s.from.Do(func(_ time.Duration, src *watchstream.Source) { src.Sent(d.For.Name, d, asked+len(text)+headBytes) })
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	_, err = w.Write(text)
--- a/internal/fleet/feed/feed_test.go
+++ b/internal/controlplane/watchstream/feed_test.go
@@ -1,4 +1,4 @@
-package feed
+package watchstream
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 	_ "pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/fleet/feed/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -1,8 +1,8 @@
-// Package feed has the decisions by which changes of targets and of configuration get to all initiators: one numbered stream from the
+// Package watchstream has the decisions by which changes of targets and of configuration get to all initiators: one numbered stream from the
 // agents' log over relays to initiators, by the same Store, Source and Replica at each hop. It does no I/O, has no clock and no
 // goroutines; callers hold a lock of their own. docs/feed.md has the design and the argument; the numbers in comments are that
 // page's steps.
-package feed
+package watchstream
 
 import (
 	"encoding/json"
--- a/internal/fleet/feed/report.go
+++ b/internal/controlplane/watchstream/report.go
@@ -1,4 +1,4 @@
-package feed
+package watchstream
 
 import (
 	"cmp"
--- a/internal/fleet/feed/sent.go
+++ b/internal/controlplane/watchstream/sent.go
@@ -1,4 +1,4 @@
-package feed
+package watchstream
 
 // Sent tells what a delta that Next gave took on the wire, its question and all that is around it included: readers' buckets are of those
 // bytes. Next reckons with records as they are, since it can't know how they are packed; what that was too much comes back, and what
--- a/internal/fleet/merge/merge.go
+++ b/internal/controlplane/watchstream/targetmerge/merge.go
@@ -1,4 +1,4 @@
-// Package merge joins what two sources tell of the targets, discovery and the feed, into one list, of which it tells the changes. It has
+// Package targetmerge joins what two sources tell of the targets, discovery and the feed, into one list, of which it tells the changes. It has
 // no clock, no sockets and no goroutines.
 //
 // Either source may lag, so what counts is not who spoke last but what is newer of the target itself: words are joined as in a lattice, by
@@ -7,14 +7,14 @@
 //
 // A source that names a target no more, after it had, counts as telling it DELETED at the start that it knew. That alone can be taken back,
 // by the same source: a list that came empty by mistake must not end all targets until each of them starts again.
-package merge
+package targetmerge
 
 import (
 	"container/list"
 	"slices"
 	"strings"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // Source is who tells of targets.
--- a/internal/fleet/merge/merge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/merge_test.go
@@ -1,4 +1,4 @@
-package merge
+package targetmerge
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/core/core.go
+++ b/internal/datapath/core/core.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // Ending says how a request ended.
--- a/internal/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/accounts"
+	"spindlehitch/internal/observability/accounts"
 )
 
 // fake is an upstream that notes what it is told.
--- a/internal/discovery/crowd_test.go
+++ b/internal/datapath/discovery/crowd_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // lines is how long the stand-in's whole list is; its changes have one.
--- a/internal/discovery/discovery.go
+++ b/internal/datapath/discovery/discovery.go
@@ -17,8 +17,8 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // What discovery has to tell counts as told 6 s after it had it and could be reached, whatever went wrong with a call. The
--- a/internal/discovery/discovery_test.go
+++ b/internal/datapath/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/discovery/paths_test.go
+++ b/internal/datapath/discovery/paths_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // faulty is a service in a bubble's time whose calls go wrong as a test says: each takes the next fault there is.
--- a/internal/discovery/terms_test.go
+++ b/internal/datapath/discovery/terms_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // service is a stand-in for discovery, with a list that changes and faults of the operators' terms.
--- a/internal/front/body.go
+++ b/internal/datapath/front/body.go
@@ -9,8 +9,8 @@
 	"os"
 	"time"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 const (
--- a/internal/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 const codedHead = goodHead + "Transfer-Encoding: chunked\r\n"
--- a/internal/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -14,9 +14,9 @@
 	"syscall"
 	"time"
 
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/listen"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/process/listen"
 )
 
 // A connection's phases. Whoever moves it on does so by a compare-and-swap, so that a connection is never closed to
--- a/internal/front/ends_test.go
+++ b/internal/datapath/front/ends_test.go
@@ -20,8 +20,8 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 // lines keeps what a front logs.
--- a/internal/front/front.go
+++ b/internal/datapath/front/front.go
@@ -15,11 +15,11 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/listen"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/process/listen"
 )
 
 const (
--- a/internal/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -23,11 +23,11 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/seeded"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/front/request.go
+++ b/internal/datapath/front/request.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 // fault is a request that cannot be taken: what the client is told.
--- a/internal/keys/keys.go
+++ b/internal/datapath/keys/keys.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 func read(f config.TLS) (*material, error) {
--- a/internal/keys/keys_test.go
+++ b/internal/datapath/keys/keys_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/keys/issue"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/issue"
 )
 
 // state is what a front knows of a peer that showed the certificate at that path.
--- a/internal/listing/listing_test.go
+++ b/internal/datapath/listing/listing_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/observability/figures"
 )
 
 // Opcodes of the subset.
--- a/internal/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // TestCommandsMadeHere plays the commands that targets need not know, each to its end and with what is wrong of it.
--- a/internal/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -14,11 +14,11 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/listen"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/process/listen"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // Options set up the controller side.
--- a/internal/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -17,9 +17,9 @@
 	"github.com/cenkalti/backoff/v5"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 // HostOptions set up the host side.
--- a/internal/nvme/namespace.go
+++ b/internal/datapath/nvme/namespace.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"spindlehitch"
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // Namespace is the file's word on one namespace.
--- a/internal/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -21,10 +21,10 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/seeded"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -4,7 +4,7 @@
 	"encoding/binary"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // What becomes of commands that lie on several shards, and what a range of blocks may be. Nothing here does I/O.
--- a/internal/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/keys/issue"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/issue"
 )
 
 // secured is a stand-in target over TLS, and the keys of host and target, which change together.
--- a/internal/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -17,8 +17,8 @@
 	"golang.org/x/sys/unix"
 
 	"spindlehitch"
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
 )
 
 const (
--- a/internal/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
 )
 
 // wakings is about how often goroutines were run so far.
--- a/internal/upstream/moments_test.go
+++ b/internal/datapath/upstream/moments_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // held is a wire whose connections come up when the test says so, however long ago they were given up, and which keeps the last one.
--- a/internal/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // Target is what discovery says of one target.
--- a/internal/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -20,7 +20,7 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // TestLargeAnswers has answers pass through that are too large to hold, in each framing: the result comes with their first
--- a/internal/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // Messages of a target's actor, beside core.Attempt.
--- a/internal/upstream/terms_test.go
+++ b/internal/datapath/upstream/terms_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
+	"spindlehitch/internal/datapath/core"
 )
 
 // TestLateSecondAnswer has a target answer twice, the second time some milliseconds late, while the connection is idle or has just been
--- a/internal/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -17,9 +17,9 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/accounts/disk/disk.go
+++ b/internal/observability/accounts/disk/disk.go
@@ -16,7 +16,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/accounts"
+	"spindlehitch/internal/observability/accounts"
 )
 
 // A file is the magic, a version byte, the length and CRC-32C of what follows, and that: JSON, compressed by gzip.
--- a/internal/accounts/disk/disk_test.go
+++ b/internal/observability/accounts/disk/disk_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/observability/accounts"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
--- a/internal/config/change.go
+++ b/internal/process/config/change.go
@@ -12,8 +12,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // changeFile is a change of the feed as an operator writes it.
@@ -33,11 +33,11 @@
 }
 
 // mostChangeFile bounds what is read: a change of the largest size with room for spaces.
-const mostChangeFile = 4 * feed.MostChange
+const mostChangeFile = 4 * watchstream.MostChange
 
 // ReadChange reads a file of changes, TOML or JSON (.json), and checks it; where the regions and zones are told, also that
 // it names no others. Errors name file and field.
-func ReadChange(path string, f *Feed) (feed.Change, error) {
+func ReadChange(path string, f *Feed) (watchstream.Change, error) {
 	c, err := readChange(path, f)
 	if err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
@@ -45,7 +45,7 @@
 	return c, nil
 }
 
-func readChange(path string, f *Feed) (c feed.Change, err error) {
+func readChange(path string, f *Feed) (c watchstream.Change, err error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return c, err
@@ -77,10 +77,10 @@
 	if err != nil {
 		return c, err
 	}
-	c = feed.Change{Fleet: in.Fleet, Epoch: in.Epoch, Replaces: in.Replaces, If: in.If}
+	c = watchstream.Change{Fleet: in.Fleet, Epoch: in.Epoch, Replaces: in.Replaces, If: in.If}
 	for i, p := range in.Puts {
 		at := fmt.Sprintf("puts[%d].", i)
-		put := feed.Put{Key: p.Key, Gone: p.Gone}
+		put := watchstream.Put{Key: p.Key, Gone: p.Gone}
 		if err := put.Kind.UnmarshalText([]byte(p.Kind)); err != nil {
 			return c, fmt.Errorf("%skind: %w", at, err)
 		}
@@ -103,8 +103,8 @@
 }
 
 // checkPut holds a put against what is made of it: a target's entry is one of a list, and a layer is of a region or zone there is.
-func checkPut(p *feed.Put, f *Feed) error {
-	if p.Kind == feed.Targets {
+func checkPut(p *watchstream.Put, f *Feed) error {
+	if p.Kind == watchstream.Targets {
 		return CheckTarget(p)
 	}
 	scope, name, _ := strings.Cut(p.Key, "/")
@@ -121,7 +121,7 @@
 }
 
 // CheckTarget tells whether a put of a target could stand in a list of targets.
-func CheckTarget(p *feed.Put) error {
+func CheckTarget(p *watchstream.Put) error {
 	if p.Gone {
 		return nil
 	}
--- a/internal/config/change_test.go
+++ b/internal/process/config/change_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 const changeJSON = `{"fleet":"campus","if":41,"puts":[{"kind":"config","key":"shared","value":{"a":{"b":1.50,"c":null}}},
@@ -18,11 +18,11 @@
 
 // TestChangeFiles reads the file of changes under deploy/ and one in JSON, and spoils them field by field.
 func TestChangeFiles(t *testing.T) {
-	raw, err := os.ReadFile("../../deploy/change.toml")
+	raw, err := os.ReadFile("../../../deploy/change.toml")
 	require.NoError(t, err)
-	known, err := ReadFeed("../../deploy/feed.toml")
+	known, err := ReadFeed("../../../deploy/feed.toml")
 	require.NoError(t, err)
-	long := strings.Repeat("x", feed.MostTargetValue)
+	long := strings.Repeat("x", watchstream.MostTargetValue)
 	for _, c := range []struct{ file, old, wrong, want string }{
 		{"change.toml", "", "", ""}, {"change.json", "", "", ""},
 		{"change.toml", `fleet = "campus"`, "", "fleet: "},
@@ -33,7 +33,7 @@
 		{"change.toml", `key = "region/north"`, `key = "region/nroth"`, `puts[1].key: "nroth" is none of the regions`},
 		{"change.toml", `key = "region/north"`, `key = "zone/nroth"`, `puts[1].key: "nroth" is none of the zones`},
 		{"change.toml", `key = "region/north"`, `key = "place/north"`, "puts[1].key: "},
-		{"change.toml", `key = "region/north"`, `key = "` + strings.Repeat("k", feed.MostKey+1) + `"`, "puts[1].key: "},
+		{"change.toml", `key = "region/north"`, `key = "` + strings.Repeat("k", watchstream.MostKey+1) + `"`, "puts[1].key: "},
 		{"change.toml", `id = "t-1"`, `id = "t-3"`, `puts[2].value.id: "t-3" is not the key "t-1"`},
 		{"change.toml", `cell = 0, `, ``, `puts[2].value.cell: `},
 		{"change.toml", `"SERVING"`, `"DELETED"`, `puts[2].value.state: `},
--- a/internal/config/config.go
+++ b/internal/process/config/config.go
@@ -9,7 +9,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"spindlehitch"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // Limits are what the machine grants the process.
--- a/internal/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 func TestMain(m *testing.M) { seeded.Main(m) }
@@ -125,7 +125,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, err := os.ReadFile("../../deploy/nvme.toml")
+	raw, err := os.ReadFile("../../../deploy/nvme.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -187,7 +187,7 @@
 		{"budgets.toml", "per = \"target\"", "per = \"class\"\nonly = [\"none\"]", "budget[1].only: unknown class"},
 		{"budgets.toml", "name = \"cold\"", "name = \"repeats\"", "budget[1].name:"},
 	} {
-		raw, err := os.ReadFile("../../deploy/" + c.file)
+		raw, err := os.ReadFile("../../../deploy/" + c.file)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/config/feed_test.go
+++ b/internal/process/config/feed_test.go
@@ -34,7 +34,7 @@
 		{"feed.toml", "127.0.0.1:7712", "127.0.0.1", "feed.relay[1].addr: "},
 		{"feed.toml", "zone = \"north-a\"", "rate = 0", "feed.rate: unknown field"}, // it is the relay's to bound
 	} {
-		raw, err := os.ReadFile("../../deploy/" + c.file)
+		raw, err := os.ReadFile("../../../deploy/" + c.file)
 		require.NoError(t, err)
 		require.Contains(t, string(raw), c.old)
 		path := filepath.Join(t.TempDir(), c.file)
@@ -47,9 +47,9 @@
 		require.ErrorContains(t, err, c.want, "%s with %q", c.file, c.wrong)
 		require.NotContains(t, err.Error(), "\n", "one thing is wrong, one is told")
 	}
-	_, err := ReadRelay("../../deploy/feed.toml")
+	_, err := ReadRelay("../../../deploy/feed.toml")
 	require.ErrorContains(t, err, "relay")
-	f, err := ReadFeed("../../deploy/feed.toml")
+	f, err := ReadFeed("../../../deploy/feed.toml")
 	require.NoError(t, err)
 	require.Len(t, f.Relays, 3)
 }
--- a/internal/config/operator.go
+++ b/internal/process/config/operator.go
@@ -6,8 +6,8 @@
 
 	"github.com/BurntSushi/toml"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // Operator is what an operator's file may set up beside the platform's configuration. All of it is off
@@ -25,7 +25,7 @@
 type Fleet struct {
 	Agents  []string    `toml:"agents" validate:"required_without=Members,dive,addr"`
 	Weight  float64     `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
-	Uses    []fleet.Use `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
+	Uses    []quota.Use `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
 	Tasks   []string    `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
 	Members *Members    `toml:"members"`
 }
@@ -47,7 +47,7 @@
 // SetDefaults implements defaults.Setter.
 func (f *Fleet) SetDefaults() {
 	if f.Uses == nil {
-		f.Uses = slices.Clone(fleet.Uses)
+		f.Uses = slices.Clone(quota.Uses)
 	}
 }
 
@@ -68,8 +68,8 @@
 }
 
 // ReadBudgets reads a set of budgets and checks it, against an instance's configuration where one is given.
-func ReadBudgets(path string, c *Config) (fleet.Doc, error) {
-	return readFile(path, func(d *fleet.Doc) error {
+func ReadBudgets(path string, c *Config) (quota.Doc, error) {
+	return readFile(path, func(d *quota.Doc) error {
 		if err := d.Check(); err != nil || c == nil {
 			return err
 		}
@@ -78,7 +78,7 @@
 }
 
 // ReadTasks reads a set of tasks and checks it, against the fleet's renewals and seats where they are given.
-func ReadTasks(path string, f *fleet.Doc) (lease.Doc, error) {
+func ReadTasks(path string, f *quota.Doc) (lease.Doc, error) {
 	return readFile(path, func(d *lease.Doc) error { return d.Check(f) })
 }
 
--- a/internal/config/rules.go
+++ b/internal/process/config/rules.go
@@ -14,7 +14,7 @@
 	"github.com/creasty/defaults"
 	"github.com/go-playground/validator/v10"
 
-	"spindlehitch/internal/fleet"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // rules are the library's and these of our own, which stand beside the fields they are for. They are made once, with the
@@ -28,8 +28,8 @@
 	for tag, good := range map[string]func(string) bool{
 		"addr":  func(s string) bool { return badAddr(s) == nil },
 		"nqn":   func(s string) bool { return s != "" && len(s) <= 223 },
-		"name":  func(s string) bool { return s != "" && len(s) <= fleet.MostName },
-		"use":   func(s string) bool { return slices.Contains(fleet.Uses, fleet.Use(s)) },
+		"name":  func(s string) bool { return s != "" && len(s) <= quota.MostName },
+		"use":   func(s string) bool { return slices.Contains(quota.Uses, quota.Use(s)) },
 		"hex64": func(s string) bool { _, err := strconv.ParseUint(s, 16, 64); return err == nil },
 	} {
 		must(v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return good(f.Field().String()) }))
@@ -61,7 +61,7 @@
 // says is what a broken rule is called, with the value and the rule's bound.
 var says = map[string]string{
 	"nqn":           "wanted 1 to 223 bytes",
-	"name":          "wanted 1 to " + strconv.Itoa(fleet.MostName) + " bytes",
+	"name":          "wanted 1 to " + strconv.Itoa(quota.MostName) + " bytes",
 	"use":           "unknown use {value}",
 	"hex64":         "{value} is not a hexadecimal number of 64 bits",
 	"class":         "class {value} is not in the settings",
--- a/internal/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -12,7 +12,7 @@
 
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // TestMain is also the other process: it joins, says so, and stays until it is killed.
--- a/internal/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -12,12 +12,12 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/accounts/disk"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/listen"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/observability/accounts"
+	"spindlehitch/internal/observability/accounts/disk"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/listen"
 )
 
 // ledger is a running instance's accounts: the book, which the core's goroutine alone touches, and what is done with it.
--- a/internal/instance/adopt.go
+++ b/internal/process/instance/adopt.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/front"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/front"
+	"spindlehitch/internal/process/config"
 )
 
 // adoption has the parts that run take over another configuration. What they hold stays: connections, requests, what was learned of targets,
--- a/internal/instance/adopt_test.go
+++ b/internal/process/instance/adopt_test.go
@@ -19,9 +19,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/config"
 )
 
 // running is an initiator that is offered configurations, with a target that answers and a discovery that is asked for whole lists.
@@ -405,6 +405,6 @@
 	require.Equal(t, 1, strings.Count(r.log.String(), "msg=serving"))
 }
 
-func layers(shared string) []feed.Record {
-	return []feed.Record{{Kind: feed.Config, Key: "shared", Version: 1, Value: json.RawMessage(shared)}}
+func layers(shared string) []watchstream.Record {
+	return []watchstream.Record{{Kind: watchstream.Config, Key: "shared", Version: 1, Value: json.RawMessage(shared)}}
 }
--- a/internal/instance/crew.go
+++ b/internal/process/instance/crew.go
@@ -6,7 +6,7 @@
 	"os"
 	"sync"
 
-	"spindlehitch/internal/handover"
+	"spindlehitch/internal/process/handover"
 )
 
 // crew is this process among those of its initiator during an upgrade. It shares the limits of its initiator with others, which
--- a/internal/instance/deployments_test.go
+++ b/internal/process/instance/deployments_test.go
@@ -19,7 +19,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // heard keeps all that is said somewhere.
--- a/internal/instance/doors.go
+++ b/internal/process/instance/doors.go
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/control"
-	"spindlehitch/internal/handover"
-	"spindlehitch/internal/listen"
+	"spindlehitch/internal/observability/control"
+	"spindlehitch/internal/process/handover"
+	"spindlehitch/internal/process/listen"
 )
 
 // door is a front: it accepts until it is told to stop, and then finishes what it has taken.
