--- a/internal/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -7,18 +7,18 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
 	"spindlehitch"
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/tasks"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/leasework"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/config"
 )
 
 // duty is what an instance does for the whole fleet.
 type duty struct {
-	runner *tasks.Runner
-	probe  *tasks.Probe
+	runner *leasework.Runner
+	probe  *leasework.Probe
 	loop
 }
 
@@ -26,13 +26,13 @@
 const probeWithin = 400 * time.Millisecond
 
 func newDuty(cfg *config.Config, op *config.Operator, log *slog.Logger, hurry func(), load func() uint16, ended func() []string) *duty {
-	d := &duty{probe: &tasks.Probe{Dial: cfg.Dial, Within: probeWithin}}
-	jobs := map[lease.Kind]tasks.Job{lease.Drill: &tasks.Drill{Name: cfg.Name},
-		lease.Account: &tasks.Account{Name: cfg.Name, Agents: &agent.Client{Addrs: op.Fleet.Agents}}}
+	d := &duty{probe: &leasework.Probe{Dial: cfg.Dial, Within: probeWithin}}
+	jobs := map[lease.Kind]leasework.Job{lease.Drill: &leasework.Drill{Name: cfg.Name},
+		lease.Account: &leasework.Account{Name: cfg.Name, Agents: &agent.Client{Addrs: op.Fleet.Agents}}}
 	if cfg.Probes && op.NVMe == nil {
 		jobs[lease.Watch] = d.probe // else such a task fails here, and goes to another member
 	}
-	d.runner = tasks.New(tasks.Options{Runs: op.Fleet.Tasks, Jobs: jobs, Hurry: hurry, Load: load, Ended: ended, Log: log})
+	d.runner = leasework.New(leasework.Options{Runs: op.Fleet.Tasks, Jobs: jobs, Hurry: hurry, Load: load, Ended: ended, Log: log})
 	d.probe.For(d.runner)
 	d.run = d.runner.Run
 	return d
--- a/internal/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -10,17 +10,17 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch/internal/config"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/fleet/merge"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/targetmerge"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // news is what a source tells of the targets.
 type news struct {
-	from  merge.Source
+	from  targetmerge.Source
 	list  *listing.List
 	early bool          // a piece, of a source that has not told a whole list yet
 	heard chan struct{} // closed once all who listen have heard it; nil: nobody waits for that
@@ -31,20 +31,20 @@
 type joint struct {
 	loop
 	box  *mailbox.Box[news]
-	view *merge.View
+	view *targetmerge.View
 	tell func(*listing.List)
 	held []*listing.List // the feed's pieces, while nobody has told a whole list: it is none by itself, and nobody is ready by it
 	told bool
 }
 
 func newJoint(tell func(*listing.List)) *joint {
-	j := &joint{box: mailbox.New[news](), view: merge.New(merge.MostGone), tell: tell}
+	j := &joint{box: mailbox.New[news](), view: targetmerge.New(targetmerge.MostGone), tell: tell}
 	j.run = j.join
 	return j
 }
 
 // discovered takes discovery's word.
-func (j *joint) discovered(l *listing.List) { j.box.Put(news{from: merge.Discovery, list: l}) }
+func (j *joint) discovered(l *listing.List) { j.box.Put(news{from: targetmerge.Discovery, list: l}) }
 
 func (j *joint) join(ctx context.Context) {
 	var spare []news
@@ -72,9 +72,9 @@
 	}
 	l := j.view.Take(n.from, n.list)
 	if !j.told {
-		if n.from == merge.Discovery { // a whole list of the feed's has its pieces in it
+		if n.from == targetmerge.Discovery { // a whole list of the feed's has its pieces in it
 			for _, l := range j.held {
-				j.view.Take(merge.Feed, l)
+				j.view.Take(targetmerge.Feed, l)
 			}
 		}
 		j.told, j.held, l = true, nil, j.view.Whole()
@@ -87,7 +87,7 @@
 // hear takes the feed's word, and returns once those who listen have heard it: what was told to drain gets no first byte any more. One that
 // has stopped has nothing that could still be sent.
 func (j *joint) hear(l *listing.List, early bool) {
-	n := news{merge.Feed, l, early, make(chan struct{})}
+	n := news{targetmerge.Feed, l, early, make(chan struct{})}
 	j.box.Put(n)
 	select {
 	case <-n.heard:
@@ -100,7 +100,7 @@
 type stream struct {
 	follower  *edge.Follower
 	log       *slog.Logger
-	configure func([]feed.Record, uint64) error // nil: the configuration comes from elsewhere
+	configure func([]watchstream.Record, uint64) error // nil: the configuration comes from elsewhere
 
 	mu     sync.Mutex // held while a change is passed on
 	joints []*joint
@@ -110,11 +110,11 @@
 }
 
 // newStream returns a feed that is not followed before run.
-func newStream(f *config.Feed, name string, log *slog.Logger, configure func([]feed.Record, uint64) error) (*stream, error) {
+func newStream(f *config.Feed, name string, log *slog.Logger, configure func([]watchstream.Record, uint64) error) (*stream, error) {
 	s := &stream{log: log, configure: configure, list: map[string]listing.Entry{}}
-	relays := make([]feed.Relay, len(f.Relays))
+	relays := make([]watchstream.Relay, len(f.Relays))
 	for i, r := range f.Relays {
-		relays[i] = feed.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
+		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
 	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, Changed: s.changed})
@@ -126,10 +126,10 @@
 
 // changed passes on what is new, targets first. Once it returns that is in force, but for a configuration that it returns an error for.
 func (s *stream) changed(c edge.Change) error {
-	var configs []feed.Record
+	var configs []watchstream.Record
 	l := &listing.List{Full: c.Whole}
 	for _, r := range c.Records {
-		if r.Kind == feed.Config {
+		if r.Kind == watchstream.Config {
 			configs = append(configs, r)
 			continue
 		}
@@ -152,13 +152,13 @@
 	}
 	// A layer that did not change is not among those that did.
 	if !c.Whole {
-		configs = s.follower.Records(feed.Config)
+		configs = s.follower.Records(watchstream.Config)
 	}
 	return s.configure(configs, c.Position.Config)
 }
 
 // doubt notes an entry that no list could have: what was known of its target stays.
-func (s *stream) doubt(r feed.Record, err error) {
+func (s *stream) doubt(r watchstream.Record, err error) {
 	if err == nil {
 		err = fmt.Errorf("%s: its id is another target's", r.Key)
 	}
@@ -180,7 +180,7 @@
 }
 
 // pass has all instances hear of targets. Until the feed has all of them it tells pieces.
-func (s *stream) pass(l *listing.List, at feed.Position) {
+func (s *stream) pass(l *listing.List, at watchstream.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Full {
--- a/internal/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -15,10 +15,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/fleet/merge"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/targetmerge"
+	"spindlehitch/internal/datapath/listing"
 )
 
 func entryOf(id, state string, started int64) listing.Entry {
@@ -26,8 +26,8 @@
 	return listing.Entry{ID: id, Addr: "127.0.0.1:1", Cell: &cell, State: state, Started: started}
 }
 
-func recordOf(version uint64, id, state string, started int64) feed.Record {
-	return feed.Record{Kind: feed.Targets, Key: id, Version: version, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:1","cell":0,"state":%q,"started_ms":%d}`, id, state, started)}
+func recordOf(version uint64, id, state string, started int64) watchstream.Record {
+	return watchstream.Record{Kind: watchstream.Targets, Key: id, Version: version, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:1","cell":0,"state":%q,"started_ms":%d}`, id, state, started)}
 }
 
 // started is a joint that runs until the test ends, and what is told of it.
@@ -97,19 +97,19 @@
 	s.join(a)
 	require.NoError(t, s.changed(edge.Change{Whole: true}))
 	require.Empty(t, one, "a feed that knows nothing has told no list")
-	require.NoError(t, s.changed(edge.Change{Position: feed.Position{Targets: 2, Config: 2}, Whole: true, Records: []feed.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
+	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 2, Config: 2}, Whole: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
 	require.Equal(t, heardBy{"": ".", "a": "SERVING", "b": "SERVING"}, one)
 	bad := recordOf(4, "b", "SLEEPING", 6)
-	require.NoError(t, s.changed(edge.Change{Position: feed.Position{Targets: 4, Config: 2}, Records: []feed.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
+	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
 	require.Equal(t, heardBy{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
 	s.join(b)
 	require.Equal(t, heardBy{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
 	s.leave(a)
-	require.NoError(t, s.changed(edge.Change{Position: feed.Position{Targets: 5, Config: 2}, Records: []feed.Record{{Kind: feed.Targets, Key: "a", Version: 5, Gone: true}}}))
+	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Gone: true}}}))
 	require.Equal(t, "DRAINING", one["a"])
 	require.Equal(t, "DELETED", two["a"])
 	// A whole with an entry that can't be read: what was known of that target stays.
-	require.NoError(t, s.changed(edge.Change{Position: feed.Position{Targets: 6, Config: 2}, Whole: true, Records: []feed.Record{bad}}))
+	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 6, Config: 2}, Whole: true, Records: []watchstream.Record{bad}}))
 	require.Equal(t, "SERVING", two["b"])
 	require.EqualValues(t, 2, s.doubts)
 }
@@ -127,12 +127,12 @@
 			}
 		})
 		s.join(j)
-		require.NoError(t, s.changed(edge.Change{Records: []feed.Record{recordOf(1, "a", "DRAINING", 5)}}))
+		require.NoError(t, s.changed(edge.Change{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if discovered {
-			j.box.Put(news{from: merge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
+			j.box.Put(news{from: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
-		require.NoError(t, s.changed(edge.Change{Records: []feed.Record{recordOf(2, "b", "SERVING", 5)}}))
-		require.NoError(t, s.changed(edge.Change{Position: feed.Position{Targets: 3}, Records: []feed.Record{recordOf(3, "c", "SERVING", 5)}}))
+		require.NoError(t, s.changed(edge.Change{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
+		require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
 		if discovered {
 			require.Equal(t, []string{"true 1", "false 1", "false 1"}, told)
 			require.Equal(t, "DRAINING", first.Servers[0].State, "it drains by the feed from the first")
@@ -165,8 +165,8 @@
 		t.Cleanup(func() { stop(); <-ends })
 		return &layered{name: name, fleet: "campus", dir: dir, log: quiet, watch: ctx, offers: offers}, offered
 	}
-	layer := func(key, value string) feed.Record {
-		return feed.Record{Kind: feed.Config, Key: key, Version: 1, Value: json.RawMessage(value)}
+	layer := func(key, value string) watchstream.Record {
+		return watchstream.Record{Kind: watchstream.Config, Key: key, Version: 1, Value: json.RawMessage(value)}
 	}
 	bad := errors.New("settings.peersTotal: required")
 	refuses := func(c json.RawMessage) error {
@@ -179,19 +179,19 @@
 	l, offered := begin("n1", refuses)
 	l.last()
 	require.Empty(t, *offered, "nothing is kept yet")
-	require.NoError(t, l.take([]feed.Record{layer("instance/n1", `{"listen":"here"}`), layer("shared", `{"peers":3,"listen":"there"}`)}, 7))
-	require.NoError(t, l.take([]feed.Record{layer("shared", `{"peers":3,"listen":"there"}`), layer("instance/n1", `{"listen":"here"}`)}, 8))
+	require.NoError(t, l.take([]watchstream.Record{layer("instance/n1", `{"listen":"here"}`), layer("shared", `{"peers":3,"listen":"there"}`)}, 7))
+	require.NoError(t, l.take([]watchstream.Record{layer("shared", `{"peers":3,"listen":"there"}`), layer("instance/n1", `{"listen":"here"}`)}, 8))
 	require.Len(t, *offered, 1)
 	require.Contains(t, (*offered)[0], "7 ")
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
-	require.ErrorIs(t, l.take([]feed.Record{layer("shared", `{"peers":0}`)}, 9), bad)
+	require.ErrorIs(t, l.take([]watchstream.Record{layer("shared", `{"peers":0}`)}, 9), bad)
 	require.Error(t, l.take(nil, 10), "no layer is left")
 
 	again, offered := begin("n1", refuses)
 	again.last()
 	require.Len(t, *offered, 1)
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
-	require.NoError(t, again.take([]feed.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
+	require.NoError(t, again.take([]watchstream.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
 	require.Len(t, *offered, 1, "that is what it serves")
 
 	other, offered := begin("n2", refuses)
@@ -208,7 +208,7 @@
 	none := filepath.Join(t.TempDir(), "none.toml")
 	require.NoError(t, os.WriteFile(none, nil, 0o600))
 	for _, c := range []struct{ name, operator, want string }{
-		{"", "../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", none, "feed"}, {"n1", "../../deploy/nowhere.toml", "nowhere.toml"},
+		{"", "../../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", none, "feed"}, {"n1", "../../../deploy/nowhere.toml", "nowhere.toml"},
 	} {
 		err := FollowFeed(t.Context(), func(string) string { return c.name }, c.operator, quiet)
 		require.ErrorContains(t, err, c.want)
@@ -251,9 +251,9 @@
 	})
 	s.join(j)
 	old := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
-	j.box.Put(news{from: merge.Discovery, list: old})
-	s.changed(edge.Change{Position: feed.Position{Targets: 2, Config: 2}, Records: []feed.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
-	j.box.Put(news{from: merge.Discovery, list: old})
+	j.box.Put(news{from: targetmerge.Discovery, list: old})
+	s.changed(edge.Change{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
+	j.box.Put(news{from: targetmerge.Discovery, list: old})
 	j.hear(&listing.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
 }
--- a/internal/instance/follow.go
+++ b/internal/process/instance/follow.go
@@ -6,8 +6,8 @@
 	"log/slog"
 	"sync"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/process/config"
 )
 
 // Follow serves what the agents say of this instance. A new configuration is checked, then taken over by what runs. Where it names what needs a
--- a/internal/instance/followfeed.go
+++ b/internal/process/instance/followfeed.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/renameio/v2"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/config"
 )
 
 // lastName is the file in the feed's folder with the configuration that was last in force.
@@ -75,8 +75,8 @@
 }
 
 // take serves the layers; an error says why that cannot be, and what was in force is.
-func (l *layered) take(records []feed.Record, version uint64) error {
-	merged, err := feed.Layers(records)
+func (l *layered) take(records []watchstream.Record, version uint64) error {
+	merged, err := watchstream.Layers(records)
 	if err == nil {
 		merged, err = named(merged, l.name)
 	}
--- a/internal/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -14,21 +14,21 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
 	"spindlehitch"
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/control"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/discovery"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/front"
-	"spindlehitch/internal/handover"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/nvme"
-	"spindlehitch/internal/peers"
-	"spindlehitch/internal/ration"
-	"spindlehitch/internal/tasks"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/controlplane/lease/leasework"
+	"spindlehitch/internal/controlplane/membership/transport"
+	"spindlehitch/internal/controlplane/quota/quotasession"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/discovery"
+	"spindlehitch/internal/datapath/front"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/nvme"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/control"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/handover"
 )
 
 // answerMargin is how long before its client leaves a request's answer must be decided.
@@ -212,7 +212,7 @@
 	if book != nil {
 		book.core, book.shared = in.core, shared
 		if duties != nil {
-			book.kept = tasks.Kept
+			book.kept = leasework.Kept
 		}
 		in.parts = append(in.parts, book)
 	}
@@ -272,11 +272,11 @@
 }
 
 // fleetParts are an instance's part of fleet-wide budgets and what it does for the fleet; nil where an operator's file has none.
-func fleetParts(cfg *config.Config, op *config.Operator, known *peers.Peers, load func() uint16, log *slog.Logger) (part *ration.Ration, duties *duty) {
+func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Peers, load func() uint16, log *slog.Logger) (part *quotasession.Ration, duties *duty) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
 	}
-	about := ration.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Uses: op.Fleet.Uses, Log: log}
+	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Uses: op.Fleet.Uses, Log: log}
 	if op.Accounts != nil {
 		about.Tells = op.Accounts.Listen
 	}
@@ -291,7 +291,7 @@
 	if known != nil {
 		about.More = known.Agents
 	}
-	part = ration.New(about)
+	part = quotasession.New(about)
 	if duties != nil {
 		duties.probe.Stock = part
 	}
@@ -362,11 +362,11 @@
 // seat is the instance's seat in the fleet, given back once nothing is served any more.
 type seat struct {
 	loop
-	part *ration.Ration
+	part *quotasession.Ration
 	up   *upstream.Registry
 }
 
-func newSeat(part *ration.Ration, c *core.Core, up *upstream.Registry) *seat {
+func newSeat(part *quotasession.Ration, c *core.Core, up *upstream.Registry) *seat {
 	part.OnMove(func() {
 		c.Rationed()
 		up.Review()
--- a/internal/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -19,14 +19,14 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/control"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/ports"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/control"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/ports"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -6,12 +6,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"spindlehitch/internal/budget"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/control"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/front"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/front"
+	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/observability/control"
+	"spindlehitch/internal/process/config"
 )
 
 // spareFiles are descriptors kept for discovery, the listener, logs and the runtime, some dozen, and for connections past
--- a/internal/instance/load.go
+++ b/internal/process/instance/load.go
@@ -4,7 +4,7 @@
 	"log/slog"
 	"os"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // Load reads the platform's configuration and, where one is named, the operator's file.
--- a/internal/instance/members.go
+++ b/internal/process/instance/members.go
@@ -5,29 +5,29 @@
 	"math"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/peers"
-	"spindlehitch/internal/ration"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/controlplane/membership/transport"
+	"spindlehitch/internal/controlplane/quota/quotasession"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/process/config"
 )
 
 // newPeers is this instance among those that know each other; nil where the operator's file has none of it.
-func newPeers(cfg *config.Config, op *config.Operator, shared bool, log *slog.Logger) (*peers.Peers, error) {
+func newPeers(cfg *config.Config, op *config.Operator, shared bool, log *slog.Logger) (*transport.Peers, error) {
 	if op.Fleet == nil || op.Fleet.Members == nil {
 		return nil, nil
 	}
 	o := op.Fleet.Members
-	set := members.Usual
+	set := membership.Usual
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	set.Period, set.Timeout, set.Jump, set.Compare = ms(o.ProbeMs), ms(o.TimeoutMs), ms(o.PauseMs), ms(o.CompareMs)
 	set.Forget = time.Duration(o.ForgetS) * time.Second
-	return peers.New(peers.Options{Name: cfg.Name, Bind: o.Bind, Advertise: o.Advertise, Zone: o.Zone, Key: o.Key, Seeds: o.Seeds,
+	return transport.New(transport.Options{Name: cfg.Name, Bind: o.Bind, Advertise: o.Advertise, Zone: o.Zone, Key: o.Key, Seeds: o.Seeds,
 		Settings: set, Shared: shared, Log: log})
 }
 
 // tellsOf is what a member tells others of itself: how many requests are open, and an agent that has answered it.
-func tellsOf(c *core.Core, part *ration.Ration) func() (uint16, string) {
+func tellsOf(c *core.Core, part *quotasession.Ration) func() (uint16, string) {
 	return func() (uint16, string) {
 		agent := ""
 		if part != nil {
@@ -41,7 +41,7 @@
 func loadOf(c *core.Core) uint16 { return uint16(min(c.Open(), math.MaxUint16)) }
 
 // endedNames are those whom a member holds dead or gone, for whoever plans.
-func endedNames(p *peers.Peers) []string {
+func endedNames(p *transport.Peers) []string {
 	var names []string
 	for _, v := range p.Ended() {
 		names = append(names, v.Name)
--- a/internal/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -7,11 +7,11 @@
 	"log/slog"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/figures"
-	"spindlehitch/internal/keys"
-	"spindlehitch/internal/nvme"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/datapath/nvme"
+	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/process/config"
 )
 
 // host is this initiator as a host of its targets.
--- a/internal/instance/part.go
+++ b/internal/process/instance/part.go
@@ -9,8 +9,8 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/config"
 )
 
 // Part is one thing that an instance does. Parts are started in order and stopped in reverse.
--- a/internal/listen/listen.go
+++ b/internal/process/listen/listen.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // Inherited is the listener at the descriptor of that number. The descriptor itself is closed: the listener has one of its
--- a/internal/listen/listen_test.go
+++ b/internal/process/listen/listen_test.go
@@ -9,7 +9,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // dup gives a socket's descriptor a copy that is not closed with it, as an inherited one is.
--- a/internal/faults/configure_test.go
+++ b/internal/testbed/faults/configure_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // configured is a shared configuration of a fleet that goes by its version: a plan is named by it, and what may be held, how long connections
 // rest and what limits there are go with it.
-func configured(discovery string, version int) feed.Put {
+func configured(discovery string, version int) watchstream.Put {
 	return layer("shared", `{"discovery":%q,"limits":{"sockets":%d},"settings":{"peersTotal":%d,"tickUs":2000,
  "classes":[{"name":"position-read","promiseUs":%d,"deadlineUs":2000000,"effect":"pure","worth":%d}],
  "contracts":[{"name":"base","usualRate":%d,"reservation":1000,"parts":1,"pays":1},{"name":"plan%d","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
@@ -35,7 +35,7 @@
 	agents := r.Agents(3)
 	f.Feed = r.Feed(agents, 2, "north", "south")
 	agents.Leader()
-	puts := []feed.Put{configured(f.targets.Discovery, 0)}
+	puts := []watchstream.Put{configured(f.targets.Discovery, 0)}
 	for i, x := range f.targets.All {
 		x.Shard = i
 		puts = append(puts, f.entry(x, "SERVING"))
--- a/internal/faults/feed.go
+++ b/internal/testbed/faults/feed.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // feedFleet is the name of the fleet of these runs.
@@ -128,9 +128,9 @@
 }
 
 // Put has the fleet changed, once, whoever leads, and returns the version that it made.
-func (f *Feed) Put(puts ...feed.Put) (version uint64) {
+func (f *Feed) Put(puts ...watchstream.Put) (version uint64) {
 	f.rig.T.Helper()
-	body, err := json.Marshal(feed.Change{Fleet: feedFleet, Epoch: "runs", Puts: puts})
+	body, err := json.Marshal(watchstream.Change{Fleet: feedFleet, Epoch: "runs", Puts: puts})
 	if err != nil {
 		f.rig.T.Fatal(err)
 	}
--- a/internal/faults/feed_test.go
+++ b/internal/testbed/faults/feed_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // fed is a fleet that takes the feed, with targets of which two share a shard, so that one may drain.
@@ -42,7 +42,7 @@
 	agents := r.Agents(3)
 	f.Feed = r.Feed(agents, 2, "north", "south")
 	agents.Leader()
-	var puts []feed.Put
+	var puts []watchstream.Put
 	for i, x := range f.targets.All {
 		x.Shard = i % 4
 		x.Started.Store(1000) // long ago
@@ -58,8 +58,8 @@
 }
 
 // entry is a target as the feed tells it.
-func (f *fed) entry(x *Target, state string) feed.Put {
-	return feed.Put{Kind: feed.Targets, Key: x.ID, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"cell":%d,"state":%q,"started_ms":%d}`, x.ID, x.Addr, x.Shard, state, f.starts[x.ID])}
+func (f *fed) entry(x *Target, state string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Targets, Key: x.ID, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"cell":%d,"state":%q,"started_ms":%d}`, x.ID, x.Addr, x.Shard, state, f.starts[x.ID])}
 }
 
 // until waits until these have a version in force, and tells how long that took.
@@ -228,7 +228,7 @@
 	}
 	version = f.Put(f.entry(f.targets.All[0], map[bool]string{true: "DRAINING", false: "SERVING"}[f.drained["t0"]]))
 	took := f.until("all have the last version in force after quiet", version, f.all)
-	var known feed.Status
+	var known watchstream.Status
 	told := f.Until("the fleet's answer is that all have it", func() bool {
 		s, ok := f.status(fmt.Sprint(version))
 		known = s
@@ -283,8 +283,8 @@
 }
 
 // layer is one of a configuration.
-func layer(key, value string, args ...any) feed.Put {
-	return feed.Put{Kind: feed.Config, Key: key, Value: fmt.Appendf(nil, value, args...)}
+func layer(key, value string, args ...any) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Config, Key: key, Value: fmt.Appendf(nil, value, args...)}
 }
 
 // TestFeedConfiguration has two initiators take their configuration from the feed in layers. One that can't be served is turned down by name
@@ -334,7 +334,7 @@
 		t.Helper()
 		f.Until("the fleet knows that n0 has turned it down", func() bool {
 			s, ok := f.status(fmt.Sprint(version))
-			return ok && s.Have == 1 && s.Refused == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Why == feed.WhyRefused &&
+			return ok && s.Have == 1 && s.Refused == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Why == watchstream.WhyRefused &&
 				s.Lagging[0].Refused != nil && strings.Contains(s.Lagging[0].Refused.Reason, "control: ")
 		})
 	}
@@ -359,7 +359,7 @@
 }
 
 // status is what the fleet knows of a version.
-func (f *fed) status(version string) (s feed.Status, ok bool) {
+func (f *fed) status(version string) (s watchstream.Status, ok bool) {
 	for _, a := range f.Group.API {
 		resp, err := f.client.Get("http://" + a + "/v1/feed/versions/" + version)
 		if err != nil {
--- a/internal/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -14,11 +14,11 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"spindlehitch/internal/agent"
-	terms "spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/tenant"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	terms "spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/process/monotone"
 )
 
 // steps of an act that processes are stopped at.
@@ -177,7 +177,7 @@
 					break
 				}
 			}
-			m := tenant.New([]string{"t"})
+			m := lessee.New([]string{"t"})
 			has := map[int]uint64{}
 			before := time.Since(began) // when the claim before the last was begun: what is new was granted after that was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
--- a/internal/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
 )
 
 // Seats of the lease runs: short leases, so that much happens in little time.
@@ -67,9 +67,9 @@
 	return out
 }
 
-func (d *drilled) leases() []keeper.Seen {
+func (d *drilled) leases() []lessor.Seen {
 	out, code, _ := d.Run("lease", "show", "drill", "--json", "--agents", d.agents.List())
-	var s struct{ Leases []keeper.Seen }
+	var s struct{ Leases []lessor.Seen }
 	if code != 0 || json.Unmarshal([]byte(out), &s) != nil {
 		return nil
 	}
--- a/internal/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/testbed/ports"
 )
 
 // Way is what a link does with what passes in one direction. The zero value lets it through.
--- a/internal/faults/long_test.go
+++ b/internal/testbed/faults/long_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/ration"
+	"spindlehitch/internal/controlplane/quota/quotasession"
 )
 
 // TestScheduled plays faults at random, by a seed, under a budget of all work and one of connections. By hand it goes on for as long as
@@ -217,7 +217,7 @@
 		ctx, stop := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		for i := range n {
-			p := ration.New(ration.Options{Name: fmt.Sprint("m", i), Addr: "127.0.0.1:1", Agents: []string{link.Addr}, Weight: 1, Log: slog.New(slog.DiscardHandler)})
+			p := quotasession.New(quotasession.Options{Name: fmt.Sprint("m", i), Addr: "127.0.0.1:1", Agents: []string{link.Addr}, Weight: 1, Log: slog.New(slog.DiscardHandler)})
 			work.Go(func() {
 				time.Sleep(time.Duration(i) * 8 * time.Second / time.Duration(n)) // they don't all come in one moment
 				p.Run(ctx)
--- a/internal/faults/mesh.go
+++ b/internal/testbed/faults/mesh.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/membership"
 )
 
 // Passing is what becomes of messages from one member to another.
@@ -247,7 +247,7 @@
 }
 
 // View is what a member knows; false where it does not answer.
-func (n *Node) View() (v members.View, ok bool) {
+func (n *Node) View() (v membership.View, ok bool) {
 	resp, err := n.client.Get("http://" + n.Control + "/v1/members")
 	if err != nil {
 		return v, false
@@ -257,10 +257,10 @@
 }
 
 // State is what a member tells of the living or last life of another.
-func (n *Node) State(name string) (s members.Seen) {
+func (n *Node) State(name string) (s membership.Seen) {
 	v, _ := n.View()
 	for _, x := range v.Members {
-		ended := func(x members.Seen) bool { return x.State == members.IsDead || x.State == members.IsLeft }
+		ended := func(x membership.Seen) bool { return x.State == membership.IsDead || x.State == membership.IsLeft }
 		if x.Name == name && (s.Name == "" || ended(s) || !ended(x)) {
 			s = x
 		}
--- a/internal/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/model"
-	"spindlehitch/internal/model/experiment"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/model"
+	"spindlehitch/internal/testbed/model/experiment"
 )
 
 // TestRecorded has a schedule of the rig played in the model: twenty instances, a minute, no promise broken.
--- a/internal/faults/proc.go
+++ b/internal/testbed/faults/proc.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// Aim has the process stop, die or hang (stop, kill, hang) the next time that it comes to the step of that name (internal/failpoint).
+// Aim has the process stop, die or hang (stop, kill, hang) the next time that it comes to the step of that name (internal/process/failpoint).
 func (p *Proc) Aim(step, what string) {
 	p.rig.T.Helper()
 	os.Remove(filepath.Join(p.aims, step+".hit"))
--- a/internal/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/model"
+	"spindlehitch/internal/testbed/model"
 )
 
 // Event is one fault of a schedule. What lasts ends by itself.
--- a/internal/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/parquet-go/parquet-go"
 
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/tasks"
+	"spindlehitch/internal/controlplane/lease/leasework"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/observability/accounts"
 )
 
 // newTasked starts agents, targets and members that run the tasks of a file.
@@ -60,7 +60,7 @@
 	board := func() (by int, well, found bool, token uint64) {
 		out, _, _ := d.Run("lease", "show", "watch", "--json", "--agents", d.agents.List())
 		var s struct {
-			Leases []keeper.Seen
+			Leases []lessor.Seen
 			Board  []struct {
 				Target string
 				By     int `json:"avoided_by"`
@@ -99,7 +99,7 @@
 	}
 	var holder *Instance
 	out := d.run("lease", "show", "watch", "--json")
-	var s struct{ Leases []keeper.Seen }
+	var s struct{ Leases []lessor.Seen }
 	if err := json.Unmarshal([]byte(out), &s); err != nil {
 		t.Fatal(err)
 	}
@@ -137,8 +137,8 @@
 		return fmt.Sprintf("[accounts]\nlisten = %q\nwindow_s = 2\n", listens[i])
 	})
 	d.offer(20)
-	reports := func() []tasks.ReportWindow {
-		all, err := tasks.Reports(dir)
+	reports := func() []leasework.ReportWindow {
+		all, err := leasework.Reports(dir)
 		if err != nil && !os.IsNotExist(err) && !strings.Contains(err.Error(), "no report") {
 			t.Fatal(err)
 		}
--- a/internal/faults/witness.go
+++ b/internal/testbed/faults/witness.go
@@ -14,10 +14,10 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/place"
-	"spindlehitch/internal/tasks"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/casfile"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/lease/leasework"
 )
 
 // Witness is told by members of each call of a drill's place, before it is made and after it has returned, and knows nothing of leases. It
@@ -30,7 +30,7 @@
 }
 
 type witnessed struct {
-	tasks.DrillNotice
+	leasework.DrillNotice
 	call, end time.Duration // end 0: it has not returned
 }
 
@@ -48,7 +48,7 @@
 
 func (w *Witness) note(_ http.ResponseWriter, q *http.Request) {
 	at := time.Since(w.began)
-	var n tasks.DrillNotice
+	var n leasework.DrillNotice
 	if json.NewDecoder(q.Body).Decode(&n) != nil {
 		return
 	}
@@ -168,7 +168,7 @@
 		}
 	}
 	for shard := range task.Shards {
-		s, _, err := place.Read[tasks.DrillState](filepath.Join(task.Dir, fmt.Sprintf("%s-%d", task.Name, shard)))
+		s, _, err := casfile.Read[leasework.DrillState](filepath.Join(task.Dir, fmt.Sprintf("%s-%d", task.Name, shard)))
 		if err != nil {
 			return seen, err
 		}
@@ -180,8 +180,8 @@
 }
 
 // inOrder holds what a place wrote down against the promise.
-func inOrder(all []tasks.DrillEntry) error {
-	var p guard.Place
+func inOrder(all []leasework.DrillEntry) error {
+	var p fencing.Place
 	for i, e := range all {
 		if !e.Taken {
 			continue
@@ -191,7 +191,7 @@
 		if i > 0 && p.Token > 0 && (e.Op == "begin" && !newer || e.Op != "begin" && !mine) {
 			return fmt.Errorf("entry %d, %+v, was taken after act %d under token %d", i, e, p.Act, p.Token)
 		}
-		p = guard.Place{Token: e.Token, Act: e.Act, Open: e.Op != "end"}
+		p = fencing.Place{Token: e.Token, Act: e.Act, Open: e.Op != "end"}
 	}
 	return nil
 }
--- a/internal/keys/issue/issue.go
+++ b/internal/testbed/issue/issue.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/config"
+	"spindlehitch/internal/process/config"
 )
 
 // Into writes a new authority and a certificate of it, good for so long, into the folder, in place of what is there.
--- a/internal/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -4,11 +4,11 @@
 	"math/rand/v2"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/register"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/registry"
 )
 
 // agents are the few that agree on a log. Raft itself is not modelled: an entry is in the log once a majority is up and hears the leader,
@@ -18,7 +18,7 @@
 	s        *Sim
 	rng      *rand.Rand
 	all      []*agentState
-	reg      register.Register
+	reg      registry.Register
 	index    uint64
 	term     uint64
 	leader   int           // -1: none
@@ -40,13 +40,13 @@
 // lead is what an agent that believes to lead has.
 type lead struct {
 	term   uint64
-	giver  *giver.Giver
-	keeper *keeper.Keeper
-	desk   giver.Desk[func(bool)]
+	giver  *allocator.Giver
+	keeper *lessor.Keeper
+	desk   allocator.Desk[func(bool)]
 }
 
 type renewed struct {
-	answer fleet.Answer
+	answer quota.Answer
 	award  *lease.Award
 }
 
@@ -97,7 +97,7 @@
 	g.s.point.Elections++
 	r := g.reg.Clone()
 	a := g.all[i]
-	a.lead = &lead{term: g.term, giver: giver.New(g.clock(i), r.Doc, r.Members), keeper: keeper.New(g.clock(i), &r)}
+	a.lead = &lead{term: g.term, giver: allocator.New(g.clock(i), r.Doc, r.Members), keeper: lessor.New(g.clock(i), &r)}
 }
 
 // tick looks after who leads, and has the log changed as the leader wants it.
@@ -234,7 +234,7 @@
 }
 
 // join gives a process a seat, or says why not.
-func (g *agents) join(by int, m fleet.Member, back func(any)) {
+func (g *agents) join(by int, m quota.Member, back func(any)) {
 	l := g.all[by].lead
 	if l == nil {
 		back(nil)
@@ -260,7 +260,7 @@
 }
 
 // renew has the leader that was reached decide, and answers once a majority has told that no later term has begun.
-func (g *agents) renew(by int, r fleet.Renewal, c *lease.Claim, back func(any)) {
+func (g *agents) renew(by int, r quota.Renewal, c *lease.Claim, back func(any)) {
 	a := g.all[by]
 	l := a.lead
 	if l == nil {
@@ -285,7 +285,7 @@
 					g.order()
 				}
 			}
-			if err == fleet.OldRenewal {
+			if err == quota.OldRenewal {
 				back(err)
 				return
 			}
@@ -312,7 +312,7 @@
 	}
 	g.s.after(2*g.s.way(g.rng), "terms told", by, func() {
 		g.when(by, func() {
-			agreed := g.majority(by) && giver.Majority(l.term, []uint64{g.term}, 3)
+			agreed := g.majority(by) && allocator.Majority(l.term, []uint64{g.term}, 3)
 			done, void := l.desk.Hear(round)
 			for _, k := range done {
 				k(agreed)
--- a/internal/model/experiment/file.go
+++ b/internal/testbed/model/experiment/file.go
@@ -16,7 +16,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"spindlehitch/internal/model"
+	"spindlehitch/internal/testbed/model"
 )
 
 // mostRuns bounds an experiment.
--- a/internal/model/experiment/plot.go
+++ b/internal/testbed/model/experiment/plot.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"spindlehitch/internal/model"
+	"spindlehitch/internal/testbed/model"
 )
 
 // Metrics names what a series can be drawn of: a point's fields, by their names in the results.
--- a/internal/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -21,7 +21,7 @@
 	"github.com/parquet-go/parquet-go/compress/zstd"
 	"gonum.org/v1/gonum/stat"
 
-	"spindlehitch/internal/model"
+	"spindlehitch/internal/testbed/model"
 )
 
 // Done is one run and what came of it, as its file has it.
--- a/internal/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/holder"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/tenant"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
 // wire is from a decision to its first byte: the permit is looked at then.
@@ -44,8 +44,8 @@
 	listed  []bool // the targets there
 	asked   uint64
 
-	h       *holder.Holder
-	t       *tenant.Tenant
+	h       *quotaclient.Holder
+	t       *lessee.Tenant
 	member  string
 	joining bool
 	renews  uint64 // the number of the renewal timer that holds
@@ -126,11 +126,11 @@
 	n.hung, n.acting = false, map[lease.Key]bool{}
 	set := n.s.settings
 	if n.s.spec.Budgets != nil {
-		n.h = holder.New(n.s.governed)
+		n.h = quotaclient.New(n.s.governed)
 		set.Ration = ration{n}
 		n.joining, n.member = false, ""
 		if n.s.spec.Tasks != nil {
-			n.t = tenant.New(n.s.runs)
+			n.t = lessee.New(n.s.runs)
 		}
 	}
 	sched, err := spindlehitch.New(set, n.rng.Uint64())
@@ -384,10 +384,10 @@
 // ration is the instance's part of the fleet's wholes, for the module.
 type ration struct{ n *instance }
 
-var uses = [...]fleet.Use{spindlehitch.ColdWork: fleet.Cold, spindlehitch.Repeats: fleet.Repeat, spindlehitch.Connections: fleet.Connection, spindlehitch.AllWork: fleet.Work}
+var uses = [...]quota.Use{spindlehitch.ColdWork: quota.Cold, spindlehitch.Repeats: quota.Repeat, spindlehitch.Connections: quota.Connection, spindlehitch.AllWork: quota.Work}
 
-func draw(d spindlehitch.Draw) fleet.Draw {
-	return fleet.Draw{Use: uses[d.Use], Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func draw(d spindlehitch.Draw) quota.Draw {
+	return quota.Draw{Use: uses[d.Use], Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
@@ -401,7 +401,7 @@
 
 // Take implements spindlehitch.Ration.
 func (r ration) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
-	all := make([]fleet.Draw, len(draws))
+	all := make([]quota.Draw, len(draws))
 	for i, d := range draws {
 		all[i] = draw(d)
 	}
@@ -416,7 +416,7 @@
 // Good implements spindlehitch.Permit.
 func (p permit) Good() bool { return p.n.clock() < p.until }
 
-// Joining and renewing, as internal/ration does it.
+// Joining and renewing, as internal/controlplane/quota/quotasession does it.
 
 const (
 	joinAgain = 200 * time.Millisecond
@@ -431,13 +431,13 @@
 	id := fmt.Sprintf("%s.%d.%d", n.name, n.born, n.asked)
 	born, began := n.born, n.clock()
 	n.call("join", 4*tryWithin, func(g *agents, by int, back func(any)) {
-		g.join(by, fleet.Member{ID: id, Name: n.name, Addr: n.name, Weight: 1}, back)
+		g.join(by, quota.Member{ID: id, Name: n.name, Addr: n.name, Weight: 1}, back)
 	}, func(answer any) {
 		n.joining = false
 		if n.born != born {
 			return
 		}
-		doc, seated := answer.(fleet.Doc)
+		doc, seated := answer.(quota.Doc)
 		if !seated {
 			n.s.after(n.truly(joinAgain), "join again", n.id, func() { n.when(n.join) })
 			return
@@ -497,7 +497,7 @@
 				n.step(spindlehitch.Rationed{})
 			}
 		case error:
-			if a == fleet.UnknownMember {
+			if a == quota.UnknownMember {
 				n.unseat()
 				return
 			}
@@ -625,9 +625,9 @@
 }
 
 // acts takes an act through its steps; between any two of them the instance may stand still.
-func (n *instance) acts(a tenant.Act, born int) {
+func (n *instance) acts(a lessee.Act, born int) {
 	place := n.s.places[a.Key]
-	end := func(how tenant.End) {
+	end := func(how lessee.End) {
 		n.t.Finish(a, how, place.Token)
 		if n.t.Hurry() {
 			n.schedule()
@@ -645,7 +645,7 @@
 	next = func(i int) {
 		if i == len(steps) {
 			n.s.point.Acts++
-			end(tenant.Done)
+			end(lessee.Done)
 			return
 		}
 		took := time.Duration(n.rng.Float64() * float64(n.t.Task(a.Task).Act()) / 6)
@@ -657,7 +657,7 @@
 					next(i + 1)
 				default:
 					n.s.point.Denied++
-					end(tenant.Refused)
+					end(lessee.Refused)
 				}
 			})
 		})
@@ -666,7 +666,7 @@
 }
 
 // floors is what a floor and a part are at an instance now, by true time.
-func (n *instance) limit(k fleet.Key) float64 {
+func (n *instance) limit(k quota.Key) float64 {
 	if n.h == nil || !n.alive {
 		return 0
 	}
--- a/internal/model/mesh/measure.go
+++ b/internal/testbed/model/mesh/measure.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/membership"
 )
 
 // Trouble is what goes on through a measurement.
@@ -38,7 +38,7 @@
 }
 
 // Measure runs a fleet under a trouble for so long, then kills some members one by one, and then ends the trouble.
-func Measure(s Spec, t Trouble, lasts time.Duration, kills int, size func(*members.Message) int) (Row, error) {
+func Measure(s Spec, t Trouble, lasts time.Duration, kills int, size func(*membership.Message) int) (Row, error) {
 	s.Loss, s.Joined = t.Loss, true
 	m := New(s)
 	m.Bytes = size
@@ -52,7 +52,7 @@
 				}
 			}
 		}
-		m.Cut = func(from, to *Node, _ members.Via) bool { return cut[[2]int{from.N, to.N}] }
+		m.Cut = func(from, to *Node, _ membership.Via) bool { return cut[[2]int{from.N, to.N}] }
 	}
 	name := map[string]*Node{}
 	for _, n := range m.Nodes {
@@ -63,7 +63,7 @@
 	var killed time.Duration
 	// A verdict is false of one that lives and has never stood still.
 	for _, n := range m.Nodes {
-		n.Watch = func(now time.Duration, e members.Event) {
+		n.Watch = func(now time.Duration, e membership.Event) {
 			if e.To != "dead" {
 				return
 			}
--- a/internal/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -9,7 +9,7 @@
 	"math/rand/v2"
 	"time"
 
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/membership"
 )
 
 // Spec is one run.
@@ -17,7 +17,7 @@
 	Size     int
 	Zones    int // 1 where it is not told
 	Seed     uint64
-	Settings members.Settings
+	Settings membership.Settings
 	Loss     float64       // part of the datagrams
 	Delay    time.Duration // mean way of a message; exponential besides a floor of half of it
 	Joined   bool          // all know all at the beginning; else they join by the first three
@@ -34,15 +34,15 @@
 	Nodes []*Node
 	at    map[string]*Node
 	// Cut tells whether what goes from one to another is lost; nil: nothing is.
-	Cut   func(from, to *Node, via members.Via) bool
-	Bytes func(*members.Message) int // the size of a message; nil: not counted
+	Cut   func(from, to *Node, via membership.Via) bool
+	Bytes func(*membership.Message) int // the size of a message; nil: not counted
 }
 
 // Node is one process.
 type Node struct {
 	N       int
 	Zone    int
-	M       *members.Machine
+	M       *membership.Machine
 	lives   int
 	Alive   bool
 	paused  time.Duration // until then
@@ -51,7 +51,7 @@
 	Sent    int
 	SentB   int64
 	// Changes, by this node's view, of the nodes that the run is about.
-	Watch func(now time.Duration, of members.Event)
+	Watch func(now time.Duration, of membership.Event)
 	seen  int
 }
 
@@ -59,8 +59,8 @@
 	at  time.Duration
 	seq uint64
 	to  *Node
-	msg *members.Message
-	via members.Via
+	msg *membership.Message
+	via membership.Via
 	do  func()
 }
 
@@ -86,7 +86,7 @@
 func New(s Spec) *Mesh {
 	s.Zones = max(s.Zones, 1)
 	m := &Mesh{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), at: map[string]*Node{}}
-	var all []members.Record
+	var all []membership.Record
 	for i := range s.Size {
 		n := &Node{N: i, Zone: i % s.Zones}
 		m.Nodes = append(m.Nodes, n)
@@ -95,7 +95,7 @@
 		all = append(all, n.M.Self())
 	}
 	if s.Joined {
-		infos := members.Shared(all)
+		infos := membership.Shared(all)
 		for _, n := range m.Nodes {
 			n.M.Know(m.now, all, infos)
 		}
@@ -113,7 +113,7 @@
 	if m.spec.Seedless {
 		seeds = nil
 	}
-	n.M = members.New(m.spec.Settings, rng.Uint64()|1, members.Info{Name: addr(n.N), Addr: addr(n.N), Zone: fmt.Sprint("z", n.Zone)}, seeds, m.now, rng)
+	n.M = membership.New(m.spec.Settings, rng.Uint64()|1, membership.Info{Name: addr(n.N), Addr: addr(n.N), Zone: fmt.Sprint("z", n.Zone)}, seeds, m.now, rng)
 	n.Alive, n.waiting, n.seen, n.paused, n.tick = true, nil, 0, 0, -1
 	m.schedule(n)
 }
@@ -204,14 +204,14 @@
 	n.seen = total
 }
 
-func (m *Mesh) send(from *Node, list []members.Send) {
+func (m *Mesh) send(from *Node, list []membership.Send) {
 	for _, s := range list {
 		from.Sent++
 		if m.Bytes != nil {
 			from.SentB += int64(m.Bytes(s.Message))
 		}
 		to := m.at[s.Addr]
-		if to == nil || s.Via == members.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Via) {
+		if to == nil || s.Via == membership.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Via) {
 			continue
 		}
 		way := time.Duration(float64(m.spec.Delay) * (0.5 - 0.5*math.Log(1-m.rng.Float64())))
--- a/internal/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -7,11 +7,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/membership"
 )
 
-func usual() members.Settings {
-	s := members.Usual
+func usual() membership.Settings {
+	s := membership.Usual
 	s.Fleet = 7
 	return s
 }
@@ -64,7 +64,7 @@
 // TestHalves parts a fleet for a minute and joins it: all hold the same view again, and no incarnation is lost.
 func TestHalves(t *testing.T) {
 	m := New(Spec{Size: 20, Seed: 5, Settings: usual(), Delay: time.Millisecond, Joined: true})
-	m.Cut = func(from, to *Node, _ members.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	require.Equal(t, 10, m.Nodes[0].M.Size())
 	m.Cut = nil
--- a/internal/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spindlehitch"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/tenant"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // Point is what happened within one step of the series. All are counts but those that say otherwise.
@@ -83,7 +83,7 @@
 	ids      []string
 	byID     map[string]int
 	settings spindlehitch.Settings
-	governed []fleet.Use
+	governed []quota.Use
 	runs     []string
 	cuts     map[int]bool // zones that are cut off
 	leaves   time.Duration
@@ -92,7 +92,7 @@
 	result Result
 	lat    *ddsketch.DDSketch
 	judge  judge
-	places map[lease.Key]*guard.Place
+	places map[lease.Key]*fencing.Place
 }
 
 type traced struct {
@@ -104,9 +104,9 @@
 
 // judge holds what is done against the promises, and knows parts only as what may be used.
 type judge struct {
-	buckets map[fleet.Key]*bucket
-	holds   map[fleet.Key]map[int]hold // by instance
-	sums    map[fleet.Key]float64
+	buckets map[quota.Key]*bucket
+	holds   map[quota.Key]map[int]hold // by instance
+	sums    map[quota.Key]float64
 	acts    map[lease.Key][2]uint64
 	by      map[lease.Key]string
 	last    map[lease.Key]time.Duration // when an act last changed the place
@@ -124,12 +124,12 @@
 
 // Run takes one run to its end, to a broken promise, or to its bound of events. With trace a broken promise has its chain of causes.
 func Run(spec *Spec, seed uint64, trace bool) Result {
-	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), byID: map[string]int{}, cuts: map[int]bool{}, places: map[lease.Key]*guard.Place{},
+	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), byID: map[string]int{}, cuts: map[int]bool{}, places: map[lease.Key]*fencing.Place{},
 		leaves: 100 * time.Millisecond, version: 1}
 	if trace {
 		s.trace = map[uint64]traced{}
 	}
-	s.judge = judge{buckets: map[fleet.Key]*bucket{}, holds: map[fleet.Key]map[int]hold{}, sums: map[fleet.Key]float64{}, acts: map[lease.Key][2]uint64{}, by: map[lease.Key]string{}, last: map[lease.Key]time.Duration{}}
+	s.judge = judge{buckets: map[quota.Key]*bucket{}, holds: map[quota.Key]map[int]hold{}, sums: map[quota.Key]float64{}, acts: map[lease.Key][2]uint64{}, by: map[lease.Key]string{}, last: map[lease.Key]time.Duration{}}
 	s.lat, _ = ddsketch.NewDefaultDDSketch(0.01)
 	s.setUp()
 	end := secs(spec.LengthS)
@@ -181,7 +181,7 @@
 		t.stalls()
 	}
 	if o.Budgets != nil {
-		seen := map[fleet.Use]bool{}
+		seen := map[quota.Use]bool{}
 		for _, b := range o.Budgets.Budgets {
 			if !seen[b.Use] {
 				seen[b.Use] = true
@@ -192,7 +192,7 @@
 			for _, t := range o.Tasks.Tasks {
 				s.runs = append(s.runs, t.Name)
 				for shard := range t.Shards {
-					s.places[lease.Key{Task: t.Name, Shard: shard}] = &guard.Place{}
+					s.places[lease.Key{Task: t.Name, Shard: shard}] = &fencing.Place{}
 				}
 			}
 		}
@@ -313,8 +313,8 @@
 	}
 	if s.agents != nil && len(s.spec.Budgets.Budgets) > 0 {
 		b := &s.spec.Budgets.Budgets[0]
-		k := fleet.Key{Budget: b.Name}
-		if b.Per == fleet.PerTarget {
+		k := quota.Key{Budget: b.Name}
+		if b.Per == quota.PerTarget {
 			k.Key = s.ids[0]
 		}
 		for _, n := range s.insts {
@@ -349,13 +349,13 @@
 		b := &s.spec.Budgets.Budgets[i]
 		for _, d := range []struct {
 			is bool
-			fleet.Draw
-		}{{true, fleet.Draw{Use: fleet.Work, Units: units}}, {repeat, fleet.Draw{Use: fleet.Repeat, Units: 1}}, {cold, fleet.Draw{Use: fleet.Cold, Units: units / t.grown()}}} {
+			quota.Draw
+		}{{true, quota.Draw{Use: quota.Work, Units: units}}, {repeat, quota.Draw{Use: quota.Repeat, Units: 1}}, {cold, quota.Draw{Use: quota.Cold, Units: units / t.grown()}}} {
 			d.Target, d.Plan, d.Class = s.ids[t.id], "base", "read"
 			if !d.is || !b.Governs(d.Draw) {
 				continue
 			}
-			k := fleet.Key{Budget: b.Name, Key: b.KeyOf(d.Draw)}
+			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d.Draw)}
 			x := s.judge.buckets[k]
 			if x == nil {
 				x = &bucket{rate: b.Whole, burst: b.Burst}
@@ -388,7 +388,7 @@
 	}
 }
 
-func (s *Sim) holds(n *instance, k fleet.Key, h hold, b *fleet.Budget) {
+func (s *Sim) holds(n *instance, k quota.Key, h hold, b *quota.Budget) {
 	all := s.judge.holds[k]
 	if all == nil {
 		all = map[int]hold{}
@@ -433,7 +433,7 @@
 }
 
 // began and changed hold acts against the order of their tokens.
-func (s *Sim) began(n *instance, a tenant.Act) bool {
+func (s *Sim) began(n *instance, a lessee.Act) bool {
 	last := s.judge.acts[a.Key]
 	if a.Token < last[0] || a.Token == last[0] && s.judge.by[a.Key] != n.member {
 		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s begins at %v under token %d after %s under %d", a.N, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
@@ -442,7 +442,7 @@
 	return true
 }
 
-func (s *Sim) changed(n *instance, a tenant.Act) bool {
+func (s *Sim) changed(n *instance, a lessee.Act) bool {
 	s.judge.last[a.Key] = s.now
 	if last := s.judge.acts[a.Key]; last != [2]uint64{a.Token, a.N} || s.judge.by[a.Key] != n.member {
 		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s changes %v under token %d after %s began under %d", a.N, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
--- a/internal/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/lease"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
 )
 
 // Spec is one run, but for its seed. Lengths are in the unit that a field's name ends in.
@@ -24,7 +24,7 @@
 	Targets Targets    `toml:"targets"`
 	Net     Net        `toml:"net"`
 	Agents  AgentSpec  `toml:"agents"`
-	Budgets *fleet.Doc `toml:"budgets"` // none: each instance keeps to the even parts of its settings
+	Budgets *quota.Doc `toml:"budgets"` // none: each instance keeps to the even parts of its settings
 	Tasks   *lease.Doc `toml:"tasks"`   // none: no leases
 	Faults  []Fault    `toml:"fault"`
 	Random  *Random    `toml:"random"`
--- a/internal/fleet/proof/bench_test.go
+++ b/internal/testbed/modelcheck/bench_test.go
@@ -1,4 +1,4 @@
-package proof
+package modelcheck
 
 import (
 	"encoding/json"
@@ -6,16 +6,16 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
-	"spindlehitch/internal/fleet/holder"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
-func four(seats int) fleet.Doc {
-	d := fleet.Doc{Version: 1, Seats: seats, Budgets: []fleet.Budget{
-		{Name: "work", Use: fleet.Work, Whole: 1e5, Burst: 1e5, Least: 1, LeastBurst: 1}, {Name: "repeats", Use: fleet.Repeat, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
-		{Name: "cold", Use: fleet.Cold, Per: fleet.PerTarget, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
-		{Name: "conns", Use: fleet.Connection, Per: fleet.PerTarget, Kind: "stock", Whole: 5000, Least: 1, LingerMs: 3000}}}
+func four(seats int) quota.Doc {
+	d := quota.Doc{Version: 1, Seats: seats, Budgets: []quota.Budget{
+		{Name: "work", Use: quota.Work, Whole: 1e5, Burst: 1e5, Least: 1, LeastBurst: 1}, {Name: "repeats", Use: quota.Repeat, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
+		{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
+		{Name: "conns", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: 5000, Least: 1, LingerMs: 3000}}}
 	if err := d.Check(); err != nil {
 		panic(err)
 	}
@@ -24,15 +24,15 @@
 
 // BenchmarkTake is what a send costs at an instance: the questions and the draw, under four budgets.
 func BenchmarkTake(b *testing.B) {
-	h := holder.New(fleet.Uses)
+	h := quotaclient.New(quota.Uses)
 	h.Seat(time.Hour, "m", four(2000))
 	r := h.Renew(time.Hour)
-	h.Accept(time.Hour, fleet.Answer{ID: "m", Seq: r.Seq, Grants: []fleet.Grant{{Key: fleet.Key{Budget: "work"}, Amount: fleet.Amount{Rate: 1e4, Burst: 1e4}}}})
+	h.Accept(time.Hour, quota.Answer{ID: "m", Seq: r.Seq, Grants: []quota.Grant{{Key: quota.Key{Budget: "work"}, Amount: quota.Amount{Rate: 1e4, Burst: 1e4}}}})
 	b.ReportAllocs()
 	now := time.Hour
 	for b.Loop() {
 		now += 100 * time.Microsecond
-		d := fleet.Draw{Use: fleet.Work, Target: "t1", Plan: "p", Class: "c", Units: 1}
+		d := quota.Draw{Use: quota.Work, Target: "t1", Plan: "p", Class: "c", Units: 1}
 		if wait, _ := h.Wait(now, d); wait == 0 {
 			h.Take(now, d)
 		}
@@ -44,12 +44,12 @@
 	for _, n := range []int{20, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			doc := four(2000)
-			var members []fleet.Member
-			var holders []*holder.Holder
+			var members []quota.Member
+			var holders []*quotaclient.Holder
 			for i := range n {
 				id := fmt.Sprintf("member-%04d", i)
-				members = append(members, fleet.Member{ID: id, Name: id, Weight: 1})
-				h := holder.New(fleet.Uses)
+				members = append(members, quota.Member{ID: id, Name: id, Weight: 1})
+				h := quotaclient.New(quota.Uses)
 				h.Seat(time.Hour, id, doc)
 				for k := range 8 {
 					h.Open(time.Hour, fmt.Sprint("target-", k))
@@ -57,7 +57,7 @@
 				holders = append(holders, h)
 			}
 			now := time.Hour + time.Minute
-			g := giver.New(time.Hour, doc, members)
+			g := allocator.New(time.Hour, doc, members)
 			size, answer := 0, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/fleet/proof/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // check holds whom the step touched against the promises.
@@ -30,7 +30,7 @@
 
 func (w *World) checkFollower(f *follower) error {
 	whole, have, epoch := f.r.Whole(), f.r.Position(), f.r.Whole().Epoch
-	h := holds(f.r.Records(feed.Targets), f.r.Records(feed.Config))
+	h := holds(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config))
 	if epoch == "" {
 		if len(h) > 0 {
 			return fmt.Errorf("broken: %s has something of no history", f.scope.Name)
@@ -76,7 +76,7 @@
 }
 
 // checkForce has what a reader says to be in force be so.
-func (w *World) checkForce(f *follower, m feed.Mark) error {
+func (w *World) checkForce(f *follower, m watchstream.Mark) error {
 	if m.Epoch == "" || f.scope.All {
 		return nil
 	}
@@ -90,14 +90,14 @@
 // checkTally has the tally count nobody for what it has not said, or that it said in an earlier turn than is known.
 func (w *World) checkTally() (err error) {
 	seen := map[string]bool{}
-	w.tally.Each(func(relay string, r feed.Reading) {
+	w.tally.Each(func(relay string, r watchstream.Reading) {
 		var f *follower
 		for _, x := range w.all {
 			if x.scope.Name == r.Name {
 				f = x
 			}
 		}
-		said, ok := feed.Mark{}, false
+		said, ok := watchstream.Mark{}, false
 		if f != nil {
 			said, ok = f.said[r.Turn]
 		}
@@ -133,9 +133,9 @@
 	return nil
 }
 
-func reached(a, b feed.Mark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
+func reached(a, b watchstream.Mark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
 
-func size(list []feed.Record) (n float64) {
+func size(list []watchstream.Record) (n float64) {
 	for i := range list {
 		n += float64(list[i].Size())
 	}
@@ -143,7 +143,7 @@
 }
 
 // judgeDelta holds what a source sends against a reader's bytes, and has targets go before configuration.
-func (w *World) judgeDelta(to int, at account, d *feed.Delta) error {
+func (w *World) judgeDelta(to int, at account, d *watchstream.Delta) error {
 	a, rate, burst := w.accts[at], w.set.Source.Rate, w.set.Source.Burst
 	if d.For.All {
 		rate, burst = w.set.Source.RelayRate, w.set.Source.RelayBurst
@@ -151,7 +151,7 @@
 	groups, configs := map[uint64]float64{}, 0.0
 	for _, x := range d.Records {
 		n := float64(x.Size())
-		if a.n += n; x.Kind == feed.Targets {
+		if a.n += n; x.Kind == watchstream.Targets {
 			groups[x.Version] += n
 			a.target = max(a.target, groups[x.Version])
 		} else {
@@ -194,52 +194,55 @@
 	if err != nil {
 		return err
 	}
-	head := feed.Position{Targets: h.Seen.Targets + 1, Config: h.Seen.Config + 1}
-	good := func() *feed.Delta {
-		return &feed.Delta{Fleet: fleetName, Epoch: h.Epoch, Replaces: f.r.Store().Replaces(), For: f.scope, From: have, To: feed.Position{Targets: head.Targets, Config: have.Config},
-			Head: head, Records: []feed.Record{{Kind: feed.Targets, Key: "x", Version: head.Targets, Value: json.RawMessage(`{"x":0}`)}}}
-	}
-	buckets := func(d *feed.Delta) {
-		d.Records, d.Span = nil, &feed.Span{Start: head.Targets, To: w.set.Limits.Buckets}
-		d.To = feed.Position{Targets: head.Targets, Config: have.Config}
-	}
-	change := map[string]func(d *feed.Delta){
-		"another fleet":            func(d *feed.Delta) { d.Fleet = "g" },
-		"another fleet's digests":  func(d *feed.Delta) { d.Fleet = "g"; buckets(d) },
-		"another reader":           func(d *feed.Delta) { d.For.Name = "other" },
-		"another region":           func(d *feed.Delta) { d.For.Region = "other" },
-		"another region's digests": func(d *feed.Delta) { d.For.Region = "other"; buckets(d) },
-		"another epoch":            func(d *feed.Delta) { d.Epoch, d.From = "other", feed.Position{} },
-		"another epoch's digests":  func(d *feed.Delta) { d.Epoch, d.From = "other", feed.Position{}; buckets(d) },
-		"no epoch":                 func(d *feed.Delta) { d.Epoch = "" },
-		"a gap":                    func(d *feed.Delta) { d.From.Targets++; d.To.Targets++; d.Head.Targets++; d.Records[0].Version++ },
-		"a gap in configuration":   func(d *feed.Delta) { d.From.Config, d.To.Config = d.From.Config+1, d.To.Config+1 },
-		"before where it is":       func(d *feed.Delta) { d.From.Targets--; d.To.Targets = d.From.Targets },
-		"a source behind":          func(d *feed.Delta) { d.Head.Targets = h.Seen.Targets - 1; d.To.Targets, d.Records = have.Targets, nil },
-		"over its size": func(d *feed.Delta) {
-			for i := range feed.MostDelta / len(huge) {
-				d.Records = append(d.Records, feed.Record{Kind: feed.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: huge})
+	head := watchstream.Position{Targets: h.Seen.Targets + 1, Config: h.Seen.Config + 1}
+	good := func() *watchstream.Delta {
+		return &watchstream.Delta{Fleet: fleetName, Epoch: h.Epoch, Replaces: f.r.Store().Replaces(), For: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
+			Head: head, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "x", Version: head.Targets, Value: json.RawMessage(`{"x":0}`)}}}
+	}
+	buckets := func(d *watchstream.Delta) {
+		d.Records, d.Span = nil, &watchstream.Span{Start: head.Targets, To: w.set.Limits.Buckets}
+		d.To = watchstream.Position{Targets: head.Targets, Config: have.Config}
+	}
+	change := map[string]func(d *watchstream.Delta){
+		"another fleet":            func(d *watchstream.Delta) { d.Fleet = "g" },
+		"another fleet's digests":  func(d *watchstream.Delta) { d.Fleet = "g"; buckets(d) },
+		"another reader":           func(d *watchstream.Delta) { d.For.Name = "other" },
+		"another region":           func(d *watchstream.Delta) { d.For.Region = "other" },
+		"another region's digests": func(d *watchstream.Delta) { d.For.Region = "other"; buckets(d) },
+		"another epoch":            func(d *watchstream.Delta) { d.Epoch, d.From = "other", watchstream.Position{} },
+		"another epoch's digests":  func(d *watchstream.Delta) { d.Epoch, d.From = "other", watchstream.Position{}; buckets(d) },
+		"no epoch":                 func(d *watchstream.Delta) { d.Epoch = "" },
+		"a gap":                    func(d *watchstream.Delta) { d.From.Targets++; d.To.Targets++; d.Head.Targets++; d.Records[0].Version++ },
+		"a gap in configuration":   func(d *watchstream.Delta) { d.From.Config, d.To.Config = d.From.Config+1, d.To.Config+1 },
+		"before where it is":       func(d *watchstream.Delta) { d.From.Targets--; d.To.Targets = d.From.Targets },
+		"a source behind": func(d *watchstream.Delta) {
+			d.Head.Targets = h.Seen.Targets - 1
+			d.To.Targets, d.Records = have.Targets, nil
+		},
+		"over its size": func(d *watchstream.Delta) {
+			for i := range watchstream.MostDelta / len(huge) {
+				d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: huge})
 			}
 		},
-		"a value cut in the midst": func(d *feed.Delta) { d.Records[0].Value = json.RawMessage(`{"x":`) },
-		"a value that is no map":   func(d *feed.Delta) { d.Records[0].Value = json.RawMessage(`[]`) },
-		"past its end":             func(d *feed.Delta) { d.Records[0].Version++ },
-		"before its beginning":     func(d *feed.Delta) { d.Records[0].Version = have.Targets },
-		"past its source":          func(d *feed.Delta) { d.To.Targets++ },
-		"twice the same":           func(d *feed.Delta) { d.Records = append(d.Records, d.Records[0]) },
-		"configuration first":      func(d *feed.Delta) { d.To.Targets, d.To.Config, d.Records = have.Targets, head.Config, nil },
-		"buckets without a span":   func(d *feed.Delta) { d.Buckets = []feed.Bucket{{N: 0}} },
-		"the end of a run": func(d *feed.Delta) {
+		"a value cut in the midst": func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`{"x":`) },
+		"a value that is no map":   func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`[]`) },
+		"past its end":             func(d *watchstream.Delta) { d.Records[0].Version++ },
+		"before its beginning":     func(d *watchstream.Delta) { d.Records[0].Version = have.Targets },
+		"past its source":          func(d *watchstream.Delta) { d.To.Targets++ },
+		"twice the same":           func(d *watchstream.Delta) { d.Records = append(d.Records, d.Records[0]) },
+		"configuration first":      func(d *watchstream.Delta) { d.To.Targets, d.To.Config, d.Records = have.Targets, head.Config, nil },
+		"buckets without a span":   func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{N: 0}} },
+		"the end of a run": func(d *watchstream.Delta) {
 			buckets(d)
 			d.Span.From = w.set.Limits.Buckets - 1
 			d.Span.Start++
 			d.Head.Targets++
 			d.To.Targets++
 		},
-		"a bucket past its span": func(d *feed.Delta) { buckets(d); d.Buckets = []feed.Bucket{{N: w.set.Limits.Buckets}} },
-		"another's layer": func(d *feed.Delta) {
+		"a bucket past its span": func(d *watchstream.Delta) { buckets(d); d.Buckets = []watchstream.Bucket{{N: w.set.Limits.Buckets}} },
+		"another's layer": func(d *watchstream.Delta) {
 			d.To.Config = head.Config
-			d.Records = append(d.Records, feed.Record{Kind: feed.Config, Key: "region/other", Version: head.Config, Value: json.RawMessage(`{}`)})
+			d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Config, Key: "region/other", Version: head.Config, Value: json.RawMessage(`{}`)})
 			if f.scope.All {
 				d.Records[1].Key = "other"
 			}
@@ -250,11 +253,11 @@
 	}
 	run := good()
 	buckets(run)
-	for _, d := range []*feed.Delta{good(), run} {
+	for _, d := range []*watchstream.Delta{good(), run} {
 		if h.Epoch == "" {
 			break
 		}
-		scratch := feed.NewReplica(fleetName, f.scope, 1, w.set.Limits)
+		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.set.Limits)
 		if err := scratch.Restore(f.r.Store().Copy()); err != nil {
 			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
 		}
@@ -281,7 +284,7 @@
 	return nil
 }
 
-var huge = json.RawMessage(`{"x":"` + strings.Repeat("x", feed.MostTargetValue-8) + `"}`)
+var huge = json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MostTargetValue-8) + `"}`)
 
 func (w *World) printOf(i int) string {
 	var b strings.Builder
@@ -298,8 +301,8 @@
 			return err
 		}
 	}
-	if err := w.change(feed.Change{Puts: []feed.Put{{Kind: feed.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: feed.Config, Key: "region/r", Gone: true},
-		{Kind: feed.Config, Key: "instance/" + w.all[len(w.all)-1].scope.Name, Gone: true}, {Kind: feed.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
+	if err := w.change(watchstream.Change{Puts: []watchstream.Put{{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: watchstream.Config, Key: "region/r", Gone: true},
+		{Kind: watchstream.Config, Key: "instance/" + w.all[len(w.all)-1].scope.Name, Gone: true}, {Kind: watchstream.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
 		return err
 	}
 	last := len(w.all) - 1
@@ -360,7 +363,7 @@
 			if !f.scope.All {
 				m = f.r.InForce()
 			}
-			if m != (feed.Mark{Epoch: w.name(), Position: feed.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
+			if m != (watchstream.Mark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
 				all = false
 			}
 		}
@@ -380,8 +383,8 @@
 func (w *World) exactly(most int) error {
 	p := w.past[w.name()]
 	for _, f := range w.all[:most] {
-		for _, kind := range feed.Kinds {
-			if err := p.exact(holds(f.r.Records(feed.Targets), f.r.Records(feed.Config)), f.scope, kind, p.head()); err != nil {
+		for _, kind := range watchstream.Kinds {
+			if err := p.exact(holds(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config)), f.scope, kind, p.head()); err != nil {
 				return err
 			}
 			if !f.scope.All {
--- a/internal/fleet/proof/feed/feed_test.go
+++ b/internal/testbed/modelcheck/feed/feed_test.go
@@ -11,9 +11,9 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // TestMain lets other packages' tests go first, as the other searches do.
@@ -27,18 +27,20 @@
 var value int
 
 // set is a put whose value is no other's.
-func set(kind feed.Kind, key string, more ...string) feed.Put {
+func set(kind watchstream.Kind, key string, more ...string) watchstream.Put {
 	value++
 	bad := ""
 	if len(more) > 0 {
 		bad = `,"bad":1`
 	}
-	return feed.Put{Kind: kind, Key: key, Value: json.RawMessage(fmt.Sprintf(`{"v":%d%s}`, value, bad))}
+	return watchstream.Put{Kind: kind, Key: key, Value: json.RawMessage(fmt.Sprintf(`{"v":%d%s}`, value, bad))}
 }
 
-func target(key string) feed.Put { return set(feed.Targets, key) }
+func target(key string) watchstream.Put { return set(watchstream.Targets, key) }
 
-func gone(key string) feed.Put { return feed.Put{Kind: feed.Targets, Key: key, Gone: true} }
+func gone(key string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Targets, Key: key, Gone: true}
+}
 
 func puts(n int, op Op) (list []Step) {
 	for range n {
@@ -61,10 +63,10 @@
 
 // ample is a source that nothing waits for; scant gives one record at a time or so.
 var (
-	ample = feed.SourceOptions{Rate: 1e6, Burst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
-	scant = feed.SourceOptions{Rate: 100, Burst: 100, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
-	tight = feed.SourceOptions{Rate: 100, Burst: 100, RelayRate: 100, RelayBurst: 100, Admit: 1, AdmitBurst: 1}
-	small = feed.Limits{Targets: 8, Tombstones: 1, Scopes: 8, Buckets: 3}
+	ample = watchstream.SourceOptions{Rate: 1e6, Burst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
+	scant = watchstream.SourceOptions{Rate: 100, Burst: 100, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
+	tight = watchstream.SourceOptions{Rate: 100, Burst: 100, RelayRate: 100, RelayBurst: 100, Admit: 1, AdmitBurst: 1}
+	small = watchstream.Limits{Targets: 8, Tombstones: 1, Scopes: 8, Buckets: 3}
 )
 
 type smallCase struct {
@@ -75,9 +77,9 @@
 // cases are the small cases that are searched, and how deep.
 func cases() (list []smallCase) {
 	value = 0
-	mixed := [][]feed.Put{{target("a"), target("b")}, {set(feed.Config, "shared"), set(feed.Config, "region/r")}, {gone("a")}, {target("a"), target("c")},
-		{set(feed.Config, "shared"), set(feed.Config, "instance/n1"), set(feed.Config, "instance/n2"), gone("b")}, {gone("c"), gone("a")}, {target("b")}}
-	bad := [][]feed.Put{{target("a"), set(feed.Config, "shared")}, {set(feed.Config, "shared", "bad")}, {target("b")}, {set(feed.Config, "instance/n1")}, {set(feed.Config, "shared")}}
+	mixed := [][]watchstream.Put{{target("a"), target("b")}, {set(watchstream.Config, "shared"), set(watchstream.Config, "region/r")}, {gone("a")}, {target("a"), target("c")},
+		{set(watchstream.Config, "shared"), set(watchstream.Config, "instance/n1"), set(watchstream.Config, "instance/n2"), gone("b")}, {gone("c"), gone("a")}, {target("b")}}
+	bad := [][]watchstream.Put{{target("a"), set(watchstream.Config, "shared")}, {set(watchstream.Config, "shared", "bad")}, {target("b")}, {set(watchstream.Config, "instance/n1")}, {set(watchstream.Config, "shared")}}
 	add := func(name string, depth int, s Setup, ops ...Op) {
 		s.Name, s.Ops = name, ops
 		if s.Limits.Buckets == 0 {
@@ -94,7 +96,7 @@
 	one := Setup{Relays: 1, Readers: 2, Changes: mixed, Source: ample}
 	two := Setup{Relays: 2, Readers: 2, Changes: mixed, Source: ample}
 	lone := Setup{Relays: 0, Readers: 1, Changes: mixed, Source: ample}
-	with := func(s Setup, on []int, source feed.SourceOptions, before ...Step) Setup {
+	with := func(s Setup, on []int, source watchstream.SourceOptions, before ...Step) Setup {
 		s.On, s.Source, s.Before = on, source, before
 		return s
 	}
@@ -141,8 +143,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		value = 0
 		s := Setup{Name: "long", Relays: rapid.IntRange(1, 2).Draw(t, "relays"), Readers: 2, Letters: 3, TickMs: rapid.SampledFrom([]int{50, 500, 3000}).Draw(t, "tick"),
-			Source: rapid.SampledFrom([]feed.SourceOptions{ample, scant, tight}).Draw(t, "source"),
-			Limits: feed.Limits{Targets: 8, Scopes: 8, Tombstones: rapid.IntRange(1, 3).Draw(t, "tombstones"), Buckets: rapid.IntRange(2, 5).Draw(t, "buckets")}}
+			Source: rapid.SampledFrom([]watchstream.SourceOptions{ample, scant, tight}).Draw(t, "source"),
+			Limits: watchstream.Limits{Targets: 8, Scopes: 8, Tombstones: rapid.IntRange(1, 3).Draw(t, "tombstones"), Buckets: rapid.IntRange(2, 5).Draw(t, "buckets")}}
 		for range rapid.IntRange(5, 20).Draw(t, "changes") {
 			s.Changes = append(s.Changes, drawPuts(t))
 		}
@@ -188,7 +190,7 @@
 	}
 }
 
-func drawPuts(t *rapid.T) (list []feed.Put) {
+func drawPuts(t *rapid.T) (list []watchstream.Put) {
 	used := map[string]bool{}
 	for range rapid.IntRange(1, 3).Draw(t, "puts") {
 		k := rapid.SampledFrom([]string{"a", "b", "c", "d", "e", "shared", "region/r", "instance/n2"}).Draw(t, "key")
@@ -202,9 +204,9 @@
 		case len(k) == 1:
 			list = append(list, target(k))
 		case k == "shared" && rapid.IntRange(0, 4).Draw(t, "bad") == 0:
-			list = append(list, set(feed.Config, k, "bad"))
+			list = append(list, set(watchstream.Config, k, "bad"))
 		default:
-			list = append(list, set(feed.Config, k))
+			list = append(list, set(watchstream.Config, k))
 		}
 	}
 	return list
--- a/internal/fleet/proof/feed/judge.go
+++ b/internal/testbed/modelcheck/feed/judge.go
@@ -4,31 +4,33 @@
 	"bytes"
 	"fmt"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 type key struct {
-	kind feed.Kind
+	kind watchstream.Kind
 	key  string
 }
 
 // past is what the judge knows of one history: the state of all keys at each version, by itself.
 type past struct {
-	states []map[key]feed.Record // by version; 0: nothing
-	words  map[string]uint64     // the versions at which it was said of another history that this one takes its place
+	states []map[key]watchstream.Record // by version; 0: nothing
+	words  map[string]uint64            // the versions at which it was said of another history that this one takes its place
 }
 
-func newPast() *past { return &past{states: []map[key]feed.Record{{}}, words: map[string]uint64{}} }
+func newPast() *past {
+	return &past{states: []map[key]watchstream.Record{{}}, words: map[string]uint64{}}
+}
 
 func (p *past) head() uint64 { return uint64(len(p.states)) - 1 }
 
-func (p *past) add(c feed.Change) {
-	next := map[key]feed.Record{}
+func (p *past) add(c watchstream.Change) {
+	next := map[key]watchstream.Record{}
 	for k, r := range p.states[p.head()] {
 		next[k] = r
 	}
 	for _, x := range c.Puts {
-		next[key{x.Kind, x.Key}] = feed.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Gone: x.Gone, Value: x.Value}
+		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Gone: x.Gone, Value: x.Value}
 	}
 	p.states = append(p.states, next)
 	if c.Replaces != "" {
@@ -37,9 +39,9 @@
 }
 
 // held is live records by key.
-type held map[key]feed.Record
+type held map[key]watchstream.Record
 
-func holds(records ...[]feed.Record) held {
+func holds(records ...[]watchstream.Record) held {
 	h := held{}
 	for _, list := range records {
 		for _, r := range list {
@@ -60,7 +62,7 @@
 
 // since tells whether what is held of each key is what the history had at that version or at a later one; of configuration, of all keys
 // at one and the same, but for a relay's, which nobody has in force, and where it is said that what there is is of an earlier history.
-func (p *past) since(h held, scope feed.Scope, pos feed.Position, earlier bool) error {
+func (p *past) since(h held, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
 	if pos.Targets > p.head() || pos.Config > p.head() {
 		return fmt.Errorf("broken: %s is said to have %v, and the log is at %d", scope.Name, pos, p.head())
 	}
@@ -72,8 +74,8 @@
 		keys[k] = true
 	}
 	for k := range keys {
-		from, ok := pos.Targets, k.kind == feed.Config && !scope.All || !scope.Holds(k.kind, k.key)
-		if k.kind == feed.Config {
+		from, ok := pos.Targets, k.kind == watchstream.Config && !scope.All || !scope.Holds(k.kind, k.key)
+		if k.kind == watchstream.Config {
 			from = pos.Config
 		}
 		for v := from; v <= p.head() && !ok; v++ {
@@ -92,14 +94,14 @@
 }
 
 // config tells whether the layers of the scope are as the history had them at that version.
-func (p *past) config(h held, scope feed.Scope, v uint64) bool {
+func (p *past) config(h held, scope watchstream.Scope, v uint64) bool {
 	for k := range p.states[p.head()] {
-		if k.kind == feed.Config && scope.Holds(k.kind, k.key) && !p.at(h, k, v) {
+		if k.kind == watchstream.Config && scope.Holds(k.kind, k.key) && !p.at(h, k, v) {
 			return false
 		}
 	}
 	for k := range h {
-		if k.kind == feed.Config && !p.at(h, k, v) {
+		if k.kind == watchstream.Config && !p.at(h, k, v) {
 			return false
 		}
 	}
@@ -107,7 +109,7 @@
 }
 
 // exact tells whether what is held is the log's state of that version.
-func (p *past) exact(h held, scope feed.Scope, kind feed.Kind, v uint64) error {
+func (p *past) exact(h held, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
 	for k := range p.states[p.head()] {
 		if k.kind == kind && scope.Holds(k.kind, k.key) && !p.at(h, k, v) {
 			return fmt.Errorf("broken: %s is at version %d and doesn't have the log's state of %q", scope.Name, v, k.key)
--- a/internal/fleet/proof/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // TestMarks has what is of an earlier history never count as in force in a later one.
 func TestMarks(t *testing.T) {
-	w, err := New(Setup{Relays: 0, Readers: 1, Source: ample, Limits: small, Changes: [][]feed.Put{{target("a")}, {target("b")}, {target("c")}}})
+	w, err := New(Setup{Relays: 0, Readers: 1, Source: ample, Limits: small, Changes: [][]watchstream.Put{{target("a")}, {target("b")}, {target("c")}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,21 +39,21 @@
 		t.Fatal(err)
 	}
 	f.r.Applied(late)
-	if f.r.InForce() != late && f.r.InForce() != (feed.Mark{}) {
+	if f.r.InForce() != late && f.r.InForce() != (watchstream.Mark{}) {
 		t.Fatalf("broken: %+v was applied before the history ended, and %+v counts as in force", late, f.r.InForce())
 	}
 }
 
 // relays are three of each of three regions.
-func relays() (list []feed.Relay) {
+func relays() (list []watchstream.Relay) {
 	for i := range 9 {
-		list = append(list, feed.Relay{ID: fmt.Sprint("relay/", i), Region: fmt.Sprint("r", i/3), Addr: fmt.Sprint("127.0.0.1:", 7000+i)})
+		list = append(list, watchstream.Relay{ID: fmt.Sprint("relay/", i), Region: fmt.Sprint("r", i/3), Addr: fmt.Sprint("127.0.0.1:", 7000+i)})
 	}
 	return list
 }
 
 // call drives a mover until it has called n times, and returns whom it called and when.
-func call(m *feed.Mover, now time.Duration, n int, answer func(now time.Duration, id string) (feed.Outcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
+func call(m *watchstream.Mover, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.Outcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
 	for range n {
 		r, due := m.Next(now)
 		now = max(now, due)
@@ -76,7 +76,7 @@
 	first, second := map[string]int{}, map[string]map[string]int{}
 	for i := range n {
 		reader := fmt.Sprint("n", i)
-		order := feed.Order(relays(), "r1", reader)
+		order := watchstream.Order(relays(), "r1", reader)
 		for j, r := range order {
 			if (r.Region == "r1") != (j < 3) {
 				t.Fatalf("%v: %s goes to %v, and is of r1", errMoves, reader, order)
@@ -88,13 +88,13 @@
 		}
 		second[order[0].ID][order[1].ID]++
 		// With one gone, only its readers move.
-		var left []feed.Relay
+		var left []watchstream.Relay
 		for _, r := range relays() {
 			if r.ID != order[2].ID {
 				left = append(left, r)
 			}
 		}
-		if without := feed.Order(left, "r1", reader); without[0] != order[0] || without[1] != order[1] {
+		if without := watchstream.Order(left, "r1", reader); without[0] != order[0] || without[1] != order[1] {
 			t.Fatalf("%v: %s moves since %s is gone", errMoves, reader, order[2].ID)
 		}
 	}
@@ -110,51 +110,51 @@
 	}
 	for seed := range uint64(200) {
 		reader := fmt.Sprint("n", seed)
-		order := feed.Order(relays(), "r1", reader)
+		order := watchstream.Order(relays(), "r1", reader)
 		home := order[0].ID
-		m := feed.NewMover(relays(), "r1", reader, seed, feed.MoverOptions{})
+		m := watchstream.NewMover(relays(), "r1", reader, seed, watchstream.MoverOptions{})
 		// Home is gone: another answers, and home is tried within its time and not sooner.
-		ids, at, now := call(m, time.Hour, 400, func(_ time.Duration, id string) (feed.Outcome, time.Duration) {
+		ids, at, now := call(m, time.Hour, 400, func(_ time.Duration, id string) (watchstream.Outcome, time.Duration) {
 			if id == home {
-				return feed.Failed, 0
+				return watchstream.Failed, 0
 			}
-			return feed.Answered, 0
+			return watchstream.Answered, 0
 		})
 		tried := at[0]
 		for i, id := range ids[1:] {
 			wait := at[i+1] - at[i]
-			if ids[i] == home && i == 0 && wait < feed.Moves.Least {
+			if ids[i] == home && i == 0 && wait < watchstream.Moves.Least {
 				t.Fatalf("%v: %s calls again %v after a failure", errMoves, reader, wait)
 			}
 			if id != home {
 				continue
 			}
-			if gap := at[i+1] - tried; gap < feed.Moves.HomeLeast || gap > feed.Moves.HomeMost+time.Second {
+			if gap := at[i+1] - tried; gap < watchstream.Moves.HomeLeast || gap > watchstream.Moves.HomeMost+time.Second {
 				t.Fatalf("%v: %s tries home %v after it was tried", errMoves, reader, gap)
 			}
 			tried = at[i+1]
 		}
-		if at[len(at)-1]-tried > feed.Moves.HomeMost+time.Second {
+		if at[len(at)-1]-tried > watchstream.Moves.HomeMost+time.Second {
 			t.Fatalf("%v: %s doesn't go home", errMoves, reader)
 		}
 		// Home is back.
-		ids, _, now = call(m, now, 400, func(time.Duration, string) (feed.Outcome, time.Duration) { return feed.Answered, 0 })
+		ids, _, now = call(m, now, 400, func(time.Duration, string) (watchstream.Outcome, time.Duration) { return watchstream.Answered, 0 })
 		if ids[len(ids)-1] != home {
 			t.Fatalf("%v: %s is at %s, and %s is back", errMoves, reader, ids[len(ids)-1], home)
 		}
 		// Everybody is busy: it is patient with each.
 		told := map[string]time.Duration{}
-		_, _, now = call(m, now, 20, func(now time.Duration, id string) (feed.Outcome, time.Duration) {
+		_, _, now = call(m, now, 20, func(now time.Duration, id string) (watchstream.Outcome, time.Duration) {
 			if now < told[id] {
 				t.Fatalf("%v: %s asks %s again %v before its time", errMoves, reader, id, told[id]-now)
 			}
 			told[id] = now + 700*time.Millisecond
-			return feed.Turned, 700 * time.Millisecond
+			return watchstream.Turned, 700 * time.Millisecond
 		})
 		// Nobody answers: there are fewer and fewer calls.
-		_, at, _ = call(m, now, 30, func(time.Duration, string) (feed.Outcome, time.Duration) { return feed.Silent, 0 })
+		_, at, _ = call(m, now, 30, func(time.Duration, string) (watchstream.Outcome, time.Duration) { return watchstream.Silent, 0 })
 		for i := 10; i < len(at); i++ {
-			if at[i]-at[i-1] < feed.Moves.Most {
+			if at[i]-at[i-1] < watchstream.Moves.Most {
 				t.Fatalf("%v: %s calls again %v after the tenth failure", errMoves, reader, at[i]-at[i-1])
 			}
 		}
@@ -167,7 +167,7 @@
 	stay = map[string]int{}
 	for i := range readers {
 		reader := fmt.Sprint("n", i)
-		m := feed.NewMover(relays(), "r1", reader, uint64(i), feed.MoverOptions{})
+		m := watchstream.NewMover(relays(), "r1", reader, uint64(i), watchstream.MoverOptions{})
 		last := ""
 		for now := time.Duration(i) * time.Second / time.Duration(readers); now < lasts; {
 			r, at := m.Next(now)
@@ -178,11 +178,11 @@
 			last = r.ID
 			if busy(r.ID, now) {
 				now += 5 * time.Millisecond
-				m.Ended(now, feed.Turned, 700*time.Millisecond, 0)
+				m.Ended(now, watchstream.Turned, 700*time.Millisecond, 0)
 				continue
 			}
 			now += time.Second
-			m.Ended(now, feed.Answered, 0, ages(r.ID, now))
+			m.Ended(now, watchstream.Answered, 0, ages(r.ID, now))
 		}
 		stay[last]++
 		moves += int(m.Moves())
@@ -196,7 +196,7 @@
 	const n, cut = 300, 10 * time.Second
 	home := map[int]string{}
 	for i := range n {
-		home[i] = feed.Order(relays(), "r1", fmt.Sprint("n", i))[0].ID
+		home[i] = watchstream.Order(relays(), "r1", fmt.Sprint("n", i))[0].ID
 	}
 	never := func(string, time.Duration) bool { return false }
 	aged := func(is func(id string) bool, until time.Duration) func(string, time.Duration) time.Duration {
@@ -222,7 +222,7 @@
 		switch {
 		case id == "relay/4":
 			readers++
-			if late[i] == 0 || late[i] > cut+feed.Moves.Aged+1100*time.Millisecond {
+			if late[i] == 0 || late[i] > cut+watchstream.Moves.Aged+1100*time.Millisecond {
 				t.Fatalf("%v: n%d is at a relay that is cut off, and asks another after %v", errMoves, i, late[i]-cut)
 			}
 		case late[i] != 0:
@@ -265,7 +265,7 @@
 		t.Fatalf("%v: all are as old, and there are %d moves", errMoves, moves)
 	}
 	for i, times := range asked {
-		if most := 3 * (1 + int(long/feed.Moves.HomeLeast)); times > most || times < 3 {
+		if most := 3 * (1 + int(long/watchstream.Moves.HomeLeast)); times > most || times < 3 {
 			t.Fatalf("%v: n%d asks others %d times in %v", errMoves, i, times, long)
 		}
 	}
@@ -277,7 +277,7 @@
 	// All others are busy: whoever is passed by goes on where it is, and is not kept from it.
 	calls := map[int]int{}
 	_, moves = region(t, n, cut+20*time.Second, aged(one, time.Hour), func(id string, _ time.Duration) bool { return id != "relay/4" }, func(i int, id string, at time.Duration) {
-		if id == home[i] && at > cut+feed.Moves.Aged {
+		if id == home[i] && at > cut+watchstream.Moves.Aged {
 			calls[i]++
 		}
 	})
--- a/internal/fleet/proof/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // Op is one kind of step.
@@ -55,9 +55,9 @@
 	Name    string
 	Relays  int
 	Readers int
-	Changes [][]feed.Put
-	Limits  feed.Limits
-	Source  feed.SourceOptions
+	Changes [][]watchstream.Put
+	Limits  watchstream.Limits
+	Source  watchstream.SourceOptions
 	TickMs  int
 	Letters int // on their way at a time, at most
 	Ops     []Op
@@ -69,44 +69,44 @@
 
 // follower is a relay or a reader, with its edge.
 type follower struct {
-	scope   feed.Scope
-	r       *feed.Replica
-	source  *feed.Source // a relay's
-	copy    *feed.Copy
+	scope   watchstream.Scope
+	r       *watchstream.Replica
+	source  *watchstream.Source // a relay's
+	copy    *watchstream.Copy
 	life    uint64
 	to      int // who it follows: -1 the agent, else a relay
-	changed []feed.Record
-	mark    feed.Mark // of the last that it took and has not applied
-	config  []feed.Record
+	changed []watchstream.Record
+	mark    watchstream.Mark // of the last that it took and has not applied
+	config  []watchstream.Record
 	pending bool
 	force   held
 
 	// What the judge remembers of this life.
-	whole map[string]feed.Position
-	have  map[string]feed.Position
+	whole map[string]watchstream.Position
+	have  map[string]watchstream.Position
 	tops  map[string]map[key]top
-	said  map[uint64]feed.Mark // what was said to be in force, by turn
-	seq   uint64               // of the last hello
-	was   string               // the history that it had last
+	said  map[uint64]watchstream.Mark // what was said to be in force, by turn
+	seq   uint64                      // of the last hello
+	was   string                      // the history that it had last
 }
 
 // letter is on its way.
 type letter struct {
 	from, to int // followers; -1 is the agent
 	life     uint64
-	hello    *feed.Hello
-	delta    *feed.Delta
-	report   *feed.Report
+	hello    *watchstream.Hello
+	delta    *watchstream.Delta
+	report   *watchstream.Report
 }
 
 // World is one state of a small case.
 type World struct {
 	set     Setup
 	now     time.Duration
-	log     *feed.Store
-	agent   *feed.Source
+	log     *watchstream.Store
+	agent   *watchstream.Source
 	life    uint64
-	tally   *feed.Tally
+	tally   *watchstream.Tally
 	all     []*follower
 	past    map[string]*past
 	epoch   int
@@ -114,7 +114,7 @@
 	mail    []letter
 	accts   map[account]*spent
 	counted map[string]uint64 // the turn that the tally had last of each
-	last    map[string]feed.Mark
+	last    map[string]watchstream.Mark
 	admits  map[account]*spent // without a reader
 	touched []*follower        // by this step
 	told    bool               // the tally was, by this step
@@ -144,16 +144,16 @@
 	if s.Source.Gather == 0 {
 		s.Source.Gather = 1
 	}
-	w := &World{set: s, now: time.Hour, past: map[string]*past{}, accts: map[account]*spent{}, admits: map[account]*spent{}, counted: map[string]uint64{}, last: map[string]feed.Mark{}}
-	w.tally = feed.NewTally(fleetName, feed.TallyOptions{})
+	w := &World{set: s, now: time.Hour, past: map[string]*past{}, accts: map[account]*spent{}, admits: map[account]*spent{}, counted: map[string]uint64{}, last: map[string]watchstream.Mark{}}
+	w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
 	w.empty()
 	for i := range s.Relays + s.Readers {
-		f := &follower{scope: feed.Scope{Name: fmt.Sprint("n", i), Region: "r", Zone: "z"}, to: (i - s.Relays) % max(1, s.Relays)}
+		f := &follower{scope: watchstream.Scope{Name: fmt.Sprint("n", i), Region: "r", Zone: "z"}, to: (i - s.Relays) % max(1, s.Relays)}
 		if s.Relays == 0 {
 			f.to = -1
 		}
 		if i < s.Relays {
-			f.scope, f.to = feed.Scope{Name: fmt.Sprint("relay", i), All: true}, -1
+			f.scope, f.to = watchstream.Scope{Name: fmt.Sprint("relay", i), All: true}, -1
 		}
 		w.all = append(w.all, f)
 		if err := w.start(i); err != nil {
@@ -172,8 +172,8 @@
 func (w *World) empty() {
 	w.epoch++
 	w.life++
-	w.log = feed.NewStore(fleetName, w.set.Limits)
-	w.agent = feed.NewSource(w.log, w.set.Source, w.life)
+	w.log = watchstream.NewStore(fleetName, w.set.Limits)
+	w.agent = watchstream.NewSource(w.log, w.set.Source, w.life)
 	w.past[w.name()] = newPast()
 }
 
@@ -184,48 +184,48 @@
 	f := w.all[i]
 	w.touched = append(w.touched, f)
 	f.life++
-	f.r = feed.NewReplica(fleetName, f.scope, f.life<<16, w.set.Limits)
+	f.r = watchstream.NewReplica(fleetName, f.scope, f.life<<16, w.set.Limits)
 	if f.copy != nil {
 		if err := f.r.Restore(*f.copy); err != nil {
 			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
 		}
 	}
 	if f.scope.All {
-		f.source = feed.NewSource(f.r.Store(), w.set.Source, f.life)
+		f.source = watchstream.NewSource(f.r.Store(), w.set.Source, f.life)
 	}
 	f.force, f.pending, f.changed = held{}, false, nil
-	f.whole, f.have, f.tops = map[string]feed.Position{}, map[string]feed.Position{}, map[string]map[key]top{}
+	f.whole, f.have, f.tops = map[string]watchstream.Position{}, map[string]watchstream.Position{}, map[string]map[key]top{}
 	if f.said == nil {
-		f.said = map[uint64]feed.Mark{}
+		f.said = map[uint64]watchstream.Mark{}
 	}
 	f.was = ""
 	if f.copy != nil { // what the copy has is applied like what is taken
-		f.took(append(f.r.Records(feed.Targets), f.r.Records(feed.Config)...))
+		f.took(append(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config)...))
 	}
 	return nil
 }
 
 // took notes what the edge is to apply.
-func (f *follower) took(changed []feed.Record) {
+func (f *follower) took(changed []watchstream.Record) {
 	f.changed = append(f.changed, changed...)
-	f.mark, f.config, f.pending = f.r.Whole(), f.r.Records(feed.Config), true
+	f.mark, f.config, f.pending = f.r.Whole(), f.r.Records(watchstream.Config), true
 }
 
 // apply has all that was taken in force. A layer with "bad" in it can't be served.
 func (f *follower) apply() {
 	for _, x := range f.changed {
-		if k := (key{x.Kind, x.Key}); x.Kind == feed.Targets {
+		if k := (key{x.Kind, x.Key}); x.Kind == watchstream.Targets {
 			if delete(f.force, k); !x.Gone {
 				f.force[k] = x
 			}
 		}
 	}
-	merged, err := feed.Layers(f.config)
+	merged, err := watchstream.Layers(f.config)
 	if err != nil || strings.Contains(string(merged), "bad") {
 		f.r.TurnDown(f.mark.Config, "bad")
 	} else {
 		for k := range f.force {
-			if k.kind == feed.Config {
+			if k.kind == watchstream.Config {
 				delete(f.force, k)
 			}
 		}
@@ -237,7 +237,7 @@
 	f.changed, f.pending = nil, false
 }
 
-func (w *World) source(i int) (*feed.Source, string, uint64) {
+func (w *World) source(i int) (*watchstream.Source, string, uint64) {
 	if i < 0 {
 		return w.agent, "agent", w.life
 	}
@@ -316,7 +316,7 @@
 		w.now += time.Duration(w.set.TickMs) * time.Millisecond
 	case Put:
 		w.put++
-		return w.change(feed.Change{Puts: w.set.Changes[w.put-1]})
+		return w.change(watchstream.Change{Puts: w.set.Changes[w.put-1]})
 	case Exchange:
 		return w.exchange(s.On, true)
 	case Say:
@@ -353,13 +353,13 @@
 		rep := w.report(s.On)
 		w.mail = append(w.mail, letter{from: s.On, to: -1, life: w.all[s.On].life, report: &rep})
 	case Lead:
-		w.tally = feed.NewTally(fleetName, feed.TallyOptions{})
+		w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
 		w.tally.Committed(w.now, w.log.Epoch(), w.log.Head())
 		clear(w.counted)
 		clear(w.last)
 	case Empty:
 		w.empty()
-		w.tally = feed.NewTally(fleetName, feed.TallyOptions{})
+		w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
 		clear(w.counted)
 		clear(w.last)
 	case Word:
@@ -370,7 +370,7 @@
 	return nil
 }
 
-func (w *World) change(c feed.Change) error {
+func (w *World) change(c watchstream.Change) error {
 	c.Fleet, c.Epoch = fleetName, w.name()
 	v, err := w.log.Apply(c)
 	if err != nil {
@@ -387,14 +387,14 @@
 // word has the operator say that this log takes the place of all before.
 func (w *World) word() error {
 	for e := 1; e < w.epoch; e++ {
-		if err := w.change(feed.Change{Replaces: fmt.Sprint("e", e)}); err != nil {
+		if err := w.change(watchstream.Change{Replaces: fmt.Sprint("e", e)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) hello(i int) (feed.Hello, error) {
+func (w *World) hello(i int) (watchstream.Hello, error) {
 	f := w.all[i]
 	w.touched = append(w.touched, f)
 	h := f.r.Hello()
@@ -420,7 +420,7 @@
 }
 
 // serve has a source hear a hello, and returns what it sends for it.
-func (w *World) serve(to int, h feed.Hello) (*feed.Delta, error) {
+func (w *World) serve(to int, h watchstream.Hello) (*watchstream.Delta, error) {
 	source, name, life := w.source(to)
 	readers := source.Readers()
 	if err := source.Hear(w.now, h); err != nil {
@@ -442,15 +442,15 @@
 
 // refusal passes what refusals are for, and nothing else.
 func (w *World) refusal(err error) error {
-	var r *feed.Refusal
-	var b *feed.Busy
+	var r *watchstream.Refusal
+	var b *watchstream.Busy
 	if errors.As(err, &r) || errors.As(err, &b) {
 		return nil
 	}
 	return fmt.Errorf("broken: %w", err)
 }
 
-func (w *World) take(i int, d *feed.Delta) error {
+func (w *World) take(i int, d *watchstream.Delta) error {
 	f := w.all[i]
 	w.touched = append(w.touched, f)
 	changed, err := f.r.Take(d)
@@ -475,11 +475,11 @@
 	return w.tell(*l.report, l.from)
 }
 
-func (w *World) report(i int) feed.Report {
+func (w *World) report(i int) watchstream.Report {
 	return w.all[i].source.Report(w.now, w.all[i].scope.Name, "r")
 }
 
-func (w *World) tell(rep feed.Report, from int) error {
+func (w *World) tell(rep watchstream.Report, from int) error {
 	w.told = true
 	a, err := w.tally.Take(w.now, rep)
 	if err != nil {
--- a/internal/fleet/proof/feed/wrong_test.go
+++ b/internal/testbed/modelcheck/feed/wrong_test.go
@@ -5,18 +5,18 @@
 	"os"
 	"testing"
 
-	"spindlehitch/internal/fleet/proof/explore"
+	"spindlehitch/internal/testbed/modelcheck/explore"
 )
 
 const (
-	take    = "feed/take.go"
-	next    = "feed/next.go"
-	source  = "feed/source.go"
-	store   = "feed/store.go"
-	replica = "feed/replica.go"
-	tally   = "feed/tally.go"
-	report  = "feed/report.go"
-	mover   = "feed/mover.go"
+	take    = "watchstream/take.go"
+	next    = "watchstream/next.go"
+	source  = "watchstream/source.go"
+	store   = "watchstream/store.go"
+	replica = "watchstream/replica.go"
+	tally   = "watchstream/tally.go"
+	report  = "watchstream/report.go"
+	mover   = "watchstream/mover.go"
 	and     = explore.Places
 )
 
@@ -91,6 +91,6 @@
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
 		t.Skip("make proof runs it")
 	}
-	found := explore.Plant(t, "../..", "^(TestLong|TestSearch)$", mistakes)
+	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch)$", mistakes)
 	fmt.Printf("proof: feed: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
 }
--- a/internal/fleet/proof/leases/leases_test.go
+++ b/internal/testbed/modelcheck/leases/leases_test.go
@@ -11,8 +11,8 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // TestMain lets other packages' tests go first.
@@ -210,6 +210,6 @@
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
 		t.Skip("make proof runs it")
 	}
-	found := explore.Plant(t, "../..", "^(TestLong|TestSearch|TestHung)$", mistakes)
+	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch|TestHung)$", mistakes)
 	fmt.Printf("proof: leases: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
 }
--- a/internal/fleet/proof/leases/world.go
+++ b/internal/testbed/modelcheck/leases/world.go
@@ -9,14 +9,14 @@
 	"fmt"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/guard"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/fleet/proof/leaders"
-	"spindlehitch/internal/fleet/register"
-	"spindlehitch/internal/fleet/tenant"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/registry"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/modelcheck/leaders"
 )
 
 // Op is one kind of step.
@@ -92,16 +92,16 @@
 )
 
 type process struct {
-	t       *tenant.Tenant
+	t       *lessee.Tenant
 	rate    float64
 	id      string
 	born    int
-	act     *tenant.Act
+	act     *lessee.Act
 	opened  bool
 	checked time.Duration // true time of the last look; 0: there was none since the last change
 }
 
-type lead = leaders.Lead[*keeper.Keeper, letter]
+type lead = leaders.Lead[*lessor.Keeper, letter]
 
 // questions are the steps of a leader's question.
 var questions = map[Op]leaders.Question{Ask: leaders.Ask, Told: leaders.Told, Heard: leaders.Heard, Finish: leaders.Finish}
@@ -136,17 +136,17 @@
 type World struct {
 	set   Setup
 	now   time.Duration
-	reg   register.Register
+	reg   registry.Register
 	index uint64
 	procs []process
-	leaders.Group[*keeper.Keeper, letter]
+	leaders.Group[*lessor.Keeper, letter]
 	flight [][]lease.Order // proposed, and not in the log yet
-	places []guard.Place
+	places []fencing.Place
 	judge  []judged
 }
 
-func docs(s Setup) (fleet.Doc, lease.Doc) {
-	return fleet.Doc{Seats: 64, RenewMs: renewMs, PartMs: 1000, SeatS: 4, ClockPPM: ppm},
+func docs(s Setup) (quota.Doc, lease.Doc) {
+	return quota.Doc{Seats: 64, RenewMs: renewMs, PartMs: 1000, SeatS: 4, ClockPPM: ppm},
 		lease.Doc{Tasks: []lease.Task{{Name: task, Kind: lease.Watch, Shards: s.Shards, LeaseMs: leaseMs, ActMs: actMs, EveryMs: 10, PauseMs: pauseMs, MostMoves: 1}}}
 }
 
@@ -163,7 +163,7 @@
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
-	w := &World{set: s, index: 2, now: time.Hour, places: make([]guard.Place, s.Shards), judge: make([]judged, s.Shards)}
+	w := &World{set: s, index: 2, now: time.Hour, places: make([]fencing.Place, s.Shards), judge: make([]judged, s.Shards)}
 	f, l := docs(s)
 	if err := w.reg.Set(1, f); err != nil {
 		return nil, err
@@ -176,7 +176,7 @@
 		w.boot(i)
 	}
 	rate := w.Rate(s.Leads)
-	w.Elect(rate, keeper.New(scaled(w.now-10*time.Second, rate), &w.reg))
+	w.Elect(rate, lessor.New(scaled(w.now-10*time.Second, rate), &w.reg))
 	w.learn(w.Leads[0])
 	if !s.Fresh {
 		for range 2 {
@@ -206,9 +206,9 @@
 	p := &w.procs[i]
 	p.born++
 	p.id = fmt.Sprintf("p%d.%d", i, p.born)
-	p.t, p.act = tenant.New([]string{task}), nil
+	p.t, p.act = lessee.New([]string{task}), nil
 	w.index++
-	if _, err := w.reg.Join(w.index, fleet.Member{ID: p.id, Name: p.id, Weight: 1}); err != nil {
+	if _, err := w.reg.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1}); err != nil {
 		panic(err)
 	}
 }
@@ -324,14 +324,14 @@
 		if err != nil {
 			return err
 		}
-		w.reg = register.Register{}
+		w.reg = registry.Register{}
 		if err := json.Unmarshal(text, &w.reg); err != nil {
 			return err
 		}
 		w.flight = nil
 		r := w.reg.Clone()
 		rate := w.Rate(w.set.Leads)
-		w.Elect(rate, keeper.New(scaled(w.now, rate), &r))
+		w.Elect(rate, lessor.New(scaled(w.now, rate), &r))
 	case Renew:
 		p := &w.procs[s.On]
 		c := w.claimOf(s.On)
@@ -414,7 +414,7 @@
 	place, j := &w.places[a.Shard], &w.judge[a.Shard]
 	refused := func(err error) error {
 		if err != nil {
-			p.t.Finish(a, tenant.Refused, place.Token)
+			p.t.Finish(a, lessee.Refused, place.Token)
 			p.act = nil
 		}
 		return err
@@ -431,7 +431,7 @@
 		*j = judged{a.Token, a.N, p.id, j.touched, j.acts}
 	case Check:
 		if p.checked = w.now; !p.t.Good(now, a) {
-			p.t.Finish(a, tenant.Failed, 0)
+			p.t.Finish(a, lessee.Failed, 0)
 			p.act = nil
 		}
 	case Take:
@@ -452,7 +452,7 @@
 		p.checked = 0
 	case End:
 		if refused(place.End(a.Token, a.N)) == nil {
-			p.t.Finish(a, tenant.Done, place.Token)
+			p.t.Finish(a, lessee.Done, place.Token)
 			p.act = nil
 		}
 	}
--- /dev/null
+++ b/internal/testbed/modelcheck/leases/wrong_test.go
@@ -0,0 +1,43 @@
+package leases
+
+import "spindlehitch/internal/testbed/modelcheck/explore"
+
+// mistakes are planted one at a time, each with the case that is to find it. Where two checks guard the same promise, both are taken out.
+var mistakes = []explore.Mistake{
+	{"the end reckoned from the answer", "lease/lessee/tenant.go", "h.end, h.recalled = t.began+task.Lease(), false", "h.end, h.recalled = now+task.Lease(), false",
+		"TestSearch/a_late_answer,"},
+	{"no clock bound at the keeper", "lease/lessor/keeper.go", "return k.doc.Elsewhere(t.Lease() + t.Pause())", "return t.Lease() + t.Pause()", "TestSearch/an_act_to_the_last"},
+	{"pauses not waited for", "lease/lessor/keeper.go", "return k.doc.Elsewhere(t.Lease() + t.Pause())", "return k.doc.Elsewhere(t.Lease())", "TestSearch/an_act_to_the_last"},
+	{"a new keeper that doesn't wait", "lease/lessor/keeper.go", "x.until, x.told = now+k.wait(k.tasks.Task(l.Task)), true", "x.until, x.told = now, true", "TestSearch/leaders"},
+	{"an older answer taken", "lease/lessee/tenant.go", "a.Seq != t.seq || t.heard", "a.Seq > t.seq", "TestSearch/a_late_answer_after"},
+	{"a renewal not noted", "lease/lessor/keeper.go", "x.until, x.told = now+k.wait(t), true", "x.told = true", "TestSearch/leaders"},
+	{"no guard at the place when an act begins", "lease/fencing/guard.go", "if token < p.Token || token == p.Token && act <= p.Act {", "if false {", "TestSearch/an_act_not_yet"},
+	{"no guard at the place when it is changed", "lease/fencing/guard.go", "if !p.Open || token != p.Token || act != p.Act {", "if !p.Open {", "TestSearch/an_act_paused"},
+	{"a token that doesn't grow", "registry/leases.go", "r.Token = max(r.Token+1, index)", "r.Token = max(r.Token, 1)", "TestLong"},
+	{"a token by a count that a snapshot loses", "registry/leases.go" + explore.Places + "registry/register.go",
+		"r.Token = max(r.Token+1, index)" + explore.Places + "`json:\"token,omitempty\"`  // the newest", "r.Token++" + explore.Places + "`json:\"-\"`  // the newest", "TestLong"},
+	{"an order of whatever token", "registry/leases.go", "if l == nil || l.Token != o.Over {", "if l == nil {", "TestSearch/a_log_behind,_asked"},
+	{"renewed while it is given on", "lease/lessor/keeper.go", "if x.Holder != id || x.given || x.taken {", "if x.Holder != id || x.given {", "TestSearch/a_log_behind,_clocks"},
+	{"renewed after it was given back", "lease/lessor/keeper.go" + explore.Places + "lease/lessee/tenant.go",
+		"if x.Holder != id || x.given || x.taken {" + explore.Places + "b.Token < h.token || b.Token <= t.gives[b.Key] {",
+		"if x.Holder != id {" + explore.Places + "b.Token < h.token {", "TestSearch/given_back"},
+	{"kept in use after it was given back", "lease/lessee/tenant.go", "	delete(t.held, k) // before anybody is told (8)\n" + explore.Places + "task == nil || h.recalled ||",
+		explore.Places + "task == nil ||", "TestSearch/given_back"},
+	{"given back in mid-act", "lease/lessee/tenant.go", "!holds || !h.recalled || acts {", "!holds || !h.recalled || acts && false {", "TestSearch/moved_in"},
+	{"a hand-over that doesn't wait for the holder", "lease/lessor/keeper.go", "over := x.Holder == \"\" || x.given || now >= x.until &&",
+		"over := x.Holder == \"\" || x.given || x.Next != \"\" || now >= x.until &&", "TestSearch/moved"},
+	{"an old claim heard, of whatever token it gives back", "lease/lessor/keeper.go", "case c.Seq <= m.seq:" + explore.Places + "x.Holder == id && x.Token == b.Token { // (8)",
+		"case false:" + explore.Places + "x.Holder == id { // (8)", "TestSearch/given_back,_a_late"},
+	{"a silent holder taken for one that has ended", "lease/lessor/keeper.go", "now >= x.until && (x.taken || silent ||", "(silent || now >= x.until) && (x.taken || silent ||", "TestSearch/leaders"},
+	{"told, and taken for not told", "lease/lessor/keeper.go", "x.until, x.told = now+k.wait(t), true", "x.until, x.told = now, false", "TestSearch/leaders"},
+	{"a hung holder's lease given on at once", "lease/lessor/keeper.go", "x.taken = true // it ends by itself (10)", "x.taken, x.given = true, true", "TestSearch/hangs"},
+	{"an act bounded by its length alone", "lease/lessee/tenant.go", "|| now+task.Act() > h.end {" + explore.Places + "now < h.end && now < a.Until", "{" + explore.Places + "now < a.Until",
+		"TestSearch/an_act_that_begins"},
+	{"an act that is not bounded", "lease/lessee/tenant.go", "now < h.end && now < a.Until &&", "", "TestSearch/an_act_paused"},
+	{"an act that goes on under another token", "lease/lessee/tenant.go", "return holds && h.token == a.Token && now < h.end && now < a.Until", "return holds && now < h.end", "TestSearch/an_act_under"},
+	{"asked before it is decided", "quota/allocator/desk.go", "decision[T]{d.round + 1, term, it}", "decision[T]{d.round, term, it}", "TestSearch/an_old_leader_that"},
+	{"a later term agreed with", "quota/allocator/desk.go", "if t <= own {", "if t > 0 {", "TestSearch/an_old_leader,"},
+	{"a hung holder's lease kept", "lease/lessor/keeper.go", "if x.told && now-x.progress >=", "if false && now-x.progress >=", "TestHung"},
+	{"a lease that ends by others' word", "lease/lessor/keeper.go", "over := x.Holder == \"\" || x.given || now >= x.until &&", "over := x.Holder == \"\" || x.given || dead[x.Holder] || now >= x.until &&",
+		"TestSearch/(three|all_say)"},
+}
--- a/internal/fleet/proof/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -10,10 +10,10 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/model/mesh"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/testbed/model/mesh"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // TestMain lets other packages' tests go first, as the other searches do.
@@ -122,7 +122,7 @@
 			}
 			for i, n := range w.nodes {
 				ways := n.m.View(w.clock(i)).Ways
-				if len(ways) != 1 || ways[0].From != addr(from) || ways[0].To != addr(to) || ways[0].Kind != members.Sends.String() {
+				if len(ways) != 1 || ways[0].From != addr(from) || ways[0].To != addr(to) || ways[0].Kind != membership.Sends.String() {
 					t.Errorf("broken: from %d to %d is cut, and %s tells of %+v", from, to, addr(i), ways)
 				}
 			}
@@ -144,13 +144,13 @@
 // TestFar parts a fleet too large for all to probe all in time, has members join on either side, and mends it: views meet, by being
 // compared, within a bound.
 func TestFar(t *testing.T) {
-	set := members.Usual
+	set := membership.Usual
 	set.Fleet = key
 	m := mesh.New(mesh.Spec{Size: 60, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true})
 	for i := 40; i < 60; i++ {
 		m.Kill(m.Nodes[i])
 	}
-	m.Cut = func(from, to *mesh.Node, _ members.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *mesh.Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	for i := 40; i < 60; i++ {
 		m.Start(m.Nodes[i])
@@ -166,10 +166,10 @@
 
 // TestBuried parts a fleet without seeds until each half has buried the other: they meet again, since the dead are asked now and then.
 func TestBuried(t *testing.T) {
-	set := members.Usual
+	set := membership.Usual
 	set.Fleet = key
 	m := mesh.New(mesh.Spec{Size: 20, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true, Seedless: true})
-	m.Cut = func(from, to *mesh.Node, _ members.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *mesh.Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	m.Cut = nil
 	if took, ok := m.Until(100*time.Millisecond, 60*set.Period, m.Level); !ok {
--- a/internal/fleet/proof/members/world.go
+++ b/internal/testbed/modelcheck/members/world.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/fleet/members"
+	"spindlehitch/internal/controlplane/membership"
 )
 
 // Op is one kind of step.
@@ -65,11 +65,11 @@
 	mostOld = 12 // messages that may arrive again
 )
 
-var settings = members.Settings{Fleet: key, Period: period, Timeout: timeout, Helpers: 2, Suspect: 2, Stretch: 3, Reporters: 2, Repeats: 2,
+var settings = membership.Settings{Fleet: key, Period: period, Timeout: timeout, Helpers: 2, Suspect: 2, Stretch: 3, Reporters: 2, Repeats: 2,
 	Compare: 3 * period, Jump: 1500 * time.Millisecond, Forget: time.Hour}
 
 type node struct {
-	m       *members.Machine
+	m       *membership.Machine
 	rate    float64
 	lives   int
 	alive   bool
@@ -90,8 +90,8 @@
 
 type letter struct {
 	from, to int
-	via      members.Via
-	*members.Message
+	via      membership.Via
+	*membership.Message
 }
 
 // World is one state of a small case.
@@ -104,14 +104,14 @@
 	cut    map[[2]int]bool
 	hushed bool
 	names  map[uint64]string
-	incs   map[uint64]uint32           // the last of each life
-	left   map[uint64]bool             // lives that ended in order
-	held   []map[uint64]members.Record // by each member, before the step
-	susp   []map[uint64]time.Duration  // since when it suspects, by its clock
-	own    map[life]map[uint64]bool    // who suspects it for itself
-	buried map[life]map[uint64]bool    // who holds it dead by its own clock
-	sent   int                         // in the step
-	seen   []int                       // changes read
+	incs   map[uint64]uint32              // the last of each life
+	left   map[uint64]bool                // lives that ended in order
+	held   []map[uint64]membership.Record // by each member, before the step
+	susp   []map[uint64]time.Duration     // since when it suspects, by its clock
+	own    map[life]map[uint64]bool       // who suspects it for itself
+	buried map[life]map[uint64]bool       // who holds it dead by its own clock
+	sent   int                            // in the step
+	seen   []int                          // changes read
 }
 
 func addr(i int) string { return string(rune('a' + i)) }
@@ -126,12 +126,12 @@
 		w.start(i)
 	}
 	if s.Seeds == nil {
-		var all []members.Record
+		var all []membership.Record
 		for _, n := range w.nodes {
 			all = append(all, n.m.Self())
 		}
 		for i, n := range w.nodes {
-			n.m.Know(w.clock(i), all, members.Shared(all))
+			n.m.Know(w.clock(i), all, membership.Shared(all))
 		}
 	}
 	for i := range w.nodes {
@@ -162,10 +162,10 @@
 			seeds = append(seeds, addr(j))
 		}
 	}
-	n.m = members.New(settings, birth, members.Info{Name: addr(i), Addr: addr(i)}, seeds, w.clock(i), rand.New(rand.NewPCG(uint64(i), uint64(n.lives))))
+	n.m = membership.New(settings, birth, membership.Info{Name: addr(i), Addr: addr(i)}, seeds, w.clock(i), rand.New(rand.NewPCG(uint64(i), uint64(n.lives))))
 	n.alive, n.leaves, n.paused, n.mail, n.came, n.resumed = true, false, false, nil, w.clock(i), w.clock(i)-time.Hour
 	w.seen[i], w.susp[i] = 0, map[uint64]time.Duration{}
-	w.held[i] = map[uint64]members.Record{}
+	w.held[i] = map[uint64]membership.Record{}
 }
 
 // Steps implements explore.World.
@@ -277,12 +277,12 @@
 			}
 		}
 	case Foreign:
-		for _, kind := range []members.Kind{members.Ping, members.Ack, members.Page} {
-			x := &members.Message{Version: members.Version, Fleet: key + 1, Kind: kind, From: members.Record{Birth: 99, Inc: 1, Info: members.Info{Name: "x", Addr: "x"}},
-				Nonce: 5, You: &members.Word{Inc: n.m.Self().Inc, Status: members.Suspect}}
+		for _, kind := range []membership.Kind{membership.Ping, membership.Ack, membership.Page} {
+			x := &membership.Message{Version: membership.Version, Fleet: key + 1, Kind: kind, From: membership.Record{Birth: 99, Inc: 1, Info: membership.Info{Name: "x", Addr: "x"}},
+				Nonce: 5, You: &membership.Word{Inc: n.m.Self().Inc, Status: membership.Suspect}}
 			held, inc := w.view(s.On), n.m.Self().Inc
-			out := n.m.Receive(w.clock(s.On), x, members.Datagram) // what was due in any case may go out
-			if slices.ContainsFunc(out, func(o members.Send) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.m.Self().Inc != inc {
+			out := n.m.Receive(w.clock(s.On), x, membership.Datagram) // what was due in any case may go out
+			if slices.ContainsFunc(out, func(o membership.Send) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.m.Self().Inc != inc {
 				return fmt.Errorf("broken: another fleet's %v changed or drew something at %s", kind, addr(s.On))
 			}
 		}
@@ -290,7 +290,7 @@
 	return w.settleMail()
 }
 
-func same(a, b map[uint64]members.Record) bool {
+func same(a, b map[uint64]membership.Record) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -328,7 +328,7 @@
 	}
 }
 
-func (w *World) send(from int, list []members.Send) {
+func (w *World) send(from int, list []membership.Send) {
 	for _, s := range list {
 		w.sent++
 		to := int(s.Addr[0] - 'a')
@@ -366,7 +366,7 @@
 
 func (w *World) receive(l letter) error {
 	to := w.nodes[l.to]
-	if slices.Contains(w.set.Ops, Old) && (l.Echo != 0 || len(l.Records) > 0 || l.You != nil && l.You.Status != members.Alive) && len(w.old) < mostOld {
+	if slices.Contains(w.set.Ops, Old) && (l.Echo != 0 || len(l.Records) > 0 || l.You != nil && l.You.Status != membership.Alive) && len(w.old) < mostOld {
 		w.old = append(w.old, l)
 	}
 	before := to.m.Counts
@@ -379,7 +379,7 @@
 	if believed {
 		for _, r := range append(slices.Clone(l.Records), l.From) {
 			if r.Birth == to.m.Self().Birth {
-				if r.Status == members.Suspect && r.Inc == inc && !to.leaves && to.m.Self().Inc == inc {
+				if r.Status == membership.Suspect && r.Inc == inc && !to.leaves && to.m.Self().Inc == inc {
 					return fmt.Errorf("broken: %s is told that it is suspected, and does not refute it", addr(l.to))
 				}
 				continue
@@ -389,9 +389,9 @@
 			switch {
 			case !knows:
 				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(l.to), w.names[r.Birth])
-			case r.Status == members.Alive && knew && r.Inc > was.Inc && (is.Inc < r.Inc || is.Status == members.Dead && is.Inc <= r.Inc):
+			case r.Status == membership.Alive && knew && r.Inc > was.Inc && (is.Inc < r.Inc || is.Status == membership.Dead && is.Inc <= r.Inc):
 				return fmt.Errorf("broken: %s holds %s dead that has refuted it", addr(l.to), w.names[r.Birth])
-			case knew && r.Inc < was.Inc && r.Status != members.Alive && is.Status != was.Status && is.Status == r.Status:
+			case knew && r.Inc < was.Inc && r.Status != membership.Alive && is.Status != was.Status && is.Status == r.Status:
 				return fmt.Errorf("broken: %s took an older word on %s", addr(l.to), w.names[r.Birth])
 			}
 		}
@@ -408,8 +408,8 @@
 	return w.check(l.to, l.Kind.String())
 }
 
-func (w *World) view(i int) map[uint64]members.Record {
-	v := map[uint64]members.Record{}
+func (w *World) view(i int) map[uint64]membership.Record {
+	v := map[uint64]membership.Record{}
 	for b := range w.names {
 		if r, ok := w.nodes[i].m.Known(b); ok {
 			v[b] = r
@@ -458,7 +458,7 @@
 		if r.Inc > w.incs[b] {
 			return fmt.Errorf("broken: %s knows %s under an incarnation that it never had", addr(i), w.names[b])
 		}
-		if r.Status == members.Suspect && (!knew || was.Status != members.Suspect || was.Inc != r.Inc) {
+		if r.Status == membership.Suspect && (!knew || was.Status != membership.Suspect || was.Inc != r.Inc) {
 			w.susp[i][b] = now
 		}
 		w.held[i][b] = r
@@ -474,7 +474,7 @@
 }
 
 // verdict checks that one was due: not by one reporter's word before its time, nor by one that stood still or hears nobody.
-func (w *World) verdict(i int, now time.Duration, e members.Event) error {
+func (w *World) verdict(i int, now time.Duration, e membership.Event) error {
 	n, birth := w.nodes[i], e.Birth
 	reporters := map[uint64]bool{}
 	for _, by := range e.By {
@@ -541,7 +541,7 @@
 		}
 	}
 	living := 0
-	var first *members.Machine
+	var first *membership.Machine
 	for _, n := range w.nodes {
 		if n.alive {
 			living++
--- a/internal/fleet/proof/proof_test.go
+++ b/internal/testbed/modelcheck/proof_test.go
@@ -1,4 +1,4 @@
-package proof
+package modelcheck
 
 import (
 	"flag"
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // TestMain lets other packages' tests go first: some of them wait for processes, and the searches take all that is left.
--- a/internal/fleet/proof/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -1,18 +1,18 @@
-// Package proof holds the fleet's machines against each other: the real register, givers, desks and holders, with a network that
+// Package modelcheck holds the fleet's machines against each other: the real register, givers, desks and holders, with a network that
 // delays, repeats, loses and reorders, clocks at both ends of their bound, processes that pause between any two steps and
 // leaders that are replaced while they believe to lead. After each step it sums what all processes could use. It does no I/O.
-package proof
+package modelcheck
 
 import (
 	"fmt"
 	"time"
 
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
-	"spindlehitch/internal/fleet/holder"
-	"spindlehitch/internal/fleet/proof/explore"
-	"spindlehitch/internal/fleet/proof/leaders"
-	"spindlehitch/internal/fleet/register"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
+	"spindlehitch/internal/controlplane/registry"
+	"spindlehitch/internal/testbed/modelcheck/explore"
+	"spindlehitch/internal/testbed/modelcheck/leaders"
 )
 
 // Op is one kind of step.
@@ -92,14 +92,14 @@
 )
 
 type process struct {
-	h    *holder.Holder
+	h    *quotaclient.Holder
 	rate float64
 	id   string
 	born int
 	over time.Duration // true time since when it has more open than it may; 0: it has not
 }
 
-type lead = leaders.Lead[*giver.Giver, letter]
+type lead = leaders.Lead[*allocator.Giver, letter]
 
 // ghost is connections of a dead process that are open at the target still.
 type ghost struct {
@@ -109,8 +109,8 @@
 
 type letter struct {
 	to      int // a process, for an answer
-	renewal *fleet.Renewal
-	answer  *fleet.Answer
+	renewal *quota.Renewal
+	answer  *quota.Answer
 	during  uint64 // the question that was out when it was decided
 }
 
@@ -132,26 +132,26 @@
 type World struct {
 	set   Setup
 	now   time.Duration
-	reg   register.Register
+	reg   registry.Register
 	index uint64
 	procs []process
-	leaders.Group[*giver.Giver, letter]
+	leaders.Group[*allocator.Giver, letter]
 	level  float64       // of a bucket that takes all uses, filled at the whole's rate
 	ghosts []ghost       // of processes that died
-	before fleet.Doc     // the set of budgets before the one that holds
+	before quota.Doc     // the set of budgets before the one that holds
 	until  time.Duration // until then that one may be met
 }
 
-var key = fleet.Key{Budget: "b"}
+var key = quota.Key{Budget: "b"}
 
-func document(s Setup, whole, depth float64) fleet.Doc {
-	b := fleet.Budget{Name: "b", Use: fleet.Work, Per: fleet.PerFleet, Kind: "rate", Whole: whole, Burst: whole*fleet.Air.Seconds() + depth,
+func document(s Setup, whole, depth float64) quota.Doc {
+	b := quota.Budget{Name: "b", Use: quota.Work, Per: quota.PerFleet, Kind: "rate", Whole: whole, Burst: whole*quota.Air.Seconds() + depth,
 		Least: least, LeastBurst: 1}
 	if s.Stock {
-		b = fleet.Budget{Name: "b", Use: fleet.Connection, Per: fleet.PerTarget, Kind: "stock", Whole: whole, Least: least,
+		b = quota.Budget{Name: "b", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: whole, Least: least,
 			LingerMs: linger.Milliseconds()}
 	}
-	return fleet.Doc{Seats: s.Seats, RenewMs: 100, PartMs: partMs, SeatS: seatS, ClockPPM: ppm, Budgets: []fleet.Budget{b}}
+	return quota.Doc{Seats: s.Seats, RenewMs: 100, PartMs: partMs, SeatS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
 }
 
 // New returns the first state of a case.
@@ -172,7 +172,7 @@
 		began -= 10 * time.Second
 	}
 	rate := w.Rate(s.Leads)
-	w.Elect(rate, giver.New(scaled(began, rate), w.reg.Doc, nil))
+	w.Elect(rate, allocator.New(scaled(began, rate), w.reg.Doc, nil))
 	w.sync()
 	for i, x := range s.Before {
 		if err := w.Do(x); err != nil {
@@ -186,9 +186,9 @@
 
 func (w *World) clock(i int) time.Duration { return scaled(w.now, w.procs[i].rate) }
 
-func (w *World) key() fleet.Key {
+func (w *World) key() quota.Key {
 	if w.set.Stock {
-		return fleet.Key{Budget: "b", Key: target}
+		return quota.Key{Budget: "b", Key: target}
 	}
 	return key
 }
@@ -197,7 +197,7 @@
 	p := &w.procs[i]
 	p.born++
 	p.id = fmt.Sprintf("p%d.%d", i, p.born)
-	p.h = holder.New([]fleet.Use{fleet.Work, fleet.Connection})
+	p.h = quotaclient.New([]quota.Use{quota.Work, quota.Connection})
 }
 
 func (w *World) join(i int, heard bool) bool {
@@ -207,7 +207,7 @@
 		p.id = fmt.Sprintf("p%d.%d", i, p.born)
 	}
 	w.index++
-	m, err := w.reg.Join(w.index, fleet.Member{ID: p.id, Name: p.id, Weight: 1})
+	m, err := w.reg.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1})
 	if err == nil && heard {
 		p.h.Seat(w.clock(i), m.ID, w.reg.Doc)
 	}
@@ -263,7 +263,7 @@
 		w.tick()
 	case Elect:
 		rate := w.Rate(w.set.Leads)
-		w.Elect(rate, giver.New(scaled(w.now, rate), w.reg.Doc, w.reg.Members))
+		w.Elect(rate, allocator.New(scaled(w.now, rate), w.reg.Doc, w.reg.Members))
 	case Renew:
 		r := w.procs[s.On].h.Renew(w.clock(s.On))
 		w.Mail = append(w.Mail, letter{to: s.On, renewal: &r})
@@ -296,7 +296,7 @@
 		w.sync()
 	case Join, Unheard:
 		p, l := &w.procs[s.On], w.Lead()
-		if err := l.Book.Admit(scaled(w.now, l.Rate), fleet.Member{ID: p.id, Name: p.id}); err == fleet.UnknownMember {
+		if err := l.Book.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); err == quota.UnknownMember {
 			w.boot(s.On)
 		} else if err == nil && w.join(s.On, s.Op == Join) {
 			w.sync()
@@ -384,17 +384,17 @@
 		return nil
 	}
 	var units float64
-	p.h.Wait(now, fleet.Draw{Use: fleet.Work, Units: 1e-6}) // it is known from now on
+	p.h.Wait(now, quota.Draw{Use: quota.Work, Units: 1e-6}) // it is known from now on
 	for _, x := range p.h.All(now) {
 		units = x.Tokens
 	}
 	if units <= 0 {
 		return nil
 	}
-	if wait, _ := p.h.Wait(now, fleet.Draw{Use: fleet.Work, Units: units}); wait > 0 {
+	if wait, _ := p.h.Wait(now, quota.Draw{Use: quota.Work, Units: units}); wait > 0 {
 		return nil
 	}
-	p.h.Take(now, fleet.Draw{Use: fleet.Work, Units: units})
+	p.h.Take(now, quota.Draw{Use: quota.Work, Units: units})
 	w.level += units
 	most := w.burst()
 	if w.level > most+1e-6 {
@@ -404,11 +404,11 @@
 }
 
 // total is what binds now; after a change also what did before, while what was given under it may last.
-func (w *World) total() fleet.Amount {
+func (w *World) total() quota.Amount {
 	t := w.reg.Doc.Total(&w.reg.Doc.Budgets[0])
 	if w.now < w.until {
 		b := w.before.Total(&w.before.Budgets[0])
-		t = fleet.Amount{Rate: max(t.Rate, b.Rate), Burst: max(t.Burst, b.Burst)}
+		t = quota.Amount{Rate: max(t.Rate, b.Rate), Burst: max(t.Burst, b.Burst)}
 	}
 	return t
 }
@@ -433,7 +433,7 @@
 
 // check sums what all processes could use at this moment.
 func (w *World) check() error {
-	var sum fleet.Amount
+	var sum quota.Amount
 	for i := range w.procs {
 		p := &w.procs[i]
 		a := p.h.Limit(w.clock(i), w.key())
--- a/internal/before/compare_test.go
+++ b/internal/testbed/reference/compare_test.go
@@ -1,4 +1,4 @@
-package before
+package reference
 
 import (
 	"flag"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch"
-	"spindlehitch/internal/seeded"
+	"spindlehitch/internal/testbed/seeded"
 )
 
 // histories is how many are compared, unless -rapid.checks says otherwise.
--- a/internal/before/names_test.go
+++ b/internal/testbed/reference/names_test.go
@@ -1,11 +1,11 @@
-// Package before holds the decision module as it stood when each step still went through every lane and each change of the
+// Package reference holds the decision module as it stood when each step still went through every lane and each change of the
 // list through every node for every lane. It is here to be compared with: the module of today has to answer equal events with
 // equal actions. It is all test files, so that no program can be linked with it, and it is not worked on: where a decision is
 // changed on purpose, take over that change here, or replace these files by the module as it then stands.
 //
 // scheduler_test.go, state_test.go, watch_test.go and ration_test.go are the module's own files of that day, but for the
 // types of the interface, which are the module's, and for clone, which had to become a function.
-package before
+package reference
 
 import "spindlehitch"
 
--- a/internal/before/ration_test.go
+++ b/internal/testbed/reference/ration_test.go
@@ -1,4 +1,4 @@
-package before
+package reference
 
 import "time"
 
--- a/internal/before/state_test.go
+++ b/internal/testbed/reference/state_test.go
@@ -1,4 +1,4 @@
-package before
+package reference
 
 // What the module in scheduler.go keeps, and small helpers. No decision is taken here.
 
--- a/internal/before/watch_test.go
+++ b/internal/testbed/reference/watch_test.go
@@ -1,4 +1,4 @@
-package before
+package reference
 
 // avoids tells whether the node gets no request, or one trial at a time, though it is listed as up.
 func (s *Scheduler) avoids(n *node) bool { return n.State == Up && (n.openAt > s.now || s.troubled(n)) }
--- a/internal/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/feed.go
@@ -7,10 +7,10 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
 )
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -41,7 +41,7 @@
 	l := &listing.List{Version: &v, Full: c.Whole}
 	config := c.Whole
 	for _, r := range c.Records {
-		if r.Kind == feed.Config {
+		if r.Kind == watchstream.Config {
 			config = true
 			continue
 		}
@@ -63,7 +63,7 @@
 		}
 	}
 	if config {
-		merged, err := feed.Layers(f.Records(feed.Config))
+		merged, err := watchstream.Layers(f.Records(watchstream.Config))
 		if err != nil {
 			return err
 		}
@@ -125,7 +125,7 @@
 		}
 	}
 	for i := range pipelined {
-		text, err := format.Marshal(feed.Hello{Fleet: in.opt.Feed.Fleet, Scope: feed.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Turn: 1, Seq: uint64(i + 1)})
+		text, err := format.Marshal(watchstream.Hello{Fleet: in.opt.Feed.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Turn: 1, Seq: uint64(i + 1)})
 		if err != nil {
 			return "", nil, err
 		}
--- a/internal/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -8,12 +8,12 @@
 	"sync"
 
 	"spindlehitch"
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/discovery"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/peers"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/membership/transport"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/datapath/discovery"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
 )
 
 // serving is the state of a target that takes requests, as lists have it.
@@ -28,7 +28,7 @@
 	Known              *listing.List // the list as last had
 	Agents             []string      // whose configuration is followed; empty: none
 	Feed               *edge.Options // nil: it does not follow the feed
-	Members            *peers.Options
+	Members            *transport.Options
 	Module             *spindlehitch.Settings // nil: it has no module
 	Log                *slog.Logger
 }
@@ -41,7 +41,7 @@
 	mu      sync.Mutex // of stop and feed
 	stop    context.CancelFunc
 	all     sync.WaitGroup
-	peers   *peers.Peers
+	peers   *transport.Peers
 	feed    follower
 }
 
@@ -73,7 +73,7 @@
 		in.all.Go(func() { m.run(ctx) })
 	}
 	if in.opt.Members != nil {
-		p, err := peers.New(*in.opt.Members)
+		p, err := transport.New(*in.opt.Members)
 		if err == nil {
 			err = p.Start(ctx)
 		}
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -16,11 +16,11 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch"
-	"spindlehitch/internal/config"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/process/monotone"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -43,13 +43,13 @@
 // source serves a store of the feed.
 type source struct {
 	mu      sync.Mutex
-	store   *feed.Store
-	source  *feed.Source
+	store   *watchstream.Store
+	source  *watchstream.Source
 	changed chan struct{}
 }
 
 // Do implements edge.Origin.
-func (s *source) Do(f func(time.Duration, *feed.Source)) (<-chan struct{}, bool) {
+func (s *source) Do(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
@@ -58,29 +58,29 @@
 	return s.changed, true
 }
 
-func (s *source) put(t *testing.T, puts ...feed.Put) uint64 {
+func (s *source) put(t *testing.T, puts ...watchstream.Put) uint64 {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v, err := s.store.Apply(feed.Change{Fleet: "f", Epoch: "e", Puts: puts})
+	v, err := s.store.Apply(watchstream.Change{Fleet: "f", Epoch: "e", Puts: puts})
 	require.NoError(t, err)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return v
 }
 
-func put(e listing.Entry) feed.Put {
+func put(e listing.Entry) watchstream.Put {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
 	}
-	return feed.Put{Kind: feed.Targets, Key: e.ID, Value: text}
+	return watchstream.Put{Kind: watchstream.Targets, Key: e.ID, Value: text}
 }
 
 func newSource(t *testing.T) (s *source, addr string) {
 	t.Helper()
-	s = &source{store: feed.NewStore("f", feed.Limits{}), changed: make(chan struct{})}
-	s.source = feed.NewSource(s.store, feed.SourceOptions{}, 1)
+	s = &source{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
+	s.source = watchstream.NewSource(s.store, watchstream.SourceOptions{}, 1)
 	mux := http.NewServeMux()
 	server := edge.NewServer(s, 0)
 	server.Routes(mux)
@@ -101,10 +101,10 @@
 func TestFeed(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)), put(target("b", 1, 0, serving)))
-	s.put(t, feed.Put{Kind: feed.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
+	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
 	module := set(t)
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Module: &module, Log: quiet,
-		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []feed.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
+		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
 	reaches(t, in, Targets, 1)
 	reaches(t, in, Config, 2)
@@ -184,7 +184,7 @@
 func TestDeaf(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.Options{Fleet: "f", Relays: []feed.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
 	to, request, err := in.Asks("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
@@ -194,7 +194,7 @@
 	_, err = c.Write(request)
 	require.NoError(t, err)
 	require.Eventually(t, func() (heard bool) {
-		s.Do(func(_ time.Duration, src *feed.Source) { heard = src.Readers() == 1 })
+		s.Do(func(_ time.Duration, src *watchstream.Source) { heard = src.Readers() == 1 })
 		return heard
 	}, time.Minute, 5*time.Millisecond)
 }
--- a/internal/scale/hollow/journal.go
+++ b/internal/testbed/scale/hollow/journal.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 // Lane is one of the streams that an initiator follows.
@@ -19,7 +19,7 @@
 	Config  Lane = "config"
 )
 
-// Reached is a version that came into force, and when: by the clock of internal/monotone, which all processes of a machine share.
+// Reached is a version that came into force, and when: by the clock of internal/process/monotone, which all processes of a machine share.
 type Reached struct {
 	Version uint64
 	At      time.Duration
--- a/internal/scale/hollow/journal_test.go
+++ b/internal/testbed/scale/hollow/journal_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/listing"
 )
 
 func entry(id string, turn int64, state string) []listing.Entry {
--- a/internal/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/module.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/mailbox"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/mailbox"
 )
 
 // trial is how many requests at changed targets a module decides after each list.
--- a/internal/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 // writer makes changes at a rate, and keeps a mark of each.
--- a/internal/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -8,12 +8,12 @@
 	"slices"
 	"strings"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/ports"
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/ports"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 // fleetName is the run's.
@@ -128,13 +128,13 @@
 	for len(e) > 0 {
 		some := e[:min(putsOf, len(e))]
 		e = e[len(some):]
-		c := feed.Change{Fleet: fleetName}
+		c := watchstream.Change{Fleet: fleetName}
 		for _, x := range some {
 			text, err := format.Marshal(x)
 			if err != nil {
 				return 0, err
 			}
-			c.Puts = append(c.Puts, feed.Put{Kind: feed.Targets, Key: x.ID, Value: text})
+			c.Puts = append(c.Puts, watchstream.Put{Kind: watchstream.Targets, Key: x.ID, Value: text})
 		}
 		if version, err = f.client.PutChange(ctx, c); err != nil {
 			return 0, err
@@ -165,7 +165,7 @@
 	value := fmt.Appendf(nil, `{"limits":{"sockets":%d}}`, 1024+w.made%1024)
 	return func(ctx context.Context) (_ mark, err error) {
 		m.At = monotone.Now()
-		m.Version, err = f.client.PutChange(ctx, feed.Change{Fleet: fleetName, Puts: []feed.Put{{Kind: feed.Config, Key: key, Value: value}}})
+		m.Version, err = f.client.PutChange(ctx, watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{{Kind: watchstream.Config, Key: key, Value: value}}})
 		return m, err
 	}
 }
--- a/internal/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -19,13 +19,13 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/config"
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/peers"
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/controlplane/membership/transport"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 // A host is a process with some hundreds of hollow initiators. It takes orders, one a line, and answers each with one line.
@@ -228,7 +228,7 @@
 		if len(w.Relays) > 0 {
 			opt.Feed = &edge.Options{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
 			for _, r := range w.Relays {
-				opt.Feed.Relays = append(opt.Feed.Relays, feed.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr})
+				opt.Feed.Relays = append(opt.Feed.Relays, watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr})
 			}
 			if x.Disk {
 				opt.Feed.Dir = filepath.Join(h.dir, x.Name+".data")
@@ -238,7 +238,7 @@
 			opt.Module = &h.module
 		}
 		if x.Bind != "" {
-			opt.Members = &peers.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, Key: h.fleet, Seeds: x.Seeds, Settings: members.Usual, Log: opt.Log}
+			opt.Members = &transport.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, Key: h.fleet, Seeds: x.Seeds, Settings: membership.Usual, Log: opt.Log}
 		}
 		h.spec[x.Name] = x
 		h.all = append(h.all, hollow.New(opt))
--- a/internal/scale/run/measure.go
+++ b/internal/testbed/scale/run/measure.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 // Row is what was measured at one size, or under one fault.
--- a/internal/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/ports"
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/ports"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 // real is one initiator as it is: spindlehitch serve.
--- a/internal/scale/run/run.go
+++ b/internal/testbed/scale/run/run.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/scale/hollow"
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/hollow"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 // Result is what a run has found.
--- a/internal/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
-	"spindlehitch/internal/scale/hollow"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/testbed/scale/hollow"
 )
 
 func TestQuantiles(t *testing.T) {
@@ -187,6 +187,6 @@
 	e, primary := w.choose()
 	require.Len(t, e, 1)
 	require.False(t, primary)
-	c := feed.Change{Fleet: fleetName, Epoch: "e", Puts: []feed.Put{{Kind: feed.Targets, Key: "a", Value: []byte(`{}`)}}}
+	c := watchstream.Change{Fleet: fleetName, Epoch: "e", Puts: []watchstream.Put{{Kind: watchstream.Targets, Key: "a", Value: []byte(`{}`)}}}
 	require.NoError(t, c.Check())
 }
--- a/internal/scale/run/service.go
+++ b/internal/testbed/scale/run/service.go
@@ -11,8 +11,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/process/monotone"
 )
 
 // What the one discovery service that all initiators ask costs, as docs/standing.md has met it.
--- a/internal/scale/run/spec.go
+++ b/internal/testbed/scale/run/spec.go
@@ -12,7 +12,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 //go:embed short.toml full.toml wide.toml burst.toml before.toml
@@ -114,7 +114,7 @@
 	mostProcesses  = 300
 	mostShared     = 500
 	mostTogether   = 20 // real processes
-	// mostListed is what a whole list may have of targets where discovery tells it (internal/listing).
+	// mostListed is what a whole list may have of targets where discovery tells it (internal/datapath/listing).
 	mostListed = 1 << 13
 )
 
--- a/internal/scale/run/spec_test.go
+++ b/internal/testbed/scale/run/spec_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/scale/slope"
+	"spindlehitch/internal/testbed/scale/slope"
 )
 
 // small is a file that can be used; each test of one that can't changes a line of it.
@@ -137,6 +137,6 @@
 func TestNotLinked(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", "spindlehitch/cmd/spindlehitch", "spindlehitch/cmd/benchlink").Output()
 	require.NoError(t, err)
-	require.Contains(t, string(out), "spindlehitch/internal/instance")
-	require.NotContains(t, string(out), "spindlehitch/internal/scale")
+	require.Contains(t, string(out), "spindlehitch/internal/process/instance")
+	require.NotContains(t, string(out), "spindlehitch/internal/testbed/scale")
 }
--- a/internal/scale/run/suffer.go
+++ b/internal/testbed/scale/run/suffer.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"spindlehitch/internal/faults"
+	"spindlehitch/internal/testbed/faults"
 )
 
 func (x Fault) name() string {
--- a/internal/scale/run/topology.go
+++ b/internal/testbed/scale/run/topology.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/faults"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/testbed/faults"
+	"spindlehitch/internal/testbed/ports"
 )
 
 // Options are what a run is told beside its file.
--- a/internal/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -10,9 +10,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/fleet/holder"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
+	"spindlehitch/internal/process/monotone"
 )
 
 // configuration is one of so many bytes that passes for an instance's.
@@ -29,7 +29,7 @@
 func agentProbes() []Probe {
 	quiet := slog.New(slog.DiscardHandler)
 	return []Probe{{
-		About: "internal/agent: a group of three, each a process; configurations of 2,000 bytes put 16 at a time, each of another instance",
+		About: "internal/controlplane/agent: a group of three, each a process; configurations of 2,000 bytes put 16 at a time, each of another instance",
 		Gives: []Gives{{Name: "agent.change.time", Unit: "us", Of: "changes, 16 at a time", Per: "change", Rough: true},
 			{Name: "agent.change.cpu", Unit: "us", Of: "the leader", Per: "change", Rough: true},
 			{Name: "agent.change.follower", Unit: "us", Of: "a follower", Per: "change", Rough: true},
@@ -67,7 +67,7 @@
 				float64(g.disk(follower) - disk), after[follower].Heap - before[follower].Heap}, nil
 		},
 	}, {
-		About: "internal/agent: one change of a configuration of that size, in the log of the group and at whoever asks for it",
+		About: "internal/controlplane/agent: one change of a configuration of that size, in the log of the group and at whoever asks for it",
 		Gives: []Gives{{Name: "agent.entry", Unit: "B", Of: "an entry of the log", Per: "byte of configuration", Exact: true},
 			{Name: "agent.answer", Unit: "B", Of: "an answer to an instance, HTTP's head included", Per: "byte of configuration", Exact: true}},
 		Sizes: []float64{500, 1000, 2000, 8000, 32_000}, Short: []float64{500, 1000, 2000, 4000}, Beside: true,
@@ -104,7 +104,7 @@
 			return []float64{entry / changes, (after[leader].Out - before[leader].Out) / changes}, err
 		},
 	}, {
-		About: "internal/agent: instances that follow their configurations at one agent of three, each agent a process: 4 s without a change, then 60 changes of another instance's",
+		About: "internal/controlplane/agent: instances that follow their configurations at one agent of three, each agent a process: 4 s without a change, then 60 changes of another instance's",
 		Gives: []Gives{{Name: "agent.follow.wire", Unit: "B/s", Of: "watches without a change, both ways", Per: "instance", Rough: true},
 			{Name: "agent.follow.cpu", Unit: "us/s", Of: "the agent, watches without a change", Per: "instance", Rough: true},
 			{Name: "agent.follow.memory", Unit: "B", Of: "the agent's heap", Per: "instance", Rough: true},
@@ -171,7 +171,7 @@
 				to[0].Conns - before[0].Conns}, nil
 		},
 	}, {
-		About: "internal/agent: members that renew once a second with four budgets and connections to eight targets each, at a group of three processes, for 4 s, after their joins",
+		About: "internal/controlplane/agent: members that renew once a second with four budgets and connections to eight targets each, at a group of three processes, for 4 s, after their joins",
 		Gives: []Gives{{Name: "leader.cpu", Unit: "us/s", Of: "the leader", Per: "member", Rough: true},
 			{Name: "leader.wire", Unit: "B/s", Of: "renewals and answers at the leader, both ways", Per: "member", Rough: true},
 			{Name: "leader.follower", Unit: "us/s", Of: "a follower", Per: "member", Rough: true},
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	clients := make([]agent.Client, size)
-	holders := make([]*holder.Holder, size)
+	holders := make([]*quotaclient.Holder, size)
 	began := time.Now()
 	if err := atOnce(size, 16, func(i int) error {
 		clients[i].Addrs = g.Addrs
--- a/internal/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configured.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch/internal/agent"
-	serving "spindlehitch/internal/instance"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/controlplane/agent"
+	serving "spindlehitch/internal/process/instance"
+	"spindlehitch/internal/testbed/ports"
 )
 
 // served is a configuration that an initiator can be served by, at these addresses, with a plan of this rate.
@@ -27,7 +27,7 @@
 }
 
 func configuredProbes() []Probe {
-	const about = "internal/instance: an initiator that follows its configuration, without clients; "
+	const about = "internal/process/instance: an initiator that follows its configuration, without clients; "
 	return []Probe{{
 		About: about + "each of a hundred changes of a plan is taken over by what runs; the stand-ins' time is in it",
 		Gives: []Gives{{Name: "adopt.cpu", Unit: "us", Of: "a changed configuration", Per: "target", Rough: true}},
--- a/internal/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"spindlehitch"
-	"spindlehitch/internal/discovery"
-	"spindlehitch/internal/listing"
+	"spindlehitch/internal/datapath/discovery"
+	"spindlehitch/internal/datapath/listing"
 )
 
 func request(id string, volume int) spindlehitch.Request {
@@ -190,7 +190,7 @@
 
 func edgeProbes() []Probe {
 	return []Probe{{
-		About: "internal/discovery: watchers of one service that answers at once, over loopback, both ends in one process: 4 s without a change, then 20 changes of one entry; HTTP's bytes, without TCP's",
+		About: "internal/datapath/discovery: watchers of one service that answers at once, over loopback, both ends in one process: 4 s without a change, then 20 changes of one entry; HTTP's bytes, without TCP's",
 		Gives: []Gives{{Name: "discovery.calls", Unit: "calls/s", Of: "watches without a change", Per: "initiator"},
 			{Name: "discovery.wire", Unit: "B/s", Of: "watches without a change, both ways", Per: "initiator", Exact: true},
 			{Name: "discovery.cpu", Unit: "us/s", Of: "watches without a change, both ends", Per: "initiator", Rough: true},
@@ -235,7 +235,7 @@
 			return append(costs, float64(s.wire()-wire)/changes, float64((cpu()-used).Microseconds())/changes, float64(s.conns.Load())), nil
 		},
 	}, {
-		About: "internal/discovery: watchers of one service that all share, 50 ms for a call and 2.3 ms for a line as docs/standing.md has it: until the last has a change; and with all watches fallen silent",
+		About: "internal/datapath/discovery: watchers of one service that all share, 50 ms for a call and 2.3 ms for a line as docs/standing.md has it: until the last has a change; and with all watches fallen silent",
 		Gives: []Gives{{Name: "discovery.told", Unit: "s", Of: "a change told to all, the last of them", Per: "initiator", Rough: true},
 			{Name: "discovery.silent", Unit: "s", Of: "a change told to all whose watches fell silent, the last of them", Per: "initiator", Rough: true}},
 		Sizes: []float64{15, 30, 60, 120, 240}, Short: []float64{2, 4, 6, 8},
--- a/internal/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	edge "spindlehitch/internal/feed"
-	"spindlehitch/internal/fleet/feed"
-	"spindlehitch/internal/monotone"
+	"spindlehitch/internal/controlplane/watchstream"
+	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/process/monotone"
 )
 
 const ours = "fleet"
@@ -23,19 +23,19 @@
 // origin is a store of the feed that readers are served from, as a relay has it.
 type origin struct {
 	mu      sync.Mutex
-	store   *feed.Store
-	source  *feed.Source
+	store   *watchstream.Store
+	source  *watchstream.Source
 	changed chan struct{}
 }
 
 // newOrigin has so many targets and a shared layer of the usual size. Readers are let in as they come: how fast is the settings', not a cost.
 func newOrigin(targets int) (*origin, error) {
-	o := &origin{store: feed.NewStore(ours, feed.Limits{}), changed: make(chan struct{})}
-	o.source = feed.NewSource(o.store, feed.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
-	puts := []feed.Put{layer(0)}
+	o := &origin{store: watchstream.NewStore(ours, watchstream.Limits{}), changed: make(chan struct{})}
+	o.source = watchstream.NewSource(o.store, watchstream.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
+	puts := []watchstream.Put{layer(0)}
 	for i := range targets {
 		if puts = append(puts, entry(i, "SERVING")); len(puts) == 1000 || i == targets-1 {
-			if _, err := o.store.Apply(feed.Change{Fleet: ours, Epoch: "e", Puts: puts}); err != nil {
+			if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Epoch: "e", Puts: puts}); err != nil {
 				return nil, err
 			}
 			puts = nil
@@ -44,23 +44,23 @@
 	return o, nil
 }
 
-func entry(i int, state string) feed.Put {
-	return feed.Put{Kind: feed.Targets, Key: target(i), Value: json.RawMessage(line(i, state))}
+func entry(i int, state string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Targets, Key: target(i), Value: json.RawMessage(line(i, state))}
 }
 
 // layer is a shared layer of configuration of the usual size.
-func layer(n int) feed.Put {
+func layer(n int) watchstream.Put {
 	head := fmt.Sprintf(`{"n":%d,"settings":"`, n)
 	text := make([]byte, 0, usual)
 	text = append(text, head...)
 	for i := 0; len(text) < usual-2; i++ { // no run of one letter, which packing would make nothing of
 		text = append(text, target((i+n)*7919)...)
 	}
-	return feed.Put{Kind: feed.Config, Key: "shared", Value: json.RawMessage(string(text[:usual-2]) + `"}`)}
+	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:usual-2]) + `"}`)}
 }
 
 // Do implements edge.Origin.
-func (o *origin) Do(f func(time.Duration, *feed.Source)) (<-chan struct{}, bool) {
+func (o *origin) Do(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := monotone.Now()
@@ -69,10 +69,10 @@
 	return o.changed, true
 }
 
-func (o *origin) put(p ...feed.Put) (version uint64, err error) {
+func (o *origin) put(p ...watchstream.Put) (version uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	version, err = o.store.Apply(feed.Change{Fleet: ours, Epoch: "e", Puts: p})
+	version, err = o.store.Apply(watchstream.Change{Fleet: ours, Epoch: "e", Puts: p})
 	close(o.changed)
 	o.changed = make(chan struct{})
 	return version, err
@@ -105,7 +105,7 @@
 	var all sync.WaitGroup
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
-		f, err := edge.NewFollower(edge.Options{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []feed.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
+		f, err := edge.NewFollower(edge.Options{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
 			Changed: func(c edge.Change) error {
 				r.has[i].Store(c.Position.Least())
 				return nil
@@ -133,7 +133,7 @@
 
 func feedProbes() []Probe {
 	return []Probe{{
-		About: "internal/feed: readers of one relay over loopback, both ends in one process, 200 targets: 4 s without a change; 10 changes of one target; 10 of a shared layer of 2,000 bytes; 20 of it a second for 3 s",
+		About: "internal/controlplane/watchstream/distribution: readers of one relay over loopback, both ends in one process, 200 targets: 4 s without a change; 10 changes of one target; 10 of a shared layer of 2,000 bytes; 20 of it a second for 3 s",
 		Gives: []Gives{{Name: "feed.poll.wire", Unit: "B/s", Of: "polls without a change, both ways", Per: "reader", Exact: true},
 			{Name: "feed.poll.cpu", Unit: "us/s", Of: "polls without a change, both ends", Per: "reader", Rough: true},
 			{Name: "feed.change.wire", Unit: "B", Of: "a change of one target, told to all, both ways", Per: "reader", Exact: true},
@@ -145,7 +145,7 @@
 		Sizes: []float64{25, 50, 100, 200, 400}, Short: []float64{4, 8, 16, 32}, Beside: true,
 		Run: readers,
 	}, {
-		About: "internal/fleet/feed: an initiator's replica of so many targets, read from a copy; how long a reader that has nothing is brought up at 10 KB/s, in virtual time",
+		About: "internal/controlplane/watchstream: an initiator's replica of so many targets, read from a copy; how long a reader that has nothing is brought up at 10 KB/s, in virtual time",
 		Gives: []Gives{{Name: "feed.replica.memory", Unit: "B", Of: "a reader's replica", Per: "target", Exact: true},
 			{Name: "feed.whole.time", Unit: "s", Of: "a reader brought up from nothing", Per: "target", Exact: true},
 			{Name: "feed.whole.wire", Unit: "B", Of: "the polls of that, packed", Per: "target", Exact: true}},
@@ -159,9 +159,9 @@
 			if err != nil {
 				return nil, err
 			}
-			held, r := holds(func() *feed.Replica {
-				var c feed.Copy
-				r := feed.NewReplica(ours, feed.Scope{Name: "n"}, 1, feed.Limits{})
+			held, r := holds(func() *watchstream.Replica {
+				var c watchstream.Copy
+				r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
 				if err = json.Unmarshal(text, &c); err == nil {
 					err = r.Restore(c)
 				}
@@ -172,11 +172,11 @@
 			}
 			runtime.KeepAlive(r)
 			runtime.KeepAlive(text) // or what it held would be taken off
-			took, bytes, err := o.bring(feed.NewReplica(ours, feed.Scope{Name: "new"}, 1, feed.Limits{}))
+			took, bytes, err := o.bring(watchstream.NewReplica(ours, watchstream.Scope{Name: "new"}, 1, watchstream.Limits{}))
 			return []float64{held, took.Seconds(), float64(bytes)}, err
 		},
 	}, {
-		About: "internal/fleet/feed: how long a reader of 20,000 targets that missed so many entries is brought up at 10 KB/s, in virtual time",
+		About: "internal/controlplane/watchstream: how long a reader of 20,000 targets that missed so many entries is brought up at 10 KB/s, in virtual time",
 		Gives: []Gives{{Name: "feed.owed.time", Unit: "s", Of: "a reader brought up by what it missed", Per: "entry", Exact: true}},
 		Sizes: []float64{400, 800, 1600, 3200, 6400}, Short: []float64{400, 600, 800, 1000},
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -184,12 +184,12 @@
 			if err != nil {
 				return nil, err
 			}
-			r := feed.NewReplica(ours, feed.Scope{Name: "n"}, 1, feed.Limits{})
+			r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
 			if err := r.Restore(o.store.Copy()); err != nil {
 				return nil, err
 			}
 			for i := range size {
-				if _, err := o.store.Apply(feed.Change{Fleet: ours, Puts: []feed.Put{entry(i*3%20_000, "DRAINING")}}); err != nil {
+				if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Puts: []watchstream.Put{entry(i*3%20_000, "DRAINING")}}); err != nil {
 					return nil, err
 				}
 			}
@@ -197,7 +197,7 @@
 			return []float64{took.Seconds()}, err
 		},
 	}, {
-		About: "internal/fleet/feed: a relay's source and the tally of the agents' leader, without sockets: a hello with the delta of a change; a report of all readers, each with news; their heaps",
+		About: "internal/controlplane/watchstream: a relay's source and the tally of the agents' leader, without sockets: a hello with the delta of a change; a report of all readers, each with news; their heaps",
 		Gives: []Gives{{Name: "feed.source.next", Unit: "us", Of: "one hello and its delta", Per: "reader"},
 			{Name: "feed.source.memory", Unit: "B", Of: "a relay's source", Per: "reader", Rough: true},
 			{Name: "feed.tally.take", Unit: "us", Of: "a report in which all readers have news", Per: "reader"},
@@ -210,7 +210,7 @@
 // heads is about what HTTP's heads of a question and its answer take.
 const heads = 300
 
-// packed is how many bytes a text takes as internal/feed packs it.
+// packed is how many bytes a text takes as internal/controlplane/watchstream/distribution packs it.
 func packed(text []byte) (int, error) {
 	if len(text) < 1<<10 {
 		return len(text), nil
@@ -227,9 +227,9 @@
 }
 
 // bring brings a reader up to the store's head, in virtual time, and returns how long that took and the bytes on the wire.
-func (o *origin) bring(r *feed.Replica) (took time.Duration, wire int, err error) {
+func (o *origin) bring(r *watchstream.Replica) (took time.Duration, wire int, err error) {
 	now := time.Hour
-	source := feed.NewSource(o.store, feed.SourceOptions{}, 1)
+	source := watchstream.NewSource(o.store, watchstream.SourceOptions{}, 1)
 	for r.Whole().Least() < o.store.Head() {
 		h := r.Hello()
 		if err := source.Hear(now, h); err != nil {
@@ -281,7 +281,7 @@
 	costs := []float64{float64(r.wire()-wire) / lasted, float64((cpu() - used).Microseconds()) / lasted}
 	// change makes ten changes one after another, and tells their bytes, time of the processor and time until the last reader had one.
 	const changes = 10
-	change := func(p func(i int) feed.Put) (bytes, spent, last float64, err error) {
+	change := func(p func(i int) watchstream.Put) (bytes, spent, last float64, err error) {
 		wire, used := r.wire(), cpu()
 		for i := range changes {
 			began := time.Now()
@@ -299,12 +299,12 @@
 		}
 		return float64(r.wire()-wire) / changes, float64((cpu() - used).Microseconds()) / changes, last, nil
 	}
-	bytes, spent, last, err := change(func(i int) feed.Put { return entry(i%200, "DRAINING") })
+	bytes, spent, last, err := change(func(i int) watchstream.Put { return entry(i%200, "DRAINING") })
 	if err != nil {
 		return nil, err
 	}
 	costs = append(costs, bytes, spent, last)
-	if bytes, _, _, err = change(func(i int) feed.Put { return layer(i + 1) }); err != nil {
+	if bytes, _, _, err = change(func(i int) watchstream.Put { return layer(i + 1) }); err != nil {
 		return nil, err
 	}
 	costs = append(costs, bytes)
@@ -328,19 +328,19 @@
 	if err != nil {
 		return nil, err
 	}
-	replicas := make([]*feed.Replica, size)
+	replicas := make([]*watchstream.Replica, size)
 	for i := range replicas {
-		replicas[i] = feed.NewReplica(ours, feed.Scope{Name: instance(i), Region: "r", Zone: "z"}, 1, feed.Limits{Buckets: 1 << 10})
+		replicas[i] = watchstream.NewReplica(ours, watchstream.Scope{Name: instance(i), Region: "r", Zone: "z"}, 1, watchstream.Limits{Buckets: 1 << 10})
 		if err := replicas[i].Restore(o.store.Copy()); err != nil {
 			return nil, err
 		}
 	}
 	before := heap()
-	source := feed.NewSource(o.store, feed.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
+	source := watchstream.NewSource(o.store, watchstream.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
 	now := time.Hour
 	serve := func() error {
 		now += time.Second
-		if _, err := o.store.Apply(feed.Change{Fleet: ours, Puts: []feed.Put{entry(int(now/time.Second)%200, "DRAINING")}}); err != nil {
+		if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Puts: []watchstream.Put{entry(int(now/time.Second)%200, "DRAINING")}}); err != nil {
 			return err
 		}
 		for _, r := range replicas {
@@ -368,7 +368,7 @@
 			err = e
 		}
 	}) / float64(size)
-	tally := feed.NewTally(ours, feed.TallyOptions{})
+	tally := watchstream.NewTally(ours, watchstream.TallyOptions{})
 	wire := 0
 	best := 0.0
 	for round := range 6 {
@@ -384,7 +384,7 @@
 			}
 			wire = len(text)
 		}
-		var a feed.ReportAnswer
+		var a watchstream.ReportAnswer
 		took := quickest(1, 0, func() { a, err = tally.Take(now, rep) })
 		if err != nil {
 			return nil, err
--- a/internal/scale/slope/figure.go
+++ b/internal/testbed/scale/slope/figure.go
@@ -25,7 +25,7 @@
 const (
 	Either  Feed = ""    // it does not matter
 	Without Feed = "off" // discovery and the agents' configurations of each instance
-	By      Feed = "on"  // the feed of changes, internal/feed
+	By      Feed = "on"  // the feed of changes, internal/controlplane/watchstream/distribution
 )
 
 // costs is what a figure is reckoned from.
--- a/internal/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -1,8 +1,8 @@
 package slope
 
 import (
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/feed"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/watchstream"
 )
 
 // When something is looked at.
@@ -17,17 +17,17 @@
 
 // Mechanisms, as the ranking tells them apart.
 const (
-	howLists      = "how changes of the list get to all: internal/discovery"
-	howConfigs    = "how configurations get to all: internal/agent"
-	howConfigured = "how a changed configuration comes into force: internal/instance"
-	howFeed       = "the feed: internal/feed, internal/fleet/feed"
+	howLists      = "how changes of the list get to all: internal/datapath/discovery"
+	howConfigs    = "how configurations get to all: internal/controlplane/agent"
+	howConfigured = "how a changed configuration comes into force: internal/process/instance"
+	howFeed       = "the feed: internal/controlplane/watchstream/distribution, internal/controlplane/watchstream"
 	howModule     = "what a change costs the module: root package"
 	howTurn       = "what a request costs the module: root package"
-	howLine       = "how a list is read: internal/listing"
-	howGiver      = "fleet-wide budgets: internal/ration, internal/fleet/giver"
-	howLeases     = "leases: internal/fleet/keeper"
-	howMembers    = "members: internal/peers, internal/fleet/members"
-	howTargets    = "targets' actors: internal/upstream"
+	howLine       = "how a list is read: internal/datapath/listing"
+	howGiver      = "fleet-wide budgets: internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator"
+	howLeases     = "leases: internal/controlplane/lease/lessor"
+	howMembers    = "members: internal/controlplane/membership/transport, internal/controlplane/membership"
+	howTargets    = "targets' actors: internal/datapath/upstream"
 	howKept       = "what an initiator keeps"
 )
 
@@ -49,7 +49,7 @@
 	// adopted is what a configuration that has changed costs an initiator that knows as many volumes as it keeps accounts of.
 	adopted := func(c costs, s Size) float64 { return c.at("adopt.cpu", s.Targets) + c.at("module.adopt", s.Volumes) }
 	// gathered is how many of a burst's changes come to an initiator in a second.
-	gathered := func(s Size) float64 { return min(s.Burst, 1/feed.Fair.Gather.Seconds()) }
+	gathered := func(s Size) float64 { return min(s.Burst, 1/watchstream.Fair.Gather.Seconds()) }
 	taken := func(c costs, _ Size, _ Limits) float64 { return 1e6 / c.each("agent.change.time") }
 	entries := func(s Size) float64 { return s.ChangeRate() * s.Initiators }
 	return append(feedFigures(), []Figure{
@@ -106,7 +106,7 @@
 		{Role: "initiator", Of: "wire: its configuration, whole, at each change", When: worst, Unit: "B/s", Names: []string{"agent.answer"}, Mechanism: howConfigs, Feed: Without,
 			Value: func(c costs, s Size, _ Limits) float64 { return s.Burst * c.at("agent.answer", s.Config) }, Limit: wire},
 		{Role: "initiator", Of: "wire: renewals, with connections to every target", When: always, Unit: "B/s", Names: []string{"renewal.wire"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("renewal.wire", min(s.Targets, fleet.MostKeys)) }, Limit: wire,
+			Value: func(c costs, s Size, _ Limits) float64 { return c.at("renewal.wire", min(s.Targets, quota.MostKeys)) }, Limit: wire,
 			Untold: "how many targets an initiator's clients use"},
 		{Role: "initiator", Of: "entries of a list, of as many as the probe had read", When: always, Unit: "entries", Names: []string{"list.line"}, Mechanism: howLine,
 			Value: func(_ costs, s Size, _ Limits) float64 { return s.Targets }, Limit: func(c costs, _ Size, _ Limits) float64 { return c.most("list.line") }},
@@ -141,7 +141,7 @@
 		{Role: "agent, leader", Of: "time for the joins of all that restart", When: starting, Unit: "s", Names: []string{"leader.joins"}, Mechanism: howGiver,
 			Value: func(c costs, s Size, _ Limits) float64 { return s.InitiatorsBack * c.each("leader.joins") / 1e6 }, Limit: func(_ costs, _ Size, l Limits) float64 { return l.Back }},
 		{Role: "agent, leader", Of: "seats, with a predecessor of each that restarts", When: starting, Unit: "seats", Names: []string{"leader.joins"}, Mechanism: howGiver,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.Initiators + s.InitiatorsBack }, Limit: func(costs, Size, Limits) float64 { return fleet.MostSeats }},
+			Value: func(_ costs, s Size, _ Limits) float64 { return s.Initiators + s.InitiatorsBack }, Limit: func(costs, Size, Limits) float64 { return quota.MostSeats }},
 		{Role: "agent", Of: "processor: watches with nothing new, all at the agent named first", When: always, Unit: "core", Names: []string{"agent.follow.cpu"}, Mechanism: howConfigs, Feed: Without,
 			Value: func(c costs, s Size, _ Limits) float64 { return c.at("agent.follow.cpu", s.Initiators) / 1e6 }, Limit: machine},
 		{Role: "agent", Of: "processor: each entry wakes every watch", When: ordinary, Unit: "core", Names: []string{"agent.wake.cpu"}, Mechanism: howConfigs, Feed: Without,
--- a/internal/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -7,13 +7,13 @@
 	"runtime"
 	"time"
 
-	"spindlehitch/internal/accounts"
-	"spindlehitch/internal/fleet"
-	"spindlehitch/internal/fleet/giver"
-	"spindlehitch/internal/fleet/holder"
-	"spindlehitch/internal/fleet/keeper"
-	"spindlehitch/internal/fleet/lease"
-	"spindlehitch/internal/fleet/register"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/quota/quotaclient"
+	"spindlehitch/internal/controlplane/registry"
+	"spindlehitch/internal/observability/accounts"
 )
 
 // used is how many targets each member of a probe holds connections to, beside the fleet's own wholes.
@@ -22,24 +22,24 @@
 var memberSizes = []float64{100, 232, 538, 1250, 2900}
 
 // budgets is a set of four, for so many members.
-func budgets(seats int) (fleet.Doc, error) {
+func budgets(seats int) (quota.Doc, error) {
 	n := float64(seats)
-	d := fleet.Doc{Version: 1, Seats: seats, Budgets: []fleet.Budget{
-		{Name: "work", Use: fleet.Work, Whole: 100 * n, Burst: 100 * n, Least: 1, LeastBurst: 1},
-		{Name: "repeats", Use: fleet.Repeat, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
-		{Name: "cold", Use: fleet.Cold, Per: fleet.PerTarget, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
-		{Name: "conns", Use: fleet.Connection, Per: fleet.PerTarget, Kind: "stock", Whole: 3 * n, Least: 1, LingerMs: 3000}}}
+	d := quota.Doc{Version: 1, Seats: seats, Budgets: []quota.Budget{
+		{Name: "work", Use: quota.Work, Whole: 100 * n, Burst: 100 * n, Least: 1, LeastBurst: 1},
+		{Name: "repeats", Use: quota.Repeat, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
+		{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
+		{Name: "conns", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: 3 * n, Least: 1, LingerMs: 3000}}}
 	return d, d.Check()
 }
 
-func member(i int) fleet.Member {
+func member(i int) quota.Member {
 	id := fmt.Sprintf("member-%05d", i)
-	return fleet.Member{ID: id, Name: id, Addr: fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255), Weight: 1, Incarnation: uint64(i + 1)}
+	return quota.Member{ID: id, Name: id, Addr: fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255), Weight: 1, Incarnation: uint64(i + 1)}
 }
 
 // seated is a holder with a seat and connections to some targets.
-func seated(now time.Duration, id string, doc fleet.Doc) *holder.Holder {
-	h := holder.New(fleet.Uses)
+func seated(now time.Duration, id string, doc quota.Doc) *quotaclient.Holder {
+	h := quotaclient.New(quota.Uses)
 	h.Seat(now, id, doc)
 	for k := range used {
 		h.Open(now, target(k))
@@ -49,7 +49,7 @@
 
 func fleetProbes() []Probe {
 	return []Probe{{
-		About: "internal/fleet/giver: renewals of members with four budgets and connections to eight targets each; the join of one more; its heap",
+		About: "internal/controlplane/quota/allocator: renewals of members with four budgets and connections to eight targets each; the join of one more; its heap",
 		Gives: []Gives{{Name: "giver.renew", Unit: "us", Of: "one renewal", Per: "member"},
 			{Name: "giver.join", Unit: "us", Of: "one join", Per: "member"},
 			{Name: "giver.memory", Unit: "B", Of: "the giver's book", Per: "member", Rough: true},
@@ -60,8 +60,8 @@
 			if err != nil {
 				return nil, err
 			}
-			all := make([]fleet.Member, size)
-			holders := make([]*holder.Holder, size)
+			all := make([]quota.Member, size)
+			holders := make([]*quotaclient.Holder, size)
 			now := time.Hour
 			for i := range all {
 				all[i] = member(i)
@@ -70,11 +70,11 @@
 			now += time.Minute
 			wire := 0
 			i := 0
-			var g *giver.Giver
+			var g *allocator.Giver
 			renew := func() {
 				now += time.Second / time.Duration(size)
 				r := holders[i%size].Renew(now)
-				var a fleet.Answer
+				var a quota.Answer
 				if a, err = g.Renew(now, r); err != nil {
 					return
 				}
@@ -87,7 +87,7 @@
 				i++
 			}
 			before := heap()
-			g = giver.New(time.Hour, doc, all)
+			g = allocator.New(time.Hour, doc, all)
 			for range 2 * size {
 				renew()
 			}
@@ -108,7 +108,7 @@
 			return []float64{cost, join, held, float64(wire)}, nil
 		},
 	}, {
-		About: "internal/fleet/holder and giver: a renewal and its answer, as JSON, by targets that the member has connections to; 1,024 keys are the most that one member names",
+		About: "internal/controlplane/quota/quotaclient and giver: a renewal and its answer, as JSON, by targets that the member has connections to; 1,024 keys are the most that one member names",
 		Gives: []Gives{{Name: "renewal.wire", Unit: "B", Of: "a renewal and its answer", Per: "target used", Exact: true}},
 		Sizes: []float64{8, 32, 128, 512, 1000}, Short: []float64{8, 16, 32, 64},
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -121,7 +121,7 @@
 			for k := used; k < size; k++ {
 				h.Open(now, target(k))
 			}
-			g := giver.New(now, doc, []fleet.Member{m})
+			g := allocator.New(now, doc, []quota.Member{m})
 			now += time.Minute
 			wire := 0
 			for range 2 {
@@ -139,7 +139,7 @@
 			return []float64{float64(wire)}, nil
 		},
 	}, {
-		About: "internal/fleet/keeper: claims of 100 members that hold all shards of up to four tasks between them; what the log is asked to change, with nothing to do",
+		About: "internal/controlplane/lease/lessor: claims of 100 members that hold all shards of up to four tasks between them; what the log is asked to change, with nothing to do",
 		Gives: []Gives{{Name: "keeper.claim", Unit: "us", Of: "one claim", Per: "shard"}, {Name: "keeper.orders", Unit: "us", Of: "a look for orders, 100 members", Per: "shard"}},
 		Sizes: []float64{100, 250, 625, 1560, 3900}, Short: []float64{100, 250, 625, 1560}, Turns: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -162,7 +162,7 @@
 			return []float64{claim, orders}, err
 		},
 	}, {
-		About: "internal/fleet/keeper: a look for orders with 1,000 shards, with nothing to do; four a second and one after each change of the log",
+		About: "internal/controlplane/lease/lessor: a look for orders with 1,000 shards, with nothing to do; four a second and one after each change of the log",
 		Gives: []Gives{{Name: "keeper.looks", Unit: "us", Of: "a look for orders, 1,000 shards", Per: "member"}},
 		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -173,7 +173,7 @@
 			return []float64{quickest(3, 200*time.Millisecond, func() { k.Orders(now) })}, nil
 		},
 	}, {
-		About: "internal/fleet/register: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
+		About: "internal/controlplane/registry: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
 		Gives: []Gives{{Name: "register.copy", Unit: "us", Of: "a copy", Per: "member"}, {Name: "register.text", Unit: "B", Of: "its part of a snapshot", Per: "member", Exact: true}},
 		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -181,7 +181,7 @@
 			if err != nil {
 				return nil, err
 			}
-			r := register.Register{Doc: doc}
+			r := registry.Register{Doc: doc}
 			for i := range size {
 				r.Members = append(r.Members, member(i))
 			}
@@ -189,7 +189,7 @@
 			return []float64{quickest(5, 50*time.Millisecond, func() { r.Clone() }), float64(len(t))}, err
 		},
 	}, {
-		About: "internal/accounts: what an instance tells of a window, as JSON, with so many volumes used",
+		About: "internal/observability/accounts: what an instance tells of a window, as JSON, with so many volumes used",
 		Gives: []Gives{{Name: "accounts.report", Unit: "B", Of: "an instance's accounts of a window", Per: "volume", Exact: true}, {Name: "accounts.memory", Unit: "B", Of: "an instance's book", Per: "volume", Rough: true}},
 		Sizes: []float64{64, 256, 1024, 4096}, Short: []float64{32, 64, 128, 256},
 		Run: func(_ context.Context, size int) ([]float64, error) {
@@ -220,12 +220,12 @@
 }
 
 // kept is a keeper all of whose shards are held by members that renew, and the claim of each of them.
-func kept(members, shards int) (*keeper.Keeper, time.Duration, []lease.Claim, error) {
+func kept(members, shards int) (*lessor.Keeper, time.Duration, []lease.Claim, error) {
 	doc, err := budgets(members)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	r := &register.Register{Doc: doc, Tasks: lease.Doc{Version: 1}}
+	r := &registry.Register{Doc: doc, Tasks: lease.Doc{Version: 1}}
 	claims := make([]lease.Claim, members)
 	for i := range members {
 		r.Members = append(r.Members, member(i))
@@ -247,7 +247,7 @@
 		return nil, 0, nil, err
 	}
 	now := time.Hour
-	k := keeper.New(now, r)
+	k := lessor.New(now, r)
 	now += time.Second
 	for i := range claims {
 		for _, t := range r.Tasks.Tasks {
--- a/internal/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -20,9 +20,9 @@
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 
-	"spindlehitch/internal/agent"
-	"spindlehitch/internal/config"
-	"spindlehitch/internal/ports"
+	"spindlehitch/internal/controlplane/agent"
+	"spindlehitch/internal/process/config"
+	"spindlehitch/internal/testbed/ports"
 )
 
 // AgentEnv names, for a process that is one agent of a probe, its options: so that an agent's processor time and memory are told from its instances'.
--- a/internal/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -11,9 +11,9 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spindlehitch"
-	"spindlehitch/internal/core"
-	"spindlehitch/internal/listing"
-	"spindlehitch/internal/upstream"
+	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/upstream"
 )
 
 // line is an entry as discovery writes it, with names of the length that operators use. Addresses and starts follow no order, or packing would make nothing of them.
@@ -39,7 +39,7 @@
 
 func listProbes() []Probe {
 	return []Probe{{
-		About: "internal/listing: a whole list read and checked",
+		About: "internal/datapath/listing: a whole list read and checked",
 		Gives: []Gives{{Name: "list.line", Unit: "B", Of: "a whole list on the wire", Per: "entry", Exact: true},
 			{Name: "list.decode", Unit: "us", Of: "reading a whole list", Per: "entry"},
 			{Name: "list.allocs", Unit: "allocs", Of: "reading a whole list", Per: "entry", Exact: true},
@@ -66,7 +66,7 @@
 			return []float64{float64(len(t)), quickest(3, 200*time.Millisecond, read), objects, held}, nil
 		},
 	}, {
-		About: "internal/upstream: a registry with an actor for each target and no connection; a change of one entry",
+		About: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
 		Gives: []Gives{{Name: "upstream.memory", Unit: "B", Of: "heap and stacks of the targets' actors", Per: "target", Rough: true},
 			{Name: "upstream.change", Unit: "us", Of: "a change of one entry", Per: "target"}},
 		Sizes: targetSizes, Short: []float64{200, 632, 2000, 6324}, Turns: 3,
--- a/internal/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -7,12 +7,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"spindlehitch/internal/fleet/members"
-	"spindlehitch/internal/model/mesh"
+	"spindlehitch/internal/controlplane/membership"
+	"spindlehitch/internal/testbed/model/mesh"
 )
 
 // encoded is a message's size on the wire.
-func encoded(m *members.Message) int {
+func encoded(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
@@ -23,13 +23,13 @@
 func memberProbes() []Probe {
 	lasts := func(size int) time.Duration { return 20 * time.Second }
 	return []Probe{{
-		About: "internal/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
+		About: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
 		Gives: []Gives{{Name: "members.wire", Unit: "B/s", Of: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Of: "what a member sends", Per: "member", Exact: true},
 			{Name: "members.cpu", Unit: "us/s", Of: "a member's machine, its network's model included", Per: "member", Rough: true}, {Name: "members.memory", Unit: "B", Of: "a member's machine", Per: "member", Rough: true}},
 		Sizes: []float64{100, 200, 400, 800, 1600}, Short: []float64{25, 50, 100, 200},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			before := heap()
-			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: members.Usual, Delay: 2 * time.Millisecond, Joined: true})
+			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.Usual, Delay: 2 * time.Millisecond, Joined: true})
 			began := cpu()
 			m.Run(lasts(size))
 			used := cpu() - began
--- a/internal/scale/slope/slope.go
+++ b/internal/testbed/scale/slope/slope.go
@@ -17,7 +17,7 @@
 )
 
 // File is where the table stands, from the top of the repository.
-const File = "internal/scale/slope/slopes.json"
+const File = "internal/testbed/scale/slope/slopes.json"
 
 //go:embed slopes.json
 var embedded []byte
--- a/internal/scale/slope/slope_test.go
+++ b/internal/testbed/scale/slope/slope_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-var top = filepath.Join("..", "..", "..")
+var top = filepath.Join("..", "..", "..", "..")
 
 func table(t *testing.T) *Table {
 	t.Helper()
@@ -353,6 +353,6 @@
 	cmd.Dir = top
 	out, err := cmd.Output()
 	require.NoError(t, err)
-	require.Contains(t, string(out), "spindlehitch/internal/instance\n")
-	require.NotContains(t, string(out), "internal/scale")
+	require.Contains(t, string(out), "spindlehitch/internal/process/instance\n")
+	require.NotContains(t, string(out), "internal/testbed/scale")
 }
