--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("agent.peer.api: %w", err)
 	}
-	a, err := agent.Start(agent.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, Check: checkConfig, While: stop})
+	a, err := agent.Start(agent.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, ValidateConfig: checkConfig, StartContext: stop})
 	if err != nil {
 		l.Close()
 		return err
--- a/cmd/spindlehitch/change.go
+++ b/cmd/spindlehitch/change.go
@@ -45,7 +45,7 @@
 				c.Replaces = replaces
 			}
 			v, err := f.client.PutChange(cmd.Context(), c)
-			var no *agent.Refusal
+			var no *agent.RejectedError
 			if errors.As(err, &no) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -53,7 +53,7 @@
 				return err
 			}
 			if f.json {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(agent.Put{Version: v})
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(agent.ChangeResponse{Version: v})
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", v)
 			return nil
@@ -91,7 +91,7 @@
 
 // asked is the error of a question, with the exit code where nobody answered it.
 func asked(err error) error {
-	var no *agent.Refusal
+	var no *agent.RejectedError
 	switch {
 	case errors.Is(err, agent.ErrNotFound):
 		return errors.New("no change has come yet")
@@ -143,7 +143,7 @@
 }
 
 func (f *fleetFlags) showInForce(cmd *cobra.Command, version uint64) error {
-	v, err := f.client.InForce(cmd.Context(), version)
+	v, err := f.client.StreamStatus(cmd.Context(), version)
 	if err != nil {
 		return asked(err)
 	}
@@ -156,15 +156,15 @@
 	}
 	if err == nil && !v.Leads {
 		age := "no agent there knows how old"
-		if v.OldMs >= 0 {
-			age = "at least " + ms(v.OldMs) + " old"
+		if v.LeaderContactMs >= 0 {
+			age = "at least " + ms(v.LeaderContactMs) + " old"
 		}
 		err = &exit{exitOld, fmt.Errorf("no leader answers: this is what the log of %s says, %s, and nothing is known of initiators", v.Agent, age)}
 	}
 	return err
 }
 
-func writeInForce(out io.Writer, v agent.InForce) error {
+func writeInForce(out io.Writer, v agent.StreamStatus) error {
 	after := func(n int64) string {
 		if n < 0 {
 			return "not known"
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -110,7 +110,7 @@
 	require.Contains(t, out, "relay-1")
 	out, _, err = run("change", "status", "1", "--json")
 	require.NoError(t, err)
-	var v agent.InForce
+	var v agent.StreamStatus
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
 	require.Equal(t, 1, v.Have)
 	require.True(t, v.Leads)
@@ -139,7 +139,7 @@
 
 // TestInForceTable writes what is known of a version, also where it is little.
 func TestInForceTable(t *testing.T) {
-	v := agent.InForce{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Known: 250, Have: 100, Share: 0.4, Silent: 1,
+	v := agent.StreamStatus{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Known: 250, Have: 100, Share: 0.4, Silent: 1,
 		Refused: 1, SinceMs: 1500, HalfMs: -1, MostMs: -1, AllMs: -1,
 		Lagging: []watchstream.Lag{{Name: "n7", Relay: "r1", Has: 7, Why: watchstream.WhyRefused, HeardMs: 20, Refused: &watchstream.TurnedDown{Version: 8, Reason: "a: not a number"}}}}}
 	var b bytes.Buffer
@@ -148,7 +148,7 @@
 		require.Contains(t, b.String(), want)
 	}
 	b.Reset()
-	require.NoError(t, writeInForce(&b, agent.InForce{Agent: "a", Head: 9}))
+	require.NoError(t, writeInForce(&b, agent.StreamStatus{Agent: "a", Head: 9}))
 	require.NotContains(t, b.String(), "in force at")
 }
 
--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -29,7 +29,7 @@
 }
 
 // show prints the fleet by table, or as JSON what value makes of it. What may be old says so, also by the exit code.
-func (f *fleetFlags) show(cmd *cobra.Command, value func(agent.View) (any, error), table func(io.Writer, agent.View)) error {
+func (f *fleetFlags) show(cmd *cobra.Command, value func(agent.FleetView) (any, error), table func(io.Writer, agent.FleetView)) error {
 	v, err := f.client.Fleet(cmd.Context())
 	if err != nil {
 		return &exit{exitSilent, err}
@@ -65,23 +65,23 @@
 	f.add(cmd)
 	list := &cobra.Command{Use: "list", Short: "List the budgets in force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.show(cmd, func(v agent.View) (any, error) { return v.Doc, nil }, func(w io.Writer, v agent.View) {
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return v.QuotaConfig, nil }, func(w io.Writer, v agent.FleetView) {
 				fmt.Fprintln(w, "NAME\tUSE\tPER\tKIND\tWHOLE\tBURST\tLEAST\tMOST\tHELD")
-				for _, b := range v.Doc.Budgets {
+				for _, b := range v.QuotaConfig.Budgets {
 					held := 0.0
-					for _, l := range v.Lines {
+					for _, l := range v.Ledger {
 						if l.Budget == b.Name {
-							held += l.May.Rate
+							held += l.MaxOutstanding.Rate
 						}
 					}
-					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\t%g\t%g\t%g\t%.4g\n", b.Name, b.Use, b.Per, b.Kind, b.Whole, b.Burst, b.Least, b.Most, held)
+					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\t%g\t%g\t%g\t%.4g\n", b.Name, b.Resource, b.Scope, b.Kind, b.Capacity, b.Burst, b.FloorRate, b.MaxPerMember, held)
 				}
-				fmt.Fprintf(w, "version %d, %d seats, parts of %s\n", v.Doc.Version, v.Doc.Seats, v.Doc.Part())
+				fmt.Fprintf(w, "version %d, %d seats, parts of %s\n", v.QuotaConfig.Version, v.QuotaConfig.MaxSessions, v.QuotaConfig.AllocationTTL())
 			})
 		}}
 	show := &cobra.Command{Use: "show NAME", Short: "Show who holds how much of a budget, and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.show(cmd, func(v agent.View) (any, error) { return shown(v, args[0]) }, func(w io.Writer, v agent.View) {
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return shown(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
 				s, err := shown(v, args[0])
 				if err == nil {
 					s.table(w)
@@ -93,7 +93,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			d, err := readBudgets(args[0], against)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d budgets, %d seats\n", args[0], len(d.Budgets), d.Seats)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d budgets, %d seats\n", args[0], len(d.Budgets), d.MaxSessions)
 			}
 			return err
 		}}
@@ -103,8 +103,8 @@
 			if err != nil {
 				return err
 			}
-			d, err = f.client.SetBudgets(cmd.Context(), d)
-			var no *agent.Refusal
+			d, err = f.client.SetQuotaConfig(cmd.Context(), d)
+			var no *agent.RejectedError
 			if errors.As(err, &no) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -121,15 +121,15 @@
 	return cmd
 }
 
-func readBudgets(path, against string) (quota.Doc, error) {
+func readBudgets(path, against string) (quota.Config, error) {
 	var c *config.Config
 	if against != "" {
 		text, err := os.ReadFile(against)
 		if err != nil {
-			return quota.Doc{}, err
+			return quota.Config{}, err
 		}
 		if c, err = config.Parse(text, func(string) string { return "" }); err != nil {
-			return quota.Doc{}, fmt.Errorf("%s: %w", against, err)
+			return quota.Config{}, fmt.Errorf("%s: %w", against, err)
 		}
 	}
 	return config.ReadBudgets(path, c)
@@ -138,29 +138,29 @@
 // budgetShown is one budget as the leader sees it.
 type budgetShown struct {
 	quota.Budget
-	Pool    quota.Amount     `json:"pool"` // what is divided, beyond the floors
-	Agent   string           `json:"agent"`
-	Leads   bool             `json:"leads"`
-	AgeMs   int64            `json:"age_ms"`
-	WaitMs  int64            `json:"wait_ms"` // until a new leader gives anything new
-	Behind  []string         `json:"behind"`  // members that go by another version of the budgets
-	Holders []allocator.Line `json:"holders"`
+	Pool    quota.Amount           `json:"pool"` // what is divided, beyond the floors
+	Agent   string                 `json:"agent"`
+	Leads   bool                   `json:"leads"`
+	AgeMs   int64                  `json:"age_ms"`
+	WaitMs  int64                  `json:"wait_ms"` // until a new leader gives anything new
+	Behind  []string               `json:"behind"`  // members that go by another version of the budgets
+	Holders []allocator.LedgerLine `json:"holders"`
 }
 
-func shown(v agent.View, name string) (*budgetShown, error) {
-	b := v.Doc.Budget(name)
+func shown(v agent.FleetView, name string) (*budgetShown, error) {
+	b := v.QuotaConfig.Budget(name)
 	if b == nil {
 		return nil, fmt.Errorf("no budget %q", name)
 	}
-	s := &budgetShown{Budget: *b, Pool: v.Doc.Pool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, WaitMs: v.WaitMs,
-		Behind: []string{}, Holders: []allocator.Line{}}
-	for _, l := range v.Lines {
+	s := &budgetShown{Budget: *b, Pool: v.QuotaConfig.SharedPool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, WaitMs: v.RecoveryWaitMs,
+		Behind: []string{}, Holders: []allocator.LedgerLine{}}
+	for _, l := range v.Ledger {
 		if l.Budget == name {
 			s.Holders = append(s.Holders, l)
 		}
 	}
 	for _, m := range v.Members {
-		if m.Version != v.Doc.Version {
+		if m.ConfigVersion != v.QuotaConfig.Version {
 			s.Behind = append(s.Behind, m.Name)
 		}
 	}
@@ -171,15 +171,15 @@
 	fmt.Fprintln(w, "OF\tNAME\tMAY HOLD\tBURST\tASKED\tUSED\tOUT\tUNTIL\tSEEN\tBY\tMEMBER")
 	sum := map[string]float64{}
 	for _, l := range s.Holders {
-		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", l.Key.Key, l.Name, l.May.Rate, l.May.Burst, l.Want, l.Used, l.InUse,
-			ms(l.UntilMs), ms(l.AgoMs), s.Agent, l.ID)
-		sum[l.Key.Key] += l.May.Rate
+		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", l.Key.Key, l.Name, l.MaxOutstanding.Rate, l.MaxOutstanding.Burst, l.Want, l.Used, l.InUse,
+			ms(l.ExpiresMs), ms(l.LastHeardMs), s.Agent, l.ID)
+		sum[l.Key.Key] += l.MaxOutstanding.Rate
 	}
 	most := 0.0
 	for _, x := range sum {
 		most = max(most, x)
 	}
-	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", most, s.Pool.Rate, s.Least)
+	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", most, s.Pool.Rate, s.FloorRate)
 	if s.WaitMs > 0 {
 		fmt.Fprintf(w, "the leader is new: nothing new is given for %s\n", ms(s.WaitMs))
 	}
--- a/cmd/spindlehitch/lease.go
+++ b/cmd/spindlehitch/lease.go
@@ -29,11 +29,11 @@
 // taskShown is one task as lease show has it.
 type taskShown struct {
 	lease.Task
-	Agent  string              `json:"agent"`
-	Leads  bool                `json:"leads"`
-	AgeMs  int64               `json:"age_ms"`
-	Leases []lessor.Seen       `json:"leases"`
-	Board  []outlierboard.Line `json:"board,omitempty"`
+	Agent  string               `json:"agent"`
+	Leads  bool                 `json:"leads"`
+	AgeMs  int64                `json:"age_ms"`
+	Leases []lessor.LeaseStatus `json:"leases"`
+	Board  []outlierboard.Entry `json:"board,omitempty"`
 }
 
 func leaseCommand() *cobra.Command {
@@ -42,18 +42,18 @@
 	f.add(cmd)
 	list := &cobra.Command{Use: "list", Short: "List the tasks and how much of each is held", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.show(cmd, func(v agent.View) (any, error) { return taskLines(v), nil }, func(w io.Writer, v agent.View) {
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return taskLines(v), nil }, func(w io.Writer, v agent.FleetView) {
 				fmt.Fprintln(w, "TASK\tKIND\tSHARDS\tHELD\tMEMBERS\tLEASE\tACT\tEVERY\tACTS\tREFUSED\tFAILED")
 				for _, t := range taskLines(v) {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", t.Name, t.Kind, t.Shards, t.Held, t.Members, ms(t.LeaseMs), ms(t.ActMs),
-						ms(t.EveryMs), t.Acts, t.Refused, t.Failed)
+					fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", t.Name, t.Kind, t.Shards, t.Held, t.Members, ms(t.TTLMs), ms(t.OperationTimeoutMs),
+						ms(t.IntervalMs), t.Acts, t.Refused, t.Failed)
 				}
-				fmt.Fprintf(w, "version %d, by %s\n", v.Tasks.Version, v.Agent)
+				fmt.Fprintf(w, "version %d, by %s\n", v.LeaseConfig.Version, v.Agent)
 			})
 		}}
 	show := &cobra.Command{Use: "show TASK", Short: "Show who holds each shard of a task, since when and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.show(cmd, func(v agent.View) (any, error) { return showTask(v, args[0]) }, func(w io.Writer, v agent.View) {
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return showTask(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
 				if s, err := showTask(v, args[0]); err == nil {
 					s.table(w)
 				}
@@ -65,20 +65,20 @@
 			return fmt.Errorf("shard: %q is not a number from 0 on", args[1])
 		}
 		k := lease.Key{Task: args[0], Shard: shard}
-		if err := f.change(f.client.MoveLease(cmd.Context(), k, to)); err != nil {
+		if err := f.change(f.client.MigrateLease(cmd.Context(), k, to)); err != nil {
 			return fmt.Errorf("lease %s: %w", k, err)
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "%s %s\n", k, done)
 		return nil
 	}
 	release := &cobra.Command{Use: "release TASK SHARD", Short: "Have a shard's holder give it back, for another member", Args: cobra.ExactArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error { return move(cmd, args, lease.Anyone, "is recalled") }}
+		RunE: func(cmd *cobra.Command, args []string) error { return move(cmd, args, lease.AnyMember, "is recalled") }}
 	to := &cobra.Command{Use: "move TASK SHARD MEMBER", Short: "Have a shard go to a member, by its id or its instance's name, and stay there", Args: cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error { return move(cmd, args, args[2], "goes to "+args[2]) }}
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of tasks and change nothing", Args: cobra.ExactArgs(1)}
 	against := check.Flags().String("budgets", "", "the fleet's file of budgets, whose renewals, seats and clocks the tasks' times have to fit")
 	check.RunE = func(cmd *cobra.Command, args []string) error {
-		var doc *quota.Doc
+		var doc *quota.Config
 		if *against != "" {
 			d, err := config.ReadBudgets(*against, nil)
 			if err != nil {
@@ -98,8 +98,8 @@
 			if err != nil {
 				return err
 			}
-			d, err = f.client.SetTasks(cmd.Context(), d)
-			var no *agent.Refusal
+			d, err = f.client.SetLeaseConfig(cmd.Context(), d)
+			var no *agent.RejectedError
 			if errors.As(err, &no) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -115,24 +115,24 @@
 
 // change is the error of a change, with the exit code that tells whether it may have been made.
 func (f *fleetFlags) change(err error) error {
-	var refused *agent.Refusal
-	var why quota.Reason
+	var refused *agent.RejectedError
+	var why quota.RejectionError
 	if err == nil || errors.As(err, &refused) || errors.As(err, &why) {
 		return err
 	}
 	return &exit{exitSilent, err}
 }
 
-func taskLines(v agent.View) []taskLine {
+func taskLines(v agent.FleetView) []taskLine {
 	all := []taskLine{}
-	for _, t := range v.Tasks.Tasks {
+	for _, t := range v.LeaseConfig.Tasks {
 		x := taskLine{Task: t}
 		by := map[string]bool{}
 		for _, l := range v.Leases {
 			if l.Task == t.Name && l.Holder != "" {
 				x.Held++
 				by[l.Holder] = true
-				x.Acts, x.Refused, x.Failed = x.Acts+l.Acts, x.Refused+l.Refused, x.Failed+l.Failed
+				x.Acts, x.Refused, x.Failed = x.Acts+l.Completed, x.Refused+l.Fenced, x.Failed+l.Failed
 			}
 		}
 		x.Members = len(by)
@@ -141,18 +141,18 @@
 	return all
 }
 
-func showTask(v agent.View, name string) (*taskShown, error) {
-	t := v.Tasks.Task(name)
+func showTask(v agent.FleetView, name string) (*taskShown, error) {
+	t := v.LeaseConfig.Task(name)
 	if t == nil {
 		return nil, fmt.Errorf("task: no task %q", name)
 	}
-	s := &taskShown{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.Seen{}}
+	s := &taskShown{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.LeaseStatus{}}
 	for _, l := range v.Leases {
 		if l.Task == name {
 			s.Leases = append(s.Leases, l)
 		}
 	}
-	if t.Kind == lease.Watch {
+	if t.Kind == lease.EndpointProbe {
 		s.Board = v.Board
 	}
 	return s, nil
@@ -167,8 +167,8 @@
 	}
 	fmt.Fprintln(w, "SHARD\tSTATE\tHOLDER\tTOKEN\tSINCE\tENDS IN\tPROGRESS\tACTS\tREFUSED\tFAILED\tNEXT\tMEMBER")
 	for _, l := range s.Leases {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Shard, l.State, l.Name, l.Token, ago(l.SinceMs), ago(l.UntilMs), ago(l.ProgressMs),
-			l.Acts, l.Refused, l.Failed, l.Next, l.Holder)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Shard, l.State, l.HolderName, l.Token, ago(l.SinceMs), ago(l.UntilMs), ago(l.ProgressMs),
+			l.Completed, l.Fenced, l.Failed, l.NextHolder, l.Holder)
 	}
 	fmt.Fprintf(w, "by %s\n", s.Agent)
 	if len(s.Board) > 0 {
@@ -176,12 +176,12 @@
 	}
 	for _, b := range s.Board {
 		found, when, took, token := "not yet", "", "", ""
-		if b.Found != nil {
-			found, when, took, token = "not well", ms(b.Found.AgoMs), fmt.Sprintf("%d us", b.Found.TookUs), fmt.Sprint(b.Found.Token)
-			if b.Found.Well {
+		if b.Result != nil {
+			found, when, took, token = "not well", ms(b.Result.AgeMs), fmt.Sprintf("%d us", b.Result.LatencyUs), fmt.Sprint(b.Result.Token)
+			if b.Result.Healthy {
 				found = "well"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", b.Target, b.By, found, when, took, token)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", b.Target, b.Reporters, found, when, took, token)
 	}
 }
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -44,19 +44,19 @@
 			case of.links || of.watch:
 				return errors.New("--links and --watch go with --from")
 			}
-			return f.show(cmd, func(v agent.View) (any, error) {
-				v.Lines = nil
+			return f.show(cmd, func(v agent.FleetView) (any, error) {
+				v.Ledger = nil
 				return v, nil
-			}, func(w io.Writer, v agent.View) {
+			}, func(w io.Writer, v agent.FleetView) {
 				fmt.Fprintln(w, "NAME\tINCARNATION\tSTATE\tSEEN\tBY\tSEAT ENDS IN\tADDRESS\tVERSION\tMEMBER")
 				for _, m := range v.Members {
 					seen := "never"
-					if m.AgoMs >= 0 {
-						seen = ms(m.AgoMs) + " ago"
+					if m.LastHeardMs >= 0 {
+						seen = ms(m.LastHeardMs) + " ago"
 					}
-					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Incarnation, m.State, seen, v.Agent, ms(m.SeatMs), m.Addr, m.Version, m.ID)
+					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Incarnation, m.Liveness, seen, v.Agent, ms(m.SessionTTLMs), m.Addr, m.ConfigVersion, m.ID)
 				}
-				fmt.Fprintf(w, "%d of %d seats\n", len(v.Members), v.Doc.Seats)
+				fmt.Fprintf(w, "%d of %d seats\n", len(v.Members), v.QuotaConfig.MaxSessions)
 			})
 		}}
 	f.add(cmd)
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	applyWithin = 5 * time.Second
-	maxConfig   = 4 << 20
-	maxWait     = time.Minute
+	applyTimeout   = 5 * time.Second
+	maxConfigBytes = 4 << 20
+	maxPollWait    = time.Minute
 )
 
 // Peers is all agents, as one of them knows them.
@@ -42,26 +42,26 @@
 
 // Options set up one agent.
 type Options struct {
-	ID      string
-	Dir     string                                 // holds its log, votes and snapshots
-	Peers   Peers                                  // all agents, this one included
-	Check   func(name string, config []byte) error // whether the instance could start from it
-	Log     *slog.Logger
-	Timeout time.Duration   // of heartbeats and elections; 0: one second
-	While   context.Context // Start gives up waiting once it ends; nil: never
+	ID              string
+	Dir             string                                 // holds its log, votes and snapshots
+	Peers           Peers                                  // all agents, this one included
+	ValidateConfig  func(name string, config []byte) error // whether the instance could start from it
+	Log             *slog.Logger
+	ElectionTimeout time.Duration   // of heartbeats and elections; 0: one second
+	StartContext    context.Context // Start gives up waiting once it ends; nil: never
 }
 
 // Agent is one of the few that replicate the log.
 type Agent struct {
-	opt   Options
-	self  config.Peer
-	store *store
-	raft  *raft.Raft
-	bolt  *raftboltdb.BoltStore
-	trans *raft.NetworkTransport
-	http  http.Server
-	desk  *fleetDesk
-	feed  *feedDesk
+	opt       Options
+	self      config.Peer
+	store     *store
+	raft      *raft.Raft
+	bolt      *raftboltdb.BoltStore
+	transport *raft.NetworkTransport
+	http      http.Server
+	leader    *leaderService
+	stream    *streamService
 }
 
 // Start opens the durable store and joins the others. An agent that has no state yet begins with the peers it
@@ -83,7 +83,7 @@
 	}
 	defer func() {
 		if err != nil {
-			a.release()
+			a.closeStorage()
 		}
 	}()
 	if a.bolt, err = raftboltdb.NewBoltStore(filepath.Join(opt.Dir, "raft.db")); err != nil {
@@ -99,49 +99,49 @@
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
 	// Where the others are is this agent's file's to say, whatever a snapshot of another's has.
-	about := &raft.NetworkTransportConfig{ServerAddressProvider: opt.Peers, MaxPool: 3, Timeout: applyWithin, Logger: log}
-	if a.trans, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, about); err != nil {
+	about := &raft.NetworkTransportConfig{ServerAddressProvider: opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
+	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, about); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
 	cfg := raft.DefaultConfig()
 	cfg.LocalID, cfg.Logger = raft.ServerID(opt.ID), log
-	if opt.Timeout > 0 {
-		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.Timeout, opt.Timeout, opt.Timeout/2
+	if opt.ElectionTimeout > 0 {
+		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.ElectionTimeout, opt.ElectionTimeout, opt.ElectionTimeout/2
 	}
 	known, err := raft.HasExistingState(a.bolt, a.bolt, snaps)
 	if err != nil {
 		return nil, err
 	}
 	if !known {
-		if err = a.emptied(); err != nil {
+		if err = a.waitForPeers(); err != nil {
 			return nil, err
 		}
-		if err = raft.BootstrapCluster(cfg, a.bolt, a.bolt, snaps, a.trans, raft.Configuration{Servers: servers}); err != nil {
+		if err = raft.BootstrapCluster(cfg, a.bolt, a.bolt, snaps, a.transport, raft.Configuration{Servers: servers}); err != nil {
 			return nil, err
 		}
 	}
-	if a.raft, err = raft.NewRaft(cfg, a.store, a.bolt, a.bolt, snaps, a.trans); err != nil {
+	if a.raft, err = raft.NewRaft(cfg, a.store, a.bolt, a.bolt, snaps, a.transport); err != nil {
 		return nil, err
 	}
-	a.desk = newFleetDesk(a)
+	a.leader = newLeaderService(a)
 	mux := http.NewServeMux()
-	a.desk.routes(mux)
-	a.feed = newFeedDesk(a)
-	a.feed.routes(mux)
-	mux.HandleFunc("GET /v1/status", a.status)
-	mux.HandleFunc("GET /v1/instances", a.list)
-	mux.HandleFunc("GET /v1/instances/{name}", a.get)
-	mux.HandleFunc("PUT /v1/instances/{name}", a.put)
-	mux.HandleFunc("DELETE /v1/instances/{name}", a.put)
+	a.leader.routes(mux)
+	a.stream = newStreamService(a)
+	a.stream.routes(mux)
+	mux.HandleFunc("GET /v1/status", a.handleStatus)
+	mux.HandleFunc("GET /v1/instances", a.handleList)
+	mux.HandleFunc("GET /v1/instances/{name}", a.handleGet)
+	mux.HandleFunc("PUT /v1/instances/{name}", a.handlePut)
+	mux.HandleFunc("DELETE /v1/instances/{name}", a.handlePut)
 	a.http = http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
 	return a, nil
 }
 
-// emptied returns once an agent without a log may take part. Where the others have one, this agent had a vote that it has forgotten, and
+// waitForPeers returns once an agent without a log may take part. Where the others have one, this agent had a vote that it has forgotten, and
 // may give it twice, unless all others are up, follow one leader and have applied as much as it: then whoever could be elected
 // has all that was ever confirmed. Where nobody has, the group is new.
-func (a *Agent) emptied() error {
-	ctx := a.opt.While
+func (a *Agent) waitForPeers() error {
+	ctx := a.opt.StartContext
 	if ctx == nil {
 		ctx = context.Background()
 	}
@@ -197,22 +197,22 @@
 
 // Stop leaves the others in an orderly way and closes the durable store.
 func (a *Agent) Stop() error {
-	a.feed.server.Stop()
+	a.stream.server.Stop()
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	if a.http.Shutdown(ctx) != nil {
 		a.http.Close() // watches that still wait
 	}
-	a.feed.stop()
-	a.desk.stop()
+	a.stream.stop()
+	a.leader.stop()
 	err := a.raft.Shutdown().Error()
-	a.release()
+	a.closeStorage()
 	return err
 }
 
-func (a *Agent) release() {
-	if a.trans != nil {
-		a.trans.Close()
+func (a *Agent) closeStorage() {
+	if a.transport != nil {
+		a.transport.Close()
 	}
 	if a.bolt != nil {
 		a.bolt.Close()
@@ -221,35 +221,35 @@
 
 // Status is what an agent says of itself.
 type Status struct {
-	ID      string `json:"id"`
-	State   string `json:"state"`
-	Leader  string `json:"leader"`
-	Applied uint64 `json:"applied"`
-	Format  int    `json:"format"` // of its snapshots: what it knows of; 0: it is older than that it tells
+	ID             string `json:"id"`
+	State          string `json:"state"`
+	Leader         string `json:"leader"`
+	Applied        uint64 `json:"applied"`
+	SnapshotFormat int    `json:"format"` // of its snapshots: what it knows of; 0: it is older than that it tells
 }
 
-func (a *Agent) status(w http.ResponseWriter, _ *http.Request) {
+func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	_, leader := a.raft.LeaderWithID()
-	reply(w, http.StatusOK, Status{ID: a.opt.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex(), Format: format})
+	writeJSON(w, http.StatusOK, Status{ID: a.opt.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex(), SnapshotFormat: snapshotFormat})
 }
 
-func reply(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// elsewhere sends a client to the leader; false where this agent leads, and has just made sure that it does.
-func (a *Agent) elsewhere(w http.ResponseWriter, r *http.Request) bool {
+// redirectUnlessLeader sends a client to the leader; false where this agent leads, and has just made sure that it does.
+func (a *Agent) redirectUnlessLeader(w http.ResponseWriter, r *http.Request) bool {
 	if a.raft.State() == raft.Leader && a.raft.VerifyLeader().Error() == nil {
 		return false
 	}
-	a.redirect(w, r)
+	a.redirectToLeader(w, r)
 	return true
 }
 
-// redirect sends a client to the leader, as far as this agent knows who that is.
-func (a *Agent) redirect(w http.ResponseWriter, r *http.Request) {
+// redirectToLeader sends a client to the leader, as far as this agent knows who that is.
+func (a *Agent) redirectToLeader(w http.ResponseWriter, r *http.Request) {
 	_, id := a.raft.LeaderWithID()
 	for _, p := range a.opt.Peers {
 		if p.ID == string(id) && p.ID != a.opt.ID {
@@ -260,30 +260,30 @@
 	http.Error(w, "no leader at the moment", http.StatusServiceUnavailable)
 }
 
-// stale tells whether the caller takes what this agent has, however old.
-func stale(r *http.Request) bool { return r.URL.Query().Has("stale") }
+// allowsStale tells whether the caller takes what this agent has, however old.
+func allowsStale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
-func (a *Agent) list(w http.ResponseWriter, r *http.Request) {
-	if stale(r) || !a.elsewhere(w, r) {
-		reply(w, http.StatusOK, a.store.all())
+func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
+	if allowsStale(r) || !a.redirectUnlessLeader(w, r) {
+		writeJSON(w, http.StatusOK, a.store.versions())
 	}
 }
 
-// get returns an entry: the latest, from the leader; or with stale what this agent has, waiting until it is
+// handleGet returns an entry: the latest, from the leader; or with stale what this agent has, waiting until it is
 // another version than after.
-func (a *Agent) get(w http.ResponseWriter, r *http.Request) {
-	if !stale(r) && a.elsewhere(w, r) {
+func (a *Agent) handleGet(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && a.redirectUnlessLeader(w, r) {
 		return
 	}
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("wait_ms"))
-	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxWait))
+	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxPollWait))
 	defer end.Stop()
 	for {
 		e, found, changed := a.store.get(r.PathValue("name"))
 		if found && e.Version != after {
-			reply(w, http.StatusOK, e)
+			writeJSON(w, http.StatusOK, e)
 			return
 		}
 		select {
@@ -302,34 +302,34 @@
 	}
 }
 
-// put writes or takes away an entry through the log. A configuration that an instance could not start from is
+// handlePut writes or takes away an entry through the log. A configuration that an instance could not start from is
 // refused before it gets there.
-func (a *Agent) put(w http.ResponseWriter, r *http.Request) {
-	if a.elsewhere(w, r) {
+func (a *Agent) handlePut(w http.ResponseWriter, r *http.Request) {
+	if a.redirectUnlessLeader(w, r) {
 		return
 	}
-	c := change{Name: r.PathValue("name"), ID: r.Header.Get("Change-Id")}
+	c := command{Name: r.PathValue("name"), RequestID: r.Header.Get("Change-Id")}
 	if s := r.Header.Get("If-Version"); s != "" {
 		n, err := strconv.ParseUint(s, 10, 64)
 		if err != nil {
 			http.Error(w, "If-Version: not a version", http.StatusBadRequest)
 			return
 		}
-		c.If = &n
+		c.IfVersion = &n
 	}
 	if r.Method == http.MethodPut {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfig))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
 		if err != nil {
 			http.Error(w, "configuration: not whole or too large", http.StatusRequestEntityTooLarge)
 			return
 		}
-		if err := a.opt.Check(c.Name, body); err != nil {
+		if err := a.opt.ValidateConfig(c.Name, body); err != nil {
 			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
 			return
 		}
 		c.Config = body
 	}
-	v, err := a.apply(c)
+	v, err := a.propose(c)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
@@ -337,7 +337,7 @@
 	switch v := v.(type) {
 	case Entry:
 		v.Config = nil
-		reply(w, http.StatusOK, v)
+		writeJSON(w, http.StatusOK, v)
 	case error:
 		status := http.StatusInternalServerError
 		if errors.Is(v, errConflict) {
@@ -347,14 +347,14 @@
 	}
 }
 
-// apply has a change made through the log and returns what the log says to it. After an error it may or may not be in the log:
+// propose has a change made through the log and returns what the log says to it. After an error it may or may not be in the log:
 // the caller looks, or asks again by the same id.
-func (a *Agent) apply(c change) (any, error) {
+func (a *Agent) propose(c command) (any, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
 		return nil, err
 	}
-	f := a.raft.Apply(data, applyWithin)
+	f := a.raft.Apply(data, applyTimeout)
 	if err := f.Error(); err != nil {
 		return nil, fmt.Errorf("not confirmed: %w", err)
 	}
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -72,7 +72,7 @@
 
 func (g *three) start(i int) {
 	g.t.Helper()
-	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, Check: check, Log: quiet, Timeout: 500 * time.Millisecond})
+	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, ValidateConfig: check, Log: quiet, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -236,7 +236,7 @@
 	if err := other.Restore(io.NopCloser(&k)); err != nil {
 		t.Fatal(err)
 	}
-	if r, _ := other.register(); r.Token != 71 || len(r.Leases) != 2 || r.Leases[1].Token != 71 || r.Leases[1].Holder != "m" || r.Tasks.Task("t").Shards != 2 {
+	if r, _ := other.registry(); r.LastToken != 71 || len(r.Leases) != 2 || r.Leases[1].Token != 71 || r.Leases[1].Holder != "m" || r.LeaseConfig.Task("t").Shards != 2 {
 		t.Errorf("restored %+v of the leases", r)
 	}
 	if e, found, _ := other.get("n1"); !found || e.Version != 4 || string(e.Config) != `{"a":1}` {
@@ -251,7 +251,7 @@
 			t.Errorf("restored %+v of the older form", e)
 		}
 	}
-	if err := other.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"format":%d}`, format+1)))); err == nil {
+	if err := other.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"format":%d}`, snapshotFormat+1)))); err == nil {
 		t.Error("a newer format was restored")
 	}
 }
@@ -276,13 +276,13 @@
 	_, err := g.Put(context.Background(), "n1", []byte("{}"), "")
 	require.NoError(t, err)
 	asked := 0
-	gone := &Client{Addrs: freeAddrs(t, 2), More: func() []string { asked++; return g.Addrs }}
+	gone := &Client{Addrs: freeAddrs(t, 2), FallbackAddrs: func() []string { asked++; return g.Addrs }}
 	e, err := gone.Get(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, "n1", e.Name)
-	require.Contains(t, g.Addrs, gone.Answered(time.Minute))
-	require.Empty(t, gone.Answered(0))
-	named := &Client{Addrs: g.Addrs, More: func() []string { t.Error("asked for others"); return nil }}
+	require.Contains(t, g.Addrs, gone.LastAnswered(time.Minute))
+	require.Empty(t, gone.LastAnswered(0))
+	named := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("asked for others"); return nil }}
 	_, err = named.Get(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, 1, asked)
--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -26,36 +26,36 @@
 // Client speaks to the agents: any of them that answers, and through it the leader.
 type Client struct {
 	Addrs []string
-	// More are further agents to ask where none of Addrs answers; nil: there are none.
-	More  func() []string
-	http  http.Client
-	first atomic.Int64 // which of Addrs answered last
-	heard atomic.Pointer[answering]
+	// FallbackAddrs are further agents to ask where none of Addrs answers; nil: there are none.
+	FallbackAddrs func() []string
+	http          http.Client
+	preferred     atomic.Int64 // which of Addrs answered last
+	lastAnswer    atomic.Pointer[agentAnswer]
 }
 
 const (
-	callWithin = 8 * time.Second
-	// tryWithin is what one agent gets of a call's time before the next is asked; each round over all of them doubles it,
+	callTimeout = 8 * time.Second
+	// attemptTimeout is what one agent gets of a call's time before the next is asked; each round over all of them doubles it,
 	// up to mostTry, so that a busy group is not taken for a silent one for ever.
-	tryWithin = 400 * time.Millisecond
-	mostTry   = 2 * time.Second
-	leastTry  = 20 * time.Millisecond
-	// statusWithin is what an agent gets to tell of itself.
-	statusWithin = time.Second
-	watchFor     = time.Second
-	retryAfter   = 100 * time.Millisecond // longer by half after each further round, up to
-	retryMost    = 400 * time.Millisecond
+	attemptTimeout    = 400 * time.Millisecond
+	maxAttemptTimeout = 2 * time.Second
+	minAttemptTimeout = 20 * time.Millisecond
+	// statusTimeout is what an agent gets to tell of itself.
+	statusTimeout = time.Second
+	watchWait     = time.Second
+	retryDelayMin = 100 * time.Millisecond // longer by half after each further round, up to
+	retryDelayMax = 400 * time.Millisecond
 )
 
-// answering is an agent that answered, and when.
-type answering struct {
+// agentAnswer is an agent that answered, and when.
+type agentAnswer struct {
 	addr string
 	at   time.Time
 }
 
-// Answered is the agent that answered last, within so long; empty: none did.
-func (c *Client) Answered(within time.Duration) string {
-	if a := c.heard.Load(); a != nil && time.Since(a.at) < within {
+// LastAnswered is the agent that answered last, within so long; empty: none did.
+func (c *Client) LastAnswered(within time.Duration) string {
+	if a := c.lastAnswer.Load(); a != nil && time.Since(a.at) < within {
 		return a.addr
 	}
 	return ""
@@ -64,13 +64,13 @@
 // ErrNotFound says that no such instance is configured.
 var ErrNotFound = errors.New("no such instance")
 
-// Refusal is an agent's answer that another agent would give as well.
-type Refusal struct {
+// RejectedError is an agent's answer that another agent would give as well.
+type RejectedError struct {
 	Status int
 	Text   string
 }
 
-func (r *Refusal) Error() string { return r.Text }
+func (r *RejectedError) Error() string { return r.Text }
 
 // call is one request to whichever agent can answer it.
 type call struct {
@@ -88,82 +88,82 @@
 		return nil, errors.New("no agents are named")
 	}
 	said := make([]error, len(c.Addrs)+1)
-	within := tryWithin
+	within := attemptTimeout
 	answer, err := backoff.Retry(ctx, func() ([]byte, error) {
-		defer func() { within = min(2*within, mostTry) }()
-		return c.round(ctx, call, within, said)
-	}, backoff.WithBackOff(newWaits()), backoff.WithMaxElapsedTime(0))
-	if ctx.Err() != nil && !answered(err) {
+		defer func() { within = min(2*within, maxAttemptTimeout) }()
+		return c.tryAll(ctx, call, within, said)
+	}, backoff.WithBackOff(newBackoff()), backoff.WithMaxElapsedTime(0))
+	if ctx.Err() != nil && !isAnswer(err) {
 		err = errors.Join(said...)
 	}
 	return answer, err
 }
 
-// newWaits are those between rounds over agents of which none could answer. Instances that lost their agents together must not
+// newBackoff are those between rounds over agents of which none could answer. Instances that lost their agents together must not
 // come back in step.
-func newWaits() *backoff.ExponentialBackOff {
-	return &backoff.ExponentialBackOff{InitialInterval: retryAfter, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: retryMost}
+func newBackoff() *backoff.ExponentialBackOff {
+	return &backoff.ExponentialBackOff{InitialInterval: retryDelayMin, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: retryDelayMax}
 }
 
-// answered tells whether an agent has answered, be it with a refusal.
-func answered(err error) bool {
-	var no *Refusal
+// isAnswer tells whether an agent has answered, be it with a refusal.
+func isAnswer(err error) bool {
+	var no *RejectedError
 	return err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &no)
 }
 
-// round asks each agent once, until one has answered, and writes down what the others said.
-func (c *Client) round(ctx context.Context, call call, within time.Duration, said []error) ([]byte, error) {
-	from := int(c.first.Load())
+// tryAll asks each agent once, until one has answered, and writes down what the others said.
+func (c *Client) tryAll(ctx context.Context, call call, within time.Duration, said []error) ([]byte, error) {
+	from := int(c.preferred.Load())
 	for i := range c.Addrs {
 		at := (from + i) % len(c.Addrs)
 		try := within
 		if end, ok := ctx.Deadline(); ok {
-			try = max(min(try, time.Until(end)/2), leastTry) // short calls have time for the next as well
+			try = max(min(try, time.Until(end)/2), minAttemptTimeout) // short calls have time for the next as well
 		}
-		_, answer, err := c.once(ctx, c.Addrs[at], call, try)
-		if answered(err) {
-			c.first.Store(int64(at))
-			return answer, c.final(c.Addrs[at], err)
+		_, answer, err := c.callAgent(ctx, c.Addrs[at], call, try)
+		if isAnswer(err) {
+			c.preferred.Store(int64(at))
+			return answer, c.settle(c.Addrs[at], err)
 		}
 		if ctx.Err() == nil || said[at] == nil {
 			said[at] = err
 		}
-		c.first.CompareAndSwap(int64(at), int64((at+1)%len(c.Addrs))) // the next call begins elsewhere
+		c.preferred.CompareAndSwap(int64(at), int64((at+1)%len(c.Addrs))) // the next call begins elsewhere
 		if ctx.Err() != nil {
 			break
 		}
 	}
-	if c.More == nil || ctx.Err() != nil {
+	if c.FallbackAddrs == nil || ctx.Err() != nil {
 		return nil, errors.Join(said...)
 	}
-	for _, addr := range c.More() {
+	for _, addr := range c.FallbackAddrs() {
 		if slices.Contains(c.Addrs, addr) || ctx.Err() != nil {
 			continue
 		}
-		_, answer, err := c.once(ctx, addr, call, within)
-		if answered(err) {
-			return answer, c.final(addr, err)
+		_, answer, err := c.callAgent(ctx, addr, call, within)
+		if isAnswer(err) {
+			return answer, c.settle(addr, err)
 		}
 		said[len(c.Addrs)] = err
 	}
 	return nil, errors.Join(said...)
 }
 
-// final notes who answered; what it refuses is not asked of others.
-func (c *Client) final(addr string, err error) error {
-	c.heard.Store(&answering{addr, time.Now()})
+// settle notes who answered; what it refuses is not asked of others.
+func (c *Client) settle(addr string, err error) error {
+	c.lastAnswer.Store(&agentAnswer{addr, time.Now()})
 	if err != nil {
 		return backoff.Permanent(err)
 	}
 	return nil
 }
 
-// once asks one agent, and where that one knows the leader, the leader: each has within to answer. Errors name the agent
+// callAgent asks one agent, and where that one knows the leader, the leader: each has within to answer. Errors name the agent
 // that they are about.
-func (c *Client) once(ctx context.Context, addr string, call call, within time.Duration) (int, []byte, error) {
-	status, answer, leader, err := c.ask(ctx, addr, call, within)
+func (c *Client) callAgent(ctx context.Context, addr string, call call, within time.Duration) (int, []byte, error) {
+	status, answer, leader, err := c.roundTrip(ctx, addr, call, within)
 	if leader != "" && leader != addr {
-		status, answer, leader, err = c.ask(ctx, leader, call, within)
+		status, answer, leader, err = c.roundTrip(ctx, leader, call, within)
 	}
 	if leader != "" {
 		err = fmt.Errorf("agent %s: the leader is changing", addr)
@@ -171,11 +171,11 @@
 	return status, answer, err
 }
 
-func (c *Client) ask(ctx context.Context, addr string, call call, within time.Duration) (status int, answer []byte, leader string, err error) {
+func (c *Client) roundTrip(ctx context.Context, addr string, call call, within time.Duration) (status int, answer []byte, leader string, err error) {
 	ctx, done := context.WithTimeoutCause(ctx, within, fmt.Errorf("no answer within %v", within))
 	defer done()
 	defer func() {
-		if !answered(err) {
+		if !isAnswer(err) {
 			if why := context.Cause(ctx); why != nil {
 				err = why
 			}
@@ -198,7 +198,7 @@
 		return 0, nil, "", err
 	}
 	defer resp.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(resp.Body, 2*maxConfig))
+	answer, err = io.ReadAll(io.LimitReader(resp.Body, 2*maxConfigBytes))
 	text := strings.TrimSpace(string(answer))
 	switch {
 	case err != nil:
@@ -214,7 +214,7 @@
 	case resp.StatusCode == http.StatusServiceUnavailable:
 		return resp.StatusCode, nil, "", errors.New(text)
 	case resp.StatusCode >= 300:
-		return resp.StatusCode, nil, "", &Refusal{resp.StatusCode, text}
+		return resp.StatusCode, nil, "", &RejectedError{resp.StatusCode, text}
 	}
 	return resp.StatusCode, answer, "", nil
 }
@@ -226,20 +226,20 @@
 	return http.DefaultTransport
 }
 
-func path(name string) string { return "/v1/instances/" + url.PathEscape(name) }
+func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
 
-func bounded(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, callWithin)
+func withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, callTimeout)
 }
 
 // Get returns the latest configuration of an instance.
 func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
-	return bring[Entry](ctx, c, call{method: http.MethodGet, path: path(name)})
+	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
 }
 
 // List returns the names configured, with their versions.
 func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
-	return bring[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
+	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
 }
 
 // Put writes a configuration, with ifVersion only over that version. A nil one is taken away. An agent that commits it
@@ -249,12 +249,12 @@
 	if config == nil {
 		method = http.MethodDelete
 	}
-	return bring[Entry](ctx, c, call{method: method, path: path(name), ifVersion: ifVersion, id: rand.Text(), body: config})
+	return fetch[Entry](ctx, c, call{method: method, path: instancePath(name), ifVersion: ifVersion, id: rand.Text(), body: config})
 }
 
-// bring makes a call within callWithin and reads its answer.
-func bring[T any](ctx context.Context, c *Client, call call) (v T, _ error) {
-	ctx, done := bounded(ctx)
+// fetch makes a call within callWithin and reads its answer.
+func fetch[T any](ctx context.Context, c *Client, call call) (v T, _ error) {
+	ctx, done := withCallTimeout(ctx)
 	defer done()
 	answer, err := c.do(ctx, call)
 	return decode[T](answer, err)
@@ -264,7 +264,7 @@
 func (c *Client) Status(ctx context.Context) []Status {
 	var all []Status
 	for _, addr := range c.Addrs {
-		_, answer, err := c.once(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusWithin)
+		_, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
 		s, err := decode[Status](answer, err)
 		if err != nil {
 			s = Status{ID: addr, State: err.Error()}
@@ -289,12 +289,12 @@
 // agent that lags behind another cannot set it back. One that falls silent is found out within watchFor and a try.
 func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
 	var has uint64
-	waits := newWaits()
+	waits := newBackoff()
 	for turn := 0; ctx.Err() == nil; {
 		addr := c.Addrs[turn%len(c.Addrs)]
-		at := path(name) + "?stale&wait_ms=" + strconv.FormatInt(watchFor.Milliseconds(), 10) +
+		at := instancePath(name) + "?stale&wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) +
 			"&after=" + strconv.FormatUint(has, 10)
-		status, answer, err := c.once(ctx, addr, call{method: http.MethodGet, path: at}, watchFor+tryWithin)
+		status, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
 		var e Entry
 		if err == nil && status == http.StatusOK {
 			e, err = decode[Entry](answer, nil)
@@ -322,77 +322,77 @@
 }
 
 // Join asks for a seat. A fleet.Reason as error says that there is none, or not for it.
-func (c *Client) Join(ctx context.Context, m quota.Member) (quota.Member, quota.Doc, error) {
-	j, err := send[joined](ctx, c, http.MethodPost, "/v1/fleet/members", m)
-	return j.Member, j.Doc, err
+func (c *Client) Join(ctx context.Context, m quota.Member) (quota.Member, quota.Config, error) {
+	j, err := sendJSON[joinResponse](ctx, c, http.MethodPost, "/v1/fleet/members", m)
+	return j.Member, j.QuotaConfig, err
 }
 
 // Renew sends a renewal, with a claim where the member runs tasks, and brings the answers; the award is nil where there is none.
-func (c *Client) Renew(ctx context.Context, r quota.Renewal, claim *lease.Claim) (quota.Answer, *lease.Award, error) {
-	a, err := send[renewed](ctx, c, http.MethodPost, "/v1/fleet/renew", renewal{r, claim})
-	return a.Answer, a.Award, err
+func (c *Client) Renew(ctx context.Context, r quota.RenewalRequest, claim *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
+	a, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{r, claim})
+	return a.RenewalResponse, a.Leases, err
 }
 
-// Changed waits until a lease that a member has was changed after the log's index after, and returns the index; or until it has waited
+// WaitLeaseChange waits until a lease that a member has was changed after the log's index after, and returns the index; or until it has waited
 // for long enough, or no agent answers.
-func (c *Client) Changed(ctx context.Context, id string, after uint64) (uint64, error) {
-	at := "/v1/leases/changed/" + url.PathEscape(id) + "?wait_ms=" + strconv.FormatInt(watchFor.Milliseconds(), 10) + "&after=" + strconv.FormatUint(after, 10)
-	turn := int(c.first.Load())
-	_, answer, err := c.once(ctx, c.Addrs[turn%len(c.Addrs)], call{method: http.MethodGet, path: at}, watchFor+tryWithin)
+func (c *Client) WaitLeaseChange(ctx context.Context, id string, after uint64) (uint64, error) {
+	at := "/v1/leases/changed/" + url.PathEscape(id) + "?wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) + "&after=" + strconv.FormatUint(after, 10)
+	turn := int(c.preferred.Load())
+	_, answer, err := c.callAgent(ctx, c.Addrs[turn%len(c.Addrs)], call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
 	return decode[uint64](answer, err)
 }
 
-// SetTasks has the fleet go by another set of tasks.
-func (c *Client) SetTasks(ctx context.Context, d lease.Doc) (lease.Doc, error) {
-	ctx, done := bounded(ctx)
+// SetLeaseConfig has the fleet go by another set of tasks.
+func (c *Client) SetLeaseConfig(ctx context.Context, d lease.Config) (lease.Config, error) {
+	ctx, done := withCallTimeout(ctx)
 	defer done()
-	return send[lease.Doc](ctx, c, http.MethodPut, "/v1/leases", d)
+	return sendJSON[lease.Config](ctx, c, http.MethodPut, "/v1/leases", d)
 }
 
-// MoveLease has a shard go to a member, by its id or its instance's name; with lease.Anyone, away from its holder.
-func (c *Client) MoveLease(ctx context.Context, k lease.Key, to string) error {
-	ctx, done := bounded(ctx)
+// MigrateLease has a shard go to a member, by its id or its instance's name; with lease.Anyone, away from its holder.
+func (c *Client) MigrateLease(ctx context.Context, k lease.Key, to string) error {
+	ctx, done := withCallTimeout(ctx)
 	defer done()
-	_, err := send[[]lease.Order](ctx, c, http.MethodPost, "/v1/leases/move", moved{k, to})
+	_, err := sendJSON[[]lease.Event](ctx, c, http.MethodPost, "/v1/leases/move", migrateRequest{k, to})
 	return err
 }
 
 // Leave gives a seat back, of a member that uses nothing any more.
 func (c *Client) Leave(ctx context.Context, id string) error {
-	_, err := send[struct{}](ctx, c, http.MethodDelete, "/v1/fleet/members/"+url.PathEscape(id), nil)
+	_, err := sendJSON[struct{}](ctx, c, http.MethodDelete, "/v1/fleet/members/"+url.PathEscape(id), nil)
 	return err
 }
 
-// SetBudgets has the fleet go by another set of budgets.
-func (c *Client) SetBudgets(ctx context.Context, d quota.Doc) (quota.Doc, error) {
-	ctx, done := bounded(ctx)
+// SetQuotaConfig has the fleet go by another set of budgets.
+func (c *Client) SetQuotaConfig(ctx context.Context, d quota.Config) (quota.Config, error) {
+	ctx, done := withCallTimeout(ctx)
 	defer done()
-	return send[quota.Doc](ctx, c, http.MethodPut, "/v1/fleet", d)
+	return sendJSON[quota.Config](ctx, c, http.MethodPut, "/v1/fleet", d)
 }
 
 // Fleet shows the fleet as its leader sees it. Where there is none, or none that a majority agrees with, it is what some agent's
 // log says: Leads is false then, and AgeMs says how old it may be.
-func (c *Client) Fleet(ctx context.Context) (View, error) {
-	fresh, done := context.WithTimeout(ctx, callWithin/2)
-	v, err := decode[View](c.do(fresh, call{method: http.MethodGet, path: "/v1/fleet"}))
+func (c *Client) Fleet(ctx context.Context) (FleetView, error) {
+	fresh, done := context.WithTimeout(ctx, callTimeout/2)
+	v, err := decode[FleetView](c.do(fresh, call{method: http.MethodGet, path: "/v1/fleet"}))
 	done()
 	if err == nil {
 		return v, nil
 	}
-	ctx, done = context.WithTimeout(ctx, callWithin/2)
+	ctx, done = context.WithTimeout(ctx, callTimeout/2)
 	defer done()
-	return decode[View](c.do(ctx, call{method: http.MethodGet, path: "/v1/fleet?stale"}))
+	return decode[FleetView](c.do(ctx, call{method: http.MethodGet, path: "/v1/fleet?stale"}))
 }
 
-func send[T any](ctx context.Context, c *Client, method, path string, body any) (v T, err error) {
+func sendJSON[T any](ctx context.Context, c *Client, method, path string, body any) (v T, err error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return v, err
 	}
 	v, err = decode[T](c.do(ctx, call{method: method, path: path, body: text}))
-	var no *Refusal
+	var no *RejectedError
 	if errors.As(err, &no) && no.Status == http.StatusConflict {
-		err = quota.Reason(no.Text)
+		err = quota.RejectionError(no.Text)
 	}
 	return v, err
 }
--- a/internal/controlplane/agent/desk.go
+++ b/internal/controlplane/agent/desk.go
@@ -25,114 +25,114 @@
 )
 
 const (
-	maxRenewal = 1 << 20
-	askWithin  = 500 * time.Millisecond // for another agent to tell its term
-	sweepEvery = 250 * time.Millisecond
-	boardFor   = 10 * time.Minute // what was found out about a target is kept
+	maxRequestBytes  = 1 << 20
+	termQueryTimeout = 500 * time.Millisecond // for another agent to tell its term
+	expiryInterval   = 250 * time.Millisecond
+	probeResultTTL   = 10 * time.Minute // what was found out about a target is kept
 )
 
-// fleetDesk is the edge of the fleet's giver and keeper at an agent: it begins them for each term that this agent leads, brings them
+// leaderService is the edge of the fleet's giver and keeper at an agent: it begins them for each term that this agent leads, brings them
 // renewals with their claims, and lets answers go once a majority of the agents has told that no later term has begun.
-type fleetDesk struct {
-	a      *Agent
-	client http.Client
-	ctx    context.Context
-	end    context.CancelFunc
-	work   sync.WaitGroup
-	wake   chan struct{} // something waits to be asked for
-	nudge  chan struct{} // leases may be granted
-
-	mu     sync.Mutex
-	term   uint64 // of the giver; 0: this agent does not lead
-	giver  *allocator.Giver
-	keeper *lessor.Keeper // as long as there is a giver
-	board  *outlierboard.Board
-	desk   allocator.Desk[chan<- bool]
-	led    time.Duration // when this agent last led; 0: never
+type leaderService struct {
+	agent            *Agent
+	client           http.Client
+	ctx              context.Context
+	cancel           context.CancelFunc
+	loops            sync.WaitGroup
+	confirmRequested chan struct{} // something waits to be asked for
+	lessorWake       chan struct{} // leases may be granted
+
+	mu                   sync.Mutex
+	term                 uint64 // of the giver; 0: this agent does not lead
+	allocator            *allocator.Allocator
+	lessor               *lessor.Lessor // as long as there is a giver
+	board                *outlierboard.Board
+	awaitingConfirmation allocator.ReadIndexQueue[chan<- bool]
+	lastLedAt            time.Duration // when this agent last led; 0: never
 }
 
-func newFleetDesk(a *Agent) *fleetDesk {
-	d := &fleetDesk{a: a, wake: make(chan struct{}, 1), nudge: make(chan struct{}, 1)}
+func newLeaderService(a *Agent) *leaderService {
+	d := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1)}
 	d.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
-	d.ctx, d.end = context.WithCancel(context.Background())
-	d.work.Go(d.lead)
-	d.work.Go(d.ask)
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	d.loops.Go(d.run)
+	d.loops.Go(d.confirmLoop)
 	return d
 }
 
-func (d *fleetDesk) stop() {
-	d.end()
-	d.work.Wait()
+func (d *leaderService) stop() {
+	d.cancel()
+	d.loops.Wait()
 	d.client.CloseIdleConnections()
 }
 
-func (d *fleetDesk) routes(mux *http.ServeMux) {
-	mux.HandleFunc("GET /v1/term", d.tell)
-	mux.HandleFunc("POST /v1/fleet/renew", d.renew)
-	mux.HandleFunc("POST /v1/fleet/members", d.join)
-	mux.HandleFunc("DELETE /v1/fleet/members/{id}", d.leave)
-	mux.HandleFunc("GET /v1/fleet", d.show)
-	mux.HandleFunc("PUT /v1/fleet", d.set)
-	mux.HandleFunc("PUT /v1/leases", d.setTasks)
-	mux.HandleFunc("POST /v1/leases/move", d.move)
-	mux.HandleFunc("GET /v1/leases/changed/{id}", d.changed)
+func (d *leaderService) routes(mux *http.ServeMux) {
+	mux.HandleFunc("GET /v1/term", d.handleTerm)
+	mux.HandleFunc("POST /v1/fleet/renew", d.handleRenew)
+	mux.HandleFunc("POST /v1/fleet/members", d.handleJoin)
+	mux.HandleFunc("DELETE /v1/fleet/members/{id}", d.handleLeave)
+	mux.HandleFunc("GET /v1/fleet", d.handleShowFleet)
+	mux.HandleFunc("PUT /v1/fleet", d.handleSetQuotas)
+	mux.HandleFunc("PUT /v1/leases", d.handleSetTasks)
+	mux.HandleFunc("POST /v1/leases/move", d.handleMigrateLease)
+	mux.HandleFunc("GET /v1/leases/changed/{id}", d.handleLeaseChanges)
 }
 
-// lead follows who leads and keeps the giver to the log.
-func (d *fleetDesk) lead() {
-	tick := time.NewTicker(sweepEvery)
+// run follows who leads and keeps the giver to the log.
+func (d *leaderService) run() {
+	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for {
-		_, changed := d.a.store.register()
-		d.follow()
-		if d.order() {
+		_, changed := d.agent.store.registry()
+		d.syncWithTerm()
+		if d.applyPendingEvents() {
 			continue // what was changed is known before anything else is
 		}
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.a.raft.LeaderCh():
+		case <-d.agent.raft.LeaderCh():
 		case <-changed:
-		case <-d.nudge:
+		case <-d.lessorWake:
 		case <-tick.C:
 		}
 	}
 }
 
-// order has the log changed as the keeper wants it; true where it was.
-func (d *fleetDesk) order() bool {
+// applyPendingEvents has the log changed as the keeper wants it; true where it was.
+func (d *leaderService) applyPendingEvents() bool {
 	d.mu.Lock()
-	var orders []lease.Order
+	var orders []lease.Event
 	var seen uint64
-	if d.keeper != nil {
-		orders, seen = d.keeper.Orders(monotone.Now())
+	if d.lessor != nil {
+		orders, seen = d.lessor.PendingEvents(monotone.Now())
 	}
 	d.mu.Unlock()
 	if len(orders) == 0 && seen == 0 {
 		return false
 	}
 	failpoint.Hit("agent.orders")
-	v, err := d.a.apply(change{Orders: orders, Seen: seen})
+	v, err := d.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
 	failpoint.Hit("agent.ordered")
 	if err != nil {
 		return false // whether they are in the log is not known: they are asked for again
 	}
-	done, _ := v.([]lease.Order)
+	done, _ := v.([]lease.Event)
 	for _, o := range done {
-		d.a.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(o.Do))), slog.String("lease", o.Key.String()),
-			slog.String("member", o.To), slog.Uint64("over", o.Over))
+		d.agent.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(o.Kind))), slog.String("lease", o.Key.String()),
+			slog.String("member", o.Member), slog.Uint64("over", o.ExpectedToken))
 	}
 	return true
 }
 
-// follow begins a giver where this agent has begun to lead, ends it where it does not any more, tells it what the log says,
+// syncWithTerm begins a giver where this agent has begun to lead, ends it where it does not any more, tells it what the log says,
 // and has seats taken back that have ended.
-func (d *fleetDesk) follow() {
-	leads, term := d.a.raft.State() == raft.Leader, d.a.raft.CurrentTerm()
+func (d *leaderService) syncWithTerm() {
+	leads, term := d.agent.raft.State() == raft.Leader, d.agent.raft.CurrentTerm()
 	d.mu.Lock()
 	had := d.term
 	if had != 0 && (!leads || term != had) {
-		d.term, d.giver, d.keeper, d.board = 0, nil, nil, nil
+		d.term, d.allocator, d.lessor, d.board = 0, nil, nil, nil
 		had = 0
 	}
 	d.mu.Unlock()
@@ -141,51 +141,51 @@
 	}
 	if had == 0 {
 		// All that earlier terms have put into the log is known before anything is given.
-		if d.a.raft.Barrier(applyWithin).Error() != nil || d.a.raft.CurrentTerm() != term {
+		if d.agent.raft.Barrier(applyTimeout).Error() != nil || d.agent.raft.CurrentTerm() != term {
 			return
 		}
 	}
 	d.mu.Lock()
-	reg, _ := d.a.store.register() // with mu held: two of these at a time must not take the log's word in the wrong order
+	reg, _ := d.agent.store.registry() // with mu held: two of these at a time must not take the log's word in the wrong order
 	now := monotone.Now()
 	if had == 0 {
-		d.giver, d.term = allocator.New(now, reg.Doc, reg.Members), term
-		d.keeper, d.board = lessor.New(now, &reg), &outlierboard.Board{}
-		d.a.opt.Log.Info("giving begins", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
+		d.allocator, d.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
+		d.lessor, d.board = lessor.New(now, &reg), &outlierboard.Board{}
+		d.agent.opt.Log.Info("giving begins", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
 	} else {
-		d.giver.Update(now, reg.Doc, reg.Members)
-		d.keeper.Update(now, &reg)
-		d.board.Keep(now, boardFor, d.keeper.Known)
+		d.allocator.Update(now, reg.QuotaConfig, reg.Members)
+		d.lessor.Update(now, &reg)
+		d.board.Prune(now, probeResultTTL, d.lessor.IsMember)
 	}
-	d.led = now
-	gone := d.giver.Gone(now)
+	d.lastLedAt = now
+	gone := d.allocator.Expire(now)
 	d.mu.Unlock()
 	if len(gone) > 0 {
-		if _, err := d.a.apply(change{Leave: gone}); err == nil {
-			d.a.opt.Log.Info("seats taken back", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
+		if _, err := d.agent.propose(command{Leave: gone}); err == nil {
+			d.agent.opt.Log.Info("seats taken back", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
 		}
 	}
 }
 
-// ask asks the other agents for their terms, one question at a time, while decisions wait for it.
-func (d *fleetDesk) ask() {
+// confirmLoop asks the other agents for their terms, one question at a time, while decisions wait for it.
+func (d *leaderService) confirmLoop() {
 	for {
 		select {
 		case <-d.ctx.Done():
 			return
-		case <-d.wake:
+		case <-d.confirmRequested:
 		}
 		for {
 			d.mu.Lock()
 			term := d.term
-			round, due := d.desk.Ask(term)
+			round, due := d.awaitingConfirmation.StartRound(term)
 			d.mu.Unlock()
 			if !due {
 				break
 			}
-			agreed := term != 0 && d.majority(term)
+			agreed := term != 0 && d.queryMajority(term)
 			d.mu.Lock()
-			done, void := d.desk.Hear(round)
+			done, void := d.awaitingConfirmation.FinishRound(round)
 			d.mu.Unlock()
 			for _, k := range done {
 				k <- agreed
@@ -197,23 +197,23 @@
 	}
 }
 
-// majority asks all others at once and returns as soon as enough agree.
-func (d *fleetDesk) majority(term uint64) bool {
-	if d.a.raft.CurrentTerm() != term {
+// queryMajority asks all others at once and returns as soon as enough agree.
+func (d *leaderService) queryMajority(term uint64) bool {
+	if d.agent.raft.CurrentTerm() != term {
 		return false // this agent has heard of a later one, or voted in it
 	}
-	ctx, done := context.WithTimeout(d.ctx, askWithin)
+	ctx, done := context.WithTimeout(d.ctx, termQueryTimeout)
 	defer done()
-	agents := len(d.a.opt.Peers)
+	agents := len(d.agent.opt.Peers)
 	told := make(chan uint64, agents)
 	out := 0
-	for _, p := range d.a.opt.Peers {
-		if p.ID == d.a.opt.ID {
+	for _, p := range d.agent.opt.Peers {
+		if p.ID == d.agent.opt.ID {
 			continue
 		}
 		out++
 		go func() {
-			t, err := d.termOf(ctx, p)
+			t, err := d.fetchTerm(ctx, p)
 			if err != nil {
 				t = 0
 			}
@@ -222,17 +222,17 @@
 	}
 	var terms []uint64
 	for range out {
-		if allocator.Majority(term, terms, agents) {
+		if allocator.MajorityAgrees(term, terms, agents) {
 			break
 		}
 		if t := <-told; t > 0 {
 			terms = append(terms, t)
 		}
 	}
-	return allocator.Majority(term, terms, agents)
+	return allocator.MajorityAgrees(term, terms, agents)
 }
 
-func (d *fleetDesk) termOf(ctx context.Context, p config.Peer) (uint64, error) {
+func (d *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.API+"/v1/term", nil)
 	if err != nil {
 		return 0, err
@@ -249,30 +249,30 @@
 	return strconv.ParseUint(string(b), 10, 64)
 }
 
-// tell answers another agent. A vote raises the term before it is given, so whoever tells a term has not voted in a later one.
-func (d *fleetDesk) tell(w http.ResponseWriter, _ *http.Request) {
-	io.WriteString(w, strconv.FormatUint(d.a.raft.CurrentTerm(), 10))
+// handleTerm answers another agent. A vote raises the term before it is given, so whoever tells a term has not voted in a later one.
+func (d *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
+	io.WriteString(w, strconv.FormatUint(d.agent.raft.CurrentTerm(), 10))
 }
 
-var errNoGiver = errors.New("no giver at the moment")
+var errNotLeading = errors.New("no giver at the moment")
 
-// elsewhere sends a caller to the leader; false where a giver is at work here.
-func (d *fleetDesk) elsewhere(w http.ResponseWriter, r *http.Request) bool {
+// redirectUnlessLeading sends a caller to the leader; false where a giver is at work here.
+func (d *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
 	d.mu.Lock()
-	here := d.giver != nil
+	here := d.allocator != nil
 	d.mu.Unlock()
 	if here {
 		return false
 	}
-	d.a.redirect(w, r)
+	d.agent.redirectToLeader(w, r)
 	return true
 }
 
-func read[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
-	return readUpTo[T](w, r, maxRenewal)
+func readBody[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
+	return readBodyUpTo[T](w, r, maxRequestBytes)
 }
 
-func readUpTo[T any](w http.ResponseWriter, r *http.Request, most int64) (v T, ok bool) {
+func readBodyUpTo[T any](w http.ResponseWriter, r *http.Request, most int64) (v T, ok bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	if err == nil {
 		err = json.Unmarshal(b, &v)
@@ -283,10 +283,10 @@
 	return v, err == nil
 }
 
-// refuse answers with the reason that is told to members and operators.
-func refuse(w http.ResponseWriter, err error) {
-	var no quota.Reason
-	var r *Refusal
+// writeError answers with the reason that is told to members and operators.
+func writeError(w http.ResponseWriter, err error) {
+	var no quota.RejectionError
+	var r *RejectedError
 	switch {
 	case errors.As(err, &no):
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -297,13 +297,13 @@
 	}
 }
 
-// agree keeps a decision back until the majority has agreed after it was taken. It is called with mu held, and gives it up.
-func (d *fleetDesk) agree(ctx context.Context) bool {
+// confirmLeadership keeps a decision back until the majority has agreed after it was taken. It is called with mu held, and gives it up.
+func (d *leaderService) confirmLeadership(ctx context.Context) bool {
 	agreed := make(chan bool, 1)
-	d.desk.Put(d.term, agreed)
+	d.awaitingConfirmation.Add(d.term, agreed)
 	d.mu.Unlock()
 	select {
-	case d.wake <- struct{}{}:
+	case d.confirmRequested <- struct{}{}:
 	default:
 	}
 	select {
@@ -315,59 +315,59 @@
 	return false
 }
 
-func (d *fleetDesk) renew(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+func (d *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	ren, ok := read[renewal](w, r)
+	ren, ok := readBody[renewalRequest](w, r)
 	if !ok {
 		return
 	}
 	d.mu.Lock()
-	if d.giver == nil {
+	if d.allocator == nil {
 		d.mu.Unlock()
-		refuse(w, errNoGiver)
+		writeError(w, errNotLeading)
 		return
 	}
 	now := monotone.Now()
-	a, err := d.giver.Renew(now, ren.Renewal)
-	answer := renewed{Answer: a}
-	if err == nil && ren.Claim != nil {
-		answer.Award = d.claim(now, ren.ID, ren.Claim)
+	a, err := d.allocator.Renew(now, ren.RenewalRequest)
+	answer := renewalResponse{RenewalResponse: a}
+	if err == nil && ren.Leases != nil {
+		answer.Leases = d.renewLeases(now, ren.ID, ren.Leases)
 	}
-	if errors.Is(err, quota.UnknownMember) || err == nil {
+	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
 		// Also the word that a seat is gone must be that of an agent which really leads.
-		if !d.agree(r.Context()) {
-			refuse(w, errNoGiver)
+		if !d.confirmLeadership(r.Context()) {
+			writeError(w, errNotLeading)
 			return
 		}
 	} else {
 		d.mu.Unlock()
 	}
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
 	failpoint.Hit("agent.awarded")
-	reply(w, http.StatusOK, answer)
+	writeJSON(w, http.StatusOK, answer)
 }
 
-// claim has the keeper and the board answer a claim; nil where it is too old. Its caller holds mu.
-func (d *fleetDesk) claim(now time.Duration, id string, c *lease.Claim) *lease.Award {
-	a, err := d.keeper.Claim(now, id, *c)
+// renewLeases has the keeper and the board answer a claim; nil where it is too old. Its caller holds mu.
+func (d *leaderService) renewLeases(now time.Duration, id string, c *lease.RenewalRequest) *lease.RenewalResponse {
+	a, err := d.lessor.Renew(now, id, *c)
 	if err != nil {
 		return nil
 	}
-	tasks := d.keeper.Tasks()
-	d.board.Note(id, c.Avoids)
+	tasks := d.lessor.Config()
+	d.board.SetEjected(id, c.Ejected)
 	for i := range tasks.Tasks {
 		t := &tasks.Tasks[i]
-		if t.Kind != lease.Watch {
+		if t.Kind != lease.EndpointProbe {
 			continue
 		}
 		for _, r := range c.Results {
-			if r.Task == t.Name && d.keeper.Current(lease.Key{Task: t.Name, Shard: t.ShardOf(r.Target)}, id, r.Token) {
-				d.board.Take(now, r)
+			if r.Task == t.Name && d.lessor.IsCurrent(lease.Key{Task: t.Name, Shard: t.ShardOf(r.Target)}, id, r.Token) {
+				d.board.AddResult(now, r)
 			}
 		}
 		mine := map[int]bool{}
@@ -376,129 +376,129 @@
 				mine[b.Shard] = true
 			}
 		}
-		a.Work = append(a.Work, d.board.Work(func(target string) bool { return mine[t.ShardOf(target)] })...)
+		a.ProbeTargets = append(a.ProbeTargets, d.board.ProbeTargets(func(target string) bool { return mine[t.ShardOf(target)] })...)
 	}
-	a.News = d.board.News(now, id)
-	if len(c.Gives) > 0 || len(c.Holds) == 0 {
+	a.ProbeResults = d.board.ResultsFor(now, id)
+	if len(c.Released) > 0 || len(c.Held) == 0 {
 		select {
-		case d.nudge <- struct{}{}:
+		case d.lessorWake <- struct{}{}:
 		default:
 		}
 	}
 	return &a
 }
 
-func (d *fleetDesk) join(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+func (d *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	m, ok := read[quota.Member](w, r)
+	m, ok := readBody[quota.Member](w, r)
 	if !ok {
 		return
 	}
-	err := m.Check()
+	err := m.Validate()
 	if err != nil {
-		refuse(w, &Refusal{http.StatusUnprocessableEntity, err.Error()})
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
 	d.mu.Lock()
-	if d.giver == nil {
-		err = errNoGiver
+	if d.allocator == nil {
+		err = errNotLeading
 	} else {
-		err = d.giver.Admit(monotone.Now(), m)
+		err = d.allocator.Admit(monotone.Now(), m)
 	}
 	d.mu.Unlock()
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	d.change(w, change{Join: &m})
+	d.proposeAndReply(w, command{Join: &m})
 }
 
-func (d *fleetDesk) leave(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+func (d *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	d.change(w, change{Leave: []string{r.PathValue("id")}})
+	d.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
 }
 
-// change has the fleet changed through the log, and answers with what the log says to it.
-func (d *fleetDesk) change(w http.ResponseWriter, c change) {
-	v, err := d.a.apply(c)
+// proposeAndReply has the fleet changed through the log, and answers with what the log says to it.
+func (d *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
+	v, err := d.agent.propose(c)
 	if no, refused := v.(error); refused && err == nil {
 		err = no
 	}
 	if err != nil {
-		refuse(w, err)
+		writeError(w, err)
 		return
 	}
-	d.follow() // the giver knows before the caller does
-	reply(w, http.StatusOK, v)
+	d.syncWithTerm() // the giver knows before the caller does
+	writeJSON(w, http.StatusOK, v)
 }
 
-func (d *fleetDesk) set(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+func (d *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	doc, ok := read[quota.Doc](w, r)
+	doc, ok := readBody[quota.Config](w, r)
 	if !ok {
 		return
 	}
-	if err := doc.Check(); err != nil {
-		refuse(w, &Refusal{http.StatusUnprocessableEntity, err.Error()})
+	if err := doc.Validate(); err != nil {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
-	d.change(w, change{Set: &doc})
+	d.proposeAndReply(w, command{QuotaConfig: &doc})
 }
 
-func (d *fleetDesk) setTasks(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+func (d *leaderService) handleSetTasks(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	doc, ok := read[lease.Doc](w, r)
+	doc, ok := readBody[lease.Config](w, r)
 	if !ok {
 		return
 	}
-	d.change(w, change{Tasks: &doc})
+	d.proposeAndReply(w, command{LeaseConfig: &doc})
 }
 
-// move has a lease go to a member, or to anyone: the plan for it goes through the log, the hand-over comes after that.
-func (d *fleetDesk) move(w http.ResponseWriter, r *http.Request) {
-	if d.elsewhere(w, r) {
+// handleMigrateLease has a lease go to a member, or to anyone: the plan for it goes through the log, the hand-over comes after that.
+func (d *leaderService) handleMigrateLease(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
 		return
 	}
-	m, ok := read[moved](w, r)
+	m, ok := readBody[migrateRequest](w, r)
 	if !ok {
 		return
 	}
 	d.mu.Lock()
-	var o lease.Order
-	err := error(errNoGiver)
-	if d.keeper != nil {
-		o, err = d.keeper.Move(monotone.Now(), m.Key, m.To)
+	var o lease.Event
+	err := error(errNotLeading)
+	if d.lessor != nil {
+		o, err = d.lessor.Migrate(monotone.Now(), m.Key, m.Member)
 	}
 	d.mu.Unlock()
-	var no lease.Reason
+	var no lease.RejectionError
 	switch {
 	case errors.As(err, &no):
-		refuse(w, &Refusal{http.StatusUnprocessableEntity, err.Error()})
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 	case err != nil:
-		refuse(w, err)
+		writeError(w, err)
 	default:
-		d.change(w, change{Orders: []lease.Order{o}})
+		d.proposeAndReply(w, command{LeaseEvents: []lease.Event{o}})
 	}
 }
 
-// changed answers once a lease that a member has was changed after the index that it knows, or the time is over. Any agent may be asked: it
+// handleLeaseChanges answers once a lease that a member has was changed after the index that it knows, or the time is over. Any agent may be asked: it
 // is a reason to renew, and no more.
-func (d *fleetDesk) changed(w http.ResponseWriter, r *http.Request) {
+func (d *leaderService) handleLeaseChanges(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(q.Get("wait_ms"))
-	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxWait))
+	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxPollWait))
 	defer end.Stop()
 	for {
-		index, changed := d.a.store.changedFor(r.PathValue("id"))
+		index, changed := d.agent.store.lastLeaseChange(r.PathValue("id"))
 		if index <= after {
 			select {
 			case <-changed:
@@ -509,49 +509,49 @@
 			case <-end.C:
 			}
 		}
-		reply(w, http.StatusOK, index)
+		writeJSON(w, http.StatusOK, index)
 		return
 	}
 }
 
-// View is the fleet as an agent sees it.
-type View struct {
-	Agent   string              `json:"agent"`
-	Leads   bool                `json:"leads"`  // and a majority has just agreed
-	AgeMs   int64               `json:"age_ms"` // since it heard of the leader last; how old this may be
-	Doc     quota.Doc           `json:"doc"`
-	Members []allocator.Seen    `json:"members"`
-	Lines   []allocator.Line    `json:"lines,omitempty"` // only where it leads
-	WaitMs  int64               `json:"wait_ms"`         // until a new giver gives anything new
-	Tasks   lease.Doc           `json:"tasks"`
-	Leases  []lessor.Seen       `json:"leases,omitempty"`
-	Board   []outlierboard.Line `json:"board,omitempty"` // only where it leads
+// FleetView is the fleet as an agent sees it.
+type FleetView struct {
+	Agent          string                   `json:"agent"`
+	Leads          bool                     `json:"leads"`  // and a majority has just agreed
+	AgeMs          int64                    `json:"age_ms"` // since it heard of the leader last; how old this may be
+	QuotaConfig    quota.Config             `json:"doc"`
+	Members        []allocator.MemberStatus `json:"members"`
+	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // only where it leads
+	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new giver gives anything new
+	LeaseConfig    lease.Config             `json:"tasks"`
+	Leases         []lessor.LeaseStatus     `json:"leases,omitempty"`
+	Board          []outlierboard.Entry     `json:"board,omitempty"` // only where it leads
 }
 
-// renewal is a renewal with the claim of a member that runs tasks; renewed answers both.
-type renewal struct {
-	quota.Renewal
-	Claim *lease.Claim `json:"claim,omitempty"`
+// renewalRequest is a renewal with the claim of a member that runs tasks; renewed answers both.
+type renewalRequest struct {
+	quota.RenewalRequest
+	Leases *lease.RenewalRequest `json:"claim,omitempty"`
 }
 
-type renewed struct {
-	quota.Answer
-	Award *lease.Award `json:"award,omitempty"`
+type renewalResponse struct {
+	quota.RenewalResponse
+	Leases *lease.RenewalResponse `json:"award,omitempty"`
 }
 
-// moved asks for a move.
-type moved struct {
+// migrateRequest asks for a move.
+type migrateRequest struct {
 	lease.Key
-	To string `json:"to"`
+	Member string `json:"to"`
 }
 
-// age is how many milliseconds ago this agent last led or heard of the one that does; -1: never.
-func (d *fleetDesk) age() int64 {
+// leaderContactMs is how many milliseconds ago this agent last led or heard of the one that does; -1: never.
+func (d *leaderService) leaderContactMs() int64 {
 	d.mu.Lock()
-	led := d.led
+	led := d.lastLedAt
 	d.mu.Unlock()
 	age := int64(-1)
-	if heard := d.a.raft.LastContact(); !heard.IsZero() {
+	if heard := d.agent.raft.LastContact(); !heard.IsZero() {
 		age = time.Since(heard).Milliseconds()
 	}
 	if since := (monotone.Now() - led).Milliseconds(); led > 0 && (age < 0 || since < age) {
@@ -560,41 +560,41 @@
 	return age
 }
 
-// unknown is the state of members at an agent that does not lead.
-const unknown allocator.State = "unknown"
+// livenessUnknown is the state of members at an agent that does not lead.
+const livenessUnknown allocator.Liveness = "unknown"
 
-// show answers with the fleet; with stale also where this agent does not lead, as far as its log goes.
-func (d *fleetDesk) show(w http.ResponseWriter, r *http.Request) {
-	if !stale(r) && d.elsewhere(w, r) {
+// handleShowFleet answers with the fleet; with stale also where this agent does not lead, as far as its log goes.
+func (d *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && d.redirectUnlessLeading(w, r) {
 		return
 	}
-	reg, _ := d.a.store.register()
-	v := View{Agent: d.a.opt.ID, Doc: reg.Doc, Tasks: reg.Tasks}
+	reg, _ := d.agent.store.registry()
+	v := FleetView{Agent: d.agent.opt.ID, QuotaConfig: reg.QuotaConfig, LeaseConfig: reg.LeaseConfig}
 	d.mu.Lock()
-	if d.giver != nil {
+	if d.allocator != nil {
 		now := monotone.Now()
-		v.Members, v.Lines = d.giver.Members(now), d.giver.Lines(now, "")
-		v.Leases, v.Board = d.keeper.Leases(now), d.board.Lines(now)
-		for i := range reg.Doc.Budgets {
-			v.WaitMs = max(v.WaitMs, d.giver.Waits(now, &reg.Doc.Budgets[i]).Milliseconds())
+		v.Members, v.Ledger = d.allocator.Members(now), d.allocator.Ledger(now, "")
+		v.Leases, v.Board = d.lessor.Status(now), d.board.Entries(now)
+		for i := range reg.QuotaConfig.Budgets {
+			v.RecoveryWaitMs = max(v.RecoveryWaitMs, d.allocator.RecoveryWait(now, &reg.QuotaConfig.Budgets[i]).Milliseconds())
 		}
-		v.Leads = d.agree(r.Context())
+		v.Leads = d.confirmLeadership(r.Context())
 	} else {
 		d.mu.Unlock()
 	}
 	if !v.Leads {
-		if !stale(r) {
-			refuse(w, errNoGiver)
+		if !allowsStale(r) {
+			writeError(w, errNotLeading)
 			return
 		}
-		v.Members, v.Lines, v.Leases, v.Board = nil, nil, nil, nil
+		v.Members, v.Ledger, v.Leases, v.Board = nil, nil, nil, nil
 		for _, m := range reg.Members {
-			v.Members = append(v.Members, allocator.Seen{Member: m, State: unknown, AgoMs: -1})
+			v.Members = append(v.Members, allocator.MemberStatus{Member: m, Liveness: livenessUnknown, LastHeardMs: -1})
 		}
 		for _, l := range reg.Leases {
-			v.Leases = append(v.Leases, lessor.Seen{Lease: l, State: string(unknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
+			v.Leases = append(v.Leases, lessor.LeaseStatus{Lease: l, State: string(livenessUnknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
 		}
-		v.AgeMs = d.age()
+		v.AgeMs = d.leaderContactMs()
 	}
-	reply(w, http.StatusOK, v)
+	writeJSON(w, http.StatusOK, v)
 }
--- a/internal/controlplane/agent/feed_test.go
+++ b/internal/controlplane/agent/feed_test.go
@@ -41,7 +41,7 @@
 	g.until("a change is made", func() bool {
 		var err error
 		v, err = g.PutChange(context.Background(), c)
-		var no *Refusal
+		var no *RejectedError
 		require.False(g.t, errors.As(err, &no), "%v", err)
 		return err == nil
 	})
@@ -51,7 +51,7 @@
 // relay runs a relay until the test ends.
 func (g *three) relay(id string, agents ...string) string {
 	g.t.Helper()
-	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: campus, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).Report,
+	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: campus, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).SendReport,
 		Source: watchstream.SourceOptions{Admit: 1000, AdmitBurst: 1000}})
 	require.NoError(g.t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -93,14 +93,14 @@
 	for i := range n {
 		all = append(all, g.follower(fmt.Sprint("i", i), relays...))
 	}
-	inForce := func(v uint64) (s InForce) {
+	inForce := func(v uint64) (s StreamStatus) {
 		t.Helper()
 		for _, f := range all {
 			g.until("it has the version", func() bool { return f.State().InForce.Least() >= v })
 		}
 		g.until("it is known", func() bool {
 			var err error
-			s, err = g.InForce(context.Background(), v)
+			s, err = g.StreamStatus(context.Background(), v)
 			if err != nil || !s.Leads {
 				return false
 			}
@@ -112,8 +112,8 @@
 	}
 	s := inForce(v)
 	require.Equal(t, campus, s.Fleet)
-	require.Equal(t, 2, s.Count)
-	require.Equal(t, 1, s.Layer)
+	require.Equal(t, 2, s.Targets)
+	require.Equal(t, 1, s.ConfigLayers)
 	require.GreaterOrEqual(t, s.SinceMs, int64(0))
 	require.Len(t, s.Relays, 2)
 	lost := g.leader()
@@ -128,7 +128,7 @@
 	direct := g.follower("direct", g.Addrs[lost])
 	g.until("from the agent itself", func() bool { return direct.State().InForce.Least() == v })
 	g.until("counted with the others", func() bool {
-		s, err := g.InForce(context.Background(), 0)
+		s, err := g.StreamStatus(context.Background(), 0)
 		return err == nil && s.Have == n+1 && s.Known == n+1
 	})
 }
@@ -138,7 +138,7 @@
 	g := newThree(t)
 	ctx := context.Background()
 	g.until("nothing is there", func() bool {
-		_, err := g.InForce(ctx, 0)
+		_, err := g.StreamStatus(ctx, 0)
 		return errors.Is(err, ErrNotFound)
 	})
 	zero, five := uint64(0), uint64(5)
@@ -159,24 +159,24 @@
 			http.StatusUnprocessableEntity, "puts[0].value"},
 	} {
 		_, err := g.PutChange(ctx, c.c)
-		var no *Refusal
+		var no *RejectedError
 		require.ErrorAs(t, err, &no, c.want)
 		require.Equal(t, c.status, no.Status, no.Text)
 		require.Contains(t, no.Text, c.want)
 	}
 	for _, path := range []string{"/v1/feed/versions/0", "/v1/feed/versions/x", "/v1/feed/versions/2", "/v1/feed/records?kind=odd"} {
 		_, err := g.do(ctx, call{method: http.MethodGet, path: path})
-		var no *Refusal
+		var no *RejectedError
 		require.ErrorAs(t, err, &no, path)
 		require.Equal(t, http.StatusUnprocessableEntity, no.Status, path)
 	}
 	for _, body := range []string{"", "nonsense", `{"relay":7}`, `{"relay":"r","base":2}`, `{"fleet":"other","relay":"r","whole":true}`} {
 		_, err := g.do(ctx, call{method: http.MethodPost, path: "/v1/feed/report", body: []byte(body)})
-		var no *Refusal
+		var no *RejectedError
 		require.ErrorAs(t, err, &no, body)
 		require.Less(t, no.Status, 500, body)
 	}
-	s, err := g.InForce(ctx, 0)
+	s, err := g.StreamStatus(ctx, 0)
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), s.Head)
 	require.Zero(t, s.Known)
@@ -186,7 +186,7 @@
 func TestFeedRecords(t *testing.T) {
 	g := newThree(t)
 	ctx := context.Background()
-	const n = 2*mostPage + 7
+	const n = 2*maxPageRecords + 7
 	for from := 0; from < n; from += 300 {
 		var c watchstream.Change
 		for i := from; i < min(from+300, n); i++ {
@@ -215,7 +215,7 @@
 			g.stop(i)
 		}
 	}
-	s, err := g.InForce(context.Background(), v)
+	s, err := g.StreamStatus(context.Background(), v)
 	require.NoError(t, err)
 	require.False(t, s.Leads)
 	require.Equal(t, v, s.Head)
@@ -233,12 +233,12 @@
 		require.True(t, ok)
 		require.Equal(t, uint64(1), e.Version)
 	}
-	require.Equal(t, uint64(1), s.feed.store.Head())
+	require.Equal(t, uint64(1), s.stream.store.Head())
 	other := restored(t, s)
 	e, ok := other.Apply(&raft.Log{Index: 9, Data: text}).(Entry)
 	require.True(t, ok)
 	require.Equal(t, uint64(1), e.Version)
-	require.Equal(t, uint64(1), other.feed.store.Head())
+	require.Equal(t, uint64(1), other.stream.store.Head())
 	require.Len(t, other.entries, 0, "a change of the feed is no instance's configuration")
 }
 
@@ -259,27 +259,27 @@
 	for i, puts := range [][]watchstream.Put{{targetAt(0, 1), targetAt(1, 1), shared(`{"a":1}`)}, {{Kind: watchstream.Targets, Key: "t-1", Gone: true}}, {shared(`{"a":2}`)}} {
 		c := changeOf(puts...)
 		c.Epoch = "e"
-		data, err := json.Marshal(change{Feed: &c})
+		data, err := json.Marshal(command{StreamChange: &c})
 		require.NoError(t, err)
 		_, failed := s.Apply(&raft.Log{Index: uint64(4 + i), Data: data, AppendedAt: time.Now().Add(-time.Minute)}).(error)
 		require.False(t, failed)
 	}
-	require.Len(t, s.feed.since("", 0), 3)
-	require.Len(t, s.feed.since("e", 2), 1)
+	require.Len(t, s.stream.commitsSince("", 0), 3)
+	require.Len(t, s.stream.commitsSince("e", 2), 1)
 	other := restored(t, s)
-	require.Equal(t, s.feed.store.Copy(), other.feed.store.Copy())
-	require.Empty(t, other.feed.since("", 0), "when earlier versions came is not known")
+	require.Equal(t, s.stream.store.Copy(), other.stream.store.Copy())
+	require.Empty(t, other.stream.commitsSince("", 0), "when earlier versions came is not known")
 	again := restored(t, other)
-	require.Equal(t, s.feed.store.Copy(), again.feed.store.Copy())
+	require.Equal(t, s.stream.store.Copy(), again.stream.store.Copy())
 	c := changeOf(shared(`{"a":3}`))
-	v, err := again.feed.apply(&raft.Log{}, c)
+	v, err := again.stream.apply(&raft.Log{}, c)
 	require.NoError(t, err)
 	require.Equal(t, uint64(4), v)
 
 	three := `{"format":3,"entries":{"n1":{"name":"n1","version":4,"config":{"a":1}}},"fleet":{"doc":{"seats":4}}}`
 	require.NoError(t, other.Restore(io.NopCloser(strings.NewReader(three))))
-	require.Nil(t, other.feed.store)
-	require.Nil(t, other.feed.copy())
+	require.Nil(t, other.stream.store)
+	require.Nil(t, other.stream.snapshot())
 	e, found, _ := other.get("n1")
 	require.True(t, found)
 	require.Equal(t, uint64(4), e.Version)
@@ -319,7 +319,7 @@
 	g.until("it is refused", func() bool {
 		err := ask()
 		require.Error(t, err)
-		var no *Refusal
+		var no *RejectedError
 		return errors.As(err, &no) && strings.Contains(no.Text, "from before the feed")
 	})
 	before.Close()
--- a/internal/controlplane/agent/feedclient.go
+++ b/internal/controlplane/agent/feedclient.go
@@ -18,35 +18,35 @@
 	if err != nil {
 		return 0, err
 	}
-	p, err := bring[Put](ctx, c, call{method: http.MethodPost, path: "/v1/feed/changes", id: rand.Text(), body: text})
+	p, err := fetch[ChangeResponse](ctx, c, call{method: http.MethodPost, path: "/v1/feed/changes", id: rand.Text(), body: text})
 	return p.Version, err
 }
 
-// Report brings the leader a relay's report.
-func (c *Client) Report(ctx context.Context, rep watchstream.Report) (watchstream.ReportAnswer, error) {
-	return send[watchstream.ReportAnswer](ctx, c, http.MethodPost, "/v1/feed/report", rep)
+// SendReport brings the leader a relay's report.
+func (c *Client) SendReport(ctx context.Context, rep watchstream.Report) (watchstream.ReportAnswer, error) {
+	return sendJSON[watchstream.ReportAnswer](ctx, c, http.MethodPost, "/v1/feed/report", rep)
 }
 
-// InForce tells who has a version; 0: the newest. Where there is no leader it is how far some agent's log goes: Leads is false then.
-func (c *Client) InForce(ctx context.Context, version uint64) (InForce, error) {
-	at := "/v1/feed/versions/" + latest
+// StreamStatus tells who has a version; 0: the newest. Where there is no leader it is how far some agent's log goes: Leads is false then.
+func (c *Client) StreamStatus(ctx context.Context, version uint64) (StreamStatus, error) {
+	at := "/v1/feed/versions/" + latestVersion
 	if version > 0 {
 		at = "/v1/feed/versions/" + strconv.FormatUint(version, 10)
 	}
-	fresh, done := context.WithTimeout(ctx, callWithin/2)
-	v, err := decode[InForce](c.do(fresh, call{method: http.MethodGet, path: at}))
+	fresh, done := context.WithTimeout(ctx, callTimeout/2)
+	v, err := decode[StreamStatus](c.do(fresh, call{method: http.MethodGet, path: at}))
 	done()
-	if answered(err) {
+	if isAnswer(err) {
 		return v, err
 	}
-	ctx, done = context.WithTimeout(ctx, callWithin/2)
+	ctx, done = context.WithTimeout(ctx, callTimeout/2)
 	defer done()
-	return decode[InForce](c.do(ctx, call{method: http.MethodGet, path: at + "?stale"}))
+	return decode[StreamStatus](c.do(ctx, call{method: http.MethodGet, path: at + "?stale"}))
 }
 
 // Records are the live ones of a kind, or the one with that key, as the leader has them, in order of version.
 func (c *Client) Records(ctx context.Context, k watchstream.Kind, key string) (all []watchstream.Record, err error) {
-	ctx, done := bounded(ctx)
+	ctx, done := withCallTimeout(ctx)
 	defer done()
 	after := uint64(0)
 	for {
@@ -60,7 +60,7 @@
 			again[page[i].Key] = true
 		}
 		all = append(slices.DeleteFunc(all, func(r watchstream.Record) bool { return again[r.Key] }), page...)
-		if len(page) < mostPage {
+		if len(page) < maxPageRecords {
 			return all, nil
 		}
 		after = page[len(page)-1].Version
--- a/internal/controlplane/agent/stream.go
+++ b/internal/controlplane/agent/stream.go
@@ -9,11 +9,11 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// mostCommits is how many of the feed's last versions are known with when they were put into the log.
-const mostCommits = 1 << 13
+// maxCommitTimes is how many of the feed's last versions are known with when they were put into the log.
+const maxCommitTimes = 1 << 13
 
-// stream is the log's part of the feed. The store's lock guards it.
-type stream struct {
+// streamState is the log's part of the feed. The store's lock guards it.
+type streamState struct {
 	store   *watchstream.Store // nil: no change has come yet, so that the fleet's name is not known
 	source  *watchstream.Source
 	commits []commit // in order of version; not in snapshots
@@ -27,7 +27,7 @@
 }
 
 // apply makes a change, the same at every agent, and returns its version.
-func (s *stream) apply(l *raft.Log, c watchstream.Change) (uint64, error) {
+func (s *streamState) apply(l *raft.Log, c watchstream.Change) (uint64, error) {
 	store := s.store
 	if store == nil {
 		store = watchstream.NewStore(c.Fleet, watchstream.Limits{})
@@ -37,21 +37,21 @@
 		return 0, err
 	}
 	if s.store == nil {
-		s.begin(store)
+		s.startSource(store)
 	}
 	at := monotone.Now()
 	if !l.AppendedAt.IsZero() { // an agent that starts reads older ones again
 		at -= max(0, time.Since(l.AppendedAt))
 	}
 	s.commits = append(s.commits, commit{store.Epoch(), v, at})
-	if len(s.commits) >= 2*mostCommits {
-		s.commits = append([]commit(nil), s.commits[mostCommits:]...)
+	if len(s.commits) >= 2*maxCommitTimes {
+		s.commits = append([]commit(nil), s.commits[maxCommitTimes:]...)
 	}
 	return v, nil
 }
 
-// since are the commits after a version, the last of them last.
-func (s *stream) since(epoch string, version uint64) []commit {
+// commitsSince are the commits after a version, the last of them last.
+func (s *streamState) commitsSince(epoch string, version uint64) []commit {
 	at := len(s.commits)
 	for at > 0 && (s.commits[at-1].epoch != epoch || s.commits[at-1].version > version) {
 		at--
@@ -59,12 +59,12 @@
 	return append([]commit(nil), s.commits[at:]...)
 }
 
-// begin has readers served from a store. The source's life grows over restarts, so that reports of an earlier one don't count.
-func (s *stream) begin(store *watchstream.Store) {
+// startSource has readers served from a store. The source's life grows over restarts, so that reports of an earlier one don't count.
+func (s *streamState) startSource(store *watchstream.Store) {
 	s.store, s.source = store, watchstream.NewSource(store, watchstream.SourceOptions{}, uint64(time.Now().UnixMilli()))
 }
 
-func (s *stream) copy() *watchstream.Copy {
+func (s *streamState) snapshot() *watchstream.Copy {
 	if s.store == nil {
 		return nil
 	}
@@ -73,9 +73,9 @@
 }
 
 // restore takes a snapshot's state; nil: it has none. Where it returns an error nothing has changed.
-func (s *stream) restore(c *watchstream.Copy) error {
+func (s *streamState) restore(c *watchstream.Copy) error {
 	if c == nil {
-		*s = stream{}
+		*s = streamState{}
 		return nil
 	}
 	store := s.store
@@ -86,7 +86,7 @@
 		return err
 	}
 	if store != s.store {
-		s.begin(store)
+		s.startSource(store)
 	}
 	s.commits = nil
 	return nil
--- a/internal/controlplane/lease/casfile/place.go
+++ b/internal/controlplane/lease/casfile/place.go
@@ -22,11 +22,11 @@
 )
 
 const (
-	format    = 1
-	suffix    = ".record"
-	temporary = "writing-"
-	keep      = 64 // records; those before are taken away
-	mostTries = 1000
+	recordFormat = 1
+	recordSuffix = ".record"
+	tempPrefix   = "writing-"
+	keptRecords  = 64 // records; those before are taken away
+	maxAttempts  = 1000
 )
 
 // Errors of folders that are not used.
@@ -38,23 +38,25 @@
 // record is a file.
 type record struct {
 	Format int             `json:"format"`
-	N      uint64          `json:"n"`
+	Number uint64          `json:"n"`
 	Sum    uint32          `json:"crc32c"`
 	State  json.RawMessage `json:"state"`
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func name(dir string, n uint64) string { return filepath.Join(dir, fmt.Sprintf("%020d%s", n, suffix)) }
+func recordPath(dir string, n uint64) string {
+	return filepath.Join(dir, fmt.Sprintf("%020d%s", n, recordSuffix))
+}
 
-// numbers has the records' numbers, in order.
-func numbers(dir string) (all []uint64, err error) {
+// recordNumbers has the records' numbers, in order.
+func recordNumbers(dir string) (all []uint64, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	for _, e := range entries {
-		if text, is := strings.CutSuffix(e.Name(), suffix); is {
+		if text, is := strings.CutSuffix(e.Name(), recordSuffix); is {
 			if n, err := strconv.ParseUint(text, 10, 64); err == nil {
 				all = append(all, n)
 			}
@@ -67,12 +69,12 @@
 // Read returns the state and its number; 0: there is none yet. What is wrong with it is ErrDamaged: it is never passed over.
 func Read[S any](dir string) (state S, n uint64, err error) {
 	for {
-		all, err := numbers(dir)
+		all, err := recordNumbers(dir)
 		if err != nil || len(all) == 0 {
 			return state, 0, err
 		}
 		n = all[len(all)-1]
-		b, err := os.ReadFile(name(dir, n))
+		b, err := os.ReadFile(recordPath(dir, n))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // there is a newer one, and this has been taken away
 		}
@@ -81,16 +83,16 @@
 		}
 		var r record
 		if err := json.Unmarshal(b, &r); err != nil {
-			return state, 0, fmt.Errorf("%s: %w: %w", name(dir, n), ErrDamaged, err)
+			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrDamaged, err)
 		}
 		switch {
-		case r.Format != format:
-			return state, 0, fmt.Errorf("%s: format %d, this program reads %d", name(dir, n), r.Format, format)
-		case r.N != n || crc32.Checksum(r.State, castagnoli) != r.Sum:
-			return state, 0, fmt.Errorf("%s: %w", name(dir, n), ErrDamaged)
+		case r.Format != recordFormat:
+			return state, 0, fmt.Errorf("%s: format %d, this program reads %d", recordPath(dir, n), r.Format, recordFormat)
+		case r.Number != n || crc32.Checksum(r.State, castagnoli) != r.Sum:
+			return state, 0, fmt.Errorf("%s: %w", recordPath(dir, n), ErrDamaged)
 		}
 		if err := json.Unmarshal(r.State, &state); err != nil {
-			return state, 0, fmt.Errorf("%s: %w: %w", name(dir, n), ErrDamaged, err)
+			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrDamaged, err)
 		}
 		return state, n, nil
 	}
@@ -103,7 +105,7 @@
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return state, err
 	}
-	for range mostTries {
+	for range maxAttempts {
 		state, n, err := Read[S](dir)
 		if err != nil {
 			return state, err
@@ -111,24 +113,24 @@
 		if err := change(&state); err != nil {
 			return state, err
 		}
-		if won, err := add(dir, n+1, &state); err != nil || won {
+		if won, err := appendRecord(dir, n+1, &state); err != nil || won {
 			return state, err
 		}
 	}
 	return state, fmt.Errorf("%s: %w", dir, ErrBusy)
 }
 
-// add makes the record of that number, the one after a state that was read.
-func add(dir string, n uint64, state any) (won bool, err error) {
+// appendRecord makes the record of that number, the one after a state that was read.
+func appendRecord(dir string, n uint64, state any) (won bool, err error) {
 	text, err := json.Marshal(state)
 	if err != nil {
 		return false, err
 	}
-	b, err := json.Marshal(record{format, n, crc32.Checksum(text, castagnoli), text})
+	b, err := json.Marshal(record{recordFormat, n, crc32.Checksum(text, castagnoli), text})
 	if err != nil {
 		return false, err
 	}
-	f, err := os.CreateTemp(dir, temporary+"*")
+	f, err := os.CreateTemp(dir, tempPrefix+"*")
 	if err != nil {
 		return false, err
 	}
@@ -138,7 +140,7 @@
 		return false, err
 	}
 	failpoint.Hit("place.link")
-	err = os.Link(f.Name(), name(dir, n))
+	err = os.Link(f.Name(), recordPath(dir, n))
 	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) { // another was first, or tidied up what stood still for long
 		return false, nil
 	}
@@ -146,25 +148,25 @@
 		return false, err
 	}
 	failpoint.Hit("place.linked")
-	all, err := numbers(dir)
+	all, err := recordNumbers(dir)
 	if err != nil {
 		return false, err
 	}
 	highest := slices.Max(append(all, n))
 	for _, x := range all {
-		if x+keep <= highest {
-			os.Remove(name(dir, x))
+		if x+keptRecords <= highest {
+			os.Remove(recordPath(dir, x))
 		}
 	}
-	tidy(dir)
+	removeStaleTemp(dir)
 	// A number is only taken away once there are so many above it. Where there are, it may have been another's before, and this record
 	// is below the state: the change is tried again on the state as it is, which knows it if it was made.
-	return n+keep > highest, syncDir(dir)
+	return n+keptRecords > highest, syncDir(dir)
 }
 
-// tidy takes away what a process that died, or stood still for minutes, left half written.
-func tidy(dir string) {
-	left, _ := filepath.Glob(filepath.Join(dir, temporary+"*"))
+// removeStaleTemp takes away what a process that died, or stood still for minutes, left half written.
+func removeStaleTemp(dir string) {
+	left, _ := filepath.Glob(filepath.Join(dir, tempPrefix+"*"))
 	for _, path := range left {
 		if i, err := os.Stat(path); err == nil && time.Since(i.ModTime()) > 5*time.Minute {
 			os.Remove(path)
--- a/internal/controlplane/lease/casfile/place_test.go
+++ b/internal/controlplane/lease/casfile/place_test.go
@@ -12,7 +12,7 @@
 )
 
 type counted struct {
-	fencing.Place
+	fencing.Guard
 	Count int
 }
 
@@ -35,15 +35,15 @@
 		t.Fatalf("%d changes in %d records, %v; want 180", c.Count, n, err)
 	}
 	left, _ := os.ReadDir(dir)
-	if len(left) > keep+6 {
-		t.Errorf("%d files are left, of %d kept", len(left), keep)
+	if len(left) > keptRecords+6 {
+		t.Errorf("%d files are left, of %d kept", len(left), keptRecords)
 	}
 }
 
 // TestLate has a change come to its link after others have changed the folder: a few times, and so often that its number was taken
 // away again. It is tried again on the state as it is, and refused there.
 func TestLate(t *testing.T) {
-	for _, others := range []int{1, keep - 1, keep + 5} {
+	for _, others := range []int{1, keptRecords - 1, keptRecords + 5} {
 		dir := t.TempDir()
 		begin := func(token uint64) error {
 			_, err := Update(dir, func(c *counted) error { c.Count++; return c.Begin(token, 1) })
@@ -64,7 +64,7 @@
 			}
 			return c.Begin(2, 1)
 		})
-		var no *fencing.Refusal
+		var no *fencing.RejectedError
 		if !errors.As(err, &no) {
 			t.Errorf("%d others: an older token was not refused: %v", others, err)
 		}
@@ -89,13 +89,13 @@
 				t.Fatal(err)
 			}
 		}
-		path := name(dir, 3)
+		path := recordPath(dir, 3)
 		b, _ := os.ReadFile(path)
 		if err := os.WriteFile(path, []byte(spoil(string(b))), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Update(dir, func(c *counted) error { c.Count++; return nil })
-		if all, _ := numbers(dir); err == nil || len(all) != 3 {
+		if all, _ := recordNumbers(dir); err == nil || len(all) != 3 {
 			t.Errorf("%s: %v, records %v", what, err, all)
 		}
 		if what != "another format" && !errors.Is(err, ErrDamaged) {
--- a/internal/controlplane/lease/fencing/guard.go
+++ b/internal/controlplane/lease/fencing/guard.go
@@ -5,46 +5,46 @@
 
 import "fmt"
 
-// Place is the state. Its zero value has seen nothing.
-type Place struct {
-	Token uint64 `json:"token"` // the newest that an act was begun under
-	Act   uint64 `json:"act"`   // the newest act under it
-	Open  bool   `json:"open"`  // that act is under way
+// Guard is the state. Its zero value has seen nothing.
+type Guard struct {
+	Token      uint64 `json:"token"` // the newest that an act was begun under
+	Operation  uint64 `json:"act"`   // the newest act under it
+	InProgress bool   `json:"open"`  // that act is under way
 }
 
-// Refusal tells why nothing was changed.
-type Refusal struct {
-	Token, Act uint64 // what was tried
-	Seen       Place  // what the place has seen
+// RejectedError tells why nothing was changed.
+type RejectedError struct {
+	Token, Operation uint64 // what was tried
+	Current          Guard  // what the place has seen
 }
 
-func (r *Refusal) Error() string {
-	return fmt.Sprintf("refused: act %d under token %d, the place has seen act %d under token %d", r.Act, r.Token, r.Seen.Act, r.Seen.Token)
+func (r *RejectedError) Error() string {
+	return fmt.Sprintf("refused: act %d under token %d, the place has seen act %d under token %d", r.Operation, r.Token, r.Current.Operation, r.Current.Token)
 }
 
 // Begin begins an act: whatever was under way before has ended by that, and nothing of it will be taken any more. Acts under one token
 // have numbers that grow.
-func (p *Place) Begin(token, act uint64) error {
-	if token < p.Token || token == p.Token && act <= p.Act {
-		return &Refusal{token, act, *p}
+func (p *Guard) Begin(token, act uint64) error {
+	if token < p.Token || token == p.Token && act <= p.Operation {
+		return &RejectedError{token, act, *p}
 	}
-	*p = Place{token, act, true}
+	*p = Guard{token, act, true}
 	return nil
 }
 
-// Take tells whether a change by an act may be made: it is the one under way.
-func (p *Place) Take(token, act uint64) error {
-	if !p.Open || token != p.Token || act != p.Act {
-		return &Refusal{token, act, *p}
+// CheckChange tells whether a change by an act may be made: it is the one under way.
+func (p *Guard) CheckChange(token, act uint64) error {
+	if !p.InProgress || token != p.Token || act != p.Operation {
+		return &RejectedError{token, act, *p}
 	}
 	return nil
 }
 
 // End ends an act.
-func (p *Place) End(token, act uint64) error {
-	if err := p.Take(token, act); err != nil {
+func (p *Guard) End(token, act uint64) error {
+	if err := p.CheckChange(token, act); err != nil {
 		return err
 	}
-	p.Open = false
+	p.InProgress = false
 	return nil
 }
--- a/internal/controlplane/lease/leasework/account.go
+++ b/internal/controlplane/lease/leasework/account.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	// Kept is how many windows an instance keeps for the fleet's account: a window is asked for while it is one of these.
-	Kept = 4
-	// settle is how long after a window's end its accounts are asked for: instances cut by their own clocks.
-	settle = 2 * time.Second
-	// askAtOnce bounds how many instances are asked at a time.
-	askAtOnce    = 16
-	mostAccounts = 64 << 20
+	// KeptWindows is how many windows an instance keeps for the fleet's account: a window is asked for while it is one of these.
+	KeptWindows = 4
+	// windowSettleDelay is how long after a window's end its accounts are asked for: instances cut by their own clocks.
+	windowSettleDelay = 2 * time.Second
+	// maxConcurrentQueries bounds how many instances are asked at a time.
+	maxConcurrentQueries = 16
+	maxSnapshotBytes     = 64 << 20
 )
 
 // ReportState is what the folder of the fleet's account holds.
 type ReportState struct {
-	fencing.Place
+	fencing.Guard
 	Windows []ReportWindow `json:"windows"` // written, in order of time
 }
 
@@ -58,35 +58,35 @@
 	return s.Windows, err
 }
 
-// Account collects the latency accounts of all instances by window and writes one report for the fleet.
-type Account struct {
+// FleetReport collects the latency accounts of all instances by window and writes one report for the fleet.
+type FleetReport struct {
 	Name   string // the instance's
 	Agents *agent.Client
 	client http.Client
 }
 
-// Act implements Job: one window at most, the oldest that is over and not written.
-func (j *Account) Act(ctx context.Context, a *Act) error {
+// Run implements Job: one window at most, the oldest that is over and not written.
+func (j *FleetReport) Run(ctx context.Context, a *Operation) error {
 	dir := a.Task.Dir
-	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.N) })
+	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.Number) })
 	if err != nil {
 		return err
 	}
 	failpoint.Hit("account.begun")
 	if start, due := nextWindow(state.Windows, a.Task.Window(), time.Now()); due {
-		if err := j.write(ctx, a, dir, start); err != nil {
+		if err := j.writeReport(ctx, a, dir, start); err != nil {
 			return err
 		}
 	}
-	_, err = casfile.Update(dir, func(s *ReportState) error { return s.End(a.Token, a.N) })
+	_, err = casfile.Update(dir, func(s *ReportState) error { return s.End(a.Token, a.Number) })
 	return err
 }
 
 // nextWindow is the beginning of the oldest window that is over, is kept by instances still, and comes after all that were written. The
 // wall clock names windows; what is written at most once is a matter of the place.
 func nextWindow(written []ReportWindow, window time.Duration, now time.Time) (start time.Time, due bool) {
-	end := now.Add(-settle).Truncate(window)
-	start = end.Add(-(Kept - 1) * window)
+	end := now.Add(-windowSettleDelay).Truncate(window)
+	start = end.Add(-(KeptWindows - 1) * window)
 	if n := len(written); n > 0 {
 		if after := time.Unix(written[n-1].Start, 0).Add(window); after.After(start) {
 			start = after
@@ -97,9 +97,9 @@
 	return start, !start.Add(window).After(end)
 }
 
-// write asks all instances for a window and writes its report: whole under a name of its own first, and by one step of the place the
+// writeReport asks all instances for a window and writes its report: whole under a name of its own first, and by one step of the place the
 // window's.
-func (j *Account) write(ctx context.Context, a *Act, dir string, start time.Time) error {
+func (j *FleetReport) writeReport(ctx context.Context, a *Operation, dir string, start time.Time) error {
 	v, err := j.Agents.Fleet(ctx)
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
@@ -108,12 +108,12 @@
 	var all []accounts.Snapshot
 	var mu sync.Mutex
 	var asking sync.WaitGroup
-	gate := make(chan struct{}, askAtOnce)
+	gate := make(chan struct{}, maxConcurrentQueries)
 	for _, m := range v.Members {
 		asking.Go(func() {
 			gate <- struct{}{}
 			defer func() { <-gate }()
-			s, err := j.ask(ctx, m.Member, start, a.Task.Window())
+			s, err := j.fetchSnapshot(ctx, m.Member, start, a.Task.Window())
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -129,7 +129,7 @@
 	slices.Sort(w.Instances)
 	slices.Sort(w.Missing)
 	if ctx.Err() != nil {
-		return errOver
+		return errExpired
 	}
 	merged, err := accounts.Merge(all...)
 	if err != nil {
@@ -149,8 +149,8 @@
 	}
 	about["missing"] = string(missing)
 	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), a.Token)
-	if !a.Good() {
-		return errOver
+	if !a.MayProceed() {
+		return errExpired
 	}
 	f, err := os.Create(filepath.Join(dir, w.File))
 	if err != nil {
@@ -162,30 +162,30 @@
 		return err
 	}
 	failpoint.Hit("account.synced")
-	if !a.Good() {
-		return errOver
+	if !a.MayProceed() {
+		return errExpired
 	}
 	state, err := casfile.Update(dir, func(s *ReportState) error {
-		if err := s.Take(a.Token, a.N); err != nil {
+		if err := s.CheckChange(a.Token, a.Number); err != nil {
 			return err
 		}
 		if n := len(s.Windows); n > 0 && s.Windows[n-1].Start >= w.Start {
 			return nil // this act's, made and not heard of
 		}
 		s.Windows = append(s.Windows, w)
-		s.Windows = s.Windows[max(0, len(s.Windows)-a.Task.Keep):]
+		s.Windows = s.Windows[max(0, len(s.Windows)-a.Task.KeepReports):]
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	failpoint.Hit("account.committed")
-	sweep(dir, state, a.Token)
+	removeUnreferenced(dir, state, a.Token)
 	return nil
 }
 
-// sweep takes away files that no window has, of tokens that nothing is taken under any more, or of windows no longer kept.
-func sweep(dir string, s ReportState, token uint64) {
+// removeUnreferenced takes away files that no window has, of tokens that nothing is taken under any more, or of windows no longer kept.
+func removeUnreferenced(dir string, s ReportState, token uint64) {
 	has := map[string]bool{}
 	for _, w := range s.Windows {
 		has[w.File] = true
@@ -203,8 +203,8 @@
 	}
 }
 
-// ask has one instance tell its accounts of a window.
-func (j *Account) ask(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
+// fetchSnapshot has one instance tell its accounts of a window.
+func (j *FleetReport) fetchSnapshot(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
 	if m.Accounts == "" {
 		return s, errors.New("it keeps no accounts")
 	}
@@ -224,7 +224,7 @@
 		return s, errors.Unwrap(err)
 	}
 	defer resp.Body.Close()
-	body := io.LimitReader(resp.Body, mostAccounts)
+	body := io.LimitReader(resp.Body, maxSnapshotBytes)
 	if resp.StatusCode != http.StatusOK {
 		text, _ := io.ReadAll(io.LimitReader(body, 200))
 		return s, fmt.Errorf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
--- a/internal/controlplane/lease/leasework/drill.go
+++ b/internal/controlplane/lease/leasework/drill.go
@@ -18,34 +18,34 @@
 // Drill acts at a guarded folder that holds nothing but what was done there: whether leases hold on these machines, on this file
 // system, is seen without a task that matters.
 type Drill struct {
-	Name   string // the instance's
-	client http.Client
-	notice atomic.Uint64
+	Name        string // the instance's
+	client      http.Client
+	noticeCount atomic.Uint64
 }
 
 // DrillState is what a drill's folder holds for one shard.
 type DrillState struct {
-	fencing.Place
-	Count   uint64       `json:"count"`   // changes taken
-	Refused uint64       `json:"refused"` // acts turned away
+	fencing.Guard
+	Changes uint64       `json:"count"`   // changes taken
+	Fenced  uint64       `json:"refused"` // acts turned away
 	Last    []DrillEntry `json:"last"`    // the newest of what was done
 }
 
 // DrillEntry is one thing that was done, or refused, at a drill's place.
 type DrillEntry struct {
-	Token  uint64 `json:"token"`
-	Act    uint64 `json:"act"`
-	Op     string `json:"op"` // begin, take, end
-	Member string `json:"member"`
-	Taken  bool   `json:"taken"`
+	Token     uint64 `json:"token"`
+	Operation uint64 `json:"act"`
+	Step      string `json:"op"` // begin, take, end
+	Member    string `json:"member"`
+	Accepted  bool   `json:"taken"`
 }
 
-// mostEntries bounds what a drill's place writes down.
-const mostEntries = 256
+// maxEntries bounds what a drill's place writes down.
+const maxEntries = 256
 
-func (s *DrillState) note(e DrillEntry) {
+func (s *DrillState) record(e DrillEntry) {
 	s.Last = append(s.Last, e)
-	s.Last = s.Last[max(0, len(s.Last)-mostEntries):]
+	s.Last = s.Last[max(0, len(s.Last)-maxEntries):]
 }
 
 // DrillNotice is what a witness is told of a call of the place, before it is made and after it has returned.
@@ -58,62 +58,62 @@
 	Error  string `json:"error,omitempty"` // of a call of which it is not known whether it was taken
 }
 
-// takes is how many changes an act of a drill makes.
-const takes = 2
+// changesPerOperation is how many changes an act of a drill makes.
+const changesPerOperation = 2
 
-// Act implements Job: begin, a few changes, end, each one atomic step of the folder.
-func (d *Drill) Act(ctx context.Context, a *Act) error {
+// Run implements Job: begin, a few changes, end, each one atomic step of the folder.
+func (d *Drill) Run(ctx context.Context, a *Operation) error {
 	dir := filepath.Join(a.Task.Dir, fmt.Sprintf("%s-%d", a.Task.Name, a.Shard))
-	step := func(op string, do func(*fencing.Place) error) error {
-		if !a.Good() {
-			return errOver
+	step := func(op string, do func(*fencing.Guard) error) error {
+		if !a.MayProceed() {
+			return errExpired
 		}
 		failpoint.Hit("act.checked")
-		e := DrillEntry{Token: a.Token, Act: a.N, Op: op, Member: d.Name}
-		n := DrillNotice{DrillEntry: e, ID: fmt.Sprintf("%s-%d", d.Name, d.notice.Add(1)), Task: a.Task.Name, Shard: a.Shard}
-		d.tell(ctx, a, n)
+		e := DrillEntry{Token: a.Token, Operation: a.Number, Step: op, Member: d.Name}
+		n := DrillNotice{DrillEntry: e, ID: fmt.Sprintf("%s-%d", d.Name, d.noticeCount.Add(1)), Task: a.Task.Name, Shard: a.Shard}
+		d.notifyWitness(ctx, a, n)
 		_, err := casfile.Update(dir, func(s *DrillState) error {
-			if err := do(&s.Place); err != nil {
+			if err := do(&s.Guard); err != nil {
 				return err
 			}
 			if op == "take" {
-				s.Count++
+				s.Changes++
 			}
-			e.Taken = true
-			s.note(e)
+			e.Accepted = true
+			s.record(e)
 			return nil
 		})
-		refused, is := err.(*fencing.Refusal)
-		if n.Return, n.Taken = true, err == nil; err != nil && !is {
+		refused, is := err.(*fencing.RejectedError)
+		if n.Return, n.Accepted = true, err == nil; err != nil && !is {
 			n.Error = err.Error()
 		}
-		d.tell(ctx, a, n)
+		d.notifyWitness(ctx, a, n)
 		if is {
 			casfile.Update(dir, func(s *DrillState) error {
-				s.Refused++
-				e.Taken = false
-				s.note(e)
+				s.Fenced++
+				e.Accepted = false
+				s.record(e)
 				return nil
 			})
 			return refused
 		}
 		return err
 	}
-	if err := step("begin", func(p *fencing.Place) error { return p.Begin(a.Token, a.N) }); err != nil {
+	if err := step("begin", func(p *fencing.Guard) error { return p.Begin(a.Token, a.Number) }); err != nil {
 		return err
 	}
 	failpoint.Hit("act.opened")
-	for range takes {
-		if err := step("take", func(p *fencing.Place) error { return p.Take(a.Token, a.N) }); err != nil {
+	for range changesPerOperation {
+		if err := step("take", func(p *fencing.Guard) error { return p.CheckChange(a.Token, a.Number) }); err != nil {
 			return err
 		}
 		failpoint.Hit("act.taken")
 	}
-	return step("end", func(p *fencing.Place) error { return p.End(a.Token, a.N) })
+	return step("end", func(p *fencing.Guard) error { return p.End(a.Token, a.Number) })
 }
 
-// tell tells the witness. What can't be told is missing there, and no more.
-func (d *Drill) tell(ctx context.Context, a *Act, n DrillNotice) {
+// notifyWitness tells the witness. What can't be told is missing there, and no more.
+func (d *Drill) notifyWitness(ctx context.Context, a *Operation, n DrillNotice) {
 	if a.Task.Witness == "" {
 		return
 	}
--- a/internal/controlplane/lease/leasework/probe.go
+++ b/internal/controlplane/lease/leasework/probe.go
@@ -13,29 +13,29 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Stock counts connections at targets (internal/controlplane/quota/quotasession).
-type Stock interface {
+// ConnectionQuota counts connections at targets (internal/controlplane/quota/quotasession).
+type ConnectionQuota interface {
 	Open(target string) bool
 	Close(target string)
 }
 
-// Probe tries targets that are avoided, for the whole fleet. A target can't check a token: each try is looked at just before it is made, and
+// EndpointProbe tries targets that are avoided, for the whole fleet. A target can't check a token: each try is looked at just before it is made, and
 // carries the lease for the target's log.
-type Probe struct {
-	Stock  Stock         // of connections; nil: none is kept
-	Dial   time.Duration // a connection is there within
-	Within time.Duration // and an answer
+type EndpointProbe struct {
+	Connections   ConnectionQuota // of connections; nil: none is kept
+	DialTimeout   time.Duration   // a connection is there within
+	AnswerTimeout time.Duration   // and an answer
 
-	mu    sync.Mutex
-	addrs map[string]string
-	r     *Runner
+	mu     sync.Mutex
+	addrs  map[string]string
+	runner *Runner
 }
 
-// For is the runner that is told what was found.
-func (p *Probe) For(r *Runner) { p.r = r }
+// Attach is the runner that is told what was found.
+func (p *EndpointProbe) Attach(r *Runner) { p.runner = r }
 
-// Listed takes over where targets are.
-func (p *Probe) Listed(addrs map[string]string, whole bool) {
+// SetTargets takes over where targets are.
+func (p *EndpointProbe) SetTargets(addrs map[string]string, whole bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if whole || p.addrs == nil {
@@ -50,45 +50,45 @@
 	}
 }
 
-// Act implements Job: each target of the shard that somebody avoids is tried once, one after the other.
-func (p *Probe) Act(ctx context.Context, a *Act) error {
-	for _, target := range p.r.targets(a) {
+// Run implements Job: each target of the shard that somebody avoids is tried once, one after the other.
+func (p *EndpointProbe) Run(ctx context.Context, a *Operation) error {
+	for _, target := range p.runner.targetsOf(a) {
 		p.mu.Lock()
 		addr := p.addrs[target]
 		p.mu.Unlock()
 		if addr == "" {
 			continue // not on this member's list: it is gone, or not there yet
 		}
-		if p.Stock != nil && !p.Stock.Open(target) {
+		if p.Connections != nil && !p.Connections.Open(target) {
 			continue // the fleet has no connection left there
 		}
-		if !a.Good() {
-			if p.Stock != nil {
-				p.Stock.Close(target)
+		if !a.MayProceed() {
+			if p.Connections != nil {
+				p.Connections.Close(target)
 			}
-			return errOver
+			return errExpired
 		}
 		failpoint.Hit("probe.checked")
 		began := monotone.Now()
-		well := p.try(ctx, a, addr)
-		if p.Stock != nil {
-			p.Stock.Close(target)
+		well := p.probe(ctx, a, addr)
+		if p.Connections != nil {
+			p.Connections.Close(target)
 		}
 		if ctx.Err() != nil {
-			return errOver // the act's end, not the target's silence
+			return errExpired // the act's end, not the target's silence
 		}
-		p.r.take(lease.Result{Task: a.Key.Task, Target: target, Token: a.Token, Well: well, TookUs: (monotone.Now() - began).Microseconds()})
+		p.runner.addResult(lease.ProbeResult{Task: a.Key.Task, Target: target, Token: a.Token, Healthy: well, LatencyUs: (monotone.Now() - began).Microseconds()})
 	}
 	return nil
 }
 
-// try asks a target for its health, on a connection of its own, and tells whether it answered 200 in time.
-func (p *Probe) try(ctx context.Context, a *Act, addr string) bool {
-	ctx, done := context.WithTimeout(ctx, p.Within)
+// probe asks a target for its health, on a connection of its own, and tells whether it answered 200 in time.
+func (p *EndpointProbe) probe(ctx context.Context, a *Operation, addr string) bool {
+	ctx, done := context.WithTimeout(ctx, p.AnswerTimeout)
 	defer done()
-	t := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: p.Dial}).DialContext}
+	t := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: p.DialTimeout}).DialContext}
 	defer t.CloseIdleConnections()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+a.Task.Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+a.Task.ProbePath, nil)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/lease/leasework/tasks.go
+++ b/internal/controlplane/lease/leasework/tasks.go
@@ -18,36 +18,36 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Act is one act under way.
-type Act struct {
-	lessee.Act
-	Task lease.Task
-	r    *Runner
+// Operation is one act under way.
+type Operation struct {
+	lessee.Operation
+	Task   lease.Task
+	runner *Runner
 }
 
-// Good tells whether the act may still do something. It is asked right before each touch of anything outside.
-func (a *Act) Good() bool {
-	a.r.mu.Lock()
-	defer a.r.mu.Unlock()
-	return a.r.t.Good(monotone.Now(), a.Act)
+// MayProceed tells whether the act may still do something. It is asked right before each touch of anything outside.
+func (a *Operation) MayProceed() bool {
+	a.runner.mu.Lock()
+	defer a.runner.mu.Unlock()
+	return a.runner.lessee.MayProceed(monotone.Now(), a.Operation)
 }
 
-// errOver says that an act has lasted for too long, or its lease has ended, before all was done.
-var errOver = errors.New("the act or its lease is over")
+// errExpired says that an act has lasted for too long, or its lease has ended, before all was done.
+var errExpired = errors.New("the act or its lease is over")
 
 // Job does the acts of one kind of task. A *guard.Refusal as its error is the place's; any other is a failure.
 type Job interface {
-	Act(ctx context.Context, a *Act) error
+	Run(ctx context.Context, a *Operation) error
 }
 
 // Options set up an instance's tasks.
 type Options struct {
-	Runs  []string // names of tasks that it can do
-	Jobs  map[lease.Kind]Job
-	Hurry func()          // has the next renewal sent at once; it must not wait
-	Load  func() uint16   // requests open; nil: not told
-	Ended func() []string // instances that this one holds dead or gone; nil: it keeps no view of others
-	Log   *slog.Logger
+	Tasks         []string // names of tasks that it can do
+	Jobs          map[lease.Kind]Job
+	RenewNow      func()          // has the next renewal sent at once; it must not wait
+	OpenRequests  func() uint16   // requests open; nil: not told
+	DeadInstances func() []string // instances that this one holds dead or gone; nil: it keeps no view of others
+	Log           *slog.Logger
 }
 
 // Runner is an instance's. All of it is safe for concurrent use.
@@ -55,84 +55,84 @@
 	opt  Options
 	wake chan struct{}
 
-	mu      sync.Mutex
-	t       *lessee.Tenant
-	avoids  []string
-	work    []string       // targets to be tried, of the shards held
-	found   []lease.Result // not told yet
-	foundAt []time.Duration
-	news    func([]lease.Result, time.Duration)
-	began   time.Duration // when the claim sent last was begun
-	acting  sync.WaitGroup
-	stopped bool
-	counts  struct{ begun, done, refused, failed int64 }
+	mu               sync.Mutex
+	lessee           *lessee.Lessee
+	ejected          []string
+	probeTargets     []string            // targets to be tried, of the shards held
+	results          []lease.ProbeResult // not told yet
+	resultTimes      []time.Duration
+	onResults        func([]lease.ProbeResult, time.Duration)
+	renewalStartedAt time.Duration // when the claim sent last was begun
+	running          sync.WaitGroup
+	stopped          bool
+	counts           struct{ begun, done, refused, failed int64 }
 }
 
 // New returns one that holds nothing.
 func New(opt Options) *Runner {
-	return &Runner{opt: opt, wake: make(chan struct{}, 1), t: lessee.New(opt.Runs), news: func([]lease.Result, time.Duration) {}}
+	return &Runner{opt: opt, wake: make(chan struct{}, 1), lessee: lessee.New(opt.Tasks), onResults: func([]lease.ProbeResult, time.Duration) {}}
 }
 
-// OnNews has f called with what others found out about targets that are avoided here, and how long it has been on its way at most. It must
+// OnResults has f called with what others found out about targets that are avoided here, and how long it has been on its way at most. It must
 // be called before Run, and f must not wait.
-func (r *Runner) OnNews(f func([]lease.Result, time.Duration)) { r.news = f }
+func (r *Runner) OnResults(f func([]lease.ProbeResult, time.Duration)) { r.onResults = f }
 
-// Avoid notes which targets are avoided here.
-func (r *Runner) Avoid(targets []string) {
+// SetEjected notes which targets are avoided here.
+func (r *Runner) SetEjected(targets []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.avoids = targets[:min(len(targets), lease.MostTargets)]
+	r.ejected = targets[:min(len(targets), lease.MaxTargets)]
 }
 
-// Claim begins a claim, with a renewal that is begun at that moment.
-func (r *Runner) Claim(now time.Duration) *lease.Claim {
+// BeginRenewal begins a claim, with a renewal that is begun at that moment.
+func (r *Runner) BeginRenewal(now time.Duration) *lease.RenewalRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.t.Claim(now)
-	r.began = now
-	c.Avoids = r.avoids
-	if r.opt.Load != nil {
-		c.Load = r.opt.Load()
+	c := r.lessee.BeginRenewal(now)
+	r.renewalStartedAt = now
+	c.Ejected = r.ejected
+	if r.opt.OpenRequests != nil {
+		c.OpenRequests = r.opt.OpenRequests()
 	}
-	if r.opt.Ended != nil {
-		c.Ended = r.opt.Ended()
+	if r.opt.DeadInstances != nil {
+		c.DeadInstances = r.opt.DeadInstances()
 	}
-	for i, x := range r.found {
-		x.AgoMs = (now - r.foundAt[i]).Milliseconds()
+	for i, x := range r.results {
+		x.AgeMs = (now - r.resultTimes[i]).Milliseconds()
 		c.Results = append(c.Results, x)
 	}
-	r.found, r.foundAt = nil, nil // told once; the next round brings newer ones
+	r.results, r.resultTimes = nil, nil // told once; the next round brings newer ones
 	return &c
 }
 
-// Accept takes the answer to the claim sent last.
-func (r *Runner) Accept(now time.Duration, a *lease.Award) {
+// AcceptRenewal takes the answer to the claim sent last.
+func (r *Runner) AcceptRenewal(now time.Duration, a *lease.RenewalResponse) {
 	r.mu.Lock()
-	if !r.t.Accept(now, *a) {
+	if !r.lessee.AcceptRenewal(now, *a) {
 		r.mu.Unlock()
 		return
 	}
-	r.work = a.Work
-	hurry := r.t.Hurry()
+	r.probeTargets = a.ProbeTargets
+	hurry := r.lessee.NeedsRenewal()
 	r.mu.Unlock()
-	if len(a.News) > 0 {
-		r.news(a.News, now-r.began)
+	if len(a.ProbeResults) > 0 {
+		r.onResults(a.ProbeResults, now-r.renewalStartedAt)
 	}
 	if hurry {
-		r.opt.Hurry()
+		r.opt.RenewNow()
 	}
-	r.rouse()
+	r.wakeUp()
 }
 
-// Drop gives everything up: the seat is lost.
-func (r *Runner) Drop() {
+// DropAll gives everything up: the seat is lost.
+func (r *Runner) DropAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.t.Drop()
-	r.work, r.found, r.foundAt = nil, nil, nil
+	r.lessee.DropAll()
+	r.probeTargets, r.results, r.resultTimes = nil, nil, nil
 }
 
-func (r *Runner) rouse() {
+func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -145,18 +145,18 @@
 		r.mu.Lock()
 		now := monotone.Now()
 		next := now + time.Second
-		for _, k := range r.t.Held(now) {
-			a, ok := r.t.Start(now, k)
+		for _, k := range r.lessee.Held(now) {
+			a, ok := r.lessee.StartOperation(now, k)
 			if !ok {
-				if due := r.t.Next(k); due > now {
+				if due := r.lessee.NextOperation(k); due > now {
 					next = min(next, due)
 				}
 				continue
 			}
-			next = min(next, r.t.Next(k))
+			next = min(next, r.lessee.NextOperation(k))
 			r.counts.begun++
-			act := &Act{a, *r.t.Task(k.Task), r}
-			r.acting.Go(func() { r.act(ctx, act) })
+			act := &Operation{a, *r.lessee.Task(k.Task), r}
+			r.running.Go(func() { r.runOperation(ctx, act) })
 		}
 		r.mu.Unlock()
 		select {
@@ -167,54 +167,54 @@
 	}
 }
 
-func (r *Runner) act(ctx context.Context, a *Act) {
+func (r *Runner) runOperation(ctx context.Context, a *Operation) {
 	failpoint.Hit("act.begun")
-	ctx, done := context.WithTimeout(ctx, a.Until-monotone.Now())
+	ctx, done := context.WithTimeout(ctx, a.Deadline-monotone.Now())
 	defer done()
 	err := errors.New("a task of a kind that is not done here")
 	if job := r.opt.Jobs[a.Task.Kind]; job != nil {
-		err = job.Act(ctx, a)
+		err = job.Run(ctx, a)
 	}
 	failpoint.Hit("act.ending")
-	how, seen := lessee.Done, uint64(0)
-	var no *fencing.Refusal
+	how, seen := lessee.Completed, uint64(0)
+	var no *fencing.RejectedError
 	switch {
 	case errors.As(err, &no):
-		how, seen = lessee.Refused, no.Seen.Token
+		how, seen = lessee.Fenced, no.Current.Token
 	case err != nil:
 		how = lessee.Failed
 	}
 	r.mu.Lock()
-	r.t.Finish(a.Act, how, seen)
-	hurry := r.t.Hurry() && !r.stopped
+	r.lessee.FinishOperation(a.Operation, how, seen)
+	hurry := r.lessee.NeedsRenewal() && !r.stopped
 	switch how {
-	case lessee.Done:
+	case lessee.Completed:
 		r.counts.done++
-	case lessee.Refused:
+	case lessee.Fenced:
 		r.counts.refused++
 	case lessee.Failed:
 		r.counts.failed++
 	}
 	r.mu.Unlock()
 	if err != nil {
-		reason := map[lessee.End]string{lessee.Refused: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
+		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
 		r.opt.Log.Warn("act not done", slog.String("reason", reason), slog.String("lease", a.Key.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
 	}
 	if hurry {
-		r.opt.Hurry()
+		r.opt.RenewNow()
 	}
-	r.rouse()
+	r.wakeUp()
 }
 
 // Stop gives everything back, and tells whether all acts have ended within that time: then nothing is done any more.
 func (r *Runner) Stop(within time.Duration) bool {
 	r.mu.Lock()
 	r.stopped = true
-	r.t.ReleaseAll()
+	r.lessee.ReleaseAll()
 	r.mu.Unlock()
 	ended := make(chan struct{})
 	go func() {
-		r.acting.Wait()
+		r.running.Wait()
 		close(ended)
 	}()
 	select {
@@ -225,31 +225,31 @@
 	}
 }
 
-// Every is from one act of a task to the next, and how long that one takes; 0: the task is not known.
-func (r *Runner) Every(task string) time.Duration {
+// OperationPeriod is from one act of a task to the next, and how long that one takes; 0: the task is not known.
+func (r *Runner) OperationPeriod(task string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.t.Task(task)
+	t := r.lessee.Task(task)
 	if t == nil {
 		return 0
 	}
-	return t.Every() + t.Act()
+	return t.Interval() + t.OperationTimeout()
 }
 
-// take notes what was found out about a target.
-func (r *Runner) take(x lease.Result) {
+// addResult notes what was found out about a target.
+func (r *Runner) addResult(x lease.ProbeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.found) < lease.MostTargets {
-		r.found, r.foundAt = append(r.found, x), append(r.foundAt, monotone.Now())
+	if len(r.results) < lease.MaxTargets {
+		r.results, r.resultTimes = append(r.results, x), append(r.resultTimes, monotone.Now())
 	}
 }
 
-// targets is what is to be tried of a shard.
-func (r *Runner) targets(a *Act) (all []string) {
+// targetsOf is what is to be tried of a shard.
+func (r *Runner) targetsOf(a *Operation) (all []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, t := range r.work {
+	for _, t := range r.probeTargets {
 		if a.Task.ShardOf(t) == a.Shard {
 			all = append(all, t)
 		}
@@ -266,5 +266,5 @@
 	to.Inc("fleet.tasks.acts.done", int64(r.counts.done), 1)
 	to.Inc("fleet.tasks.acts.refused", int64(r.counts.refused), 1)
 	to.Inc("fleet.tasks.acts.failed", int64(r.counts.failed), 1)
-	to.Gauge("fleet.tasks.held", int64(len(r.t.Held(now))), 1)
+	to.Gauge("fleet.tasks.held", int64(len(r.lessee.Held(now))), 1)
 }
--- a/internal/controlplane/lease/lessor/keeper_test.go
+++ b/internal/controlplane/lease/lessor/keeper_test.go
@@ -13,13 +13,13 @@
 )
 
 // world is a register and a keeper with so many members, all of which have claimed.
-func world(tb testing.TB, members, shards int, runs ...string) (*registry.Register, *Keeper, []uint64) {
+func world(tb testing.TB, members, shards int, runs ...string) (*registry.Registry, *Lessor, []uint64) {
 	tb.Helper()
-	r := &registry.Register{}
-	if err := r.Set(1, quota.Doc{Seats: 2000}); err != nil {
+	r := &registry.Registry{}
+	if err := r.SetQuotaConfig(1, quota.Config{MaxSessions: 2000}); err != nil {
 		tb.Fatal(err)
 	}
-	if err := r.SetTasks(2, lease.Doc{Tasks: []lease.Task{{Name: "t", Kind: lease.Watch, Shards: shards, PauseMs: 100}}}); err != nil {
+	if err := r.SetLeaseConfig(2, lease.Config{Tasks: []lease.Task{{Name: "t", Kind: lease.EndpointProbe, Shards: shards, MaxPauseMs: 100}}}); err != nil {
 		tb.Fatal(err)
 	}
 	for i := range members {
@@ -31,16 +31,16 @@
 	k := New(0, r)
 	seq := make([]uint64, members)
 	for i := range members {
-		claim(tb, k, time.Minute, i, seq, lease.Claim{Runs: runs})
+		claim(tb, k, time.Minute, i, seq, lease.RenewalRequest{Tasks: runs})
 	}
 	return r, k, seq
 }
 
-func claim(tb testing.TB, k *Keeper, now time.Duration, i int, seq []uint64, c lease.Claim) lease.Award {
+func claim(tb testing.TB, k *Lessor, now time.Duration, i int, seq []uint64, c lease.RenewalRequest) lease.RenewalResponse {
 	tb.Helper()
 	seq[i]++
 	c.Seq = seq[i]
-	a, err := k.Claim(now, fmt.Sprintf("member-%04d", i), c)
+	a, err := k.Renew(now, fmt.Sprintf("member-%04d", i), c)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -48,13 +48,13 @@
 }
 
 // settle has the log take what the keeper wants, until it wants nothing more.
-func settle(r *registry.Register, k *Keeper, now time.Duration) (changes int) {
+func settle(r *registry.Registry, k *Lessor, now time.Duration) (changes int) {
 	for index := uint64(10_000); ; index++ {
-		orders, seen := k.Orders(now)
+		orders, seen := k.PendingEvents(now)
 		if len(orders) == 0 && seen == 0 {
 			return changes
 		}
-		changes += len(r.Order(index+r.Token, seen, orders))
+		changes += len(r.ApplyEvents(index+r.LastToken, seen, orders))
 		k.Update(now, r)
 	}
 }
@@ -65,7 +65,7 @@
 	r, k, seq := world(t, 1, 1, "t")
 	settle(r, k, time.Minute)
 	for seen, wanted := range map[uint64]bool{1 << 40: true, 1 << 63: false} {
-		claim(t, k, time.Minute, 0, seq, lease.Claim{Runs: []string{"t"}, Seen: seen, Gives: []lease.Back{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
+		claim(t, k, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}, HighestToken: seen, Released: []lease.Ref{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
 		settle(r, k, time.Minute)
 		if got := r.Leases[0].Token > seen; got != wanted || r.Leases[0].Token > 1<<41 {
 			t.Errorf("token %d after a place had shown %d", r.Leases[0].Token, seen)
@@ -84,19 +84,19 @@
 	if holder == "member-0000" {
 		to = "n1"
 	}
-	claim(t, k, now, 2, seq, lease.Claim{}) // it does the task no more
+	claim(t, k, now, 2, seq, lease.RenewalRequest{}) // it does the task no more
 	for _, c := range []struct {
 		key lease.Key
 		to  string
 		err error
-	}{{lease.Key{Task: "u"}, to, lease.UnknownTask}, {lease.Key{Task: "t", Shard: 6}, to, lease.UnknownShard}, {key, "n7", lease.UnknownMember},
-		{key, holder, lease.HeldAlready}, {key, "n2", lease.NotRun}, {key, to, nil}} {
-		o, err := k.Move(now, c.key, c.to)
+	}{{lease.Key{Task: "u"}, to, lease.ErrUnknownTask}, {lease.Key{Task: "t", Shard: 6}, to, lease.ErrUnknownShard}, {key, "n7", lease.ErrUnknownMember},
+		{key, holder, lease.ErrAlreadyHolder}, {key, "n2", lease.ErrTaskNotSupported}, {key, to, nil}} {
+		o, err := k.Migrate(now, c.key, c.to)
 		if !errors.Is(err, c.err) {
 			t.Errorf("%v to %s: %v, wanted %v", c.key, c.to, err, c.err)
 		}
 		if err == nil {
-			r.Order(50_000, 0, []lease.Order{o})
+			r.ApplyEvents(50_000, 0, []lease.Event{o})
 			k.Update(now, r)
 		}
 	}
@@ -106,10 +106,10 @@
 		t.Fatal("granted on before it was given back")
 	}
 	for i := range 3 {
-		c := lease.Claim{Runs: []string{"t"}}
+		c := lease.RenewalRequest{Tasks: []string{"t"}}
 		for _, l := range r.Leases {
 			if l.Holder == fmt.Sprintf("member-%04d", i) {
-				c.Gives = append(c.Gives, lease.Back{Key: l.Key, Token: l.Token})
+				c.Released = append(c.Released, lease.Ref{Key: l.Key, Token: l.Token})
 			}
 		}
 		if i < 2 {
@@ -119,7 +119,7 @@
 	for range 5 {
 		settle(r, k, now)
 	}
-	if l := r.Lease(key); l.Pin == "" || l.Holder != l.Pin || l.Holder == holder {
+	if l := r.Lease(key); l.PinnedTo == "" || l.Holder != l.PinnedTo || l.Holder == holder {
 		t.Errorf("moved to %s: %+v", to, l)
 	}
 }
@@ -128,16 +128,16 @@
 func BenchmarkClaim(b *testing.B) {
 	for _, n := range []int{20, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, k, seq := world(b, n, min(3*n, lease.MostShards), "t")
+			r, k, seq := world(b, n, min(3*n, lease.MaxShards), "t")
 			settle(r, k, time.Minute)
-			held := map[string][]lease.Held{}
+			held := map[string][]lease.HolderStatus{}
 			for _, l := range r.Leases {
-				held[l.Holder] = append(held[l.Holder], lease.Held{Key: l.Key, Token: l.Token, Acts: 1})
+				held[l.Holder] = append(held[l.Holder], lease.HolderStatus{Key: l.Key, Token: l.Token, Completed: 1})
 			}
 			size, answer := 0, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c := lease.Claim{Version: r.Tasks.Version, Runs: []string{"t"}, Holds: held[fmt.Sprintf("member-%04d", i%n)]}
+				c := lease.RenewalRequest{ConfigVersion: r.LeaseConfig.Version, Tasks: []string{"t"}, Held: held[fmt.Sprintf("member-%04d", i%n)]}
 				a := claim(b, k, time.Minute, i%n, seq, c)
 				if i == n {
 					text, _ := json.Marshal(c)
@@ -174,28 +174,28 @@
 		if held() != 1 {
 			t.Fatalf("%d shards of five", held())
 		}
-		claim(t, k, time.Minute, 0, seq, lease.Claim{Runs: []string{"t"}}) // it is told of its shard
-		until := k.row(lease.Key{Task: "t", Shard: shardOf(r, "member-0000")}).until
-		now := time.Minute + k.doc.Elsewhere(k.doc.Renew())
+		claim(t, k, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}}) // it is told of its shard
+		until := k.lease(lease.Key{Task: "t", Shard: shardOf(r, "member-0000")}).expiresAt
+		now := time.Minute + k.quotaConfig.MaxOnOtherClock(k.quotaConfig.RenewInterval())
 		for i := 1; i < 5; i++ {
-			x := lease.Claim{Runs: []string{"t"}}
+			x := lease.RenewalRequest{Tasks: []string{"t"}}
 			if i <= c.judges {
-				x.Ended = []string{"n0"}
+				x.DeadInstances = []string{"n0"}
 			}
 			claim(t, k, now, i, seq, x)
 		}
 		if c.renews {
-			claim(t, k, now, 0, seq, lease.Claim{Runs: []string{"t"}})
+			claim(t, k, now, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}})
 		}
 		if settle(r, k, now); held() != 1 {
 			t.Errorf("%s: a shard went on before its time", c.name)
 		}
-		if dead := k.verdicts(now)["member-0000"]; dead != c.planned {
+		if dead := k.deadMembers(now)["member-0000"]; dead != c.planned {
 			t.Errorf("%s: held dead %v, want %v", c.name, dead, c.planned)
 		}
 		if c.planned {
 			for i := 1; i < 5; i++ {
-				claim(t, k, until, i, seq, lease.Claim{Runs: []string{"t"}, Ended: []string{"n0"}})
+				claim(t, k, until, i, seq, lease.RenewalRequest{Tasks: []string{"t"}, DeadInstances: []string{"n0"}})
 			}
 			if settle(r, k, until); held() != 0 {
 				t.Errorf("%s: its shard did not go on when its time was over", c.name)
@@ -204,7 +204,7 @@
 	}
 }
 
-func shardOf(r *registry.Register, id string) int {
+func shardOf(r *registry.Registry, id string) int {
 	for _, l := range r.Leases {
 		if l.Holder == id {
 			return l.Shard
--- a/internal/controlplane/lease/outlierboard/watch.go
+++ b/internal/controlplane/lease/outlierboard/watch.go
@@ -11,107 +11,107 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// mostFound bounds the results that are kept.
-const mostFound = 4 * lease.MostTargets
+// maxResults bounds the results that are kept.
+const maxResults = 4 * lease.MaxTargets
 
 // Board is one keeper's. Its zero value has nothing.
 type Board struct {
-	avoids map[string][]string // by member, as it said last
-	by     map[string]int      // how many members avoid a target
-	found  map[string]found
+	ejectedBy map[string][]string // by member, as it said last
+	reporters map[string]int      // how many members avoid a target
+	results   map[string]timedResult
 }
 
-type found struct {
-	lease.Result
-	at time.Duration // when it was told
+type timedResult struct {
+	lease.ProbeResult
+	receivedAt time.Duration // when it was told
 }
 
-// Note takes over which targets a member avoids.
-func (b *Board) Note(id string, targets []string) {
-	if b.avoids == nil {
-		b.avoids, b.by, b.found = map[string][]string{}, map[string]int{}, map[string]found{}
+// SetEjected takes over which targets a member avoids.
+func (b *Board) SetEjected(id string, targets []string) {
+	if b.ejectedBy == nil {
+		b.ejectedBy, b.reporters, b.results = map[string][]string{}, map[string]int{}, map[string]timedResult{}
 	}
-	for _, t := range b.avoids[id] {
-		if b.by[t]--; b.by[t] <= 0 {
-			delete(b.by, t)
+	for _, t := range b.ejectedBy[id] {
+		if b.reporters[t]--; b.reporters[t] <= 0 {
+			delete(b.reporters, t)
 		}
 	}
-	targets = slices.Compact(slices.Sorted(slices.Values(targets[:min(len(targets), lease.MostTargets)])))
+	targets = slices.Compact(slices.Sorted(slices.Values(targets[:min(len(targets), lease.MaxTargets)])))
 	if len(targets) == 0 {
-		delete(b.avoids, id)
+		delete(b.ejectedBy, id)
 		return
 	}
-	b.avoids[id] = targets
+	b.ejectedBy[id] = targets
 	for _, t := range targets {
-		b.by[t]++
+		b.reporters[t]++
 	}
 }
 
-// Keep forgets members that are no more, and results that are older than that.
-func (b *Board) Keep(now, within time.Duration, alive func(id string) bool) {
-	for id := range b.avoids {
+// Prune forgets members that are no more, and results that are older than that.
+func (b *Board) Prune(now, within time.Duration, alive func(id string) bool) {
+	for id := range b.ejectedBy {
 		if !alive(id) {
-			b.Note(id, nil)
+			b.SetEjected(id, nil)
 		}
 	}
-	maps.DeleteFunc(b.found, func(_ string, f found) bool { return now-f.at > within })
+	maps.DeleteFunc(b.results, func(_ string, f timedResult) bool { return now-f.receivedAt > within })
 }
 
-// Take notes a result whose token is that of the target's shard now, as the caller has just made sure. One under an older token
+// AddResult notes a result whose token is that of the target's shard now, as the caller has just made sure. One under an older token
 // than that of a result here is refused.
-func (b *Board) Take(now time.Duration, r lease.Result) bool {
-	if b.by[r.Target] == 0 {
+func (b *Board) AddResult(now time.Duration, r lease.ProbeResult) bool {
+	if b.reporters[r.Target] == 0 {
 		return false // nobody asks any more
 	}
-	if f, there := b.found[r.Target]; there && r.Token < f.Token || !there && len(b.found) >= mostFound {
+	if f, there := b.results[r.Target]; there && r.Token < f.Token || !there && len(b.results) >= maxResults {
 		return false
 	}
-	b.found[r.Target] = found{r, now}
+	b.results[r.Target] = timedResult{r, now}
 	return true
 }
 
-// Work is the targets that somebody avoids, of those wanted, in order.
-func (b *Board) Work(wanted func(target string) bool) (all []string) {
-	for t := range b.by {
+// ProbeTargets is the targets that somebody avoids, of those wanted, in order.
+func (b *Board) ProbeTargets(wanted func(target string) bool) (all []string) {
+	for t := range b.reporters {
 		if wanted(t) {
 			all = append(all, t)
 		}
 	}
 	slices.Sort(all)
-	return all[:min(len(all), lease.MostTargets)]
+	return all[:min(len(all), lease.MaxTargets)]
 }
 
-// News is what is known of the targets that a member avoids. Ages are what their finders said and the time since.
-func (b *Board) News(now time.Duration, id string) (all []lease.Result) {
-	for _, t := range b.avoids[id] {
-		if f, there := b.found[t]; there {
-			r := f.Result
-			r.AgoMs += (now - f.at).Milliseconds()
+// ResultsFor is what is known of the targets that a member avoids. Ages are what their finders said and the time since.
+func (b *Board) ResultsFor(now time.Duration, id string) (all []lease.ProbeResult) {
+	for _, t := range b.ejectedBy[id] {
+		if f, there := b.results[t]; there {
+			r := f.ProbeResult
+			r.AgeMs += (now - f.receivedAt).Milliseconds()
 			all = append(all, r)
 		}
 	}
 	return all
 }
 
-// Line is one target on the board.
-type Line struct {
-	Target string        `json:"target"`
-	By     int           `json:"avoided_by"`
-	Found  *lease.Result `json:"found,omitempty"`
+// Entry is one target on the board.
+type Entry struct {
+	Target    string             `json:"target"`
+	Reporters int                `json:"avoided_by"`
+	Result    *lease.ProbeResult `json:"found,omitempty"`
 }
 
-// Lines is all targets that somebody avoids, in order.
-func (b *Board) Lines(now time.Duration) []Line {
-	all := []Line{}
-	for t, n := range b.by {
-		l := Line{Target: t, By: n}
-		if f, there := b.found[t]; there {
-			r := f.Result
-			r.AgoMs += (now - f.at).Milliseconds()
-			l.Found = &r
+// Entries is all targets that somebody avoids, in order.
+func (b *Board) Entries(now time.Duration) []Entry {
+	all := []Entry{}
+	for t, n := range b.reporters {
+		l := Entry{Target: t, Reporters: n}
+		if f, there := b.results[t]; there {
+			r := f.ProbeResult
+			r.AgeMs += (now - f.receivedAt).Milliseconds()
+			l.Result = &r
 		}
 		all = append(all, l)
 	}
-	slices.SortFunc(all, func(a, b Line) int { return cmp.Compare(a.Target, b.Target) })
+	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.Target, b.Target) })
 	return all
 }
--- a/internal/controlplane/lease/rebalance/spread.go
+++ b/internal/controlplane/lease/rebalance/spread.go
@@ -14,21 +14,21 @@
 type Shard struct {
 	ID     int
 	Holder string // empty: nobody's
-	Fixed  bool   // it is on its way already, or an operator wants it there
-	Not    string // of one that is nobody's: who is to have it only where there is no other
+	Pinned bool   // it is on its way already, or an operator wants it there
+	Avoid  string // of one that is nobody's: who is to have it only where there is no other
 }
 
-// Move has a shard go to a member.
-type Move struct {
-	Shard int
-	To    string
+// Assignment has a shard go to a member.
+type Assignment struct {
+	Shard  int
+	Member string
 }
 
 // Plan gives shards that are nobody's, or whose holder is not among the members, to whoever has least; and where somebody has two more
 // than another, moves the difference, most shards at a time. Equal inputs give equal plans, whatever the members' order. Of those that
 // have equally many, one goes first that bears less than half of another's load, as members tell it; other ties go by rendezvous hashing of member and shard (Thaler and Ravishankar, 1998), so that tasks of one shard each don't all meet at
 // one member.
-func Plan(task string, shards []Shard, members []string, load map[string]uint16, most int) (given, moved []Move) {
+func Plan(task string, shards []Shard, members []string, load map[string]uint16, most int) (given, moved []Assignment) {
 	if len(members) == 0 {
 		return nil, nil
 	}
@@ -44,7 +44,7 @@
 			orphans = append(orphans, s)
 			continue
 		}
-		fixed[s.ID] = s.Fixed
+		fixed[s.ID] = s.Pinned
 		has[s.Holder] = append(has[s.Holder], s.ID)
 	}
 	least := func(shard int, not string) (best string) {
@@ -60,10 +60,10 @@
 		return best
 	}
 	for _, s := range orphans {
-		to := least(s.ID, s.Not)
+		to := least(s.ID, s.Avoid)
 		has[to] = append(has[to], s.ID)
 		fixed[s.ID] = true
-		given = append(given, Move{s.ID, to})
+		given = append(given, Assignment{s.ID, to})
 	}
 	for len(moved) < most {
 		from, shard := "", 0
@@ -85,7 +85,7 @@
 		has[from] = slices.DeleteFunc(has[from], func(s int) bool { return s == shard })
 		has[to] = append(has[to], shard)
 		fixed[shard] = true
-		moved = append(moved, Move{shard, to})
+		moved = append(moved, Assignment{shard, to})
 	}
 	return given, moved
 }
--- a/internal/controlplane/lease/rebalance/spread_test.go
+++ b/internal/controlplane/lease/rebalance/spread_test.go
@@ -70,7 +70,7 @@
 					t.Fatalf("round %d: %d given of %d, %d moved of %d at a time", round, len(given), orphans, len(moved), most)
 				}
 				for _, m := range append(given, moved...) {
-					holder[m.Shard] = m.To
+					holder[m.Shard] = m.Member
 				}
 				if moves += len(moved); len(moved) == 0 {
 					break
@@ -99,14 +99,14 @@
 	for _, c := range []struct {
 		load map[string]uint16
 		want string
-	}{{nil, first[0].To}, {map[string]uint16{"a": 40, "b": 9, "c": 40}, "b"}, {map[string]uint16{"a": 9, "b": 40, "c": 40}, "a"},
-		{map[string]uint16{"a": 33, "b": 40, "c": 60}, first[0].To}} {
-		if got, _ := Plan("t", one, members, c.load, 0); got[0].To != c.want {
-			t.Errorf("load %v: to %s, want %s", c.load, got[0].To, c.want)
+	}{{nil, first[0].Member}, {map[string]uint16{"a": 40, "b": 9, "c": 40}, "b"}, {map[string]uint16{"a": 9, "b": 40, "c": 40}, "a"},
+		{map[string]uint16{"a": 33, "b": 40, "c": 60}, first[0].Member}} {
+		if got, _ := Plan("t", one, members, c.load, 0); got[0].Member != c.want {
+			t.Errorf("load %v: to %s, want %s", c.load, got[0].Member, c.want)
 		}
 	}
 	two := []Shard{{ID: 0, Holder: "b"}, {ID: 1}}
-	if got, _ := Plan("t", two, members, map[string]uint16{"a": 400, "c": 400}, 0); got[0].To == "b" {
+	if got, _ := Plan("t", two, members, map[string]uint16{"a": 400, "c": 400}, 0); got[0].Member == "b" {
 		t.Error("a member with a shard got another, for its load")
 	}
 }
--- a/internal/controlplane/quota/allocator/giver.go
+++ b/internal/controlplane/quota/allocator/giver.go
@@ -16,136 +16,136 @@
 	"spindlehitch/internal/controlplane/quota/maxmin"
 )
 
-// mostAlike is how many processes may live under one name and address: two of an upgrade and one that was just killed.
-const mostAlike = 3
+// maxSameName is how many processes may live under one name and address: two of an upgrade and one that was just killed.
+const maxSameName = 3
 
-// Giver is the book of one term.
-type Giver struct {
-	doc     quota.Doc
-	since   time.Duration
-	members map[string]member
-	order   []string       // ids of members
-	known   []quota.Member // as the log had them last
-	book    map[quota.Key]*page
+// Allocator is the book of one term.
+type Allocator struct {
+	config     quota.Config
+	startedAt  time.Duration
+	members    map[string]member
+	memberIDs  []string       // ids of members
+	registered []quota.Member // as the log had them last
+	ledgers    map[quota.Key]*ledger
 }
 
 type member struct {
 	quota.Member
-	seq     uint64
-	heard   time.Duration // the last renewal; of one that is only known from the log, when this giver began
-	renewed bool          // by this giver
-	gone    bool          // its seat is being taken back
-	version uint64
+	lastSeq         uint64
+	lastHeardAt     time.Duration // the last renewal; of one that is only known from the log, when this giver began
+	renewedThisTerm bool          // by this giver
+	expired         bool          // its seat is being taken back
+	configVersion   uint64
 }
 
-// row is what one member may hold of a whole, each of two until its end here (2).
-type row struct {
-	id         string
-	share      float64 // as last reckoned
-	shared     bool    // it was
-	held       quota.Amount
-	heldEnd    time.Duration
-	granted    quota.Amount
-	grantedEnd time.Duration
-	claim      quota.Report
+// entry is what one member may hold of a whole, each of two until its end here (2).
+type entry struct {
+	memberID      string
+	fairShare     float64 // as last reckoned
+	hasFairShare  bool    // it was
+	reported      quota.Amount
+	reportedUntil time.Duration
+	granted       quota.Amount
+	grantedUntil  time.Duration
+	usage         quota.UsageReport
 }
 
-// may is the most that its member may still hold.
-func (r row) may(now time.Duration) (a quota.Amount) {
-	if now < r.heldEnd {
-		a = r.held
+// maxOutstanding is the most that its member may still hold.
+func (r entry) maxOutstanding(now time.Duration) (a quota.Amount) {
+	if now < r.reportedUntil {
+		a = r.reported
 	}
-	if now < r.grantedEnd {
+	if now < r.grantedUntil {
 		a.Rate, a.Burst = max(a.Rate, r.granted.Rate), max(a.Burst, r.granted.Burst)
 	}
 	return a
 }
 
 // New begins a term. The members are those in the log, all of it up to the term's beginning.
-func New(now time.Duration, doc quota.Doc, members []quota.Member) *Giver {
-	g := &Giver{doc: doc, since: now, members: map[string]member{}, book: map[quota.Key]*page{}}
+func New(now time.Duration, doc quota.Config, members []quota.Member) *Allocator {
+	g := &Allocator{config: doc, startedAt: now, members: map[string]member{}, ledgers: map[quota.Key]*ledger{}}
 	g.Update(now, doc, members)
 	return g
 }
 
 // Update takes over what the log says. Who has no seat any more holds nothing: it said so, or its seat outlasted all that it held (1).
-func (g *Giver) Update(now time.Duration, doc quota.Doc, members []quota.Member) {
-	g.doc = doc
-	joined, left := quota.Changed(g.known, members)
-	g.known = append(g.known[:0], members...)
+func (g *Allocator) Update(now time.Duration, doc quota.Config, members []quota.Member) {
+	g.config = doc
+	joined, left := quota.DiffMembers(g.registered, members)
+	g.registered = append(g.registered[:0], members...)
 	for _, m := range left {
 		delete(g.members, m.ID)
-		if at, there := slices.BinarySearch(g.order, m.ID); there {
-			g.order = slices.Delete(g.order, at, at+1)
+		if at, there := slices.BinarySearch(g.memberIDs, m.ID); there {
+			g.memberIDs = slices.Delete(g.memberIDs, at, at+1)
 		}
 	}
 	for _, m := range joined {
-		g.members[m.ID] = member{Member: m, heard: now}
-		if at, there := slices.BinarySearch(g.order, m.ID); !there {
-			g.order = slices.Insert(g.order, at, m.ID)
+		g.members[m.ID] = member{Member: m, lastHeardAt: now}
+		if at, there := slices.BinarySearch(g.memberIDs, m.ID); !there {
+			g.memberIDs = slices.Insert(g.memberIDs, at, m.ID)
 		}
 	}
 	if len(left) == 0 {
 		return
 	}
-	for k, p := range g.book {
-		if p.drop(func(r row) bool { _, in := g.members[r.id]; return !in }) == 0 {
-			delete(g.book, k)
+	for k, p := range g.ledgers {
+		if p.removeIf(func(r entry) bool { _, in := g.members[r.memberID]; return !in }) == 0 {
+			delete(g.ledgers, k)
 		}
 	}
 }
 
-// held is how long, at the giver, something lasts that was given for a renewal that has just come (Time).
-func (g *Giver) held(b *quota.Budget) time.Duration {
-	return g.doc.Elsewhere(g.doc.Part() + b.Linger())
+// outstandingTTL is how long, at the giver, something lasts that was given for a renewal that has just come (Time).
+func (g *Allocator) outstandingTTL(b *quota.Budget) time.Duration {
+	return g.config.MaxOnOtherClock(g.config.AllocationTTL() + b.Linger())
 }
 
-// seat is how long, at the giver, a seat lasts after its member was heard: what is out under its floor has ended as well.
-func (g *Giver) seat() time.Duration {
+// sessionTTL is how long, at the giver, a seat lasts after its member was heard: what is out under its floor has ended as well.
+func (g *Allocator) sessionTTL() time.Duration {
 	linger := time.Duration(0)
-	for i := range g.doc.Budgets {
-		linger = max(linger, g.doc.Budgets[i].Linger())
+	for i := range g.config.Budgets {
+		linger = max(linger, g.config.Budgets[i].Linger())
 	}
-	return g.doc.Elsewhere(g.doc.Seat() + linger)
+	return g.config.MaxOnOtherClock(g.config.SessionTTL() + linger)
 }
 
-// live tells whether a member has renewed lately enough to hold something.
-func (g *Giver) live(now time.Duration, m member) bool {
-	return !m.gone && now < m.heard+g.doc.Elsewhere(g.doc.Part())
+// isLive tells whether a member has renewed lately enough to hold something.
+func (g *Allocator) isLive(now time.Duration, m member) bool {
+	return !m.expired && now < m.lastHeardAt+g.config.MaxOnOtherClock(g.config.AllocationTTL())
 }
 
 // Admit tells whether a process may join, or why not. The log has the last word on seats. One whose first answer was lost asks
 // again: its seat lasts from this asking on, unless it is being taken back.
-func (g *Giver) Admit(now time.Duration, m quota.Member) error {
+func (g *Allocator) Admit(now time.Duration, m quota.Member) error {
 	if x, known := g.members[m.ID]; known {
-		if x.gone {
-			return quota.UnknownMember
+		if x.expired {
+			return quota.ErrUnknownMember
 		}
-		x.heard = now
+		x.lastHeardAt = now
 		g.members[m.ID] = x
 		return nil
 	}
 	alike := 0
 	for _, x := range g.members {
-		if x.Name != m.Name || !g.live(now, x) {
+		if x.Name != m.Name || !g.isLive(now, x) {
 			continue
 		}
 		if x.Addr != m.Addr {
-			return quota.NameTaken
+			return quota.ErrNameTaken
 		}
 		alike++
 	}
-	if alike >= mostAlike {
-		return quota.NameTaken
+	if alike >= maxSameName {
+		return quota.ErrNameTaken
 	}
 	return nil
 }
 
-// Gone takes back the seats that have ended and returns them; their members are known no more from now on (1).
-func (g *Giver) Gone(now time.Duration) (ids []string) {
-	for _, id := range g.order {
-		if m, known := g.members[id]; known && (m.gone || now >= m.heard+g.seat()) {
-			m.gone = true
+// Expire takes back the seats that have ended and returns them; their members are known no more from now on (1).
+func (g *Allocator) Expire(now time.Duration) (ids []string) {
+	for _, id := range g.memberIDs {
+		if m, known := g.members[id]; known && (m.expired || now >= m.lastHeardAt+g.sessionTTL()) {
+			m.expired = true
 			g.members[id] = m
 			ids = append(ids, id)
 		}
@@ -155,90 +155,90 @@
 
 // Renew notes what a member says and decides what it gets. The answer may only go out once a majority has confirmed, after this
 // call, that no later term has begun (6).
-func (g *Giver) Renew(now time.Duration, r quota.Renewal) (quota.Answer, error) {
+func (g *Allocator) Renew(now time.Duration, r quota.RenewalRequest) (quota.RenewalResponse, error) {
 	m, known := g.members[r.ID]
 	switch {
-	case !known || m.gone:
-		return quota.Answer{}, quota.UnknownMember
-	case len(r.Reports) > quota.MostKeys+quota.MostBudgets:
-		return quota.Answer{}, quota.NoBudgets
-	case r.Seq <= m.seq:
-		return quota.Answer{}, quota.OldRenewal
+	case !known || m.expired:
+		return quota.RenewalResponse{}, quota.ErrUnknownMember
+	case len(r.Reports) > quota.MaxKeys+quota.MaxBudgets:
+		return quota.RenewalResponse{}, quota.ErrNoBudgets
+	case r.Seq <= m.lastSeq:
+		return quota.RenewalResponse{}, quota.ErrStaleRenewal
 	}
-	m.seq, m.heard, m.renewed, m.version = r.Seq, now, true, r.Version
+	m.lastSeq, m.lastHeardAt, m.renewedThisTerm, m.configVersion = r.Seq, now, true, r.Version
 	g.members[r.ID] = m
-	a := quota.Answer{ID: r.ID, Seq: r.Seq}
-	if r.Version != g.doc.Version {
-		doc := g.doc
-		a.Doc = &doc
+	a := quota.RenewalResponse{ID: r.ID, Seq: r.Seq}
+	if r.Version != g.config.Version {
+		doc := g.config
+		a.Config = &doc
 	}
 	said := make(map[quota.Key]bool, len(r.Reports))
 	for _, rep := range r.Reports {
-		b := g.doc.Budget(rep.Budget)
+		b := g.config.Budget(rep.Budget)
 		if b == nil || said[rep.Key] {
 			continue
 		}
 		said[rep.Key] = true
-		p := g.book[rep.Key]
+		p := g.ledgers[rep.Key]
 		if p == nil {
-			p = &page{old: true}
-			g.book[rep.Key] = p
+			p = &ledger{sharesStale: true}
+			g.ledgers[rep.Key] = p
 		}
 		at, there := p.find(r.ID)
 		if !there {
-			p.enter(at, r.ID)
+			p.insert(at, r.ID)
 		}
 		// Older answers will not be taken any more: what was granted counts only as far as it was taken (3, 4).
 		held := rep.Held
-		if b.Stock() {
-			held.Rate = max(held.Rate, rep.InUse-b.Least)
+		if b.IsConcurrencyLimit() {
+			held.Rate = max(held.Rate, rep.InUse-b.FloorRate)
 		}
-		x := &p.rows[at]
-		*x = row{id: r.ID, share: x.share, shared: x.shared, held: held, heldEnd: now + g.held(b), claim: rep}
-		grant := quota.Grant{Key: rep.Key}
-		left := g.left(now, b, p, at)
-		if now < g.since+g.held(b) {
-			grant.Amount, grant.Extends = least(rep.Held, left), true // (5)
+		x := &p.entries[at]
+		*x = entry{memberID: r.ID, fairShare: x.fairShare, hasFairShare: x.hasFairShare, reported: held, reportedUntil: now + g.outstandingTTL(b), usage: rep}
+		grant := quota.Allocation{Key: rep.Key}
+		left := g.available(now, b, p, at)
+		if now < g.startedAt+g.outstandingTTL(b) {
+			grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // (5)
 		} else {
-			grant.Amount = g.grant(now, b, p, x, left)
+			grant.Amount = g.allocate(now, b, p, x, left)
 		}
-		x.granted, x.grantedEnd = grant.Amount, now+g.held(b)
-		p.touch(at)
-		a.Grants = append(a.Grants, grant)
+		x.granted, x.grantedUntil = grant.Amount, now+g.outstandingTTL(b)
+		p.invalidate(at)
+		a.Allocations = append(a.Allocations, grant)
 	}
-	for k, p := range g.book {
+	for k, p := range g.ledgers {
 		if said[k] {
 			continue
 		}
-		if _, there := p.find(r.ID); there && p.drop(func(x row) bool { return x.id == r.ID }) == 0 { // it holds nothing there and will take no older answer
-			delete(g.book, k)
+		if _, there := p.find(r.ID); there && p.removeIf(func(x entry) bool { return x.memberID == r.ID }) == 0 { // it holds nothing there and will take no older answer
+			delete(g.ledgers, k)
 		}
 	}
 	return a, nil
 }
 
-func least(a, b quota.Amount) quota.Amount {
+func minAmount(a, b quota.Amount) quota.Amount {
 	return quota.Amount{Rate: min(a.Rate, b.Rate), Burst: min(a.Burst, b.Burst)}
 }
 
-// left is what nobody but this member may hold (2).
-func (g *Giver) left(now time.Duration, b *quota.Budget, p *page, at int) quota.Amount {
-	pool, others := g.doc.Pool(b), p.others(now, at)
+// available is what nobody but this member may hold (2).
+func (g *Allocator) available(now time.Duration, b *quota.Budget, p *ledger, at int) quota.Amount {
+	pool, others := g.config.SharedPool(b), p.outstandingExcept(now, at)
 	return quota.Amount{Rate: max(0, pool.Rate-others.Rate), Burst: max(0, pool.Burst-others.Burst)}
 }
 
-// grant is the member's share, as far as nobody else holds it.
-func (g *Giver) grant(now time.Duration, b *quota.Budget, p *page, x *row, left quota.Amount) quota.Amount {
-	pool := g.doc.Pool(b)
-	if p.old || now-p.at >= g.doc.Renew()/20 || now < p.at {
-		g.divide(now, b, p)
+// allocate is the member's share, as far as nobody else holds it.
+func (g *Allocator) allocate(now time.Duration, b *quota.Budget, p *ledger, x *entry, left quota.Amount) quota.Amount {
+	pool := g.config.SharedPool(b)
+	if p.sharesStale || now-p.sharesAt >= g.config.RenewInterval()/20 || now < p.sharesAt {
+		g.recomputeShares(now, b, p)
 	}
-	share := x.share
-	if !x.shared { // many come at once: an even part until shares are reckoned again
-		share = pool.Rate / float64(len(p.rows))
+	share := x.fairShare
+	if !x.hasFairShare { // many come at once: an even part until shares are reckoned again
+		share = pool.Rate / float64(len(p.entries))
 	}
 	amount := min(share, left.Rate)
-	if b.Stock() {
+	if b.IsConcurrencyLimit() {
 		return quota.Amount{Rate: math.Floor(amount + 1e-9)}
 	}
 	if pool.Rate <= 0 {
@@ -252,66 +252,66 @@
 	return quota.Amount{Rate: amount, Burst: burst}
 }
 
-// divide reckons the shares of all who live and have a claim.
-func (g *Giver) divide(now time.Duration, b *quota.Budget, p *page) {
-	pool := g.doc.Pool(b)
+// recomputeShares reckons the shares of all who live and have a claim.
+func (g *Allocator) recomputeShares(now time.Duration, b *quota.Budget, p *ledger) {
+	pool := g.config.SharedPool(b)
 	most := pool.Rate
-	if b.Most > 0 {
-		most = min(most, b.Most-b.Least)
+	if b.MaxPerMember > 0 {
+		most = min(most, b.MaxPerMember-b.FloorRate)
 	}
-	at := make([]int, 0, len(p.rows))
-	claims := make([]maxmin.Claim, 0, len(p.rows))
-	for i := range p.rows {
-		x := &p.rows[i]
-		x.share, x.shared = 0, false
-		if m, known := g.members[x.id]; known && g.live(now, m) {
+	at := make([]int, 0, len(p.entries))
+	claims := make([]maxmin.Claim, 0, len(p.entries))
+	for i := range p.entries {
+		x := &p.entries[i]
+		x.fairShare, x.hasFairShare = 0, false
+		if m, known := g.members[x.memberID]; known && g.isLive(now, m) {
 			at = append(at, i)
-			claims = append(claims, maxmin.Claim{Want: x.claim.Want - b.Least, Most: most, Weight: m.Weight})
+			claims = append(claims, maxmin.Claim{Want: x.usage.Want - b.FloorRate, Max: most, Weight: m.Weight})
 		}
 	}
 	shares := maxmin.Shares(pool.Rate, claims)
-	if b.Stock() {
-		shares = maxmin.Units(pool.Rate, shares)
+	if b.IsConcurrencyLimit() {
+		shares = maxmin.RoundUnits(pool.Rate, shares)
 	}
 	for i, share := range shares {
-		p.rows[at[i]].share, p.rows[at[i]].shared = share, true
+		p.entries[at[i]].fairShare, p.entries[at[i]].hasFairShare = share, true
 	}
-	p.at, p.old = now, false
+	p.sharesAt, p.sharesStale = now, false
 }
 
-// State is how a member stands.
-type State string
+// Liveness is how a member stands.
+type Liveness string
 
 const (
-	Live   State = "live"   // it has renewed and may hold a part
-	Silent State = "silent" // not lately: it has its floor at most
-	Unsure State = "unsure" // this giver is new and has not heard it yet
+	Live        Liveness = "live"   // it has renewed and may hold a part
+	Silent      Liveness = "silent" // not lately: it has its floor at most
+	Unconfirmed Liveness = "unsure" // this giver is new and has not heard it yet
 )
 
-// Seen is one member as the giver sees it.
-type Seen struct {
+// MemberStatus is one member as the giver sees it.
+type MemberStatus struct {
 	quota.Member
-	State   State  `json:"state"`
-	AgoMs   int64  `json:"seen_ms_ago"` // since it was last heard, or the giver began
-	SeatMs  int64  `json:"seat_ms"`     // until its seat ends, if it stays silent
-	Version uint64 `json:"version"`     // of the set of budgets it goes by
+	Liveness      Liveness `json:"state"`
+	LastHeardMs   int64    `json:"seen_ms_ago"` // since it was last heard, or the giver began
+	SessionTTLMs  int64    `json:"seat_ms"`     // until its seat ends, if it stays silent
+	ConfigVersion uint64   `json:"version"`     // of the set of budgets it goes by
 }
 
 // Members is every member, in order of their names and incarnations.
-func (g *Giver) Members(now time.Duration) []Seen {
-	all := make([]Seen, 0, len(g.members))
+func (g *Allocator) Members(now time.Duration) []MemberStatus {
+	all := make([]MemberStatus, 0, len(g.members))
 	for _, m := range g.members {
-		s := Seen{Member: m.Member, State: Live, AgoMs: (now - m.heard).Milliseconds(), Version: m.version,
-			SeatMs: (m.heard + g.seat() - now).Milliseconds()}
+		s := MemberStatus{Member: m.Member, Liveness: Live, LastHeardMs: (now - m.lastHeardAt).Milliseconds(), ConfigVersion: m.configVersion,
+			SessionTTLMs: (m.lastHeardAt + g.sessionTTL() - now).Milliseconds()}
 		switch {
-		case !g.live(now, m):
-			s.State = Silent
-		case !m.renewed:
-			s.State = Unsure
+		case !g.isLive(now, m):
+			s.Liveness = Silent
+		case !m.renewedThisTerm:
+			s.Liveness = Unconfirmed
 		}
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b Seen) int {
+	slices.SortFunc(all, func(a, b MemberStatus) int {
 		if a.Name != b.Name {
 			if a.Name < b.Name {
 				return -1
@@ -323,36 +323,36 @@
 	return all
 }
 
-// Line is what one member may hold of a whole.
-type Line struct {
+// LedgerLine is what one member may hold of a whole.
+type LedgerLine struct {
 	quota.Key
-	ID      string       `json:"id"`
-	Name    string       `json:"name"`
-	May     quota.Amount `json:"may_hold"` // beyond its floor
-	Want    float64      `json:"want"`
-	Used    float64      `json:"used,omitempty"`
-	InUse   float64      `json:"in_use,omitempty"`
-	UntilMs int64        `json:"until_ms"`
-	AgoMs   int64        `json:"seen_ms_ago"`
+	ID             string       `json:"id"`
+	Name           string       `json:"name"`
+	MaxOutstanding quota.Amount `json:"may_hold"` // beyond its floor
+	Want           float64      `json:"want"`
+	Used           float64      `json:"used,omitempty"`
+	InUse          float64      `json:"in_use,omitempty"`
+	ExpiresMs      int64        `json:"until_ms"`
+	LastHeardMs    int64        `json:"seen_ms_ago"`
 }
 
-// Lines is the book: who may hold how much of a budget, or of all where none is named.
-func (g *Giver) Lines(now time.Duration, budget string) []Line {
-	all := []Line{}
-	for k, p := range g.book {
+// Ledger is the book: who may hold how much of a budget, or of all where none is named.
+func (g *Allocator) Ledger(now time.Duration, budget string) []LedgerLine {
+	all := []LedgerLine{}
+	for k, p := range g.ledgers {
 		if budget != "" && k.Budget != budget {
 			continue
 		}
-		for _, x := range p.rows {
-			l := Line{Key: k, ID: x.id, May: x.may(now), Want: x.claim.Want, Used: x.claim.Used, InUse: x.claim.InUse,
-				UntilMs: max(0, max(x.heldEnd, x.grantedEnd)-now).Milliseconds()}
-			if m, known := g.members[x.id]; known {
-				l.Name, l.AgoMs = m.Name, (now - m.heard).Milliseconds()
+		for _, x := range p.entries {
+			l := LedgerLine{Key: k, ID: x.memberID, MaxOutstanding: x.maxOutstanding(now), Want: x.usage.Want, Used: x.usage.Used, InUse: x.usage.InUse,
+				ExpiresMs: max(0, max(x.reportedUntil, x.grantedUntil)-now).Milliseconds()}
+			if m, known := g.members[x.memberID]; known {
+				l.Name, l.LastHeardMs = m.Name, (now - m.lastHeardAt).Milliseconds()
 			}
 			all = append(all, l)
 		}
 	}
-	slices.SortFunc(all, func(a, b Line) int {
+	slices.SortFunc(all, func(a, b LedgerLine) int {
 		for _, c := range [][2]string{{a.Budget, b.Budget}, {a.Key.Key, b.Key.Key}, {a.Name, b.Name}, {a.ID, b.ID}} {
 			if c[0] != c[1] {
 				if c[0] < c[1] {
@@ -366,18 +366,18 @@
 	return all
 }
 
-// Waits is how long it is until the giver gives anything new of a budget (7).
-func (g *Giver) Waits(now time.Duration, b *quota.Budget) time.Duration {
-	return max(0, g.since+g.held(b)-now)
+// RecoveryWait is how long it is until the giver gives anything new of a budget (7).
+func (g *Allocator) RecoveryWait(now time.Duration, b *quota.Budget) time.Duration {
+	return max(0, g.startedAt+g.outstandingTTL(b)-now)
 }
 
 // String is the whole state as text: equal states print alike.
-func (g *Giver) String() string {
-	b := fmt.Appendf(nil, "%v %v %v %v", g.doc, g.since, g.members, g.order)
-	for _, k := range slices.SortedFunc(maps.Keys(g.book), func(a, b quota.Key) int {
+func (g *Allocator) String() string {
+	b := fmt.Appendf(nil, "%v %v %v %v", g.config, g.startedAt, g.members, g.memberIDs)
+	for _, k := range slices.SortedFunc(maps.Keys(g.ledgers), func(a, b quota.Key) int {
 		return cmp.Or(strings.Compare(a.Budget, b.Budget), strings.Compare(a.Key, b.Key))
 	}) {
-		b = fmt.Appendf(b, "\n%v %v", k, g.book[k])
+		b = fmt.Appendf(b, "\n%v %v", k, g.ledgers[k])
 	}
 	return string(b)
 }
--- a/internal/controlplane/quota/allocator/page_test.go
+++ b/internal/controlplane/quota/allocator/page_test.go
@@ -16,7 +16,7 @@
 // clock may be asked about a moment that is past.
 func TestOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := &page{}, time.Hour
+		p, now := &ledger{}, time.Hour
 		amount := func() quota.Amount {
 			return quota.Amount{Rate: float64(rapid.IntRange(0, 8).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 8).Draw(t, "burst"))}
 		}
@@ -25,32 +25,32 @@
 			at, there := p.find(id)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				p.drop(func(r row) bool { return r.id == id })
+				p.removeIf(func(r entry) bool { return r.memberID == id })
 			case 1:
 				now += time.Duration(rapid.IntRange(-20, 300).Draw(t, "ms")) * time.Millisecond
 			default:
 				if !there {
-					p.enter(at, id)
+					p.insert(at, id)
 				}
-				x := &p.rows[at]
-				x.held, x.heldEnd = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "held"))*time.Millisecond
+				x := &p.entries[at]
+				x.reported, x.reportedUntil = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "held"))*time.Millisecond
 				if rapid.Bool().Draw(t, "granted") {
-					x.granted, x.grantedEnd = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "granted for"))*time.Millisecond
+					x.granted, x.grantedUntil = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "granted for"))*time.Millisecond
 				}
-				p.touch(at)
+				p.invalidate(at)
 			}
-			if len(p.rows) == 0 {
+			if len(p.entries) == 0 {
 				continue
 			}
-			but := rapid.IntRange(0, len(p.rows)-1).Draw(t, "but")
+			but := rapid.IntRange(0, len(p.entries)-1).Draw(t, "but")
 			var want quota.Amount
-			for i, r := range p.rows {
+			for i, r := range p.entries {
 				if i != but {
-					want = plus(want, r.may(now))
+					want = addAmounts(want, r.maxOutstanding(now))
 				}
 			}
-			if got := p.others(now, but); got != want { // of whole numbers, so that no order of adding differs
-				t.Fatalf("others than %d of %d at %v: %v, want %v", but, len(p.rows), now, got, want)
+			if got := p.outstandingExcept(now, but); got != want { // of whole numbers, so that no order of adding differs
+				t.Fatalf("others than %d of %d at %v: %v, want %v", but, len(p.entries), now, got, want)
 			}
 		}
 	})
@@ -60,16 +60,16 @@
 // take equal states for one.
 func TestEqualRowsEqualSums(t *testing.T) {
 	now := time.Hour
-	fill := func(order []int, look bool) *page {
-		p := &page{}
+	fill := func(order []int, look bool) *ledger {
+		p := &ledger{}
 		for _, i := range order {
 			id := fmt.Sprint(10 + i)
 			at, _ := p.find(id)
-			p.enter(at, id)
-			p.rows[at].held, p.rows[at].heldEnd = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
-			p.touch(at)
+			p.insert(at, id)
+			p.entries[at].reported, p.entries[at].reportedUntil = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
+			p.invalidate(at)
 			if look {
-				p.others(now, at)
+				p.outstandingExcept(now, at)
 			}
 		}
 		return p
@@ -83,32 +83,32 @@
 	two := fill(order, true)
 	require.Equal(t, one.String(), two.String())
 	for i := range order {
-		require.Equal(t, one.others(now, i), two.others(now, i))
+		require.Equal(t, one.outstandingExcept(now, i), two.outstandingExcept(now, i))
 	}
 }
 
 // TestRenewCost counts what a renewal looks at: about two runs of rows, and not all.
 func TestRenewCost(t *testing.T) {
-	p, now := &page{}, time.Hour
+	p, now := &ledger{}, time.Hour
 	const rows = 4096
 	for i := range rows {
 		id := fmt.Sprintf("%05d", i)
-		p.enter(i, id)
-		p.rows[i].held, p.rows[i].heldEnd = quota.Amount{Rate: 1}, now+time.Minute
+		p.insert(i, id)
+		p.entries[i].reported, p.entries[i].reportedUntil = quota.Amount{Rate: 1}, now+time.Minute
 	}
-	p.others(now, 0)
+	p.outstandingExcept(now, 0)
 	summed := 0
 	for i := range rows {
 		now += time.Millisecond
-		p.others(now, i)
-		for _, s := range p.sums {
-			if s.from == now {
+		p.outstandingExcept(now, i)
+		for _, s := range p.blockSums {
+			if s.validFrom == now {
 				summed++
 			}
 		}
-		p.touch(i)
+		p.invalidate(i)
 	}
 	require.LessOrEqual(t, summed, rows, "runs summed anew by %d renewals", rows)
-	require.LessOrEqual(t, p.width*len(p.sums), 2*rows)
-	require.LessOrEqual(t, len(p.sums)+p.width, 4*64)
+	require.LessOrEqual(t, p.blockSize*len(p.blockSums), 2*rows)
+	require.LessOrEqual(t, len(p.blockSums)+p.blockSize, 4*64)
 }
--- a/internal/controlplane/quota/maxmin/divide.go
+++ b/internal/controlplane/quota/maxmin/divide.go
@@ -12,7 +12,7 @@
 // Claim is one member's.
 type Claim struct {
 	Want   float64 // what it could use
-	Most   float64 // what it may get
+	Max    float64 // what it may get
 	Weight float64 // over 0
 }
 
@@ -20,13 +20,13 @@
 // a need that grows finds something there. The shares sum to no more than the whole.
 func Shares(whole float64, claims []Claim) []float64 {
 	got := make([]float64, len(claims))
-	fill(whole, claims, got, func(c Claim) float64 { return min(max(c.Want, 0), c.Most) })
-	fill(whole, claims, got, func(c Claim) float64 { return c.Most })
+	raiseShares(whole, claims, got, func(c Claim) float64 { return min(max(c.Want, 0), c.Max) })
+	raiseShares(whole, claims, got, func(c Claim) float64 { return c.Max })
 	return got
 }
 
-// fill raises all shares together, for their weight, up to each one's bound.
-func fill(whole float64, claims []Claim, got []float64, bound func(Claim) float64) {
+// raiseShares raises all shares together, for their weight, up to each one's bound.
+func raiseShares(whole float64, claims []Claim, got []float64, bound func(Claim) float64) {
 	order := make([]int, len(claims))
 	left, weights := whole, 0.0
 	for i, c := range claims {
@@ -49,9 +49,9 @@
 	}
 }
 
-// Units makes the shares of something that can't be cut whole numbers: rounded down, and what that leaves of the whole goes, one
+// RoundUnits makes the shares of something that can't be cut whole numbers: rounded down, and what that leaves of the whole goes, one
 // each, to those who lost most by it, the first of equals first.
-func Units(whole float64, shares []float64) []float64 {
+func RoundUnits(whole float64, shares []float64) []float64 {
 	out := make([]float64, len(shares))
 	order := make([]int, len(shares))
 	sum, cut := 0.0, 0.0
--- a/internal/controlplane/quota/maxmin/divide_test.go
+++ b/internal/controlplane/quota/maxmin/divide_test.go
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	if got := Units(10, Shares(10, []Claim{{9, far, 1}, {9, far, 1}, {9, far, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
+	if got := RoundUnits(10, Shares(10, []Claim{{9, far, 1}, {9, far, 1}, {9, far, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
 		t.Errorf("units of ten among three: %v", got)
 	}
 }
@@ -62,12 +62,12 @@
 		sum := 0.0
 		for i, x := range got {
 			sum += x
-			if x > claims[i].Most+1e-9 {
+			if x > claims[i].Max+1e-9 {
 				t.Fatalf("%v gets %v", claims[i], x)
 			}
 			for j, y := range got {
-				wanted := min(claims[i].Want, claims[i].Most)
-				if x < wanted-1e-6 && y > min(claims[j].Want, claims[j].Most)+1e-6 {
+				wanted := min(claims[i].Want, claims[i].Max)
+				if x < wanted-1e-6 && y > min(claims[j].Want, claims[j].Max)+1e-6 {
 					t.Fatalf("%v gets only %v while %v has %v, more than it wants", claims[i], x, claims[j], y)
 				}
 				if x < wanted-1e-6 && x/claims[i].Weight < y/claims[j].Weight-1e-6 {
@@ -85,7 +85,7 @@
 				t.Fatalf("%v gets %v in another order, %v before", c, again[i], got[at])
 			}
 		}
-		units := Units(whole, got)
+		units := RoundUnits(whole, got)
 		total := 0.0
 		for i, x := range units {
 			total += x
