--- a/internal/controlplane/quota/quotaclient/holder.go
+++ b/internal/controlplane/quota/quotaclient/holder.go
@@ -14,469 +14,469 @@
 )
 
 const (
-	headroom = 1.25 // of what was used, asked for beyond it: a need that grows by less finds its part there
-	more     = 4    // times what there is are asked for where something was denied: what is really needed can't be seen then
-	decay    = 0.8  // of what was asked for last is asked for at least: a short lull gives nothing away
-	steady   = 0.1  // a want that changes by less stays as it was
-	slack    = 1e-9 // of sums of floating-point numbers
-	// forget is how long a whole that nothing was drawn from stays known.
-	forget = time.Minute
+	wantHeadroom   = 1.25 // of what was used, asked for beyond it: a need that grows by less finds its part there
+	deniedGrowth   = 4    // times what there is are asked for where something was denied: what is really needed can't be seen then
+	wantDecay      = 0.8  // of what was asked for last is asked for at least: a short lull gives nothing away
+	wantHysteresis = 0.1  // a want that changes by less stays as it was
+	roundingSlack  = 1e-9 // of sums of floating-point numbers
+	// idleTTL is how long a whole that nothing was drawn from stays known.
+	idleTTL = time.Minute
 )
 
-// Holder is one process's. It is not safe for concurrent use.
-type Holder struct {
-	governed map[quota.Use]bool // nothing of these is used before the fleet's budgets are known
-	id       string
-	seated   bool
-	left     bool
-	seatedAt time.Duration
-	seatEnd  time.Duration
-	doc      quota.Doc
-	known    bool // doc is
-	rows     map[quota.Key]row
-	out      map[string]float64 // connections by target
-	seq      uint64
-	began    time.Duration // when the renewal sent last was begun
-	heard    bool          // its answer was taken
-	wantsAt  time.Duration // when wants were last reckoned
-	hungry   bool          // something was denied since the last renewal
-	hungered bool          // and before it
-	grew     bool          // a part grew by the last answer
+// Client is one process's. It is not safe for concurrent use.
+type Client struct {
+	governed         map[quota.Resource]bool // nothing of these is used before the fleet's budgets are known
+	memberID         string
+	registered       bool
+	leaving          bool
+	registeredAt     time.Duration
+	sessionEnd       time.Duration
+	config           quota.Config
+	hasConfig        bool // doc is
+	allocations      map[quota.Key]allocation
+	openConnections  map[string]float64 // connections by target
+	lastSeq          uint64
+	renewalStartedAt time.Duration // when the renewal sent last was begun
+	renewalAnswered  bool          // its answer was taken
+	wantsComputedAt  time.Duration // when wants were last reckoned
+	denied           bool          // something was denied since the last renewal
+	deniedBefore     bool          // and before it
+	allocationGrew   bool          // a part grew by the last answer
 }
 
-// row is one whole as this member has it.
-type row struct {
-	amount  quota.Amount // beyond the floor
-	until   time.Duration
-	tokens  float64
-	at      time.Duration // when tokens were last reckoned
-	touched time.Duration // when something was last drawn, or asked for in vain
-	used    float64
-	peak    float64 // most out at once
-	denied  float64 // largest draw that found too little
-	want    float64
-	rate    float64 // used a second, before the last renewal
+// allocation is one whole as this member has it.
+type allocation struct {
+	granted          quota.Amount // beyond the floor
+	grantedUntil     time.Duration
+	tokens           float64
+	tokensAt         time.Duration // when tokens were last reckoned
+	lastUsedAt       time.Duration // when something was last drawn, or asked for in vain
+	usedSinceRenewal float64
+	peakInUse        float64 // most out at once
+	largestDenied    float64 // largest draw that found too little
+	wanted           float64
+	usedRate         float64 // used a second, before the last renewal
 }
 
 // New returns a holder without a seat. Of the uses named nothing is allowed until the fleet's budgets are known.
-func New(governed []quota.Use) *Holder {
-	h := &Holder{governed: map[quota.Use]bool{}, rows: map[quota.Key]row{}, out: map[string]float64{}}
+func New(governed []quota.Resource) *Client {
+	h := &Client{governed: map[quota.Resource]bool{}, allocations: map[quota.Key]allocation{}, openConnections: map[string]float64{}}
 	for _, u := range governed {
 		h.governed[u] = true
 	}
 	return h
 }
 
-// Seat takes a seat over: began is when the join was begun. Buckets start empty (8).
-func (h *Holder) Seat(began time.Duration, id string, doc quota.Doc) {
-	h.id, h.doc, h.known, h.seated, h.left = id, doc, true, true, false
-	h.seatedAt, h.seatEnd = began, began+doc.Seat()
-	h.rows = map[quota.Key]row{}
-	h.seq, h.wantsAt = 0, began
+// Register takes a seat over: began is when the join was begun. Buckets start empty (8).
+func (h *Client) Register(began time.Duration, id string, doc quota.Config) {
+	h.memberID, h.config, h.hasConfig, h.registered, h.leaving = id, doc, true, true, false
+	h.registeredAt, h.sessionEnd = began, began+doc.SessionTTL()
+	h.allocations = map[quota.Key]allocation{}
+	h.lastSeq, h.wantsComputedAt = 0, began
 }
 
-// Unseat gives everything up: the agents know no such member.
-func (h *Holder) Unseat() {
-	h.seated = false
-	h.rows = map[quota.Key]row{}
+// Unregister gives everything up: the agents know no such member.
+func (h *Client) Unregister() {
+	h.registered = false
+	h.allocations = map[quota.Key]allocation{}
 }
 
 // Leave gives everything up for good. Nothing is used from now on, so the agents may be told.
-func (h *Holder) Leave() {
-	h.Unseat()
-	h.left = true
+func (h *Client) Leave() {
+	h.Unregister()
+	h.leaving = true
 }
 
-// Seated tells whether there is a seat at that moment.
-func (h *Holder) Seated(now time.Duration) bool { return h.seated && now < h.seatEnd }
-
-// ID is the member that has the seat.
-func (h *Holder) ID() string { return h.id }
-
-// Renew begins a renewal. Only its own answer will be taken from now on (4).
-func (h *Holder) Renew(now time.Duration) quota.Renewal {
-	h.seq++
-	h.began, h.heard, h.hungered, h.hungry, h.grew = now, false, h.hungry, false, false
-	r := quota.Renewal{ID: h.id, Seq: h.seq, Version: h.doc.Version}
-	span := max((now - h.wantsAt).Seconds(), 1e-3)
-	h.wantsAt = now
-	for i := range h.doc.Budgets {
-		b := &h.doc.Budgets[i]
-		if b.Per == quota.PerFleet {
-			h.row(now, quota.Key{Budget: b.Name}) // always there: what is left over is shared out as well
+// Registered tells whether there is a seat at that moment.
+func (h *Client) Registered(now time.Duration) bool { return h.registered && now < h.sessionEnd }
+
+// MemberID is the member that has the seat.
+func (h *Client) MemberID() string { return h.memberID }
+
+// BeginRenewal begins a renewal. Only its own answer will be taken from now on (4).
+func (h *Client) BeginRenewal(now time.Duration) quota.RenewalRequest {
+	h.lastSeq++
+	h.renewalStartedAt, h.renewalAnswered, h.deniedBefore, h.denied, h.allocationGrew = now, false, h.denied, false, false
+	r := quota.RenewalRequest{ID: h.memberID, Seq: h.lastSeq, Version: h.config.Version}
+	span := max((now - h.wantsComputedAt).Seconds(), 1e-3)
+	h.wantsComputedAt = now
+	for i := range h.config.Budgets {
+		b := &h.config.Budgets[i]
+		if b.Scope == quota.PerFleet {
+			h.lookup(now, quota.Key{Budget: b.Name}) // always there: what is left over is shared out as well
 		}
-		if b.Stock() {
-			for target := range h.out {
-				if !b.Governs(quota.Draw{Use: b.Use, Target: target}) {
+		if b.IsConcurrencyLimit() {
+			for target := range h.openConnections {
+				if !b.Covers(quota.Reservation{Resource: b.Resource, Target: target}) {
 					continue
 				}
-				h.row(now, quota.Key{Budget: b.Name, Key: target})
+				h.lookup(now, quota.Key{Budget: b.Name, Key: target})
 			}
 		}
 	}
-	for k, x := range h.rows {
-		b := h.doc.Budget(k.Budget)
+	for k, x := range h.allocations {
+		b := h.config.Budget(k.Budget)
 		if b == nil {
-			delete(h.rows, k)
+			delete(h.allocations, k)
 			continue
 		}
-		x = h.reckon(b, x, now)
-		x = h.need(b, k, x, span, now)
-		held := h.part(x, now)
-		idle := now - x.touched
-		if held == (quota.Amount{}) && h.inUse(b, k) == 0 && b.Per != quota.PerFleet && idle > forget && x.tokens >= b.LeastBurst-slack {
-			delete(h.rows, k) // as a bucket that was never used
+		x = h.refill(b, x, now)
+		x = h.updateWant(b, k, x, span, now)
+		held := h.grantedNow(x, now)
+		idle := now - x.lastUsedAt
+		if held == (quota.Amount{}) && h.inUse(b, k) == 0 && b.Scope != quota.PerFleet && idle > idleTTL && x.tokens >= b.FloorBurst-roundingSlack {
+			delete(h.allocations, k) // as a bucket that was never used
 			continue
 		}
-		h.rows[k] = x
-		r.Reports = append(r.Reports, quota.Report{Key: k, Held: held, Want: x.want, InUse: h.inUse(b, k), Used: x.rate})
+		h.allocations[k] = x
+		r.Reports = append(r.Reports, quota.UsageReport{Key: k, Held: held, Want: x.wanted, InUse: h.inUse(b, k), Used: x.usedRate})
 	}
-	slices.SortFunc(r.Reports, func(a, b quota.Report) int {
+	slices.SortFunc(r.Reports, func(a, b quota.UsageReport) int {
 		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key.Key, b.Key.Key))
 	})
 	return r
 }
 
-// need reckons what is asked for: what was used and a little more, much more where something was denied.
-func (h *Holder) need(b *quota.Budget, k quota.Key, x row, span float64, now time.Duration) row {
-	has := b.Least + h.part(x, now).Rate
-	x.rate = x.used / span
-	want := x.rate * headroom
-	if b.Stock() {
-		x.peak = max(x.peak, h.inUse(b, k))
-		if want = x.peak * headroom; want > 0 {
+// updateWant reckons what is asked for: what was used and a little more, much more where something was denied.
+func (h *Client) updateWant(b *quota.Budget, k quota.Key, x allocation, span float64, now time.Duration) allocation {
+	has := b.FloorRate + h.grantedNow(x, now).Rate
+	x.usedRate = x.usedSinceRenewal / span
+	want := x.usedRate * wantHeadroom
+	if b.IsConcurrencyLimit() {
+		x.peakInUse = max(x.peakInUse, h.inUse(b, k))
+		if want = x.peakInUse * wantHeadroom; want > 0 {
 			want++
 		}
 	}
-	if x.denied > 0 {
-		want = max(want, more*has, x.denied, h.doc.Total(b).Rate/float64(h.doc.Seats))
+	if x.largestDenied > 0 {
+		want = max(want, deniedGrowth*has, x.largestDenied, h.config.EffectiveLimit(b).Rate/float64(h.config.MaxSessions))
 	}
-	want = max(want, x.want*decay)
-	if math.Abs(want-x.want) < steady*x.want {
-		want = x.want
+	want = max(want, x.wanted*wantDecay)
+	if math.Abs(want-x.wanted) < wantHysteresis*x.wanted {
+		want = x.wanted
 	}
 	if want < 0.01 {
 		want = 0
 	}
-	x.want, x.used, x.peak, x.denied = want, 0, 0, 0
+	x.wanted, x.usedSinceRenewal, x.peakInUse, x.largestDenied = want, 0, 0, 0
 	return x
 }
 
-// Accept takes an answer. One to another renewal than the last, to one already taken, or to a seat that it had before, is no
+// AcceptRenewal takes an answer. One to another renewal than the last, to one already taken, or to a seat that it had before, is no
 // answer (4).
-func (h *Holder) Accept(now time.Duration, a quota.Answer) bool {
-	if !h.seated || a.ID != h.id || a.Seq != h.seq || h.heard {
+func (h *Client) AcceptRenewal(now time.Duration, a quota.RenewalResponse) bool {
+	if !h.registered || a.ID != h.memberID || a.Seq != h.lastSeq || h.renewalAnswered {
 		return false
 	}
-	h.heard = true
-	if a.Doc != nil && a.Doc.Version > h.doc.Version {
-		h.settle(now)
-		h.doc = *a.Doc
+	h.renewalAnswered = true
+	if a.Config != nil && a.Config.Version > h.config.Version {
+		h.refillAll(now)
+		h.config = *a.Config
 	}
-	if now >= h.seatEnd {
-		h.Unseat()
+	if now >= h.sessionEnd {
+		h.Unregister()
 		return false
 	}
-	h.seatEnd = h.began + h.doc.Seat()
-	end := h.began + h.doc.Part() // from before the renewal went out (1)
-	for _, g := range a.Grants {
-		b := h.doc.Budget(g.Budget)
+	h.sessionEnd = h.renewalStartedAt + h.config.SessionTTL()
+	end := h.renewalStartedAt + h.config.AllocationTTL() // from before the renewal went out (1)
+	for _, g := range a.Allocations {
+		b := h.config.Budget(g.Budget)
 		if b == nil {
 			continue
 		}
-		x, known := h.row(now, g.Key)
+		x, known := h.lookup(now, g.Key)
 		if !known {
 			continue
 		}
-		x = h.reckon(b, x, now)
-		if g.Extends && now >= x.until {
+		x = h.refill(b, x, now)
+		if g.ExtendsOnly && now >= x.grantedUntil {
 			continue // what it would extend may be another's by now (5)
 		}
-		h.grew = h.grew || g.Rate > h.part(x, now).Rate*(1+steady)
-		x.amount, x.until = g.Amount, end
-		x.tokens = min(x.tokens, h.depth(b, x, now)) // a part brings no tokens (8)
-		h.rows[g.Key] = x
+		h.allocationGrew = h.allocationGrew || g.Rate > h.grantedNow(x, now).Rate*(1+wantHysteresis)
+		x.granted, x.grantedUntil = g.Amount, end
+		x.tokens = min(x.tokens, h.burstNow(b, x, now)) // a part brings no tokens (8)
+		h.allocations[g.Key] = x
 	}
 	return true
 }
 
-// row returns what there is of a whole, made at first need: its floor's bucket has filled since the seat was taken. Past the most
+// lookup returns what there is of a whole, made at first need: its floor's bucket has filled since the seat was taken. Past the most
 // that may be kept there is nothing.
-func (h *Holder) row(now time.Duration, k quota.Key) (x row, known bool) {
-	if x, known = h.rows[k]; !known && len(h.rows) < quota.MostKeys {
-		x, known = row{at: h.seatedAt, touched: now}, true
-		h.rows[k] = x
+func (h *Client) lookup(now time.Duration, k quota.Key) (x allocation, known bool) {
+	if x, known = h.allocations[k]; !known && len(h.allocations) < quota.MaxKeys {
+		x, known = allocation{tokensAt: h.registeredAt, lastUsedAt: now}, true
+		h.allocations[k] = x
 	}
 	return x, known
 }
 
-func (h *Holder) settle(now time.Duration) {
-	for k, x := range h.rows {
-		if b := h.doc.Budget(k.Budget); b != nil {
-			h.rows[k] = h.reckon(b, x, now)
+func (h *Client) refillAll(now time.Duration) {
+	for k, x := range h.allocations {
+		if b := h.config.Budget(k.Budget); b != nil {
+			h.allocations[k] = h.refill(b, x, now)
 		}
 	}
 }
 
-// part is what there is beyond the floor at that moment.
-func (h *Holder) part(x row, now time.Duration) quota.Amount {
-	if h.seated && now < x.until {
-		return x.amount
+// grantedNow is what there is beyond the floor at that moment.
+func (h *Client) grantedNow(x allocation, now time.Duration) quota.Amount {
+	if h.registered && now < x.grantedUntil {
+		return x.granted
 	}
 	return quota.Amount{}
 }
 
-// limit is what may be used at that moment, floor and part.
-func (h *Holder) limit(b *quota.Budget, x row, now time.Duration) quota.Amount {
-	a := h.part(x, now)
-	if h.Seated(now) {
-		a.Rate += b.Least
-		a.Burst += b.LeastBurst
+// limitNow is what may be used at that moment, floor and part.
+func (h *Client) limitNow(b *quota.Budget, x allocation, now time.Duration) quota.Amount {
+	a := h.grantedNow(x, now)
+	if h.Registered(now) {
+		a.Rate += b.FloorRate
+		a.Burst += b.FloorBurst
 	}
 	return a
 }
 
-func (h *Holder) depth(b *quota.Budget, x row, now time.Duration) float64 {
-	return h.limit(b, x, now).Burst
+func (h *Client) burstNow(b *quota.Budget, x allocation, now time.Duration) float64 {
+	return h.limitNow(b, x, now).Burst
 }
 
-// reckon brings a bucket up to that moment, through whatever ended meanwhile.
-func (h *Holder) reckon(b *quota.Budget, x row, now time.Duration) row {
-	for x.at < now {
+// refill brings a bucket up to that moment, through whatever ended meanwhile.
+func (h *Client) refill(b *quota.Budget, x allocation, now time.Duration) allocation {
+	for x.tokensAt < now {
 		to := now
-		for _, end := range []time.Duration{x.until, h.seatEnd} {
-			if x.at < end && end < to {
+		for _, end := range []time.Duration{x.grantedUntil, h.sessionEnd} {
+			if x.tokensAt < end && end < to {
 				to = end
 			}
 		}
-		a := h.limit(b, x, x.at)
-		x.tokens = min(a.Burst, x.tokens+a.Rate*(to-x.at).Seconds())
-		x.at = to
+		a := h.limitNow(b, x, x.tokensAt)
+		x.tokens = min(a.Burst, x.tokens+a.Rate*(to-x.tokensAt).Seconds())
+		x.tokensAt = to
 	}
-	x.tokens = min(x.tokens, h.depth(b, x, now))
+	x.tokens = min(x.tokens, h.burstNow(b, x, now))
 	return x
 }
 
-func (h *Holder) inUse(b *quota.Budget, k quota.Key) float64 {
-	if b.Stock() {
-		return h.out[k.Key]
+func (h *Client) inUse(b *quota.Budget, k quota.Key) float64 {
+	if b.IsConcurrencyLimit() {
+		return h.openConnections[k.Key]
 	}
 	return 0
 }
 
-// barred tells whether a use is governed while nothing is known of the fleet's budgets.
-func (h *Holder) barred(u quota.Use) bool { return h.governed[u] && !h.known || h.left }
+// blocked tells whether a use is governed while nothing is known of the fleet's budgets.
+func (h *Client) blocked(u quota.Resource) bool { return h.governed[u] && !h.hasConfig || h.leaving }
 
 // Wait tells how long it is, at least, until the draw may be made; 0: now. Of a stock, Units is how many would be out.
-func (h *Holder) Wait(now time.Duration, d quota.Draw) (wait time.Duration, governed bool) {
+func (h *Client) Wait(now time.Duration, d quota.Reservation) (wait time.Duration, governed bool) {
 	const poll = 50 * time.Millisecond
-	if h.barred(d.Use) {
+	if h.blocked(d.Resource) {
 		return poll, true
 	}
-	if !h.known {
+	if !h.hasConfig {
 		return 0, false
 	}
-	for i := range h.doc.Budgets {
-		b := &h.doc.Budgets[i]
-		if !b.Governs(d) {
+	for i := range h.config.Budgets {
+		b := &h.config.Budgets[i]
+		if !b.Covers(d) {
 			continue
 		}
 		governed = true
 		k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
-		x, known := h.row(now, k)
+		x, known := h.lookup(now, k)
 		if !known {
 			wait = max(wait, poll)
 			continue
 		}
-		x = h.reckon(b, x, now)
-		a := h.limit(b, x, now)
+		x = h.refill(b, x, now)
+		a := h.limitNow(b, x, now)
 		lack := d.Units - x.tokens
-		if b.Stock() {
+		if b.IsConcurrencyLimit() {
 			lack = d.Units - a.Rate
 		}
-		if lack > slack {
-			x.denied, x.touched, h.hungry = max(x.denied, d.Units), now, true
+		if lack > roundingSlack {
+			x.largestDenied, x.lastUsedAt, h.denied = max(x.largestDenied, d.Units), now, true
 			next := poll
-			if !b.Stock() && a.Burst >= d.Units {
+			if !b.IsConcurrencyLimit() && a.Burst >= d.Units {
 				next = min(time.Duration(lack/a.Rate*float64(time.Second))+1, time.Second)
 			}
 			wait = max(wait, next)
 		}
-		h.rows[k] = x
+		h.allocations[k] = x
 	}
 	return wait, governed
 }
 
-// Take makes draws that Wait allowed at that moment, and tells until when they are good: the first byte has to go by then (9).
-func (h *Holder) Take(now time.Duration, draws ...quota.Draw) (until time.Duration) {
-	until = now + quota.Air
+// Reserve makes draws that Wait allowed at that moment, and tells until when they are good: the first byte has to go by then (9).
+func (h *Client) Reserve(now time.Duration, draws ...quota.Reservation) (until time.Duration) {
+	until = now + quota.MaxTransit
 	for _, d := range draws {
-		if !h.known {
+		if !h.hasConfig {
 			continue
 		}
-		for i := range h.doc.Budgets {
-			b := &h.doc.Budgets[i]
-			if !b.Governs(d) || b.Stock() {
+		for i := range h.config.Budgets {
+			b := &h.config.Budgets[i]
+			if !b.Covers(d) || b.IsConcurrencyLimit() {
 				continue
 			}
 			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
-			x, known := h.row(now, k)
+			x, known := h.lookup(now, k)
 			if !known {
 				return now - 1 // good for nothing
 			}
-			x = h.reckon(b, x, now)
+			x = h.refill(b, x, now)
 			x.tokens -= d.Units
-			x.used += d.Units
-			x.touched = now
-			h.rows[k] = x
-			if now < x.until {
-				until = min(until, x.until)
+			x.usedSinceRenewal += d.Units
+			x.lastUsedAt = now
+			h.allocations[k] = x
+			if now < x.grantedUntil {
+				until = min(until, x.grantedUntil)
 			}
-			until = min(until, h.seatEnd)
+			until = min(until, h.sessionEnd)
 		}
 	}
 	return until
 }
 
-// stock is the least that any stock allows of connections at a target; false: none is kept.
-func (h *Holder) stock(now time.Duration, target string) (limit float64, governed bool) {
-	if h.barred(quota.Connection) {
+// connectionLimit is the least that any stock allows of connections at a target; false: none is kept.
+func (h *Client) connectionLimit(now time.Duration, target string) (limit float64, governed bool) {
+	if h.blocked(quota.Connections) {
 		return 0, true
 	}
-	if !h.known {
+	if !h.hasConfig {
 		return 0, false
 	}
 	limit = math.Inf(1)
-	for i := range h.doc.Budgets {
-		if b := &h.doc.Budgets[i]; b.Stock() && b.Governs(quota.Draw{Use: b.Use, Target: target}) {
-			x, known := h.row(now, quota.Key{Budget: b.Name, Key: target})
+	for i := range h.config.Budgets {
+		if b := &h.config.Budgets[i]; b.IsConcurrencyLimit() && b.Covers(quota.Reservation{Resource: b.Resource, Target: target}) {
+			x, known := h.lookup(now, quota.Key{Budget: b.Name, Key: target})
 			if governed = true; !known {
 				return 0, true
 			}
-			limit = min(limit, h.limit(b, x, now).Rate)
+			limit = min(limit, h.limitNow(b, x, now).Rate)
 		}
 	}
 	return limit, governed
 }
 
-// Open counts a connection to a target; false: there may be none more (10).
-func (h *Holder) Open(now time.Duration, target string) bool {
-	limit, governed := h.stock(now, target)
-	full := governed && h.out[target]+1 > limit+slack
+// OpenConnection counts a connection to a target; false: there may be none more (10).
+func (h *Client) OpenConnection(now time.Duration, target string) bool {
+	limit, governed := h.connectionLimit(now, target)
+	full := governed && h.openConnections[target]+1 > limit+roundingSlack
 	if !full {
-		h.out[target]++
+		h.openConnections[target]++
 	}
-	if !h.known {
+	if !h.hasConfig {
 		return !full
 	}
-	for i := range h.doc.Budgets {
-		b, k := &h.doc.Budgets[i], quota.Key{Budget: h.doc.Budgets[i].Name, Key: target}
-		x, known := h.rows[k]
-		if !b.Stock() || !known {
+	for i := range h.config.Budgets {
+		b, k := &h.config.Budgets[i], quota.Key{Budget: h.config.Budgets[i].Name, Key: target}
+		x, known := h.allocations[k]
+		if !b.IsConcurrencyLimit() || !known {
 			continue
 		}
-		x.touched, x.peak = now, max(x.peak, h.out[target])
+		x.lastUsedAt, x.peakInUse = now, max(x.peakInUse, h.openConnections[target])
 		if full {
-			x.denied, h.hungry = max(x.denied, h.out[target]+1), true
+			x.largestDenied, h.denied = max(x.largestDenied, h.openConnections[target]+1), true
 		}
-		h.rows[k] = x
+		h.allocations[k] = x
 	}
 	return !full
 }
 
-// Close counts a connection that has ended.
-func (h *Holder) Close(target string) {
-	if h.out[target]--; h.out[target] <= 0 {
-		delete(h.out, target)
+// CloseConnection counts a connection that has ended.
+func (h *Client) CloseConnection(target string) {
+	if h.openConnections[target]--; h.openConnections[target] <= 0 {
+		delete(h.openConnections, target)
 	}
 }
 
-// Over is how many connections to a target are open beyond what may be.
-func (h *Holder) Over(now time.Duration, target string) int {
-	limit, governed := h.stock(now, target)
+// ExcessConnections is how many connections to a target are open beyond what may be.
+func (h *Client) ExcessConnections(now time.Duration, target string) int {
+	limit, governed := h.connectionLimit(now, target)
 	if !governed {
 		return 0
 	}
-	return int(max(0, math.Ceil(h.out[target]-limit-slack)))
+	return int(max(0, math.Ceil(h.openConnections[target]-limit-roundingSlack)))
 }
 
-// Out is how many connections are open.
-func (h *Holder) Out() (n int) {
-	for _, x := range h.out {
+// OpenConnections is how many connections are open.
+func (h *Client) OpenConnections() (n int) {
+	for _, x := range h.openConnections {
 		n += int(x)
 	}
 	return n
 }
 
-// Hungry tells whether something was denied since the last renewal.
-func (h *Holder) Hungry() bool { return h.hungry }
+// HasUnmetDemand tells whether something was denied since the last renewal.
+func (h *Client) HasUnmetDemand() bool { return h.denied }
 
-// Next is when the next renewal is due, where one was sent; sooner where something is wanted that was not before, or where asking has
+// NextRenewal is when the next renewal is due, where one was sent; sooner where something is wanted that was not before, or where asking has
 // just brought more. Whoever is denied for good asks no more often than others: an overload must not become the agents'.
-func (h *Holder) Next() time.Duration {
-	if !h.known {
+func (h *Client) NextRenewal() time.Duration {
+	if !h.hasConfig {
 		return 0
 	}
-	if h.hungry && (!h.hungered || h.grew) {
-		return h.began + h.doc.Renew()/4
+	if h.denied && (!h.deniedBefore || h.allocationGrew) {
+		return h.renewalStartedAt + h.config.RenewInterval()/4
 	}
-	return h.began + h.doc.Renew()
+	return h.renewalStartedAt + h.config.RenewInterval()
 }
 
-// Ended is when what was granted last ends; 0: nothing was.
-func (h *Holder) Ended() (end time.Duration) {
-	for _, x := range h.rows {
-		end = max(end, x.until)
+// AllocationsEnd is when what was granted last ends; 0: nothing was.
+func (h *Client) AllocationsEnd() (end time.Duration) {
+	for _, x := range h.allocations {
+		end = max(end, x.grantedUntil)
 	}
 	return end
 }
 
-// SeatEnds is when the seat ends, or ended.
-func (h *Holder) SeatEnds() time.Duration { return h.seatEnd }
+// SessionEnd is when the seat ends, or ended.
+func (h *Client) SessionEnd() time.Duration { return h.sessionEnd }
 
-// Has is one whole as it is here at a moment.
-type Has struct {
+// AllocationStatus is one whole as it is here at a moment.
+type AllocationStatus struct {
 	quota.Key
-	Limit  quota.Amount
-	Until  time.Duration // of what is beyond the floor; in the past: nothing is
-	Tokens float64
-	InUse  float64
-	Want   float64
-	Rate   float64 // used a second
+	Limit        quota.Amount
+	GrantedUntil time.Duration // of what is beyond the floor; in the past: nothing is
+	Tokens       float64
+	InUse        float64
+	Wanted       float64
+	UsedRate     float64 // used a second
 }
 
-// All is every whole that is known here, in order.
-func (h *Holder) All(now time.Duration) []Has {
-	var all []Has
-	for _, k := range slices.SortedFunc(maps.Keys(h.rows), func(a, b quota.Key) int {
+// Status is every whole that is known here, in order.
+func (h *Client) Status(now time.Duration) []AllocationStatus {
+	var all []AllocationStatus
+	for _, k := range slices.SortedFunc(maps.Keys(h.allocations), func(a, b quota.Key) int {
 		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key, b.Key))
 	}) {
-		b := h.doc.Budget(k.Budget)
+		b := h.config.Budget(k.Budget)
 		if b == nil {
 			continue
 		}
-		x := h.reckon(b, h.rows[k], now)
-		all = append(all, Has{k, h.limit(b, x, now), x.until, x.tokens, h.inUse(b, k), x.want, x.rate})
+		x := h.refill(b, h.allocations[k], now)
+		all = append(all, AllocationStatus{k, h.limitNow(b, x, now), x.grantedUntil, x.tokens, h.inUse(b, k), x.wanted, x.usedRate})
 	}
 	return all
 }
 
-// Version is that of the set of budgets gone by; 0: none is known.
-func (h *Holder) Version() uint64 {
-	if !h.known {
+// ConfigVersion is that of the set of budgets gone by; 0: none is known.
+func (h *Client) ConfigVersion() uint64 {
+	if !h.hasConfig {
 		return 0
 	}
-	return h.doc.Version
+	return h.config.Version
 }
 
 // Limit is what may be used of a whole at a moment, floor and part.
-func (h *Holder) Limit(now time.Duration, k quota.Key) quota.Amount {
-	b := h.doc.Budget(k.Budget)
-	if !h.known || b == nil {
+func (h *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
+	b := h.config.Budget(k.Budget)
+	if !h.hasConfig || b == nil {
 		return quota.Amount{}
 	}
-	return h.limit(b, h.rows[k], now)
+	return h.limitNow(b, h.allocations[k], now)
 }
 
-// Patience is how long an answer is waited for before the next renewal.
-func (h *Holder) Patience() time.Duration { return h.doc.Renew() }
+// RenewTimeout is how long an answer is waited for before the next renewal.
+func (h *Client) RenewTimeout() time.Duration { return h.config.RenewInterval() }
--- a/internal/controlplane/quota/quotasession/ration.go
+++ b/internal/controlplane/quota/quotasession/ration.go
@@ -23,72 +23,72 @@
 
 // Options set up an instance's part in the fleet.
 type Options struct {
-	Name   string
-	Addr   string // where it takes clients: two processes at one address are an upgrade
-	Agents []string
-	More   func() []string // agents that others know, where none of these answers; nil: nobody knows any
-	Weight float64
-	Uses   []quota.Use // nothing of these is used before the fleet's budgets are known
-	Log    *slog.Logger
-	Duties Duties // nil: the instance runs no tasks
-	Tells  string // where it tells its latency accounts; empty: nowhere
+	Name           string
+	Addr           string // where it takes clients: two processes at one address are an upgrade
+	Agents         []string
+	FallbackAgents func() []string // agents that others know, where none of these answers; nil: nobody knows any
+	Weight         float64
+	Governed       []quota.Resource // nothing of these is used before the fleet's budgets are known
+	Log            *slog.Logger
+	LeaseWorker    LeaseWorker // nil: the instance runs no tasks
+	AccountsAddr   string      // where it tells its latency accounts; empty: nowhere
 }
 
-// Duties is what an instance does for the whole fleet (internal/controlplane/lease/leasework): its claims go with the renewals of its seat.
-type Duties interface {
-	Claim(now time.Duration) *lease.Claim
-	Accept(now time.Duration, a *lease.Award)
-	Drop()                          // the seat is lost
+// LeaseWorker is what an instance does for the whole fleet (internal/controlplane/lease/leasework): its claims go with the renewals of its seat.
+type LeaseWorker interface {
+	BeginRenewal(now time.Duration) *lease.RenewalRequest
+	AcceptRenewal(now time.Duration, a *lease.RenewalResponse)
+	DropAll()                       // the seat is lost
 	Stop(within time.Duration) bool // gives everything back; whether nothing is done any more
 }
 
-// Ration is an instance's. All of it is safe for concurrent use.
-type Ration struct {
-	opt    Options
-	client agent.Client
-	moved  func() // told when parts have changed
-	wake   chan struct{}
+// Session is an instance's. All of it is safe for concurrent use.
+type Session struct {
+	opt      Options
+	agents   agent.Client
+	onChange func() // told when parts have changed
+	wake     chan struct{}
 
-	mu     sync.Mutex
-	h      *quotaclient.Holder
-	hurry  bool   // the next renewal is due at once
-	why    string // why there is no seat, or nothing beyond the floor; empty: there is
-	counts struct{ renewed, failed, lapsed, denied int64 }
+	mu       sync.Mutex
+	client   *quotaclient.Client
+	renewNow bool   // the next renewal is due at once
+	status   string // why there is no seat, or nothing beyond the floor; empty: there is
+	counts   struct{ renewed, failed, lapsed, denied int64 }
 }
 
 // New returns one that has no seat yet; Run gets it one.
-func New(opt Options) *Ration {
-	return &Ration{opt: opt, client: agent.Client{Addrs: opt.Agents, More: opt.More}, h: quotaclient.New(opt.Uses), why: "JOINING",
-		wake: make(chan struct{}, 1), moved: func() {}}
+func New(opt Options) *Session {
+	return &Session{opt: opt, agents: agent.Client{Addrs: opt.Agents, FallbackAddrs: opt.FallbackAgents}, client: quotaclient.New(opt.Governed), status: "JOINING",
+		wake: make(chan struct{}, 1), onChange: func() {}}
 }
 
-// Agent is an agent that has answered lately; empty: none has.
-func (r *Ration) Agent() string { return r.client.Answered(agentFor) }
+// ReachableAgent is an agent that has answered lately; empty: none has.
+func (r *Session) ReachableAgent() string { return r.agents.LastAnswered(agentFreshness) }
 
-// OnMove has f called whenever parts have changed. It must be called before Run, and f must not wait.
-func (r *Ration) OnMove(f func()) { r.moved = f }
+// OnChange has f called whenever parts have changed. It must be called before Run, and f must not wait.
+func (r *Session) OnChange(f func()) { r.onChange = f }
 
-func draw(d spindlehitch.Draw) quota.Draw {
-	use := [...]quota.Use{spindlehitch.ColdWork: quota.Cold, spindlehitch.Repeats: quota.Repeat,
-		spindlehitch.Connections: quota.Connection, spindlehitch.AllWork: quota.Work}[d.Use]
-	return quota.Draw{Use: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func toReservation(d spindlehitch.Draw) quota.Reservation {
+	use := [...]quota.Resource{spindlehitch.ColdWork: quota.ColdWork, spindlehitch.Repeats: quota.Retries,
+		spindlehitch.Connections: quota.Connections, spindlehitch.AllWork: quota.AllWork}[d.Use]
+	return quota.Reservation{Resource: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
-func (r *Ration) Wait(d spindlehitch.Draw) (time.Duration, bool) {
+func (r *Session) Wait(d spindlehitch.Draw) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	wait, governed := r.h.Wait(monotone.Now(), draw(d))
+	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
 	if wait > 0 {
 		r.counts.denied++
-		r.rouse()
+		r.wakeRenewal()
 	}
 	return wait, governed
 }
 
-// rouse has a renewal sent early, where the holder wants one. Its caller holds mu.
-func (r *Ration) rouse() {
-	if r.h.Hungry() {
+// wakeRenewal has a renewal sent early, where the holder wants one. Its caller holds mu.
+func (r *Session) wakeRenewal() {
+	if r.client.HasUnmetDemand() {
 		select {
 		case r.wake <- struct{}{}:
 		default:
@@ -96,11 +96,11 @@
 	}
 }
 
-// Hurry has the next renewal sent at once.
-func (r *Ration) Hurry() {
+// RenewNow has the next renewal sent at once.
+func (r *Session) RenewNow() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hurry = true
+	r.renewNow = true
 	select {
 	case r.wake <- struct{}{}:
 	default:
@@ -108,108 +108,108 @@
 }
 
 // Take implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
-func (r *Ration) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
+func (r *Session) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	all := make([]quota.Draw, len(draws))
+	all := make([]quota.Reservation, len(draws))
 	for i, d := range draws {
-		all[i] = draw(d)
+		all[i] = toReservation(d)
 	}
-	return permit{r, r.h.Take(monotone.Now(), all...)}
+	return permit{r, r.client.Reserve(monotone.Now(), all...)}
 }
 
 type permit struct {
-	r     *Ration
-	until time.Duration
+	session *Session
+	until   time.Duration
 }
 
 // Good implements spindlehitch.Permit.
 func (p permit) Good() bool {
 	good := monotone.Now() < p.until
 	if !good {
-		p.r.mu.Lock()
-		p.r.counts.lapsed++
-		p.r.mu.Unlock()
+		p.session.mu.Lock()
+		p.session.counts.lapsed++
+		p.session.mu.Unlock()
 	}
 	return good
 }
 
 // Open counts a connection to a target; false: there may be none more.
-func (r *Ration) Open(target string) bool {
+func (r *Session) Open(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	ok := r.h.Open(monotone.Now(), target)
+	ok := r.client.OpenConnection(monotone.Now(), target)
 	if !ok {
 		r.counts.denied++
-		r.rouse()
+		r.wakeRenewal()
 	}
 	return ok
 }
 
 // Close counts a connection that has ended.
-func (r *Ration) Close(target string) {
+func (r *Session) Close(target string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.h.Close(target)
+	r.client.CloseConnection(target)
 }
 
 // Over is how many connections to a target are to be closed.
-func (r *Ration) Over(target string) int {
+func (r *Session) Over(target string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.h.Over(monotone.Now(), target)
+	return r.client.ExcessConnections(monotone.Now(), target)
 }
 
 const (
-	agentFor   = 5 * time.Second        // an agent that answered is told of to others
-	joinAgain  = 200 * time.Millisecond // doubled up to
-	mostJoin   = 5 * time.Second
-	leaveAfter = time.Second // how long connections may take to close before the seat is given back
+	agentFreshness         = 5 * time.Second        // an agent that answered is told of to others
+	joinRetryMin           = 200 * time.Millisecond // doubled up to
+	joinRetryMax           = 5 * time.Second
+	connectionCloseTimeout = time.Second // how long connections may take to close before the seat is given back
 )
 
 // Run keeps a seat until ctx ends; Leave gives it back.
-func (r *Ration) Run(ctx context.Context) {
+func (r *Session) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r.join(ctx) {
-			r.keep(ctx)
+		if r.register(ctx) {
+			r.renewUntilLost(ctx)
 		}
 	}
 }
 
-// join asks for a seat until there is one. Each seat is for an id of its own; an answer that was lost is asked for again by the
+// register asks for a seat until there is one. Each seat is for an id of its own; an answer that was lost is asked for again by the
 // same, for as long as its seat could last.
-func (r *Ration) join(ctx context.Context) bool {
+func (r *Session) register(ctx context.Context) bool {
 	id := rand.Text()
-	waits := backoff.ExponentialBackOff{InitialInterval: joinAgain, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: mostJoin}
+	waits := backoff.ExponentialBackOff{InitialInterval: joinRetryMin, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: joinRetryMax}
 	for {
 		began := monotone.Now()
-		m, doc, err := r.client.Join(ctx, quota.Member{ID: id, Name: r.opt.Name, Addr: r.opt.Addr, Weight: r.opt.Weight, Accounts: r.opt.Tells})
+		m, doc, err := r.agents.Join(ctx, quota.Member{ID: id, Name: r.opt.Name, Addr: r.opt.Addr, Weight: r.opt.Weight, Accounts: r.opt.AccountsAddr})
 		if err == nil {
 			r.mu.Lock()
-			r.h.Seat(began, m.ID, doc)
-			r.why = ""
+			r.client.Register(began, m.ID, doc)
+			r.status = ""
 			r.mu.Unlock()
 			r.opt.Log.Info("joined the fleet", slog.String("reason", "FLEET_JOINED"), slog.String("member", m.ID),
 				slog.Uint64("incarnation", m.Incarnation), slog.Uint64("version", doc.Version))
-			r.moved()
+			r.onChange()
 			return true
 		}
 		if ctx.Err() != nil {
 			return false
 		}
 		why := "NO_AGENT"
-		var no quota.Reason
+		var no quota.RejectionError
 		if errors.As(err, &no) {
 			why = string(no)
 		}
 		r.mu.Lock()
-		again := r.why == why
-		r.why = why
+		again := r.status == why
+		r.status = why
 		r.mu.Unlock()
 		if !again {
 			r.opt.Log.Warn("turned away from the fleet", slog.String("reason", "FLEET_"+why), slog.Any("error", err))
 		}
-		if no == quota.UnknownMember {
+		if no == quota.ErrUnknownMember {
 			id = rand.Text()
 		}
 		select {
@@ -220,40 +220,40 @@
 	}
 }
 
-// heed has a renewal sent whenever the agents' log has changed something for this member's tasks.
-func (r *Ration) heed(ctx context.Context, id string) {
+// watchLeases has a renewal sent whenever the agents' log has changed something for this member's tasks.
+func (r *Session) watchLeases(ctx context.Context, id string) {
 	var known uint64
 	for ctx.Err() == nil {
-		index, err := r.client.Changed(ctx, id, known)
+		index, err := r.agents.WaitLeaseChange(ctx, id, known)
 		if err == nil && index > known {
 			known = index
-			r.Hurry()
+			r.RenewNow()
 			continue
 		}
 		if err != nil {
 			select {
 			case <-ctx.Done():
-			case <-time.After(joinAgain):
+			case <-time.After(joinRetryMin):
 			}
 		}
 	}
 }
 
-// keep renews until the seat is lost or ctx ends.
-func (r *Ration) keep(ctx context.Context) {
-	if r.opt.Duties != nil {
+// renewUntilLost renews until the seat is lost or ctx ends.
+func (r *Session) renewUntilLost(ctx context.Context) {
+	if r.opt.LeaseWorker != nil {
 		heeding, stop := context.WithCancel(ctx)
 		defer stop()
 		r.mu.Lock()
-		id := r.h.ID()
+		id := r.client.MemberID()
 		r.mu.Unlock()
-		go r.heed(heeding, id)
+		go r.watchLeases(heeding, id)
 	}
 	cut := false
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		due := r.h.Next() - monotone.Now()
-		if r.hurry {
+		due := r.client.NextRenewal() - monotone.Now()
+		if r.renewNow {
 			due = 0
 		}
 		r.mu.Unlock()
@@ -267,76 +267,76 @@
 			}
 		}
 		r.mu.Lock()
-		if !r.h.Seated(monotone.Now()) {
-			r.lost("SEAT_ENDED")
+		if !r.client.Registered(monotone.Now()) {
+			r.loseSession("SEAT_ENDED")
 			r.mu.Unlock()
-			r.moved()
+			r.onChange()
 			return
 		}
 		began := monotone.Now() // before it goes out: its part's end is reckoned from here
-		ren := r.h.Renew(began)
-		within := r.h.Patience()
-		r.hurry = false
+		ren := r.client.BeginRenewal(began)
+		within := r.client.RenewTimeout()
+		r.renewNow = false
 		r.mu.Unlock()
-		var claim *lease.Claim
-		if r.opt.Duties != nil {
-			claim = r.opt.Duties.Claim(began)
+		var claim *lease.RenewalRequest
+		if r.opt.LeaseWorker != nil {
+			claim = r.opt.LeaseWorker.BeginRenewal(began)
 		}
 		call, done := context.WithTimeout(ctx, within)
-		a, award, err := r.client.Renew(call, ren, claim)
+		a, award, err := r.agents.Renew(call, ren, claim)
 		done()
-		if err == nil && award != nil && r.opt.Duties != nil {
-			r.opt.Duties.Accept(monotone.Now(), award)
+		if err == nil && award != nil && r.opt.LeaseWorker != nil {
+			r.opt.LeaseWorker.AcceptRenewal(monotone.Now(), award)
 		}
 		r.mu.Lock()
 		switch {
-		case errors.Is(err, quota.UnknownMember):
-			r.lost(err.Error())
+		case errors.Is(err, quota.ErrUnknownMember):
+			r.loseSession(err.Error())
 			r.mu.Unlock()
-			r.moved()
+			r.onChange()
 			return
-		case err == nil && r.h.Accept(monotone.Now(), a):
+		case err == nil && r.client.AcceptRenewal(monotone.Now(), a):
 			r.counts.renewed++
 			if cut {
-				cut, r.why = false, ""
+				cut, r.status = false, ""
 				r.opt.Log.Info("heard the agents again", slog.String("reason", "FLEET_HEARD"))
 			}
 		default:
 			r.counts.failed++
-			if !cut && monotone.Now() >= r.h.Ended() && ctx.Err() == nil {
-				cut, r.why = true, "CUT_OFF"
+			if !cut && monotone.Now() >= r.client.AllocationsEnd() && ctx.Err() == nil {
+				cut, r.status = true, "CUT_OFF"
 				r.opt.Log.Warn("cut off from the agents: the floor is all there is", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
 			}
 		}
 		r.mu.Unlock()
-		r.moved()
+		r.onChange()
 	}
 }
 
-// lost gives the seat up. Its caller holds mu.
-func (r *Ration) lost(why string) {
-	r.why = why
-	r.h.Unseat()
-	if r.opt.Duties != nil {
-		r.opt.Duties.Drop()
+// loseSession gives the seat up. Its caller holds mu.
+func (r *Session) loseSession(why string) {
+	r.status = why
+	r.client.Unregister()
+	if r.opt.LeaseWorker != nil {
+		r.opt.LeaseWorker.DropAll()
 	}
 	r.opt.Log.Warn("seat lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", why))
 }
 
 // Leave uses nothing more, and once no connection is open gives the seat back; where that takes too long it is left to end.
 // Run must have ended.
-func (r *Ration) Leave(ctx context.Context) {
+func (r *Session) Leave(ctx context.Context) {
 	r.mu.Lock()
-	seated, id := r.h.Seated(monotone.Now()), r.h.ID()
-	r.h.Leave()
+	seated, id := r.client.Registered(monotone.Now()), r.client.MemberID()
+	r.client.Leave()
 	r.mu.Unlock()
-	if r.opt.Duties != nil && !r.opt.Duties.Stop(leaveAfter) {
+	if r.opt.LeaseWorker != nil && !r.opt.LeaseWorker.Stop(connectionCloseTimeout) {
 		r.opt.Log.Warn("seat not given back", slog.String("reason", "FLEET_NOT_LEFT"), slog.String("why", "an act is under way"))
 		return
 	}
-	for end := time.Now().Add(leaveAfter); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(connectionCloseTimeout); ; time.Sleep(10 * time.Millisecond) {
 		r.mu.Lock()
-		out := r.h.Out()
+		out := r.client.OpenConnections()
 		r.mu.Unlock()
 		if out == 0 {
 			break
@@ -349,7 +349,7 @@
 	if !seated {
 		return
 	}
-	if err := r.client.Leave(ctx, id); err != nil {
+	if err := r.agents.Leave(ctx, id); err != nil {
 		r.opt.Log.Warn("seat not given back", slog.String("reason", "FLEET_NOT_LEFT"), slog.Any("error", err))
 		return
 	}
@@ -357,27 +357,27 @@
 }
 
 // Tell tells the numbers of the fleet's budgets.
-func (r *Ration) Tell(to statsd.ExtendedStatSender) {
+func (r *Session) Tell(to statsd.ExtendedStatSender) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := monotone.Now()
 	seated := int64(0)
-	if r.h.Seated(now) {
+	if r.client.Registered(now) {
 		seated = 1
 	}
 	to.Gauge("fleet.seated", seated, 1)
-	to.Gauge("fleet.version", int64(r.h.Version()), 1)
+	to.Gauge("fleet.version", int64(r.client.ConfigVersion()), 1)
 	to.Inc("fleet.renewals.taken", int64(r.counts.renewed), 1)
 	to.Inc("fleet.renewals.failed", int64(r.counts.failed), 1)
 	to.Inc("fleet.denied", int64(r.counts.denied), 1)
 	to.Inc("fleet.lapsed", int64(r.counts.lapsed), 1)
-	for _, x := range r.h.All(now) {
+	for _, x := range r.client.Status(now) {
 		name := "fleet." + x.Budget
 		if x.Key.Key != "" {
 			name += "." + x.Key.Key
 		}
 		to.GaugeFloat(name+".part", x.Limit.Rate, 1)
-		to.GaugeFloat(name+".used", x.InUse+x.Rate, 1)
-		to.GaugeFloat(name+".ends_s", max(0, (x.Until-now).Seconds()), 1)
+		to.GaugeFloat(name+".used", x.InUse+x.UsedRate, 1)
+		to.GaugeFloat(name+".ends_s", max(0, (x.GrantedUntil-now).Seconds()), 1)
 	}
 }
--- a/internal/process/config/operator.go
+++ b/internal/process/config/operator.go
@@ -23,11 +23,11 @@
 
 // Fleet has an instance keep to its part of fleet-wide budgets.
 type Fleet struct {
-	Agents  []string    `toml:"agents" validate:"required_without=Members,dive,addr"`
-	Weight  float64     `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
-	Uses    []quota.Use `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
-	Tasks   []string    `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
-	Members *Members    `toml:"members"`
+	Agents  []string         `toml:"agents" validate:"required_without=Members,dive,addr"`
+	Weight  float64          `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
+	Uses    []quota.Resource `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
+	Tasks   []string         `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
+	Members *Members         `toml:"members"`
 }
 
 // Members has instances know each other without the agents.
@@ -47,7 +47,7 @@
 // SetDefaults implements defaults.Setter.
 func (f *Fleet) SetDefaults() {
 	if f.Uses == nil {
-		f.Uses = slices.Clone(quota.Uses)
+		f.Uses = slices.Clone(quota.Resources)
 	}
 }
 
@@ -68,18 +68,18 @@
 }
 
 // ReadBudgets reads a set of budgets and checks it, against an instance's configuration where one is given.
-func ReadBudgets(path string, c *Config) (quota.Doc, error) {
-	return readFile(path, func(d *quota.Doc) error {
-		if err := d.Check(); err != nil || c == nil {
+func ReadBudgets(path string, c *Config) (quota.Config, error) {
+	return readFile(path, func(d *quota.Config) error {
+		if err := d.Validate(); err != nil || c == nil {
 			return err
 		}
-		return d.CheckNames(c.Plans(), c.Classes())
+		return d.ValidateNames(c.Plans(), c.Classes())
 	})
 }
 
 // ReadTasks reads a set of tasks and checks it, against the fleet's renewals and seats where they are given.
-func ReadTasks(path string, f *quota.Doc) (lease.Doc, error) {
-	return readFile(path, func(d *lease.Doc) error { return d.Check(f) })
+func ReadTasks(path string, f *quota.Config) (lease.Config, error) {
+	return readFile(path, func(d *lease.Config) error { return d.Validate(f) })
 }
 
 // Accounts has latency accounts kept by volume.
--- a/internal/process/config/rules.go
+++ b/internal/process/config/rules.go
@@ -28,8 +28,8 @@
 	for tag, good := range map[string]func(string) bool{
 		"addr":  func(s string) bool { return badAddr(s) == nil },
 		"nqn":   func(s string) bool { return s != "" && len(s) <= 223 },
-		"name":  func(s string) bool { return s != "" && len(s) <= quota.MostName },
-		"use":   func(s string) bool { return slices.Contains(quota.Uses, quota.Use(s)) },
+		"name":  func(s string) bool { return s != "" && len(s) <= quota.MaxNameBytes },
+		"use":   func(s string) bool { return slices.Contains(quota.Resources, quota.Resource(s)) },
 		"hex64": func(s string) bool { _, err := strconv.ParseUint(s, 16, 64); return err == nil },
 	} {
 		must(v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return good(f.Field().String()) }))
@@ -61,7 +61,7 @@
 // says is what a broken rule is called, with the value and the rule's bound.
 var says = map[string]string{
 	"nqn":           "wanted 1 to 223 bytes",
-	"name":          "wanted 1 to " + strconv.Itoa(quota.MostName) + " bytes",
+	"name":          "wanted 1 to " + strconv.Itoa(quota.MaxNameBytes) + " bytes",
 	"use":           "unknown use {value}",
 	"hex64":         "{value} is not a hexadecimal number of 64 bits",
 	"class":         "class {value} is not in the settings",
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -18,7 +18,7 @@
 // duty is what an instance does for the whole fleet.
 type duty struct {
 	runner *leasework.Runner
-	probe  *leasework.Probe
+	probe  *leasework.EndpointProbe
 	loop
 }
 
@@ -26,23 +26,23 @@
 const probeWithin = 400 * time.Millisecond
 
 func newDuty(cfg *config.Config, op *config.Operator, log *slog.Logger, hurry func(), load func() uint16, ended func() []string) *duty {
-	d := &duty{probe: &leasework.Probe{Dial: cfg.Dial, Within: probeWithin}}
+	d := &duty{probe: &leasework.EndpointProbe{DialTimeout: cfg.Dial, AnswerTimeout: probeWithin}}
 	jobs := map[lease.Kind]leasework.Job{lease.Drill: &leasework.Drill{Name: cfg.Name},
-		lease.Account: &leasework.Account{Name: cfg.Name, Agents: &agent.Client{Addrs: op.Fleet.Agents}}}
+		lease.FleetReport: &leasework.FleetReport{Name: cfg.Name, Agents: &agent.Client{Addrs: op.Fleet.Agents}}}
 	if cfg.Probes && op.NVMe == nil {
-		jobs[lease.Watch] = d.probe // else such a task fails here, and goes to another member
+		jobs[lease.EndpointProbe] = d.probe // else such a task fails here, and goes to another member
 	}
-	d.runner = leasework.New(leasework.Options{Runs: op.Fleet.Tasks, Jobs: jobs, Hurry: hurry, Load: load, Ended: ended, Log: log})
-	d.probe.For(d.runner)
+	d.runner = leasework.New(leasework.Options{Tasks: op.Fleet.Tasks, Jobs: jobs, RenewNow: hurry, OpenRequests: load, DeadInstances: ended, Log: log})
+	d.probe.Attach(d.runner)
 	d.run = d.runner.Run
 	return d
 }
 
 // tells has the module hear what others found out.
 func (d *duty) tells(c *core.Core) {
-	d.runner.OnNews(func(news []lease.Result, way time.Duration) {
+	d.runner.OnResults(func(news []lease.ProbeResult, way time.Duration) {
 		for _, x := range news {
-			c.Watched(spindlehitch.Watched{Node: x.Target, Well: x.Well, Ago: time.Duration(x.AgoMs)*time.Millisecond + way, Next: d.runner.Every(x.Task)})
+			c.Watched(spindlehitch.Watched{Node: x.Target, Well: x.Healthy, Ago: time.Duration(x.AgeMs)*time.Millisecond + way, Next: d.runner.OperationPeriod(x.Task)})
 		}
 	})
 }
@@ -59,5 +59,5 @@
 			addrs[e.ID] = ""
 		}
 	}
-	d.probe.Listed(addrs, l.Full)
+	d.probe.SetTargets(addrs, l.Full)
 }
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -180,7 +180,7 @@
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
 	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
 	if duties != nil {
-		bounds.Avoids = duties.runner.Avoid
+		bounds.Avoids = duties.runner.SetEjected
 	}
 	var book *ledger
 	if op.Accounts != nil {
@@ -212,7 +212,7 @@
 	if book != nil {
 		book.core, book.shared = in.core, shared
 		if duties != nil {
-			book.kept = leasework.Kept
+			book.kept = leasework.KeptWindows
 		}
 		in.parts = append(in.parts, book)
 	}
@@ -272,28 +272,28 @@
 }
 
 // fleetParts are an instance's part of fleet-wide budgets and what it does for the fleet; nil where an operator's file has none.
-func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Peers, load func() uint16, log *slog.Logger) (part *quotasession.Ration, duties *duty) {
+func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Peers, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
 	}
-	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Uses: op.Fleet.Uses, Log: log}
+	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Governed: op.Fleet.Uses, Log: log}
 	if op.Accounts != nil {
-		about.Tells = op.Accounts.Listen
+		about.AccountsAddr = op.Accounts.Listen
 	}
 	if len(op.Fleet.Tasks) > 0 {
 		var ended func() []string
 		if known != nil {
 			ended = func() []string { return endedNames(known) }
 		}
-		duties = newDuty(cfg, op, log, func() { part.Hurry() }, load, ended)
-		about.Duties = duties.runner
+		duties = newDuty(cfg, op, log, func() { part.RenewNow() }, load, ended)
+		about.LeaseWorker = duties.runner
 	}
 	if known != nil {
-		about.More = known.Agents
+		about.FallbackAgents = known.Agents
 	}
 	part = quotasession.New(about)
 	if duties != nil {
-		duties.probe.Stock = part
+		duties.probe.Connections = part
 	}
 	return part, duties
 }
@@ -362,12 +362,12 @@
 // seat is the instance's seat in the fleet, given back once nothing is served any more.
 type seat struct {
 	loop
-	part *quotasession.Ration
+	part *quotasession.Session
 	up   *upstream.Registry
 }
 
-func newSeat(part *quotasession.Ration, c *core.Core, up *upstream.Registry) *seat {
-	part.OnMove(func() {
+func newSeat(part *quotasession.Session, c *core.Core, up *upstream.Registry) *seat {
+	part.OnChange(func() {
 		c.Rationed()
 		up.Review()
 	})
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -27,11 +27,11 @@
 }
 
 // tellsOf is what a member tells others of itself: how many requests are open, and an agent that has answered it.
-func tellsOf(c *core.Core, part *quotasession.Ration) func() (uint16, string) {
+func tellsOf(c *core.Core, part *quotasession.Session) func() (uint16, string) {
 	return func() (uint16, string) {
 		agent := ""
 		if part != nil {
-			agent = part.Agent()
+			agent = part.ReachableAgent()
 		}
 		return loadOf(c), agent
 	}
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -96,7 +96,7 @@
 		time.Sleep(time.Second)
 		had, mine := tokens(), 0
 		for _, l := range d.leases() {
-			if n != nil && l.Name == n.Name {
+			if n != nil && l.HolderName == n.Name {
 				mine++
 			}
 		}
@@ -182,12 +182,12 @@
 			before := time.Since(began) // when the claim before the last was begun: what is new was granted after that was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				begun := time.Since(began)
-				c := m.Claim(monotone.Now())
+				c := m.BeginRenewal(monotone.Now())
 				call, done := context.WithTimeout(ctx, 400*time.Millisecond)
-				_, award, err := client.Renew(call, terms.Renewal{ID: id, Seq: seq}, &c)
+				_, award, err := client.Renew(call, terms.RenewalRequest{ID: id, Seq: seq}, &c)
 				done()
-				if err == nil && award != nil && m.Accept(monotone.Now(), *award) {
-					for _, h := range m.All() {
+				if err == nil && award != nil && m.AcceptRenewal(monotone.Now(), *award) {
+					for _, h := range m.Status() {
 						if has[h.Shard] != h.Token {
 							has[h.Shard] = h.Token
 							note(i, h.Shard, operation{"grant", h.Token}, nil, before, time.Since(began))
@@ -221,9 +221,9 @@
 				}
 				if rng.IntN(3) == 0 {
 					at, done := context.WithTimeout(ctx, time.Second)
-					err := client.MoveLease(at, lease.Key{Task: "t", Shard: rng.IntN(2)}, fmt.Sprint("member-", rng.IntN(3)))
+					err := client.MigrateLease(at, lease.Key{Task: "t", Shard: rng.IntN(2)}, fmt.Sprint("member-", rng.IntN(3)))
 					done()
-					var no *agent.Refusal
+					var no *agent.RejectedError
 					if err != nil && ctx.Err() == nil && errors.As(err, &no) && no.Status != 422 {
 						t.Error(err)
 					}
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -34,7 +34,7 @@
 		every = 1000 // each act is some syncs of the one disk
 	}
 	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(1, nil)}, witness: r.Witness()}
-	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: shards, LeaseMs: leaseFor.Milliseconds(), ActMs: 500, EveryMs: every, ProgressMs: 3000,
+	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: shards, TTLMs: leaseFor.Milliseconds(), OperationTimeoutMs: 500, IntervalMs: every, ProgressTimeoutMs: 3000,
 		Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
 	d.client = &agent.Client{Addrs: d.agents.API}
 	d.agents.Leader()
@@ -54,7 +54,7 @@
 
 func (d *drilled) file() string {
 	return fmt.Sprintf("[[task]]\nname = \"drill\"\nkind = \"drill\"\nshards = %d\nlease_ms = %d\nact_ms = %d\nevery_ms = %d\nprogress_ms = %d\ndir = %q\nwitness = %q\n",
-		d.task.Shards, d.task.LeaseMs, d.task.ActMs, d.task.EveryMs, d.task.ProgressMs, d.task.Dir, d.task.Witness)
+		d.task.Shards, d.task.TTLMs, d.task.OperationTimeoutMs, d.task.IntervalMs, d.task.ProgressTimeoutMs, d.task.Dir, d.task.Witness)
 }
 
 // run runs a command at the agents that has to succeed.
@@ -67,9 +67,9 @@
 	return out
 }
 
-func (d *drilled) leases() []lessor.Seen {
+func (d *drilled) leases() []lessor.LeaseStatus {
 	out, code, _ := d.Run("lease", "show", "drill", "--json", "--agents", d.agents.List())
-	var s struct{ Leases []lessor.Seen }
+	var s struct{ Leases []lessor.LeaseStatus }
 	if code != 0 || json.Unmarshal([]byte(out), &s) != nil {
 		return nil
 	}
@@ -104,7 +104,7 @@
 		for _, l := range d.leases() {
 			if l.Shard == shard && l.State == "held" {
 				for _, n := range d.all {
-					if n.Name == l.Name {
+					if n.Name == l.HolderName {
 						found, token = n, l.Token
 					}
 				}
@@ -122,7 +122,7 @@
 		d.witness.mu.Lock()
 		defer d.witness.mu.Unlock()
 		for _, c := range d.witness.calls {
-			if c.Shard == shard && c.Token > token && c.Taken {
+			if c.Shard == shard && c.Token > token && c.Accepted {
 				return true
 			}
 		}
@@ -155,7 +155,7 @@
 		inside++
 		held := map[int]uint64{}
 		for _, l := range d.leases() {
-			if l.Name == n.Name {
+			if l.HolderName == n.Name {
 				held[l.Shard] = l.Token
 			}
 		}
@@ -184,7 +184,7 @@
 		t.Helper()
 		held := map[int]uint64{}
 		for _, l := range d.leases() {
-			if l.Name == n.Name {
+			if l.HolderName == n.Name {
 				held[l.Shard] = l.Token
 			}
 		}
@@ -250,7 +250,7 @@
 	d.Until("what hangs goes on", func() bool {
 		hung = 0
 		for _, l := range d.leases() {
-			if l.Name == n.Name && l.ProgressMs > 2*d.task.ProgressMs {
+			if l.HolderName == n.Name && l.ProgressMs > 2*d.task.ProgressTimeoutMs {
 				hung++
 			}
 		}
@@ -315,7 +315,7 @@
 	n, token := d.holder(0)
 	held := []int{}
 	for _, l := range d.leases() {
-		if l.Name == n.Name {
+		if l.HolderName == n.Name {
 			held = append(held, l.Shard)
 		}
 	}
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -84,7 +84,7 @@
 	text := fmt.Sprintf("seats = 60\nrenew_ms = 300\npart_ms = 1500\nseat_s = 20\n[[budget]]\nname = \"work\"\nuse = \"work\"\nwhole = %g\nburst = %g\nleast = 0.5\nleast_burst = 1\n", whole, whole)
 	r := New(t)
 	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(1, nil)}, witness: r.Witness()}
-	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: 30, LeaseMs: 2000, ActMs: 500, EveryMs: 1000, ProgressMs: 6000, Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
+	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: 30, TTLMs: 2000, OperationTimeoutMs: 500, IntervalMs: 1000, ProgressTimeoutMs: 6000, Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
 	d.agents.Leader()
 	budgets := r.File("work.toml", text)
 	d.run("budget", "set", budgets)
@@ -150,11 +150,11 @@
 			on = append(on, i)
 		}
 		task := d.task
-		task.Kind, task.Dir, task.Witness = lease.Watch, "", ""
-		task.PauseMs = 1 // a drill has none; a watch has to have one
+		task.Kind, task.Dir, task.Witness = lease.EndpointProbe, "", ""
+		task.MaxPauseMs = 1 // a drill has none; a watch has to have one
 		s := &model.Spec{Name: "agrees", LengthS: 36, StepS: 0.1, Fleet: model.Fleet{Instances: members}, Net: model.Net{DelayMs: 0.2, JitterMs: 0.2},
 			Load:    model.Load{Rate: 2 * whole, AimMs: 1000, PatienceS: 2, Alike: true, SurgeAtS: 16, SurgeForS: 100, Surge: float64(members) / float64(members-killed)},
-			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Doc{Tasks: []lease.Task{task}},
+			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Config{Tasks: []lease.Task{task}},
 			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: on}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
--- a/internal/testbed/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -60,7 +60,7 @@
 	board := func() (by int, well, found bool, token uint64) {
 		out, _, _ := d.Run("lease", "show", "watch", "--json", "--agents", d.agents.List())
 		var s struct {
-			Leases []lessor.Seen
+			Leases []lessor.LeaseStatus
 			Board  []struct {
 				Target string
 				By     int `json:"avoided_by"`
@@ -99,13 +99,13 @@
 	}
 	var holder *Instance
 	out := d.run("lease", "show", "watch", "--json")
-	var s struct{ Leases []lessor.Seen }
+	var s struct{ Leases []lessor.LeaseStatus }
 	if err := json.Unmarshal([]byte(out), &s); err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range s.Leases {
 		for _, n := range d.all {
-			if l.Token == token && n.Name == l.Name {
+			if l.Token == token && n.Name == l.HolderName {
 				holder = n
 			}
 		}
@@ -234,7 +234,7 @@
 		{"unknown shard", "", append([]string{"lease", "release", "drill", "7"}, agents...), "shard: the task has no such shard", 1},
 		{"no number", "", append([]string{"lease", "release", "drill", "x"}, agents...), "shard:", 1},
 		{"a member that does not live", "", append([]string{"lease", "move", "drill", "0", "n9"}, agents...), "member: no such member lives", 1},
-		{"its holder", "", append([]string{"lease", "move", "drill", "0", before[0].Name}, agents...), "member: it holds this shard", 1},
+		{"its holder", "", append([]string{"lease", "move", "drill", "0", before[0].HolderName}, agents...), "member: it holds this shard", 1},
 		{"two tasks under one name", task + task, append([]string{"lease", "set", "FILE"}, agents...), `task[1].name: "drill" is there twice`, 1},
 		{"a lease too short", strings.Replace(task, "lease_ms = 1500", "lease_ms = 900", 1), append([]string{"lease", "set", "FILE"}, agents...), "lease_ms: an act of 500 ms after three renewals", 1},
 		{"checked against budgets", strings.Replace(task, "lease_ms = 1500", "lease_ms = 900", 1), []string{"lease", "check", "FILE", "--budgets", budgets}, "lease_ms: an act", 1},
--- a/internal/testbed/faults/witness.go
+++ b/internal/testbed/faults/witness.go
@@ -143,22 +143,22 @@
 		out, end := "unknown", last
 		if c.end > 0 && c.Error == "" {
 			out, end = "refused", c.end
-			if c.Taken {
+			if c.Accepted {
 				out = "taken"
 			}
 		}
 		switch {
 		case out == "unknown":
 			seen.Unknown++
-		case c.Taken:
+		case c.Accepted:
 			seen.Taken++
-			if tokens[c.Token] = true; c.Op == "end" {
+			if tokens[c.Token] = true; c.Step == "end" {
 				seen.Acts++
 			}
 		default:
 			seen.Refused++
 		}
-		shards[c.Shard] = append(shards[c.Shard], porcupine.Operation{ClientId: members[c.Member], Input: input{c.Op, c.Token, c.Act}, Call: int64(c.call), Output: out, Return: int64(end)})
+		shards[c.Shard] = append(shards[c.Shard], porcupine.Operation{ClientId: members[c.Member], Input: input{c.Step, c.Token, c.Operation}, Call: int64(c.call), Output: out, Return: int64(end)})
 	}
 	seen.Tokens = len(tokens)
 	for shard, history := range shards {
@@ -181,17 +181,17 @@
 
 // inOrder holds what a place wrote down against the promise.
 func inOrder(all []leasework.DrillEntry) error {
-	var p fencing.Place
+	var p fencing.Guard
 	for i, e := range all {
-		if !e.Taken {
+		if !e.Accepted {
 			continue
 		}
-		mine := e.Token == p.Token && e.Act == p.Act && p.Open
-		newer := e.Token > p.Token || e.Token == p.Token && e.Act > p.Act
-		if i > 0 && p.Token > 0 && (e.Op == "begin" && !newer || e.Op != "begin" && !mine) {
-			return fmt.Errorf("entry %d, %+v, was taken after act %d under token %d", i, e, p.Act, p.Token)
+		mine := e.Token == p.Token && e.Operation == p.Operation && p.InProgress
+		newer := e.Token > p.Token || e.Token == p.Token && e.Operation > p.Operation
+		if i > 0 && p.Token > 0 && (e.Step == "begin" && !newer || e.Step != "begin" && !mine) {
+			return fmt.Errorf("entry %d, %+v, was taken after act %d under token %d", i, e, p.Operation, p.Token)
 		}
-		p = fencing.Place{Token: e.Token, Act: e.Act, Open: e.Op != "end"}
+		p = fencing.Guard{Token: e.Token, Operation: e.Operation, InProgress: e.Step != "end"}
 	}
 	return nil
 }
--- a/internal/testbed/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -18,7 +18,7 @@
 	s        *Sim
 	rng      *rand.Rand
 	all      []*agentState
-	reg      registry.Register
+	reg      registry.Registry
 	index    uint64
 	term     uint64
 	leader   int           // -1: none
@@ -40,14 +40,14 @@
 // lead is what an agent that believes to lead has.
 type lead struct {
 	term   uint64
-	giver  *allocator.Giver
-	keeper *lessor.Keeper
-	desk   allocator.Desk[func(bool)]
+	giver  *allocator.Allocator
+	keeper *lessor.Lessor
+	desk   allocator.ReadIndexQueue[func(bool)]
 }
 
 type renewed struct {
-	answer quota.Answer
-	award  *lease.Award
+	answer quota.RenewalResponse
+	award  *lease.RenewalResponse
 }
 
 const sweep = 250 * time.Millisecond
@@ -58,12 +58,12 @@
 		g.all = append(g.all, &agentState{up: true, rate: s.clockRate(i)})
 	}
 	g.index = 1
-	if err := g.reg.Set(g.index, *s.spec.Budgets); err != nil {
+	if err := g.reg.SetQuotaConfig(g.index, *s.spec.Budgets); err != nil {
 		panic(err) // checked before
 	}
 	if s.spec.Tasks != nil {
 		g.index++
-		if err := g.reg.SetTasks(g.index, *s.spec.Tasks); err != nil {
+		if err := g.reg.SetLeaseConfig(g.index, *s.spec.Tasks); err != nil {
 			panic(err)
 		}
 	}
@@ -97,7 +97,7 @@
 	g.s.point.Elections++
 	r := g.reg.Clone()
 	a := g.all[i]
-	a.lead = &lead{term: g.term, giver: allocator.New(g.clock(i), r.Doc, r.Members), keeper: lessor.New(g.clock(i), &r)}
+	a.lead = &lead{term: g.term, giver: allocator.New(g.clock(i), r.QuotaConfig, r.Members), keeper: lessor.New(g.clock(i), &r)}
 }
 
 // tick looks after who leads, and has the log changed as the leader wants it.
@@ -195,7 +195,7 @@
 		g.index++
 		change(g.index)
 		r := g.reg.Clone()
-		l.giver.Update(g.clock(by), r.Doc, r.Members)
+		l.giver.Update(g.clock(by), r.QuotaConfig, r.Members)
 		l.keeper.Update(g.clock(by), &r)
 		then(true)
 	})
@@ -208,23 +208,23 @@
 		return
 	}
 	now := g.clock(g.leader)
-	if gone := l.giver.Gone(now); len(gone) > 0 {
+	if gone := l.giver.Expire(now); len(gone) > 0 {
 		g.flight = true
 		g.commit(g.leader, func(uint64) { g.reg.Leave(gone...) }, func(bool) { g.flight = false })
 		return
 	}
-	orders, seen := l.keeper.Orders(now)
+	orders, seen := l.keeper.PendingEvents(now)
 	if len(orders) == 0 && seen == 0 {
 		return
 	}
 	g.flight = true
 	g.commit(g.leader, func(index uint64) {
-		for _, o := range g.reg.Order(index, seen, orders) {
-			if o.Do == lease.Grant {
+		for _, o := range g.reg.ApplyEvents(index, seen, orders) {
+			if o.Kind == lease.EventGrant {
 				g.s.point.Grants++
-				g.s.heeds(o.To)
+				g.s.heeds(o.Member)
 			}
-			if o.Do == lease.Plan {
+			if o.Kind == lease.EventPlan {
 				if x := g.reg.Lease(o.Key); x != nil {
 					g.s.heeds(x.Holder)
 				}
@@ -249,7 +249,7 @@
 		if _, err := g.reg.Join(index, m); err != nil {
 			answer = err
 		} else {
-			answer = g.reg.Doc
+			answer = g.reg.QuotaConfig
 		}
 	}, func(done bool) {
 		if !done {
@@ -260,7 +260,7 @@
 }
 
 // renew has the leader that was reached decide, and answers once a majority has told that no later term has begun.
-func (g *agents) renew(by int, r quota.Renewal, c *lease.Claim, back func(any)) {
+func (g *agents) renew(by int, r quota.RenewalRequest, c *lease.RenewalRequest, back func(any)) {
 	a := g.all[by]
 	l := a.lead
 	if l == nil {
@@ -278,18 +278,18 @@
 			answer, err := l.giver.Renew(g.clock(by), r)
 			x := renewed{answer: answer}
 			if err == nil && c != nil {
-				if award, err := l.keeper.Claim(g.clock(by), r.ID, *c); err == nil {
+				if award, err := l.keeper.Renew(g.clock(by), r.ID, *c); err == nil {
 					x.award = &award
 				}
-				if len(c.Gives) > 0 && by == g.leader {
+				if len(c.Released) > 0 && by == g.leader {
 					g.order()
 				}
 			}
-			if err == quota.OldRenewal {
+			if err == quota.ErrStaleRenewal {
 				back(err)
 				return
 			}
-			l.desk.Put(l.term, func(agreed bool) {
+			l.desk.Add(l.term, func(agreed bool) {
 				switch {
 				case !agreed:
 					back(nil)
@@ -306,14 +306,14 @@
 
 // ask has a majority tell their terms, one question at a time.
 func (g *agents) ask(by int, l *lead) {
-	round, due := l.desk.Ask(l.term)
+	round, due := l.desk.StartRound(l.term)
 	if !due {
 		return
 	}
 	g.s.after(2*g.s.way(g.rng), "terms told", by, func() {
 		g.when(by, func() {
-			agreed := g.majority(by) && allocator.Majority(l.term, []uint64{g.term}, 3)
-			done, void := l.desk.Hear(round)
+			agreed := g.majority(by) && allocator.MajorityAgrees(l.term, []uint64{g.term}, 3)
+			done, void := l.desk.FinishRound(round)
 			for _, k := range done {
 				k(agreed)
 			}
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -44,8 +44,8 @@
 	listed  []bool // the targets there
 	asked   uint64
 
-	h       *quotaclient.Holder
-	t       *lessee.Tenant
+	h       *quotaclient.Client
+	t       *lessee.Lessee
 	member  string
 	joining bool
 	renews  uint64 // the number of the renewal timer that holds
@@ -384,16 +384,16 @@
 // ration is the instance's part of the fleet's wholes, for the module.
 type ration struct{ n *instance }
 
-var uses = [...]quota.Use{spindlehitch.ColdWork: quota.Cold, spindlehitch.Repeats: quota.Repeat, spindlehitch.Connections: quota.Connection, spindlehitch.AllWork: quota.Work}
+var uses = [...]quota.Resource{spindlehitch.ColdWork: quota.ColdWork, spindlehitch.Repeats: quota.Retries, spindlehitch.Connections: quota.Connections, spindlehitch.AllWork: quota.AllWork}
 
-func draw(d spindlehitch.Draw) quota.Draw {
-	return quota.Draw{Use: uses[d.Use], Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func draw(d spindlehitch.Draw) quota.Reservation {
+	return quota.Reservation{Resource: uses[d.Use], Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
 func (r ration) Wait(d spindlehitch.Draw) (time.Duration, bool) {
 	wait, governed := r.n.h.Wait(r.n.clock(), draw(d))
-	if wait > 0 && r.n.h.Hungry() {
+	if wait > 0 && r.n.h.HasUnmetDemand() {
 		r.n.schedule()
 	}
 	return wait, governed
@@ -401,11 +401,11 @@
 
 // Take implements spindlehitch.Ration.
 func (r ration) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
-	all := make([]quota.Draw, len(draws))
+	all := make([]quota.Reservation, len(draws))
 	for i, d := range draws {
 		all[i] = draw(d)
 	}
-	return permit{r.n, r.n.h.Take(r.n.clock(), all...)}
+	return permit{r.n, r.n.h.Reserve(r.n.clock(), all...)}
 }
 
 type permit struct {
@@ -437,13 +437,13 @@
 		if n.born != born {
 			return
 		}
-		doc, seated := answer.(quota.Doc)
+		doc, seated := answer.(quota.Config)
 		if !seated {
 			n.s.after(n.truly(joinAgain), "join again", n.id, func() { n.when(n.join) })
 			return
 		}
 		n.member = id
-		n.h.Seat(began, id, doc)
+		n.h.Register(began, id, doc)
 		n.s.point.Joins++
 		n.schedule()
 	})
@@ -454,8 +454,8 @@
 	if n.member == "" || !n.alive {
 		return
 	}
-	due := n.h.Next() - n.clock()
-	if n.t != nil && n.t.Hurry() {
+	due := n.h.NextRenewal() - n.clock()
+	if n.t != nil && n.t.NeedsRenewal() {
 		due = 0
 	}
 	n.renews++
@@ -471,33 +471,33 @@
 
 func (n *instance) renew() {
 	now := n.clock()
-	if !n.h.Seated(now) {
+	if !n.h.Registered(now) {
 		n.unseat()
 		return
 	}
-	r := n.h.Renew(now)
-	var c *lease.Claim
+	r := n.h.BeginRenewal(now)
+	var c *lease.RenewalRequest
 	if n.t != nil {
-		x := n.t.Claim(now)
+		x := n.t.BeginRenewal(now)
 		c = &x
 	}
 	born, id := n.born, n.member
-	n.call("renewal", n.truly(n.h.Patience()), func(g *agents, by int, back func(any)) { g.renew(by, r, c, back) }, func(answer any) {
+	n.call("renewal", n.truly(n.h.RenewTimeout()), func(g *agents, by int, back func(any)) { g.renew(by, r, c, back) }, func(answer any) {
 		if n.born != born || n.member != id {
 			return
 		}
 		switch a := answer.(type) {
 		case renewed:
 			if a.award != nil && n.t != nil {
-				n.t.Accept(n.clock(), *a.award)
+				n.t.AcceptRenewal(n.clock(), *a.award)
 				n.act()
 			}
-			if n.h.Accept(n.clock(), a.answer) {
+			if n.h.AcceptRenewal(n.clock(), a.answer) {
 				n.s.accepted(n)
 				n.step(spindlehitch.Rationed{})
 			}
 		case error:
-			if a == quota.UnknownMember {
+			if a == quota.ErrUnknownMember {
 				n.unseat()
 				return
 			}
@@ -511,9 +511,9 @@
 
 func (n *instance) unseat() {
 	n.member = ""
-	n.h.Unseat()
+	n.h.Unregister()
 	if n.t != nil {
-		n.t.Drop()
+		n.t.DropAll()
 	}
 	n.s.budgetGone(n)
 	n.step(spindlehitch.Rationed{})
@@ -605,13 +605,13 @@
 
 func (n *instance) actAt(k lease.Key) {
 	born := n.born
-	due := max(0, n.t.Next(k)-n.clock())
+	due := max(0, n.t.NextOperation(k)-n.clock())
 	n.s.after(n.truly(due), "act due", n.id, func() {
 		n.when(func() {
 			if n.born != born {
 				return
 			}
-			a, ok := n.t.Start(n.clock(), k)
+			a, ok := n.t.StartOperation(n.clock(), k)
 			if !ok {
 				delete(n.acting, k)
 				return
@@ -625,30 +625,30 @@
 }
 
 // acts takes an act through its steps; between any two of them the instance may stand still.
-func (n *instance) acts(a lessee.Act, born int) {
+func (n *instance) acts(a lessee.Operation, born int) {
 	place := n.s.places[a.Key]
-	end := func(how lessee.End) {
-		n.t.Finish(a, how, place.Token)
-		if n.t.Hurry() {
+	end := func(how lessee.Outcome) {
+		n.t.FinishOperation(a, how, place.Token)
+		if n.t.NeedsRenewal() {
 			n.schedule()
 		}
 		n.actAt(a.Key)
 	}
 	unguarded := n.s.spec.Fleet.Planted == "early" // neither it nor the place looks
 	steps := []func() bool{
-		func() bool { return (place.Begin(a.Token, a.N) == nil || unguarded) && n.s.began(n, a) },
-		func() bool { return unguarded || n.t.Good(n.clock(), a) },
-		func() bool { return (unguarded || place.Take(a.Token, a.N) == nil) && n.s.changed(n, a) },
-		func() bool { return unguarded || place.End(a.Token, a.N) == nil },
+		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.s.began(n, a) },
+		func() bool { return unguarded || n.t.MayProceed(n.clock(), a) },
+		func() bool { return (unguarded || place.CheckChange(a.Token, a.Number) == nil) && n.s.changed(n, a) },
+		func() bool { return unguarded || place.End(a.Token, a.Number) == nil },
 	}
 	var next func(i int)
 	next = func(i int) {
 		if i == len(steps) {
 			n.s.point.Acts++
-			end(lessee.Done)
+			end(lessee.Completed)
 			return
 		}
-		took := time.Duration(n.rng.Float64() * float64(n.t.Task(a.Task).Act()) / 6)
+		took := time.Duration(n.rng.Float64() * float64(n.t.Task(a.Task).OperationTimeout()) / 6)
 		n.s.after(n.s.way(n.rng)+took, "act", n.id, func() {
 			n.when(func() {
 				switch {
@@ -657,7 +657,7 @@
 					next(i + 1)
 				default:
 					n.s.point.Denied++
-					end(lessee.Refused)
+					end(lessee.Fenced)
 				}
 			})
 		})
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -19,10 +19,10 @@
 		Load:    Load{Rate: 40 * float64(instances), Units: 1, Uneven: 0.5, Tries: 3, Heeds: true},
 		Targets: Targets{Count: 6, UnitsPerS: 20 * float64(instances), Bears: 30, WarmS: 5, StallMs: 240, StallEach: 10},
 		Net:     Net{DelayMs: 0.3, JitterMs: 0.4, Loss: 0.01},
-		Budgets: &quota.Doc{Seats: 10 * instances, RenewMs: 300, PartMs: 1500, SeatS: 6, Budgets: []quota.Budget{
-			{Name: "work", Use: quota.Work, Whole: 30 * float64(instances), Burst: 20 * float64(instances), Least: 0.5, LeastBurst: 1},
-			{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 40, Burst: 100, Least: 0.1, LeastBurst: 1}}},
-		Tasks: &lease.Doc{Tasks: []lease.Task{{Name: "t", Kind: lease.Watch, Shards: 6, LeaseMs: 1500, ActMs: 300, EveryMs: 200, PauseMs: 100}}},
+		Budgets: &quota.Config{MaxSessions: 10 * instances, RenewIntervalMs: 300, AllocationTTLMs: 1500, SessionTTLS: 6, Budgets: []quota.Budget{
+			{Name: "work", Resource: quota.AllWork, Capacity: 30 * float64(instances), Burst: 20 * float64(instances), FloorRate: 0.5, FloorBurst: 1},
+			{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 40, Burst: 100, FloorRate: 0.1, FloorBurst: 1}}},
+		Tasks: &lease.Config{Tasks: []lease.Task{{Name: "t", Kind: lease.EndpointProbe, Shards: 6, TTLMs: 1500, OperationTimeoutMs: 300, IntervalMs: 200, MaxPauseMs: 100}}},
 	}
 	s.Random = &Random{EveryS: 0.4}
 	return s
@@ -118,10 +118,10 @@
 			for b.Loop() {
 				s := &Spec{Name: "size", LengthS: 30, Fleet: Fleet{Instances: n, Zones: 3, ClockPPM: 500, ColdUnits: 40}, Load: Load{Rate: 0.2 * float64(n), Tries: 1},
 					Targets: Targets{Count: max(5, n/20), UnitsPerS: 100}, Net: Net{DelayMs: 0.3, JitterMs: 0.4},
-					Budgets: &quota.Doc{Seats: n + n/2, RenewMs: 10_000, PartMs: 40_000, SeatS: 3600, Budgets: []quota.Budget{
-						{Name: "repeats", Use: quota.Repeat, Whole: float64(n) / 50, Burst: float64(n), Least: 0.0001, LeastBurst: 0},
-						{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 40, Burst: 100}}}}
-				s.Budgets.Budgets[0].Least = 0
+					Budgets: &quota.Config{MaxSessions: n + n/2, RenewIntervalMs: 10_000, AllocationTTLMs: 40_000, SessionTTLS: 3600, Budgets: []quota.Budget{
+						{Name: "repeats", Resource: quota.Retries, Capacity: float64(n) / 50, Burst: float64(n), FloorRate: 0.0001, FloorBurst: 0},
+						{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 40, Burst: 100}}}}
+				s.Budgets.Budgets[0].FloorRate = 0
 				if err := s.Check(); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -83,7 +83,7 @@
 	ids      []string
 	byID     map[string]int
 	settings spindlehitch.Settings
-	governed []quota.Use
+	governed []quota.Resource
 	runs     []string
 	cuts     map[int]bool // zones that are cut off
 	leaves   time.Duration
@@ -92,7 +92,7 @@
 	result Result
 	lat    *ddsketch.DDSketch
 	judge  judge
-	places map[lease.Key]*fencing.Place
+	places map[lease.Key]*fencing.Guard
 }
 
 type traced struct {
@@ -124,7 +124,7 @@
 
 // Run takes one run to its end, to a broken promise, or to its bound of events. With trace a broken promise has its chain of causes.
 func Run(spec *Spec, seed uint64, trace bool) Result {
-	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), byID: map[string]int{}, cuts: map[int]bool{}, places: map[lease.Key]*fencing.Place{},
+	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), byID: map[string]int{}, cuts: map[int]bool{}, places: map[lease.Key]*fencing.Guard{},
 		leaves: 100 * time.Millisecond, version: 1}
 	if trace {
 		s.trace = map[uint64]traced{}
@@ -181,18 +181,18 @@
 		t.stalls()
 	}
 	if o.Budgets != nil {
-		seen := map[quota.Use]bool{}
+		seen := map[quota.Resource]bool{}
 		for _, b := range o.Budgets.Budgets {
-			if !seen[b.Use] {
-				seen[b.Use] = true
-				s.governed = append(s.governed, b.Use)
+			if !seen[b.Resource] {
+				seen[b.Resource] = true
+				s.governed = append(s.governed, b.Resource)
 			}
 		}
 		if o.Tasks != nil {
 			for _, t := range o.Tasks.Tasks {
 				s.runs = append(s.runs, t.Name)
 				for shard := range t.Shards {
-					s.places[lease.Key{Task: t.Name, Shard: shard}] = &fencing.Place{}
+					s.places[lease.Key{Task: t.Name, Shard: shard}] = &fencing.Guard{}
 				}
 			}
 		}
@@ -314,13 +314,13 @@
 	if s.agents != nil && len(s.spec.Budgets.Budgets) > 0 {
 		b := &s.spec.Budgets.Budgets[0]
 		k := quota.Key{Budget: b.Name}
-		if b.Per == quota.PerTarget {
+		if b.Scope == quota.PerTarget {
 			k.Key = s.ids[0]
 		}
 		for _, n := range s.insts {
 			s.point.Held += n.limit(k)
 		}
-		s.point.Held /= b.Whole
+		s.point.Held /= b.Capacity
 	}
 	s.result.Series = append(s.result.Series, s.point)
 	s.point = Point{}
@@ -349,16 +349,16 @@
 		b := &s.spec.Budgets.Budgets[i]
 		for _, d := range []struct {
 			is bool
-			quota.Draw
-		}{{true, quota.Draw{Use: quota.Work, Units: units}}, {repeat, quota.Draw{Use: quota.Repeat, Units: 1}}, {cold, quota.Draw{Use: quota.Cold, Units: units / t.grown()}}} {
+			quota.Reservation
+		}{{true, quota.Reservation{Resource: quota.AllWork, Units: units}}, {repeat, quota.Reservation{Resource: quota.Retries, Units: 1}}, {cold, quota.Reservation{Resource: quota.ColdWork, Units: units / t.grown()}}} {
 			d.Target, d.Plan, d.Class = s.ids[t.id], "base", "read"
-			if !d.is || !b.Governs(d.Draw) {
+			if !d.is || !b.Covers(d.Reservation) {
 				continue
 			}
-			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d.Draw)}
+			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d.Reservation)}
 			x := s.judge.buckets[k]
 			if x == nil {
-				x = &bucket{rate: b.Whole, burst: b.Burst}
+				x = &bucket{rate: b.Capacity, burst: b.Burst}
 				s.judge.buckets[k] = x
 			}
 			x.level = max(0, x.level-x.rate*(s.now-x.at).Seconds()) + d.Units
@@ -372,15 +372,15 @@
 
 // accepted holds what an instance may use from now on against the whole, together with what all others may.
 func (s *Sim) accepted(n *instance) {
-	for _, has := range n.h.All(n.clock()) {
-		until := n.truly(has.Until - epoch)
+	for _, has := range n.h.Status(n.clock()) {
+		until := n.truly(has.GrantedUntil - epoch)
 		if s.spec.Fleet.Planted == "greedy" && n.id%3 == 0 {
-			until += secs(float64(s.spec.Budgets.PartMs) / 1000 * 4) // as if it went on using what has ended
+			until += secs(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it went on using what has ended
 		}
 		rate := has.Limit.Rate * n.rate
 		b := s.spec.Budgets.Budget(has.Budget)
 		if s.now < until {
-			rate -= b.Least * n.rate
+			rate -= b.FloorRate * n.rate
 		} else {
 			rate = 0
 		}
@@ -398,8 +398,8 @@
 	if all[n.id] = h; h.rate == 0 {
 		delete(all, n.id)
 	}
-	pool := b.Whole - float64(s.spec.Budgets.Seats)*b.Least
-	if s.judge.sums[k] <= pool+1e-6*b.Whole {
+	pool := b.Capacity - float64(s.spec.Budgets.MaxSessions)*b.FloorRate
+	if s.judge.sums[k] <= pool+1e-6*b.Capacity {
 		return
 	}
 	// Some of it has ended: it is summed anew, in the instances' order.
@@ -417,7 +417,7 @@
 		sum += all[id].rate
 	}
 	s.judge.sums[k] = sum
-	if sum > pool+1e-6*b.Whole {
+	if sum > pool+1e-6*b.Capacity {
 		s.breaks("budget", n.id, fmt.Sprintf("parts of %v sum to %.4f of %.4f", k, sum, pool))
 	}
 }
@@ -433,19 +433,19 @@
 }
 
 // began and changed hold acts against the order of their tokens.
-func (s *Sim) began(n *instance, a lessee.Act) bool {
+func (s *Sim) began(n *instance, a lessee.Operation) bool {
 	last := s.judge.acts[a.Key]
 	if a.Token < last[0] || a.Token == last[0] && s.judge.by[a.Key] != n.member {
-		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s begins at %v under token %d after %s under %d", a.N, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
+		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s begins at %v under token %d after %s under %d", a.Number, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
 	}
-	s.judge.acts[a.Key], s.judge.by[a.Key] = [2]uint64{a.Token, a.N}, n.member
+	s.judge.acts[a.Key], s.judge.by[a.Key] = [2]uint64{a.Token, a.Number}, n.member
 	return true
 }
 
-func (s *Sim) changed(n *instance, a lessee.Act) bool {
+func (s *Sim) changed(n *instance, a lessee.Operation) bool {
 	s.judge.last[a.Key] = s.now
-	if last := s.judge.acts[a.Key]; last != [2]uint64{a.Token, a.N} || s.judge.by[a.Key] != n.member {
-		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s changes %v under token %d after %s began under %d", a.N, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
+	if last := s.judge.acts[a.Key]; last != [2]uint64{a.Token, a.Number} || s.judge.by[a.Key] != n.member {
+		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s changes %v under token %d after %s began under %d", a.Number, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
 	}
 	return true
 }
--- a/internal/testbed/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -15,19 +15,19 @@
 
 // Spec is one run, but for its seed. Lengths are in the unit that a field's name ends in.
 type Spec struct {
-	Name    string     `toml:"name"`
-	LengthS float64    `toml:"length_s"`
-	StepS   float64    `toml:"step_s"`     // of the series; 1 where it is not told
-	MaxMEv  float64    `toml:"max_events"` // millions; a run that needs more is stopped. 500 where it is not told
-	Fleet   Fleet      `toml:"fleet"`
-	Load    Load       `toml:"load"`
-	Targets Targets    `toml:"targets"`
-	Net     Net        `toml:"net"`
-	Agents  AgentSpec  `toml:"agents"`
-	Budgets *quota.Doc `toml:"budgets"` // none: each instance keeps to the even parts of its settings
-	Tasks   *lease.Doc `toml:"tasks"`   // none: no leases
-	Faults  []Fault    `toml:"fault"`
-	Random  *Random    `toml:"random"`
+	Name    string        `toml:"name"`
+	LengthS float64       `toml:"length_s"`
+	StepS   float64       `toml:"step_s"`     // of the series; 1 where it is not told
+	MaxMEv  float64       `toml:"max_events"` // millions; a run that needs more is stopped. 500 where it is not told
+	Fleet   Fleet         `toml:"fleet"`
+	Load    Load          `toml:"load"`
+	Targets Targets       `toml:"targets"`
+	Net     Net           `toml:"net"`
+	Agents  AgentSpec     `toml:"agents"`
+	Budgets *quota.Config `toml:"budgets"` // none: each instance keeps to the even parts of its settings
+	Tasks   *lease.Config `toml:"tasks"`   // none: no leases
+	Faults  []Fault       `toml:"fault"`
+	Random  *Random       `toml:"random"`
 }
 
 // Fleet is the instances.
@@ -175,11 +175,11 @@
 		}
 	}
 	if s.Budgets != nil {
-		if err := s.Budgets.Check(); err != nil {
+		if err := s.Budgets.Validate(); err != nil {
 			return fmt.Errorf("budgets.%w", err)
 		}
 		for i := range s.Budgets.Budgets {
-			if s.Budgets.Budgets[i].Stock() {
+			if s.Budgets.Budgets[i].IsConcurrencyLimit() {
 				return fmt.Errorf("budgets.budget[%d].kind: connections are not modelled", i)
 			}
 		}
@@ -191,7 +191,7 @@
 		if s.Budgets == nil {
 			return fmt.Errorf("tasks: there are none without [budgets]: members have seats there")
 		}
-		if err := s.Tasks.Check(s.Budgets); err != nil {
+		if err := s.Tasks.Validate(s.Budgets); err != nil {
 			return fmt.Errorf("tasks.%w", err)
 		}
 	}
--- a/internal/testbed/modelcheck/bench_test.go
+++ b/internal/testbed/modelcheck/bench_test.go
@@ -11,12 +11,12 @@
 	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
-func four(seats int) quota.Doc {
-	d := quota.Doc{Version: 1, Seats: seats, Budgets: []quota.Budget{
-		{Name: "work", Use: quota.Work, Whole: 1e5, Burst: 1e5, Least: 1, LeastBurst: 1}, {Name: "repeats", Use: quota.Repeat, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
-		{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 1e4, Burst: 1e4, Least: 1, LeastBurst: 1},
-		{Name: "conns", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: 5000, Least: 1, LingerMs: 3000}}}
-	if err := d.Check(); err != nil {
+func four(seats int) quota.Config {
+	d := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
+		{Name: "work", Resource: quota.AllWork, Capacity: 1e5, Burst: 1e5, FloorRate: 1, FloorBurst: 1}, {Name: "repeats", Resource: quota.Retries, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
+		{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
+		{Name: "conns", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: 5000, FloorRate: 1, LingerMs: 3000}}}
+	if err := d.Validate(); err != nil {
 		panic(err)
 	}
 	return d
@@ -24,17 +24,17 @@
 
 // BenchmarkTake is what a send costs at an instance: the questions and the draw, under four budgets.
 func BenchmarkTake(b *testing.B) {
-	h := quotaclient.New(quota.Uses)
-	h.Seat(time.Hour, "m", four(2000))
-	r := h.Renew(time.Hour)
-	h.Accept(time.Hour, quota.Answer{ID: "m", Seq: r.Seq, Grants: []quota.Grant{{Key: quota.Key{Budget: "work"}, Amount: quota.Amount{Rate: 1e4, Burst: 1e4}}}})
+	h := quotaclient.New(quota.Resources)
+	h.Register(time.Hour, "m", four(2000))
+	r := h.BeginRenewal(time.Hour)
+	h.AcceptRenewal(time.Hour, quota.RenewalResponse{ID: "m", Seq: r.Seq, Allocations: []quota.Allocation{{Key: quota.Key{Budget: "work"}, Amount: quota.Amount{Rate: 1e4, Burst: 1e4}}}})
 	b.ReportAllocs()
 	now := time.Hour
 	for b.Loop() {
 		now += 100 * time.Microsecond
-		d := quota.Draw{Use: quota.Work, Target: "t1", Plan: "p", Class: "c", Units: 1}
+		d := quota.Reservation{Resource: quota.AllWork, Target: "t1", Plan: "p", Class: "c", Units: 1}
 		if wait, _ := h.Wait(now, d); wait == 0 {
-			h.Take(now, d)
+			h.Reserve(now, d)
 		}
 	}
 }
@@ -45,14 +45,14 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			doc := four(2000)
 			var members []quota.Member
-			var holders []*quotaclient.Holder
+			var holders []*quotaclient.Client
 			for i := range n {
 				id := fmt.Sprintf("member-%04d", i)
 				members = append(members, quota.Member{ID: id, Name: id, Weight: 1})
-				h := quotaclient.New(quota.Uses)
-				h.Seat(time.Hour, id, doc)
+				h := quotaclient.New(quota.Resources)
+				h.Register(time.Hour, id, doc)
 				for k := range 8 {
-					h.Open(time.Hour, fmt.Sprint("target-", k))
+					h.OpenConnection(time.Hour, fmt.Sprint("target-", k))
 				}
 				holders = append(holders, h)
 			}
@@ -62,12 +62,12 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += time.Second / time.Duration(n)
-				r := holders[i%n].Renew(now)
+				r := holders[i%n].BeginRenewal(now)
 				a, err := g.Renew(now, r)
 				if err != nil {
 					b.Fatal(err)
 				}
-				holders[i%n].Accept(now, a)
+				holders[i%n].AcceptRenewal(now, a)
 				if i == n {
 					text, _ := json.Marshal(r)
 					size = len(text)
--- a/internal/testbed/modelcheck/leaders/leaders.go
+++ b/internal/testbed/modelcheck/leaders/leaders.go
@@ -19,7 +19,7 @@
 // Lead is one leader with its book.
 type Lead[B any, L Letter] struct {
 	Book  B
-	Desk  allocator.Desk[L]
+	Desk  allocator.ReadIndexQueue[L]
 	Term  uint64
 	Rate  float64 // of its clock
 	round uint64  // asked
@@ -30,7 +30,7 @@
 func (l *Lead[B, L]) Round() uint64 { return l.round }
 
 // Put keeps an answer until a majority has confirmed.
-func (l *Lead[B, L]) Put(m L) { l.Desk.Put(l.Term, m) }
+func (l *Lead[B, L]) Put(m L) { l.Desk.Add(l.Term, m) }
 
 // Group is the leaders, the last of whom leads, and the mail.
 type Group[B fmt.Stringer, L Letter] struct {
@@ -111,7 +111,7 @@
 	l := g.Leads[on]
 	switch q {
 	case Ask:
-		if round, due := l.Desk.Ask(l.Term); due {
+		if round, due := l.Desk.StartRound(l.Term); due {
 			l.round, l.told = round, 0
 		}
 	case Told:
@@ -119,7 +119,7 @@
 	case Heard:
 		g.Mail = append(g.Mail, g.hear(l)...)
 	case Finish:
-		l.round, _ = l.Desk.Ask(l.Term)
+		l.round, _ = l.Desk.StartRound(l.Term)
 		l.told = g.Term
 		g.Mail = append(g.Mail, g.hear(l)...)
 	}
@@ -127,7 +127,7 @@
 
 // Now asks the majority and hears it at once, where no question is out; it returns what may go out.
 func (g *Group[B, L]) Now(l *Lead[B, L]) []L {
-	round, due := l.Desk.Ask(l.Term)
+	round, due := l.Desk.StartRound(l.Term)
 	if !due {
 		return nil
 	}
@@ -145,8 +145,8 @@
 
 // hear has a leader hear what the majority told, of three agents.
 func (g *Group[B, L]) hear(l *Lead[B, L]) []L {
-	agreed := allocator.Majority(l.Term, []uint64{l.told}, 3)
-	done, _ := l.Desk.Hear(l.round)
+	agreed := allocator.MajorityAgrees(l.Term, []uint64{l.told}, 3)
+	done, _ := l.Desk.FinishRound(l.round)
 	l.round, l.told = 0, 0
 	if !agreed {
 		return nil
--- a/internal/testbed/modelcheck/leases/world.go
+++ b/internal/testbed/modelcheck/leases/world.go
@@ -92,16 +92,16 @@
 )
 
 type process struct {
-	t       *lessee.Tenant
+	t       *lessee.Lessee
 	rate    float64
 	id      string
 	born    int
-	act     *lessee.Act
+	act     *lessee.Operation
 	opened  bool
 	checked time.Duration // true time of the last look; 0: there was none since the last change
 }
 
-type lead = leaders.Lead[*lessor.Keeper, letter]
+type lead = leaders.Lead[*lessor.Lessor, letter]
 
 // questions are the steps of a leader's question.
 var questions = map[Op]leaders.Question{Ask: leaders.Ask, Told: leaders.Told, Heard: leaders.Heard, Finish: leaders.Finish}
@@ -109,8 +109,8 @@
 type letter struct {
 	to     int
 	id     string
-	claim  *lease.Claim
-	answer *lease.Award
+	claim  *lease.RenewalRequest
+	answer *lease.RenewalResponse
 }
 
 // Asks implements leaders.Letter.
@@ -121,7 +121,7 @@
 	if m.claim != nil {
 		return fmt.Appendf(b, "%s>%+v\n", m.id, *m.claim)
 	}
-	return fmt.Appendf(b, "%s<%d %v %v\n", m.id, m.answer.Seq, m.answer.Leases, m.answer.Recalls)
+	return fmt.Appendf(b, "%s<%d %v %v\n", m.id, m.answer.Seq, m.answer.Leases, m.answer.Recalled)
 }
 
 // judged is what the judge knows of one shard.
@@ -136,26 +136,26 @@
 type World struct {
 	set   Setup
 	now   time.Duration
-	reg   registry.Register
+	reg   registry.Registry
 	index uint64
 	procs []process
-	leaders.Group[*lessor.Keeper, letter]
-	flight [][]lease.Order // proposed, and not in the log yet
-	places []fencing.Place
+	leaders.Group[*lessor.Lessor, letter]
+	flight [][]lease.Event // proposed, and not in the log yet
+	places []fencing.Guard
 	judge  []judged
 }
 
-func docs(s Setup) (quota.Doc, lease.Doc) {
-	return quota.Doc{Seats: 64, RenewMs: renewMs, PartMs: 1000, SeatS: 4, ClockPPM: ppm},
-		lease.Doc{Tasks: []lease.Task{{Name: task, Kind: lease.Watch, Shards: s.Shards, LeaseMs: leaseMs, ActMs: actMs, EveryMs: 10, PauseMs: pauseMs, MostMoves: 1}}}
+func docs(s Setup) (quota.Config, lease.Config) {
+	return quota.Config{MaxSessions: 64, RenewIntervalMs: renewMs, AllocationTTLMs: 1000, SessionTTLS: 4, ClockPPM: ppm},
+		lease.Config{Tasks: []lease.Task{{Name: task, Kind: lease.EndpointProbe, Shards: s.Shards, TTLMs: leaseMs, OperationTimeoutMs: actMs, IntervalMs: 10, MaxPauseMs: pauseMs, MaxMoves: 1}}}
 }
 
 // claimOf begins a claim of a process; where the case has members lie, it holds all others dead.
-func (w *World) claimOf(i int) lease.Claim {
-	c := w.procs[i].t.Claim(w.clock(i))
+func (w *World) claimOf(i int) lease.RenewalRequest {
+	c := w.procs[i].t.BeginRenewal(w.clock(i))
 	for j := range w.procs {
 		if w.set.Lies && j != i {
-			c.Ended = append(c.Ended, w.procs[j].id)
+			c.DeadInstances = append(c.DeadInstances, w.procs[j].id)
 		}
 	}
 	return c
@@ -163,12 +163,12 @@
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
-	w := &World{set: s, index: 2, now: time.Hour, places: make([]fencing.Place, s.Shards), judge: make([]judged, s.Shards)}
+	w := &World{set: s, index: 2, now: time.Hour, places: make([]fencing.Guard, s.Shards), judge: make([]judged, s.Shards)}
 	f, l := docs(s)
-	if err := w.reg.Set(1, f); err != nil {
+	if err := w.reg.SetQuotaConfig(1, f); err != nil {
 		return nil, err
 	}
-	if err := w.reg.SetTasks(2, l); err != nil {
+	if err := w.reg.SetLeaseConfig(2, l); err != nil {
 		return nil, err
 	}
 	for i := range s.Processes {
@@ -222,7 +222,7 @@
 
 // propose has the log changed as a leader wants it; one of an earlier term can't, and what is on its way is lost with its term.
 func (w *World) propose(l *lead) {
-	orders, seen := l.Book.Orders(scaled(w.now, l.Rate))
+	orders, seen := l.Book.PendingEvents(scaled(w.now, l.Rate))
 	if l == w.Lead() && (len(orders) > 0 || seen > 0) {
 		w.flight = append(w.flight, orders)
 	}
@@ -231,7 +231,7 @@
 func (w *World) commit() {
 	for _, orders := range w.flight[:min(1, len(w.flight))] {
 		w.index++
-		w.reg.Order(w.index, 0, orders)
+		w.reg.ApplyEvents(w.index, 0, orders)
 		w.flight = w.flight[1:]
 	}
 }
@@ -280,7 +280,7 @@
 		default:
 			for i := range w.procs {
 				p := &w.procs[i]
-				holds := len(p.t.All()) > 0
+				holds := len(p.t.Status()) > 0
 				can := false
 				switch op {
 				case Renew:
@@ -324,7 +324,7 @@
 		if err != nil {
 			return err
 		}
-		w.reg = registry.Register{}
+		w.reg = registry.Registry{}
 		if err := json.Unmarshal(text, &w.reg); err != nil {
 			return err
 		}
@@ -367,14 +367,14 @@
 		}
 	case Release:
 		p := &w.procs[s.On]
-		for _, h := range p.t.All() {
+		for _, h := range p.t.Status() {
 			p.t.Release(h.Key)
 		}
 	case Move:
 		l := w.Lead()
-		if o, err := l.Book.Move(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.procs[s.On/4].id); err == nil {
+		if o, err := l.Book.Migrate(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.procs[s.On/4].id); err == nil {
 			w.index++
-			w.reg.Order(w.index, 0, []lease.Order{o})
+			w.reg.ApplyEvents(w.index, 0, []lease.Event{o})
 			w.learn(l)
 		}
 	case Reboot:
@@ -399,8 +399,8 @@
 		if p.act != nil {
 			return nil
 		}
-		for _, h := range p.t.All() {
-			if a, ok := p.t.Start(now, h.Key); ok {
+		for _, h := range p.t.Status() {
+			if a, ok := p.t.StartOperation(now, h.Key); ok {
 				p.act, p.opened, p.checked = &a, false, 0
 				break
 			}
@@ -414,32 +414,32 @@
 	place, j := &w.places[a.Shard], &w.judge[a.Shard]
 	refused := func(err error) error {
 		if err != nil {
-			p.t.Finish(a, lessee.Refused, place.Token)
+			p.t.FinishOperation(a, lessee.Fenced, place.Token)
 			p.act = nil
 		}
 		return err
 	}
 	switch op {
 	case Open:
-		if refused(place.Begin(a.Token, a.N)) != nil {
+		if refused(place.Begin(a.Token, a.Number)) != nil {
 			return nil
 		}
 		p.opened = true
-		if a.Token < j.token || a.Token == j.token && (a.N <= j.act || p.id != j.by) {
-			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", a.N, p.id, a.Token, j.act, j.by, j.token)
+		if a.Token < j.token || a.Token == j.token && (a.Number <= j.act || p.id != j.by) {
+			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", a.Number, p.id, a.Token, j.act, j.by, j.token)
 		}
-		*j = judged{a.Token, a.N, p.id, j.touched, j.acts}
+		*j = judged{a.Token, a.Number, p.id, j.touched, j.acts}
 	case Check:
-		if p.checked = w.now; !p.t.Good(now, a) {
-			p.t.Finish(a, lessee.Failed, 0)
+		if p.checked = w.now; !p.t.MayProceed(now, a) {
+			p.t.FinishOperation(a, lessee.Failed, 0)
 			p.act = nil
 		}
 	case Take:
-		if refused(place.Take(a.Token, a.N)) != nil {
+		if refused(place.CheckChange(a.Token, a.Number)) != nil {
 			return nil
 		}
-		if j.token != a.Token || j.act != a.N || j.by != p.id {
-			return fmt.Errorf("broken: a change of act %d of %s under token %d is taken after act %d of %s under %d has begun", a.N, p.id, a.Token, j.act, j.by, j.token)
+		if j.token != a.Token || j.act != a.Number || j.by != p.id {
+			return fmt.Errorf("broken: a change of act %d of %s under token %d is taken after act %d of %s under %d has begun", a.Number, p.id, a.Token, j.act, j.by, j.token)
 		}
 		j.acts++
 		p.checked = 0
@@ -451,8 +451,8 @@
 		j.touched = max(j.touched, a.Token)
 		p.checked = 0
 	case End:
-		if refused(place.End(a.Token, a.N)) == nil {
-			p.t.Finish(a, lessee.Done, place.Token)
+		if refused(place.End(a.Token, a.Number)) == nil {
+			p.t.FinishOperation(a, lessee.Completed, place.Token)
 			p.act = nil
 		}
 	}
@@ -461,7 +461,7 @@
 
 // decide has a leader answer a claim; the answer waits until a majority has confirmed.
 func (w *World) decide(l *lead, m letter) {
-	a, err := l.Book.Claim(scaled(w.now, l.Rate), m.id, *m.claim)
+	a, err := l.Book.Renew(scaled(w.now, l.Rate), m.id, *m.claim)
 	if err == nil {
 		l.Put(letter{to: m.to, id: m.id, answer: &a})
 	}
@@ -469,14 +469,14 @@
 
 func (w *World) taken(m letter) {
 	if p := &w.procs[m.to]; p.id == m.id {
-		p.t.Accept(w.clock(m.to), *m.answer)
+		p.t.AcceptRenewal(w.clock(m.to), *m.answer)
 	}
 }
 
 // exchange is a claim and its answer by the leader that leads, at once.
 func (w *World) exchange(i int) {
 	p, l := &w.procs[i], w.Lead()
-	a, err := l.Book.Claim(scaled(w.now, l.Rate), p.id, w.claimOf(i))
+	a, err := l.Book.Renew(scaled(w.now, l.Rate), p.id, w.claimOf(i))
 	if err == nil {
 		w.taken(letter{to: i, id: p.id, answer: &a})
 	}
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -92,14 +92,14 @@
 )
 
 type process struct {
-	h    *quotaclient.Holder
+	h    *quotaclient.Client
 	rate float64
 	id   string
 	born int
 	over time.Duration // true time since when it has more open than it may; 0: it has not
 }
 
-type lead = leaders.Lead[*allocator.Giver, letter]
+type lead = leaders.Lead[*allocator.Allocator, letter]
 
 // ghost is connections of a dead process that are open at the target still.
 type ghost struct {
@@ -109,8 +109,8 @@
 
 type letter struct {
 	to      int // a process, for an answer
-	renewal *quota.Renewal
-	answer  *quota.Answer
+	renewal *quota.RenewalRequest
+	answer  *quota.RenewalResponse
 	during  uint64 // the question that was out when it was decided
 }
 
@@ -122,7 +122,7 @@
 	if m.renewal != nil {
 		return fmt.Appendf(b, "%d>%+v\n", m.to, *m.renewal)
 	}
-	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.during, m.to, m.answer.ID, m.answer.Seq, m.answer.Grants)
+	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.during, m.to, m.answer.ID, m.answer.Seq, m.answer.Allocations)
 }
 
 // questions are the steps of a leader's question.
@@ -132,32 +132,32 @@
 type World struct {
 	set   Setup
 	now   time.Duration
-	reg   registry.Register
+	reg   registry.Registry
 	index uint64
 	procs []process
-	leaders.Group[*allocator.Giver, letter]
+	leaders.Group[*allocator.Allocator, letter]
 	level  float64       // of a bucket that takes all uses, filled at the whole's rate
 	ghosts []ghost       // of processes that died
-	before quota.Doc     // the set of budgets before the one that holds
+	before quota.Config  // the set of budgets before the one that holds
 	until  time.Duration // until then that one may be met
 }
 
 var key = quota.Key{Budget: "b"}
 
-func document(s Setup, whole, depth float64) quota.Doc {
-	b := quota.Budget{Name: "b", Use: quota.Work, Per: quota.PerFleet, Kind: "rate", Whole: whole, Burst: whole*quota.Air.Seconds() + depth,
-		Least: least, LeastBurst: 1}
+func document(s Setup, whole, depth float64) quota.Config {
+	b := quota.Budget{Name: "b", Resource: quota.AllWork, Scope: quota.PerFleet, Kind: "rate", Capacity: whole, Burst: whole*quota.MaxTransit.Seconds() + depth,
+		FloorRate: least, FloorBurst: 1}
 	if s.Stock {
-		b = quota.Budget{Name: "b", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: whole, Least: least,
+		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: whole, FloorRate: least,
 			LingerMs: linger.Milliseconds()}
 	}
-	return quota.Doc{Seats: s.Seats, RenewMs: 100, PartMs: partMs, SeatS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
+	return quota.Config{MaxSessions: s.Seats, RenewIntervalMs: 100, AllocationTTLMs: partMs, SessionTTLS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
 }
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
 	w := &World{set: s, index: 1, now: time.Hour}
-	if err := w.reg.Set(w.index, document(s, wholeAt, depthAt)); err != nil {
+	if err := w.reg.SetQuotaConfig(w.index, document(s, wholeAt, depthAt)); err != nil {
 		return nil, err
 	}
 	for i := range s.Processes {
@@ -172,7 +172,7 @@
 		began -= 10 * time.Second
 	}
 	rate := w.Rate(s.Leads)
-	w.Elect(rate, allocator.New(scaled(began, rate), w.reg.Doc, nil))
+	w.Elect(rate, allocator.New(scaled(began, rate), w.reg.QuotaConfig, nil))
 	w.sync()
 	for i, x := range s.Before {
 		if err := w.Do(x); err != nil {
@@ -197,19 +197,19 @@
 	p := &w.procs[i]
 	p.born++
 	p.id = fmt.Sprintf("p%d.%d", i, p.born)
-	p.h = quotaclient.New([]quota.Use{quota.Work, quota.Connection})
+	p.h = quotaclient.New([]quota.Resource{quota.AllWork, quota.Connections})
 }
 
 func (w *World) join(i int, heard bool) bool {
 	p := &w.procs[i]
-	if p.h.ID() == p.id { // it had a seat by this id, which has ended
+	if p.h.MemberID() == p.id { // it had a seat by this id, which has ended
 		p.born++
 		p.id = fmt.Sprintf("p%d.%d", i, p.born)
 	}
 	w.index++
 	m, err := w.reg.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1})
 	if err == nil && heard {
-		p.h.Seat(w.clock(i), m.ID, w.reg.Doc)
+		p.h.Register(w.clock(i), m.ID, w.reg.QuotaConfig)
 	}
 	return err == nil
 }
@@ -217,7 +217,7 @@
 // sync has the leader hear of the log. One that no longer leads hears nothing.
 func (w *World) sync() {
 	l := w.Lead()
-	l.Book.Update(scaled(w.now, l.Rate), w.reg.Doc, w.reg.Members)
+	l.Book.Update(scaled(w.now, l.Rate), w.reg.QuotaConfig, w.reg.Members)
 }
 
 // Steps are all that can happen next, in a fixed order.
@@ -230,7 +230,7 @@
 				steps = append(steps, Step{op, 0})
 			}
 		case Shrink, Reshape:
-			if w.reg.Doc.Budgets[0].Whole == wholeAt {
+			if w.reg.QuotaConfig.Budgets[0].Capacity == wholeAt {
 				steps = append(steps, Step{op, 0})
 			}
 		case Sweep:
@@ -245,7 +245,7 @@
 			}
 		default:
 			for i := range w.procs {
-				seated := w.procs[i].h.Seated(w.clock(i))
+				seated := w.procs[i].h.Registered(w.clock(i))
 				if op == Renew && len(w.Mail) >= w.set.Letters || op != Join && op != Unheard && op != Reboot && !seated || (op == Join || op == Unheard) && seated {
 					continue
 				}
@@ -263,13 +263,13 @@
 		w.tick()
 	case Elect:
 		rate := w.Rate(w.set.Leads)
-		w.Elect(rate, allocator.New(scaled(w.now, rate), w.reg.Doc, w.reg.Members))
+		w.Elect(rate, allocator.New(scaled(w.now, rate), w.reg.QuotaConfig, w.reg.Members))
 	case Renew:
-		r := w.procs[s.On].h.Renew(w.clock(s.On))
+		r := w.procs[s.On].h.BeginRenewal(w.clock(s.On))
 		w.Mail = append(w.Mail, letter{to: s.On, renewal: &r})
 	case Deliver, Repeat:
 		if m, l := w.Take(s.On, s.Op == Repeat); l == nil {
-			w.procs[m.to].h.Accept(w.clock(m.to), *m.answer)
+			w.procs[m.to].h.AcceptRenewal(w.clock(m.to), *m.answer)
 		} else {
 			w.decide(l, m)
 		}
@@ -283,12 +283,12 @@
 		}
 	case Shrink, Reshape:
 		w.index++
-		w.before = w.reg.Clone().Doc
+		w.before = w.reg.Clone().QuotaConfig
 		next := document(w.set, smaller, depthSmaller)
 		if s.Op == Reshape {
 			next = document(w.set, larger, depthLarger)
 		}
-		if err := w.reg.Set(w.index, next); err != nil {
+		if err := w.reg.SetQuotaConfig(w.index, next); err != nil {
 			return err
 		}
 		// In force once all that was given before has ended, by the slowest clocks.
@@ -296,16 +296,16 @@
 		w.sync()
 	case Join, Unheard:
 		p, l := &w.procs[s.On], w.Lead()
-		if err := l.Book.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); err == quota.UnknownMember {
+		if err := l.Book.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); err == quota.ErrUnknownMember {
 			w.boot(s.On)
 		} else if err == nil && w.join(s.On, s.Op == Join) {
 			w.sync()
 		}
 	case Quit:
 		p := &w.procs[s.On]
-		id := p.h.ID()
-		for p.h.Out() > 0 {
-			p.h.Close(target)
+		id := p.h.MemberID()
+		for p.h.OpenConnections() > 0 {
+			p.h.CloseConnection(target)
 		}
 		p.h.Leave()
 		w.reg.Leave(id)
@@ -313,15 +313,15 @@
 		w.sync()
 	case Sweep:
 		l := w.Lead()
-		w.reg.Leave(l.Book.Gone(scaled(w.now, l.Rate))...)
+		w.reg.Leave(l.Book.Expire(scaled(w.now, l.Rate))...)
 		w.sync()
 	case Vanish:
 		// linger_ms is from the end of the part on, which a death does not put off.
 		p, since := &w.procs[s.On], time.Duration(0)
-		if ended := p.h.Ended(); ended <= w.clock(s.On) {
+		if ended := p.h.AllocationsEnd(); ended <= w.clock(s.On) {
 			since = scaled(w.clock(s.On)-ended, 1/p.rate)
 		}
-		w.ghosts = append(w.ghosts, ghost{p.h.Out(), w.now - since + linger})
+		w.ghosts = append(w.ghosts, ghost{p.h.OpenConnections(), w.now - since + linger})
 		w.boot(s.On)
 	case Reboot:
 		w.boot(s.On) // the kernel closes its connections; its seat lasts
@@ -337,9 +337,9 @@
 	}
 	for i := range w.procs {
 		p := &w.procs[i]
-		n := p.h.Over(w.clock(i), target)
+		n := p.h.ExcessConnections(w.clock(i), target)
 		ended := time.Duration(0) // by its clock, when what it had last ended
-		for _, at := range []time.Duration{p.h.Ended(), p.h.SeatEnds()} {
+		for _, at := range []time.Duration{p.h.AllocationsEnd(), p.h.SessionEnd()} {
 			if at <= w.clock(i) {
 				ended = max(ended, at)
 			}
@@ -348,7 +348,7 @@
 			continue // an attempt goes on
 		}
 		for range n {
-			p.h.Close(target)
+			p.h.CloseConnection(target)
 		}
 	}
 }
@@ -368,10 +368,10 @@
 		return // a question is out
 	}
 	p := &w.procs[i]
-	r := p.h.Renew(w.clock(i))
+	r := p.h.BeginRenewal(w.clock(i))
 	w.decide(l, letter{to: i, renewal: &r})
 	for _, m := range w.Now(l) {
-		w.procs[m.to].h.Accept(w.clock(m.to), *m.answer)
+		w.procs[m.to].h.AcceptRenewal(w.clock(m.to), *m.answer)
 	}
 }
 
@@ -379,22 +379,22 @@
 func (w *World) use(i int) error {
 	p, now := &w.procs[i], w.clock(i)
 	if w.set.Stock {
-		for p.h.Open(now, target) {
+		for p.h.OpenConnection(now, target) {
 		}
 		return nil
 	}
 	var units float64
-	p.h.Wait(now, quota.Draw{Use: quota.Work, Units: 1e-6}) // it is known from now on
-	for _, x := range p.h.All(now) {
+	p.h.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // it is known from now on
+	for _, x := range p.h.Status(now) {
 		units = x.Tokens
 	}
 	if units <= 0 {
 		return nil
 	}
-	if wait, _ := p.h.Wait(now, quota.Draw{Use: quota.Work, Units: units}); wait > 0 {
+	if wait, _ := p.h.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: units}); wait > 0 {
 		return nil
 	}
-	p.h.Take(now, quota.Draw{Use: quota.Work, Units: units})
+	p.h.Reserve(now, quota.Reservation{Resource: quota.AllWork, Units: units})
 	w.level += units
 	most := w.burst()
 	if w.level > most+1e-6 {
@@ -405,9 +405,9 @@
 
 // total is what binds now; after a change also what did before, while what was given under it may last.
 func (w *World) total() quota.Amount {
-	t := w.reg.Doc.Total(&w.reg.Doc.Budgets[0])
+	t := w.reg.QuotaConfig.EffectiveLimit(&w.reg.QuotaConfig.Budgets[0])
 	if w.now < w.until {
-		b := w.before.Total(&w.before.Budgets[0])
+		b := w.before.EffectiveLimit(&w.before.Budgets[0])
 		t = quota.Amount{Rate: max(t.Rate, b.Rate), Burst: max(t.Burst, b.Burst)}
 	}
 	return t
@@ -415,9 +415,9 @@
 
 // whole is the rate that binds now, by true time.
 func (w *World) whole() float64 {
-	whole := w.reg.Doc.Budgets[0].Whole
+	whole := w.reg.QuotaConfig.Budgets[0].Capacity
 	if w.now < w.until {
-		whole = max(whole, w.before.Budgets[0].Whole)
+		whole = max(whole, w.before.Budgets[0].Capacity)
 	}
 	return whole
 }
@@ -426,7 +426,7 @@
 func (w *World) burst() float64 {
 	b := w.total().Burst
 	if w.until != 0 {
-		b = max(b, w.before.Total(&w.before.Budgets[0]).Burst)
+		b = max(b, w.before.EffectiveLimit(&w.before.Budgets[0]).Burst)
 	}
 	return b
 }
@@ -438,7 +438,7 @@
 		p := &w.procs[i]
 		a := p.h.Limit(w.clock(i), w.key())
 		if w.set.Stock {
-			a.Rate = max(a.Rate, float64(p.h.Out()))
+			a.Rate = max(a.Rate, float64(p.h.OpenConnections()))
 		} else {
 			a.Rate *= p.rate // by true time
 		}
@@ -457,8 +457,8 @@
 	if sum.Burst > total.Burst+1e-6 {
 		return fmt.Errorf("broken: bursts sum to %.4f of %.4f", sum.Burst, total.Burst)
 	}
-	if len(w.reg.Members) > w.reg.Doc.Seats {
-		return fmt.Errorf("broken: %d members on %d seats", len(w.reg.Members), w.reg.Doc.Seats)
+	if len(w.reg.Members) > w.reg.QuotaConfig.MaxSessions {
+		return fmt.Errorf("broken: %d members on %d seats", len(w.reg.Members), w.reg.QuotaConfig.MaxSessions)
 	}
 	return nil
 }
@@ -479,14 +479,14 @@
 		}
 		for i := range w.procs {
 			op := Exchange
-			if !w.procs[i].h.Seated(w.clock(i)) {
+			if !w.procs[i].h.Registered(w.clock(i)) {
 				op = Join
 			}
 			if err := w.Do(Step{op, i}); err != nil {
 				return 0, err
 			}
 			if w.set.Stock { // connections are asked for by need
-				w.procs[i].h.Open(w.clock(i), target)
+				w.procs[i].h.OpenConnection(w.clock(i), target)
 			}
 		}
 	}
@@ -494,9 +494,9 @@
 	for i := range w.procs {
 		sum += w.procs[i].h.Limit(w.clock(i), w.key()).Rate
 	}
-	d := w.reg.Doc
-	free := float64(d.Seats-min(d.Seats, len(w.procs))) * least
-	return (sum + free) / d.Total(&d.Budgets[0]).Rate, nil
+	d := w.reg.QuotaConfig
+	free := float64(d.MaxSessions-min(d.MaxSessions, len(w.procs))) * least
+	return (sum + free) / d.EffectiveLimit(&d.Budgets[0]).Rate, nil
 }
 
 // Print is the state as text: equal states print alike.
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -203,7 +203,7 @@
 		return nil, err
 	}
 	doc.Version = 0
-	if doc, err = g.SetBudgets(ctx, doc); err != nil {
+	if doc, err = g.SetQuotaConfig(ctx, doc); err != nil {
 		return nil, err
 	}
 	leader, follower, err := g.roles(ctx)
@@ -215,7 +215,7 @@
 		return nil, err
 	}
 	clients := make([]agent.Client, size)
-	holders := make([]*quotaclient.Holder, size)
+	holders := make([]*quotaclient.Client, size)
 	began := time.Now()
 	if err := atOnce(size, 16, func(i int) error {
 		clients[i].Addrs = g.Addrs
@@ -247,13 +247,13 @@
 						return
 					}
 					call, done := context.WithTimeout(ctx, 5*time.Second)
-					a, _, err := clients[i].Renew(call, holders[i].Renew(monotone.Now()), nil)
+					a, _, err := clients[i].Renew(call, holders[i].BeginRenewal(monotone.Now()), nil)
 					done()
 					if err != nil {
 						failed.Add(1)
 						continue
 					}
-					holders[i].Accept(monotone.Now(), a)
+					holders[i].AcceptRenewal(monotone.Now(), a)
 				}
 			})
 		}
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -22,14 +22,14 @@
 var memberSizes = []float64{100, 232, 538, 1250, 2900}
 
 // budgets is a set of four, for so many members.
-func budgets(seats int) (quota.Doc, error) {
+func budgets(seats int) (quota.Config, error) {
 	n := float64(seats)
-	d := quota.Doc{Version: 1, Seats: seats, Budgets: []quota.Budget{
-		{Name: "work", Use: quota.Work, Whole: 100 * n, Burst: 100 * n, Least: 1, LeastBurst: 1},
-		{Name: "repeats", Use: quota.Repeat, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
-		{Name: "cold", Use: quota.Cold, Per: quota.PerTarget, Whole: 10 * n, Burst: 10 * n, Least: 1, LeastBurst: 1},
-		{Name: "conns", Use: quota.Connection, Per: quota.PerTarget, Kind: "stock", Whole: 3 * n, Least: 1, LingerMs: 3000}}}
-	return d, d.Check()
+	d := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
+		{Name: "work", Resource: quota.AllWork, Capacity: 100 * n, Burst: 100 * n, FloorRate: 1, FloorBurst: 1},
+		{Name: "repeats", Resource: quota.Retries, Capacity: 10 * n, Burst: 10 * n, FloorRate: 1, FloorBurst: 1},
+		{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 10 * n, Burst: 10 * n, FloorRate: 1, FloorBurst: 1},
+		{Name: "conns", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: 3 * n, FloorRate: 1, LingerMs: 3000}}}
+	return d, d.Validate()
 }
 
 func member(i int) quota.Member {
@@ -38,11 +38,11 @@
 }
 
 // seated is a holder with a seat and connections to some targets.
-func seated(now time.Duration, id string, doc quota.Doc) *quotaclient.Holder {
-	h := quotaclient.New(quota.Uses)
-	h.Seat(now, id, doc)
+func seated(now time.Duration, id string, doc quota.Config) *quotaclient.Client {
+	h := quotaclient.New(quota.Resources)
+	h.Register(now, id, doc)
 	for k := range used {
-		h.Open(now, target(k))
+		h.OpenConnection(now, target(k))
 	}
 	return h
 }
@@ -61,7 +61,7 @@
 				return nil, err
 			}
 			all := make([]quota.Member, size)
-			holders := make([]*quotaclient.Holder, size)
+			holders := make([]*quotaclient.Client, size)
 			now := time.Hour
 			for i := range all {
 				all[i] = member(i)
@@ -70,15 +70,15 @@
 			now += time.Minute
 			wire := 0
 			i := 0
-			var g *allocator.Giver
+			var g *allocator.Allocator
 			renew := func() {
 				now += time.Second / time.Duration(size)
-				r := holders[i%size].Renew(now)
-				var a quota.Answer
+				r := holders[i%size].BeginRenewal(now)
+				var a quota.RenewalResponse
 				if a, err = g.Renew(now, r); err != nil {
 					return
 				}
-				holders[i%size].Accept(now, a)
+				holders[i%size].AcceptRenewal(now, a)
 				if i/size == 1 { // the second round: parts are out
 					asked, _ := json.Marshal(r)
 					told, _ := json.Marshal(a)
@@ -119,19 +119,19 @@
 			now, m := time.Hour, member(0)
 			h := seated(now, m.ID, doc)
 			for k := used; k < size; k++ {
-				h.Open(now, target(k))
+				h.OpenConnection(now, target(k))
 			}
 			g := allocator.New(now, doc, []quota.Member{m})
 			now += time.Minute
 			wire := 0
 			for range 2 {
 				now += time.Second
-				r := h.Renew(now)
+				r := h.BeginRenewal(now)
 				a, err := g.Renew(now, r)
 				if err != nil {
 					return nil, err
 				}
-				h.Accept(now, a)
+				h.AcceptRenewal(now, a)
 				asked, _ := json.Marshal(r)
 				told, _ := json.Marshal(a)
 				wire = len(asked) + len(told)
@@ -152,13 +152,13 @@
 				for range 100 {
 					c := &claims[i%100]
 					c.Seq++
-					if _, e := k.Claim(now, member(i%100).ID, *c); e != nil {
+					if _, e := k.Renew(now, member(i%100).ID, *c); e != nil {
 						err = e
 					}
 					i++
 				}
 			}) / 100
-			orders := quickest(5, 100*time.Millisecond, func() { k.Orders(now) })
+			orders := quickest(5, 100*time.Millisecond, func() { k.PendingEvents(now) })
 			return []float64{claim, orders}, err
 		},
 	}, {
@@ -170,7 +170,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return []float64{quickest(3, 200*time.Millisecond, func() { k.Orders(now) })}, nil
+			return []float64{quickest(3, 200*time.Millisecond, func() { k.PendingEvents(now) })}, nil
 		},
 	}, {
 		About: "internal/controlplane/registry: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
@@ -181,7 +181,7 @@
 			if err != nil {
 				return nil, err
 			}
-			r := registry.Register{Doc: doc}
+			r := registry.Registry{QuotaConfig: doc}
 			for i := range size {
 				r.Members = append(r.Members, member(i))
 			}
@@ -220,40 +220,40 @@
 }
 
 // kept is a keeper all of whose shards are held by members that renew, and the claim of each of them.
-func kept(members, shards int) (*lessor.Keeper, time.Duration, []lease.Claim, error) {
+func kept(members, shards int) (*lessor.Lessor, time.Duration, []lease.RenewalRequest, error) {
 	doc, err := budgets(members)
 	if err != nil {
 		return nil, 0, nil, err
 	}
-	r := &registry.Register{Doc: doc, Tasks: lease.Doc{Version: 1}}
-	claims := make([]lease.Claim, members)
+	r := &registry.Registry{QuotaConfig: doc, LeaseConfig: lease.Config{Version: 1}}
+	claims := make([]lease.RenewalRequest, members)
 	for i := range members {
 		r.Members = append(r.Members, member(i))
-		claims[i] = lease.Claim{Seq: 1, Version: 1}
+		claims[i] = lease.RenewalRequest{Seq: 1, ConfigVersion: 1}
 	}
 	for n, left := 0, shards; left > 0; n++ {
-		t := lease.Task{Name: fmt.Sprint("task-", n), Kind: lease.Watch, Shards: min(left, lease.MostShards), PauseMs: 2000, ProgressMs: 3_600_000, MostMoves: lease.MostShards}
+		t := lease.Task{Name: fmt.Sprint("task-", n), Kind: lease.EndpointProbe, Shards: min(left, lease.MaxShards), MaxPauseMs: 2000, ProgressTimeoutMs: 3_600_000, MaxMoves: lease.MaxShards}
 		left -= t.Shards
-		r.Tasks.Tasks = append(r.Tasks.Tasks, t)
+		r.LeaseConfig.Tasks = append(r.LeaseConfig.Tasks, t)
 		for s := range t.Shards {
 			i := (left + s) % members
-			r.Token++
+			r.LastToken++
 			k := lease.Key{Task: t.Name, Shard: s}
-			r.Leases = append(r.Leases, lease.Lease{Key: k, Token: r.Token, Holder: member(i).ID})
-			claims[i].Holds = append(claims[i].Holds, lease.Held{Key: k, Token: r.Token, Acts: 1})
+			r.Leases = append(r.Leases, lease.Lease{Key: k, Token: r.LastToken, Holder: member(i).ID})
+			claims[i].Held = append(claims[i].Held, lease.HolderStatus{Key: k, Token: r.LastToken, Completed: 1})
 		}
 	}
-	if err := r.Tasks.Check(&doc); err != nil {
+	if err := r.LeaseConfig.Validate(&doc); err != nil {
 		return nil, 0, nil, err
 	}
 	now := time.Hour
 	k := lessor.New(now, r)
 	now += time.Second
 	for i := range claims {
-		for _, t := range r.Tasks.Tasks {
-			claims[i].Runs = append(claims[i].Runs, t.Name)
+		for _, t := range r.LeaseConfig.Tasks {
+			claims[i].Tasks = append(claims[i].Tasks, t.Name)
 		}
-		if _, err := k.Claim(now, member(i).ID, claims[i]); err != nil {
+		if _, err := k.Renew(now, member(i).ID, claims[i]); err != nil {
 			return nil, 0, nil, err
 		}
 	}
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return true, err
 	}
-	a, err := agent.Start(agent.Options{ID: opt.ID, Dir: opt.Dir, Peers: peers, Check: func(string, []byte) error { return nil }, Log: slog.New(slog.DiscardHandler)})
+	a, err := agent.Start(agent.Options{ID: opt.ID, Dir: opt.Dir, Peers: peers, ValidateConfig: func(string, []byte) error { return nil }, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		return true, err
 	}
