--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -32,8 +32,8 @@
 					if len(troubles) > 0 && !slices.Contains(troubles, t.Name) {
 						continue
 					}
-					set := membership.Usual
-					set.Plain = plain
+					set := membership.DefaultConfig
+					set.DisableLifeguard = plain
 					row, err := mesh.Measure(mesh.Spec{Size: size, Zones: 3, Seed: seed, Settings: set, Delay: delay}, t, lasts, kills, encoded)
 					if err != nil {
 						return err
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -99,7 +99,7 @@
 	case of.watch:
 		return of.follow(cmd.Context(), out, v)
 	case of.form && of.links:
-		return json.NewEncoder(out).Encode(v.Ways)
+		return json.NewEncoder(out).Encode(v.Paths)
 	case of.form:
 		return json.NewEncoder(out).Encode(v)
 	case of.links:
@@ -116,27 +116,27 @@
 		switch {
 		case m.Self:
 			heard = "itself"
-		case m.HeardS >= 0:
-			heard = seconds(m.HeardS) + " ago"
+		case m.LastHeardS >= 0:
+			heard = seconds(m.LastHeardS) + " ago"
 		}
-		why := m.Why
-		if m.State == membership.IsUnsure {
-			why += ", at most " + seconds(m.UntilS) + " more"
+		why := m.Reason
+		if m.State == membership.StateSuspect {
+			why += ", at most " + seconds(m.DeadlineS) + " more"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", m.Name, m.State, m.Zone, heard, seconds(m.SinceS), m.Inc, m.Load, m.Addr, m.Birth, why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", m.Name, m.State, m.Zone, heard, seconds(m.SinceS), m.Incarnation, m.Load, m.Addr, m.ID, why)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "%s knows %d that live, digest %s, doubt in itself %d of 8\n", v.Self, v.Size, v.Digest, v.Score)
-	if v.Alone != "" {
-		fmt.Fprintf(out, "it judges nobody: %s\n", v.Alone)
+	fmt.Fprintf(out, "%s knows %d that live, digest %s, doubt in itself %d of 8\n", v.Self, v.Size, v.Digest, v.HealthScore)
+	if v.Isolation != "" {
+		fmt.Fprintf(out, "it judges nobody: %s\n", v.Isolation)
 	}
-	if len(v.Twice) > 0 {
-		fmt.Fprintf(out, "two lives have the name: %s\n", strings.Join(v.Twice, ", "))
+	if len(v.DuplicateNames) > 0 {
+		fmt.Fprintf(out, "two lives have the name: %s\n", strings.Join(v.DuplicateNames, ", "))
 	}
-	if len(v.Ways) > 0 {
-		fmt.Fprintf(out, "%d ways are cut: --links tells them\n", len(v.Ways))
+	if len(v.Paths) > 0 {
+		fmt.Fprintf(out, "%d ways are cut: --links tells them\n", len(v.Paths))
 	}
 	return nil
 }
@@ -148,12 +148,12 @@
 func writeWays(out io.Writer, v membership.View) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "FROM\tTO\tWHAT\tTOLD\tTIMES\tBY")
-	for _, x := range v.Ways {
+	for _, x := range v.Paths {
 		from, to := x.From, x.To
-		if x.Zones {
+		if x.BetweenZones {
 			from, to = "zone "+from, "zone "+to
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s ago\t%d\t%s\n", from, to, x.Kind, seconds(x.AgoS), x.Times, strings.Join(x.By, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s ago\t%d\t%s\n", from, to, x.Kind, seconds(x.AgoS), x.Count, strings.Join(x.Observers, ", "))
 	}
 	return w.Flush()
 }
@@ -166,7 +166,7 @@
 		membership.Event
 		AgoS float64 `json:"ago_s"`
 	}
-	seen := v.Ever
+	seen := v.EventCount
 	for {
 		select {
 		case <-ctx.Done():
@@ -180,17 +180,17 @@
 		if err != nil {
 			return err
 		}
-		for i := max(0, len(v.Changes)-(v.Ever-seen)); i < len(v.Changes); i++ {
-			e := change{v.Changes[i], v.ChangesS[i]}
+		for i := max(0, len(v.Events)-(v.EventCount-seen)); i < len(v.Events); i++ {
+			e := change{v.Events[i], v.EventAgesS[i]}
 			if of.form {
 				if err := json.NewEncoder(out).Encode(e); err != nil {
 					return err
 				}
 				continue
 			}
-			fmt.Fprintf(out, "%s  %s %s (incarnation %d): %s\n", time.Now().Add(-time.Duration(e.AgoS*float64(time.Second))).Format(time.TimeOnly), e.Name, e.To, e.Inc, e.Why)
+			fmt.Fprintf(out, "%s  %s %s (incarnation %d): %s\n", time.Now().Add(-time.Duration(e.AgoS*float64(time.Second))).Format(time.TimeOnly), e.Name, e.Status, e.Incarnation, e.Reason)
 		}
-		seen = v.Ever
+		seen = v.EventCount
 	}
 }
 
--- a/internal/controlplane/membership/machine.go
+++ b/internal/controlplane/membership/machine.go
@@ -11,107 +11,107 @@
 )
 
 const (
-	mostScore  = 8   // of doubt in oneself
-	mostAsked  = 256 // questions that wait for an answer
-	mostPings  = 64  // of others, remembered
-	mostQueue  = 4096
-	mostLinks  = 1024
-	mostDoubts = 8 // ways tried again at a time
-	cutAfter   = 6 // failures in a row, with answers by another way, name a cut
-	mostEvents = 256
-	mostAgents = 8
-	mostEnded  = 1024 // that are remembered
-	answers    = 4    // comparisons answered in a period
-	everyDead  = 4    // one probe in so many goes to somebody held dead
+	maxHealthScore     = 8   // of doubt in oneself
+	maxPendingRequests = 256 // questions that wait for an answer
+	maxRecentPings     = 64  // of others, remembered
+	maxBroadcasts      = 4096
+	maxReachRecords    = 1024
+	maxSuspectPaths    = 8 // ways tried again at a time
+	failuresBeforeCut  = 6 // failures in a row, with answers by another way, name a cut
+	maxEvents          = 256
+	maxAgents          = 8
+	maxTombstones      = 1024 // that are remembered
+	maxSyncAnswers     = 4    // comparisons answered in a period
+	deadProbeEvery     = 4    // one probe in so many goes to somebody held dead
 )
 
-// entry is what is known of one member.
-type entry struct {
-	info   *Info
-	birth  uint64
-	heard  time.Duration // its last message that was surely of then; -1: none
-	since  time.Duration // its status is this
-	stood  time.Duration // when it told of a pause; with paused
-	by     uint64        // whose verdict it is that it is dead
-	inc    uint32
-	paused uint32
-	load   uint16
-	status Status
-	health uint8
-	late   uint8 // answers in a row that came late
-	placed bool  // it has a turn in the round
-	silent bool  // it ended so long ago that nothing is said of it any more
+// member is what is known of one member.
+type member struct {
+	info          *Info
+	id            uint64
+	lastHeardAt   time.Duration // its last message that was surely of then; -1: none
+	statusSince   time.Duration // its status is this
+	pauseToldAt   time.Duration // when it told of a pause; with paused
+	deathReporter uint64        // whose verdict it is that it is dead
+	incarnation   uint32
+	pausedMs      uint32
+	load          uint16
+	status        Status
+	health        uint8
+	lateAcks      uint8 // answers in a row that came late
+	inRotation    bool  // it has a turn in the round
+	suppressed    bool  // it ended so long ago that nothing is said of it any more
 }
 
 // suspicion is a verdict under way.
 type suspicion struct {
-	birth   uint64
-	inc     uint32
-	began   time.Duration
-	by      []uint64 // whose word it is, each once
-	buried  []uint64 // who holds it dead
-	voided  bool     // begun anew after a pause or a time of hearing nobody
-	reached bool     // somebody said that it answered while we suspected it
+	id             uint64
+	incarnation    uint32
+	startedAt      time.Duration
+	reporters      []uint64 // whose word it is, each once
+	deathReporters []uint64 // who holds it dead
+	restarted      bool     // begun anew after a pause or a time of hearing nobody
+	reached        bool     // somebody said that it answered while we suspected it
 }
 
 // probe is the one question under way.
 type probe struct {
-	birth   uint64
-	addr    string
-	nonce   uint64
-	began   time.Duration
-	asked   []uint64 // helpers
-	nacks   int
-	answers bool
-	told    uint64 // the helper that reached it; 0: none
-	seen    bool   // it has had our own ping
-	stream  bool   // it answered by a stream
-}
-
-// asked is a question that waits for its answer.
-type asked struct {
-	birth uint64 // of whom; 0: whoever is there
-	kind  Kind
-	at    time.Duration
+	target        uint64
+	addr          string
+	nonce         uint64
+	startedAt     time.Duration
+	helpers       []uint64 // helpers
+	nacks         int
+	acked         bool
+	reachedBy     uint64 // the helper that reached it; 0: none
+	sawOurPing    bool   // it has had our own ping
+	ackedByStream bool   // it answered by a stream
+}
+
+// pendingRequest is a question that waits for its answer.
+type pendingRequest struct {
+	responder uint64 // of whom; 0: whoever is there
+	kind      MessageKind
+	sentAt    time.Duration
 	// Of a ping for another:
-	asker Record
-	about Record
-	echo  uint64
+	requester      Record
+	about          Record
+	requesterNonce uint64
 }
 
-// doubt is a way that has failed and is tried again.
-type doubt struct {
-	birth  uint64
-	fails  int
-	seen   int    // of these, it had our ping
-	stream int    // of these, a stream came through
-	via    uint64 // who reached it last
-	named  bool
+// suspectPath is a way that has failed and is tried again.
+type suspectPath struct {
+	target     uint64
+	failures   int
+	pingsSeen  int    // of these, it had our ping
+	streamAcks int    // of these, a stream came through
+	lastHelper uint64 // who reached it last
+	published  bool
 }
 
-// update is a record that is being passed on.
-type update struct {
+// broadcast is a record that is being passed on.
+type broadcast struct {
 	Record
-	sent int
+	transmissions int
 }
 
-type linkKey struct{ by, from, to uint64 }
+type reachKey struct{ observer, from, to uint64 }
 
-type linkRec struct {
-	Link
-	at   time.Duration
-	sent int // -1: as often as it has to be
+type reachRecord struct {
+	Reachability
+	at            time.Duration
+	transmissions int // -1: as often as it has to be
 }
 
 // Event is a change of the view, and its cause.
 type Event struct {
-	At    time.Duration `json:"-"`
-	Birth uint64        `json:"birth"`
-	Name  string        `json:"name"`
-	To    string        `json:"to"`
-	Inc   uint32        `json:"incarnation"`
-	Why   string        `json:"why"`
-	By    []uint64      `json:"-"` // of a death: whose word it is
+	At          time.Duration `json:"-"`
+	ID          uint64        `json:"birth"`
+	Name        string        `json:"name"`
+	Status      string        `json:"to"`
+	Incarnation uint32        `json:"incarnation"`
+	Reason      string        `json:"why"`
+	Reporters   []uint64      `json:"-"` // of a death: whose word it is
 }
 
 // Counts are what has come to pass since the start.
@@ -120,99 +120,103 @@
 	Stale, Foreign, Misdirected, Limited, Absurd                        uint64 // messages that changed nothing
 }
 
-// Machine is one member's side.
-type Machine struct {
-	set     Settings
-	rng     *rand.Rand
-	self    Record
-	load    uint16
-	agent   string
-	seeds   []string
-	table   []entry
-	index   map[uint64]int32
-	live    int // others that are alive or suspected
-	ended   int
-	order   []uint64
-	turn    int
-	probe   *probe
-	probes  uint64
-	asked   map[uint64]asked
-	pings   []asked // of others, unverified: their nonces and births
-	susp    []suspicion
-	doubts  []doubt
-	links   map[linkKey]*linkRec
-	telling []linkKey // that are being passed on
-	linked  uint32    // Seq of the last link told
-	queue   []update
-	digest  [Buckets]uint64 // of all records
-	living  uint64          // of those alive
-
-	nextProbe, nextCompare, nextSeed time.Duration
-	due                              time.Duration // what Next told last
-	looked                           time.Duration // when the clock was looked at last
-	heard                            time.Duration // the last verified message from anybody
-	missed                           map[uint64]bool
-	score                            int
-	alone                            bool
-	urgent                           bool // something of our own is to be told at once
-	poked                            time.Duration
-	answered                         int // comparisons, in this period
-	period                           time.Duration
-	events                           []Event
-	ever                             int
-	agents                           []agentSeen
-	Counts                           Counts
+// Node is one member's side.
+type Node struct {
+	config          Config
+	rng             *rand.Rand
+	self            Record
+	load            uint16
+	agent           string
+	seeds           []string
+	members         []member
+	index           map[uint64]int32
+	liveCount       int // others that are alive or suspected
+	endedCount      int
+	rotation        []uint64
+	rotationPos     int
+	currentProbe    *probe
+	probeCount      uint64
+	pending         map[uint64]pendingRequest
+	recentPings     []pendingRequest // of others, unverified: their nonces and births
+	suspicions      []suspicion
+	suspectPaths    []suspectPath
+	reachability    map[reachKey]*reachRecord
+	reachBroadcasts []reachKey // that are being passed on
+	reachSeq        uint32     // Seq of the last link told
+	broadcasts      []broadcast
+	digests         [DigestBuckets]uint64 // of all records
+	aliveDigest     uint64                // of those alive
+
+	nextProbe, nextSync, nextJoin time.Duration
+	announcedTick                 time.Duration // what Next told last
+	clockCheckedAt                time.Duration // when the clock was looked at last
+	lastHeardAt                   time.Duration // the last verified message from anybody
+	missedProbes                  map[uint64]bool
+	healthScore                   int
+	isolated                      bool
+	gossipPending                 bool // something of our own is to be told at once
+	lastUrgentGossip              time.Duration
+	syncAnswers                   int // comparisons, in this period
+	syncPeriodStart               time.Duration
+	events                        []Event
+	eventCount                    int
+	agents                        []agentSeen
+	Counts                        Counts
 }
 
 type agentSeen struct {
-	addr string
-	at   time.Duration
+	addr   string
+	seenAt time.Duration
 }
 
 // New begins a life. Birth has to be drawn at random; seeds are addresses to join by.
-func New(set Settings, birth uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Machine {
-	m := &Machine{set: set, rng: rng, self: Record{Birth: birth, Inc: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
-		asked: map[uint64]asked{}, links: map[linkKey]*linkRec{}, missed: map[uint64]bool{}, heard: now, period: now}
-	m.nextProbe = now + time.Duration(rng.Int64N(int64(set.Period)))
-	m.nextCompare, m.nextSeed = now+set.Compare, now
-	m.looked = now
-	m.due = m.Next()
-	m.toll(&m.self)
+func New(set Config, birth uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Node {
+	m := &Node{config: set, rng: rng, self: Record{ID: birth, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
+		pending: map[uint64]pendingRequest{}, reachability: map[reachKey]*reachRecord{}, missedProbes: map[uint64]bool{}, lastHeardAt: now, syncPeriodStart: now}
+	m.nextProbe = now + time.Duration(rng.Int64N(int64(set.ProbeInterval)))
+	m.nextSync, m.nextJoin = now+set.SyncInterval, now
+	m.clockCheckedAt = now
+	m.announcedTick = m.NextTick()
+	m.toggleDigest(&m.self)
 	return m
 }
 
 // Self is the member's own record.
-func (m *Machine) Self() Record { return m.self }
+func (m *Node) Self() Record { return m.self }
 
-// Tell sets what the member tells of itself: its load, and an agent that has answered it; empty: none.
-func (m *Machine) Tell(load uint16, agent string) { m.load, m.agent = load, agent }
+// SetLocalState sets what the member tells of itself: its load, and an agent that has answered it; empty: none.
+func (m *Node) SetLocalState(load uint16, agent string) { m.load, m.agent = load, agent }
 
 // Size is how many live in the view, oneself among them.
-func (m *Machine) Size() int { return m.live + 1 }
+func (m *Node) Size() int { return m.liveCount + 1 }
 
-// Least and Most are how long a suspicion lasts, with enough reporters and with one, of a member that trusts itself.
-func (m *Machine) Least() time.Duration {
-	return time.Duration(m.set.Suspect / 2 * max(1, math.Log10(float64(m.Size()))) * float64(m.set.Period))
+// MinSuspicion and Most are how long a suspicion lasts, with enough reporters and with one, of a member that trusts itself.
+func (m *Node) MinSuspicion() time.Duration {
+	return time.Duration(m.config.SuspicionMult / 2 * max(1, math.Log10(float64(m.Size()))) * float64(m.config.ProbeInterval))
 }
 
-// Most is how long one reporter alone waits.
-func (m *Machine) Most() time.Duration { return time.Duration(m.set.Stretch * float64(m.Least())) }
+// MaxSuspicion is how long one reporter alone waits.
+func (m *Node) MaxSuspicion() time.Duration {
+	return time.Duration(m.config.SuspicionMaxMult * float64(m.MinSuspicion()))
+}
 
-// repeats is how often a record is passed on.
-func (m *Machine) repeats() int {
-	return int(math.Ceil(m.set.Repeats * math.Log2(float64(m.Size())+1)))
+// retransmitLimit is how often a record is passed on.
+func (m *Node) retransmitLimit() int {
+	return int(math.Ceil(m.config.RetransmitMult * math.Log2(float64(m.Size())+1)))
 }
 
-// stretch lengthens the member's own time-outs by its doubt in itself.
-func (m *Machine) stretch(d time.Duration) time.Duration { return d * time.Duration(1+m.score) }
+// scaleByHealth lengthens the member's own time-outs by its doubt in itself.
+func (m *Node) scaleByHealth(d time.Duration) time.Duration {
+	return d * time.Duration(1+m.healthScore)
+}
 
-func (m *Machine) doubt(by int) {
-	if !m.set.Plain {
-		m.score = max(0, min(mostScore, m.score+by))
+func (m *Node) adjustHealth(by int) {
+	if !m.config.DisableLifeguard {
+		m.healthScore = max(0, min(maxHealthScore, m.healthScore+by))
 	}
 }
 
-func hash(birth uint64, inc uint32, s Status) uint64 {
+func recordHash(birth uint64, inc uint32, s Status) uint64 {
 	if s == Suspect {
 		s = Alive
 	}
@@ -223,350 +227,350 @@
 	return xxhash.Sum64(b[:])
 }
 
-// toll adds a record to the digests, or takes it out.
-func (m *Machine) toll(r *Record) {
-	h := hash(r.Birth, r.Inc, r.Status)
-	m.digest[r.Birth%Buckets] ^= h
+// toggleDigest adds a record to the digests, or takes it out.
+func (m *Node) toggleDigest(r *Record) {
+	h := recordHash(r.ID, r.Incarnation, r.Status)
+	m.digests[r.ID%DigestBuckets] ^= h
 	if r.Status <= Suspect {
-		m.living ^= h
+		m.aliveDigest ^= h
 	}
 }
 
-// Digest is of all that live in the view: two views that have the same members under the same incarnations have the same.
-func (m *Machine) Digest() uint64 { return m.living }
+// AliveDigest is of all that live in the view: two views that have the same members under the same incarnations have the same.
+func (m *Node) AliveDigest() uint64 { return m.aliveDigest }
 
-func (m *Machine) entry(birth uint64) *entry {
+func (m *Node) lookup(birth uint64) *member {
 	if i, ok := m.index[birth]; ok {
-		return &m.table[i]
+		return &m.members[i]
 	}
 	return nil
 }
 
-// record is the view's word on a member.
-func (m *Machine) record(e *entry) Record {
-	r := Record{Birth: e.birth, Inc: e.inc, Status: e.status, Info: *e.info, Paused: e.paused}
+// recordOf is the view's word on a member.
+func (m *Node) recordOf(e *member) Record {
+	r := Record{ID: e.id, Incarnation: e.incarnation, Status: e.status, Info: *e.info, PausedMs: e.pausedMs}
 	switch e.status {
 	case Suspect:
-		r.By = m.self.Birth
+		r.Reporter = m.self.ID
 	case Dead: // a verdict stays its judge's: who was told it is no further one (3)
-		r.By = e.by
+		r.Reporter = e.deathReporter
 	}
 	return r
 }
 
-// change changes a member's record, with the cause.
-func (m *Machine) change(now time.Duration, e *entry, s Status, inc uint32, why string) {
-	if was := m.record(e); !e.silent {
-		m.toll(&was)
+// setStatus changes a member's record, with the cause.
+func (m *Node) setStatus(now time.Duration, e *member, s Status, inc uint32, why string) {
+	if was := m.recordOf(e); !e.suppressed {
+		m.toggleDigest(&was)
 	}
-	e.silent = false
+	e.suppressed = false
 	if e.status != s {
 		if was, is := e.status <= Suspect, s <= Suspect; was && !is {
-			m.live--
-			m.ended++
+			m.liveCount--
+			m.endedCount++
 		} else if !was && is {
-			m.live++
-			m.ended--
-			m.place(e)
+			m.liveCount++
+			m.endedCount--
+			m.insertIntoRotation(e)
 		}
-		e.since = now
-		m.note(now, e, s.String(), inc, why)
+		e.statusSince = now
+		m.addEvent(now, e, s.String(), inc, why)
 	}
-	e.status, e.inc = s, inc
-	is := m.record(e)
-	m.toll(&is)
+	e.status, e.incarnation = s, inc
+	is := m.recordOf(e)
+	m.toggleDigest(&is)
 	if s != Suspect {
-		m.susp = slices.DeleteFunc(m.susp, func(x suspicion) bool { return x.birth == e.birth })
+		m.suspicions = slices.DeleteFunc(m.suspicions, func(x suspicion) bool { return x.id == e.id })
 	}
 }
 
-func (m *Machine) note(now time.Duration, e *entry, to string, inc uint32, why string) {
-	m.ever++
-	m.events = append(m.events, Event{At: now, Birth: e.birth, Name: e.info.Name, To: to, Inc: inc, Why: why})
-	if len(m.events) > mostEvents {
-		m.events = slices.Delete(m.events, 0, len(m.events)-mostEvents)
+func (m *Node) addEvent(now time.Duration, e *member, to string, inc uint32, why string) {
+	m.eventCount++
+	m.events = append(m.events, Event{At: now, ID: e.id, Name: e.info.Name, Status: to, Incarnation: inc, Reason: why})
+	if len(m.events) > maxEvents {
+		m.events = slices.Delete(m.events, 0, len(m.events)-maxEvents)
 	}
 }
 
-// add takes in a member that was not known.
-func (m *Machine) add(now time.Duration, r *Record, why string) *entry {
+// addMember takes in a member that was not known.
+func (m *Node) addMember(now time.Duration, r *Record, why string) *member {
 	info := r.Info
-	m.index[r.Birth] = int32(len(m.table))
-	m.table = append(m.table, entry{info: &info, birth: r.Birth, heard: -1, since: now, inc: r.Inc, status: r.Status, paused: r.Paused, by: r.By})
-	e := &m.table[len(m.table)-1]
-	is := m.record(e)
-	m.toll(&is)
+	m.index[r.ID] = int32(len(m.members))
+	m.members = append(m.members, member{info: &info, id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, status: r.Status, pausedMs: r.PausedMs, deathReporter: r.Reporter})
+	e := &m.members[len(m.members)-1]
+	is := m.recordOf(e)
+	m.toggleDigest(&is)
 	if r.Status <= Suspect {
-		m.live++
-		m.place(e)
+		m.liveCount++
+		m.insertIntoRotation(e)
 	} else {
-		m.ended++
+		m.endedCount++
 	}
-	m.note(now, e, r.Status.String(), r.Inc, why)
+	m.addEvent(now, e, r.Status.String(), r.Incarnation, why)
 	return e
 }
 
-// place puts a member into the round at random, so that nobody's first turn can be told.
-func (m *Machine) place(e *entry) {
-	if !e.placed {
-		e.placed = true
-		m.order = slices.Insert(m.order, m.turn+m.rng.IntN(len(m.order)-m.turn+1), e.birth)
+// insertIntoRotation puts a member into the round at random, so that nobody's first turn can be told.
+func (m *Node) insertIntoRotation(e *member) {
+	if !e.inRotation {
+		e.inRotation = true
+		m.rotation = slices.Insert(m.rotation, m.rotationPos+m.rng.IntN(len(m.rotation)-m.rotationPos+1), e.id)
 	}
 }
 
-// drop forgets a member that ended.
-func (m *Machine) drop(birth uint64) {
+// removeMember forgets a member that ended.
+func (m *Node) removeMember(birth uint64) {
 	i := m.index[birth]
-	if was := m.record(&m.table[i]); !m.table[i].silent {
-		m.toll(&was)
-	}
-	m.ended--
-	m.order = slices.DeleteFunc(m.order, func(b uint64) bool { return b == birth })
-	m.turn = min(m.turn, len(m.order))
-	last := int32(len(m.table) - 1)
-	m.table[i] = m.table[last]
-	m.index[m.table[i].birth] = i
-	m.table = m.table[:last]
+	if was := m.recordOf(&m.members[i]); !m.members[i].suppressed {
+		m.toggleDigest(&was)
+	}
+	m.endedCount--
+	m.rotation = slices.DeleteFunc(m.rotation, func(b uint64) bool { return b == birth })
+	m.rotationPos = min(m.rotationPos, len(m.rotation))
+	last := int32(len(m.members) - 1)
+	m.members[i] = m.members[last]
+	m.index[m.members[i].id] = i
+	m.members = m.members[:last]
 	delete(m.index, birth)
 }
 
-// pass has a record passed on, in place of what was said of the member before, but for the words of other reporters.
-func (m *Machine) pass(r Record) {
-	m.queue = slices.DeleteFunc(m.queue, func(u update) bool {
-		return u.Birth == r.Birth && (u.Inc < r.Inc || u.Inc == r.Inc && (u.Status < r.Status || u.Status == r.Status && u.By == r.By))
+// queueBroadcast has a record passed on, in place of what was said of the member before, but for the words of other reporters.
+func (m *Node) queueBroadcast(r Record) {
+	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u broadcast) bool {
+		return u.ID == r.ID && (u.Incarnation < r.Incarnation || u.Incarnation == r.Incarnation && (u.Status < r.Status || u.Status == r.Status && u.Reporter == r.Reporter))
 	})
-	if len(m.queue) >= mostQueue { // the most passed on has done its work
-		m.queue = slices.Delete(m.queue, 0, 1)
+	if len(m.broadcasts) >= maxBroadcasts { // the most passed on has done its work
+		m.broadcasts = slices.Delete(m.broadcasts, 0, 1)
 	}
-	m.queue = append(m.queue, update{Record: r})
+	m.broadcasts = append(m.broadcasts, broadcast{Record: r})
 }
 
-// Next is when Tick is due: once in a period at least, or a pause could go by unseen (4).
-func (m *Machine) Next() time.Duration {
-	at := min(m.nextProbe, m.nextCompare, m.looked+m.set.Period)
-	if p := m.probe; p != nil && !p.answers {
-		if len(p.asked) == 0 {
-			at = min(at, p.began+m.stretch(m.set.Timeout))
+// NextTick is when Tick is due: once in a period at least, or a pause could go by unseen (4).
+func (m *Node) NextTick() time.Duration {
+	at := min(m.nextProbe, m.nextSync, m.clockCheckedAt+m.config.ProbeInterval)
+	if p := m.currentProbe; p != nil && !p.acked {
+		if len(p.helpers) == 0 {
+			at = min(at, p.startedAt+m.scaleByHealth(m.config.ProbeTimeout))
 		}
 	}
 	if len(m.seeds) > 0 {
-		at = min(at, m.nextSeed)
+		at = min(at, m.nextJoin)
 	}
-	if !m.alone {
-		for i := range m.susp {
-			at = min(at, m.deadline(&m.susp[i]))
+	if !m.isolated {
+		for i := range m.suspicions {
+			at = min(at, m.suspicionDeadline(&m.suspicions[i]))
 		}
 	}
 	return at
 }
 
-// look compares the clock with what was due. A jump voids every verdict under way (4): what was not heard may have been there to hear.
-func (m *Machine) look(now time.Duration) {
-	late := now - m.due
+// observeClock compares the clock with what was due. A jump voids every verdict under way (4): what was not heard may have been there to hear.
+func (m *Node) observeClock(now time.Duration) {
+	late := now - m.announcedTick
 	switch {
-	case m.set.Plain:
-	case late > m.set.Jump:
+	case m.config.DisableLifeguard:
+	case late > m.config.PauseThreshold:
 		m.Counts.Pauses++
-		m.doubt(3)
-		m.void(now)
-		m.self.Paused = uint32(min(late.Milliseconds(), math.MaxUint32))
-		m.raise()
-	case late > m.set.Timeout/2:
+		m.adjustHealth(3)
+		m.restartSuspicions(now)
+		m.self.PausedMs = uint32(min(late.Milliseconds(), math.MaxUint32))
+		m.raiseIncarnation()
+	case late > m.config.ProbeTimeout/2:
 		m.Counts.Starved++
-		m.doubt(1)
+		m.adjustHealth(1)
 		// What came meanwhile has not been read: that time counts for nothing that is waited for, and there is some to read it.
-		late += m.set.Timeout
-		if m.probe != nil {
-			m.probe.began += late
+		late += m.config.ProbeTimeout
+		if m.currentProbe != nil {
+			m.currentProbe.startedAt += late
 			m.nextProbe += late
 		}
-		for i := range m.susp {
-			m.susp[i].began += late
+		for i := range m.suspicions {
+			m.suspicions[i].startedAt += late
 		}
 	}
-	m.due, m.looked = max(m.due, now), now
-	if now-m.period >= m.set.Period {
-		m.period, m.answered = now, 0
+	m.announcedTick, m.clockCheckedAt = max(m.announcedTick, now), now
+	if now-m.syncPeriodStart >= m.config.ProbeInterval {
+		m.syncPeriodStart, m.syncAnswers = now, 0
 	}
 }
 
-// void begins all verdicts anew, from nobody's word.
-func (m *Machine) void(now time.Duration) {
-	m.probe = nil
-	clear(m.asked)
-	clear(m.missed)
-	m.pings = m.pings[:0]
-	m.heard = now
-	for i := range m.susp {
-		s := &m.susp[i]
-		s.began, s.by, s.buried, s.voided = now, nil, nil, true
+// restartSuspicions begins all verdicts anew, from nobody's word.
+func (m *Node) restartSuspicions(now time.Duration) {
+	m.currentProbe = nil
+	clear(m.pending)
+	clear(m.missedProbes)
+	m.recentPings = m.recentPings[:0]
+	m.lastHeardAt = now
+	for i := range m.suspicions {
+		s := &m.suspicions[i]
+		s.startedAt, s.reporters, s.deathReporters, s.restarted = now, nil, nil, true
 		m.Counts.Voided++
 	}
 }
 
-// raise gives the member's own record a later incarnation, and has it told.
-func (m *Machine) raise() {
-	m.toll(&m.self)
-	m.self.Inc++
-	m.toll(&m.self)
-	m.pass(m.self)
-	m.urgent = true
+// raiseIncarnation gives the member's own record a later incarnation, and has it told.
+func (m *Node) raiseIncarnation() {
+	m.toggleDigest(&m.self)
+	m.self.Incarnation++
+	m.toggleDigest(&m.self)
+	m.queueBroadcast(m.self)
+	m.gossipPending = true
 }
 
-// deadline is when a suspicion becomes a verdict here (3).
-func (m *Machine) deadline(s *suspicion) time.Duration {
-	least, most := m.Least(), m.Most()
-	if m.set.Plain {
-		return s.began + 2*least
+// suspicionDeadline is when a suspicion becomes a verdict here (3).
+func (m *Node) suspicionDeadline(s *suspicion) time.Duration {
+	least, most := m.MinSuspicion(), m.MaxSuspicion()
+	if m.config.DisableLifeguard {
+		return s.startedAt + 2*least
 	}
-	k := min(m.set.Reporters, max(1, m.Size()-1)) // who could report, oneself among them
-	if k > 1 && len(s.by) > 0 {
-		c := min(len(s.by), k)
+	k := min(m.config.Confirmations, max(1, m.Size()-1)) // who could report, oneself among them
+	if k > 1 && len(s.reporters) > 0 {
+		c := min(len(s.reporters), k)
 		most -= time.Duration(float64(most-least) * math.Log(float64(c)) / math.Log(float64(k)))
 	}
-	return s.began + most + most*time.Duration(m.score)/2
+	return s.startedAt + most + most*time.Duration(m.healthScore)/2
 }
 
 // suspect notes somebody's word against a member.
-func (m *Machine) suspect(now time.Duration, e *entry, inc uint32, by uint64, why string) {
+func (m *Node) suspect(now time.Duration, e *member, inc uint32, by uint64, why string) {
 	if e.status == Alive {
-		m.change(now, e, Suspect, inc, why)
-		m.susp = append(m.susp, suspicion{birth: e.birth, inc: inc, began: now})
+		m.setStatus(now, e, Suspect, inc, why)
+		m.suspicions = append(m.suspicions, suspicion{id: e.id, incarnation: inc, startedAt: now})
 		m.Counts.Suspected++
 	}
-	for i := range m.susp {
-		s := &m.susp[i]
-		if by == 0 || s.birth != e.birth || slices.Contains(s.by, by) || len(s.by) >= m.set.Reporters {
+	for i := range m.suspicions {
+		s := &m.suspicions[i]
+		if by == 0 || s.id != e.id || slices.Contains(s.reporters, by) || len(s.reporters) >= m.config.Confirmations {
 			continue
 		}
-		s.by = append(s.by, by)
-		r := m.record(e)
-		r.By, r.Paused = by, 0
-		m.pass(r)
+		s.reporters = append(s.reporters, by)
+		r := m.recordOf(e)
+		r.Reporter, r.PausedMs = by, 0
+		m.queueBroadcast(r)
 	}
 }
 
-// bury makes a verdict.
-func (m *Machine) bury(now time.Duration, e *entry, why string, judge uint64, by []uint64) {
-	e.by = judge
-	m.change(now, e, Dead, e.inc, why)
-	m.events[len(m.events)-1].By = by
+// declareDead makes a verdict.
+func (m *Node) declareDead(now time.Duration, e *member, why string, judge uint64, by []uint64) {
+	e.deathReporter = judge
+	m.setStatus(now, e, Dead, e.incarnation, why)
+	m.events[len(m.events)-1].Reporters = by
 	m.Counts.Buried++
-	m.pass(m.record(e))
+	m.queueBroadcast(m.recordOf(e))
 }
 
-// merge takes in a record that came with a verified message (2).
-func (m *Machine) merge(now time.Duration, r *Record) {
-	if r.Birth == m.self.Birth {
-		m.own(now, r)
+// mergeRecord takes in a record that came with a verified message (2).
+func (m *Node) mergeRecord(now time.Duration, r *Record) {
+	if r.ID == m.self.ID {
+		m.refute(now, r)
 		return
 	}
-	e := m.entry(r.Birth)
+	e := m.lookup(r.ID)
 	if e == nil {
 		n := *r
 		if n.Status == Suspect {
 			n.Status = Alive
 		}
-		e = m.add(now, &n, "told")
-		m.pass(n)
+		e = m.addMember(now, &n, "told")
+		m.queueBroadcast(n)
 		if r.Status == Suspect {
-			m.suspect(now, e, r.Inc, r.By, "told")
+			m.suspect(now, e, r.Incarnation, r.Reporter, "told")
 		}
 		return
 	}
-	if r.Inc > e.inc && (r.Status <= Suspect || r.Status == Dead && e.status <= Suspect) {
+	if r.Incarnation > e.incarnation && (r.Status <= Suspect || r.Status == Dead && e.status <= Suspect) {
 		// Whatever was said of it before is over: it has lived since.
 		was := e.status
 		info := r.Info
-		e.info, e.paused, e.stood = &info, r.Paused, now
+		e.info, e.pausedMs, e.pauseToldAt = &info, r.PausedMs, now
 		why := "told"
 		if was != Alive {
 			why = "refuted"
 		}
-		m.change(now, e, Alive, r.Inc, why)
-		m.pass(Record{Birth: r.Birth, Inc: r.Inc, Info: r.Info, Paused: r.Paused})
+		m.setStatus(now, e, Alive, r.Incarnation, why)
+		m.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Info: r.Info, PausedMs: r.PausedMs})
 	}
 	switch {
-	case r.Status == Suspect && r.Inc == e.inc && e.status <= Suspect:
-		m.suspect(now, e, r.Inc, r.By, "told")
-	case r.Status == Dead && r.Inc >= e.inc && e.status <= Suspect:
-		m.toldDead(now, e, r)
-	case r.Status == Dead && r.Inc > e.inc && e.status == Dead:
-		e.by = r.By
-		m.change(now, e, Dead, r.Inc, "told")
-	case r.Status == Left && r.Inc >= e.inc && e.status != Left:
-		m.change(now, e, Left, r.Inc, "it said so")
-		m.pass(Record{Birth: r.Birth, Inc: r.Inc, Status: Left, Info: r.Info})
-	}
-}
-
-// toldDead weighs another's verdict: it is one more reporter's word, until enough hold the member dead (3).
-func (m *Machine) toldDead(now time.Duration, e *entry, r *Record) {
-	if m.set.Plain {
-		e.by = r.By
-		m.change(now, e, Dead, r.Inc, "told")
-		m.pass(*r)
+	case r.Status == Suspect && r.Incarnation == e.incarnation && e.status <= Suspect:
+		m.suspect(now, e, r.Incarnation, r.Reporter, "told")
+	case r.Status == Dead && r.Incarnation >= e.incarnation && e.status <= Suspect:
+		m.mergeDeath(now, e, r)
+	case r.Status == Dead && r.Incarnation > e.incarnation && e.status == Dead:
+		e.deathReporter = r.Reporter
+		m.setStatus(now, e, Dead, r.Incarnation, "told")
+	case r.Status == Left && r.Incarnation >= e.incarnation && e.status != Left:
+		m.setStatus(now, e, Left, r.Incarnation, "it said so")
+		m.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Status: Left, Info: r.Info})
+	}
+}
+
+// mergeDeath weighs another's verdict: it is one more reporter's word, until enough hold the member dead (3).
+func (m *Node) mergeDeath(now time.Duration, e *member, r *Record) {
+	if m.config.DisableLifeguard {
+		e.deathReporter = r.Reporter
+		m.setStatus(now, e, Dead, r.Incarnation, "told")
+		m.queueBroadcast(*r)
 		return
 	}
-	m.suspect(now, e, max(r.Inc, e.inc), 0, "told dead") // a judge may have judged by others' words: it is no reporter
-	for i := range m.susp {
-		s := &m.susp[i]
-		if s.birth != e.birth || slices.Contains(s.buried, r.By) {
+	m.suspect(now, e, max(r.Incarnation, e.incarnation), 0, "told dead") // a judge may have judged by others' words: it is no reporter
+	for i := range m.suspicions {
+		s := &m.suspicions[i]
+		if s.id != e.id || slices.Contains(s.deathReporters, r.Reporter) {
 			continue
 		}
-		s.buried = append(s.buried, r.By)
-		m.pass(*r)
-		if len(s.buried) >= m.set.Reporters && !m.alone {
-			m.bury(now, e, "enough hold it dead", s.buried[0], s.buried)
+		s.deathReporters = append(s.deathReporters, r.Reporter)
+		m.queueBroadcast(*r)
+		if len(s.deathReporters) >= m.config.Confirmations && !m.isolated {
+			m.declareDead(now, e, "enough hold it dead", s.deathReporters[0], s.deathReporters)
 		}
 		return
 	}
 }
 
-// own refutes what is said of oneself (1).
-func (m *Machine) own(now time.Duration, r *Record) {
+// refute refutes what is said of oneself (1).
+func (m *Node) refute(now time.Duration, r *Record) {
 	switch {
-	case r.Inc > m.self.Inc:
+	case r.Incarnation > m.self.Incarnation:
 		m.Counts.Absurd++
-	case r.Inc == m.self.Inc && r.Status != Alive && m.self.Status == Alive:
+	case r.Incarnation == m.self.Incarnation && r.Status != Alive && m.self.Status == Alive:
 		m.Counts.Refuted++
-		m.doubt(1)
-		m.self.Paused = 0
-		m.raise()
+		m.adjustHealth(1)
+		m.self.PausedMs = 0
+		m.raiseIncarnation()
 	}
 }
 
-// heardFrom notes a message that is surely of now: it echoes what we drew.
-func (m *Machine) heardFrom(now time.Duration, x *Message) *entry {
-	m.heard = now
-	clear(m.missed)
-	if m.alone {
-		m.alone = false
-		m.void(now)
+// noteHeard notes a message that is surely of now: it echoes what we drew.
+func (m *Node) noteHeard(now time.Duration, x *Message) *member {
+	m.lastHeardAt = now
+	clear(m.missedProbes)
+	if m.isolated {
+		m.isolated = false
+		m.restartSuspicions(now)
 	}
-	m.merge(now, &x.From)
-	e := m.entry(x.From.Birth)
+	m.mergeRecord(now, &x.From)
+	e := m.lookup(x.From.ID)
 	if e == nil {
 		return nil
 	}
-	e.heard, e.health, e.load = now, x.Health, x.Load
-	if e.status == Suspect && x.From.Inc >= e.inc {
-		m.change(now, e, Alive, e.inc, "heard")
+	e.lastHeardAt, e.health, e.load = now, x.Health, x.Load
+	if e.status == Suspect && x.From.Incarnation >= e.incarnation {
+		m.setStatus(now, e, Alive, e.incarnation, "heard")
 	}
 	if x.Agent != "" {
 		m.agents = slices.DeleteFunc(m.agents, func(a agentSeen) bool { return a.addr == x.Agent })
-		if m.agents = append(m.agents, agentSeen{x.Agent, now}); len(m.agents) > mostAgents {
+		if m.agents = append(m.agents, agentSeen{x.Agent, now}); len(m.agents) > maxAgents {
 			m.agents = m.agents[1:]
 		}
 	}
 	return e
 }
 
-// Changed are the changes of the view that are kept, the latest last, and how many there ever were.
-func (m *Machine) Changed() (kept []Event, ever int) { return m.events, m.ever }
+// Events are the changes of the view that are kept, the latest last, and how many there ever were.
+func (m *Node) Events() (kept []Event, ever int) { return m.events, m.eventCount }
 
-// Shared are the facts of members, once for many views.
-func Shared(all []Record) []*Info {
+// SharedInfos are the facts of members, once for many views.
+func SharedInfos(all []Record) []*Info {
 	out := make([]*Info, len(all))
 	for i := range all {
 		out[i] = &all[i].Info
@@ -574,19 +578,19 @@
 	return out
 }
 
-// Know has the member know others from the start, as after a comparison with somebody who knows them.
-func (m *Machine) Know(now time.Duration, all []Record, infos []*Info) {
-	m.table = slices.Grow(m.table, len(all))
+// Preload has the member know others from the start, as after a comparison with somebody who knows them.
+func (m *Node) Preload(now time.Duration, all []Record, infos []*Info) {
+	m.members = slices.Grow(m.members, len(all))
 	for i := range all {
 		r := &all[i]
-		if r.Birth == m.self.Birth || m.entry(r.Birth) != nil {
+		if r.ID == m.self.ID || m.lookup(r.ID) != nil {
 			continue
 		}
-		m.index[r.Birth] = int32(len(m.table))
-		m.table = append(m.table, entry{info: infos[i], birth: r.Birth, heard: -1, since: now, inc: r.Inc, placed: true})
-		m.order = append(m.order, r.Birth)
-		m.toll(r)
-		m.live++
+		m.index[r.ID] = int32(len(m.members))
+		m.members = append(m.members, member{info: infos[i], id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, inRotation: true})
+		m.rotation = append(m.rotation, r.ID)
+		m.toggleDigest(r)
+		m.liveCount++
 	}
-	m.rng.Shuffle(len(m.order), func(i, j int) { m.order[i], m.order[j] = m.order[j], m.order[i] })
+	m.rng.Shuffle(len(m.rotation), func(i, j int) { m.rotation[i], m.rotation[j] = m.rotation[j], m.rotation[i] })
 }
--- a/internal/controlplane/membership/members_test.go
+++ b/internal/controlplane/membership/members_test.go
@@ -18,16 +18,16 @@
 
 func info(name string) Info { return Info{Name: name, Addr: name + ":1"} }
 
-func machine(t testing.TB, known int) *Machine {
+func machine(t testing.TB, known int) *Node {
 	t.Helper()
-	set := Usual
-	set.Fleet = 7
+	set := DefaultConfig
+	set.FleetID = 7
 	m := New(set, 1, info("self"), nil, 0, rand.New(rand.NewPCG(1, 1)))
 	var all []Record
 	for i := range known {
-		all = append(all, Record{Birth: uint64(i + 2), Inc: 1, Info: info(fmt.Sprint("n", i))})
+		all = append(all, Record{ID: uint64(i + 2), Incarnation: 1, Info: info(fmt.Sprint("n", i))})
 	}
-	m.Know(0, all, Shared(all))
+	m.Preload(0, all, SharedInfos(all))
 	return m
 }
 
@@ -41,15 +41,15 @@
 		inc    uint32
 	}{{0, 1, 0, 1}, {100 * time.Millisecond, 1, 0, 1}, {700 * time.Millisecond, 0, 0, 1}, {1900 * time.Millisecond, 0, 0, 1}, {2100 * time.Millisecond, 0, 1, 2}} {
 		m := machine(t, 5)
-		at := m.Next()
+		at := m.NextTick()
 		m.Tick(at) // a probe goes out
-		at = m.Next()
+		at = m.NextTick()
 		m.Tick(at) // others are asked
-		at = m.Next() + c.late
+		at = m.NextTick() + c.late
 		m.Tick(at)
 		require.Equal(t, c.failed, m.Counts.Failed, "%v late", c.late)
 		require.Equal(t, c.pauses, m.Counts.Pauses, "%v late", c.late)
-		require.Equal(t, c.inc, m.Self().Inc, "%v late", c.late)
+		require.Equal(t, c.inc, m.Self().Incarnation, "%v late", c.late)
 	}
 }
 
@@ -57,32 +57,32 @@
 // for it.
 func TestNoMessageGrows(t *testing.T) {
 	m := machine(t, 0)
-	long := strings.Repeat("x", MostText)
+	long := strings.Repeat("x", MaxTextBytes)
 	var all []Record
 	for i := range 4000 {
-		r := Record{Birth: uint64(i + 2), Inc: 1, Info: Info{long[:60] + fmt.Sprintf("%04d", i), long, long}}
+		r := Record{ID: uint64(i + 2), Incarnation: 1, Info: Info{long[:60] + fmt.Sprintf("%04d", i), long, long}}
 		all = append(all, r)
 	}
 	for i := range all {
-		m.merge(0, &all[i])
-		m.takeLink(0, Link{By: uint64(i + 2), From: 5, To: uint64(i + 3), Kind: Sends, Seq: 1})
+		m.mergeRecord(0, &all[i])
+		m.mergeReachability(0, Reachability{Observer: uint64(i + 2), From: 5, To: uint64(i + 3), State: LinkDown, Seq: 1})
 	}
-	require.LessOrEqual(t, len(m.queue), mostQueue)
-	require.LessOrEqual(t, len(m.links), mostLinks)
-	var sent []Send
-	for now := time.Duration(0); now < 30*time.Second; now = m.Next() {
+	require.LessOrEqual(t, len(m.broadcasts), maxBroadcasts)
+	require.LessOrEqual(t, len(m.reachability), maxReachRecords)
+	var sent []Outgoing
+	for now := time.Duration(0); now < 30*time.Second; now = m.NextTick() {
 		sent = append(sent, m.Tick(now)...)
 	}
-	for _, k := range []Kind{Ping, Compare, Ask} {
-		x := &Message{Version: Version, Fleet: 7, Kind: k, From: all[0], Nonce: 9, About: all[1], Digests: make([]uint64, Buckets)}
+	for _, k := range []MessageKind{Ping, SyncRequest, PingRequest} {
+		x := &Message{Version: Version, FleetID: 7, Kind: k, From: all[0], Nonce: 9, Subject: all[1], Digests: make([]uint64, DigestBuckets)}
 		sent = append(sent, m.Receive(30*time.Second, x, Datagram)...)
 	}
 	require.Greater(t, len(sent), 40)
 	for _, s := range sent {
-		require.NoError(t, s.Check())
+		require.NoError(t, s.Validate())
 		b, err := cbor.Marshal(s.Message)
 		require.NoError(t, err)
-		require.LessOrEqual(t, len(b), MostBytes+300, s.Kind.String())
+		require.LessOrEqual(t, len(b), MaxMessageBytes+300, s.Kind.String())
 	}
 }
 
@@ -91,27 +91,27 @@
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := machine(&testing.B{}, 3)
-		digest, inc := m.Digest(), m.Self().Inc
+		digest, inc := m.AliveDigest(), m.Self().Incarnation
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			record := func(name string) Record {
-				return Record{Birth: rapid.Uint64Range(1, 6).Draw(t, name), Inc: rapid.Uint32().Draw(t, "inc"), Status: Status(rapid.IntRange(0, 3).Draw(t, "status")),
-					Info: info("g"), By: rapid.Uint64().Draw(t, "by")}
+				return Record{ID: rapid.Uint64Range(1, 6).Draw(t, name), Incarnation: rapid.Uint32().Draw(t, "inc"), Status: Status(rapid.IntRange(0, 3).Draw(t, "status")),
+					Info: info("g"), Reporter: rapid.Uint64().Draw(t, "by")}
 			}
-			x := &Message{Version: Version, Fleet: 7, Kind: Kind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), From: record("from"), To: rapid.Uint64Range(0, 2).Draw(t, "to"),
-				Nonce: rapid.Uint64().Draw(t, "nonce"), Echo: rapid.Uint64().Draw(t, "echo"), About: record("about"), Records: []Record{record("record")},
-				Links: []Link{{By: 9, From: 8, To: 7, Kind: Sends, Seq: 1}}}
+			x := &Message{Version: Version, FleetID: 7, Kind: MessageKind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), From: record("from"), To: rapid.Uint64Range(0, 2).Draw(t, "to"),
+				Nonce: rapid.Uint64().Draw(t, "nonce"), Echo: rapid.Uint64().Draw(t, "echo"), Subject: record("about"), Records: []Record{record("record")},
+				Reachability: []Reachability{{Observer: 9, From: 8, To: 7, State: LinkDown, Seq: 1}}}
 			if rapid.Bool().Draw(t, "you") {
-				x.You = &Word{Inc: rapid.Uint32Range(2, 1<<30).Draw(t, "you inc"), Status: Suspect}
+				x.Opinion = &Opinion{Incarnation: rapid.Uint32Range(2, 1<<30).Draw(t, "you inc"), Status: Suspect}
 			}
-			if err := x.Check(); err != nil {
+			if err := x.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			if out := m.Receive(time.Second, x, Datagram); len(out) > mostPages+2 {
+			if out := m.Receive(time.Second, x, Datagram); len(out) > maxSyncPages+2 {
 				t.Fatalf("%d messages for one", len(out))
 			}
 		}
-		if m.Digest() != digest || m.Self().Inc != inc || m.Size() != 4 || len(m.links) > 0 {
-			t.Fatalf("garbage changed the view: %s", m.Print(time.Second, birthText))
+		if m.AliveDigest() != digest || m.Self().Incarnation != inc || m.Size() != 4 || len(m.reachability) > 0 {
+			t.Fatalf("garbage changed the view: %s", m.DebugString(time.Second, idText))
 		}
 	})
 }
@@ -120,29 +120,29 @@
 func TestViews(t *testing.T) {
 	m := machine(t, 0)
 	for i := range 8 {
-		m.merge(0, &Record{Birth: uint64(10 + i), Inc: 1, Info: Info{Name: fmt.Sprint("n", i), Addr: "a:1", Zone: []string{"a", "b"}[i%2]}})
+		m.mergeRecord(0, &Record{ID: uint64(10 + i), Incarnation: 1, Info: Info{Name: fmt.Sprint("n", i), Addr: "a:1", Zone: []string{"a", "b"}[i%2]}})
 	}
-	m.merge(0, &Record{Birth: 10, Inc: 2, Info: info("n0"), Paused: 5000})
-	m.merge(0, &Record{Birth: 30, Inc: 1, Info: info("n1")})
-	m.merge(0, &Record{Birth: 12, Inc: 1, Status: Suspect, By: 13, Info: info("n2")})
-	m.entry(13).health = slowFrom
-	m.merge(0, &Record{Birth: 14, Inc: 1, Status: Left, Info: info("n4")})
+	m.mergeRecord(0, &Record{ID: 10, Incarnation: 2, Info: info("n0"), PausedMs: 5000})
+	m.mergeRecord(0, &Record{ID: 30, Incarnation: 1, Info: info("n1")})
+	m.mergeRecord(0, &Record{ID: 12, Incarnation: 1, Status: Suspect, Reporter: 13, Info: info("n2")})
+	m.lookup(13).health = slowThreshold
+	m.mergeRecord(0, &Record{ID: 14, Incarnation: 1, Status: Left, Info: info("n4")})
 	for i := range 3 {
-		m.takeLink(0, Link{By: uint64(15 + i), From: uint64(15 + i), To: uint64(16 - i%2), Kind: Sends, Seq: 1})
+		m.mergeReachability(0, Reachability{Observer: uint64(15 + i), From: uint64(15 + i), To: uint64(16 - i%2), State: LinkDown, Seq: 1})
 	}
 	v := m.View(time.Second)
 	states := map[string]State{}
 	for _, s := range v.Members {
-		if s.Birth != birthText(30) {
+		if s.ID != idText(30) {
 			states[s.Name] = s.State
 		}
 	}
-	require.Equal(t, map[string]State{"self": IsAlive, "n0": IsPaused, "n1": IsAlive, "n2": IsUnsure, "n3": IsSlow, "n4": IsLeft, "n5": states["n5"], "n6": IsCut, "n7": IsAlive}, states)
-	require.Equal(t, []string{"n1"}, v.Twice)
-	require.Len(t, m.Ended(5), 1)
-	require.Equal(t, "n4", m.Ended(5)[0].Name)
+	require.Equal(t, map[string]State{"self": StateAlive, "n0": StatePaused, "n1": StateAlive, "n2": StateSuspect, "n3": StateSlow, "n4": StateLeft, "n5": states["n5"], "n6": StateUnreachable, "n7": StateAlive}, states)
+	require.Equal(t, []string{"n1"}, v.DuplicateNames)
+	require.Len(t, m.EndedInstances(5), 1)
+	require.Equal(t, "n4", m.EndedInstances(5)[0].Name)
 	require.Empty(t, Diff(v, v))
 	w := machine(t, 0).View(0)
-	w.Members[0].Birth = "other"
+	w.Members[0].ID = "other"
 	require.NotEmpty(t, Diff(v, w))
 }
--- a/internal/controlplane/membership/print.go
+++ b/internal/controlplane/membership/print.go
@@ -8,77 +8,77 @@
 	"time"
 )
 
-// Print writes down the state, but for what was drawn: states that print alike go on alike. Times are told from now.
-func (m *Machine) Print(now time.Duration, name func(uint64) string) string {
+// DebugString writes down the state, but for what was drawn: states that print alike go on alike. Times are told from now.
+func (m *Node) DebugString(now time.Duration, name func(uint64) string) string {
 	var b strings.Builder
 	ago := func(t time.Duration) int64 { return (now - t).Milliseconds() }
-	fmt.Fprintf(&b, "%s.%d %v score %d alone %v poked %d heard %d next %d/%d", name(m.self.Birth), m.self.Inc, m.self.Status, m.score, m.alone,
-		min(ago(m.poked), 1000), ago(m.heard), ago(m.nextProbe), ago(m.nextCompare))
-	for _, i := range m.sorted() {
-		e := &m.table[i]
-		fmt.Fprintf(&b, " [%s.%d %v since %d heard %d]", name(e.birth), e.inc, e.status, ago(e.since), ago(e.heard))
+	fmt.Fprintf(&b, "%s.%d %v score %d alone %v poked %d heard %d next %d/%d", name(m.self.ID), m.self.Incarnation, m.self.Status, m.healthScore, m.isolated,
+		min(ago(m.lastUrgentGossip), 1000), ago(m.lastHeardAt), ago(m.nextProbe), ago(m.nextSync))
+	for _, i := range m.sortedIndexes() {
+		e := &m.members[i]
+		fmt.Fprintf(&b, " [%s.%d %v since %d heard %d]", name(e.id), e.incarnation, e.status, ago(e.statusSince), ago(e.lastHeardAt))
 	}
-	for _, s := range m.susp {
-		fmt.Fprintf(&b, " susp %s %d by", name(s.birth), ago(s.began))
-		for _, x := range s.by {
+	for _, s := range m.suspicions {
+		fmt.Fprintf(&b, " susp %s %d by", name(s.id), ago(s.startedAt))
+		for _, x := range s.reporters {
 			b.WriteString(" " + name(x))
 		}
-		for _, x := range s.buried {
+		for _, x := range s.deathReporters {
 			b.WriteString(" dead by " + name(x))
 		}
 	}
-	if p := m.probe; p != nil {
-		fmt.Fprintf(&b, " probe %s %d asked %d nacks %d answers %v told %v", name(p.birth), ago(p.began), len(p.asked), p.nacks, p.answers, p.told != 0)
+	if p := m.currentProbe; p != nil {
+		fmt.Fprintf(&b, " probe %s %d asked %d nacks %d answers %v told %v", name(p.target), ago(p.startedAt), len(p.helpers), p.nacks, p.acked, p.reachedBy != 0)
 	}
-	for _, d := range m.doubts {
-		fmt.Fprintf(&b, " doubt %s %d %d %d", name(d.birth), d.fails, d.seen, d.stream)
+	for _, d := range m.suspectPaths {
+		fmt.Fprintf(&b, " doubt %s %d %d %d", name(d.target), d.failures, d.pingsSeen, d.streamAcks)
 	}
-	for _, k := range m.linkKeys() {
-		fmt.Fprintf(&b, " way %s %s-%s %v", name(k.by), name(k.from), name(k.to), m.links[k].Kind)
+	for _, k := range m.sortedReachKeys() {
+		fmt.Fprintf(&b, " way %s %s-%s %v", name(k.observer), name(k.from), name(k.to), m.reachability[k].State)
 	}
-	for _, u := range m.queue {
-		fmt.Fprintf(&b, " tell %s.%d %v %s %d", name(u.Birth), u.Inc, u.Status, name(u.By), u.sent)
+	for _, u := range m.broadcasts {
+		fmt.Fprintf(&b, " tell %s.%d %v %s %d", name(u.ID), u.Incarnation, u.Status, name(u.Reporter), u.transmissions)
 	}
-	missed := make([]string, 0, len(m.missed))
-	for x := range m.missed {
+	missed := make([]string, 0, len(m.missedProbes))
+	for x := range m.missedProbes {
 		missed = append(missed, name(x))
 	}
 	slices.Sort(missed)
 	fmt.Fprint(&b, " missed ", missed, " order")
-	for i := range m.order {
-		b.WriteString(" " + name(m.order[i]))
+	for i := range m.rotation {
+		b.WriteString(" " + name(m.rotation[i]))
 	}
-	fmt.Fprint(&b, " at ", m.turn)
+	fmt.Fprint(&b, " at ", m.rotationPos)
 	return b.String()
 }
 
-func (m *Machine) sorted() []int {
-	order := make([]int, len(m.table))
+func (m *Node) sortedIndexes() []int {
+	order := make([]int, len(m.members))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(m.table[a].birth, m.table[b].birth) })
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(m.members[a].id, m.members[b].id) })
 	return order
 }
 
-// Known is the view's word on one life; false: none.
-func (m *Machine) Known(birth uint64) (Record, bool) {
-	e := m.entry(birth)
+// Lookup is the view's word on one life; false: none.
+func (m *Node) Lookup(birth uint64) (Record, bool) {
+	e := m.lookup(birth)
 	if e == nil {
 		return Record{}, false
 	}
-	return m.record(e), true
+	return m.recordOf(e), true
 }
 
-// Telling is how many records are still being passed on.
-func (m *Machine) Telling() int { return len(m.queue) }
+// PendingBroadcasts is how many records are still being passed on.
+func (m *Node) PendingBroadcasts() int { return len(m.broadcasts) }
 
-// Suspects are those that have not answered this member itself, with the incarnation that it is of.
-func (m *Machine) Suspects() map[uint64]uint32 {
+// DirectSuspects are those that have not answered this member itself, with the incarnation that it is of.
+func (m *Node) DirectSuspects() map[uint64]uint32 {
 	all := map[uint64]uint32{}
-	for _, s := range m.susp {
-		if slices.Contains(s.by, m.self.Birth) {
-			all[s.birth] = s.inc
+	for _, s := range m.suspicions {
+		if slices.Contains(s.reporters, m.self.ID) {
+			all[s.id] = s.incarnation
 		}
 	}
 	return all
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -199,7 +199,7 @@
 	module := &decisions{loop: loop{run: in.core.Run}, core: in.core, up: up, numbers: numbers}
 	in.parts = parts{module}
 	if known != nil {
-		known.About(tellsOf(in.core, part))
+		known.OnLocalState(tellsOf(in.core, part))
 		in.parts = append(in.parts, known)
 	}
 	if part != nil {
@@ -272,7 +272,7 @@
 }
 
 // fleetParts are an instance's part of fleet-wide budgets and what it does for the fleet; nil where an operator's file has none.
-func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Peers, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
+func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Runner, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
 	}
--- a/internal/testbed/faults/members_test.go
+++ b/internal/testbed/faults/members_test.go
@@ -21,7 +21,7 @@
 const probeMs = 400
 
 // everyone tells whether all members that run, but for some, tell so of a name.
-func (m *Mesh) everyone(name string, is func(membership.Seen) bool, but ...int) bool {
+func (m *Mesh) everyone(name string, is func(membership.MemberView) bool, but ...int) bool {
 	for _, n := range m.Nodes {
 		if n.Runs() && !n.Stopped() && n.Name() != name && !slices.Contains(but, n.N) && !is(n.State(name)) {
 			return false
@@ -30,12 +30,12 @@
 	return true
 }
 
-func in(states ...membership.State) func(membership.Seen) bool {
-	return func(s membership.Seen) bool { return slices.Contains(states, s.State) }
+func in(states ...membership.State) func(membership.MemberView) bool {
+	return func(s membership.MemberView) bool { return slices.Contains(states, s.State) }
 }
 
-func living(s membership.Seen) bool {
-	return s.Name != "" && !in(membership.IsDead, membership.IsLeft)(s)
+func living(s membership.MemberView) bool {
+	return s.Name != "" && !in(membership.StateDead, membership.StateLeft)(s)
 }
 
 // TestMembers starts twenty instances without agents and plays, one after the other, what can happen to one of them and to the ways
@@ -51,18 +51,18 @@
 	defer stop()
 
 	// Paused past its suspicion, buried, and back as the same life.
-	birth := m.Nodes[3].State("m3").Birth
+	birth := m.Nodes[3].State("m3").ID
 	m.Nodes[3].Pause()
-	buried := r.Until("a member that stands still is held dead", func() bool { return m.everyone("m3", in(membership.IsDead), 3) })
+	buried := r.Until("a member that stands still is held dead", func() bool { return m.everyone("m3", in(membership.StateDead), 3) })
 	m.Nodes[3].Resume()
 	r.Until("it is back", func() bool {
-		return m.everyone("m3", func(s membership.Seen) bool { return living(s) && s.Birth == birth && s.Inc > 1 }) && m.Level()
+		return m.everyone("m3", func(s membership.MemberView) bool { return living(s) && s.ID == birth && s.Incarnation > 1 }) && m.Level()
 	})
 	require.Contains(t, m.Nodes[3].Log()+m.Nodes[0].Log(), "MEMBER_DEAD")
 
 	// Killed, and started again: a later life.
 	m.Nodes[4].Kill()
-	killed := r.Until("a member that died is held dead", func() bool { return m.everyone("m4", in(membership.IsDead)) })
+	killed := r.Until("a member that died is held dead", func() bool { return m.everyone("m4", in(membership.StateDead)) })
 	m.Nodes[4].Restart()
 	r.Until("its later life is known", func() bool { return m.everyone("m4", living) && m.Level() })
 
@@ -71,7 +71,7 @@
 	named := r.Until("a way that is cut is named", func() bool {
 		for _, at := range []int{0, 1, 9} {
 			v, _ := m.Nodes[at].View()
-			if !slices.ContainsFunc(v.Ways, func(w membership.Way) bool { return w.From == "m0" && w.To == "m1" && w.Kind == "cut" }) {
+			if !slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.From == "m0" && w.To == "m1" && w.Kind == "cut" }) {
 				return false
 			}
 		}
@@ -83,7 +83,7 @@
 	m.Heal()
 	r.Until("it is taken back", func() bool {
 		v, _ := m.Nodes[9].View()
-		return len(v.Ways) == 0
+		return len(v.Paths) == 0
 	})
 
 	// Its datagrams are blocked and streams pass: it lives, and it is told why it is hard to reach.
@@ -93,7 +93,7 @@
 	}
 	r.Until("datagrams that are blocked are told", func() bool {
 		v, _ := m.Nodes[7].View()
-		return slices.ContainsFunc(v.Ways, func(w membership.Way) bool { return w.Kind == "datagrams cut" })
+		return slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.Kind == "datagrams cut" })
 	})
 	require.True(t, living(m.Nodes[0].State("m7")))
 	m.Heal()
@@ -104,9 +104,9 @@
 	}
 	r.Until("a mute member knows it", func() bool {
 		v, _ := m.Nodes[5].View()
-		return strings.Contains(v.Alone, "none hears us")
+		return strings.Contains(v.Isolation, "none hears us")
 	})
-	r.Until("the others hold it dead", func() bool { return m.everyone("m5", in(membership.IsDead), 5) })
+	r.Until("the others hold it dead", func() bool { return m.everyone("m5", in(membership.StateDead), 5) })
 	v, _ := m.Nodes[5].View()
 	require.Equal(t, 20, v.Size, "who hears nobody judges nobody")
 	require.Contains(t, m.Nodes[5].Log(), "MEMBERS_ALONE")
@@ -141,7 +141,7 @@
 
 	// Left in order.
 	require.True(t, m.Nodes[6].Stop(20*time.Second))
-	r.Until("a member that left is told so", func() bool { return m.everyone("m6", in(membership.IsLeft)) })
+	r.Until("a member that left is told so", func() bool { return m.everyone("m6", in(membership.StateLeft)) })
 	out, code, _ = r.Run("members", "--from", m.Nodes[0].Control, "--json")
 	require.Zero(t, code)
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
@@ -242,21 +242,21 @@
 	// Heard by one alone: it lives, for all.
 	births := map[string]string{}
 	for i := range 10 {
-		births[m.Nodes[i].Name()] = m.Nodes[0].State(m.Nodes[i].Name()).Birth
+		births[m.Nodes[i].Name()] = m.Nodes[0].State(m.Nodes[i].Name()).ID
 		if i != 4 && i != 5 {
 			m.Set(4, i, Cut)
 		}
 	}
 	time.Sleep(20 * probeMs * time.Millisecond)
 	for i := range 10 {
-		require.NotEqual(t, membership.IsDead, m.Nodes[i].State("m4").State, "at m%d", i)
+		require.NotEqual(t, membership.StateDead, m.Nodes[i].State("m4").State, "at m%d", i)
 	}
 	m.Heal()
 
 	// Three in ten messages lost, and a kill: found all the same, and nobody else is.
 	m.All(Passing{Loss: 0.3})
 	m.Nodes[9].Kill()
-	r.Until("a death is found among losses", func() bool { return m.everyone("m9", in(membership.IsDead)) })
+	r.Until("a death is found among losses", func() bool { return m.everyone("m9", in(membership.StateDead)) })
 	for i := range 9 {
 		require.True(t, living(m.Nodes[0].State(m.Nodes[i].Name())) || m.Nodes[0].State(m.Nodes[i].Name()).Self)
 	}
@@ -280,7 +280,7 @@
 	}
 	r.Until("half of all are known as later lives", func() bool {
 		for i := range 5 {
-			if s := m.Nodes[7].State(m.Nodes[i].Name()); !living(s) || s.Birth == births[s.Name] {
+			if s := m.Nodes[7].State(m.Nodes[i].Name()); !living(s) || s.ID == births[s.Name] {
 				return false
 			}
 		}
@@ -290,7 +290,7 @@
 	// All seeds dead: those who know each other go on, and one that starts knows nobody until a seed is back.
 	m.Nodes[0].Kill()
 	m.Nodes[10].Begin()
-	r.Until("the seed's death is known", func() bool { return m.everyone("m0", in(membership.IsDead), 10) })
+	r.Until("the seed's death is known", func() bool { return m.everyone("m0", in(membership.StateDead), 10) })
 	v, ok := m.Nodes[10].View()
 	require.True(t, ok)
 	require.Equal(t, 1, v.Size)
@@ -306,15 +306,15 @@
 	defer socket.Close()
 	elder := m.Nodes[11].Upgrade(socket, FreeAddrs(t, 1)[0])
 	r.Until("the elder is known", func() bool { return living(m.Nodes[1].State("m11")) })
-	first := m.Nodes[1].State("m11").Birth
+	first := m.Nodes[1].State("m11").ID
 	younger := m.Nodes[11].Upgrade(socket, FreeAddrs(t, 1)[0])
 	r.Until("the elder leaves by itself", func() bool { return !elder.Proc.Alive() })
 	r.Until("the younger one is known, at the address of its name", func() bool {
 		s := m.Nodes[1].State("m11")
-		return living(s) && s.Birth != first && s.Addr == m.Nodes[11].advertise
+		return living(s) && s.ID != first && s.Addr == m.Nodes[11].advertise
 	})
 	v, _ = m.Nodes[1].View()
-	require.True(t, slices.ContainsFunc(v.Members, func(s membership.Seen) bool { return s.Birth == first && s.State == membership.IsLeft }), "the elder has left")
-	require.Empty(t, v.Twice)
+	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == first && s.State == membership.StateLeft }), "the elder has left")
+	require.Empty(t, v.DuplicateNames)
 	younger.Kill()
 }
--- a/internal/testbed/faults/mesh.go
+++ b/internal/testbed/faults/mesh.go
@@ -257,10 +257,12 @@
 }
 
 // State is what a member tells of the living or last life of another.
-func (n *Node) State(name string) (s membership.Seen) {
+func (n *Node) State(name string) (s membership.MemberView) {
 	v, _ := n.View()
 	for _, x := range v.Members {
-		ended := func(x membership.Seen) bool { return x.State == membership.IsDead || x.State == membership.IsLeft }
+		ended := func(x membership.MemberView) bool {
+			return x.State == membership.StateDead || x.State == membership.StateLeft
+		}
 		if x.Name == name && (s.Name == "" || ended(s) || !ended(x)) {
 			s = x
 		}
@@ -313,7 +315,7 @@
 				self := ""
 				for _, x := range v.Members {
 					if x.Self {
-						self = x.Birth
+						self = x.ID
 					}
 				}
 				if self != birth {
@@ -323,13 +325,13 @@
 				if now := v.Counts.Starved + v.Counts.Pauses; now > late {
 					starved[n.Name()], late = append(starved[n.Name()], time.Now()), now
 				}
-				for i := max(0, len(v.Changes)-(v.Ever-seen)); i < len(v.Changes); i++ {
-					if e := v.Changes[i]; e.To == "dead" && healthy(e.Name) {
-						at := time.Now().Add(-time.Duration(v.ChangesS[i] * float64(time.Second)))
-						all = append(all, verdict{at, e.Name, fmt.Sprintf("%s: %s %s: %s", n.Name(), e.Name, e.To, e.Why)})
+				for i := max(0, len(v.Events)-(v.EventCount-seen)); i < len(v.Events); i++ {
+					if e := v.Events[i]; e.Status == "dead" && healthy(e.Name) {
+						at := time.Now().Add(-time.Duration(v.EventAgesS[i] * float64(time.Second)))
+						all = append(all, verdict{at, e.Name, fmt.Sprintf("%s: %s %s: %s", n.Name(), e.Name, e.Status, e.Reason)})
 					}
 				}
-				seen = v.Ever
+				seen = v.EventCount
 				mu.Unlock()
 			}
 		})
--- a/internal/testbed/model/mesh/measure.go
+++ b/internal/testbed/model/mesh/measure.go
@@ -42,7 +42,7 @@
 	s.Loss, s.Joined = t.Loss, true
 	m := New(s)
 	m.Bytes = size
-	row := Row{Trouble: t.Name, Size: s.Size, Plain: s.Settings.Plain}
+	row := Row{Trouble: t.Name, Size: s.Size, Plain: s.Settings.DisableLifeguard}
 	if t.Cut > 0 {
 		cut := map[[2]int]bool{}
 		for i := range s.Size {
@@ -52,7 +52,7 @@
 				}
 			}
 		}
-		m.Cut = func(from, to *Node, _ membership.Via) bool { return cut[[2]int{from.N, to.N}] }
+		m.Cut = func(from, to *Node, _ membership.Channel) bool { return cut[[2]int{from.N, to.N}] }
 	}
 	name := map[string]*Node{}
 	for _, n := range m.Nodes {
@@ -64,7 +64,7 @@
 	// A verdict is false of one that lives and has never stood still.
 	for _, n := range m.Nodes {
 		n.Watch = func(now time.Duration, e membership.Event) {
-			if e.To != "dead" {
+			if e.Status != "dead" {
 				return
 			}
 			of := name[e.Name]
@@ -113,13 +113,13 @@
 				living++
 			}
 		}
-		_, ok := m.Until(s.Settings.Period/4, 300*s.Settings.Period, func() bool { return len(verdicts[victim]) >= living })
+		_, ok := m.Until(s.Settings.ProbeInterval/4, 300*s.Settings.ProbeInterval, func() bool { return len(verdicts[victim]) >= living })
 		v := verdicts[victim]
 		if !ok {
 			return row, fmt.Errorf("%s, size %d: %d of %d have found the death of %d", t.Name, s.Size, len(v), living, victim)
 		}
 		slices.Sort(v)
-		period := s.Settings.Period.Seconds() * float64(kills)
+		period := s.Settings.ProbeInterval.Seconds() * float64(kills)
 		row.First += v[0].Seconds() / period
 		row.Half += v[len(v)/2].Seconds() / period
 		row.All += v[living-1].Seconds() / period
@@ -130,7 +130,7 @@
 	ending = true
 	m.spec.Loss, m.Cut = 0, nil
 	m.Run(5 * time.Second)
-	took, ok := m.Until(s.Settings.Period/2, 600*s.Settings.Period, m.Level)
+	took, ok := m.Until(s.Settings.ProbeInterval/2, 600*s.Settings.ProbeInterval, m.Level)
 	if row.MeetS = took.Seconds() + 5; !ok {
 		return row, fmt.Errorf("%s, size %d: views do not meet", t.Name, s.Size)
 	}
--- a/internal/testbed/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -17,7 +17,7 @@
 	Size     int
 	Zones    int // 1 where it is not told
 	Seed     uint64
-	Settings membership.Settings
+	Settings membership.Config
 	Loss     float64       // part of the datagrams
 	Delay    time.Duration // mean way of a message; exponential besides a floor of half of it
 	Joined   bool          // all know all at the beginning; else they join by the first three
@@ -34,7 +34,7 @@
 	Nodes []*Node
 	at    map[string]*Node
 	// Cut tells whether what goes from one to another is lost; nil: nothing is.
-	Cut   func(from, to *Node, via membership.Via) bool
+	Cut   func(from, to *Node, via membership.Channel) bool
 	Bytes func(*membership.Message) int // the size of a message; nil: not counted
 }
 
@@ -42,7 +42,7 @@
 type Node struct {
 	N       int
 	Zone    int
-	M       *membership.Machine
+	M       *membership.Node
 	lives   int
 	Alive   bool
 	paused  time.Duration // until then
@@ -60,7 +60,7 @@
 	seq uint64
 	to  *Node
 	msg *membership.Message
-	via membership.Via
+	via membership.Channel
 	do  func()
 }
 
@@ -95,9 +95,9 @@
 		all = append(all, n.M.Self())
 	}
 	if s.Joined {
-		infos := membership.Shared(all)
+		infos := membership.SharedInfos(all)
 		for _, n := range m.Nodes {
-			n.M.Know(m.now, all, infos)
+			n.M.Preload(m.now, all, infos)
 		}
 	}
 	return m
@@ -124,7 +124,7 @@
 // Leave ends it in order: it lives on for a little, so that its word gets through.
 func (m *Mesh) Leave(n *Node) {
 	m.send(n, n.M.Leave(m.now))
-	m.After(m.spec.Settings.Period, func() { n.Alive = false })
+	m.After(m.spec.Settings.ProbeInterval, func() { n.Alive = false })
 }
 
 // Pause has a node stand still for a time; what comes meanwhile waits for it, the last 256 of it.
@@ -159,7 +159,7 @@
 }
 
 func (m *Mesh) schedule(n *Node) {
-	if at := max(n.M.Next(), m.now); n.tick != at {
+	if at := max(n.M.NextTick(), m.now); n.tick != at {
 		n.tick = at
 		life := n.lives
 		m.push(event{at: at, do: func() {
@@ -197,25 +197,25 @@
 	if n.Watch == nil {
 		return
 	}
-	all, total := n.M.Changed()
+	all, total := n.M.Events()
 	for i := max(0, len(all)-(total-n.seen)); i < len(all); i++ {
 		n.Watch(m.now, all[i])
 	}
 	n.seen = total
 }
 
-func (m *Mesh) send(from *Node, list []membership.Send) {
+func (m *Mesh) send(from *Node, list []membership.Outgoing) {
 	for _, s := range list {
 		from.Sent++
 		if m.Bytes != nil {
 			from.SentB += int64(m.Bytes(s.Message))
 		}
 		to := m.at[s.Addr]
-		if to == nil || s.Via == membership.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Via) {
+		if to == nil || s.Channel == membership.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Channel) {
 			continue
 		}
 		way := time.Duration(float64(m.spec.Delay) * (0.5 - 0.5*math.Log(1-m.rng.Float64())))
-		m.push(event{at: m.now + way, to: to, msg: s.Message, via: s.Via})
+		m.push(event{at: m.now + way, to: to, msg: s.Message, via: s.Channel})
 	}
 }
 
@@ -249,9 +249,9 @@
 			continue
 		}
 		if first {
-			digest, first = n.M.Digest(), false
+			digest, first = n.M.AliveDigest(), false
 		}
-		if n.M.Digest() != digest || n.M.Size() != living {
+		if n.M.AliveDigest() != digest || n.M.Size() != living {
 			return false
 		}
 	}
--- a/internal/testbed/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -10,9 +10,9 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-func usual() membership.Settings {
-	s := membership.Usual
-	s.Fleet = 7
+func usual() membership.Config {
+	s := membership.DefaultConfig
+	s.FleetID = 7
 	return s
 }
 
@@ -46,7 +46,7 @@
 		var rows [2]Row
 		for i, plain := range []bool{false, true} {
 			s := usual()
-			s.Plain = plain
+			s.DisableLifeguard = plain
 			row, err := Measure(Spec{Size: 40, Seed: 3, Settings: s, Delay: 2 * time.Millisecond}, trouble, 5*time.Minute, 8, nil)
 			require.NoError(t, err)
 			rows[i] = row
@@ -64,7 +64,7 @@
 // TestHalves parts a fleet for a minute and joins it: all hold the same view again, and no incarnation is lost.
 func TestHalves(t *testing.T) {
 	m := New(Spec{Size: 20, Seed: 5, Settings: usual(), Delay: time.Millisecond, Joined: true})
-	m.Cut = func(from, to *Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	require.Equal(t, 10, m.Nodes[0].M.Size())
 	m.Cut = nil
--- a/internal/testbed/modelcheck/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -121,8 +121,8 @@
 				}
 			}
 			for i, n := range w.nodes {
-				ways := n.m.View(w.clock(i)).Ways
-				if len(ways) != 1 || ways[0].From != addr(from) || ways[0].To != addr(to) || ways[0].Kind != membership.Sends.String() {
+				ways := n.m.View(w.clock(i)).Paths
+				if len(ways) != 1 || ways[0].From != addr(from) || ways[0].To != addr(to) || ways[0].Kind != membership.LinkDown.String() {
 					t.Errorf("broken: from %d to %d is cut, and %s tells of %+v", from, to, addr(i), ways)
 				}
 			}
@@ -133,7 +133,7 @@
 				}
 			}
 			for i, n := range w.nodes {
-				if ways := n.m.View(w.clock(i)).Ways; len(ways) > 0 {
+				if ways := n.m.View(w.clock(i)).Paths; len(ways) > 0 {
 					t.Errorf("broken: all is mended, and %s tells of %+v", addr(i), ways)
 				}
 			}
@@ -144,20 +144,20 @@
 // TestFar parts a fleet too large for all to probe all in time, has members join on either side, and mends it: views meet, by being
 // compared, within a bound.
 func TestFar(t *testing.T) {
-	set := membership.Usual
-	set.Fleet = key
+	set := membership.DefaultConfig
+	set.FleetID = key
 	m := mesh.New(mesh.Spec{Size: 60, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true})
 	for i := 40; i < 60; i++ {
 		m.Kill(m.Nodes[i])
 	}
-	m.Cut = func(from, to *mesh.Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	for i := 40; i < 60; i++ {
 		m.Start(m.Nodes[i])
 	}
 	m.Run(time.Minute)
 	m.Cut = nil
-	if took, ok := m.Until(100*time.Millisecond, 20*set.Period, m.Level); !ok {
+	if took, ok := m.Until(100*time.Millisecond, 20*set.ProbeInterval, m.Level); !ok {
 		t.Fatal("broken: views do not meet within twenty periods")
 	} else {
 		t.Log("views meet after", took)
@@ -166,13 +166,13 @@
 
 // TestBuried parts a fleet without seeds until each half has buried the other: they meet again, since the dead are asked now and then.
 func TestBuried(t *testing.T) {
-	set := membership.Usual
-	set.Fleet = key
+	set := membership.DefaultConfig
+	set.FleetID = key
 	m := mesh.New(mesh.Spec{Size: 20, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true, Seedless: true})
-	m.Cut = func(from, to *mesh.Node, _ membership.Via) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
 	m.Run(time.Minute)
 	m.Cut = nil
-	if took, ok := m.Until(100*time.Millisecond, 60*set.Period, m.Level); !ok {
+	if took, ok := m.Until(100*time.Millisecond, 60*set.ProbeInterval, m.Level); !ok {
 		t.Fatal("broken: two halves that buried each other do not meet within sixty periods")
 	} else {
 		t.Log("views meet after", took)
--- a/internal/testbed/modelcheck/members/world.go
+++ b/internal/testbed/modelcheck/members/world.go
@@ -65,11 +65,11 @@
 	mostOld = 12 // messages that may arrive again
 )
 
-var settings = membership.Settings{Fleet: key, Period: period, Timeout: timeout, Helpers: 2, Suspect: 2, Stretch: 3, Reporters: 2, Repeats: 2,
-	Compare: 3 * period, Jump: 1500 * time.Millisecond, Forget: time.Hour}
+var settings = membership.Config{FleetID: key, ProbeInterval: period, ProbeTimeout: timeout, IndirectProbes: 2, SuspicionMult: 2, SuspicionMaxMult: 3, Confirmations: 2, RetransmitMult: 2,
+	SyncInterval: 3 * period, PauseThreshold: 1500 * time.Millisecond, TombstoneTTL: time.Hour}
 
 type node struct {
-	m       *membership.Machine
+	m       *membership.Node
 	rate    float64
 	lives   int
 	alive   bool
@@ -90,7 +90,7 @@
 
 type letter struct {
 	from, to int
-	via      membership.Via
+	via      membership.Channel
 	*membership.Message
 }
 
@@ -131,7 +131,7 @@
 			all = append(all, n.m.Self())
 		}
 		for i, n := range w.nodes {
-			n.m.Know(w.clock(i), all, membership.Shared(all))
+			n.m.Preload(w.clock(i), all, membership.SharedInfos(all))
 		}
 	}
 	for i := range w.nodes {
@@ -239,7 +239,7 @@
 		n.paused, n.stood = true, w.clock(s.On)
 	case Resume:
 		n.paused = false
-		if w.clock(s.On)-n.stood > settings.Jump+period { // whatever was due in between
+		if w.clock(s.On)-n.stood > settings.PauseThreshold+period { // whatever was due in between
 			n.resumed = w.clock(s.On)
 		}
 		w.send(s.On, n.m.Tick(w.clock(s.On))) // the clock first
@@ -259,7 +259,7 @@
 		w.start(s.On)
 	case Leave:
 		n.leaves = true
-		w.left[n.m.Self().Birth] = true
+		w.left[n.m.Self().ID] = true
 		w.send(s.On, n.m.Leave(w.clock(s.On)))
 		if err := w.check(s.On, "leave"); err != nil {
 			return err
@@ -267,22 +267,22 @@
 	case Old:
 		l := w.old[s.On]
 		if to := w.nodes[l.to]; to.alive && !to.paused {
-			before := to.m.Self().Inc
+			before := to.m.Self().Incarnation
 			held := w.view(l.to)
 			to.m.Receive(w.clock(l.to), l.Message, l.via)
-			if fresh := l.Echo != 0 && w.names[l.From.Birth] != "" && w.now-time.Duration(0) == 0; !fresh {
-				if to.m.Self().Inc != before || !same(held, w.view(l.to)) {
-					return fmt.Errorf("broken: an old %v from %s changed the view of %s", l.Kind, w.names[l.From.Birth], addr(l.to))
+			if fresh := l.Echo != 0 && w.names[l.From.ID] != "" && w.now-time.Duration(0) == 0; !fresh {
+				if to.m.Self().Incarnation != before || !same(held, w.view(l.to)) {
+					return fmt.Errorf("broken: an old %v from %s changed the view of %s", l.Kind, w.names[l.From.ID], addr(l.to))
 				}
 			}
 		}
 	case Foreign:
-		for _, kind := range []membership.Kind{membership.Ping, membership.Ack, membership.Page} {
-			x := &membership.Message{Version: membership.Version, Fleet: key + 1, Kind: kind, From: membership.Record{Birth: 99, Inc: 1, Info: membership.Info{Name: "x", Addr: "x"}},
-				Nonce: 5, You: &membership.Word{Inc: n.m.Self().Inc, Status: membership.Suspect}}
-			held, inc := w.view(s.On), n.m.Self().Inc
+		for _, kind := range []membership.MessageKind{membership.Ping, membership.Ack, membership.SyncPage} {
+			x := &membership.Message{Version: membership.Version, FleetID: key + 1, Kind: kind, From: membership.Record{ID: 99, Incarnation: 1, Info: membership.Info{Name: "x", Addr: "x"}},
+				Nonce: 5, Opinion: &membership.Opinion{Incarnation: n.m.Self().Incarnation, Status: membership.Suspect}}
+			held, inc := w.view(s.On), n.m.Self().Incarnation
 			out := n.m.Receive(w.clock(s.On), x, membership.Datagram) // what was due in any case may go out
-			if slices.ContainsFunc(out, func(o membership.Send) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.m.Self().Inc != inc {
+			if slices.ContainsFunc(out, func(o membership.Outgoing) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.m.Self().Incarnation != inc {
 				return fmt.Errorf("broken: another fleet's %v changed or drew something at %s", kind, addr(s.On))
 			}
 		}
@@ -295,7 +295,7 @@
 		return false
 	}
 	for k, x := range a {
-		if y, ok := b[k]; !ok || x.Inc != y.Inc || x.Status != y.Status {
+		if y, ok := b[k]; !ok || x.Incarnation != y.Incarnation || x.Status != y.Status {
 			return false
 		}
 	}
@@ -309,7 +309,7 @@
 		at, who := end, -1
 		for i, n := range w.nodes {
 			if n.alive && !n.paused {
-				if due := max(w.now, time.Duration(float64(n.m.Next())/n.rate)+1); due < at {
+				if due := max(w.now, time.Duration(float64(n.m.NextTick())/n.rate)+1); due < at {
 					at, who = due, i
 				}
 			}
@@ -328,14 +328,14 @@
 	}
 }
 
-func (w *World) send(from int, list []membership.Send) {
+func (w *World) send(from int, list []membership.Outgoing) {
 	for _, s := range list {
 		w.sent++
 		to := int(s.Addr[0] - 'a')
-		if err := s.Check(); err != nil {
+		if err := s.Validate(); err != nil {
 			panic(fmt.Sprintf("%s sends what nobody reads: %v", addr(from), err))
 		}
-		l := letter{from, to, s.Via, s.Message}
+		l := letter{from, to, s.Channel, s.Message}
 		if w.hushed || w.cut[[2]int{from, to}] || !w.nodes[to].alive {
 			continue
 		}
@@ -366,38 +366,38 @@
 
 func (w *World) receive(l letter) error {
 	to := w.nodes[l.to]
-	if slices.Contains(w.set.Ops, Old) && (l.Echo != 0 || len(l.Records) > 0 || l.You != nil && l.You.Status != membership.Alive) && len(w.old) < mostOld {
+	if slices.Contains(w.set.Ops, Old) && (l.Echo != 0 || len(l.Records) > 0 || l.Opinion != nil && l.Opinion.Status != membership.Alive) && len(w.old) < mostOld {
 		w.old = append(w.old, l)
 	}
 	before := to.m.Counts
 	held := w.view(l.to)
-	inc := to.m.Self().Inc
+	inc := to.m.Self().Incarnation
 	w.send(l.to, to.m.Receive(w.clock(l.to), l.Message, l.via))
 	to.came = w.clock(l.to)
 	c := to.m.Counts
 	believed := l.Echo != 0 && c.Stale == before.Stale && c.Foreign == before.Foreign && c.Misdirected == before.Misdirected
 	if believed {
 		for _, r := range append(slices.Clone(l.Records), l.From) {
-			if r.Birth == to.m.Self().Birth {
-				if r.Status == membership.Suspect && r.Inc == inc && !to.leaves && to.m.Self().Inc == inc {
+			if r.ID == to.m.Self().ID {
+				if r.Status == membership.Suspect && r.Incarnation == inc && !to.leaves && to.m.Self().Incarnation == inc {
 					return fmt.Errorf("broken: %s is told that it is suspected, and does not refute it", addr(l.to))
 				}
 				continue
 			}
-			was, knew := held[r.Birth]
-			is, knows := to.m.Known(r.Birth)
+			was, knew := held[r.ID]
+			is, knows := to.m.Lookup(r.ID)
 			switch {
 			case !knows:
-				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(l.to), w.names[r.Birth])
-			case r.Status == membership.Alive && knew && r.Inc > was.Inc && (is.Inc < r.Inc || is.Status == membership.Dead && is.Inc <= r.Inc):
-				return fmt.Errorf("broken: %s holds %s dead that has refuted it", addr(l.to), w.names[r.Birth])
-			case knew && r.Inc < was.Inc && r.Status != membership.Alive && is.Status != was.Status && is.Status == r.Status:
-				return fmt.Errorf("broken: %s took an older word on %s", addr(l.to), w.names[r.Birth])
+				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(l.to), w.names[r.ID])
+			case r.Status == membership.Alive && knew && r.Incarnation > was.Incarnation && (is.Incarnation < r.Incarnation || is.Status == membership.Dead && is.Incarnation <= r.Incarnation):
+				return fmt.Errorf("broken: %s holds %s dead that has refuted it", addr(l.to), w.names[r.ID])
+			case knew && r.Incarnation < was.Incarnation && r.Status != membership.Alive && is.Status != was.Status && is.Status == r.Status:
+				return fmt.Errorf("broken: %s took an older word on %s", addr(l.to), w.names[r.ID])
 			}
 		}
 	} else {
 		for birth, was := range held {
-			if is, ok := to.m.Known(birth); !ok || is.Status != was.Status || is.Inc != was.Inc {
+			if is, ok := to.m.Lookup(birth); !ok || is.Status != was.Status || is.Incarnation != was.Incarnation {
 				return fmt.Errorf("broken: an unverified %v changed what %s knows of %s", l.Kind, addr(l.to), w.names[birth])
 			}
 		}
@@ -411,7 +411,7 @@
 func (w *World) view(i int) map[uint64]membership.Record {
 	v := map[uint64]membership.Record{}
 	for b := range w.names {
-		if r, ok := w.nodes[i].m.Known(b); ok {
+		if r, ok := w.nodes[i].m.Lookup(b); ok {
 			v[b] = r
 		}
 	}
@@ -423,42 +423,42 @@
 	n := w.nodes[i]
 	now := w.clock(i)
 	self := n.m.Self()
-	if self.Inc < w.incs[self.Birth] {
+	if self.Incarnation < w.incs[self.ID] {
 		return fmt.Errorf("broken: the incarnation of %s went back", addr(i))
 	}
-	w.incs[self.Birth] = self.Inc
-	for b, inc := range n.m.Suspects() {
-		note(w.own, life{b, inc}, self.Birth)
+	w.incs[self.ID] = self.Incarnation
+	for b, inc := range n.m.DirectSuspects() {
+		note(w.own, life{b, inc}, self.ID)
 	}
-	events, ever := n.m.Changed()
+	events, ever := n.m.Events()
 	for _, e := range events[max(0, len(events)-(ever-w.seen[i])):] {
 		switch {
-		case e.To == "dead" && e.Why == "nobody hears it":
+		case e.Status == "dead" && e.Reason == "nobody hears it":
 			if err := w.verdict(i, now, e); err != nil {
 				return err
 			}
-			note(w.buried, life{e.Birth, e.Inc}, self.Birth)
-			if slices.Contains(e.By, self.Birth) {
-				note(w.own, life{e.Birth, e.Inc}, self.Birth)
+			note(w.buried, life{e.ID, e.Incarnation}, self.ID)
+			if slices.Contains(e.Reporters, self.ID) {
+				note(w.own, life{e.ID, e.Incarnation}, self.ID)
 			}
-		case e.To == "dead" && e.Why == "enough hold it dead":
-			if len(w.buried[life{e.Birth, e.Inc}]) < settings.Reporters {
-				return fmt.Errorf("broken: %s took %s for dead by the word of %d", addr(i), w.names[e.Birth], len(w.buried[life{e.Birth, e.Inc}]))
+		case e.Status == "dead" && e.Reason == "enough hold it dead":
+			if len(w.buried[life{e.ID, e.Incarnation}]) < settings.Confirmations {
+				return fmt.Errorf("broken: %s took %s for dead by the word of %d", addr(i), w.names[e.ID], len(w.buried[life{e.ID, e.Incarnation}]))
 			}
-		case e.To == "left" && !w.left[e.Birth]:
-			return fmt.Errorf("broken: %s says that %s left", addr(i), w.names[e.Birth])
+		case e.Status == "left" && !w.left[e.ID]:
+			return fmt.Errorf("broken: %s says that %s left", addr(i), w.names[e.ID])
 		}
 	}
 	w.seen[i] = ever
 	for b, r := range w.view(i) {
 		was, knew := w.held[i][b]
-		if knew && r.Inc < was.Inc {
+		if knew && r.Incarnation < was.Incarnation {
 			return fmt.Errorf("broken: %s went back in what it knows of %s, at %s", addr(i), w.names[b], what)
 		}
-		if r.Inc > w.incs[b] {
+		if r.Incarnation > w.incs[b] {
 			return fmt.Errorf("broken: %s knows %s under an incarnation that it never had", addr(i), w.names[b])
 		}
-		if r.Status == membership.Suspect && (!knew || was.Status != membership.Suspect || was.Inc != r.Inc) {
+		if r.Status == membership.Suspect && (!knew || was.Status != membership.Suspect || was.Incarnation != r.Incarnation) {
 			w.susp[i][b] = now
 		}
 		w.held[i][b] = r
@@ -475,21 +475,21 @@
 
 // verdict checks that one was due: not by one reporter's word before its time, nor by one that stood still or hears nobody.
 func (w *World) verdict(i int, now time.Duration, e membership.Event) error {
-	n, birth := w.nodes[i], e.Birth
+	n, birth := w.nodes[i], e.ID
 	reporters := map[uint64]bool{}
-	for _, by := range e.By {
-		if by == n.m.Self().Birth || w.own[life{birth, e.Inc}][by] { // one that says so of itself
+	for _, by := range e.Reporters {
+		if by == n.m.Self().ID || w.own[life{birth, e.Incarnation}][by] { // one that says so of itself
 			reporters[by] = true
 		}
 	}
 	began := w.susp[i][birth]
-	least := n.m.Least()
+	least := n.m.MinSuspicion()
 	took := now - began
 	switch {
 	case took < least:
 		return fmt.Errorf("broken: %s held %s dead after %v, %v at least are due", addr(i), w.names[birth], took, least)
-	case len(reporters) < settings.Reporters && took < n.m.Most() && w.set.Size > 2:
-		return fmt.Errorf("broken: %s held %s dead after %v by the word of one, who waits %v", addr(i), w.names[birth], took, n.m.Most())
+	case len(reporters) < settings.Confirmations && took < n.m.MaxSuspicion() && w.set.Size > 2:
+		return fmt.Errorf("broken: %s held %s dead after %v by the word of one, who waits %v", addr(i), w.names[birth], took, n.m.MaxSuspicion())
 	case now-n.resumed < least:
 		return fmt.Errorf("broken: %s held %s dead %v after it stood still", addr(i), w.names[birth], now-n.resumed)
 	case w.set.Size > 2 && now-max(n.came, n.resumed) > 4*period*time.Duration(1+8):
@@ -505,7 +505,7 @@
 	for i, n := range w.nodes {
 		fmt.Fprintf(&b, "%d alive %v paused %v mail %d leaves %v: ", n.lives, n.alive, n.paused, len(n.mail), n.leaves)
 		if n.alive {
-			b.WriteString(n.m.Print(w.clock(i), name))
+			b.WriteString(n.m.DebugString(w.clock(i), name))
 		}
 		b.WriteByte('\n')
 	}
@@ -541,7 +541,7 @@
 		}
 	}
 	living := 0
-	var first *membership.Machine
+	var first *membership.Node
 	for _, n := range w.nodes {
 		if n.alive {
 			living++
@@ -555,10 +555,10 @@
 		case !n.alive:
 		case n.m.Size() != living && living > 1:
 			return fmt.Errorf("broken: %s knows %d that live, and there are %d", addr(i), n.m.Size(), living)
-		case n.m.Digest() != first.Digest() && living > 1:
+		case n.m.AliveDigest() != first.AliveDigest() && living > 1:
 			return fmt.Errorf("broken: the views of %s and another do not meet", addr(i))
-		case n.m.Telling() > 0 && living > 1:
-			return fmt.Errorf("broken: %s still passes on %d records", addr(i), n.m.Telling())
+		case n.m.PendingBroadcasts() > 0 && living > 1:
+			return fmt.Errorf("broken: %s still passes on %d records", addr(i), n.m.PendingBroadcasts())
 		}
 	}
 	return nil
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -41,7 +41,7 @@
 	mu      sync.Mutex // of stop and feed
 	stop    context.CancelFunc
 	all     sync.WaitGroup
-	peers   *transport.Peers
+	peers   *transport.Runner
 	feed    follower
 }
 
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -238,7 +238,7 @@
 			opt.Module = &h.module
 		}
 		if x.Bind != "" {
-			opt.Members = &transport.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, Key: h.fleet, Seeds: x.Seeds, Settings: membership.Usual, Log: opt.Log}
+			opt.Members = &transport.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, FleetKey: h.fleet, Seeds: x.Seeds, Config: membership.DefaultConfig, Log: opt.Log}
 		}
 		h.spec[x.Name] = x
 		h.all = append(h.all, hollow.New(opt))
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -29,7 +29,7 @@
 		Sizes: []float64{100, 200, 400, 800, 1600}, Short: []float64{25, 50, 100, 200},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			before := heap()
-			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.Usual, Delay: 2 * time.Millisecond, Joined: true})
+			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.DefaultConfig, Delay: 2 * time.Millisecond, Joined: true})
 			began := cpu()
 			m.Run(lasts(size))
 			used := cpu() - began
