--- a/cmd/spindlehitch/change.go
+++ b/cmd/spindlehitch/change.go
@@ -39,7 +39,7 @@
 			}
 			if over >= 0 {
 				n := uint64(over)
-				c.If = &n
+				c.IfVersion = &n
 			}
 			if replaces != "" {
 				c.Replaces = replaces
@@ -175,27 +175,27 @@
 	if !v.Leads {
 		return nil
 	}
-	fmt.Fprintf(out, "in force at %d of %d (%.4g in 100), put %s ago; %d are silent, %d turned a configuration down\n", v.Have, v.Known, 100*v.Share, after(v.SinceMs),
-		v.Silent, v.Refused)
-	fmt.Fprintf(out, "half had it after %s, 99 in 100 after %s, all after %s\n", after(v.HalfMs), after(v.MostMs), after(v.AllMs))
+	fmt.Fprintf(out, "in force at %d of %d (%.4g in 100), put %s ago; %d are silent, %d turned a configuration down\n", v.Applied, v.Readers, 100*v.AppliedShare, after(v.SinceMs),
+		v.Silent, v.Rejected)
+	fmt.Fprintf(out, "half had it after %s, 99 in 100 after %s, all after %s\n", after(v.HalfMs), after(v.P99Ms), after(v.AllMs))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	if len(v.Relays) > 0 {
 		fmt.Fprintln(w, "RELAY\tREGION\tHAS\tOLD\tREPORTED\tREADERS")
 	}
 	for _, r := range v.Relays {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s ago\t%d\n", r.ID, r.Region, r.Has, ms(r.AgeMs), ms(r.HeardMs), r.Readers)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s ago\t%d\n", r.ID, r.Region, r.Consistent, ms(r.AgeMs), ms(r.LastHeardMs), r.Readers)
 	}
 	if len(v.Lagging) > 0 {
 		fmt.Fprintln(w, "LAGS\tREGION\tRELAY\tHAS\tWHY\tHEARD\tTURNED DOWN")
 	}
 	for _, l := range v.Lagging {
 		down := ""
-		if l.Refused != nil {
-			down = fmt.Sprintf("version %d: %s", l.Refused.Version, l.Refused.Reason)
+		if l.Rejection != nil {
+			down = fmt.Sprintf("version %d: %s", l.Rejection.Version, l.Rejection.Reason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s ago\t%s\n", l.Name, l.Region, l.Relay, l.Has, l.Why, ms(l.HeardMs), down)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s ago\t%s\n", l.Name, l.Region, l.Relay, l.Applied, l.Cause, ms(l.LastHeardMs), down)
 	}
-	if more := v.Known - v.Have - len(v.Lagging); more > 0 {
+	if more := v.Readers - v.Applied - len(v.Lagging); more > 0 {
 		fmt.Fprintf(w, "and %d more that lag\n", more)
 	}
 	return w.Flush()
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -112,7 +112,7 @@
 	require.NoError(t, err)
 	var v agent.StreamStatus
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
-	require.Equal(t, 1, v.Have)
+	require.Equal(t, 1, v.Applied)
 	require.True(t, v.Leads)
 
 	stop()
@@ -139,9 +139,9 @@
 
 // TestInForceTable writes what is known of a version, also where it is little.
 func TestInForceTable(t *testing.T) {
-	v := agent.StreamStatus{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Known: 250, Have: 100, Share: 0.4, Silent: 1,
-		Refused: 1, SinceMs: 1500, HalfMs: -1, MostMs: -1, AllMs: -1,
-		Lagging: []watchstream.Lag{{Name: "n7", Relay: "r1", Has: 7, Why: watchstream.WhyRefused, HeardMs: 20, Refused: &watchstream.TurnedDown{Version: 8, Reason: "a: not a number"}}}}}
+	v := agent.StreamStatus{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Readers: 250, Applied: 100, AppliedShare: 0.4, Silent: 1,
+		Rejected: 1, SinceMs: 1500, HalfMs: -1, P99Ms: -1, AllMs: -1,
+		Lagging: []watchstream.LaggingReader{{Name: "n7", Relay: "r1", Applied: 7, Cause: watchstream.LagRejected, LastHeardMs: 20, Rejection: &watchstream.Rejection{Version: 8, Reason: "a: not a number"}}}}}
 	var b bytes.Buffer
 	require.NoError(t, writeInForce(&b, v))
 	for _, want := range []string{"in force at 100 of 250 (40 in 100), put 1.5s ago", "half had it after not known", "n7", "version 8: a: not a number", "and 149 more that lag"} {
--- a/cmd/spindlehitch/publish.go
+++ b/cmd/spindlehitch/publish.go
@@ -49,12 +49,12 @@
 
 func (s *publishing) run(stop context.Context, log *slog.Logger) {
 	client := &agent.Client{Addrs: s.agents}
-	p := edge.NewPublisher(edge.PublisherOptions{Fleet: s.fleet, Put: client.PutChange, Shed: s.shed, Log: log,
-		Have: func(ctx context.Context) ([]watchstream.Record, error) {
+	p := edge.NewPublisher(edge.PublisherOptions{Fleet: s.fleet, Put: client.PutChange, AllowShrink: s.shed, Log: log,
+		Records: func(ctx context.Context) ([]watchstream.Record, error) {
 			return client.Records(ctx, watchstream.Targets, "")
 		}})
 	var work sync.WaitGroup
-	work.Go(func() { discovery.New(discovery.Options{Addr: s.discovery, Seed: 1, Log: log}, p.Tell).Run(stop) })
+	work.Go(func() { discovery.New(discovery.Options{Addr: s.discovery, Seed: 1, Log: log}, p.SetList).Run(stop) })
 	p.Run(stop)
 	work.Wait()
 }
--- a/cmd/spindlehitch/relay.go
+++ b/cmd/spindlehitch/relay.go
@@ -44,7 +44,7 @@
 	}
 	leader := &agent.Client{Addrs: set.Agents}
 	r, err := edge.NewRelay(edge.RelayOptions{ID: set.ID, Fleet: set.Fleet, Region: set.Region, Agents: set.Agents, Dir: set.Dir, Report: leader.SendReport, Log: log,
-		Source: watchstream.SourceOptions{Rate: float64(*set.Rate), Burst: float64(*set.Burst), Admit: float64(*set.Admit), AdmitBurst: float64(2 * *set.Admit),
+		Source: watchstream.SourceOptions{ReaderRate: float64(*set.Rate), ReaderBurst: float64(*set.Burst), AdmitRate: float64(*set.Admit), AdmitBurst: float64(2 * *set.Admit),
 			MaxReaders: *set.Readers}})
 	if err != nil {
 		l.Close()
--- a/internal/controlplane/agent/feed.go
+++ b/internal/controlplane/agent/feed.go
@@ -36,7 +36,7 @@
 
 	mu             sync.Mutex
 	term           uint64 // of the tally
-	acks           *watchstream.Tally
+	acks           *watchstream.AckTracker
 	epoch          string // what the tally knows to be committed
 	countedVersion uint64
 }
@@ -63,8 +63,8 @@
 	mux.HandleFunc("GET /v1/feed", d.handleShow)
 }
 
-// Do implements the origin of a server: what the log says, as far as this agent has it.
-func (d *streamService) Do(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
+// WithSource implements the origin of a server: what the log says, as far as this agent has it.
+func (d *streamService) WithSource(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := d.agent.leaderContactAge()
 	s := d.agent.store
 	s.mu.Lock()
@@ -73,7 +73,7 @@
 		return s.changed, false
 	}
 	if age >= 0 {
-		s.stream.source.Fresh(now - age)
+		s.stream.source.MarkFresh(now - age)
 	}
 	do(now, s.stream.source)
 	return s.changed, true
@@ -103,7 +103,7 @@
 	if c.Epoch == "" {
 		c.Epoch = rand.Text() // taken by the first change of all, and by no other
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
@@ -115,8 +115,8 @@
 	if no, is := v.(error); is && err == nil {
 		err = no
 	}
-	var clash *watchstream.Conflict
-	var foreign *watchstream.Refusal
+	var clash *watchstream.ConflictError
+	var foreign *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch e, _ := v.(Entry); {
 	case err == nil:
@@ -163,7 +163,7 @@
 }
 
 // lockTracker returns the tally, with mu held and the newest commits in it; nil where this agent doesn't lead, and then mu isn't held.
-func (d *streamService) lockTracker() *watchstream.Tally {
+func (d *streamService) lockTracker() *watchstream.AckTracker {
 	if d.agent.raft.State() != raft.Leader {
 		return nil
 	}
@@ -176,7 +176,7 @@
 		fleet = s.stream.store.Fleet()
 	}
 	if fleet != "" && (d.acks == nil || d.term != term) {
-		d.term, d.acks, d.epoch, d.countedVersion = term, watchstream.NewTally(fleet, watchstream.TallyOptions{}), "", 0
+		d.term, d.acks, d.epoch, d.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
 		d.agent.opt.Log.Info("counting begins", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
 	commits := s.stream.commitsSince(d.epoch, d.countedVersion)
@@ -186,7 +186,7 @@
 		return nil
 	}
 	for _, c := range commits {
-		d.acks.Committed(c.at, c.epoch, c.version)
+		d.acks.NoteCommit(c.at, c.epoch, c.version)
 		d.epoch, d.countedVersion = c.epoch, c.version
 	}
 	return d.acks
@@ -202,7 +202,7 @@
 		return
 	}
 	answer, err := d.addReport(rep)
-	var no *watchstream.Refusal
+	var no *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch {
 	case err == nil:
@@ -218,13 +218,13 @@
 
 var errNotTracking = errors.New("nothing is counted at the moment")
 
-func (d *streamService) addReport(rep watchstream.Report) (watchstream.ReportAnswer, error) {
+func (d *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
 	t := d.lockTracker()
 	if t == nil {
-		return watchstream.ReportAnswer{}, errNotTracking
+		return watchstream.ReportResponse{}, errNotTracking
 	}
 	defer d.mu.Unlock()
-	return t.Take(monotone.Now(), rep)
+	return t.AddReport(monotone.Now(), rep)
 }
 
 // reportLoop tells the leader of initiators that follow this agent itself, as groups without relays have it.
@@ -243,7 +243,7 @@
 		case <-tick.C:
 		}
 		var rep watchstream.Report
-		d.Do(func(now time.Duration, s *watchstream.Source) { rep = s.Report(now, "agent/"+d.agent.opt.ID, "") })
+		d.WithSource(func(now time.Duration, s *watchstream.Source) { rep = s.BuildReport(now, "agent/"+d.agent.opt.ID, "") })
 		if ever = ever || len(rep.Readers) > 0; !ever {
 			continue
 		}
@@ -254,7 +254,7 @@
 			done()
 		}
 		if err == nil {
-			d.Do(func(_ time.Duration, s *watchstream.Source) { s.Reported(answer) })
+			d.WithSource(func(_ time.Duration, s *watchstream.Source) { s.ReportAcked(answer) })
 		}
 	}
 }
@@ -288,8 +288,8 @@
 	if st == nil {
 		return v, false
 	}
-	v.Status = watchstream.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, MostMs: -1, AllMs: -1}
-	v.Fleet, v.Head, v.Floor = st.Fleet(), st.Head(), st.Floor()
+	v.Status = watchstream.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
+	v.Fleet, v.Head, v.Floor = st.Fleet(), st.Head(), st.TombstoneFloor()
 	v.Targets, v.ConfigLayers, v.Tombstones = st.Count(watchstream.Targets), st.Count(watchstream.Config), st.Tombstones(watchstream.Targets)
 	v.Bytes = st.Bytes(watchstream.Targets) + st.Bytes(watchstream.Config)
 	return v, true
@@ -371,7 +371,7 @@
 		return page
 	}
 	if key != "" {
-		if one, found := st.Get(k, key); found && !one.Gone {
+		if one, found := st.Get(k, key); found && !one.Deleted {
 			page = append(page, one)
 		}
 		return page
--- a/internal/controlplane/agent/feed_test.go
+++ b/internal/controlplane/agent/feed_test.go
@@ -52,7 +52,7 @@
 func (g *three) relay(id string, agents ...string) string {
 	g.t.Helper()
 	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: campus, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).SendReport,
-		Source: watchstream.SourceOptions{Admit: 1000, AdmitBurst: 1000}})
+		Source: watchstream.SourceOptions{AdmitRate: 1000, AdmitBurst: 1000}})
 	require.NoError(g.t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(g.t, err)
@@ -96,7 +96,7 @@
 	inForce := func(v uint64) (s StreamStatus) {
 		t.Helper()
 		for _, f := range all {
-			g.until("it has the version", func() bool { return f.State().InForce.Least() >= v })
+			g.until("it has the version", func() bool { return f.State().Applied.Min() >= v })
 		}
 		g.until("it is known", func() bool {
 			var err error
@@ -104,9 +104,9 @@
 			if err != nil || !s.Leads {
 				return false
 			}
-			require.LessOrEqual(t, s.Known, n)
-			require.LessOrEqual(t, s.Have, s.Known)
-			return s.Have == n
+			require.LessOrEqual(t, s.Readers, n)
+			require.LessOrEqual(t, s.Applied, s.Readers)
+			return s.Applied == n
 		})
 		return s
 	}
@@ -126,10 +126,10 @@
 	inForce(v)
 	// The agent that was away has the stream from its log, and serves it: an agent is a source like a relay is.
 	direct := g.follower("direct", g.Addrs[lost])
-	g.until("from the agent itself", func() bool { return direct.State().InForce.Least() == v })
+	g.until("from the agent itself", func() bool { return direct.State().Applied.Min() == v })
 	g.until("counted with the others", func() bool {
 		s, err := g.StreamStatus(context.Background(), 0)
-		return err == nil && s.Have == n+1 && s.Known == n+1
+		return err == nil && s.Applied == n+1 && s.Readers == n+1
 	})
 }
 
@@ -142,20 +142,20 @@
 		return errors.Is(err, ErrNotFound)
 	})
 	zero, five := uint64(0), uint64(5)
-	require.Equal(t, uint64(1), g.putChange(watchstream.Change{Fleet: campus, If: &zero, Puts: []watchstream.Put{shared(`{"a":1}`)}}))
+	require.Equal(t, uint64(1), g.putChange(watchstream.Change{Fleet: campus, IfVersion: &zero, Puts: []watchstream.Put{shared(`{"a":1}`)}}))
 	for _, c := range []struct {
 		c      watchstream.Change
 		status int
 		want   string
 	}{
 		{watchstream.Change{Fleet: "other", Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "foreign"},
-		{watchstream.Change{Fleet: campus, If: &zero, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "at 1"},
-		{watchstream.Change{Fleet: campus, If: &five, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "version 5"},
+		{watchstream.Change{Fleet: campus, IfVersion: &zero, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "at 1"},
+		{watchstream.Change{Fleet: campus, IfVersion: &five, Puts: []watchstream.Put{shared("{}")}}, http.StatusConflict, "version 5"},
 		{watchstream.Change{Fleet: campus}, http.StatusUnprocessableEntity, "puts"},
 		{watchstream.Change{Puts: []watchstream.Put{shared("{}")}}, http.StatusUnprocessableEntity, "fleet"},
 		{changeOf(shared("{}"), shared("{}")), http.StatusUnprocessableEntity, "puts[1].key"},
 		{changeOf(shared("7")), http.StatusUnprocessableEntity, "puts[0].value"},
-		{changeOf(watchstream.Put{Kind: watchstream.Targets, Key: "t", Value: json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MostTargetValue) + `"}`)}),
+		{changeOf(watchstream.Put{Kind: watchstream.Targets, Key: "t", Value: json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MaxTargetBytes) + `"}`)}),
 			http.StatusUnprocessableEntity, "puts[0].value"},
 	} {
 		_, err := g.PutChange(ctx, c.c)
@@ -179,7 +179,7 @@
 	s, err := g.StreamStatus(ctx, 0)
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), s.Head)
-	require.Zero(t, s.Known)
+	require.Zero(t, s.Readers)
 }
 
 // TestFeedRecords reads records page by page.
@@ -219,7 +219,7 @@
 	require.NoError(t, err)
 	require.False(t, s.Leads)
 	require.Equal(t, v, s.Head)
-	require.Zero(t, s.Known)
+	require.Zero(t, s.Readers)
 	require.Equal(t, int64(-1), s.SinceMs)
 }
 
@@ -256,7 +256,7 @@
 // TestFeedSnapshot restores the feed from a snapshot, and takes one of format 3, which has none.
 func TestFeedSnapshot(t *testing.T) {
 	s := newStore()
-	for i, puts := range [][]watchstream.Put{{targetAt(0, 1), targetAt(1, 1), shared(`{"a":1}`)}, {{Kind: watchstream.Targets, Key: "t-1", Gone: true}}, {shared(`{"a":2}`)}} {
+	for i, puts := range [][]watchstream.Put{{targetAt(0, 1), targetAt(1, 1), shared(`{"a":1}`)}, {{Kind: watchstream.Targets, Key: "t-1", Deleted: true}}, {shared(`{"a":2}`)}} {
 		c := changeOf(puts...)
 		c.Epoch = "e"
 		data, err := json.Marshal(command{StreamChange: &c})
@@ -267,10 +267,10 @@
 	require.Len(t, s.stream.commitsSince("", 0), 3)
 	require.Len(t, s.stream.commitsSince("e", 2), 1)
 	other := restored(t, s)
-	require.Equal(t, s.stream.store.Copy(), other.stream.store.Copy())
+	require.Equal(t, s.stream.store.Snapshot(), other.stream.store.Snapshot())
 	require.Empty(t, other.stream.commitsSince("", 0), "when earlier versions came is not known")
 	again := restored(t, other)
-	require.Equal(t, s.stream.store.Copy(), again.stream.store.Copy())
+	require.Equal(t, s.stream.store.Snapshot(), again.stream.store.Snapshot())
 	c := changeOf(shared(`{"a":3}`))
 	v, err := again.stream.apply(&raft.Log{}, c)
 	require.NoError(t, err)
--- a/internal/controlplane/agent/feedclient.go
+++ b/internal/controlplane/agent/feedclient.go
@@ -23,8 +23,8 @@
 }
 
 // SendReport brings the leader a relay's report.
-func (c *Client) SendReport(ctx context.Context, rep watchstream.Report) (watchstream.ReportAnswer, error) {
-	return sendJSON[watchstream.ReportAnswer](ctx, c, http.MethodPost, "/v1/feed/report", rep)
+func (c *Client) SendReport(ctx context.Context, rep watchstream.Report) (watchstream.ReportResponse, error) {
+	return sendJSON[watchstream.ReportResponse](ctx, c, http.MethodPost, "/v1/feed/report", rep)
 }
 
 // StreamStatus tells who has a version; 0: the newest. Where there is no leader it is how far some agent's log goes: Leads is false then.
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -188,11 +188,11 @@
 
 // snapshot is the store at one moment. Snapshots from before there were formats are the entries alone.
 type snapshot struct {
-	Format  int               `json:"format"`
-	Entries map[string]Entry  `json:"entries"`
-	Recent  []Entry           `json:"recent,omitempty"`
-	Fleet   registry.Registry `json:"fleet"`
-	Stream  *watchstream.Copy `json:"feed,omitempty"` // nil: no change of it has come yet
+	Format  int                   `json:"format"`
+	Entries map[string]Entry      `json:"entries"`
+	Recent  []Entry               `json:"recent,omitempty"`
+	Fleet   registry.Registry     `json:"fleet"`
+	Stream  *watchstream.Snapshot `json:"feed,omitempty"` // nil: no change of it has come yet
 }
 
 const (
--- a/internal/controlplane/agent/stream.go
+++ b/internal/controlplane/agent/stream.go
@@ -64,16 +64,16 @@
 	s.store, s.source = store, watchstream.NewSource(store, watchstream.SourceOptions{}, uint64(time.Now().UnixMilli()))
 }
 
-func (s *streamState) snapshot() *watchstream.Copy {
+func (s *streamState) snapshot() *watchstream.Snapshot {
 	if s.store == nil {
 		return nil
 	}
-	c := s.store.Copy()
+	c := s.store.Snapshot()
 	return &c
 }
 
 // restore takes a snapshot's state; nil: it has none. Where it returns an error nothing has changed.
-func (s *streamState) restore(c *watchstream.Copy) error {
+func (s *streamState) restore(c *watchstream.Snapshot) error {
 	if c == nil {
 		*s = streamState{}
 		return nil
--- a/internal/controlplane/watchstream/distribution/feed_test.go
+++ b/internal/controlplane/watchstream/distribution/feed_test.go
@@ -62,12 +62,12 @@
 	return b
 }
 
-func (b *book) Do(do func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+func (b *book) WithSource(do func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := monotone.Now()
 	if !b.deaf {
-		b.source.Fresh(now)
+		b.source.MarkFresh(now)
 	}
 	b.looks++
 	do(now, b.source)
@@ -86,10 +86,10 @@
 }
 
 // has tells what the source knows to be in force at its readers.
-func (b *book) has() map[string]watchstream.Reading {
-	m := map[string]watchstream.Reading{}
-	b.Do(func(now time.Duration, s *watchstream.Source) {
-		for _, r := range s.Report(now, "book", "").Readers {
+func (b *book) has() map[string]watchstream.Cursor {
+	m := map[string]watchstream.Cursor{}
+	b.WithSource(func(now time.Duration, s *watchstream.Source) {
+		for _, r := range s.BuildReport(now, "book", "").Readers {
 			m[r.Name] = r
 		}
 	})
@@ -118,8 +118,8 @@
 	t    *testing.T
 	stop func()
 	mu   sync.Mutex
-	list []Change
-	down func(Change) error
+	list []Update
+	down func(Update) error
 }
 
 // follow starts a follower. It is ended with the test, or by stop.
@@ -132,7 +132,7 @@
 	if opt.Region == "" {
 		opt.Region = "north"
 	}
-	opt.Changed = h.take
+	opt.OnChange = h.take
 	f, err := NewFollower(opt)
 	require.NoError(t, err)
 	h.Follower = f
@@ -145,7 +145,7 @@
 	return h
 }
 
-func (h *heard) take(c Change) error {
+func (h *heard) take(c Update) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n := len(h.list); n > 0 {
@@ -159,16 +159,16 @@
 	return nil
 }
 
-func (h *heard) told() []Change {
+func (h *heard) told() []Update {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]Change(nil), h.list...)
+	return append([]Update(nil), h.list...)
 }
 
 // at waits until a version is in force whole.
 func (h *heard) at(v uint64) {
 	h.t.Helper()
-	eventually(h.t, func() bool { return h.State().InForce.Least() >= v }, fmt.Sprintf("%s has %d", h.opt.Name, v))
+	eventually(h.t, func() bool { return h.State().Applied.Min() >= v }, fmt.Sprintf("%s has %d", h.opt.Name, v))
 }
 
 func to(addrs ...string) (list []watchstream.Relay) {
@@ -186,13 +186,13 @@
 	f.at(1)
 	require.Len(t, f.Records(watchstream.Targets), 300)
 	require.Len(t, f.Records(watchstream.Config), 1, "another region's layer is not its own")
-	v := b.put(target(7, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-8", Gone: true}, layer("instance/i1", `{"b":1}`))
+	v := b.put(target(7, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-8", Deleted: true}, layer("instance/i1", `{"b":1}`))
 	f.at(v)
 	require.Len(t, f.Records(watchstream.Targets), 299)
 	require.Len(t, f.Records(watchstream.Config), 2)
 	var last []watchstream.Record
 	for _, c := range f.told() {
-		require.False(t, c.Whole)
+		require.False(t, c.Full)
 		for _, r := range c.Records {
 			if r.Version == v {
 				last = append(last, r)
@@ -200,29 +200,29 @@
 		}
 	}
 	require.Len(t, last, 3)
-	eventually(t, func() bool { return b.has()["i1"].InForce.Least() == v }, "acknowledged")
+	eventually(t, func() bool { return b.has()["i1"].Applied.Min() == v }, "acknowledged")
 	s := f.State()
 	require.Equal(t, "r0", s.Relay)
-	require.Empty(t, s.Refused)
-	require.Greater(t, s.In, uint64(3000))
-	require.Greater(t, s.Out, uint64(100))
-	require.Less(t, s.In, uint64(300*150), "300 targets go packed")
+	require.Empty(t, s.Rejected)
+	require.Greater(t, s.BytesIn, uint64(3000))
+	require.Greater(t, s.BytesOut, uint64(100))
+	require.Less(t, s.BytesIn, uint64(300*150), "300 targets go packed")
 }
 
 // TestWoken has a poll that waits be answered when a change comes, and not when its time is over.
 func TestWoken(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{Gather: time.Nanosecond})
+	b := newBook(t, watchstream.SourceOptions{CoalesceInterval: time.Nanosecond})
 	v := b.put(target(0, 0))
 	r := watchstream.NewReplica(fleet, watchstream.Scope{Name: "i1"}, 1, watchstream.Limits{})
 	ask := func() (int, watchstream.Delta, time.Duration) {
-		h := r.Hello()
-		h.WaitMs = mostWait.Milliseconds()
+		h := r.SubscribeRequest()
+		h.WaitMs = maxPollWait.Milliseconds()
 		from := time.Now()
 		status, body := post(t, b.addr, mustJSON(t, h), nil)
 		var d watchstream.Delta
 		if status == http.StatusOK {
 			require.NoError(t, json.Unmarshal(body, &d))
-			_, err := r.Take(&d)
+			_, err := r.ApplyDelta(&d)
 			require.NoError(t, err)
 		}
 		return status, d, time.Since(from)
@@ -250,11 +250,11 @@
 		status, d, took := ask()
 		for status == http.StatusNoContent {
 			status, d, took = ask()
-			took = mostWait
+			took = maxPollWait
 		}
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, v, d.To.Targets)
-		if took < mostWait/2 {
+		if took < maxPollWait/2 {
 			return
 		}
 	}
@@ -286,7 +286,7 @@
 
 // TestBusy has more followers come than are admitted: they are told when to come again, and all get there.
 func TestBusy(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{Admit: 20, AdmitBurst: 1})
+	b := newBook(t, watchstream.SourceOptions{AdmitRate: 20, AdmitBurst: 1})
 	v := b.put(target(0, 0))
 	var all []*heard
 	for i := range 8 {
@@ -307,7 +307,7 @@
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
 	f.mu.Lock()
-	f.down = func(c Change) error {
+	f.down = func(c Update) error {
 		for _, r := range c.Records {
 			if string(r.Value) == `{"a":"odd"}` {
 				return errors.New("a: not a number")
@@ -317,22 +317,22 @@
 	}
 	f.mu.Unlock()
 	b.put(layer("shared", `{"a":"odd"}`))
-	eventually(t, func() bool { return f.State().Down != nil }, "turned down")
+	eventually(t, func() bool { return f.State().Rejection != nil }, "turned down")
 	v := b.put(target(0, 1))
-	eventually(t, func() bool { return f.State().InForce.Targets == v }, "targets go on")
-	require.Equal(t, uint64(1), f.State().InForce.Config)
+	eventually(t, func() bool { return f.State().Applied.Targets == v }, "targets go on")
+	require.Equal(t, uint64(1), f.State().Applied.Config)
 	eventually(t, func() bool {
 		r := b.has()["i1"]
-		return r.Refused != nil && r.Refused.Version == 2 && r.Refused.Reason == "a: not a number" && r.InForce.Targets == v && r.InForce.Config == 1
+		return r.Rejection != nil && r.Rejection.Version == 2 && r.Rejection.Reason == "a: not a number" && r.Applied.Targets == v && r.Applied.Config == 1
 	}, "told upward")
 	v = b.put(layer("shared", `{"a":2}`))
 	f.at(v)
-	require.Nil(t, f.State().Down)
+	require.Nil(t, f.State().Rejection)
 }
 
 // TestSlowReaders has readers that take nothing of their answers: no other waits for them.
 func TestSlowReaders(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{Rate: 10 << 20, Burst: 20 << 20, Admit: 1000, AdmitBurst: 1000})
+	b := newBook(t, watchstream.SourceOptions{ReaderRate: 10 << 20, ReaderBurst: 20 << 20, AdmitRate: 1000, AdmitBurst: 1000})
 	long := make([]byte, 3000)
 	for i := range long {
 		long[i] = "0123456789abcdef"[(i*i+i/7)%16]
@@ -349,7 +349,7 @@
 		c, err := net.Dial("tcp", b.addr)
 		require.NoError(t, err)
 		defer c.Close()
-		body := mustJSON(t, watchstream.Hello{Fleet: fleet, Scope: watchstream.Scope{Name: fmt.Sprint("slow", i)}, Turn: 1, Seq: 1})
+		body := mustJSON(t, watchstream.SubscribeRequest{Fleet: fleet, Scope: watchstream.Scope{Name: fmt.Sprint("slow", i)}, Generation: 1, Seq: 1})
 		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", watchPath, len(body), body)
 		require.NoError(t, err)
 	}
@@ -366,15 +366,15 @@
 	dir := t.TempDir()
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr), Dir: dir})
 	f.at(v)
-	turn := f.replica.Turn()
+	turn := f.replica.Generation()
 	f.stop()
-	require.Equal(t, uint64(1), f.State().Saved)
+	require.Equal(t, uint64(1), f.State().SnapshotsSaved)
 	nowhere := to("127.0.0.1:1")
-	again := follow(t, Options{Name: "i1", Relays: nowhere, Dir: dir, Turn: 1})
+	again := follow(t, Options{Name: "i1", Relays: nowhere, Dir: dir, Generation: 1})
 	again.at(v)
-	require.True(t, again.told()[0].Whole)
+	require.True(t, again.told()[0].Full)
 	require.Len(t, again.told()[0].Records, 41)
-	require.Greater(t, again.replica.Turn(), turn, "also by a clock that was set back")
+	require.Greater(t, again.replica.Generation(), turn, "also by a clock that was set back")
 	again.stop()
 	v = b.put(target(3, 1))
 	on := follow(t, Options{Name: "i1", Relays: to(b.addr), Dir: dir})
@@ -382,29 +382,29 @@
 	require.Equal(t, uint64(1), on.State().Records, "what differs, and no more")
 	on.stop()
 
-	whole, err := os.ReadFile(filepath.Join(dir, copyName))
+	whole, err := os.ReadFile(filepath.Join(dir, snapshotName))
 	require.NoError(t, err)
-	starts := func(text []byte, opt Options) State {
+	starts := func(text []byte, opt Options) FollowerState {
 		opt.Dir, opt.Relays = t.TempDir(), nowhere
-		require.NoError(t, os.WriteFile(filepath.Join(opt.Dir, copyName), text, 0o600))
+		require.NoError(t, os.WriteFile(filepath.Join(opt.Dir, snapshotName), text, 0o600))
 		f, err := NewFollower(opt)
 		require.NoError(t, err)
 		return f.State()
 	}
 	mine := Options{Fleet: fleet, Name: "i1", Region: "north"}
-	require.Zero(t, starts(whole, mine).Torn)
+	require.Zero(t, starts(whole, mine).SnapshotsDamaged)
 	rapid.Check(t, func(rt *rapid.T) {
 		bent := bytes.Clone(whole[:rapid.IntRange(0, len(whole)).Draw(rt, "cut")])
 		if len(bent) == len(whole) {
 			bent[rapid.IntRange(0, len(whole)-1).Draw(rt, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 		}
 		s := starts(bent, mine)
-		require.Equal(rt, uint64(1), s.Torn)
+		require.Equal(rt, uint64(1), s.SnapshotsDamaged)
 		require.Zero(rt, s.Position)
 	})
 	for _, other := range []Options{{Fleet: "other", Name: "i1", Region: "north"}, {Fleet: fleet, Name: "i1", Region: "south"}} {
 		s := starts(whole, other)
-		require.Equal(t, uint64(1), s.Torn, other)
+		require.Equal(t, uint64(1), s.SnapshotsDamaged, other)
 		require.Zero(t, s.Position)
 	}
 }
--- a/internal/controlplane/watchstream/distribution/garbage_test.go
+++ b/internal/controlplane/watchstream/distribution/garbage_test.go
@@ -20,13 +20,13 @@
 func TestGarbageAsked(t *testing.T) {
 	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0))
-	good := mustJSON(t, watchstream.Hello{Fleet: fleet, Scope: watchstream.Scope{Name: "i1"}, Turn: 1, Seq: 1})
+	good := mustJSON(t, watchstream.SubscribeRequest{Fleet: fleet, Scope: watchstream.Scope{Name: "i1"}, Generation: 1, Seq: 1})
 	var bomb bytes.Buffer
 	z := gzip.NewWriter(&bomb)
 	_, err := z.Write(make([]byte, 64<<20))
 	require.NoError(t, err)
 	require.NoError(t, z.Close())
-	packed := http.Header{packedHead: {zipWord}}
+	packed := http.Header{encodingHeader: {gzipEncoding}}
 	for _, c := range []struct {
 		name string
 		body []byte
@@ -37,7 +37,7 @@
 		{"no JSON", []byte("hello"), nil, http.StatusBadRequest},
 		{"cut", good[:len(good)/2], nil, http.StatusBadRequest},
 		{"wrong types", []byte(`{"fleet":7}`), nil, http.StatusBadRequest},
-		{"too long", bytes.Repeat([]byte(" "), mostHello+1), nil, http.StatusBadRequest},
+		{"too long", bytes.Repeat([]byte(" "), maxRequestBytes+1), nil, http.StatusBadRequest},
 		{"a bomb", bomb.Bytes(), packed, http.StatusBadRequest},
 		{"not packed", good, packed, http.StatusBadRequest},
 		{"no name", []byte(`{"fleet":"campus","turn":1,"seq":1}`), nil, http.StatusUnprocessableEntity},
@@ -47,11 +47,11 @@
 	} {
 		status, text := post(t, b.addr, c.body, c.head)
 		require.Equal(t, c.want, status, "%s: %s", c.name, text)
-		var no Refused
+		var no RejectedError
 		require.NoError(t, json.Unmarshal(text, &no), c.name)
 		require.NotEmpty(t, no.Reason, c.name)
 	}
-	b.Do(func(_ time.Duration, s *watchstream.Source) { require.Zero(t, s.Readers()) })
+	b.WithSource(func(_ time.Duration, s *watchstream.Source) { require.Zero(t, s.ReaderCount()) })
 	status, _ := post(t, b.addr, good, nil)
 	require.Equal(t, http.StatusOK, status)
 	status, _ = post(t, b.addr, good, nil)
@@ -71,7 +71,7 @@
 	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(5), layer("shared", `{"a":1}`))...)
 	delta := func(bend func(*watchstream.Delta)) []byte {
-		d := watchstream.Delta{Fleet: fleet, Epoch: "first", For: watchstream.Scope{Name: "i1", Region: "north"}, To: watchstream.Position{Targets: 1, Config: 1},
+		d := watchstream.Delta{Fleet: fleet, Epoch: "first", Scope: watchstream.Scope{Name: "i1", Region: "north"}, To: watchstream.Position{Targets: 1, Config: 1},
 			Head: watchstream.Position{Targets: 1, Config: 1}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "bad", Version: 1, Value: target(0, 0).Value}}}
 		bend(&d)
 		return mustJSON(t, d)
@@ -93,14 +93,14 @@
 		{"a bomb", "failed", 200, true, bomb.Bytes()},
 		{"not packed", "failed", 200, true, []byte("{}")},
 		{"another status", "failed", 418, false, nil},
-		{"another fleet", string(watchstream.Foreign), 200, false, delta(func(d *watchstream.Delta) { d.Fleet = "other" })},
-		{"another reader", string(watchstream.Misdirect), 200, false, delta(func(d *watchstream.Delta) { d.For.Region = "south" })},
-		{"a gap", string(watchstream.Gap), 200, false, delta(func(d *watchstream.Delta) { d.From.Targets = 1 })},
-		{"out of order", string(watchstream.Disorder), 200, false, delta(func(d *watchstream.Delta) { d.Records[0].Version = 2 })},
-		{"a layer of others", string(watchstream.OutOf), 200, false, delta(func(d *watchstream.Delta) {
+		{"another fleet", string(watchstream.ReasonForeignFleet), 200, false, delta(func(d *watchstream.Delta) { d.Fleet = "other" })},
+		{"another reader", string(watchstream.ReasonMisdirected), 200, false, delta(func(d *watchstream.Delta) { d.Scope.Region = "south" })},
+		{"a gap", string(watchstream.ReasonGap), 200, false, delta(func(d *watchstream.Delta) { d.From.Targets = 1 })},
+		{"out of order", string(watchstream.ReasonDisorder), 200, false, delta(func(d *watchstream.Delta) { d.Records[0].Version = 2 })},
+		{"a layer of others", string(watchstream.ReasonOutOfScope), 200, false, delta(func(d *watchstream.Delta) {
 			d.Records[0] = watchstream.Record{Kind: watchstream.Config, Key: "region/south", Version: 1, Value: json.RawMessage("{}")}
 		})},
-		{"a hello refused", string(watchstream.Foreign), 409, false, []byte(`{"reason":"foreign","why":"not here"}`)},
+		{"a hello refused", string(watchstream.ReasonForeignFleet), 409, false, []byte(`{"reason":"foreign","why":"not here"}`)},
 	} {
 		var bad sync.Once
 		odd := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -108,7 +108,7 @@
 			bad.Do(func() {
 				served = false
 				if c.packed {
-					w.Header().Set(packedHead, zipWord)
+					w.Header().Set(encodingHeader, gzipEncoding)
 				}
 				w.WriteHeader(c.status)
 				_, _ = w.Write(c.body)
@@ -117,13 +117,13 @@
 				b.http.Config.Handler.ServeHTTP(w, r)
 			}
 		}))
-		f := follow(t, Options{Name: "i1", Relays: to(odd.Listener.Addr().String()), Turn: uint64(time.Now().UnixNano())})
+		f := follow(t, Options{Name: "i1", Relays: to(odd.Listener.Addr().String()), Generation: uint64(time.Now().UnixNano())})
 		f.at(v)
 		s := f.State()
 		if c.count == "failed" {
 			require.NotZero(t, s.Failed, c.name)
 		} else {
-			require.Equal(t, uint64(1), s.Refused[c.count], "%s: %v", c.name, s.Refused)
+			require.Equal(t, uint64(1), s.Rejected[c.count], "%s: %v", c.name, s.Rejected)
 		}
 		for _, r := range f.Records(watchstream.Targets) {
 			require.NotEqual(t, "bad", r.Key, c.name)
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	publishEvery = 50 * time.Millisecond // at the most: what comes meanwhile goes together
-	mostTogether = 500                   // targets in one change
-	publishAgain = time.Second           // after a change of which it isn't known whether it was made
+	publishInterval     = 50 * time.Millisecond // at the most: what comes meanwhile goes together
+	maxTargetsPerChange = 500                   // targets in one change
+	publishRetryDelay   = time.Second           // after a change of which it isn't known whether it was made
 	// A whole list that takes away more than half of so many targets is taken for a mistake of discovery's.
-	fewTargets = 8
+	minTargetsToGuard = 8
 )
 
 // PublisherOptions set up a publisher.
 type PublisherOptions struct {
-	Fleet string
-	Put   func(context.Context, watchstream.Change) (uint64, error) // makes a change
-	Have  func(context.Context) ([]watchstream.Record, error)       // the targets in the stream
-	Shed  bool                                                      // whole lists may take away more than half
-	Log   *slog.Logger
+	Fleet       string
+	Put         func(context.Context, watchstream.Change) (uint64, error) // makes a change
+	Records     func(context.Context) ([]watchstream.Record, error)       // the targets in the stream
+	AllowShrink bool                                                      // whole lists may take away more than half
+	Log         *slog.Logger
 }
 
 // Publisher puts what a list of targets says into the stream: what differs, coalesced.
@@ -33,23 +33,23 @@
 	opt  PublisherOptions
 	wake chan struct{}
 
-	mu    sync.Mutex
-	want  map[string]listing.Entry // by id
-	whole bool                     // a whole list has come
-	dirty map[string]bool
-	bad   map[string]listing.Entry // that can't be put, until they change
+	mu            sync.Mutex
+	want          map[string]listing.Entry // by id
+	hasFullList   bool                     // a whole list has come
+	dirty         map[string]bool
+	unpublishable map[string]listing.Entry // that can't be put, until they change
 }
 
 // NewPublisher returns a publisher that has heard of no list yet.
 func NewPublisher(opt PublisherOptions) *Publisher {
-	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]listing.Entry{}, dirty: map[string]bool{}, bad: map[string]listing.Entry{}}
+	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]listing.Entry{}, dirty: map[string]bool{}, unpublishable: map[string]listing.Entry{}}
 }
 
-// Tell takes a list, or a change of it, as discovery has it.
-func (p *Publisher) Tell(l *listing.List) {
+// SetList takes a list, or a change of it, as discovery has it.
+func (p *Publisher) SetList(l *listing.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if l.Full && !p.replace(l) || !l.Full && !p.whole {
+	if l.Full && !p.replaceAll(l) || !l.Full && !p.hasFullList {
 		return
 	}
 	for _, e := range l.Servers {
@@ -66,8 +66,8 @@
 	}
 }
 
-// replace has a whole list take the place of what was told before; false where that would take away too much.
-func (p *Publisher) replace(l *listing.List) bool {
+// replaceAll has a whole list take the place of what was told before; false where that would take away too much.
+func (p *Publisher) replaceAll(l *listing.List) bool {
 	named := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
 		named[e.ID] = e.State != "DELETED"
@@ -78,7 +78,7 @@
 			gone++
 		}
 	}
-	if len(p.want) >= fewTargets && 2*gone > len(p.want) && !p.opt.Shed {
+	if len(p.want) >= minTargetsToGuard && 2*gone > len(p.want) && !p.opt.AllowShrink {
 		p.opt.Log.Warn("whole list not published", slog.String("reason", "FEED_LIST_SHRINKS"), slog.Int("targets", len(p.want)), slog.Int("gone", gone))
 		return false
 	}
@@ -88,7 +88,7 @@
 			p.dirty[id] = true
 		}
 	}
-	p.whole = true
+	p.hasFullList = true
 	return true
 }
 
@@ -96,18 +96,18 @@
 func (p *Publisher) Run(ctx context.Context) {
 	var have map[string]listing.Entry
 	for ctx.Err() == nil {
-		if !p.listed() {
+		if !p.isListed() {
 			p.wait(ctx)
 			continue
 		}
 		if have == nil {
 			var err error
-			if have, err = p.load(ctx); err != nil {
-				p.failed(ctx, err)
+			if have, err = p.loadPublished(ctx); err != nil {
+				p.publishFailed(ctx, err)
 				continue
 			}
 		}
-		c := p.next(have)
+		c := p.nextChange(have)
 		if len(c.Puts) == 0 {
 			p.wait(ctx)
 			continue
@@ -115,25 +115,25 @@
 		v, err := p.opt.Put(ctx, c)
 		if err != nil {
 			have = nil // whether it was made is seen there
-			p.failed(ctx, err)
+			p.publishFailed(ctx, err)
 			continue
 		}
 		for _, put := range c.Puts {
-			if put.Gone {
+			if put.Deleted {
 				delete(have, put.Key)
 			} else if e, err := entryOf(put.Value); err == nil {
 				have[put.Key] = e
 			}
 		}
 		p.opt.Log.Info("targets published", slog.String("reason", "FEED_PUBLISHED"), slog.Uint64("version", v), slog.Int("targets", len(c.Puts)))
-		sleep(ctx, publishEvery)
+		sleep(ctx, publishInterval)
 	}
 }
 
-func (p *Publisher) listed() bool {
+func (p *Publisher) isListed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.whole
+	return p.hasFullList
 }
 
 func (p *Publisher) wait(ctx context.Context) {
@@ -143,17 +143,17 @@
 	}
 }
 
-func (p *Publisher) failed(ctx context.Context, err error) {
+func (p *Publisher) publishFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	p.opt.Log.Warn("targets not published", slog.String("reason", "FEED_UNPUBLISHED"), slog.Any("error", err))
-	sleep(ctx, publishAgain)
+	sleep(ctx, publishRetryDelay)
 }
 
-// load reads what the stream has. All of that and of the list is compared then.
-func (p *Publisher) load(ctx context.Context) (map[string]listing.Entry, error) {
-	records, err := p.opt.Have(ctx)
+// loadPublished reads what the stream has. All of that and of the list is compared then.
+func (p *Publisher) loadPublished(ctx context.Context) (map[string]listing.Entry, error) {
+	records, err := p.opt.Records(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -167,7 +167,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.opt.Shed && len(have) >= fewTargets && 2*len(p.want) < len(have) {
+	if !p.opt.AllowShrink && len(have) >= minTargetsToGuard && 2*len(p.want) < len(have) {
 		return nil, errors.New("the list has less than half of the targets in the stream: is it another fleet's? --shed takes them away")
 	}
 	for id := range have {
@@ -180,10 +180,10 @@
 }
 
 func entryOf(value []byte) (e listing.Entry, err error) {
-	return e, format.Unmarshal(value, &e)
+	return e, jsonCodec.Unmarshal(value, &e)
 }
 
-func same(a, b listing.Entry) bool {
+func sameEntry(a, b listing.Entry) bool {
 	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
 		return false
 	}
@@ -191,13 +191,13 @@
 	return a == b
 }
 
-// next is the next change of what differs.
-func (p *Publisher) next(have map[string]listing.Entry) watchstream.Change {
+// nextChange is the next change of what differs.
+func (p *Publisher) nextChange(have map[string]listing.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := watchstream.Change{Fleet: p.opt.Fleet}
 	for id := range p.dirty {
-		if len(c.Puts) >= mostTogether {
+		if len(c.Puts) >= maxTargetsPerChange {
 			break
 		}
 		delete(p.dirty, id)
@@ -205,24 +205,24 @@
 		is, there := have[id]
 		e, wanted := p.want[id]
 		switch {
-		case !wanted && !there, wanted && there && same(is, e):
+		case !wanted && !there, wanted && there && sameEntry(is, e):
 			continue
 		case !wanted:
-			put.Gone = true
+			put.Deleted = true
 		default:
 			var err error
-			if put.Value, err = format.Marshal(e); err == nil {
+			if put.Value, err = jsonCodec.Marshal(e); err == nil {
 				one := watchstream.Change{Fleet: p.opt.Fleet, Puts: []watchstream.Put{put}}
-				err = one.Check()
+				err = one.Validate()
 			}
 			if err != nil {
-				if !same(p.bad[id], e) {
-					p.bad[id] = e
+				if !sameEntry(p.unpublishable[id], e) {
+					p.unpublishable[id] = e
 					p.opt.Log.Warn("target not published", slog.String("reason", "FEED_BAD_TARGET"), slog.String("target", id), slog.Any("error", err))
 				}
 				continue
 			}
-			delete(p.bad, id)
+			delete(p.unpublishable, id)
 		}
 		c.Puts = append(c.Puts, put)
 	}
--- a/internal/controlplane/watchstream/distribution/publisher_test.go
+++ b/internal/controlplane/watchstream/distribution/publisher_test.go
@@ -26,7 +26,7 @@
 
 func newPublished(t *testing.T, shed bool) *published {
 	p := &published{b: newBook(t, watchstream.SourceOptions{})}
-	p.Publisher = NewPublisher(PublisherOptions{Fleet: fleet, Put: p.put, Have: p.have, Shed: shed, Log: slog.New(slog.DiscardHandler)})
+	p.Publisher = NewPublisher(PublisherOptions{Fleet: fleet, Put: p.put, Records: p.have, AllowShrink: shed, Log: slog.New(slog.DiscardHandler)})
 	ctx, end := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { p.Run(ctx) })
@@ -93,29 +93,29 @@
 func TestPublish(t *testing.T) {
 	p := newPublished(t, false)
 	p.b.put(target(0, 7), watchstream.Put{Kind: watchstream.Targets, Key: "old", Value: []byte(`{"id":"old"}`)}, layer("shared", "{}"))
-	p.Tell(some(entries(5, 6, 1))) // before a whole one has come it says nothing of the rest
+	p.SetList(some(entries(5, 6, 1))) // before a whole one has come it says nothing of the rest
 	first := entries(0, 3, 1007)
-	p.Tell(whole(first))
+	p.SetList(whole(first))
 	want := map[string]string{"t-0": "127.0.0.1:1007", "t-1": "127.0.0.1:1007", "t-2": "127.0.0.1:1007"}
 	p.is(t, want)
 	require.Equal(t, 3, p.puts(), "t-0 is there already, old goes")
 	p.mu.Lock()
 	p.lose = 1
 	p.mu.Unlock()
-	p.Tell(some(entries(1, 2, 1008)))
-	p.Tell(some(entries(1, 2, 1009)))
+	p.SetList(some(entries(1, 2, 1008)))
+	p.SetList(some(entries(1, 2, 1009)))
 	want["t-1"] = "127.0.0.1:1009"
 	p.is(t, want)
 	gone := entries(2, 3, 1007)
 	gone[0].State = "DELETED"
-	p.Tell(some(gone))
+	p.SetList(some(gone))
 	delete(want, "t-2")
 	p.is(t, want)
 	puts := p.puts()
-	p.Tell(whole(append(entries(0, 1, 1007), entries(1, 2, 1009)...)))
+	p.SetList(whole(append(entries(0, 1, 1007), entries(1, 2, 1009)...)))
 	odd := entries(3, 4, 1)
-	odd[0].Zone = strings.Repeat("z", watchstream.MostTargetValue)
-	p.Tell(some(append(odd, entries(4, 5, 1)...)))
+	odd[0].Zone = strings.Repeat("z", watchstream.MaxTargetBytes)
+	p.SetList(some(append(odd, entries(4, 5, 1)...)))
 	want["t-4"] = "127.0.0.1:1"
 	p.is(t, want)
 	require.Equal(t, puts+1, p.puts(), "an entry that can't be put holds up no other")
@@ -123,9 +123,9 @@
 
 // TestPublishMany has a long list go in changes of bounded size.
 func TestPublishMany(t *testing.T) {
-	const n = 2*mostTogether + 3
+	const n = 2*maxTargetsPerChange + 3
 	p := newPublished(t, false)
-	p.Tell(whole(entries(0, n, 1)))
+	p.SetList(whole(entries(0, n, 1)))
 	want := map[string]string{}
 	for _, e := range entries(0, n, 1) {
 		want[e.ID] = e.Addr
@@ -141,23 +141,23 @@
 	for _, shed := range []bool{false, true} {
 		p := newPublished(t, shed)
 		want := map[string]string{}
-		for _, e := range entries(0, 2*fewTargets, 1) {
+		for _, e := range entries(0, 2*minTargetsToGuard, 1) {
 			want[e.ID] = e.Addr
 		}
-		p.Tell(whole(entries(0, 2*fewTargets, 1)))
+		p.SetList(whole(entries(0, 2*minTargetsToGuard, 1)))
 		p.is(t, want)
-		p.Tell(whole(entries(0, 1, 2)))
+		p.SetList(whole(entries(0, 1, 2)))
 		if shed {
 			p.is(t, map[string]string{"t-0": "127.0.0.1:2"})
 			continue
 		}
-		p.Tell(some(entries(1, 2, 3)))
+		p.SetList(some(entries(1, 2, 3)))
 		want["t-1"] = "127.0.0.1:3"
 		p.is(t, want)
 		// Nor by a publisher that is started anew.
 		late := NewPublisher(p.opt)
-		late.Tell(whole(entries(0, 1, 2)))
-		_, err := late.load(context.Background())
+		late.SetList(whole(entries(0, 1, 2)))
+		_, err := late.loadPublished(context.Background())
 		require.ErrorContains(t, err, "less than half")
 	}
 }
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	reportEvery = time.Second
-	reportIn    = 2 * time.Second // what it tells is older by then than the next would be
-	headIn      = 5 * time.Second // for a reader to send its question
-	leaveIn     = time.Second
-	moreConns   = 64 // beside one for each reader: those that move, and operators
+	reportInterval  = time.Second
+	reportTimeout   = 2 * time.Second // what it tells is older by then than the next would be
+	requestTimeout  = 5 * time.Second // for a reader to send its question
+	shutdownTimeout = time.Second
+	extraConns      = 64 // beside one for each reader: those that move, and operators
 )
 
 // RelayOptions set up a relay.
@@ -30,7 +30,7 @@
 	Dir               string   // where the copy is kept; empty: nowhere
 	Source            watchstream.SourceOptions
 	// Report brings the agents' leader what the readers have; nil: nobody wants to know.
-	Report func(context.Context, watchstream.Report) (watchstream.ReportAnswer, error)
+	Report func(context.Context, watchstream.Report) (watchstream.ReportResponse, error)
 	Log    *slog.Logger
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 }
@@ -62,29 +62,29 @@
 	if err != nil {
 		return nil, err
 	}
-	r.opt.Source.MaxReaders = cmp.Or(opt.Source.MaxReaders, watchstream.Fair.MaxReaders)
-	r.source = watchstream.NewSource(r.follower.replica.Store(), r.opt.Source, r.follower.replica.Turn())
+	r.opt.Source.MaxReaders = cmp.Or(opt.Source.MaxReaders, watchstream.DefaultSourceOptions.MaxReaders)
+	r.source = watchstream.NewSource(r.follower.replica.Store(), r.opt.Source, r.follower.replica.Generation())
 	r.server = NewServer(r, r.opt.Source.MaxReaders)
 	mux := http.NewServeMux()
 	r.server.Routes(mux)
-	mux.HandleFunc("GET /v1/feed", r.tell)
-	r.http = http.Server{Handler: mux, ReadHeaderTimeout: headIn, ReadTimeout: headIn + mostWait, IdleTimeout: idleFor, MaxHeaderBytes: 8 << 10}
+	mux.HandleFunc("GET /v1/feed", r.handleState)
+	r.http = http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout + maxPollWait, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10}
 	return r, nil
 }
 
-// Do implements Origin.
-func (r *Relay) Do(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
+// WithSource implements Origin.
+func (r *Relay) WithSource(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
 	f := r.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r.source.Fresh(f.fresh)
+	r.source.MarkFresh(f.freshAt)
 	do(monotone.Now(), r.source)
 	return f.changed, true
 }
 
 // Serve answers readers until Run ends.
 func (r *Relay) Serve(l net.Listener) error {
-	if err := r.http.Serve(&bounded{l, &r.conns, int64(r.opt.Source.MaxReaders + moreConns)}); !errors.Is(err, http.ErrServerClosed) {
+	if err := r.http.Serve(&limitedListener{l, &r.conns, int64(r.opt.Source.MaxReaders + extraConns)}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -95,11 +95,11 @@
 	var work sync.WaitGroup
 	work.Go(func() { r.follower.Run(ctx) })
 	if r.opt.Report != nil {
-		work.Go(func() { r.report(ctx) })
+		work.Go(func() { r.reportLoop(ctx) })
 	}
 	<-ctx.Done()
 	r.server.Stop()
-	within, done := context.WithTimeout(context.Background(), leaveIn)
+	within, done := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer done()
 	if r.http.Shutdown(within) != nil {
 		r.http.Close() // readers that don't take their answers
@@ -107,13 +107,13 @@
 	work.Wait()
 }
 
-// report tells the agents' leader each second what has changed at the readers. With no leader the next report has it all.
-func (r *Relay) report(ctx context.Context) {
+// reportLoop tells the agents' leader each second what has changed at the readers. With no leader the next report has it all.
+func (r *Relay) reportLoop(ctx context.Context) {
 	failing := false
-	for sleep(ctx, reportEvery) {
+	for sleep(ctx, reportInterval) {
 		var rep watchstream.Report
-		r.Do(func(now time.Duration, s *watchstream.Source) { rep = s.Report(now, r.opt.ID, r.opt.Region) })
-		within, done := context.WithTimeout(ctx, reportIn)
+		r.WithSource(func(now time.Duration, s *watchstream.Source) { rep = s.BuildReport(now, r.opt.ID, r.opt.Region) })
+		within, done := context.WithTimeout(ctx, reportTimeout)
 		answer, err := r.opt.Report(within, rep)
 		done()
 		if err != nil {
@@ -125,38 +125,38 @@
 		}
 		r.reports.sent.Add(1)
 		failing = false
-		r.Do(func(_ time.Duration, s *watchstream.Source) { s.Reported(answer) })
+		r.WithSource(func(_ time.Duration, s *watchstream.Source) { s.ReportAcked(answer) })
 	}
 }
 
 // RelayState is what a relay tells of itself.
 type RelayState struct {
-	ID       string                        `json:"id"`
-	Readers  int                           `json:"readers"`
-	Refused  map[watchstream.Reason]uint64 `json:"refused,omitempty"` // hellos
-	Busy     uint64                        `json:"busy"`              // readers that were told to come again
-	Served   Served                        `json:"served"`
-	Follower State                         `json:"follower"`
-	Reports  uint64                        `json:"reports"`
-	Lost     uint64                        `json:"reports_failed"`
-	Targets  int                           `json:"targets"`
-	Layers   int                           `json:"layers"`
+	ID            string                        `json:"id"`
+	Readers       int                           `json:"readers"`
+	Rejected      map[watchstream.Reason]uint64 `json:"refused,omitempty"` // hellos
+	Busy          uint64                        `json:"busy"`              // readers that were told to come again
+	Served        ServerState                   `json:"served"`
+	Follower      FollowerState                 `json:"follower"`
+	Reports       uint64                        `json:"reports"`
+	ReportsFailed uint64                        `json:"reports_failed"`
+	Targets       int                           `json:"targets"`
+	ConfigLayers  int                           `json:"layers"`
 }
 
 // State tells of the relay; any goroutine may ask.
 func (r *Relay) State() RelayState {
-	s := RelayState{ID: r.opt.ID, Served: r.server.Served(), Follower: r.follower.State(), Reports: r.reports.sent.Load(), Lost: r.reports.failed.Load()}
-	r.Do(func(_ time.Duration, src *watchstream.Source) {
-		s.Readers = src.Readers()
-		s.Refused, s.Busy = src.Counts()
+	s := RelayState{ID: r.opt.ID, Served: r.server.State(), Follower: r.follower.State(), Reports: r.reports.sent.Load(), ReportsFailed: r.reports.failed.Load()}
+	r.WithSource(func(_ time.Duration, src *watchstream.Source) {
+		s.Readers = src.ReaderCount()
+		s.Rejected, s.Busy = src.Rejections()
 		store := r.follower.replica.Store()
-		s.Targets, s.Layers = store.Count(watchstream.Targets), store.Count(watchstream.Config)
+		s.Targets, s.ConfigLayers = store.Count(watchstream.Targets), store.Count(watchstream.Config)
 	})
 	return s
 }
 
-func (r *Relay) tell(w http.ResponseWriter, _ *http.Request) {
-	text, err := format.Marshal(r.State())
+func (r *Relay) handleState(w http.ResponseWriter, _ *http.Request) {
+	text, err := jsonCodec.Marshal(r.State())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -165,35 +165,35 @@
 	_, _ = w.Write(text) // whoever is gone doesn't want it
 }
 
-// bounded is a listener that has so many connections at a time: others are closed at once, and their readers look elsewhere.
-type bounded struct {
+// limitedListener is a listener that has so many connections at a time: others are closed at once, and their readers look elsewhere.
+type limitedListener struct {
 	net.Listener
 	open *atomic.Int64
-	most int64
+	max  int64
 }
 
 // Accept implements net.Listener.
-func (l *bounded) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if l.open.Add(1) <= l.most {
-			return &once{Conn: c, open: l.open}, nil
+		if l.open.Add(1) <= l.max {
+			return &countedConn{Conn: c, open: l.open}, nil
 		}
 		l.open.Add(-1)
 		c.Close()
 	}
 }
 
-type once struct {
+type countedConn struct {
 	net.Conn
-	open *atomic.Int64
-	gone sync.Once
+	open      *atomic.Int64
+	closeOnce sync.Once
 }
 
-func (c *once) Close() error {
-	c.gone.Do(func() { c.open.Add(-1) })
+func (c *countedConn) Close() error {
+	c.closeOnce.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -60,7 +60,7 @@
 // count stands in for the agents' leader.
 type count struct {
 	mu    sync.Mutex
-	tally *watchstream.Tally
+	tally *watchstream.AckTracker
 	gone  bool
 }
 
@@ -74,17 +74,17 @@
 func (c *count) renew() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally = watchstream.NewTally(fleet, watchstream.TallyOptions{})
-	c.tally.Committed(monotone.Now(), "first", 1)
+	c.tally = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
+	c.tally.NoteCommit(monotone.Now(), "first", 1)
 }
 
-func (c *count) report(_ context.Context, r watchstream.Report) (watchstream.ReportAnswer, error) {
+func (c *count) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.gone {
-		return watchstream.ReportAnswer{}, fmt.Errorf("no leader at the moment")
+		return watchstream.ReportResponse{}, fmt.Errorf("no leader at the moment")
 	}
-	return c.tally.Take(monotone.Now(), r)
+	return c.tally.AddReport(monotone.Now(), r)
 }
 
 func (c *count) status(v uint64) watchstream.Status {
@@ -103,7 +103,7 @@
 	var addrs []string
 	for i := range 3 {
 		relays = append(relays, relayAt(t, "127.0.0.1:0", RelayOptions{ID: fmt.Sprint("relay", i), Agents: []string{b.addr}, Report: c.report,
-			Source: watchstream.SourceOptions{Admit: 1000, AdmitBurst: 1000}}))
+			Source: watchstream.SourceOptions{AdmitRate: 1000, AdmitBurst: 1000}}))
 		addrs = append(addrs, relays[i].addr)
 	}
 	var all []*heard
@@ -117,9 +117,9 @@
 		}
 		eventually(t, func() bool {
 			s := c.status(v)
-			require.LessOrEqual(t, s.Known, n)
-			require.LessOrEqual(t, s.Have, n)
-			return s.Have == n
+			require.LessOrEqual(t, s.Readers, n)
+			require.LessOrEqual(t, s.Applied, n)
+			return s.Applied == n
 		}, "all count")
 	}
 	settled(v)
@@ -142,10 +142,10 @@
 	settled(v)
 	moves := uint64(0)
 	for _, f := range all {
-		moves += f.State().Moves
+		moves += f.State().Switches
 	}
 	require.NotZero(t, moves)
-	require.Equal(t, n, c.status(v).Known, "the new leader has asked for all, each once")
+	require.Equal(t, n, c.status(v).Readers, "the new leader has asked for all, each once")
 }
 
 // TestRelayCopy starts a relay that has an old copy: it serves that at once, with its age, and is brought up by what differs. A torn copy is
@@ -156,9 +156,9 @@
 	dir := t.TempDir()
 	opt := RelayOptions{ID: "relay", Agents: []string{b.addr}, Dir: dir}
 	r := relayAt(t, "127.0.0.1:0", opt)
-	eventually(t, func() bool { return r.State().Follower.InForce.Least() == v }, "up to date")
+	eventually(t, func() bool { return r.State().Follower.Applied.Min() == v }, "up to date")
 	r.stop()
-	later := b.put(target(5, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-6", Gone: true})
+	later := b.put(target(5, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-6", Deleted: true})
 	alone := opt
 	alone.Agents = []string{"127.0.0.1:1"}
 	r = relayAt(t, "127.0.0.1:0", alone)
@@ -169,17 +169,17 @@
 	f.stop()
 	r.stop()
 	r = relayAt(t, "127.0.0.1:0", opt)
-	eventually(t, func() bool { return r.State().Follower.InForce.Least() == later }, "brought up")
+	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "brought up")
 	require.Equal(t, uint64(2), r.State().Follower.Records, "what differs, and no more")
 	require.Equal(t, 199, r.State().Targets)
 	r.stop()
-	path := filepath.Join(dir, copyName)
+	path := filepath.Join(dir, snapshotName)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, text[:len(text)/2], 0o600))
 	r = relayAt(t, "127.0.0.1:0", opt)
-	eventually(t, func() bool { return r.State().Follower.InForce.Least() == later }, "from nothing")
-	require.Equal(t, uint64(1), r.State().Follower.Torn)
+	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "from nothing")
+	require.Equal(t, uint64(1), r.State().Follower.SnapshotsDamaged)
 	require.Equal(t, uint64(202), r.State().Follower.Records, "199 targets, two layers, and a tombstone")
 }
 
@@ -242,7 +242,7 @@
 // homed names a reader whose home is the first of these relays.
 func homed(relays []watchstream.Relay) string {
 	for i := 0; ; i++ {
-		if name := fmt.Sprint("i", i); watchstream.Order(relays, "north", name)[0] == relays[0] {
+		if name := fmt.Sprint("i", i); watchstream.RankRelays(relays, "north", name)[0] == relays[0] {
 			return name
 		}
 	}
@@ -257,7 +257,7 @@
 	cut := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "cut", Agents: []string{b.addr}, Dial: g.dial})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
 	relays := []watchstream.Relay{{ID: "cut", Region: "north", Addr: cut.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: watchstream.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
+	f := follow(t, Options{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "cut", f.State().Relay)
 	g.set(true)
@@ -283,7 +283,7 @@
 	home := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "home", Agents: []string{b.addr}})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
 	relays := []watchstream.Relay{{ID: "home", Region: "north", Addr: home.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Moves: watchstream.MoverOptions{HomeLeast: time.Second, HomeMost: 2 * time.Second}})
+	f := follow(t, Options{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "home", f.State().Relay)
 	home.kill()
@@ -299,7 +299,7 @@
 	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0))
 	f := follow(t, Options{Fleet: "other", Name: "i1", Relays: to(b.addr)})
-	eventually(t, func() bool { return f.State().Refused[string(watchstream.Foreign)] > 1 }, "refused")
+	eventually(t, func() bool { return f.State().Rejected[string(watchstream.ReasonForeignFleet)] > 1 }, "refused")
 	require.Empty(t, f.told())
 	require.Zero(t, f.State().Position)
 	require.Zero(t, f.State().Records)
@@ -330,7 +330,7 @@
 			c.Close()
 		}
 	}()
-	for range 2 + moreConns {
+	for range 2 + extraConns {
 		c, err := net.Dial("tcp", r.addr)
 		require.NoError(t, err)
 		held = append(held, c)
@@ -339,5 +339,5 @@
 	require.NoError(t, last.SetReadDeadline(time.Now().Add(time.Minute)))
 	_, err = last.Read(make([]byte, 1))
 	require.Error(t, err)
-	eventually(t, func() bool { return r.conns.Load() <= 2+moreConns }, "bounded")
+	eventually(t, func() bool { return r.conns.Load() <= 2+extraConns }, "bounded")
 }
--- a/internal/controlplane/watchstream/feed_test.go
+++ b/internal/controlplane/watchstream/feed_test.go
@@ -19,7 +19,7 @@
 	return Put{Kind: Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"zone":"z1","cell":1,"state":"SERVING","started_ms":1}`, id, addr)}
 }
 
-func gone(id string) Put { return Put{Kind: Targets, Key: id, Gone: true} }
+func gone(id string) Put { return Put{Kind: Targets, Key: id, Deleted: true} }
 
 func layer(scope, value string) Put { return Put{Kind: Config, Key: scope, Value: []byte(value)} }
 
@@ -36,20 +36,20 @@
 func exchange(t *testing.T, now *time.Duration, from *Source, r *Replica) (deltas int) {
 	t.Helper()
 	for range 10_000 {
-		require.NoError(t, from.Hear(*now, r.Hello()))
-		d, wait := from.Next(*now, r.Scope().Name)
+		require.NoError(t, from.Subscribe(*now, r.SubscribeRequest()))
+		d, wait := from.NextDelta(*now, r.Scope().Name)
 		if d == nil {
-			if wait >= pause {
+			if wait >= idleWait {
 				return deltas
 			}
 			*now += wait
-			if d, _ = from.Next(*now, r.Scope().Name); d == nil {
+			if d, _ = from.NextDelta(*now, r.Scope().Name); d == nil {
 				continue
 			}
 		}
-		_, err := r.Take(d)
+		_, err := r.ApplyDelta(d)
 		require.NoError(t, err)
-		r.Applied(r.Whole())
+		r.MarkApplied(r.Consistent())
 		deltas++
 	}
 	t.Fatal("it never ends")
@@ -70,9 +70,9 @@
 	apply(t, log, change(gone("a"), layer("instance/n1", `{"y":null}`)))
 	exchange(t, &now, agent, relay)
 	exchange(t, &now, serves, reader)
-	require.Equal(t, Mark{"e1", Position{3, 3}}, reader.InForce())
+	require.Equal(t, Watermark{"e1", Position{3, 3}}, reader.Applied())
 	require.Equal(t, []string{"b"}, keys(reader.Records(Targets)))
-	merged, err := Layers(reader.Records(Config))
+	merged, err := MergeLayers(reader.Records(Config))
 	require.NoError(t, err)
 	require.JSONEq(t, `{"x":2}`, string(merged))
 	require.Len(t, relay.Records(Config), 4)
--- a/internal/controlplane/watchstream/layers.go
+++ b/internal/controlplane/watchstream/layers.go
@@ -10,9 +10,9 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// rank is a scope's place among the layers; the later is merged over the earlier.
-func rank(key string) int {
-	return slices.IndexFunc(scopes, func(s string) bool { return strings.HasPrefix(key, s) })
+// layerRank is a scope's place among the layers; the later is merged over the earlier.
+func layerRank(key string) int {
+	return slices.IndexFunc(scopePrefixes, func(s string) bool { return strings.HasPrefix(key, s) })
 }
 
 // LayerError names a layer that can't be merged.
@@ -28,13 +28,13 @@
 
 func (e *LayerError) Unwrap() error { return e.Err }
 
-// Layers merges the layers of one initiator's configuration, shared under region under zone under instance, by RFC 7396. Without any it is {}.
-func Layers(records []Record) (json.RawMessage, error) {
-	list := slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return r.Kind != Config || r.Gone })
-	slices.SortStableFunc(list, func(a, b Record) int { return cmp.Compare(rank(a.Key), rank(b.Key)) })
+// MergeLayers merges the layers of one initiator's configuration, shared under region under zone under instance, by RFC 7396. Without any it is {}.
+func MergeLayers(records []Record) (json.RawMessage, error) {
+	list := slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return r.Kind != Config || r.Deleted })
+	slices.SortStableFunc(list, func(a, b Record) int { return cmp.Compare(layerRank(a.Key), layerRank(b.Key)) })
 	merged := []byte("{}")
 	for i, r := range list {
-		if i > 0 && rank(r.Key) == rank(list[i-1].Key) {
+		if i > 0 && layerRank(r.Key) == layerRank(list[i-1].Key) {
 			return nil, &LayerError{r.Key, r.Version, fmt.Errorf("there is %q beside it", list[i-1].Key)}
 		}
 		var err error
--- a/internal/controlplane/watchstream/message.go
+++ b/internal/controlplane/watchstream/message.go
@@ -6,11 +6,11 @@
 	"fmt"
 )
 
-// Sums are the digests of all buckets. In JSON they are base64 of eight bytes each, the least first.
-type Sums []uint64
+// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, the least first.
+type Digests []uint64
 
 // MarshalText implements encoding.TextMarshaler.
-func (s Sums) MarshalText() ([]byte, error) {
+func (s Digests) MarshalText() ([]byte, error) {
 	b := make([]byte, 0, 8*len(s))
 	for _, x := range s {
 		b = binary.LittleEndian.AppendUint64(b, x)
@@ -19,90 +19,90 @@
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Sums) UnmarshalText(text []byte) error {
+func (s *Digests) UnmarshalText(text []byte) error {
 	b, err := base64.StdEncoding.AppendDecode(nil, text)
 	if err != nil || len(b)%8 != 0 {
 		return fmt.Errorf("sums: not base64 of whole sums")
 	}
-	*s = make(Sums, len(b)/8)
+	*s = make(Digests, len(b)/8)
 	for i := range *s {
 		(*s)[i] = binary.LittleEndian.Uint64(b[8*i:])
 	}
 	return nil
 }
 
-// Progress is how far a reader is in a run by digests: buckets before At are as the source had them at or after version Start.
-type Progress struct {
-	Start uint64 `json:"start"`
-	At    int    `json:"at"`
+// DigestProgress is how far a reader is in a run by digests: buckets before At are as the source had them at or after version Start.
+type DigestProgress struct {
+	Start      uint64 `json:"start"`
+	NextBucket int    `json:"at"`
 }
 
-// TurnedDown is a configuration that could not be served: the last good one stays in force.
-type TurnedDown struct {
+// Rejection is a configuration that could not be served: the last good one stays in force.
+type Rejection struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// Hello is a reader's word to a source: who it is, what it has, and what of it is in force.
-type Hello struct {
-	Fleet   string      `json:"fleet"`
-	Epoch   string      `json:"epoch,omitempty"` // of Have and Seen
-	Scope               // who it is
-	Have    Position    `json:"have"`
-	Seen    Position    `json:"seen"`     // the furthest that it has heard of: a source that is behind brings it nothing (step 4)
-	InForce Mark        `json:"in_force"` // what is applied: this counts as acknowledged (step 8)
-	Turn    uint64      `json:"turn"`     // grows with each move to another source, over restarts too
-	Seq     uint64      `json:"seq"`      // grows with each hello of a turn
-	Refused *TurnedDown `json:"refused,omitempty"`
-	Digest  *Progress   `json:"digest,omitempty"`
-	Sums    Sums        `json:"sums,omitempty"` // only when asked for
-	WaitMs  int64       `json:"wait_ms,omitempty"`
+// SubscribeRequest is a reader's word to a source: who it is, what it has, and what of it is in force.
+type SubscribeRequest struct {
+	Fleet      string          `json:"fleet"`
+	Epoch      string          `json:"epoch,omitempty"` // of Have and Seen
+	Scope                      // who it is
+	Have       Position        `json:"have"`
+	Seen       Position        `json:"seen"`     // the furthest that it has heard of: a source that is behind brings it nothing (step 4)
+	Applied    Watermark       `json:"in_force"` // what is applied: this counts as acknowledged (step 8)
+	Generation uint64          `json:"turn"`     // grows with each move to another source, over restarts too
+	Seq        uint64          `json:"seq"`      // grows with each hello of a turn
+	Rejection  *Rejection      `json:"refused,omitempty"`
+	Progress   *DigestProgress `json:"digest,omitempty"`
+	Digests    Digests         `json:"sums,omitempty"` // only when asked for
+	WaitMs     int64           `json:"wait_ms,omitempty"`
 }
 
-// Check names the first field that cannot be used.
-func (h *Hello) Check() error {
-	if err := h.Scope.Check(); err != nil {
+// Validate names the first field that cannot be used.
+func (h *SubscribeRequest) Validate() error {
+	if err := h.Scope.Validate(); err != nil {
 		return err
 	}
 	switch {
 	case h.Fleet == "":
-		return field("fleet", "it is missing")
-	case len(h.Epoch) > MostName || len(h.InForce.Epoch) > MostName:
-		return field("epoch", "over %d bytes", MostName)
-	case h.Refused != nil && len(h.Refused.Reason) > MostReason:
-		return field("refused.reason", "over %d bytes", MostReason)
-	case h.Digest != nil && h.Digest.At < 0:
-		return field("digest.at", "%d is below 0", h.Digest.At)
-	case !h.Have.within(h.Seen):
-		return field("seen", "it is before have")
+		return fieldError("fleet", "it is missing")
+	case len(h.Epoch) > MaxNameBytes || len(h.Applied.Epoch) > MaxNameBytes:
+		return fieldError("epoch", "over %d bytes", MaxNameBytes)
+	case h.Rejection != nil && len(h.Rejection.Reason) > MaxReasonBytes:
+		return fieldError("refused.reason", "over %d bytes", MaxReasonBytes)
+	case h.Progress != nil && h.Progress.NextBucket < 0:
+		return fieldError("digest.at", "%d is below 0", h.Progress.NextBucket)
+	case !h.Have.notAfter(h.Seen):
+		return fieldError("seen", "it is before have")
 	}
 	return nil
 }
 
-// MostReason bounds the reason of one who turned something down, in bytes.
-const MostReason = 512
+// MaxReasonBytes bounds the reason of one who turned something down, in bytes.
+const MaxReasonBytes = 512
 
 // Bucket is the live targets of one bucket, all of them: a target of it that is not named is gone. Held are those that the reader has as they
 // are, since they changed last before its position. Sum is the bucket's sum with all of that.
 type Bucket struct {
-	N       int      `json:"n"`
-	Sum     uint64   `json:"sum"`
-	Held    []string `json:"held,omitempty"`
-	Records []Record `json:"records,omitempty"`
+	Index     int      `json:"n"`
+	Digest    uint64   `json:"sum"`
+	Unchanged []string `json:"held,omitempty"`
+	Records   []Record `json:"records,omitempty"`
 }
 
 // Size is the bytes that a bucket takes in a delta, at most.
 func (b *Bucket) Size() int {
 	n := 64
-	for _, key := range b.Held {
+	for _, key := range b.Unchanged {
 		n += len(key) + 3
 	}
-	return n + size(b.Records)
+	return n + recordsSize(b.Records)
 }
 
-// Span is which buckets a delta by digests covers, From to before To: those that it doesn't bring are alike. Start is where plain deltas
+// BucketRange is which buckets a delta by digests covers, From to before To: those that it doesn't bring are alike. Start is where plain deltas
 // go on from once all are covered.
-type Span struct {
+type BucketRange struct {
 	Start uint64 `json:"start"`
 	From  int    `json:"from"`
 	To    int    `json:"to"`
@@ -110,18 +110,18 @@
 
 // Delta brings one reader from a position to another.
 type Delta struct {
-	Fleet    string   `json:"fleet"`
-	Epoch    string   `json:"epoch"`
-	Replaces []string `json:"replaces,omitempty"`
-	For      Scope    `json:"for"`
-	From     Position `json:"from"`
-	To       Position `json:"to"`
-	Head     Position `json:"head"` // of the source: where To is as far, all is there
-	Records  []Record `json:"records,omitempty"`
-	Span     *Span    `json:"span,omitempty"`
-	Buckets  []Bucket `json:"buckets,omitempty"`
-	Ask      bool     `json:"ask,omitempty"` // the reader's sums are wanted; nothing else is in it
-	AgeMs    int64    `json:"age_ms"`        // since the source knew the log's head for certain
+	Fleet       string       `json:"fleet"`
+	Epoch       string       `json:"epoch"`
+	Replaces    []string     `json:"replaces,omitempty"`
+	Scope       Scope        `json:"for"`
+	From        Position     `json:"from"`
+	To          Position     `json:"to"`
+	Head        Position     `json:"head"` // of the source: where To is as far, all is there
+	Records     []Record     `json:"records,omitempty"`
+	Range       *BucketRange `json:"span,omitempty"`
+	Buckets     []Bucket     `json:"buckets,omitempty"`
+	WantDigests bool         `json:"ask,omitempty"` // the reader's sums are wanted; nothing else is in it
+	AgeMs       int64        `json:"age_ms"`        // since the source knew the log's head for certain
 }
 
 // Size is the bytes that a delta takes, at most.
--- a/internal/controlplane/watchstream/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -50,14 +50,14 @@
 
 // Bounds of what is taken, in bytes and in numbers.
 const (
-	MostKey         = 128       // bytes of a key
-	MostTargetValue = 4 << 10   // bytes of a target's entry
-	MostConfigValue = 64 << 10  // bytes of a layer
-	MostChange      = 256 << 10 // bytes of a change: its keys and values
-	MostPuts        = 1 << 12   // puts of a change
-	MostDelta       = 2 << 20   // bytes of a delta, as Size counts them
-	MostName        = 128       // bytes of a reader's name, a region, a zone, a fleet, an epoch
-	MostReplaced    = 64        // epochs that a history takes the place of
+	MaxKeyBytes    = 128       // bytes of a key
+	MaxTargetBytes = 4 << 10   // bytes of a target's entry
+	MaxConfigBytes = 64 << 10  // bytes of a layer
+	MaxChangeBytes = 256 << 10 // bytes of a change: its keys and values
+	MaxPuts        = 1 << 12   // puts of a change
+	MaxDeltaBytes  = 2 << 20   // bytes of a delta, as Size counts them
+	MaxNameBytes   = 128       // bytes of a reader's name, a region, a zone, a fleet, an epoch
+	MaxReplaced    = 64        // epochs that a history takes the place of
 )
 
 // Record is the state of one key at the version that last changed it.
@@ -65,7 +65,7 @@
 	Kind    Kind            `json:"kind"`
 	Key     string          `json:"key"`
 	Version uint64          `json:"version"`
-	Gone    bool            `json:"gone,omitempty"`
+	Deleted bool            `json:"gone,omitempty"`
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
@@ -74,19 +74,19 @@
 
 // Put sets a key, or takes it away.
 type Put struct {
-	Kind  Kind            `json:"kind"`
-	Key   string          `json:"key"`
-	Gone  bool            `json:"gone,omitempty"`
-	Value json.RawMessage `json:"value,omitempty"`
+	Kind    Kind            `json:"kind"`
+	Key     string          `json:"key"`
+	Deleted bool            `json:"gone,omitempty"`
+	Value   json.RawMessage `json:"value,omitempty"`
 }
 
 // Change is what goes through the log as one entry and gets one version, whatever it reaches.
 type Change struct {
-	Fleet    string  `json:"fleet"`
-	Epoch    string  `json:"epoch,omitempty"`    // proposed; the first change of a group of agents names its history by it
-	Replaces string  `json:"replaces,omitempty"` // the operator's word that this history takes the place of that epoch (step 9)
-	If       *uint64 `json:"if,omitempty"`       // only over this version
-	Puts     []Put   `json:"puts"`
+	Fleet     string  `json:"fleet"`
+	Epoch     string  `json:"epoch,omitempty"`    // proposed; the first change of a group of agents names its history by it
+	Replaces  string  `json:"replaces,omitempty"` // the operator's word that this history takes the place of that epoch (step 9)
+	IfVersion *uint64 `json:"if,omitempty"`       // only over this version
+	Puts      []Put   `json:"puts"`
 }
 
 // FieldError names what in a change, a hello or a configuration cannot be used.
@@ -94,23 +94,25 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-func field(name, why string, args ...any) error { return &FieldError{name, fmt.Sprintf(why, args...)} }
+func fieldError(name, why string, args ...any) error {
+	return &FieldError{name, fmt.Sprintf(why, args...)}
+}
 
-// Check names the first field of a change that cannot be used.
-func (c *Change) Check() error {
+// Validate names the first field of a change that cannot be used.
+func (c *Change) Validate() error {
 	switch {
 	case c.Fleet == "":
-		return field("fleet", "it is missing")
-	case len(c.Fleet) > MostName:
-		return field("fleet", "over %d bytes", MostName)
-	case len(c.Epoch) > MostName:
-		return field("epoch", "over %d bytes", MostName)
-	case len(c.Replaces) > MostName:
-		return field("replaces", "over %d bytes", MostName)
+		return fieldError("fleet", "it is missing")
+	case len(c.Fleet) > MaxNameBytes:
+		return fieldError("fleet", "over %d bytes", MaxNameBytes)
+	case len(c.Epoch) > MaxNameBytes:
+		return fieldError("epoch", "over %d bytes", MaxNameBytes)
+	case len(c.Replaces) > MaxNameBytes:
+		return fieldError("replaces", "over %d bytes", MaxNameBytes)
 	case len(c.Puts) == 0 && c.Replaces == "":
-		return field("puts", "it is empty: a change holds one put at least")
-	case len(c.Puts) > MostPuts:
-		return field("puts", "%d of them: a change holds %d at most", len(c.Puts), MostPuts)
+		return fieldError("puts", "it is empty: a change holds one put at least")
+	case len(c.Puts) > MaxPuts:
+		return fieldError("puts", "%d of them: a change holds %d at most", len(c.Puts), MaxPuts)
 	}
 	size := 0
 	type id struct {
@@ -120,37 +122,37 @@
 	seen := make(map[id]int, len(c.Puts))
 	for i := range c.Puts {
 		p := &c.Puts[i]
-		if err := p.check(); err != nil {
-			return field(fmt.Sprintf("puts[%d].%s", i, err.Field), "%s", err.Why)
+		if err := p.validate(); err != nil {
+			return fieldError(fmt.Sprintf("puts[%d].%s", i, err.Field), "%s", err.Why)
 		}
 		if first, again := seen[id{p.Kind, p.Key}]; again {
-			return field(fmt.Sprintf("puts[%d].key", i), "puts[%d] has %q too", first, p.Key)
+			return fieldError(fmt.Sprintf("puts[%d].key", i), "puts[%d] has %q too", first, p.Key)
 		}
 		seen[id{p.Kind, p.Key}] = i
-		if size += len(p.Key) + len(p.Value); size > MostChange {
-			return field(fmt.Sprintf("puts[%d]", i), "the change is over %d bytes: make several of it", MostChange)
+		if size += len(p.Key) + len(p.Value); size > MaxChangeBytes {
+			return fieldError(fmt.Sprintf("puts[%d]", i), "the change is over %d bytes: make several of it", MaxChangeBytes)
 		}
 	}
 	return nil
 }
 
-func (p *Put) check() *FieldError {
-	most := MostTargetValue
+func (p *Put) validate() *FieldError {
+	most := MaxTargetBytes
 	if p.Kind == Config {
-		most = MostConfigValue
+		most = MaxConfigBytes
 	}
 	switch {
 	case p.Kind >= kinds:
 		return &FieldError{"kind", fmt.Sprintf("unknown: %d", p.Kind)}
 	case p.Key == "":
 		return &FieldError{"key", "it is missing"}
-	case len(p.Key) > MostKey:
-		return &FieldError{"key", fmt.Sprintf("over %d bytes", MostKey)}
-	case p.Kind == Config && !knownScope(p.Key):
+	case len(p.Key) > MaxKeyBytes:
+		return &FieldError{"key", fmt.Sprintf("over %d bytes", MaxKeyBytes)}
+	case p.Kind == Config && !isScope(p.Key):
 		return &FieldError{"key", fmt.Sprintf("%q is no scope: it is shared, region/NAME, zone/NAME or instance/NAME", p.Key)}
-	case p.Gone && len(p.Value) > 0:
+	case p.Deleted && len(p.Value) > 0:
 		return &FieldError{"value", "there is one beside gone"}
-	case p.Gone:
+	case p.Deleted:
 		return nil
 	case len(p.Value) > most:
 		return &FieldError{"value", fmt.Sprintf("%d bytes: %d at most", len(p.Value), most)}
@@ -167,12 +169,12 @@
 }
 
 // The scopes of configuration, in the order in which one is merged over another.
-const shared = "shared"
+const sharedScope = "shared"
 
-var scopes = []string{"region/", "zone/", "instance/"}
+var scopePrefixes = []string{"region/", "zone/", "instance/"}
 
-func knownScope(key string) bool {
-	return key == shared || slices.ContainsFunc(scopes, func(s string) bool { return len(key) > len(s) && strings.HasPrefix(key, s) })
+func isScope(key string) bool {
+	return key == sharedScope || slices.ContainsFunc(scopePrefixes, func(s string) bool { return len(key) > len(s) && strings.HasPrefix(key, s) })
 }
 
 // Scope is for whom a reader takes records: all targets, and the layers of its own configuration; a relay takes all layers.
@@ -183,43 +185,43 @@
 	All    bool   `json:"all,omitempty"`
 }
 
-// Check names the field that cannot be used.
-func (s Scope) Check() error {
+// Validate names the field that cannot be used.
+func (s Scope) Validate() error {
 	switch {
 	case s.Name == "":
-		return field("name", "it is missing")
-	case len(s.Name) > MostName-len("instance/"):
-		return field("name", "over %d bytes", MostName-len("instance/"))
-	case len(s.Region) > MostName-len("region/"):
-		return field("region", "over %d bytes", MostName-len("region/"))
-	case len(s.Zone) > MostName-len("zone/"):
-		return field("zone", "over %d bytes", MostName-len("zone/"))
+		return fieldError("name", "it is missing")
+	case len(s.Name) > MaxNameBytes-len("instance/"):
+		return fieldError("name", "over %d bytes", MaxNameBytes-len("instance/"))
+	case len(s.Region) > MaxNameBytes-len("region/"):
+		return fieldError("region", "over %d bytes", MaxNameBytes-len("region/"))
+	case len(s.Zone) > MaxNameBytes-len("zone/"):
+		return fieldError("zone", "over %d bytes", MaxNameBytes-len("zone/"))
 	}
 	return nil
 }
 
-// layers are the keys of the configuration in this scope, in the order in which one is merged over another.
-func (s Scope) layers() []string {
-	keys := []string{shared}
+// layerKeys are the keys of the configuration in this scope, in the order in which one is merged over another.
+func (s Scope) layerKeys() []string {
+	keys := []string{sharedScope}
 	for i, name := range []string{s.Region, s.Zone, s.Name} {
 		if name != "" {
-			keys = append(keys, scopes[i]+name)
+			keys = append(keys, scopePrefixes[i]+name)
 		}
 	}
 	return keys
 }
 
-// Holds tells whether a record of that kind and key is for this scope.
-func (s Scope) Holds(k Kind, key string) bool {
+// Includes tells whether a record of that kind and key is for this scope.
+func (s Scope) Includes(k Kind, key string) bool {
 	if k == Targets || s.All {
-		return k == Targets || knownScope(key)
+		return k == Targets || isScope(key)
 	}
 	for i, name := range [...]string{s.Region, s.Zone, s.Name} {
-		if name != "" && strings.HasPrefix(key, scopes[i]) && key[len(scopes[i]):] == name {
+		if name != "" && strings.HasPrefix(key, scopePrefixes[i]) && key[len(scopePrefixes[i]):] == name {
 			return true
 		}
 	}
-	return key == shared
+	return key == sharedScope
 }
 
 // Position is how far somebody is in the stream, by kind: changes up to this version.
@@ -228,25 +230,25 @@
 	Config  uint64 `json:"config"`
 }
 
-// Least is the version that is reached in both lanes.
-func (p Position) Least() uint64 { return min(p.Targets, p.Config) }
+// Min is the version that is reached in both lanes.
+func (p Position) Min() uint64 { return min(p.Targets, p.Config) }
 
-func (p *Position) of(k Kind) *uint64 {
+func (p *Position) version(k Kind) *uint64 {
 	if k == Config {
 		return &p.Config
 	}
 	return &p.Targets
 }
 
-// within tells whether p is at or before q in both lanes.
-func (p Position) within(q Position) bool { return p.Targets <= q.Targets && p.Config <= q.Config }
+// notAfter tells whether p is at or before q in both lanes.
+func (p Position) notAfter(q Position) bool { return p.Targets <= q.Targets && p.Config <= q.Config }
 
-func (p Position) most(q Position) Position {
+func (p Position) furthest(q Position) Position {
 	return Position{max(p.Targets, q.Targets), max(p.Config, q.Config)}
 }
 
-// Mark is a position in the history of that epoch.
-type Mark struct {
+// Watermark is a position in the history of that epoch.
+type Watermark struct {
 	Epoch string `json:"epoch,omitempty"`
 	Position
 }
--- a/internal/controlplane/watchstream/rules_test.go
+++ b/internal/controlplane/watchstream/rules_test.go
@@ -14,15 +14,15 @@
 	of := func(key, value string) Record {
 		return Record{Kind: Config, Key: key, Version: 3, Value: []byte(value)}
 	}
-	merged, err := Layers(nil)
+	merged, err := MergeLayers(nil)
 	require.NoError(t, err)
 	require.JSONEq(t, `{}`, string(merged))
-	merged, err = Layers([]Record{of("instance/n", `{"a":4}`), of("zone/z", `{"a":3,"d":{"x":null}}`), {Kind: Config, Key: "region/r", Gone: true}, of("shared", `{"a":1,"b":1,"d":{"x":1,"y":1}}`),
+	merged, err = MergeLayers([]Record{of("instance/n", `{"a":4}`), of("zone/z", `{"a":3,"d":{"x":null}}`), {Kind: Config, Key: "region/r", Deleted: true}, of("shared", `{"a":1,"b":1,"d":{"x":1,"y":1}}`),
 		{Kind: Targets, Key: "shared", Value: []byte(`{"a":9}`)}})
 	require.NoError(t, err)
 	require.JSONEq(t, `{"a":4,"b":1,"d":{"y":1}}`, string(merged))
 	for _, bad := range [][]Record{{of("shared", `{`)}, {of("shared", `{}`), of("region/r", `[`)}, {of("zone/a", `{}`), of("zone/b", `{}`)}} {
-		_, err = Layers(bad)
+		_, err = MergeLayers(bad)
 		var e *LayerError
 		require.ErrorAs(t, err, &e)
 		require.Equal(t, uint64(3), e.Version)
@@ -45,8 +45,8 @@
 			require.Equal(t, 1, exchange(t, &now, s, quick))
 		}
 	}
-	require.NoError(t, s.Hear(now, slow.Hello()))
-	d, _ := s.Next(now, "slow")
+	require.NoError(t, s.Subscribe(now, slow.SubscribeRequest()))
+	d, _ := s.NextDelta(now, "slow")
 	require.Len(t, d.Records, 11)
 	require.Equal(t, Position{10_001, 10_001}, d.To)
 }
@@ -55,30 +55,30 @@
 func TestTargetsFirst(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
-	s := NewSource(log, SourceOptions{Rate: 1000, Burst: 4000}, 1)
+	s := NewSource(log, SourceOptions{ReaderRate: 1000, ReaderBurst: 4000}, 1)
 	r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
 	apply(t, log, change(layer("shared", fmt.Sprintf(`{"x":"%060000d"}`, 1))))
 	exchange(t, &now, s, r)
-	require.Equal(t, uint64(1), r.InForce().Least())
+	require.Equal(t, uint64(1), r.Applied().Min())
 	for i := range 5 {
 		now += time.Second
 		apply(t, log, change(layer("shared", fmt.Sprintf(`{"x":"%060000d"}`, i)), target("a", fmt.Sprint("127.0.0.1:", i))))
-		require.NoError(t, s.Hear(now, r.Hello()))
-		d, _ := s.Next(now, "n1")
+		require.NoError(t, s.Subscribe(now, r.SubscribeRequest()))
+		d, _ := s.NextDelta(now, "n1")
 		require.NotNil(t, d)
 		require.Equal(t, []string{"a"}, keys(d.Records))
-		_, err := r.Take(d)
+		_, err := r.ApplyDelta(d)
 		require.NoError(t, err)
-		require.Equal(t, Position{uint64(i) + 2, 1}, r.Whole().Position)
+		require.Equal(t, Position{uint64(i) + 2, 1}, r.Consistent().Position)
 	}
 	// The configuration follows when its bytes are there; over all the time, no more than that and one configuration.
 	now += time.Second
-	require.NoError(t, s.Hear(now, r.Hello()))
-	_, wait := s.Next(now, "n1")
+	require.NoError(t, s.Subscribe(now, r.SubscribeRequest()))
+	_, wait := s.NextDelta(now, "n1")
 	require.Greater(t, wait, 100*time.Second)
 	require.Less(t, wait, 130*time.Second)
 	now += wait
-	d, _ := s.Next(now, "n1")
+	d, _ := s.NextDelta(now, "n1")
 	require.Equal(t, []string{"shared"}, keys(d.Records))
 }
 
@@ -87,7 +87,7 @@
 func TestAdmission(t *testing.T) {
 	log := NewStore(fleetName, Limits{})
 	apply(t, log, change(target("a", "x")))
-	s := NewSource(log, SourceOptions{Admit: 50, AdmitBurst: 20}, 1)
+	s := NewSource(log, SourceOptions{AdmitRate: 50, AdmitBurst: 20}, 1)
 	due := map[int]time.Duration{}
 	for i := range 1000 {
 		due[i] = 0
@@ -100,10 +100,10 @@
 			if at, waits := due[i]; !waits || at > now {
 				continue
 			}
-			err := s.Hear(now, Hello{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i)}, Turn: 1, Seq: 1})
-			if busy, ok := err.(*Busy); ok {
-				require.Positive(t, busy.After)
-				due[i] = now + busy.After
+			err := s.Subscribe(now, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i)}, Generation: 1, Seq: 1})
+			if busy, ok := err.(*BusyError); ok {
+				require.Positive(t, busy.RetryAfter)
+				due[i] = now + busy.RetryAfter
 				continue
 			}
 			require.NoError(t, err)
@@ -119,11 +119,11 @@
 	require.LessOrEqual(t, most, 5)
 	// Those that are known already are heard at any time; there are no more than so many.
 	full := NewSource(log, SourceOptions{MaxReaders: 1}, 1)
-	require.NoError(t, full.Hear(0, Hello{Fleet: fleetName, Scope: Scope{Name: "a"}, Turn: 1, Seq: 1}))
-	require.ErrorContains(t, full.Hear(0, Hello{Fleet: fleetName, Scope: Scope{Name: "b"}, Turn: 1, Seq: 1}), "busy")
-	require.NoError(t, full.Hear(0, Hello{Fleet: fleetName, Scope: Scope{Name: "a"}, Turn: 1, Seq: 2}))
-	require.NoError(t, full.Hear(Fair.Forget, Hello{Fleet: fleetName, Scope: Scope{Name: "b"}, Turn: 1, Seq: 1}))
-	require.Equal(t, 1, full.Readers())
+	require.NoError(t, full.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "a"}, Generation: 1, Seq: 1}))
+	require.ErrorContains(t, full.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "b"}, Generation: 1, Seq: 1}), "busy")
+	require.NoError(t, full.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "a"}, Generation: 1, Seq: 2}))
+	require.NoError(t, full.Subscribe(DefaultSourceOptions.ForgetAfter, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "b"}, Generation: 1, Seq: 1}))
+	require.Equal(t, 1, full.ReaderCount())
 }
 
 // TestEmptied has agents begin with an empty log: everybody keeps what there is and says so, until the operator's word.
@@ -139,30 +139,30 @@
 
 	empty := NewStore(fleetName, Limits{})
 	agent := NewSource(empty, SourceOptions{}, 2)
-	require.ErrorContains(t, agent.Hear(now, relay.Hello()), "unready")
+	require.ErrorContains(t, agent.Subscribe(now, relay.SubscribeRequest()), "unready")
 	_, err := empty.Apply(Change{Fleet: fleetName, Epoch: "e2", Puts: []Put{target("b", "x"), target("c", "x")}})
 	require.NoError(t, err)
-	require.ErrorContains(t, agent.Hear(now, relay.Hello()), `epoch "e1", and "e2" doesn't say`)
+	require.ErrorContains(t, agent.Subscribe(now, relay.SubscribeRequest()), `epoch "e1", and "e2" doesn't say`)
 	require.Equal(t, []string{"a", "b"}, keys(r.Records(Targets)))
 
 	_, err = empty.Apply(Change{Fleet: fleetName, Replaces: "e1"})
 	require.NoError(t, err)
 	exchange(t, &now, agent, relay)
 	now += time.Second
-	require.NoError(t, serves.Hear(now, r.Hello()))
-	d, _ := serves.Next(now, "n1")
-	changed, err := r.Take(d)
+	require.NoError(t, serves.Subscribe(now, r.SubscribeRequest()))
+	d, _ := serves.NextDelta(now, "n1")
+	changed, err := r.ApplyDelta(d)
 	require.NoError(t, err)
 	gone := map[string]bool{}
 	for _, x := range changed {
-		gone[x.Key] = x.Gone
+		gone[x.Key] = x.Deleted
 	}
 	require.Equal(t, map[string]bool{"a": true, "c": false, "shared": true}, gone) // b is as it was
-	require.Equal(t, Mark{"e1", Position{1, 1}}, r.InForce())
-	r.Applied(r.Whole())
-	require.Equal(t, Mark{"e2", Position{2, 2}}, r.InForce())
+	require.Equal(t, Watermark{"e1", Position{1, 1}}, r.Applied())
+	r.MarkApplied(r.Consistent())
+	require.Equal(t, Watermark{"e2", Position{2, 2}}, r.Applied())
 	// What comes late from the history before is refused.
-	_, err = r.Take(&Delta{Fleet: fleetName, Epoch: "e1", Replaces: []string{"e2"}, For: r.Scope(), To: Position{9, 9}, Head: Position{9, 9}})
+	_, err = r.ApplyDelta(&Delta{Fleet: fleetName, Epoch: "e1", Replaces: []string{"e2"}, Scope: r.Scope(), To: Position{9, 9}, Head: Position{9, 9}})
 	require.ErrorContains(t, err, "(epoch)")
 }
 
@@ -176,102 +176,102 @@
 	exchange(t, &now, s, r)
 	apply(t, log, change(layer("shared", `{"bad":1}`), target("a", "x")))
 	now += time.Second
-	require.NoError(t, s.Hear(now, r.Hello()))
-	d, _ := s.Next(now, "n1")
-	_, err := r.Take(d)
+	require.NoError(t, s.Subscribe(now, r.SubscribeRequest()))
+	d, _ := s.NextDelta(now, "n1")
+	_, err := r.ApplyDelta(d)
 	require.NoError(t, err)
-	r.TurnDown(r.Whole().Config, "bad: unknown field")
-	r.Applied(r.Whole())
-	require.Equal(t, Position{2, 1}, r.InForce().Position)
+	r.RejectConfig(r.Consistent().Config, "bad: unknown field")
+	r.MarkApplied(r.Consistent())
+	require.Equal(t, Position{2, 1}, r.Applied().Position)
 	apply(t, log, change(target("b", "x")))
 	now += time.Second
 	exchange(t, &now, s, r)
-	require.Equal(t, Position{3, 1}, r.InForce().Position)
-	require.Equal(t, &TurnedDown{2, "bad: unknown field"}, r.Hello().Refused)
+	require.Equal(t, Position{3, 1}, r.Applied().Position)
+	require.Equal(t, &Rejection{2, "bad: unknown field"}, r.SubscribeRequest().Rejection)
 	apply(t, log, change(layer("shared", `{"good":1}`)))
 	now += time.Second
 	exchange(t, &now, s, r)
-	require.Equal(t, Position{4, 4}, r.InForce().Position)
-	require.Nil(t, r.Hello().Refused)
+	require.Equal(t, Position{4, 4}, r.Applied().Position)
+	require.Nil(t, r.SubscribeRequest().Rejection)
 }
 
 // TestTally tells who has a version, since when, and who not and why.
 func TestTally(t *testing.T) {
-	tally := NewTally(fleetName, TallyOptions{})
-	at := func(epoch string, v uint64) Mark { return Mark{epoch, Position{v, v}} }
+	tally := NewAckTracker(fleetName, AckTrackerOptions{})
+	at := func(epoch string, v uint64) Watermark { return Watermark{epoch, Position{v, v}} }
 	seq := map[string]uint64{}
-	report := func(now time.Duration, relay string, whole bool, has uint64, readers ...Reading) ReportAnswer {
+	report := func(now time.Duration, relay string, whole bool, has uint64, readers ...Cursor) ReportResponse {
 		seq[relay]++
-		a, err := tally.Take(now, Report{Fleet: fleetName, Relay: relay, Life: 1, Seq: seq[relay], Base: seq[relay] - 1, Upto: seq[relay], Whole: whole, Has: at("e1", has), Readers: readers})
+		a, err := tally.AddReport(now, Report{Fleet: fleetName, Relay: relay, Incarnation: 1, Seq: seq[relay], Base: seq[relay] - 1, UpTo: seq[relay], Full: whole, Consistent: at("e1", has), Readers: readers})
 		require.NoError(t, err)
 		return a
 	}
 	const s = time.Second
-	tally.Committed(0, "e1", 1)
-	require.True(t, report(s, "a", false, 1).Whole, "it has no base")
-	report(s, "a", true, 1, Reading{Name: "n1", InForce: at("e1", 1), Turn: 1}, Reading{Name: "n2", InForce: at("e1", 1), Turn: 1})
-	report(s, "b", true, 1, Reading{Name: "n3", InForce: at("e1", 1), Turn: 1}, Reading{Name: "n4", InForce: at("e0", 9), Epoch: "e0", Turn: 1})
-	report(7*s, "a", false, 1, Reading{Name: "n1", InForce: at("e1", 1), Turn: 1})
-	tally.Committed(10*s, "e1", 2)
-	report(11*s, "a", false, 2, Reading{Name: "n1", InForce: at("e1", 2), Turn: 1})
-	report(12*s, "b", false, 2, Reading{Name: "n3", InForce: at("e1", 2), Turn: 1, AgoMs: 100})
+	tally.NoteCommit(0, "e1", 1)
+	require.True(t, report(s, "a", false, 1).WantFull, "it has no base")
+	report(s, "a", true, 1, Cursor{Name: "n1", Applied: at("e1", 1), Generation: 1}, Cursor{Name: "n2", Applied: at("e1", 1), Generation: 1})
+	report(s, "b", true, 1, Cursor{Name: "n3", Applied: at("e1", 1), Generation: 1}, Cursor{Name: "n4", Applied: at("e0", 9), Epoch: "e0", Generation: 1})
+	report(7*s, "a", false, 1, Cursor{Name: "n1", Applied: at("e1", 1), Generation: 1})
+	tally.NoteCommit(10*s, "e1", 2)
+	report(11*s, "a", false, 2, Cursor{Name: "n1", Applied: at("e1", 2), Generation: 1})
+	report(12*s, "b", false, 2, Cursor{Name: "n3", Applied: at("e1", 2), Generation: 1, LastHeardMs: 100})
 	st := tally.Status(13*s, 2)
-	require.Equal(t, [4]int{4, 2, 0, 0}, [4]int{st.Known, st.Have, st.Silent, st.Refused})
-	require.Equal(t, [4]int64{3000, 2000, -1, -1}, [4]int64{st.SinceMs, st.HalfMs, st.MostMs, st.AllMs})
+	require.Equal(t, [4]int{4, 2, 0, 0}, [4]int{st.Readers, st.Applied, st.Silent, st.Rejected})
+	require.Equal(t, [4]int64{3000, 2000, -1, -1}, [4]int64{st.SinceMs, st.HalfMs, st.P99Ms, st.AllMs})
 	require.Equal(t, []string{"n4 epoch", "n2 owed"}, lags(st))
 	require.Equal(t, 1, len(tally.Status(13*s, 1).Lagging))
 
 	// It moved, and then the word of the relay before comes; it counts once, as in its later turn.
-	report(14*s, "b", false, 2, Reading{Name: "n2", InForce: at("e1", 2), Turn: 2}, Reading{Name: "n4", InForce: at("e1", 1), Turn: 2, Refused: &TurnedDown{2, "bad"}})
-	report(15*s, "a", false, 2, Reading{Name: "n2", InForce: at("e1", 1), Turn: 1, Silent: true, AgoMs: 2000})
+	report(14*s, "b", false, 2, Cursor{Name: "n2", Applied: at("e1", 2), Generation: 2}, Cursor{Name: "n4", Applied: at("e1", 1), Generation: 2, Rejection: &Rejection{2, "bad"}})
+	report(15*s, "a", false, 2, Cursor{Name: "n2", Applied: at("e1", 1), Generation: 1, Silent: true, LastHeardMs: 2000})
 	st = tally.Status(15*s, 2)
-	require.Equal(t, [4]int{4, 3, 0, 1}, [4]int{st.Known, st.Have, st.Silent, st.Refused})
+	require.Equal(t, [4]int{4, 3, 0, 1}, [4]int{st.Readers, st.Applied, st.Silent, st.Rejected})
 	require.Equal(t, []string{"n4 refused"}, lags(st))
 
 	// A relay that is cut off has not what its readers lack; one that isn't heard has silent readers.
-	tally.Committed(16*s, "e1", 3)
+	tally.NoteCommit(16*s, "e1", 3)
 	report(16*s+s/2, "a", false, 3)
-	report(17*s, "b", false, 2, Reading{Name: "n4", InForce: at("e1", 2), Turn: 2})
+	report(17*s, "b", false, 2, Cursor{Name: "n4", Applied: at("e1", 2), Generation: 2})
 	require.Equal(t, []string{"n1 owed", "n2 cut", "n3 cut", "n4 cut"}, lags(tally.Status(17*s, 3)))
 	st = tally.Status(26*s+7*s/10, 3)
 	require.Equal(t, []string{"n1 silent", "n2 cut", "n3 cut", "n4 cut"}, lags(st))
 	require.Equal(t, 1, st.Silent)
-	require.Equal(t, int64(10_200), st.Lagging[0].HeardMs)
+	require.Equal(t, int64(10_200), st.Lagging[0].LastHeardMs)
 
 	// A version that all have had, and when.
-	report(26*s+8*s/10, "a", false, 3, Reading{Name: "n1", InForce: at("e1", 3), Turn: 1})
-	report(27*s, "b", false, 3, Reading{Name: "n2", InForce: at("e1", 3), Turn: 2}, Reading{Name: "n3", InForce: at("e1", 3), Turn: 1}, Reading{Name: "n4", InForce: at("e1", 3), Turn: 2})
+	report(26*s+8*s/10, "a", false, 3, Cursor{Name: "n1", Applied: at("e1", 3), Generation: 1})
+	report(27*s, "b", false, 3, Cursor{Name: "n2", Applied: at("e1", 3), Generation: 2}, Cursor{Name: "n3", Applied: at("e1", 3), Generation: 1}, Cursor{Name: "n4", Applied: at("e1", 3), Generation: 2})
 	st = tally.Status(28*s, 3)
-	require.Equal(t, [3]int64{11000, 11000, 11000}, [3]int64{st.HalfMs, st.MostMs, st.AllMs})
+	require.Equal(t, [3]int64{11000, 11000, 11000}, [3]int64{st.HalfMs, st.P99Ms, st.AllMs})
 	require.Empty(t, st.Lagging)
-	require.InDelta(t, 1, st.Share, 0)
+	require.InDelta(t, 1, st.AppliedShare, 0)
 
 	// A relay that is silent for long is forgotten with its readers; a report of an earlier life isn't taken.
-	st = tally.Status(28*s+Counted.Forget, 3)
-	require.Zero(t, st.Known)
-	_, err := tally.Take(28*s, Report{Fleet: "g", Relay: "a", Life: 9, Whole: true})
+	st = tally.Status(28*s+DefaultAckTrackerOptions.ForgetAfter, 3)
+	require.Zero(t, st.Readers)
+	_, err := tally.AddReport(28*s, Report{Fleet: "g", Relay: "a", Incarnation: 9, Full: true})
 	require.ErrorContains(t, err, "foreign")
-	require.Equal(t, uint64(1), tally.Counts()[Foreign])
+	require.Equal(t, uint64(1), tally.Rejections()[ReasonForeignFleet])
 }
 
 func lags(s Status) (list []string) {
 	for _, l := range s.Lagging {
-		list = append(list, l.Name+" "+l.Why)
+		list = append(list, l.Name+" "+l.Cause)
 	}
 	return list
 }
 
 // TestJSON has what goes over the wire come back as it went.
 func TestJSON(t *testing.T) {
-	h := Hello{Fleet: "f", Epoch: "e", Scope: Scope{Name: "n", Region: "r", All: true}, Have: Position{1, 2}, Seen: Position{3, 4}, InForce: Mark{"e", Position{1, 1}}, Turn: 5, Seq: 6,
-		Refused: &TurnedDown{7, "x"}, Digest: &Progress{8, 9}, Sums: Sums{10, 1 << 63}, WaitMs: 11}
-	var h2 Hello
+	h := SubscribeRequest{Fleet: "f", Epoch: "e", Scope: Scope{Name: "n", Region: "r", All: true}, Have: Position{1, 2}, Seen: Position{3, 4}, Applied: Watermark{"e", Position{1, 1}}, Generation: 5, Seq: 6,
+		Rejection: &Rejection{7, "x"}, Progress: &DigestProgress{8, 9}, Digests: Digests{10, 1 << 63}, WaitMs: 11}
+	var h2 SubscribeRequest
 	b, err := json.Marshal(h)
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(b, &h2))
 	require.Equal(t, h, h2)
-	d := Delta{Fleet: "f", Epoch: "e", Replaces: []string{"x"}, For: h.Scope, To: Position{1, 2}, Head: Position{3, 4}, Records: []Record{{Kind: Config, Key: "shared", Version: 2, Value: []byte(`{}`)}},
-		Span: &Span{1, 2, 3}, Buckets: []Bucket{{2, 1 << 63, []string{"b"}, []Record{{Key: "a", Version: 1, Value: []byte(`{}`)}}}}, AgeMs: 4}
+	d := Delta{Fleet: "f", Epoch: "e", Replaces: []string{"x"}, Scope: h.Scope, To: Position{1, 2}, Head: Position{3, 4}, Records: []Record{{Kind: Config, Key: "shared", Version: 2, Value: []byte(`{}`)}},
+		Range: &BucketRange{1, 2, 3}, Buckets: []Bucket{{2, 1 << 63, []string{"b"}, []Record{{Key: "a", Version: 1, Value: []byte(`{}`)}}}}, AgeMs: 4}
 	var d2 Delta
 	b, err = json.Marshal(d)
 	require.NoError(t, err)
--- a/internal/controlplane/watchstream/sent_test.go
+++ b/internal/controlplane/watchstream/sent_test.go
@@ -13,7 +13,7 @@
 // the one delta that may be ahead; and packed ones bring it more records.
 func TestSent(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		opt := SourceOptions{Rate: 10_000, Burst: 20_000, Gather: 200 * time.Millisecond}
+		opt := SourceOptions{ReaderRate: 10_000, ReaderBurst: 20_000, CoalesceInterval: 200 * time.Millisecond}
 		pack := rapid.IntRange(1, 20).Draw(rt, "pack")
 		around := rapid.IntRange(0, 1500).Draw(rt, "around")
 		run := func(told bool) (records int) {
@@ -26,24 +26,24 @@
 			wire, most, again := 0, 0, true
 			for now := time.Duration(0); now < 10*time.Second; now += 50 * time.Millisecond {
 				if again {
-					require.NoError(rt, src.Hear(now, r.Hello()))
+					require.NoError(rt, src.Subscribe(now, r.SubscribeRequest()))
 					again = false
 				}
-				d, _ := src.Next(now, "n")
+				d, _ := src.NextDelta(now, "n")
 				if d == nil {
 					continue
 				}
 				again = true
-				got, err := r.Take(d)
+				got, err := r.ApplyDelta(d)
 				require.NoError(rt, err)
 				records += len(got)
-				bytes := size(d.Records)/pack + around
+				bytes := recordsSize(d.Records)/pack + around
 				if told {
-					src.Sent("n", d, bytes)
+					src.DeltaSent("n", d, bytes)
 				}
 				wire, most = wire+bytes, max(most, bytes)
 				if told {
-					require.LessOrEqual(rt, float64(wire-most), opt.Burst+opt.Rate*now.Seconds())
+					require.LessOrEqual(rt, float64(wire-most), opt.ReaderBurst+opt.ReaderRate*now.Seconds())
 				}
 			}
 			return records
@@ -53,5 +53,5 @@
 			require.Greater(rt, told, untold)
 		}
 	})
-	NewSource(NewStore("f", Limits{}), SourceOptions{}, 1).Sent("nobody", &Delta{}, 7)
+	NewSource(NewStore("f", Limits{}), SourceOptions{}, 1).DeltaSent("nobody", &Delta{}, 7)
 }
--- a/internal/controlplane/watchstream/size_test.go
+++ b/internal/controlplane/watchstream/size_test.go
@@ -63,7 +63,7 @@
 	src := NewSource(s, SourceOptions{}, 1)
 	before = heap()
 	for i := range 400 {
-		require.NoError(t, src.Hear(time.Duration(i)*time.Second, Hello{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i), Region: "r1", Zone: "z1"}, Epoch: "e1", Have: s.Whole(), Seen: s.Whole(), Turn: 1, Seq: 1}))
+		require.NoError(t, src.Subscribe(time.Duration(i)*time.Second, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i), Region: "r1", Zone: "z1"}, Epoch: "e1", Have: s.Consistent(), Seen: s.Consistent(), Generation: 1, Seq: 1}))
 	}
 	each = float64(heap()-before) / 400
 	t.Logf("400 readers: %.0f bytes each", each)
@@ -77,9 +77,9 @@
 func TestWork(t *testing.T) {
 	work := func(n int) (apply, idle, one float64) {
 		s := filled(t, n)
-		src := NewSource(s, SourceOptions{Rate: 1e9, Burst: 1e9, Gather: 1}, 1)
+		src := NewSource(s, SourceOptions{ReaderRate: 1e9, ReaderBurst: 1e9, CoalesceInterval: 1}, 1)
 		now := time.Second
-		h := Hello{Fleet: fleetName, Scope: Scope{Name: "n1", Region: "r1", Zone: "z1"}, Epoch: "e1", Turn: 1}
+		h := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1", Region: "r1", Zone: "z1"}, Epoch: "e1", Generation: 1}
 		i := 0
 		apply = testing.AllocsPerRun(200, func() {
 			i++
@@ -88,18 +88,18 @@
 		})
 		hear := func() {
 			now, h.Seq = now+time.Second, h.Seq+1
-			require.NoError(t, src.Hear(now, h))
+			require.NoError(t, src.Subscribe(now, h))
 		}
-		h.Have, h.Seen = s.Whole(), s.Whole()
+		h.Have, h.Seen = s.Consistent(), s.Consistent()
 		hear()
-		idle = testing.AllocsPerRun(200, func() { src.Next(now, "n1") })
+		idle = testing.AllocsPerRun(200, func() { src.NextDelta(now, "n1") })
 		one = testing.AllocsPerRun(200, func() {
-			h.Have, h.Seen = s.Whole(), s.Whole()
+			h.Have, h.Seen = s.Consistent(), s.Consistent()
 			i++
 			_, err := s.Apply(change(entry(i%n, i)))
 			require.NoError(t, err)
 			hear()
-			d, _ := src.Next(now, "n1")
+			d, _ := src.NextDelta(now, "n1")
 			require.Len(t, d.Records, 1)
 		})
 		return apply, idle, one
@@ -124,13 +124,13 @@
 		}
 		apply(t, s, change(p))
 	}
-	sums, buckets := make(Sums, len(s.sums)), make([]int, len(s.sums))
+	sums, buckets := make(Digests, len(s.digests)), make([]int, len(s.digests))
 	for _, r := range s.Records(Targets) {
-		b := s.bucket(r.Key)
-		sums[b] += r.hash()
+		b := s.bucketOf(r.Key)
+		sums[b] += r.digest()
 		buckets[b]++
 	}
-	require.Equal(t, sums, s.sums)
+	require.Equal(t, sums, s.digests)
 	for b := range buckets {
 		require.Len(t, s.buckets[b], buckets[b])
 	}
@@ -152,17 +152,17 @@
 	r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
 	deltas := exchange(t, &now, s, r)
 	t.Logf("all of %d: %d deltas within %v", atSize, deltas, now.Round(time.Second))
-	require.Equal(t, log.sums, r.Store().sums)
+	require.Equal(t, log.digests, r.Store().digests)
 	took := now
 	for i := range 300 {
 		apply(t, log, change(gone(entry(i, 0).Key), entry(10_000+i, 1)))
 	}
-	require.Greater(t, log.Floor(), r.Position().Targets)
+	require.Greater(t, log.TombstoneFloor(), r.Position().Targets)
 	now += time.Hour
 	began := now
 	deltas = exchange(t, &now, s, r)
 	t.Logf("by digests, 600 of %d changed: %d deltas within %v", atSize, deltas, (now - began).Round(time.Second))
-	require.Equal(t, log.sums, r.Store().sums)
+	require.Equal(t, log.digests, r.Store().digests)
 	require.Equal(t, log.Count(Targets), r.Store().Count(Targets))
 	require.Less(t, now-began, took/2)
 }
@@ -172,19 +172,19 @@
 func TestConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Buckets: 16, Tombstones: rapid.IntRange(5, 100).Draw(t, "tombstones")}
-		opt := SourceOptions{Rate: float64(rapid.SampledFrom([]int{2000, 1_000_000}).Draw(t, "rate")), Admit: 1000, AdmitBurst: 1000, Gather: time.Millisecond}
-		opt.Burst = opt.Rate * 2
+		opt := SourceOptions{ReaderRate: float64(rapid.SampledFrom([]int{2000, 1_000_000}).Draw(t, "rate")), AdmitRate: 1000, AdmitBurst: 1000, CoalesceInterval: time.Millisecond}
+		opt.ReaderBurst = opt.ReaderRate * 2
 		log := NewStore(fleetName, limits)
 		agent := NewSource(log, opt, 1)
 		type node struct {
 			r      *Replica
 			s      *Source
-			copies []Copy
+			copies []Snapshot
 			from   int
 		}
 		turn, now := uint64(1), time.Second
 		var nodes []*node
-		start := func(n *node, scope Scope, c *Copy) {
+		start := func(n *node, scope Scope, c *Snapshot) {
 			turn += 1 << 20
 			n.r = NewReplica(fleetName, scope, turn, limits)
 			if c != nil {
@@ -207,20 +207,20 @@
 			if n.from >= 0 {
 				s = nodes[n.from].s
 			}
-			if err := s.Hear(now, n.r.Hello()); err != nil {
+			if err := s.Subscribe(now, n.r.SubscribeRequest()); err != nil {
 				return
 			}
-			d, _ := s.Next(now, n.r.Scope().Name)
+			d, _ := s.NextDelta(now, n.r.Scope().Name)
 			if d == nil || lost {
 				return
 			}
-			_, err := n.r.Take(d)
+			_, err := n.r.ApplyDelta(d)
 			require.NoError(t, err)
-			if rapid.IntRange(0, 9).Draw(t, "again") == 0 && !d.Ask && d.From != d.To {
-				_, err = n.r.Take(d)
+			if rapid.IntRange(0, 9).Draw(t, "again") == 0 && !d.WantDigests && d.From != d.To {
+				_, err = n.r.ApplyDelta(d)
 				require.Error(t, err)
 			}
-			n.r.Applied(n.r.Whole())
+			n.r.MarkApplied(n.r.Consistent())
 		}
 		for i := range rapid.IntRange(20, 150).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond
@@ -248,9 +248,9 @@
 				n := nodes[rapid.IntRange(0, 4).Draw(t, "node")]
 				switch rapid.IntRange(0, 2).Draw(t, "fault") {
 				case 0:
-					n.copies = append(n.copies, n.r.Store().Copy())
+					n.copies = append(n.copies, n.r.Store().Snapshot())
 				case 1:
-					var c *Copy
+					var c *Snapshot
 					if k := rapid.IntRange(0, len(n.copies)).Draw(t, "copy"); k > 0 {
 						c = &n.copies[k-1]
 					}
@@ -258,7 +258,7 @@
 				default:
 					if n.from >= 0 {
 						n.from = 1 - n.from
-						n.r.Moved()
+						n.r.SwitchSource()
 					}
 				}
 			}
@@ -271,19 +271,19 @@
 			level := true
 			for _, n := range nodes {
 				exchange(n, false)
-				level = level && n.r.InForce().Least() == log.Head()
+				level = level && n.r.Applied().Min() == log.Head()
 			}
 			if level {
 				break
 			}
 		}
 		for i, n := range nodes {
-			require.Equal(t, log.Head(), n.r.InForce().Least(), "n%d", i)
+			require.Equal(t, log.Head(), n.r.Applied().Min(), "n%d", i)
 			require.Equal(t, log.Records(Targets), n.r.Records(Targets), "n%d", i)
-			require.Equal(t, log.sums, n.r.Store().sums, "n%d", i)
+			require.Equal(t, log.digests, n.r.Store().digests, "n%d", i)
 			for _, x := range log.Records(Config) {
 				is, ok := n.r.Store().Get(Config, x.Key)
-				require.Equal(t, n.r.Scope().Holds(Config, x.Key), ok && is.Version == x.Version, "n%d", i)
+				require.Equal(t, n.r.Scope().Includes(Config, x.Key), ok && is.Version == x.Version, "n%d", i)
 			}
 		}
 	})
@@ -307,7 +307,7 @@
 	for _, n := range []int{2000, atSize} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := filled(b, n)
-			src := NewSource(s, SourceOptions{Rate: 1e9, Burst: 1e9, Admit: 1e9, AdmitBurst: 1e9, Gather: 1}, 1)
+			src := NewSource(s, SourceOptions{ReaderRate: 1e9, ReaderBurst: 1e9, AdmitRate: 1e9, AdmitBurst: 1e9, CoalesceInterval: 1}, 1)
 			names := make([]string, 400)
 			for i := range names {
 				names[i] = fmt.Sprint("n", i)
@@ -315,16 +315,16 @@
 			now := time.Second
 			for i := 0; b.Loop(); i++ {
 				now += time.Second
-				was := s.Whole()
+				was := s.Consistent()
 				if _, err := s.Apply(change(entry(i%n, i))); err != nil {
 					b.Fatal(err)
 				}
 				for _, name := range names {
-					h := Hello{Fleet: fleetName, Scope: Scope{Name: name, Region: "r1", Zone: "z1"}, Epoch: "e1", Have: was, Seen: was, Turn: 1, Seq: uint64(i) + 1}
-					if err := src.Hear(now, h); err != nil {
+					h := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: name, Region: "r1", Zone: "z1"}, Epoch: "e1", Have: was, Seen: was, Generation: 1, Seq: uint64(i) + 1}
+					if err := src.Subscribe(now, h); err != nil {
 						b.Fatal(err)
 					}
-					if d, _ := src.Next(now, name); len(d.Records) != 1 {
+					if d, _ := src.NextDelta(now, name); len(d.Records) != 1 {
 						b.Fatal(d)
 					}
 				}
@@ -337,27 +337,27 @@
 func BenchmarkIdle(b *testing.B) {
 	s := filled(b, atSize)
 	src := NewSource(s, SourceOptions{}, 1)
-	if err := src.Hear(0, Hello{Fleet: fleetName, Scope: Scope{Name: "n1"}, Epoch: "e1", Have: s.Whole(), Seen: s.Whole(), Turn: 1, Seq: 1}); err != nil {
+	if err := src.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1"}, Epoch: "e1", Have: s.Consistent(), Seen: s.Consistent(), Generation: 1, Seq: 1}); err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		src.Next(0, "n1")
+		src.NextDelta(0, "n1")
 	}
 }
 
 // BenchmarkTally takes a second's reports of 16 relays, of 2,900 readers that have all a new version in force.
 func BenchmarkTally(b *testing.B) {
-	t := NewTally(fleetName, TallyOptions{})
+	t := NewAckTracker(fleetName, AckTrackerOptions{})
 	now := time.Second
 	for i := uint64(1); b.Loop(); i++ {
 		now += time.Second
-		t.Committed(now, "e1", i)
+		t.NoteCommit(now, "e1", i)
 		for k := range 16 {
-			r := Report{Fleet: fleetName, Relay: fmt.Sprint("relay/", k), Life: 1, Seq: i, Base: i - 1, Upto: i, Whole: i == 1, Has: Mark{"e1", Position{i, i}}}
+			r := Report{Fleet: fleetName, Relay: fmt.Sprint("relay/", k), Incarnation: 1, Seq: i, Base: i - 1, UpTo: i, Full: i == 1, Consistent: Watermark{"e1", Position{i, i}}}
 			for j := range 181 {
-				r.Readers = append(r.Readers, Reading{Name: fmt.Sprint("n", k, ".", j), InForce: Mark{"e1", Position{i, i}}, Turn: 1})
+				r.Readers = append(r.Readers, Cursor{Name: fmt.Sprint("n", k, ".", j), Applied: Watermark{"e1", Position{i, i}}, Generation: 1})
 			}
-			if _, err := t.Take(now, r); err != nil {
+			if _, err := t.AddReport(now, r); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -17,42 +17,42 @@
 	Buckets    int // that digests are made of
 }
 
-// Usual is the limits of a fleet of 20,000 targets with room.
-var Usual = Limits{Targets: 1 << 16, Tombstones: 1 << 14, Scopes: 1 << 14, Buckets: 1 << 10}
+// DefaultLimits is the limits of a fleet of 20,000 targets with room.
+var DefaultLimits = Limits{Targets: 1 << 16, Tombstones: 1 << 14, Scopes: 1 << 14, Buckets: 1 << 10}
 
 // Store is the newest state of each key, in order of version: the log's at an agent, a copy of it at a relay and at an initiator.
 type Store struct {
-	limits   Limits
-	fleet    string
-	epoch    string
-	replaces []string // epochs that this one takes the place of (step 9)
-	have     Position // each key that the log last changed at or before it is held so (step 2)
-	whole    Position // the last position at which all that is held was the log's state, or newer (step 3)
-	seen     Position // the furthest source that anything came from (step 4)
-	floor    uint64   // targets that went at or before it are not told of by a tombstone (step 6)
-	lanes    [kinds]lane
-	sums     Sums
-	buckets  [][]*Record // live targets
+	limits         Limits
+	fleet          string
+	epoch          string
+	replaces       []string // epochs that this one takes the place of (step 9)
+	have           Position // each key that the log last changed at or before it is held so (step 2)
+	consistent     Position // the last position at which all that is held was the log's state, or newer (step 3)
+	newestSeen     Position // the furthest source that anything came from (step 4)
+	tombstoneFloor uint64   // targets that went at or before it are not told of by a tombstone (step 6)
+	lanes          [kinds]lane
+	digests        Digests
+	buckets        [][]*Record // live targets
 }
 
 type lane struct {
-	keys   map[string]*Record
-	order  *btree.BTreeG[*Record]
-	graves *btree.BTreeG[*Record] // gone ones
-	bytes  int                    // of keys and values
+	keys       map[string]*Record
+	byVersion  *btree.BTreeG[*Record]
+	tombstones *btree.BTreeG[*Record] // gone ones
+	bytes      int                    // of keys and values
 }
 
-func byVersion(a, b *Record) bool {
+func versionLess(a, b *Record) bool {
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key)) < 0
 }
 
 // NewStore returns an empty store. A limit that is zero is the usual one.
 func NewStore(fleet string, l Limits) *Store {
-	l.Targets, l.Tombstones = cmp.Or(l.Targets, Usual.Targets), cmp.Or(l.Tombstones, Usual.Tombstones)
-	l.Scopes, l.Buckets = cmp.Or(l.Scopes, Usual.Scopes), cmp.Or(l.Buckets, Usual.Buckets)
-	s := &Store{limits: l, fleet: fleet, sums: make(Sums, l.Buckets), buckets: make([][]*Record, l.Buckets)}
+	l.Targets, l.Tombstones = cmp.Or(l.Targets, DefaultLimits.Targets), cmp.Or(l.Tombstones, DefaultLimits.Tombstones)
+	l.Scopes, l.Buckets = cmp.Or(l.Scopes, DefaultLimits.Scopes), cmp.Or(l.Buckets, DefaultLimits.Buckets)
+	s := &Store{limits: l, fleet: fleet, digests: make(Digests, l.Buckets), buckets: make([][]*Record, l.Buckets)}
 	for k := range s.lanes {
-		s.lanes[k] = lane{keys: map[string]*Record{}, order: btree.NewG(16, byVersion), graves: btree.NewG(16, byVersion)}
+		s.lanes[k] = lane{keys: map[string]*Record{}, byVersion: btree.NewG(16, versionLess), tombstones: btree.NewG(16, versionLess)}
 	}
 	return s
 }
@@ -67,19 +67,19 @@
 func (s *Store) Replaces() []string { return slices.Clone(s.replaces) }
 
 // Head is the version of the last change. At a relay it is the least of both lanes.
-func (s *Store) Head() uint64 { return s.whole.Least() }
+func (s *Store) Head() uint64 { return s.consistent.Min() }
 
-// Whole is up to where the store has the log's state, by lane.
-func (s *Store) Whole() Position { return s.whole }
+// Consistent is up to where the store has the log's state, by lane.
+func (s *Store) Consistent() Position { return s.consistent }
 
-// Floor is the version up to which gone targets are no longer told of one by one: readers behind it go by digests.
-func (s *Store) Floor() uint64 { return s.floor }
+// TombstoneFloor is the version up to which gone targets are no longer told of one by one: readers behind it go by digests.
+func (s *Store) TombstoneFloor() uint64 { return s.tombstoneFloor }
 
 // Count is how many live records of a kind there are.
-func (s *Store) Count(k Kind) int { return s.lanes[k].order.Len() - s.lanes[k].graves.Len() }
+func (s *Store) Count(k Kind) int { return s.lanes[k].byVersion.Len() - s.lanes[k].tombstones.Len() }
 
 // Tombstones is how many gone keys of a kind are remembered.
-func (s *Store) Tombstones(k Kind) int { return s.lanes[k].graves.Len() }
+func (s *Store) Tombstones(k Kind) int { return s.lanes[k].tombstones.Len() }
 
 // Bytes is what the keys and values of a kind take.
 func (s *Store) Bytes(k Kind) int { return s.lanes[k].bytes }
@@ -95,8 +95,8 @@
 // Records are the live ones of a kind, in order of version. Their values are shared and must not be written to.
 func (s *Store) Records(k Kind) []Record {
 	list := make([]Record, 0, s.Count(k))
-	s.lanes[k].order.Ascend(func(r *Record) bool {
-		if !r.Gone {
+	s.lanes[k].byVersion.Ascend(func(r *Record) bool {
+		if !r.Deleted {
 			list = append(list, *r)
 		}
 		return true
@@ -107,38 +107,38 @@
 // Apply makes a change, as the log has it: the same at every agent. It returns the change's version. Where it returns an error nothing
 // has changed.
 func (s *Store) Apply(c Change) (uint64, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return 0, err
 	}
 	switch {
 	case c.Fleet != s.fleet:
-		return 0, refuse(Foreign, "the change is of fleet %q, and this is %q", c.Fleet, s.fleet)
+		return 0, reject(ReasonForeignFleet, "the change is of fleet %q, and this is %q", c.Fleet, s.fleet)
 	case s.epoch == "" && c.Epoch == "":
-		return 0, field("epoch", "it is missing: the first change of a history names it")
-	case c.If != nil && *c.If != s.Head():
-		return 0, &Conflict{*c.If, s.Head()}
+		return 0, fieldError("epoch", "it is missing: the first change of a history names it")
+	case c.IfVersion != nil && *c.IfVersion != s.Head():
+		return 0, &ConflictError{*c.IfVersion, s.Head()}
 	case c.Replaces != "" && c.Replaces == cmp.Or(s.epoch, c.Epoch):
-		return 0, field("replaces", "%q is this history itself", c.Replaces)
-	case c.Replaces != "" && len(s.replaces) >= MostReplaced && !slices.Contains(s.replaces, c.Replaces):
-		return 0, field("replaces", "this history takes the place of %d others already", len(s.replaces))
+		return 0, fieldError("replaces", "%q is this history itself", c.Replaces)
+	case c.Replaces != "" && len(s.replaces) >= MaxReplaced && !slices.Contains(s.replaces, c.Replaces):
+		return 0, fieldError("replaces", "this history takes the place of %d others already", len(s.replaces))
 	}
-	live, known := s.Count(Targets), s.lanes[Config].order.Len()
+	live, known := s.Count(Targets), s.lanes[Config].byVersion.Len()
 	for _, p := range c.Puts {
 		r := s.lanes[p.Kind].keys[p.Key]
 		switch {
 		case p.Kind == Config && r == nil:
 			known++
-		case p.Kind == Targets && !p.Gone && (r == nil || r.Gone):
+		case p.Kind == Targets && !p.Deleted && (r == nil || r.Deleted):
 			live++
-		case p.Kind == Targets && p.Gone && r != nil && !r.Gone:
+		case p.Kind == Targets && p.Deleted && r != nil && !r.Deleted:
 			live--
 		}
 	}
 	if live > s.limits.Targets {
-		return 0, field("puts", "there would be %d targets: %d at most", live, s.limits.Targets)
+		return 0, fieldError("puts", "there would be %d targets: %d at most", live, s.limits.Targets)
 	}
 	if known > s.limits.Scopes {
-		return 0, field("puts", "there would be %d layers of configuration, gone ones too: %d at most", known, s.limits.Scopes)
+		return 0, fieldError("puts", "there would be %d layers of configuration, gone ones too: %d at most", known, s.limits.Scopes)
 	}
 	s.epoch = cmp.Or(s.epoch, c.Epoch)
 	if c.Replaces != "" && !slices.Contains(s.replaces, c.Replaces) {
@@ -146,45 +146,45 @@
 	}
 	v := s.Head() + 1
 	for _, p := range c.Puts {
-		s.set(&Record{Kind: p.Kind, Key: p.Key, Version: v, Gone: p.Gone, Value: p.Value})
+		s.putRecord(&Record{Kind: p.Kind, Key: p.Key, Version: v, Deleted: p.Deleted, Value: p.Value})
 	}
-	s.trim()
+	s.trimTombstones()
 	s.have = Position{v, v}
-	s.whole, s.seen = s.have, s.have
+	s.consistent, s.newestSeen = s.have, s.have
 	return v, nil
 }
 
-// set takes a record in place of what there was of its key.
-func (s *Store) set(r *Record) {
+// putRecord takes a record in place of what there was of its key.
+func (s *Store) putRecord(r *Record) {
 	l := &s.lanes[r.Kind]
 	if old := l.keys[r.Key]; old != nil {
-		s.drop(old)
+		s.dropRecord(old)
 	}
 	l.keys[r.Key] = r
-	l.order.ReplaceOrInsert(r)
+	l.byVersion.ReplaceOrInsert(r)
 	l.bytes += len(r.Key) + len(r.Value)
 	switch {
-	case r.Gone:
+	case r.Deleted:
 		r.Value = nil
-		l.graves.ReplaceOrInsert(r)
+		l.tombstones.ReplaceOrInsert(r)
 	case r.Kind == Targets:
-		b := s.bucket(r.Key)
-		s.sums[b] += r.hash()
+		b := s.bucketOf(r.Key)
+		s.digests[b] += r.digest()
 		s.buckets[b] = append(s.buckets[b], r)
 	}
 }
 
-func (s *Store) drop(r *Record) {
+func (s *Store) dropRecord(r *Record) {
 	l := &s.lanes[r.Kind]
 	delete(l.keys, r.Key)
-	l.order.Delete(r)
+	l.byVersion.Delete(r)
 	l.bytes -= len(r.Key) + len(r.Value)
 	switch {
-	case r.Gone:
-		l.graves.Delete(r)
+	case r.Deleted:
+		l.tombstones.Delete(r)
 	case r.Kind == Targets:
-		b := s.bucket(r.Key)
-		s.sums[b] -= r.hash()
+		b := s.bucketOf(r.Key)
+		s.digests[b] -= r.digest()
 		at := slices.Index(s.buckets[b], r)
 		last := len(s.buckets[b]) - 1
 		s.buckets[b][at], s.buckets[b][last] = s.buckets[b][last], nil
@@ -192,20 +192,22 @@
 	}
 }
 
-// trim drops the oldest tombstones beyond the limit: the floor rises to what was dropped.
-func (s *Store) trim() {
-	graves := s.lanes[Targets].graves
+// trimTombstones drops the oldest tombstones beyond the limit: the floor rises to what was dropped.
+func (s *Store) trimTombstones() {
+	graves := s.lanes[Targets].tombstones
 	for graves.Len() > s.limits.Tombstones {
 		r, _ := graves.Min()
-		s.floor = max(s.floor, r.Version)
-		s.drop(r)
+		s.tombstoneFloor = max(s.tombstoneFloor, r.Version)
+		s.dropRecord(r)
 	}
 }
 
-func (s *Store) bucket(key string) int { return int(xxhash.Sum64String(key) % uint64(len(s.sums))) }
+func (s *Store) bucketOf(key string) int {
+	return int(xxhash.Sum64String(key) % uint64(len(s.digests)))
+}
 
-// hash is a record's part of its bucket's sum.
-func (r *Record) hash() uint64 {
+// digest is a record's part of its bucket's sum.
+func (r *Record) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(r.Key)
@@ -215,7 +217,7 @@
 	return d.Sum64()
 }
 
-// after goes through the records of a kind with versions over v, in order of version.
-func (s *Store) after(k Kind, v uint64, each func(*Record) bool) {
-	s.lanes[k].order.AscendGreaterOrEqual(&Record{Version: v + 1}, each)
+// ascendAfter goes through the records of a kind with versions over v, in order of version.
+func (s *Store) ascendAfter(k Kind, v uint64, each func(*Record) bool) {
+	s.lanes[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, each)
 }
--- a/internal/controlplane/watchstream/targetmerge/merge.go
+++ b/internal/controlplane/watchstream/targetmerge/merge.go
@@ -26,9 +26,9 @@
 	sources
 )
 
-// MostGone is how many targets that no source names any more are remembered: as many as the feed keeps gone records for. Longer ago, a
+// DefaultMaxRemoved is how many targets that no source names any more are remembered: as many as the feed keeps gone records for. Longer ago, a
 // source that lags would have to lag by so many removals to bring back one of them, and it could do so for that start alone.
-const MostGone = 1 << 14
+const DefaultMaxRemoved = 1 << 14
 
 const (
 	serving  = "SERVING"
@@ -36,19 +36,19 @@
 	deleted  = "DELETED"
 )
 
-// rank orders the states of one start.
-func rank(state string) int { return slices.Index([]string{serving, draining, deleted}, state) }
+// stateRank orders the states of one start.
+func stateRank(state string) int { return slices.Index([]string{serving, draining, deleted}, state) }
 
-// word is all that one source has told of a target, joined: its greatest start, and the greatest rank at it.
-type word struct {
+// sourceEntry is all that one source has told of a target, joined: its greatest start, and the greatest rank at it.
+type sourceEntry struct {
 	listing.Entry
-	told  uint64 // when it last changed, counted over all words
-	names bool   // it still does
+	changedAt uint64 // when it last changed, counted over all words
+	listed    bool   // it still does
 }
 
-// state is what the word comes to.
-func (w *word) state() string {
-	if !w.names {
+// effectiveState is what the word comes to.
+func (w *sourceEntry) effectiveState() string {
+	if !w.listed {
 		return deleted
 	}
 	return w.State
@@ -56,80 +56,80 @@
 
 // target is one that a source names or has named.
 type target struct {
-	words [sources]*word
-	shown *listing.Entry // as the joined list has it; nil: it has none
-	gone  *list.Element  // among those that no source names
+	entries   [sources]*sourceEntry
+	published *listing.Entry // as the joined list has it; nil: it has none
+	removed   *list.Element  // among those that no source names
 }
 
-// joined is what the words come to.
-func (t *target) joined() (e listing.Entry) {
-	var from *word
-	for _, w := range t.words {
-		if w != nil && (from == nil || newer(w, from)) {
+// effectiveEntry is what the words come to.
+func (t *target) effectiveEntry() (e listing.Entry) {
+	var from *sourceEntry
+	for _, w := range t.entries {
+		if w != nil && (from == nil || supersedes(w, from)) {
 			from = w
 		}
 	}
 	e = from.Entry
-	e.State = from.state()
+	e.State = from.effectiveState()
 	return e
 }
 
-// newer tells whether a counts rather than b: of the same start and state, whoever told something new last.
-func newer(a, b *word) bool {
+// supersedes tells whether a counts rather than b: of the same start and state, whoever told something new last.
+func supersedes(a, b *sourceEntry) bool {
 	if a.Started != b.Started {
 		return a.Started > b.Started
 	}
-	if x, y := rank(a.state()), rank(b.state()); x != y {
+	if x, y := stateRank(a.effectiveState()), stateRank(b.effectiveState()); x != y {
 		return x > y
 	}
-	return a.told > b.told
+	return a.changedAt > b.changedAt
 }
 
 // View is the joined list. Its state is bounded by what the two sources name, and by how many that are gone it remembers.
 type View struct {
-	targets  map[string]*target
-	gone     *list.List // ids, the longest gone first
-	mostGone int
-	told     uint64
-	version  int64 // of the joined list
+	targets    map[string]*target
+	removed    *list.List // ids, the longest gone first
+	maxRemoved int
+	changeSeq  uint64
+	version    int64 // of the joined list
 }
 
 // New returns an empty view, that remembers so many targets that are gone.
 func New(mostGone int) *View {
-	return &View{targets: map[string]*target{}, gone: list.New(), mostGone: mostGone}
+	return &View{targets: map[string]*target{}, removed: list.New(), maxRemoved: mostGone}
 }
 
 // Len is how many targets there are in the joined list.
 func (v *View) Len() (n int) {
 	for _, t := range v.targets {
-		if t.shown != nil {
+		if t.published != nil {
 			n++
 		}
 	}
 	return n
 }
 
-// Whole is the joined list, by id.
-func (v *View) Whole() *listing.List {
-	l := v.list()
+// Full is the joined list, by id.
+func (v *View) Full() *listing.List {
+	l := v.newList()
 	l.Full = true
 	for _, t := range v.targets {
-		if t.shown != nil {
-			l.Servers = append(l.Servers, *t.shown)
+		if t.published != nil {
+			l.Servers = append(l.Servers, *t.published)
 		}
 	}
 	slices.SortFunc(l.Servers, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
-func (v *View) list() *listing.List {
+func (v *View) newList() *listing.List {
 	version := v.version
 	return &listing.List{Version: &version}
 }
 
-// Take joins a source's list or change, which has been checked, and returns what changed in the joined list; nil: nothing. An entry DELETED without a start, or with an older one than the source
+// Merge joins a source's list or change, which has been checked, and returns what changed in the joined list; nil: nothing. An entry DELETED without a start, or with an older one than the source
 // told before, says no more than that the source names it no longer.
-func (v *View) Take(from Source, l *listing.List) *listing.List {
+func (v *View) Merge(from Source, l *listing.List) *listing.List {
 	var touched []string
 	named := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
@@ -137,13 +137,13 @@
 			named[e.ID] = true
 			touched = append(touched, e.ID)
 		}
-		v.hear(from, e)
+		v.mergeEntry(from, e)
 	}
 	if l.Full {
 		var silent []string
 		for id, t := range v.targets {
-			if w := t.words[from]; w != nil && w.names && !named[id] {
-				w.names = false
+			if w := t.entries[from]; w != nil && w.listed && !named[id] {
+				w.listed = false
 				silent = append(silent, id)
 			}
 		}
@@ -153,92 +153,92 @@
 	var changed listing.Entries
 	for _, id := range touched {
 		if t := v.targets[id]; t != nil {
-			if e, new := v.show(t); new {
+			if e, new := v.publish(t); new {
 				changed = append(changed, e)
 			}
-			v.keep(id, t)
+			v.trackRemoved(id, t)
 		}
 	}
 	if len(changed) == 0 {
 		return nil
 	}
 	v.version++
-	out := v.list()
+	out := v.newList()
 	out.Servers = changed
 	return out
 }
 
-// hear joins an entry to what its source told before.
-func (v *View) hear(from Source, e listing.Entry) {
+// mergeEntry joins an entry to what its source told before.
+func (v *View) mergeEntry(from Source, e listing.Entry) {
 	t := v.targets[e.ID]
 	if t == nil {
 		t = &target{}
 	}
-	w := t.words[from]
+	w := t.entries[from]
 	if w == nil {
 		if e.State != deleted || e.Started > 0 { // of one that it never named, and no start of it: it tells nothing
-			t.words[from] = &word{Entry: e, names: e.State != deleted, told: v.next()}
+			t.entries[from] = &sourceEntry{Entry: e, listed: e.State != deleted, changedAt: v.nextSeq()}
 			v.targets[e.ID] = t
 		}
 		return
 	}
 	if e.State == deleted {
-		if w.names = false; e.Started <= 0 {
+		if w.listed = false; e.Started <= 0 {
 			return
 		}
 	} else {
-		w.names = true
+		w.listed = true
 	}
 	switch {
 	case e.Started < w.Started:
 		return
-	case e.Started == w.Started && rank(e.State) < rank(w.State):
+	case e.Started == w.Started && stateRank(e.State) < stateRank(w.State):
 		e.State = w.State // which stays, for this start; where it is may have changed all the same
 	}
-	if !same(e, w.Entry) {
-		w.Entry, w.told = e, v.next()
+	if !sameEntry(e, w.Entry) {
+		w.Entry, w.changedAt = e, v.nextSeq()
 	}
 }
 
-func (v *View) next() uint64 {
-	v.told++
-	return v.told
+func (v *View) nextSeq() uint64 {
+	v.changeSeq++
+	return v.changeSeq
 }
 
-// show brings the joined list up to what the words come to, and tells whether that changed it.
-func (v *View) show(t *target) (listing.Entry, bool) {
-	e := t.joined()
+// publish brings the joined list up to what the words come to, and tells whether that changed it.
+func (v *View) publish(t *target) (listing.Entry, bool) {
+	e := t.effectiveEntry()
 	switch {
-	case e.State == deleted && t.shown == nil, t.shown != nil && same(e, *t.shown):
+	case e.State == deleted && t.published == nil, t.published != nil && sameEntry(e, *t.published):
 		return e, false
 	case e.State == deleted:
-		t.shown = nil
+		t.published = nil
 	default:
-		t.shown = &e
+		t.published = &e
 	}
 	return e, true
 }
 
-// keep counts a target among those that are gone while no source names it, and forgets the longest gone beyond what is remembered.
-func (v *View) keep(id string, t *target) {
+// trackRemoved counts a target among those that are gone while no source names it, and forgets the longest gone beyond what is remembered.
+func (v *View) trackRemoved(id string, t *target) {
 	named := false
-	for _, w := range t.words {
-		named = named || w != nil && w.names
+	for _, w := range t.entries {
+		named = named || w != nil && w.listed
 	}
 	switch {
-	case named && t.gone != nil:
-		v.gone.Remove(t.gone)
-		t.gone = nil
-	case !named && t.gone == nil:
-		t.gone = v.gone.PushBack(id)
+	case named && t.removed != nil:
+		v.removed.Remove(t.removed)
+		t.removed = nil
+	case !named && t.removed == nil:
+		t.removed = v.removed.PushBack(id)
 	}
-	for v.gone.Len() > v.mostGone {
-		delete(v.targets, v.gone.Remove(v.gone.Front()).(string))
+	for v.removed.Len() > v.maxRemoved {
+		delete(v.targets, v.removed.Remove(v.removed.Front()).(string))
 	}
 }
 
-// same tells whether two entries say the same.
-func same(a, b listing.Entry) bool {
+// sameEntry tells whether two entries say the same.
+func sameEntry(a, b listing.Entry) bool {
 	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
 		return false
 	}
--- a/internal/controlplane/watchstream/targetmerge/merge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/merge_test.go
@@ -100,7 +100,7 @@
 				}
 				h.names = e.State != deleted
 				if e.State != deleted || e.Started > 0 {
-					h.starts[e.Started] = max(h.starts[e.Started], rank(e.State))
+					h.starts[e.Started] = max(h.starts[e.Started], stateRank(e.State))
 				}
 			}
 			if s.list.Full && !mentioned && h != nil {
@@ -124,9 +124,9 @@
 			}
 			known = true
 			if !h.names {
-				r = rank(deleted)
+				r = stateRank(deleted)
 			}
-			state = []string{serving, draining, deleted}[max(rank(state), r)]
+			state = []string{serving, draining, deleted}[max(stateRank(state), r)]
 		}
 		if known && state != deleted {
 			out[id] = standing{start, state}
@@ -139,16 +139,16 @@
 func TestReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := lists(t)
-		v, s := New(MostGone), shown{}
+		v, s := New(DefaultMaxRemoved), shown{}
 		for i, x := range all {
-			l := v.Take(x.from, x.list)
+			l := v.Merge(x.from, x.list)
 			if l != nil && (l.Full || len(l.Servers) == 0) {
 				t.Fatalf("list %d: answered by %+v, wanted changes", i, l)
 			}
 			s.apply(l)
 			whole := shown{}
-			whole.apply(v.Whole())
-			if !maps.EqualFunc(whole, s, same) {
+			whole.apply(v.Full())
+			if !maps.EqualFunc(whole, s, sameEntry) {
 				t.Fatalf("after list %d: %v in whole, the changes come to %v", i, whole, s)
 			}
 			if want := simple(all[:i+1]); !maps.Equal(want, s.standings()) {
@@ -178,9 +178,9 @@
 			other, one[from] = append(other, one[from][0]), one[from][1:]
 		}
 		play := func(all []said) map[string]standing {
-			v, s := New(MostGone), shown{}
+			v, s := New(DefaultMaxRemoved), shown{}
 			for _, x := range all {
-				s.apply(v.Take(x.from, x.list))
+				s.apply(v.Merge(x.from, x.list))
 			}
 			return s.standings()
 		}
@@ -194,10 +194,10 @@
 // that a list that is heard again changes nothing, wherever its source still stands by it.
 func TestMonotone(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v, s := New(MostGone), shown{}
+		v, s := New(DefaultMaxRemoved), shown{}
 		started, drained := map[string]int64{}, map[string]int64{}
 		for _, x := range lists(t) {
-			l := v.Take(x.from, x.list)
+			l := v.Merge(x.from, x.list)
 			s.apply(l)
 			// What either source has told to drain, by the lists themselves.
 			for _, e := range x.list.Servers {
@@ -214,7 +214,7 @@
 					t.Fatalf("%s serves at start %d, and was told to drain at %d", id, e.Started, drained[id]-1)
 				}
 			}
-			if again := v.Take(x.from, x.list); again != nil {
+			if again := v.Merge(x.from, x.list); again != nil {
 				names := map[string]int{}
 				for _, e := range x.list.Servers {
 					names[e.ID]++
@@ -263,9 +263,9 @@
 		{"moved while it drains", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "b:1"))}}, "DRAINING 5 b:1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, s := New(MostGone), shown{}
+			v, s := New(DefaultMaxRemoved), shown{}
 			for _, x := range c.all {
-				s.apply(v.Take(x.from, x.list))
+				s.apply(v.Merge(x.from, x.list))
 			}
 			got := ""
 			if e, there := s["t"]; there {
@@ -287,22 +287,22 @@
 	}
 	for i := range 100 {
 		id := fmt.Sprint("t", i)
-		v.Take(Discovery, at(id, draining, 1))
-		v.Take(Feed, at(id, serving, 1))
-		v.Take(Discovery, at(id, deleted, 0))
+		v.Merge(Discovery, at(id, draining, 1))
+		v.Merge(Feed, at(id, serving, 1))
+		v.Merge(Discovery, at(id, deleted, 0))
 		require.LessOrEqual(t, len(v.targets), 9, "the feed still names one")
-		v.Take(Feed, at(id, deleted, 0))
+		v.Merge(Feed, at(id, deleted, 0))
 		require.LessOrEqual(t, len(v.targets), 8)
 	}
-	v.Take(Feed, at("t95", serving, 1))
+	v.Merge(Feed, at("t95", serving, 1))
 	for i := 100; i < 120; i++ {
 		id := fmt.Sprint("t", i)
-		v.Take(Feed, at(id, serving, 1))
-		v.Take(Feed, at(id, deleted, 1))
+		v.Merge(Feed, at(id, serving, 1))
+		v.Merge(Feed, at(id, deleted, 1))
 	}
 	require.Len(t, v.targets, 9)
 	require.Contains(t, v.targets, "t95")
-	require.Nil(t, v.targets["t95"].shown, "discovery dropped it at that start")
+	require.Nil(t, v.targets["t95"].published, "discovery dropped it at that start")
 	require.Contains(t, v.targets, "t119")
 	require.NotContains(t, v.targets, "t111")
 }
--- a/internal/process/config/change.go
+++ b/internal/process/config/change.go
@@ -33,7 +33,7 @@
 }
 
 // mostChangeFile bounds what is read: a change of the largest size with room for spaces.
-const mostChangeFile = 4 * watchstream.MostChange
+const mostChangeFile = 4 * watchstream.MaxChangeBytes
 
 // ReadChange reads a file of changes, TOML or JSON (.json), and checks it; where the regions and zones are told, also that
 // it names no others. Errors name file and field.
@@ -77,10 +77,10 @@
 	if err != nil {
 		return c, err
 	}
-	c = watchstream.Change{Fleet: in.Fleet, Epoch: in.Epoch, Replaces: in.Replaces, If: in.If}
+	c = watchstream.Change{Fleet: in.Fleet, Epoch: in.Epoch, Replaces: in.Replaces, IfVersion: in.If}
 	for i, p := range in.Puts {
 		at := fmt.Sprintf("puts[%d].", i)
-		put := watchstream.Put{Key: p.Key, Gone: p.Gone}
+		put := watchstream.Put{Key: p.Key, Deleted: p.Gone}
 		if err := put.Kind.UnmarshalText([]byte(p.Kind)); err != nil {
 			return c, fmt.Errorf("%skind: %w", at, err)
 		}
@@ -91,7 +91,7 @@
 		}
 		c.Puts = append(c.Puts, put)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return c, err
 	}
 	for i := range c.Puts {
@@ -122,7 +122,7 @@
 
 // CheckTarget tells whether a put of a target could stand in a list of targets.
 func CheckTarget(p *watchstream.Put) error {
-	if p.Gone {
+	if p.Deleted {
 		return nil
 	}
 	var e listing.Entry
--- a/internal/process/config/change_test.go
+++ b/internal/process/config/change_test.go
@@ -22,7 +22,7 @@
 	require.NoError(t, err)
 	known, err := ReadFeed("../../../deploy/feed.toml")
 	require.NoError(t, err)
-	long := strings.Repeat("x", watchstream.MostTargetValue)
+	long := strings.Repeat("x", watchstream.MaxTargetBytes)
 	for _, c := range []struct{ file, old, wrong, want string }{
 		{"change.toml", "", "", ""}, {"change.json", "", "", ""},
 		{"change.toml", `fleet = "campus"`, "", "fleet: "},
@@ -33,7 +33,7 @@
 		{"change.toml", `key = "region/north"`, `key = "region/nroth"`, `puts[1].key: "nroth" is none of the regions`},
 		{"change.toml", `key = "region/north"`, `key = "zone/nroth"`, `puts[1].key: "nroth" is none of the zones`},
 		{"change.toml", `key = "region/north"`, `key = "place/north"`, "puts[1].key: "},
-		{"change.toml", `key = "region/north"`, `key = "` + strings.Repeat("k", watchstream.MostKey+1) + `"`, "puts[1].key: "},
+		{"change.toml", `key = "region/north"`, `key = "` + strings.Repeat("k", watchstream.MaxKeyBytes+1) + `"`, "puts[1].key: "},
 		{"change.toml", `id = "t-1"`, `id = "t-3"`, `puts[2].value.id: "t-3" is not the key "t-1"`},
 		{"change.toml", `cell = 0, `, ``, `puts[2].value.cell: `},
 		{"change.toml", `"SERVING"`, `"DELETED"`, `puts[2].value.state: `},
@@ -72,9 +72,9 @@
 	require.NoError(t, os.WriteFile(path, []byte(changeJSON), 0o600))
 	c, err := ReadChange(path, nil)
 	require.NoError(t, err)
-	require.Equal(t, uint64(41), *c.If)
+	require.Equal(t, uint64(41), *c.IfVersion)
 	require.Equal(t, `{"a":{"b":1.50,"c":null}}`, string(c.Puts[0].Value), "as it was written")
-	require.True(t, c.Puts[2].Gone)
+	require.True(t, c.Puts[2].Deleted)
 	_, err = ReadChange(filepath.Join(t.TempDir(), "absent.toml"), nil)
 	require.ErrorContains(t, err, "absent.toml")
 }
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -38,7 +38,7 @@
 }
 
 func newJoint(tell func(*listing.List)) *joint {
-	j := &joint{box: mailbox.New[news](), view: targetmerge.New(targetmerge.MostGone), tell: tell}
+	j := &joint{box: mailbox.New[news](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), tell: tell}
 	j.run = j.join
 	return j
 }
@@ -70,14 +70,14 @@
 		j.held = append(j.held, n.list)
 		return
 	}
-	l := j.view.Take(n.from, n.list)
+	l := j.view.Merge(n.from, n.list)
 	if !j.told {
 		if n.from == targetmerge.Discovery { // a whole list of the feed's has its pieces in it
 			for _, l := range j.held {
-				j.view.Take(targetmerge.Feed, l)
+				j.view.Merge(targetmerge.Feed, l)
 			}
 		}
-		j.told, j.held, l = true, nil, j.view.Whole()
+		j.told, j.held, l = true, nil, j.view.Full()
 	}
 	if l != nil {
 		j.tell(l)
@@ -117,7 +117,7 @@
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
-	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, Changed: s.changed})
+	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.changed})
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: feed: %w", err)
 	}
@@ -125,20 +125,20 @@
 }
 
 // changed passes on what is new, targets first. Once it returns that is in force, but for a configuration that it returns an error for.
-func (s *stream) changed(c edge.Change) error {
+func (s *stream) changed(c edge.Update) error {
 	var configs []watchstream.Record
-	l := &listing.List{Full: c.Whole}
+	l := &listing.List{Full: c.Full}
 	for _, r := range c.Records {
 		if r.Kind == watchstream.Config {
 			configs = append(configs, r)
 			continue
 		}
 		e := listing.Entry{ID: r.Key, State: "DELETED"}
-		if !r.Gone {
+		if !r.Deleted {
 			var err error
 			if e, err = listing.DecodeEntry(r.Value); err != nil || e.ID != r.Key {
 				s.doubt(r, err)
-				if known, had := s.had(r.Key); c.Whole && had {
+				if known, had := s.had(r.Key); c.Full && had {
 					l.Servers = append(l.Servers, known)
 				}
 				continue
@@ -151,7 +151,7 @@
 		return nil
 	}
 	// A layer that did not change is not among those that did.
-	if !c.Whole {
+	if !c.Full {
 		configs = s.follower.Records(watchstream.Config)
 	}
 	return s.configure(configs, c.Position.Config)
@@ -239,22 +239,22 @@
 	at := s.follower.State()
 	to.Gauge("feed.position.targets", int64(at.Position.Targets), 1)
 	to.Gauge("feed.position.config", int64(at.Position.Config), 1)
-	to.Gauge("feed.in_force.targets", int64(at.InForce.Targets), 1)
-	to.Gauge("feed.in_force.config", int64(at.InForce.Config), 1)
+	to.Gauge("feed.in_force.targets", int64(at.Applied.Targets), 1)
+	to.Gauge("feed.in_force.config", int64(at.Applied.Config), 1)
 	down := int64(0)
-	if at.Down != nil {
-		down = int64(at.Down.Version)
+	if at.Rejection != nil {
+		down = int64(at.Rejection.Version)
 	}
 	to.Gauge("feed.turned_down", down, 1)
 	to.Gauge("feed.age_ms", at.AgeMs, 1)
-	to.Inc("feed.moves", int64(at.Moves), 1)
+	to.Inc("feed.moves", int64(at.Switches), 1)
 	to.Inc("feed.deltas", int64(at.Deltas), 1)
 	to.Inc("feed.records", int64(at.Records), 1)
 	to.Inc("feed.failed", int64(at.Failed), 1)
 	to.Inc("feed.busy", int64(at.Busy), 1)
-	to.Inc("feed.bytes.in", int64(at.In), 1)
-	to.Inc("feed.bytes.out", int64(at.Out), 1)
-	for reason, n := range at.Refused {
+	to.Inc("feed.bytes.in", int64(at.BytesIn), 1)
+	to.Inc("feed.bytes.out", int64(at.BytesOut), 1)
+	for reason, n := range at.Rejected {
 		to.Inc("feed.refused."+reason, int64(n), 1)
 	}
 	s.mu.Lock()
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -95,21 +95,21 @@
 	}
 	a, b := started(t, note(one)), started(t, note(two))
 	s.join(a)
-	require.NoError(t, s.changed(edge.Change{Whole: true}))
+	require.NoError(t, s.changed(edge.Update{Full: true}))
 	require.Empty(t, one, "a feed that knows nothing has told no list")
-	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 2, Config: 2}, Whole: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
+	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
 	require.Equal(t, heardBy{"": ".", "a": "SERVING", "b": "SERVING"}, one)
 	bad := recordOf(4, "b", "SLEEPING", 6)
-	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
+	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
 	require.Equal(t, heardBy{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
 	s.join(b)
 	require.Equal(t, heardBy{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
 	s.leave(a)
-	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Gone: true}}}))
+	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
 	require.Equal(t, "DRAINING", one["a"])
 	require.Equal(t, "DELETED", two["a"])
 	// A whole with an entry that can't be read: what was known of that target stays.
-	require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 6, Config: 2}, Whole: true, Records: []watchstream.Record{bad}}))
+	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{bad}}))
 	require.Equal(t, "SERVING", two["b"])
 	require.EqualValues(t, 2, s.doubts)
 }
@@ -127,12 +127,12 @@
 			}
 		})
 		s.join(j)
-		require.NoError(t, s.changed(edge.Change{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
+		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if discovered {
 			j.box.Put(news{from: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
-		require.NoError(t, s.changed(edge.Change{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
-		require.NoError(t, s.changed(edge.Change{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
+		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
+		require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
 		if discovered {
 			require.Equal(t, []string{"true 1", "false 1", "false 1"}, told)
 			require.Equal(t, "DRAINING", first.Servers[0].State, "it drains by the feed from the first")
@@ -252,7 +252,7 @@
 	s.join(j)
 	old := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
 	j.box.Put(news{from: targetmerge.Discovery, list: old})
-	s.changed(edge.Change{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
+	s.changed(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
 	j.box.Put(news{from: targetmerge.Discovery, list: old})
 	j.hear(&listing.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
--- a/internal/process/instance/followfeed.go
+++ b/internal/process/instance/followfeed.go
@@ -76,7 +76,7 @@
 
 // take serves the layers; an error says why that cannot be, and what was in force is.
 func (l *layered) take(records []watchstream.Record, version uint64) error {
-	merged, err := watchstream.Layers(records)
+	merged, err := watchstream.MergeLayers(records)
 	if err == nil {
 		merged, err = named(merged, l.name)
 	}
--- a/internal/testbed/faults/configure_test.go
+++ b/internal/testbed/faults/configure_test.go
@@ -117,7 +117,7 @@
 		require.LessOrEqual(t, strings.Count(log, "started=true"), 1, "%s begins once:\n%s", n.Name, log)
 		require.NotContains(t, log, "BAD_CONFIG")
 	}
-	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(last)); return ok && s.Have == 4 && s.Refused == 0 })
+	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(last)); return ok && s.Applied == 4 && s.Rejected == 0 })
 }
 
 // ask sends one request of a plan and returns its status.
--- a/internal/testbed/faults/feed_test.go
+++ b/internal/testbed/faults/feed_test.go
@@ -232,7 +232,7 @@
 	told := f.Until("the fleet's answer is that all have it", func() bool {
 		s, ok := f.status(fmt.Sprint(version))
 		known = s
-		return ok && s.Have == initiators
+		return ok && s.Applied == initiators
 	})
 	time.Sleep(sentBefore + time.Second) // the drains of now are judged for a while after all have them
 	close(ending)
@@ -276,8 +276,8 @@
 			unsure++
 		}
 	}
-	if s.Have > have+unsure {
-		return fmt.Sprintf("version %d: %d have it by the fleet's answer, and %d by their own, with %d that can't say", s.Version, s.Have, have, unsure), true
+	if s.Applied > have+unsure {
+		return fmt.Sprintf("version %d: %d have it by the fleet's answer, and %d by their own, with %d that can't say", s.Version, s.Applied, have, unsure), true
 	}
 	return "", true
 }
@@ -334,8 +334,8 @@
 		t.Helper()
 		f.Until("the fleet knows that n0 has turned it down", func() bool {
 			s, ok := f.status(fmt.Sprint(version))
-			return ok && s.Have == 1 && s.Refused == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Why == watchstream.WhyRefused &&
-				s.Lagging[0].Refused != nil && strings.Contains(s.Lagging[0].Refused.Reason, "control: ")
+			return ok && s.Applied == 1 && s.Rejected == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Cause == watchstream.LagRejected &&
+				s.Lagging[0].Rejection != nil && strings.Contains(s.Lagging[0].Rejection.Reason, "control: ")
 		})
 	}
 	turnedDown()
@@ -354,7 +354,7 @@
 	serves(f.all[0])
 	version = f.Put(layer("instance/n0", `{"listen":%q,"control":%q}`, f.all[0].Listen, f.all[0].Control))
 	f.until("all have what can be served", version, f.all)
-	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(version)); return ok && s.Have == 2 && s.Refused == 0 })
+	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(version)); return ok && s.Applied == 2 && s.Rejected == 0 })
 	serves(f.all[0])
 }
 
--- a/internal/testbed/modelcheck/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -29,7 +29,7 @@
 }
 
 func (w *World) checkFollower(f *follower) error {
-	whole, have, epoch := f.r.Whole(), f.r.Position(), f.r.Whole().Epoch
+	whole, have, epoch := f.r.Consistent(), f.r.Position(), f.r.Consistent().Epoch
 	h := holds(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config))
 	if epoch == "" {
 		if len(h) > 0 {
@@ -68,7 +68,7 @@
 		return err
 	}
 	// A history takes the place of another only whole, as it was when the operator said so or later.
-	if word := w.past[epoch].words[f.was]; f.was != "" && f.was != epoch && (word == 0 || whole.Least() < word) {
+	if word := w.past[epoch].words[f.was]; f.was != "" && f.was != epoch && (word == 0 || whole.Min() < word) {
 		return fmt.Errorf("broken: %s has %s at %v in place of %s, which it takes the place of from version %d on", f.scope.Name, epoch, whole.Position, f.was, word)
 	}
 	f.was = epoch
@@ -76,11 +76,11 @@
 }
 
 // checkForce has what a reader says to be in force be so.
-func (w *World) checkForce(f *follower, m watchstream.Mark) error {
+func (w *World) checkForce(f *follower, m watchstream.Watermark) error {
 	if m.Epoch == "" || f.scope.All {
 		return nil
 	}
-	earlier := m.Config == 0 && f.r.TurnedDown() != nil // the last good one is of the history before
+	earlier := m.Config == 0 && f.r.Rejection() != nil // the last good one is of the history before
 	if err := w.past[m.Epoch].since(f.force, f.scope, m.Position, earlier); err != nil {
 		return fmt.Errorf("%w, in force", err)
 	}
@@ -90,29 +90,29 @@
 // checkTally has the tally count nobody for what it has not said, or that it said in an earlier turn than is known.
 func (w *World) checkTally() (err error) {
 	seen := map[string]bool{}
-	w.tally.Each(func(relay string, r watchstream.Reading) {
+	w.tally.EachReader(func(relay string, r watchstream.Cursor) {
 		var f *follower
 		for _, x := range w.all {
 			if x.scope.Name == r.Name {
 				f = x
 			}
 		}
-		said, ok := watchstream.Mark{}, false
+		said, ok := watchstream.Watermark{}, false
 		if f != nil {
-			said, ok = f.said[r.Turn]
+			said, ok = f.said[r.Generation]
 		}
 		switch {
 		case err != nil:
 		case f == nil || f.scope.All || seen[r.Name]:
 			err = fmt.Errorf("broken: %s is counted twice, or is no reader", r.Name)
-		case !ok || r.InForce.Epoch == said.Epoch && (r.InForce.Targets > said.Targets || r.InForce.Config > said.Config):
-			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", r.Name, r.InForce, r.Turn, said)
-		case r.Turn < w.counted[r.Name]:
-			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", r.Name, r.Turn, w.counted[r.Name])
-		case r.Turn == w.counted[r.Name] && r.InForce.Epoch == w.last[r.Name].Epoch && !reached(w.last[r.Name], r.InForce):
-			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", r.Name, r.InForce, w.last[r.Name])
+		case !ok || r.Applied.Epoch == said.Epoch && (r.Applied.Targets > said.Targets || r.Applied.Config > said.Config):
+			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", r.Name, r.Applied, r.Generation, said)
+		case r.Generation < w.counted[r.Name]:
+			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", r.Name, r.Generation, w.counted[r.Name])
+		case r.Generation == w.counted[r.Name] && r.Applied.Epoch == w.last[r.Name].Epoch && !reached(w.last[r.Name], r.Applied):
+			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", r.Name, r.Applied, w.last[r.Name])
 		}
-		seen[r.Name], w.counted[r.Name], w.last[r.Name] = true, r.Turn, r.InForce
+		seen[r.Name], w.counted[r.Name], w.last[r.Name] = true, r.Generation, r.Applied
 	})
 	if err != nil {
 		return err
@@ -121,19 +121,19 @@
 	said := 0
 	for _, f := range w.all {
 		for _, m := range f.said {
-			if !f.scope.All && m.Epoch == w.name() && m.Least() >= w.log.Head() {
+			if !f.scope.All && m.Epoch == w.name() && m.Min() >= w.log.Head() {
 				said++
 				break
 			}
 		}
 	}
-	if s.Have > said && w.log.Head() > 0 {
-		return fmt.Errorf("broken: version %d counts as in force at %d, and %d said so", w.log.Head(), s.Have, said)
+	if s.Applied > said && w.log.Head() > 0 {
+		return fmt.Errorf("broken: version %d counts as in force at %d, and %d said so", w.log.Head(), s.Applied, said)
 	}
 	return nil
 }
 
-func reached(a, b watchstream.Mark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
+func reached(a, b watchstream.Watermark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
 
 func size(list []watchstream.Record) (n float64) {
 	for i := range list {
@@ -144,8 +144,8 @@
 
 // judgeDelta holds what a source sends against a reader's bytes, and has targets go before configuration.
 func (w *World) judgeDelta(to int, at account, d *watchstream.Delta) error {
-	a, rate, burst := w.accts[at], w.set.Source.Rate, w.set.Source.Burst
-	if d.For.All {
+	a, rate, burst := w.accts[at], w.set.Source.ReaderRate, w.set.Source.ReaderBurst
+	if d.Scope.All {
 		rate, burst = w.set.Source.RelayRate, w.set.Source.RelayBurst
 	}
 	groups, configs := map[uint64]float64{}, 0.0
@@ -166,7 +166,7 @@
 	if most := burst + rate*(w.now-a.since).Seconds() + a.target + a.configs; rate > 0 && a.n > most {
 		return fmt.Errorf("broken: %s got %.0f bytes from %s, and %.0f at most are for it", at.reader, a.n, at.source, most)
 	}
-	if source, _, _ := w.source(to); d.To.Config != d.From.Config && d.To.Targets != d.Head.Targets || source.Readers() == 0 {
+	if source, _, _ := w.source(to); d.To.Config != d.From.Config && d.To.Targets != d.Head.Targets || source.ReaderCount() == 0 {
 		return fmt.Errorf("broken: %s sends %s configuration while targets are owed", at.source, at.reader)
 	}
 	return nil
@@ -180,7 +180,7 @@
 		w.admits[at] = a
 	}
 	a.n++
-	if most := w.set.Source.AdmitBurst + w.set.Source.Admit*(w.now-a.since).Seconds(); w.set.Source.Admit > 0 && a.n > most {
+	if most := w.set.Source.AdmitBurst + w.set.Source.AdmitRate*(w.now-a.since).Seconds(); w.set.Source.AdmitRate > 0 && a.n > most {
 		return fmt.Errorf("broken: %s took %.0f new readers, and %.1f at most may come", at.source, a.n, most)
 	}
 	return nil
@@ -189,26 +189,26 @@
 // wrong brings a follower deltas that nobody may take: each is refused, and changes nothing.
 func (w *World) wrong(i int) error {
 	f := w.all[i]
-	have, whole := f.r.Position(), f.r.Whole()
+	have, whole := f.r.Position(), f.r.Consistent()
 	h, err := w.hello(i)
 	if err != nil {
 		return err
 	}
 	head := watchstream.Position{Targets: h.Seen.Targets + 1, Config: h.Seen.Config + 1}
 	good := func() *watchstream.Delta {
-		return &watchstream.Delta{Fleet: fleetName, Epoch: h.Epoch, Replaces: f.r.Store().Replaces(), For: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
+		return &watchstream.Delta{Fleet: fleetName, Epoch: h.Epoch, Replaces: f.r.Store().Replaces(), Scope: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
 			Head: head, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "x", Version: head.Targets, Value: json.RawMessage(`{"x":0}`)}}}
 	}
 	buckets := func(d *watchstream.Delta) {
-		d.Records, d.Span = nil, &watchstream.Span{Start: head.Targets, To: w.set.Limits.Buckets}
+		d.Records, d.Range = nil, &watchstream.BucketRange{Start: head.Targets, To: w.set.Limits.Buckets}
 		d.To = watchstream.Position{Targets: head.Targets, Config: have.Config}
 	}
 	change := map[string]func(d *watchstream.Delta){
 		"another fleet":            func(d *watchstream.Delta) { d.Fleet = "g" },
 		"another fleet's digests":  func(d *watchstream.Delta) { d.Fleet = "g"; buckets(d) },
-		"another reader":           func(d *watchstream.Delta) { d.For.Name = "other" },
-		"another region":           func(d *watchstream.Delta) { d.For.Region = "other" },
-		"another region's digests": func(d *watchstream.Delta) { d.For.Region = "other"; buckets(d) },
+		"another reader":           func(d *watchstream.Delta) { d.Scope.Name = "other" },
+		"another region":           func(d *watchstream.Delta) { d.Scope.Region = "other" },
+		"another region's digests": func(d *watchstream.Delta) { d.Scope.Region = "other"; buckets(d) },
 		"another epoch":            func(d *watchstream.Delta) { d.Epoch, d.From = "other", watchstream.Position{} },
 		"another epoch's digests":  func(d *watchstream.Delta) { d.Epoch, d.From = "other", watchstream.Position{}; buckets(d) },
 		"no epoch":                 func(d *watchstream.Delta) { d.Epoch = "" },
@@ -220,7 +220,7 @@
 			d.To.Targets, d.Records = have.Targets, nil
 		},
 		"over its size": func(d *watchstream.Delta) {
-			for i := range watchstream.MostDelta / len(huge) {
+			for i := range watchstream.MaxDeltaBytes / len(huge) {
 				d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: huge})
 			}
 		},
@@ -231,15 +231,18 @@
 		"past its source":          func(d *watchstream.Delta) { d.To.Targets++ },
 		"twice the same":           func(d *watchstream.Delta) { d.Records = append(d.Records, d.Records[0]) },
 		"configuration first":      func(d *watchstream.Delta) { d.To.Targets, d.To.Config, d.Records = have.Targets, head.Config, nil },
-		"buckets without a span":   func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{N: 0}} },
+		"buckets without a span":   func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{Index: 0}} },
 		"the end of a run": func(d *watchstream.Delta) {
 			buckets(d)
-			d.Span.From = w.set.Limits.Buckets - 1
-			d.Span.Start++
+			d.Range.From = w.set.Limits.Buckets - 1
+			d.Range.Start++
 			d.Head.Targets++
 			d.To.Targets++
 		},
-		"a bucket past its span": func(d *watchstream.Delta) { buckets(d); d.Buckets = []watchstream.Bucket{{N: w.set.Limits.Buckets}} },
+		"a bucket past its span": func(d *watchstream.Delta) {
+			buckets(d)
+			d.Buckets = []watchstream.Bucket{{Index: w.set.Limits.Buckets}}
+		},
 		"another's layer": func(d *watchstream.Delta) {
 			d.To.Config = head.Config
 			d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Config, Key: "region/other", Version: head.Config, Value: json.RawMessage(`{}`)})
@@ -258,10 +261,10 @@
 			break
 		}
 		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.set.Limits)
-		if err := scratch.Restore(f.r.Store().Copy()); err != nil {
+		if err := scratch.Restore(f.r.Store().Snapshot()); err != nil {
 			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
 		}
-		if _, err := scratch.Take(d); err != nil {
+		if _, err := scratch.ApplyDelta(d); err != nil {
 			return fmt.Errorf("broken: %s doesn't take what is right: %w", f.scope.Name, err)
 		}
 	}
@@ -274,7 +277,7 @@
 		}
 		d := good()
 		c(d)
-		if _, err := f.r.Take(d); err == nil {
+		if _, err := f.r.ApplyDelta(d); err == nil {
 			return fmt.Errorf("broken: %s took a delta with %s", f.scope.Name, name)
 		}
 		if w.printOf(i) != before {
@@ -284,11 +287,11 @@
 	return nil
 }
 
-var huge = json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MostTargetValue-8) + `"}`)
+var huge = json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MaxTargetBytes-8) + `"}`)
 
 func (w *World) printOf(i int) string {
 	var b strings.Builder
-	w.all[i].r.Print(&b)
+	w.all[i].r.DebugPrint(&b)
 	return b.String()
 }
 
@@ -301,8 +304,8 @@
 			return err
 		}
 	}
-	if err := w.change(watchstream.Change{Puts: []watchstream.Put{{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: watchstream.Config, Key: "region/r", Gone: true},
-		{Kind: watchstream.Config, Key: "instance/" + w.all[len(w.all)-1].scope.Name, Gone: true}, {Kind: watchstream.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
+	if err := w.change(watchstream.Change{Puts: []watchstream.Put{{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: watchstream.Config, Key: "region/r", Deleted: true},
+		{Kind: watchstream.Config, Key: "instance/" + w.all[len(w.all)-1].scope.Name, Deleted: true}, {Kind: watchstream.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
 		return err
 	}
 	last := len(w.all) - 1
@@ -334,8 +337,8 @@
 			}
 		}
 	}
-	if s := w.tally.Status(w.now, w.log.Head()); s.Have != w.set.Readers || s.Known != w.set.Readers {
-		return fmt.Errorf("broken: all %d have version %d in force, and the tally tells of %d of %d: %+v", w.set.Readers, s.Version, s.Have, s.Known, s.Lagging)
+	if s := w.tally.Status(w.now, w.log.Head()); s.Applied != w.set.Readers || s.Readers != w.set.Readers {
+		return fmt.Errorf("broken: all %d have version %d in force, and the tally tells of %d of %d: %+v", w.set.Readers, s.Version, s.Applied, s.Readers, s.Lagging)
 	}
 	return nil
 }
@@ -359,11 +362,11 @@
 					return err
 				}
 			}
-			m := f.r.Whole()
+			m := f.r.Consistent()
 			if !f.scope.All {
-				m = f.r.InForce()
+				m = f.r.Applied()
 			}
-			if m != (watchstream.Mark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
+			if m != (watchstream.Watermark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
 				all = false
 			}
 		}
@@ -372,8 +375,8 @@
 		}
 	}
 	for _, f := range w.all[:most] {
-		if f.r.Whole().Least() != w.log.Head() || f.r.Whole().Epoch != w.name() {
-			return fmt.Errorf("%w: %s has %v, and the log is at %s %d:\n%s", errSlow, f.scope.Name, f.r.Whole(), w.name(), w.log.Head(), w.Print())
+		if f.r.Consistent().Min() != w.log.Head() || f.r.Consistent().Epoch != w.name() {
+			return fmt.Errorf("%w: %s has %v, and the log is at %s %d:\n%s", errSlow, f.scope.Name, f.r.Consistent(), w.name(), w.log.Head(), w.Print())
 		}
 	}
 	return errSlow
--- a/internal/testbed/modelcheck/feed/feed_test.go
+++ b/internal/testbed/modelcheck/feed/feed_test.go
@@ -39,7 +39,7 @@
 func target(key string) watchstream.Put { return set(watchstream.Targets, key) }
 
 func gone(key string) watchstream.Put {
-	return watchstream.Put{Kind: watchstream.Targets, Key: key, Gone: true}
+	return watchstream.Put{Kind: watchstream.Targets, Key: key, Deleted: true}
 }
 
 func puts(n int, op Op) (list []Step) {
@@ -63,9 +63,9 @@
 
 // ample is a source that nothing waits for; scant gives one record at a time or so.
 var (
-	ample = watchstream.SourceOptions{Rate: 1e6, Burst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
-	scant = watchstream.SourceOptions{Rate: 100, Burst: 100, RelayRate: 1e6, RelayBurst: 1e6, Admit: 100, AdmitBurst: 100}
-	tight = watchstream.SourceOptions{Rate: 100, Burst: 100, RelayRate: 100, RelayBurst: 100, Admit: 1, AdmitBurst: 1}
+	ample = watchstream.SourceOptions{ReaderRate: 1e6, ReaderBurst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
+	scant = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
+	tight = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 100, RelayBurst: 100, AdmitRate: 1, AdmitBurst: 1}
 	small = watchstream.Limits{Targets: 8, Tombstones: 1, Scopes: 8, Buckets: 3}
 )
 
--- a/internal/testbed/modelcheck/feed/judge.go
+++ b/internal/testbed/modelcheck/feed/judge.go
@@ -30,7 +30,7 @@
 		next[k] = r
 	}
 	for _, x := range c.Puts {
-		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Gone: x.Gone, Value: x.Value}
+		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Deleted: x.Deleted, Value: x.Value}
 	}
 	p.states = append(p.states, next)
 	if c.Replaces != "" {
@@ -56,7 +56,7 @@
 func (p *past) at(h held, k key, v uint64) bool {
 	is, alive := h[k]
 	was, known := p.states[v][k]
-	known = known && !was.Gone
+	known = known && !was.Deleted
 	return alive == known && (!alive || bytes.Equal(is.Value, was.Value))
 }
 
@@ -74,7 +74,7 @@
 		keys[k] = true
 	}
 	for k := range keys {
-		from, ok := pos.Targets, k.kind == watchstream.Config && !scope.All || !scope.Holds(k.kind, k.key)
+		from, ok := pos.Targets, k.kind == watchstream.Config && !scope.All || !scope.Includes(k.kind, k.key)
 		if k.kind == watchstream.Config {
 			from = pos.Config
 		}
@@ -96,7 +96,7 @@
 // config tells whether the layers of the scope are as the history had them at that version.
 func (p *past) config(h held, scope watchstream.Scope, v uint64) bool {
 	for k := range p.states[p.head()] {
-		if k.kind == watchstream.Config && scope.Holds(k.kind, k.key) && !p.at(h, k, v) {
+		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
 			return false
 		}
 	}
@@ -111,7 +111,7 @@
 // exact tells whether what is held is the log's state of that version.
 func (p *past) exact(h held, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
 	for k := range p.states[p.head()] {
-		if k.kind == kind && scope.Holds(k.kind, k.key) && !p.at(h, k, v) {
+		if k.kind == kind && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
 			return fmt.Errorf("broken: %s is at version %d and doesn't have the log's state of %q", scope.Name, v, k.key)
 		}
 	}
--- a/internal/testbed/modelcheck/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -21,7 +21,7 @@
 		}
 	}
 	f := w.all[0]
-	late := f.r.Whole() // an edge that is slow to apply says it later
+	late := f.r.Consistent() // an edge that is slow to apply says it later
 	for _, s := range []Step{{Empty, 0}, {Put, 0}, {Word, 0}} {
 		if err := w.Do(s); err != nil {
 			t.Fatal(err)
@@ -38,9 +38,9 @@
 	if err := w.take(0, d); err != nil {
 		t.Fatal(err)
 	}
-	f.r.Applied(late)
-	if f.r.InForce() != late && f.r.InForce() != (watchstream.Mark{}) {
-		t.Fatalf("broken: %+v was applied before the history ended, and %+v counts as in force", late, f.r.InForce())
+	f.r.MarkApplied(late)
+	if f.r.Applied() != late && f.r.Applied() != (watchstream.Watermark{}) {
+		t.Fatalf("broken: %+v was applied before the history ended, and %+v counts as in force", late, f.r.Applied())
 	}
 }
 
@@ -53,15 +53,15 @@
 }
 
 // call drives a mover until it has called n times, and returns whom it called and when.
-func call(m *watchstream.Mover, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.Outcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
+func call(m *watchstream.RelaySelector, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
 	for range n {
-		r, due := m.Next(now)
+		r, due := m.NextCall(now)
 		now = max(now, due)
-		if again, due := m.Next(now); due <= now {
+		if again, due := m.NextCall(now); due <= now {
 			r = again
 		}
 		o, after := answer(now, r.ID)
-		m.Ended(now, o, after, 0)
+		m.CallEnded(now, o, after, 0)
 		ids, at = append(ids, r.ID), append(at, now)
 		now += 100 * time.Millisecond
 	}
@@ -76,7 +76,7 @@
 	first, second := map[string]int{}, map[string]map[string]int{}
 	for i := range n {
 		reader := fmt.Sprint("n", i)
-		order := watchstream.Order(relays(), "r1", reader)
+		order := watchstream.RankRelays(relays(), "r1", reader)
 		for j, r := range order {
 			if (r.Region == "r1") != (j < 3) {
 				t.Fatalf("%v: %s goes to %v, and is of r1", errMoves, reader, order)
@@ -94,7 +94,7 @@
 				left = append(left, r)
 			}
 		}
-		if without := watchstream.Order(left, "r1", reader); without[0] != order[0] || without[1] != order[1] {
+		if without := watchstream.RankRelays(left, "r1", reader); without[0] != order[0] || without[1] != order[1] {
 			t.Fatalf("%v: %s moves since %s is gone", errMoves, reader, order[2].ID)
 		}
 	}
@@ -110,51 +110,55 @@
 	}
 	for seed := range uint64(200) {
 		reader := fmt.Sprint("n", seed)
-		order := watchstream.Order(relays(), "r1", reader)
+		order := watchstream.RankRelays(relays(), "r1", reader)
 		home := order[0].ID
-		m := watchstream.NewMover(relays(), "r1", reader, seed, watchstream.MoverOptions{})
+		m := watchstream.NewRelaySelector(relays(), "r1", reader, seed, watchstream.RelaySelectorOptions{})
 		// Home is gone: another answers, and home is tried within its time and not sooner.
-		ids, at, now := call(m, time.Hour, 400, func(_ time.Duration, id string) (watchstream.Outcome, time.Duration) {
+		ids, at, now := call(m, time.Hour, 400, func(_ time.Duration, id string) (watchstream.CallOutcome, time.Duration) {
 			if id == home {
-				return watchstream.Failed, 0
+				return watchstream.CallFailed, 0
 			}
-			return watchstream.Answered, 0
+			return watchstream.CallAnswered, 0
 		})
 		tried := at[0]
 		for i, id := range ids[1:] {
 			wait := at[i+1] - at[i]
-			if ids[i] == home && i == 0 && wait < watchstream.Moves.Least {
+			if ids[i] == home && i == 0 && wait < watchstream.DefaultRelaySelectorOptions.RetryMin {
 				t.Fatalf("%v: %s calls again %v after a failure", errMoves, reader, wait)
 			}
 			if id != home {
 				continue
 			}
-			if gap := at[i+1] - tried; gap < watchstream.Moves.HomeLeast || gap > watchstream.Moves.HomeMost+time.Second {
+			if gap := at[i+1] - tried; gap < watchstream.DefaultRelaySelectorOptions.HomeRetryMin || gap > watchstream.DefaultRelaySelectorOptions.HomeRetryMax+time.Second {
 				t.Fatalf("%v: %s tries home %v after it was tried", errMoves, reader, gap)
 			}
 			tried = at[i+1]
 		}
-		if at[len(at)-1]-tried > watchstream.Moves.HomeMost+time.Second {
+		if at[len(at)-1]-tried > watchstream.DefaultRelaySelectorOptions.HomeRetryMax+time.Second {
 			t.Fatalf("%v: %s doesn't go home", errMoves, reader)
 		}
 		// Home is back.
-		ids, _, now = call(m, now, 400, func(time.Duration, string) (watchstream.Outcome, time.Duration) { return watchstream.Answered, 0 })
+		ids, _, now = call(m, now, 400, func(time.Duration, string) (watchstream.CallOutcome, time.Duration) {
+			return watchstream.CallAnswered, 0
+		})
 		if ids[len(ids)-1] != home {
 			t.Fatalf("%v: %s is at %s, and %s is back", errMoves, reader, ids[len(ids)-1], home)
 		}
 		// Everybody is busy: it is patient with each.
 		told := map[string]time.Duration{}
-		_, _, now = call(m, now, 20, func(now time.Duration, id string) (watchstream.Outcome, time.Duration) {
+		_, _, now = call(m, now, 20, func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration) {
 			if now < told[id] {
 				t.Fatalf("%v: %s asks %s again %v before its time", errMoves, reader, id, told[id]-now)
 			}
 			told[id] = now + 700*time.Millisecond
-			return watchstream.Turned, 700 * time.Millisecond
+			return watchstream.CallBusy, 700 * time.Millisecond
 		})
 		// Nobody answers: there are fewer and fewer calls.
-		_, at, _ = call(m, now, 30, func(time.Duration, string) (watchstream.Outcome, time.Duration) { return watchstream.Silent, 0 })
+		_, at, _ = call(m, now, 30, func(time.Duration, string) (watchstream.CallOutcome, time.Duration) {
+			return watchstream.CallTimedOut, 0
+		})
 		for i := 10; i < len(at); i++ {
-			if at[i]-at[i-1] < watchstream.Moves.Most {
+			if at[i]-at[i-1] < watchstream.DefaultRelaySelectorOptions.RetryMax {
 				t.Fatalf("%v: %s calls again %v after the tenth failure", errMoves, reader, at[i]-at[i-1])
 			}
 		}
@@ -167,10 +171,10 @@
 	stay = map[string]int{}
 	for i := range readers {
 		reader := fmt.Sprint("n", i)
-		m := watchstream.NewMover(relays(), "r1", reader, uint64(i), watchstream.MoverOptions{})
+		m := watchstream.NewRelaySelector(relays(), "r1", reader, uint64(i), watchstream.RelaySelectorOptions{})
 		last := ""
 		for now := time.Duration(i) * time.Second / time.Duration(readers); now < lasts; {
-			r, at := m.Next(now)
+			r, at := m.NextCall(now)
 			if now = at; now >= lasts {
 				break
 			}
@@ -178,14 +182,14 @@
 			last = r.ID
 			if busy(r.ID, now) {
 				now += 5 * time.Millisecond
-				m.Ended(now, watchstream.Turned, 700*time.Millisecond, 0)
+				m.CallEnded(now, watchstream.CallBusy, 700*time.Millisecond, 0)
 				continue
 			}
 			now += time.Second
-			m.Ended(now, watchstream.Answered, 0, ages(r.ID, now))
+			m.CallEnded(now, watchstream.CallAnswered, 0, ages(r.ID, now))
 		}
 		stay[last]++
-		moves += int(m.Moves())
+		moves += int(m.Switches())
 	}
 	return stay, moves
 }
@@ -196,7 +200,7 @@
 	const n, cut = 300, 10 * time.Second
 	home := map[int]string{}
 	for i := range n {
-		home[i] = watchstream.Order(relays(), "r1", fmt.Sprint("n", i))[0].ID
+		home[i] = watchstream.RankRelays(relays(), "r1", fmt.Sprint("n", i))[0].ID
 	}
 	never := func(string, time.Duration) bool { return false }
 	aged := func(is func(id string) bool, until time.Duration) func(string, time.Duration) time.Duration {
@@ -222,7 +226,7 @@
 		switch {
 		case id == "relay/4":
 			readers++
-			if late[i] == 0 || late[i] > cut+watchstream.Moves.Aged+1100*time.Millisecond {
+			if late[i] == 0 || late[i] > cut+watchstream.DefaultRelaySelectorOptions.StaleAfter+1100*time.Millisecond {
 				t.Fatalf("%v: n%d is at a relay that is cut off, and asks another after %v", errMoves, i, late[i]-cut)
 			}
 		case late[i] != 0:
@@ -265,7 +269,7 @@
 		t.Fatalf("%v: all are as old, and there are %d moves", errMoves, moves)
 	}
 	for i, times := range asked {
-		if most := 3 * (1 + int(long/watchstream.Moves.HomeLeast)); times > most || times < 3 {
+		if most := 3 * (1 + int(long/watchstream.DefaultRelaySelectorOptions.HomeRetryMin)); times > most || times < 3 {
 			t.Fatalf("%v: n%d asks others %d times in %v", errMoves, i, times, long)
 		}
 	}
@@ -277,7 +281,7 @@
 	// All others are busy: whoever is passed by goes on where it is, and is not kept from it.
 	calls := map[int]int{}
 	_, moves = region(t, n, cut+20*time.Second, aged(one, time.Hour), func(id string, _ time.Duration) bool { return id != "relay/4" }, func(i int, id string, at time.Duration) {
-		if id == home[i] && at > cut+watchstream.Moves.Aged {
+		if id == home[i] && at > cut+watchstream.DefaultRelaySelectorOptions.StaleAfter {
 			calls[i]++
 		}
 	})
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -72,11 +72,11 @@
 	scope   watchstream.Scope
 	r       *watchstream.Replica
 	source  *watchstream.Source // a relay's
-	copy    *watchstream.Copy
+	copy    *watchstream.Snapshot
 	life    uint64
 	to      int // who it follows: -1 the agent, else a relay
 	changed []watchstream.Record
-	mark    watchstream.Mark // of the last that it took and has not applied
+	mark    watchstream.Watermark // of the last that it took and has not applied
 	config  []watchstream.Record
 	pending bool
 	force   held
@@ -85,16 +85,16 @@
 	whole map[string]watchstream.Position
 	have  map[string]watchstream.Position
 	tops  map[string]map[key]top
-	said  map[uint64]watchstream.Mark // what was said to be in force, by turn
-	seq   uint64                      // of the last hello
-	was   string                      // the history that it had last
+	said  map[uint64]watchstream.Watermark // what was said to be in force, by turn
+	seq   uint64                           // of the last hello
+	was   string                           // the history that it had last
 }
 
 // letter is on its way.
 type letter struct {
 	from, to int // followers; -1 is the agent
 	life     uint64
-	hello    *watchstream.Hello
+	hello    *watchstream.SubscribeRequest
 	delta    *watchstream.Delta
 	report   *watchstream.Report
 }
@@ -106,7 +106,7 @@
 	log     *watchstream.Store
 	agent   *watchstream.Source
 	life    uint64
-	tally   *watchstream.Tally
+	tally   *watchstream.AckTracker
 	all     []*follower
 	past    map[string]*past
 	epoch   int
@@ -114,7 +114,7 @@
 	mail    []letter
 	accts   map[account]*spent
 	counted map[string]uint64 // the turn that the tally had last of each
-	last    map[string]watchstream.Mark
+	last    map[string]watchstream.Watermark
 	admits  map[account]*spent // without a reader
 	touched []*follower        // by this step
 	told    bool               // the tally was, by this step
@@ -141,11 +141,11 @@
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
-	if s.Source.Gather == 0 {
-		s.Source.Gather = 1
+	if s.Source.CoalesceInterval == 0 {
+		s.Source.CoalesceInterval = 1
 	}
-	w := &World{set: s, now: time.Hour, past: map[string]*past{}, accts: map[account]*spent{}, admits: map[account]*spent{}, counted: map[string]uint64{}, last: map[string]watchstream.Mark{}}
-	w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
+	w := &World{set: s, now: time.Hour, past: map[string]*past{}, accts: map[account]*spent{}, admits: map[account]*spent{}, counted: map[string]uint64{}, last: map[string]watchstream.Watermark{}}
+	w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
 	w.empty()
 	for i := range s.Relays + s.Readers {
 		f := &follower{scope: watchstream.Scope{Name: fmt.Sprint("n", i), Region: "r", Zone: "z"}, to: (i - s.Relays) % max(1, s.Relays)}
@@ -196,7 +196,7 @@
 	f.force, f.pending, f.changed = held{}, false, nil
 	f.whole, f.have, f.tops = map[string]watchstream.Position{}, map[string]watchstream.Position{}, map[string]map[key]top{}
 	if f.said == nil {
-		f.said = map[uint64]watchstream.Mark{}
+		f.said = map[uint64]watchstream.Watermark{}
 	}
 	f.was = ""
 	if f.copy != nil { // what the copy has is applied like what is taken
@@ -208,21 +208,21 @@
 // took notes what the edge is to apply.
 func (f *follower) took(changed []watchstream.Record) {
 	f.changed = append(f.changed, changed...)
-	f.mark, f.config, f.pending = f.r.Whole(), f.r.Records(watchstream.Config), true
+	f.mark, f.config, f.pending = f.r.Consistent(), f.r.Records(watchstream.Config), true
 }
 
 // apply has all that was taken in force. A layer with "bad" in it can't be served.
 func (f *follower) apply() {
 	for _, x := range f.changed {
 		if k := (key{x.Kind, x.Key}); x.Kind == watchstream.Targets {
-			if delete(f.force, k); !x.Gone {
+			if delete(f.force, k); !x.Deleted {
 				f.force[k] = x
 			}
 		}
 	}
-	merged, err := watchstream.Layers(f.config)
+	merged, err := watchstream.MergeLayers(f.config)
 	if err != nil || strings.Contains(string(merged), "bad") {
-		f.r.TurnDown(f.mark.Config, "bad")
+		f.r.RejectConfig(f.mark.Config, "bad")
 	} else {
 		for k := range f.force {
 			if k.kind == watchstream.Config {
@@ -233,7 +233,7 @@
 			f.force[key{x.Kind, x.Key}] = x
 		}
 	}
-	f.r.Applied(f.mark)
+	f.r.MarkApplied(f.mark)
 	f.changed, f.pending = nil, false
 }
 
@@ -340,9 +340,9 @@
 		f := w.all[s.On]
 		w.touched = append(w.touched, f)
 		f.to = (f.to + 1) % w.set.Relays
-		f.r.Moved()
+		f.r.SwitchSource()
 	case Save:
-		c := w.all[s.On].r.Store().Copy()
+		c := w.all[s.On].r.Store().Snapshot()
 		w.all[s.On].copy = &c
 	case Restart:
 		return w.start(s.On)
@@ -353,13 +353,13 @@
 		rep := w.report(s.On)
 		w.mail = append(w.mail, letter{from: s.On, to: -1, life: w.all[s.On].life, report: &rep})
 	case Lead:
-		w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
-		w.tally.Committed(w.now, w.log.Epoch(), w.log.Head())
+		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
+		w.tally.NoteCommit(w.now, w.log.Epoch(), w.log.Head())
 		clear(w.counted)
 		clear(w.last)
 	case Empty:
 		w.empty()
-		w.tally = watchstream.NewTally(fleetName, watchstream.TallyOptions{})
+		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
 		clear(w.counted)
 		clear(w.last)
 	case Word:
@@ -380,7 +380,7 @@
 	if p.add(c); p.head() != v {
 		return fmt.Errorf("broken: a change has version %d, and is the log's number %d", v, p.head())
 	}
-	w.tally.Committed(w.now, w.name(), v)
+	w.tally.NoteCommit(w.now, w.name(), v)
 	return nil
 }
 
@@ -394,12 +394,12 @@
 	return nil
 }
 
-func (w *World) hello(i int) (watchstream.Hello, error) {
+func (w *World) hello(i int) (watchstream.SubscribeRequest, error) {
 	f := w.all[i]
 	w.touched = append(w.touched, f)
-	h := f.r.Hello()
-	f.said[h.Turn], f.seq = h.InForce, h.Seq
-	return h, w.checkForce(f, h.InForce)
+	h := f.r.SubscribeRequest()
+	f.said[h.Generation], f.seq = h.Applied, h.Seq
+	return h, w.checkForce(f, h.Applied)
 }
 
 // exchange has a follower say hello and take the answer, and have it in force if so wished.
@@ -420,20 +420,20 @@
 }
 
 // serve has a source hear a hello, and returns what it sends for it.
-func (w *World) serve(to int, h watchstream.Hello) (*watchstream.Delta, error) {
+func (w *World) serve(to int, h watchstream.SubscribeRequest) (*watchstream.Delta, error) {
 	source, name, life := w.source(to)
-	readers := source.Readers()
-	if err := source.Hear(w.now, h); err != nil {
+	readers := source.ReaderCount()
+	if err := source.Subscribe(w.now, h); err != nil {
 		return nil, w.refusal(err)
 	}
 	at := account{name, life, h.Name}
-	if source.Readers() > readers {
+	if source.ReaderCount() > readers {
 		w.accts[at] = &spent{since: w.now}
 		if err := w.admitted(account{name, life, ""}); err != nil {
 			return nil, err
 		}
 	}
-	d, _ := source.Next(w.now, h.Name)
+	d, _ := source.NextDelta(w.now, h.Name)
 	if d == nil {
 		return nil, nil
 	}
@@ -442,8 +442,8 @@
 
 // refusal passes what refusals are for, and nothing else.
 func (w *World) refusal(err error) error {
-	var r *watchstream.Refusal
-	var b *watchstream.Busy
+	var r *watchstream.RejectedError
+	var b *watchstream.BusyError
 	if errors.As(err, &r) || errors.As(err, &b) {
 		return nil
 	}
@@ -453,7 +453,7 @@
 func (w *World) take(i int, d *watchstream.Delta) error {
 	f := w.all[i]
 	w.touched = append(w.touched, f)
-	changed, err := f.r.Take(d)
+	changed, err := f.r.ApplyDelta(d)
 	if err != nil {
 		return w.refusal(err)
 	}
@@ -476,16 +476,16 @@
 }
 
 func (w *World) report(i int) watchstream.Report {
-	return w.all[i].source.Report(w.now, w.all[i].scope.Name, "r")
+	return w.all[i].source.BuildReport(w.now, w.all[i].scope.Name, "r")
 }
 
 func (w *World) tell(rep watchstream.Report, from int) error {
 	w.told = true
-	a, err := w.tally.Take(w.now, rep)
+	a, err := w.tally.AddReport(w.now, rep)
 	if err != nil {
 		return w.refusal(err)
 	}
-	w.all[from].source.Reported(a)
+	w.all[from].source.ReportAcked(a)
 	return nil
 }
 
@@ -501,27 +501,27 @@
 		}
 		return 0
 	}
-	w.agent.Print(&b, w.now, said)
-	w.tally.Print(&b)
+	w.agent.DebugPrint(&b, w.now, said)
+	w.tally.DebugPrint(&b)
 	for _, f := range w.all {
-		f.r.Print(&b)
+		f.r.DebugPrint(&b)
 		if f.source != nil {
-			f.source.Print(&b, w.now, said)
+			f.source.DebugPrint(&b, w.now, said)
 		}
 		fmt.Fprint(&b, f.to, f.pending, f.mark, len(f.changed), f.copy != nil)
 		if f.copy != nil {
-			fmt.Fprint(&b, f.copy.Epoch, f.copy.Have, f.copy.Whole, f.copy.Seen, len(f.copy.Records))
+			fmt.Fprint(&b, f.copy.Epoch, f.copy.Have, f.copy.Consistent, f.copy.NewestSeen, len(f.copy.Records))
 		}
 		fmt.Fprintln(&b)
 	}
 	for _, l := range w.mail {
 		switch {
 		case l.hello != nil:
-			fmt.Fprint(&b, l.from, l.to, l.hello.Have, l.hello.InForce, l.hello.Turn, w.all[l.from].seq-l.hello.Seq, l.hello.Digest, len(l.hello.Sums))
+			fmt.Fprint(&b, l.from, l.to, l.hello.Have, l.hello.Applied, l.hello.Generation, w.all[l.from].seq-l.hello.Seq, l.hello.Progress, len(l.hello.Digests))
 		case l.delta != nil:
-			fmt.Fprint(&b, l.from, l.to, l.delta.Epoch, l.delta.From, l.delta.To, l.delta.Head, len(l.delta.Records), l.delta.Span, l.delta.Ask)
+			fmt.Fprint(&b, l.from, l.to, l.delta.Epoch, l.delta.From, l.delta.To, l.delta.Head, len(l.delta.Records), l.delta.Range, l.delta.WantDigests)
 		default:
-			fmt.Fprint(&b, l.from, l.report.Life, l.report.Base, l.report.Upto, l.report.Whole, len(l.report.Readers))
+			fmt.Fprint(&b, l.from, l.report.Incarnation, l.report.Base, l.report.UpTo, l.report.Full, len(l.report.Readers))
 		}
 		fmt.Fprintln(&b)
 	}
--- a/internal/testbed/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/feed.go
@@ -27,7 +27,7 @@
 func (in *Initiator) follow(m *module) (run func(context.Context), err error) {
 	opt := *in.opt.Feed
 	var f *edge.Follower
-	opt.Changed = func(c edge.Change) error { return in.changed(f, m, c) }
+	opt.OnChange = func(c edge.Update) error { return in.changed(f, m, c) }
 	if f, err = edge.NewFollower(opt); err != nil {
 		return nil, err
 	}
@@ -36,17 +36,17 @@
 }
 
 // changed takes over what the feed has brought. What can't be read as a list is the run's own fault: it is told as broken.
-func (in *Initiator) changed(f *edge.Follower, m *module, c edge.Change) error {
+func (in *Initiator) changed(f *edge.Follower, m *module, c edge.Update) error {
 	v := int64(c.Position.Targets)
-	l := &listing.List{Version: &v, Full: c.Whole}
-	config := c.Whole
+	l := &listing.List{Version: &v, Full: c.Full}
+	config := c.Full
 	for _, r := range c.Records {
 		if r.Kind == watchstream.Config {
 			config = true
 			continue
 		}
 		e := listing.Entry{ID: r.Key, State: "DELETED"}
-		if !r.Gone {
+		if !r.Deleted {
 			var err error
 			if e, err = listing.DecodeEntry(r.Value); err != nil {
 				in.Journal.Breaks("target %s: %v", r.Key, err)
@@ -63,7 +63,7 @@
 		}
 	}
 	if config {
-		merged, err := watchstream.Layers(f.Records(watchstream.Config))
+		merged, err := watchstream.MergeLayers(f.Records(watchstream.Config))
 		if err != nil {
 			return err
 		}
@@ -81,7 +81,7 @@
 func (x *follower) end() {
 	if f := x.now.Swap(nil); f != nil {
 		s := f.State()
-		x.in, x.out, x.moves = x.in+s.In, x.out+s.Out, x.moves+s.Moves
+		x.in, x.out, x.moves = x.in+s.BytesIn, x.out+s.BytesOut, x.moves+s.Switches
 	}
 }
 
@@ -89,7 +89,7 @@
 func (in *Initiator) Poll() {
 	if f := in.feed.now.Load(); f != nil {
 		s := f.State()
-		in.Journal.Seen(f, s.InForce.Targets, s.InForce.Config)
+		in.Journal.Seen(f, s.Applied.Targets, s.Applied.Config)
 	}
 }
 
@@ -101,7 +101,7 @@
 	in.mu.Unlock()
 	if f != nil {
 		s := f.State()
-		read, written, moves = read+s.In, written+s.Out, moves+s.Moves
+		read, written, moves = read+s.BytesIn, written+s.BytesOut, moves+s.Switches
 	}
 	return read, written, moves
 }
@@ -125,7 +125,7 @@
 		}
 	}
 	for i := range pipelined {
-		text, err := format.Marshal(watchstream.Hello{Fleet: in.opt.Feed.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Turn: 1, Seq: uint64(i + 1)})
+		text, err := format.Marshal(watchstream.SubscribeRequest{Fleet: in.opt.Feed.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Generation: 1, Seq: uint64(i + 1)})
 		if err != nil {
 			return "", nil, err
 		}
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -48,12 +48,12 @@
 	changed chan struct{}
 }
 
-// Do implements edge.Origin.
-func (s *source) Do(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+// WithSource implements edge.Origin.
+func (s *source) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
-	s.source.Fresh(now)
+	s.source.MarkFresh(now)
 	f(now, s.source)
 	return s.changed, true
 }
@@ -194,7 +194,7 @@
 	_, err = c.Write(request)
 	require.NoError(t, err)
 	require.Eventually(t, func() (heard bool) {
-		s.Do(func(_ time.Duration, src *watchstream.Source) { heard = src.Readers() == 1 })
+		s.WithSource(func(_ time.Duration, src *watchstream.Source) { heard = src.ReaderCount() == 1 })
 		return heard
 	}, time.Minute, 5*time.Millisecond)
 }
--- a/internal/testbed/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -188,5 +188,5 @@
 	require.Len(t, e, 1)
 	require.False(t, primary)
 	c := watchstream.Change{Fleet: fleetName, Epoch: "e", Puts: []watchstream.Put{{Kind: watchstream.Targets, Key: "a", Value: []byte(`{}`)}}}
-	require.NoError(t, c.Check())
+	require.NoError(t, c.Validate())
 }
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -55,7 +55,7 @@
 				return told(c, l, s.Initiators/s.Regions, s.ListRate()*hour) + s.ListRate()*hour*c.each("list.line")/l.Wire + change(c, s)
 			}, force, ""),
 			each("region", on, func(c costs, s Size, l Limits) float64 {
-				return watchstream.Moves.Most.Seconds() + reach(c, s, l) + c.at("feed.owed.time", s.ListRate()*hour) + change(c, s)
+				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + reach(c, s, l) + c.at("feed.owed.time", s.ListRate()*hour) + change(c, s)
 			}, force, "")},
 		{"one initiator restarts", "members; the leader, by its join", "discovery, to its first call; by the feed its relay",
 			"all targets, where it has none; what came since what it has, where it has a list or a copy on disk",
@@ -69,7 +69,7 @@
 				return s.InitiatorsBack*(l.Call+s.Targets*l.Line) + start(c, s) + s.InitiatorsBack*c.each("leader.joins")/1e6
 			}, back, ""),
 			each("starts", []string{"module.whole", "list.decode", "leader.joins", "feed.whole.time"}, func(c costs, s Size, l Limits) float64 {
-				return s.InitiatorsBack/relays(l)/watchstream.Fair.Admit + c.at("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorsBack*c.each("leader.joins")/1e6
+				return s.InitiatorsBack/relays(l)/watchstream.DefaultSourceOptions.AdmitRate + c.at("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorsBack*c.each("leader.joins")/1e6
 			}, back, "")},
 	}
 }
