--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -31,7 +31,7 @@
 // newOrigin has so many targets and a shared layer of the usual size. Readers are let in as they come: how fast is the settings', not a cost.
 func newOrigin(targets int) (*origin, error) {
 	o := &origin{store: watchstream.NewStore(ours, watchstream.Limits{}), changed: make(chan struct{})}
-	o.source = watchstream.NewSource(o.store, watchstream.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
+	o.source = watchstream.NewSource(o.store, watchstream.SourceOptions{AdmitRate: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
 	puts := []watchstream.Put{layer(0)}
 	for i := range targets {
 		if puts = append(puts, entry(i, "SERVING")); len(puts) == 1000 || i == targets-1 {
@@ -59,12 +59,12 @@
 	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:usual-2]) + `"}`)}
 }
 
-// Do implements edge.Origin.
-func (o *origin) Do(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+// WithSource implements edge.Origin.
+func (o *origin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := monotone.Now()
-	o.source.Fresh(now)
+	o.source.MarkFresh(now)
 	f(now, o.source)
 	return o.changed, true
 }
@@ -106,8 +106,8 @@
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
 		f, err := edge.NewFollower(edge.Options{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
-			Changed: func(c edge.Change) error {
-				r.has[i].Store(c.Position.Least())
+			OnChange: func(c edge.Update) error {
+				r.has[i].Store(c.Position.Min())
 				return nil
 			}})
 		if err != nil {
@@ -155,12 +155,12 @@
 			if err != nil {
 				return nil, err
 			}
-			text, err := json.Marshal(o.store.Copy())
+			text, err := json.Marshal(o.store.Snapshot())
 			if err != nil {
 				return nil, err
 			}
 			held, r := holds(func() *watchstream.Replica {
-				var c watchstream.Copy
+				var c watchstream.Snapshot
 				r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
 				if err = json.Unmarshal(text, &c); err == nil {
 					err = r.Restore(c)
@@ -185,7 +185,7 @@
 				return nil, err
 			}
 			r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
-			if err := r.Restore(o.store.Copy()); err != nil {
+			if err := r.Restore(o.store.Snapshot()); err != nil {
 				return nil, err
 			}
 			for i := range size {
@@ -230,15 +230,15 @@
 func (o *origin) bring(r *watchstream.Replica) (took time.Duration, wire int, err error) {
 	now := time.Hour
 	source := watchstream.NewSource(o.store, watchstream.SourceOptions{}, 1)
-	for r.Whole().Least() < o.store.Head() {
-		h := r.Hello()
-		if err := source.Hear(now, h); err != nil {
+	for r.Consistent().Min() < o.store.Head() {
+		h := r.SubscribeRequest()
+		if err := source.Subscribe(now, h); err != nil {
 			return 0, 0, err
 		}
-		d, wait := source.Next(now, h.Name)
-		for ; d == nil; d, wait = source.Next(now, h.Name) {
+		d, wait := source.NextDelta(now, h.Name)
+		for ; d == nil; d, wait = source.NextDelta(now, h.Name) {
 			if now += wait; now > 2*time.Hour {
-				return 0, 0, fmt.Errorf("a reader is at %v of %d after an hour", r.Whole(), o.store.Head())
+				return 0, 0, fmt.Errorf("a reader is at %v of %d after an hour", r.Consistent(), o.store.Head())
 			}
 		}
 		asked, err := json.Marshal(h)
@@ -255,11 +255,11 @@
 		}
 		sent += len(asked) + heads
 		wire += sent
-		if _, err := r.Take(d); err != nil {
+		if _, err := r.ApplyDelta(d); err != nil {
 			return 0, 0, err
 		}
-		source.Sent(h.Name, d, sent)
-		r.Applied(r.Whole())
+		source.DeltaSent(h.Name, d, sent)
+		r.MarkApplied(r.Consistent())
 	}
 	return now - time.Hour, wire, nil
 }
@@ -331,12 +331,12 @@
 	replicas := make([]*watchstream.Replica, size)
 	for i := range replicas {
 		replicas[i] = watchstream.NewReplica(ours, watchstream.Scope{Name: instance(i), Region: "r", Zone: "z"}, 1, watchstream.Limits{Buckets: 1 << 10})
-		if err := replicas[i].Restore(o.store.Copy()); err != nil {
+		if err := replicas[i].Restore(o.store.Snapshot()); err != nil {
 			return nil, err
 		}
 	}
 	before := heap()
-	source := watchstream.NewSource(o.store, watchstream.SourceOptions{Admit: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
+	source := watchstream.NewSource(o.store, watchstream.SourceOptions{AdmitRate: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
 	now := time.Hour
 	serve := func() error {
 		now += time.Second
@@ -344,18 +344,18 @@
 			return err
 		}
 		for _, r := range replicas {
-			h := r.Hello()
-			if err := source.Hear(now, h); err != nil {
+			h := r.SubscribeRequest()
+			if err := source.Subscribe(now, h); err != nil {
 				return err
 			}
-			d, _ := source.Next(now, h.Name)
+			d, _ := source.NextDelta(now, h.Name)
 			if d == nil {
 				return fmt.Errorf("nothing for %s", h.Name)
 			}
-			if _, err := r.Take(d); err != nil {
+			if _, err := r.ApplyDelta(d); err != nil {
 				return err
 			}
-			r.Applied(r.Whole())
+			r.MarkApplied(r.Consistent())
 		}
 		return nil
 	}
@@ -368,15 +368,15 @@
 			err = e
 		}
 	}) / float64(size)
-	tally := watchstream.NewTally(ours, watchstream.TallyOptions{})
+	tally := watchstream.NewAckTracker(ours, watchstream.AckTrackerOptions{})
 	wire := 0
 	best := 0.0
 	for round := range 6 {
 		if e := serve(); e != nil {
 			return nil, e
 		}
-		tally.Committed(now, "e", o.store.Head())
-		rep := source.Report(now, "relay", "r")
+		tally.NoteCommit(now, "e", o.store.Head())
+		rep := source.BuildReport(now, "relay", "r")
 		if round == 0 {
 			text, e := json.Marshal(rep)
 			if e != nil {
@@ -384,15 +384,15 @@
 			}
 			wire = len(text)
 		}
-		var a watchstream.ReportAnswer
-		took := quickest(1, 0, func() { a, err = tally.Take(now, rep) })
+		var a watchstream.ReportResponse
+		took := quickest(1, 0, func() { a, err = tally.AddReport(now, rep) })
 		if err != nil {
 			return nil, err
 		}
 		if best == 0 || took < best {
 			best = took
 		}
-		source.Reported(a)
+		source.ReportAcked(a)
 	}
 	runtime.KeepAlive(replicas)
 	return []float64{next, held, best, float64(wire)}, err
--- a/internal/testbed/scale/slope/feedfigures.go
+++ b/internal/testbed/scale/slope/feedfigures.go
@@ -7,7 +7,7 @@
 
 // reach is how long a change takes from the log to the last initiator: an agent tells all relays, each its readers; what comes closely behind another change waits at both.
 func reach(c costs, s Size, l Limits) float64 {
-	return c.at("feed.told", relays(l)) + c.at("feed.told", s.Initiators/relays(l)) + 2*watchstream.Fair.Gather.Seconds()
+	return c.at("feed.told", relays(l)) + c.at("feed.told", s.Initiators/relays(l)) + 2*watchstream.DefaultSourceOptions.CoalesceInterval.Seconds()
 }
 
 var reached = []string{"feed.told"}
@@ -48,7 +48,7 @@
 		{Role: "relay", Of: "time until the last initiator has a change, from the log on", When: always, Unit: "s", Mechanism: howFeed, Names: reached,
 			Value: func(c costs, s Size, l Limits) float64 { return reach(c, s, l) }, Limit: force},
 		{Role: "relay", Of: "readers of each, with one of two gone in a region", When: worst, Unit: "readers", Mechanism: howFeed, Names: reached,
-			Value: func(_ costs, s Size, l Limits) float64 { return 2 * s.Initiators / relays(l) }, Limit: func(costs, Size, Limits) float64 { return float64(watchstream.Fair.MaxReaders) }},
+			Value: func(_ costs, s Size, l Limits) float64 { return 2 * s.Initiators / relays(l) }, Limit: func(costs, Size, Limits) float64 { return float64(watchstream.DefaultSourceOptions.MaxReaders) }},
 		{Role: "relay", Of: "processor: polls and ordinary changes, both ends", When: ordinary, Unit: "core", Mechanism: howFeed, Names: []string{"feed.poll.cpu", "feed.change.cpu"},
 			Value: func(c costs, s Size, l Limits) float64 {
 				n := s.Initiators / relays(l)
@@ -57,7 +57,7 @@
 		{Role: "relay", Of: "processor: 20 changes a second, gathered, both ends", When: worst, Unit: "core", Mechanism: howFeed, Names: []string{"feed.poll.cpu", "feed.change.cpu"},
 			Value: func(c costs, s Size, l Limits) float64 {
 				n := s.Initiators / relays(l)
-				return (c.at("feed.poll.cpu", n) + min(s.Burst, 1/watchstream.Fair.Gather.Seconds())*c.at("feed.change.cpu", n)) / 1e6
+				return (c.at("feed.poll.cpu", n) + min(s.Burst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds())*c.at("feed.change.cpu", n)) / 1e6
 			}, Limit: machine},
 		{Role: "relay", Of: "memory: its replica, its readers, with the collector's room", When: always, Unit: "B", Mechanism: howFeed, Names: []string{"feed.replica.memory", "feed.source.memory"},
 			Value: func(c costs, s Size, l Limits) float64 {
--- a/internal/testbed/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -49,7 +49,9 @@
 	// adopted is what a configuration that has changed costs an initiator that knows as many volumes as it keeps accounts of.
 	adopted := func(c costs, s Size) float64 { return c.at("adopt.cpu", s.Targets) + c.at("module.adopt", s.Volumes) }
 	// gathered is how many of a burst's changes come to an initiator in a second.
-	gathered := func(s Size) float64 { return min(s.Burst, 1/watchstream.Fair.Gather.Seconds()) }
+	gathered := func(s Size) float64 {
+		return min(s.Burst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds())
+	}
 	taken := func(c costs, _ Size, _ Limits) float64 { return 1e6 / c.each("agent.change.time") }
 	entries := func(s Size) float64 { return s.ChangeRate() * s.Initiators }
 	return append(feedFigures(), []Figure{
--- a/internal/testbed/scale/slope/parts.go
+++ b/internal/testbed/scale/slope/parts.go
@@ -126,7 +126,7 @@
 			}, "internal/controlplane/watchstream/distribution", By},
 		{"a relay to each initiator", "a shared layer of the usual size, with the poll", func(c costs, _ Size) float64 { return c.each("feed.layer.wire") }, "feed.layer.wire",
 			func(_ costs, s Size, _ Limits) [4]float64 {
-				return [4]float64{s.ChangeRate(), min(s.Burst, 1/watchstream.Fair.Gather.Seconds()), s.ChangeRate(), 1 / minute}
+				return [4]float64{s.ChangeRate(), min(s.Burst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds()), s.ChangeRate(), 1 / minute}
 			}, "internal/controlplane/watchstream/distribution", By},
 		{"relays to initiators that start, in all", "all targets, packed", func(c costs, s Size) float64 { return c.at("feed.whole.wire", s.Targets) }, "feed.whole.wire",
 			func(_ costs, s Size, l Limits) [4]float64 {
