--- /dev/null
+++ b/internal/controlplane/agent/bootstrap.go
@@ -0,0 +1,148 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
+)
+
+// Start opens the durable store and joins the others. An agent that has no state yet begins with the peers it
+// is told of; one that has goes on from its log.
+func Start(opt Options) (_ *Agent, err error) {
+	a := &Agent{opt: opt, store: newStore()}
+	var servers []raft.Server
+	for _, p := range opt.Peers {
+		if p.ID == opt.ID {
+			a.self = p
+		}
+		servers = append(servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+	}
+	if a.self.ID == "" {
+		return nil, fmt.Errorf("agent.id: %q is none of the peers", opt.ID)
+	}
+	if err := os.MkdirAll(opt.Dir, 0o700); err != nil {
+		return nil, fmt.Errorf("agent.dir: %w", err)
+	}
+	defer func() {
+		if err != nil {
+			a.closeStorage()
+		}
+	}()
+	if a.bolt, err = raftboltdb.NewBoltStore(filepath.Join(opt.Dir, "raft.db")); err != nil {
+		return nil, fmt.Errorf("agent.dir: %w", err)
+	}
+	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Log}})
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(opt.Dir, 2, log)
+	if err != nil {
+		return nil, fmt.Errorf("agent.dir: %w", err)
+	}
+	addr, err := net.ResolveTCPAddr("tcp", a.self.Raft)
+	if err != nil {
+		return nil, fmt.Errorf("agent.peers raft: %w", err)
+	}
+	// Where the others are is this agent's file's to say, whatever a snapshot of another's has.
+	about := &raft.NetworkTransportConfig{ServerAddressProvider: opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
+	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, about); err != nil {
+		return nil, fmt.Errorf("agent.peers raft: %w", err)
+	}
+	cfg := raft.DefaultConfig()
+	cfg.LocalID, cfg.Logger = raft.ServerID(opt.ID), log
+	if opt.ElectionTimeout > 0 {
+		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.ElectionTimeout, opt.ElectionTimeout, opt.ElectionTimeout/2
+	}
+	known, err := raft.HasExistingState(a.bolt, a.bolt, snaps)
+	if err != nil {
+		return nil, err
+	}
+	if !known {
+		if err = a.waitForPeers(); err != nil {
+			return nil, err
+		}
+		if err = raft.BootstrapCluster(cfg, a.bolt, a.bolt, snaps, a.transport, raft.Configuration{Servers: servers}); err != nil {
+			return nil, err
+		}
+	}
+	if a.raft, err = raft.NewRaft(cfg, a.store, a.bolt, a.bolt, snaps, a.transport); err != nil {
+		return nil, err
+	}
+	a.leader = newLeaderService(a)
+	mux := http.NewServeMux()
+	a.leader.routes(mux)
+	a.stream = newStreamService(a)
+	a.stream.routes(mux)
+	mux.HandleFunc("GET /v1/status", a.handleStatus)
+	mux.HandleFunc("GET /v1/instances", a.handleList)
+	mux.HandleFunc("GET /v1/instances/{name}", a.handleGet)
+	mux.HandleFunc("PUT /v1/instances/{name}", a.handlePut)
+	mux.HandleFunc("DELETE /v1/instances/{name}", a.handlePut)
+	a.http = http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
+	return a, nil
+}
+
+// waitForPeers returns once an agent without a log may take part. Where the others have one, this agent had a vote that it has forgotten, and
+// may give it twice, unless all others are up, follow one leader and have applied as much as it: then whoever could be elected
+// has all that was ever confirmed. Where nobody has, the group is new.
+func (a *Agent) waitForPeers() error {
+	ctx := a.opt.StartContext
+	if ctx == nil {
+		ctx = context.Background()
+	}
+	for told := false; ; {
+		c := Client{}
+		for _, p := range a.opt.Peers {
+			if p.ID != a.opt.ID {
+				c.Addrs = append(c.Addrs, p.API)
+			}
+		}
+		began, level := false, true
+		leaders := map[string]bool{}
+		var least, most uint64
+		for i, s := range c.Status(ctx) {
+			began = began || s.Applied > 0
+			leaders[s.Leader] = true
+			if i == 0 {
+				least = s.Applied
+			}
+			least, most = min(least, s.Applied), max(most, s.Applied)
+		}
+		level = len(leaders) == 1 && !leaders[""] && !leaders[a.opt.ID] && least == most
+		if !began || level {
+			return nil
+		}
+		if !told {
+			told = true
+			a.opt.Log.Warn("the folder is empty, the group is not new: waiting until all others are up and level", slog.String("reason", "AGENT_EMPTY"))
+		}
+		select {
+		case <-ctx.Done():
+			return fmt.Errorf("agent.dir: empty, and the others were never all up and level: %w", ctx.Err())
+		case <-time.After(200 * time.Millisecond):
+		}
+	}
+}
+
+// logWriter passes the Raft library's lines on.
+type logWriter struct{ log *slog.Logger }
+
+func (w logWriter) Write(b []byte) (int, error) {
+	w.log.Warn("raft", slog.String("line", string(b[:max(0, len(b)-1)])))
+	return len(b), nil
+}
+
+func (a *Agent) closeStorage() {
+	if a.transport != nil {
+		a.transport.Close()
+	}
+	if a.bolt != nil {
+		a.bolt.Close()
+	}
+}
--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -3,23 +3,19 @@
 import (
 	"bytes"
 	"context"
-	"crypto/rand"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/url"
 	"slices"
-	"strconv"
 	"strings"
 	"sync/atomic"
 	"time"
 
 	"github.com/cenkalti/backoff/v5"
 
-	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/quota"
 )
 
@@ -226,32 +222,10 @@
 	return http.DefaultTransport
 }
 
-func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
-
 func withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, callTimeout)
 }
 
-// Get returns the latest configuration of an instance.
-func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
-	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
-}
-
-// List returns the names configured, with their versions.
-func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
-	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
-}
-
-// Put writes a configuration, with ifVersion only over that version. A nil one is taken away. An agent that commits it
-// and is lost before it answers has it made once, though it is asked of the next as well.
-func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
-	method := http.MethodPut
-	if config == nil {
-		method = http.MethodDelete
-	}
-	return fetch[Entry](ctx, c, call{method: method, path: instancePath(name), ifVersion: ifVersion, id: rand.Text(), body: config})
-}
-
 // fetch makes a call within callWithin and reads its answer.
 func fetch[T any](ctx context.Context, c *Client, call call) (v T, _ error) {
 	ctx, done := withCallTimeout(ctx)
@@ -260,20 +234,6 @@
 	return decode[T](answer, err)
 }
 
-// Status asks each agent for itself; one that does not answer has an error in place of a state.
-func (c *Client) Status(ctx context.Context) []Status {
-	var all []Status
-	for _, addr := range c.Addrs {
-		_, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
-		s, err := decode[Status](answer, err)
-		if err != nil {
-			s = Status{ID: addr, State: err.Error()}
-		}
-		all = append(all, s)
-	}
-	return all
-}
-
 func decode[T any](answer []byte, err error) (v T, _ error) {
 	if err != nil {
 		return v, err
@@ -284,106 +244,6 @@
 	return v, nil
 }
 
-// Follow hands over an instance's configuration, first as it is and then whenever it changes, until ctx ends.
-// It asks any agent for what that one has: an instance goes on, and starts, also while there is no leader. An
-// agent that lags behind another cannot set it back. One that falls silent is found out within watchFor and a try.
-func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
-	var has uint64
-	waits := newBackoff()
-	for turn := 0; ctx.Err() == nil; {
-		addr := c.Addrs[turn%len(c.Addrs)]
-		at := instancePath(name) + "?stale&wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) +
-			"&after=" + strconv.FormatUint(has, 10)
-		status, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
-		var e Entry
-		if err == nil && status == http.StatusOK {
-			e, err = decode[Entry](answer, nil)
-		}
-		switch {
-		case ctx.Err() != nil:
-			return
-		case err == nil && e.Version > has:
-			has = e.Version
-			waits.Reset()
-			tell(e)
-			continue
-		case err == nil && status == http.StatusNoContent:
-			waits.Reset()
-			continue
-		case err != nil:
-			log.Warn("agent call failed", slog.String("reason", "AGENT_FAILED"), slog.String("agent", addr), slog.Any("error", err))
-		}
-		turn++
-		select {
-		case <-ctx.Done():
-		case <-time.After(waits.NextBackOff()):
-		}
-	}
-}
-
-// Join asks for a seat. A fleet.Reason as error says that there is none, or not for it.
-func (c *Client) Join(ctx context.Context, m quota.Member) (quota.Member, quota.Config, error) {
-	j, err := sendJSON[joinResponse](ctx, c, http.MethodPost, "/v1/fleet/members", m)
-	return j.Member, j.QuotaConfig, err
-}
-
-// Renew sends a renewal, with a claim where the member runs tasks, and brings the answers; the award is nil where there is none.
-func (c *Client) Renew(ctx context.Context, r quota.RenewalRequest, claim *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
-	a, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{r, claim})
-	return a.RenewalResponse, a.Leases, err
-}
-
-// WaitLeaseChange waits until a lease that a member has was changed after the log's index after, and returns the index; or until it has waited
-// for long enough, or no agent answers.
-func (c *Client) WaitLeaseChange(ctx context.Context, id string, after uint64) (uint64, error) {
-	at := "/v1/leases/changed/" + url.PathEscape(id) + "?wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) + "&after=" + strconv.FormatUint(after, 10)
-	turn := int(c.preferred.Load())
-	_, answer, err := c.callAgent(ctx, c.Addrs[turn%len(c.Addrs)], call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
-	return decode[uint64](answer, err)
-}
-
-// SetLeaseConfig has the fleet go by another set of tasks.
-func (c *Client) SetLeaseConfig(ctx context.Context, d lease.Config) (lease.Config, error) {
-	ctx, done := withCallTimeout(ctx)
-	defer done()
-	return sendJSON[lease.Config](ctx, c, http.MethodPut, "/v1/leases", d)
-}
-
-// MigrateLease has a shard go to a member, by its id or its instance's name; with lease.Anyone, away from its holder.
-func (c *Client) MigrateLease(ctx context.Context, k lease.Key, to string) error {
-	ctx, done := withCallTimeout(ctx)
-	defer done()
-	_, err := sendJSON[[]lease.Event](ctx, c, http.MethodPost, "/v1/leases/move", migrateRequest{k, to})
-	return err
-}
-
-// Leave gives a seat back, of a member that uses nothing any more.
-func (c *Client) Leave(ctx context.Context, id string) error {
-	_, err := sendJSON[struct{}](ctx, c, http.MethodDelete, "/v1/fleet/members/"+url.PathEscape(id), nil)
-	return err
-}
-
-// SetQuotaConfig has the fleet go by another set of budgets.
-func (c *Client) SetQuotaConfig(ctx context.Context, d quota.Config) (quota.Config, error) {
-	ctx, done := withCallTimeout(ctx)
-	defer done()
-	return sendJSON[quota.Config](ctx, c, http.MethodPut, "/v1/fleet", d)
-}
-
-// Fleet shows the fleet as its leader sees it. Where there is none, or none that a majority agrees with, it is what some agent's
-// log says: Leads is false then, and AgeMs says how old it may be.
-func (c *Client) Fleet(ctx context.Context) (FleetView, error) {
-	fresh, done := context.WithTimeout(ctx, callTimeout/2)
-	v, err := decode[FleetView](c.do(fresh, call{method: http.MethodGet, path: "/v1/fleet"}))
-	done()
-	if err == nil {
-		return v, nil
-	}
-	ctx, done = context.WithTimeout(ctx, callTimeout/2)
-	defer done()
-	return decode[FleetView](c.do(ctx, call{method: http.MethodGet, path: "/v1/fleet?stale"}))
-}
-
 func sendJSON[T any](ctx context.Context, c *Client, method, path string, body any) (v T, err error) {
 	text, err := json.Marshal(body)
 	if err != nil {
--- /dev/null
+++ b/internal/controlplane/agent/client_configs.go
@@ -0,0 +1,84 @@
+package agent
+
+import (
+	"context"
+	"crypto/rand"
+	"log/slog"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+)
+
+func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
+
+// Get returns the latest configuration of an instance.
+func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
+	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
+}
+
+// List returns the names configured, with their versions.
+func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
+	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
+}
+
+// Put writes a configuration, with ifVersion only over that version. A nil one is taken away. An agent that commits it
+// and is lost before it answers has it made once, though it is asked of the next as well.
+func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
+	method := http.MethodPut
+	if config == nil {
+		method = http.MethodDelete
+	}
+	return fetch[Entry](ctx, c, call{method: method, path: instancePath(name), ifVersion: ifVersion, id: rand.Text(), body: config})
+}
+
+// Status asks each agent for itself; one that does not answer has an error in place of a state.
+func (c *Client) Status(ctx context.Context) []Status {
+	var all []Status
+	for _, addr := range c.Addrs {
+		_, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
+		s, err := decode[Status](answer, err)
+		if err != nil {
+			s = Status{ID: addr, State: err.Error()}
+		}
+		all = append(all, s)
+	}
+	return all
+}
+
+// Follow hands over an instance's configuration, first as it is and then whenever it changes, until ctx ends.
+// It asks any agent for what that one has: an instance goes on, and starts, also while there is no leader. An
+// agent that lags behind another cannot set it back. One that falls silent is found out within watchFor and a try.
+func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
+	var has uint64
+	waits := newBackoff()
+	for turn := 0; ctx.Err() == nil; {
+		addr := c.Addrs[turn%len(c.Addrs)]
+		at := instancePath(name) + "?stale&wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) +
+			"&after=" + strconv.FormatUint(has, 10)
+		status, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
+		var e Entry
+		if err == nil && status == http.StatusOK {
+			e, err = decode[Entry](answer, nil)
+		}
+		switch {
+		case ctx.Err() != nil:
+			return
+		case err == nil && e.Version > has:
+			has = e.Version
+			waits.Reset()
+			tell(e)
+			continue
+		case err == nil && status == http.StatusNoContent:
+			waits.Reset()
+			continue
+		case err != nil:
+			log.Warn("agent call failed", slog.String("reason", "AGENT_FAILED"), slog.String("agent", addr), slog.Any("error", err))
+		}
+		turn++
+		select {
+		case <-ctx.Done():
+		case <-time.After(waits.NextBackOff()):
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/agent/command.go
@@ -0,0 +1,124 @@
+package agent
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/watchstream"
+
+	"github.com/hashicorp/raft"
+)
+
+// command is a command of the log: about one instance's configuration, or where one of the others is there, about the fleet.
+type command struct {
+	Name         string              `json:"name,omitempty"`
+	Config       json.RawMessage     `json:"config,omitempty"` // empty: take it away
+	IfVersion    *uint64             `json:"if,omitempty"`     // only where the entry has this version; 0: where there is none
+	RequestID    string              `json:"id,omitempty"`     // the caller's own: a change that comes twice is made once
+	QuotaConfig  *quota.Config       `json:"set,omitempty"`    // the fleet's budgets
+	Join         *quota.Member       `json:"join,omitempty"`   // a seat is asked for
+	Leave        []string            `json:"leave,omitempty"`  // seats are given back
+	LeaseConfig  *lease.Config       `json:"tasks,omitempty"`  // the fleet's tasks
+	LeaseEvents  []lease.Event       `json:"orders,omitempty"` // leases are granted, planned to move, or freed
+	HighestToken uint64              `json:"seen,omitempty"`   // with orders, or alone: a token that a place was shown
+	StreamChange *watchstream.Change `json:"feed,omitempty"`   // targets and configuration of the whole fleet
+}
+
+// maxRecentChanges is how many changes are known by their ids.
+const maxRecentChanges = 256
+
+// joinResponse answers a join.
+type joinResponse struct {
+	Member      quota.Member `json:"member"`
+	QuotaConfig quota.Config `json:"doc"`
+}
+
+// errConflict answers a change whose condition does not hold.
+var errConflict = errors.New("the entry has another version")
+
+// Apply implements raft.FSM. It returns the new entry or an error.
+func (s *store) Apply(l *raft.Log) any {
+	var c command
+	if err := json.Unmarshal(l.Data, &c); err != nil {
+		return fmt.Errorf("log entry %d: %w", l.Index, err)
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c.RequestID != "" {
+		for _, made := range s.recentChanges {
+			if made.RequestID == c.RequestID {
+				return made // its first answer was lost
+			}
+		}
+	}
+	switch {
+	case c.QuotaConfig != nil:
+		defer s.notifyWatchers()
+		if err := s.fleet.SetQuotaConfig(l.Index, *c.QuotaConfig); err != nil {
+			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
+		}
+		return s.fleet.QuotaConfig
+	case c.Join != nil:
+		defer s.notifyWatchers()
+		m, err := s.fleet.Join(l.Index, *c.Join)
+		if err != nil {
+			return err
+		}
+		return joinResponse{m, s.fleet.QuotaConfig}
+	case len(c.Leave) > 0:
+		defer s.notifyWatchers()
+		s.fleet.Leave(c.Leave...)
+		return struct{}{}
+	case c.LeaseConfig != nil:
+		defer s.notifyWatchers()
+		if err := s.fleet.SetLeaseConfig(l.Index, *c.LeaseConfig); errors.Is(err, quota.ErrNoBudgets) {
+			return err
+		} else if err != nil {
+			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
+		}
+		return s.fleet.LeaseConfig
+	case len(c.LeaseEvents) > 0 || c.HighestToken > 0:
+		defer s.notifyWatchers()
+		return s.fleet.ApplyEvents(l.Index, c.HighestToken, c.LeaseEvents)
+	case c.StreamChange != nil:
+		v, err := s.stream.apply(l, *c.StreamChange)
+		if err != nil {
+			return err
+		}
+		defer s.notifyWatchers()
+		e := Entry{Version: v, RequestID: c.RequestID}
+		s.rememberChange(e)
+		return e
+	}
+	if had := s.entries[c.Name]; c.IfVersion != nil && had.Version != *c.IfVersion {
+		return fmt.Errorf("%s: %w: %d", c.Name, errConflict, had.Version)
+	}
+	e := Entry{Name: c.Name, Version: l.Index, Config: c.Config, RequestID: c.RequestID}
+	if len(c.Config) == 0 {
+		delete(s.entries, c.Name)
+	} else {
+		s.entries[c.Name] = e
+	}
+	s.rememberChange(e)
+	s.notifyWatchers()
+	return e
+}
+
+// rememberChange keeps what a change made, if it has an id to know it by. Its caller holds mu.
+func (s *store) rememberChange(made Entry) {
+	if made.RequestID == "" {
+		return
+	}
+	made.Config = nil
+	s.recentChanges = append(s.recentChanges, made)
+	s.recentChanges = s.recentChanges[max(0, len(s.recentChanges)-maxRecentChanges):]
+}
+
+// notifyWatchers wakes whoever waits for a change. Its caller holds mu.
+func (s *store) notifyWatchers() {
+	close(s.changed)
+	s.changed = make(chan struct{})
+}
--- /dev/null
+++ b/internal/controlplane/agent/configs.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+)
+
+func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
+	if allowsStale(r) || !a.redirectUnlessLeader(w, r) {
+		writeJSON(w, http.StatusOK, a.store.versions())
+	}
+}
+
+// handleGet returns an entry: the latest, from the leader; or with stale what this agent has, waiting until it is
+// another version than after.
+func (a *Agent) handleGet(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && a.redirectUnlessLeader(w, r) {
+		return
+	}
+	q := r.URL.Query()
+	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+	ms, _ := strconv.Atoi(q.Get("wait_ms"))
+	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxPollWait))
+	defer end.Stop()
+	for {
+		e, found, changed := a.store.get(r.PathValue("name"))
+		if found && e.Version != after {
+			writeJSON(w, http.StatusOK, e)
+			return
+		}
+		select {
+		case <-changed:
+			continue
+		case <-r.Context().Done():
+			return
+		case <-end.C:
+		}
+		if found {
+			w.WriteHeader(http.StatusNoContent)
+		} else {
+			http.Error(w, "no such instance", http.StatusNotFound)
+		}
+		return
+	}
+}
+
+// handlePut writes or takes away an entry through the log. A configuration that an instance could not start from is
+// refused before it gets there.
+func (a *Agent) handlePut(w http.ResponseWriter, r *http.Request) {
+	if a.redirectUnlessLeader(w, r) {
+		return
+	}
+	c := command{Name: r.PathValue("name"), RequestID: r.Header.Get("Change-Id")}
+	if s := r.Header.Get("If-Version"); s != "" {
+		n, err := strconv.ParseUint(s, 10, 64)
+		if err != nil {
+			http.Error(w, "If-Version: not a version", http.StatusBadRequest)
+			return
+		}
+		c.IfVersion = &n
+	}
+	if r.Method == http.MethodPut {
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBytes))
+		if err != nil {
+			http.Error(w, "configuration: not whole or too large", http.StatusRequestEntityTooLarge)
+			return
+		}
+		if err := a.opt.ValidateConfig(c.Name, body); err != nil {
+			http.Error(w, err.Error(), http.StatusUnprocessableEntity)
+			return
+		}
+		c.Config = body
+	}
+	v, err := a.propose(c)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+		return
+	}
+	switch v := v.(type) {
+	case Entry:
+		v.Config = nil
+		writeJSON(w, http.StatusOK, v)
+	case error:
+		status := http.StatusInternalServerError
+		if errors.Is(v, errConflict) {
+			status = http.StatusConflict
+		}
+		http.Error(w, v.Error(), status)
+	}
+}
--- /dev/null
+++ b/internal/controlplane/agent/confirm.go
@@ -0,0 +1,116 @@
+package agent
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"spindlehitch/internal/controlplane/readindex"
+	"spindlehitch/internal/process/config"
+)
+
+// confirmLoop asks the other agents for their terms, one question at a time, while decisions wait for it.
+func (d *leaderService) confirmLoop() {
+	for {
+		select {
+		case <-d.ctx.Done():
+			return
+		case <-d.confirmRequested:
+		}
+		for {
+			d.mu.Lock()
+			term := d.term
+			round, due := d.awaitingConfirmation.StartRound(term)
+			d.mu.Unlock()
+			if !due {
+				break
+			}
+			agreed := term != 0 && d.queryMajority(term)
+			d.mu.Lock()
+			done, void := d.awaitingConfirmation.FinishRound(round)
+			d.mu.Unlock()
+			for _, k := range done {
+				k <- agreed
+			}
+			for _, k := range void {
+				k <- false
+			}
+		}
+	}
+}
+
+// queryMajority asks all others at once and returns as soon as enough agree.
+func (d *leaderService) queryMajority(term uint64) bool {
+	if d.agent.raft.CurrentTerm() != term {
+		return false // this agent has heard of a later one, or voted in it
+	}
+	ctx, done := context.WithTimeout(d.ctx, termQueryTimeout)
+	defer done()
+	agents := len(d.agent.opt.Peers)
+	told := make(chan uint64, agents)
+	out := 0
+	for _, p := range d.agent.opt.Peers {
+		if p.ID == d.agent.opt.ID {
+			continue
+		}
+		out++
+		go func() {
+			t, err := d.fetchTerm(ctx, p)
+			if err != nil {
+				t = 0
+			}
+			told <- t
+		}()
+	}
+	var terms []uint64
+	for range out {
+		if readindex.MajorityAgrees(term, terms, agents) {
+			break
+		}
+		if t := <-told; t > 0 {
+			terms = append(terms, t)
+		}
+	}
+	return readindex.MajorityAgrees(term, terms, agents)
+}
+
+func (d *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.API+"/v1/term", nil)
+	if err != nil {
+		return 0, err
+	}
+	resp, err := d.client.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	defer resp.Body.Close()
+	b, err := io.ReadAll(io.LimitReader(resp.Body, 64))
+	if err != nil {
+		return 0, err
+	}
+	return strconv.ParseUint(string(b), 10, 64)
+}
+
+// handleTerm answers another agent. A vote raises the term before it is given, so whoever tells a term has not voted in a later one.
+func (d *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
+	io.WriteString(w, strconv.FormatUint(d.agent.raft.CurrentTerm(), 10))
+}
+
+// confirmLeadership keeps a decision back until the majority has agreed after it was taken. It is called with mu held, and gives it up.
+func (d *leaderService) confirmLeadership(ctx context.Context) bool {
+	agreed := make(chan bool, 1)
+	d.awaitingConfirmation.Add(d.term, agreed)
+	d.mu.Unlock()
+	select {
+	case d.confirmRequested <- struct{}{}:
+	default:
+	}
+	select {
+	case ok := <-agreed:
+		return ok
+	case <-ctx.Done():
+	case <-d.ctx.Done():
+	}
+	return false
+}
--- /dev/null
+++ b/internal/controlplane/agent/fleet_view.go
@@ -0,0 +1,80 @@
+package agent
+
+import (
+	"net/http"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/lease/outlierboard"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/process/monotone"
+	"time"
+)
+
+// FleetView is the fleet as an agent sees it.
+type FleetView struct {
+	Agent          string                   `json:"agent"`
+	Leads          bool                     `json:"leads"`  // and a majority has just agreed
+	AgeMs          int64                    `json:"age_ms"` // since it heard of the leader last; how old this may be
+	QuotaConfig    quota.Config             `json:"doc"`
+	Members        []allocator.MemberStatus `json:"members"`
+	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // only where it leads
+	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new giver gives anything new
+	LeaseConfig    lease.Config             `json:"tasks"`
+	Leases         []lessor.LeaseStatus     `json:"leases,omitempty"`
+	Board          []outlierboard.Entry     `json:"board,omitempty"` // only where it leads
+}
+
+// leaderContactMs is how many milliseconds ago this agent last led or heard of the one that does; -1: never.
+func (d *leaderService) leaderContactMs() int64 {
+	d.mu.Lock()
+	led := d.lastLedAt
+	d.mu.Unlock()
+	age := int64(-1)
+	if heard := d.agent.raft.LastContact(); !heard.IsZero() {
+		age = time.Since(heard).Milliseconds()
+	}
+	if since := (monotone.Now() - led).Milliseconds(); led > 0 && (age < 0 || since < age) {
+		age = since
+	}
+	return age
+}
+
+// livenessUnknown is the state of members at an agent that does not lead.
+const livenessUnknown allocator.Liveness = "unknown"
+
+// handleShowFleet answers with the fleet; with stale also where this agent does not lead, as far as its log goes.
+func (d *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && d.redirectUnlessLeading(w, r) {
+		return
+	}
+	reg, _ := d.agent.store.registry()
+	v := FleetView{Agent: d.agent.opt.ID, QuotaConfig: reg.QuotaConfig, LeaseConfig: reg.LeaseConfig}
+	d.mu.Lock()
+	if d.allocator != nil {
+		now := monotone.Now()
+		v.Members, v.Ledger = d.allocator.Members(now), d.allocator.Ledger(now, "")
+		v.Leases, v.Board = d.lessor.Status(now), d.board.Entries(now)
+		for i := range reg.QuotaConfig.Budgets {
+			v.RecoveryWaitMs = max(v.RecoveryWaitMs, d.allocator.RecoveryWait(now, &reg.QuotaConfig.Budgets[i]).Milliseconds())
+		}
+		v.Leads = d.confirmLeadership(r.Context())
+	} else {
+		d.mu.Unlock()
+	}
+	if !v.Leads {
+		if !allowsStale(r) {
+			writeError(w, errNotLeading)
+			return
+		}
+		v.Members, v.Ledger, v.Leases, v.Board = nil, nil, nil, nil
+		for _, m := range reg.Members {
+			v.Members = append(v.Members, allocator.MemberStatus{Member: m, Liveness: livenessUnknown, LastHeardMs: -1})
+		}
+		for _, l := range reg.Leases {
+			v.Leases = append(v.Leases, lessor.LeaseStatus{Lease: l, State: string(livenessUnknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
+		}
+		v.AgeMs = d.leaderContactMs()
+	}
+	writeJSON(w, http.StatusOK, v)
+}
--- /dev/null
+++ b/internal/controlplane/agent/leader_service.go
@@ -0,0 +1,171 @@
+package agent
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/lessor"
+	"spindlehitch/internal/controlplane/lease/outlierboard"
+	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/readindex"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
+)
+
+// leaderService is the edge of the fleet's giver and keeper at an agent: it begins them for each term that this agent leads, brings them
+// renewals with their claims, and lets answers go once a majority of the agents has told that no later term has begun.
+type leaderService struct {
+	agent            *Agent
+	client           http.Client
+	ctx              context.Context
+	cancel           context.CancelFunc
+	loops            sync.WaitGroup
+	confirmRequested chan struct{} // something waits to be asked for
+	lessorWake       chan struct{} // leases may be granted
+
+	mu                   sync.Mutex
+	term                 uint64 // of the giver; 0: this agent does not lead
+	allocator            *allocator.Allocator
+	lessor               *lessor.Lessor // as long as there is a giver
+	board                *outlierboard.Board
+	awaitingConfirmation readindex.Queue[chan<- bool]
+	lastLedAt            time.Duration // when this agent last led; 0: never
+}
+
+func newLeaderService(a *Agent) *leaderService {
+	d := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1)}
+	d.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
+	d.ctx, d.cancel = context.WithCancel(context.Background())
+	d.loops.Go(d.run)
+	d.loops.Go(d.confirmLoop)
+	return d
+}
+
+func (d *leaderService) stop() {
+	d.cancel()
+	d.loops.Wait()
+	d.client.CloseIdleConnections()
+}
+
+func (d *leaderService) routes(mux *http.ServeMux) {
+	mux.HandleFunc("GET /v1/term", d.handleTerm)
+	mux.HandleFunc("POST /v1/fleet/renew", d.handleRenew)
+	mux.HandleFunc("POST /v1/fleet/members", d.handleJoin)
+	mux.HandleFunc("DELETE /v1/fleet/members/{id}", d.handleLeave)
+	mux.HandleFunc("GET /v1/fleet", d.handleShowFleet)
+	mux.HandleFunc("PUT /v1/fleet", d.handleSetQuotas)
+	mux.HandleFunc("PUT /v1/leases", d.handleSetTasks)
+	mux.HandleFunc("POST /v1/leases/move", d.handleMigrateLease)
+	mux.HandleFunc("GET /v1/leases/changed/{id}", d.handleLeaseChanges)
+}
+
+// run follows who leads and keeps the giver to the log.
+func (d *leaderService) run() {
+	tick := time.NewTicker(expiryInterval)
+	defer tick.Stop()
+	for {
+		_, changed := d.agent.store.registry()
+		d.syncWithTerm()
+		if d.applyPendingEvents() {
+			continue // what was changed is known before anything else is
+		}
+		select {
+		case <-d.ctx.Done():
+			return
+		case <-d.agent.raft.LeaderCh():
+		case <-changed:
+		case <-d.lessorWake:
+		case <-tick.C:
+		}
+	}
+}
+
+// applyPendingEvents has the log changed as the keeper wants it; true where it was.
+func (d *leaderService) applyPendingEvents() bool {
+	d.mu.Lock()
+	var orders []lease.Event
+	var seen uint64
+	if d.lessor != nil {
+		orders, seen = d.lessor.PendingEvents(monotone.Now())
+	}
+	d.mu.Unlock()
+	if len(orders) == 0 && seen == 0 {
+		return false
+	}
+	failpoint.Hit("agent.orders")
+	v, err := d.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
+	failpoint.Hit("agent.ordered")
+	if err != nil {
+		return false // whether they are in the log is not known: they are asked for again
+	}
+	done, _ := v.([]lease.Event)
+	for _, o := range done {
+		d.agent.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(o.Kind))), slog.String("lease", o.Key.String()),
+			slog.String("member", o.Member), slog.Uint64("over", o.ExpectedToken))
+	}
+	return true
+}
+
+// syncWithTerm begins a giver where this agent has begun to lead, ends it where it does not any more, tells it what the log says,
+// and has seats taken back that have ended.
+func (d *leaderService) syncWithTerm() {
+	leads, term := d.agent.raft.State() == raft.Leader, d.agent.raft.CurrentTerm()
+	d.mu.Lock()
+	had := d.term
+	if had != 0 && (!leads || term != had) {
+		d.term, d.allocator, d.lessor, d.board = 0, nil, nil, nil
+		had = 0
+	}
+	d.mu.Unlock()
+	if !leads {
+		return
+	}
+	if had == 0 {
+		// All that earlier terms have put into the log is known before anything is given.
+		if d.agent.raft.Barrier(applyTimeout).Error() != nil || d.agent.raft.CurrentTerm() != term {
+			return
+		}
+	}
+	d.mu.Lock()
+	reg, _ := d.agent.store.registry() // with mu held: two of these at a time must not take the log's word in the wrong order
+	now := monotone.Now()
+	if had == 0 {
+		d.allocator, d.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
+		d.lessor, d.board = lessor.New(now, &reg), &outlierboard.Board{}
+		d.agent.opt.Log.Info("giving begins", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
+	} else {
+		d.allocator.Update(now, reg.QuotaConfig, reg.Members)
+		d.lessor.Update(now, &reg)
+		d.board.Prune(now, probeResultTTL, d.lessor.IsMember)
+	}
+	d.lastLedAt = now
+	gone := d.allocator.Expire(now)
+	d.mu.Unlock()
+	if len(gone) > 0 {
+		if _, err := d.agent.propose(command{Leave: gone}); err == nil {
+			d.agent.opt.Log.Info("seats taken back", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
+		}
+	}
+}
+
+var errNotLeading = errors.New("no giver at the moment")
+
+// redirectUnlessLeading sends a caller to the leader; false where a giver is at work here.
+func (d *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
+	d.mu.Lock()
+	here := d.allocator != nil
+	d.mu.Unlock()
+	if here {
+		return false
+	}
+	d.agent.redirectToLeader(w, r)
+	return true
+}
--- /dev/null
+++ b/internal/controlplane/agent/leases.go
@@ -0,0 +1,115 @@
+package agent
+
+import (
+	"errors"
+	"net/http"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/process/monotone"
+	"strconv"
+	"time"
+)
+
+// renewLeases has the keeper and the board answer a claim; nil where it is too old. Its caller holds mu.
+func (d *leaderService) renewLeases(now time.Duration, id string, c *lease.RenewalRequest) *lease.RenewalResponse {
+	a, err := d.lessor.Renew(now, id, *c)
+	if err != nil {
+		return nil
+	}
+	tasks := d.lessor.Config()
+	d.board.SetEjected(id, c.Ejected)
+	for i := range tasks.Tasks {
+		t := &tasks.Tasks[i]
+		if t.Kind != lease.EndpointProbe {
+			continue
+		}
+		for _, r := range c.Results {
+			if r.Task == t.Name && d.lessor.IsCurrent(lease.Key{Task: t.Name, Shard: t.ShardOf(r.Target)}, id, r.Token) {
+				d.board.AddResult(now, r)
+			}
+		}
+		mine := map[int]bool{}
+		for _, b := range a.Leases {
+			if b.Task == t.Name {
+				mine[b.Shard] = true
+			}
+		}
+		a.ProbeTargets = append(a.ProbeTargets, d.board.ProbeTargets(func(target string) bool { return mine[t.ShardOf(target)] })...)
+	}
+	a.ProbeResults = d.board.ResultsFor(now, id)
+	if len(c.Released) > 0 || len(c.Held) == 0 {
+		select {
+		case d.lessorWake <- struct{}{}:
+		default:
+		}
+	}
+	return &a
+}
+
+func (d *leaderService) handleSetTasks(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	doc, ok := readBody[lease.Config](w, r)
+	if !ok {
+		return
+	}
+	d.proposeAndReply(w, command{LeaseConfig: &doc})
+}
+
+// handleMigrateLease has a lease go to a member, or to anyone: the plan for it goes through the log, the hand-over comes after that.
+func (d *leaderService) handleMigrateLease(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	m, ok := readBody[migrateRequest](w, r)
+	if !ok {
+		return
+	}
+	d.mu.Lock()
+	var o lease.Event
+	err := error(errNotLeading)
+	if d.lessor != nil {
+		o, err = d.lessor.Migrate(monotone.Now(), m.Key, m.Member)
+	}
+	d.mu.Unlock()
+	var no lease.RejectionError
+	switch {
+	case errors.As(err, &no):
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
+	case err != nil:
+		writeError(w, err)
+	default:
+		d.proposeAndReply(w, command{LeaseEvents: []lease.Event{o}})
+	}
+}
+
+// handleLeaseChanges answers once a lease that a member has was changed after the index that it knows, or the time is over. Any agent may be asked: it
+// is a reason to renew, and no more.
+func (d *leaderService) handleLeaseChanges(w http.ResponseWriter, r *http.Request) {
+	q := r.URL.Query()
+	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+	ms, _ := strconv.Atoi(q.Get("wait_ms"))
+	end := time.NewTimer(min(time.Duration(max(ms, 0))*time.Millisecond, maxPollWait))
+	defer end.Stop()
+	for {
+		index, changed := d.agent.store.lastLeaseChange(r.PathValue("id"))
+		if index <= after {
+			select {
+			case <-changed:
+				continue
+			case <-r.Context().Done():
+				return
+			case <-d.ctx.Done():
+			case <-end.C:
+			}
+		}
+		writeJSON(w, http.StatusOK, index)
+		return
+	}
+}
+
+// migrateRequest asks for a move.
+type migrateRequest struct {
+	lease.Key
+	Member string `json:"to"`
+}
--- /dev/null
+++ b/internal/controlplane/agent/sessions.go
@@ -0,0 +1,121 @@
+package agent
+
+import (
+	"errors"
+	"net/http"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
+)
+
+func (d *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	ren, ok := readBody[renewalRequest](w, r)
+	if !ok {
+		return
+	}
+	d.mu.Lock()
+	if d.allocator == nil {
+		d.mu.Unlock()
+		writeError(w, errNotLeading)
+		return
+	}
+	now := monotone.Now()
+	a, err := d.allocator.Renew(now, ren.RenewalRequest)
+	answer := renewalResponse{RenewalResponse: a}
+	if err == nil && ren.Leases != nil {
+		answer.Leases = d.renewLeases(now, ren.ID, ren.Leases)
+	}
+	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
+		// Also the word that a seat is gone must be that of an agent which really leads.
+		if !d.confirmLeadership(r.Context()) {
+			writeError(w, errNotLeading)
+			return
+		}
+	} else {
+		d.mu.Unlock()
+	}
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	failpoint.Hit("agent.awarded")
+	writeJSON(w, http.StatusOK, answer)
+}
+
+func (d *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	m, ok := readBody[quota.Member](w, r)
+	if !ok {
+		return
+	}
+	err := m.Validate()
+	if err != nil {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
+		return
+	}
+	d.mu.Lock()
+	if d.allocator == nil {
+		err = errNotLeading
+	} else {
+		err = d.allocator.Admit(monotone.Now(), m)
+	}
+	d.mu.Unlock()
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	d.proposeAndReply(w, command{Join: &m})
+}
+
+func (d *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	d.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
+}
+
+// proposeAndReply has the fleet changed through the log, and answers with what the log says to it.
+func (d *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
+	v, err := d.agent.propose(c)
+	if no, refused := v.(error); refused && err == nil {
+		err = no
+	}
+	if err != nil {
+		writeError(w, err)
+		return
+	}
+	d.syncWithTerm() // the giver knows before the caller does
+	writeJSON(w, http.StatusOK, v)
+}
+
+func (d *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
+	if d.redirectUnlessLeading(w, r) {
+		return
+	}
+	doc, ok := readBody[quota.Config](w, r)
+	if !ok {
+		return
+	}
+	if err := doc.Validate(); err != nil {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
+		return
+	}
+	d.proposeAndReply(w, command{QuotaConfig: &doc})
+}
+
+// renewalRequest is a renewal with the claim of a member that runs tasks; renewed answers both.
+type renewalRequest struct {
+	quota.RenewalRequest
+	Leases *lease.RenewalRequest `json:"claim,omitempty"`
+}
+
+type renewalResponse struct {
+	quota.RenewalResponse
+	Leases *lease.RenewalResponse `json:"award,omitempty"`
+}
--- /dev/null
+++ b/internal/controlplane/agent/stream_status.go
@@ -0,0 +1,138 @@
+package agent
+
+import (
+	"fmt"
+	"net/http"
+	"spindlehitch/internal/controlplane/watchstream"
+	"spindlehitch/internal/process/monotone"
+	"strconv"
+)
+
+// StreamStatus is who has a version, as an agent sees it.
+type StreamStatus struct {
+	watchstream.Status
+	Agent           string `json:"agent"`
+	Leads           bool   `json:"leads"`         // and a majority has just agreed; else nothing is known of readers
+	LeaderContactMs int64  `json:"old_ms"`        // since it heard of the leader; -1: never
+	Head            uint64 `json:"head"`          // the newest version there
+	Fleet           string `json:"fleet"`         // whose stream it is
+	Floor           uint64 `json:"floor"`         // readers behind it go by digests
+	Targets         int    `json:"targets"`       // live ones
+	ConfigLayers    int    `json:"configuration"` // layers of it
+	Tombstones      int    `json:"tombstones"`
+	Bytes           int    `json:"bytes"` // of keys and values
+}
+
+// logStatus is what an agent's log says, without what is known of readers.
+func (d *streamService) logStatus() (v StreamStatus, ok bool) {
+	age, _ := d.agent.leaderContactAge()
+	v = StreamStatus{Agent: d.agent.opt.ID, LeaderContactMs: -1}
+	if age >= 0 {
+		v.LeaderContactMs = age.Milliseconds()
+	}
+	s := d.agent.store
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	st := s.stream.store
+	if st == nil {
+		return v, false
+	}
+	v.Status = watchstream.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
+	v.Fleet, v.Head, v.Floor = st.Fleet(), st.Head(), st.TombstoneFloor()
+	v.Targets, v.ConfigLayers, v.Tombstones = st.Count(watchstream.Targets), st.Count(watchstream.Config), st.Tombstones(watchstream.Targets)
+	v.Bytes = st.Bytes(watchstream.Targets) + st.Bytes(watchstream.Config)
+	return v, true
+}
+
+var errNoChanges = &RejectedError{http.StatusNotFound, "no change has come yet"}
+
+// handleVersions tells who has a version: from the leader; or with stale only how far this agent's log goes.
+func (d *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
+	old := allowsStale(r)
+	if !old && d.agent.redirectUnlessLeader(w, r) {
+		return
+	}
+	v, ok := d.logStatus()
+	if !ok {
+		writeError(w, errNoChanges)
+		return
+	}
+	if text := r.PathValue("version"); text != latestVersion {
+		n, err := strconv.ParseUint(text, 10, 64)
+		if err != nil || n == 0 {
+			writeError(w, &RejectedError{http.StatusUnprocessableEntity, fmt.Sprintf("version: %q is not a number from 1 on", text)})
+			return
+		}
+		v.Version = n
+	}
+	if !old {
+		t := d.lockTracker()
+		if t == nil {
+			writeError(w, errNotTracking)
+			return
+		}
+		v.Status, v.Leads = t.Status(monotone.Now(), v.Version), true
+		d.mu.Unlock()
+	}
+	if v.Version > v.Head {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, fmt.Sprintf("version: %d is not there yet, the newest is %d", v.Version, v.Head)})
+		return
+	}
+	writeJSON(w, http.StatusOK, v)
+}
+
+func (d *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
+		return
+	}
+	v, ok := d.logStatus()
+	if !ok {
+		writeError(w, errNoChanges)
+		return
+	}
+	v.Leads = !allowsStale(r)
+	writeJSON(w, http.StatusOK, v)
+}
+
+// handleRecords answers with a page of the live records of a kind, in order of version and whole versions alone: a key that changes while
+// pages are asked for comes again, later.
+func (d *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
+		return
+	}
+	q := r.URL.Query()
+	var k watchstream.Kind
+	if err := k.UnmarshalText([]byte(q.Get("kind"))); err != nil {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, "kind: " + err.Error()})
+		return
+	}
+	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
+	writeJSON(w, http.StatusOK, d.recordsPage(k, q.Get("key"), after))
+}
+
+func (d *streamService) recordsPage(k watchstream.Kind, key string, after uint64) []watchstream.Record {
+	page := []watchstream.Record{}
+	s := d.agent.store
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	st := s.stream.store
+	if st == nil {
+		return page
+	}
+	if key != "" {
+		if one, found := st.Get(k, key); found && !one.Deleted {
+			page = append(page, one)
+		}
+		return page
+	}
+	for _, x := range st.Records(k) {
+		switch {
+		case x.Version <= after:
+		case len(page) >= maxPageRecords && x.Version != page[len(page)-1].Version:
+			return page
+		default:
+			page = append(page, x)
+		}
+	}
+	return page
+}
--- /dev/null
+++ b/internal/controlplane/lease/config.go
@@ -0,0 +1,73 @@
+package lease
+
+import (
+	"fmt"
+	"spindlehitch/internal/controlplane/quota"
+)
+
+// Bounds of what is keyed by something.
+const (
+	MaxTasks   = 16
+	MaxShards  = 1024 // of one task
+	MaxTargets = 1024 // that a member names, or is told of, at a time
+)
+
+// Config is all tasks, replicated as one.
+type Config struct {
+	Version uint64 `toml:"-" json:"version"`
+	Tasks   []Task `toml:"task" json:"tasks"`
+}
+
+// Task returns the task of that name, or nil.
+func (d *Config) Task(name string) *Task {
+	for i := range d.Tasks {
+		if d.Tasks[i].Name == name {
+			return &d.Tasks[i]
+		}
+	}
+	return nil
+}
+
+// Validate names the first field that can't be served. Times are held against the fleet's renewals, seats and clocks where f is
+// given.
+func (d *Config) Validate(f *quota.Config) error {
+	if len(d.Tasks) > MaxTasks {
+		return fmt.Errorf("task: %d are too many, %d at most", len(d.Tasks), MaxTasks)
+	}
+	seen := map[string]bool{}
+	for i := range d.Tasks {
+		t := &d.Tasks[i]
+		if err := t.validate(f); err != nil {
+			return fmt.Errorf("task[%d].%w", i, err)
+		}
+		if seen[t.Name] {
+			return fmt.Errorf("task[%d].name: %q is there twice", i, t.Name)
+		}
+		seen[t.Name] = true
+	}
+	return nil
+}
+
+// ValidateChange tells whether the tasks may take the place of before while some shards are held: whoever is cut off goes on by the old times.
+func (d *Config) ValidateChange(before *Config, held func(task string) bool) error {
+	for i := range before.Tasks {
+		old := &before.Tasks[i]
+		if !held(old.Name) {
+			continue
+		}
+		t := d.Task(old.Name)
+		if t == nil {
+			return fmt.Errorf("task %q: can't be taken away while its shards are held; have it off = true first", old.Name)
+		}
+		for _, f := range []struct {
+			field string
+			same  bool
+		}{{"kind", t.Kind == old.Kind}, {"shards", t.Shards == old.Shards}, {"lease_ms", t.TTLMs == old.TTLMs}, {"act_ms", t.OperationTimeoutMs == old.OperationTimeoutMs},
+			{"pause_ms", t.MaxPauseMs == old.MaxPauseMs}, {"dir", t.Dir == old.Dir}, {"window_s", t.WindowS == old.WindowS}} {
+			if !f.same {
+				return fmt.Errorf("task %q: %s: can't be changed while its shards are held; have it off = true first", old.Name, f.field)
+			}
+		}
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/controlplane/lease/errors.go
@@ -0,0 +1,16 @@
+package lease
+
+// RejectionError says why something about leases is refused.
+type RejectionError string
+
+const (
+	ErrUnknownTask      RejectionError = "task: unknown"
+	ErrUnknownShard     RejectionError = "shard: the task has no such shard"
+	ErrUnknownMember    RejectionError = "member: no such member lives"
+	ErrTaskNotSupported RejectionError = "member: it does not run this task"
+	ErrTaskDisabled     RejectionError = "task: it is off"
+	ErrAlreadyHolder    RejectionError = "member: it holds this shard"
+	ErrNotHeld          RejectionError = "shard: nobody holds it"
+)
+
+func (r RejectionError) Error() string { return string(r) }
--- /dev/null
+++ b/internal/controlplane/lease/leasework/metrics.go
@@ -0,0 +1,19 @@
+package leasework
+
+import (
+	"spindlehitch/internal/process/monotone"
+
+	"github.com/cactus/go-statsd-client/v5/statsd"
+)
+
+// Tell tells the numbers of the fleet's tasks.
+func (r *Runner) Tell(to statsd.ExtendedStatSender) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := monotone.Now()
+	to.Inc("fleet.tasks.acts.begun", int64(r.counts.begun), 1)
+	to.Inc("fleet.tasks.acts.done", int64(r.counts.done), 1)
+	to.Inc("fleet.tasks.acts.refused", int64(r.counts.refused), 1)
+	to.Inc("fleet.tasks.acts.failed", int64(r.counts.failed), 1)
+	to.Gauge("fleet.tasks.held", int64(len(r.lessee.Held(now))), 1)
+}
--- /dev/null
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -0,0 +1,113 @@
+package leasework
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/lease/fencing"
+	"spindlehitch/internal/controlplane/lease/lessee"
+	"spindlehitch/internal/process/failpoint"
+	"spindlehitch/internal/process/monotone"
+	"time"
+)
+
+// Operation is one act under way.
+type Operation struct {
+	lessee.Operation
+	Task   lease.Task
+	runner *Runner
+}
+
+// MayProceed tells whether the act may still do something. It is asked right before each touch of anything outside.
+func (a *Operation) MayProceed() bool {
+	a.runner.mu.Lock()
+	defer a.runner.mu.Unlock()
+	return a.runner.lessee.MayProceed(monotone.Now(), a.Operation)
+}
+
+// errExpired says that an act has lasted for too long, or its lease has ended, before all was done.
+var errExpired = errors.New("the act or its lease is over")
+
+// Job does the acts of one kind of task. A *guard.Refusal as its error is the place's; any other is a failure.
+type Job interface {
+	Run(ctx context.Context, a *Operation) error
+}
+
+// Run acts on what is held until ctx ends. Acts under way then end by themselves: Stop waits for them.
+func (r *Runner) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		r.mu.Lock()
+		now := monotone.Now()
+		next := now + time.Second
+		for _, k := range r.lessee.Held(now) {
+			a, ok := r.lessee.StartOperation(now, k)
+			if !ok {
+				if due := r.lessee.NextOperation(k); due > now {
+					next = min(next, due)
+				}
+				continue
+			}
+			next = min(next, r.lessee.NextOperation(k))
+			r.counts.begun++
+			act := &Operation{a, *r.lessee.Task(k.Task), r}
+			r.running.Go(func() { r.runOperation(ctx, act) })
+		}
+		r.mu.Unlock()
+		select {
+		case <-ctx.Done():
+		case <-r.wake:
+		case <-time.After(next - now):
+		}
+	}
+}
+
+func (r *Runner) runOperation(ctx context.Context, a *Operation) {
+	failpoint.Hit("act.begun")
+	ctx, done := context.WithTimeout(ctx, a.Deadline-monotone.Now())
+	defer done()
+	err := errors.New("a task of a kind that is not done here")
+	if job := r.opt.Jobs[a.Task.Kind]; job != nil {
+		err = job.Run(ctx, a)
+	}
+	failpoint.Hit("act.ending")
+	how, seen := lessee.Completed, uint64(0)
+	var no *fencing.RejectedError
+	switch {
+	case errors.As(err, &no):
+		how, seen = lessee.Fenced, no.Current.Token
+	case err != nil:
+		how = lessee.Failed
+	}
+	r.mu.Lock()
+	r.lessee.FinishOperation(a.Operation, how, seen)
+	hurry := r.lessee.NeedsRenewal() && !r.stopped
+	switch how {
+	case lessee.Completed:
+		r.counts.done++
+	case lessee.Fenced:
+		r.counts.refused++
+	case lessee.Failed:
+		r.counts.failed++
+	}
+	r.mu.Unlock()
+	if err != nil {
+		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
+		r.opt.Log.Warn("act not done", slog.String("reason", reason), slog.String("lease", a.Key.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
+	}
+	if hurry {
+		r.opt.RenewNow()
+	}
+	r.wakeUp()
+}
+
+// OperationPeriod is from one act of a task to the next, and how long that one takes; 0: the task is not known.
+func (r *Runner) OperationPeriod(task string) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	t := r.lessee.Task(task)
+	if t == nil {
+		return 0
+	}
+	return t.Interval() + t.OperationTimeout()
+}
--- /dev/null
+++ b/internal/controlplane/lease/lessor/liveness.go
@@ -0,0 +1,46 @@
+package lessor
+
+import (
+	"time"
+)
+
+// isLive tells whether a member has been heard lately enough to be given something.
+func (k *Lessor) isLive(now time.Duration, id string) bool {
+	m, known := k.members[id]
+	return known && now < m.lastHeardAt+k.quotaConfig.MaxOnOtherClock(k.quotaConfig.AllocationTTL())
+}
+
+// isPrompt tells whether a member has renewed as it should: two renewals were not lost.
+func (k *Lessor) isPrompt(now time.Duration, id string) bool {
+	m, known := k.members[id]
+	return known && m.reportedThisTerm && now < m.lastHeardAt+k.gracePeriod()
+}
+
+// deadMembers are the members that enough others hold dead, and that have missed a renewal. Nothing is given to them, and what they held
+// goes on when its time is over; nothing ends sooner by anybody's word, be it wrong (2).
+func (k *Lessor) deadMembers(now time.Duration) map[string]bool {
+	words, prompt := map[string]int{}, 0
+	for id, m := range k.members {
+		if k.isPrompt(now, id) {
+			prompt++
+			for _, name := range m.deadInstances {
+				if name != m.Name {
+					words[name]++
+				}
+			}
+		}
+	}
+	if len(words) == 0 {
+		return nil
+	}
+	dead := map[string]bool{}
+	for id, m := range k.members {
+		dead[id] = words[m.Name] >= max(2, min(deadQuorum, prompt-1)) && now >= m.lastHeardAt+k.quotaConfig.MaxOnOtherClock(k.quotaConfig.RenewInterval())
+	}
+	return dead
+}
+
+// gracePeriod is how long after its beginning a keeper waits until it has heard whoever lives.
+func (k *Lessor) gracePeriod() time.Duration {
+	return k.quotaConfig.MaxOnOtherClock(5 * k.quotaConfig.RenewInterval() / 2)
+}
--- /dev/null
+++ b/internal/controlplane/lease/lessor/renew.go
@@ -0,0 +1,93 @@
+package lessor
+
+import (
+	"slices"
+	"spindlehitch/internal/controlplane/lease"
+	"spindlehitch/internal/controlplane/quota"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+type backoffKey struct{ task, memberID string }
+
+// backoff is a member that held a shard and did nothing.
+type backoff struct {
+	until    time.Duration
+	failures int
+}
+
+// Renew notes what a member says and decides what it has from now on. The answer may only go out once a majority has confirmed, after
+// this call, that no later term has begun (7).
+func (k *Lessor) Renew(now time.Duration, id string, c lease.RenewalRequest) (lease.RenewalResponse, error) {
+	m, known := k.members[id]
+	switch {
+	case !known:
+		return lease.RenewalResponse{}, quota.ErrUnknownMember
+	case c.Seq <= m.lastSeq:
+		return lease.RenewalResponse{}, quota.ErrStaleRenewal
+	}
+	m.lastSeq, m.lastHeardAt, m.reportedThisTerm = c.Seq, now, true
+	m.openRequests = c.OpenRequests
+	m.deadInstances = slices.Clone(c.DeadInstances[:min(len(c.DeadInstances), maxDeadInstances)])
+	m.tasks = make(map[string]bool, len(c.Tasks))
+	for _, t := range c.Tasks {
+		if k.config.Task(t) != nil {
+			m.tasks[t] = true
+		}
+	}
+	k.members[id] = m
+	if c.HighestToken < maxPlausibleToken {
+		k.highestSeenToken = max(k.highestSeenToken, c.HighestToken)
+	}
+	a := lease.RenewalResponse{Seq: c.Seq}
+	if c.ConfigVersion != k.config.Version {
+		doc := k.config
+		a.Config = &doc
+	}
+	for _, b := range c.Released {
+		if x := k.lease(b.Key); x != nil && x.Holder == id && x.Token == b.Token { // (8)
+			x.released, x.expiresAt = true, now
+		}
+	}
+	for _, h := range c.Held {
+		if x := k.lease(h.Key); x != nil && x.Holder == id && x.Token == h.Token {
+			if h.Completed > x.holderStatus.Completed {
+				x.lastProgressAt = now
+				if b := (backoffKey{h.Task, id}); now >= k.backoffs[b].until {
+					delete(k.backoffs, b)
+				}
+			}
+			x.holderStatus = h
+		}
+	}
+	for i := range k.leases {
+		x := &k.leases[i]
+		if x.Holder != id || x.released || x.revoking {
+			continue
+		}
+		t := k.config.Task(x.Task)
+		b := lease.Ref{Key: x.Key, Token: x.Token}
+		if x.NextHolder != "" || t.Disabled || !m.tasks[x.Task] {
+			a.Recalled = append(a.Recalled, b) // what it has lasts until its end; nothing is renewed (9)
+			continue
+		}
+		if x.holderMayKnow && now-x.lastProgressAt >= k.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
+			k.backOff(now, t, id)
+			x.revoking = true // it ends by itself (10)
+			continue
+		}
+		x.expiresAt, x.holderMayKnow = now+k.leaseTTL(t), true
+		a.Leases = append(a.Leases, b)
+	}
+	return a, nil
+}
+
+// backOff keeps a member that did nothing from the task's shards for a while: twice as long each time up to a bound, and not as long as
+// another that was barred at the same moment.
+func (k *Lessor) backOff(now time.Duration, t *lease.Task, id string) {
+	b := k.backoffs[backoffKey{t.Name, id}]
+	wait := t.ProgressTimeout() << min(b.failures, maxBackoffDoublings)
+	wait += time.Duration(float64(wait) / 2 * float64(xxhash.Sum64String(id)%1024) / 1024)
+	k.backoffs[backoffKey{t.Name, id}] = backoff{now + wait, b.failures + 1}
+}
--- /dev/null
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -0,0 +1,31 @@
+package transport
+
+import (
+	"spindlehitch/internal/controlplane/membership"
+	"time"
+
+	"github.com/cactus/go-statsd-client/v5/statsd"
+)
+
+// Tell tells the numbers of the membership.
+func (p *Runner) Tell(to statsd.ExtendedStatSender) {
+	p.onLoop(func(now time.Duration) {
+		v := p.node.View(now)
+		count := map[membership.State]int64{}
+		for _, m := range v.Members {
+			count[m.State]++
+		}
+		to.Gauge("fleet.members.living", int64(v.Size), 1)
+		for _, s := range []membership.State{membership.StateSuspect, membership.StateDead, membership.StateUnreachable, membership.StateSlow} {
+			to.Gauge("fleet.members."+string(s), count[s], 1)
+		}
+		to.Gauge("fleet.members.doubt", int64(v.HealthScore), 1)
+		to.Inc("fleet.members.sent", p.sentMessages.Load(), 1)
+		to.Inc("fleet.members.sent_bytes", p.sentBytes.Load(), 1)
+		to.Inc("fleet.members.lost", p.dropped.Load(), 1)
+		to.Inc("fleet.members.bad", p.malformed.Load(), 1)
+		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.Absurd), 1)
+		to.Inc("fleet.members.refuted", int64(v.Counts.Refuted), 1)
+		to.Inc("fleet.members.pauses", int64(v.Counts.Pauses), 1)
+	})
+}
--- a/internal/controlplane/membership/transport/peers.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -4,10 +4,7 @@
 
 import (
 	"context"
-	"encoding/binary"
-	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"math/rand/v2"
 	"net"
@@ -16,7 +13,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cactus/go-statsd-client/v5/statsd"
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 
@@ -72,31 +68,6 @@
 	channel membership.Channel
 }
 
-// sockets is where a member is reached.
-type sockets struct {
-	packet net.PacketConn
-	stream net.Listener
-	bound  string
-}
-
-func listenAt(addr string) (*sockets, error) {
-	l, err := net.Listen("tcp", addr)
-	if err != nil {
-		return nil, err
-	}
-	p, err := net.ListenPacket("udp", l.Addr().String())
-	if err != nil {
-		l.Close()
-		return nil, err
-	}
-	return &sockets{p, l, l.Addr().String()}, nil
-}
-
-func (s *sockets) close() {
-	s.packet.Close()
-	s.stream.Close()
-}
-
 // New checks what the files can't; it listens nowhere yet.
 func New(opt Options) (*Runner, error) {
 	if len(opt.Name) > membership.MaxTextBytes {
@@ -146,16 +117,6 @@
 	return nil
 }
 
-// adoptSockets has a member be reached at sockets, in place of those before.
-func (p *Runner) adoptSockets(box *sockets) {
-	if p.sockets != nil {
-		p.sockets.close()
-	}
-	p.sockets = box
-	go p.readDatagrams(box.packet)
-	go p.acceptStreams(box.stream)
-}
-
 // run is the one goroutine that touches the machine.
 func (p *Runner) run(ctx context.Context) {
 	defer close(p.done)
@@ -273,29 +234,6 @@
 	return nil
 }
 
-// Tell tells the numbers of the membership.
-func (p *Runner) Tell(to statsd.ExtendedStatSender) {
-	p.onLoop(func(now time.Duration) {
-		v := p.node.View(now)
-		count := map[membership.State]int64{}
-		for _, m := range v.Members {
-			count[m.State]++
-		}
-		to.Gauge("fleet.members.living", int64(v.Size), 1)
-		for _, s := range []membership.State{membership.StateSuspect, membership.StateDead, membership.StateUnreachable, membership.StateSlow} {
-			to.Gauge("fleet.members."+string(s), count[s], 1)
-		}
-		to.Gauge("fleet.members.doubt", int64(v.HealthScore), 1)
-		to.Inc("fleet.members.sent", p.sentMessages.Load(), 1)
-		to.Inc("fleet.members.sent_bytes", p.sentBytes.Load(), 1)
-		to.Inc("fleet.members.lost", p.dropped.Load(), 1)
-		to.Inc("fleet.members.bad", p.malformed.Load(), 1)
-		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.Absurd), 1)
-		to.Inc("fleet.members.refuted", int64(v.Counts.Refuted), 1)
-		to.Inc("fleet.members.pauses", int64(v.Counts.Pauses), 1)
-	})
-}
-
 // Stop tells others that the member leaves, and ends it.
 func (p *Runner) Stop(within context.Context) error {
 	ctx, done := context.WithTimeout(within, leaveTimeout)
@@ -316,120 +254,3 @@
 	<-p.done
 	return nil
 }
-
-// send puts messages on their ways; what can't go is lost, as it may be on any way.
-func (p *Runner) send(list []membership.Outgoing) {
-	streams := map[string][]byte{}
-	for _, s := range list {
-		b, err := p.enc.Marshal(s.Message)
-		if err != nil || len(b) > maxFrameBytes {
-			p.dropped.Add(1)
-			continue
-		}
-		p.sentMessages.Add(1)
-		p.sentBytes.Add(int64(len(b)))
-		if s.Channel == membership.Stream {
-			streams[s.Addr] = append(binary.BigEndian.AppendUint16(streams[s.Addr], uint16(len(b))), b...)
-			continue
-		}
-		to, err := net.ResolveUDPAddr("udp", s.Addr)
-		if err == nil {
-			_, err = p.sockets.packet.WriteTo(b, to)
-		}
-		if err != nil {
-			p.dropped.Add(1)
-		}
-	}
-	from, _, _ := net.SplitHostPort(p.sockets.bound)
-	for addr, b := range streams {
-		select {
-		case p.dialSlots <- struct{}{}:
-			go func() {
-				defer func() { <-p.dialSlots }()
-				if err := dial(from, addr, b); err != nil {
-					p.dropped.Add(1)
-				}
-			}()
-		default:
-			p.dropped.Add(1)
-		}
-	}
-}
-
-func dial(from, addr string, b []byte) error {
-	d := net.Dialer{Timeout: streamTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
-	c, err := d.Dial("tcp", addr)
-	if err != nil {
-		return err
-	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(streamTimeout))
-	_, err = c.Write(b)
-	return err
-}
-
-// receive has a message read, if it is one.
-func (p *Runner) receive(b []byte, via membership.Channel) {
-	x := &membership.Message{}
-	if err := p.dec.Unmarshal(b, x); err != nil || x.Validate() != nil {
-		p.malformed.Add(1)
-		return
-	}
-	select {
-	case p.incoming <- received{x, via}:
-	default:
-		p.dropped.Add(1)
-	}
-}
-
-func (p *Runner) readDatagrams(c net.PacketConn) {
-	b := make([]byte, 64<<10)
-	for {
-		n, _, err := c.ReadFrom(b)
-		switch {
-		case errors.Is(err, net.ErrClosed):
-			return
-		case err != nil:
-		case n > maxFrameBytes:
-			p.malformed.Add(1)
-		default:
-			p.receive(b[:n], membership.Datagram)
-		}
-	}
-}
-
-func (p *Runner) acceptStreams(l net.Listener) {
-	room := make(chan struct{}, maxStreams)
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
-		select {
-		case room <- struct{}{}:
-		default:
-			c.Close()
-			p.dropped.Add(1)
-			continue
-		}
-		go func() {
-			defer func() { c.Close(); <-room }()
-			c.SetDeadline(time.Now().Add(streamTimeout))
-			var head [2]byte
-			for {
-				if _, err := io.ReadFull(c, head[:]); err != nil {
-					return
-				}
-				b := make([]byte, binary.BigEndian.Uint16(head[:]))
-				if len(b) > maxFrameBytes {
-					p.malformed.Add(1)
-					return
-				}
-				if _, err := io.ReadFull(c, b); err != nil {
-					return
-				}
-				p.receive(b, membership.Stream)
-			}
-		}()
-	}
-}
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -73,22 +73,6 @@
 	minPathsToSum     = 3                // cuts between two zones that are told as one
 )
 
-// receivesPings tells whether pings of others came lately, and so whether a member that nobody answers is mute and not deaf.
-func (m *Node) receivesPings(now time.Duration) bool {
-	return slices.ContainsFunc(m.recentPings, func(p pendingRequest) bool { return now-p.sentAt < 4*m.config.ProbeInterval })
-}
-
-// IsolationReason tells why the member judges nobody; empty: it does.
-func (m *Node) IsolationReason(now time.Duration) string {
-	switch {
-	case !m.isolated:
-		return ""
-	case m.receivesPings(now):
-		return "we hear others and none hears us"
-	}
-	return "we hear nobody"
-}
-
 func idText(b uint64) string { return fmt.Sprintf("%016x", b) }
 
 // pathViews sums up the findings that hold.
--- a/internal/controlplane/quota/fleet.go
+++ b/internal/controlplane/quota/config.go
@@ -1,5 +1,3 @@
-// Package quota has the terms that members, givers and agents share: budgets, members, renewals and answers, and the checks of
-// what an operator sets. It does no I/O. docs/fleet-budgets.md has the design and the argument for its safety.
 package quota
 
 import (
@@ -9,86 +7,6 @@
 	"time"
 )
 
-// Resource is what a budget is for.
-type Resource string
-
-const (
-	ColdWork    Resource = "cold"       // units sent to a target that has just started
-	Retries     Resource = "repeat"     // attempts after the first
-	Connections Resource = "connection" // connections held at targets
-	AllWork     Resource = "work"       // units sent
-)
-
-// Resources is all of them.
-var Resources = []Resource{ColdWork, Retries, Connections, AllWork}
-
-// Scope is what a budget has a whole of its own for.
-type Scope string
-
-const (
-	PerFleet  Scope = "fleet"
-	PerTarget Scope = "target"
-	PerPlan   Scope = "plan"
-	PerClass  Scope = "class"
-)
-
-// MaxTransit is how long a permit is good at most: from the decision to the first byte.
-const MaxTransit = 300 * time.Millisecond
-
-// Bounds of what is keyed by something.
-const (
-	MaxBudgets   = 16
-	MaxSessions  = 16384
-	MaxKeys      = 1024 // of one member
-	MaxNameBytes = 128  // bytes
-)
-
-// Budget is one whole, as an operator sets it.
-type Budget struct {
-	Name         string   `toml:"name" json:"name"`
-	Resource     Resource `toml:"use" json:"use"`
-	Scope        Scope    `toml:"per" json:"per"`
-	Only         []string `toml:"only" json:"only,omitempty"`               // the targets, plans or classes that it is kept for; empty: all
-	Kind         string   `toml:"kind" json:"kind"`                         // rate or stock
-	Capacity     float64  `toml:"whole" json:"whole"`                       // units a second, or so many at once
-	Burst        float64  `toml:"burst" json:"burst,omitempty"`             // of a rate: units beyond it
-	FloorRate    float64  `toml:"least" json:"least,omitempty"`             // each seat's floor
-	FloorBurst   float64  `toml:"least_burst" json:"least_burst,omitempty"` // and its burst
-	MaxPerMember float64  `toml:"most" json:"most,omitempty"`               // for one member; 0: any
-	LingerMs     int64    `toml:"linger_ms" json:"linger_ms,omitempty"`     // of a stock: what a dead member has out lasts so long
-}
-
-// IsConcurrencyLimit tells whether it is so many at once.
-func (b *Budget) IsConcurrencyLimit() bool { return b.Kind == "stock" }
-
-// Linger is how long past its end what was taken under a part may last.
-func (b *Budget) Linger() time.Duration { return time.Duration(b.LingerMs) * time.Millisecond }
-
-// Covers tells whether a draw is from it.
-func (b *Budget) Covers(d Reservation) bool {
-	return b.Resource == d.Resource && (len(b.Only) == 0 || slices.Contains(b.Only, b.KeyOf(d)))
-}
-
-// KeyOf is which of the budget's wholes a draw is from.
-func (b *Budget) KeyOf(d Reservation) string {
-	switch b.Scope {
-	case PerTarget:
-		return d.Target
-	case PerPlan:
-		return d.Plan
-	case PerClass:
-		return d.Class
-	}
-	return ""
-}
-
-// Reservation is one use of something that is budgeted.
-type Reservation struct {
-	Resource            Resource
-	Target, Plan, Class string
-	Units               float64
-}
-
 // Config is all that an operator sets, replicated as one.
 type Config struct {
 	Version         uint64   `toml:"-" json:"version"`
@@ -143,12 +61,6 @@
 	return nil
 }
 
-// Amount is a part, or what there is of one: of a rate units a second and a burst, of a stock so many.
-type Amount struct {
-	Rate  float64 `json:"rate"`
-	Burst float64 `json:"burst,omitempty"`
-}
-
 // EffectiveLimit is what may be in use of a budget, in a holder's own terms: the clocks' bound and the time that permits are good for
 // are taken off.
 func (d *Config) EffectiveLimit(b *Budget) Amount {
@@ -158,9 +70,6 @@
 	return Amount{b.Capacity / (1 + d.drift()), b.Burst - b.Capacity*MaxTransit.Seconds()}
 }
 
-// Floor is what each seat has.
-func (b *Budget) Floor() Amount { return Amount{b.FloorRate, b.FloorBurst} }
-
 // SharedPool is what is divided: the total less all floors.
 func (d *Config) SharedPool(b *Budget) Amount {
 	t, n := d.EffectiveLimit(b), float64(d.MaxSessions)
@@ -304,100 +213,3 @@
 	}
 	return nil
 }
-
-// Member is one process that has a seat.
-type Member struct {
-	ID          string  `json:"id"`                 // drawn by the process at its start
-	Name        string  `json:"name"`               // the instance's
-	Addr        string  `json:"addr"`               // where it takes clients
-	Weight      float64 `json:"weight"`             // in divisions
-	Incarnation uint64  `json:"incarnation"`        // the log's index of its join: a later one is greater
-	Accounts    string  `json:"accounts,omitempty"` // where it tells its latency accounts; empty: nowhere
-}
-
-// Validate names the first field of a join that can't be served.
-func (m *Member) Validate() error {
-	switch {
-	case m.ID == "" || len(m.ID) > MaxNameBytes:
-		return fmt.Errorf("id: wanted 1 to %d bytes", MaxNameBytes)
-	case m.Name == "" || len(m.Name) > MaxNameBytes:
-		return fmt.Errorf("name: wanted 1 to %d bytes", MaxNameBytes)
-	case len(m.Addr) > MaxNameBytes:
-		return fmt.Errorf("addr: %d bytes at most", MaxNameBytes)
-	case len(m.Accounts) > MaxNameBytes:
-		return fmt.Errorf("accounts: %d bytes at most", MaxNameBytes)
-	case !(m.Weight > 0 && m.Weight <= 1000):
-		return fmt.Errorf("weight: %v is not over 0 and up to 1000", m.Weight)
-	}
-	return nil
-}
-
-// DiffMembers tells who is among the members now and was not before, and who was and is not. Both are in order of incarnation, as the
-// register has them, so that a join among ten thousand costs a look at each and no more.
-func DiffMembers(before, now []Member) (joined, left []Member) {
-	i, j := 0, 0
-	for i < len(before) || j < len(now) {
-		switch {
-		case i < len(before) && j < len(now) && before[i].Incarnation == now[j].Incarnation && before[i].ID == now[j].ID:
-			i, j = i+1, j+1
-		case j == len(now) || i < len(before) && before[i].Incarnation <= now[j].Incarnation:
-			left = append(left, before[i])
-			i++
-		default:
-			joined = append(joined, now[j])
-			j++
-		}
-	}
-	return joined, left
-}
-
-// Key names one whole.
-type Key struct {
-	Budget string `json:"budget"`
-	Key    string `json:"key,omitempty"`
-}
-
-// UsageReport is what a member says of one whole.
-type UsageReport struct {
-	Key
-	Held  Amount  `json:"held"`             // beyond the floor, as the renewal was begun
-	Want  float64 `json:"want"`             // in all
-	InUse float64 `json:"in_use,omitempty"` // of a stock: out now
-	Used  float64 `json:"used,omitempty"`   // of a rate: units a second since the last renewal
-}
-
-// RenewalRequest is all that a member says at a time.
-type RenewalRequest struct {
-	ID      string        `json:"id"`
-	Seq     uint64        `json:"seq"`     // grows with each
-	Version uint64        `json:"version"` // of the set of budgets it goes by
-	Reports []UsageReport `json:"reports,omitempty"`
-}
-
-// Allocation is a part, until part_ms after its renewal was begun.
-type Allocation struct {
-	Key
-	Amount
-	ExtendsOnly bool `json:"extends,omitempty"` // only for a holder whose part has not ended when it hears
-}
-
-// RenewalResponse is what a renewal brings.
-type RenewalResponse struct {
-	ID          string       `json:"id"`
-	Seq         uint64       `json:"seq"`
-	Allocations []Allocation `json:"grants,omitempty"`
-	Config      *Config      `json:"doc,omitempty"` // where the member goes by another
-}
-
-// RejectionError says why a member has no seat.
-type RejectionError string
-
-const (
-	ErrNoSession     RejectionError = "NO_SEAT"
-	ErrNameTaken     RejectionError = "NAME_TAKEN"
-	ErrUnknownMember RejectionError = "UNKNOWN_MEMBER"
-	ErrStaleRenewal  RejectionError = "OLD_RENEWAL"
-	ErrNoBudgets     RejectionError = "NO_BUDGETS"
-)
-
-func (r RejectionError) Error() string { return string(r) }
--- /dev/null
+++ b/internal/controlplane/quota/member.go
@@ -0,0 +1,51 @@
+package quota
+
+import (
+	"fmt"
+)
+
+// Member is one process that has a seat.
+type Member struct {
+	ID          string  `json:"id"`                 // drawn by the process at its start
+	Name        string  `json:"name"`               // the instance's
+	Addr        string  `json:"addr"`               // where it takes clients
+	Weight      float64 `json:"weight"`             // in divisions
+	Incarnation uint64  `json:"incarnation"`        // the log's index of its join: a later one is greater
+	Accounts    string  `json:"accounts,omitempty"` // where it tells its latency accounts; empty: nowhere
+}
+
+// Validate names the first field of a join that can't be served.
+func (m *Member) Validate() error {
+	switch {
+	case m.ID == "" || len(m.ID) > MaxNameBytes:
+		return fmt.Errorf("id: wanted 1 to %d bytes", MaxNameBytes)
+	case m.Name == "" || len(m.Name) > MaxNameBytes:
+		return fmt.Errorf("name: wanted 1 to %d bytes", MaxNameBytes)
+	case len(m.Addr) > MaxNameBytes:
+		return fmt.Errorf("addr: %d bytes at most", MaxNameBytes)
+	case len(m.Accounts) > MaxNameBytes:
+		return fmt.Errorf("accounts: %d bytes at most", MaxNameBytes)
+	case !(m.Weight > 0 && m.Weight <= 1000):
+		return fmt.Errorf("weight: %v is not over 0 and up to 1000", m.Weight)
+	}
+	return nil
+}
+
+// DiffMembers tells who is among the members now and was not before, and who was and is not. Both are in order of incarnation, as the
+// register has them, so that a join among ten thousand costs a look at each and no more.
+func DiffMembers(before, now []Member) (joined, left []Member) {
+	i, j := 0, 0
+	for i < len(before) || j < len(now) {
+		switch {
+		case i < len(before) && j < len(now) && before[i].Incarnation == now[j].Incarnation && before[i].ID == now[j].ID:
+			i, j = i+1, j+1
+		case j == len(now) || i < len(before) && before[i].Incarnation <= now[j].Incarnation:
+			left = append(left, before[i])
+			i++
+		default:
+			joined = append(joined, now[j])
+			j++
+		}
+	}
+	return joined, left
+}
--- /dev/null
+++ b/internal/controlplane/quota/quotaclient/status.go
@@ -0,0 +1,53 @@
+package quotaclient
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"spindlehitch/internal/controlplane/quota"
+	"time"
+)
+
+// AllocationStatus is one whole as it is here at a moment.
+type AllocationStatus struct {
+	quota.Key
+	Limit        quota.Amount
+	GrantedUntil time.Duration // of what is beyond the floor; in the past: nothing is
+	Tokens       float64
+	InUse        float64
+	Wanted       float64
+	UsedRate     float64 // used a second
+}
+
+// Status is every whole that is known here, in order.
+func (h *Client) Status(now time.Duration) []AllocationStatus {
+	var all []AllocationStatus
+	for _, k := range slices.SortedFunc(maps.Keys(h.allocations), func(a, b quota.Key) int {
+		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key, b.Key))
+	}) {
+		b := h.config.Budget(k.Budget)
+		if b == nil {
+			continue
+		}
+		x := h.refill(b, h.allocations[k], now)
+		all = append(all, AllocationStatus{k, h.limitNow(b, x, now), x.grantedUntil, x.tokens, h.inUse(b, k), x.wanted, x.usedRate})
+	}
+	return all
+}
+
+// ConfigVersion is that of the set of budgets gone by; 0: none is known.
+func (h *Client) ConfigVersion() uint64 {
+	if !h.hasConfig {
+		return 0
+	}
+	return h.config.Version
+}
+
+// Limit is what may be used of a whole at a moment, floor and part.
+func (h *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
+	b := h.config.Budget(k.Budget)
+	if !h.hasConfig || b == nil {
+		return quota.Amount{}
+	}
+	return h.limitNow(b, h.allocations[k], now)
+}
--- a/internal/controlplane/quota/quotasession/ration.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -1,5 +1,3 @@
-// Package quotasession is an instance's edge of the fleet: it keeps a seat at the agents by renewals, and answers the module and the
-// targets' pools from the holder, on the clock that counts sleep. All decisions are the holder's (internal/controlplane/quota/quotaclient).
 package quotasession
 
 import (
@@ -7,158 +5,13 @@
 	"crypto/rand"
 	"errors"
 	"log/slog"
-	"sync"
-	"time"
-
-	"github.com/cactus/go-statsd-client/v5/statsd"
-	"github.com/cenkalti/backoff/v5"
-
-	"spindlehitch"
-	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/quota"
-	"spindlehitch/internal/controlplane/quota/quotaclient"
 	"spindlehitch/internal/process/monotone"
-)
-
-// Options set up an instance's part in the fleet.
-type Options struct {
-	Name           string
-	Addr           string // where it takes clients: two processes at one address are an upgrade
-	Agents         []string
-	FallbackAgents func() []string // agents that others know, where none of these answers; nil: nobody knows any
-	Weight         float64
-	Governed       []quota.Resource // nothing of these is used before the fleet's budgets are known
-	Log            *slog.Logger
-	LeaseWorker    LeaseWorker // nil: the instance runs no tasks
-	AccountsAddr   string      // where it tells its latency accounts; empty: nowhere
-}
-
-// LeaseWorker is what an instance does for the whole fleet (internal/controlplane/lease/leasework): its claims go with the renewals of its seat.
-type LeaseWorker interface {
-	BeginRenewal(now time.Duration) *lease.RenewalRequest
-	AcceptRenewal(now time.Duration, a *lease.RenewalResponse)
-	DropAll()                       // the seat is lost
-	Stop(within time.Duration) bool // gives everything back; whether nothing is done any more
-}
-
-// Session is an instance's. All of it is safe for concurrent use.
-type Session struct {
-	opt      Options
-	agents   agent.Client
-	onChange func() // told when parts have changed
-	wake     chan struct{}
-
-	mu       sync.Mutex
-	client   *quotaclient.Client
-	renewNow bool   // the next renewal is due at once
-	status   string // why there is no seat, or nothing beyond the floor; empty: there is
-	counts   struct{ renewed, failed, lapsed, denied int64 }
-}
-
-// New returns one that has no seat yet; Run gets it one.
-func New(opt Options) *Session {
-	return &Session{opt: opt, agents: agent.Client{Addrs: opt.Agents, FallbackAddrs: opt.FallbackAgents}, client: quotaclient.New(opt.Governed), status: "JOINING",
-		wake: make(chan struct{}, 1), onChange: func() {}}
-}
-
-// ReachableAgent is an agent that has answered lately; empty: none has.
-func (r *Session) ReachableAgent() string { return r.agents.LastAnswered(agentFreshness) }
-
-// OnChange has f called whenever parts have changed. It must be called before Run, and f must not wait.
-func (r *Session) OnChange(f func()) { r.onChange = f }
-
-func toReservation(d spindlehitch.Draw) quota.Reservation {
-	use := [...]quota.Resource{spindlehitch.ColdWork: quota.ColdWork, spindlehitch.Repeats: quota.Retries,
-		spindlehitch.Connections: quota.Connections, spindlehitch.AllWork: quota.AllWork}[d.Use]
-	return quota.Reservation{Resource: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
-}
-
-// Wait implements spindlehitch.Ration.
-func (r *Session) Wait(d spindlehitch.Draw) (time.Duration, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
-	if wait > 0 {
-		r.counts.denied++
-		r.wakeRenewal()
-	}
-	return wait, governed
-}
-
-// wakeRenewal has a renewal sent early, where the holder wants one. Its caller holds mu.
-func (r *Session) wakeRenewal() {
-	if r.client.HasUnmetDemand() {
-		select {
-		case r.wake <- struct{}{}:
-		default:
-		}
-	}
-}
-
-// RenewNow has the next renewal sent at once.
-func (r *Session) RenewNow() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.renewNow = true
-	select {
-	case r.wake <- struct{}{}:
-	default:
-	}
-}
-
-// Take implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
-func (r *Session) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	all := make([]quota.Reservation, len(draws))
-	for i, d := range draws {
-		all[i] = toReservation(d)
-	}
-	return permit{r, r.client.Reserve(monotone.Now(), all...)}
-}
-
-type permit struct {
-	session *Session
-	until   time.Duration
-}
-
-// Good implements spindlehitch.Permit.
-func (p permit) Good() bool {
-	good := monotone.Now() < p.until
-	if !good {
-		p.session.mu.Lock()
-		p.session.counts.lapsed++
-		p.session.mu.Unlock()
-	}
-	return good
-}
-
-// Open counts a connection to a target; false: there may be none more.
-func (r *Session) Open(target string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	ok := r.client.OpenConnection(monotone.Now(), target)
-	if !ok {
-		r.counts.denied++
-		r.wakeRenewal()
-	}
-	return ok
-}
-
-// Close counts a connection that has ended.
-func (r *Session) Close(target string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.client.CloseConnection(target)
-}
+	"time"
 
-// Over is how many connections to a target are to be closed.
-func (r *Session) Over(target string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.client.ExcessConnections(monotone.Now(), target)
-}
+	"github.com/cenkalti/backoff/v5"
+)
 
 const (
 	agentFreshness         = 5 * time.Second        // an agent that answered is told of to others
@@ -355,29 +208,3 @@
 	}
 	r.opt.Log.Info("left the fleet", slog.String("reason", "FLEET_LEFT"))
 }
-
-// Tell tells the numbers of the fleet's budgets.
-func (r *Session) Tell(to statsd.ExtendedStatSender) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	now := monotone.Now()
-	seated := int64(0)
-	if r.client.Registered(now) {
-		seated = 1
-	}
-	to.Gauge("fleet.seated", seated, 1)
-	to.Gauge("fleet.version", int64(r.client.ConfigVersion()), 1)
-	to.Inc("fleet.renewals.taken", int64(r.counts.renewed), 1)
-	to.Inc("fleet.renewals.failed", int64(r.counts.failed), 1)
-	to.Inc("fleet.denied", int64(r.counts.denied), 1)
-	to.Inc("fleet.lapsed", int64(r.counts.lapsed), 1)
-	for _, x := range r.client.Status(now) {
-		name := "fleet." + x.Budget
-		if x.Key.Key != "" {
-			name += "." + x.Key.Key
-		}
-		to.GaugeFloat(name+".part", x.Limit.Rate, 1)
-		to.GaugeFloat(name+".used", x.InUse+x.UsedRate, 1)
-		to.GaugeFloat(name+".ends_s", max(0, (x.GrantedUntil-now).Seconds()), 1)
-	}
-}
--- /dev/null
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -0,0 +1,79 @@
+package quotasession
+
+import (
+	"spindlehitch"
+	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/process/monotone"
+	"time"
+)
+
+func toReservation(d spindlehitch.Draw) quota.Reservation {
+	use := [...]quota.Resource{spindlehitch.ColdWork: quota.ColdWork, spindlehitch.Repeats: quota.Retries,
+		spindlehitch.Connections: quota.Connections, spindlehitch.AllWork: quota.AllWork}[d.Use]
+	return quota.Reservation{Resource: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+}
+
+// Wait implements spindlehitch.Ration.
+func (r *Session) Wait(d spindlehitch.Draw) (time.Duration, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
+	if wait > 0 {
+		r.counts.denied++
+		r.wakeRenewal()
+	}
+	return wait, governed
+}
+
+// Take implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
+func (r *Session) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	all := make([]quota.Reservation, len(draws))
+	for i, d := range draws {
+		all[i] = toReservation(d)
+	}
+	return permit{r, r.client.Reserve(monotone.Now(), all...)}
+}
+
+type permit struct {
+	session *Session
+	until   time.Duration
+}
+
+// Good implements spindlehitch.Permit.
+func (p permit) Good() bool {
+	good := monotone.Now() < p.until
+	if !good {
+		p.session.mu.Lock()
+		p.session.counts.lapsed++
+		p.session.mu.Unlock()
+	}
+	return good
+}
+
+// Open counts a connection to a target; false: there may be none more.
+func (r *Session) Open(target string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ok := r.client.OpenConnection(monotone.Now(), target)
+	if !ok {
+		r.counts.denied++
+		r.wakeRenewal()
+	}
+	return ok
+}
+
+// Close counts a connection that has ended.
+func (r *Session) Close(target string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.client.CloseConnection(target)
+}
+
+// Over is how many connections to a target are to be closed.
+func (r *Session) Over(target string) int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.client.ExcessConnections(monotone.Now(), target)
+}
--- a/internal/controlplane/quota/allocator/desk.go
+++ b/internal/controlplane/readindex/queue.go
@@ -1,8 +1,8 @@
-package allocator
+package readindex
 
-// ReadIndexQueue keeps decisions back until a majority has confirmed, after they were taken, that no later term has begun (6). One
+// Queue keeps decisions back until a majority has confirmed, after they were taken, that no later term has begun (6). One
 // question serves all that wait for it.
-type ReadIndexQueue[T any] struct {
+type Queue[T any] struct {
 	roundNumber  uint64 // of the question asked last
 	roundTerm    uint64 // that it was asked for
 	roundPending bool
@@ -17,12 +17,12 @@
 
 // Add keeps back a decision of that term's giver. A question that is already on its way may have been answered before it: the next
 // one counts.
-func (d *ReadIndexQueue[T]) Add(term uint64, it T) {
+func (d *Queue[T]) Add(term uint64, it T) {
 	d.waiting = append(d.waiting, pendingAnswer[T]{d.roundNumber + 1, term, it})
 }
 
 // StartRound tells whether a question is to be asked now, for the term that the agent leads in, and its number.
-func (d *ReadIndexQueue[T]) StartRound(term uint64) (round uint64, due bool) {
+func (d *Queue[T]) StartRound(term uint64) (round uint64, due bool) {
 	if d.roundPending || len(d.waiting) == 0 {
 		return d.roundNumber, false
 	}
@@ -33,7 +33,7 @@
 
 // FinishRound ends a question: what it confirms, or fails to, is returned and waits no more. No question confirms a decision of
 // another term, as of an agent that led before, lost its lead and has it again: void is those.
-func (d *ReadIndexQueue[T]) FinishRound(round uint64) (done, void []T) {
+func (d *Queue[T]) FinishRound(round uint64) (done, void []T) {
 	if round != d.roundNumber || !d.roundPending {
 		return nil, nil
 	}
@@ -54,7 +54,7 @@
 }
 
 // Waiting is all that is kept back.
-func (d *ReadIndexQueue[T]) Waiting() (all []T) {
+func (d *Queue[T]) Waiting() (all []T) {
 	for _, w := range d.waiting {
 		all = append(all, w.answer)
 	}
--- a/internal/controlplane/quota/allocator/desk_test.go
+++ b/internal/controlplane/readindex/queue_test.go
@@ -1,4 +1,4 @@
-package allocator
+package readindex
 
 import (
 	"slices"
@@ -7,7 +7,7 @@
 
 // TestDesk keeps decisions back until a question that was asked after them, in their own term, is answered.
 func TestDesk(t *testing.T) {
-	var d ReadIndexQueue[string]
+	var d Queue[string]
 	if _, due := d.StartRound(5); due {
 		t.Error("a question that nobody waits for")
 	}
--- a/internal/controlplane/watchstream/next.go
+++ b/internal/controlplane/watchstream/delta.go
@@ -103,29 +103,6 @@
 	return list, to, 0
 }
 
-// waitForBytes is how long it takes until so many bytes of targets may go.
-func (r *reader) waitForBytes(n float64) time.Duration {
-	if may := r.targetBudget(); may < n {
-		return max(time.Millisecond, time.Duration((n-may)/(r.targetTokens.rate+r.sharedTokens.rate)*float64(time.Second)))
-	}
-	return 0
-}
-
-// pacingWait is how long to wait before a part is sent, or anything.
-func (r *reader) pacingWait(may float64, cut, any bool, k Kind) time.Duration {
-	rate, least := r.sharedTokens.rate, r.sharedTokens.burst/4
-	if k == Targets {
-		rate, least = rate+r.targetTokens.rate, (r.targetTokens.burst+r.sharedTokens.burst)/4
-	}
-	if !any || may > 0 && !cut || cut && may >= least {
-		return 0
-	}
-	if !cut {
-		least = 1
-	}
-	return max(time.Millisecond, time.Duration((least-may)/rate*float64(time.Second)))
-}
-
 // pendingLayers is what is owed of a reader's own configuration: all of it or nothing, since its layers belong together.
 func (s *Source) pendingLayers(r *reader, d *Delta) (list []Record, to uint64, wait time.Duration) {
 	for _, key := range d.Scope.layerKeys() {
@@ -140,84 +117,9 @@
 	return list, d.Head.Config, 0
 }
 
-// refill lets time go on. What targets owe is paid by what either may have, too.
-func (r *reader) refill(now time.Duration) {
-	r.targetTokens.refill(now)
-	r.sharedTokens.refill(now)
-	if pays := min(-r.targetTokens.tokens, r.sharedTokens.tokens); pays > 0 {
-		r.targetTokens.tokens += pays
-		r.sharedTokens.tokens -= pays
-	}
-}
-
-// targetBudget is how many bytes of targets may go now: what configuration owes doesn't count, what targets owe does.
-func (r *reader) targetBudget() float64 { return r.targetTokens.tokens + max(0, r.sharedTokens.tokens) }
-
-// spendTargetBytes takes bytes of targets out of what either kind may have first, then out of what targets alone may.
-func (r *reader) spendTargetBytes(bytes int) {
-	n := float64(bytes)
-	of := min(n, max(0, r.sharedTokens.tokens))
-	r.sharedTokens.tokens -= of
-	r.targetTokens.tokens -= n - of
-}
-
 func recordsSize(records []Record) (n int) {
 	for i := range records {
 		n += records[i].Size()
 	}
 	return n
 }
-
-// fillByDigest fills a delta with the next buckets that differ, or asks the reader for its sums.
-func (s *Source) fillByDigest(r *reader, d *Delta, fresh bool) (wait time.Duration) {
-	st, p := s.store, r.request.Progress
-	at := 0
-	switch {
-	case fresh:
-		r.resync = &digestRun{epoch: st.epoch, start: d.Head.Targets}
-	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its sums have just come
-	case r.resync != nil && r.resync.epoch == st.epoch && p != nil && r.resync.start == p.Start && p.NextBucket <= len(st.digests):
-		at = p.NextBucket
-	default:
-		// It is asked only when there is enough for the sums and for a first part at once: else it would send them again and again.
-		sums := float64(digestBytes * len(st.digests))
-		if wait = r.waitForBytes(min(sums+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
-			return wait
-		}
-		r.sharedTokens.tokens -= sums
-		r.resync, d.WantDigests = nil, true
-		return 0
-	}
-	may := r.targetBudget()
-	most, total, cut, to := min(may, maxDeltaFill), 0, false, at
-	for ; to < len(st.digests); to++ {
-		theirs := uint64(0)
-		if r.resync.digests != nil {
-			theirs = r.resync.digests[to]
-		}
-		if st.digests[to] == theirs {
-			continue
-		}
-		if cut = total > 0 && float64(total) >= most; cut {
-			break
-		}
-		b := Bucket{Index: to, Digest: st.digests[to]}
-		for _, x := range st.buckets[to] {
-			if x.Version <= d.From.Targets { // 2: the reader has it so
-				b.Unchanged = append(b.Unchanged, x.Key)
-			} else {
-				b.Records = append(b.Records, *x)
-			}
-		}
-		d.Buckets = append(d.Buckets, b)
-		total += b.Size()
-	}
-	if wait = r.pacingWait(may, cut, total > 0, Targets); wait > 0 {
-		return wait
-	}
-	r.spendTargetBytes(total)
-	if d.Range = (&BucketRange{r.resync.start, at, to}); to == len(st.digests) {
-		d.To.Targets = r.resync.start
-	}
-	return 0
-}
--- /dev/null
+++ b/internal/controlplane/watchstream/digest.go
@@ -0,0 +1,126 @@
+package watchstream
+
+import (
+	"encoding/base64"
+	"encoding/binary"
+	"fmt"
+	"time"
+)
+
+// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, the least first.
+type Digests []uint64
+
+// MarshalText implements encoding.TextMarshaler.
+func (s Digests) MarshalText() ([]byte, error) {
+	b := make([]byte, 0, 8*len(s))
+	for _, x := range s {
+		b = binary.LittleEndian.AppendUint64(b, x)
+	}
+	return base64.StdEncoding.AppendEncode(nil, b), nil
+}
+
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (s *Digests) UnmarshalText(text []byte) error {
+	b, err := base64.StdEncoding.AppendDecode(nil, text)
+	if err != nil || len(b)%8 != 0 {
+		return fmt.Errorf("sums: not base64 of whole sums")
+	}
+	*s = make(Digests, len(b)/8)
+	for i := range *s {
+		(*s)[i] = binary.LittleEndian.Uint64(b[8*i:])
+	}
+	return nil
+}
+
+// DigestProgress is how far a reader is in a run by digests: buckets before At are as the source had them at or after version Start.
+type DigestProgress struct {
+	Start      uint64 `json:"start"`
+	NextBucket int    `json:"at"`
+}
+
+// Bucket is the live targets of one bucket, all of them: a target of it that is not named is gone. Held are those that the reader has as they
+// are, since they changed last before its position. Sum is the bucket's sum with all of that.
+type Bucket struct {
+	Index     int      `json:"n"`
+	Digest    uint64   `json:"sum"`
+	Unchanged []string `json:"held,omitempty"`
+	Records   []Record `json:"records,omitempty"`
+}
+
+// Size is the bytes that a bucket takes in a delta, at most.
+func (b *Bucket) Size() int {
+	n := 64
+	for _, key := range b.Unchanged {
+		n += len(key) + 3
+	}
+	return n + recordsSize(b.Records)
+}
+
+// BucketRange is which buckets a delta by digests covers, From to before To: those that it doesn't bring are alike. Start is where plain deltas
+// go on from once all are covered.
+type BucketRange struct {
+	Start uint64 `json:"start"`
+	From  int    `json:"from"`
+	To    int    `json:"to"`
+}
+
+// fillByDigest fills a delta with the next buckets that differ, or asks the reader for its sums.
+func (s *Source) fillByDigest(r *reader, d *Delta, fresh bool) (wait time.Duration) {
+	st, p := s.store, r.request.Progress
+	at := 0
+	switch {
+	case fresh:
+		r.resync = &digestRun{epoch: st.epoch, start: d.Head.Targets}
+	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its sums have just come
+	case r.resync != nil && r.resync.epoch == st.epoch && p != nil && r.resync.start == p.Start && p.NextBucket <= len(st.digests):
+		at = p.NextBucket
+	default:
+		// It is asked only when there is enough for the sums and for a first part at once: else it would send them again and again.
+		sums := float64(digestBytes * len(st.digests))
+		if wait = r.waitForBytes(min(sums+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
+			return wait
+		}
+		r.sharedTokens.tokens -= sums
+		r.resync, d.WantDigests = nil, true
+		return 0
+	}
+	may := r.targetBudget()
+	most, total, cut, to := min(may, maxDeltaFill), 0, false, at
+	for ; to < len(st.digests); to++ {
+		theirs := uint64(0)
+		if r.resync.digests != nil {
+			theirs = r.resync.digests[to]
+		}
+		if st.digests[to] == theirs {
+			continue
+		}
+		if cut = total > 0 && float64(total) >= most; cut {
+			break
+		}
+		b := Bucket{Index: to, Digest: st.digests[to]}
+		for _, x := range st.buckets[to] {
+			if x.Version <= d.From.Targets { // 2: the reader has it so
+				b.Unchanged = append(b.Unchanged, x.Key)
+			} else {
+				b.Records = append(b.Records, *x)
+			}
+		}
+		d.Buckets = append(d.Buckets, b)
+		total += b.Size()
+	}
+	if wait = r.pacingWait(may, cut, total > 0, Targets); wait > 0 {
+		return wait
+	}
+	r.spendTargetBytes(total)
+	if d.Range = (&BucketRange{r.resync.start, at, to}); to == len(st.digests) {
+		d.To.Targets = r.resync.start
+	}
+	return 0
+}
+
+// digestRun is a bring-up by digests.
+type digestRun struct {
+	epoch   string
+	start   uint64
+	digests Digests // of the reader when it began; nil: it had nothing
+}
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -3,17 +3,12 @@
 package distribution
 
 import (
-	"bytes"
 	"cmp"
 	"context"
-	"errors"
-	"fmt"
-	"io"
 	"log/slog"
 	"maps"
 	"net"
 	"net/http"
-	"strconv"
 	"sync"
 	"time"
 
@@ -193,165 +188,6 @@
 	f.log.Info("feed source", slog.String("reason", "FEED_MOVED"), slog.String("relay", to.ID), slog.String("region", to.Region), slog.String("from", from))
 }
 
-// poll asks a relay once, and takes what it answers: after is when to come again, age how old what it has may be.
-func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.CallOutcome, after, age time.Duration) {
-	f.mu.Lock()
-	h := f.replica.SubscribeRequest()
-	f.state.Polls++
-	f.mu.Unlock()
-	h.WaitMs = pollWait.Milliseconds()
-	began := monotone.Now()
-	status, age, body, err := f.roundTrip(ctx, relay.Addr, &h)
-	switch {
-	case ctx.Err() != nil:
-		return watchstream.CallFailed, 0, 0
-	case err != nil:
-		f.pollFailed(relay, err)
-		if errors.Is(err, context.DeadlineExceeded) {
-			return watchstream.CallTimedOut, 0, 0
-		}
-		return watchstream.CallFailed, 0, 0
-	case status == http.StatusOK:
-		out, age := f.applyDelta(relay, body)
-		return out, 0, age
-	case status == http.StatusNoContent:
-		f.noteAnswer(relay, age)
-		if monotone.Now()-began < minPollInterval {
-			sleep(ctx, minPollInterval) // it leaves, or doesn't wait: it isn't asked without a pause
-		}
-		return watchstream.CallAnswered, 0, age
-	}
-	var no RejectedError
-	if err := jsonCodec.Unmarshal(body, &no); err != nil || no.Reason == "" {
-		f.pollFailed(relay, fmt.Errorf("it answers %d, %.100q", status, body))
-		return watchstream.CallFailed, 0, 0
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if no.RetryAfterMs > 0 {
-		f.state.Busy++
-		return watchstream.CallBusy, min(time.Duration(no.RetryAfterMs)*time.Millisecond, time.Minute), 0
-	}
-	f.noteRejected(relay, no.Reason, no.Detail)
-	return watchstream.CallRejected, 0, 0
-}
-
-// roundTrip makes one call. The answer is unpacked.
-func (f *Follower) roundTrip(ctx context.Context, addr string, h *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
-	text, err := jsonCodec.Marshal(h)
-	if err != nil {
-		return 0, 0, nil, err
-	}
-	ctx, done := context.WithTimeout(ctx, pollWait+pollGrace)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+watchPath, bytes.NewReader(text))
-	if err != nil {
-		return 0, 0, nil, err
-	}
-	req.Header["User-Agent"] = nil // bytes that say nothing
-	req.Header.Set("Accept-Encoding", gzipEncoding)
-	resp, err := f.transport.RoundTrip(req)
-	if err != nil {
-		if ctx.Err() != nil {
-			err = ctx.Err()
-		}
-		return 0, 0, nil, err
-	}
-	defer resp.Body.Close()
-	if f.ownTransport == nil {
-		f.traffic.out.Add(uint64(len(text)))
-	}
-	ms, _ := strconv.ParseInt(resp.Header.Get(ageHeader), 10, 64)
-	in := &countingReader{Reader: io.LimitReader(resp.Body, maxAnswerBytes)}
-	body, err = readAll(in, resp.Header.Get(encodingHeader) == gzipEncoding, maxAnswerBytes)
-	if f.ownTransport == nil {
-		f.traffic.in.Add(in.n)
-	}
-	if err != nil && ctx.Err() != nil {
-		err = ctx.Err()
-	}
-	return resp.StatusCode, time.Duration(max(0, ms)) * time.Millisecond, body, err
-}
-
-type countingReader struct {
-	io.Reader
-	n uint64
-}
-
-func (c *countingReader) Read(b []byte) (int, error) {
-	n, err := c.Reader.Read(b)
-	c.n += uint64(n)
-	return n, err
-}
-
-// applyDelta has a delta taken, and applied.
-func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (out watchstream.CallOutcome, age time.Duration) {
-	var d watchstream.Delta
-	if err := jsonCodec.Unmarshal(body, &d); err != nil {
-		f.mu.Lock()
-		f.noteRejected(relay, watchstream.ReasonMalformed, err.Error())
-		f.mu.Unlock()
-		return watchstream.CallFailed, 0
-	}
-	f.mu.Lock()
-	records, err := f.replica.ApplyDelta(&d)
-	var no *watchstream.RejectedError
-	if errors.As(err, &no) {
-		f.noteRejected(relay, no.Reason, no.Why)
-		f.mu.Unlock()
-		return watchstream.CallRejected, 0
-	}
-	f.state.Deltas++
-	f.state.Records += uint64(len(records))
-	mark := f.replica.Consistent()
-	close(f.changed)
-	f.changed = make(chan struct{})
-	f.mu.Unlock()
-	f.recordsChanged, f.positionChanged = f.recordsChanged || len(records) > 0, true
-	age = time.Duration(max(0, d.AgeMs)) * time.Millisecond
-	f.noteAnswer(relay, age)
-	f.notify(Update{Records: records, Position: mark.Position}, mark)
-	return watchstream.CallAnswered, age
-}
-
-// notify tells what is new, and acknowledges it as far as it is in force.
-func (f *Follower) notify(c Update, mark watchstream.Watermark) {
-	var err error
-	if f.opt.OnChange != nil && (len(c.Records) > 0 || c.Full || c.Position != f.notified) {
-		err = f.opt.OnChange(c)
-		f.notified = c.Position
-	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if err != nil {
-		f.replica.RejectConfig(mark.Config, err.Error())
-		f.state.Rejected["config"]++
-		f.log.Warn("configuration turned down", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", mark.Config), slog.Any("error", err))
-	}
-	f.replica.MarkApplied(mark)
-}
-
-// noteAnswer notes who answered, and how old that is what it has.
-func (f *Follower) noteAnswer(relay watchstream.Relay, age time.Duration) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.state.Relay, f.state.Region = relay.ID, relay.Region
-	f.freshAt = max(f.freshAt, monotone.Now()-age)
-}
-
-func (f *Follower) pollFailed(relay watchstream.Relay, err error) {
-	f.mu.Lock()
-	f.state.Failed++
-	f.mu.Unlock()
-	f.log.Warn("feed poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
-}
-
-// noteRejected counts what was not taken. Its caller holds mu.
-func (f *Follower) noteRejected(relay watchstream.Relay, why watchstream.Reason, text string) {
-	f.state.Rejected[string(why)]++
-	f.log.Warn("feed refused", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
-}
-
 // State tells of the follower; any goroutine may ask.
 func (f *Follower) State() FollowerState {
 	f.mu.Lock()
--- a/internal/controlplane/watchstream/refusal.go
+++ b/internal/controlplane/watchstream/errors.go
@@ -46,3 +46,12 @@
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("feed: the change is for version %d and the log is at %d: look at what has changed, and put it again", e.Expected, e.Head)
 }
+
+// FieldError names what in a change, a hello or a configuration cannot be used.
+type FieldError struct{ Field, Why string }
+
+func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
+
+func fieldError(name, why string, args ...any) error {
+	return &FieldError{name, fmt.Sprintf(why, args...)}
+}
--- a/internal/controlplane/watchstream/message.go
+++ b/internal/controlplane/watchstream/messages.go
@@ -1,42 +1,5 @@
 package watchstream
 
-import (
-	"encoding/base64"
-	"encoding/binary"
-	"fmt"
-)
-
-// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, the least first.
-type Digests []uint64
-
-// MarshalText implements encoding.TextMarshaler.
-func (s Digests) MarshalText() ([]byte, error) {
-	b := make([]byte, 0, 8*len(s))
-	for _, x := range s {
-		b = binary.LittleEndian.AppendUint64(b, x)
-	}
-	return base64.StdEncoding.AppendEncode(nil, b), nil
-}
-
-// UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Digests) UnmarshalText(text []byte) error {
-	b, err := base64.StdEncoding.AppendDecode(nil, text)
-	if err != nil || len(b)%8 != 0 {
-		return fmt.Errorf("sums: not base64 of whole sums")
-	}
-	*s = make(Digests, len(b)/8)
-	for i := range *s {
-		(*s)[i] = binary.LittleEndian.Uint64(b[8*i:])
-	}
-	return nil
-}
-
-// DigestProgress is how far a reader is in a run by digests: buckets before At are as the source had them at or after version Start.
-type DigestProgress struct {
-	Start      uint64 `json:"start"`
-	NextBucket int    `json:"at"`
-}
-
 // Rejection is a configuration that could not be served: the last good one stays in force.
 type Rejection struct {
 	Version uint64 `json:"version"`
@@ -82,32 +45,6 @@
 // MaxReasonBytes bounds the reason of one who turned something down, in bytes.
 const MaxReasonBytes = 512
 
-// Bucket is the live targets of one bucket, all of them: a target of it that is not named is gone. Held are those that the reader has as they
-// are, since they changed last before its position. Sum is the bucket's sum with all of that.
-type Bucket struct {
-	Index     int      `json:"n"`
-	Digest    uint64   `json:"sum"`
-	Unchanged []string `json:"held,omitempty"`
-	Records   []Record `json:"records,omitempty"`
-}
-
-// Size is the bytes that a bucket takes in a delta, at most.
-func (b *Bucket) Size() int {
-	n := 64
-	for _, key := range b.Unchanged {
-		n += len(key) + 3
-	}
-	return n + recordsSize(b.Records)
-}
-
-// BucketRange is which buckets a delta by digests covers, From to before To: those that it doesn't bring are alike. Start is where plain deltas
-// go on from once all are covered.
-type BucketRange struct {
-	Start uint64 `json:"start"`
-	From  int    `json:"from"`
-	To    int    `json:"to"`
-}
-
 // Delta brings one reader from a position to another.
 type Delta struct {
 	Fleet       string       `json:"fleet"`
--- a/internal/controlplane/watchstream/source.go
+++ b/internal/controlplane/watchstream/source.go
@@ -55,35 +55,6 @@
 	silent       bool
 }
 
-// digestRun is a bring-up by digests.
-type digestRun struct {
-	epoch   string
-	start   uint64
-	digests Digests // of the reader when it began; nil: it had nothing
-}
-
-// tokenBucket is a token bucket. It may be overdrawn by what can't be sent in parts.
-type tokenBucket struct {
-	tokens, rate, burst float64
-	at                  time.Duration
-}
-
-func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
-	return tokenBucket{burst, rate, burst, now}
-}
-
-func (b *tokenBucket) refill(now time.Duration) {
-	if now > b.at {
-		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
-		b.at = now
-	}
-}
-
-// waitFor is how long it takes until there are so many.
-func (b *tokenBucket) waitFor(n float64) time.Duration {
-	return max(time.Millisecond, time.Duration((min(n, b.burst)-b.tokens)/b.rate*float64(time.Second)))
-}
-
 // NewSource returns a source without readers. Life is to grow over its restarts, as a Replica's first turn does.
 func NewSource(store *Store, o SourceOptions, life uint64) *Source {
 	o.ReaderRate, o.ReaderBurst = cmp.Or(o.ReaderRate, DefaultSourceOptions.ReaderRate), cmp.Or(o.ReaderBurst, DefaultSourceOptions.ReaderBurst)
--- a/internal/testbed/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -8,6 +8,7 @@
 	"spindlehitch/internal/controlplane/lease/lessor"
 	"spindlehitch/internal/controlplane/quota"
 	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/readindex"
 	"spindlehitch/internal/controlplane/registry"
 )
 
@@ -42,7 +43,7 @@
 	term   uint64
 	giver  *allocator.Allocator
 	keeper *lessor.Lessor
-	desk   allocator.ReadIndexQueue[func(bool)]
+	desk   readindex.Queue[func(bool)]
 }
 
 type renewed struct {
@@ -312,7 +313,7 @@
 	}
 	g.s.after(2*g.s.way(g.rng), "terms told", by, func() {
 		g.when(by, func() {
-			agreed := g.majority(by) && allocator.MajorityAgrees(l.term, []uint64{g.term}, 3)
+			agreed := g.majority(by) && readindex.MajorityAgrees(l.term, []uint64{g.term}, 3)
 			done, void := l.desk.FinishRound(round)
 			for _, k := range done {
 				k(agreed)
--- a/internal/testbed/modelcheck/leaders/leaders.go
+++ b/internal/testbed/modelcheck/leaders/leaders.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"spindlehitch/internal/controlplane/quota/allocator"
+	"spindlehitch/internal/controlplane/readindex"
 )
 
 // Letter is a question to a leader, or an answer.
@@ -19,7 +19,7 @@
 // Lead is one leader with its book.
 type Lead[B any, L Letter] struct {
 	Book  B
-	Desk  allocator.ReadIndexQueue[L]
+	Desk  readindex.Queue[L]
 	Term  uint64
 	Rate  float64 // of its clock
 	round uint64  // asked
@@ -145,7 +145,7 @@
 
 // hear has a leader hear what the majority told, of three agents.
 func (g *Group[B, L]) hear(l *Lead[B, L]) []L {
-	agreed := allocator.MajorityAgrees(l.Term, []uint64{l.told}, 3)
+	agreed := readindex.MajorityAgrees(l.Term, []uint64{l.told}, 3)
 	done, _ := l.Desk.FinishRound(l.round)
 	l.round, l.told = 0, 0
 	if !agreed {
