--- a/cmd/spindlehitch/large_test.go
+++ b/cmd/spindlehitch/large_test.go
@@ -169,6 +169,7 @@
 		panic(http.ErrAbortHandler)
 	})
 	start(t, w.config())
+	ready(t, "http://"+w.listen+"/-/ready") // before its list of targets is known an upload is refused unsent
 	say := func(raw string, body int) (*http.Response, error) {
 		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", w.listen)
