--- a/cmd/benchlink/decode.go
+++ b/cmd/benchlink/decode.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strconv"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 func parseUint(n json.Number) (uint64, error) { return strconv.ParseUint(n.String(), 10, 64) }
@@ -34,7 +34,7 @@
 }
 
 // decode turns a wire event into the module's; nil where the module has no use for it.
-func decode(e *event) (spindlehitch.Event, error) {
+func decode(e *event) (policy.Event, error) {
 	switch *e.Type {
 	case "members":
 		return decodeList(e)
@@ -44,7 +44,7 @@
 		if err != nil {
 			return nil, err
 		}
-		r := spindlehitch.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
+		r := policy.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
 			Shard: *e.GroupNo, Units: *e.Weight, Budget: us(*e.BudgetUs)}
 		if e.Chunk != nil {
 			r.Extent = *e.Chunk
@@ -63,7 +63,7 @@
 		if err != nil {
 			return nil, err
 		}
-		o := spindlehitch.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
+		o := policy.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
 			Took: us(*e.SpentUs), Closed: *e.Complete}
 		if e.Used != nil {
 			o.Used = *e.Used
@@ -74,14 +74,14 @@
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return spindlehitch.StreamBegun{ID: *e.Rid}, nil
+		return policy.StreamBegun{ID: *e.Rid}, nil
 	case "clientGone":
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return spindlehitch.Departed{ID: *e.Rid}, nil
+		return policy.Departed{ID: *e.Rid}, nil
 	case "reminder":
-		return spindlehitch.Timer{}, nil
+		return policy.Timer{}, nil
 	case "message", "healthResult":
 		return nil, nil
 	}
@@ -89,11 +89,11 @@
 }
 
 // load turns a load report into the module's; nil where none came.
-func load(s *stats) *spindlehitch.Load {
+func load(s *stats) *policy.Load {
 	if s == nil {
 		return nil
 	}
-	l := &spindlehitch.Load{Queue: -1, InFlight: -1}
+	l := &policy.Load{Queue: -1, InFlight: -1}
 	if s.Depth != nil {
 		l.Queue = *s.Depth
 	}
@@ -103,36 +103,36 @@
 	return l
 }
 
-func decodeCode(word string) (spindlehitch.Code, error) {
+func decodeCode(word string) (policy.Code, error) {
 	switch word {
 	case "delivered":
-		return spindlehitch.Delivered, nil
+		return policy.Delivered, nil
 	case "app_error":
-		return spindlehitch.Errored, nil
+		return policy.Errored, nil
 	case "shed":
-		return spindlehitch.Full, nil
+		return policy.Full, nil
 	case "expired":
-		return spindlehitch.Expired, nil
+		return policy.Expired, nil
 	case "dial_failed":
-		return spindlehitch.NoConnection, nil
+		return policy.NoConnection, nil
 	case "dropped":
-		return spindlehitch.Reset, nil
+		return policy.Reset, nil
 	case "revoked":
-		return spindlehitch.Cancelled, nil
+		return policy.Cancelled, nil
 	case "unused":
-		return spindlehitch.Moot, nil
+		return policy.Moot, nil
 	}
 	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
 }
 
-func decodeList(e *event) (spindlehitch.Event, error) {
+func decodeList(e *event) (policy.Event, error) {
 	if e.Mode == nil {
 		return nil, missing("mode")
 	}
-	var list spindlehitch.NodeList
+	var list policy.NodeList
 	switch *e.Mode {
 	case "broken":
-		return spindlehitch.NodeList{Broken: true}, nil
+		return policy.NodeList{Broken: true}, nil
 	case "whole", "stale_copy":
 		list.Whole = true
 	case "patch":
@@ -143,14 +143,14 @@
 		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := spindlehitch.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
+		n := policy.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
 		switch *r.Mode {
 		case "up":
-			n.State = spindlehitch.Up
+			n.State = policy.Up
 		case "draining":
-			n.State = spindlehitch.Draining
+			n.State = policy.Draining
 		case "removed":
-			n.State = spindlehitch.Removed
+			n.State = policy.Removed
 		default:
 			return nil, fmt.Errorf("records[%d]: mode: unknown state %q", i, *r.Mode)
 		}
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -1,20 +1,20 @@
 package quotasession
 
 import (
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/monotone"
 	"time"
 )
 
-func toReservation(d spindlehitch.Draw) quota.Reservation {
-	use := [...]quota.Resource{spindlehitch.ColdWork: quota.ColdWork, spindlehitch.Repeats: quota.Retries,
-		spindlehitch.Connections: quota.Connections, spindlehitch.AllWork: quota.AllWork}[d.Use]
+func toReservation(d policy.Draw) quota.Reservation {
+	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Repeats: quota.Retries,
+		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[d.Use]
 	return quota.Reservation{Resource: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
-func (r *Session) Wait(d spindlehitch.Draw) (time.Duration, bool) {
+func (r *Session) Wait(d policy.Draw) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
@@ -26,7 +26,7 @@
 }
 
 // Take implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
-func (r *Session) Take(draws []spindlehitch.Draw) spindlehitch.Permit {
+func (r *Session) Take(draws []policy.Draw) policy.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := make([]quota.Reservation, len(draws))
--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/mailbox"
 )
 
@@ -40,10 +40,10 @@
 // Answer is the one final answer of a request.
 type Answer struct {
 	Ending     Ending
-	Payload    any               // of a served request: what the upstream brought
-	RetryAfter time.Duration     // of a refusal: when the client should come back; 0: no advice
-	Last       spindlehitch.Code // how the last attempt ended, if there was one
-	Written    func()            // to be called once it is with the client; nil: nobody asks
+	Payload    any           // of a served request: what the upstream brought
+	RetryAfter time.Duration // of a refusal: when the client should come back; 0: no advice
+	Last       policy.Code   // how the last attempt ended, if there was one
+	Written    func()        // to be called once it is with the client; nil: nobody asks
 }
 
 // TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
@@ -89,7 +89,7 @@
 
 // Job is a request as a front hands it over. ID and Budget are the core's to fill.
 type Job struct {
-	spindlehitch.Request
+	policy.Request
 	Name     string        // the client's own for it, one of a kind; may be empty
 	Arrived  time.Time     // when its last byte was here
 	Patience time.Duration // how long the client waits from then on
@@ -106,7 +106,7 @@
 	Until   time.Time // given up then
 	Payload any
 	OnSent  func() // nil: nobody asks
-	Permit  spindlehitch.Permit
+	Permit  policy.Permit
 	Before  time.Time    // its bytes may leave until then; zero: until it is given up
 	Left    *atomic.Bool // its client has left; nil: nobody would know
 }
@@ -136,8 +136,8 @@
 	Request string
 	Number  int
 	Node    string
-	Code    spindlehitch.Code
-	Load    *spindlehitch.Load
+	Code    policy.Code
+	Load    *policy.Load
 	Used    int
 	Began   time.Time // when the attempt's first byte was written; zero: never
 	Payload any
@@ -146,7 +146,7 @@
 // Observer is told what becomes of requests, from the core's goroutine and in order of time but for Begin, which is told
 // with the answer. Served is told with a request's final answer, if a target made it. It decides nothing.
 type Observer interface {
-	Arrive(at time.Duration, r spindlehitch.Request)
+	Arrive(at time.Duration, r policy.Request)
 	Release(at time.Duration, id, node string, ahead time.Duration, sent bool)
 	Begin(at time.Duration, id string)
 	Answer(at time.Duration, id string, alive bool)
@@ -185,7 +185,7 @@
 
 // Core is the module's actor.
 type Core struct {
-	module   *spindlehitch.Scheduler
+	module   *policy.Scheduler
 	up       Upstream
 	clock    Clock
 	opt      Options
@@ -201,8 +201,8 @@
 	named    map[string]bool    // of open requests
 	ran      [2]map[string]bool // of finished ones that may have run, lately and before
 	ranAt    time.Time
-	events   []spindlehitch.Event
-	lists    []spindlehitch.Event
+	events   []policy.Event
+	lists    []policy.Event
 	lastStep time.Duration
 	lastSeen time.Duration
 	toldAt   time.Time // when Avoided was last called
@@ -215,7 +215,7 @@
 	out      bool
 	node     string
 	sentAt   time.Time
-	last     spindlehitch.Code
+	last     policy.Code
 	answered bool
 	mayRun   bool
 }
@@ -236,7 +236,7 @@
 
 // adopt hands over other settings.
 type adopt struct {
-	set      spindlehitch.Settings
+	set      policy.Settings
 	namesFor time.Duration
 	done     chan<- struct{}
 }
@@ -248,7 +248,7 @@
 }
 
 // New returns a core; Run starts it.
-func New(m *spindlehitch.Scheduler, up Upstream, clock Clock, opt Options) *Core {
+func New(m *policy.Scheduler, up Upstream, clock Clock, opt Options) *Core {
 	c := &Core{module: m, up: up, clock: clock, opt: opt, box: mailbox.New[any](), open: map[string]*entry{},
 		named: map[string]bool{}, ran: [2]map[string]bool{{}, {}}}
 	c.mostHeld.Store(int64(opt.MostHeld))
@@ -292,15 +292,15 @@
 }
 
 // List hands over news of the targets.
-func (c *Core) List(l spindlehitch.NodeList) { c.box.Put(l) }
+func (c *Core) List(l policy.NodeList) { c.box.Put(l) }
 
 // Share tells the module how many processes act for this initiator.
-func (c *Core) Share(parts int) { c.box.Put(spindlehitch.Shared{Parts: parts}) }
+func (c *Core) Share(parts int) { c.box.Put(policy.Shared{Parts: parts}) }
 
 // Adopt has the module take over other settings, in turn with what is submitted before and after. MostHeld holds at once; names are kept for
 // the longest time that was ever asked for, since they were promised by it. Done is closed once the module goes by the settings; a core that has
 // ended closes it no more.
-func (c *Core) Adopt(set spindlehitch.Settings, mostHeld int, namesFor time.Duration) (done <-chan struct{}) {
+func (c *Core) Adopt(set policy.Settings, mostHeld int, namesFor time.Duration) (done <-chan struct{}) {
 	c.mostHeld.Store(int64(mostHeld))
 	in := make(chan struct{})
 	c.box.Put(adopt{set, namesFor, in})
@@ -308,10 +308,10 @@
 }
 
 // Rationed tells the module that its part of the fleet's wholes has changed.
-func (c *Core) Rationed() { c.box.Put(spindlehitch.Rationed{}) }
+func (c *Core) Rationed() { c.box.Put(policy.Rationed{}) }
 
 // Watched tells the module what another member of the fleet found out about a node.
-func (c *Core) Watched(w spindlehitch.Watched) { c.box.Put(w) }
+func (c *Core) Watched(w policy.Watched) { c.box.Put(w) }
 
 // Inspect has f called from the core's goroutine, between two steps.
 func (c *Core) Inspect(f func()) { c.box.Put(f) }
@@ -360,7 +360,7 @@
 	c.routes = c.routes[:0]
 }
 
-func (c *Core) decide(now time.Time, events []spindlehitch.Event) {
+func (c *Core) decide(now time.Time, events []policy.Event) {
 	// The module's clock never goes back, whatever the platform's does.
 	c.lastStep = max(c.lastStep, c.clock.At(now))
 	for _, a := range c.module.Step(c.lastStep, events) {
@@ -376,7 +376,7 @@
 }
 
 // gather turns what has come in into one batch of events, news of the list ahead of all else.
-func (c *Core) gather(now time.Time, msgs []any) []spindlehitch.Event {
+func (c *Core) gather(now time.Time, msgs []any) []policy.Event {
 	c.events, c.lists = c.events[:0], c.lists[:0]
 	for _, m := range msgs {
 		switch m := m.(type) {
@@ -388,8 +388,8 @@
 			c.result(now, m)
 		case written:
 			c.opt.Observer.End(c.observed(m.at), m.id)
-		case spindlehitch.Shared, spindlehitch.Rationed, spindlehitch.Watched:
-			c.events = append(c.events, m.(spindlehitch.Event))
+		case policy.Shared, policy.Rationed, policy.Watched:
+			c.events = append(c.events, m.(policy.Event))
 		case adopt:
 			c.events = append(c.events, m.set)
 			c.opt.NamesFor = max(c.opt.NamesFor, m.namesFor)
@@ -398,14 +398,14 @@
 			c.routes = append(c.routes, m)
 		case func():
 			m()
-		case spindlehitch.NodeList:
+		case policy.NodeList:
 			// Ahead of all else in the batch: no send is decided on a list older than the one at hand.
 			c.lists = append(c.lists, m)
 		}
 	}
 	if !c.timerAt.IsZero() && !now.Before(c.timerAt) {
 		c.timerAt = time.Time{}
-		c.events = append(c.events, spindlehitch.Timer{})
+		c.events = append(c.events, policy.Timer{})
 	}
 	return append(c.lists, c.events...)
 }
@@ -438,7 +438,7 @@
 		if e.out {
 			c.up.Cancel(e.node, j.ID) // no one is left to answer
 		}
-		c.events = append(c.events, spindlehitch.Departed{ID: j.ID})
+		c.events = append(c.events, policy.Departed{ID: j.ID})
 		c.tidy(j.ID, e)
 	}
 	if o := c.opt.Observer; o != nil {
@@ -462,17 +462,17 @@
 		if !r.Began.IsZero() {
 			o.Begin(c.clock.At(r.Began), r.Request) // it lies back, among what others were told of since
 		}
-		o.Answer(c.observed(now), r.Request, r.Code == spindlehitch.Delivered || r.Code == spindlehitch.Errored || r.Code == spindlehitch.Full)
+		o.Answer(c.observed(now), r.Request, r.Code == policy.Delivered || r.Code == policy.Errored || r.Code == policy.Full)
 	}
 	e.out, e.last = false, r.Code
 	e.mayRun = e.mayRun || r.Code.MayRun()
-	if r.Code == spindlehitch.Delivered {
+	if r.Code == policy.Delivered {
 		if o := c.opt.Observer; o != nil && !e.answered {
 			o.Served(r.Request)
 		}
 		c.answer(e, Answer{Ending: Served, Payload: r.Payload})
 	}
-	c.events = append(c.events, spindlehitch.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
+	c.events = append(c.events, policy.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
 		Took: now.Sub(e.sentAt), Closed: e.answered, Load: r.Load, Used: r.Used})
 	c.tidy(r.Request, e)
 	if now.Sub(c.ranAt) > c.opt.NamesFor || len(c.ran[0]) >= mostNames {
@@ -480,25 +480,25 @@
 	}
 }
 
-func (c *Core) act(now time.Time, a spindlehitch.Action) {
+func (c *Core) act(now time.Time, a policy.Action) {
 	e := c.open[a.Request]
 	switch a.Kind {
-	case spindlehitch.SetTimer:
+	case policy.SetTimer:
 		if at := now.Add(a.Wait); c.timerAt.IsZero() || at.Before(c.timerAt) {
 			c.timerAt = at
 		}
 		return
-	case spindlehitch.Subscribe, spindlehitch.Log:
+	case policy.Subscribe, policy.Log:
 		return // the list is always watched
 	}
 	if e == nil || e.answered || e.out {
 		return
 	}
 	if o := c.opt.Observer; o != nil {
-		o.Release(c.observed(now), a.Request, a.Node, a.Ahead, a.Kind == spindlehitch.Send)
+		o.Release(c.observed(now), a.Request, a.Node, a.Ahead, a.Kind == policy.Send)
 	}
 	switch a.Kind {
-	case spindlehitch.Send:
+	case policy.Send:
 		e.out, e.node, e.sentAt = true, a.Node, now
 		e.attempts++
 		next := Attempt{Request: a.Request, Number: e.attempts - 1, Node: a.Node,
@@ -507,10 +507,10 @@
 			next.Before = now.Add(a.Within)
 		}
 		c.up.Send(next)
-	case spindlehitch.Refuse:
+	case policy.Refuse:
 		c.answer(e, Answer{Ending: Refused, RetryAfter: a.Wait})
 		c.tidy(a.Request, e)
-	case spindlehitch.Fail:
+	case policy.Fail:
 		c.answer(e, Answer{Ending: Failed})
 		c.tidy(a.Request, e)
 	}
--- a/internal/datapath/front/request.go
+++ b/internal/datapath/front/request.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/policy"
 )
 
 // fault is a request that cannot be taken: what the client is told.
@@ -99,8 +99,8 @@
 }
 
 // parseInfo reads IO-Info: volume, units, shard and hosts, in any order; other fields are skipped.
-func parseInfo(s string) (spindlehitch.Request, *fault) {
-	var q spindlehitch.Request
+func parseInfo(s string) (policy.Request, *fault) {
+	var q policy.Request
 	var seen [4]bool
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/listing/listing.go
@@ -10,7 +10,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 // Entry is a target as the list tells it.
@@ -110,13 +110,13 @@
 	return nil
 }
 
-var states = map[string]spindlehitch.NodeState{
-	"SERVING": spindlehitch.Up, "DRAINING": spindlehitch.Draining, "DELETED": spindlehitch.Removed,
+var states = map[string]policy.NodeState{
+	"SERVING": policy.Up, "DRAINING": policy.Draining, "DELETED": policy.Removed,
 }
 
 // Node is the entry as the module knows it.
-func (e Entry) Node() spindlehitch.Node {
-	n := spindlehitch.Node{ID: e.ID, Zone: e.Zone, State: states[e.State],
+func (e Entry) Node() policy.Node {
+	n := policy.Node{ID: e.ID, Zone: e.Zone, State: states[e.State],
 		Started: time.Duration(e.Started) * time.Millisecond}
 	if e.Cell != nil {
 		n.Shard = *e.Cell
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -4,9 +4,9 @@
 	"encoding/binary"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/policy"
 )
 
 // Opcodes of the subset.
@@ -112,7 +112,7 @@
 		}
 		return stNSNotReady
 	}
-	if a.Last == spindlehitch.Expired || a.Last == spindlehitch.Reset {
+	if a.Last == policy.Expired || a.Last == policy.Reset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
@@ -130,14 +130,14 @@
 }
 
 // outcomeOf maps a target's status. Only what says that the command was not begun proves it.
-func outcomeOf(s status) spindlehitch.Code {
+func outcomeOf(s status) policy.Code {
 	switch {
 	case s == stOK:
-		return spindlehitch.Delivered
+		return policy.Delivered
 	case s.code() == stNSNotReady && s&dnr == 0:
-		return spindlehitch.Full
+		return policy.Full
 	}
-	return spindlehitch.Errored
+	return policy.Errored
 }
 
 // command is a submission queue entry.
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -16,10 +16,10 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/keys"
 	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/policy"
 )
 
 // HostOptions set up the host side.
@@ -507,11 +507,11 @@
 	s.SetDeadline(a.Until)
 	s.SetWriteDeadline(a.WriteBy())
 	if !first() {
-		r.Code = spindlehitch.Moot
+		r.Code = policy.Moot
 		return r, false, "TARGET_LEAVES"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Code = spindlehitch.NoConnection
+		r.Code = policy.NoConnection
 		return r, false, "WRITE_" + upstream.Cause(err)
 	}
 	written := !x.Write || inside
@@ -523,14 +523,14 @@
 		switch {
 		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Until):
 			s.from.abort(s.qid, c.cid())
-			r.Code = spindlehitch.Reset
+			r.Code = policy.Reset
 			return r, false, "READ_STALLED"
 		case !written:
-			r.Code = spindlehitch.NoConnection
+			r.Code = policy.NoConnection
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Code = spindlehitch.Expired
+			r.Code = policy.Expired
 		default:
-			r.Code = spindlehitch.Reset
+			r.Code = policy.Reset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
--- a/internal/datapath/nvme/namespace.go
+++ b/internal/datapath/nvme/namespace.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 )
 
@@ -14,9 +14,9 @@
 func (n *Namespace) shard(stripe uint64) int { return n.Shards[stripe%uint64(len(n.Shards))] }
 
 // request is what the module is told of a command, or of a part of one: all of it lies on one shard.
-func (n *Namespace) request(io *IO) spindlehitch.Request {
+func (n *Namespace) request(io *IO) policy.Request {
 	stripe := io.SLBA / n.StripeBlocks
-	q := spindlehitch.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts, Keyless: true, // commands carry none
+	q := policy.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts, Keyless: true, // commands carry none
 		Extent: fmt.Sprintf("%s/%x", n.Volume, stripe),
 		Shard:  n.shard(stripe),
 		Units:  float64((io.Blocks + n.UnitBlocks - 1) / n.UnitBlocks)}
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -3,8 +3,8 @@
 import (
 	"encoding/binary"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/policy"
 )
 
 // What becomes of commands that lie on several shards, and what a range of blocks may be. Nothing here does I/O.
@@ -66,7 +66,7 @@
 			body = append(body, data...)
 		case a.Ending == core.Refused:
 			refused.RetryAfter = max(refused.RetryAfter, a.RetryAfter)
-		case a.Last == spindlehitch.Expired || a.Last == spindlehitch.Reset:
+		case a.Last == policy.Expired || a.Last == policy.Reset:
 			doubt = a
 		default:
 			failed = a
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -16,9 +16,9 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sys/unix"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/budget"
 	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/policy"
 )
 
 const (
@@ -127,18 +127,18 @@
 	// The last look before the first byte: news may have come while the connection was being made. The first byte of a
 	// body that went ahead is long written, but nothing of it has begun: without a permit it does not.
 	if !first() && (m.Upload == nil || !a.Allowed()) {
-		r.Code = spindlehitch.Moot
+		r.Code = policy.Moot
 		return r, false, "TARGET_LEAVES"
 	}
 	// And at the connection: what came since the pool looked is no answer to what is only now written.
 	if !c.Alive() {
-		r.Code = spindlehitch.NoConnection
+		r.Code = policy.NoConnection
 		return r, false, Stale
 	}
 	again, soon := c.asked, time.Since(c.heardAt) < secondWithin
 	c.asked = true
 	if n, err := c.Write(raw); n < len(raw) {
-		r.Code = spindlehitch.NoConnection
+		r.Code = policy.NoConnection
 		return r, false, "WRITE_" + Cause(err)
 	}
 	a.Sent()
@@ -162,12 +162,12 @@
 		return err
 	}, func(until time.Time) { parts.until, parts.stall = until, streamStall })
 	if err != nil {
-		r.Code = spindlehitch.Reset
+		r.Code = policy.Reset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 		case late && parts.begun && time.Now().Before(a.Until):
 			return r, false, "READ_STALLED"
 		case late:
-			r.Code = spindlehitch.Expired
+			r.Code = policy.Expired
 		case limit.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
 		case errors.Is(err, errTooSoon):
@@ -191,10 +191,10 @@
 		}
 		if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.talked = err == nil
-			r.Code = spindlehitch.Reset
+			r.Code = policy.Reset
 			return r, false, "ANSWER_TWICE"
 		} else if !time.Now().Before(a.Until) {
-			r.Code = spindlehitch.Expired
+			r.Code = policy.Expired
 			return r, false, "READ_TIMEOUT"
 		}
 		*alike = c.last
@@ -259,7 +259,7 @@
 type answer struct {
 	status int
 	notRun bool
-	load   *spindlehitch.Load
+	load   *policy.Load
 	used   int
 	body   []byte  // held
 	stream *Stream // passes through instead
@@ -269,14 +269,14 @@
 
 // code is the outcome. The target's word that it never began counts only with the two statuses that go
 // with it: anything else may have run.
-func (a *answer) code() spindlehitch.Code {
+func (a *answer) code() policy.Code {
 	switch {
 	case a.status == http.StatusOK:
-		return spindlehitch.Delivered
+		return policy.Delivered
 	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return spindlehitch.Full
+		return policy.Full
 	}
-	return spindlehitch.Errored
+	return policy.Errored
 }
 
 // sum tells answers that are held apart by what they bring; their heads may differ.
@@ -355,11 +355,11 @@
 // the names that the settings give (report.fields: concurrent, depth); inflight and queue are the names in the protocol's
 // own example. A report under names that are not known here would be missed without a sign. A figure that cannot be counts as not
 // told, and makes the report odd.
-func parseLoad(s string) (l *spindlehitch.Load, odd bool) {
+func parseLoad(s string) (l *policy.Load, odd bool) {
 	if s == "" {
 		return nil, false
 	}
-	l = &spindlehitch.Load{Queue: -1, InFlight: -1}
+	l = &policy.Load{Queue: -1, InFlight: -1}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
 		into := &l.Queue
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
+	"spindlehitch/internal/policy"
 )
 
 // Target is what discovery says of one target.
 type Target struct {
 	ID    string
 	Addr  string
-	State spindlehitch.NodeState
+	State policy.NodeState
 }
 
 // Options are the bounds of every connection.
@@ -87,7 +87,7 @@
 	for _, x := range list {
 		t := g.targets[x.ID]
 		if t == nil {
-			if x.State == spindlehitch.Removed {
+			if x.State == policy.Removed {
 				continue
 			}
 			t = newTarget(x.ID, g.opt, &g.pool, g.report)
@@ -102,7 +102,7 @@
 		}
 		for id, t := range g.targets {
 			if !named[id] {
-				g.set(t, "", spindlehitch.Removed)
+				g.set(t, "", policy.Removed)
 			}
 		}
 	}
@@ -111,12 +111,12 @@
 
 // set takes over what the list says of a target: at once for attempts about to write, in turn for its pool. An actor of a target that is
 // gone ends once nothing is out at it.
-func (g *Registry) set(t *target, addr string, state spindlehitch.NodeState) {
+func (g *Registry) set(t *target, addr string, state policy.NodeState) {
 	t.set(addr, state)
 	if t.started {
 		t.box.Put(moved{})
 	}
-	if state != spindlehitch.Removed {
+	if state != policy.Removed {
 		return
 	}
 	delete(g.targets, t.id)
@@ -158,7 +158,7 @@
 
 // moot ends an attempt that was not sent: its target left the list between the decision and now.
 func (g *Registry) moot(a core.Attempt) {
-	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: spindlehitch.Moot})
+	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Moot})
 }
 
 // ended forgets a target whose actor has ended. What came to it at the last moment is owed a result all the same.
@@ -203,4 +203,4 @@
 }
 
 // open tells whether something new may still go to the target.
-func open(state *atomic.Int32) bool { return state.Load() == int32(spindlehitch.Up) }
+func open(state *atomic.Int32) bool { return state.Load() == int32(policy.Up) }
--- a/internal/observability/accounts/book.go
+++ b/internal/observability/accounts/book.go
@@ -8,7 +8,7 @@
 
 	"github.com/DataDog/sketches-go/ddsketch"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 // Part is a stretch of a request's time.
@@ -48,10 +48,10 @@
 
 // Options are the book's bounds.
 type Options struct {
-	Volumes int                                // kept, by last use
-	Pairs   int                                // of volume and cause
-	Open    int                                // requests at a time; more are not accounted for
-	Worth   func(spindlehitch.Request) float64 // of serving it; nil: 1
+	Volumes int                          // kept, by last use
+	Pairs   int                          // of volume and cause
+	Open    int                          // requests at a time; more are not accounted for
+	Worth   func(policy.Request) float64 // of serving it; nil: 1
 }
 
 // Account is one volume's.
@@ -108,10 +108,10 @@
 }
 
 // Values sets what serving a request is worth, of those that arrive from now on; nil: 1.
-func (b *Book) Values(worth func(spindlehitch.Request) float64) { b.opt.Worth = worth }
+func (b *Book) Values(worth func(policy.Request) float64) { b.opt.Worth = worth }
 
 // Arrive takes a request.
-func (b *Book) Arrive(at time.Duration, r spindlehitch.Request) {
+func (b *Book) Arrive(at time.Duration, r policy.Request) {
 	if len(b.open) >= b.opt.Open {
 		b.Dropped.Requests++
 		return
--- a/api.go
+++ b/internal/policy/api.go
@@ -1,8 +1,8 @@
-// Package spindlehitch decides, for one initiator of a shared disk pool, when each
+// Package policy decides, for one initiator of a shared disk pool, when each
 // request leaves for the node that holds its data, and how each request ends.
 //
 // The decisions are in scheduler.go; this file is the whole interface.
-package spindlehitch
+package policy
 
 import "time"
 
--- a/finder.go
+++ b/internal/policy/finder.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package policy
 
 // What finds lanes and nodes for the module in scheduler.go, so that a step costs what it changes and what is in use, however
 // many nodes are listed. No decision is taken here: what is found is what a look at all of them would find, in the same order.
--- a/ration.go
+++ b/internal/policy/ration.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package policy
 
 import "time"
 
--- a/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package policy
 
 // The interface (settings, events, actions, outcomes) is in api.go; what is kept, in state.go.
 //
--- a/settings.go
+++ b/internal/policy/settings.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package policy
 
 // What the settings say, taken over at the start and while requests are under way. Nothing is chosen, sent or answered here.
 
--- a/state.go
+++ b/internal/policy/state.go
@@ -1,4 +1,4 @@
-package spindlehitch
+package policy
 
 // What the module in scheduler.go keeps, and small helpers. No decision is taken here.
 
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -8,8 +8,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 )
 
 // Limits are what the machine grants the process.
@@ -29,7 +29,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *listing.List // the list as last had; nil: none
-	Module    spindlehitch.Settings
+	Module    policy.Settings
 	MostHeld  int
 	ConnIdle  time.Duration
 	Dial      time.Duration
--- a/internal/process/config/settings.go
+++ b/internal/process/config/settings.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 // Options is the settings object as the platform writes it, in the simulator's first message and in the
@@ -76,11 +76,11 @@
 func Us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Module turns the options into the module's settings.
-func (o *Options) Module() (spindlehitch.Settings, error) {
+func (o *Options) Module() (policy.Settings, error) {
 	if o.PeersTotal == nil {
-		return spindlehitch.Settings{}, Missing("options.peersTotal")
+		return policy.Settings{}, Missing("options.peersTotal")
 	}
-	s := spindlehitch.Settings{
+	s := policy.Settings{
 		Initiators:   *o.PeersTotal,
 		Tick:         Us(o.TickUs),
 		MeanUnits:    o.Extra.MeanUnits,
@@ -91,7 +91,7 @@
 		Handshake:    o.Prices.Handshake,
 		Meter:        Us(o.Extra.MeteringUs),
 		AskForList:   o.RegistryMode == "on_request",
-		Rules: spindlehitch.Rules{
+		Rules: policy.Rules{
 			ColdShare:    o.Rules.ColdShare,
 			WarmWithin:   Us(o.Rules.WarmWithinUs),
 			FallWithin:   Us(o.Rules.FallUs),
@@ -111,32 +111,32 @@
 		s.Rules.Budget, s.Rules.BudgetShare = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := spindlehitch.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
+		k := policy.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
 			Window: Us(c.WindowUs), InOrder: c.Serial, Worth: c.Worth}
 		switch c.Effect {
 		case "pure":
-			k.Effect = spindlehitch.Pure
+			k.Effect = policy.Pure
 		case "token":
-			k.Effect = spindlehitch.Keyed
+			k.Effect = policy.Keyed
 		case "side_effect":
-			k.Effect = spindlehitch.Unsafe
+			k.Effect = policy.Unsafe
 		default:
 			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
 		}
 		switch c.Group {
 		case "", "all":
-			k.Group = spindlehitch.GroupAll
+			k.Group = policy.GroupAll
 		case "zone":
-			k.Group = spindlehitch.GroupZone
+			k.Group = policy.GroupZone
 		case "cell":
-			k.Group = spindlehitch.GroupCell
+			k.Group = policy.GroupCell
 		default:
 			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, spindlehitch.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
+		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
 			Weight: p.Parts, Price: p.Pays, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
 	}
 	return s, nil
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/observability/accounts"
 	"spindlehitch/internal/observability/accounts/disk"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/process/listen"
 )
@@ -43,7 +43,7 @@
 	s     accounts.Snapshot
 }
 
-func newLedger(opt config.Accounts, name string, worth func(spindlehitch.Request) float64, log *slog.Logger) *ledger {
+func newLedger(opt config.Accounts, name string, worth func(policy.Request) float64, log *slog.Logger) *ledger {
 	l := &ledger{book: accounts.New(accounts.Options{Volumes: opt.Volumes, Pairs: opt.Pairs, Open: opt.Open, Worth: worth}), opt: opt, name: name,
 		log: log, from: time.Now()}
 	l.run = l.write
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -6,12 +6,12 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/leasework"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 )
 
@@ -42,7 +42,7 @@
 func (d *duty) tells(c *core.Core) {
 	d.runner.OnResults(func(news []lease.ProbeResult, way time.Duration) {
 		for _, x := range news {
-			c.Watched(spindlehitch.Watched{Node: x.Target, Well: x.Healthy, Ago: time.Duration(x.AgeMs)*time.Millisecond + way, Next: d.runner.OperationPeriod(x.Task)})
+			c.Watched(policy.Watched{Node: x.Target, Well: x.Healthy, Ago: time.Duration(x.AgeMs)*time.Millisecond + way, Next: d.runner.OperationPeriod(x.Task)})
 		}
 	})
 }
@@ -55,7 +55,7 @@
 	addrs := make(map[string]string, len(l.Servers))
 	for _, e := range l.Servers {
 		addrs[e.ID] = e.Addr
-		if e.Node().State == spindlehitch.Removed {
+		if e.Node().State == policy.Removed {
 			addrs[e.ID] = ""
 		}
 	}
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -13,7 +13,6 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/lease/leasework"
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/quota/quotasession"
@@ -27,6 +26,7 @@
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/observability/control"
 	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/process/handover"
 )
@@ -156,7 +156,7 @@
 	if part != nil {
 		settings.Ration = part
 	}
-	scheduler, err := spindlehitch.New(settings, cfg.Seed)
+	scheduler, err := policy.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -299,7 +299,7 @@
 }
 
 // worth is what a request earns when it is served within its plan's reserve, as the module counts it.
-func worth(cfg *config.Config) func(spindlehitch.Request) float64 {
+func worth(cfg *config.Config) func(policy.Request) float64 {
 	classes, plans := map[string]float64{}, map[string]float64{}
 	for _, c := range cfg.Module.Classes {
 		classes[c.Name] = c.Worth
@@ -307,14 +307,14 @@
 	for _, p := range cfg.Module.Plans {
 		plans[p.Name] = p.Price
 	}
-	return func(r spindlehitch.Request) float64 { return classes[r.Class] * plans[r.Plan] }
+	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
 }
 
 // namesFor is how long a name may not come again: no attempt lasts longer than its client, and repeats are remembered for a window.
 func namesFor(cfg *config.Config) time.Duration {
 	d := longest(cfg)
 	for _, c := range cfg.Module.Classes {
-		if c.Effect == spindlehitch.Keyed {
+		if c.Effect == policy.Keyed {
 			d = max(d, c.Window)
 		}
 	}
@@ -340,7 +340,7 @@
 // Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
 func (d *decisions) Listed(l *listing.List) {
 	targets := make([]upstream.Target, len(l.Servers))
-	nodes := spindlehitch.NodeList{Whole: l.Full, Nodes: make([]spindlehitch.Node, len(l.Servers))}
+	nodes := policy.NodeList{Whole: l.Full, Nodes: make([]policy.Node, len(l.Servers))}
 	for i, e := range l.Servers {
 		nodes.Nodes[i] = e.Node()
 		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Nodes[i].State}
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -10,11 +10,11 @@
 	"github.com/DataDog/sketches-go/ddsketch"
 	"github.com/cespare/xxhash/v2"
 
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/fencing"
 	"spindlehitch/internal/controlplane/lease/lessee"
 	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/policy"
 )
 
 // Point is what happened within one step of the series. All are counts but those that say otherwise.
@@ -82,7 +82,7 @@
 	version  int     // of the list
 	ids      []string
 	byID     map[string]int
-	settings spindlehitch.Settings
+	settings policy.Settings
 	governed []quota.Resource
 	runs     []string
 	cuts     map[int]bool // zones that are cut off
@@ -167,11 +167,11 @@
 
 func (s *Sim) setUp() {
 	o := s.spec
-	s.settings = spindlehitch.Settings{Initiators: o.Fleet.Instances, Tick: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, LargestUnits: 8 * o.Load.Units,
+	s.settings = policy.Settings{Initiators: o.Fleet.Instances, Tick: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, LargestUnits: 8 * o.Load.Units,
 		ColdUnits: o.Fleet.ColdUnits, FairWorth: 1, IdleWorth: 1,
-		Classes: []spindlehitch.Class{{Name: "read", Aim: millis(o.Load.AimMs), Deadline: secs(o.Load.PatienceS), Worth: 1}},
-		Plans:   []spindlehitch.Plan{{Name: "base", Rate: 1e4, Reserve: 1e4, Weight: 1, Price: 1}},
-		Rules: spindlehitch.Rules{ColdShare: o.Targets.ColdShare, WarmWithin: secs(o.Targets.WarmS), FallWithin: secs(o.Targets.FallS), FallMultiple: 1,
+		Classes: []policy.Class{{Name: "read", Aim: millis(o.Load.AimMs), Deadline: secs(o.Load.PatienceS), Worth: 1}},
+		Plans:   []policy.Plan{{Name: "base", Rate: 1e4, Reserve: 1e4, Weight: 1, Price: 1}},
+		Rules: policy.Rules{ColdShare: o.Targets.ColdShare, WarmWithin: secs(o.Targets.WarmS), FallWithin: secs(o.Targets.FallS), FallMultiple: 1,
 			Budget: true, BudgetShare: o.Fleet.RetryShare, BudgetFree: o.Fleet.RetryFree, BudgetSpan: secs(o.Fleet.RetrySpanS)}}
 	for i := range o.Targets.Count {
 		id := fmt.Sprint("t", i)
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -4,7 +4,7 @@
 	"math/rand/v2"
 	"time"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 // target is a storage node: so many requests at once, a queue, a cold start, and what goes wrong with it.
@@ -29,7 +29,7 @@
 
 type job struct {
 	units  float64
-	answer func(code spindlehitch.Code, load spindlehitch.Load)
+	answer func(code policy.Code, load policy.Load)
 }
 
 func (t *target) isCold() bool {
@@ -47,13 +47,13 @@
 	o := &t.s.spec.Targets
 	switch {
 	case t.down:
-		j.answer(spindlehitch.NoConnection, spindlehitch.Load{Queue: -1, InFlight: -1})
+		j.answer(policy.NoConnection, policy.Load{Queue: -1, InFlight: -1})
 		return
 	case t.bad:
-		j.answer(spindlehitch.Errored, t.load())
+		j.answer(policy.Errored, t.load())
 		return
 	case len(t.waiting) >= o.Queue:
-		j.answer(spindlehitch.Full, t.load())
+		j.answer(policy.Full, t.load())
 		return
 	}
 	if t.isCold() && o.Bears > 0 {
@@ -74,8 +74,8 @@
 	t.work()
 }
 
-func (t *target) load() spindlehitch.Load {
-	return spindlehitch.Load{Queue: float64(len(t.waiting)), InFlight: float64(t.busy + len(t.waiting))}
+func (t *target) load() policy.Load {
+	return policy.Load{Queue: float64(len(t.waiting)), InFlight: float64(t.busy + len(t.waiting))}
 }
 
 // work begins what may begin.
@@ -117,7 +117,7 @@
 		return
 	}
 	t.busy--
-	j.answer(spindlehitch.Delivered, t.load())
+	j.answer(policy.Delivered, t.load())
 	t.work()
 }
 
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -7,12 +7,12 @@
 	"log/slog"
 	"sync"
 
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/membership/transport"
 	edge "spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/monotone"
 )
 
@@ -29,7 +29,7 @@
 	Agents             []string      // whose configuration is followed; empty: none
 	Feed               *edge.Options // nil: it does not follow the feed
 	Members            *transport.Options
-	Module             *spindlehitch.Settings // nil: it has no module
+	Module             *policy.Settings // nil: it has no module
 	Log                *slog.Logger
 }
 
--- a/internal/testbed/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/module.go
@@ -5,9 +5,9 @@
 	"strconv"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/mailbox"
 )
 
@@ -17,8 +17,8 @@
 // module is the real module on a goroutine of its own. After each list it decides a few requests for what has changed: each first byte that it would have
 // go out is the judge's to see.
 type module struct {
-	m       *spindlehitch.Scheduler
-	set     spindlehitch.Settings
+	m       *policy.Scheduler
+	set     policy.Settings
 	clock   core.Clock
 	journal *Journal
 	box     *mailbox.Box[lists]
@@ -33,8 +33,8 @@
 	done func()
 }
 
-func newModule(set spindlehitch.Settings, seed uint64, j *Journal) (*module, error) {
-	m, err := spindlehitch.New(set, seed)
+func newModule(set policy.Settings, seed uint64, j *Journal) (*module, error) {
+	m, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 			return
 		case <-timer.C:
 			x.due = time.Time{}
-			x.step(spindlehitch.Timer{})
+			x.step(policy.Timer{})
 		case <-x.box.Wake():
 			for _, l := range x.box.Take(nil) {
 				x.listed(l)
@@ -78,7 +78,7 @@
 }
 
 func (x *module) listed(l lists) {
-	nodes := spindlehitch.NodeList{Whole: l.list.Full, Nodes: make([]spindlehitch.Node, len(l.list.Servers))}
+	nodes := policy.NodeList{Whole: l.list.Full, Nodes: make([]policy.Node, len(l.list.Servers))}
 	for i, e := range l.list.Servers {
 		nodes.Nodes[i] = e.Node()
 	}
@@ -92,28 +92,28 @@
 		x.made++
 		id := strconv.Itoa(x.made)
 		x.open[id] = true
-		x.step(spindlehitch.Request{ID: id, Class: x.set.Classes[0].Name, Plan: x.set.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, Initiators: 1})
+		x.step(policy.Request{ID: id, Class: x.set.Classes[0].Name, Plan: x.set.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, Initiators: 1})
 	}
 	for id := range x.open { // what found no target is not waited for
 		delete(x.open, id)
-		x.step(spindlehitch.Departed{ID: id})
+		x.step(policy.Departed{ID: id})
 	}
 }
 
 // step has the module decide, and ends each attempt that it makes at once: as served.
-func (x *module) step(e spindlehitch.Event) {
+func (x *module) step(e policy.Event) {
 	now := time.Now()
-	actions := x.m.Step(x.clock.At(now), []spindlehitch.Event{e})
-	var ends []spindlehitch.Event
+	actions := x.m.Step(x.clock.At(now), []policy.Event{e})
+	var ends []policy.Event
 	for _, a := range actions {
 		switch a.Kind {
-		case spindlehitch.Send:
+		case policy.Send:
 			x.journal.Sends(a.Node)
 			delete(x.open, a.Request)
-			ends = append(ends, spindlehitch.Outcome{ID: a.Request, Attempt: 1, Node: a.Node, Code: spindlehitch.Delivered, Took: time.Millisecond, Closed: true})
-		case spindlehitch.Refuse, spindlehitch.Fail:
+			ends = append(ends, policy.Outcome{ID: a.Request, Attempt: 1, Node: a.Node, Code: policy.Delivered, Took: time.Millisecond, Closed: true})
+		case policy.Refuse, policy.Fail:
 			delete(x.open, a.Request)
-		case spindlehitch.SetTimer:
+		case policy.SetTimer:
 			x.due = now.Add(a.Wait)
 		}
 	}
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -18,12 +18,12 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/controlplane/membership"
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream"
 	edge "spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
@@ -127,7 +127,7 @@
 	wire    counted
 	deaf    []net.Conn
 	pending atomic.Int64 // restarts to come
-	module  spindlehitch.Settings
+	module  policy.Settings
 }
 
 // settings is a configuration's, as light as one can be.
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -12,13 +12,13 @@
 	"sync/atomic"
 	"time"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/policy"
 )
 
-func request(id string, volume int) spindlehitch.Request {
-	return spindlehitch.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, Initiators: 1, Budget: 2 * time.Second}
+func request(id string, volume int) policy.Request {
+	return policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, Initiators: 1, Budget: 2 * time.Second}
 }
 
 // service is a discovery that pushes: a call waits for a change, or as long as it said.
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -10,10 +10,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"spindlehitch"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/datapath/upstream"
+	"spindlehitch/internal/policy"
 )
 
 // line is an entry as discovery writes it, with names of the length that operators use. Addresses and starts follow no order, or packing would make nothing of them.
@@ -73,7 +73,7 @@
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			all := make([]upstream.Target, size)
 			for i := range all {
-				all[i] = upstream.Target{ID: target(i), Addr: "127.0.0.1:1", State: spindlehitch.Up}
+				all[i] = upstream.Target{ID: target(i), Addr: "127.0.0.1:1", State: policy.Up}
 			}
 			held, g := holds(func() *upstream.Registry {
 				g := upstream.NewRegistry(upstream.Options{MostConn: 1, MostAll: 1, Idle: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
@@ -86,7 +86,7 @@
 			change := quickest(5, 100*time.Millisecond, func() {
 				i++
 				x := all[i%size]
-				x.State = spindlehitch.NodeState(i / size % 2)
+				x.State = policy.NodeState(i / size % 2)
 				g.Apply([]upstream.Target{x}, false)
 			})
 			return []float64{held, change}, nil
--- a/internal/testbed/scale/slope/module.go
+++ b/internal/testbed/scale/slope/module.go
@@ -7,22 +7,22 @@
 	"runtime"
 	"time"
 
-	"spindlehitch"
+	"spindlehitch/internal/policy"
 )
 
 var targetSizes = []float64{200, 632, 2000, 6324, 20_000}
 
 // settings are some of the shape that operators set: three classes, three plans, all rules on.
-func settings() spindlehitch.Settings {
+func settings() policy.Settings {
 	const ms = time.Millisecond
-	return spindlehitch.Settings{
+	return policy.Settings{
 		Initiators: 2900, Tick: ms, MaxAttempts: 3, MeanUnits: 1.5, LargestUnits: 16, ColdUnits: 40, FairWorth: 0.7, IdleWorth: 0.4, Handshake: 0.2, Meter: time.Second,
-		Classes: []spindlehitch.Class{{Name: "read", Aim: 150 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "write", Aim: 300 * ms, Deadline: 3 * time.Second, Effect: spindlehitch.Keyed, Group: spindlehitch.GroupCell, Window: 5 * time.Second, Worth: 2},
-			{Name: "append", Aim: 400 * ms, Deadline: 3 * time.Second, Effect: spindlehitch.Unsafe, Worth: 2, InOrder: true}},
-		Plans: []spindlehitch.Plan{{Name: "base", Rate: 100, Reserve: 20, Weight: 1, Price: 1}, {Name: "plus", Rate: 400, Reserve: 100, Weight: 2, Price: 2},
+		Classes: []policy.Class{{Name: "read", Aim: 150 * ms, Deadline: 2 * time.Second, Worth: 1},
+			{Name: "write", Aim: 300 * ms, Deadline: 3 * time.Second, Effect: policy.Keyed, Group: policy.GroupCell, Window: 5 * time.Second, Worth: 2},
+			{Name: "append", Aim: 400 * ms, Deadline: 3 * time.Second, Effect: policy.Unsafe, Worth: 2, InOrder: true}},
+		Plans: []policy.Plan{{Name: "base", Rate: 100, Reserve: 20, Weight: 1, Price: 1}, {Name: "plus", Rate: 400, Reserve: 100, Weight: 2, Price: 2},
 			{Name: "bulk", Rate: 1000, Weight: 1, Price: 0.5, Limit: 2000, LimitBurst: 2000}},
-		Rules: spindlehitch.Rules{ColdShare: 0.1, WarmWithin: 20 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 2, Settle: 100 * ms, Budget: true, BudgetFree: 10,
+		Rules: policy.Rules{ColdShare: 0.1, WarmWithin: 20 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 2, Settle: 100 * ms, Budget: true, BudgetFree: 10,
 			BudgetShare: 0.1, BudgetSpan: 10 * time.Second},
 	}
 }
@@ -31,34 +31,34 @@
 
 // module is a scheduler that knows so many targets, each a shard of its own.
 type module struct {
-	*spindlehitch.Scheduler
+	*policy.Scheduler
 	now     time.Duration
-	nodes   []spindlehitch.Node
+	nodes   []policy.Node
 	asked   int
 	volumes int
 	rng     *rand.Rand
 }
 
 func newModule(targets int) (*module, error) {
-	s, err := spindlehitch.New(settings(), 1)
+	s, err := policy.New(settings(), 1)
 	if err != nil {
 		return nil, err
 	}
 	m := &module{Scheduler: s, now: time.Minute, volumes: 4096, rng: rand.New(rand.NewPCG(1, uint64(targets)))}
 	for i := range targets {
-		m.nodes = append(m.nodes, spindlehitch.Node{ID: target(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
+		m.nodes = append(m.nodes, policy.Node{ID: target(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
 	}
 	s.Step(0, nil) // it has run for a minute: nothing that it sent before is unknown
-	s.Step(m.now, []spindlehitch.Event{spindlehitch.NodeList{Whole: true, Nodes: m.nodes}})
+	s.Step(m.now, []policy.Event{policy.NodeList{Whole: true, Nodes: m.nodes}})
 	return m, nil
 }
 
 // change has one target drain, or be up again.
 func (m *module) change() {
 	n := &m.nodes[m.rng.IntN(len(m.nodes))]
-	n.State = spindlehitch.Draining - n.State
+	n.State = policy.Draining - n.State
 	m.now += time.Millisecond
-	m.Step(m.now, []spindlehitch.Event{spindlehitch.NodeList{Nodes: []spindlehitch.Node{*n}}})
+	m.Step(m.now, []policy.Event{policy.NodeList{Nodes: []policy.Node{*n}}})
 }
 
 // request has one asked, sent and answered.
@@ -66,11 +66,11 @@
 	m.asked++
 	id := fmt.Sprint("r", m.asked)
 	m.now += 60 * time.Microsecond
-	for _, a := range m.Step(m.now, []spindlehitch.Event{spindlehitch.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprint("v", m.asked%m.volumes),
+	for _, a := range m.Step(m.now, []policy.Event{policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprint("v", m.asked%m.volumes),
 		Shard: m.rng.IntN(len(m.nodes)), Units: 1, Initiators: 1, Budget: 2 * time.Second}}) {
-		if a.Kind == spindlehitch.Send {
+		if a.Kind == policy.Send {
 			m.now += 60 * time.Microsecond
-			m.Step(m.now, []spindlehitch.Event{spindlehitch.Outcome{ID: a.Request, Node: a.Node, Code: spindlehitch.Delivered, Took: 2 * time.Millisecond, Closed: true}})
+			m.Step(m.now, []policy.Event{policy.Outcome{ID: a.Request, Node: a.Node, Code: policy.Delivered, Took: 2 * time.Millisecond, Closed: true}})
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			timer := quickest(5, 50*time.Millisecond, func() {
 				for range 20 {
 					m.now += 20 * time.Millisecond
-					m.Step(m.now, []spindlehitch.Event{spindlehitch.Timer{}})
+					m.Step(m.now, []policy.Event{policy.Timer{}})
 				}
 			}) / 20
 			runtime.KeepAlive(m)
@@ -124,7 +124,7 @@
 			for range size {
 				m.request()
 			}
-			other := [2]spindlehitch.Settings{settings(), settings()}
+			other := [2]policy.Settings{settings(), settings()}
 			for i := range other[1].Plans {
 				other[1].Plans[i].Rate *= 2
 			}
@@ -132,7 +132,7 @@
 			took := quickest(20, 100*time.Millisecond, func() {
 				turn++
 				m.now += time.Microsecond
-				m.Step(m.now, []spindlehitch.Event{other[turn%2]})
+				m.Step(m.now, []policy.Event{other[turn%2]})
 			})
 			runtime.KeepAlive(m)
 			return []float64{took}, nil
