--- a/cmd/benchlink/decode.go
+++ b/cmd/benchlink/decode.go
@@ -45,12 +45,12 @@
 			return nil, err
 		}
 		r := policy.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
-			Shard: *e.GroupNo, Units: *e.Weight, Budget: us(*e.BudgetUs)}
+			Shard: *e.GroupNo, Units: *e.Weight, TimeLeft: us(*e.BudgetUs)}
 		if e.Chunk != nil {
 			r.Extent = *e.Chunk
 		}
 		if e.Writers != nil {
-			r.Initiators = int(*e.Writers)
+			r.VolumeInitiators = int(*e.Writers)
 		}
 		return r, nil
 	case "result":
@@ -63,10 +63,10 @@
 		if err != nil {
 			return nil, err
 		}
-		o := policy.Outcome{ID: *e.Rid, Attempt: *e.Leg, Node: *e.Target, Code: code,
-			Took: us(*e.SpentUs), Closed: *e.Complete}
+		o := policy.Outcome{ID: *e.Rid, Attempt: *e.Leg, Endpoint: *e.Target, Code: code,
+			Latency: us(*e.SpentUs), Final: *e.Complete}
 		if e.Used != nil {
-			o.Used = *e.Used
+			o.VolumeUsage = *e.Used
 		}
 		o.Load = load(e.ServerStats)
 		return o, nil
@@ -74,14 +74,14 @@
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return policy.StreamBegun{ID: *e.Rid}, nil
+		return policy.ResponseStarted{ID: *e.Rid}, nil
 	case "clientGone":
 		if err := required("rid", e.Rid); err != nil {
 			return nil, err
 		}
-		return policy.Departed{ID: *e.Rid}, nil
+		return policy.ClientGone{ID: *e.Rid}, nil
 	case "reminder":
-		return policy.Timer{}, nil
+		return policy.TimerFired{}, nil
 	case "message", "healthResult":
 		return nil, nil
 	}
@@ -93,9 +93,9 @@
 	if s == nil {
 		return nil
 	}
-	l := &policy.Load{Queue: -1, InFlight: -1}
+	l := &policy.Load{Queued: -1, InFlight: -1}
 	if s.Depth != nil {
-		l.Queue = *s.Depth
+		l.Queued = *s.Depth
 	}
 	if s.Concurrent != nil {
 		l.InFlight = *s.Concurrent
@@ -103,24 +103,24 @@
 	return l
 }
 
-func decodeCode(word string) (policy.Code, error) {
+func decodeCode(word string) (policy.OutcomeCode, error) {
 	switch word {
 	case "delivered":
-		return policy.Delivered, nil
+		return policy.Served, nil
 	case "app_error":
-		return policy.Errored, nil
+		return policy.AnsweredError, nil
 	case "shed":
-		return policy.Full, nil
+		return policy.TurnedAway, nil
 	case "expired":
-		return policy.Expired, nil
+		return policy.TimedOut, nil
 	case "dial_failed":
-		return policy.NoConnection, nil
+		return policy.NotConnected, nil
 	case "dropped":
-		return policy.Reset, nil
+		return policy.ConnectionReset, nil
 	case "revoked":
 		return policy.Cancelled, nil
 	case "unused":
-		return policy.Moot, nil
+		return policy.NotSent, nil
 	}
 	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
 }
@@ -129,12 +129,12 @@
 	if e.Mode == nil {
 		return nil, missing("mode")
 	}
-	var list policy.NodeList
+	var list policy.EndpointList
 	switch *e.Mode {
 	case "broken":
-		return policy.NodeList{Broken: true}, nil
+		return policy.EndpointList{Failed: true}, nil
 	case "whole", "stale_copy":
-		list.Whole = true
+		list.Full = true
 	case "patch":
 	default:
 		return nil, fmt.Errorf("mode: unknown list kind %q", *e.Mode)
@@ -143,7 +143,7 @@
 		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := policy.Node{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
+		n := policy.Endpoint{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
 		switch *r.Mode {
 		case "up":
 			n.State = policy.Up
@@ -157,7 +157,7 @@
 		if r.LaunchedUs != nil {
 			n.Started = us(*r.LaunchedUs)
 		}
-		list.Nodes = append(list.Nodes, n)
+		list.Endpoints = append(list.Endpoints, n)
 	}
 	return list, nil
 }
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -199,8 +199,8 @@
 	w := action{InitiatorID: id}
 	switch a.Kind {
 	case policy.Send:
-		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.Request, a.Node, a.Wait.Microseconds()
-	case policy.Refuse:
+		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.Request, a.Endpoint, a.Wait.Microseconds()
+	case policy.Reject:
 		w.Type, w.Rid, w.HoldOffUs = "decline", a.Request, a.Wait.Microseconds()
 	case policy.Fail:
 		w.Type, w.Rid = "lose", a.Request
--- a/cmd/benchlink/wire_test.go
+++ b/cmd/benchlink/wire_test.go
@@ -138,9 +138,9 @@
 		want *policy.Load
 	}{
 		{`null`, nil},
-		{`{}`, &policy.Load{Queue: -1, InFlight: -1}},
-		{`{"depth":3,"odd":9}`, &policy.Load{Queue: 3, InFlight: -1}},
-		{`{"concurrent":0.5,"load_share":1}`, &policy.Load{Queue: -1, InFlight: 0.5}},
+		{`{}`, &policy.Load{Queued: -1, InFlight: -1}},
+		{`{"depth":3,"odd":9}`, &policy.Load{Queued: 3, InFlight: -1}},
+		{`{"concurrent":0.5,"load_share":1}`, &policy.Load{Queued: -1, InFlight: 0.5}},
 	} {
 		var e event
 		in := `{"type":"result","rid":"r","leg":0,"target":"n","stateCode":"delivered","spentUs":5,"complete":true,"serverStats":` +
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func toReservation(d policy.Draw) quota.Reservation {
-	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Repeats: quota.Retries,
-		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[d.Use]
-	return quota.Reservation{Resource: use, Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func toReservation(d policy.Reservation) quota.Reservation {
+	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries,
+		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[d.Resource]
+	return quota.Reservation{Resource: use, Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
-func (r *Session) Wait(d policy.Draw) (time.Duration, bool) {
+func (r *Session) Wait(d policy.Reservation) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
@@ -25,8 +25,8 @@
 	return wait, governed
 }
 
-// Take implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
-func (r *Session) Take(draws []policy.Draw) policy.Permit {
+// Reserve implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
+func (r *Session) Reserve(draws []policy.Reservation) policy.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := make([]quota.Reservation, len(draws))
@@ -41,8 +41,8 @@
 	until   time.Duration
 }
 
-// Good implements spindlehitch.Permit.
-func (p permit) Good() bool {
+// Valid implements spindlehitch.Permit.
+func (p permit) Valid() bool {
 	good := monotone.Now() < p.until
 	if !good {
 		p.session.mu.Lock()
--- a/internal/datapath/core/adopt_test.go
+++ b/internal/datapath/core/adopt_test.go
@@ -13,9 +13,9 @@
 // TestAdopt hands other settings over between requests: what was submitted before is decided on by those before, what comes after by them, and
 // they count as taken once the module goes by them. The bound on open requests holds at once, and names are kept for the longer time.
 func TestAdopt(t *testing.T) {
-	set := policy.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 1,
-		Classes: []policy.Class{{Name: "new", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []policy.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}
+	set := policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
+		Classes: []policy.Class{{Name: "new", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}}}
 	h := newHand(t)
 	var before, after, gone []Answer
 	require.True(t, h.Submit(job("get", h.now, &before)))
--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -40,10 +40,10 @@
 // Answer is the one final answer of a request.
 type Answer struct {
 	Ending     Ending
-	Payload    any           // of a served request: what the upstream brought
-	RetryAfter time.Duration // of a refusal: when the client should come back; 0: no advice
-	Last       policy.Code   // how the last attempt ended, if there was one
-	Written    func()        // to be called once it is with the client; nil: nobody asks
+	Payload    any                // of a served request: what the upstream brought
+	RetryAfter time.Duration      // of a refusal: when the client should come back; 0: no advice
+	Last       policy.OutcomeCode // how the last attempt ended, if there was one
+	Written    func()             // to be called once it is with the client; nil: nobody asks
 }
 
 // TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
@@ -113,7 +113,7 @@
 
 // Allowed tells, just before the first byte, whether the attempt may still be made: however long it waited for its connection.
 func (a *Attempt) Allowed() bool {
-	return (a.Left == nil || !a.Left.Load()) && time.Now().Before(a.WriteBy()) && (a.Permit == nil || a.Permit.Good())
+	return (a.Left == nil || !a.Left.Load()) && time.Now().Before(a.WriteBy()) && (a.Permit == nil || a.Permit.Valid())
 }
 
 // WriteBy is until when its bytes may leave.
@@ -136,7 +136,7 @@
 	Request string
 	Number  int
 	Node    string
-	Code    policy.Code
+	Code    policy.OutcomeCode
 	Load    *policy.Load
 	Used    int
 	Began   time.Time // when the attempt's first byte was written; zero: never
@@ -215,7 +215,7 @@
 	out      bool
 	node     string
 	sentAt   time.Time
-	last     policy.Code
+	last     policy.OutcomeCode
 	answered bool
 	mayRun   bool
 }
@@ -292,10 +292,10 @@
 }
 
 // List hands over news of the targets.
-func (c *Core) List(l policy.NodeList) { c.box.Put(l) }
+func (c *Core) List(l policy.EndpointList) { c.box.Put(l) }
 
 // Share tells the module how many processes act for this initiator.
-func (c *Core) Share(parts int) { c.box.Put(policy.Shared{Parts: parts}) }
+func (c *Core) Share(parts int) { c.box.Put(policy.ProcessCount{Processes: parts}) }
 
 // Adopt has the module take over other settings, in turn with what is submitted before and after. MostHeld holds at once; names are kept for
 // the longest time that was ever asked for, since they were promised by it. Done is closed once the module goes by the settings; a core that has
@@ -308,10 +308,10 @@
 }
 
 // Rationed tells the module that its part of the fleet's wholes has changed.
-func (c *Core) Rationed() { c.box.Put(policy.Rationed{}) }
+func (c *Core) Rationed() { c.box.Put(policy.QuotaChanged{}) }
 
 // Watched tells the module what another member of the fleet found out about a node.
-func (c *Core) Watched(w policy.Watched) { c.box.Put(w) }
+func (c *Core) Watched(w policy.ProbeResult) { c.box.Put(w) }
 
 // Inspect has f called from the core's goroutine, between two steps.
 func (c *Core) Inspect(f func()) { c.box.Put(f) }
@@ -354,7 +354,7 @@
 	clear(c.adopted)
 	c.adopted = c.adopted[:0]
 	for _, r := range c.routes { // once news of the list has been heard
-		r.reply(c.module.Where(r.shard))
+		r.reply(c.module.EndpointFor(r.shard))
 	}
 	clear(c.routes)
 	c.routes = c.routes[:0]
@@ -368,9 +368,9 @@
 	}
 	if c.opt.Avoided != nil && now.Sub(c.toldAt) >= tellEvery {
 		c.toldAt = now
-		c.opt.Avoided(c.module.Avoided())
+		c.opt.Avoided(c.module.EjectedCount())
 		if c.opt.Avoids != nil {
-			c.opt.Avoids(c.module.AvoidedNodes())
+			c.opt.Avoids(c.module.EjectedEndpoints())
 		}
 	}
 }
@@ -388,7 +388,7 @@
 			c.result(now, m)
 		case written:
 			c.opt.Observer.End(c.observed(m.at), m.id)
-		case policy.Shared, policy.Rationed, policy.Watched:
+		case policy.ProcessCount, policy.QuotaChanged, policy.ProbeResult:
 			c.events = append(c.events, m.(policy.Event))
 		case adopt:
 			c.events = append(c.events, m.set)
@@ -398,14 +398,14 @@
 			c.routes = append(c.routes, m)
 		case func():
 			m()
-		case policy.NodeList:
+		case policy.EndpointList:
 			// Ahead of all else in the batch: no send is decided on a list older than the one at hand.
 			c.lists = append(c.lists, m)
 		}
 	}
 	if !c.timerAt.IsZero() && !now.Before(c.timerAt) {
 		c.timerAt = time.Time{}
-		c.events = append(c.events, policy.Timer{})
+		c.events = append(c.events, policy.TimerFired{})
 	}
 	return append(c.lists, c.events...)
 }
@@ -424,7 +424,7 @@
 	c.seq++
 	j.ID = strconv.FormatUint(c.seq, 10)
 	// The client's time runs from the arrival, and the answer has to be out before it ends.
-	j.Budget = j.Patience - now.Sub(j.Arrived) - c.opt.Margin
+	j.TimeLeft = j.Patience - now.Sub(j.Arrived) - c.opt.Margin
 	c.open[j.ID] = &entry{job: j}
 	if o := c.opt.Observer; o != nil {
 		o.Arrive(c.observed(now), j.Request)
@@ -438,7 +438,7 @@
 		if e.out {
 			c.up.Cancel(e.node, j.ID) // no one is left to answer
 		}
-		c.events = append(c.events, policy.Departed{ID: j.ID})
+		c.events = append(c.events, policy.ClientGone{ID: j.ID})
 		c.tidy(j.ID, e)
 	}
 	if o := c.opt.Observer; o != nil {
@@ -462,18 +462,18 @@
 		if !r.Began.IsZero() {
 			o.Begin(c.clock.At(r.Began), r.Request) // it lies back, among what others were told of since
 		}
-		o.Answer(c.observed(now), r.Request, r.Code == policy.Delivered || r.Code == policy.Errored || r.Code == policy.Full)
+		o.Answer(c.observed(now), r.Request, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
 	}
 	e.out, e.last = false, r.Code
-	e.mayRun = e.mayRun || r.Code.MayRun()
-	if r.Code == policy.Delivered {
+	e.mayRun = e.mayRun || r.Code.MayHaveRun()
+	if r.Code == policy.Served {
 		if o := c.opt.Observer; o != nil && !e.answered {
 			o.Served(r.Request)
 		}
 		c.answer(e, Answer{Ending: Served, Payload: r.Payload})
 	}
-	c.events = append(c.events, policy.Outcome{ID: r.Request, Attempt: r.Number, Node: r.Node, Code: r.Code,
-		Took: now.Sub(e.sentAt), Closed: e.answered, Load: r.Load, Used: r.Used})
+	c.events = append(c.events, policy.Outcome{ID: r.Request, Attempt: r.Number, Endpoint: r.Node, Code: r.Code,
+		Latency: now.Sub(e.sentAt), Final: e.answered, Load: r.Load, VolumeUsage: r.Used})
 	c.tidy(r.Request, e)
 	if now.Sub(c.ranAt) > c.opt.NamesFor || len(c.ran[0]) >= mostNames {
 		c.ran[0], c.ran[1], c.ranAt = map[string]bool{}, c.ran[0], now
@@ -495,19 +495,19 @@
 		return
 	}
 	if o := c.opt.Observer; o != nil {
-		o.Release(c.observed(now), a.Request, a.Node, a.Ahead, a.Kind == policy.Send)
+		o.Release(c.observed(now), a.Request, a.Endpoint, a.TagLead, a.Kind == policy.Send)
 	}
 	switch a.Kind {
 	case policy.Send:
-		e.out, e.node, e.sentAt = true, a.Node, now
+		e.out, e.node, e.sentAt = true, a.Endpoint, now
 		e.attempts++
-		next := Attempt{Request: a.Request, Number: e.attempts - 1, Node: a.Node,
+		next := Attempt{Request: a.Request, Number: e.attempts - 1, Node: a.Endpoint,
 			Until: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, Left: &e.job.left}
-		if a.Within > 0 {
-			next.Before = now.Add(a.Within)
+		if a.SendWithin > 0 {
+			next.Before = now.Add(a.SendWithin)
 		}
 		c.up.Send(next)
-	case policy.Refuse:
+	case policy.Reject:
 		c.answer(e, Answer{Ending: Refused, RetryAfter: a.Wait})
 		c.tidy(a.Request, e)
 	case policy.Fail:
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -22,11 +22,11 @@
 
 func module(t testing.TB) *policy.Scheduler {
 	t.Helper()
-	m, err := policy.New(policy.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 1,
-		Classes: []policy.Class{{Name: "get", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "put", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: policy.Unsafe},
-			{Name: "keyed", Aim: 400 * time.Millisecond, Deadline: 2 * time.Second, Worth: 1, Effect: policy.Keyed, Window: 500 * time.Millisecond}},
-		Plans: []policy.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}}}, 1)
+	m, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
+		Classes: []policy.Class{{Name: "get", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Effect: policy.NonIdempotent},
+			{Name: "keyed", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Effect: policy.IdempotentWithKey, DedupWindow: 500 * time.Millisecond}},
+		Plans: []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,12 +46,12 @@
 func newHand(t *testing.T) *hand {
 	h := &hand{up: &fake{}, now: time.Now()}
 	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Margin: 10 * time.Millisecond, NamesFor: namesFor})
-	h.step(h.now, []any{policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}}})
+	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	return h
 }
 
 func job(class string, arrived time.Time, answers *[]Answer) *Job {
-	return &Job{Request: policy.Request{Class: class, Plan: "std", Volume: "v", Units: 1, Initiators: 1},
+	return &Job{Request: policy.Request{Class: class, Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1},
 		Arrived: arrived, Patience: 2 * time.Second, Done: func(a Answer) { *answers = append(*answers, a) }}
 }
 
@@ -71,7 +71,7 @@
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Delivered, Payload: "body"}
+	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Served, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
@@ -114,7 +114,7 @@
 	served := func(name string) {
 		t.Helper()
 		submit(name, "get")
-		h.step(h.now, []any{h.ends(policy.Delivered)})
+		h.step(h.now, []any{h.ends(policy.Served)})
 	}
 	for i := range 2 { // names are let go as others end
 		h.now = h.now.Add(namesFor/2 - time.Second)
@@ -129,13 +129,13 @@
 		h.now = h.now.Add(namesFor + time.Second)
 		submit("b", "put")
 		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: policy.Moot}})
-		h.step(h.now, []any{policy.NodeList{Whole: true}})
+		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: policy.NotSent}})
+		h.step(h.now, []any{policy.EndpointList{Full: true}})
 		h.later(2 * time.Second)
 		if got := answers[len(answers)-1]; got.Ending != Refused {
 			t.Errorf("never sent: %+v, want it refused", got)
 		}
-		h.step(h.now, []any{policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}}})
+		h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	}
 	served("c")
 	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n != 1 {
@@ -165,7 +165,7 @@
 
 // TestUnsafeIsNotRepeated ends a write in doubt: one failure, no second attempt, no word that a repeat is harmless.
 func TestUnsafeIsNotRepeated(t *testing.T) {
-	for _, code := range []policy.Code{policy.Reset, policy.Expired, policy.Errored, policy.Cancelled} {
+	for _, code := range []policy.OutcomeCode{policy.ConnectionReset, policy.TimedOut, policy.AnsweredError, policy.Cancelled} {
 		h := newHand(t)
 		var answers []Answer
 		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
@@ -184,9 +184,9 @@
 	var answers []Answer
 	msgs := func() []any {
 		return []any{submitted{job("get", h.now, &answers)}, Result{Request: "none"},
-			policy.NodeList{Nodes: []policy.Node{{ID: "n", State: policy.Draining}}}}
+			policy.EndpointList{Endpoints: []policy.Endpoint{{ID: "n", State: policy.Draining}}}}
 	}
-	if _, first := h.gather(h.now, msgs())[0].(policy.NodeList); !first {
+	if _, first := h.gather(h.now, msgs())[0].(policy.EndpointList); !first {
 		t.Error("the notice came behind the request")
 	}
 	h.step(h.now, msgs())
@@ -215,7 +215,7 @@
 // TestDepartAnywhere has a client leave in every state of its request, also in one batch with what came just before or comes just after: no
 // attempt begins from then on, one that is out is called off, at most the one answer is given that was there first, and nothing is kept.
 func TestDepartAnywhere(t *testing.T) {
-	gone, back := policy.NodeList{Whole: true}, policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}}
+	gone, back := policy.EndpointList{Full: true}, policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}
 	for _, x := range []struct {
 		name    string
 		before  func(h *hand, j *Job)
@@ -228,13 +228,13 @@
 		{"held", func(h *hand, j *Job) { h.step(h.now, []any{gone}); h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{j} }, 0, 0},
 		{"held, with the list", func(h *hand, j *Job) { h.step(h.now, []any{gone}); h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{back, j} }, 0, 0},
 		{"out", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{j} }, 1, 0},
-		{"as its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.Reset), j} }, 1, 0},
-		{"just before its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.NoConnection)} }, 1, 0},
-		{"as it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.Delivered), j} }, 1, 1},
-		{"just before it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.Delivered)} }, 1, 0},
+		{"as its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.ConnectionReset), j} }, 1, 0},
+		{"just before its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.NotConnected)} }, 1, 0},
+		{"as it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.Served), j} }, 1, 1},
+		{"just before it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.Served)} }, 1, 0},
 		{"between attempts", func(h *hand, j *Job) {
 			h.step(h.now, []any{submitted{j}})
-			h.step(h.now, []any{h.ends(policy.Reset)})
+			h.step(h.now, []any{h.ends(policy.ConnectionReset)})
 		}, func(_ *hand, j *Job) []any { return []any{j} }, 1, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
@@ -269,7 +269,7 @@
 }
 
 // ends is the end of the attempt that was sent last.
-func (h *hand) ends(code policy.Code) Result {
+func (h *hand) ends(code policy.OutcomeCode) Result {
 	a := h.up.sent[len(h.up.sent)-1]
 	return Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: code}
 }
@@ -282,7 +282,7 @@
 	j := job("keyed", h.now, &answers)
 	h.step(h.now, []any{submitted{j}})
 	first := h.up.sent[0]
-	h.step(h.now, []any{Result{Request: first.Request, Node: "n", Code: policy.Reset}})
+	h.step(h.now, []any{Result{Request: first.Request, Node: "n", Code: policy.ConnectionReset}})
 	h.later(200 * time.Millisecond)
 	if len(h.up.sent) != 2 {
 		t.Fatalf("%d attempts, want 2", len(h.up.sent))
@@ -339,7 +339,7 @@
 type echo struct{ core *Core }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Delivered})
+	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Served})
 }
 func (e *echo) Cancel(string, string) {}
 
@@ -352,7 +352,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	c.List(policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}})
+	c.List(policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}})
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var open, turned sync.WaitGroup
@@ -363,7 +363,7 @@
 			defer turned.Done()
 			for i := range 100 {
 				name := fmt.Sprint(g, "/", i)
-				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: name, Units: 1, Initiators: 1},
+				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: name, Units: 1, VolumeInitiators: 1},
 					Arrived: time.Now(), Patience: 2 * time.Second}
 				j.Done = func(Answer) {
 					mu.Lock()
@@ -400,12 +400,12 @@
 	h := &hand{up: &fake{}, now: time.Now()}
 	book := accounts.New(accounts.Options{Volumes: 10, Pairs: 10, Open: 10})
 	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Observer: book})
-	h.step(h.now, []any{policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}}})
+	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	var answers []Answer
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
 	began := h.now.Add(3 * time.Millisecond)
 	h.now = h.now.Add(40 * time.Millisecond)
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Delivered, Began: began}})
+	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Served, Began: began}})
 	h.step(h.now, []any{written{h.up.sent[0].Request, h.now.Add(2 * time.Millisecond)}})
 	if answers[0].Written == nil {
 		t.Fatal("nobody would hear that the answer was written")
@@ -419,7 +419,7 @@
 	h.step(h.now, []any{submitted{goes}})
 	h.now = h.now.Add(10 * time.Millisecond)
 	h.step(h.now, []any{goes})
-	h.step(h.now, []any{policy.NodeList{Whole: true}})
+	h.step(h.now, []any{policy.EndpointList{Full: true}})
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}}) // no node any more: held, and refused
 	h.later(2 * time.Second)
 	if n := len(answers); n != 2 || answers[1].Ending != Refused {
@@ -443,9 +443,9 @@
 			b.ReportAllocs()
 			h := &hand{up: &fake{}, now: time.Now()}
 			h.Core = New(module(b), h.up, NewClock(), Options{MostHeld: 100, Observer: observer})
-			h.step(h.now, []any{policy.NodeList{Whole: true, Nodes: []policy.Node{{ID: "n"}}}})
+			h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 			for i := range b.N {
-				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: fmt.Sprint("v", i%100), Units: 1, Initiators: 1},
+				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: fmt.Sprint("v", i%100), Units: 1, VolumeInitiators: 1},
 					Arrived: h.now, Patience: 2 * time.Second, Done: func(a Answer) {
 						if a.Written != nil {
 							a.Written()
@@ -454,7 +454,7 @@
 				h.step(h.now, []any{submitted{j}})
 				h.now = h.now.Add(20 * time.Millisecond)
 				for _, a := range h.up.sent {
-					h.step(h.now, []any{Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Delivered, Began: h.now}})
+					h.step(h.now, []any{Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Served, Began: h.now}})
 				}
 				h.up.sent = h.up.sent[:0]
 				h.step(h.now, h.box.Take(nil))
@@ -466,7 +466,7 @@
 // TestAttemptsLastWithinWhatIsLeft has attempt after attempt of a request end, however late the core hears of it: each next one may last no longer
 // than its client still waits, less the margin for the answer.
 func TestAttemptsLastWithinWhatIsLeft(t *testing.T) {
-	for _, code := range []policy.Code{policy.Full, policy.NoConnection, policy.Reset, policy.Moot} {
+	for _, code := range []policy.OutcomeCode{policy.TurnedAway, policy.NotConnected, policy.ConnectionReset, policy.NotSent} {
 		for _, behind := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond} {
 			h := newHand(t)
 			var answers []Answer
--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -131,7 +131,7 @@
 		}
 		return nil, &noTarget
 	}
-	m.Upload, j.At = up, up.Node()
+	m.Upload, j.BoundEndpoint = up, up.Node()
 	return nil, nil
 }
 
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -176,7 +176,7 @@
 					m := j.Payload.(*upstream.Message)
 					require.Equal(t, "body", string(m.Body))
 					require.Equal(t, "PUT /put/x/7f3a9c21e0b4d655?q=1 id1", m.Method+" "+m.URI+" "+m.ID)
-					require.Equal(t, "00000003b4d60021 2 5 3 std put", fmt.Sprint(strings.ToLower(j.Volume), " ", j.Units, j.Shard, j.Initiators, " ", j.Plan, " ", j.Class))
+					require.Equal(t, "00000003b4d60021 2 5 3 std put", fmt.Sprint(strings.ToLower(j.Volume), " ", j.Units, j.Shard, j.VolumeInitiators, " ", j.Plan, " ", j.Class))
 					j.Done(core.Answer{Payload: []byte("x")})
 				case <-time.After(10 * time.Second):
 					t.Error("it was not taken")
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -127,7 +127,7 @@
 	go func() {
 		j := <-b.jobs
 		m := j.Payload.(*upstream.Message)
-		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.Initiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
+		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.VolumeInitiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
 		j.Done(core.Answer{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
@@ -137,7 +137,7 @@
 	for head, key := range map[string]string{"": "", "Idempotency-Key:  a 7=\"x\" \r\n": `a 7="x"`, "Idempotency-Key: \r\n": ""} {
 		go func() {
 			j := <-b.jobs
-			j.Done(core.Answer{Payload: fmt.Append(nil, j.Keyless, j.Payload.(*upstream.Message).Key)})
+			j.Done(core.Answer{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Message).Key)})
 		}()
 		_, body, _ := ask(t, addr, goodHead+head+"Content-Length: 4\r\n\r\nbody")
 		require.Equal(t, fmt.Sprint(key == "", key), body)
--- a/internal/datapath/front/request.go
+++ b/internal/datapath/front/request.go
@@ -75,7 +75,7 @@
 	j := &core.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
 	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
 	m := &upstream.Message{Method: r.Method, URI: r.RequestURI, ID: id, Key: strings.Join(keys, "")}
-	j.Keyless = m.Key == ""
+	j.MissingKey = m.Key == ""
 	admits := s.admits.Load()
 	if !admits.Classes[j.Class] {
 		return nil, nil, bad(http.StatusNotFound, "class %q is not served here", j.Class)
@@ -123,7 +123,7 @@
 			}
 		case "hosts":
 			at = 3
-			if q.Initiators, err = strconv.Atoi(value); err == nil && (q.Initiators < 0 || q.Initiators > 1e6) {
+			if q.VolumeInitiators, err = strconv.Atoi(value); err == nil && (q.VolumeInitiators < 0 || q.VolumeInitiators > 1e6) {
 				err = errors.New("out of range")
 			}
 		default:
--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/listing/listing.go
@@ -110,13 +110,13 @@
 	return nil
 }
 
-var states = map[string]policy.NodeState{
+var states = map[string]policy.EndpointState{
 	"SERVING": policy.Up, "DRAINING": policy.Draining, "DELETED": policy.Removed,
 }
 
 // Node is the entry as the module knows it.
-func (e Entry) Node() policy.Node {
-	n := policy.Node{ID: e.ID, Zone: e.Zone, State: states[e.State],
+func (e Entry) Node() policy.Endpoint {
+	n := policy.Endpoint{ID: e.ID, Zone: e.Zone, State: states[e.State],
 		Started: time.Duration(e.Started) * time.Millisecond}
 	if e.Cell != nil {
 		n.Shard = *e.Cell
--- a/internal/datapath/listing/listing_test.go
+++ b/internal/datapath/listing/listing_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := policy.Node{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
+	want := policy.Endpoint{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
 	if got := l.Servers[0].Node(); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -112,7 +112,7 @@
 		}
 		return stNSNotReady
 	}
-	if a.Last == policy.Expired || a.Last == policy.Reset {
+	if a.Last == policy.TimedOut || a.Last == policy.ConnectionReset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
@@ -130,14 +130,14 @@
 }
 
 // outcomeOf maps a target's status. Only what says that the command was not begun proves it.
-func outcomeOf(s status) policy.Code {
+func outcomeOf(s status) policy.OutcomeCode {
 	switch {
 	case s == stOK:
-		return policy.Delivered
+		return policy.Served
 	case s.code() == stNSNotReady && s&dnr == 0:
-		return policy.Full
+		return policy.TurnedAway
 	}
-	return policy.Errored
+	return policy.AnsweredError
 }
 
 // command is a submission queue entry.
--- a/internal/datapath/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -318,8 +318,8 @@
 func TestGather(t *testing.T) {
 	served := core.Answer{Ending: core.Served}
 	refused := core.Answer{Ending: core.Refused, RetryAfter: 250 * time.Millisecond}
-	failed := core.Answer{Ending: core.Failed, Last: policy.Errored}
-	doubt := core.Answer{Ending: core.Failed, Last: policy.Expired}
+	failed := core.Answer{Ending: core.Failed, Last: policy.AnsweredError}
+	doubt := core.Answer{Ending: core.Failed, Last: policy.TimedOut}
 	for _, c := range []struct {
 		name        string
 		write       bool
@@ -461,7 +461,7 @@
 	} {
 		began := time.Now()
 		r, reason := scripted(t, bears{}, x, script)
-		if r.Code != policy.Reset || reason != "READ_STALLED" || time.Since(began) > patient/2 {
+		if r.Code != policy.ConnectionReset || reason != "READ_STALLED" || time.Since(began) > patient/2 {
 			t.Errorf("%s: %v %s after %v", name, r.Code, reason, time.Since(began))
 		}
 	}
@@ -479,7 +479,7 @@
 			asked = cmd.dw(12)
 			c.Write(appendPDU(nil, framing{}, typeResp, 0, completion{cid: cmd.cid()}.head(), nil))
 		})
-		if r.Code != policy.Delivered || (asked&fua != 0) != cache || asked&0xFFFF != 0 {
+		if r.Code != policy.Served || (asked&fua != 0) != cache || asked&0xFFFF != 0 {
 			t.Errorf("cache %v: %v %s, dword 12 %#x", cache, r.Code, reason, asked)
 		}
 	}
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -507,11 +507,11 @@
 	s.SetDeadline(a.Until)
 	s.SetWriteDeadline(a.WriteBy())
 	if !first() {
-		r.Code = policy.Moot
+		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
-		r.Code = policy.NoConnection
+		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + upstream.Cause(err)
 	}
 	written := !x.Write || inside
@@ -523,14 +523,14 @@
 		switch {
 		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Until):
 			s.from.abort(s.qid, c.cid())
-			r.Code = policy.Reset
+			r.Code = policy.ConnectionReset
 			return r, false, "READ_STALLED"
 		case !written:
-			r.Code = policy.NoConnection
+			r.Code = policy.NotConnected
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			r.Code = policy.Expired
+			r.Code = policy.TimedOut
 		default:
-			r.Code = policy.Reset
+			r.Code = policy.ConnectionReset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
--- a/internal/datapath/nvme/namespace.go
+++ b/internal/datapath/nvme/namespace.go
@@ -16,7 +16,7 @@
 // request is what the module is told of a command, or of a part of one: all of it lies on one shard.
 func (n *Namespace) request(io *IO) policy.Request {
 	stripe := io.SLBA / n.StripeBlocks
-	q := policy.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, Initiators: n.Hosts, Keyless: true, // commands carry none
+	q := policy.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, VolumeInitiators: n.Hosts, MissingKey: true, // commands carry none
 		Extent: fmt.Sprintf("%s/%x", n.Volume, stripe),
 		Shard:  n.shard(stripe),
 		Units:  float64((io.Blocks + n.UnitBlocks - 1) / n.UnitBlocks)}
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -125,11 +125,11 @@
 
 func newRig(t testing.TB, digests bool, aim time.Duration, targets ...string) *rig {
 	t.Helper()
-	module, err := policy.New(policy.Settings{Initiators: 1, Tick: time.Millisecond, MeanUnits: 1, LargestUnits: 8,
-		MaxAttempts: 3, Plans: []policy.Plan{{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}},
+	module, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
+		MaxAttempts: 3, Plans: []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}},
 		Classes: []policy.Class{
-			{Name: "position-read", Aim: aim, Deadline: patient, Worth: 3},
-			{Name: "event-write", Aim: aim, Deadline: patient, Worth: 2, Effect: policy.Unsafe}}}, 1)
+			{Name: "position-read", LatencyObjective: aim, Deadline: patient, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: aim, Deadline: patient, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,11 +149,11 @@
 }
 
 // list tells of one target, as the list's actor does: the registry first.
-func (r *rig) list(id, addr string, state policy.NodeState) { r.listAt(id, addr, 0, state) }
+func (r *rig) list(id, addr string, state policy.EndpointState) { r.listAt(id, addr, 0, state) }
 
-func (r *rig) listAt(id, addr string, shard int, state policy.NodeState) {
+func (r *rig) listAt(id, addr string, shard int, state policy.EndpointState) {
 	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
-	r.core.List(policy.NodeList{Nodes: []policy.Node{{ID: id, Shard: shard, State: state}}})
+	r.core.List(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
@@ -307,11 +307,11 @@
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
 		got, _, reason := queue.Do(core.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
-		if got.Code != policy.Delivered {
+		if got.Code != policy.Served {
 			t.Fatalf("large write: %+v, %s", got, reason)
 		}
 		got, _, reason = queue.Do(core.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
-		if body, _ := got.Payload.([]byte); got.Code != policy.Delivered || !bytes.Equal(body, large) {
+		if body, _ := got.Payload.([]byte); got.Code != policy.Served || !bytes.Equal(body, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", got.Code, len(body), reason)
 		}
 	}
@@ -404,7 +404,7 @@
 	r, reuse, _ := queue.Do(core.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
-	if n := <-bytesSent; r.Code != policy.Moot || reuse || n != 0 {
+	if n := <-bytesSent; r.Code != policy.NotSent || reuse || n != 0 {
 		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
 	}
 }
@@ -456,8 +456,8 @@
 		{"refused", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
 		{"refused, told how long", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
 		{"refused for longer than can be told", core.Answer{Ending: core.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
-		{"timed out", core.Answer{Ending: core.Failed, Last: policy.Expired}, true, stTransient | dnr},
-		{"error", core.Answer{Ending: core.Failed, Last: policy.Errored}, true, stInternal | dnr},
+		{"timed out", core.Answer{Ending: core.Failed, Last: policy.TimedOut}, true, stTransient | dnr},
+		{"error", core.Answer{Ending: core.Failed, Last: policy.AnsweredError}, true, stInternal | dnr},
 	} {
 		if got := statusOf(c.answer, c.delays); got != c.want {
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
@@ -838,7 +838,7 @@
 // TestDataPastItsWindow has a target ask for a write's data just inside the window that the repeat may leave in, and after it: then no byte of
 // the data goes out, and the write cannot have begun. A completion of another command is not taken for its.
 func TestDataPastItsWindow(t *testing.T) {
-	for want, window := range map[policy.Code]time.Duration{policy.Reset: patient, policy.NoConnection: 50 * time.Millisecond} {
+	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: patient, policy.NotConnected: 50 * time.Millisecond} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
@@ -849,12 +849,12 @@
 			defer c.Close()
 			capsule := make([]byte, 72)
 			io.ReadFull(c, capsule)
-			if want == policy.NoConnection {
+			if want == policy.NotConnected {
 				time.Sleep(time.Until(before))
 			}
 			c.Write(appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 7, 0, blockSize), nil))
 			n := 0
-			if want == policy.Reset {
+			if want == policy.ConnectionReset {
 				n, _ = io.ReadFull(c, make([]byte, 24+blockSize))
 				c.Write(appendPDU(nil, framing{}, typeResp, 0, make([]byte, 16), nil)) // names command 0
 			}
@@ -869,6 +869,6 @@
 		q.Close()
 		require.Equal(t, want, r.Code)
 		require.False(t, reuse)
-		require.Equal(t, want == policy.Reset, <-asked > 0)
+		require.Equal(t, want == policy.ConnectionReset, <-asked > 0)
 	}
 }
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -66,7 +66,7 @@
 			body = append(body, data...)
 		case a.Ending == core.Refused:
 			refused.RetryAfter = max(refused.RetryAfter, a.RetryAfter)
-		case a.Last == policy.Expired || a.Last == policy.Reset:
+		case a.Last == policy.TimedOut || a.Last == policy.ConnectionReset:
 			doubt = a
 		default:
 			failed = a
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -127,18 +127,18 @@
 	// The last look before the first byte: news may have come while the connection was being made. The first byte of a
 	// body that went ahead is long written, but nothing of it has begun: without a permit it does not.
 	if !first() && (m.Upload == nil || !a.Allowed()) {
-		r.Code = policy.Moot
+		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
 	// And at the connection: what came since the pool looked is no answer to what is only now written.
 	if !c.Alive() {
-		r.Code = policy.NoConnection
+		r.Code = policy.NotConnected
 		return r, false, Stale
 	}
 	again, soon := c.asked, time.Since(c.heardAt) < secondWithin
 	c.asked = true
 	if n, err := c.Write(raw); n < len(raw) {
-		r.Code = policy.NoConnection
+		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + Cause(err)
 	}
 	a.Sent()
@@ -162,12 +162,12 @@
 		return err
 	}, func(until time.Time) { parts.until, parts.stall = until, streamStall })
 	if err != nil {
-		r.Code = policy.Reset
+		r.Code = policy.ConnectionReset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
 		case late && parts.begun && time.Now().Before(a.Until):
 			return r, false, "READ_STALLED"
 		case late:
-			r.Code = policy.Expired
+			r.Code = policy.TimedOut
 		case limit.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
 		case errors.Is(err, errTooSoon):
@@ -191,10 +191,10 @@
 		}
 		if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.talked = err == nil
-			r.Code = policy.Reset
+			r.Code = policy.ConnectionReset
 			return r, false, "ANSWER_TWICE"
 		} else if !time.Now().Before(a.Until) {
-			r.Code = policy.Expired
+			r.Code = policy.TimedOut
 			return r, false, "READ_TIMEOUT"
 		}
 		*alike = c.last
@@ -269,14 +269,14 @@
 
 // code is the outcome. The target's word that it never began counts only with the two statuses that go
 // with it: anything else may have run.
-func (a *answer) code() policy.Code {
+func (a *answer) code() policy.OutcomeCode {
 	switch {
 	case a.status == http.StatusOK:
-		return policy.Delivered
+		return policy.Served
 	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return policy.Full
+		return policy.TurnedAway
 	}
-	return policy.Errored
+	return policy.AnsweredError
 }
 
 // sum tells answers that are held apart by what they bring; their heads may differ.
@@ -359,10 +359,10 @@
 	if s == "" {
 		return nil, false
 	}
-	l = &policy.Load{Queue: -1, InFlight: -1}
+	l = &policy.Load{Queued: -1, InFlight: -1}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		into := &l.Queue
+		into := &l.Queued
 		switch name {
 		case "depth", "queue":
 		case "concurrent", "inflight":
@@ -376,7 +376,7 @@
 			odd = true
 		}
 	}
-	if l.Queue < 0 && l.InFlight < 0 {
+	if l.Queued < 0 && l.InFlight < 0 {
 		return nil, odd
 	}
 	return l, odd
--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -95,18 +95,18 @@
 	require.Equal(t, 1000, g.Apply([]Target{{ID: "8", State: policy.Draining}, {ID: "9", Addr: "127.0.0.1:1"}}, false))
 	require.Equal(t, 999, g.Apply([]Target{{ID: "10", State: policy.Removed}, {ID: "none", State: policy.Removed}}, false))
 	require.LessOrEqual(t, runtime.NumGoroutine(), before)
-	send := func(node string) policy.Code {
+	send := func(node string) policy.OutcomeCode {
 		g.Send(core.Attempt{Request: "r", Node: node, Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 		return (<-results).Code
 	}
-	require.Equal(t, policy.Moot, send("8"))
-	require.Equal(t, policy.NoConnection, send("9"))
-	require.Equal(t, policy.Moot, send("10"))
-	require.Equal(t, policy.Delivered, send("11"))
+	require.Equal(t, policy.NotSent, send("8"))
+	require.Equal(t, policy.NotConnected, send("9"))
+	require.Equal(t, policy.NotSent, send("10"))
+	require.Equal(t, policy.Served, send("11"))
 	require.Equal(t, 1, g.Apply([]Target{{ID: "11", Addr: s.Addr().String()}}, true))
-	require.Equal(t, policy.Delivered, send("11"))
+	require.Equal(t, policy.Served, send("11"))
 	g.Retire()
-	require.Equal(t, policy.Moot, send("11"))
+	require.Equal(t, policy.NotSent, send("11"))
 	s.Close()
 	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
@@ -127,7 +127,7 @@
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for i := range b.N {
-				g.Apply([]Target{{ID: "7", State: policy.NodeState(i % 2)}}, false)
+				g.Apply([]Target{{ID: "7", State: policy.EndpointState(i % 2)}}, false)
 			}
 			b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/float64(n), "B/target")
 			g.Retire()
@@ -160,5 +160,5 @@
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	send()
-	require.Equal(t, policy.NoConnection, (<-results).Code, "no connection comes up within a nanosecond")
+	require.Equal(t, policy.NotConnected, (<-results).Code, "no connection comes up within a nanosecond")
 }
--- a/internal/datapath/upstream/moments_test.go
+++ b/internal/datapath/upstream/moments_test.go
@@ -71,7 +71,7 @@
 // moment is a permit that has something happen just before the first byte, between the pool's look at a connection and the write.
 type moment func()
 
-func (m moment) Good() bool { m(); return true }
+func (m moment) Valid() bool { m(); return true }
 
 // spoken waits until there is something to read on the wire's last connection.
 func (h *held) spoken(t *testing.T) {
@@ -111,7 +111,7 @@
 	b.Send(next)
 	close(h.next(t).up)
 	r := b.result(t)
-	require.Equal(t, policy.Delivered, r.Code)
+	require.Equal(t, policy.Served, r.Code)
 	require.Equal(t, "2", string(r.Payload.([]byte)))
 	require.EqualValues(t, 2, s.accepted.Load())
 
@@ -139,7 +139,7 @@
 	<-sent
 	close(twice)
 	r = b.result(t)
-	require.Equal(t, policy.Reset, r.Code)
+	require.Equal(t, policy.ConnectionReset, r.Code)
 	require.Nil(t, r.Payload)
 }
 
@@ -149,7 +149,7 @@
 	b := newBenchThat(newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		return (n != 2 || say(c, "200 OK", "1")) && say(c, "200 OK", fmt.Sprint(n))
 	}).Addr().String(), Options{MostConn: 4, MostAll: 4, Rest: time.Hour})
-	for _, want := range []policy.Code{policy.Delivered, policy.Reset, policy.Delivered} {
+	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset, policy.Served} {
 		b.send(10 * time.Second)
 		require.Equal(t, want, b.result(t).Code)
 	}
@@ -161,12 +161,12 @@
 	for range 19 {
 		begun := time.Now()
 		b.send(10 * time.Second)
-		require.Equal(t, policy.Delivered, b.result(t).Code)
+		require.Equal(t, policy.Served, b.result(t).Code)
 		waited += time.Since(begun)
 	}
 	require.Less(t, waited, 5*stallAfter)
 	require.EqualValues(t, 1, s.accepted.Load())
-	for _, want := range []policy.Code{policy.Delivered, policy.Reset} { // another answer twice, all the same
+	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset} { // another answer twice, all the same
 		b.send(10 * time.Second)
 		require.Equal(t, want, b.result(t).Code)
 	}
@@ -198,23 +198,23 @@
 	for _, x := range []struct {
 		name      string
 		meanwhile func(b *bench, a *core.Attempt, given <-chan struct{})
-		want      policy.Code
+		want      policy.OutcomeCode
 	}{
-		{"in time", func(*bench, *core.Attempt, <-chan struct{}) {}, policy.Delivered},
-		{"its time is over", func(_ *bench, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.Moot},
-		{"called off", func(b *bench, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NoConnection},
+		{"in time", func(*bench, *core.Attempt, <-chan struct{}) {}, policy.Served},
+		{"its time is over", func(_ *bench, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.NotSent},
+		{"called off", func(b *bench, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NotConnected},
 		{"called off at a target that is gone", func(b *bench, a *core.Attempt, given <-chan struct{}) {
 			b.Apply(nil, true)
 			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // and is back under its name
 			b.Cancel("n", a.Request)
 			<-given
-		}, policy.NoConnection},
-		{"its client has left", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.Moot},
+		}, policy.NotConnected},
+		{"its client has left", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
 		{"the target drains", func(b *bench, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
-		}, policy.Moot},
-		{"the target is gone", func(b *bench, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.Moot},
-		{"past its window", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.Moot},
+		}, policy.NotSent},
+		{"the target is gone", func(b *bench, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
+		{"past its window", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var sent atomic.Int32
@@ -235,7 +235,7 @@
 			close(d.up)
 			r := b.result(t)
 			require.Equal(t, x.want, r.Code)
-			if x.want == policy.Delivered {
+			if x.want == policy.Served {
 				require.NotEmpty(t, <-heard)
 				require.EqualValues(t, 1, sent.Load())
 				return
@@ -283,11 +283,11 @@
 				r := b.result(t)
 				<-closed // the next must not go out on a connection whose end is still to come
 				if cut == len(whole) && whole != none {
-					require.Equal(t, policy.Delivered, r.Code)
+					require.Equal(t, policy.Served, r.Code)
 					require.Equal(t, "whole", string(r.Payload.([]byte)))
 					continue
 				}
-				require.Equal(t, policy.Reset, r.Code, "%q, reset %v", whole[:cut], reset)
+				require.Equal(t, policy.ConnectionReset, r.Code, "%q, reset %v", whole[:cut], reset)
 			}
 		}
 	}
@@ -331,7 +331,7 @@
 	begin := func() (*Upload, error) {
 		return b.Ahead(ctx, "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
-	attempt := func(u *Upload) policy.Code {
+	attempt := func(u *Upload) policy.OutcomeCode {
 		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 		return b.result(t).Code
 	}
@@ -370,18 +370,18 @@
 	another()
 	u.Close()
 	settled()
-	require.Equal(t, policy.Moot, attempt(u))
+	require.Equal(t, policy.NotSent, attempt(u))
 	require.NotContains(t, <-heard, "body")
 
 	u = whole()
 	u.Close()
-	require.Equal(t, policy.NoConnection, attempt(u))
+	require.Equal(t, policy.NotConnected, attempt(u))
 	require.NotContains(t, <-heard, "body")
 
 	u = whole()
 	close(early)
 	h.spoken(t)
-	require.Equal(t, policy.NoConnection, attempt(u))
+	require.Equal(t, policy.NotConnected, attempt(u))
 	require.NotContains(t, <-heard, "body")
 	settled()
 }
@@ -396,7 +396,7 @@
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: "127.0.0.1:1"}}, false)
 	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
-	require.Equal(t, policy.Delivered, b.result(t).Code)
+	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -410,8 +410,8 @@
 	for _, x := range []struct {
 		name   string
 		buffer int
-		want   policy.Code
-	}{{"half written", 4 << 10, policy.NoConnection}, {"written whole", 1 << 20, policy.Cancelled}} {
+		want   policy.OutcomeCode
+	}{{"half written", 4 << 10, policy.NotConnected}, {"written whole", 1 << 20, policy.Cancelled}} {
 		t.Run(x.name, func(t *testing.T) {
 			l := narrow(t)
 			asked, over, arrived := make(chan bool), make(chan bool), make(chan int, 1)
@@ -480,7 +480,7 @@
 		for range 3 {
 			b.send(10 * time.Second)
 			r := b.result(t)
-			require.Equal(t, policy.Delivered, r.Code)
+			require.Equal(t, policy.Served, r.Code)
 			require.Nil(t, r.Load)
 			require.Zero(t, r.Used)
 		}
@@ -541,7 +541,7 @@
 			case <-over:
 				return
 			default:
-				b.Apply([]Target{{ID: names[rng.IntN(3)], Addr: s.Addr().String(), State: policy.NodeState(rng.IntN(3))}}, rng.IntN(5) == 0)
+				b.Apply([]Target{{ID: names[rng.IntN(3)], Addr: s.Addr().String(), State: policy.EndpointState(rng.IntN(3))}}, rng.IntN(5) == 0)
 			}
 		}
 	}()
@@ -592,7 +592,7 @@
 	for range 2 {
 		r := b.result(t)
 		require.NotEqual(t, "waits", r.Request)
-		require.Equal(t, policy.NoConnection, r.Code)
+		require.Equal(t, policy.NotConnected, r.Code)
 	}
 	require.Eventually(t, func() bool { return b.pool.conns.Load() == 1 }, 10*time.Second, time.Millisecond)
 	go func() {
@@ -611,7 +611,7 @@
 		}
 	}()
 	r := b.result(t)
-	require.Equal(t, policy.Delivered, r.Code)
+	require.Equal(t, policy.Served, r.Code)
 	require.Equal(t, "waits", string(r.Payload.([]byte)))
 	require.EqualValues(t, 1, asked.Load())
 }
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -15,7 +15,7 @@
 type Target struct {
 	ID    string
 	Addr  string
-	State policy.NodeState
+	State policy.EndpointState
 }
 
 // Options are the bounds of every connection.
@@ -111,7 +111,7 @@
 
 // set takes over what the list says of a target: at once for attempts about to write, in turn for its pool. An actor of a target that is
 // gone ends once nothing is out at it.
-func (g *Registry) set(t *target, addr string, state policy.NodeState) {
+func (g *Registry) set(t *target, addr string, state policy.EndpointState) {
 	t.set(addr, state)
 	if t.started {
 		t.box.Put(moved{})
@@ -158,7 +158,7 @@
 
 // moot ends an attempt that was not sent: its target left the list between the decision and now.
 func (g *Registry) moot(a core.Attempt) {
-	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Moot})
+	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.NotSent})
 }
 
 // ended forgets a target whose actor has ended. What came to it at the last moment is owed a result all the same.
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -58,7 +58,7 @@
 			b.send(20 * time.Second)
 			r := b.result(t) // while the target holds half of it back
 			st, ok := r.Payload.(*Stream)
-			if r.Code != policy.Delivered || !ok || st.Length != c.length {
+			if r.Code != policy.Served || !ok || st.Length != c.length {
 				t.Fatalf("%s: %+v, want a stream of length %d", c.name, r, c.length)
 			}
 			rest <- true
@@ -78,18 +78,18 @@
 // TestSmallAnswersAreHeld checks that small answers of unknown length are whole before anything of them is passed on: cut
 // short, they can be asked for again.
 func TestSmallAnswersAreHeld(t *testing.T) {
-	for says, want := range map[string]policy.Code{
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": policy.Delivered,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":           policy.Delivered,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n":          policy.Reset,
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n":         policy.Reset,
-		"HTTP/1.1 200 OK\r\n\r\nx": policy.Delivered,
+	for says, want := range map[string]policy.OutcomeCode{
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": policy.Served,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":           policy.Served,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n":          policy.ConnectionReset,
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n":         policy.ConnectionReset,
+		"HTTP/1.1 200 OK\r\n\r\nx": policy.Served,
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool { io.WriteString(conn, says); return false })
 		b := newBench(s.Addr().String())
 		b.send(10 * time.Second)
 		r := b.result(t)
-		if _, held := r.Payload.([]byte); r.Code != want || !held && want == policy.Delivered {
+		if _, held := r.Payload.([]byte); r.Code != want || !held && want == policy.Served {
 			t.Errorf("%q: %+v, want it held, code %v", says, r, want)
 		}
 	}
@@ -154,7 +154,7 @@
 		}
 		// It drains meanwhile, and the list has another one: the first byte was before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
-		for i, want := range []policy.Code{policy.Delivered, policy.NoConnection} {
+		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
 			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 			if r := b.result(t); r.Code != want {
 				t.Errorf("attempt %d: code %v, want %v", i, r.Code, want)
@@ -170,7 +170,7 @@
 		u = up()
 		u.Close()
 		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
-		if r := b.result(t); r.Code != policy.NoConnection {
+		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("after it was closed: code %v", r.Code)
 		}
 		require.Eventually(t, func() bool { return b.pool.conns.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -95,7 +95,7 @@
 }
 
 // set takes over what the list says, at once for attempts about to write.
-func (t *target) set(addr string, state policy.NodeState) {
+func (t *target) set(addr string, state policy.EndpointState) {
 	if addr != "" {
 		t.addr.Store(&addr)
 	}
@@ -158,20 +158,20 @@
 	var c *conn
 	if u := uploadOf(a); u != nil {
 		if !u.move(attempted) {
-			r.Code = policy.NoConnection
+			r.Code = policy.NotConnected
 			t.report(r)
 			return
 		}
 		t.uploads--
 		c = u.conn
 	} else if !open(&t.state) {
-		r.Code = policy.Moot
+		r.Code = policy.NotSent
 		t.report(r)
 		return
 	} else {
 		var ok bool
 		if c, ok = t.take(); !ok {
-			r.Code = policy.NoConnection
+			r.Code = policy.NotConnected
 			t.report(r)
 			return
 		}
@@ -331,11 +331,11 @@
 		pooled := c != nil
 		if !pooled {
 			if c = t.dial(y.ctx); c == nil {
-				r, reason, used = core.Result{Code: policy.NoConnection}, "CONNECT_FAILED", 0
+				r, reason, used = core.Result{Code: policy.NotConnected}, "CONNECT_FAILED", 0
 				break
 			}
 		}
-		r, used = core.Result{Code: policy.NoConnection}, c.used+1
+		r, used = core.Result{Code: policy.NotConnected}, c.used+1
 		again, reason = t.exchange(y, c, &r)
 		talks = talks || t.talked(c)
 		if x, ok := c.Session.(Talker); ok && x.Odd() && !c.odd {
@@ -405,7 +405,7 @@
 	r.Began = began
 	if y.calledOff() {
 		switch r.Code {
-		case policy.Delivered, policy.Moot, policy.NoConnection:
+		case policy.Served, policy.NotSent, policy.NotConnected:
 		default:
 			r.Code, reason = policy.Cancelled, "CANCELLED"
 		}
--- a/internal/datapath/upstream/terms_test.go
+++ b/internal/datapath/upstream/terms_test.go
@@ -37,7 +37,7 @@
 			for i := range 30 {
 				b.send(10 * time.Second)
 				r := b.result(t)
-				require.Equal(t, policy.Delivered, r.Code)
+				require.Equal(t, policy.Served, r.Code)
 				require.Equal(t, fmt.Sprint("answer ", s.asked.Load()), string(r.Payload.([]byte)))
 				if i == 0 {
 					time.Sleep(2 * late)
@@ -54,7 +54,7 @@
 	b := newBenchThat(s.Addr().String(), Options{MostConn: 40, MostAll: 40, Rest: time.Hour})
 	for range 20 {
 		b.send(10 * time.Second)
-		require.Equal(t, policy.Delivered, b.result(t).Code)
+		require.Equal(t, policy.Served, b.result(t).Code)
 	}
 	require.EqualValues(t, 1, s.accepted.Load())
 }
@@ -77,7 +77,7 @@
 				require.Error(t, err)
 				return
 			}
-			require.Equal(t, policy.Reset, r.Code)
+			require.Equal(t, policy.ConnectionReset, r.Code)
 		})
 	}
 }
@@ -97,7 +97,7 @@
 		u.Last([]byte("body"))
 		for i, m := range []*Message{m, {Upload: u}} {
 			b.Send(core.Attempt{Request: fmt.Sprint(i), Node: "n", Until: time.Now().Add(10 * time.Second), Payload: m})
-			require.Equal(t, policy.Delivered, b.result(t).Code)
+			require.Equal(t, policy.Served, b.result(t).Code)
 			if got := <-seen; key == "" {
 				require.Empty(t, got)
 			} else {
@@ -131,11 +131,11 @@
 	l.Close()
 	c.Close()
 	for range 4 {
-		require.Equal(t, policy.Reset, b.result(t).Code)
+		require.Equal(t, policy.ConnectionReset, b.result(t).Code)
 	}
 	require.Less(t, time.Since(began), 10*time.Second, "waited for until its time was over")
 	b.send(20 * time.Second)
-	require.Equal(t, policy.NoConnection, b.result(t).Code)
+	require.Equal(t, policy.NotConnected, b.result(t).Code)
 	require.Eventually(t, func() bool { return b.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
 	l, err = net.Listen("tcp", addr)
 	require.NoError(t, err)
@@ -146,7 +146,7 @@
 	defer c.Close()
 	<-sent
 	say(c, "200 OK", "")
-	require.Equal(t, policy.Delivered, b.result(t).Code)
+	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Empty(t, b.results)
 }
 
@@ -171,6 +171,6 @@
 		require.NoError(t, err)
 		require.LessOrEqual(t, time.Duration(ms)*time.Millisecond, until.Sub(up))
 		require.Positive(t, ms)
-		require.Equal(t, policy.Delivered, b.result(t).Code)
+		require.Equal(t, policy.Served, b.result(t).Code)
 	}
 }
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -139,15 +139,15 @@
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
-		want       policy.Code
+		want       policy.OutcomeCode
 	}{
-		{"served", "200 OK", policy.Delivered},
-		{"error", "500 Internal Server Error", policy.Errored},
-		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", policy.Errored},
-		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", policy.Full},
-		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", policy.Full},
-		{"unavailable, no word", "503 Service Unavailable", policy.Errored},
-		{"broken off", "", policy.Reset},
+		{"served", "200 OK", policy.Served},
+		{"error", "500 Internal Server Error", policy.AnsweredError},
+		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", policy.AnsweredError},
+		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", policy.TurnedAway},
+		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", policy.TurnedAway},
+		{"unavailable, no word", "503 Service Unavailable", policy.AnsweredError},
+		{"broken off", "", policy.ConnectionReset},
 	} {
 		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			return c.head != "" && say(conn, c.head, "")
@@ -163,11 +163,11 @@
 // TestSpoiltAnswers has targets answer what cannot be used: it may have run, nothing of it is served, the connection is
 // not used again, and what stops midway is not waited for. What is only more than was due costs the connection alone.
 func TestSpoiltAnswers(t *testing.T) {
-	const ok, spoilt = policy.Delivered, policy.Reset
+	const ok, spoilt = policy.Served, policy.ConnectionReset
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	for _, c := range []struct {
 		name, says string
-		want       policy.Code
+		want       policy.OutcomeCode
 		conns      int32 // for two attempts
 	}{
 		{"whole", good, ok, 1},
@@ -183,7 +183,7 @@
 		{"a second copy", good + good, ok, 2},
 		{"more than its length", good + "y", ok, 2},
 		{"less than its length, ended", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nx", spoilt, 2},
-		{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", policy.Errored, 2},
+		{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", policy.AnsweredError, 2},
 		{"noise for a size of a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\x00\r\nx\r\n0\r\n\r\n", spoilt, 2},
 		{"reports that cannot be read", strings.Replace(good, "Cont", "Server-Load: concurrent=x,depth=1e99\r\nVolume-Load: -7\r\nCont", 1), ok, 1},
 	} {
@@ -234,7 +234,7 @@
 	<-closed
 	time.Sleep(20 * time.Millisecond)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != policy.Delivered || s.asked.Load() != 2 {
+	if r := b.result(t); r.Code != policy.Served || s.asked.Load() != 2 {
 		t.Errorf("code %v after %d requests, want it served by the second", r.Code, s.asked.Load())
 	}
 }
@@ -250,7 +250,7 @@
 			return false
 		})
 		b := newBench(s.Addr().String())
-		want := policy.Expired
+		want := policy.TimedOut
 		if way == "cancel" {
 			want = policy.Cancelled
 			b.send(time.Minute)
@@ -280,7 +280,7 @@
 	b.result(t)
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: policy.Draining}}, false)
 	b.send(10 * time.Second)
-	if r := b.result(t); r.Code != policy.Moot || s.asked.Load() != 1 {
+	if r := b.result(t); r.Code != policy.NotSent || s.asked.Load() != 1 {
 		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Code, s.asked.Load())
 	}
 	// One whose first byte is out goes on to its end.
@@ -295,7 +295,7 @@
 	<-asked
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: policy.Draining}}, false)
 	close(drains)
-	if r := b.result(t); r.Code != policy.Delivered {
+	if r := b.result(t); r.Code != policy.Served {
 		t.Errorf("draining with the first byte out: code %v", r.Code)
 	}
 	// The same at the last look, with the connection in hand.
@@ -305,7 +305,7 @@
 	defer far.Close()
 	var r core.Result
 	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.Moot {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Code)
 	}
 }
@@ -322,13 +322,13 @@
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
-		if r := b.result(t); r.Code != policy.NoConnection {
+		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("past the bounds: code %v, want no connection", r.Code)
 		}
 	}
 	close(wait)
 	for range 6 {
-		if r := b.result(t); r.Code != policy.Delivered {
+		if r := b.result(t); r.Code != policy.Served {
 			t.Errorf("within the bounds: code %v, want it served", r.Code)
 		}
 	}
@@ -343,7 +343,7 @@
 	var r core.Result
 	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NoConnection {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotConnected {
 		t.Errorf("code %v, want no connection", r.Code)
 	}
 }
@@ -351,10 +351,10 @@
 // TestLoadNames guards against reports that are missed without a sign: their fields go by the names in the settings.
 func TestLoadNames(t *testing.T) {
 	for report, want := range map[string]policy.Load{
-		"concurrent=5.249":                 {InFlight: 5.249, Queue: -1},
-		"concurrent=7,depth=2,tps=80":      {InFlight: 7, Queue: 2},
-		"inflight=7, queue=2, util=0.61":   {InFlight: 7, Queue: 2},
-		"concurrent=none,depth=2,depths=9": {InFlight: -1, Queue: 2},
+		"concurrent=5.249":                 {InFlight: 5.249, Queued: -1},
+		"concurrent=7,depth=2,tps=80":      {InFlight: 7, Queued: 2},
+		"inflight=7, queue=2, util=0.61":   {InFlight: 7, Queued: 2},
+		"concurrent=none,depth=2,depths=9": {InFlight: -1, Queued: 2},
 	} {
 		if l, odd := parseLoad(report); l == nil || *l != want || odd != strings.Contains(report, "none") {
 			t.Errorf("%s: %+v, odd %v, want %+v", report, l, odd, want)
@@ -394,7 +394,7 @@
 // lapsed is a permit that has ended.
 type lapsed struct{}
 
-func (lapsed) Good() bool { return false }
+func (lapsed) Valid() bool { return false }
 
 // few is a stock of connections.
 type few struct{ most, open atomic.Int64 }
@@ -420,18 +420,18 @@
 		Stock: stock, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
 	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: lapsed{}, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
-	if r := b.result(t); r.Code != policy.Moot || s.asked.Load() != 0 {
+	if r := b.result(t); r.Code != policy.NotSent || s.asked.Load() != 0 {
 		t.Errorf("without a permit: code %v, %d requests reached the target", r.Code, s.asked.Load())
 	}
 	b.send(time.Minute)
-	if r := b.result(t); r.Code != policy.Delivered {
+	if r := b.result(t); r.Code != policy.Served {
 		t.Errorf("within the stock: code %v", r.Code)
 	}
 	stock.most.Store(0)
 	b.Review()
 	require.Eventually(t, func() bool { return stock.open.Load() == 0 }, time.Minute, time.Millisecond, "an idle connection past the stock stays open")
 	b.send(time.Minute)
-	if r := b.result(t); r.Code != policy.NoConnection {
+	if r := b.result(t); r.Code != policy.NotConnected {
 		t.Errorf("without a stock: code %v", r.Code)
 	}
 }
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -19,7 +19,7 @@
 	procs []*coldProc
 	busy  [4]time.Duration // until when each node works
 	began time.Duration    // of the one that starts
-	drawn []draw           // sent to it by those who were told
+	drawn []timedUnits     // sent to it by those who were told
 	worst float64          // most over the sum, in mean requests
 	count int
 }
@@ -45,22 +45,22 @@
 
 func coldSettings(initiators int, bears, multiple, share float64, warm time.Duration) Settings {
 	set := plain()
-	set.Initiators, set.ColdUnits, set.MeanUnits, set.LargestUnits = initiators, bears, 2.5, 8
-	set.Plans[0] = Plan{Name: "std", Rate: 1000, Reserve: 1000, Weight: 1, Price: 1}
-	set.Rules = Rules{ColdShare: share, WarmWithin: warm, FallWithin: 3 * time.Second, FallMultiple: multiple}
+	set.Initiators, set.ColdUnitsPerWindow, set.MeanUnits, set.MaxUnits = initiators, bears, 2.5, 8
+	set.Plans[0] = Plan{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}
+	set.Rules = Rules{ColdCapacityFraction: share, WarmUpTime: warm, OverloadWindow: 3 * time.Second, OverloadFactor: multiple}
 	return set
 }
 
 // allowed is N at that age of a cold node.
 func (f *coldFleet) allowed() float64 {
 	ru := f.set.Rules
-	grown := 1 + (1/ru.ColdShare-1)*min(1, (f.now-f.began).Seconds()/ru.WarmWithin.Seconds())
-	return f.set.ColdUnits * grown / f.set.MeanUnits
+	grown := 1 + (1/ru.ColdCapacityFraction-1)*min(1, (f.now-f.began).Seconds()/ru.WarmUpTime.Seconds())
+	return f.set.ColdUnitsPerWindow * grown / f.set.MeanUnits
 }
 
 func (f *coldFleet) start(index int) *coldProc {
 	set := f.set
-	set.Index = index + 1
+	set.InitiatorIndex = index + 1
 	p := &coldProc{index: index, timer: never, told: never, leaves: never, heavy: 0.6, tries: map[string]int{}}
 	if index%8 == 0 {
 		p.heavy = 4
@@ -71,13 +71,13 @@
 	return p
 }
 
-func (f *coldFleet) nodes() NodeList {
-	l := NodeList{Whole: true}
+func (f *coldFleet) nodes() EndpointList {
+	l := EndpointList{Full: true}
 	for i := range f.busy {
-		l.Nodes = append(l.Nodes, Node{ID: fmt.Sprint("n", i), Shard: i})
+		l.Endpoints = append(l.Endpoints, Endpoint{ID: fmt.Sprint("n", i), Shard: i})
 	}
 	if f.began > 0 {
-		l.Nodes[0].Started = f.began
+		l.Endpoints[0].Started = f.began
 	}
 	return l
 }
@@ -85,7 +85,7 @@
 func (f *coldFleet) ask(p *coldProc, shard int) Request {
 	f.count++
 	return Request{ID: fmt.Sprint("r", f.count), Class: "get", Plan: "std", Volume: fmt.Sprint("v", p.index), Shard: shard,
-		Units: sizes[f.rng.IntN(len(sizes))], Initiators: 1, Budget: 2 * time.Second}
+		Units: sizes[f.rng.IntN(len(sizes))], VolumeInitiators: 1, TimeLeft: 2 * time.Second}
 }
 
 // held is what waits for the node as its start is told.
@@ -101,7 +101,7 @@
 		events, p.inbox = append(events, p.inbox[0].Event), p.inbox[1:]
 	}
 	if p.timer <= f.now {
-		events, p.timer = append(events, Timer{}), never
+		events, p.timer = append(events, TimerFired{}), never
 	}
 	if len(events) == 0 {
 		return
@@ -118,26 +118,26 @@
 
 // serve has the node do the request after all that it has. It does as much as the settings let it be sent, over their multiple.
 func (f *coldFleet) serve(p *coldProc, a Action) {
-	r, n := p.s.requests[a.Request], int(a.Node[1]-'0')
+	r, n := p.s.requests[a.Request], int(a.Endpoint[1]-'0')
 	ru := f.set.Rules
-	rate := f.set.ColdUnits / ru.FallMultiple / ru.FallWithin.Seconds() / ru.ColdShare
+	rate := f.set.ColdUnitsPerWindow / ru.OverloadFactor / ru.OverloadWindow.Seconds() / ru.ColdCapacityFraction
 	if n == 0 && f.began > 0 {
-		rate = f.allowed() * f.set.MeanUnits / ru.FallMultiple / ru.FallWithin.Seconds()
+		rate = f.allowed() * f.set.MeanUnits / ru.OverloadFactor / ru.OverloadWindow.Seconds()
 		if p.told <= f.now {
-			f.drawn = append(since(f.drawn, f.now-ru.FallWithin), draw{f.now, r.Units})
+			f.drawn = append(dropOlderUnits(f.drawn, f.now-ru.OverloadWindow), timedUnits{f.now, r.Units})
 			allowed := f.allowed()
-			if f.now < f.began+ru.WarmWithin {
-				f.worst = max(f.worst, total(f.drawn)/f.set.MeanUnits-allowed-2*math.Sqrt(allowed)-2)
+			if f.now < f.began+ru.WarmUpTime {
+				f.worst = max(f.worst, sumUnits(f.drawn)/f.set.MeanUnits-allowed-2*math.Sqrt(allowed)-2)
 			}
 		}
 	}
-	f.busy[n] = max(f.busy[n], f.now) + seconds(r.Units/rate)
-	code, took := Delivered, f.busy[n]-f.now
+	f.busy[n] = max(f.busy[n], f.now) + toDuration(r.Units/rate)
+	code, took := Served, f.busy[n]-f.now
 	if took > a.Wait {
-		code, took = Expired, a.Wait
+		code, took = TimedOut, a.Wait
 	}
-	e := Outcome{ID: a.Request, Attempt: p.tries[a.Request], Node: a.Node, Code: code, Took: took, Closed: code == Delivered}
-	e.Load = &Load{Queue: -1, InFlight: math.Floor((f.busy[n] - f.now).Seconds() * rate / f.set.MeanUnits)}
+	e := Outcome{ID: a.Request, Attempt: p.tries[a.Request], Endpoint: a.Endpoint, Code: code, Latency: took, Final: code == Served}
+	e.Load = &Load{Queued: -1, InFlight: math.Floor((f.busy[n] - f.now).Seconds() * rate / f.set.MeanUnits)}
 	p.tries[a.Request]++
 	at := len(p.inbox)
 	for at > 0 && p.inbox[at-1].at > f.now+took {
@@ -155,10 +155,10 @@
 		f.step(p, f.nodes())
 	}
 	// The nodes' full pace in requests, over the processes, one in eight of which gets several times the mean.
-	each := pressure * f.set.ColdUnits / ru.FallMultiple / 3 / ru.ColdShare / f.set.MeanUnits / float64(f.set.Initiators)
+	each := pressure * f.set.ColdUnitsPerWindow / ru.OverloadFactor / 3 / ru.ColdCapacityFraction / f.set.MeanUnits / float64(f.set.Initiators)
 	const tick, start = 10 * ms, 8 * time.Second
 	told := map[int]time.Duration{}
-	for f.now = tick; f.now < start+ru.WarmWithin+time.Second; f.now += tick {
+	for f.now = tick; f.now < start+ru.WarmUpTime+time.Second; f.now += tick {
 		if f.now == start {
 			f.began = f.now
 			for i := range f.procs {
@@ -182,8 +182,8 @@
 				q := f.start(p.index)
 				q.told, p.leaves = f.now, f.now+2*time.Second
 				f.procs = append(f.procs, q)
-				events = append(events, Shared{Parts: 2})
-				f.step(q, append([]Event{f.nodes(), Shared{Parts: 2}}, f.held(q)...)...)
+				events = append(events, ProcessCount{Processes: 2})
+				f.step(q, append([]Event{f.nodes(), ProcessCount{Processes: 2}}, f.held(q)...)...)
 			}
 			for shard := range f.busy {
 				for f.rng.Float64() < p.heavy*each*tick.Seconds() {
@@ -200,7 +200,7 @@
 			}
 			for _, q := range f.procs {
 				if q != p && q.index == p.index {
-					f.step(q, Shared{Parts: 1})
+					f.step(q, ProcessCount{Processes: 1})
 				}
 			}
 		}
@@ -221,7 +221,7 @@
 	} {
 		for _, pressure := range []float64{0.5, 3} {
 			for _, late := range []bool{false, true} {
-				name := fmt.Sprintf("%d share %v, %v times, late %v, pressure %v", set.Initiators, set.ColdUnits, set.Rules.FallMultiple, late, pressure)
+				name := fmt.Sprintf("%d share %v, %v times, late %v, pressure %v", set.Initiators, set.ColdUnitsPerWindow, set.Rules.OverloadFactor, late, pressure)
 				t.Run(name, func(t *testing.T) {
 					f := &coldFleet{t: t, rng: rand.New(rand.NewPCG(7, 7)), set: set}
 					over := f.play(pressure, late)
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -15,7 +15,7 @@
 	due     time.Duration
 	sends   []Action
 	sentAt  []time.Duration
-	codes   []Code // outcome of each send; -1: still out
+	codes   []OutcomeCode // outcome of each send; -1: still out
 	ended   bool
 	endedAt time.Duration
 	doubtAt time.Duration
@@ -26,7 +26,7 @@
 // ran returns when and where an attempt that may have run was sent.
 func (q *seen) ran() (int, bool) {
 	for i, c := range q.codes {
-		if c != Full && c != NoConnection && c != Moot {
+		if c != TurnedAway && c != NotConnected && c != NotSent {
 			return i, true
 		}
 	}
@@ -46,8 +46,8 @@
 
 // fill fills it up to now by a plan of which it has this part.
 func (s *store) fill(now time.Duration, p Plan, hosts float64) {
-	if p.Limit > 0 {
-		s.level = min(p.LimitBurst/hosts, s.level+(now-s.at).Seconds()*p.Limit/hosts)
+	if p.RateLimit > 0 {
+		s.level = min(p.RateLimitBurst/hosts, s.level+(now-s.at).Seconds()*p.RateLimit/hosts)
 	}
 	s.at = now
 }
@@ -59,7 +59,7 @@
 	set    Settings
 	s      *Scheduler
 	now    time.Duration
-	nodes  map[string]Node
+	nodes  map[string]Endpoint
 	barred map[string]time.Duration // node told draining or gone since
 	all    map[string]*seen
 	order  []*seen
@@ -81,55 +81,55 @@
 func (w *world) pick(p float64) bool { return w.rng.Float64() < p }
 
 func ruleSettings(mask int) Settings {
-	set := Settings{Initiators: 3, Tick: 2 * ms, MeanUnits: 2, LargestUnits: 6, Meter: time.Second, MaxAttempts: 4,
-		FairWorth: 0.3, IdleWorth: 0.05, ColdUnits: 30,
+	set := Settings{Initiators: 3, MinStep: 2 * ms, MeanUnits: 2, MaxUnits: 6, UsagePeriod: time.Second, MaxAttempts: 4,
+		FairSharePriority: 0.3, ExcessPriority: 0.05, ColdUnitsPerWindow: 30,
 		Classes: []Class{
-			{Name: "pure", Aim: 200 * ms, Deadline: time.Second, Worth: 3},
-			{Name: "cell", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 700 * ms},
-			{Name: "zone", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupZone, Window: 700 * ms},
-			{Name: "once", Aim: 300 * ms, Deadline: time.Second, Worth: 2, Effect: Unsafe},
-			{Name: "turn", Aim: 300 * ms, Deadline: time.Second, Worth: 2, InOrder: mask&1 != 0},
+			{Name: "pure", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3},
+			{Name: "cell", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Effect: IdempotentWithKey, DedupScope: DedupShard, DedupWindow: 700 * ms},
+			{Name: "zone", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Effect: IdempotentWithKey, DedupScope: DedupZone, DedupWindow: 700 * ms},
+			{Name: "once", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Effect: NonIdempotent},
+			{Name: "turn", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Ordered: mask&1 != 0},
 		},
-		Plans: []Plan{{Name: "p0", Rate: 10, Reserve: 5, Weight: 1, Price: 1}, {Name: "p1", Rate: 20, Weight: 2, Price: 1}},
+		Plans: []Plan{{Name: "p0", Rate: 10, ReservedRate: 5, Weight: 1, PriorityFactor: 1}, {Name: "p1", Rate: 20, Weight: 2, PriorityFactor: 1}},
 	}
-	set.Rules.Settle = 100 * ms
+	set.Rules.OrderedQuietTime = 100 * ms
 	if mask&2 != 0 {
-		set.Rules.Budget, set.Rules.BudgetFree, set.Rules.BudgetShare = true, 3, 0.2
-		set.Rules.BudgetSpan = time.Second
+		set.Rules.RetryBudget, set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio = true, 3, 0.2
+		set.Rules.RetryBudgetWindow = time.Second
 	}
 	if mask&4 != 0 {
-		set.Plans[0].Limit, set.Plans[0].LimitBurst = 40, 36
+		set.Plans[0].RateLimit, set.Plans[0].RateLimitBurst = 40, 36
 	}
 	if mask&8 != 0 {
-		set.Rules.ColdShare, set.Rules.WarmWithin, set.Rules.FallWithin = 0.2, 4*time.Second, time.Second
-		set.Rules.FallMultiple = 3
+		set.Rules.ColdCapacityFraction, set.Rules.WarmUpTime, set.Rules.OverloadWindow = 0.2, 4*time.Second, time.Second
+		set.Rules.OverloadFactor = 3
 	}
 	return set
 }
 
 // list returns a random change of the list and notes what it tells.
-func (w *world) list() NodeList {
+func (w *world) list() EndpointList {
 	if w.pick(0.1) {
-		return NodeList{Broken: true}
+		return EndpointList{Failed: true}
 	}
-	e := NodeList{Whole: w.pick(0.3)}
+	e := EndpointList{Full: w.pick(0.3)}
 	id := fmt.Sprintf("n%d", w.rng.IntN(8))
 	n := w.nodes[id]
 	n.ID, n.Shard, n.Zone = id, int(id[1]-'0')%4, []string{"a", "b"}[int(id[1]-'0')/4]
-	n.State = NodeState(w.rng.IntN(3))
+	n.State = EndpointState(w.rng.IntN(3))
 	if n.State == Up && w.pick(0.5) {
 		n.Started = w.now - time.Duration(w.rng.IntN(500))*ms
 	}
-	e.Nodes = []Node{n}
-	if e.Whole {
+	e.Endpoints = []Endpoint{n}
+	if e.Full {
 		for _, m := range slices.Sorted(keysOf(w.nodes)) {
 			if m != id && w.pick(0.8) {
-				e.Nodes = append(e.Nodes, w.nodes[m])
+				e.Endpoints = append(e.Endpoints, w.nodes[m])
 			}
 		}
 	}
 	told := map[string]bool{}
-	for _, m := range e.Nodes {
+	for _, m := range e.Endpoints {
 		w.nodes[m.ID], told[m.ID] = m, true
 		if m.State == Up {
 			delete(w.barred, m.ID)
@@ -138,14 +138,14 @@
 		}
 	}
 	for m := range w.nodes {
-		if _, ok := w.barred[m]; e.Whole && !told[m] && !ok {
+		if _, ok := w.barred[m]; e.Full && !told[m] && !ok {
 			w.barred[m] = w.now
 		}
 	}
 	return e
 }
 
-func keysOf(m map[string]Node) func(func(string) bool) {
+func keysOf(m map[string]Endpoint) func(func(string) bool) {
 	return func(yield func(string) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -161,12 +161,12 @@
 	vol := w.rng.IntN(6)
 	r := Request{ID: fmt.Sprintf("r%d", w.serial), Class: c.Name, Plan: w.set.Plans[vol%2].Name,
 		Volume: fmt.Sprintf("v%d", vol), Extent: fmt.Sprintf("k%d", w.rng.IntN(5)), Shard: w.rng.IntN(5) - 1,
-		Units: float64(1 + w.rng.IntN(6)), Initiators: 2, Budget: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
-	q := &seen{req: r, class: c, due: w.now + r.Budget}
+		Units: float64(1 + w.rng.IntN(6)), VolumeInitiators: 2, TimeLeft: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
+	q := &seen{req: r, class: c, due: w.now + r.TimeLeft}
 	w.all[r.ID] = q
 	w.order = append(w.order, q)
 	w.taken = append(w.taken, w.now)
-	if c.InOrder {
+	if c.Ordered {
 		w.byKey[r.Extent] = append(w.byKey[r.Extent], q)
 	}
 	return r
@@ -184,24 +184,24 @@
 		if !over && !w.pick(0.1) {
 			continue
 		}
-		code := Delivered
+		code := Served
 		if over {
-			code = Expired
+			code = TimedOut
 		} else if w.pick(bad) {
-			code = []Code{Errored, Full, NoConnection, Reset, Cancelled, Moot}[w.rng.IntN(6)]
+			code = []OutcomeCode{AnsweredError, TurnedAway, NotConnected, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
 		}
 		q.codes[i] = code
-		if code == Expired || code == Reset || code == Cancelled {
+		if code == TimedOut || code == ConnectionReset || code == Cancelled {
 			q.doubtAt = w.now
 		}
-		if code == Delivered {
-			w.served[q.sends[i].Node] = append(w.served[q.sends[i].Node], drawn{w.now, q.req.Units})
+		if code == Served {
+			w.served[q.sends[i].Endpoint] = append(w.served[q.sends[i].Endpoint], drawn{w.now, q.req.Units})
 		}
-		if code == Delivered && !q.ended {
+		if code == Served && !q.ended {
 			q.ended, q.endedAt = true, w.now
 		}
-		events = append(events, Outcome{ID: q.req.ID, Attempt: i, Node: q.sends[i].Node, Code: code,
-			Took: w.now - q.sentAt[i], Closed: q.ended, Used: w.rng.IntN(200)})
+		events = append(events, Outcome{ID: q.req.ID, Attempt: i, Endpoint: q.sends[i].Endpoint, Code: code,
+			Latency: w.now - q.sentAt[i], Final: q.ended, VolumeUsage: w.rng.IntN(200)})
 	}
 	return events
 }
@@ -210,7 +210,7 @@
 	if a.Kind == SetTimer {
 		w.timers = append(w.timers, w.now+a.Wait)
 	}
-	if a.Kind != Send && a.Kind != Refuse && a.Kind != Fail {
+	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
 	q := w.all[a.Request]
@@ -224,9 +224,9 @@
 	}
 	if a.Kind != Send {
 		q.ended, q.endedAt = true, w.now
-		if _, ran := q.ran(); ran && a.Kind == Refuse && q.class.Effect != Pure && q.class.Group != GroupAll {
+		if _, ran := q.ran(); ran && a.Kind == Reject && q.class.Effect != Idempotent && q.class.DedupScope != DedupFleet {
 			w.fault("rule 2: %s refused though it may have run", a.Request)
-		} else if ran && a.Kind == Refuse && q.class.Effect == Unsafe {
+		} else if ran && a.Kind == Reject && q.class.Effect == NonIdempotent {
 			w.fault("rule 2: unsafe %s refused though it may have run", a.Request)
 		}
 		return
@@ -236,44 +236,44 @@
 }
 
 func (w *world) checkSend(q *seen, a Action) {
-	n, known := w.nodes[a.Node]
+	n, known := w.nodes[a.Endpoint]
 	if !known {
-		w.fault("sent to unknown node %s", a.Node)
+		w.fault("sent to unknown node %s", a.Endpoint)
 	}
-	if _, bad := w.barred[a.Node]; bad {
-		w.fault("rule 3: sent to %s, which drains or is gone", a.Node)
+	if _, bad := w.barred[a.Endpoint]; bad {
+		w.fault("rule 3: sent to %s, which drains or is gone", a.Endpoint)
 	}
 	if q.out() {
 		w.fault("rule 2: two attempts of %s out", a.Request)
 	}
-	if i, ran := q.ran(); ran && q.class.Effect != Pure {
-		first := w.nodes[q.sends[i].Node]
+	if i, ran := q.ran(); ran && q.class.Effect != Idempotent {
+		first := w.nodes[q.sends[i].Endpoint]
 		switch {
-		case q.class.Effect == Unsafe:
+		case q.class.Effect == NonIdempotent:
 			w.fault("rule 2: unsafe %s sent again", a.Request)
-		case w.now > q.sentAt[i]+q.class.Window:
+		case w.now > q.sentAt[i]+q.class.DedupWindow:
 			w.fault("rule 2: keyed %s sent after its window", a.Request)
-		case a.Within <= 0 || w.now+a.Within >= q.sentAt[i]+q.class.Window:
-			w.fault("rule 2: keyed %s may leave %v after it was decided on, past its window", a.Request, a.Within)
-		case q.class.Group == GroupCell && first.Shard != n.Shard, first.Zone != n.Zone:
+		case a.SendWithin <= 0 || w.now+a.SendWithin >= q.sentAt[i]+q.class.DedupWindow:
+			w.fault("rule 2: keyed %s may leave %v after it was decided on, past its window", a.Request, a.SendWithin)
+		case q.class.DedupScope == DedupShard && first.Shard != n.Shard, first.Zone != n.Zone:
 			w.fault("rule 2: keyed %s sent outside its group", a.Request)
 		}
 	}
 	ru := w.set.Rules
-	if ru.FallWithin > 0 && n.Started > 0 && w.now-n.Started < ru.WarmWithin {
-		w.cold[a.Node] = append(w.cold[a.Node], drawn{w.now, q.req.Units})
+	if ru.OverloadWindow > 0 && n.Started > 0 && w.now-n.Started < ru.WarmUpTime {
+		w.cold[a.Endpoint] = append(w.cold[a.Endpoint], drawn{w.now, q.req.Units})
 		sum := 0.0
-		for _, d := range w.cold[a.Node] {
-			if d.at > w.now-ru.FallWithin && d.at >= n.Started {
+		for _, d := range w.cold[a.Endpoint] {
+			if d.at > w.now-ru.OverloadWindow && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		grown := ru.ColdShare + (1-ru.ColdShare)*(w.now-n.Started).Seconds()/ru.WarmWithin.Seconds()
-		if bears := w.set.ColdUnits/float64(w.set.Initiators)*grown/ru.ColdShare + w.servedBy(a.Node); sum > bears+1e-6 {
-			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Node, bears)
+		grown := ru.ColdCapacityFraction + (1-ru.ColdCapacityFraction)*(w.now-n.Started).Seconds()/ru.WarmUpTime.Seconds()
+		if bears := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*grown/ru.ColdCapacityFraction + w.servedBy(a.Endpoint); sum > bears+1e-6 {
+			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Endpoint, bears)
 		}
 	}
-	if q.class.InOrder {
+	if q.class.Ordered {
 		for _, p := range w.byKey[q.req.Extent] {
 			if p == q {
 				break
@@ -283,27 +283,27 @@
 			}
 		}
 		for _, p := range w.byKey[q.req.Extent] {
-			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.Settle {
+			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.OrderedQuietTime {
 				w.fault("rule 5: %s sent while its key rests", a.Request)
 			}
 		}
 	}
-	if ru.Budget && len(q.sends) > 0 {
+	if ru.RetryBudget && len(q.sends) > 0 {
 		w.extra = append(w.extra, w.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
-				if at > w.now-ru.BudgetSpan {
+				if at > w.now-ru.RetryBudgetWindow {
 					n++
 				}
 			}
 			return n
 		}
-		if from(w.extra) > ru.BudgetFree+ru.BudgetShare*from(w.taken) {
+		if from(w.extra) > ru.RetryBudgetFree+ru.RetryBudgetRatio*from(w.taken) {
 			w.fault("rule 6: further attempt of %s over the budget", a.Request)
 		}
 	}
-	if p := w.set.Plans[slices.IndexFunc(w.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.Limit > 0 && len(q.sends) == 0 {
-		v, hosts := q.req.Volume, float64(q.req.Initiators)
+	if p := w.set.Plans[slices.IndexFunc(w.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.RateLimit > 0 && len(q.sends) == 0 {
+		v, hosts := q.req.Volume, float64(q.req.VolumeInitiators)
 		if w.stores[v] == nil {
 			w.stores[v] = &store{}
 		}
@@ -318,7 +318,7 @@
 // servedBy is what the node has answered within the span of the cold rule, which it has shown to bear.
 func (w *world) servedBy(node string) (sum float64) {
 	for _, d := range w.served[node] {
-		if d.at > w.now-w.set.Rules.FallWithin {
+		if d.at > w.now-w.set.Rules.OverloadWindow {
 			sum += d.units
 		}
 	}
@@ -331,46 +331,46 @@
 	some := func(of ...float64) float64 { return of[w.rng.IntN(len(of))] }
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		c.Aim, c.Deadline = time.Duration(some(0.5, 1, 2)*float64(c.Aim)), time.Duration(some(1, 1, 2)*float64(c.Deadline))
-		c.Worth *= some(0.1, 1, 10)
-		if c.Effect == Unsafe && w.pick(0.3) {
-			c.Effect = Pure
+		c.LatencyObjective, c.Deadline = time.Duration(some(0.5, 1, 2)*float64(c.LatencyObjective)), time.Duration(some(1, 1, 2)*float64(c.Deadline))
+		c.PriorityWeight *= some(0.1, 1, 10)
+		if c.Effect == NonIdempotent && w.pick(0.3) {
+			c.Effect = Idempotent
 		}
-		c.InOrder = c.InOrder && w.pick(0.8)
+		c.Ordered = c.Ordered && w.pick(0.8)
 	}
 	for i := range set.Plans {
 		p := &set.Plans[i]
 		k := some(0.2, 1, 5)
-		p.Rate, p.Reserve = p.Rate*k, p.Reserve*some(0, 1, 2)
-		if p.Limit > 0 {
-			p.Limit, p.LimitBurst = p.Limit*some(0, 0.5, 1, 2), p.LimitBurst*some(0.5, 1, 2)
+		p.Rate, p.ReservedRate = p.Rate*k, p.ReservedRate*some(0, 1, 2)
+		if p.RateLimit > 0 {
+			p.RateLimit, p.RateLimitBurst = p.RateLimit*some(0, 0.5, 1, 2), p.RateLimitBurst*some(0.5, 1, 2)
 		}
 	}
-	set.MaxAttempts, set.Initiators, set.Meter = w.rng.IntN(5), 2+w.rng.IntN(4), time.Duration(some(0, 1, 3))*time.Second
+	set.MaxAttempts, set.Initiators, set.UsagePeriod = w.rng.IntN(5), 2+w.rng.IntN(4), time.Duration(some(0, 1, 3))*time.Second
 	if mask&2 != 0 {
-		set.Rules.BudgetFree, set.Rules.BudgetShare = some(0, 3, 6), some(0, 0.2, 0.5)
+		set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio = some(0, 3, 6), some(0, 0.2, 0.5)
 	}
 	if mask&8 != 0 {
 		// Each initiator's part is a largest request at least: one over it may go from a few all the same.
 		switch ru := &set.Rules; w.rng.IntN(5) {
 		case 0:
-			set.ColdUnits = some(45, 60)
+			set.ColdUnitsPerWindow = some(45, 60)
 		case 1:
-			ru.FallWithin = time.Duration(some(0.5, 3) * float64(time.Second))
+			ru.OverloadWindow = time.Duration(some(0.5, 3) * float64(time.Second))
 		case 2:
-			ru.WarmWithin = time.Duration(some(2, 8)) * time.Second
+			ru.WarmUpTime = time.Duration(some(2, 8)) * time.Second
 		case 3:
-			ru.ColdShare, ru.WarmWithin = 0.1, 9*time.Second
+			ru.ColdCapacityFraction, ru.WarmUpTime = 0.1, 9*time.Second
 		}
 	}
 	hosts := 2.0
 	for v, s := range w.stores {
 		i := int(v[1]-'0') % 2
 		s.fill(w.now, w.set.Plans[i], hosts)
-		if w.set.Plans[i].Limit <= 0 {
+		if w.set.Plans[i].RateLimit <= 0 {
 			s.level = 0
 		}
-		s.level = min(s.level, max(0, set.Plans[i].LimitBurst/hosts))
+		s.level = min(s.level, max(0, set.Plans[i].RateLimitBurst/hosts))
 	}
 	w.set = set
 	return set
@@ -379,7 +379,7 @@
 // play runs one seeded sequence and returns the rules broken and a digest of the actions. With changing, other settings come now and then.
 func play(seed uint64, mask int, changing bool) (faults []string, digest string) {
 	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), set: ruleSettings(mask), now: time.Second,
-		nodes: map[string]Node{}, barred: map[string]time.Duration{}, all: map[string]*seen{},
+		nodes: map[string]Endpoint{}, barred: map[string]time.Duration{}, all: map[string]*seen{},
 		byKey: map[string][]*seen{}, cold: map[string][]drawn{}, served: map[string][]drawn{}, stores: map[string]*store{}}
 	w.s, _ = New(w.set, seed)
 	const length = 6000
@@ -398,21 +398,21 @@
 		}
 		if q := w.some(); q != nil && w.pick(0.01) && !q.ended {
 			q.ended, q.endedAt = true, w.now
-			events = append(events, Departed{ID: q.req.ID})
+			events = append(events, ClientGone{ID: q.req.ID})
 		}
 		if w.pick(0.02) && len(w.order) > 0 { // what is already dropped
 			old := w.order[w.rng.IntN(len(w.order))].req.ID
-			events = append(events, Timer{}, Outcome{ID: old, Attempt: 9, Code: Reset}, Departed{ID: old + "x"})
+			events = append(events, TimerFired{}, Outcome{ID: old, Attempt: 9, Code: ConnectionReset}, ClientGone{ID: old + "x"})
 		}
 		due := false
 		w.timers = slices.DeleteFunc(w.timers, func(t time.Duration) bool { due = due || t <= w.now; return t <= w.now })
 		if due {
-			events = append(events, Timer{})
+			events = append(events, TimerFired{})
 		}
 		if len(events) > 0 {
 			for _, a := range w.s.Step(w.now, events) {
 				w.act(a)
-				digest += fmt.Sprintf("%d%s%s", a.Kind, a.Request, a.Node)
+				digest += fmt.Sprintf("%d%s%s", a.Kind, a.Request, a.Endpoint)
 			}
 		}
 		w.order = slices.DeleteFunc(w.order, func(q *seen) bool {
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -16,24 +16,24 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	list := NodeList{Whole: true}
+	list := EndpointList{Full: true}
 	for i := range count {
-		list.Nodes = append(list.Nodes, shardNode(i))
+		list.Endpoints = append(list.Endpoints, shardNode(i))
 	}
 	now := time.Hour
 	s.Step(now, []Event{list})
 	return s, now
 }
 
-func shardNode(i int) Node { return Node{ID: fmt.Sprintf("n%d", i), Zone: "z", Shard: i} }
+func shardNode(i int) Endpoint { return Endpoint{ID: fmt.Sprintf("n%d", i), Zone: "z", Shard: i} }
 
 // serve has the scheduler take one request, and its answer.
 func serve(s *Scheduler, now time.Duration, id string, shard int) (served bool) {
-	events := []Event{Request{ID: id, Class: "pure", Plan: "p1", Volume: "v", Extent: "k", Shard: shard, Units: 1, Initiators: 1, Budget: time.Second}}
+	events := []Event{Request{ID: id, Class: "pure", Plan: "p1", Volume: "v", Extent: "k", Shard: shard, Units: 1, VolumeInitiators: 1, TimeLeft: time.Second}}
 	for _, a := range s.Step(now, events) {
 		if a.Kind == Send {
 			served = true
-			events = []Event{Outcome{ID: id, Node: a.Node, Code: Delivered, Took: 2 * ms, Closed: true}}
+			events = []Event{Outcome{ID: id, Endpoint: a.Endpoint, Code: Served, Latency: 2 * ms, Final: true}}
 		}
 	}
 	s.Step(now+2*ms, events)
@@ -43,8 +43,8 @@
 // change has the scheduler take a change of one entry: a node that drains, or is back.
 func change(s *Scheduler, now time.Duration, i, at int) {
 	x := shardNode(at)
-	x.State = NodeState(i % 2)
-	s.Step(now, []Event{NodeList{Nodes: []Node{x}}})
+	x.State = EndpointState(i % 2)
+	s.Step(now, []Event{EndpointList{Endpoints: []Endpoint{x}}})
 }
 
 // costs are what an initiator does all the time, each done count times from the given moment on.
@@ -56,15 +56,15 @@
 	{"request and answer", func(s *Scheduler, now time.Duration, i int) { serve(s, now, fmt.Sprint(i), i%64) }},
 	{"new object and answer", func(s *Scheduler, now time.Duration, i int) { serve(s, now, fmt.Sprint(i), -1) }},
 	{"request that waits, its client leaves", func(s *Scheduler, now time.Duration, i int) {
-		s.Step(now, []Event{Request{ID: fmt.Sprint(i), Class: "pure", Plan: "p1", Volume: "v", Shard: 1 << 20, Units: 1, Initiators: 1, Budget: time.Second}})
-		s.Step(now, []Event{Departed{ID: fmt.Sprint(i)}})
+		s.Step(now, []Event{Request{ID: fmt.Sprint(i), Class: "pure", Plan: "p1", Volume: "v", Shard: 1 << 20, Units: 1, VolumeInitiators: 1, TimeLeft: time.Second}})
+		s.Step(now, []Event{ClientGone{ID: fmt.Sprint(i)}})
 	}},
 	{"step after a long silence", func(s *Scheduler, now time.Duration, i int) {
-		s.Step(now+time.Duration(i)*time.Minute, []Event{Timer{}})
+		s.Step(now+time.Duration(i)*time.Minute, []Event{TimerFired{}})
 	}},
 	{"which are avoided", func(s *Scheduler, now time.Duration, i int) {
-		s.Avoided()
-		s.AvoidedNodes()
+		s.EjectedCount()
+		s.EjectedEndpoints()
 	}},
 }
 
@@ -116,7 +116,7 @@
 	}
 	for range 2 {
 		now += time.Minute
-		s.Step(now, []Event{Timer{}})
+		s.Step(now, []Event{TimerFired{}})
 	}
 	for i := range 200 {
 		now += 4 * ms
@@ -125,17 +125,17 @@
 		}
 	}
 	serve(s, now, "new", -1)
-	s.Avoided()
-	for name, list := range map[string]int{"held": len(s.held) + len(s.came), "flowing": len(s.flowing), "bare": len(s.bare), "used": len(s.used),
-		"news": len(s.news), "stale": len(s.stale), "touched": len(s.least.touched), "moving": len(s.least.moving)} {
+	s.EjectedCount()
+	for name, list := range map[string]int{"held": len(s.waitingQueues) + len(s.newlyWaiting), "flowing": len(s.flowingQueues), "bare": len(s.orphanedQueues), "used": len(s.usedEndpoints),
+		"news": len(s.changedEndpoints), "stale": len(s.staleQueues), "touched": len(s.waitTree.touched), "moving": len(s.waitTree.moving)} {
 		if list > 12 {
 			t.Errorf("%d lanes or nodes are %s with ten shards in use", list, name)
 		}
 	}
-	s.Step(now+time.Minute, []Event{Timer{}})
-	s.Step(now+2*time.Minute, []Event{Timer{}})
-	if len(s.flowing)+len(s.used)+len(s.volumes) > 0 || len(s.nodes) != count || len(s.lanes) != count {
-		t.Errorf("after a while %d lanes have flows, %d nodes are in use, %d nodes, %d lanes", len(s.flowing), len(s.used), len(s.nodes), len(s.lanes))
+	s.Step(now+time.Minute, []Event{TimerFired{}})
+	s.Step(now+2*time.Minute, []Event{TimerFired{}})
+	if len(s.flowingQueues)+len(s.usedEndpoints)+len(s.volumes) > 0 || len(s.endpoints) != count || len(s.queues) != count {
+		t.Errorf("after a while %d lanes have flows, %d nodes are in use, %d nodes, %d lanes", len(s.flowingQueues), len(s.usedEndpoints), len(s.endpoints), len(s.queues))
 	}
 }
 
@@ -175,9 +175,9 @@
 	for _, count := range shardCounts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			s, now := shards(b, count)
-			list := NodeList{Whole: true}
-			for _, n := range s.nodes {
-				list.Nodes = append(list.Nodes, n.Node)
+			list := EndpointList{Full: true}
+			for _, n := range s.endpoints {
+				list.Endpoints = append(list.Endpoints, n.Endpoint)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
@@ -195,8 +195,8 @@
 			s, now := shards(b, count)
 			serve(s, now, "r", 0)
 			for b.Loop() {
-				s.Avoided()
-				s.AvoidedNodes()
+				s.EjectedCount()
+				s.EjectedEndpoints()
 			}
 		})
 	}
--- a/internal/policy/scheduler_test.go
+++ b/internal/policy/scheduler_test.go
@@ -15,9 +15,9 @@
 // plain returns settings with one safe class, one plan of 10 units a second and no rules.
 func plain() Settings {
 	return Settings{
-		Initiators: 1, Tick: ms, MeanUnits: 1, LargestUnits: 1, Meter: time.Second,
-		Classes: []Class{{Name: "get", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:   []Plan{{Name: "std", Rate: 10, Reserve: 10, Weight: 1, Price: 1}},
+		Initiators: 1, MinStep: ms, MeanUnits: 1, MaxUnits: 1, UsagePeriod: time.Second,
+		Classes: []Class{{Name: "get", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 1}},
+		Plans:   []Plan{{Name: "std", Rate: 10, ReservedRate: 10, Weight: 1, PriorityFactor: 1}},
 	}
 }
 
@@ -32,7 +32,7 @@
 	tries  map[string]int
 }
 
-func newRig(t *testing.T, set Settings, nodes ...Node) *rig {
+func newRig(t *testing.T, set Settings, nodes ...Endpoint) *rig {
 	t.Helper()
 	s, err := New(set, 1)
 	if err != nil {
@@ -40,7 +40,7 @@
 	}
 	r := &rig{t: t, s: s, now: time.Second, tries: map[string]int{}}
 	s.Step(0, nil) // it runs for a second: what it sent before to nodes that start then is known
-	r.step(NodeList{Whole: true, Nodes: nodes})
+	r.step(EndpointList{Full: true, Endpoints: nodes})
 	return r
 }
 
@@ -51,7 +51,7 @@
 		case Send:
 			r.sends, r.sentAt = append(r.sends, a), append(r.sentAt, r.now)
 			r.tries[a.Request]++
-		case Refuse, Fail:
+		case Reject, Fail:
 			r.ends = append(r.ends, a)
 		}
 	}
@@ -62,12 +62,12 @@
 func (r *rig) wait(d time.Duration) {
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
-		r.step(Timer{})
+		r.step(TimerFired{})
 	}
 }
 
-func (r *rig) end(id string, code Code, took time.Duration) []Action {
-	return r.step(Outcome{ID: id, Attempt: r.tries[id] - 1, Code: code, Took: took, Closed: code == Delivered})
+func (r *rig) end(id string, code OutcomeCode, took time.Duration) []Action {
+	return r.step(Outcome{ID: id, Attempt: r.tries[id] - 1, Code: code, Latency: took, Final: code == Served})
 }
 
 func (r *rig) sent() []string {
@@ -79,10 +79,10 @@
 }
 
 func req(id, vol string, units float64) Request {
-	return Request{ID: id, Class: "get", Plan: "std", Volume: vol, Units: units, Initiators: 1, Budget: 2 * time.Second}
+	return Request{ID: id, Class: "get", Plan: "std", Volume: vol, Units: units, VolumeInitiators: 1, TimeLeft: 2 * time.Second}
 }
 
-func up(id string, shard int) Node { return Node{ID: id, Shard: shard} }
+func up(id string, shard int) Endpoint { return Endpoint{ID: id, Shard: shard} }
 
 // TestTagCases works the three cases of the start tag by hand: bucket of 11 (a second's rate and one
 // largest request), 10 units a second.
@@ -105,13 +105,13 @@
 		}
 		r.step(req("x", "v", c.units))
 		x := r.s.requests["x"]
-		if got := (x.start - r.now).Round(time.Microsecond); got != c.start {
+		if got := (x.startTag - r.now).Round(time.Microsecond); got != c.start {
 			t.Errorf("%s: start tag %v after now, want %v", c.name, got, c.start)
 		}
-		if x.finish-x.start != 400*ms {
-			t.Errorf("%s: finish tag %v after start, want the aim", c.name, x.finish-x.start)
+		if x.finishTag-x.startTag != 400*ms {
+			t.Errorf("%s: finish tag %v after start, want the aim", c.name, x.finishTag-x.startTag)
 		}
-		if got := x.vol.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
+		if got := x.volume.tokens; got < c.left-1e-9 || got > c.left+1e-9 {
 			t.Errorf("%s: %v tokens left, want %v", c.name, got, c.left)
 		}
 	}
@@ -123,7 +123,7 @@
 		"no class":      func(s *Settings) { s.Classes = nil },
 		"no plan":       func(s *Settings) { s.Plans = nil },
 		"no initiator":  func(s *Settings) { s.Initiators = 0 },
-		"class, no aim": func(s *Settings) { s.Classes[0].Aim = 0 },
+		"class, no aim": func(s *Settings) { s.Classes[0].LatencyObjective = 0 },
 	} {
 		set := plain()
 		spoil(&set)
@@ -137,10 +137,10 @@
 func TestHeldIsAnswered(t *testing.T) {
 	r := newRig(t, plain(), up("n", 1))
 	q := req("a", "v", 1)
-	q.Budget = 100 * ms
+	q.TimeLeft = 100 * ms
 	r.step(q)
 	r.wait(98 * ms)
-	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Fatalf("sends %v, ends %v; want one refusal", r.sends, r.ends)
 	}
 }
@@ -148,13 +148,13 @@
 // TestDrainStopsAtOnce checks that a draining node gets nothing and its successor gets what was held.
 func TestDrainStopsAtOnce(t *testing.T) {
 	r := newRig(t, plain(), up("old", 0))
-	r.step(NodeList{Nodes: []Node{{ID: "old", State: Draining}}}, req("a", "v", 1))
+	r.step(EndpointList{Endpoints: []Endpoint{{ID: "old", State: Draining}}}, req("a", "v", 1))
 	r.wait(50 * ms)
 	if len(r.sends) != 0 {
 		t.Fatalf("sent to a draining node: %v", r.sends)
 	}
-	r.step(NodeList{Nodes: []Node{up("new", 0)}})
-	if len(r.sends) != 1 || r.sends[0].Node != "new" {
+	r.step(EndpointList{Endpoints: []Endpoint{up("new", 0)}})
+	if len(r.sends) != 1 || r.sends[0].Endpoint != "new" {
 		t.Fatalf("sends %v, want one to the successor", r.sends)
 	}
 }
@@ -167,17 +167,17 @@
 		id := string(rune('a' + i))
 		r.step(req(id, "v", 1))
 		r.now += 30 * ms
-		r.end(id, Delivered, 30*ms)
+		r.end(id, Served, 30*ms)
 	}
 	r.step(req("slow", "v", 1))
 	r.now += 5 * time.Second
-	r.end("slow", Delivered, 5*time.Second)
+	r.end("slow", Served, 5*time.Second)
 	r.now += 10 * time.Second // a few spells
 	r.step(req("next", "v", 1))
 	if got := r.sent(); got[len(got)-1] != "next" {
 		t.Fatalf("sent %v; want the next request sent at once", got)
 	}
-	if r.s.requests["next"].late {
+	if r.s.requests["next"].pastObjective {
 		t.Fatal("the next request counts as late")
 	}
 }
@@ -186,15 +186,15 @@
 // tag is earlier, and that what is kept is what can be done in time.
 func TestOverloadSetsLeastWorthAside(t *testing.T) {
 	set := plain()
-	set.Classes[0].Worth = 1
-	set.Classes = append(set.Classes, Class{Name: "dear", Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 3})
-	set.Plans[0].Price = 1
+	set.Classes[0].PriorityWeight = 1
+	set.Classes = append(set.Classes, Class{Name: "dear", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3})
+	set.Plans[0].PriorityFactor = 1
 	r := newRig(t, set, up("n", 0))
 	r.step(req("warm", "v", 1))
 	r.wait(300 * ms)
-	r.end("warm", Delivered, 300*ms)
+	r.end("warm", Served, 300*ms)
 	n := r.s.byID["n"]
-	n.window = 1
+	n.concurrencyLimit = 1
 	a, b, c := req("cheap1", "v", 1), req("cheap2", "w", 1), req("dear", "x", 1)
 	c.Class = "dear"
 	r.step(a, b, c)
@@ -209,14 +209,14 @@
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("full", "v", 1))
 	r.now += 20 * ms
-	r.end("full", Delivered, 20*ms)
+	r.end("full", Served, 20*ms)
 	for i := range 40 {
 		q := req(string(rune('A'+i)), "v", 1)
-		q.Budget = 200 * ms
+		q.TimeLeft = 200 * ms
 		r.step(q)
 		r.now += 20 * ms
 		if r.tries[q.ID] > 0 {
-			r.end(q.ID, Delivered, 20*ms)
+			r.end(q.ID, Served, 20*ms)
 		}
 	}
 	if got := len(r.sends); got < 25 {
@@ -233,9 +233,9 @@
 		id := string(rune('a' + i))
 		r.now += time.Second
 		r.step(req(id, "v", 1))
-		r.end(id, Errored, ms)
-		r.step(Departed{ID: id})
-		if got, want := r.s.troubled(n), i >= 11; got != want {
+		r.end(id, AnsweredError, ms)
+		r.step(ClientGone{ID: id})
+		if got, want := r.s.isFaulty(n), i >= 11; got != want {
 			t.Fatalf("after %d errors troubled is %v, want %v", i+1, got, want)
 		}
 	}
@@ -256,7 +256,7 @@
 		t.Fatalf("sent %v, want the two lost and one trial", got)
 	}
 	r.now += 10 * ms
-	r.end("p", Delivered, 10*ms)
+	r.end("p", Served, 10*ms)
 	if got := r.sent(); len(got) != 4 {
 		t.Fatalf("sent %v, want the next one after the trial's answer", got)
 	}
@@ -266,14 +266,14 @@
 // the other comes back.
 func TestRedemption(t *testing.T) {
 	set := plain()
-	set.Classes[0] = Class{Name: "get", Aim: 10 * time.Second, Deadline: 60 * time.Second}
-	set.Plans[0].Rate, set.Plans[0].Reserve = 50, 50
+	set.Classes[0] = Class{Name: "get", LatencyObjective: 10 * time.Second, Deadline: 60 * time.Second}
+	set.Plans[0].Rate, set.Plans[0].ReservedRate = 50, 50
 	r := newRig(t, set, up("n", 0))
 	n := r.s.byID["n"]
 	ask := func(vol string, count int) {
 		for range count {
 			q := req(vol+string(rune(0x4e00+len(r.s.requests)+len(r.sends))), vol, 1)
-			q.Budget = time.Minute
+			q.TimeLeft = time.Minute
 			r.step(q)
 		}
 	}
@@ -281,11 +281,11 @@
 	play := func(steps int) { // the node serves one request each 10 ms, in the order sent
 		for range steps {
 			r.now += 10 * ms
-			n.window = 1
-			if len(n.out) > 0 {
-				id := n.out[0].ID
+			n.concurrencyLimit = 1
+			if len(n.inFlight) > 0 {
+				id := n.inFlight[0].ID
 				served[id[0]]++
-				r.end(id, Delivered, 10*ms)
+				r.end(id, Served, 10*ms)
 			}
 		}
 	}
@@ -314,18 +314,18 @@
 		gap  time.Duration
 		want float64
 	}{
-		{"what is served at once", Load{Queue: -1, InFlight: 3}, 0, 0.05},
-		{"four past that", Load{Queue: -1, InFlight: loadFree + 4}, 0, 0.05 * (1 + 4*loadAdds)},
-		{"four that wait", Load{Queue: 4, InFlight: 30}, 0, 0.05 * (1 + 4*loadAdds)},
-		{"no word for a long time", Load{Queue: 4, InFlight: -1}, 30 * time.Second, 0.05},
+		{"what is served at once", Load{Queued: -1, InFlight: 3}, 0, 0.05},
+		{"four past that", Load{Queued: -1, InFlight: freeLoad + 4}, 0, 0.05 * (1 + 4*latencyPerLoad)},
+		{"four that wait", Load{Queued: 4, InFlight: 30}, 0, 0.05 * (1 + 4*latencyPerLoad)},
+		{"no word for a long time", Load{Queued: 4, InFlight: -1}, 30 * time.Second, 0.05},
 	} {
 		r := newRig(t, plain(), up("n", 0))
 		r.step(req("a", "v", 1))
 		r.now += 50 * ms
-		r.step(Outcome{ID: "a", Code: Delivered, Took: 50 * ms, Closed: true, Load: &c.load})
+		r.step(Outcome{ID: "a", Code: Served, Latency: 50 * ms, Final: true, Load: &c.load})
 		r.now += c.gap
 		r.step()
-		if got := r.s.expect(r.s.byID["n"]); math.Abs(got-c.want) > 1e-6 {
+		if got := r.s.expectedLatency(r.s.byID["n"]); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("%s: %.4f s expected, want %.4f", c.name, got, c.want)
 		}
 	}
@@ -339,9 +339,9 @@
 		r.wait(10 * time.Second)
 		r.step(req(id, "v", 1))
 		r.wait(took)
-		r.end(id, Delivered, took)
+		r.end(id, Served, took)
 	}
-	if got := r.s.expect(r.s.byID["n"]); got < 0.5 {
+	if got := r.s.expectedLatency(r.s.byID["n"]); got < 0.5 {
 		t.Fatalf("%.2f s expected after one answer in 0.6 s, long after the others", got)
 	}
 }
@@ -352,9 +352,9 @@
 	r := newRig(t, plain()) // no node: held until its client is about to leave
 	q := req("a", "v", 1)
 	r.step(q)
-	for end := r.now + q.Budget; r.now < end; {
+	for end := r.now + q.TimeLeft; r.now < end; {
 		wait := time.Duration(-1)
-		for _, a := range r.step(Timer{}) {
+		for _, a := range r.step(TimerFired{}) {
 			if a.Kind == SetTimer {
 				wait = a.Wait
 			}
@@ -384,7 +384,7 @@
 		r := newRig(t, plain(), up("n", 0))
 		r.step(req("a", "v", 1))
 		r.wait(50 * ms)
-		r.end("a", Delivered, 50*ms)
+		r.end("a", Served, 50*ms)
 		r.step(req("b", "v", 1))
 		if c.stands {
 			r.now += 600 * ms
@@ -392,9 +392,9 @@
 			r.wait(600 * ms)
 		}
 		q := req("c", "v", 1)
-		q.Budget -= 300 * ms
-		r.step(q, Outcome{ID: "b", Code: Delivered, Took: 600 * ms, Closed: true})
-		if got := r.s.requests["c"].fullAim - r.now; got != c.aim {
+		q.TimeLeft -= 300 * ms
+		r.step(q, Outcome{ID: "b", Code: Served, Latency: 600 * ms, Final: true})
+		if got := r.s.requests["c"].objectiveAt - r.now; got != c.aim {
 			t.Errorf("%s: aim in %v, want %v", c.name, got, c.aim)
 		}
 		if got := r.s.byID["n"].latency > 0.06; got != c.learns {
@@ -408,12 +408,12 @@
 	r := newRig(t, plain(), up("n", 0))
 	for i := range 5 {
 		q := req(fmt.Sprintf("a%d", i), "v", 1)
-		q.Budget = 60 * ms
+		q.TimeLeft = 60 * ms
 		r.step(q)
 		r.now += 60 * ms
-		r.end(q.ID, Expired, 60*ms)
+		r.end(q.ID, TimedOut, 60*ms)
 	}
-	if r.s.troubled(r.s.byID["n"]) {
+	if r.s.isFaulty(r.s.byID["n"]) {
 		t.Fatal("five short patiences make the node troubled")
 	}
 }
@@ -422,40 +422,40 @@
 func TestLongLife(t *testing.T) {
 	for _, budget := range []bool{false, true} {
 		set := plain()
-		set.Rules.Budget, set.Rules.BudgetSpan, set.Rules.BudgetFree = budget, time.Second, 3
-		set.Classes[0].InOrder, set.Rules.Settle = true, 100*ms
+		set.Rules.RetryBudget, set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetFree = budget, time.Second, 3
+		set.Classes[0].Ordered, set.Rules.OrderedQuietTime = true, 100*ms
 		r := newRig(t, set, up("n0", 0))
 		for i := range 4000 {
 			if i%10 == 0 {
-				r.step(NodeList{Whole: true, Nodes: []Node{{ID: fmt.Sprintf("n%d", i), Started: r.now - time.Hour}}})
+				r.step(EndpointList{Full: true, Endpoints: []Endpoint{{ID: fmt.Sprintf("n%d", i), Started: r.now - time.Hour}}})
 			}
 			q := req(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
 			q.Extent = fmt.Sprintf("k%d", i)
 			r.step(q)
 			r.now += 20 * ms
 			if r.tries[q.ID] > 0 {
-				r.end(q.ID, []Code{Delivered, Reset}[i%2], 20*ms)
+				r.end(q.ID, []OutcomeCode{Served, ConnectionReset}[i%2], 20*ms)
 			}
 			for range 5 {
 				r.now += time.Second
-				r.step(Timer{})
+				r.step(TimerFired{})
 			}
 			for _, a := range r.sends {
-				if r.s.requests[a.Request] != nil && r.s.requests[a.Request].out != nil {
-					r.end(a.Request, Delivered, time.Second)
+				if r.s.requests[a.Request] != nil && r.s.requests[a.Request].inFlightAt != nil {
+					r.end(a.Request, Served, time.Second)
 				}
 			}
 			r.sends = nil
 		}
 		s := r.s
-		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.taken), "extra": len(s.extra),
-			"turned": len(s.turned), "turned by time": len(s.turnedAt), "due": len(s.dues)} {
+		for name, size := range map[string]int{"requests": len(s.requests), "taken": len(s.recentRequests), "extra": len(s.recentRetries),
+			"turned": len(s.rejected), "turned by time": len(s.rejectedInOrder), "due": len(s.deadlines)} {
 			if size > 10 {
 				t.Errorf("budget %v: %d %s kept", budget, size, name)
 			}
 		}
-		for name, size := range map[string]int{"volumes": len(s.volumes), "keys": len(s.keys), "nodes": len(s.nodes),
-			"nodes by name": len(s.byID), "flows": len(s.lanes[0].flows), "flows by volume": len(s.lanes[0].byVol)} {
+		for name, size := range map[string]int{"volumes": len(s.volumes), "keys": len(s.orderedExtents), "nodes": len(s.endpoints),
+			"nodes by name": len(s.byID), "flows": len(s.queues[0].flows), "flows by volume": len(s.queues[0].flowByVolume)} {
 			if size > 250 {
 				t.Errorf("budget %v: %d %s kept of 4000", budget, size, name)
 			}
@@ -467,9 +467,9 @@
 func TestSettingsAreOwn(t *testing.T) {
 	set := plain()
 	r := newRig(t, set, up("n", 0))
-	set.Classes[0].Aim, set.Plans[0].Rate = 0, 0
+	set.Classes[0].LatencyObjective, set.Plans[0].Rate = 0, 0
 	r.step(req("a", "v", 1))
-	if r.s.classes["get"].Aim != 400*ms || r.s.plans["std"].Rate != 10 {
+	if r.s.classes["get"].LatencyObjective != 400*ms || r.s.plans["std"].Rate != 10 {
 		t.Fatal("the settings changed with the caller's slices")
 	}
 }
@@ -485,18 +485,18 @@
 		r.wait(time.Minute)
 		for i := range 60 {
 			if pressed {
-				n.pressed = r.now
+				n.congestedAt = r.now
 			}
 			a, b := req(fmt.Sprintf("a%d", i), "v", 1), req(fmt.Sprintf("b%d", i), "w", 1)
 			r.step(a, b)
 			took := time.Duration(20+15*(i%4)) * ms
 			r.wait(took)
-			for _, q := range slices.Clone(n.out) {
-				r.end(q.ID, Delivered, took)
+			for _, q := range slices.Clone(n.inFlight) {
+				r.end(q.ID, Served, took)
 			}
 			r.wait(100 * ms)
 		}
-		return n.window
+		return n.concurrencyLimit
 	}
 	if calm, pressed := depth(false), depth(true); calm <= pressed {
 		t.Fatalf("depth %.2f when calm, %.2f under pressure; want it deeper when calm", calm, pressed)
@@ -510,10 +510,10 @@
 	starts, ever := map[time.Duration]bool{}, 0
 	for index := range 200 {
 		set := plain()
-		set.Initiators, set.Index, set.ColdUnits = 200, index+1, 10
-		set.Rules = Rules{ColdShare: 0.2, WarmWithin: 10 * time.Second, FallWithin: time.Second, FallMultiple: 3}
+		set.Initiators, set.InitiatorIndex, set.ColdUnitsPerWindow = 200, index+1, 10
+		set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 10 * time.Second, OverloadWindow: time.Second, OverloadFactor: 3}
 		r := newRig(t, set, up("n", 0))
-		r.step(NodeList{Nodes: []Node{{ID: "n", Started: r.now - time.Millisecond}}})
+		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: r.now - time.Millisecond}}})
 		told := r.now
 		first, sent := time.Duration(0), []time.Duration{}
 		for i := range 400 {
@@ -553,27 +553,27 @@
 	for _, c := range []struct {
 		load *Load
 		want int
-	}{{&Load{Queue: -1, InFlight: 1}, 10}, {&Load{Queue: -1, InFlight: 30}, 1}, {nil, 1}} {
+	}{{&Load{Queued: -1, InFlight: 1}, 10}, {&Load{Queued: -1, InFlight: 30}, 1}, {nil, 1}} {
 		set := plain()
-		set.Initiators, set.ColdUnits = 200, 10
-		set.Rules = Rules{ColdShare: 0.2, WarmWithin: 10 * time.Second, FallWithin: time.Second, FallMultiple: 3}
+		set.Initiators, set.ColdUnitsPerWindow = 200, 10
+		set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 10 * time.Second, OverloadWindow: time.Second, OverloadFactor: 3}
 		r := newRig(t, set, up("n", 0))
-		r.s.index = 0
-		for r.s.rank(&node{Node: up("n", 0)}) > 0.01 { // one of those that send first there
-			r.s.index++
+		r.s.initiatorIndex = 0
+		for r.s.initiatorRank(&endpoint{Endpoint: up("n", 0)}) > 0.01 { // one of those that send first there
+			r.s.initiatorIndex++
 		}
 		r.wait(20 * time.Second)
-		r.step(NodeList{Nodes: []Node{{ID: "n", Started: r.now - time.Millisecond}}})
+		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: r.now - time.Millisecond}}})
 		began := len(r.sends)
 		for i := range 10 {
 			id := fmt.Sprintf("r%d", i)
 			r.step(req(id, "v", 1), req(id+"b", "w", 1))
-			if out := len(r.s.byID["n"].out); out > 1 {
+			if out := len(r.s.byID["n"].inFlight); out > 1 {
 				t.Errorf("%+v: %d out at a cold node", c.load, out)
 			}
 			r.now += 40 * ms
-			for _, q := range r.s.byID["n"].out {
-				r.step(Outcome{ID: q.ID, Attempt: r.tries[q.ID] - 1, Code: Delivered, Took: 40 * ms, Closed: true, Load: c.load})
+			for _, q := range r.s.byID["n"].inFlight {
+				r.step(Outcome{ID: q.ID, Attempt: r.tries[q.ID] - 1, Code: Served, Latency: 40 * ms, Final: true, Load: c.load})
 			}
 		}
 		if got := len(r.sends) - began; got < c.want || c.want == 1 && got > 1 {
@@ -591,7 +591,7 @@
 	if len(r.sends) != 2 {
 		t.Fatalf("%d of 2 sent at once where handshakes cost nothing", len(r.sends))
 	}
-	set.Handshake = 0.08
+	set.ConnectCost = 0.08
 	r = newRig(t, set, up("n", 0))
 	r.step(req("a", "v", 1), req("b", "v", 1))
 	r.wait(100 * ms)
@@ -602,8 +602,8 @@
 	if len(r.sends) != 2 {
 		t.Fatalf("%d out past half of the aim, want the second on a connection of its own", len(r.sends))
 	}
-	r.end("a", Delivered, 220*ms)
-	r.end("b", Delivered, 20*ms)
+	r.end("a", Served, 220*ms)
+	r.end("b", Served, 20*ms)
 	r.step(req("c", "v", 1), req("d", "v", 1))
 	if len(r.sends) != 4 {
 		t.Errorf("%d of 2 more sent at once on the two connections there are", len(r.sends)-2)
@@ -613,16 +613,16 @@
 // TestAbsurdReports checks that figures no node can mean change nothing, and that a report for a node without an
 // answer yet is no harm.
 func TestAbsurdReports(t *testing.T) {
-	for _, load := range []*Load{nil, {Queue: -1, InFlight: -1}, {Queue: 1e300, InFlight: -1}, {Queue: math.Inf(1)},
-		{Queue: math.NaN(), InFlight: math.NaN()}, {Queue: -7, InFlight: -1e9}} {
+	for _, load := range []*Load{nil, {Queued: -1, InFlight: -1}, {Queued: 1e300, InFlight: -1}, {Queued: math.Inf(1)},
+		{Queued: math.NaN(), InFlight: math.NaN()}, {Queued: -7, InFlight: -1e9}} {
 		r := newRig(t, plain(), up("n", 0))
 		for i := range 3 {
 			id := fmt.Sprintf("a%d", i)
 			r.step(req(id, "v", 1))
 			r.now += 40 * ms
-			r.step(Outcome{ID: id, Code: Delivered, Took: 40 * ms, Closed: true, Load: load})
+			r.step(Outcome{ID: id, Code: Served, Latency: 40 * ms, Final: true, Load: load})
 		}
-		if got := r.s.expect(r.s.byID["n"]); got < 0.039 || got > 0.041 {
+		if got := r.s.expectedLatency(r.s.byID["n"]); got < 0.039 || got > 0.041 {
 			t.Errorf("%+v: %v s expected, want the 40 ms answered", load, got)
 		}
 		if len(r.sends) != 3 {
@@ -636,10 +636,10 @@
 func TestDecidedByHalfTime(t *testing.T) {
 	r := newRig(t, plain(), up("n", 1)) // its shard is nowhere
 	q := req("a", "v", 1)
-	q.Budget = time.Second
+	q.TimeLeft = time.Second
 	r.step(q)
 	r.wait(500 * ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Fatalf("ends %v by half the time, want one refusal", r.ends)
 	}
 }
@@ -649,15 +649,15 @@
 func TestFullNodeCostsNoLook(t *testing.T) {
 	for _, extent := range []string{"other", "same"} {
 		r := newRig(t, plain(), up("n", 0))
-		r.s.byID["n"].window = 1
+		r.s.byID["n"].concurrencyLimit = 1
 		out := req("out", "v", 1)
 		out.Extent = "same"
 		r.step(out)
-		r.s.ready = nil
+		r.s.sendable = nil
 		held := req("held", "w", 1)
 		held.Extent = extent
 		r.step(held)
-		if looked := r.s.ready != nil; looked != (extent == "same") || looked != (len(r.sends) == 2) {
+		if looked := r.s.sendable != nil; looked != (extent == "same") || looked != (len(r.sends) == 2) {
 			t.Errorf("held of extent %q: looked at %v, sent %v", extent, looked, r.sent())
 		}
 	}
@@ -670,16 +670,16 @@
 		set := plain()
 		set.Initiators = initiators
 		r := newRig(t, set, up("n", 0))
-		r.s.byID["n"].window = 6
+		r.s.byID["n"].concurrencyLimit = 6
 		for i := range 80 {
 			id := fmt.Sprintf("a%d", i)
 			r.step(req(id, "v", 1))
 			took := time.Duration(10+i*5) * ms
 			r.wait(took)
-			r.s.byID["n"].pressed = r.now
-			r.end(id, Delivered, took)
+			r.s.byID["n"].congestedAt = r.now
+			r.end(id, Served, took)
 		}
-		if got := math.Round(r.s.byID["n"].window); got != want {
+		if got := math.Round(r.s.byID["n"].concurrencyLimit); got != want {
 			t.Errorf("%d initiators: depth %v after ever slower answers, want %v", initiators, got, want)
 		}
 	}
@@ -691,7 +691,7 @@
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("slow", "v", 1))
 	r.wait(900 * ms)
-	r.end("slow", Delivered, 900*ms)
+	r.end("slow", Served, 900*ms)
 	r.step(req("lapsed", "v", 1))
 	if len(r.ends) != 1 || r.ends[0].Request != "lapsed" {
 		t.Fatalf("ends %v, want one refused: the node takes 900 ms", r.ends)
@@ -709,19 +709,19 @@
 	for _, sent := range []bool{false, true} {
 		r := newRig(t, plain(), up("n", 0))
 		if !sent {
-			r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+			r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		}
 		r.step(req("a", "v", 1))
 		if sent {
-			r.end("a", Full, ms)
-			r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+			r.end("a", TurnedAway, ms)
+			r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		}
 		r.wait(380 * ms)
 		if len(r.ends) != 0 {
 			t.Errorf("sent %v: ended %v within the aim", sent, r.ends)
 		}
 		r.wait(30 * ms)
-		if len(r.ends) != 1 || r.ends[0].Kind != Refuse || r.ends[0].Wait < 1500*ms {
+		if len(r.ends) != 1 || r.ends[0].Kind != Reject || r.ends[0].Wait < 1500*ms {
 			t.Errorf("sent %v: ends %v past the aim, want one refusal until the client's patience is over", sent, r.ends)
 		}
 	}
@@ -733,13 +733,13 @@
 	r := newRig(t, plain(), up("n", 0))
 	r.step(req("warm", "v", 1))
 	r.wait(200 * ms)
-	r.end("warm", Delivered, 200*ms)
-	r.s.byID["n"].window = 1
+	r.end("warm", Served, 200*ms)
+	r.s.byID["n"].concurrencyLimit = 1
 	r.step(req("first", "v", 1), req("next", "w", 1))
 	before := r.s.volumes["w"].tokens
 	r.wait(250 * ms)
-	r.end("first", Delivered, 250*ms)
-	if len(r.ends) != 1 || r.ends[0].Request != "next" || r.ends[0].Kind != Refuse {
+	r.end("first", Served, 250*ms)
+	if len(r.ends) != 1 || r.ends[0].Request != "next" || r.ends[0].Kind != Reject {
 		t.Fatalf("ends %v, want next refused: 200 ms of work do not fit into the 150 left", r.ends)
 	}
 	if got := r.s.volumes["w"].tokens; got != before+1 {
@@ -751,34 +751,34 @@
 // until when it may leave, and goes to the group that drops repeats; where none can be sent any more the request ends at once.
 func TestRepeatAtItsWindow(t *testing.T) {
 	const window = 300 * ms
-	for _, group := range []Group{GroupAll, GroupZone, GroupCell} {
+	for _, group := range []DedupScope{DedupFleet, DedupZone, DedupShard} {
 		inside, outside := 0, 0
 		for doubt := 200 * ms; doubt < window+20*ms; doubt += ms {
 			set := plain()
-			set.Classes[0].Effect, set.Classes[0].Group, set.Classes[0].Window = Keyed, group, window
-			r := newRig(t, set, Node{ID: "n", Zone: "a"})
+			set.Classes[0].Effect, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentWithKey, group, window
+			r := newRig(t, set, Endpoint{ID: "n", Zone: "a"})
 			x := req("x", "v", 1)
 			x.Extent = "e"
 			r.step(x)
 			sent := r.now
 			r.now += doubt
-			r.end("x", Reset, doubt)
-			next, here := Node{ID: "m", Zone: "b"}, doubt%(2*ms) == 0
+			r.end("x", ConnectionReset, doubt)
+			next, here := Endpoint{ID: "m", Zone: "b"}, doubt%(2*ms) == 0
 			if here {
 				next.Zone = "a"
 			}
-			r.step(NodeList{Whole: true, Nodes: []Node{next}})
+			r.step(EndpointList{Full: true, Endpoints: []Endpoint{next}})
 			r.wait(500 * ms)
 			if len(r.sends) == 1 {
 				outside++
-				if len(r.ends) != 1 || (r.ends[0].Kind == Refuse) != (group == GroupAll) {
+				if len(r.ends) != 1 || (r.ends[0].Kind == Reject) != (group == DedupFleet) {
 					t.Errorf("group %v, in doubt after %v: ends %+v", group, doubt, r.ends)
 				}
 				continue
 			}
 			inside++
-			if a := r.sends[1]; a.Within <= 0 || r.sentAt[1]+a.Within >= sent+window || group != GroupAll && !here {
-				t.Errorf("group %v, in doubt after %v: sent again at %v, may leave for %v", group, doubt, r.sentAt[1]-sent, a.Within)
+			if a := r.sends[1]; a.SendWithin <= 0 || r.sentAt[1]+a.SendWithin >= sent+window || group != DedupFleet && !here {
+				t.Errorf("group %v, in doubt after %v: sent again at %v, may leave for %v", group, doubt, r.sentAt[1]-sent, a.SendWithin)
 			}
 		}
 		if inside < 10 || outside < 10 {
@@ -798,9 +798,9 @@
 		t.Fatalf("ends %v, want the first try refused", r.ends)
 	}
 	before := r.s.volumes["v"].tokens
-	q.ID, q.Budget = "b", 900*ms
+	q.ID, q.TimeLeft = "b", 900*ms
 	out := r.step(q)
-	if len(r.ends) != 2 || r.ends[1].Kind != Refuse || r.ends[1].Wait != 900*ms {
+	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].Wait != 900*ms {
 		t.Fatalf("second try: %v, want it refused at once with a wait of 900ms", out)
 	}
 	if after := r.s.volumes["v"].tokens; after != before {
@@ -816,29 +816,29 @@
 			r.step(req("first", "v", 3)) // no node has its shard
 			r.wait(time.Second)
 			q := req("first", "v", 3)
-			q.ID, q.Budget = "a", 900*ms
+			q.ID, q.TimeLeft = "a", 900*ms
 			r.sends, r.ends = nil, nil
-			r.step(q, Departed{ID: "a"})
+			r.step(q, ClientGone{ID: "a"})
 		},
-		"held": func(r *rig) { r.step(req("a", "v", 3)); r.step(Departed{ID: "a"}) },
+		"held": func(r *rig) { r.step(req("a", "v", 3)); r.step(ClientGone{ID: "a"}) },
 		"between attempts": func(r *rig) {
-			r.step(NodeList{Nodes: []Node{up("n", 0)}}, req("a", "v", 3))
-			r.end("a", Errored, 5*ms)
+			r.step(EndpointList{Endpoints: []Endpoint{up("n", 0)}}, req("a", "v", 3))
+			r.end("a", AnsweredError, 5*ms)
 			require.Len(t, r.sends, 1)
-			r.step(Departed{ID: "a"})
+			r.step(ClientGone{ID: "a"})
 		},
 		"out": func(r *rig) {
-			r.step(NodeList{Nodes: []Node{up("n", 0)}}, req("a", "v", 3))
-			r.step(Departed{ID: "a"})
+			r.step(EndpointList{Endpoints: []Endpoint{up("n", 0)}}, req("a", "v", 3))
+			r.step(ClientGone{ID: "a"})
 			require.Len(t, r.sends, 1)
-			r.end("a", Reset, 5*ms)
+			r.end("a", ConnectionReset, 5*ms)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, plain(), up("m", 1))
 			before(r)
 			sent := len(r.sends)
-			r.step(NodeList{Nodes: []Node{up("n", 0)}})
+			r.step(EndpointList{Endpoints: []Endpoint{up("n", 0)}})
 			r.wait(3 * time.Second)
 			require.Len(t, r.sends, sent, "sends after its client left")
 			require.Empty(t, r.ends)
@@ -850,13 +850,13 @@
 // TestNeverWrittenIsDecidedByHalfTime checks that attempts which found no connection, or were not sent, do not
 // count as tried: their request is decided as early as one that never left.
 func TestNeverWrittenIsDecidedByHalfTime(t *testing.T) {
-	for _, code := range []Code{NoConnection, Moot} {
+	for _, code := range []OutcomeCode{NotConnected, NotSent} {
 		r := newRig(t, plain(), up("n", 0))
 		r.step(req("a", "v", 1))
 		r.end("a", code, ms)
-		r.step(NodeList{Nodes: []Node{{ID: "n", State: Draining}}})
+		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		r.wait(time.Second)
-		if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+		if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 			t.Errorf("code %v: ends %v by half the time, want one refusal", code, r.ends)
 		}
 	}
@@ -870,8 +870,8 @@
 	if len(r.ends) != 0 {
 		t.Errorf("ended %v with the attempt out", r.ends)
 	}
-	r.end("a", Full, 1500*ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	r.end("a", TurnedAway, 1500*ms)
+	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Errorf("ends %v, want one refusal", r.ends)
 	}
 	r.wait(time.Second)
@@ -883,26 +883,26 @@
 // TestBodyElsewhere is about requests whose body went ahead to a node: they go there and nowhere else, and but once; where
 // the shard has another node by then they are refused at once, since nothing has run.
 func TestBodyElsewhere(t *testing.T) {
-	ask := Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, Initiators: 1, Budget: time.Second, At: "a"}
+	ask := Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second, BoundEndpoint: "a"}
 	for _, shard := range []int{0, -1} {
-		r := newRig(t, plain(), Node{ID: "a"}, Node{ID: "b", Shard: 1})
-		if got := r.s.Where(1); got != "b" {
+		r := newRig(t, plain(), Endpoint{ID: "a"}, Endpoint{ID: "b", Shard: 1})
+		if got := r.s.EndpointFor(1); got != "b" {
 			t.Errorf("shard 1 is at %q, want b", got)
 		}
 		q := ask
 		q.Shard = shard
 		r.step(q)
-		if len(r.sends) != 1 || r.sends[0].Node != "a" {
+		if len(r.sends) != 1 || r.sends[0].Endpoint != "a" {
 			t.Fatalf("shard %d: sent %+v, want once to a", shard, r.sends)
 		}
-		r.step(Outcome{ID: "1", Node: "a", Code: NoConnection})
-		if r.wait(time.Second); len(r.sends) != 1 || len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+		r.step(Outcome{ID: "1", Endpoint: "a", Code: NotConnected})
+		if r.wait(time.Second); len(r.sends) != 1 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
 			t.Errorf("shard %d: after the attempt: sends %+v, ends %+v", shard, r.sends, r.ends)
 		}
 	}
-	r := newRig(t, plain(), Node{ID: "a", State: Draining}, Node{ID: "b"})
+	r := newRig(t, plain(), Endpoint{ID: "a", State: Draining}, Endpoint{ID: "b"})
 	r.step(ask)
-	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Refuse {
+	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Errorf("with another node there: sends %+v, ends %+v", r.sends, r.ends)
 	}
 }
@@ -911,10 +911,10 @@
 func TestKeyless(t *testing.T) {
 	for _, keyless := range []bool{false, true} {
 		set := plain()
-		set.Classes[0].Effect, set.Classes[0].Window = Keyed, time.Minute
-		r := newRig(t, set, Node{ID: "a"})
-		r.step(Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, Initiators: 1, Budget: time.Second, Keyless: keyless})
-		r.step(Outcome{ID: "1", Node: "a", Code: Reset})
+		set.Classes[0].Effect, set.Classes[0].DedupWindow = IdempotentWithKey, time.Minute
+		r := newRig(t, set, Endpoint{ID: "a"})
+		r.step(Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second, MissingKey: keyless})
+		r.step(Outcome{ID: "1", Endpoint: "a", Code: ConnectionReset})
 		r.wait(time.Second)
 		if !keyless {
 			if len(r.sends) < 2 {
@@ -931,18 +931,18 @@
 // TestSharedBudgets divides what the rules allow among the processes of an initiator, also for a while after one has gone.
 func TestSharedBudgets(t *testing.T) {
 	set := plain()
-	set.ColdUnits = 4
-	set.Rules = Rules{ColdShare: 0.2, WarmWithin: 20 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 4}
+	set.ColdUnitsPerWindow = 4
+	set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 20 * time.Second, OverloadWindow: 3 * time.Second, OverloadFactor: 4}
 	sent := func(parts ...int) int {
-		r := newRig(t, set, Node{ID: "a", Started: time.Second - 10*ms})
+		r := newRig(t, set, Endpoint{ID: "a", Started: time.Second - 10*ms})
 		for _, n := range parts {
-			r.step(Shared{Parts: n})
+			r.step(ProcessCount{Processes: n})
 		}
 		for i := range 8 {
 			id := string(rune('a' + i))
-			r.step(Request{ID: id, Class: "get", Plan: "std", Volume: id, Units: 1, Initiators: 1, Budget: 2 * time.Second})
+			r.step(Request{ID: id, Class: "get", Plan: "std", Volume: id, Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second})
 			if len(r.sends) > i {
-				r.step(Outcome{ID: id, Node: "a", Code: Errored})
+				r.step(Outcome{ID: id, Endpoint: "a", Code: AnsweredError})
 			}
 		}
 		return len(r.sends)
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Check returns an error that names what of the settings cannot be served.
-func (set Settings) Check() error {
+// Validate returns an error that names what of the settings cannot be served.
+func (set Settings) Validate() error {
 	if len(set.Classes) == 0 || len(set.Plans) == 0 {
 		return errors.New("settings need at least one class and one plan")
 	}
@@ -17,7 +17,7 @@
 		return fmt.Errorf("settings name %d initiators", set.Initiators)
 	}
 	for _, c := range set.Classes {
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return fmt.Errorf("class %q needs an aim and a deadline", c.Name)
 		}
 	}
@@ -30,53 +30,55 @@
 	return set
 }
 
-// bearsLess tells whether these settings may let a cold node have less than others did, from one initiator or over a longer span.
-func (set Settings) bearsLess(was Settings) bool {
+// tightensColdLimits tells whether these settings may let a cold node have less than others did, from one initiator or over a longer span.
+func (set Settings) tightensColdLimits(was Settings) bool {
 	a, b := set.Rules, was.Rules
-	each := func(s Settings) float64 { return s.ColdUnits / float64(s.Initiators) }
-	grows := func(r Rules) float64 { return (1/max(r.ColdShare, 0.01) - 1) / max(r.WarmWithin.Seconds(), 1e-3) }
-	return a.FallWithin > b.FallWithin || a.WarmWithin > b.WarmWithin || a.FallMultiple != b.FallMultiple ||
+	each := func(s Settings) float64 { return s.ColdUnitsPerWindow / float64(s.Initiators) }
+	grows := func(r Rules) float64 {
+		return (1/max(r.ColdCapacityFraction, 0.01) - 1) / max(r.WarmUpTime.Seconds(), 1e-3)
+	}
+	return a.OverloadWindow > b.OverloadWindow || a.WarmUpTime > b.WarmUpTime || a.OverloadFactor != b.OverloadFactor ||
 		each(set) < each(was) || grows(a) < grows(b) || set.MeanUnits != was.MeanUnits
 }
 
-// name takes the settings over as they are read by name, and what follows from them alone.
-func (s *Scheduler) name(set Settings) {
-	s.set, s.leastAim = set.clone(), never
-	s.set.MeanUnits = max(set.MeanUnits, 1e-3)
+// applySettings takes the settings over as they are read by name, and what follows from them alone.
+func (s *Scheduler) applySettings(set Settings) {
+	s.settings, s.minObjective = set.clone(), never
+	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
 	s.classes, s.plans = map[string]*Class{}, map[string]*Plan{}
-	for i := range s.set.Classes {
-		c := &s.set.Classes[i]
+	for i := range s.settings.Classes {
+		c := &s.settings.Classes[i]
 		s.classes[c.Name] = c
-		s.leastAim = min(s.leastAim, c.Aim)
+		s.minObjective = min(s.minObjective, c.LatencyObjective)
 	}
-	for i := range s.set.Plans {
-		s.plans[s.set.Plans[i].Name] = &s.set.Plans[i]
+	for i := range s.settings.Plans {
+		s.plans[s.settings.Plans[i].Name] = &s.settings.Plans[i]
 	}
 }
 
-// adopt takes other settings over while requests are under way. What was learned of nodes and volumes stays, and so does what was sent:
+// adoptSettings takes other settings over while requests are under way. What was learned of nodes and volumes stays, and so does what was sent:
 // nothing that a rule counts begins anew. A request that is known ends by its class as it came; all else holds from now on. The ration is
 // not of the settings that are told, and stays. What cannot be served changes nothing.
-func (s *Scheduler) adopt(set Settings) {
-	if set.Check() != nil {
+func (s *Scheduler) adoptSettings(set Settings) {
+	if set.Validate() != nil {
 		return
 	}
-	was := s.set
-	set.Ration = was.Ration
-	s.name(set)
-	if set.Index > 0 {
-		s.index = set.Index - 1
+	was := s.settings
+	set.Quota = was.Quota
+	s.applySettings(set)
+	if set.InitiatorIndex > 0 {
+		s.initiatorIndex = set.InitiatorIndex - 1
 	}
-	if set.AskForList != was.AskForList {
-		s.askAt = never
-		if set.AskForList {
-			s.askAt = s.now
+	if set.SubscribeToList != was.SubscribeToList {
+		s.subscribeAt = never
+		if set.SubscribeToList {
+			s.subscribeAt = s.now
 		}
 	}
-	if set.bearsLess(was) {
-		s.born = s.now // as of a process that has just begun: what was sent under the settings before is no measure of these
-		for _, n := range s.nodes {
-			n.served = nil
+	if set.tightensColdLimits(was) {
+		s.startedAt = s.now // as of a process that has just begun: what was sent under the settings before is no measure of these
+		for _, n := range s.endpoints {
+			n.coldServed = nil
 		}
 	}
 	for _, v := range s.volumes {
@@ -85,42 +87,42 @@
 		case *p == *v.plan:
 			v.plan = p
 		default:
-			s.move(v, p)
+			s.moveVolume(v, p)
 		}
 	}
-	s.retag()
+	s.rescaleTags()
 	for _, v := range s.volumes {
-		v.stretch = 0
+		v.tagScale = 0
 	}
-	s.least = least{} // waits hang on the settings
+	s.waitTree = minWaitTree{} // waits hang on the settings
 }
 
-// move puts a volume that is known on another plan. What it was granted up to now is by the one before; retag has what lies ahead of now
+// moveVolume puts a volume that is known on another plan. What it was granted up to now is by the one before; retag has what lies ahead of now
 // come as much sooner or later as the rate is higher or lower.
-func (s *Scheduler) move(v *volume, to *Plan) {
-	rho := s.rho(v)
-	v.tokens, v.filled = min(s.sigma(v), v.tokens+(s.now-v.filled).Seconds()*rho), s.now
-	s.owed(v)
-	s.stock(v)
-	if v.plan.Limit <= 0 {
-		v.store = 0 // nothing filled it
+func (s *Scheduler) moveVolume(v *volume, to *Plan) {
+	rho := s.refillRate(v)
+	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
+	s.reserveAvailable(v)
+	s.refillRateLimit(v)
+	if v.plan.RateLimit <= 0 {
+		v.rateLimitTokens = 0 // nothing filled it
 	}
 	v.plan = to
-	v.stretch = rho / s.rho(v)
+	v.tagScale = rho / s.refillRate(v)
 }
 
-// retag has the tags of volumes that were moved follow, in all lanes that have any.
-func (s *Scheduler) retag() {
-	for _, l := range s.flowing {
-		for _, r := range l.held {
-			if k := r.vol.stretch; k != 0 && r.start > s.now {
-				by := seconds((r.start-s.now).Seconds()*k) - (r.start - s.now)
-				r.start, r.finish = r.start+by, r.finish+by
+// rescaleTags has the tags of volumes that were moved follow, in all lanes that have any.
+func (s *Scheduler) rescaleTags() {
+	for _, l := range s.flowingQueues {
+		for _, r := range l.requests {
+			if k := r.volume.tagScale; k != 0 && r.startTag > s.now {
+				by := toDuration((r.startTag-s.now).Seconds()*k) - (r.startTag - s.now)
+				r.startTag, r.finishTag = r.startTag+by, r.finishTag+by
 			}
 		}
 		for _, f := range l.flows {
-			if k := f.vol.stretch; k != 0 && f.maxS > s.now {
-				f.maxS = s.now + seconds((f.maxS-s.now).Seconds()*k)
+			if k := f.volume.tagScale; k != 0 && f.maxStartTag > s.now {
+				f.maxStartTag = s.now + toDuration((f.maxStartTag-s.now).Seconds()*k)
 			}
 		}
 	}
--- a/internal/policy/state.go
+++ b/internal/policy/state.go
@@ -13,10 +13,10 @@
 // never is a time that no clock reaches.
 const never = time.Duration(math.MaxInt64)
 
-func seconds(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
+func toDuration(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
 
-// without returns the list with r taken out.
-func without(list []*request, r *request) []*request {
+// removeRequest returns the list with r taken out.
+func removeRequest(list []*request, r *request) []*request {
 	if i := slices.Index(list, r); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
@@ -26,260 +26,264 @@
 // request is a held or sent request; it stays known until it is answered and no attempt is out.
 type request struct {
 	Request
-	class    *Class
-	vol      *volume
-	lane     *lane
-	born     time.Duration // when its client first asked
-	fullAim  time.Duration // when the aim ends
-	due      time.Duration // when the client leaves
-	by       time.Duration // when it gets its answer, if nothing is out then
-	start    time.Duration // start tag
-	finish   time.Duration // finish tag
-	retryAt  time.Duration // no attempt before
-	heldAt   time.Duration // since when it is held, now or last
-	sent     int
-	out      *node // where its attempt is, if any
-	outAt    time.Duration
-	mayRun   bool          // an attempt may have run
-	ranZone  string        // where
-	ranShard int           // and at which shard
-	ranSince time.Duration // since when
-	drawn    bool          // its units were drawn from the volume's limit
-	late     bool          // can no longer be answered within the aim
-	earns    float64       // what a unit of it earns, as last looked at
-	aside    bool          // set aside: the node cannot do all in time, and this earns least
-	done     bool
-	heapAt   int // place among the times to answer by; -1: not there
-}
-
-// ask is what two tries of one client have in common.
-type ask struct {
+	class            *Class
+	volume           *volume
+	queue            *shardQueue
+	firstSeenAt      time.Duration // when its client first asked
+	objectiveAt      time.Duration // when the aim ends
+	deadlineAt       time.Duration // when the client leaves
+	answerBy         time.Duration // when it gets its answer, if nothing is out then
+	startTag         time.Duration // start tag
+	finishTag        time.Duration // finish tag
+	notBefore        time.Duration // no attempt before
+	heldSince        time.Duration // since when it is held, now or last
+	attempts         int
+	inFlightAt       *endpoint // where its attempt is, if any
+	attemptStartedAt time.Duration
+	mayHaveRun       bool          // an attempt may have run
+	ranInZone        string        // where
+	ranInShard       int           // and at which shard
+	firstRanAt       time.Duration // since when
+	rateLimitCharged bool          // its units were drawn from the volume's limit
+	pastObjective    bool          // can no longer be answered within the aim
+	unitValue        float64       // what a unit of it earns, as last looked at
+	deferred         bool          // set aside: the node cannot do all in time, and this earns least
+	answered         bool
+	heapIndex        int // place among the times to answer by; -1: not there
+}
+
+// requestIdentity is what two tries of one client have in common.
+type requestIdentity struct {
 	class, volume, extent string
 	units                 float64
 }
 
-func (r *request) sameAs() ask { return ask{r.Class, r.Volume, r.Extent, r.Units} }
+func (r *request) identity() requestIdentity {
+	return requestIdentity{r.Class, r.Volume, r.Extent, r.Units}
+}
 
 // volume is the client of RFQ: one bucket at this initiator.
 type volume struct {
-	plan    *Plan
-	hosts   float64
-	tokens  float64
-	filled  time.Duration
-	backlog int // requests held or out here
-	own     float64
-	ownAt   time.Duration
-	total   float64
-	totalAt time.Duration
-	store   float64 // this initiator's part of the limit
-	storeAt time.Duration
-	owed    float64 // units of the reserve not yet served here
-	owedAt  time.Duration
-	stretch float64 // while its plan changes: its rate before over the one from now on
+	plan              *Plan
+	initiators        float64
+	tokens            float64
+	tokensAt          time.Duration
+	backlog           int // requests held or out here
+	ownUsage          float64
+	ownUsageAt        time.Duration
+	totalUsage        float64
+	totalUsageAt      time.Duration
+	rateLimitTokens   float64 // this initiator's part of the limit
+	rateLimitTokensAt time.Duration
+	reserveTokens     float64 // units of the reserve not yet served here
+	reserveTokensAt   time.Duration
+	tagScale          float64 // while its plan changes: its rate before over the one from now on
 }
 
 // flow is a volume's tag state at one lane.
 type flow struct {
-	vol  *volume
-	maxS time.Duration
-	held int
-}
-
-// lane is the queue of one shard; its tags move together.
-type lane struct {
-	shard int
-	node  *node // where the shard is served now; nil: nowhere known
-	held  []*request
-	flows []*flow
-	byVol map[*volume]*flow
-	wake  time.Duration
-	sent  pace
-
-	in *finder
-	at int // place among the lanes
+	volume      *volume
+	maxStartTag time.Duration
+	queued      int
+}
+
+// shardQueue is the queue of one shard; its tags move together.
+type shardQueue struct {
+	shard        int
+	endpoint     *endpoint // where the shard is served now; nil: nowhere known
+	requests     []*request
+	flows        []*flow
+	flowByVolume map[*volume]*flow
+	wakeAt       time.Duration
+	sentRate     decayingRate
+
+	index    *endpointIndex
+	position int // place among the lanes
 	// Which lists of the finder it is on.
-	waits, flowing, bare, stale, touched, moving bool
-}
-
-// node is one server process.
-type node struct {
-	Node
-	out     []*request
-	window  float64
-	wide    int           // most requests ever out there at once: so many connections there are
-	latency float64       // smoothed, seconds for a request of mean size; 0: not known
-	base    float64       // a low quantile of it: what the node takes when little waits there
-	heard   time.Duration // when it last answered an attempt
-	told    time.Duration // when it last reported its load
-	atOnce  float64       // requests that it says to hold, smoothed
-	share   float64       // of what goes there, this initiator's over an even one, as its start was told
-	load    float64       // requests that it last said to hold or have waiting; -1: never told
-	pressed time.Duration // when a request here was last late or set aside
-	streak  float64       // bad outcomes since the last good one
-	openAt  time.Duration // no attempt before
-	last    string        // extent sent last
-	run     int           // how often in a row
-	recent  []draw        // units sent within the fall window that no answer stood for
-	served  []draw        // units answered that nothing was sent for yet
-
-	serial              uint32 // in order of nodes
-	news, used, removed bool   // which lists of the finder it is on
-}
-
-type draw struct {
+	listedWaiting, listedFlowing, listedOrphaned, listedStale, listedTouched, listedMoving bool
+}
+
+// endpoint is one server process.
+type endpoint struct {
+	Endpoint
+	inFlight            []*request
+	concurrencyLimit    float64
+	maxInFlight         int           // most requests ever out there at once: so many connections there are
+	latency             float64       // smoothed, seconds for a request of mean size; 0: not known
+	baseLatency         float64       // a low quantile of it: what the node takes when little waits there
+	lastAnswerAt        time.Duration // when it last answered an attempt
+	lastReportAt        time.Duration // when it last reported its load
+	reportedConcurrency float64       // requests that it says to hold, smoothed
+	trafficShare        float64       // of what goes there, this initiator's over an even one, as its start was told
+	reportedLoad        float64       // requests that it last said to hold or have waiting; -1: never told
+	congestedAt         time.Duration // when a request here was last late or set aside
+	failureStreak       float64       // bad outcomes since the last good one
+	blockedUntil        time.Duration // no attempt before
+	lastExtent          string        // extent sent last
+	extentRun           int           // how often in a row
+	coldSent            []timedUnits  // units sent within the fall window that no answer stood for
+	coldServed          []timedUnits  // units answered that nothing was sent for yet
+
+	serial                                   uint32 // in order of nodes
+	listedChanged, listedUsed, listedRemoved bool   // which lists of the finder it is on
+}
+
+type timedUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// spend notes that units are sent, for as many answered ones or as part of what may be sent unasked.
-func (n *node) spend(now time.Duration, units float64, cold bool) {
-	if !cold || total(n.served) < units {
-		n.recent = append(n.recent, draw{now, units})
+// chargeCold notes that units are sent, for as many answered ones or as part of what may be sent unasked.
+func (n *endpoint) chargeCold(now time.Duration, units float64, cold bool) {
+	if !cold || sumUnits(n.coldServed) < units {
+		n.coldSent = append(n.coldSent, timedUnits{now, units})
 		return
 	}
-	for units > 0 && len(n.served) > 0 {
-		d := &n.served[0]
+	for units > 0 && len(n.coldServed) > 0 {
+		d := &n.coldServed[0]
 		took := min(units, d.units)
 		d.units, units = d.units-took, units-took
 		if d.units <= 0 {
-			n.served = n.served[1:]
+			n.coldServed = n.coldServed[1:]
 		}
 	}
 }
 
-// pace is the units sent over about as long as it looks back.
-type pace struct {
+// decayingRate is the units sent over about as long as it looks back.
+type decayingRate struct {
 	units float64
 	at    time.Duration
 }
 
-func (p *pace) now(now, over time.Duration) float64 {
-	return p.units * math.Exp(-(now-p.at).Seconds()/max(over.Seconds(), 1e-3))
+func (p *decayingRate) current(current, over time.Duration) float64 {
+	return p.units * math.Exp(-(current-p.at).Seconds()/max(over.Seconds(), 1e-3))
 }
 
-func (p *pace) add(now time.Duration, units float64, over time.Duration) {
-	p.units, p.at = p.now(now, over)+units, now
+func (p *decayingRate) add(now time.Duration, units float64, over time.Duration) {
+	p.units, p.at = p.current(now, over)+units, now
 }
 
-// noteWarm notes how long warm nodes take and how many they have in hand meanwhile.
-func (s *Scheduler) noteWarm(n *node, took float64, l *Load) {
-	if l == nil || !(l.InFlight >= 0 && l.InFlight < 1e6) || s.cold(n) {
+// learnWarm notes how long warm nodes take and how many they have in hand meanwhile.
+func (s *Scheduler) learnWarm(n *endpoint, took float64, l *Load) {
+	if l == nil || !(l.InFlight >= 0 && l.InFlight < 1e6) || s.isCold(n) {
 		return
 	}
-	s.service = cmp.Or(s.service, took)
-	s.service += (took - s.service) * windowGain / 8
-	s.atOnce += (l.InFlight - s.atOnce) * windowGain / 8
-	n.atOnce += (l.InFlight - n.atOnce) * windowGain
+	s.warmServiceTime = cmp.Or(s.warmServiceTime, took)
+	s.warmServiceTime += (took - s.warmServiceTime) * learningGain / 8
+	s.warmConcurrency += (l.InFlight - s.warmConcurrency) * learningGain / 8
+	n.reportedConcurrency += (l.InFlight - n.reportedConcurrency) * learningGain
 }
 
-// crew is the processes that act for this initiator: for the rules they are one.
-type crew struct {
-	size, before float64 // now, and until lately; 0: one
-	until        time.Duration
+// processGroup is the processes that act for this initiator: for the rules they are one.
+type processGroup struct {
+	size, previousSize float64 // now, and until lately; 0: one
+	previousUntil      time.Duration
 }
 
-// set takes over their number. What one that has gone sent counts for the span that the rule on cold nodes looks back.
-func (c *crew) set(size int, now, span time.Duration) {
+// resize takes over their number. What one that has gone sent counts for the span that the rule on cold nodes looks back.
+func (c *processGroup) resize(size int, now, span time.Duration) {
 	if next := float64(size); next < c.size {
-		c.size, c.before, c.until = next, c.size, now+span
+		c.size, c.previousSize, c.previousUntil = next, c.size, now+span
 	} else {
 		c.size = next
 	}
 }
 
-// part is this process's part of what the rules allow them together.
-func (c *crew) part(now time.Duration) float64 {
-	if now < c.until {
-		return 1 / max(1, c.size, c.before)
+// fraction is this process's part of what the rules allow them together.
+func (c *processGroup) fraction(now time.Duration) float64 {
+	if now < c.previousUntil {
+		return 1 / max(1, c.size, c.previousSize)
 	}
 	return 1 / max(1, c.size)
 }
 
-// since drops the draws before from.
-func since(list []draw, from time.Duration) []draw {
+// dropOlderUnits drops the draws before from.
+func dropOlderUnits(list []timedUnits, from time.Duration) []timedUnits {
 	for len(list) > 0 && list[0].at < from {
 		list = list[1:]
 	}
 	return list
 }
 
-// total sums the draws.
-func total(list []draw) (sum float64) {
+// sumUnits sums the draws.
+func sumUnits(list []timedUnits) (sum float64) {
 	for _, d := range list {
 		sum += d.units
 	}
 	return sum
 }
 
-// orderKey is the queue of one extent whose requests take turns.
-type orderKey struct {
-	line []*request
-	rest time.Duration
+// orderedExtent is the queue of one extent whose requests take turns.
+type orderedExtent struct {
+	queue      []*request
+	quietUntil time.Duration
 }
 
-func (l *lane) flow(v *volume) *flow {
-	f := l.byVol[v]
+func (l *shardQueue) flow(v *volume) *flow {
+	f := l.flowByVolume[v]
 	if f == nil {
-		f = &flow{vol: v}
-		if l.byVol == nil {
-			l.byVol = map[*volume]*flow{}
+		f = &flow{volume: v}
+		if l.flowByVolume == nil {
+			l.flowByVolume = map[*volume]*flow{}
 		}
-		l.byVol[v] = f
-		l.in.flowing = mark(l.in.flowing, l, &l.flowing)
+		l.flowByVolume[v] = f
+		l.index.flowingQueues = appendOnce(l.index.flowingQueues, l, &l.listedFlowing)
 		l.flows = append(l.flows, f)
 	}
 	return f
 }
 
-// hold queues the request at the lane, in order of aim.
-func (l *lane) hold(r *request) {
-	r.lane = l
-	at := len(l.held)
-	for at > 0 && l.held[at-1].fullAim > r.fullAim {
+// enqueue queues the request at the lane, in order of aim.
+func (l *shardQueue) enqueue(r *request) {
+	r.queue = l
+	at := len(l.requests)
+	for at > 0 && l.requests[at-1].objectiveAt > r.objectiveAt {
 		at--
 	}
-	l.held = slices.Insert(l.held, at, r)
-	l.in.came = mark(l.in.came, l, &l.waits)
-	l.touch()
-	l.flow(r.vol).held++
-}
-
-// ahead is how much of the time that it has been held for its start tag lay ahead.
-func (r *request) ahead(now time.Duration) time.Duration { return max(0, min(r.start, now)-r.heldAt) }
-
-// unhold takes the request out of its lane's queue, if it is there.
-func (r *request) unhold() {
-	l := r.lane
-	if i := slices.Index(l.held, r); i >= 0 {
-		l.held = slices.Delete(l.held, i, i+1)
-		l.in.left = l.in.left || len(l.held) == 0
-		l.touch()
-		l.flow(r.vol).held--
+	l.requests = slices.Insert(l.requests, at, r)
+	l.index.newlyWaiting = appendOnce(l.index.newlyWaiting, l, &l.listedWaiting)
+	l.markWaitStale()
+	l.flow(r.volume).queued++
+}
+
+// tagLead is how much of the time that it has been held for its start tag lay ahead.
+func (r *request) tagLead(now time.Duration) time.Duration {
+	return max(0, min(r.startTag, now)-r.heldSince)
+}
+
+// dequeue takes the request out of its lane's queue, if it is there.
+func (r *request) dequeue() {
+	l := r.queue
+	if i := slices.Index(l.requests, r); i >= 0 {
+		l.requests = slices.Delete(l.requests, i, i+1)
+		l.index.someEmptied = l.index.someEmptied || len(l.requests) == 0
+		l.markWaitStale()
+		l.flow(r.volume).queued--
 	}
 }
 
 // sweep drops volumes that nothing was asked for since then, their flows and empty lanes, keys at rest, and nodes that
 // are gone.
 func (s *Scheduler) sweep(since time.Duration) {
-	idle := func(v *volume) bool { return v.backlog == 0 && v.filled < since && v.ownAt < since }
-	for _, l := range s.flowing {
+	idle := func(v *volume) bool { return v.backlog == 0 && v.tokensAt < since && v.ownUsageAt < since }
+	for _, l := range s.flowingQueues {
 		l.flows = slices.DeleteFunc(l.flows, func(f *flow) bool {
-			drop := f.held == 0 && idle(f.vol)
+			drop := f.queued == 0 && idle(f.volume)
 			if drop {
-				delete(l.byVol, f.vol)
+				delete(l.flowByVolume, f.volume)
 			}
 			return drop
 		})
 	}
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
-	maps.DeleteFunc(s.keys, func(_ string, k *orderKey) bool { return len(k.line) == 0 && k.rest < since })
+	maps.DeleteFunc(s.orderedExtents, func(_ string, k *orderedExtent) bool { return len(k.queue) == 0 && k.quietUntil < since })
 	// A lane of a shard that no known node holds, and nothing waits in, is what somebody once asked for in vain.
-	s.drop(func(n *node) bool { return n.State == Removed && len(n.out) == 0 && n.heard < since })
-	s.inUse()
+	s.dropGone(func(n *endpoint) bool { return n.State == Removed && len(n.inFlight) == 0 && n.lastAnswerAt < since })
+	s.activeEndpoints()
 }
 
-// trim drops the times before from.
-func trim(list []time.Duration, from time.Duration) []time.Duration {
+// dropOlderTimes drops the times before from.
+func dropOlderTimes(list []time.Duration, from time.Duration) []time.Duration {
 	cut := 0
 	for cut < len(list) && list[cut] < from {
 		cut++
@@ -287,49 +291,49 @@
 	return list[cut:]
 }
 
-// dueHeap orders requests by when they must be answered.
-type dueHeap []*request
+// deadlineHeap orders requests by when they must be answered.
+type deadlineHeap []*request
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].by < h[j].by || h[i].by == h[j].by && h[i].ID < h[j].ID
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
+	return h[i].answerBy < h[j].answerBy || h[i].answerBy == h[j].answerBy && h[i].ID < h[j].ID
 }
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.heapAt = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
-func (h *dueHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
-	r.heapAt = -1
+	r.heapIndex = -1
 	*h = old[:len(old)-1]
 	return r
 }
 
-func (s *Scheduler) act(a Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// Avoided tells how many of the listed nodes get no request, or one trial at a time.
-func (s *Scheduler) Avoided() (n int) {
-	n = s.draining
-	for _, x := range s.inUse() {
-		if s.avoids(x) {
+// EjectedCount tells how many of the listed nodes get no request, or one trial at a time.
+func (s *Scheduler) EjectedCount() (n int) {
+	n = s.drainingCount
+	for _, x := range s.activeEndpoints() {
+		if s.isEjected(x) {
 			n++
 		}
 	}
 	return n
 }
 
-// Where names the node that a request for the shard would go to now; empty: none. It is asked for where a
+// EndpointFor names the node that a request for the shard would go to now; empty: none. It is asked for where a
 // body must be on its way before the request can be decided on.
-func (s *Scheduler) Where(shard int) string {
+func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
-	if l := s.place(r); l.node != nil {
-		return l.node.ID
+	if l := s.placeRequest(r); l.endpoint != nil {
+		return l.endpoint.ID
 	}
 	return ""
 }
@@ -337,13 +341,13 @@
 // forget drops a finished request that has no attempt out.
 func (s *Scheduler) forget(r *request) {
 	delete(s.requests, r.ID)
-	r.vol.backlog--
-	k := s.keys[r.Extent]
-	if k == nil || !r.class.InOrder {
+	r.volume.backlog--
+	k := s.orderedExtents[r.Extent]
+	if k == nil || !r.class.Ordered {
 		return
 	}
-	k.line = without(k.line, r)
-	if len(k.line) == 0 && k.rest <= s.now {
-		delete(s.keys, r.Extent)
+	k.queue = removeRequest(k.queue, r)
+	if len(k.queue) == 0 && k.quietUntil <= s.now {
+		delete(s.orderedExtents, r.Extent)
 	}
 }
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -112,7 +112,7 @@
 	if c.Module, err = f.Settings.Module(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err = c.Module.Check(); err != nil {
+	if err = c.Module.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.2:8081" || c.Control != "127.0.0.2:9091" || c.Seed != 0x8c1f30d27a5be964 || c.Dial != 250*time.Millisecond ||
-		c.MostHeld != mostHeld || len(c.Module.Classes) != 3 || c.Module.Handshake != 0.08 || c.Module.Index != 2 || *c.Known.Version != 41 {
+		c.MostHeld != mostHeld || len(c.Module.Classes) != 3 || c.Module.ConnectCost != 0.08 || c.Module.InitiatorIndex != 2 || *c.Known.Version != 41 {
 		t.Errorf("read as %+v", c)
 	}
 }
@@ -84,12 +84,12 @@
 		old, new string
 		holds    func(*Config) bool
 	}{
-		{`"handshake":0.08`, `"handshake":0`, func(c *Config) bool { return c.Module.Handshake == 0 }},
-		{`"pays":0.9`, `"pays":0`, func(c *Config) bool { return c.Module.Plans[0].Price == 0 }},
-		{`"reservation":13,`, "", func(c *Config) bool { return c.Module.Plans[0].Reserve == 0 }},
+		{`"handshake":0.08`, `"handshake":0`, func(c *Config) bool { return c.Module.ConnectCost == 0 }},
+		{`"pays":0.9`, `"pays":0`, func(c *Config) bool { return c.Module.Plans[0].PriorityFactor == 0 }},
+		{`"reservation":13,`, "", func(c *Config) bool { return c.Module.Plans[0].ReservedRate == 0 }},
 		{`"usualRate":13,`, "", func(c *Config) bool { return c.Module.Plans[0].Rate == 0 }},
 		{`"side_effect"`, `"token","windowUs":700000`, func(c *Config) bool {
-			return c.Module.Classes[1].Group == policy.GroupAll && c.Module.Classes[1].Window == 700*time.Millisecond
+			return c.Module.Classes[1].DedupScope == policy.DedupFleet && c.Module.Classes[1].DedupWindow == 700*time.Millisecond
 		}},
 		{`,{"name":"event-write"`, `],"kinds":[{"name":"event-write"`, func(c *Config) bool { return len(c.Module.Classes) == 1 }},
 		{`"connIdleUs":30000000`, `"connIdleUs":1`, func(c *Config) bool { return c.ConnIdle == time.Microsecond }},
--- a/internal/process/config/settings.go
+++ b/internal/process/config/settings.go
@@ -81,63 +81,63 @@
 		return policy.Settings{}, Missing("options.peersTotal")
 	}
 	s := policy.Settings{
-		Initiators:   *o.PeersTotal,
-		Tick:         Us(o.TickUs),
-		MeanUnits:    o.Extra.MeanUnits,
-		FairWorth:    o.Extra.FairWorth,
-		IdleWorth:    o.Extra.IdleWorth,
-		LargestUnits: o.Extra.Largest,
-		ColdUnits:    o.Extra.ColdBears,
-		Handshake:    o.Prices.Handshake,
-		Meter:        Us(o.Extra.MeteringUs),
-		AskForList:   o.RegistryMode == "on_request",
+		Initiators:         *o.PeersTotal,
+		MinStep:            Us(o.TickUs),
+		MeanUnits:          o.Extra.MeanUnits,
+		FairSharePriority:  o.Extra.FairWorth,
+		ExcessPriority:     o.Extra.IdleWorth,
+		MaxUnits:           o.Extra.Largest,
+		ColdUnitsPerWindow: o.Extra.ColdBears,
+		ConnectCost:        o.Prices.Handshake,
+		UsagePeriod:        Us(o.Extra.MeteringUs),
+		SubscribeToList:    o.RegistryMode == "on_request",
 		Rules: policy.Rules{
-			ColdShare:    o.Rules.ColdShare,
-			WarmWithin:   Us(o.Rules.WarmWithinUs),
-			FallWithin:   Us(o.Rules.FallUs),
-			FallMultiple: o.Rules.TipMultiple,
-			Settle:       Us(o.Rules.SettleAfterDoubtUs),
-			BudgetFree:   o.Rules.ExtraFree,
-			BudgetSpan:   Us(o.Rules.ResendSpanUs),
+			ColdCapacityFraction: o.Rules.ColdShare,
+			WarmUpTime:           Us(o.Rules.WarmWithinUs),
+			OverloadWindow:       Us(o.Rules.FallUs),
+			OverloadFactor:       o.Rules.TipMultiple,
+			OrderedQuietTime:     Us(o.Rules.SettleAfterDoubtUs),
+			RetryBudgetFree:      o.Rules.ExtraFree,
+			RetryBudgetWindow:    Us(o.Rules.ResendSpanUs),
 		},
 	}
 	if o.Limits.SendCap != nil {
 		s.MaxAttempts = *o.Limits.SendCap
 	}
 	if o.Index != nil && *o.Index >= 0 {
-		s.Index = *o.Index + 1
+		s.InitiatorIndex = *o.Index + 1
 	}
 	if o.Rules.ResendRatio != nil {
-		s.Rules.Budget, s.Rules.BudgetShare = true, *o.Rules.ResendRatio
+		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := policy.Class{Name: c.Name, Aim: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
-			Window: Us(c.WindowUs), InOrder: c.Serial, Worth: c.Worth}
+		k := policy.Class{Name: c.Name, LatencyObjective: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
+			DedupWindow: Us(c.WindowUs), Ordered: c.Serial, PriorityWeight: c.Worth}
 		switch c.Effect {
 		case "pure":
-			k.Effect = policy.Pure
+			k.Effect = policy.Idempotent
 		case "token":
-			k.Effect = policy.Keyed
+			k.Effect = policy.IdempotentWithKey
 		case "side_effect":
-			k.Effect = policy.Unsafe
+			k.Effect = policy.NonIdempotent
 		default:
 			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
 		}
 		switch c.Group {
 		case "", "all":
-			k.Group = policy.GroupAll
+			k.DedupScope = policy.DedupFleet
 		case "zone":
-			k.Group = policy.GroupZone
+			k.DedupScope = policy.DedupZone
 		case "cell":
-			k.Group = policy.GroupCell
+			k.DedupScope = policy.DedupShard
 		default:
 			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.UsualRate, Reserve: p.Reservation,
-			Weight: p.Parts, Price: p.Pays, Limit: p.CeilingRate, LimitBurst: p.LimitBurst})
+		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.UsualRate, ReservedRate: p.Reservation,
+			Weight: p.Parts, PriorityFactor: p.Pays, RateLimit: p.CeilingRate, RateLimitBurst: p.LimitBurst})
 	}
 	return s, nil
 }
--- a/internal/process/instance/adopt_test.go
+++ b/internal/process/instance/adopt_test.go
@@ -367,7 +367,7 @@
 	}{
 		{"nothing", plain, plain, none, ""},
 		{"times", plain, plain, func(c *config.Config) { c.Dial, c.ConnIdle, c.MostHeld = 1, 1, 1 }, ""},
-		{"settings", plain, plain, func(c *config.Config) { c.Module.Initiators, c.Module.AskForList = 9, true }, ""},
+		{"settings", plain, plain, func(c *config.Config) { c.Module.Initiators, c.Module.SubscribeToList = 9, true }, ""},
 		{"limits", plain, plain, func(c *config.Config) { c.Limits.Cores, c.Limits.MemoryMB, c.Limits.Sockets = 2, 64, 64 }, ""},
 		{"discovery", plain, plain, func(c *config.Config) { c.Discovery = "127.0.0.1:9" }, ""},
 		{"for a start alone", plain, plain, func(c *config.Config) { c.Seed, c.Known = 7, nil }, ""},
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -154,7 +154,7 @@
 	part, duties := fleetParts(cfg, op, known, func() uint16 { return loadOf(in.core) }, log)
 	settings := cfg.Module
 	if part != nil {
-		settings.Ration = part
+		settings.Quota = part
 	}
 	scheduler, err := policy.New(settings, cfg.Seed)
 	if err != nil {
@@ -302,10 +302,10 @@
 func worth(cfg *config.Config) func(policy.Request) float64 {
 	classes, plans := map[string]float64{}, map[string]float64{}
 	for _, c := range cfg.Module.Classes {
-		classes[c.Name] = c.Worth
+		classes[c.Name] = c.PriorityWeight
 	}
 	for _, p := range cfg.Module.Plans {
-		plans[p.Name] = p.Price
+		plans[p.Name] = p.PriorityFactor
 	}
 	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
 }
@@ -314,8 +314,8 @@
 func namesFor(cfg *config.Config) time.Duration {
 	d := longest(cfg)
 	for _, c := range cfg.Module.Classes {
-		if c.Effect == policy.Keyed {
-			d = max(d, c.Window)
+		if c.Effect == policy.IdempotentWithKey {
+			d = max(d, c.DedupWindow)
 		}
 	}
 	return d
@@ -340,10 +340,10 @@
 // Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
 func (d *decisions) Listed(l *listing.List) {
 	targets := make([]upstream.Target, len(l.Servers))
-	nodes := policy.NodeList{Whole: l.Full, Nodes: make([]policy.Node, len(l.Servers))}
+	nodes := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Servers))}
 	for i, e := range l.Servers {
-		nodes.Nodes[i] = e.Node()
-		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Nodes[i].State}
+		nodes.Endpoints[i] = e.Node()
+		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Endpoints[i].State}
 	}
 	d.numbers.Listed(d.up.Apply(targets, l.Full))
 	d.core.List(nodes)
@@ -398,7 +398,7 @@
 
 // crowd is how many share one discovery service; 0: each has its own, or is pushed to.
 func crowd(cfg *config.Config) int {
-	if cfg.Module.AskForList {
+	if cfg.Module.SubscribeToList {
 		return cfg.Module.Initiators
 	}
 	return 0
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -246,11 +246,11 @@
 
 // TestNamesAreKeptForTheSettings checks that a name stays taken for as long as the settings' deadlines and windows of keyed classes tell.
 func TestNamesAreKeptForTheSettings(t *testing.T) {
-	classes := []policy.Class{{Deadline: 2 * time.Second, Window: time.Hour}, {Deadline: time.Second, Effect: policy.Keyed, Window: 700 * time.Millisecond}}
+	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
 	cfg.Module.Classes = classes
 	require.Equal(t, 2*time.Second, namesFor(cfg))
-	classes[1].Window = 9 * time.Second
+	classes[1].DedupWindow = 9 * time.Second
 	require.Equal(t, 9*time.Second, namesFor(cfg))
 }
 
@@ -272,7 +272,7 @@
 	require.NoError(t, d.Start(context.Background()))
 	up.Apply([]upstream.Target{{ID: "n", Addr: s.Listener.Addr().String()}}, true)
 	up.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Payload: &upstream.Message{Method: "GET", URI: "/r/1", ID: "id"}})
-	require.Equal(t, policy.Delivered, (<-results).Code)
+	require.Equal(t, policy.Served, (<-results).Code)
 	require.NoError(t, d.Stop(context.Background()))
 	select {
 	case <-ended:
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -127,7 +127,7 @@
 	set := n.s.settings
 	if n.s.spec.Budgets != nil {
 		n.h = quotaclient.New(n.s.governed)
-		set.Ration = ration{n}
+		set.Quota = modelQuota{n}
 		n.joining, n.member = false, ""
 		if n.s.spec.Tasks != nil {
 			n.t = lessee.New(n.s.runs)
@@ -164,7 +164,7 @@
 				return
 			}
 			n.version = n.s.version
-			nodes := make([]policy.Node, 0, len(n.s.targets))
+			nodes := make([]policy.Endpoint, 0, len(n.s.targets))
 			n.listed = make([]bool, len(n.s.targets))
 			for _, t := range n.s.targets {
 				if n.listed[t.id] = !t.down; n.listed[t.id] {
@@ -172,10 +172,10 @@
 					if t.started > 0 {
 						started = n.shows(t.started)
 					}
-					nodes = append(nodes, policy.Node{ID: n.s.ids[t.id], Shard: t.id, Started: started})
+					nodes = append(nodes, policy.Endpoint{ID: n.s.ids[t.id], Shard: t.id, Started: started})
 				}
 			}
-			n.step(policy.NodeList{Whole: true, Nodes: nodes})
+			n.step(policy.EndpointList{Full: true, Endpoints: nodes})
 		})
 	})
 }
@@ -186,7 +186,7 @@
 	// made up for just before something happens, so that it takes nothing for a pause that was none.
 	if n.beat > 0 && n.s.now > n.beat {
 		n.beat = 0
-		n.do(n.sched.Step(n.clock(), []policy.Event{policy.Timer{}}))
+		n.do(n.sched.Step(n.clock(), []policy.Event{policy.TimerFired{}}))
 	}
 	n.do(n.sched.Step(n.clock(), events))
 	if n.beat > 0 && len(n.reqs) > 0 {
@@ -201,7 +201,7 @@
 	n.s.after(in, "timer", n.id, func() {
 		n.when(func() {
 			if n.timer == mine && n.born == born {
-				n.step(policy.Timer{})
+				n.step(policy.TimerFired{})
 			}
 		})
 	})
@@ -213,8 +213,8 @@
 		switch a.Kind {
 		case policy.Send:
 			n.send(a)
-		case policy.Refuse, policy.Fail:
-			n.answer(a.Request, a.Kind == policy.Refuse, a.Wait)
+		case policy.Reject, policy.Fail:
+			n.answer(a.Request, a.Kind == policy.Reject, a.Wait)
 		case policy.SetTimer:
 			n.timer++
 			if len(n.reqs) == 0 {
@@ -273,7 +273,7 @@
 		id := strconv.Itoa(n.id) + "-" + strconv.Itoa(n.born) + "-" + strconv.FormatUint(n.asked, 10)
 		a := &ask{id: id, client: c, units: c.units}
 		n.reqs[id] = a
-		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, Initiators: 1, Budget: n.own(left)})
+		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, VolumeInitiators: 1, TimeLeft: n.own(left)})
 		born := n.born
 		n.s.after(left+n.s.leaves, "deadline", n.id, func() { // the rules want an answer by the client's leaving
 			if n.alive && n.born == born && !a.answered && n.s.now >= n.paused+n.s.leaves {
@@ -328,32 +328,32 @@
 	r.attempt++
 	r.out = true
 	attempt, born := r.attempt, n.born
-	t := n.s.targets[n.s.byID[a.Node]]
+	t := n.s.targets[n.s.byID[a.Endpoint]]
 	sent := n.s.now
 	if !n.listed[t.id] {
-		n.s.breaks("drains", n.id, "request "+r.id+" goes to "+a.Node+", which its list does not have")
+		n.s.breaks("drains", n.id, "request "+r.id+" goes to "+a.Endpoint+", which its list does not have")
 	}
 	over := false
-	end := func(code policy.Code, load *policy.Load) {
+	end := func(code policy.OutcomeCode, load *policy.Load) {
 		if over || n.born != born {
 			return
 		}
 		over = true
 		r.out = false
 		closed := r.answered
-		if code == policy.Delivered && !closed {
+		if code == policy.Served && !closed {
 			r.answered, closed = true, true
 			n.s.served(r.client)
 		}
 		if closed {
 			delete(n.reqs, r.id)
 		}
-		n.step(policy.Outcome{ID: r.id, Attempt: attempt - 1, Node: a.Node, Code: code, Took: n.own(n.s.now - sent), Closed: closed, Load: load})
+		n.step(policy.Outcome{ID: r.id, Attempt: attempt - 1, Endpoint: a.Endpoint, Code: code, Latency: n.own(n.s.now - sent), Final: closed, Load: load})
 	}
 	n.s.after(wire, "first byte", n.id, func() {
 		n.when(func() {
-			if a.Permit != nil && !a.Permit.Good() || n.s.version == n.version && t.down {
-				end(policy.Moot, nil)
+			if a.Permit != nil && !a.Permit.Valid() || n.s.version == n.version && t.down {
+				end(policy.NotSent, nil)
 				return
 			}
 			n.s.point.Attempts++
@@ -365,12 +365,12 @@
 				n.s.point.Cold += r.units
 			}
 			n.s.drew(n, t, attempt > 1, cold, r.units)
-			n.s.after(n.truly(a.Wait), "time-out", n.id, func() { n.when(func() { end(policy.Expired, nil) }) })
+			n.s.after(n.truly(a.Wait), "time-out", n.id, func() { n.when(func() { end(policy.TimedOut, nil) }) })
 			if n.s.apart(n.zone, t.id%n.s.spec.Fleet.Zones) {
 				return // lost on its way
 			}
 			n.s.after(n.s.way(n.rng), "request at target", t.id, func() {
-				t.take(job{r.units, func(code policy.Code, load policy.Load) {
+				t.take(job{r.units, func(code policy.OutcomeCode, load policy.Load) {
 					if n.s.apart(n.zone, t.id%n.s.spec.Fleet.Zones) {
 						return
 					}
@@ -381,17 +381,17 @@
 	})
 }
 
-// ration is the instance's part of the fleet's wholes, for the module.
-type ration struct{ n *instance }
+// modelQuota is the instance's part of the fleet's wholes, for the module.
+type modelQuota struct{ n *instance }
 
-var uses = [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Repeats: quota.Retries, policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}
+var uses = [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries, policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}
 
-func draw(d policy.Draw) quota.Reservation {
-	return quota.Reservation{Resource: uses[d.Use], Target: d.Node, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func draw(d policy.Reservation) quota.Reservation {
+	return quota.Reservation{Resource: uses[d.Resource], Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
-func (r ration) Wait(d policy.Draw) (time.Duration, bool) {
+func (r modelQuota) Wait(d policy.Reservation) (time.Duration, bool) {
 	wait, governed := r.n.h.Wait(r.n.clock(), draw(d))
 	if wait > 0 && r.n.h.HasUnmetDemand() {
 		r.n.schedule()
@@ -399,8 +399,8 @@
 	return wait, governed
 }
 
-// Take implements spindlehitch.Ration.
-func (r ration) Take(draws []policy.Draw) policy.Permit {
+// Reserve implements spindlehitch.Ration.
+func (r modelQuota) Reserve(draws []policy.Reservation) policy.Permit {
 	all := make([]quota.Reservation, len(draws))
 	for i, d := range draws {
 		all[i] = draw(d)
@@ -413,8 +413,8 @@
 	until time.Duration
 }
 
-// Good implements spindlehitch.Permit.
-func (p permit) Good() bool { return p.n.clock() < p.until }
+// Valid implements spindlehitch.Permit.
+func (p permit) Valid() bool { return p.n.clock() < p.until }
 
 // Joining and renewing, as internal/controlplane/quota/quotasession does it.
 
@@ -494,7 +494,7 @@
 			}
 			if n.h.AcceptRenewal(n.clock(), a.answer) {
 				n.s.accepted(n)
-				n.step(policy.Rationed{})
+				n.step(policy.QuotaChanged{})
 			}
 		case error:
 			if a == quota.ErrUnknownMember {
@@ -516,7 +516,7 @@
 		n.t.DropAll()
 	}
 	n.s.budgetGone(n)
-	n.step(policy.Rationed{})
+	n.step(policy.QuotaChanged{})
 	n.join()
 }
 
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -167,12 +167,12 @@
 
 func (s *Sim) setUp() {
 	o := s.spec
-	s.settings = policy.Settings{Initiators: o.Fleet.Instances, Tick: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, LargestUnits: 8 * o.Load.Units,
-		ColdUnits: o.Fleet.ColdUnits, FairWorth: 1, IdleWorth: 1,
-		Classes: []policy.Class{{Name: "read", Aim: millis(o.Load.AimMs), Deadline: secs(o.Load.PatienceS), Worth: 1}},
-		Plans:   []policy.Plan{{Name: "base", Rate: 1e4, Reserve: 1e4, Weight: 1, Price: 1}},
-		Rules: policy.Rules{ColdShare: o.Targets.ColdShare, WarmWithin: secs(o.Targets.WarmS), FallWithin: secs(o.Targets.FallS), FallMultiple: 1,
-			Budget: true, BudgetShare: o.Fleet.RetryShare, BudgetFree: o.Fleet.RetryFree, BudgetSpan: secs(o.Fleet.RetrySpanS)}}
+	s.settings = policy.Settings{Initiators: o.Fleet.Instances, MinStep: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, MaxUnits: 8 * o.Load.Units,
+		ColdUnitsPerWindow: o.Fleet.ColdUnits, FairSharePriority: 1, ExcessPriority: 1,
+		Classes: []policy.Class{{Name: "read", LatencyObjective: millis(o.Load.AimMs), Deadline: secs(o.Load.PatienceS), PriorityWeight: 1}},
+		Plans:   []policy.Plan{{Name: "base", Rate: 1e4, ReservedRate: 1e4, Weight: 1, PriorityFactor: 1}},
+		Rules: policy.Rules{ColdCapacityFraction: o.Targets.ColdShare, WarmUpTime: secs(o.Targets.WarmS), OverloadWindow: secs(o.Targets.FallS), OverloadFactor: 1,
+			RetryBudget: true, RetryBudgetRatio: o.Fleet.RetryShare, RetryBudgetFree: o.Fleet.RetryFree, RetryBudgetWindow: secs(o.Fleet.RetrySpanS)}}
 	for i := range o.Targets.Count {
 		id := fmt.Sprint("t", i)
 		s.ids, s.byID[id] = append(s.ids, id), i
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -29,7 +29,7 @@
 
 type job struct {
 	units  float64
-	answer func(code policy.Code, load policy.Load)
+	answer func(code policy.OutcomeCode, load policy.Load)
 }
 
 func (t *target) isCold() bool {
@@ -47,13 +47,13 @@
 	o := &t.s.spec.Targets
 	switch {
 	case t.down:
-		j.answer(policy.NoConnection, policy.Load{Queue: -1, InFlight: -1})
+		j.answer(policy.NotConnected, policy.Load{Queued: -1, InFlight: -1})
 		return
 	case t.bad:
-		j.answer(policy.Errored, t.load())
+		j.answer(policy.AnsweredError, t.load())
 		return
 	case len(t.waiting) >= o.Queue:
-		j.answer(policy.Full, t.load())
+		j.answer(policy.TurnedAway, t.load())
 		return
 	}
 	if t.isCold() && o.Bears > 0 {
@@ -75,7 +75,7 @@
 }
 
 func (t *target) load() policy.Load {
-	return policy.Load{Queue: float64(len(t.waiting)), InFlight: float64(t.busy + len(t.waiting))}
+	return policy.Load{Queued: float64(len(t.waiting)), InFlight: float64(t.busy + len(t.waiting))}
 }
 
 // work begins what may begin.
@@ -117,7 +117,7 @@
 		return
 	}
 	t.busy--
-	j.answer(policy.Delivered, t.load())
+	j.answer(policy.Served, t.load())
 	t.work()
 }
 
--- a/internal/testbed/reference/compare_test.go
+++ b/internal/testbed/reference/compare_test.go
@@ -29,9 +29,9 @@
 // decider is what the module of that day and of today have in common.
 type decider interface {
 	Step(now time.Duration, events []Event) []Action
-	Avoided() int
-	AvoidedNodes() []string
-	Where(shard int) string
+	EjectedCount() int
+	EjectedEndpoints() []string
+	EndpointFor(shard int) string
 }
 
 // meter is a ration that answers by turn, and keeps what it was asked: the questions have to be equal too.
@@ -42,7 +42,7 @@
 
 type permit int
 
-func (permit) Good() bool { return true }
+func (permit) Valid() bool { return true }
 
 func (m *meter) Wait(d Draw) (time.Duration, bool) {
 	m.asked = append(m.asked, d)
@@ -50,7 +50,7 @@
 	return max(0, wait), wait >= 0
 }
 
-func (m *meter) Take(draws []Draw) Permit {
+func (m *meter) Reserve(draws []Draw) Permit {
 	m.asked = append(m.asked, draws...)
 	return permit(len(m.asked))
 }
@@ -58,32 +58,32 @@
 // settings draws what an initiator is told at its start: each rule on or off.
 func settings(t *rapid.T) Settings {
 	on := func(name string) bool { return rapid.Bool().Draw(t, name) }
-	set := Settings{Initiators: rapid.SampledFrom([]int{1, 3, 40}).Draw(t, "initiators"), Tick: 2 * ms, MeanUnits: 2, LargestUnits: 6,
-		MaxAttempts: rapid.IntRange(0, 4).Draw(t, "attempts"), FairWorth: 0.3, IdleWorth: 0.05, ColdUnits: 30, AskForList: on("asks"),
+	set := Settings{Initiators: rapid.SampledFrom([]int{1, 3, 40}).Draw(t, "initiators"), MinStep: 2 * ms, MeanUnits: 2, MaxUnits: 6,
+		MaxAttempts: rapid.IntRange(0, 4).Draw(t, "attempts"), FairSharePriority: 0.3, ExcessPriority: 0.05, ColdUnitsPerWindow: 30, SubscribeToList: on("asks"),
 		Classes: []Class{
-			{Name: "pure", Aim: 200 * ms, Deadline: time.Second, Worth: 3},
-			{Name: "cell", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: policy.GroupCell, Window: 700 * ms},
-			{Name: "zone", Aim: 300 * ms, Deadline: 2 * time.Second, Worth: 2, Effect: Keyed, Group: GroupZone, Window: 700 * ms},
-			{Name: "once", Aim: 300 * ms, Deadline: time.Second, Worth: 2, Effect: policy.Unsafe},
-			{Name: "turn", Aim: 150 * ms, Deadline: time.Second, Worth: 2, InOrder: on("in order")},
+			{Name: "pure", LatencyObjective: 200 * ms, Deadline: time.Second, PriorityWeight: 3},
+			{Name: "cell", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Effect: Keyed, DedupScope: policy.DedupShard, DedupWindow: 700 * ms},
+			{Name: "zone", LatencyObjective: 300 * ms, Deadline: 2 * time.Second, PriorityWeight: 2, Effect: Keyed, DedupScope: GroupZone, DedupWindow: 700 * ms},
+			{Name: "once", LatencyObjective: 300 * ms, Deadline: time.Second, PriorityWeight: 2, Effect: policy.NonIdempotent},
+			{Name: "turn", LatencyObjective: 150 * ms, Deadline: time.Second, PriorityWeight: 2, Ordered: on("in order")},
 		},
-		Plans: []Plan{{Name: "p0", Rate: 10, Reserve: 5, Weight: 1, Price: 1}, {Name: "p1", Rate: 200, Weight: 2, Price: 1}},
+		Plans: []Plan{{Name: "p0", Rate: 10, ReservedRate: 5, Weight: 1, PriorityFactor: 1}, {Name: "p1", Rate: 200, Weight: 2, PriorityFactor: 1}},
 	}
-	set.Rules.Settle = 100 * ms
+	set.Rules.OrderedQuietTime = 100 * ms
 	if on("meter") {
-		set.Meter = time.Second
+		set.UsagePeriod = time.Second
 	}
 	if on("handshake") {
-		set.Handshake = 0.5
+		set.ConnectCost = 0.5
 	}
 	if on("budget") {
-		set.Rules.Budget, set.Rules.BudgetFree, set.Rules.BudgetShare, set.Rules.BudgetSpan = true, 3, 0.2, time.Second
+		set.Rules.RetryBudget, set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio, set.Rules.RetryBudgetWindow = true, 3, 0.2, time.Second
 	}
 	if on("limit") {
-		set.Plans[0].Limit, set.Plans[0].LimitBurst = 40, 36
+		set.Plans[0].RateLimit, set.Plans[0].RateLimitBurst = 40, 36
 	}
 	if on("cold") {
-		set.Rules.ColdShare, set.Rules.WarmWithin, set.Rules.FallWithin, set.Rules.FallMultiple = 0.2, 4*time.Second, time.Second, 3
+		set.Rules.ColdCapacityFraction, set.Rules.WarmUpTime, set.Rules.OverloadWindow, set.Rules.OverloadFactor = 0.2, 4*time.Second, time.Second, 3
 	}
 	return set
 }
@@ -124,7 +124,7 @@
 	if h.chance("moves", 6) {
 		x.Shard = h.int("shard", h.shards+2) - 1
 	}
-	x.State = []policy.NodeState{Up, Up, Up, Draining, Removed}[h.int("state", 5)]
+	x.State = []policy.EndpointState{Up, Up, Up, Draining, Removed}[h.int("state", 5)]
 	if h.chance("starts", 3) {
 		x.Started = h.now - time.Duration(h.int("age", 6000))*ms
 	}
@@ -135,24 +135,24 @@
 // list draws a whole list, a change, an empty one, or a call that failed.
 func (h *history) list() Event {
 	if h.chance("broken", 12) {
-		return NodeList{Broken: true}
+		return NodeList{Failed: true}
 	}
-	l := NodeList{Whole: h.chance("whole", 5)}
-	if !l.Whole {
+	l := NodeList{Full: h.chance("whole", 5)}
+	if !l.Full {
 		for range h.int("entries", 4) {
-			l.Nodes = append(l.Nodes, h.node(h.int("entry", h.most)))
+			l.Endpoints = append(l.Endpoints, h.node(h.int("entry", h.most)))
 		}
 		return l
 	}
 	for id := range h.most {
 		if x, known := h.nodes[fmt.Sprintf("n%d", id)]; known && h.chance("as it was", 2) {
-			l.Nodes = append(l.Nodes, x)
+			l.Endpoints = append(l.Endpoints, x)
 		} else if !h.chance("left out", 3) {
-			l.Nodes = append(l.Nodes, h.node(id))
+			l.Endpoints = append(l.Endpoints, h.node(id))
 		}
 	}
 	if h.chance("other order", 2) {
-		slices.Reverse(l.Nodes)
+		slices.Reverse(l.Endpoints)
 	}
 	return l
 }
@@ -161,8 +161,8 @@
 	h.requests++
 	c, volume := set.Classes[h.int("class", len(set.Classes))], h.int("volume", 6)
 	r := Request{ID: fmt.Sprintf("r%d", h.requests), Class: c.Name, Plan: set.Plans[volume%2].Name, Volume: fmt.Sprintf("v%d", volume),
-		Units: float64(h.int("units", 7)), Initiators: 1 + h.int("hosts", 3), Keyless: h.chance("keyless", 8),
-		Budget: c.Deadline * time.Duration(1+h.int("budget", 5)) / 4}
+		Units: float64(h.int("units", 7)), VolumeInitiators: 1 + h.int("hosts", 3), MissingKey: h.chance("keyless", 8),
+		TimeLeft: c.Deadline * time.Duration(1+h.int("budget", 5)) / 4}
 	if extent := h.int("extent", 5); extent > 0 {
 		r.Extent = fmt.Sprintf("k%d", extent)
 	}
@@ -172,7 +172,7 @@
 	}
 	switch r.Shard = h.int("shard", shards) - 1; {
 	case h.chance("at a node", 12):
-		r.At = fmt.Sprintf("n%d", h.int("at", h.most+1))
+		r.BoundEndpoint = fmt.Sprintf("n%d", h.int("at", h.most+1))
 	case h.chance("no class", 40):
 		r.Class = "other"
 	case h.chance("again", 20): // under a name that may be open
@@ -192,16 +192,16 @@
 		if !over && !h.chance("ends", 4) {
 			return false
 		}
-		e := Outcome{ID: a.Request, Attempt: a.number, Node: a.Node, Code: Expired, Took: took, Used: h.int("used", 200)}
+		e := Outcome{ID: a.Request, Attempt: a.number, Endpoint: a.Endpoint, Code: Expired, Latency: took, VolumeUsage: h.int("used", 200)}
 		if !over {
-			e.Code = []policy.Code{Delivered, Delivered, Delivered, Errored, Full, NoConnection, Reset, Cancelled, Moot}[h.int("code", 9)]
+			e.Code = []policy.OutcomeCode{Delivered, Delivered, Delivered, Errored, Full, NoConnection, Reset, Cancelled, Moot}[h.int("code", 9)]
 		}
 		if e.Code == Delivered {
-			e.Took = min(took, time.Duration(1+h.int("took", 120))*ms)
-			e.Closed = true
+			e.Latency = min(took, time.Duration(1+h.int("took", 120))*ms)
+			e.Final = true
 		}
 		if h.chance("tells", 3) {
-			e.Load = &Load{Queue: float64(h.int("queue", 9) - 1), InFlight: float64(h.int("in flight", 20) - 1)}
+			e.Load = &Load{Queued: float64(h.int("queue", 9) - 1), InFlight: float64(h.int("in flight", 20) - 1)}
 		}
 		events = append(events, e)
 		return true
@@ -225,12 +225,12 @@
 	}
 	switch h.int("more", 24) {
 	case 23:
-		events = append(events, Shared{Parts: h.int("parts", 4)})
+		events = append(events, Shared{Processes: h.int("parts", 4)})
 	case 22:
-		events = append(events, Watched{Node: fmt.Sprintf("n%d", h.int("watched", h.most)), Well: h.chance("well", 2),
-			Ago: time.Duration(h.int("ago", 300)) * ms, Next: time.Duration(h.int("next", 900)) * ms})
+		events = append(events, Watched{Endpoint: fmt.Sprintf("n%d", h.int("watched", h.most)), Healthy: h.chance("well", 2),
+			Age: time.Duration(h.int("ago", 300)) * ms, NextProbe: time.Duration(h.int("next", 900)) * ms})
 	case 21:
-		events = append(events, policy.Rationed{})
+		events = append(events, policy.QuotaChanged{})
 	case 20:
 		if len(h.open) > 0 {
 			events = append(events, StreamBegun{ID: h.open[h.int("whose", len(h.open))]})
@@ -299,7 +299,7 @@
 				answers[i] = time.Duration([]int{0, 0, 0, -1, -1, 0, 30}[rapid.IntRange(0, 6).Draw(t, "ration")]) * ms
 			}
 			rations[0].answers, rations[1].answers = answers, answers
-			then.Ration, today.Ration = &rations[0], &rations[1]
+			then.Quota, today.Quota = &rations[0], &rations[1]
 		}
 		old, err := New(then, seed)
 		if err != nil {
@@ -347,18 +347,18 @@
 // compareAsked compares what is asked between two steps. Where draws from the source that placement draws from.
 func compareAsked(t *rapid.T, h *history, old, now decider) {
 	if h.chance("avoided", 3) {
-		if a, b := old.Avoided(), now.Avoided(); a != b {
+		if a, b := old.EjectedCount(), now.EjectedCount(); a != b {
 			t.Fatalf("at %v %d avoided, before %d", h.now, b, a)
 		}
-		ids := old.AvoidedNodes()
-		if got := now.AvoidedNodes(); !slices.Equal(ids, got) {
+		ids := old.EjectedEndpoints()
+		if got := now.EjectedEndpoints(); !slices.Equal(ids, got) {
 			t.Fatalf("at %v avoided %v, before %v", h.now, got, ids)
 		}
 		note("avoided", len(ids))
 	}
 	if h.chance("where", 6) {
 		shard := h.int("asked shard", h.shards+2) - 1
-		a, b := old.Where(shard), now.Where(shard)
+		a, b := old.EndpointFor(shard), now.EndpointFor(shard)
 		if a != b {
 			t.Fatalf("at %v shard %d is at %q, before %q", h.now, shard, b, a)
 		}
