--- a/internal/testbed/reference/scheduler_test.go
+++ b/internal/testbed/reference/scheduler_test.go
@@ -94,19 +94,19 @@
 		timerAt: never, askAt: never, born: never, askWait: time.Second,
 	}
 	s.set.MeanUnits = max(set.MeanUnits, 1e-3)
-	if s.index = set.Index - 1; s.index < 0 {
+	if s.index = set.InitiatorIndex - 1; s.index < 0 {
 		s.index = s.rng.IntN(set.Initiators)
 	}
-	if set.AskForList {
+	if set.SubscribeToList {
 		s.askAt = 0
 	}
 	for i := range s.set.Classes {
 		c := &s.set.Classes[i]
-		if c.Aim <= 0 || c.Deadline <= 0 {
+		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
 			return nil, fmt.Errorf("class %q needs an aim and a deadline", c.Name)
 		}
 		s.classes[c.Name] = c
-		s.leastAim = min(s.leastAim, c.Aim)
+		s.leastAim = min(s.leastAim, c.LatencyObjective)
 	}
 	for i := range s.set.Plans {
 		s.plans[s.set.Plans[i].Name] = &s.set.Plans[i]
@@ -145,7 +145,7 @@
 				s.finish(r)
 			}
 		case Shared:
-			s.crew.set(e.Parts, s.now, s.set.Rules.FallWithin)
+			s.crew.set(e.Processes, s.now, s.set.Rules.OverloadWindow)
 		case Watched:
 			s.watched(e)
 		case Timer: // also one a little early: whoever drives the module may round
@@ -174,7 +174,7 @@
 // the volume's recent service, evenly while nothing fresh is known.
 func (s *Scheduler) rho(v *volume) float64 {
 	share := 1 / v.hosts
-	if s.set.Meter > 0 && v.totalAt > 0 && s.now-v.totalAt < meterFresh*s.set.Meter && v.total > 0 {
+	if s.set.UsagePeriod > 0 && v.totalAt > 0 && s.now-v.totalAt < meterFresh*s.set.UsagePeriod && v.total > 0 {
 		share = min(1, max(shareFloor/v.hosts, s.ownRate(v)/v.total))
 	}
 	return max(v.plan.Rate*share, 1e-3)
@@ -182,20 +182,20 @@
 
 // sigma is the bucket's depth: a second of the reserve and one largest request, as worth is counted.
 func (s *Scheduler) sigma(v *volume) float64 {
-	return max(v.plan.Reserve, v.plan.Rate)/v.hosts + max(s.set.LargestUnits, s.set.MeanUnits)
+	return max(v.plan.ReservedRate, v.plan.Rate)/v.hosts + max(s.set.MaxUnits, s.set.MeanUnits)
 }
 
 func (s *Scheduler) ownRate(v *volume) float64 {
-	tau := 2 * s.set.Meter.Seconds()
+	tau := 2 * s.set.UsagePeriod.Seconds()
 	return v.own * math.Exp(-(s.now-v.ownAt).Seconds()/tau)
 }
 
 // meter notes own service and what the answer tells of the volume's service everywhere.
 func (s *Scheduler) meter(v *volume, units float64, used int) {
-	if s.set.Meter <= 0 {
+	if s.set.UsagePeriod <= 0 {
 		return
 	}
-	v.own, v.ownAt = s.ownRate(v)+units/(2*s.set.Meter.Seconds()), s.now
+	v.own, v.ownAt = s.ownRate(v)+units/(2*s.set.UsagePeriod.Seconds()), s.now
 	if told := float64(used-1) / 100 * v.plan.Rate; used > 0 {
 		if v.totalAt == 0 {
 			v.total = told
@@ -276,10 +276,10 @@
 // a handshake: what can wait for one in use until half of its aim is over does so. Two thirds are no better.
 func (s *Scheduler) thrift(l *lane) time.Duration {
 	n, r := l.node, l.held[0]
-	if s.set.Handshake <= 0 || len(n.out) == 0 || len(n.out) < n.wide {
+	if s.set.ConnectCost <= 0 || len(n.out) == 0 || len(n.out) < n.wide {
 		return 0
 	}
-	return min(r.fullAim-seconds(2*s.expect(n)*s.size(r.Units)), r.fullAim-r.class.Aim/2)
+	return min(r.fullAim-seconds(2*s.expect(n)*s.size(r.Units)), r.fullAim-r.class.LatencyObjective/2)
 }
 
 // follows tells whether the request may go on with the extent that the node was sent last.
@@ -387,20 +387,20 @@
 // value is what a unit of the request earns: full while its volume's reserve is owed, the share's part
 // where its start tag says so, and less the further it is ahead.
 func (s *Scheduler) value(r *request) float64 {
-	v := r.class.Worth * r.vol.plan.Price
+	v := r.class.PriorityWeight * r.vol.plan.PriorityFactor
 	switch {
 	case s.owed(r.vol) >= r.Units:
 		return v
 	case r.start <= s.now:
-		return v * s.set.FairWorth
+		return v * s.set.FairSharePriority
 	}
-	return v * (s.set.IdleWorth + (s.set.FairWorth-s.set.IdleWorth)/(1+(r.start-s.now).Seconds()))
+	return v * (s.set.ExcessPriority + (s.set.FairSharePriority-s.set.ExcessPriority)/(1+(r.start-s.now).Seconds()))
 }
 
 // owed refills and returns what of its reserve the volume may still have served at full worth here.
 func (s *Scheduler) owed(v *volume) float64 {
-	rate := v.plan.Reserve * s.rho(v) / max(v.plan.Rate, 1e-3)
-	v.owed = min(rate+s.set.LargestUnits, v.owed+(s.now-v.owedAt).Seconds()*rate)
+	rate := v.plan.ReservedRate * s.rho(v) / max(v.plan.Rate, 1e-3)
+	v.owed = min(rate+s.set.MaxUnits, v.owed+(s.now-v.owedAt).Seconds()*rate)
 	v.owedAt = s.now
 	return v.owed
 }
@@ -431,42 +431,42 @@
 		n.last, n.run = r.Extent, 1
 	}
 	if r.sent > 0 {
-		s.extra = append(trim(s.extra, s.now-s.set.Rules.BudgetSpan-2*s.set.Tick), s.now)
+		s.extra = append(trim(s.extra, s.now-s.set.Rules.RetryBudgetWindow-2*s.set.MinStep), s.now)
 	} else {
 		r.vol.owed = max(0, s.owed(r.vol)-r.Units)
 	}
 	if !r.drawn {
 		r.vol.store, r.drawn = r.vol.store-r.Units, true
 	}
-	if s.set.Rules.FallWithin > 0 {
+	if s.set.Rules.OverloadWindow > 0 {
 		n.spend(s.now, r.Units, s.cold(n))
-		l.sent.add(s.now, r.Units, s.set.Rules.WarmWithin)
+		l.sent.add(s.now, r.Units, s.set.Rules.WarmUpTime)
 	}
 	r.sent++
 	r.out, r.outAt = n, s.now
 	n.out = append(n.out, r)
 	n.wide = max(n.wide, len(n.out))
-	wait, within := min(s.patience(n, r), max(r.due-s.now, s.set.Tick)), time.Duration(0)
+	wait, within := min(s.patience(n, r), max(r.due-s.now, s.set.MinStep)), time.Duration(0)
 	if r.mayRun && r.class.Effect == Keyed {
 		within = max(s.repeatBy(r)-s.now, 1) // it may wait for a connection yet
 	}
-	s.act(Action{Kind: Send, Request: r.ID, Node: n.ID, Wait: wait, Ahead: r.ahead(s.now),
-		Permit: permit, Within: within})
+	s.act(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, TagLead: r.ahead(s.now),
+		Permit: permit, SendWithin: within})
 }
 
 // ---- Node health ----
 
 // onList applies the list. A draining or gone node gets nothing more from that moment on.
 func (s *Scheduler) onList(e NodeList) {
-	if e.Broken {
-		if s.set.AskForList {
+	if e.Failed {
+		if s.set.SubscribeToList {
 			s.askAt, s.askWait = s.now+s.askWait, min(2*s.askWait, 8*time.Second)
 		}
 		return
 	}
 	s.askWait = time.Second
 	named := map[string]bool{}
-	for _, x := range e.Nodes {
+	for _, x := range e.Endpoints {
 		named[x.ID] = true
 		n := s.byID[x.ID]
 		if n == nil {
@@ -474,14 +474,14 @@
 			s.byID[x.ID] = n
 			s.nodes = append(s.nodes, n)
 		}
-		if x.Started != n.Started && s.now-x.Started < s.set.Rules.WarmWithin {
+		if x.Started != n.Started && s.now-x.Started < s.set.Rules.WarmUpTime {
 			n.share = s.share(x.Shard) // by what was sent before
 			n.window, n.streak, n.latency, n.load, n.served = 1, 0, 0, -1, nil
 		}
 		n.Node = x
 	}
 	for _, n := range s.nodes {
-		if e.Whole && !named[n.ID] {
+		if e.Full && !named[n.ID] {
 			n.State = Removed
 		}
 		if n.State == Up && n.Shard >= 0 {
@@ -523,8 +523,8 @@
 		return
 	}
 	load := l.InFlight
-	if l.Queue >= 0 {
-		load = l.Queue + loadFree
+	if l.Queued >= 0 {
+		load = l.Queued + loadFree
 	}
 	if load >= 0 && load < 1e6 {
 		n.load, n.told = load, s.now
@@ -548,7 +548,7 @@
 // patience is the time-out of an attempt. It is long: the data is nowhere else, so a premature second attempt
 // only adds load, even where answers get lost. It frees the slot of an attempt that was lost.
 func (s *Scheduler) patience(n *node, r *request) time.Duration {
-	return max(4*r.class.Aim, seconds(2*quietFactor*n.latency))
+	return max(4*r.class.LatencyObjective, seconds(2*quietFactor*n.latency))
 }
 
 // learn updates depth and latency from an attempt's end. The depth follows PARDA: it tends to where the
@@ -560,10 +560,10 @@
 			n.window = 1
 		}
 		n.streak, n.openAt = 0, 0
-		if s.set.Rules.FallWithin > 0 {
+		if s.set.Rules.OverloadWindow > 0 {
 			n.served = append(n.served, draw{s.now, r.Units})
 		}
-		took := e.Took.Seconds() / s.size(r.Units)
+		took := e.Latency.Seconds() / s.size(r.Units)
 		if s.stalled > 0 {
 			n.heard = s.now
 			return
@@ -596,9 +596,9 @@
 		n.heard = s.now
 		n.openAt = s.now + seconds(n.latency)
 	case Errored, NoConnection, Reset, Expired:
-		if e.Code == Expired && e.Took < s.quietAfter(n) {
+		if e.Code == Expired && e.Latency < s.quietAfter(n) {
 			// The client's patience was short: it tells that the node takes at least this long, no more.
-			n.latency += max(0, e.Took.Seconds()-n.latency) * windowGain
+			n.latency += max(0, e.Latency.Seconds()-n.latency) * windowGain
 			return
 		}
 		n.streak++
@@ -620,39 +620,39 @@
 	if s.requests[e.ID] != nil {
 		return
 	}
-	s.taken = append(trim(s.taken, s.now-s.set.Rules.BudgetSpan), s.now)
+	s.taken = append(trim(s.taken, s.now-s.set.Rules.RetryBudgetWindow), s.now)
 	c, p := s.classes[e.Class], s.plans[e.Plan]
-	if c == nil || p == nil || e.Budget <= 0 {
+	if c == nil || p == nil || e.TimeLeft <= 0 {
 		s.act(Action{Kind: Refuse, Request: e.ID})
 		return
 	}
-	e.Budget = min(e.Budget, c.Deadline) // nobody's patience is longer
+	e.TimeLeft = min(e.TimeLeft, c.Deadline) // nobody's patience is longer
 	v := s.volumes[e.Volume]
 	if v == nil {
-		v = &volume{plan: p, hosts: float64(max(1, e.Initiators)), filled: s.now, storeAt: s.now}
+		v = &volume{plan: p, hosts: float64(max(1, e.VolumeInitiators)), filled: s.now, storeAt: s.now}
 		v.tokens = s.sigma(v)
 		s.volumes[e.Volume] = v
 	}
-	v.hosts = float64(max(1, e.Initiators))
+	v.hosts = float64(max(1, e.VolumeInitiators))
 	e.Units = max(e.Units, 0)
-	r := &request{Request: e, class: c, vol: v, born: s.now, heldAt: s.now, due: s.now + e.Budget}
-	r.by = s.now + max(e.Budget/2-4*s.set.Tick, s.set.Tick)
-	r.fullAim = s.now + c.Aim
-	if waited := c.Deadline - e.Budget; s.stalled > 0 && waited < s.stalled+s.leastAim/beatParts {
+	r := &request{Request: e, class: c, vol: v, born: s.now, heldAt: s.now, due: s.now + e.TimeLeft}
+	r.by = s.now + max(e.TimeLeft/2-4*s.set.MinStep, s.set.MinStep)
+	r.fullAim = s.now + c.LatencyObjective
+	if waited := c.Deadline - e.TimeLeft; s.stalled > 0 && waited < s.stalled+s.leastAim/beatParts {
 		r.fullAim -= waited
 	}
 	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
 	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
-	if first := s.turned[r.sameAs()]; first != nil && s.now+e.Budget <= first.born+c.Deadline+2*s.set.Tick {
-		r.born, r.fullAim = first.born, first.born+c.Aim
+	if first := s.turned[r.sameAs()]; first != nil && s.now+e.TimeLeft <= first.born+c.Deadline+2*s.set.MinStep {
+		r.born, r.fullAim = first.born, first.born+c.LatencyObjective
 		delete(s.turned, r.sameAs())
 	}
-	r.fullAim = min(r.fullAim, r.due-2*s.set.Tick)
+	r.fullAim = min(r.fullAim, r.due-2*s.set.MinStep)
 	r.by = min(r.by, r.fullAim)
 	s.requests[r.ID] = r
 	heap.Push(&s.dues, r)
 	v.backlog++
-	if c.InOrder && r.Extent != "" {
+	if c.Ordered && r.Extent != "" {
 		k := s.keys[r.Extent]
 		if k == nil {
 			k = &orderKey{}
@@ -680,22 +680,22 @@
 	n.out = without(n.out, r)
 	r.out, r.heldAt = nil, s.now
 	if e.Code == Delivered {
-		s.meter(r.vol, r.Units, e.Used)
+		s.meter(r.vol, r.Units, e.VolumeUsage)
 	}
 	doubt := e.Code == Expired || e.Code == Reset || e.Code == Cancelled
-	if k := s.keys[r.Extent]; k != nil && r.class.InOrder && doubt {
-		k.rest = max(k.rest, s.now+s.set.Rules.Settle)
+	if k := s.keys[r.Extent]; k != nil && r.class.Ordered && doubt {
+		k.rest = max(k.rest, s.now+s.set.Rules.OrderedQuietTime)
 	}
 	if e.Code != NoConnection && e.Code != Moot {
 		r.by = r.fullAim // an attempt was written: its client is not held back for nothing
 	}
-	if e.Code.MayRun() && !r.mayRun {
+	if e.Code.MayHaveRun() && !r.mayRun {
 		r.mayRun, r.ranZone, r.ranShard, r.ranSince = true, n.Zone, n.Shard, r.outAt
 	}
 	switch {
 	case r.done:
 		s.forget(r)
-	case e.Closed:
+	case e.Final:
 		s.finish(r)
 	default:
 		if !s.mayRepeat(r) {
@@ -714,16 +714,16 @@
 
 // mayRepeat tells whether a further attempt of the request could ever be allowed.
 func (s *Scheduler) mayRepeat(r *request) bool {
-	if r.At != "" || s.set.MaxAttempts > 0 && r.sent >= s.set.MaxAttempts { // its body is gone, or its tries
+	if r.BoundEndpoint != "" || s.set.MaxAttempts > 0 && r.sent >= s.set.MaxAttempts { // its body is gone, or its tries
 		return false
 	}
 	return !r.mayRun || r.class.Effect == Pure ||
-		r.class.Effect == Keyed && !r.Keyless && s.now < s.repeatBy(r)
+		r.class.Effect == Keyed && !r.MissingKey && s.now < s.repeatBy(r)
 }
 
 // repeatBy is until when nodes surely drop a repeat: under the window, since to write takes a while.
 func (s *Scheduler) repeatBy(r *request) time.Duration {
-	return r.ranSince + r.class.Window - 4*s.set.Tick
+	return r.ranSince + r.class.DedupWindow - 4*s.set.MinStep
 }
 
 // answer gives the final answer: a refusal where a client's retry is harmless, otherwise a failure.
@@ -734,12 +734,12 @@
 	} else if r.start > s.now {
 		wait = r.start - s.now // the volume is ahead of its rate until then
 	}
-	if r.mayRun && c.Effect != Pure && (c.Effect != Keyed || c.Group != GroupAll || r.Keyless) {
+	if r.mayRun && c.Effect != Pure && (c.Effect != Keyed || c.DedupScope != GroupAll || r.MissingKey) {
 		kind, wait = Fail, 0
 	}
-	end := Action{Kind: kind, Request: r.ID, Wait: wait, Ahead: r.ahead(s.now)}
+	end := Action{Kind: kind, Request: r.ID, Wait: wait, TagLead: r.ahead(s.now)}
 	if r.lane.node != nil {
-		end.Node = r.lane.node.ID
+		end.Endpoint = r.lane.node.ID
 	}
 	s.act(end)
 	s.turned[r.sameAs()] = r
@@ -803,7 +803,7 @@
 	s.wakeAt, next = next, min(next, s.now+s.leastAim/beatParts)
 	if next < s.timerAt {
 		s.timerAt = next
-		s.act(Action{Kind: SetTimer, Wait: max(next-s.now, s.set.Tick)})
+		s.act(Action{Kind: SetTimer, Wait: max(next-s.now, s.set.MinStep)})
 	}
 }
 
@@ -813,7 +813,7 @@
 // node, or a later one at which to look again.
 func (s *Scheduler) gate(r *request, l *lane) time.Duration {
 	n := l.node
-	if r.At != "" && r.At != n.ID {
+	if r.BoundEndpoint != "" && r.BoundEndpoint != n.ID {
 		s.lapse(r) // the rest of its body is elsewhere
 		return never
 	}
@@ -821,8 +821,8 @@
 	if r.sent > 0 {
 		at = max(at, s.budgetGate(n, r))
 		c := r.class
-		there := n.Zone == r.ranZone && (c.Group == GroupZone || n.Shard == r.ranShard)
-		if r.mayRun && c.Effect == Keyed && c.Group != GroupAll && !there || !s.mayRepeat(r) {
+		there := n.Zone == r.ranZone && (c.DedupScope == GroupZone || n.Shard == r.ranShard)
+		if r.mayRun && c.Effect == Keyed && c.DedupScope != GroupAll && !there || !s.mayRepeat(r) {
 			return never
 		}
 	}
@@ -832,7 +832,7 @@
 // orderGate keeps requests of one ordered extent in turn.
 func (s *Scheduler) orderGate(r *request) time.Duration {
 	k := s.keys[r.Extent]
-	if k == nil || !r.class.InOrder || r.Extent == "" {
+	if k == nil || !r.class.Ordered || r.Extent == "" {
 		return 0
 	}
 	if k.line[0] != r {
@@ -847,9 +847,9 @@
 func (s *Scheduler) coldGate(n *node, r *request) time.Duration {
 	ru, units := s.set.Rules, r.Units
 	// Also while it is warm: a start is told late.
-	n.recent = since(n.recent, s.now-ru.FallWithin-s.set.Tick)
-	answers := time.Duration(float64(ru.FallWithin) * max(0, ru.FallMultiple/2-1)) // they count for so long
-	n.served = since(n.served, s.now-answers+s.set.Tick)
+	n.recent = since(n.recent, s.now-ru.OverloadWindow-s.set.MinStep)
+	answers := time.Duration(float64(ru.OverloadWindow) * max(0, ru.OverloadFactor/2-1)) // they count for so long
+	n.served = since(n.served, s.now-answers+s.set.MinStep)
 	if !s.cold(n) {
 		return 0 // before the sums: every held request comes here at every step
 	}
@@ -857,38 +857,38 @@
 		return at
 	}
 	each, sum := s.crew.part(s.now)/float64(s.set.Initiators), total(n.recent)
-	part := s.set.ColdUnits * s.grown(n) * each
+	part := s.set.ColdUnitsPerWindow * s.grown(n) * each
 	if answers > 0 {
 		part /= 2
 	}
 	crowd := part < s.set.MeanUnits
-	few := len(n.out) == 0 && n.load >= 0 && n.load <= coldLoad && s.now-n.told < ru.FallWithin
+	few := len(n.out) == 0 && n.load >= 0 && n.load <= coldLoad && s.now-n.told < ru.OverloadWindow
 	if crowd && few || !crowd && total(n.served) >= units {
 		return 0
 	}
-	if n.Started < s.born && s.now-s.born < ru.FallWithin {
-		return s.born + ru.FallWithin // what was sent before this process began is not known
+	if n.Started < s.born && s.now-s.born < ru.OverloadWindow {
+		return s.born + ru.OverloadWindow // what was sent before this process began is not known
 	}
 	if crowd { // by what is sent from here; answers have as much as the node does in the span
-		part, n.served = s.bears(n)*(1-1/max(ru.FallMultiple, 2))*each*n.share, nil
+		part, n.served = s.bears(n)*(1-1/max(ru.OverloadFactor, 2))*each*n.share, nil
 	}
 	// One over the part goes from as few initiators as the part is of it, others at each node.
 	if sum+units <= part || sum == 0 && units*s.rank(n) <= part {
 		return 0
 	}
-	return s.now + ru.FallWithin/16
+	return s.now + ru.OverloadWindow/16
 }
 
 // bears is the units that a cold node bears now in the span of the rule, from all: along the slowest ramp, by
 // the settings or, if that is more, by what warm nodes do (Little's law). It takes longer here while cold.
 func (s *Scheduler) bears(n *node) float64 {
 	ru, grown := s.set.Rules, s.grown(n)
-	told := s.set.ColdUnits * grown
-	if s.service <= 0 || ru.ColdShare <= 0 {
+	told := s.set.ColdUnitsPerWindow * grown
+	if s.service <= 0 || ru.ColdCapacityFraction <= 0 {
 		return told
 	}
-	takes := max(n.latency, s.service/(ru.ColdShare*grown)) / max(1, s.atOnce)
-	return max(told, s.set.MeanUnits*ru.FallMultiple*ru.FallWithin.Seconds()/takes)
+	takes := max(n.latency, s.service/(ru.ColdCapacityFraction*grown)) / max(1, s.atOnce)
+	return max(told, s.set.MeanUnits*ru.OverloadFactor*ru.OverloadWindow.Seconds()/takes)
 }
 
 // share is this initiator's part of all that is sent to the shard, in even parts: what went from here of what
@@ -904,9 +904,9 @@
 			rate = max(rate, n.atOnce/n.latency)
 		}
 	}
-	over, all := s.set.Rules.WarmWithin, float64(s.set.Initiators)
+	over, all := s.set.Rules.WarmUpTime, float64(s.set.Initiators)
 	sent := s.laneOf(max(shard, 0)).sent.now(s.now, over) / s.set.MeanUnits
-	little := s.set.Rules.FallWithin.Seconds() / over.Seconds() * all
+	little := s.set.Rules.OverloadWindow.Seconds() / over.Seconds() * all
 	rate *= over.Seconds() * (1 - math.Exp(-(s.now-s.born).Seconds()/over.Seconds())) // in its life
 	return (sent*all + little) / (rate + little)
 }
@@ -924,38 +924,38 @@
 	if at, governed := s.rationed(Repeats, n, r, 1); governed {
 		return at
 	}
-	if !ru.Budget {
+	if !ru.RetryBudget {
 		return 0
 	}
-	s.taken = trim(s.taken, s.now-ru.BudgetSpan+2*s.set.Tick)
-	s.extra = trim(s.extra, s.now-ru.BudgetSpan-2*s.set.Tick)
-	if float64(len(s.extra)+1) <= ru.BudgetFree*s.crew.part(s.now)+ru.BudgetShare*float64(len(s.taken)) {
+	s.taken = trim(s.taken, s.now-ru.RetryBudgetWindow+2*s.set.MinStep)
+	s.extra = trim(s.extra, s.now-ru.RetryBudgetWindow-2*s.set.MinStep)
+	if float64(len(s.extra)+1) <= ru.RetryBudgetFree*s.crew.part(s.now)+ru.RetryBudgetRatio*float64(len(s.taken)) {
 		return 0
 	}
-	return s.now + ru.BudgetSpan/64
+	return s.now + ru.RetryBudgetWindow/64
 }
 
 // limitGate keeps a volume within this initiator's even part of its plan's limit. The store starts
 // empty: an initiator that was restarted cannot know what it drew before.
 func (s *Scheduler) limitGate(r *request) time.Duration {
 	v := r.vol
-	if v.plan.Limit <= 0 || r.drawn {
+	if v.plan.RateLimit <= 0 || r.drawn {
 		return 0
 	}
 	hosts := v.hosts / s.crew.part(s.now)
-	v.store = min(v.plan.LimitBurst/hosts, v.store+(s.now-v.storeAt).Seconds()*v.plan.Limit/hosts)
+	v.store = min(v.plan.RateLimitBurst/hosts, v.store+(s.now-v.storeAt).Seconds()*v.plan.RateLimit/hosts)
 	v.storeAt = s.now
 	if v.store >= r.Units {
 		return 0
 	}
-	return s.now + seconds((r.Units-v.store)*hosts/v.plan.Limit) + s.set.Tick
+	return s.now + seconds((r.Units-v.store)*hosts/v.plan.RateLimit) + s.set.MinStep
 }
 
 // ---- Placement of new objects ----
 
 // place returns the lane for a request: its shard's, or for a new object the one of least expected wait.
 func (s *Scheduler) place(r *request) *lane {
-	if n := s.byID[r.At]; n != nil {
+	if n := s.byID[r.BoundEndpoint]; n != nil {
 		return s.laneOf(n.Shard)
 	}
 	if r.Shard >= 0 || len(s.lanes) == 0 {
@@ -982,7 +982,7 @@
 	if s.troubled(n) || n.openAt > s.now {
 		w += 100 * s.leastAim.Seconds()
 	}
-	if n.Started > 0 && s.now-n.Started < s.set.Rules.WarmWithin {
+	if n.Started > 0 && s.now-n.Started < s.set.Rules.WarmUpTime {
 		w *= 4
 	}
 	return w
@@ -993,7 +993,7 @@
 	for _, l := range s.lanes {
 		for i := 0; i < len(l.held); i++ {
 			r := l.held[i]
-			if r.Shard >= 0 || r.mayRun || r.At != "" {
+			if r.Shard >= 0 || r.mayRun || r.BoundEndpoint != "" {
 				continue
 			}
 			if to := s.place(r); to != l && 2*s.wait(to) < s.wait(l) {
--- a/internal/testbed/reference/state_test.go
+++ b/internal/testbed/reference/state_test.go
@@ -322,8 +322,8 @@
 
 func (s *Scheduler) act(a Action) { s.actions = append(s.actions, a) }
 
-// Avoided tells how many of the listed nodes get no request, or one trial at a time.
-func (s *Scheduler) Avoided() (n int) {
+// EjectedCount tells how many of the listed nodes get no request, or one trial at a time.
+func (s *Scheduler) EjectedCount() (n int) {
 	for _, x := range s.nodes {
 		if x.State == Draining || s.avoids(x) {
 			n++
@@ -332,9 +332,9 @@
 	return n
 }
 
-// Where names the node that a request for the shard would go to now; empty: none. It is asked for where a
+// EndpointFor names the node that a request for the shard would go to now; empty: none. It is asked for where a
 // body must be on its way before the request can be decided on.
-func (s *Scheduler) Where(shard int) string {
+func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
 	if l := s.place(r); l.node != nil {
 		return l.node.ID
@@ -347,7 +347,7 @@
 	delete(s.requests, r.ID)
 	r.vol.backlog--
 	k := s.keys[r.Extent]
-	if k == nil || !r.class.InOrder {
+	if k == nil || !r.class.Ordered {
 		return
 	}
 	k.line = without(k.line, r)
--- a/internal/testbed/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/module.go
@@ -65,7 +65,7 @@
 			return
 		case <-timer.C:
 			x.due = time.Time{}
-			x.step(policy.Timer{})
+			x.step(policy.TimerFired{})
 		case <-x.box.Wake():
 			for _, l := range x.box.Take(nil) {
 				x.listed(l)
@@ -78,9 +78,9 @@
 }
 
 func (x *module) listed(l lists) {
-	nodes := policy.NodeList{Whole: l.list.Full, Nodes: make([]policy.Node, len(l.list.Servers))}
+	nodes := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Servers))}
 	for i, e := range l.list.Servers {
-		nodes.Nodes[i] = e.Node()
+		nodes.Endpoints[i] = e.Node()
 	}
 	x.journal.Told(l.list.Servers) // here, as a send decided before it is none past it
 	x.step(nodes)
@@ -88,15 +88,15 @@
 	if l.list.Full {
 		return
 	}
-	for _, n := range nodes.Nodes[:min(trial, len(nodes.Nodes))] {
+	for _, n := range nodes.Endpoints[:min(trial, len(nodes.Endpoints))] {
 		x.made++
 		id := strconv.Itoa(x.made)
 		x.open[id] = true
-		x.step(policy.Request{ID: id, Class: x.set.Classes[0].Name, Plan: x.set.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, Initiators: 1})
+		x.step(policy.Request{ID: id, Class: x.set.Classes[0].Name, Plan: x.set.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, VolumeInitiators: 1})
 	}
 	for id := range x.open { // what found no target is not waited for
 		delete(x.open, id)
-		x.step(policy.Departed{ID: id})
+		x.step(policy.ClientGone{ID: id})
 	}
 }
 
@@ -108,10 +108,10 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case policy.Send:
-			x.journal.Sends(a.Node)
+			x.journal.Sends(a.Endpoint)
 			delete(x.open, a.Request)
-			ends = append(ends, policy.Outcome{ID: a.Request, Attempt: 1, Node: a.Node, Code: policy.Delivered, Took: time.Millisecond, Closed: true})
-		case policy.Refuse, policy.Fail:
+			ends = append(ends, policy.Outcome{ID: a.Request, Attempt: 1, Endpoint: a.Endpoint, Code: policy.Served, Latency: time.Millisecond, Final: true})
+		case policy.Reject, policy.Fail:
 			delete(x.open, a.Request)
 		case policy.SetTimer:
 			x.due = now.Add(a.Wait)
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -18,7 +18,7 @@
 )
 
 func request(id string, volume int) policy.Request {
-	return policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, Initiators: 1, Budget: 2 * time.Second}
+	return policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}
 }
 
 // service is a discovery that pushes: a call waits for a change, or as long as it said.
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -86,7 +86,7 @@
 			change := quickest(5, 100*time.Millisecond, func() {
 				i++
 				x := all[i%size]
-				x.State = policy.NodeState(i / size % 2)
+				x.State = policy.EndpointState(i / size % 2)
 				g.Apply([]upstream.Target{x}, false)
 			})
 			return []float64{held, change}, nil
--- a/internal/testbed/scale/slope/module.go
+++ b/internal/testbed/scale/slope/module.go
@@ -16,14 +16,14 @@
 func settings() policy.Settings {
 	const ms = time.Millisecond
 	return policy.Settings{
-		Initiators: 2900, Tick: ms, MaxAttempts: 3, MeanUnits: 1.5, LargestUnits: 16, ColdUnits: 40, FairWorth: 0.7, IdleWorth: 0.4, Handshake: 0.2, Meter: time.Second,
-		Classes: []policy.Class{{Name: "read", Aim: 150 * ms, Deadline: 2 * time.Second, Worth: 1},
-			{Name: "write", Aim: 300 * ms, Deadline: 3 * time.Second, Effect: policy.Keyed, Group: policy.GroupCell, Window: 5 * time.Second, Worth: 2},
-			{Name: "append", Aim: 400 * ms, Deadline: 3 * time.Second, Effect: policy.Unsafe, Worth: 2, InOrder: true}},
-		Plans: []policy.Plan{{Name: "base", Rate: 100, Reserve: 20, Weight: 1, Price: 1}, {Name: "plus", Rate: 400, Reserve: 100, Weight: 2, Price: 2},
-			{Name: "bulk", Rate: 1000, Weight: 1, Price: 0.5, Limit: 2000, LimitBurst: 2000}},
-		Rules: policy.Rules{ColdShare: 0.1, WarmWithin: 20 * time.Second, FallWithin: 3 * time.Second, FallMultiple: 2, Settle: 100 * ms, Budget: true, BudgetFree: 10,
-			BudgetShare: 0.1, BudgetSpan: 10 * time.Second},
+		Initiators: 2900, MinStep: ms, MaxAttempts: 3, MeanUnits: 1.5, MaxUnits: 16, ColdUnitsPerWindow: 40, FairSharePriority: 0.7, ExcessPriority: 0.4, ConnectCost: 0.2, UsagePeriod: time.Second,
+		Classes: []policy.Class{{Name: "read", LatencyObjective: 150 * ms, Deadline: 2 * time.Second, PriorityWeight: 1},
+			{Name: "write", LatencyObjective: 300 * ms, Deadline: 3 * time.Second, Effect: policy.IdempotentWithKey, DedupScope: policy.DedupShard, DedupWindow: 5 * time.Second, PriorityWeight: 2},
+			{Name: "append", LatencyObjective: 400 * ms, Deadline: 3 * time.Second, Effect: policy.NonIdempotent, PriorityWeight: 2, Ordered: true}},
+		Plans: []policy.Plan{{Name: "base", Rate: 100, ReservedRate: 20, Weight: 1, PriorityFactor: 1}, {Name: "plus", Rate: 400, ReservedRate: 100, Weight: 2, PriorityFactor: 2},
+			{Name: "bulk", Rate: 1000, Weight: 1, PriorityFactor: 0.5, RateLimit: 2000, RateLimitBurst: 2000}},
+		Rules: policy.Rules{ColdCapacityFraction: 0.1, WarmUpTime: 20 * time.Second, OverloadWindow: 3 * time.Second, OverloadFactor: 2, OrderedQuietTime: 100 * ms, RetryBudget: true, RetryBudgetFree: 10,
+			RetryBudgetRatio: 0.1, RetryBudgetWindow: 10 * time.Second},
 	}
 }
 
@@ -33,7 +33,7 @@
 type module struct {
 	*policy.Scheduler
 	now     time.Duration
-	nodes   []policy.Node
+	nodes   []policy.Endpoint
 	asked   int
 	volumes int
 	rng     *rand.Rand
@@ -46,10 +46,10 @@
 	}
 	m := &module{Scheduler: s, now: time.Minute, volumes: 4096, rng: rand.New(rand.NewPCG(1, uint64(targets)))}
 	for i := range targets {
-		m.nodes = append(m.nodes, policy.Node{ID: target(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
+		m.nodes = append(m.nodes, policy.Endpoint{ID: target(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
 	}
 	s.Step(0, nil) // it has run for a minute: nothing that it sent before is unknown
-	s.Step(m.now, []policy.Event{policy.NodeList{Whole: true, Nodes: m.nodes}})
+	s.Step(m.now, []policy.Event{policy.EndpointList{Full: true, Endpoints: m.nodes}})
 	return m, nil
 }
 
@@ -58,7 +58,7 @@
 	n := &m.nodes[m.rng.IntN(len(m.nodes))]
 	n.State = policy.Draining - n.State
 	m.now += time.Millisecond
-	m.Step(m.now, []policy.Event{policy.NodeList{Nodes: []policy.Node{*n}}})
+	m.Step(m.now, []policy.Event{policy.EndpointList{Endpoints: []policy.Endpoint{*n}}})
 }
 
 // request has one asked, sent and answered.
@@ -67,10 +67,10 @@
 	id := fmt.Sprint("r", m.asked)
 	m.now += 60 * time.Microsecond
 	for _, a := range m.Step(m.now, []policy.Event{policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprint("v", m.asked%m.volumes),
-		Shard: m.rng.IntN(len(m.nodes)), Units: 1, Initiators: 1, Budget: 2 * time.Second}}) {
+		Shard: m.rng.IntN(len(m.nodes)), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}}) {
 		if a.Kind == policy.Send {
 			m.now += 60 * time.Microsecond
-			m.Step(m.now, []policy.Event{policy.Outcome{ID: a.Request, Node: a.Node, Code: policy.Delivered, Took: 2 * time.Millisecond, Closed: true}})
+			m.Step(m.now, []policy.Event{policy.Outcome{ID: a.Request, Endpoint: a.Endpoint, Code: policy.Served, Latency: 2 * time.Millisecond, Final: true}})
 		}
 	}
 }
@@ -106,7 +106,7 @@
 			timer := quickest(5, 50*time.Millisecond, func() {
 				for range 20 {
 					m.now += 20 * time.Millisecond
-					m.Step(m.now, []policy.Event{policy.Timer{}})
+					m.Step(m.now, []policy.Event{policy.TimerFired{}})
 				}
 			}) / 20
 			runtime.KeepAlive(m)
