--- /dev/null
+++ b/internal/policy/attempts.go
@@ -0,0 +1,144 @@
+package policy
+
+import (
+	"container/heap"
+	"time"
+)
+
+func (s *Scheduler) handleRequest(e Request) {
+	if s.requests[e.ID] != nil {
+		return
+	}
+	s.recentRequests = append(dropOlderTimes(s.recentRequests, s.now-s.settings.Rules.RetryBudgetWindow), s.now)
+	c, p := s.classes[e.Class], s.plans[e.Plan]
+	if c == nil || p == nil || e.TimeLeft <= 0 {
+		s.emit(Action{Kind: Reject, Request: e.ID})
+		return
+	}
+	e.TimeLeft = min(e.TimeLeft, c.Deadline) // nobody's patience is longer
+	v := s.volumes[e.Volume]
+	if v == nil {
+		v = &volume{plan: p, initiators: float64(max(1, e.VolumeInitiators)), tokensAt: s.now, rateLimitTokensAt: s.now}
+		v.tokens = s.bucketDepth(v)
+		s.volumes[e.Volume] = v
+	} else if s.plans[v.plan.Name] != v.plan { // the settings have it no more
+		s.moveVolume(v, p)
+		s.rescaleTags()
+		v.tagScale = 0
+	}
+	v.initiators = float64(max(1, e.VolumeInitiators))
+	e.Units = max(e.Units, 0)
+	r := &request{Request: e, class: c, volume: v, firstSeenAt: s.now, heldSince: s.now, deadlineAt: s.now + e.TimeLeft}
+	r.answerBy = s.now + max(e.TimeLeft/2-4*s.settings.MinStep, s.settings.MinStep)
+	r.objectiveAt = s.now + c.LatencyObjective
+	if waited := c.Deadline - e.TimeLeft; s.stalledFor > 0 && waited < s.stalledFor+s.minObjective/timersPerObjective {
+		r.objectiveAt -= waited
+	}
+	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
+	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
+	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+2*s.settings.MinStep {
+		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+c.LatencyObjective
+		delete(s.rejected, r.identity())
+	}
+	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-2*s.settings.MinStep)
+	r.answerBy = min(r.answerBy, r.objectiveAt)
+	s.requests[r.ID] = r
+	heap.Push(&s.deadlines, r)
+	v.backlog++
+	if c.Ordered && r.Extent != "" {
+		k := s.orderedExtents[r.Extent]
+		if k == nil {
+			k = &orderedExtent{}
+			s.orderedExtents[r.Extent] = k
+		}
+		k.queue = append(k.queue, r)
+	}
+	r.queue = s.placeRequest(r)
+	if r.objectiveAt <= s.now { // a later try of what was turned away, past its aim already
+		r.pastObjective = true // answered once all events are known: its client may have left
+		return
+	}
+	s.assignTags(r, r.queue)
+	r.queue.enqueue(r)
+}
+
+func (s *Scheduler) handleOutcome(e Outcome) {
+	r := s.requests[e.ID]
+	if r == nil || r.inFlightAt == nil || e.Attempt != r.attempts-1 {
+		return
+	}
+	n := r.inFlightAt
+	s.markUsed(n)
+	s.learnFromOutcome(n, r, e)
+	s.handleLoadReport(n, e.Load)
+	n.inFlight = removeRequest(n.inFlight, r)
+	r.inFlightAt, r.heldSince = nil, s.now
+	if e.Code == Served {
+		s.noteUsage(r.volume, r.Units, e.VolumeUsage)
+	}
+	doubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
+	if k := s.orderedExtents[r.Extent]; k != nil && r.class.Ordered && doubt {
+		k.quietUntil = max(k.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
+	}
+	if e.Code != NotConnected && e.Code != NotSent {
+		r.answerBy = r.objectiveAt // an attempt was written: its client is not held back for nothing
+	}
+	if e.Code.MayHaveRun() && !r.mayHaveRun {
+		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, n.Zone, n.Shard, r.attemptStartedAt
+	}
+	switch {
+	case r.answered:
+		s.forget(r)
+	case e.Final:
+		s.finishRequest(r)
+	default:
+		if !s.mayRetry(r) {
+			r.answerBy = s.now // answered once all events are known: its client may have left
+		}
+		// Further attempts wait a little longer each, the node's gate on top.
+		r.notBefore = s.now + s.silenceTimeout(n)*time.Duration(r.attempts)/8
+		r.queue.enqueue(r)
+		if r.heapIndex >= 0 {
+			heap.Fix(&s.deadlines, r.heapIndex)
+		} else {
+			heap.Push(&s.deadlines, r)
+		}
+	}
+}
+
+// mayRetry tells whether a further attempt of the request could ever be allowed.
+func (s *Scheduler) mayRetry(r *request) bool {
+	if r.BoundEndpoint != "" || s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts { // its body is gone, or its tries
+		return false
+	}
+	return !r.mayHaveRun || r.class.Effect == Idempotent ||
+		r.class.Effect == IdempotentWithKey && !r.MissingKey && s.now < s.dedupDeadline(r)
+}
+
+// dedupDeadline is until when nodes surely drop a repeat: under the window, since to write takes a while.
+func (s *Scheduler) dedupDeadline(r *request) time.Duration {
+	return r.firstRanAt + r.class.DedupWindow - 4*s.settings.MinStep
+}
+
+// retryBudgetGate keeps further attempts within the ration, counted against us at both edges.
+func (s *Scheduler) retryBudgetGate(n *endpoint, r *request) time.Duration {
+	ru := s.settings.Rules
+	if at, governed := s.quotaWait(Retries, n, r, 1); governed {
+		return at
+	}
+	if !ru.RetryBudget {
+		return 0
+	}
+	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-ru.RetryBudgetWindow+2*s.settings.MinStep)
+	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-ru.RetryBudgetWindow-2*s.settings.MinStep)
+	if float64(len(s.recentRetries)+1) <= ru.RetryBudgetFree*s.processes.fraction(s.now)+ru.RetryBudgetRatio*float64(len(s.recentRequests)) {
+		return 0
+	}
+	return s.now + ru.RetryBudgetWindow/64
+}
+
+// attemptTimeout is the time-out of an attempt. It is long: the data is nowhere else, so a premature second attempt
+// only adds load, even where answers get lost. It frees the slot of an attempt that was lost.
+func (s *Scheduler) attemptTimeout(n *endpoint, r *request) time.Duration {
+	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*n.latency))
+}
--- a/internal/policy/finder.go
+++ b/internal/policy/index.go
@@ -6,9 +6,7 @@
 import (
 	"cmp"
 	"iter"
-	"math"
 	"slices"
-	"time"
 )
 
 // endpointIndex is all lanes and nodes.
@@ -187,16 +185,6 @@
 	}
 }
 
-// activeEndpoints returns the nodes that may be avoided, in order of nodes. One that drains may be listed as up again.
-func (s *Scheduler) activeEndpoints() []*endpoint {
-	s.usedEndpoints = slices.DeleteFunc(s.usedEndpoints, func(n *endpoint) bool {
-		n.listedUsed = s.byID[n.ID] == n && (len(n.inFlight) > 0 || n.blockedUntil > s.now || s.isFaulty(n))
-		return !n.listedUsed
-	})
-	slices.SortFunc(s.usedEndpoints, compareSerial)
-	return s.usedEndpoints
-}
-
 // eachWaiting yields the lanes in which something waits, in order, those included that come to it meanwhile further on.
 func (x *endpointIndex) eachWaiting() iter.Seq[*shardQueue] {
 	return func(yield func(*shardQueue) bool) {
@@ -295,101 +283,3 @@
 		return !n.listedRemoved
 	})
 }
-
-// minWaitTree finds the lane of least wait. It keeps every lane's wait in a tree of minima, once it has been asked for.
-type minWaitTree struct {
-	leaves  int           // leaves; 0: not made
-	minima  []float64     // of the two below, the root at 1; the leaves from size on, by the lanes' places
-	touched []*shardQueue // wait may be another
-	moving  []*shardQueue // wait changes by itself as time passes
-	asOf    time.Duration
-}
-
-// markWaitStale notes that the lane's wait may be another.
-func (l *shardQueue) markWaitStale() {
-	if t := &l.index.waitTree; t.leaves > 0 {
-		t.touched = appendOnce(t.touched, l, &l.listedTouched)
-	}
-}
-
-// minWaitFrom returns the first lane of least wait, looking from the given place on and round.
-func (s *Scheduler) minWaitFrom(from int) *shardQueue {
-	t := &s.waitTree
-	if t.asOf != s.now {
-		t.asOf = s.now
-		for _, l := range t.moving {
-			l.listedMoving = false
-			l.markWaitStale()
-		}
-		t.moving = t.moving[:0]
-	}
-	if len(s.queues) > t.leaves || len(t.touched) > 16+len(s.queues)/8 {
-		s.rebuildWaitTree()
-	}
-	for _, l := range t.touched {
-		l.listedTouched = false
-		s.updateWaitLeaf(l)
-		for at := (t.leaves + l.position) / 2; at > 0; at /= 2 {
-			least := min(t.minima[2*at], t.minima[2*at+1])
-			if t.minima[at] == least {
-				break
-			}
-			t.minima[at] = least
-		}
-	}
-	t.touched = t.touched[:0]
-	at, wait := t.firstMin(1, 0, t.leaves, from, len(s.queues))
-	if before, less := t.firstMin(1, 0, t.leaves, 0, from); less < wait {
-		at = before
-	}
-	return s.queues[at]
-}
-
-// rebuildWaitTree makes the tree.
-func (s *Scheduler) rebuildWaitTree() {
-	t := &s.waitTree
-	if t.leaves < len(s.queues) {
-		for t.leaves = max(t.leaves, 1); t.leaves < len(s.queues); {
-			t.leaves *= 2
-		}
-		t.minima = make([]float64, 2*t.leaves)
-	}
-	t.touched, t.moving = t.touched[:0], t.moving[:0]
-	for _, l := range s.queues {
-		l.listedTouched, l.listedMoving = false, false
-		s.updateWaitLeaf(l)
-	}
-	for at := t.leaves - 1; at > 0; at-- {
-		t.minima[at] = min(t.minima[2*at], t.minima[2*at+1])
-	}
-}
-
-// updateWaitLeaf takes over the lane's wait, and notes whether it will be another by itself: while something is out at its node, which
-// may come to be overdue, while the node is not open, and until it is warm.
-func (s *Scheduler) updateWaitLeaf(l *shardQueue) {
-	t, n := &s.waitTree, l.endpoint
-	t.minima[t.leaves+l.position] = s.expectedWait(l)
-	if n != nil && (len(n.inFlight) > 0 || n.blockedUntil > s.now || n.Started > 0 && s.now-n.Started < s.settings.Rules.WarmUpTime) {
-		t.moving = appendOnce(t.moving, l, &l.listedMoving)
-	}
-}
-
-// firstMin returns the first place of the least wait among the places from lo to below hi; the node at spans those from left on.
-func (t *minWaitTree) firstMin(at, left, span, lo, hi int) (place int, wait float64) {
-	switch {
-	case hi <= left || left+span <= lo:
-		return left, math.Inf(1)
-	case lo <= left && left+span <= hi:
-		for wait = t.minima[at]; at < t.leaves; {
-			if at, span = 2*at, span/2; t.minima[at] != wait {
-				at, left = at+1, left+span
-			}
-		}
-		return left, wait
-	}
-	place, wait = t.firstMin(2*at, left, span/2, lo, hi)
-	if right, less := t.firstMin(2*at+1, left+span/2, span/2, lo, hi); less < wait || place < lo {
-		return right, less
-	}
-	return place, wait
-}
--- a/internal/policy/watch.go
+++ b/internal/policy/probe_result.go
@@ -12,21 +12,6 @@
 
 func (ProbeResult) event() {}
 
-// isEjected tells whether the node gets no request, or one trial at a time, though it is listed as up.
-func (s *Scheduler) isEjected(n *endpoint) bool {
-	return n.State == Up && (n.blockedUntil > s.now || s.isFaulty(n))
-}
-
-// EjectedEndpoints names the nodes that are listed as up and get no request, or one trial at a time.
-func (s *Scheduler) EjectedEndpoints() (ids []string) {
-	for _, n := range s.activeEndpoints() {
-		if s.isEjected(n) {
-			ids = append(ids, n.ID)
-		}
-	}
-	return ids
-}
-
 // applyProbeResult takes over what was found out about a node, as far as it is newer than what this initiator has heard of it itself: where it is
 // well a trial may go there now; where it is not, none does until it is tried again. One that is not avoided is left alone.
 func (s *Scheduler) applyProbeResult(e ProbeResult) {
--- a/internal/policy/ration.go
+++ b/internal/policy/quota.go
@@ -81,15 +81,3 @@
 	}
 	return s.settings.Quota.Reserve(draws)
 }
-
-// warmUpGrowth is how much more the node bears than one that has just started: work at cold nodes is counted in what such a one bears.
-func (s *Scheduler) warmUpGrowth(n *endpoint) float64 {
-	age := max(0, s.now-n.Started)
-	return 1 + (1/max(s.settings.Rules.ColdCapacityFraction, 0.01)-1)*age.Seconds()/s.settings.Rules.WarmUpTime.Seconds()
-}
-
-// isCold tells whether the rule on cold nodes holds for the node now.
-func (s *Scheduler) isCold(n *endpoint) bool {
-	ru := s.settings.Rules
-	return n.Started > 0 && s.now-n.Started < ru.WarmUpTime && ru.OverloadWindow > 0
-}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -1,13 +1,93 @@
 package policy
 
-// What the settings say, taken over at the start and while requests are under way. Nothing is chosen, sent or answered here.
-
 import (
 	"errors"
 	"fmt"
 	"slices"
+	"time"
+)
+
+// Effect says what a class allows to happen twice.
+type Effect int
+
+const (
+	// Idempotent requests may be repeated and refused freely.
+	Idempotent Effect = iota
+	// IdempotentWithKey requests may be repeated only among nodes that drop the repeat.
+	IdempotentWithKey
+	// NonIdempotent requests may be repeated only when no earlier attempt can have run.
+	NonIdempotent
 )
 
+// DedupScope says which nodes drop repeats of a keyed request.
+type DedupScope int
+
+const (
+	// DedupFleet is every node.
+	DedupFleet DedupScope = iota
+	// DedupZone is the nodes of one zone.
+	DedupZone
+	// DedupShard is the nodes that hold one shard.
+	DedupShard
+)
+
+// Class is one request class.
+type Class struct {
+	Name             string
+	LatencyObjective time.Duration // an answer by then earns the full worth
+	Deadline         time.Duration // the client's whole patience, over all its tries
+	Effect           Effect
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: how long repeats are remembered
+	PriorityWeight   float64       // of a mean request answered within the aim
+	Ordered          bool          // requests with one extent run one at a time, as taken
+}
+
+// Plan is what each volume on it is owed, over all initiators and nodes.
+type Plan struct {
+	Name           string
+	Rate           float64 // units a second that such a volume is sized for
+	ReservedRate   float64 // units a second that earn their full worth; 0: none
+	Weight         float64 // part of what a shard can do beyond the reserves
+	PriorityFactor float64 // factor on the worth
+	RateLimit      float64 // units a second at most; 0: no limit
+	RateLimitBurst float64 // units that the limit's store holds
+}
+
+// Rules holds the figures of the rules. A zero asks nothing, except for Drain.
+type Rules struct {
+	ColdCapacityFraction float64       // a node starts at this part of its capacity or more
+	WarmUpTime           time.Duration // and is warm after this
+	OverloadWindow       time.Duration // the span over which work to a cold node is counted
+	OverloadFactor       float64       // times its capacity that a cold node bears for that long
+	OrderedQuietTime     time.Duration // rest of an ordered extent after a doubtful outcome
+	RetryBudget          bool          // whether further attempts are rationed
+	RetryBudgetFree      float64
+	RetryBudgetRatio     float64
+	RetryBudgetWindow    time.Duration
+}
+
+// Settings is what an initiator is told at its start. As an event it takes the place of the settings there were, but for Ration: what was
+// learned and sent stays, and a request that is known ends by its class as it came. Settings that Check turns down change nothing.
+type Settings struct {
+	Initiators         int           // how many share the pool
+	InitiatorIndex     int           // this one's number among them, from 1; 0: not known
+	MinStep            time.Duration // least time between two steps
+	Classes            []Class
+	Plans              []Plan
+	Rules              Rules
+	MaxAttempts        int           // for one request; 0: no bound
+	MeanUnits          float64       // mean size of a request
+	MaxUnits           float64       // size of the largest request
+	ColdUnitsPerWindow float64       // units within FallWithin that a cold node bears from all initiators
+	FairSharePriority  float64       // part of the worth that units beyond the reserve earn inside the share
+	ExcessPriority     float64       // part of the worth that units beyond the share earn
+	ConnectCost        float64       // what a new connection to a node costs, in requests
+	UsagePeriod        time.Duration // period of the use meter; 0: none
+	SubscribeToList    bool          // the node list must be subscribed to
+	Quota              Quota         // part of fleet-wide wholes, in place of even ones; nil: none
+}
+
 // Validate returns an error that names what of the settings cannot be served.
 func (set Settings) Validate() error {
 	if len(set.Classes) == 0 || len(set.Plans) == 0 {
@@ -29,101 +109,3 @@
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	return set
 }
-
-// tightensColdLimits tells whether these settings may let a cold node have less than others did, from one initiator or over a longer span.
-func (set Settings) tightensColdLimits(was Settings) bool {
-	a, b := set.Rules, was.Rules
-	each := func(s Settings) float64 { return s.ColdUnitsPerWindow / float64(s.Initiators) }
-	grows := func(r Rules) float64 {
-		return (1/max(r.ColdCapacityFraction, 0.01) - 1) / max(r.WarmUpTime.Seconds(), 1e-3)
-	}
-	return a.OverloadWindow > b.OverloadWindow || a.WarmUpTime > b.WarmUpTime || a.OverloadFactor != b.OverloadFactor ||
-		each(set) < each(was) || grows(a) < grows(b) || set.MeanUnits != was.MeanUnits
-}
-
-// applySettings takes the settings over as they are read by name, and what follows from them alone.
-func (s *Scheduler) applySettings(set Settings) {
-	s.settings, s.minObjective = set.clone(), never
-	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
-	s.classes, s.plans = map[string]*Class{}, map[string]*Plan{}
-	for i := range s.settings.Classes {
-		c := &s.settings.Classes[i]
-		s.classes[c.Name] = c
-		s.minObjective = min(s.minObjective, c.LatencyObjective)
-	}
-	for i := range s.settings.Plans {
-		s.plans[s.settings.Plans[i].Name] = &s.settings.Plans[i]
-	}
-}
-
-// adoptSettings takes other settings over while requests are under way. What was learned of nodes and volumes stays, and so does what was sent:
-// nothing that a rule counts begins anew. A request that is known ends by its class as it came; all else holds from now on. The ration is
-// not of the settings that are told, and stays. What cannot be served changes nothing.
-func (s *Scheduler) adoptSettings(set Settings) {
-	if set.Validate() != nil {
-		return
-	}
-	was := s.settings
-	set.Quota = was.Quota
-	s.applySettings(set)
-	if set.InitiatorIndex > 0 {
-		s.initiatorIndex = set.InitiatorIndex - 1
-	}
-	if set.SubscribeToList != was.SubscribeToList {
-		s.subscribeAt = never
-		if set.SubscribeToList {
-			s.subscribeAt = s.now
-		}
-	}
-	if set.tightensColdLimits(was) {
-		s.startedAt = s.now // as of a process that has just begun: what was sent under the settings before is no measure of these
-		for _, n := range s.endpoints {
-			n.coldServed = nil
-		}
-	}
-	for _, v := range s.volumes {
-		switch p := s.plans[v.plan.Name]; {
-		case p == nil: // its requests end by the plan that they came under
-		case *p == *v.plan:
-			v.plan = p
-		default:
-			s.moveVolume(v, p)
-		}
-	}
-	s.rescaleTags()
-	for _, v := range s.volumes {
-		v.tagScale = 0
-	}
-	s.waitTree = minWaitTree{} // waits hang on the settings
-}
-
-// moveVolume puts a volume that is known on another plan. What it was granted up to now is by the one before; retag has what lies ahead of now
-// come as much sooner or later as the rate is higher or lower.
-func (s *Scheduler) moveVolume(v *volume, to *Plan) {
-	rho := s.refillRate(v)
-	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
-	s.reserveAvailable(v)
-	s.refillRateLimit(v)
-	if v.plan.RateLimit <= 0 {
-		v.rateLimitTokens = 0 // nothing filled it
-	}
-	v.plan = to
-	v.tagScale = rho / s.refillRate(v)
-}
-
-// rescaleTags has the tags of volumes that were moved follow, in all lanes that have any.
-func (s *Scheduler) rescaleTags() {
-	for _, l := range s.flowingQueues {
-		for _, r := range l.requests {
-			if k := r.volume.tagScale; k != 0 && r.startTag > s.now {
-				by := toDuration((r.startTag-s.now).Seconds()*k) - (r.startTag - s.now)
-				r.startTag, r.finishTag = r.startTag+by, r.finishTag+by
-			}
-		}
-		for _, f := range l.flows {
-			if k := f.volume.tagScale; k != 0 && f.maxStartTag > s.now {
-				f.maxStartTag = s.now + toDuration((f.maxStartTag-s.now).Seconds()*k)
-			}
-		}
-	}
-}
--- /dev/null
+++ b/internal/policy/times.go
@@ -0,0 +1,20 @@
+package policy
+
+import (
+	"math"
+	"time"
+)
+
+// never is a time that no clock reaches.
+const never = time.Duration(math.MaxInt64)
+
+func toDuration(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
+
+// dropOlderTimes drops the times before from.
+func dropOlderTimes(list []time.Duration, from time.Duration) []time.Duration {
+	cut := 0
+	for cut < len(list) && list[cut] < from {
+		cut++
+	}
+	return list[cut:]
+}
