--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -4,32 +4,28 @@
 	"time"
 )
 
-// ActionKind tells the actions apart.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
+// The kinds.
 const (
-	// Send starts an attempt of Request at Node, given up after Wait.
-	Send ActionKind = iota
-	// Reject turns Request away: a retry is harmless, and best comes after Wait (0: no advice).
-	Reject
-	// Fail ends Request with no promise about its effect.
-	Fail
-	// SetTimer asks for a Timer after Wait.
-	SetTimer
-	// Subscribe asks for the node list and its changes.
-	Subscribe
-	// Log writes Text to the report.
-	Log
+	Send      ActionKind = iota // start an attempt of Request at Endpoint, given up after Wait
+	Reject                      // end Request: a retry is harmless, and best after Wait (0: no advice)
+	Fail                        // end Request with no promise about its effect
+	SetTimer                    // send TimerFired after Wait
+	Subscribe                   // subscribe to the endpoint list
+	Log                         // write Text to the report
 )
 
 // Action is something for the initiator to do, in the order given.
 type Action struct {
-	Kind       ActionKind
-	Request    string
-	Endpoint   string
-	Wait       time.Duration
-	TagLead    time.Duration // of a request's end of being held: how much of it its start tag lay ahead
-	Text       string
-	Permit     Permit        // of a Send: has to be good at its first byte; nil: none is needed
-	SendWithin time.Duration // of a Send: how long from now its bytes may leave; 0: as long as the attempt lasts
+	Kind     ActionKind
+	Request  string
+	Endpoint string
+	Wait     time.Duration
+	TagLead  time.Duration // of a Send or an end: how long the request waited for its start tag
+	Text     string
+	Permit   Permit // of a Send: must be valid at the first byte; nil: none needed
+	// of a Send: how long from now its bytes may leave; 0: as long as the attempt lasts
+	SendWithin time.Duration
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -4,12 +4,12 @@
 	"time"
 )
 
-// earliestSend is the one gate that every send passes. It returns the time from which r may go to the lane's
-// node, or a later one at which to look again.
+// earliestSend is the single gate that every send passes. It returns the time from which the request
+// may go to the queue's endpoint, or a later time at which to ask again; never: not at all.
 func (s *Scheduler) earliestSend(r *request, l *shardQueue) time.Duration {
 	n := l.endpoint
 	if r.BoundEndpoint != "" && r.BoundEndpoint != n.ID {
-		s.expireObjective(r) // the rest of its body is elsewhere
+		s.expireObjective(r) // most of its body was sent to another endpoint
 		return never
 	}
 	at := max(r.notBefore, n.blockedUntil, s.orderGate(r), s.coldGate(n, r), s.rateLimitGate(r), s.quotaGate(n, r))
@@ -24,7 +24,7 @@
 	return at
 }
 
-// orderGate keeps requests of one ordered extent in turn.
+// orderGate lets requests of an ordered extent run one at a time, in the order in which they arrived.
 func (s *Scheduler) orderGate(r *request) time.Duration {
 	k := s.orderedExtents[r.Extent]
 	if k == nil || !r.class.Ordered || r.Extent == "" {
@@ -36,32 +36,33 @@
 	return k.quietUntil
 }
 
-// rateLimitGate keeps a volume within this initiator's even part of its plan's limit. The store starts
-// empty: an initiator that was restarted cannot know what it drew before.
+// rateLimitGate keeps a volume within this initiator's even part of its plan's rate limit. The bucket
+// starts empty: after a restart it is unknown what was sent before.
 func (s *Scheduler) rateLimitGate(r *request) time.Duration {
 	v := r.volume
 	if v.plan.RateLimit <= 0 || r.rateLimitCharged {
 		return 0
 	}
-	hosts := s.refillRateLimit(v)
+	sharers := s.refillRateLimit(v)
 	if v.rateLimitTokens >= r.Units {
 		return 0
 	}
-	return s.now + toDuration((r.Units-v.rateLimitTokens)*hosts/v.plan.RateLimit) + s.settings.MinStep
+	return s.now + toDuration((r.Units-v.rateLimitTokens)*sharers/v.plan.RateLimit) + s.settings.MinStep
 }
 
-// refillRateLimit fills the volume's store up to now, and tells how many share the plan's limit.
-func (s *Scheduler) refillRateLimit(v *volume) (hosts float64) {
-	hosts = v.initiators / s.processes.fraction(s.now)
+// refillRateLimit fills the volume's rate limit bucket up to now and returns how many processes share
+// the plan's limit.
+func (s *Scheduler) refillRateLimit(v *volume) (sharers float64) {
+	sharers = v.initiators / s.processes.fraction(s.now)
 	if v.plan.RateLimit > 0 {
-		v.rateLimitTokens = min(v.plan.RateLimitBurst/hosts, v.rateLimitTokens+(s.now-v.rateLimitTokensAt).Seconds()*v.plan.RateLimit/hosts)
+		v.rateLimitTokens = min(v.plan.RateLimitBurst/sharers, v.rateLimitTokens+(s.now-v.rateLimitTokensAt).Seconds()*v.plan.RateLimit/sharers)
 	}
 	v.rateLimitTokensAt = s.now
-	return hosts
+	return sharers
 }
 
-// orderedExtent is the queue of one extent whose requests take turns.
+// orderedExtent is an extent whose requests run one at a time.
 type orderedExtent struct {
-	queue      []*request
-	quietUntil time.Duration
+	queue      []*request    // the first may be sent
+	quietUntil time.Duration // pause after an attempt of which it is unknown whether it ran
 }
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// handleRequest queues a new request, or rejects one that the settings do not know.
 func (s *Scheduler) handleRequest(e Request) {
 	if s.requests[e.ID] != nil {
 		return
@@ -15,13 +16,13 @@
 		s.emit(Action{Kind: Reject, Request: e.ID})
 		return
 	}
-	e.TimeLeft = min(e.TimeLeft, c.Deadline) // nobody's patience is longer
+	e.TimeLeft = min(e.TimeLeft, c.Deadline)
 	v := s.volumes[e.Volume]
 	if v == nil {
 		v = &volume{plan: p, initiators: float64(max(1, e.VolumeInitiators)), tokensAt: s.now, rateLimitTokensAt: s.now}
 		v.tokens = s.bucketDepth(v)
 		s.volumes[e.Volume] = v
-	} else if s.plans[v.plan.Name] != v.plan { // the settings have it no more
+	} else if s.plans[v.plan.Name] != v.plan { // its plan was removed from the settings
 		s.moveVolume(v, p)
 		s.rescaleTags()
 		v.tagScale = 0
@@ -34,8 +35,8 @@
 	if waited := c.Deadline - e.TimeLeft; s.stalledFor > 0 && waited < s.stalledFor+s.minObjective/timersPerObjective {
 		r.objectiveAt -= waited
 	}
-	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
-	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
+	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized
+	// by its identity within the class's deadline; a short time left alone may belong to an impatient client.
 	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+2*s.settings.MinStep {
 		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+c.LatencyObjective
 		delete(s.rejected, r.identity())
@@ -54,14 +55,16 @@
 		k.queue = append(k.queue, r)
 	}
 	r.queue = s.placeRequest(r)
-	if r.objectiveAt <= s.now { // a later try of what was turned away, past its aim already
-		r.pastObjective = true // answered once all events are known: its client may have left
+	if r.objectiveAt <= s.now { // a retry that comes after its objective
+		r.pastObjective = true // answered once all events of this step are known: its client may have left
 		return
 	}
 	s.assignTags(r, r.queue)
 	r.queue.enqueue(r)
 }
 
+// handleOutcome ends an attempt: it updates the endpoint's health, and finishes the request or queues
+// it for a retry.
 func (s *Scheduler) handleOutcome(e Outcome) {
 	r := s.requests[e.ID]
 	if r == nil || r.inFlightAt == nil || e.Attempt != r.attempts-1 {
@@ -76,12 +79,12 @@
 	if e.Code == Served {
 		s.noteUsage(r.volume, r.Units, e.VolumeUsage)
 	}
-	doubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
-	if k := s.orderedExtents[r.Extent]; k != nil && r.class.Ordered && doubt {
+	inDoubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
+	if k := s.orderedExtents[r.Extent]; k != nil && r.class.Ordered && inDoubt {
 		k.quietUntil = max(k.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
 	}
 	if e.Code != NotConnected && e.Code != NotSent {
-		r.answerBy = r.objectiveAt // an attempt was written: its client is not held back for nothing
+		r.answerBy = r.objectiveAt // an attempt was sent, so waiting for a retry is worth it
 	}
 	if e.Code.MayHaveRun() && !r.mayHaveRun {
 		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, n.Zone, n.Shard, r.attemptStartedAt
@@ -93,9 +96,9 @@
 		s.finishRequest(r)
 	default:
 		if !s.mayRetry(r) {
-			r.answerBy = s.now // answered once all events are known: its client may have left
+			r.answerBy = s.now // answered once all events of this step are known: its client may have left
 		}
-		// Further attempts wait a little longer each, the node's gate on top.
+		// Backoff grows with each attempt; the endpoint's own block comes on top.
 		r.notBefore = s.now + s.silenceTimeout(n)*time.Duration(r.attempts)/8
 		r.queue.enqueue(r)
 		if r.heapIndex >= 0 {
@@ -106,21 +109,23 @@
 	}
 }
 
-// mayRetry tells whether a further attempt of the request could ever be allowed.
+// mayRetry reports whether a further attempt of the request could ever be allowed.
 func (s *Scheduler) mayRetry(r *request) bool {
-	if r.BoundEndpoint != "" || s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts { // its body is gone, or its tries
+	if r.BoundEndpoint != "" || s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts {
 		return false
 	}
 	return !r.mayHaveRun || r.class.Effect == Idempotent ||
 		r.class.Effect == IdempotentWithKey && !r.MissingKey && s.now < s.dedupDeadline(r)
 }
 
-// dedupDeadline is until when nodes surely drop a repeat: under the window, since to write takes a while.
+// dedupDeadline is until when endpoints surely drop a repeat: a little before the window ends, since
+// sending takes time.
 func (s *Scheduler) dedupDeadline(r *request) time.Duration {
 	return r.firstRanAt + r.class.DedupWindow - 4*s.settings.MinStep
 }
 
-// retryBudgetGate keeps further attempts within the ration, counted against us at both edges.
+// retryBudgetGate keeps retries within the budget. Requests count from a little later and retries from
+// a little earlier than the window, so that the budget holds whichever way the clocks differ.
 func (s *Scheduler) retryBudgetGate(n *endpoint, r *request) time.Duration {
 	ru := s.settings.Rules
 	if at, governed := s.quotaWait(Retries, n, r, 1); governed {
@@ -137,8 +142,8 @@
 	return s.now + ru.RetryBudgetWindow/64
 }
 
-// attemptTimeout is the time-out of an attempt. It is long: the data is nowhere else, so a premature second attempt
-// only adds load, even where answers get lost. It frees the slot of an attempt that was lost.
+// attemptTimeout is the time after which an attempt is given up. It is long: no other endpoint has the
+// data, so a premature retry only adds load. It frees the slot of an attempt whose answer was lost.
 func (s *Scheduler) attemptTimeout(n *endpoint, r *request) time.Duration {
 	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*n.latency))
 }
--- a/internal/policy/coldstart.go
+++ b/internal/policy/coldstart.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
+// timedUnits is an amount of work at a time.
 type timedUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// dropOlderUnits drops the draws before from.
+// dropOlderUnits drops the entries before from.
 func dropOlderUnits(list []timedUnits, from time.Duration) []timedUnits {
 	for len(list) > 0 && list[0].at < from {
 		list = list[1:]
@@ -20,7 +21,7 @@
 	return list
 }
 
-// sumUnits sums the draws.
+// sumUnits is the sum of the entries.
 func sumUnits(list []timedUnits) (sum float64) {
 	for _, d := range list {
 		sum += d.units
@@ -28,7 +29,8 @@
 	return sum
 }
 
-// chargeCold notes that units are sent, for as many answered ones or as part of what may be sent unasked.
+// chargeCold records units that are sent. At a cold endpoint they use up units that it has answered,
+// if there are enough, and count against the even part otherwise.
 func (n *endpoint) chargeCold(now time.Duration, units float64, cold bool) {
 	if !cold || sumUnits(n.coldServed) < units {
 		n.coldSent = append(n.coldSent, timedUnits{now, units})
@@ -44,31 +46,37 @@
 	}
 }
 
-// decayingRate is the units sent over about as long as it looks back.
+// decayingRate is an exponentially decaying sum of units.
 type decayingRate struct {
 	units float64
 	at    time.Duration
 }
 
-func (p *decayingRate) current(current, over time.Duration) float64 {
-	return p.units * math.Exp(-(current-p.at).Seconds()/max(over.Seconds(), 1e-3))
+// current is the sum, decayed to now with the time constant over.
+func (p *decayingRate) current(now, over time.Duration) float64 {
+	return p.units * math.Exp(-(now-p.at).Seconds()/max(over.Seconds(), 1e-3))
 }
 
+// add adds units at now.
 func (p *decayingRate) add(now time.Duration, units float64, over time.Duration) {
 	p.units, p.at = p.current(now, over)+units, now
 }
 
-// coldGate keeps the sum of what all initiators send to a cold node within what it bears, whatever others do
-// (docs/design.md, Cold nodes): half by parts, which need no word from anybody, and half by answers, each of
-// which lets as much go once more. Where the even part is under one mean request, parts follow what was sent.
+// coldGate bounds what all initiators together send to an endpoint that started recently, without any
+// communication between them (docs/design.md, Cold nodes). Half of what the endpoint bears is divided
+// evenly; the other half is earned: each answered unit allows another one. Where an even part is less
+// than one request (a large fleet), the parts follow each initiator's share of the traffic, and an
+// endpoint that reports little load gets one request at a time.
+// The bound is stated over Rules.OverloadWindow. Inputs: the units sent here within that window, the
+// units answered, the endpoint's load report, and the time since this process started.
 func (s *Scheduler) coldGate(n *endpoint, r *request) time.Duration {
 	ru, units := s.settings.Rules, r.Units
-	// Also while it is warm: a start is told late.
+	// Also while it is warm, since a restart may be announced late.
 	n.coldSent = dropOlderUnits(n.coldSent, s.now-ru.OverloadWindow-s.settings.MinStep)
-	answers := time.Duration(float64(ru.OverloadWindow) * max(0, ru.OverloadFactor/2-1)) // they count for so long
+	answers := time.Duration(float64(ru.OverloadWindow) * max(0, ru.OverloadFactor/2-1)) // how long an answered unit counts
 	n.coldServed = dropOlderUnits(n.coldServed, s.now-answers+s.settings.MinStep)
 	if !s.isCold(n) {
-		return 0 // before the sums: every held request comes here at every step
+		return 0 // before the sums: every queued request comes here at every step
 	}
 	if at, governed := s.quotaWait(ColdWork, n, r, units); governed {
 		return at
@@ -84,20 +92,22 @@
 		return 0
 	}
 	if n.Started < s.startedAt && s.now-s.startedAt < ru.OverloadWindow {
-		return s.startedAt + ru.OverloadWindow // what was sent before this process began is not known
+		return s.startedAt + ru.OverloadWindow // what a previous process sent is unknown
 	}
-	if crowd { // by what is sent from here; answers have as much as the node does in the span
+	if crowd { // parts follow the traffic share; earned units are covered by the reserve below
 		part, n.coldServed = s.coldCapacity(n)*(1-1/max(ru.OverloadFactor, 2))*each*n.trafficShare, nil
 	}
-	// One over the part goes from as few initiators as the part is of it, others at each node.
+	// A request larger than the part is sent by as many initiators as parts make up one request. The rank
+	// differs for each endpoint, so that it is not always the same initiators.
 	if sum+units <= part || sum == 0 && units*s.initiatorRank(n) <= part {
 		return 0
 	}
 	return s.now + ru.OverloadWindow/16
 }
 
-// coldCapacity is the units that a cold node bears now in the span of the rule, from all: along the slowest ramp, by
-// the settings or, if that is more, by what warm nodes do (Little's law). It takes longer here while cold.
+// coldCapacity is the units that a cold endpoint bears within Rules.OverloadWindow from all
+// initiators: by the settings, or if that is more by what warm endpoints were seen to do (Little's
+// law), scaled along the slowest allowed warm-up.
 func (s *Scheduler) coldCapacity(n *endpoint) float64 {
 	ru, grown := s.settings.Rules, s.warmUpGrowth(n)
 	told := s.settings.ColdUnitsPerWindow * grown
@@ -108,9 +118,9 @@
 	return max(told, s.settings.MeanUnits*ru.OverloadFactor*ru.OverloadWindow.Seconds()/takes)
 }
 
-// estimateTrafficShare is this initiator's part of all that is sent to the shard, in even parts: what went from here of what
-// its node and warm ones had in hand for as long as one took. Little sent says little, so one request of each
-// in as many spans as a node takes to warm counts too. Its mean over all initiators is one.
+// estimateTrafficShare estimates this initiator's traffic to a shard relative to an even share: what
+// it sent against what warm endpoints had in flight. One request for each initiator is added to both,
+// so that little traffic proves little. The mean over all initiators is one.
 func (s *Scheduler) estimateTrafficShare(shard int) float64 {
 	if s.warmServiceTime <= 0 {
 		return 1
@@ -128,26 +138,28 @@
 	return (sent*all + little) / (rate + little)
 }
 
-// initiatorRank is this initiator's place among all at a node, from 0 to 1, known without talk.
+// initiatorRank is this initiator's rank among all at an endpoint, in (0, 1], by a hash that all
+// initiators compute alike.
 func (s *Scheduler) initiatorRank(n *endpoint) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(n.ID))
 	return (float64((uint32(s.initiatorIndex)+h.Sum32())%uint32(s.settings.Initiators)) + 1) / float64(s.settings.Initiators)
 }
 
-// warmUpGrowth is how much more the node bears than one that has just started: work at cold nodes is counted in what such a one bears.
+// warmUpGrowth is how much more load the endpoint bears now than right after its start, by the slowest
+// allowed warm-up.
 func (s *Scheduler) warmUpGrowth(n *endpoint) float64 {
 	age := max(0, s.now-n.Started)
 	return 1 + (1/max(s.settings.Rules.ColdCapacityFraction, 0.01)-1)*age.Seconds()/s.settings.Rules.WarmUpTime.Seconds()
 }
 
-// isCold tells whether the rule on cold nodes holds for the node now.
+// isCold reports whether the endpoint started recently and the cold start rule applies to it.
 func (s *Scheduler) isCold(n *endpoint) bool {
 	ru := s.settings.Rules
 	return n.Started > 0 && s.now-n.Started < ru.WarmUpTime && ru.OverloadWindow > 0
 }
 
-// learnWarm notes how long warm nodes take and how many they have in hand meanwhile.
+// learnWarm updates the mean service time and concurrency of warm endpoints.
 func (s *Scheduler) learnWarm(n *endpoint, took float64, l *Load) {
 	if l == nil || !(l.InFlight >= 0 && l.InFlight < 1e6) || s.isCold(n) {
 		return
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -4,78 +4,69 @@
 	"time"
 )
 
-// Event is one of the event types below.
+// Event is one of the event types of this package.
 type Event interface{ event() }
 
-// EndpointState is what the list says of a node.
+// EndpointState is what the list says of an endpoint.
 type EndpointState int
 
+// The states.
 const (
-	// Up nodes take requests.
-	Up EndpointState = iota
-	// Draining nodes finish what they have.
-	Draining
-	// Removed nodes are gone.
-	Removed
+	Up       EndpointState = iota // takes requests
+	Draining                      // finishes what it has and takes nothing new
+	Removed                       // is gone
 )
 
-// Endpoint is an entry of the node list.
+// Endpoint is an entry of the endpoint list.
 type Endpoint struct {
 	ID      string
 	Zone    string
 	Shard   int
 	State   EndpointState
-	Started time.Duration // clock time of its last start; 0: long ago
+	Started time.Duration // time of its last start; 0: long ago
 }
 
-// EndpointList reports the list, or what changed in it.
+// EndpointList is the list of endpoints, or what has changed in it.
 type EndpointList struct {
-	Full      bool // a node that is absent is gone
-	Failed    bool // the call for it failed; nothing changed
+	Full      bool // an endpoint that is absent is gone
+	Failed    bool // the call for the list failed; nothing has changed
 	Endpoints []Endpoint
 }
 
-// Request is a client request that the initiator now owes one final answer.
+// Request is a client request to which the initiator owes exactly one final answer.
 type Request struct {
 	ID               string
 	Class            string
 	Plan             string
 	Volume           string
 	Extent           string        // the piece of data; may be empty
-	Shard            int           // where the data is; -1: a new object, for any node
+	Shard            int           // where the data is; -1: a new object, for any endpoint
 	Units            float64       // its size
-	VolumeInitiators int           // how many carry this volume
-	BoundEndpoint    string        // the node that has its body but for the last of it; empty: its body is here
-	MissingKey       bool          // of a Keyed class, without the key by which nodes drop its repeat
-	TimeLeft         time.Duration // the client gives this try up after that
+	VolumeInitiators int           // initiators that serve this volume
+	BoundEndpoint    string        // the endpoint that already has most of its body; empty: the body is here
+	MissingKey       bool          // its class needs an idempotency key, and it has none
+	TimeLeft         time.Duration // until its client gives up
 }
 
 // OutcomeCode is how an attempt ended.
 type OutcomeCode int
 
+// The outcomes.
 const (
-	// Served was served.
-	Served OutcomeCode = iota
-	// AnsweredError was answered with an error and may have run.
-	AnsweredError
-	// TurnedAway was turned away unseen.
-	TurnedAway
-	// TimedOut had no answer in time and may have run.
-	TimedOut
-	// NotConnected never reached the node.
-	NotConnected
-	// ConnectionReset lost its connection and may have run.
-	ConnectionReset
-	// Cancelled was called off and may have run.
-	Cancelled
-	// NotSent was not sent.
-	NotSent
+	Served          OutcomeCode = iota // with an answer
+	AnsweredError                      // with an error answer; it may have run
+	TurnedAway                         // rejected by the endpoint before it ran
+	TimedOut                           // without an answer in time; it may have run
+	NotConnected                       // the endpoint was never reached
+	ConnectionReset                    // the connection was lost; it may have run
+	Cancelled                          // it was given up; it may have run
+	NotSent                            // nothing was sent
 )
 
-// MayHaveRun tells whether an attempt that ended so may have run.
+// MayHaveRun reports whether an attempt that ended so may have had its effect.
 func (c OutcomeCode) MayHaveRun() bool { return c != TurnedAway && c != NotConnected && c != NotSent }
 
-// Load is what a node reports of itself, late and noisy. A negative figure is not told.
+// Load is an endpoint's report of its load, late and noisy. A negative figure was not reported.
 type Load struct {
 	Queued   float64 // requests that wait
 	InFlight float64 // requests that it holds
@@ -83,26 +74,28 @@
 
 // Outcome ends one attempt.
 type Outcome struct {
-	ID          string
-	Attempt     int
-	Endpoint    string
-	Code        OutcomeCode
-	Latency     time.Duration
-	Final       bool  // the request has its final answer
-	Load        *Load // the node's report; nil: none
-	VolumeUsage int   // 1 + percent of the plan's rate the volume had everywhere; 0: not told
+	ID       string // of the request
+	Attempt  int    // its number, from 0
+	Endpoint string
+	Code     OutcomeCode
+	Latency  time.Duration // from the send on
+	Final    bool          // the request has its final answer
+	Load     *Load         // the endpoint's report; nil: none
+	// one more than the percentage of its plan's rate that the volume uses; 0: unknown
+	VolumeUsage int
 }
 
-// ResponseStarted tells that the answer of an attempt has started.
+// ResponseStarted tells that the answer of an attempt is being passed on: the request can no longer be
+// rejected.
 type ResponseStarted struct{ ID string }
 
-// ProcessCount tells how many processes act for this initiator, which for the rules are one. Until it comes there is one.
+// ProcessCount tells how many processes act for this initiator. There is one until it comes.
 type ProcessCount struct{ Processes int }
 
-// ClientGone tells that the client is gone; nothing more is owed.
+// ClientGone tells that the client has left: no answer is owed any more.
 type ClientGone struct{ ID string }
 
-// TimerFired is due, as asked for by SetTimer.
+// TimerFired tells that the timer asked for with SetTimer is due.
 type TimerFired struct{}
 
 func (EndpointList) event() {}
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sweep drops volumes that nothing was asked for since then, their flows and empty lanes, keys at rest, and nodes that
-// are gone.
+// sweep drops state that was not used since then: volumes with their flows, ordered extents, removed
+// endpoints and queues of unknown shards.
 func (s *Scheduler) sweep(since time.Duration) {
 	idle := func(v *volume) bool { return v.backlog == 0 && v.tokensAt < since && v.ownUsageAt < since }
 	for _, l := range s.flowingQueues {
@@ -21,12 +21,12 @@
 	}
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
 	maps.DeleteFunc(s.orderedExtents, func(_ string, k *orderedExtent) bool { return len(k.queue) == 0 && k.quietUntil < since })
-	// A lane of a shard that no known node holds, and nothing waits in, is what somebody once asked for in vain.
+	// An empty queue of a shard that no endpoint serves is left over from requests for an unknown shard.
 	s.dropGone(func(n *endpoint) bool { return n.State == Removed && len(n.inFlight) == 0 && n.lastAnswerAt < since })
 	s.activeEndpoints()
 }
 
-// forget drops a finished request that has no attempt out.
+// forget drops an answered request that has no attempt in flight.
 func (s *Scheduler) forget(r *request) {
 	delete(s.requests, r.ID)
 	r.volume.backlog--
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// silenceTimeout is how long a node may owe any answer before it counts as quiet.
+// silenceTimeout is how long an endpoint may owe an answer before it counts as silent.
 func (s *Scheduler) silenceTimeout(n *endpoint) time.Duration {
 	return max(s.minObjective, toDuration(silenceFactor*n.latency))
 }
 
-// expectedLatency is the latency to expect now: as answers or reports tell, falling to the base while none renews it,
-// so that one bad spell is not believed for ever by an initiator that holds back because of it.
+// expectedLatency is the latency, in seconds, to expect of a request of mean size: the larger of what
+// answers and load reports indicate. It falls back to the base latency while neither is renewed, so
+// that an initiator that holds back after a slow phase does not hold back for ever.
 func (s *Scheduler) expectedLatency(n *endpoint) float64 {
-	seen := (n.latency - n.baseLatency) * s.freshness(n.lastAnswerAt)
-	told := n.baseLatency * latencyPerLoad * max(0, n.reportedLoad-freeLoad) * s.freshness(n.lastReportAt)
-	return n.baseLatency + max(seen, told)
+	observed := (n.latency - n.baseLatency) * s.freshness(n.lastAnswerAt)
+	reported := n.baseLatency * latencyPerLoad * max(0, n.reportedLoad-freeLoad) * s.freshness(n.lastReportAt)
+	return n.baseLatency + max(observed, reported)
 }
 
-// freshness is how much of what was learned at that time is still believed.
+// freshness is the weight, from 1 down to 0, of what was learned at that time.
 func (s *Scheduler) freshness(at time.Duration) float64 {
 	return math.Exp(-(s.now - at).Seconds() / (freshObjectives * s.minObjective.Seconds()))
 }
 
-// handleLoadReport takes a node's report for one more sign of its latency: what waits there is answered first. Where
-// reports are missing the answers have the word; absurd ones are ignored.
+// handleLoadReport takes over an endpoint's report of its load. Reports that cannot be right are
+// ignored.
 func (s *Scheduler) handleLoadReport(n *endpoint, l *Load) {
 	if l == nil || n.latency == 0 {
 		return
@@ -39,8 +40,8 @@
 	}
 }
 
-// isFaulty tells whether the node is quiet (an attempt is overdue far beyond the usual and nothing was heard
-// since) or failed several times with nothing served between: whatever the cause, one trial at a time.
+// isFaulty reports whether the endpoint is silent (an attempt is overdue and nothing was heard since
+// it began) or has failed three times in a row. A faulty endpoint gets one attempt at a time.
 func (s *Scheduler) isFaulty(n *endpoint) bool {
 	if n.failureStreak >= 3 {
 		return true
@@ -53,8 +54,9 @@
 	return false
 }
 
-// learnFromOutcome updates depth and latency from an attempt's end. The depth follows PARDA: it tends to where the
-// node answers in latencyRise times its base, and grows only while it is in use.
+// learnFromOutcome updates the endpoint's latency, concurrency limit and health from the end of an
+// attempt. The limit follows PARDA: it steers to a latency of targetLatencyRatio times the base
+// latency, and grows only while it is used.
 func (s *Scheduler) learnFromOutcome(n *endpoint, r *request, e Outcome) {
 	switch e.Code {
 	case Served:
@@ -84,14 +86,14 @@
 		n.lastAnswerAt = s.now
 		goal := targetLatencyRatio * n.baseLatency
 		if s.now-n.congestedAt > calmObjectives*s.minObjective {
-			goal *= 2 // what waits at the node need not be ordered
+			goal *= 2 // the queue at the endpoint need not be ordered
 		}
 		next := n.concurrencyLimit*min(2, goal/max(n.latency, 1e-6)) + limitIncrease
 		if next < n.concurrencyLimit || float64(len(n.inFlight)) >= math.Floor(n.concurrencyLimit) {
 			n.concurrencyLimit += (next - n.concurrencyLimit) * learningGain
 		}
-		// Where few share a node, each has its part of what it serves at once: two with one out each idled
-		// cores, most after each trouble, and a link that fell silent is one.
+		// Each of few initiators may use its part of what the endpoint serves at once: with a limit of 1 for
+		// each of two, most of the endpoint would idle, above all after a fault has lowered the limits.
 		n.concurrencyLimit = min(maxConcurrencyLimit, max(1, freeLoad/float64(s.settings.Initiators), n.concurrencyLimit))
 	case TurnedAway:
 		n.concurrencyLimit = max(1, n.concurrencyLimit/2)
@@ -99,7 +101,7 @@
 		n.blockedUntil = s.now + toDuration(n.latency)
 	case AnsweredError, NotConnected, ConnectionReset, TimedOut:
 		if e.Code == TimedOut && e.Latency < s.silenceTimeout(n) {
-			// The client's patience was short: it tells that the node takes at least this long, no more.
+			// The client's deadline was short: this only shows that the endpoint takes at least that long.
 			n.latency += max(0, e.Latency.Seconds()-n.latency) * learningGain
 			return
 		}
@@ -116,12 +118,13 @@
 	}
 }
 
-// isEjected tells whether the node gets no request, or one trial at a time, though it is listed as up.
+// isEjected reports whether the endpoint is listed as up but gets no request, or one at a time.
 func (s *Scheduler) isEjected(n *endpoint) bool {
 	return n.State == Up && (n.blockedUntil > s.now || s.isFaulty(n))
 }
 
-// EjectedEndpoints names the nodes that are listed as up and get no request, or one trial at a time.
+// EjectedEndpoints returns the ids of the endpoints that are listed as up but get no request, or one
+// at a time.
 func (s *Scheduler) EjectedEndpoints() (ids []string) {
 	for _, n := range s.activeEndpoints() {
 		if s.isEjected(n) {
@@ -131,7 +134,7 @@
 	return ids
 }
 
-// EjectedCount tells how many of the listed nodes get no request, or one trial at a time.
+// EjectedCount is the number of listed endpoints that drain or are ejected.
 func (s *Scheduler) EjectedCount() (n int) {
 	n = s.drainingCount
 	for _, x := range s.activeEndpoints() {
@@ -142,7 +145,8 @@
 	return n
 }
 
-// activeEndpoints returns the nodes that may be avoided, in order of nodes. One that drains may be listed as up again.
+// activeEndpoints returns the endpoints that may be ejected, in the order in which they were first
+// listed. Draining ones are included, since they may be listed as up again.
 func (s *Scheduler) activeEndpoints() []*endpoint {
 	s.usedEndpoints = slices.DeleteFunc(s.usedEndpoints, func(n *endpoint) bool {
 		n.listedUsed = s.byID[n.ID] == n && (len(n.inFlight) > 0 || n.blockedUntil > s.now || s.isFaulty(n))
--- a/internal/policy/index.go
+++ b/internal/policy/index.go
@@ -1,33 +1,30 @@
 package policy
 
-// What finds lanes and nodes for the module in scheduler.go, so that a step costs what it changes and what is in use, however
-// many nodes are listed. No decision is taken here: what is found is what a look at all of them would find, in the same order.
-
 import (
 	"cmp"
 	"iter"
 	"slices"
 )
 
-// endpointIndex is all lanes and nodes.
+// endpointIndex finds queues and endpoints, so that the cost of a step depends on what changes and
+// what is in use, not on the number of listed endpoints. It takes no decisions: it finds what a scan
+// over all of them would find, in the same order.
 type endpointIndex struct {
-	queues       []*shardQueue // in the order in which they were made
+	queues       []*shardQueue // in order of creation
 	endpoints    []*endpoint   // in the order in which they were first listed
 	byID         map[string]*endpoint
 	shardEntries map[int]*shardEntry
-	nextSerial   uint32 // of the next node
+	nextSerial   uint32 // of the next endpoint
 
-	// What a list has changed, until it is taken in.
-	changedEndpoints []*endpoint   // entries that are new or other than they were
-	staleQueues      []*shardQueue // lanes whose node is to be looked for anew
+	changedEndpoints []*endpoint   // new or different entries
+	staleQueues      []*shardQueue // queues whose endpoint has to be looked up again
 
-	// What is in use; the lists may also hold some that no longer are, until they are next gone through.
-	waitingQueues    []*shardQueue // something waits there, in order of lanes
-	newlyWaiting     []*shardQueue // the same, not yet in order
-	someEmptied      bool          // nothing waits any more in some of them
+	waitingQueues    []*shardQueue // have requests; in order of position
+	newlyWaiting     []*shardQueue // the same, not merged yet
+	someEmptied      bool          // some of them have become empty
 	flowingQueues    []*shardQueue // have flows
-	orphanedQueues   []*shardQueue // of a shard that no known node holds
-	usedEndpoints    []*endpoint   // may be avoided: something is out there, or ended badly
+	orphanedQueues   []*shardQueue // no endpoint of their shard is listed
+	usedEndpoints    []*endpoint   // may be ejected: attempts are in flight or ended badly
 	removedEndpoints []*endpoint
 	drainingCount    int
 
@@ -36,15 +33,15 @@
 
 // shardEntry is what is known of one shard.
 type shardEntry struct {
-	endpoints []*endpoint // that hold it, whatever their state, in order of nodes
-	queue     *shardQueue // nil: never needed
+	endpoints []*endpoint // that hold it, in any state, in the order in which they were listed
+	queue     *shardQueue // nil: not needed yet
 }
 
 func newEndpointIndex() endpointIndex {
 	return endpointIndex{byID: map[string]*endpoint{}, shardEntries: map[int]*shardEntry{}}
 }
 
-// appendOnce appends to the list what is not on it yet, as its flag tells.
+// appendOnce appends x unless its flag says that it is on the list already.
 func appendOnce[T any](list []T, x T, on *bool) []T {
 	if *on {
 		return list
@@ -53,7 +50,7 @@
 	return append(list, x)
 }
 
-// entryOf returns what is known of a shard, made at first need.
+// entryOf returns the entry of a shard, created at first use.
 func (x *endpointIndex) entryOf(number int) *shardEntry {
 	h := x.shardEntries[number]
 	if h == nil {
@@ -63,7 +60,8 @@
 	return h
 }
 
-// queueOf returns the lane of a shard, made at first need. It has no node before the next list is taken in.
+// queueOf returns the queue of a shard, created at first use. It has no endpoint until takeStale is
+// processed.
 func (x *endpointIndex) queueOf(number int) *shardQueue {
 	h := x.entryOf(number)
 	if h.queue == nil {
@@ -75,7 +73,7 @@
 	return h.queue
 }
 
-// markStale notes that the shard's lane may have another node.
+// markStale notes that the shard's queue may have to use another endpoint.
 func (x *endpointIndex) markStale(h *shardEntry) {
 	if h.queue == nil {
 		return
@@ -86,7 +84,7 @@
 	}
 }
 
-// addEndpoint takes in a node that was not known.
+// addEndpoint adds an endpoint that was unknown.
 func (x *endpointIndex) addEndpoint(n *endpoint) {
 	n.serial = x.nextSerial
 	x.nextSerial++
@@ -95,6 +93,7 @@
 	x.linkEndpoint(n)
 }
 
+// linkEndpoint adds the endpoint to its shard.
 func (x *endpointIndex) linkEndpoint(n *endpoint) {
 	h := x.entryOf(n.Shard)
 	at, _ := slices.BinarySearchFunc(h.endpoints, n, compareSerial)
@@ -103,6 +102,7 @@
 	x.markStale(h)
 }
 
+// unlinkEndpoint removes the endpoint from its shard.
 func (x *endpointIndex) unlinkEndpoint(n *endpoint) {
 	h := x.shardEntries[n.Shard]
 	h.endpoints = slices.DeleteFunc(h.endpoints, func(o *endpoint) bool { return o == n })
@@ -110,14 +110,14 @@
 	x.dropEmptyShard(n.Shard)
 }
 
-// dropEmptyShard drops a shard that nobody holds and that has no lane.
+// dropEmptyShard drops a shard without endpoints and without a queue.
 func (x *endpointIndex) dropEmptyShard(number int) {
 	if h := x.shardEntries[number]; h != nil && h.queue == nil && len(h.endpoints) == 0 {
 		delete(x.shardEntries, number)
 	}
 }
 
-// updateEndpoint takes over what the list says of a known node.
+// updateEndpoint takes over what the list says of a known endpoint.
 func (x *endpointIndex) updateEndpoint(n *endpoint, as Endpoint) {
 	if n.Endpoint == as {
 		return
@@ -143,7 +143,8 @@
 	}
 }
 
-// takeChanged returns the nodes of which a list has told something new, in order of nodes.
+// takeChanged returns and clears the endpoints that the list has changed, in the order in which they
+// were first listed.
 func (x *endpointIndex) takeChanged() []*endpoint {
 	news := x.changedEndpoints
 	x.changedEndpoints = x.changedEndpoints[:0]
@@ -154,7 +155,7 @@
 	return news
 }
 
-// takeStale returns the lanes whose node may be another than it was, or was never looked for.
+// takeStale returns and clears the queues whose endpoint has to be looked up.
 func (x *endpointIndex) takeStale() []*shardQueue {
 	stale := x.staleQueues
 	x.staleQueues = x.staleQueues[:0]
@@ -165,7 +166,7 @@
 	return stale
 }
 
-// endpointsOf are the known nodes of a shard, whatever their state, in order of nodes.
+// endpointsOf returns the known endpoints of a shard, in any state.
 func (x *endpointIndex) endpointsOf(number int) []*endpoint {
 	if h := x.shardEntries[number]; h != nil {
 		return h.endpoints
@@ -177,7 +178,8 @@
 
 func comparePosition(a, b *shardQueue) int { return cmp.Compare(a.position, b.position) }
 
-// markUsed notes that something goes to the node, or is heard of it: it may be avoided from now on, and may take longer.
+// markUsed notes that an attempt starts at the endpoint or that it was heard: it may be ejected, and
+// its queue's wait may change.
 func (x *endpointIndex) markUsed(n *endpoint) {
 	x.usedEndpoints = appendOnce(x.usedEndpoints, n, &n.listedUsed)
 	if h := x.shardEntries[n.Shard]; h != nil && h.queue != nil {
@@ -185,7 +187,8 @@
 	}
 }
 
-// eachWaiting yields the lanes in which something waits, in order, those included that come to it meanwhile further on.
+// eachWaiting yields the queues with requests in order of position, including later ones that get
+// requests meanwhile.
 func (x *endpointIndex) eachWaiting() iter.Seq[*shardQueue] {
 	return func(yield func(*shardQueue) bool) {
 		x.settleWaiting()
@@ -204,7 +207,7 @@
 	}
 }
 
-// settleWaiting puts the lanes in which something waits in order, and drops those in which nothing does.
+// settleWaiting removes empty queues and merges newly waiting ones.
 func (x *endpointIndex) settleWaiting() {
 	if x.someEmptied {
 		x.someEmptied = false
@@ -218,7 +221,8 @@
 	}
 }
 
-// mergeWaiting puts the lanes that came among those that are in order, and tells how many are now before the given one.
+// mergeWaiting merges the newly waiting queues into the ordered list, and returns how many are before
+// the given queue.
 func (x *endpointIndex) mergeWaiting(of *shardQueue) (before int) {
 	for _, o := range x.newlyWaiting {
 		if of != nil && o.position < of.position {
@@ -242,7 +246,8 @@
 	return before
 }
 
-// dropGone takes out nodes that are gone as told, and lanes of shards that no known node holds, and nothing waits in or has flows.
+// dropGone removes removed endpoints that gone accepts, and queues of shards without endpoints,
+// requests and flows.
 func (x *endpointIndex) dropGone(gone func(*endpoint) bool) {
 	x.settleWaiting()
 	x.flowingQueues = slices.DeleteFunc(x.flowingQueues, func(l *shardQueue) bool {
--- a/internal/policy/list.go
+++ b/internal/policy/list.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// handleList applies the list. A draining or gone node gets nothing more from that moment on.
+// handleList applies the endpoint list or a change of it. A draining or removed endpoint gets no new
+// attempt from then on. A failed list call only schedules the next subscription, with backoff.
 func (s *Scheduler) handleList(e EndpointList) {
 	if e.Failed {
 		if s.settings.SubscribeToList {
@@ -22,7 +23,7 @@
 			s.addEndpoint(n)
 		}
 		if x.Started != n.Started && s.now-x.Started < s.settings.Rules.WarmUpTime {
-			n.trafficShare = s.estimateTrafficShare(x.Shard) // by what was sent before
+			n.trafficShare = s.estimateTrafficShare(x.Shard) // before this restart changes the traffic
 			n.concurrencyLimit, n.failureStreak, n.latency, n.reportedLoad, n.coldServed = 1, 0, 0, -1, nil
 		}
 		s.updateEndpoint(n, x)
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -4,7 +4,8 @@
 	"math"
 )
 
-// placeRequest returns the lane for a request: its shard's, or for a new object the one of least expected wait.
+// placeRequest returns the queue for a request: its shard's, or for a new object the one with the
+// smallest expected wait. The search for the smallest starts at a random queue, so that ties spread.
 func (s *Scheduler) placeRequest(r *request) *shardQueue {
 	if n := s.byID[r.BoundEndpoint]; n != nil {
 		return s.queueOf(n.Shard)
@@ -12,10 +13,11 @@
 	if r.Shard >= 0 || len(s.queues) == 0 {
 		return s.queueOf(max(r.Shard, 0))
 	}
-	return s.minWaitFrom(s.rng.IntN(len(s.queues))) // the first of those whose wait is least
+	return s.minWaitFrom(s.rng.IntN(len(s.queues)))
 }
 
-// expectedWait estimates how long a request newly put in the lane would take.
+// expectedWait estimates, in seconds, how long a new request would take in the queue. Faulty and
+// blocked endpoints get a large penalty, warming ones a factor.
 func (s *Scheduler) expectedWait(l *shardQueue) float64 {
 	n := l.endpoint
 	if n == nil {
@@ -31,7 +33,8 @@
 	return w
 }
 
-// rebalanceNewObjects moves held new objects away from lanes that have become much worse than the best.
+// rebalanceNewObjects moves queued new objects away from queues whose wait has become more than twice
+// the smallest.
 func (s *Scheduler) rebalanceNewObjects() {
 	for l := range s.eachWaiting() {
 		for i := 0; i < len(l.requests); i++ {
@@ -48,8 +51,8 @@
 	}
 }
 
-// EndpointFor names the node that a request for the shard would go to now; empty: none. It is asked for where a
-// body must be on its way before the request can be decided on.
+// EndpointFor returns the id of the endpoint that a request for the shard would go to now; empty:
+// none. The caller asks where a body has to be streamed before the request can be queued.
 func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
 	if l := s.placeRequest(r); l.endpoint != nil {
--- a/internal/policy/probe_result.go
+++ b/internal/policy/probe_result.go
@@ -2,18 +2,20 @@
 
 import "time"
 
-// ProbeResult tells what one member of the fleet has found out about a node that some avoid, for all of them.
+// ProbeResult is what one member of the fleet has found out about an ejected endpoint on behalf of
+// all.
 type ProbeResult struct {
 	Endpoint  string
 	Healthy   bool
-	Age       time.Duration // since it was found out, at most
-	NextProbe time.Duration // from then until it is tried again
+	Age       time.Duration // since the probe, at most
+	NextProbe time.Duration // from the probe until the next one
 }
 
 func (ProbeResult) event() {}
 
-// applyProbeResult takes over what was found out about a node, as far as it is newer than what this initiator has heard of it itself: where it is
-// well a trial may go there now; where it is not, none does until it is tried again. One that is not avoided is left alone.
+// applyProbeResult takes over a probe result that is newer than what this initiator has heard of the
+// endpoint itself. A healthy endpoint may get a trial request now; an unhealthy one gets none before
+// its next probe. Endpoints that are not ejected are left alone.
 func (s *Scheduler) applyProbeResult(e ProbeResult) {
 	n := s.byID[e.Endpoint]
 	if n == nil || !s.isEjected(n) || s.now-e.Age <= n.lastAnswerAt {
--- a/internal/policy/process_group.go
+++ b/internal/policy/process_group.go
@@ -4,13 +4,15 @@
 	"time"
 )
 
-// processGroup is the processes that act for this initiator: for the rules they are one.
+// processGroup is the processes that act for this initiator, such as two during an upgrade. For the
+// rules they count as one initiator.
 type processGroup struct {
-	size, previousSize float64 // now, and until lately; 0: one
+	size, previousSize float64 // now, and until previousUntil; 0: one
 	previousUntil      time.Duration
 }
 
-// resize takes over their number. What one that has gone sent counts for the span that the rule on cold nodes looks back.
+// resize takes over the number of processes. After a process has left, its sends still count within
+// the window of the cold start rule.
 func (c *processGroup) resize(size int, now, span time.Duration) {
 	if next := float64(size); next < c.size {
 		c.size, c.previousSize, c.previousUntil = next, c.size, now+span
@@ -19,7 +21,7 @@
 	}
 }
 
-// fraction is this process's part of what the rules allow them together.
+// fraction is this process's part of what the rules allow the initiator.
 func (c *processGroup) fraction(now time.Duration) float64 {
 	if now < c.previousUntil {
 		return 1 / max(1, c.size, c.previousSize)
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// shardQueue is the queue of one shard; its tags move together.
+// shardQueue is the queue of one shard. Its requests are in order of their objectives.
 type shardQueue struct {
 	shard        int
-	endpoint     *endpoint // where the shard is served now; nil: nowhere known
+	endpoint     *endpoint // the endpoint that serves the shard now; nil: none is known
 	requests     []*request
 	flows        []*flow
 	flowByVolume map[*volume]*flow
-	wakeAt       time.Duration
-	sentRate     decayingRate
+	wakeAt       time.Duration // when a request that may not be sent yet is to be looked at again
+	sentRate     decayingRate  // units sent recently
 
 	index    *endpointIndex
-	position int // place among the lanes
-	// Which lists of the finder it is on.
+	position int // among the index's queues
+	// Which lists of the index it is on.
 	listedWaiting, listedFlowing, listedOrphaned, listedStale, listedTouched, listedMoving bool
 }
 
+// flow returns the volume's tag state in this queue, created at first use.
 func (l *shardQueue) flow(v *volume) *flow {
 	f := l.flowByVolume[v]
 	if f == nil {
@@ -35,7 +36,7 @@
 	return f
 }
 
-// enqueue queues the request at the lane, in order of aim.
+// enqueue inserts the request in order of its objective.
 func (l *shardQueue) enqueue(r *request) {
 	r.queue = l
 	at := len(l.requests)
@@ -48,7 +49,7 @@
 	l.flow(r.volume).queued++
 }
 
-// dequeue takes the request out of its lane's queue, if it is there.
+// dequeue removes the request from its queue, if it is there.
 func (r *request) dequeue() {
 	l := r.queue
 	if i := slices.Index(l.requests, r); i >= 0 {
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -2,46 +2,46 @@
 
 import "time"
 
-// Resource is what a part of a fleet-wide whole is for.
+// Resource is what a fleet-wide quota limits.
 type Resource int
 
+// The resources.
 const (
-	// ColdWork is units sent to a node that has just started.
-	ColdWork Resource = iota
-	// Retries is attempts after the first.
-	Retries
-	// Connections is connections held at a node.
-	Connections
-	// AllWork is units sent.
-	AllWork
+	ColdWork    Resource = iota // units sent to an endpoint that started recently
+	Retries                     // attempts after the first
+	Connections                 // connections held at an endpoint
+	AllWork                     // units sent
 )
 
-// Reservation is one use of what may be rationed. Of connections, Units is how many would be in use.
+// Reservation is one use of a limited resource. Of Connections, Units is how many would be in use in
+// all.
 type Reservation struct {
 	Resource              Resource
 	Endpoint, Plan, Class string
 	Units                 float64
 }
 
-// Permit goes with a Send, and has to be good just before its first byte; else nothing is sent.
+// Permit accompanies a Send. The sender checks it right before the first byte; if it is no longer
+// valid, nothing is sent.
 type Permit interface{ Valid() bool }
 
-// Quota is this initiator's part of fleet-wide wholes, which others may change between any two calls. The module decides; a
-// ration only bounds it.
+// Quota is this initiator's part of the fleet-wide quotas. It may change between any two calls. It
+// only limits what the scheduler decides.
 type Quota interface {
-	// Wait tells how long it is at least until the draw may be made; 0: now. governed is false where there is no such whole:
-	// then the settings' figures hold.
+	// Wait returns the least time until the reservation may be made; 0: now. governed is false if no quota covers
+	// the resource: then the limits of the settings apply.
 	Wait(d Reservation) (wait time.Duration, governed bool)
-	// Reserve makes draws, all for one Send.
+	// Reserve makes all reservations of one Send.
 	Reserve(draws []Reservation) Permit
 }
 
-// QuotaChanged tells that the ration has changed.
+// QuotaChanged tells that the quota has changed.
 type QuotaChanged struct{}
 
 func (QuotaChanged) event() {}
 
-// quotaWait asks the ration from when a draw for the request may be made; governed is false where the settings' figures hold.
+// quotaWait returns the time from which the quota allows the request to use a resource. governed is
+// false if no quota covers it.
 func (s *Scheduler) quotaWait(use Resource, n *endpoint, r *request, units float64) (at time.Duration, governed bool) {
 	if s.settings.Quota == nil {
 		return 0, false
@@ -56,8 +56,7 @@
 	return 0, governed
 }
 
-// quotaGate keeps what no rule of the settings bounds within the part: the connections that a node's requests are out on, and
-// all work.
+// quotaGate applies the quotas on connections and on all work, which no rule of the settings bounds.
 func (s *Scheduler) quotaGate(n *endpoint, r *request) time.Duration {
 	conns, _ := s.quotaWait(Connections, n, r, float64(len(n.inFlight)+1))
 	if conns > s.now {
@@ -67,17 +66,18 @@
 	return work
 }
 
-// reserveQuota draws all that a send of the request takes from the ration. It is called before the send is noted.
+// reserveQuota reserves all that a send of the request uses. It must be called before the send is
+// recorded.
 func (s *Scheduler) reserveQuota(n *endpoint, r *request) Permit {
 	if s.settings.Quota == nil {
 		return nil
 	}
-	draws := []Reservation{{AllWork, n.ID, r.Plan, r.Class, r.Units}}
+	reservations := []Reservation{{AllWork, n.ID, r.Plan, r.Class, r.Units}}
 	if s.isCold(n) {
-		draws = append(draws, Reservation{ColdWork, n.ID, r.Plan, r.Class, r.Units / s.warmUpGrowth(n)})
+		reservations = append(reservations, Reservation{ColdWork, n.ID, r.Plan, r.Class, r.Units / s.warmUpGrowth(n)})
 	}
 	if r.attempts > 0 {
-		draws = append(draws, Reservation{Retries, n.ID, r.Plan, r.Class, 1})
+		reservations = append(reservations, Reservation{Retries, n.ID, r.Plan, r.Class, 1})
 	}
-	return s.settings.Quota.Reserve(draws)
+	return s.settings.Quota.Reserve(reservations)
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -5,18 +5,21 @@
 	"time"
 )
 
-// requestIdentity is what two tries of one client have in common.
+// requestIdentity is what a rejected request and its client's retry have in common. The request id is
+// not part of it: clients draw a new one.
 type requestIdentity struct {
 	class, volume, extent string
 	units                 float64
 }
 
+// identity is by what a retry of the request is recognized.
 func (r *request) identity() requestIdentity {
 	return requestIdentity{r.Class, r.Volume, r.Extent, r.Units}
 }
 
-// expireObjective gives up a request that can no longer make its aim: it is answered before the step is over. Waiting
-// on, it would hold a connection that its client needs for the next, and a late answer earns next to nothing.
+// expireObjective gives up a request that cannot meet its latency objective any more: it is answered
+// before the step ends. Waiting longer would block its client's connection, and a late answer is worth
+// next to nothing.
 func (s *Scheduler) expireObjective(r *request) {
 	if r.pastObjective {
 		return
@@ -31,13 +34,14 @@
 	}
 }
 
-// answerUnserved gives the final answer: a refusal where a client's retry is harmless, otherwise a failure.
+// answerUnserved ends a request that was not served: with Reject where a retry is harmless, otherwise
+// with Fail.
 func (s *Scheduler) answerUnserved(r *request) {
 	c, kind, wait := r.class, Reject, time.Duration(0)
 	if r.pastObjective {
-		wait = r.deadlineAt - s.now // a further try of the same ask would come too late for its aim
+		wait = r.deadlineAt - s.now // a retry would miss the objective as well
 	} else if r.startTag > s.now {
-		wait = r.startTag - s.now // the volume is ahead of its rate until then
+		wait = r.startTag - s.now // the volume exceeds its rate until then
 	}
 	if r.mayHaveRun && c.Effect != Idempotent && (c.Effect != IdempotentWithKey || c.DedupScope != DedupFleet || r.MissingKey) {
 		kind, wait = Fail, 0
@@ -58,7 +62,7 @@
 	s.finishRequest(r)
 }
 
-// finishRequest notes that the request has its final answer.
+// finishRequest marks the request as answered. It stays known while an attempt is in flight.
 func (s *Scheduler) finishRequest(r *request) {
 	r.answered = true
 	if r.heapIndex >= 0 {
@@ -70,8 +74,8 @@
 	}
 }
 
-// answerExpired ends the held requests that can no longer make their aim, and those of which half the time is
-// over without an attempt: what still comes of them earns next to nothing, and clients pay for being held.
+// answerExpired ends queued requests whose answer is due: those that cannot meet their objective, and
+// those without an attempt after half of their time.
 func (s *Scheduler) answerExpired() {
 	for len(s.deadlines) > 0 {
 		r := s.deadlines[0]
@@ -79,7 +83,7 @@
 			return
 		}
 		if r.inFlightAt != nil {
-			// Its attempt was cut to end with the budget; the outcome brings the answer, or puts it back.
+			// The attempt's timeout ends with the deadline; its outcome answers the request or queues it again.
 			heap.Pop(&s.deadlines)
 			continue
 		}
@@ -90,7 +94,7 @@
 	}
 }
 
-// deadlineHeap orders requests by when they must be answered.
+// deadlineHeap orders requests by the time at which they must be answered (container/heap).
 type deadlineHeap []*request
 
 func (h deadlineHeap) Len() int { return len(h) }
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// releaseQueue sends while the lane's node has room.
+// releaseQueue sends requests of a queue while its endpoint has capacity.
 func (s *Scheduler) releaseQueue(l *shardQueue) {
 	l.wakeAt = never
 	for l.endpoint != nil && len(l.requests) > 0 {
@@ -16,7 +16,7 @@
 		}
 		room := s.hasCapacity(l.endpoint, 0)
 		if !room && !(s.hasCapacity(l.endpoint, maxExtentRun-1) && slices.ContainsFunc(l.requests, l.endpoint.continuesExtent)) {
-			return // without a look at all that is held, which each event would cost where much is
+			return // without visiting every queued request at each event
 		}
 		r := s.pickNext(l, room)
 		if r == nil {
@@ -26,8 +26,9 @@
 	}
 }
 
-// reuseConnectionUntil tells until when the lane makes do with the connections it has to its node, where the settings price
-// a handshake: what can wait for one in use until half of its aim is over does so. Two thirds are no better.
+// reuseConnectionUntil returns until when a queue waits for a connection that is in use rather than
+// opening another one. It applies where the settings price a new connection, and lasts until half of
+// the first request's objective has passed.
 func (s *Scheduler) reuseConnectionUntil(l *shardQueue) time.Duration {
 	n, r := l.endpoint, l.requests[0]
 	if s.settings.ConnectCost <= 0 || len(n.inFlight) == 0 || len(n.inFlight) < n.maxInFlight {
@@ -36,22 +37,24 @@
 	return min(r.objectiveAt-toDuration(2*s.expectedLatency(n)*s.relativeSize(r.Units)), r.objectiveAt-r.class.LatencyObjective/2)
 }
 
-// continuesExtent tells whether the request may go on with the extent that the node was sent last.
+// continuesExtent reports whether the request may follow the extent that was sent last: such a request
+// costs the endpoint less.
 func (n *endpoint) continuesExtent(r *request) bool {
 	return n.extentRun < maxExtentRun && r.Extent != "" && r.Extent == n.lastExtent && r.attempts == 0
 }
 
-// pickNext returns what leaves next: of what can make its aim the eligible request of least finish tag, or one of
-// the last extent; at a synchronization point the next to become eligible; on an idle node what is set aside.
+// pickNext returns the request that leaves next, or nil: one that continues the last extent, else the
+// eligible one with the smallest finish tag, else at a synchronization point the one with the smallest
+// start tag, else on an idle endpoint the most valuable deferred one.
 func (s *Scheduler) pickNext(l *shardQueue, room bool) *request {
 	n := l.endpoint
-	var best, ahead, aside, follow *request
+	var best, ahead, deferred, follow *request
 	s.filterSendable(l)
 	for _, r := range s.sendable {
 		switch {
 		case r.deferred:
-			if aside == nil || r.unitValue > aside.unitValue {
-				aside = r
+			if deferred == nil || r.unitValue > deferred.unitValue {
+				deferred = r
 			}
 		case r.startTag > s.now:
 			if ahead == nil || r.startTag < ahead.startTag || r.startTag == ahead.startTag && r.finishTag < ahead.finishTag {
@@ -76,26 +79,28 @@
 	case ahead != nil:
 		s.synchronize(l, ahead.startTag-s.now)
 		return ahead
-	case aside != nil && len(n.inFlight) == 0:
-		return aside
+	case deferred != nil && len(n.inFlight) == 0:
+		return deferred
 	}
 	return nil
 }
 
-// filterSendable fills ready with the requests that the gate lets through. One that can no longer make its aim lapses;
-// where the rest cannot all make it, those that earn least for a unit are set aside for now: earliest
-// deadline first would serve each just too late. It harms where the latency is judged too high.
+// filterSendable fills s.sendable with the requests that may be sent now. A request that cannot meet
+// its objective any more expires. Where not all of the rest can meet theirs, those with the least
+// value for a unit are deferred: in earliest-deadline order each of them would be served just too
+// late.
 func (s *Scheduler) filterSendable(l *shardQueue) {
 	n := l.endpoint
 	s.sendable = s.sendable[:0]
 	usual, fresh := s.expectedLatency(n), s.freshness(n.lastAnswerAt)
 	work, each := 0.0, usual/n.concurrencyLimit/s.settings.MeanUnits
-	for _, r := range l.requests { // in order of aim
+	for _, r := range l.requests { // in order of objective
 		if wait := s.earliestSend(r, l); wait > s.now {
 			l.wakeAt = min(l.wakeAt, wait)
 			continue
 		}
-		// The base fades while no answer renews it: else one slow answer would bar a class for ever.
+		// The base latency loses weight while no answer confirms it, or one slow answer would expire every
+		// request of a class with a short objective, and no answer would ever correct it.
 		if s.now+toDuration(n.baseLatency*fresh*s.relativeSize(r.Units)) > r.objectiveAt {
 			s.expireObjective(r)
 		}
@@ -119,11 +124,13 @@
 	}
 }
 
-// relativeSize is how much longer than a mean request one of so many units takes.
+// relativeSize is the service time of a request of that many units, relative to a request of mean
+// size.
 func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
 
-// unitValue is what a unit of the request earns: full while its volume's reserve is owed, the share's part
-// where its start tag says so, and less the further it is ahead.
+// unitValue is the value of serving one unit of the request: full while the volume's reserved rate is
+// not used up, the fair-share value while its start tag is due, and less the further its tag lies
+// ahead.
 func (s *Scheduler) unitValue(r *request) float64 {
 	v := r.class.PriorityWeight * r.volume.plan.PriorityFactor
 	switch {
@@ -135,7 +142,8 @@
 	return v * (s.settings.ExcessPriority + (s.settings.FairSharePriority-s.settings.ExcessPriority)/(1+(r.startTag-s.now).Seconds()))
 }
 
-// reserveAvailable refills and returns what of its reserve the volume may still have served at full worth here.
+// reserveAvailable refills and returns the units of its reserved rate that the volume may still have
+// served at full value here.
 func (s *Scheduler) reserveAvailable(v *volume) float64 {
 	rate := v.plan.ReservedRate * s.refillRate(v) / max(v.plan.Rate, 1e-3)
 	v.reserveTokens = min(rate+s.settings.MaxUnits, v.reserveTokens+(s.now-v.reserveTokensAt).Seconds()*rate)
@@ -143,8 +151,9 @@
 	return v.reserveTokens
 }
 
-// hasCapacity tells whether the node may have another attempt out now, extra of them past the bound. An attempt
-// overdue far beyond the usual no longer holds its slot: it was lost, or nothing else would get through.
+// hasCapacity reports whether the endpoint may have another attempt in flight, with extra beyond its
+// limit. An attempt that is overdue no longer counts: it was probably lost, and counting it would
+// block the endpoint until its timeout. A faulty endpoint gets one attempt at a time.
 func (s *Scheduler) hasCapacity(n *endpoint, extra int) bool {
 	fresh := 0
 	for _, r := range n.inFlight {
@@ -158,7 +167,7 @@
 	return float64(fresh) < math.Floor(n.concurrencyLimit)+float64(extra)
 }
 
-// send is the only way out: it sends r to the lane's node.
+// send starts an attempt of the request at the queue's endpoint. No other function emits Send.
 func (s *Scheduler) send(r *request, l *shardQueue) {
 	n := l.endpoint
 	permit := s.reserveQuota(n, r)
@@ -187,7 +196,7 @@
 	s.markUsed(n)
 	wait, within := min(s.attemptTimeout(n, r), max(r.deadlineAt-s.now, s.settings.MinStep)), time.Duration(0)
 	if r.mayHaveRun && r.class.Effect == IdempotentWithKey {
-		within = max(s.dedupDeadline(r)-s.now, 1) // it may wait for a connection yet
+		within = max(s.dedupDeadline(r)-s.now, 1) // the attempt may still wait for a connection
 	}
 	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, TagLead: r.tagLead(s.now),
 		Permit: permit, SendWithin: within})
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// request is a held or sent request; it stays known until it is answered and no attempt is out.
+// request is a queued or sent request. It stays known until it is answered and no attempt is in
+// flight.
 type request struct {
 	Request
 	class            *Class
 	volume           *volume
 	queue            *shardQueue
-	firstSeenAt      time.Duration // when its client first asked
-	objectiveAt      time.Duration // when the aim ends
-	deadlineAt       time.Duration // when the client leaves
-	answerBy         time.Duration // when it gets its answer, if nothing is out then
-	startTag         time.Duration // start tag
-	finishTag        time.Duration // finish tag
-	notBefore        time.Duration // no attempt before
-	heldSince        time.Duration // since when it is held, now or last
-	attempts         int
-	inFlightAt       *endpoint // where its attempt is, if any
+	firstSeenAt      time.Duration // when its client first asked, retries after a rejection included
+	objectiveAt      time.Duration // when its latency objective ends
+	deadlineAt       time.Duration // when its client gives up
+	answerBy         time.Duration // when it is answered, if no attempt is in flight then
+	startTag         time.Duration // eligible from then on
+	finishTag        time.Duration // the smallest of the eligible ones goes first
+	notBefore        time.Duration // backoff after a failed attempt
+	heldSince        time.Duration // when it was queued, first or after the last attempt
+	attempts         int           // started
+	inFlightAt       *endpoint     // endpoint of the attempt in flight; nil: none
 	attemptStartedAt time.Duration
-	mayHaveRun       bool          // an attempt may have run
-	ranInZone        string        // where
-	ranInShard       int           // and at which shard
-	firstRanAt       time.Duration // since when
-	rateLimitCharged bool          // its units were drawn from the volume's limit
-	pastObjective    bool          // can no longer be answered within the aim
-	unitValue        float64       // what a unit of it earns, as last looked at
-	deferred         bool          // set aside: the node cannot do all in time, and this earns least
-	answered         bool
-	heapIndex        int // place among the times to answer by; -1: not there
+	mayHaveRun       bool // an attempt may have had its effect; where and since when:
+	ranInZone        string
+	ranInShard       int
+	firstRanAt       time.Duration
+	rateLimitCharged bool    // its units were taken from the volume's rate limit
+	pastObjective    bool    // it cannot be answered within its objective any more
+	unitValue        float64 // value of serving one unit, as of the last look
+	deferred         bool    // the endpoint cannot serve all in time, and this has the least value
+	answered         bool    // its final answer was given
+	heapIndex        int     // position in deadlines; -1: not there
 }
 
-// tagLead is how much of the time that it has been held for its start tag lay ahead.
+// tagLead is how much of its time in the queue its start tag lay ahead.
 func (r *request) tagLead(now time.Duration) time.Duration {
 	return max(0, min(r.startTag, now)-r.heldSince)
 }
 
-// removeRequest returns the list with r taken out.
+// removeRequest returns the list without r.
 func removeRequest(list []*request, r *request) []*request {
 	if i := slices.Index(list, r); i >= 0 {
 		return slices.Delete(list, i, i+1)
--- a/internal/policy/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -1,78 +1,86 @@
 package policy
 
-// The interface (settings, events, actions, outcomes) is in api.go; what is kept, in state.go.
-//
-// Reading order: tagging, release, node health, attempts and final answers, rule guards,
-// placement. docs/design.md tells what is RFQ as published and what was added.
-
 import (
 	"container/heap"
 	"math/rand/v2"
 	"time"
 )
 
+// Constants of the decisions. docs/design.md says how they were chosen.
 const (
-	// maxExtentRun bounds a run on one extent. Half saves less work, double passes others' deadlines.
-	maxExtentRun = 6
-	// targetLatencyRatio is how far above its base a node may answer before the depth shrinks: what waits there can
-	// no longer be ordered. At 1.25 the simulator's days lost 0.01, at 1.75 0.04.
+	maxExtentRun = 6 // Requests of one extent that may be sent in a row.
+	// Latency over base latency that the concurrency limit steers to. Above it, requests queue at
+	// the endpoint, where they can no longer be reordered.
 	targetLatencyRatio = 1.0
-	// calmObjectives is how many least aims without a lapsed or set-aside request make a node calm: it may have
-	// twice the depth. Half queues more between surges, double idles cores (without: quiet days lose 0.2).
-	calmObjectives      = 30
-	learningGain        = 0.1  // part by which an answer moves depth and base. Half lags, double is noisy.
-	limitIncrease       = 0.25 // depth that each initiator leans on a node with. Half adapts slowly, double queues.
-	errorForgiveness    = 0.75 // forgiven of an error: quick ones cost little, so more of them mean trouble.
-	maxConcurrencyLimit = 16   // bounds the depth, whatever the estimates. Half would bind a lone host.
-	// freshObjectives is how many least aims an answer stays telling: one after a longer gap outweighs all before,
-	// and the latency expected falls to the base. Half forgets others' queues, double believes them too long.
-	freshObjectives    = 4
-	timersPerObjective = 8   // how many timers fit in a least aim, so that own pauses show. Half misses some.
-	idleObjectives     = 60  // how many least aims what is idle stays known. Half forgets more, double holds more.
-	silenceFactor      = 4   // usual latencies without an answer that make a node quiet. Half takes pauses for it.
-	minShareOfEven     = 0.5 // least part of an even share that a host is taken to have. Double makes all even.
-	// freeLoad is how many requests a node may report before they tell of a queue: what it serves at once is
-	// no wait, and reports are late. At 0, with the part below learned, the simulator's days lost 0.08.
+	// Smallest objectives without congestion after which the latency target doubles.
+	calmObjectives = 30
+	// Weight of one answer in the moving averages of latency and concurrency limit.
+	learningGain = 0.1
+	// Added to the concurrency limit's target for each answer, so that an unloaded limit grows.
+	limitIncrease = 0.25
+	// Part of a failure that a quick error answer does not count: it costs the endpoint little.
+	errorForgiveness    = 0.75
+	maxConcurrencyLimit = 16 // Upper bound of an endpoint's concurrency limit, in requests.
+	// Time constant, in smallest objectives, after which an observation has lost most of its
+	// weight.
+	freshObjectives = 4
+	// Timers within the smallest objective, so that a pause of this process is noticed.
+	timersPerObjective = 8
+	idleObjectives     = 60 // Smallest objectives after which idle state is dropped.
+	// Expected latencies without any answer after which an endpoint counts as silent.
+	silenceFactor = 4
+	// Lower bound of an initiator's share of a volume, as a fraction of an even share.
+	minShareOfEven = 0.5
+	// Requests that an endpoint serves at once. A report up to this many indicates no queue.
 	freeLoad = 4
-	// latencyPerLoad is the part of the base latency that each one past them adds. Learned from answers it came out
-	// high, as few of those that met a report had met the load in it.
+	// Added latency for each reported request beyond freeLoad, as a fraction of the base latency.
 	latencyPerLoad = 0.25
-	// maxColdLoad is how many requests a cold node may report for a crowd of initiators to send the next. Half
-	// refuses what it would serve in time (0.903 on the fleet's days, 0.919 so), more is no better.
+	// Reported requests up to which a cold endpoint gets another probe request in a large fleet.
 	maxColdLoad       = 8
-	usageFreshPeriods = 5 // how many periods a reading of use is believed. Half drops seldom ones, double lags.
+	usageFreshPeriods = 5 // Usage periods for which a reported volume usage is used.
 )
 
-// Scheduler decides for one initiator. It is not safe for concurrent use.
+// Scheduler decides for one initiator: which request is sent to which endpoint and when, and how each
+// request ends. It is stepped with the time and a batch of events and returns actions; it does no I/O,
+// reads no clock and starts no goroutines. All times are durations on the caller's monotonic clock. It
+// is not safe for concurrent use.
 type Scheduler struct {
 	settings        Settings
 	rng             *rand.Rand
-	now             time.Duration
+	now             time.Duration // time of the current step
 	classes         map[string]*Class
 	plans           map[string]*Plan
-	rejected        map[requestIdentity]*request // turned away, and may come again
-	rejectedInOrder []*request                   // the same by time
-	minObjective    time.Duration
-	initiatorIndex  int           // this one's number among the initiators, from 0
-	startedAt       time.Duration // the first step
-	warmServiceTime float64       // what a mean request takes at warm nodes, in seconds; 0: not known
-	warmConcurrency float64       // how many are there meanwhile
+	rejected        map[requestIdentity]*request // rejected requests by identity, to recognize a client's retry
+	rejectedInOrder []*request                   // the same, oldest first
+	minObjective    time.Duration                // smallest latency objective of all classes: the unit of many constants
+	initiatorIndex  int                          // this initiator's number in the fleet, from 0
+	// time of the first step, or of settings that tighten the cold start limits
+	startedAt       time.Duration
+	warmServiceTime float64 // mean service time at warm endpoints, in seconds; 0: unknown
+	warmConcurrency float64 // mean requests in flight at a warm endpoint meanwhile
 	volumes         map[string]*volume
-	requests        map[string]*request
-	orderedExtents  map[string]*orderedExtent
-	deadlines       deadlineHeap
-	processes       processGroup
+	requests        map[string]*request       // by id
+	orderedExtents  map[string]*orderedExtent // by extent
+	deadlines       deadlineHeap              // requests by the time at which they must be answered
+	processes       processGroup              // processes that act for this initiator
 	endpointIndex
-	// For the attempt budget; the next timer and what it is for, the last sweep, how long this initiator
-	// stood still before this step (0: not), when to ask for the list and how long to wait after that.
-	recentRequests, recentRetries                                       []time.Duration
-	timerAt, wakeAt, sweptAt, stalledFor, subscribeAt, subscribeBackoff time.Duration
+	// Times within the window of the retry budget, oldest first.
+	recentRequests []time.Duration
+	recentRetries  []time.Duration
+
+	timerAt          time.Duration // the timer that was asked for last
+	wakeAt           time.Duration // when something is due: no timer before it brings work
+	sweptAt          time.Duration // last removal of idle state
+	stalledFor       time.Duration // how long this process was paused before this step; 0: it was not
+	subscribeAt      time.Duration // when to subscribe to the endpoint list; never: not needed
+	subscribeBackoff time.Duration // wait before the next subscription after a failed one
 
-	sendable []*request // what the gate lets through at the lane in hand
-	actions  []Action
+	sendable []*request // scratch: requests of the current queue that may be sent now
+	actions  []Action   // scratch: the result of the current step
 }
 
-// New returns a scheduler for the given settings, or an error if they cannot be served.
+// New returns a scheduler for the given settings, or an error that names the setting that cannot be
+// served. Equal settings, seeds and steps give equal actions.
 func New(set Settings, seed uint64) (*Scheduler, error) {
 	if err := set.Validate(); err != nil {
 		return nil, err
@@ -92,10 +100,11 @@
 	return s, nil
 }
 
-// Step takes what happened up to now and returns what to do. The slice is valid until the next Step.
+// Step processes the events that happened up to now and returns the actions to carry out, in order.
+// The slice is valid until the next Step.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
 	s.now, s.startedAt, s.actions = now, min(s.startedAt, now), s.actions[:0]
-	// A timer that comes late: this initiator stood still, and what it finds has waited here, at no node.
+	// A timer that fires late means that this process was paused: the delay says nothing about endpoints.
 	s.stalledFor = 0
 	if late := now - s.timerAt; late >= 0 {
 		s.timerAt = never
@@ -103,7 +112,7 @@
 			s.stalledFor = late
 		}
 	}
-	idle := now < s.wakeAt // but for what the events bring
+	idle := now < s.wakeAt // unless an event other than a timer came
 	for _, e := range events {
 		_, beat := e.(TimerFired)
 		idle = idle && beat
@@ -128,7 +137,7 @@
 			s.applyProbeResult(e)
 		case Settings:
 			s.adoptSettings(e)
-		case TimerFired: // also one a little early: whoever drives the module may round
+		case TimerFired: // may be slightly early, since the driver may round
 			s.timerAt = never
 		}
 	}
@@ -138,25 +147,18 @@
 		for l := range s.eachWaiting() {
 			s.releaseQueue(l)
 		}
-		s.answerExpired() // what has lapsed
+		s.answerExpired() // objectives may have expired during release
 	}
 	if now-s.sweptAt > idleObjectives*s.minObjective {
-		s.sweep(s.sweptAt) // what was idle for that long starts afresh, as after a synchronization point
+		s.sweep(s.sweptAt) // what was idle for a whole period restarts with fresh state
 		s.sweptAt = now
 	}
 	s.scheduleTimer()
 	return s.actions
 }
 
-// ---- Tagging ----
-
-// ---- Release ----
-
-// ---- Node health ----
-
-// ---- Attempts and final answers ----
-
-// scheduleTimer asks to be woken when the next thing is due.
+// scheduleTimer asks to be woken when the next thing is due, and often enough to notice a pause of
+// this process.
 func (s *Scheduler) scheduleTimer() {
 	if s.subscribeAt <= s.now {
 		s.subscribeAt = never
@@ -176,8 +178,5 @@
 	}
 }
 
-// ---- Rule guards ----
-
-// ---- Placement of new objects ----
-
+// emit adds an action to the result of the current step.
 func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -7,88 +7,87 @@
 	"time"
 )
 
-// Effect says what a class allows to happen twice.
+// Effect says what a class allows to happen more than once.
 type Effect int
 
+// The effects.
 const (
-	// Idempotent requests may be repeated and refused freely.
-	Idempotent Effect = iota
-	// IdempotentWithKey requests may be repeated only among nodes that drop the repeat.
-	IdempotentWithKey
-	// NonIdempotent requests may be repeated only when no earlier attempt can have run.
-	NonIdempotent
+	Idempotent        Effect = iota // may be retried and rejected freely
+	IdempotentWithKey               // may be retried only among endpoints that drop the repeat by its key
+	NonIdempotent                   // may be retried only when no earlier attempt can have run
 )
 
-// DedupScope says which nodes drop repeats of a keyed request.
+// DedupScope says which endpoints drop repeats of a request with an idempotency key.
 type DedupScope int
 
+// The scopes.
 const (
-	// DedupFleet is every node.
-	DedupFleet DedupScope = iota
-	// DedupZone is the nodes of one zone.
-	DedupZone
-	// DedupShard is the nodes that hold one shard.
-	DedupShard
+	DedupFleet DedupScope = iota // every endpoint
+	DedupZone                    // the endpoints of one zone
+	DedupShard                   // the endpoints that hold one shard
 )
 
 // Class is one request class.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer by then earns the full worth
-	Deadline         time.Duration // the client's whole patience, over all its tries
+	LatencyObjective time.Duration // an answer within it has the full value
+	Deadline         time.Duration // the client's whole time, over all its retries
 	Effect           Effect
-	DedupScope       DedupScope    // for Keyed
-	DedupWindow      time.Duration // for Keyed: how long repeats are remembered
-	PriorityWeight   float64       // of a mean request answered within the aim
-	Ordered          bool          // requests with one extent run one at a time, as taken
+	DedupScope       DedupScope    // for IdempotentWithKey
+	DedupWindow      time.Duration // for IdempotentWithKey: how long endpoints remember keys
+	PriorityWeight   float64       // value of a mean request answered within the objective
+	Ordered          bool          // requests of one extent run one at a time, in order of arrival
 }
 
-// Plan is what each volume on it is owed, over all initiators and nodes.
+// Plan is what each volume on it is entitled to, over all initiators and endpoints.
 type Plan struct {
 	Name           string
 	Rate           float64 // units a second that such a volume is sized for
-	ReservedRate   float64 // units a second that earn their full worth; 0: none
-	Weight         float64 // part of what a shard can do beyond the reserves
-	PriorityFactor float64 // factor on the worth
+	ReservedRate   float64 // units a second that have their full value; 0: none
+	Weight         float64 // part of what a shard can do beyond the reserved rates
+	PriorityFactor float64 // factor on the class's weight
 	RateLimit      float64 // units a second at most; 0: no limit
-	RateLimitBurst float64 // units that the limit's store holds
+	RateLimitBurst float64 // capacity of the rate limit's bucket in units
 }
 
-// Rules holds the figures of the rules. A zero asks nothing, except for Drain.
+// Rules are the limits of the platform's rules. A zero disables a rule.
 type Rules struct {
-	ColdCapacityFraction float64       // a node starts at this part of its capacity or more
-	WarmUpTime           time.Duration // and is warm after this
-	OverloadWindow       time.Duration // the span over which work to a cold node is counted
-	OverloadFactor       float64       // times its capacity that a cold node bears for that long
-	OrderedQuietTime     time.Duration // rest of an ordered extent after a doubtful outcome
-	RetryBudget          bool          // whether further attempts are rationed
-	RetryBudgetFree      float64
-	RetryBudgetRatio     float64
-	RetryBudgetWindow    time.Duration
+	ColdCapacityFraction float64       // an endpoint starts with at least this fraction of its capacity
+	WarmUpTime           time.Duration // and has all of it after this time
+	OverloadWindow       time.Duration // window over which the work sent to a cold endpoint is summed
+	OverloadFactor       float64       // times its capacity that a cold endpoint bears for that window
+	OrderedQuietTime     time.Duration // pause of an ordered extent after an attempt in doubt
+	RetryBudget          bool          // whether retries are limited
+	RetryBudgetFree      float64       // retries that are always allowed within the window
+	RetryBudgetRatio     float64       // and for each request within the window
+	RetryBudgetWindow    time.Duration // the window
 }
 
-// Settings is what an initiator is told at its start. As an event it takes the place of the settings there were, but for Ration: what was
-// learned and sent stays, and a request that is known ends by its class as it came. Settings that Check turns down change nothing.
+// Settings are what an initiator is told at its start. As an event they replace the previous settings
+// except Quota: what was learned and sent stays, and known requests keep their class. Settings that
+// Validate rejects change nothing.
 type Settings struct {
-	Initiators         int           // how many share the pool
-	InitiatorIndex     int           // this one's number among them, from 1; 0: not known
-	MinStep            time.Duration // least time between two steps
-	Classes            []Class
-	Plans              []Plan
-	Rules              Rules
-	MaxAttempts        int           // for one request; 0: no bound
-	MeanUnits          float64       // mean size of a request
-	MaxUnits           float64       // size of the largest request
-	ColdUnitsPerWindow float64       // units within FallWithin that a cold node bears from all initiators
-	FairSharePriority  float64       // part of the worth that units beyond the reserve earn inside the share
-	ExcessPriority     float64       // part of the worth that units beyond the share earn
-	ConnectCost        float64       // what a new connection to a node costs, in requests
-	UsagePeriod        time.Duration // period of the use meter; 0: none
-	SubscribeToList    bool          // the node list must be subscribed to
-	Quota              Quota         // part of fleet-wide wholes, in place of even ones; nil: none
+	Initiators     int           // initiators that share the pool
+	InitiatorIndex int           // this one's number among them, from 1; 0: unknown
+	MinStep        time.Duration // smallest time between two steps
+	Classes        []Class
+	Plans          []Plan
+	Rules          Rules
+	MaxAttempts    int     // for one request; 0: no bound
+	MeanUnits      float64 // mean size of a request
+	MaxUnits       float64 // size of the largest request
+	// units that a cold endpoint bears from all initiators within the overload window
+	ColdUnitsPerWindow float64
+	// factor on the value of units beyond the reserved rate, within the fair share
+	FairSharePriority float64
+	ExcessPriority    float64       // factor on the value of units beyond the fair share
+	ConnectCost       float64       // cost of a new connection to an endpoint, in requests; 0: free
+	UsagePeriod       time.Duration // period of the usage reports; 0: there are none
+	SubscribeToList   bool          // the endpoint list has to be subscribed to
+	Quota             Quota         // part of the fleet-wide quotas; nil: the even part of the rules applies
 }
 
-// Validate returns an error that names what of the settings cannot be served.
+// Validate returns an error that names the first setting that cannot be served.
 func (set Settings) Validate() error {
 	if len(set.Classes) == 0 || len(set.Plans) == 0 {
 		return errors.New("settings need at least one class and one plan")
--- a/internal/policy/settings_change.go
+++ b/internal/policy/settings_change.go
@@ -1,8 +1,7 @@
 package policy
 
-// What the settings say, taken over at the start and while requests are under way. Nothing is chosen, sent or answered here.
-
-// tightensColdLimits tells whether these settings may let a cold node have less than others did, from one initiator or over a longer span.
+// tightensColdLimits reports whether a cold endpoint may get less under these settings than under the
+// previous ones, from one initiator or over a longer window.
 func (set Settings) tightensColdLimits(was Settings) bool {
 	a, b := set.Rules, was.Rules
 	each := func(s Settings) float64 { return s.ColdUnitsPerWindow / float64(s.Initiators) }
@@ -13,7 +12,7 @@
 		each(set) < each(was) || grows(a) < grows(b) || set.MeanUnits != was.MeanUnits
 }
 
-// applySettings takes the settings over as they are read by name, and what follows from them alone.
+// applySettings takes over the settings and what is derived from them.
 func (s *Scheduler) applySettings(set Settings) {
 	s.settings, s.minObjective = set.clone(), never
 	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
@@ -28,9 +27,10 @@
 	}
 }
 
-// adoptSettings takes other settings over while requests are under way. What was learned of nodes and volumes stays, and so does what was sent:
-// nothing that a rule counts begins anew. A request that is known ends by its class as it came; all else holds from now on. The ration is
-// not of the settings that are told, and stays. What cannot be served changes nothing.
+// adoptSettings replaces the settings while requests are in progress. What was learned and what was
+// sent stays, so that no rule starts counting anew. Known requests keep their class; everything else
+// applies from now on. The quota is not part of the settings that arrive, and stays. Invalid settings
+// change nothing.
 func (s *Scheduler) adoptSettings(set Settings) {
 	if set.Validate() != nil {
 		return
@@ -48,14 +48,14 @@
 		}
 	}
 	if set.tightensColdLimits(was) {
-		s.startedAt = s.now // as of a process that has just begun: what was sent under the settings before is no measure of these
+		s.startedAt = s.now // as after a start: what was sent under the old limits says nothing about the new ones
 		for _, n := range s.endpoints {
 			n.coldServed = nil
 		}
 	}
 	for _, v := range s.volumes {
 		switch p := s.plans[v.plan.Name]; {
-		case p == nil: // its requests end by the plan that they came under
+		case p == nil: // its requests keep the removed plan
 		case *p == *v.plan:
 			v.plan = p
 		default:
@@ -66,24 +66,24 @@
 	for _, v := range s.volumes {
 		v.tagScale = 0
 	}
-	s.waitTree = minWaitTree{} // waits hang on the settings
+	s.waitTree = minWaitTree{} // expected waits depend on the settings
 }
 
-// moveVolume puts a volume that is known on another plan. What it was granted up to now is by the one before; retag has what lies ahead of now
-// come as much sooner or later as the rate is higher or lower.
+// moveVolume moves a volume to another plan. Its buckets are filled up to now at the old rates;
+// tagScale lets rescaleTags stretch what lies ahead of now by the ratio of the rates.
 func (s *Scheduler) moveVolume(v *volume, to *Plan) {
 	rho := s.refillRate(v)
 	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
 	s.reserveAvailable(v)
 	s.refillRateLimit(v)
 	if v.plan.RateLimit <= 0 {
-		v.rateLimitTokens = 0 // nothing filled it
+		v.rateLimitTokens = 0 // there was no limit that filled it
 	}
 	v.plan = to
 	v.tagScale = rho / s.refillRate(v)
 }
 
-// rescaleTags has the tags of volumes that were moved follow, in all lanes that have any.
+// rescaleTags moves the tags of volumes whose rate has changed.
 func (s *Scheduler) rescaleTags() {
 	for _, l := range s.flowingQueues {
 		for _, r := range l.requests {
--- a/internal/policy/tags.go
+++ b/internal/policy/tags.go
@@ -5,33 +5,35 @@
 	"time"
 )
 
-// volume is the client of RFQ: one bucket at this initiator.
+// volume is a client of fair queuing: the token buckets of one volume at this initiator. A bucket's
+// time says up to when it is filled.
 type volume struct {
 	plan              *Plan
-	initiators        float64
-	tokens            float64
+	initiators        float64 // initiators that serve this volume
+	tokens            float64 // deficit bucket in units; negative: the volume is ahead of its rate
 	tokensAt          time.Duration
-	backlog           int // requests held or out here
-	ownUsage          float64
+	backlog           int     // requests queued or in flight at this initiator
+	ownUsage          float64 // units a second served for it by this initiator, decaying
 	ownUsageAt        time.Duration
-	totalUsage        float64
+	totalUsage        float64 // units a second served for it by all, as endpoints report it
 	totalUsageAt      time.Duration
-	rateLimitTokens   float64 // this initiator's part of the limit
+	rateLimitTokens   float64 // units left of this initiator's part of the plan's rate limit
 	rateLimitTokensAt time.Duration
-	reserveTokens     float64 // units of the reserve not yet served here
+	reserveTokens     float64 // units of the reserved rate not yet served here
 	reserveTokensAt   time.Duration
-	tagScale          float64 // while its plan changes: its rate before over the one from now on
+	tagScale          float64 // rate before over rate after a change of plan; 0: unchanged
 }
 
-// flow is a volume's tag state at one lane.
+// flow is the tag state of one volume in one queue.
 type flow struct {
 	volume      *volume
-	maxStartTag time.Duration
-	queued      int
+	maxStartTag time.Duration // largest start tag given; moves with the queue's tags
+	queued      int           // requests of the volume in the queue
 }
 
-// refillRate is the rate at which the volume's bucket fills here: the plan's rate times this initiator's share of
-// the volume's recent service, evenly while nothing fresh is known.
+// refillRate is the rate, in units a second, at which the volume's bucket fills at this initiator (rho
+// in the paper): the plan's rate times this initiator's share of the volume's recent usage, or an even
+// share while no fresh usage is known.
 func (s *Scheduler) refillRate(v *volume) float64 {
 	share := 1 / v.initiators
 	if s.settings.UsagePeriod > 0 && v.totalUsageAt > 0 && s.now-v.totalUsageAt < usageFreshPeriods*s.settings.UsagePeriod && v.totalUsage > 0 {
@@ -40,17 +42,20 @@
 	return max(v.plan.Rate*share, 1e-3)
 }
 
-// bucketDepth is the bucket's depth: a second of the reserve and one largest request, as worth is counted.
+// bucketDepth is the capacity of the volume's bucket in units (sigma in the paper): one second of its
+// rate and the largest request.
 func (s *Scheduler) bucketDepth(v *volume) float64 {
 	return max(v.plan.ReservedRate, v.plan.Rate)/v.initiators + max(s.settings.MaxUnits, s.settings.MeanUnits)
 }
 
+// ownUsageRate is the volume's usage at this initiator, decayed to now.
 func (s *Scheduler) ownUsageRate(v *volume) float64 {
 	tau := 2 * s.settings.UsagePeriod.Seconds()
 	return v.ownUsage * math.Exp(-(s.now-v.ownUsageAt).Seconds()/tau)
 }
 
-// noteUsage notes own service and what the answer tells of the volume's service everywhere.
+// noteUsage adds a served request to the volume's own usage, and takes over the total usage that the
+// endpoint reported: used is one more than the percentage of the plan's rate; 0: not reported.
 func (s *Scheduler) noteUsage(v *volume, units float64, used int) {
 	if s.settings.UsagePeriod <= 0 {
 		return
@@ -64,7 +69,8 @@
 	}
 }
 
-// assignTags gives the request its start and finish tag from the volume's bucket and the lane's tags.
+// assignTags gives the request its start and finish tags: now while the volume's bucket covers it,
+// later by what the bucket lacks, and after the volume's last tag once the bucket is empty.
 func (s *Scheduler) assignTags(r *request, l *shardQueue) {
 	v, f, rho := r.volume, l.flow(r.volume), s.refillRate(r.volume)
 	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
@@ -80,8 +86,8 @@
 	v.tokens -= r.Units
 }
 
-// refundTags gives back what a request drew that will not be served in time, so that it does not stand in
-// the way of its volume's later ones.
+// refundTags returns the units of a request that will not be served in time, and moves the volume's
+// later tags forward, so that the dropped request does not delay them.
 func (s *Scheduler) refundTags(r *request) {
 	f := r.queue.flow(r.volume)
 	r.volume.tokens += r.Units
@@ -94,8 +100,8 @@
 	f.maxStartTag -= back
 }
 
-// synchronize is a synchronization point of the lane: room and nothing eligible. All tags of the lane shift
-// back by the least gap, and volumes of the lane with no backlog at this initiator refill.
+// synchronize is a synchronization point of fair queuing: the endpoint has capacity and no request is
+// eligible. All tags of the queue move back by the smallest gap, and volumes without backlog refill.
 func (s *Scheduler) synchronize(l *shardQueue, gap time.Duration) {
 	for _, r := range l.requests {
 		r.startTag, r.finishTag = r.startTag-gap, r.finishTag-gap
--- a/internal/policy/wait_tree.go
+++ b/internal/policy/wait_tree.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// minWaitTree finds the lane of least wait. It keeps every lane's wait in a tree of minima, once it has been asked for.
+// minWaitTree finds the queue with the smallest expected wait in logarithmic time: a binary tree of
+// minima over the queues by position, built at first use and updated lazily.
 type minWaitTree struct {
-	leaves  int           // leaves; 0: not made
-	minima  []float64     // of the two below, the root at 1; the leaves from size on, by the lanes' places
-	touched []*shardQueue // wait may be another
-	moving  []*shardQueue // wait changes by itself as time passes
-	asOf    time.Duration
+	leaves  int           // a power of two; 0: not built
+	minima  []float64     // of the two nodes below, root at 1, leaves from index leaves on
+	touched []*shardQueue // queues whose wait may have changed
+	moving  []*shardQueue // queues whose wait changes as time passes
+	asOf    time.Duration // time at which moving queues were last refreshed
 }
 
-// markWaitStale notes that the lane's wait may be another.
+// markWaitStale notes that the queue's expected wait may have changed.
 func (l *shardQueue) markWaitStale() {
 	if t := &l.index.waitTree; t.leaves > 0 {
 		t.touched = appendOnce(t.touched, l, &l.listedTouched)
 	}
 }
 
-// minWaitFrom returns the first lane of least wait, looking from the given place on and round.
+// minWaitFrom returns the first queue with the smallest wait, searching cyclically from position from.
 func (s *Scheduler) minWaitFrom(from int) *shardQueue {
 	t := &s.waitTree
 	if t.asOf != s.now {
@@ -54,7 +55,7 @@
 	return s.queues[at]
 }
 
-// rebuildWaitTree makes the tree.
+// rebuildWaitTree computes every leaf and all minima.
 func (s *Scheduler) rebuildWaitTree() {
 	t := &s.waitTree
 	if t.leaves < len(s.queues) {
@@ -73,8 +74,8 @@
 	}
 }
 
-// updateWaitLeaf takes over the lane's wait, and notes whether it will be another by itself: while something is out at its node, which
-// may come to be overdue, while the node is not open, and until it is warm.
+// updateWaitLeaf computes a queue's wait. It changes with time alone while attempts are in flight,
+// which may become overdue, while the endpoint is blocked, and until it is warm.
 func (s *Scheduler) updateWaitLeaf(l *shardQueue) {
 	t, n := &s.waitTree, l.endpoint
 	t.minima[t.leaves+l.position] = s.expectedWait(l)
@@ -83,7 +84,8 @@
 	}
 }
 
-// firstMin returns the first place of the least wait among the places from lo to below hi; the node at spans those from left on.
+// firstMin returns the first position of the smallest wait within [lo, hi). The node at covers span
+// positions from left on.
 func (t *minWaitTree) firstMin(at, left, span, lo, hi int) (place int, wait float64) {
 	switch {
 	case hi <= left || left+span <= lo:
