--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -17,9 +17,27 @@
 		return
 	}
 	e.TimeLeft = min(e.TimeLeft, c.Deadline)
+	e.Units = max(e.Units, 0)
+	r := s.newRequest(e, c, s.volumeFor(e, p))
+	s.requests[r.ID] = r
+	heap.Push(&s.deadlines, r)
+	r.volume.backlog++
+	s.joinOrderedExtent(r)
+	r.queue = s.placeRequest(r)
+	if r.objectiveAt <= s.now { // a retry that comes after its objective
+		r.pastObjective = true // answered once all events of this step are known: its client may have left
+		return
+	}
+	s.assignTags(r, r.queue)
+	r.queue.enqueue(r)
+}
+
+// volumeFor returns the volume of a request on plan p, with a full bucket at first use.
+func (s *Scheduler) volumeFor(e Request, p *Plan) *volume {
+	initiators := float64(max(1, e.VolumeInitiators))
 	v := s.volumes[e.Volume]
 	if v == nil {
-		v = &volume{plan: p, initiators: float64(max(1, e.VolumeInitiators)), tokensAt: s.now, rateLimitTokensAt: s.now}
+		v = &volume{plan: p, initiators: initiators, tokensAt: s.now, rateLimitTokensAt: s.now}
 		v.tokens = s.bucketDepth(v)
 		s.volumes[e.Volume] = v
 	} else if s.plans[v.plan.Name] != v.plan { // its plan was removed from the settings
@@ -27,13 +45,17 @@
 		s.rescaleTags()
 		v.tagScale = 0
 	}
-	v.initiators = float64(max(1, e.VolumeInitiators))
-	e.Units = max(e.Units, 0)
+	v.initiators = initiators
+	return v
+}
+
+// newRequest derives the times of a request from its class and the time that its client has left.
+func (s *Scheduler) newRequest(e Request, c *Class, v *volume) *request {
 	r := &request{Request: e, class: c, volume: v, firstSeenAt: s.now, heldSince: s.now, deadlineAt: s.now + e.TimeLeft}
 	r.answerBy = s.now + max(e.TimeLeft/2-4*s.settings.MinStep, s.settings.MinStep)
 	r.objectiveAt = s.now + c.LatencyObjective
 	if waited := c.Deadline - e.TimeLeft; s.stalledFor > 0 && waited < s.stalledFor+s.minObjective/timersPerObjective {
-		r.objectiveAt -= waited
+		r.objectiveAt -= waited // it waited for this process, which was paused
 	}
 	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized
 	// by its identity within the class's deadline; a short time left alone may belong to an impatient client.
@@ -43,24 +65,20 @@
 	}
 	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-2*s.settings.MinStep)
 	r.answerBy = min(r.answerBy, r.objectiveAt)
-	s.requests[r.ID] = r
-	heap.Push(&s.deadlines, r)
-	v.backlog++
-	if c.Ordered && r.Extent != "" {
-		k := s.orderedExtents[r.Extent]
-		if k == nil {
-			k = &orderedExtent{}
-			s.orderedExtents[r.Extent] = k
-		}
-		k.queue = append(k.queue, r)
-	}
-	r.queue = s.placeRequest(r)
-	if r.objectiveAt <= s.now { // a retry that comes after its objective
-		r.pastObjective = true // answered once all events of this step are known: its client may have left
+	return r
+}
+
+// joinOrderedExtent puts a request whose class is ordered behind the others of its extent.
+func (s *Scheduler) joinOrderedExtent(r *request) {
+	if !r.class.Ordered || r.Extent == "" {
 		return
 	}
-	s.assignTags(r, r.queue)
-	r.queue.enqueue(r)
+	k := s.orderedExtents[r.Extent]
+	if k == nil {
+		k = &orderedExtent{}
+		s.orderedExtents[r.Extent] = k
+	}
+	k.queue = append(k.queue, r)
 }
 
 // handleOutcome ends an attempt: it updates the endpoint's health, and finishes the request or queues
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -60,62 +60,78 @@
 func (s *Scheduler) learnFromOutcome(n *endpoint, r *request, e Outcome) {
 	switch e.Code {
 	case Served:
-		if s.isFaulty(n) {
-			n.concurrencyLimit = 1
-		}
-		n.failureStreak, n.blockedUntil = 0, 0
-		if s.settings.Rules.OverloadWindow > 0 && r.attemptStartedAt >= s.startedAt {
-			n.coldServed = append(n.coldServed, timedUnits{s.now, r.Units})
-		}
-		took := e.Latency.Seconds() / s.relativeSize(r.Units)
-		if s.stalledFor > 0 {
-			n.lastAnswerAt = s.now
-			return
-		}
-		s.learnWarm(n, took, e.Load)
-		if n.latency == 0 {
-			n.latency, n.baseLatency = took, took
-		}
-		gain := max(learningGain, 1-s.freshness(n.lastAnswerAt))
-		if took < n.baseLatency {
-			n.baseLatency += (took - n.baseLatency) * gain
-		} else {
-			n.baseLatency += (took - n.baseLatency) * learningGain / 8
-		}
-		n.latency += (took - n.latency) * gain
-		n.lastAnswerAt = s.now
-		goal := targetLatencyRatio * n.baseLatency
-		if s.now-n.congestedAt > calmObjectives*s.minObjective {
-			goal *= 2 // the queue at the endpoint need not be ordered
-		}
-		next := n.concurrencyLimit*min(2, goal/max(n.latency, 1e-6)) + limitIncrease
-		if next < n.concurrencyLimit || float64(len(n.inFlight)) >= math.Floor(n.concurrencyLimit) {
-			n.concurrencyLimit += (next - n.concurrencyLimit) * learningGain
-		}
-		// Each of few initiators may use its part of what the endpoint serves at once: with a limit of 1 for
-		// each of two, most of the endpoint would idle, above all after a fault has lowered the limits.
-		n.concurrencyLimit = min(maxConcurrencyLimit, max(1, freeLoad/float64(s.settings.Initiators), n.concurrencyLimit))
+		s.learnFromAnswer(n, r, e)
 	case TurnedAway:
 		n.concurrencyLimit = max(1, n.concurrencyLimit/2)
 		n.lastAnswerAt = s.now
 		n.blockedUntil = s.now + toDuration(n.latency)
 	case AnsweredError, NotConnected, ConnectionReset, TimedOut:
-		if e.Code == TimedOut && e.Latency < s.silenceTimeout(n) {
-			// The client's deadline was short: this only shows that the endpoint takes at least that long.
-			n.latency += max(0, e.Latency.Seconds()-n.latency) * learningGain
-			return
-		}
-		n.failureStreak++
-		if e.Code == AnsweredError {
-			n.failureStreak -= errorForgiveness
-		}
-		if e.Code == TimedOut {
-			n.concurrencyLimit = max(1, n.concurrencyLimit/2)
-			return
-		}
+		s.learnFromFailure(n, e)
+	}
+}
+
+// learnFromAnswer takes over the latency of a served attempt. After a pause of this process the measured latency
+// contains the pause and is not used.
+func (s *Scheduler) learnFromAnswer(n *endpoint, r *request, e Outcome) {
+	if s.isFaulty(n) {
+		n.concurrencyLimit = 1
+	}
+	n.failureStreak, n.blockedUntil = 0, 0
+	if s.settings.Rules.OverloadWindow > 0 && r.attemptStartedAt >= s.startedAt {
+		n.coldServed = append(n.coldServed, timedUnits{s.now, r.Units})
+	}
+	if s.stalledFor > 0 {
 		n.lastAnswerAt = s.now
-		n.blockedUntil = s.now + s.silenceTimeout(n)*time.Duration(max(0, min(n.failureStreak, 4)-1)*16)/64
+		return
+	}
+	latency := e.Latency.Seconds() / s.relativeSize(r.Units)
+	s.learnWarm(n, latency, e.Load)
+	if n.latency == 0 {
+		n.latency, n.baseLatency = latency, latency
+	}
+	gain := max(learningGain, 1-s.freshness(n.lastAnswerAt))
+	if latency < n.baseLatency {
+		n.baseLatency += (latency - n.baseLatency) * gain
+	} else {
+		n.baseLatency += (latency - n.baseLatency) * learningGain / 8
+	}
+	n.latency += (latency - n.latency) * gain
+	n.lastAnswerAt = s.now
+	s.adjustConcurrencyLimit(n)
+}
+
+// adjustConcurrencyLimit moves the limit towards the value at which the endpoint's latency meets the target.
+func (s *Scheduler) adjustConcurrencyLimit(n *endpoint) {
+	target := targetLatencyRatio * n.baseLatency
+	if s.now-n.congestedAt > calmObjectives*s.minObjective {
+		target *= 2 // the queue at the endpoint need not be ordered
+	}
+	next := n.concurrencyLimit*min(2, target/max(n.latency, 1e-6)) + limitIncrease
+	if next < n.concurrencyLimit || float64(len(n.inFlight)) >= math.Floor(n.concurrencyLimit) {
+		n.concurrencyLimit += (next - n.concurrencyLimit) * learningGain
+	}
+	// Each of few initiators may use its part of what the endpoint serves at once: with a limit of 1 for
+	// each of two, most of the endpoint would idle, above all after a fault has lowered the limits.
+	n.concurrencyLimit = min(maxConcurrencyLimit, max(1, freeLoad/float64(s.settings.Initiators), n.concurrencyLimit))
+}
+
+// learnFromFailure counts a failure and blocks the endpoint for a time that grows with the failures in a row.
+func (s *Scheduler) learnFromFailure(n *endpoint, e Outcome) {
+	if e.Code == TimedOut && e.Latency < s.silenceTimeout(n) {
+		// The client's deadline was short: this only shows that the endpoint takes at least that long.
+		n.latency += max(0, e.Latency.Seconds()-n.latency) * learningGain
+		return
+	}
+	n.failureStreak++
+	if e.Code == AnsweredError {
+		n.failureStreak -= errorForgiveness
+	}
+	if e.Code == TimedOut {
+		n.concurrencyLimit = max(1, n.concurrencyLimit/2)
+		return
 	}
+	n.lastAnswerAt = s.now
+	n.blockedUntil = s.now + s.silenceTimeout(n)*time.Duration(max(0, min(n.failureStreak, 4)-1)*16)/64
 }
 
 // isEjected reports whether the endpoint is listed as up but gets no request, or one at a time.
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -112,18 +112,24 @@
 		alone := s.now + toDuration(usual*s.relativeSize(r.Units))
 		work += r.Units
 		for alone+toDuration((work-r.Units)*each) > r.objectiveAt && !r.deferred {
-			least := r
-			for _, q := range s.sendable {
-				if !q.deferred && q.unitValue < least.unitValue {
-					least = q
-				}
-			}
+			least := s.leastValuable(r)
 			least.deferred, n.congestedAt = true, s.now
 			work -= least.Units
 		}
 	}
 }
 
+// leastValuable returns the sendable request with the least value for a unit that is not deferred yet, r among them.
+func (s *Scheduler) leastValuable(r *request) *request {
+	least := r
+	for _, q := range s.sendable {
+		if !q.deferred && q.unitValue < least.unitValue {
+			least = q
+		}
+	}
+	return least
+}
+
 // relativeSize is the service time of a request of that many units, relative to a request of mean
 // size.
 func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
--- a/internal/policy/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -114,32 +114,9 @@
 	}
 	idle := now < s.wakeAt // unless an event other than a timer came
 	for _, e := range events {
-		_, beat := e.(TimerFired)
-		idle = idle && beat
-		switch e := e.(type) {
-		case EndpointList:
-			s.handleList(e)
-		case Request:
-			s.handleRequest(e)
-		case Outcome:
-			s.handleOutcome(e)
-		case ResponseStarted:
-			if r := s.requests[e.ID]; r != nil && r.heapIndex >= 0 {
-				heap.Remove(&s.deadlines, r.heapIndex)
-			}
-		case ClientGone:
-			if r := s.requests[e.ID]; r != nil && !r.answered {
-				s.finishRequest(r)
-			}
-		case ProcessCount:
-			s.processes.resize(e.Processes, s.now, s.settings.Rules.OverloadWindow)
-		case ProbeResult:
-			s.applyProbeResult(e)
-		case Settings:
-			s.adoptSettings(e)
-		case TimerFired: // may be slightly early, since the driver may round
-			s.timerAt = never
-		}
+		_, isTimer := e.(TimerFired)
+		idle = idle && isTimer
+		s.handle(e)
 	}
 	if !idle {
 		s.answerExpired()
@@ -157,6 +134,34 @@
 	return s.actions
 }
 
+// handle processes one event.
+func (s *Scheduler) handle(e Event) {
+	switch e := e.(type) {
+	case EndpointList:
+		s.handleList(e)
+	case Request:
+		s.handleRequest(e)
+	case Outcome:
+		s.handleOutcome(e)
+	case ResponseStarted:
+		if r := s.requests[e.ID]; r != nil && r.heapIndex >= 0 {
+			heap.Remove(&s.deadlines, r.heapIndex)
+		}
+	case ClientGone:
+		if r := s.requests[e.ID]; r != nil && !r.answered {
+			s.finishRequest(r)
+		}
+	case ProcessCount:
+		s.processes.resize(e.Processes, s.now, s.settings.Rules.OverloadWindow)
+	case ProbeResult:
+		s.applyProbeResult(e)
+	case Settings:
+		s.adoptSettings(e)
+	case TimerFired: // may be slightly early, since the driver may round
+		s.timerAt = never
+	}
+}
+
 // scheduleTimer asks to be woken when the next thing is due, and often enough to notice a pause of
 // this process.
 func (s *Scheduler) scheduleTimer() {
