--- a/internal/controlplane/quota/allocator/allocator.go
+++ b/internal/controlplane/quota/allocator/allocator.go
@@ -1,6 +1,12 @@
-// Package allocator is the leading agent's side of fleet-wide budgets: the book of what each member may still hold, and what a renewal is
-// granted. One giver lasts for one term of one leader. It does no I/O; time is passed in, and equal inputs give equal outputs.
-// docs/fleet-budgets.md argues for its safety; the numbers in the comments here are that page's steps.
+// Package allocator is the leading agent's side of fleet-wide quotas. It keeps a ledger of what each
+// member may still use of each limit, and decides what a renewal is allocated. An Allocator lasts for
+// one term of one leader. It does no I/O; time is passed in, and equal inputs give equal outputs.
+//
+// Invariant: for each limit, the allocations that members may still use, counted until the latest time
+// at which any member's clock can have them expire, never exceed the shared pool. A new term cannot
+// know the allocations of the one before; until all of them have expired it only extends what members
+// report to hold. docs/fleet-budgets.md has the argument; numbers of steps in comments are that
+// page's.
 package allocator
 
 import (
@@ -10,41 +16,45 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// maxSameName is how many processes may live under one name and address: two of an upgrade and one that was just killed.
+// maxSameName is how many live processes may have one name and address: two of an upgrade and one that
+// was just killed.
 const maxSameName = 3
 
-// Allocator is the book of one term.
+// Allocator is the ledger of one term.
 type Allocator struct {
 	config     quota.Config
-	startedAt  time.Duration
+	startedAt  time.Duration // start of the term
 	members    map[string]member
-	memberIDs  []string       // ids of members
-	registered []quota.Member // as the log had them last
+	memberIDs  []string       // sorted
+	registered []quota.Member // members as of the last Update
 	ledgers    map[quota.Key]*ledger
 }
 
+// member is a registered member and its last renewal.
 type member struct {
 	quota.Member
 	lastSeq         uint64
-	lastHeardAt     time.Duration // the last renewal; of one that is only known from the log, when this giver began
-	renewedThisTerm bool          // by this giver
-	expired         bool          // its seat is being taken back
-	configVersion   uint64
+	lastHeardAt     time.Duration // last renewal; before the first in this term: start of the term or join
+	renewedThisTerm bool          // by this allocator
+	expired         bool          // its session is being removed
+	configVersion   uint64        // that it used at its last renewal
 }
 
-// entry is what one member may hold of a whole, each of two until its end here (2).
+// entry is what one member may hold of one limit. Both amounts count until their ends, since it is
+// unknown which of the two the member uses: what it reported, and what it was allocated since (step
+// 2).
 type entry struct {
 	memberID      string
-	fairShare     float64 // as last reckoned
-	hasFairShare  bool    // it was
-	reported      quota.Amount
+	fairShare     float64      // as of the last division
+	hasFairShare  bool         // it took part in the last division
+	reported      quota.Amount // held by the member when it started its last renewal
 	reportedUntil time.Duration
-	granted       quota.Amount
+	granted       quota.Amount // by the answer to it
 	grantedUntil  time.Duration
-	usage         quota.UsageReport
+	usage         quota.UsageReport // its last report
 }
 
-// maxOutstanding is the most that its member may still hold.
+// maxOutstanding is the most that the member may still hold.
 func (r entry) maxOutstanding(now time.Duration) (a quota.Amount) {
 	if now < r.reportedUntil {
 		a = r.reported
@@ -55,14 +65,15 @@
 	return a
 }
 
-// New begins a term. The members are those in the log, all of it up to the term's beginning.
+// New starts a term. Members are those of the registry once all entries of earlier terms are applied.
 func New(now time.Duration, doc quota.Config, members []quota.Member) *Allocator {
 	g := &Allocator{config: doc, startedAt: now, members: map[string]member{}, ledgers: map[quota.Key]*ledger{}}
 	g.Update(now, doc, members)
 	return g
 }
 
-// Update takes over what the log says. Who has no seat any more holds nothing: it said so, or its seat outlasted all that it held (1).
+// Update takes over the registry's state. A member that was removed holds nothing: it left by itself,
+// or its session lasted longer than all that it held (step 1).
 func (g *Allocator) Update(now time.Duration, doc quota.Config, members []quota.Member) {
 	g.config = doc
 	joined, left := quota.DiffMembers(g.registered, members)
@@ -89,12 +100,13 @@
 	}
 }
 
-// outstandingTTL is how long, at the giver, something lasts that was given for a renewal that has just come (Time).
+// outstandingTTL is how long, by this clock, an allocation may be used whose renewal has just arrived.
 func (g *Allocator) outstandingTTL(b *quota.Budget) time.Duration {
 	return g.config.MaxOnOtherClock(g.config.AllocationTTL() + b.Linger())
 }
 
-// sessionTTL is how long, at the giver, a seat lasts after its member was heard: what is out under its floor has ended as well.
+// sessionTTL is how long, by this clock, a session lasts after its last renewal, including what
+// lingers of its floor.
 func (g *Allocator) sessionTTL() time.Duration {
 	linger := time.Duration(0)
 	for i := range g.config.Budgets {
@@ -103,13 +115,14 @@
 	return g.config.MaxOnOtherClock(g.config.SessionTTL() + linger)
 }
 
-// isLive tells whether a member has renewed lately enough to hold something.
+// isLive reports whether the member renewed recently enough to hold an allocation.
 func (g *Allocator) isLive(now time.Duration, m member) bool {
 	return !m.expired && now < m.lastHeardAt+g.config.MaxOnOtherClock(g.config.AllocationTTL())
 }
 
-// Admit tells whether a process may join, or why not. The log has the last word on seats. One whose first answer was lost asks
-// again: its seat lasts from this asking on, unless it is being taken back.
+// Admit reports whether a process may join. The registry decides on free sessions. A process whose
+// first answer was lost asks again: its session lasts from this request on, unless it is being
+// removed.
 func (g *Allocator) Admit(now time.Duration, m quota.Member) error {
 	if x, known := g.members[m.ID]; known {
 		if x.expired {
@@ -135,7 +148,8 @@
 	return nil
 }
 
-// Expire takes back the seats that have ended and returns them; their members are known no more from now on (1).
+// Expire marks the sessions that have ended and returns their members' ids, to be removed from the
+// registry. They are unknown from now on (step 1).
 func (g *Allocator) Expire(now time.Duration) (ids []string) {
 	for _, id := range g.memberIDs {
 		if m, known := g.members[id]; known && (m.expired || now >= m.lastHeardAt+g.sessionTTL()) {
@@ -147,8 +161,8 @@
 	return ids
 }
 
-// Renew notes what a member says and decides what it gets. The answer may only go out once a majority has confirmed, after this
-// call, that no later term has begun (6).
+// Renew records a member's report and decides its allocations. The answer may only be sent once a
+// majority of agents has confirmed, after this call, that no later term has begun (step 6).
 func (g *Allocator) Renew(now time.Duration, r quota.RenewalRequest) (quota.RenewalResponse, error) {
 	m, known := g.members[r.ID]
 	switch {
@@ -182,7 +196,8 @@
 		if !there {
 			p.insert(at, r.ID)
 		}
-		// Older answers will not be taken any more: what was granted counts only as far as it was taken (3, 4).
+		// The member accepts no older answer any more, so an earlier allocation counts only as far as it reports
+		// to hold it (steps 3 and 4).
 		held := rep.Held
 		if b.IsConcurrencyLimit() {
 			held.Rate = max(held.Rate, rep.InUse-b.FloorRate)
@@ -192,7 +207,7 @@
 		grant := quota.Allocation{Key: rep.Key}
 		left := g.available(now, b, p, at)
 		if now < g.startedAt+g.outstandingTTL(b) {
-			grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // (5)
+			grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // step 5
 		} else {
 			grant.Amount = g.allocate(now, b, p, x, left)
 		}
@@ -204,7 +219,7 @@
 		if said[k] {
 			continue
 		}
-		if _, there := p.find(r.ID); there && p.removeIf(func(x entry) bool { return x.memberID == r.ID }) == 0 { // it holds nothing there and will take no older answer
+		if _, there := p.find(r.ID); there && p.removeIf(func(x entry) bool { return x.memberID == r.ID }) == 0 { // it reports no holding there, and accepts no older answer
 			delete(g.ledgers, k)
 		}
 	}
--- a/internal/controlplane/quota/allocator/ledger.go
+++ b/internal/controlplane/quota/allocator/ledger.go
@@ -10,35 +10,38 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// ledger is one whole's: those who may hold of it, in order of their ids, so that sums are made in the same order each time.
+// ledger has the entries of one limit, in order of member id, so that sums are always made in the same
+// order.
 type ledger struct {
 	entries     []entry
-	sharesAt    time.Duration // when shares were reckoned
-	sharesStale bool          // they are to be reckoned anew
+	sharesAt    time.Duration // when fair shares were last computed
+	sharesStale bool          // they have to be computed again
 
-	// What those of a run of rows may hold together, by place of the run. It follows from the rows alone, so that equal rows give equal sums. A
-	// member that renews has one run of about the root of all rows summed anew, and not all.
+	// Sums over blocks of entries, each computed from its entries alone, so that equal entries give equal sums.
+	// A renewal has one block of about the square root of all entries summed again.
 	blockSums []blockSum
-	blockSize int // rows of a run
+	blockSize int // entries of a block
 }
 
-// blockSum is what the rows of a run may hold, from a moment until one of them may hold less: for want of a renewal.
+// blockSum is the sum over a block of entries. It is valid from a moment until one of its amounts
+// expires.
 type blockSum struct {
 	total                 quota.Amount
-	validFrom, validUntil time.Duration // known where from is before until
+	validFrom, validUntil time.Duration // not valid unless before validUntil
 }
 
+// find returns the position of a member's entry, or where to insert it.
 func (p *ledger) find(id string) (int, bool) {
 	return slices.BinarySearchFunc(p.entries, id, func(r entry, id string) int { return strings.Compare(r.memberID, id) })
 }
 
-// insert makes a row for a member that has none.
+// insert adds an empty entry for a member.
 func (p *ledger) insert(at int, id string) {
 	p.entries = slices.Insert(p.entries, at, entry{memberID: id})
 	p.invalidateAll()
 }
 
-// removeIf takes out the rows that are told, and tells how many are left.
+// removeIf removes the entries that gone accepts and returns how many are left.
 func (p *ledger) removeIf(gone func(entry) bool) (left int) {
 	before := len(p.entries)
 	if p.entries = slices.DeleteFunc(p.entries, gone); len(p.entries) < before {
@@ -48,19 +51,19 @@
 	return len(p.entries)
 }
 
-// invalidateAll notes that rows have other places.
+// invalidateAll drops all sums: entries have other positions.
 func (p *ledger) invalidateAll() { p.blockSums = p.blockSums[:0] }
 
-// invalidate notes that a row's member may hold something else.
+// invalidate drops the sum of the block that has the entry.
 func (p *ledger) invalidate(at int) {
 	if len(p.blockSums) > 0 {
 		p.blockSums[at/p.blockSize] = blockSum{}
 	}
 }
 
-// outstandingExcept is what all but the member of a row may hold.
+// outstandingExcept is what all members may hold but the one at that position.
 func (p *ledger) outstandingExcept(now time.Duration, but int) (all quota.Amount) {
-	if len(p.blockSums) == 0 {
+	if len(p.blockSums) == 0 { // a power of two near the square root
 		p.blockSize = 1 << (bits.Len(uint(len(p.entries))) / 2)
 		p.blockSums = append(p.blockSums, make([]blockSum, (len(p.entries)+p.blockSize-1)/p.blockSize)...)
 	}
@@ -82,12 +85,12 @@
 	return all
 }
 
-// block is the rows of a run.
+// block returns the entries of a block.
 func (p *ledger) block(i int) []entry {
 	return p.entries[i*p.blockSize : min((i+1)*p.blockSize, len(p.entries))]
 }
 
-// sumBlock adds up what a run's members may hold, which stands until the first of what was given to one of them ends.
+// sumBlock adds up what the members of a block may hold.
 func (p *ledger) sumBlock(now time.Duration, i int) blockSum {
 	s := blockSum{validFrom: now, validUntil: 1<<63 - 1}
 	for _, r := range p.block(i) {
@@ -101,11 +104,12 @@
 	return s
 }
 
+// addAmounts is the sum of both figures.
 func addAmounts(a, b quota.Amount) quota.Amount {
 	return quota.Amount{Rate: a.Rate + b.Rate, Burst: a.Burst + b.Burst}
 }
 
-// String is what the page says; sums follow from it.
+// String prints the entries; sums follow from them.
 func (p *ledger) String() string {
 	return fmt.Sprintf("%+v %v %v", p.entries, p.sharesAt, p.sharesStale)
 }
--- a/internal/controlplane/quota/allocator/shares.go
+++ b/internal/controlplane/quota/allocator/shares.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// available is what nobody but this member may hold (2).
+// available is the part of the shared pool that no other member may hold (step 2).
 func (g *Allocator) available(now time.Duration, b *quota.Budget, p *ledger, at int) quota.Amount {
 	pool, others := g.config.SharedPool(b), p.outstandingExcept(now, at)
 	return quota.Amount{Rate: max(0, pool.Rate-others.Rate), Burst: max(0, pool.Burst-others.Burst)}
 }
 
-// allocate is the member's share, as far as nobody else holds it.
+// allocate is the member's fair share, as far as it is available.
 func (g *Allocator) allocate(now time.Duration, b *quota.Budget, p *ledger, x *entry, left quota.Amount) quota.Amount {
 	pool := g.config.SharedPool(b)
 	if p.sharesStale || now-p.sharesAt >= g.config.RenewInterval()/20 || now < p.sharesAt {
 		g.recomputeShares(now, b, p)
 	}
 	share := x.fairShare
-	if !x.hasFairShare { // many come at once: an even part until shares are reckoned again
+	if !x.hasFairShare { // it is new since the last division
 		share = pool.Rate / float64(len(p.entries))
 	}
 	amount := min(share, left.Rate)
@@ -30,7 +30,7 @@
 	if pool.Rate <= 0 {
 		return quota.Amount{}
 	}
-	// Burst goes with the rate, so that all of both can be given.
+	// Burst is allocated in proportion to the rate, so that all of both can be used.
 	burst := amount * pool.Burst / pool.Rate
 	if burst > left.Burst {
 		amount, burst = amount*left.Burst/burst, left.Burst
@@ -38,7 +38,7 @@
 	return quota.Amount{Rate: amount, Burst: burst}
 }
 
-// recomputeShares reckons the shares of all who live and have a claim.
+// recomputeShares divides the shared pool among the live members by weighted max-min fairness.
 func (g *Allocator) recomputeShares(now time.Duration, b *quota.Budget, p *ledger) {
 	pool := g.config.SharedPool(b)
 	most := pool.Rate
@@ -65,6 +65,7 @@
 	p.sharesAt, p.sharesStale = now, false
 }
 
+// minAmount is the smaller of each figure.
 func minAmount(a, b quota.Amount) quota.Amount {
 	return quota.Amount{Rate: min(a.Rate, b.Rate), Burst: min(a.Burst, b.Burst)}
 }
--- a/internal/controlplane/quota/allocator/status.go
+++ b/internal/controlplane/quota/allocator/status.go
@@ -13,22 +13,23 @@
 // Liveness is how a member stands.
 type Liveness string
 
+// The states.
 const (
-	Live        Liveness = "live"   // it has renewed and may hold a part
-	Silent      Liveness = "silent" // not lately: it has its floor at most
-	Unconfirmed Liveness = "unsure" // this giver is new and has not heard it yet
+	Live        Liveness = "live"   // it renewed and may hold an allocation
+	Silent      Liveness = "silent" // not renewed recently: it has at most its floor
+	Unconfirmed Liveness = "unsure" // not heard since this term began
 )
 
-// MemberStatus is one member as the giver sees it.
+// MemberStatus is one member as the allocator sees it.
 type MemberStatus struct {
 	quota.Member
 	Liveness      Liveness `json:"state"`
-	LastHeardMs   int64    `json:"seen_ms_ago"` // since it was last heard, or the giver began
-	SessionTTLMs  int64    `json:"seat_ms"`     // until its seat ends, if it stays silent
-	ConfigVersion uint64   `json:"version"`     // of the set of budgets it goes by
+	LastHeardMs   int64    `json:"seen_ms_ago"` // since the last renewal, or since the term began
+	SessionTTLMs  int64    `json:"seat_ms"`     // until its session ends, if it stays silent
+	ConfigVersion uint64   `json:"version"`     // that it uses
 }
 
-// Members is every member, in order of their names and incarnations.
+// Members returns every member in order of name and incarnation.
 func (g *Allocator) Members(now time.Duration) []MemberStatus {
 	all := make([]MemberStatus, 0, len(g.members))
 	for _, m := range g.members {
@@ -54,7 +55,7 @@
 	return all
 }
 
-// LedgerLine is what one member may hold of a whole.
+// LedgerLine is what one member may hold of one limit.
 type LedgerLine struct {
 	quota.Key
 	ID             string       `json:"id"`
@@ -63,11 +64,11 @@
 	Want           float64      `json:"want"`
 	Used           float64      `json:"used,omitempty"`
 	InUse          float64      `json:"in_use,omitempty"`
-	ExpiresMs      int64        `json:"until_ms"`
+	ExpiresMs      int64        `json:"until_ms"` // until none of it may be used any more
 	LastHeardMs    int64        `json:"seen_ms_ago"`
 }
 
-// Ledger is the book: who may hold how much of a budget, or of all where none is named.
+// Ledger returns who may hold how much of a budget, or of all budgets if none is named.
 func (g *Allocator) Ledger(now time.Duration, budget string) []LedgerLine {
 	all := []LedgerLine{}
 	for k, p := range g.ledgers {
@@ -97,7 +98,7 @@
 	return all
 }
 
-// RecoveryWait is how long it is until the giver gives anything new of a budget (7).
+// RecoveryWait is how long it takes until this term may allocate anything new of a budget (step 7).
 func (g *Allocator) RecoveryWait(now time.Duration, b *quota.Budget) time.Duration {
 	return max(0, g.startedAt+g.outstandingTTL(b)-now)
 }
--- a/internal/controlplane/quota/budget.go
+++ b/internal/controlplane/quota/budget.go
@@ -1,5 +1,7 @@
-// Package quota has the terms that members, givers and agents share: budgets, members, renewals and answers, and the checks of
-// what an operator sets. It does no I/O. docs/fleet-budgets.md has the design and the argument for its safety.
+// Package quota defines fleet-wide quotas: the budgets that an operator sets, the members that share
+// them, and the messages by which a member renews its allocations at the leading agent. It validates
+// what operators and members send. It does no I/O. docs/fleet-budgets.md has the design and the safety
+// argument.
 package quota
 
 import (
@@ -7,22 +9,24 @@
 	"time"
 )
 
-// Resource is what a budget is for.
+// Resource is what a budget limits.
 type Resource string
 
+// The resources.
 const (
-	ColdWork    Resource = "cold"       // units sent to a target that has just started
+	ColdWork    Resource = "cold"       // units sent to targets that started recently
 	Retries     Resource = "repeat"     // attempts after the first
 	Connections Resource = "connection" // connections held at targets
 	AllWork     Resource = "work"       // units sent
 )
 
-// Resources is all of them.
+// Resources lists all resources.
 var Resources = []Resource{ColdWork, Retries, Connections, AllWork}
 
-// Scope is what a budget has a whole of its own for.
+// Scope is what a budget has a separate limit for.
 type Scope string
 
+// The scopes.
 const (
 	PerFleet  Scope = "fleet"
 	PerTarget Scope = "target"
@@ -30,44 +34,46 @@
 	PerClass  Scope = "class"
 )
 
-// MaxTransit is how long a permit is good at most: from the decision to the first byte.
+// MaxTransit is how long a permit is valid at most: from the decision to send until the first byte
+// leaves.
 const MaxTransit = 300 * time.Millisecond
 
-// Bounds of what is keyed by something.
+// Bounds on what is kept by key.
 const (
 	MaxBudgets   = 16
-	MaxSessions  = 16384
-	MaxKeys      = 1024 // of one member
-	MaxNameBytes = 128  // bytes
+	MaxSessions  = 16384 // members with a session
+	MaxKeys      = 1024  // limits that one member may hold an allocation of
+	MaxNameBytes = 128   // length of a name in bytes
 )
 
-// Budget is one whole, as an operator sets it.
+// Budget is one fleet-wide limit, as an operator sets it.
 type Budget struct {
 	Name         string   `toml:"name" json:"name"`
 	Resource     Resource `toml:"use" json:"use"`
 	Scope        Scope    `toml:"per" json:"per"`
-	Only         []string `toml:"only" json:"only,omitempty"`               // the targets, plans or classes that it is kept for; empty: all
-	Kind         string   `toml:"kind" json:"kind"`                         // rate or stock
-	Capacity     float64  `toml:"whole" json:"whole"`                       // units a second, or so many at once
+	Only         []string `toml:"only" json:"only,omitempty"`               // targets, plans or classes that it applies to; empty: all
+	Kind         string   `toml:"kind" json:"kind"`                         // "rate" or "stock" (so many in use at once)
+	Capacity     float64  `toml:"whole" json:"whole"`                       // units a second, or units in use at once
 	Burst        float64  `toml:"burst" json:"burst,omitempty"`             // of a rate: units beyond it
-	FloorRate    float64  `toml:"least" json:"least,omitempty"`             // each seat's floor
-	FloorBurst   float64  `toml:"least_burst" json:"least_burst,omitempty"` // and its burst
-	MaxPerMember float64  `toml:"most" json:"most,omitempty"`               // for one member; 0: any
-	LingerMs     int64    `toml:"linger_ms" json:"linger_ms,omitempty"`     // of a stock: what a dead member has out lasts so long
+	FloorRate    float64  `toml:"least" json:"least,omitempty"`             // guaranteed to each session, without any allocation
+	FloorBurst   float64  `toml:"least_burst" json:"least_burst,omitempty"` // burst of the floor
+	MaxPerMember float64  `toml:"most" json:"most,omitempty"`               // 0: no bound
+	LingerMs     int64    `toml:"linger_ms" json:"linger_ms,omitempty"`     // of a stock: how long a dead member's units stay in use
 }
 
-// IsConcurrencyLimit tells whether it is so many at once.
+// IsConcurrencyLimit reports whether the budget limits what is in use at once, rather than a rate.
 func (b *Budget) IsConcurrencyLimit() bool { return b.Kind == "stock" }
 
-// Linger is how long past its end what was taken under a part may last.
+// Linger is how long units of a concurrency limit may stay in use after the allocation has expired.
 func (b *Budget) Linger() time.Duration { return time.Duration(b.LingerMs) * time.Millisecond }
 
-// Covers tells whether a draw is from it.
+// Covers reports whether the budget limits the reservation.
 func (b *Budget) Covers(d Reservation) bool {
 	return b.Resource == d.Resource && (len(b.Only) == 0 || slices.Contains(b.Only, b.KeyOf(d)))
 }
 
-// KeyOf is which of the budget's wholes a draw is from.
+// KeyOf returns which of the budget's limits the reservation counts against: a target, plan or class,
+// or empty for the fleet.
 func (b *Budget) KeyOf(d Reservation) string {
 	switch b.Scope {
 	case PerTarget:
@@ -80,23 +86,23 @@
 	return ""
 }
 
-// Reservation is one use of something that is budgeted.
+// Reservation is one use of a limited resource.
 type Reservation struct {
 	Resource            Resource
 	Target, Plan, Class string
 	Units               float64
 }
 
-// Amount is a part, or what there is of one: of a rate units a second and a burst, of a stock so many.
+// Amount is a rate with a burst, or for a concurrency limit a number of units.
 type Amount struct {
-	Rate  float64 `json:"rate"`
+	Rate  float64 `json:"rate"` // units a second, or units in use
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Floor is what each seat has.
+// Floor is what each session may use without an allocation.
 func (b *Budget) Floor() Amount { return Amount{b.FloorRate, b.FloorBurst} }
 
-// Key names one whole.
+// Key names one limit: a budget and, if it is not per fleet, the target, plan or class.
 type Key struct {
 	Budget string `json:"budget"`
 	Key    string `json:"key,omitempty"`
--- a/internal/controlplane/quota/config.go
+++ b/internal/controlplane/quota/config.go
@@ -7,18 +7,19 @@
 	"time"
 )
 
-// Config is all that an operator sets, replicated as one.
+// Config is the set of all budgets, replicated as one.
 type Config struct {
 	Version         uint64   `toml:"-" json:"version"`
-	MaxSessions     int      `toml:"seats" json:"seats"`
-	RenewIntervalMs int64    `toml:"renew_ms" json:"renew_ms"`
-	AllocationTTLMs int64    `toml:"part_ms" json:"part_ms"`
-	SessionTTLS     int64    `toml:"seat_s" json:"seat_s"`
-	ClockPPM        float64  `toml:"clock_ppm" json:"clock_ppm"` // how far a clock's rate is from true time, at most
+	MaxSessions     int      `toml:"seats" json:"seats"`         // sessions that may exist; the floors of all are set aside
+	RenewIntervalMs int64    `toml:"renew_ms" json:"renew_ms"`   // how often a member renews
+	AllocationTTLMs int64    `toml:"part_ms" json:"part_ms"`     // how long an allocation lasts after its renewal was started
+	SessionTTLS     int64    `toml:"seat_s" json:"seat_s"`       // how long a session lasts after the last renewal
+	ClockPPM        float64  `toml:"clock_ppm" json:"clock_ppm"` // largest deviation of a clock's rate from true time
 	Budgets         []Budget `toml:"budget" json:"budgets"`
 }
 
-// ValidateNames names the first plan or class that a budget is kept for and that an instance does not know.
+// ValidateNames returns an error that names the first plan or class of a budget that an instance does
+// not know.
 func (d *Config) ValidateNames(plans, classes map[string]bool) error {
 	for i, b := range d.Budgets {
 		known := map[Scope]map[string]bool{PerPlan: plans, PerClass: classes}[b.Scope]
@@ -31,22 +32,24 @@
 	return nil
 }
 
+// drift is the largest relative deviation of a clock's rate.
 func (d *Config) drift() float64 { return d.ClockPPM / 1e6 }
 
-// AllocationTTL is how long a part lasts by its holder's clock.
+// AllocationTTL is how long an allocation lasts, by its holder's clock.
 func (d *Config) AllocationTTL() time.Duration {
 	return time.Duration(d.AllocationTTLMs) * time.Millisecond
 }
 
-// SessionTTL is how long a seat lasts after the last renewal, by its member's clock.
+// SessionTTL is how long a session lasts after the last renewal, by its member's clock.
 func (d *Config) SessionTTL() time.Duration { return time.Duration(d.SessionTTLS) * time.Second }
 
-// RenewInterval is how often a member renews.
+// RenewInterval is the time between two renewals.
 func (d *Config) RenewInterval() time.Duration {
 	return time.Duration(d.RenewIntervalMs) * time.Millisecond
 }
 
-// MaxOnOtherClock is the longest that a time by one clock within the bound may take by another.
+// MaxOnOtherClock is the longest time that any clock within the bound may show while another one shows
+// t.
 func (d *Config) MaxOnOtherClock(t time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(t) * (1 + d.drift()) / (1 - d.drift())))
 }
@@ -61,8 +64,8 @@
 	return nil
 }
 
-// EffectiveLimit is what may be in use of a budget, in a holder's own terms: the clocks' bound and the time that permits are good for
-// are taken off.
+// EffectiveLimit is what all members together may be allowed by their own clocks, so that the budget
+// holds in true time: clock drift, and the work that permits may still send, are taken off.
 func (d *Config) EffectiveLimit(b *Budget) Amount {
 	if b.IsConcurrencyLimit() {
 		return Amount{Rate: math.Floor(b.Capacity)}
@@ -70,13 +73,13 @@
 	return Amount{b.Capacity / (1 + d.drift()), b.Burst - b.Capacity*MaxTransit.Seconds()}
 }
 
-// SharedPool is what is divided: the total less all floors.
+// SharedPool is what is allocated by demand: the effective limit less the floors of all sessions.
 func (d *Config) SharedPool(b *Budget) Amount {
 	t, n := d.EffectiveLimit(b), float64(d.MaxSessions)
 	return Amount{max(0, t.Rate-n*b.FloorRate), max(0, t.Burst-n*b.FloorBurst)}
 }
 
-// Validate names the first field that can't be served.
+// Validate fills in defaults and returns an error that names the first field that cannot be served.
 func (d *Config) Validate() error {
 	for _, f := range []struct {
 		field  string
@@ -120,6 +123,8 @@
 	return nil
 }
 
+// validateBudget fills in defaults of a budget and returns an error that names its first invalid
+// field.
 func (d *Config) validateBudget(b *Budget) error {
 	if b.Scope == "" {
 		b.Scope = PerFleet
@@ -183,8 +188,9 @@
 	return nil
 }
 
-// ValidateChange tells whether the set may take the place of before while there are members: whoever is cut off goes on by the old
-// one, so floors, seats and times stay, and no budget goes.
+// ValidateChange reports whether the config may replace before while there are members. A member that
+// is cut off goes on with the old one, so floors, sessions and times must stay, and no budget may be
+// removed.
 func (d *Config) ValidateChange(before *Config) error {
 	switch {
 	case d.MaxSessions != before.MaxSessions:
--- a/internal/controlplane/quota/maxmin/maxmin.go
+++ b/internal/controlplane/quota/maxmin/maxmin.go
@@ -1,6 +1,7 @@
-// Package maxmin shares a whole out by need: weighted max-min fairness (Bertsekas and Gallager, Data Networks, section 6.5.2,
-// with weights), so that nobody gets less than another, for its weight, unless it wants no more. It does no I/O; equal claims get equal
-// parts, and the same claims always the same.
+// Package maxmin divides a capacity by weighted max-min fairness (Bertsekas and Gallager, Data
+// Networks, section 6.5.2, with weights): nobody gets less than another, relative to its weight,
+// unless it wants no more. It does no I/O; equal claims get equal parts, and the result does not
+// depend on the order of the claims.
 package maxmin
 
 import (
@@ -9,15 +10,16 @@
 	"slices"
 )
 
-// Claim is one member's.
+// Claim is one member's demand.
 type Claim struct {
 	Want   float64 // what it could use
 	Max    float64 // what it may get
-	Weight float64 // over 0
+	Weight float64 // greater than 0
 }
 
-// Shares divides the whole: first what is wanted, the least wanting for their weight first, then what is left over by weight, so that
-// a need that grows finds something there. The shares sum to no more than the whole.
+// Shares divides the capacity: first by demand, then what is left by weight up to each claim's
+// maximum, so that a demand that grows finds something there. The shares sum to no more than the
+// capacity.
 func Shares(whole float64, claims []Claim) []float64 {
 	got := make([]float64, len(claims))
 	raiseShares(whole, claims, got, func(c Claim) float64 { return min(max(c.Want, 0), c.Max) })
@@ -25,7 +27,8 @@
 	return got
 }
 
-// raiseShares raises all shares together, for their weight, up to each one's bound.
+// raiseShares raises all shares together, in proportion to their weights, up to each one's bound
+// (water filling).
 func raiseShares(whole float64, claims []Claim, got []float64, bound func(Claim) float64) {
 	order := make([]int, len(claims))
 	left, weights := whole, 0.0
@@ -49,8 +52,8 @@
 	}
 }
 
-// RoundUnits makes the shares of something that can't be cut whole numbers: rounded down, and what that leaves of the whole goes, one
-// each, to those who lost most by it, the first of equals first.
+// RoundUnits makes shares of an indivisible resource whole numbers: rounded down, and the units that
+// leaves go to those that lost most by it, the first of equals first.
 func RoundUnits(whole float64, shares []float64) []float64 {
 	out := make([]float64, len(shares))
 	order := make([]int, len(shares))
@@ -60,7 +63,7 @@
 		sum += out[i]
 		cut += max(0, s-out[i])
 	}
-	// Equal but for rounding is equal: else the odd unit would wander from one to another.
+	// Losses that differ by rounding errors alone are equal, or the odd unit would move between members.
 	lost := func(i int) float64 { return math.Round((shares[i] - out[i]) * 1e6) }
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(lost(b), lost(a)) })
 	left := min(math.Floor(whole-sum+1e-9), math.Floor(cut+1e-6))
--- a/internal/controlplane/quota/member.go
+++ b/internal/controlplane/quota/member.go
@@ -4,17 +4,17 @@
 	"fmt"
 )
 
-// Member is one process that has a seat.
+// Member is one process that has a session.
 type Member struct {
-	ID          string  `json:"id"`                 // drawn by the process at its start
-	Name        string  `json:"name"`               // the instance's
-	Addr        string  `json:"addr"`               // where it takes clients
-	Weight      float64 `json:"weight"`             // in divisions
-	Incarnation uint64  `json:"incarnation"`        // the log's index of its join: a later one is greater
-	Accounts    string  `json:"accounts,omitempty"` // where it tells its latency accounts; empty: nowhere
+	ID          string  `json:"id"`                 // drawn by the process for each session
+	Name        string  `json:"name"`               // the instance's name
+	Addr        string  `json:"addr"`               // where it serves clients
+	Weight      float64 `json:"weight"`             // in divisions of a limit
+	Incarnation uint64  `json:"incarnation"`        // log index of its join: a later session has a greater one
+	Accounts    string  `json:"accounts,omitempty"` // where it serves its latency accounts; empty: nowhere
 }
 
-// Validate names the first field of a join that can't be served.
+// Validate returns an error that names the first field of a join that cannot be served.
 func (m *Member) Validate() error {
 	switch {
 	case m.ID == "" || len(m.ID) > MaxNameBytes:
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// DiffMembers tells who is among the members now and was not before, and who was and is not. Both are in order of incarnation, as the
-// register has them, so that a join among ten thousand costs a look at each and no more.
+// DiffMembers returns which members were added and removed between two states of the registry. Both
+// lists must be in order of incarnation, so that the cost is linear.
 func DiffMembers(before, now []Member) (joined, left []Member) {
 	i, j := 0, 0
 	for i < len(before) || j < len(now) {
--- a/internal/controlplane/quota/quotaclient/bucket.go
+++ b/internal/controlplane/quota/quotaclient/bucket.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// allocation is one whole as this member has it.
+// allocation is one limit as this member has it: its token bucket, what it was granted, and its usage
+// since the last renewal.
 type allocation struct {
-	granted          quota.Amount // beyond the floor
+	granted          quota.Amount // beyond the floor, until grantedUntil
 	grantedUntil     time.Duration
-	tokens           float64
+	tokens           float64       // filled up to tokensAt
 	tokensAt         time.Duration // when tokens were last reckoned
-	lastUsedAt       time.Duration // when something was last drawn, or asked for in vain
+	lastUsedAt       time.Duration // last reservation, successful or not
 	usedSinceRenewal float64
-	peakInUse        float64 // most out at once
-	largestDenied    float64 // largest draw that found too little
-	wanted           float64
-	usedRate         float64 // used a second, before the last renewal
+	peakInUse        float64 // most units in use at once
+	largestDenied    float64 // largest reservation that was denied
+	wanted           float64 // asked for with the last renewal
+	usedRate         float64 // units a second before the last renewal
 }
 
-// lookup returns what there is of a whole, made at first need: its floor's bucket has filled since the seat was taken. Past the most
-// that may be kept there is nothing.
+// lookup returns the state of a limit, created at first use with a bucket that has filled at the
+// floor's rate since the join. known is false if too many limits are kept already.
 func (h *Client) lookup(now time.Duration, k quota.Key) (x allocation, known bool) {
 	if x, known = h.allocations[k]; !known && len(h.allocations) < quota.MaxKeys {
 		x, known = allocation{tokensAt: h.registeredAt, lastUsedAt: now}, true
@@ -29,6 +30,7 @@
 	return x, known
 }
 
+// refillAll brings all buckets up to now, before the config changes.
 func (h *Client) refillAll(now time.Duration) {
 	for k, x := range h.allocations {
 		if b := h.config.Budget(k.Budget); b != nil {
@@ -37,7 +39,7 @@
 	}
 }
 
-// grantedNow is what there is beyond the floor at that moment.
+// grantedNow is the allocation beyond the floor that is valid now.
 func (h *Client) grantedNow(x allocation, now time.Duration) quota.Amount {
 	if h.registered && now < x.grantedUntil {
 		return x.granted
@@ -45,7 +47,7 @@
 	return quota.Amount{}
 }
 
-// limitNow is what may be used at that moment, floor and part.
+// limitNow is what may be used now: the floor and the allocation.
 func (h *Client) limitNow(b *quota.Budget, x allocation, now time.Duration) quota.Amount {
 	a := h.grantedNow(x, now)
 	if h.Registered(now) {
@@ -55,11 +57,12 @@
 	return a
 }
 
+// burstNow is the capacity of the bucket now.
 func (h *Client) burstNow(b *quota.Budget, x allocation, now time.Duration) float64 {
 	return h.limitNow(b, x, now).Burst
 }
 
-// refill brings a bucket up to that moment, through whatever ended meanwhile.
+// refill brings a bucket up to now, piecewise over the ends of allocation and session.
 func (h *Client) refill(b *quota.Budget, x allocation, now time.Duration) allocation {
 	for x.tokensAt < now {
 		to := now
@@ -76,6 +79,7 @@
 	return x
 }
 
+// inUse is how many units of a concurrency limit are in use.
 func (h *Client) inUse(b *quota.Budget, k quota.Key) float64 {
 	if b.IsConcurrencyLimit() {
 		return h.openConnections[k.Key]
--- a/internal/controlplane/quota/quotaclient/client.go
+++ b/internal/controlplane/quota/quotaclient/client.go
@@ -1,6 +1,11 @@
-// Package quotaclient is a member's side of fleet-wide budgets: what it may use at a moment, what it asks for, and which answers it takes. It
-// does no I/O; time is passed in, and equal inputs give equal outputs. docs/fleet-budgets.md argues for its safety; the numbers
-// in the comments here are that page's steps.
+// Package quotaclient is a member's side of fleet-wide quotas: what it may use at a moment, what it
+// asks for, and which answers it accepts. It does no I/O; time is passed in, and equal inputs give
+// equal outputs.
+//
+// Invariants: an allocation is used until its TTL counted from the start of its renewal, so before its
+// answer arrived; only the answer to the last renewal is accepted, and only once; a bucket never gains
+// tokens by an allocation, only by time. docs/fleet-budgets.md has the argument; numbers of steps in
+// comments are that page's.
 package quotaclient
 
 import (
@@ -9,38 +14,41 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
+// Constants of the demand estimate.
 const (
-	wantHeadroom   = 1.25 // of what was used, asked for beyond it: a need that grows by less finds its part there
-	deniedGrowth   = 4    // times what there is are asked for where something was denied: what is really needed can't be seen then
-	wantDecay      = 0.8  // of what was asked for last is asked for at least: a short lull gives nothing away
-	wantHysteresis = 0.1  // a want that changes by less stays as it was
-	roundingSlack  = 1e-9 // of sums of floating-point numbers
-	// idleTTL is how long a whole that nothing was drawn from stays known.
-	idleTTL = time.Minute
+	wantHeadroom = 1.25 // times the usage that is asked for, so that demand can grow
+	// times the present limit that is asked for after a denial: the real demand is unknown then
+	deniedGrowth = 4
+	// smallest fraction of the previous demand to ask for: a short lull gives nothing up
+	wantDecay      = 0.8
+	wantHysteresis = 0.1         // relative change of demand that is ignored
+	roundingSlack  = 1e-9        // rounding error of sums
+	idleTTL        = time.Minute // how long an unused limit stays known
 )
 
-// Client is one process's. It is not safe for concurrent use.
+// Client is one process's quotas. It is not safe for concurrent use.
 type Client struct {
-	governed         map[quota.Resource]bool // nothing of these is used before the fleet's budgets are known
-	memberID         string
-	registered       bool
-	leaving          bool
-	registeredAt     time.Duration
+	governed         map[quota.Resource]bool // resources that are blocked until the budgets are known
+	memberID         string                  // of the current or last session
+	registered       bool                    // it has a session, which ends at sessionEnd
+	leaving          bool                    // nothing is used any more
+	registeredAt     time.Duration           // start of the join
 	sessionEnd       time.Duration
 	config           quota.Config
-	hasConfig        bool // doc is
-	allocations      map[quota.Key]allocation
-	openConnections  map[string]float64 // connections by target
-	lastSeq          uint64
-	renewalStartedAt time.Duration // when the renewal sent last was begun
-	renewalAnswered  bool          // its answer was taken
-	wantsComputedAt  time.Duration // when wants were last reckoned
-	denied           bool          // something was denied since the last renewal
-	deniedBefore     bool          // and before it
-	allocationGrew   bool          // a part grew by the last answer
+	hasConfig        bool                     // config is known
+	allocations      map[quota.Key]allocation // by limit
+	openConnections  map[string]float64       // by target
+	lastSeq          uint64                   // of the renewal sent last
+	renewalStartedAt time.Duration            // of it
+	renewalAnswered  bool                     // its answer was accepted
+	wantsComputedAt  time.Duration            // when demand was last computed
+	denied           bool                     // a reservation was denied since the last renewal
+	deniedBefore     bool                     // and between the last two renewals
+	allocationGrew   bool                     // by the last answer
 }
 
-// New returns a holder without a seat. Of the uses named nothing is allowed until the fleet's budgets are known.
+// New returns a client without a session. The governed resources are blocked until the budgets are
+// known.
 func New(governed []quota.Resource) *Client {
 	h := &Client{governed: map[quota.Resource]bool{}, allocations: map[quota.Key]allocation{}, openConnections: map[string]float64{}}
 	for _, u := range governed {
@@ -49,31 +57,32 @@
 	return h
 }
 
-// Register takes a seat over: began is when the join was begun. Buckets start empty (8).
-func (h *Client) Register(began time.Duration, id string, doc quota.Config) {
-	h.memberID, h.config, h.hasConfig, h.registered, h.leaving = id, doc, true, true, false
-	h.registeredAt, h.sessionEnd = began, began+doc.SessionTTL()
+// Register takes over a new session; startedAt is when the join was started. Buckets start empty (step
+// 8).
+func (h *Client) Register(startedAt time.Duration, id string, config quota.Config) {
+	h.memberID, h.config, h.hasConfig, h.registered, h.leaving = id, config, true, true, false
+	h.registeredAt, h.sessionEnd = startedAt, startedAt+config.SessionTTL()
 	h.allocations = map[quota.Key]allocation{}
-	h.lastSeq, h.wantsComputedAt = 0, began
+	h.lastSeq, h.wantsComputedAt = 0, startedAt
 }
 
-// Unregister gives everything up: the agents know no such member.
+// Unregister gives up the session: the agents do not know it.
 func (h *Client) Unregister() {
 	h.registered = false
 	h.allocations = map[quota.Key]allocation{}
 }
 
-// Leave gives everything up for good. Nothing is used from now on, so the agents may be told.
+// Leave gives up everything for good. Nothing is used from now on, so the agents may be told.
 func (h *Client) Leave() {
 	h.Unregister()
 	h.leaving = true
 }
 
-// Registered tells whether there is a seat at that moment.
+// Registered reports whether there is a session at that moment.
 func (h *Client) Registered(now time.Duration) bool { return h.registered && now < h.sessionEnd }
 
-// MemberID is the member that has the seat.
+// MemberID is the id of the session.
 func (h *Client) MemberID() string { return h.memberID }
 
-// SessionEnd is when the seat ends, or ended.
+// SessionEnd is when the session ends, or ended.
 func (h *Client) SessionEnd() time.Duration { return h.sessionEnd }
--- a/internal/controlplane/quota/quotaclient/connections.go
+++ b/internal/controlplane/quota/quotaclient/connections.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// connectionLimit is the least that any stock allows of connections at a target; false: none is kept.
+// connectionLimit is the smallest limit of any budget on connections to a target. governed is false if
+// there is none.
 func (h *Client) connectionLimit(now time.Duration, target string) (limit float64, governed bool) {
 	if h.blocked(quota.Connections) {
 		return 0, true
@@ -27,7 +28,8 @@
 	return limit, governed
 }
 
-// OpenConnection counts a connection to a target; false: there may be none more (10).
+// OpenConnection counts a new connection to a target, and reports false if the limit does not allow it
+// (step 10).
 func (h *Client) OpenConnection(now time.Duration, target string) bool {
 	limit, governed := h.connectionLimit(now, target)
 	full := governed && h.openConnections[target]+1 > limit+roundingSlack
@@ -59,7 +61,7 @@
 	}
 }
 
-// ExcessConnections is how many connections to a target are open beyond what may be.
+// ExcessConnections is how many connections to a target exceed the limit and have to be closed.
 func (h *Client) ExcessConnections(now time.Duration, target string) int {
 	limit, governed := h.connectionLimit(now, target)
 	if !governed {
@@ -68,7 +70,7 @@
 	return int(max(0, math.Ceil(h.openConnections[target]-limit-roundingSlack)))
 }
 
-// OpenConnections is how many connections are open.
+// OpenConnections is the number of open connections to all targets.
 func (h *Client) OpenConnections() (n int) {
 	for _, x := range h.openConnections {
 		n += int(x)
--- a/internal/controlplane/quota/quotaclient/renewal.go
+++ b/internal/controlplane/quota/quotaclient/renewal.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BeginRenewal begins a renewal. Only its own answer will be taken from now on (4).
+// BeginRenewal starts a renewal. From now on only its own answer is accepted (step 4).
 func (h *Client) BeginRenewal(now time.Duration) quota.RenewalRequest {
 	h.lastSeq++
 	h.renewalStartedAt, h.renewalAnswered, h.deniedBefore, h.denied, h.allocationGrew = now, false, h.denied, false, false
@@ -18,7 +18,7 @@
 	for i := range h.config.Budgets {
 		b := &h.config.Budgets[i]
 		if b.Scope == quota.PerFleet {
-			h.lookup(now, quota.Key{Budget: b.Name}) // always there: what is left over is shared out as well
+			h.lookup(now, quota.Key{Budget: b.Name}) // always reported: unused capacity is divided as well
 		}
 		if b.IsConcurrencyLimit() {
 			for target := range h.openConnections {
@@ -40,7 +40,7 @@
 		held := h.grantedNow(x, now)
 		idle := now - x.lastUsedAt
 		if held == (quota.Amount{}) && h.inUse(b, k) == 0 && b.Scope != quota.PerFleet && idle > idleTTL && x.tokens >= b.FloorBurst-roundingSlack {
-			delete(h.allocations, k) // as a bucket that was never used
+			delete(h.allocations, k) // equal to a bucket that was never used
 			continue
 		}
 		h.allocations[k] = x
@@ -52,7 +52,7 @@
 	return r
 }
 
-// updateWant reckons what is asked for: what was used and a little more, much more where something was denied.
+// updateWant computes the demand to ask for: usage with headroom, and much more after a denial.
 func (h *Client) updateWant(b *quota.Budget, k quota.Key, x allocation, span float64, now time.Duration) allocation {
 	has := b.FloorRate + h.grantedNow(x, now).Rate
 	x.usedRate = x.usedSinceRenewal / span
@@ -77,8 +77,8 @@
 	return x
 }
 
-// AcceptRenewal takes an answer. One to another renewal than the last, to one already taken, or to a seat that it had before, is no
-// answer (4).
+// AcceptRenewal takes over an answer and reports whether it was accepted. Answers to another renewal
+// than the last, to one that was answered, and to another session are ignored (step 4).
 func (h *Client) AcceptRenewal(now time.Duration, a quota.RenewalResponse) bool {
 	if !h.registered || a.ID != h.memberID || a.Seq != h.lastSeq || h.renewalAnswered {
 		return false
@@ -93,7 +93,7 @@
 		return false
 	}
 	h.sessionEnd = h.renewalStartedAt + h.config.SessionTTL()
-	end := h.renewalStartedAt + h.config.AllocationTTL() // from before the renewal went out (1)
+	end := h.renewalStartedAt + h.config.AllocationTTL() // counted from before the renewal was sent (step 1)
 	for _, g := range a.Allocations {
 		b := h.config.Budget(g.Budget)
 		if b == nil {
@@ -105,21 +105,22 @@
 		}
 		x = h.refill(b, x, now)
 		if g.ExtendsOnly && now >= x.grantedUntil {
-			continue // what it would extend may be another's by now (5)
+			continue // what it would extend may be allocated to another member by now (step 5)
 		}
 		h.allocationGrew = h.allocationGrew || g.Rate > h.grantedNow(x, now).Rate*(1+wantHysteresis)
 		x.granted, x.grantedUntil = g.Amount, end
-		x.tokens = min(x.tokens, h.burstNow(b, x, now)) // a part brings no tokens (8)
+		x.tokens = min(x.tokens, h.burstNow(b, x, now)) // an allocation brings no tokens (step 8)
 		h.allocations[g.Key] = x
 	}
 	return true
 }
 
-// HasUnmetDemand tells whether something was denied since the last renewal.
+// HasUnmetDemand reports whether a reservation was denied since the last renewal.
 func (h *Client) HasUnmetDemand() bool { return h.denied }
 
-// NextRenewal is when the next renewal is due, where one was sent; sooner where something is wanted that was not before, or where asking has
-// just brought more. Whoever is denied for good asks no more often than others: an overload must not become the agents'.
+// NextRenewal is when the next renewal is due. It is early if something was denied that was not denied
+// before, or if the last answer brought more. A member that is denied all the time renews no more
+// often than others, so that an overload does not become the agents' overload.
 func (h *Client) NextRenewal() time.Duration {
 	if !h.hasConfig {
 		return 0
@@ -130,10 +131,10 @@
 	return h.renewalStartedAt + h.config.RenewInterval()
 }
 
-// RenewTimeout is how long an answer is waited for before the next renewal.
+// RenewTimeout is how long to wait for the answer to a renewal.
 func (h *Client) RenewTimeout() time.Duration { return h.config.RenewInterval() }
 
-// AllocationsEnd is when what was granted last ends; 0: nothing was.
+// AllocationsEnd is when the last allocation expires; 0: there was none.
 func (h *Client) AllocationsEnd() (end time.Duration) {
 	for _, x := range h.allocations {
 		end = max(end, x.grantedUntil)
--- a/internal/controlplane/quota/quotaclient/reserve.go
+++ b/internal/controlplane/quota/quotaclient/reserve.go
@@ -5,10 +5,12 @@
 	"time"
 )
 
-// blocked tells whether a use is governed while nothing is known of the fleet's budgets.
+// blocked reports whether a resource must not be used: it is governed and the budgets are unknown, or
+// the client leaves.
 func (h *Client) blocked(u quota.Resource) bool { return h.governed[u] && !h.hasConfig || h.leaving }
 
-// Wait tells how long it is, at least, until the draw may be made; 0: now. Of a stock, Units is how many would be out.
+// Wait returns the least time until the reservation may be made; 0: now. governed is false if no
+// budget covers it. For a concurrency limit, Units is how many would be in use.
 func (h *Client) Wait(now time.Duration, d quota.Reservation) (wait time.Duration, governed bool) {
 	const poll = 50 * time.Millisecond
 	if h.blocked(d.Resource) {
@@ -48,7 +50,8 @@
 	return wait, governed
 }
 
-// Reserve makes draws that Wait allowed at that moment, and tells until when they are good: the first byte has to go by then (9).
+// Reserve makes reservations that Wait allowed at this moment, and returns until when they are valid:
+// the first byte has to leave by then (step 9).
 func (h *Client) Reserve(now time.Duration, draws ...quota.Reservation) (until time.Duration) {
 	until = now + quota.MaxTransit
 	for _, d := range draws {
@@ -63,7 +66,7 @@
 			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
 			x, known := h.lookup(now, k)
 			if !known {
-				return now - 1 // good for nothing
+				return now - 1 // invalid
 			}
 			x = h.refill(b, x, now)
 			x.tokens -= d.Units
--- a/internal/controlplane/quota/quotaclient/status.go
+++ b/internal/controlplane/quota/quotaclient/status.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// AllocationStatus is one whole as it is here at a moment.
+// AllocationStatus is one limit as this member has it.
 type AllocationStatus struct {
 	quota.Key
-	Limit        quota.Amount
-	GrantedUntil time.Duration // of what is beyond the floor; in the past: nothing is
+	Limit        quota.Amount  // floor and allocation
+	GrantedUntil time.Duration // end of the part beyond the floor; past: there is none
 	Tokens       float64
 	InUse        float64
 	Wanted       float64
-	UsedRate     float64 // used a second
+	UsedRate     float64 // units a second before the last renewal
 }
 
-// Status is every whole that is known here, in order.
+// Status returns all known limits in order of their keys.
 func (h *Client) Status(now time.Duration) []AllocationStatus {
 	var all []AllocationStatus
 	for _, k := range slices.SortedFunc(maps.Keys(h.allocations), func(a, b quota.Key) int {
@@ -35,7 +35,7 @@
 	return all
 }
 
-// ConfigVersion is that of the set of budgets gone by; 0: none is known.
+// ConfigVersion is the version of the config in use; 0: none is known.
 func (h *Client) ConfigVersion() uint64 {
 	if !h.hasConfig {
 		return 0
@@ -43,7 +43,7 @@
 	return h.config.Version
 }
 
-// Limit is what may be used of a whole at a moment, floor and part.
+// Limit is what may be used of one limit at a moment, floor and allocation.
 func (h *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
 	b := h.config.Budget(k.Budget)
 	if !h.hasConfig || b == nil {
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 )
 
-// Tell tells the numbers of the fleet's budgets.
+// Tell writes the metrics of the quotas.
 func (r *Session) Tell(to statsd.ExtendedStatSender) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -13,14 +13,15 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
+// Times of joining and leaving.
 const (
-	agentFreshness         = 5 * time.Second        // an agent that answered is told of to others
-	joinRetryMin           = 200 * time.Millisecond // doubled up to
+	agentFreshness         = 5 * time.Second        // for which an agent's last answer makes it reachable
+	joinRetryMin           = 200 * time.Millisecond // doubled up to joinRetryMax
 	joinRetryMax           = 5 * time.Second
-	connectionCloseTimeout = time.Second // how long connections may take to close before the seat is given back
+	connectionCloseTimeout = time.Second // for connections to close before the session is given up
 )
 
-// Run keeps a seat until ctx ends; Leave gives it back.
+// Run joins and renews until ctx ends. Leave then gives up the session.
 func (r *Session) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if r.register(ctx) {
@@ -29,8 +30,9 @@
 	}
 }
 
-// register asks for a seat until there is one. Each seat is for an id of its own; an answer that was lost is asked for again by the
-// same, for as long as its seat could last.
+// register joins until it has a session, and reports false if ctx ended. Each session has an id of its
+// own; if an answer was lost, the join is repeated with the same id for as long as its session could
+// last.
 func (r *Session) register(ctx context.Context) bool {
 	id := rand.Text()
 	waits := backoff.ExponentialBackOff{InitialInterval: joinRetryMin, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: joinRetryMax}
@@ -73,7 +75,7 @@
 	}
 }
 
-// watchLeases has a renewal sent whenever the agents' log has changed something for this member's tasks.
+// watchLeases has a renewal sent whenever the agents' log changes a lease of this member.
 func (r *Session) watchLeases(ctx context.Context, id string) {
 	var known uint64
 	for ctx.Err() == nil {
@@ -92,7 +94,7 @@
 	}
 }
 
-// renewUntilLost renews until the seat is lost or ctx ends.
+// renewUntilLost renews until the session is lost or ctx ends.
 func (r *Session) renewUntilLost(ctx context.Context) {
 	if r.opt.LeaseWorker != nil {
 		heeding, stop := context.WithCancel(ctx)
@@ -116,7 +118,7 @@
 				return
 			case <-time.After(due):
 			case <-r.wake:
-				continue // perhaps sooner
+				continue // it may be due sooner now
 			}
 		}
 		r.mu.Lock()
@@ -126,7 +128,7 @@
 			r.onChange()
 			return
 		}
-		began := monotone.Now() // before it goes out: its part's end is reckoned from here
+		began := monotone.Now() // before it is sent: the allocation's TTL counts from here
 		ren := r.client.BeginRenewal(began)
 		within := r.client.RenewTimeout()
 		r.renewNow = false
@@ -166,7 +168,7 @@
 	}
 }
 
-// loseSession gives the seat up. Its caller holds mu.
+// loseSession gives up the session. The caller holds mu.
 func (r *Session) loseSession(why string) {
 	r.status = why
 	r.client.Unregister()
@@ -176,8 +178,8 @@
 	r.opt.Log.Warn("seat lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", why))
 }
 
-// Leave uses nothing more, and once no connection is open gives the seat back; where that takes too long it is left to end.
-// Run must have ended.
+// Leave stops all use and, once no connection is open, gives up the session; if that takes too long it
+// is left to expire. Run must have ended.
 func (r *Session) Leave(ctx context.Context) {
 	r.mu.Lock()
 	seated, id := r.client.Registered(monotone.Now()), r.client.MemberID()
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
+// toReservation converts the scheduler's reservation to the fleet's.
 func toReservation(d policy.Reservation) quota.Reservation {
 	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries,
 		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[d.Resource]
 	return quota.Reservation{Resource: use, Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
-// Wait implements spindlehitch.Ration.
+// Wait implements policy.Quota.
 func (r *Session) Wait(d policy.Reservation) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,7 +26,7 @@
 	return wait, governed
 }
 
-// Reserve implements spindlehitch.Ration. The permit is good while the part that it is from lasts.
+// Reserve implements policy.Quota. The permit is valid as long as the allocation that it uses.
 func (r *Session) Reserve(draws []policy.Reservation) policy.Permit {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,12 +37,13 @@
 	return permit{r, r.client.Reserve(monotone.Now(), all...)}
 }
 
+// permit is what a send may use, until a time on the monotonic clock.
 type permit struct {
 	session *Session
 	until   time.Duration
 }
 
-// Valid implements spindlehitch.Permit.
+// Valid implements policy.Permit.
 func (p permit) Valid() bool {
 	good := monotone.Now() < p.until
 	if !good {
@@ -52,7 +54,7 @@
 	return good
 }
 
-// Open counts a connection to a target; false: there may be none more.
+// Open counts a new connection to a target, and reports false if the limit does not allow it.
 func (r *Session) Open(target string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +73,7 @@
 	r.client.CloseConnection(target)
 }
 
-// Over is how many connections to a target are to be closed.
+// Over is how many connections to a target have to be closed.
 func (r *Session) Over(target string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/quota/quotasession/session.go
+++ b/internal/controlplane/quota/quotasession/session.go
@@ -1,5 +1,7 @@
-// Package quotasession is an instance's edge of the fleet: it keeps a seat at the agents by renewals, and answers the module and the
-// targets' pools from the holder, on the clock that counts sleep. All decisions are the holder's (internal/controlplane/quota/quotaclient).
+// Package quotasession connects an instance to the fleet's quotas: it joins at the agents, keeps the
+// session by renewals, and answers the scheduler's and the connection pools' questions from a
+// quotaclient.Client, on the clock that counts sleep. All decisions are in quotaclient. The claims of
+// leases travel with the renewals (LeaseWorker).
 package quotasession
 
 import (
@@ -13,54 +15,54 @@
 	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
-// Options set up an instance's part in the fleet.
+// Options configure an instance's session.
 type Options struct {
 	Name           string
-	Addr           string // where it takes clients: two processes at one address are an upgrade
+	Addr           string // where it serves clients: two processes at one address are an upgrade
 	Agents         []string
-	FallbackAgents func() []string // agents that others know, where none of these answers; nil: nobody knows any
+	FallbackAgents func() []string // agents that other members know, if none of Agents answers; nil: none
 	Weight         float64
-	Governed       []quota.Resource // nothing of these is used before the fleet's budgets are known
+	Governed       []quota.Resource // resources that are blocked until the budgets are known
 	Log            *slog.Logger
 	LeaseWorker    LeaseWorker // nil: the instance runs no tasks
-	AccountsAddr   string      // where it tells its latency accounts; empty: nowhere
+	AccountsAddr   string      // where it serves its latency accounts; empty: nowhere
 }
 
-// LeaseWorker is what an instance does for the whole fleet (internal/controlplane/lease/leasework): its claims go with the renewals of its seat.
+// LeaseWorker runs fleet-wide tasks under leases (package leasework).
 type LeaseWorker interface {
 	BeginRenewal(now time.Duration) *lease.RenewalRequest
 	AcceptRenewal(now time.Duration, a *lease.RenewalResponse)
-	DropAll()                       // the seat is lost
-	Stop(within time.Duration) bool // gives everything back; whether nothing is done any more
+	DropAll()                       // the session is lost
+	Stop(within time.Duration) bool // releases everything; whether all operations have ended
 }
 
-// Session is an instance's. All of it is safe for concurrent use.
+// Session is an instance's session. It is safe for concurrent use.
 type Session struct {
 	opt      Options
 	agents   agent.Client
-	onChange func() // told when parts have changed
-	wake     chan struct{}
+	onChange func()        // called when allocations have changed; it must not block
+	wake     chan struct{} // a renewal may be due earlier than planned
 
 	mu       sync.Mutex
-	client   *quotaclient.Client
-	renewNow bool   // the next renewal is due at once
-	status   string // why there is no seat, or nothing beyond the floor; empty: there is
+	client   *quotaclient.Client // the decisions
+	renewNow bool                // the next renewal is due at once
+	status   string              // why there is no session or no allocation; empty: all is well
 	counts   struct{ renewed, failed, lapsed, denied int64 }
 }
 
-// New returns one that has no seat yet; Run gets it one.
+// New returns a session that has not joined yet; Run joins and renews.
 func New(opt Options) *Session {
 	return &Session{opt: opt, agents: agent.Client{Addrs: opt.Agents, FallbackAddrs: opt.FallbackAgents}, client: quotaclient.New(opt.Governed), status: "JOINING",
 		wake: make(chan struct{}, 1), onChange: func() {}}
 }
 
-// ReachableAgent is an agent that has answered lately; empty: none has.
+// ReachableAgent is an agent that answered recently; empty: none did.
 func (r *Session) ReachableAgent() string { return r.agents.LastAnswered(agentFreshness) }
 
-// OnChange has f called whenever parts have changed. It must be called before Run, and f must not wait.
+// OnChange sets what is called when allocations have changed. It must be called before Run.
 func (r *Session) OnChange(f func()) { r.onChange = f }
 
-// wakeRenewal has a renewal sent early, where the holder wants one. Its caller holds mu.
+// wakeRenewal has a renewal sent early if the client wants one. The caller holds mu.
 func (r *Session) wakeRenewal() {
 	if r.client.HasUnmetDemand() {
 		select {
--- a/internal/testbed/modelcheck/wrong_test.go
+++ b/internal/testbed/modelcheck/wrong_test.go
@@ -22,7 +22,7 @@
 	{"floors' bursts not set aside", "quota/config.go", "max(0, t.Burst-n*b.FloorBurst)", "max(0, t.Burst)", ""},
 	{"the clocks' bound not taken off a rate", "quota/config.go", "b.Capacity / (1 + d.drift())", "b.Capacity", ""},
 	{"more members than seats", "registry/registry.go", "len(r.Members) >= r.QuotaConfig.MaxSessions", "len(r.Members) > r.QuotaConfig.MaxSessions", ""},
-	{"a part that brings tokens", "quota/quotaclient/renewal.go", "x.tokens = min(x.tokens, h.burstNow(b, x, now)) // a part", "x.tokens = h.burstNow(b, x, now) // a part", ""},
+	{"a part that brings tokens", "quota/quotaclient/renewal.go", "x.tokens = min(x.tokens, h.burstNow(b, x, now)) // an allocation", "x.tokens = h.burstNow(b, x, now) // an allocation", ""},
 	{"saved tokens kept past the end", "quota/quotaclient/bucket.go", "\tx.tokens = min(x.tokens, h.burstNow(b, x, now))\n\treturn x" + explore.Places + "x.tokens = min(a.Burst, x.tokens+",
 		"\treturn x" + explore.Places + "x.tokens = min(max(a.Burst, x.tokens), x.tokens+"},
 	{"buckets that start full", "quota/quotaclient/bucket.go", "allocation{tokensAt: h.registeredAt, lastUsedAt: now}", "allocation{tokensAt: 0, lastUsedAt: now}", ""},
