--- a/internal/controlplane/lease/casfile/casfile.go
+++ b/internal/controlplane/lease/casfile/casfile.go
@@ -1,8 +1,9 @@
-// Package casfile is a guarded folder: a state that many processes, on machines that share a file system, change by compare and swap, without
-// locks that a paused process could keep. docs/leases.md, Places.
+// Package casfile keeps a small state in a folder that many processes, on machines that share a file
+// system, change by compare and swap, without locks that a paused process could hold for ever.
 //
-// The state is a chain of records, numbered from 1. A change is the next record, made whole under another name and then given its
-// number by link(2), which fails where another has it. The highest number is the state.
+// The state is a chain of numbered records. A change writes the next record under a temporary name and
+// gives it its number by link(2), which fails if another process was first. The record with the
+// highest number is the state.
 package casfile
 
 import (
@@ -21,21 +22,22 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
+// Form of the records.
 const (
 	recordFormat = 1
 	recordSuffix = ".record"
 	tempPrefix   = "writing-"
-	keptRecords  = 64 // records; those before are taken away
-	maxAttempts  = 1000
+	keptRecords  = 64   // older ones are removed
+	maxAttempts  = 1000 // of a change against others
 )
 
-// Errors of folders that are not used.
+// Errors of folders that cannot be used.
 var (
 	ErrDamaged = errors.New("damaged")
 	ErrBusy    = errors.New("changed by others each time")
 )
 
-// record is a file.
+// record is one file.
 type record struct {
 	Format int             `json:"format"`
 	Number uint64          `json:"n"`
@@ -45,11 +47,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
+// recordPath is the name of a record's file.
 func recordPath(dir string, n uint64) string {
 	return filepath.Join(dir, fmt.Sprintf("%020d%s", n, recordSuffix))
 }
 
-// recordNumbers has the records' numbers, in order.
+// recordNumbers returns the numbers of all records in order.
 func recordNumbers(dir string) (all []uint64, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -66,7 +69,8 @@
 	return all, err
 }
 
-// Read returns the state and its number; 0: there is none yet. What is wrong with it is ErrDamaged: it is never passed over.
+// Read returns the state and its number; 0: there is none yet. A damaged state is ErrDamaged and never
+// skipped.
 func Read[S any](dir string) (state S, n uint64, err error) {
 	for {
 		all, err := recordNumbers(dir)
@@ -76,7 +80,7 @@
 		n = all[len(all)-1]
 		b, err := os.ReadFile(recordPath(dir, n))
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // there is a newer one, and this has been taken away
+			continue // a newer record exists, and this one was removed
 		}
 		if err != nil {
 			return state, 0, err
@@ -98,9 +102,10 @@
 	}
 }
 
-// Update changes the state in one atomic step. change is given the state as it is, perhaps several times, also after it was made: it has to
-// know itself by what it left, as a guarded act does (guard.Place). An error of its own changes
-// nothing and is returned, with the state. After another error the change may have been made: whoever asks again sees.
+// Update changes the state in one atomic step. change gets the present state, possibly several times,
+// and possibly again after its change was made: it has to recognize that from the state, as a fenced
+// operation does (fencing.Guard). An error of change is returned with the state, and nothing is
+// changed. After another error the change may have been made: the caller has to read the state.
 func Update[S any](dir string, change func(*S) error) (state S, err error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return state, err
@@ -120,7 +125,7 @@
 	return state, fmt.Errorf("%s: %w", dir, ErrBusy)
 }
 
-// appendRecord makes the record of that number, the one after a state that was read.
+// appendRecord writes the record of that number, the next after a state that was read.
 func appendRecord(dir string, n uint64, state any) (won bool, err error) {
 	text, err := json.Marshal(state)
 	if err != nil {
@@ -141,7 +146,7 @@
 	}
 	failpoint.Hit("place.link")
 	err = os.Link(f.Name(), recordPath(dir, n))
-	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) { // another was first, or tidied up what stood still for long
+	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) { // another process was first, or removed the temporary file of a long pause
 		return false, nil
 	}
 	if err != nil {
@@ -159,12 +164,13 @@
 		}
 	}
 	removeStaleTemp(dir)
-	// A number is only taken away once there are so many above it. Where there are, it may have been another's before, and this record
-	// is below the state: the change is tried again on the state as it is, which knows it if it was made.
+	// A number is reused only after keptRecords newer ones exist. If they do, this record may have taken a removed
+	// number and is not the state: the change is tried again on the present state, which shows whether it was made.
 	return n+keptRecords > highest, syncDir(dir)
 }
 
-// removeStaleTemp takes away what a process that died, or stood still for minutes, left half written.
+// removeStaleTemp removes temporary files that a process left behind when it died or was paused for
+// minutes.
 func removeStaleTemp(dir string) {
 	left, _ := filepath.Glob(filepath.Join(dir, tempPrefix+"*"))
 	for _, path := range left {
@@ -174,6 +180,7 @@
 	}
 }
 
+// syncDir makes the folder's entries durable.
 func syncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/controlplane/lease/config.go
+++ b/internal/controlplane/lease/config.go
@@ -5,14 +5,14 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Bounds of what is keyed by something.
+// Bounds on what is kept by key.
 const (
 	MaxTasks   = 16
 	MaxShards  = 1024 // of one task
-	MaxTargets = 1024 // that a member names, or is told of, at a time
+	MaxTargets = 1024 // that a member names, or is told, at a time
 )
 
-// Config is all tasks, replicated as one.
+// Config is the set of all tasks, replicated as one.
 type Config struct {
 	Version uint64 `toml:"-" json:"version"`
 	Tasks   []Task `toml:"task" json:"tasks"`
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// Validate names the first field that can't be served. Times are held against the fleet's renewals, seats and clocks where f is
-// given.
+// Validate fills in defaults and returns an error that names the first field that cannot be served. If
+// f is given, times are checked against its renewals, sessions and clocks.
 func (d *Config) Validate(f *quota.Config) error {
 	if len(d.Tasks) > MaxTasks {
 		return fmt.Errorf("task: %d are too many, %d at most", len(d.Tasks), MaxTasks)
@@ -48,7 +48,8 @@
 	return nil
 }
 
-// ValidateChange tells whether the tasks may take the place of before while some shards are held: whoever is cut off goes on by the old times.
+// ValidateChange reports whether the config may replace before while shards are held: a member that is
+// cut off goes on with the old times.
 func (d *Config) ValidateChange(before *Config, held func(task string) bool) error {
 	for i := range before.Tasks {
 		old := &before.Tasks[i]
--- a/internal/controlplane/lease/errors.go
+++ b/internal/controlplane/lease/errors.go
@@ -1,8 +1,9 @@
 package lease
 
-// RejectionError says why something about leases is refused.
+// RejectionError is why a change of leases is rejected, as an operator sees it.
 type RejectionError string
 
+// The reasons.
 const (
 	ErrUnknownTask      RejectionError = "task: unknown"
 	ErrUnknownShard     RejectionError = "shard: the task has no such shard"
@@ -13,4 +14,5 @@
 	ErrNotHeld          RejectionError = "shard: nobody holds it"
 )
 
+// Error returns the reason.
 func (r RejectionError) Error() string { return string(r) }
--- a/internal/controlplane/lease/fencing/fencing.go
+++ b/internal/controlplane/lease/fencing/fencing.go
@@ -1,29 +1,31 @@
-// Package fencing is a place that tasks change, as it checks the tokens of leases: of any two acts whose changes it takes, one ends
-// before the other begins, in the order of their tokens. It does no I/O; whoever keeps the state has to make each call of it, with
-// the change that goes with it, one atomic step (docs/leases.md, step 12).
+// Package fencing is the check that a shared resource makes of fencing tokens. Of any two operations
+// whose changes it accepts, one ends before the other begins, in the order of their tokens. It does no
+// I/O: whoever stores the state must make each call, together with the change that it guards, one
+// atomic step (docs/leases.md, step 12).
 package fencing
 
 import "fmt"
 
-// Guard is the state. Its zero value has seen nothing.
+// Guard is the state kept with the resource. The zero value has seen nothing.
 type Guard struct {
-	Token      uint64 `json:"token"` // the newest that an act was begun under
-	Operation  uint64 `json:"act"`   // the newest act under it
-	InProgress bool   `json:"open"`  // that act is under way
+	Token      uint64 `json:"token"` // newest token under which an operation began
+	Operation  uint64 `json:"act"`   // newest operation under it
+	InProgress bool   `json:"open"`  // that operation has not ended
 }
 
 // RejectedError tells why nothing was changed.
 type RejectedError struct {
 	Token, Operation uint64 // what was tried
-	Current          Guard  // what the place has seen
+	Current          Guard  // what the resource has seen
 }
 
+// Error names the operation and what the resource has seen.
 func (r *RejectedError) Error() string {
 	return fmt.Sprintf("refused: act %d under token %d, the place has seen act %d under token %d", r.Operation, r.Token, r.Current.Operation, r.Current.Token)
 }
 
-// Begin begins an act: whatever was under way before has ended by that, and nothing of it will be taken any more. Acts under one token
-// have numbers that grow.
+// Begin begins an operation. It ends any operation before it, of which nothing is accepted any more.
+// Operations under one token have growing numbers.
 func (p *Guard) Begin(token, act uint64) error {
 	if token < p.Token || token == p.Token && act <= p.Operation {
 		return &RejectedError{token, act, *p}
@@ -32,7 +34,7 @@
 	return nil
 }
 
-// CheckChange tells whether a change by an act may be made: it is the one under way.
+// CheckChange reports whether a change by the operation is accepted: it must be the one in progress.
 func (p *Guard) CheckChange(token, act uint64) error {
 	if !p.InProgress || token != p.Token || act != p.Operation {
 		return &RejectedError{token, act, *p}
@@ -40,7 +42,7 @@
 	return nil
 }
 
-// End ends an act.
+// End ends an operation.
 func (p *Guard) End(token, act uint64) error {
 	if err := p.CheckChange(token, act); err != nil {
 		return err
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,23 +1,26 @@
-// Package lease has the terms of leases for fleet-wide tasks that members, keepers and agents share, and the checks of what an operator
-// sets. It does no I/O. docs/leases.md has the design and the argument for its safety; the numbers in comments are that page's steps.
+// Package lease defines leases for tasks that run once for the whole fleet: the tasks that an operator
+// sets, the lease of each shard, the events by which the replicated log changes leases, and the
+// messages by which a member renews them at the leading agent. It does no I/O. docs/leases.md has the
+// design and the safety argument.
 package lease
 
 import (
 	"fmt"
 )
 
-// AnyMember, as the member that a lease is to go to next, is whichever the spread finds.
+// AnyMember as the next holder of a lease stands for whichever member rebalancing finds.
 const AnyMember = "*"
 
-// Key names one lease.
+// Key names one lease: a shard of a task.
 type Key struct {
 	Task  string `json:"task"`
 	Shard int    `json:"shard"`
 }
 
+// String returns task/shard.
 func (k Key) String() string { return fmt.Sprintf("%s/%d", k.Task, k.Shard) }
 
-// CompareKeys orders keys.
+// CompareKeys orders keys by task and shard.
 func CompareKeys(a, b Key) int {
 	if a.Task != b.Task {
 		if a.Task < b.Task {
@@ -28,26 +31,29 @@
 	return a.Shard - b.Shard
 }
 
-// Lease is what the log says of a shard. Token grows with each grant, of any shard, for as long as there is a log.
+// Lease is the replicated state of a shard's lease. Tokens grow with each grant of any lease, for as
+// long as the log exists.
 type Lease struct {
 	Key
-	Token        uint64 `json:"token"`             // 0: it was never granted
-	Holder       string `json:"holder,omitempty"`  // a member's id; empty: nobody's
-	NextHolder   string `json:"next,omitempty"`    // whom it is to go to once its holder has given it back, or it has ended; Anyone
-	PinnedTo     string `json:"pin,omitempty"`     // the member that an operator moved it to: it stays there
-	ChangedIndex uint64 `json:"changed,omitempty"` // the log's index of the last change
+	Token        uint64 `json:"token"`             // fencing token; 0: never granted
+	Holder       string `json:"holder,omitempty"`  // id of the member; empty: nobody
+	NextHolder   string `json:"next,omitempty"`    // who is to get it once it is released or has expired; or AnyMember
+	PinnedTo     string `json:"pin,omitempty"`     // member to which an operator migrated it: it stays there
+	ChangedIndex uint64 `json:"changed,omitempty"` // log index of the last change
 }
 
-// EventKind is one kind of change of a lease.
+// EventKind is the kind of an Event.
 type EventKind string
 
+// The kinds.
 const (
 	EventGrant   EventKind = "grant" // to a member, under a new token
-	EventPlan    EventKind = "plan"  // it is to go to a member, or anyone, next
-	EventRelease EventKind = "free"  // it is nobody's
+	EventPlan    EventKind = "plan"  // it is to go to a member next, or to any
+	EventRelease EventKind = "free"  // nobody holds it
 )
 
-// Event is a change of a lease through the log. It is void where the lease does not have the token Over any more.
+// Event is a change of a lease through the log. It has no effect if the lease does not have
+// ExpectedToken any more.
 type Event struct {
 	Key
 	ExpectedToken uint64    `json:"over"`
--- a/internal/controlplane/lease/leasework/drill.go
+++ b/internal/controlplane/lease/leasework/drill.go
@@ -15,23 +15,23 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
-// Drill acts at a guarded folder that holds nothing but what was done there: whether leases hold on these machines, on this file
-// system, is seen without a task that matters.
+// Drill runs operations at a guarded folder that holds nothing but their record: it shows whether
+// leases hold on these machines and this file system, without a task that matters.
 type Drill struct {
-	Name        string // the instance's
+	Name        string // of the instance
 	client      http.Client
 	noticeCount atomic.Uint64
 }
 
-// DrillState is what a drill's folder holds for one shard.
+// DrillState is the state of a drill's folder for one shard.
 type DrillState struct {
 	fencing.Guard
-	Changes uint64       `json:"count"`   // changes taken
-	Fenced  uint64       `json:"refused"` // acts turned away
-	Last    []DrillEntry `json:"last"`    // the newest of what was done
+	Changes uint64       `json:"count"`   // accepted
+	Fenced  uint64       `json:"refused"` // rejected operations
+	Last    []DrillEntry `json:"last"`    // newest steps, accepted and rejected
 }
 
-// DrillEntry is one thing that was done, or refused, at a drill's place.
+// DrillEntry is one step of an operation.
 type DrillEntry struct {
 	Token     uint64 `json:"token"`
 	Operation uint64 `json:"act"`
@@ -40,25 +40,26 @@
 	Accepted  bool   `json:"taken"`
 }
 
-// maxEntries bounds what a drill's place writes down.
+// maxEntries bounds the steps that are recorded.
 const maxEntries = 256
 
+// record adds a step.
 func (s *DrillState) record(e DrillEntry) {
 	s.Last = append(s.Last, e)
 	s.Last = s.Last[max(0, len(s.Last)-maxEntries):]
 }
 
-// DrillNotice is what a witness is told of a call of the place, before it is made and after it has returned.
+// DrillNotice is what the witness is told before each call and after its return.
 type DrillNotice struct {
 	DrillEntry
 	ID     string `json:"id"` // of the call
 	Task   string `json:"task"`
 	Shard  int    `json:"shard"`
 	Return bool   `json:"return"`
-	Error  string `json:"error,omitempty"` // of a call of which it is not known whether it was taken
+	Error  string `json:"error,omitempty"` // set if it is unknown whether the call was accepted
 }
 
-// changesPerOperation is how many changes an act of a drill makes.
+// changesPerOperation is how many changes one operation makes.
 const changesPerOperation = 2
 
 // Run implements Job: begin, a few changes, end, each one atomic step of the folder.
@@ -112,12 +113,12 @@
 	return step("end", func(p *fencing.Guard) error { return p.End(a.Token, a.Number) })
 }
 
-// notifyWitness tells the witness. What can't be told is missing there, and no more.
+// notifyWitness tells the witness. A notice that cannot be delivered is dropped.
 func (d *Drill) notifyWitness(ctx context.Context, a *Operation, n DrillNotice) {
 	if a.Task.Witness == "" {
 		return
 	}
-	// A witness that stands still costs an act some of its time; the return is told whether or not the act is over.
+	// A witness that does not answer costs the operation some of its time. The return is told even after its end.
 	ctx, done := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
 	defer done()
 	text, err := json.Marshal(n)
--- a/internal/controlplane/lease/leasework/endpoint_probe.go
+++ b/internal/controlplane/lease/leasework/endpoint_probe.go
@@ -13,32 +13,33 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// ConnectionQuota counts connections at targets (internal/controlplane/quota/quotasession).
+// ConnectionQuota counts connections at targets against the fleet's quota (package quotasession).
 type ConnectionQuota interface {
 	Open(target string) bool
 	Close(target string)
 }
 
-// EndpointProbe tries targets that are avoided, for the whole fleet. A target can't check a token: each try is looked at just before it is made, and
-// carries the lease for the target's log.
+// EndpointProbe probes ejected targets on behalf of the fleet. A target cannot check a fencing token,
+// so each probe is checked right before it is made, and carries the lease for the target's log.
 type EndpointProbe struct {
-	Connections   ConnectionQuota // of connections; nil: none is kept
-	DialTimeout   time.Duration   // a connection is there within
-	AnswerTimeout time.Duration   // and an answer
+	Connections   ConnectionQuota // nil: no quota applies
+	DialTimeout   time.Duration
+	AnswerTimeout time.Duration // including the connection
 
 	mu     sync.Mutex
 	addrs  map[string]string
 	runner *Runner
 }
 
-// Attach is the runner that is told what was found.
+// Attach sets the runner that gets the results.
 func (p *EndpointProbe) Attach(r *Runner) { p.runner = r }
 
-// SetTargets takes over where targets are.
-func (p *EndpointProbe) SetTargets(addrs map[string]string, whole bool) {
+// SetTargets updates the addresses of the targets; an empty address removes a target. full replaces
+// all.
+func (p *EndpointProbe) SetTargets(addrs map[string]string, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if whole || p.addrs == nil {
+	if full || p.addrs == nil {
 		p.addrs = map[string]string{}
 	}
 	for id, addr := range addrs {
@@ -50,17 +51,17 @@
 	}
 }
 
-// Run implements Job: each target of the shard that somebody avoids is tried once, one after the other.
+// Run implements Job: each ejected target of the shard is probed once, one after the other.
 func (p *EndpointProbe) Run(ctx context.Context, a *Operation) error {
 	for _, target := range p.runner.targetsOf(a) {
 		p.mu.Lock()
 		addr := p.addrs[target]
 		p.mu.Unlock()
 		if addr == "" {
-			continue // not on this member's list: it is gone, or not there yet
+			continue // not on this instance's list: it is gone, or not known yet
 		}
 		if p.Connections != nil && !p.Connections.Open(target) {
-			continue // the fleet has no connection left there
+			continue // the quota allows no further connection there
 		}
 		if !a.MayProceed() {
 			if p.Connections != nil {
@@ -75,14 +76,15 @@
 			p.Connections.Close(target)
 		}
 		if ctx.Err() != nil {
-			return errExpired // the act's end, not the target's silence
+			return errExpired // the operation ended, which says nothing about the target
 		}
 		p.runner.addResult(lease.ProbeResult{Task: a.Key.Task, Target: target, Token: a.Token, Healthy: well, LatencyUs: (monotone.Now() - began).Microseconds()})
 	}
 	return nil
 }
 
-// probe asks a target for its health, on a connection of its own, and tells whether it answered 200 in time.
+// probe asks a target for its health on a connection of its own, and reports whether it answered 200
+// in time.
 func (p *EndpointProbe) probe(ctx context.Context, a *Operation, addr string) bool {
 	ctx, done := context.WithTimeout(ctx, p.AnswerTimeout)
 	defer done()
--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -22,34 +22,34 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
+// Constants of the report.
 const (
-	// KeptWindows is how many windows an instance keeps for the fleet's account: a window is asked for while it is one of these.
-	KeptWindows = 4
-	// windowSettleDelay is how long after a window's end its accounts are asked for: instances cut by their own clocks.
-	windowSettleDelay = 2 * time.Second
-	// maxConcurrentQueries bounds how many instances are asked at a time.
-	maxConcurrentQueries = 16
-	maxSnapshotBytes     = 64 << 20
+	// KeptWindows is how many windows an instance keeps for the report: a window is asked for
+	// while it is one of these.
+	KeptWindows          = 4
+	windowSettleDelay    = 2 * time.Second // after a window's end, since instances cut windows by their own clocks
+	maxConcurrentQueries = 16              // instances that are queried at a time
+	maxSnapshotBytes     = 64 << 20        // of one instance's accounts
 )
 
-// ReportState is what the folder of the fleet's account holds.
+// ReportState is the state of a report folder.
 type ReportState struct {
 	fencing.Guard
 	Windows []ReportWindow `json:"windows"` // written, in order of time
 }
 
-// ReportWindow is one report. Its file is whole, and no other of that window is written.
+// ReportWindow is one report. Its file is complete, and no other report of that window is written.
 type ReportWindow struct {
 	Start     int64    `json:"start"` // Unix seconds
 	WindowS   int64    `json:"window_s"`
 	File      string   `json:"file"`
 	Token     uint64   `json:"token"`
 	Member    string   `json:"member"`    // the instance that wrote it
-	Instances []string `json:"instances"` // that told their accounts
+	Instances []string `json:"instances"` // that delivered their accounts
 	Missing   []string `json:"missing"`   // that could not be asked, each with the reason
 }
 
-// Reports reads which reports a folder has.
+// Reports returns the reports of a folder.
 func Reports(dir string) ([]ReportWindow, error) {
 	s, n, err := casfile.Read[ReportState](dir)
 	if err == nil && n == 0 {
@@ -58,14 +58,15 @@
 	return s.Windows, err
 }
 
-// FleetReport collects the latency accounts of all instances by window and writes one report for the fleet.
+// FleetReport collects the latency accounts of all instances by window and writes one report for the
+// fleet.
 type FleetReport struct {
-	Name   string // the instance's
+	Name   string // of the instance
 	Agents *agent.Client
 	client http.Client
 }
 
-// Run implements Job: one window at most, the oldest that is over and not written.
+// Run implements Job: it writes at most one window, the oldest that is over and not written.
 func (j *FleetReport) Run(ctx context.Context, a *Operation) error {
 	dir := a.Task.Dir
 	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.Number) })
@@ -82,8 +83,9 @@
 	return err
 }
 
-// nextWindow is the beginning of the oldest window that is over, is kept by instances still, and comes after all that were written. The
-// wall clock names windows; what is written at most once is a matter of the place.
+// nextWindow returns the start of the oldest window that is over, still kept by the instances, and
+// later than all that were written. The wall clock only names windows; the fencing guard ensures that
+// each is written at most once.
 func nextWindow(written []ReportWindow, window time.Duration, now time.Time) (start time.Time, due bool) {
 	end := now.Add(-windowSettleDelay).Truncate(window)
 	start = end.Add(-(KeptWindows - 1) * window)
@@ -92,13 +94,13 @@
 			start = after
 		}
 	} else {
-		start = end.Add(-window) // the first: nobody counted before
+		start = end.Add(-window) // the first report
 	}
 	return start, !start.Add(window).After(end)
 }
 
-// writeReport asks all instances for a window and writes its report: whole under a name of its own first, and by one step of the place the
-// window's.
+// writeReport queries all instances for a window and writes its report: first a complete file under a
+// name of its own, then one atomic step that makes it the window's report.
 func (j *FleetReport) writeReport(ctx context.Context, a *Operation, dir string, start time.Time) error {
 	v, err := j.Agents.Fleet(ctx)
 	if err != nil {
@@ -170,7 +172,7 @@
 			return err
 		}
 		if n := len(s.Windows); n > 0 && s.Windows[n-1].Start >= w.Start {
-			return nil // this act's, made and not heard of
+			return nil // made by this operation; its answer was lost
 		}
 		s.Windows = append(s.Windows, w)
 		s.Windows = s.Windows[max(0, len(s.Windows)-a.Task.KeepReports):]
@@ -184,7 +186,8 @@
 	return nil
 }
 
-// removeUnreferenced takes away files that no window has, of tokens that nothing is taken under any more, or of windows no longer kept.
+// removeUnreferenced removes files that no window refers to and that no operation can refer to any
+// more.
 func removeUnreferenced(dir string, s ReportState, token uint64) {
 	has := map[string]bool{}
 	for _, w := range s.Windows {
@@ -203,12 +206,12 @@
 	}
 }
 
-// fetchSnapshot has one instance tell its accounts of a window.
+// fetchSnapshot gets one instance's accounts of a window.
 func (j *FleetReport) fetchSnapshot(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
 	if m.Accounts == "" {
 		return s, errors.New("it keeps no accounts")
 	}
-	// One that stands still must leave time for the report.
+	// An instance that does not answer must leave time for the report.
 	if end, bounded := ctx.Deadline(); bounded {
 		var done context.CancelFunc
 		ctx, done = context.WithTimeout(ctx, time.Until(end)/2)
--- a/internal/controlplane/lease/leasework/metrics.go
+++ b/internal/controlplane/lease/leasework/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 )
 
-// Tell tells the numbers of the fleet's tasks.
+// Tell writes the metrics of the tasks.
 func (r *Runner) Tell(to statsd.ExtendedStatSender) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -12,29 +12,32 @@
 	"time"
 )
 
-// Operation is one act under way.
+// Operation is a running operation.
 type Operation struct {
 	lessee.Operation
 	Task   lease.Task
 	runner *Runner
 }
 
-// MayProceed tells whether the act may still do something. It is asked right before each touch of anything outside.
+// MayProceed reports whether the operation may still have effects. It must be asked right before each
+// effect.
 func (a *Operation) MayProceed() bool {
 	a.runner.mu.Lock()
 	defer a.runner.mu.Unlock()
 	return a.runner.lessee.MayProceed(monotone.Now(), a.Operation)
 }
 
-// errExpired says that an act has lasted for too long, or its lease has ended, before all was done.
+// errExpired says that the operation, or its lease, ended before all was done.
 var errExpired = errors.New("the act or its lease is over")
 
-// Job does the acts of one kind of task. A *guard.Refusal as its error is the place's; any other is a failure.
+// Job runs the operations of one kind of task. An error that is a *fencing.RejectedError means that
+// the resource has seen a newer token; any other error is a failure.
 type Job interface {
 	Run(ctx context.Context, a *Operation) error
 }
 
-// Run acts on what is held until ctx ends. Acts under way then end by themselves: Stop waits for them.
+// Run starts operations as they become due until ctx ends. Running operations then end by themselves;
+// Stop waits for them.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -62,6 +65,7 @@
 	}
 }
 
+// runOperation runs one operation and records its outcome.
 func (r *Runner) runOperation(ctx context.Context, a *Operation) {
 	failpoint.Hit("act.begun")
 	ctx, done := context.WithTimeout(ctx, a.Deadline-monotone.Now())
@@ -101,7 +105,8 @@
 	r.wakeUp()
 }
 
-// OperationPeriod is from one act of a task to the next, and how long that one takes; 0: the task is not known.
+// OperationPeriod is the time from one operation of a task to the next, and the duration of that one;
+// 0: the task is unknown.
 func (r *Runner) OperationPeriod(task string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/lease/leasework/renewal.go
+++ b/internal/controlplane/lease/leasework/renewal.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// SetEjected notes which targets are avoided here.
+// SetEjected replaces the targets that are ejected here.
 func (r *Runner) SetEjected(targets []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ejected = targets[:min(len(targets), lease.MaxTargets)]
 }
 
-// BeginRenewal begins a claim, with a renewal that is begun at that moment.
+// BeginRenewal starts a lease renewal together with a session renewal that starts now.
 func (r *Runner) BeginRenewal(now time.Duration) *lease.RenewalRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,11 +29,11 @@
 		x.AgeMs = (now - r.resultTimes[i]).Milliseconds()
 		c.Results = append(c.Results, x)
 	}
-	r.results, r.resultTimes = nil, nil // told once; the next round brings newer ones
+	r.results, r.resultTimes = nil, nil // reported once; the next probes bring newer ones
 	return &c
 }
 
-// AcceptRenewal takes the answer to the claim sent last.
+// AcceptRenewal takes over the answer to the last renewal.
 func (r *Runner) AcceptRenewal(now time.Duration, a *lease.RenewalResponse) {
 	r.mu.Lock()
 	if !r.lessee.AcceptRenewal(now, *a) {
@@ -52,7 +52,7 @@
 	r.wakeUp()
 }
 
-// DropAll gives everything up: the seat is lost.
+// DropAll gives up all leases: the session is lost.
 func (r *Runner) DropAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,7 +60,7 @@
 	r.probeTargets, r.results, r.resultTimes = nil, nil, nil
 }
 
-// Stop gives everything back, and tells whether all acts have ended within that time: then nothing is done any more.
+// Stop releases everything and reports whether all operations have ended within that time.
 func (r *Runner) Stop(within time.Duration) bool {
 	r.mu.Lock()
 	r.stopped = true
--- a/internal/controlplane/lease/leasework/runner.go
+++ b/internal/controlplane/lease/leasework/runner.go
@@ -1,5 +1,6 @@
-// Package leasework is an instance's edge of leases: it acts on the shards that the tenant holds (internal/controlplane/lease/lessee), brings claims and
-// awards to and from the renewals of the instance's seat, and has a job for each kind of task.
+// Package leasework runs fleet-wide tasks on the shards that this instance holds leases for. It
+// connects the lease decisions (package lessee) with the renewals of the instance's session and with a
+// Job for each kind of task.
 package leasework
 
 import (
@@ -12,43 +13,45 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Options set up an instance's tasks.
+// Options configure an instance's tasks.
 type Options struct {
-	Tasks         []string // names of tasks that it can do
-	Jobs          map[lease.Kind]Job
-	RenewNow      func()          // has the next renewal sent at once; it must not wait
-	OpenRequests  func() uint16   // requests open; nil: not told
-	DeadInstances func() []string // instances that this one holds dead or gone; nil: it keeps no view of others
+	Tasks        []string // names of the tasks that it can run
+	Jobs         map[lease.Kind]Job
+	RenewNow     func()        // has the next renewal sent at once; it must not block
+	OpenRequests func() uint16 // its load; nil: not reported
+	// instances that its membership view holds dead or gone; nil: there is no view
+	DeadInstances func() []string
 	Log           *slog.Logger
 }
 
-// Runner is an instance's. All of it is safe for concurrent use.
+// Runner runs an instance's tasks. It is safe for concurrent use.
 type Runner struct {
 	opt  Options
 	wake chan struct{}
 
 	mu               sync.Mutex
 	lessee           *lessee.Lessee
-	ejected          []string
-	probeTargets     []string            // targets to be tried, of the shards held
-	results          []lease.ProbeResult // not told yet
+	ejected          []string            // targets ejected here
+	probeTargets     []string            // to be probed, of the shards held
+	results          []lease.ProbeResult // not reported yet, with the times of the probes
 	resultTimes      []time.Duration
-	onResults        func([]lease.ProbeResult, time.Duration)
-	renewalStartedAt time.Duration // when the claim sent last was begun
+	onResults        func([]lease.ProbeResult, time.Duration) // see OnResults
+	renewalStartedAt time.Duration                            // of the renewal sent last
 	running          sync.WaitGroup
-	stopped          bool
+	stopped          bool // Stop was called
 	counts           struct{ begun, done, refused, failed int64 }
 }
 
-// New returns one that holds nothing.
+// New returns a runner without leases.
 func New(opt Options) *Runner {
 	return &Runner{opt: opt, wake: make(chan struct{}, 1), lessee: lessee.New(opt.Tasks), onResults: func([]lease.ProbeResult, time.Duration) {}}
 }
 
-// OnResults has f called with what others found out about targets that are avoided here, and how long it has been on its way at most. It must
-// be called before Run, and f must not wait.
+// OnResults sets what is called with probe results for targets that are ejected here, and how long
+// these have been on their way at most. It must be called before Run; f must not block.
 func (r *Runner) OnResults(f func([]lease.ProbeResult, time.Duration)) { r.onResults = f }
 
+// wakeUp has Run look for due operations.
 func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -56,7 +59,7 @@
 	}
 }
 
-// addResult notes what was found out about a target.
+// addResult records a probe result for the next renewal.
 func (r *Runner) addResult(x lease.ProbeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +68,7 @@
 	}
 }
 
-// targetsOf is what is to be tried of a shard.
+// targetsOf returns the targets to probe for an operation's shard.
 func (r *Runner) targetsOf(a *Operation) (all []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/lease/lessee/lessee.go
+++ b/internal/controlplane/lease/lessee/lessee.go
@@ -1,6 +1,11 @@
-// Package lessee is a member's side of leases for fleet-wide tasks: what it holds and until when, whether an act may begin or go on, and
-// what it tells the keeper. It does no I/O; time is passed in, and equal inputs give equal outputs. docs/leases.md argues for its
-// safety; the numbers in the comments here are that page's steps.
+// Package lessee is a member's side of leases: which leases it holds and until when, whether an
+// operation may start or continue, and what it reports to the lessor. It does no I/O; time is passed
+// in, and equal inputs give equal outputs.
+//
+// Invariants: a lease is valid until its TTL counted from the start of its renewal, so before the
+// answer arrived; an operation starts only if it can end within the lease; a released lease is not
+// used again under the same token. docs/leases.md has the argument; numbers of steps in comments are
+// that page's.
 package lessee
 
 import (
@@ -10,30 +15,31 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// Lessee is one process's. It is not safe for concurrent use.
+// Lessee is one process's leases. It is not safe for concurrent use.
 type Lessee struct {
-	supported        []string
+	supported        []string // names of the tasks that it can run
 	config           lease.Config
 	held             map[lease.Key]heldLease
-	released         map[lease.Key]uint64    // given back, by token, until the keeper has heard
-	running          map[lease.Key]Operation // acts under way, seen to end or not
-	lastSeq          uint64
-	renewalStartedAt time.Duration // when the claim sent last was begun
-	renewalAnswered  bool          // its answer was taken
-	highestToken     uint64        // the newest token that a place has shown
-	renewNow         bool          // something is to be told before the next renewal is due
-	operations       uint64        // begun, ever: acts have numbers that grow
+	released         map[lease.Key]uint64    // tokens released, until the lessor has confirmed
+	running          map[lease.Key]Operation // operations that have not finished, by shard
+	lastSeq          uint64                  // of the renewal sent last
+	renewalStartedAt time.Duration           // of it
+	renewalAnswered  bool                    // its answer was accepted
+	highestToken     uint64                  // newest token that a guarded resource has shown
+	renewNow         bool                    // something has to be reported before the next regular renewal
+	operations       uint64                  // started so far: their numbers grow
 }
 
+// heldLease is one lease held, with its operations under this token.
 type heldLease struct {
 	token                     uint64
 	expiresAt                 time.Duration // nothing may be done from then on
-	recalled                  bool
+	recalled                  bool          // to be released once no operation is running
 	completed, fenced, failed uint64
 	nextOperationAt           time.Duration // when the next act is due
 }
 
-// New returns a tenant that holds nothing, of a process that can do the tasks named.
+// New returns a lessee without leases, of a process that can run the tasks named.
 func New(runs []string) *Lessee {
 	return &Lessee{supported: slices.Clone(runs), held: map[lease.Key]heldLease{}, released: map[lease.Key]uint64{}, running: map[lease.Key]Operation{}}
 }
--- a/internal/controlplane/lease/lessee/operation.go
+++ b/internal/controlplane/lease/lessee/operation.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Operation is one act of a task. It is begun under a token, has a bounded length, and ends, seen or not.
+// Operation is one operation of a task. It runs under a token, has a bounded duration, and ends
+// whether or not it is seen to end.
 type Operation struct {
 	lease.Key
 	Token    uint64
-	Number   uint64        // grows with each act of the process
-	Deadline time.Duration // it does nothing any more from then on
+	Number   uint64        // grows with each operation of the process
+	Deadline time.Duration // it does nothing from then on
 }
 
-// StartOperation begins an act, if one may begin now and can end within the lease (5).
+// StartOperation starts an operation if one is due and can end within the lease (step 5).
 func (t *Lessee) StartOperation(now time.Duration, k lease.Key) (Operation, bool) {
 	h, holds := t.held[k]
 	task := t.config.Task(k.Task)
@@ -29,22 +30,23 @@
 	return a, true
 }
 
-// MayProceed tells whether an act may still do something at that moment.
+// MayProceed reports whether a running operation may still have effects.
 func (t *Lessee) MayProceed(now time.Duration, a Operation) bool {
 	h, holds := t.held[a.Key]
 	return holds && h.token == a.Token && now < h.expiresAt && now < a.Deadline && t.running[a.Key] == a
 }
 
-// Outcome is how an act ended.
+// Outcome is how an operation ended.
 type Outcome int
 
+// The outcomes.
 const (
 	Completed Outcome = iota
-	Fenced            // the place has seen a newer token
+	Fenced            // the resource has seen a newer token
 	Failed            // for another reason
 )
 
-// FinishOperation ends an act. seen is the newest token that the place has shown; 0: none.
+// FinishOperation ends an operation. seen is the newest token that the resource has shown; 0: none.
 func (t *Lessee) FinishOperation(a Operation, how Outcome, seen uint64) {
 	if t.running[a.Key] == a {
 		delete(t.running, a.Key)
@@ -60,7 +62,7 @@
 		}
 		t.held[a.Key] = h
 		if how == Fenced && seen > a.Token {
-			h.recalled = true // there is a newer one, or the place has seen one of a group of agents before this
+			h.recalled = true // there is a newer grant, or the resource has seen tokens of an earlier group of agents
 			t.held[a.Key] = h
 		}
 	}
@@ -68,5 +70,5 @@
 	t.releaseIfIdle(a.Key)
 }
 
-// NextOperation is when the next act at a shard is due.
+// NextOperation is when the next operation of a shard is due.
 func (t *Lessee) NextOperation(k lease.Key) time.Duration { return t.held[k].nextOperationAt }
--- a/internal/controlplane/lease/lessee/renewal.go
+++ b/internal/controlplane/lease/lessee/renewal.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BeginRenewal begins a claim. Only its own answer will be taken from now on (11).
+// BeginRenewal starts a renewal. From now on only its own answer is accepted (step 11).
 func (t *Lessee) BeginRenewal(now time.Duration) lease.RenewalRequest {
 	t.lastSeq++
 	t.renewalStartedAt, t.renewalAnswered, t.renewNow = now, false, false
@@ -22,7 +22,8 @@
 	return c
 }
 
-// AcceptRenewal takes an answer. One to another claim than the last, or to one already taken, is no answer (11).
+// AcceptRenewal takes over an answer and reports whether it was accepted. An answer to another renewal
+// than the last, or to one that was answered, is ignored (step 11).
 func (t *Lessee) AcceptRenewal(now time.Duration, a lease.RenewalResponse) bool {
 	if a.Seq != t.lastSeq || t.renewalAnswered {
 		return false
@@ -31,18 +32,18 @@
 	if a.Config != nil && a.Config.Version > t.config.Version {
 		t.config = *a.Config
 	}
-	had := map[lease.Key]bool{} // what the keeper still has as this member's
+	had := map[lease.Key]bool{} // leases that the lessor still has as this member's
 	for _, b := range a.Leases {
 		had[b.Key] = true
 		task := t.config.Task(b.Task)
 		h := t.held[b.Key]
 		if task == nil || b.Token < h.token || b.Token <= t.released[b.Key] {
-			continue // given back: there is nothing to renew (8)
+			continue // released: there is nothing to renew (step 8)
 		}
 		if b.Token > h.token {
 			h = heldLease{token: b.Token, nextOperationAt: now}
 		}
-		h.expiresAt, h.recalled = t.renewalStartedAt+task.TTL(), false // from before the claim went out (1)
+		h.expiresAt, h.recalled = t.renewalStartedAt+task.TTL(), false // counted from before the request was sent (step 1)
 		t.held[b.Key] = h
 		delete(t.released, b.Key)
 	}
@@ -54,7 +55,7 @@
 			h.recalled = true
 			t.held[b.Key] = h
 			t.releaseIfIdle(b.Key)
-		case b.Token > t.released[b.Key]: // it was never told of it
+		case b.Token > t.released[b.Key]: // this member never heard of it
 			t.released[b.Key], t.renewNow = b.Token, true
 		}
 	}
@@ -66,17 +67,17 @@
 	return true
 }
 
-// releaseIfIdle gives a recalled shard back once no act is under way there.
+// releaseIfIdle releases a recalled shard once no operation is running there.
 func (t *Lessee) releaseIfIdle(k lease.Key) {
 	h, holds := t.held[k]
 	if _, acts := t.running[k]; !holds || !h.recalled || acts {
 		return
 	}
-	delete(t.held, k) // before anybody is told (8)
+	delete(t.held, k) // before anybody is told (step 8)
 	t.released[k], t.renewNow = h.token, true
 }
 
-// Release gives a shard back as soon as no act is under way there.
+// Release gives up a shard as soon as no operation is running there.
 func (t *Lessee) Release(k lease.Key) {
 	if h, holds := t.held[k]; holds {
 		h.recalled = true
@@ -85,7 +86,7 @@
 	}
 }
 
-// ReleaseAll gives everything back as soon as no act is under way, and takes no task from then on.
+// ReleaseAll gives up everything as soon as no operation is running, and accepts no task from then on.
 func (t *Lessee) ReleaseAll() {
 	t.supported = nil
 	for k := range t.held {
@@ -93,12 +94,13 @@
 	}
 }
 
-// DropAll gives everything up: the agents know no such member. What is under way does nothing any more.
+// DropAll gives up everything at once: the agents do not know this member. Running operations may not
+// continue.
 func (t *Lessee) DropAll() {
 	clear(t.held)
 	clear(t.released)
-	t.renewalAnswered, t.renewNow = true, false // no answer on its way is taken any more
+	t.renewalAnswered, t.renewNow = true, false // an answer that is still on its way is ignored
 }
 
-// NeedsRenewal tells whether something is to be told before the next renewal is due.
+// NeedsRenewal reports whether something has to be reported before the next regular renewal.
 func (t *Lessee) NeedsRenewal() bool { return t.renewNow }
--- a/internal/controlplane/lease/lessee/status.go
+++ b/internal/controlplane/lease/lessee/status.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Held is what there is to act on, in order.
+// Held returns the leases that are valid now, in order.
 func (t *Lessee) Held(now time.Duration) (all []lease.Key) {
 	for _, k := range slices.SortedFunc(maps.Keys(t.held), lease.CompareKeys) {
 		if now < t.held[k].expiresAt {
@@ -19,16 +19,16 @@
 	return all
 }
 
-// Token is that of a shard held; 0: it is not.
+// Token is the token of a shard that is held; 0: it is not.
 func (t *Lessee) Token(k lease.Key) uint64 { return t.held[k].token }
 
-// Idle tells whether nothing is held and nothing is to be given back.
+// Idle reports whether nothing is held, running or to be reported.
 func (t *Lessee) Idle() bool { return len(t.held) == 0 && len(t.running) == 0 && len(t.released) == 0 }
 
-// Task is a task as this member knows it, or nil.
+// Task returns a task as this member knows it, or nil.
 func (t *Lessee) Task(name string) *lease.Task { return t.config.Task(name) }
 
-// LeaseStatus is one shard as it is here at a moment.
+// LeaseStatus is one held lease at a moment.
 type LeaseStatus struct {
 	lease.Key
 	Token                     uint64
@@ -36,7 +36,7 @@
 	Completed, Fenced, Failed uint64
 }
 
-// Status is every shard held, in order.
+// Status returns all held leases in order.
 func (t *Lessee) Status() (all []LeaseStatus) {
 	for _, k := range slices.SortedFunc(maps.Keys(t.held), lease.CompareKeys) {
 		h := t.held[k]
--- a/internal/controlplane/lease/lessor/lessor.go
+++ b/internal/controlplane/lease/lessor/lessor.go
@@ -1,6 +1,11 @@
-// Package lessor is the leading agent's side of leases for fleet-wide tasks: until when each shard may be acted on by its holder, who is
-// to have it next, and what a claim is answered. One keeper lasts for one term of one leader. It does no I/O; time is passed in,
-// and equal inputs give equal outputs. docs/leases.md argues for its safety; the numbers in the comments here are that page's steps.
+// Package lessor is the leading agent's side of leases: until when each holder may act on its shard,
+// who gets a shard next, and how a renewal is answered. A Lessor lasts for one term of one leader. It
+// does no I/O; time is passed in, and equal inputs give equal outputs.
+//
+// Invariant: a shard is granted to another member only after its holder released it, or after the
+// latest time at which the holder's clock can still show the lease as valid. A new term assumes that
+// every lease was renewed just before it began. docs/leases.md has the argument; numbers of steps in
+// comments are that page's.
 package lessor
 
 import (
@@ -13,64 +18,66 @@
 	"spindlehitch/internal/controlplane/registry"
 )
 
+// Constants of the lessor.
 const (
-	maxDeadInstances    = 64      // instances that one member holds dead
-	deadQuorum          = 3       // members whose word on another is planned by
-	maxBackoffDoublings = 4       // how often a back-off doubles
-	maxPlausibleToken   = 1 << 60 // no place has been shown one like it: what says so is damaged
+	maxDeadInstances    = 64      // names of dead instances that one member may report
+	deadQuorum          = 3       // members whose reports make another one count as dead for planning
+	maxBackoffDoublings = 4       // of the time for which a member without progress gets nothing
+	maxPlausibleToken   = 1 << 60 // a reported token beyond it comes from damaged state
 )
 
-// Lessor is the book of one term.
+// Lessor is the lease state of one term.
 type Lessor struct {
-	startedAt        time.Duration
+	startedAt        time.Duration // start of the term
 	quotaConfig      quota.Config
 	config           lease.Config
-	lastToken        uint64 // the newest that the log has given
-	highestSeenToken uint64 // the newest that a place has been shown, as a member said
+	lastToken        uint64 // newest token granted through the log
+	highestSeenToken uint64 // newest token that a guarded resource was shown, as members report
 	members          map[string]member
-	registered       []quota.Member // as the log had them last
-	leases           []leaseState
-	backoffs         map[backoffKey]backoff
+	registered       []quota.Member         // members as of the last Update
+	leases           []leaseState           // in order of their keys
+	backoffs         map[backoffKey]backoff // members without progress, by task
 }
 
+// member is a registered member and its last renewal.
 type member struct {
 	quota.Member
 	lastSeq          uint64
-	lastHeardAt      time.Duration // the last claim; of one that is only known from the log, when this keeper began
-	tasks            map[string]bool
-	openRequests     uint16   // requests open at it
-	deadInstances    []string // whom it holds dead or gone
-	reportedThisTerm bool     // it has told this keeper what it runs
+	lastHeardAt      time.Duration   // last renewal; before the first in this term: start of the term or join
+	tasks            map[string]bool // that it can run
+	openRequests     uint16          // requests open at it
+	deadInstances    []string        // names that it holds dead or gone
+	reportedThisTerm bool            // it has told this lessor which tasks it runs
 }
 
-// leaseState is one shard.
+// leaseState is a lease with what this term knows about it.
 type leaseState struct {
 	lease.Lease
-	expiresAt      time.Duration      // its holder may act until then, by this clock
-	holderMayKnow  bool               // an answer with it may have gone out, from this keeper or one before
-	released       bool               // its holder gave it back
-	revoking       bool               // it is being given on: nothing is renewed any more
-	grantSeenAt    time.Duration      // when this keeper first saw the token
-	holderStatus   lease.HolderStatus // as its holder said last
-	lastProgressAt time.Duration      // when its holder last ended an act
+	expiresAt      time.Duration      // its holder does not act after it, by this clock
+	holderMayKnow  bool               // an answer with it may have been sent, in this term or before
+	released       bool               // its holder released it
+	revoking       bool               // an event to change it is under way: it is not renewed any more
+	grantSeenAt    time.Duration      // when this term first saw the token
+	holderStatus   lease.HolderStatus // as last reported
+	lastProgressAt time.Duration      // last completed operation
 }
 
-// New begins a term. The register is what the log has, all of it up to the term's beginning.
+// New starts a term. The registry must have all entries of earlier terms applied.
 func New(now time.Duration, r *registry.Registry) *Lessor {
 	k := &Lessor{startedAt: now, members: map[string]member{}, backoffs: map[backoffKey]backoff{}}
 	k.Update(now, r)
 	return k
 }
 
-// leaseTTL is how long, at the keeper, a lease lasts whose claim has just come, and whatever its holder does in one act at a place that can't
-// check a token (5).
+// leaseTTL is how long, by this clock, the holder of a lease whose renewal has just arrived may act,
+// including one operation that a pause has delayed at a target which cannot check tokens (step 5).
 func (k *Lessor) leaseTTL(t *lease.Task) time.Duration {
 	return k.quotaConfig.MaxOnOtherClock(t.TTL() + t.MaxPause())
 }
 
-// Update takes over what the log says.
+// Update takes over the registry's state.
 func (k *Lessor) Update(now time.Duration, r *registry.Registry) {
-	tasked := k.config.Version != r.LeaseConfig.Version
+	tasksChanged := k.config.Version != r.LeaseConfig.Version
 	k.quotaConfig, k.config, k.lastToken = r.QuotaConfig, r.LeaseConfig, max(k.lastToken, r.LastToken)
 	joined, left := quota.DiffMembers(k.registered, r.Members)
 	k.registered = append(k.registered[:0], r.Members...)
@@ -80,7 +87,7 @@
 	for _, m := range joined {
 		k.members[m.ID] = member{Member: m, lastHeardAt: now}
 	}
-	if len(left) > 0 || tasked {
+	if len(left) > 0 || tasksChanged {
 		maps.DeleteFunc(k.backoffs, func(b backoffKey, _ backoff) bool { return !k.IsMember(b.memberID) || k.config.Task(b.task) == nil })
 	}
 	if slices.EqualFunc(k.leases, r.Leases, func(x leaseState, l lease.Lease) bool { return x.Lease == l }) {
@@ -95,18 +102,19 @@
 			x = *had
 			x.Lease = l
 		case l.Holder == "":
-			x.expiresAt = now // whoever held it gave it back, or left
+			x.expiresAt = now // its holder released it, or left
 		case had == nil:
-			// From before this term: it may have been renewed just before (6).
+			// From before this term: it may have been renewed just before it began (step 6).
 			x.expiresAt, x.holderMayKnow = now+k.leaseTTL(k.config.Task(l.Task)), true
 		default:
-			x.expiresAt = now // granted in this term: its holder has not been told yet
+			x.expiresAt = now // granted in this term: its holder does not know it yet
 		}
 		rows = append(rows, x)
 	}
 	k.leases = rows
 }
 
+// lease returns the state of a lease, or nil.
 func (k *Lessor) lease(key lease.Key) *leaseState {
 	at, there := slices.BinarySearchFunc(k.leases, key, func(r leaseState, key lease.Key) int { return lease.CompareKeys(r.Key, key) })
 	if !there {
--- a/internal/controlplane/lease/lessor/liveness.go
+++ b/internal/controlplane/lease/lessor/liveness.go
@@ -10,14 +10,15 @@
 	return known && now < m.lastHeardAt+k.quotaConfig.MaxOnOtherClock(k.quotaConfig.AllocationTTL())
 }
 
-// isPrompt tells whether a member has renewed as it should: two renewals were not lost.
+// isPrompt reports whether a member renews as it should: not more than one renewal was lost.
 func (k *Lessor) isPrompt(now time.Duration, id string) bool {
 	m, known := k.members[id]
 	return known && m.reportedThisTerm && now < m.lastHeardAt+k.gracePeriod()
 }
 
-// deadMembers are the members that enough others hold dead, and that have missed a renewal. Nothing is given to them, and what they held
-// goes on when its time is over; nothing ends sooner by anybody's word, be it wrong (2).
+// deadMembers returns the members that enough others report as dead and that have missed a renewal.
+// They are granted nothing, and their leases are granted on once they have expired. No lease ends
+// sooner because of a report, which may be wrong (step 2).
 func (k *Lessor) deadMembers(now time.Duration) map[string]bool {
 	words, prompt := map[string]int{}, 0
 	for id, m := range k.members {
@@ -40,7 +41,7 @@
 	return dead
 }
 
-// gracePeriod is how long after its beginning a keeper waits until it has heard whoever lives.
+// gracePeriod is how long a new term waits until it has heard all live members.
 func (k *Lessor) gracePeriod() time.Duration {
 	return k.quotaConfig.MaxOnOtherClock(5 * k.quotaConfig.RenewInterval() / 2)
 }
--- a/internal/controlplane/lease/lessor/plan.go
+++ b/internal/controlplane/lease/lessor/plan.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// PendingEvents is what the log is asked to change now: shards whose holder gave them back or whose lease has ended go on, and a few more are
-// planned to move for evenness' sake. An order whose fate is not known is asked for again; made once, it is void after that (4).
+// PendingEvents returns the changes that the log should get now: shards whose lease was released or
+// has expired are granted on, and a few others are planned to move for balance. An event whose fate is
+// unknown is returned again; once applied, it has no effect a second time (step 4).
 func (k *Lessor) PendingEvents(now time.Duration) (orders []lease.Event, seen uint64) {
 	if k.highestSeenToken > k.lastToken {
 		seen = k.highestSeenToken
@@ -20,6 +21,7 @@
 	return orders, seen
 }
 
+// planTask returns the events of one task.
 func (k *Lessor) planTask(now time.Duration, t *lease.Task, dead map[string]bool) (orders []lease.Event) {
 	var able, spare []string
 	for id, m := range k.members {
@@ -32,7 +34,7 @@
 		}
 	}
 	if len(able) == 0 {
-		able = spare // one that did nothing may do something again; nobody else can
+		able = spare // nobody else can run the task
 	}
 	var shards []rebalance.Shard
 	ended := map[int]*leaseState{}
@@ -43,8 +45,8 @@
 			continue
 		}
 		s := rebalance.Shard{ID: x.Shard, Holder: x.Holder, Pinned: x.PinnedTo != "" && x.PinnedTo == x.Holder}
-		// A lease has ended when its holder gave it back, or has not renewed it in time and is not about to (2). One that its holder was
-		// never told of has not begun.
+		// A lease has ended if its holder released it, or did not renew it in time and will not (step 2). One that
+		// its holder does not know has not begun.
 		silent := !k.isPrompt(now, x.Holder) || dead[x.Holder]
 		over := x.Holder == "" || x.released || now >= x.expiresAt && (x.revoking || silent || x.holderMayKnow && (x.NextHolder != "" || t.Disabled))
 		if x.NextHolder != "" {
@@ -72,7 +74,7 @@
 				orders = append(orders, lease.Event{Key: x.Key, ExpectedToken: x.Token, Kind: lease.EventGrant, Member: s.Holder})
 			}
 		} else if !slices.Contains(able, s.Holder) {
-			continue // it is held still, by one that nothing more is given to
+			continue // still held by a member that gets nothing new
 		}
 		shards = append(shards, s)
 	}
@@ -80,7 +82,7 @@
 		return orders
 	}
 	if now < k.startedAt+k.gracePeriod() && len(ended) == len(shards) {
-		return orders // whoever is heard first would get all
+		return orders // the member that is heard first would get everything
 	}
 	load := make(map[string]uint16, len(able))
 	for _, id := range able {
@@ -101,8 +103,8 @@
 	return orders
 }
 
-// Migrate is the order by which an operator has a shard go to a member, by its id or name, or with Anyone be released for whom the
-// spread finds.
+// Migrate returns the event by which an operator moves a shard to a member, named by id or instance,
+// or with AnyMember away from its holder.
 func (k *Lessor) Migrate(now time.Duration, key lease.Key, to string) (lease.Event, error) {
 	t, x := k.config.Task(key.Task), k.lease(key)
 	switch {
--- a/internal/controlplane/lease/lessor/renew.go
+++ b/internal/controlplane/lease/lessor/renew.go
@@ -11,14 +11,15 @@
 
 type backoffKey struct{ task, memberID string }
 
-// backoff is a member that held a shard and did nothing.
+// backoff is a member that held a shard without making progress.
 type backoff struct {
 	until    time.Duration
 	failures int
 }
 
-// Renew notes what a member says and decides what it has from now on. The answer may only go out once a majority has confirmed, after
-// this call, that no later term has begun (7).
+// Renew records a member's report and decides which leases it holds from now on. The answer may only
+// be sent once a majority of agents has confirmed, after this call, that no later term has begun (step
+// 7).
 func (k *Lessor) Renew(now time.Duration, id string, c lease.RenewalRequest) (lease.RenewalResponse, error) {
 	m, known := k.members[id]
 	switch {
@@ -46,7 +47,7 @@
 		a.Config = &doc
 	}
 	for _, b := range c.Released {
-		if x := k.lease(b.Key); x != nil && x.Holder == id && x.Token == b.Token { // (8)
+		if x := k.lease(b.Key); x != nil && x.Holder == id && x.Token == b.Token { // step 8
 			x.released, x.expiresAt = true, now
 		}
 	}
@@ -69,12 +70,12 @@
 		t := k.config.Task(x.Task)
 		b := lease.Ref{Key: x.Key, Token: x.Token}
 		if x.NextHolder != "" || t.Disabled || !m.tasks[x.Task] {
-			a.Recalled = append(a.Recalled, b) // what it has lasts until its end; nothing is renewed (9)
+			a.Recalled = append(a.Recalled, b) // valid until it expires, but not renewed (step 9)
 			continue
 		}
 		if x.holderMayKnow && now-x.lastProgressAt >= k.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
 			k.backOff(now, t, id)
-			x.revoking = true // it ends by itself (10)
+			x.revoking = true // it expires by itself (step 10)
 			continue
 		}
 		x.expiresAt, x.holderMayKnow = now+k.leaseTTL(t), true
@@ -83,8 +84,9 @@
 	return a, nil
 }
 
-// backOff keeps a member that did nothing from the task's shards for a while: twice as long each time up to a bound, and not as long as
-// another that was barred at the same moment.
+// backOff keeps a member without progress from the task's shards for a time that doubles with each
+// failure up to a bound. The time varies between members, so that two of them do not come back
+// together.
 func (k *Lessor) backOff(now time.Duration, t *lease.Task, id string) {
 	b := k.backoffs[backoffKey{t.Name, id}]
 	wait := t.ProgressTimeout() << min(b.failures, maxBackoffDoublings)
--- a/internal/controlplane/lease/lessor/status.go
+++ b/internal/controlplane/lease/lessor/status.go
@@ -10,35 +10,36 @@
 	"time"
 )
 
-// IsCurrent tells whether a member has a lease under that token, and nobody is about to get it.
+// IsCurrent reports whether a member holds a lease under that token and is not about to lose it.
 func (k *Lessor) IsCurrent(key lease.Key, id string, token uint64) bool {
 	x := k.lease(key)
 	return x != nil && x.Holder == id && x.Token == token && !x.released && !x.revoking
 }
 
-// IsMember tells whether there is such a member.
+// IsMember reports whether the member is registered.
 func (k *Lessor) IsMember(id string) bool {
 	_, known := k.members[id]
 	return known
 }
 
-// Config is the set of tasks gone by.
+// Config is the set of tasks in use.
 func (k *Lessor) Config() *lease.Config { return &k.config }
 
-// LeaseStatus is one lease as the keeper sees it.
+// LeaseStatus is one lease as the lessor sees it.
 type LeaseStatus struct {
 	lease.Lease
-	HolderName string `json:"name,omitempty"` // of the holder's instance
-	State      string `json:"state"`          // held, moving, ended, free, off; unsure: not heard by this keeper yet; unknown
-	SinceMs    int64  `json:"since_ms"`       // since this keeper saw the token first: at least that long
-	UntilMs    int64  `json:"until_ms"`       // until its holder surely acts no more
-	ProgressMs int64  `json:"progress_ms"`    // since its holder last ended an act, or since
+	HolderName string `json:"name,omitempty"` // the holder's instance
+	// held, moving, ended, free, off; unsure: holder not heard in this term; unknown
+	State      string `json:"state"`
+	SinceMs    int64  `json:"since_ms"`    // since this term first saw the token: it is at least that old
+	UntilMs    int64  `json:"until_ms"`    // until its holder cannot act any more
+	ProgressMs int64  `json:"progress_ms"` // since the last completed operation
 	Completed  uint64 `json:"acts"`
 	Fenced     uint64 `json:"refused"`
 	Failed     uint64 `json:"failed"`
 }
 
-// Status is every lease, in order.
+// Status returns all leases in order.
 func (k *Lessor) Status(now time.Duration) []LeaseStatus {
 	all := make([]LeaseStatus, 0, len(k.leases))
 	for i := range k.leases {
--- a/internal/controlplane/lease/outlierboard/board.go
+++ b/internal/controlplane/lease/outlierboard/board.go
@@ -1,5 +1,6 @@
-// Package outlierboard is the agents' board of targets that are avoided: which members avoid which, who is to try them, and what was found out,
-// with its age. It is a guarded place: a result counts under the newest token alone (docs/leases.md, Places). It does no I/O.
+// Package outlierboard is the agents' shared view of ejected targets: which members have ejected
+// which, what is to be probed, and the probe results with their ages. A result counts only under the
+// newest fencing token of the target's shard (docs/leases.md, Places). It does no I/O.
 package outlierboard
 
 import (
@@ -14,19 +15,20 @@
 // maxResults bounds the results that are kept.
 const maxResults = 4 * lease.MaxTargets
 
-// Board is one keeper's. Its zero value has nothing.
+// Board is the view of one term. The zero value is empty.
 type Board struct {
-	ejectedBy map[string][]string // by member, as it said last
-	reporters map[string]int      // how many members avoid a target
-	results   map[string]timedResult
+	ejectedBy map[string][]string    // targets by member, as last reported
+	reporters map[string]int         // number of members that have ejected a target
+	results   map[string]timedResult // by target
 }
 
+// timedResult is a result with the time at which it arrived.
 type timedResult struct {
 	lease.ProbeResult
-	receivedAt time.Duration // when it was told
+	receivedAt time.Duration
 }
 
-// SetEjected takes over which targets a member avoids.
+// SetEjected replaces the targets that a member has ejected.
 func (b *Board) SetEjected(id string, targets []string) {
 	if b.ejectedBy == nil {
 		b.ejectedBy, b.reporters, b.results = map[string][]string{}, map[string]int{}, map[string]timedResult{}
@@ -47,7 +49,7 @@
 	}
 }
 
-// Prune forgets members that are no more, and results that are older than that.
+// Prune forgets members that are gone, and results older than the given time.
 func (b *Board) Prune(now, within time.Duration, alive func(id string) bool) {
 	for id := range b.ejectedBy {
 		if !alive(id) {
@@ -57,11 +59,11 @@
 	maps.DeleteFunc(b.results, func(_ string, f timedResult) bool { return now-f.receivedAt > within })
 }
 
-// AddResult notes a result whose token is that of the target's shard now, as the caller has just made sure. One under an older token
-// than that of a result here is refused.
+// AddResult records a result whose token the caller has just found to be the current one of the
+// target's shard. A result under an older token than the one recorded is rejected.
 func (b *Board) AddResult(now time.Duration, r lease.ProbeResult) bool {
 	if b.reporters[r.Target] == 0 {
-		return false // nobody asks any more
+		return false // no member has it ejected any more
 	}
 	if f, there := b.results[r.Target]; there && r.Token < f.Token || !there && len(b.results) >= maxResults {
 		return false
@@ -70,7 +72,7 @@
 	return true
 }
 
-// ProbeTargets is the targets that somebody avoids, of those wanted, in order.
+// ProbeTargets returns the ejected targets that wanted accepts, in order.
 func (b *Board) ProbeTargets(wanted func(target string) bool) (all []string) {
 	for t := range b.reporters {
 		if wanted(t) {
@@ -81,7 +83,7 @@
 	return all[:min(len(all), lease.MaxTargets)]
 }
 
-// ResultsFor is what is known of the targets that a member avoids. Ages are what their finders said and the time since.
+// ResultsFor returns the results for the targets that a member has ejected, with their ages.
 func (b *Board) ResultsFor(now time.Duration, id string) (all []lease.ProbeResult) {
 	for _, t := range b.ejectedBy[id] {
 		if f, there := b.results[t]; there {
@@ -93,14 +95,14 @@
 	return all
 }
 
-// Entry is one target on the board.
+// Entry is one ejected target.
 type Entry struct {
 	Target    string             `json:"target"`
 	Reporters int                `json:"avoided_by"`
 	Result    *lease.ProbeResult `json:"found,omitempty"`
 }
 
-// Entries is all targets that somebody avoids, in order.
+// Entries returns all ejected targets in order.
 func (b *Board) Entries(now time.Duration) []Entry {
 	all := []Entry{}
 	for t, n := range b.reporters {
--- a/internal/controlplane/lease/rebalance/rebalance.go
+++ b/internal/controlplane/lease/rebalance/rebalance.go
@@ -1,4 +1,5 @@
-// Package rebalance divides shards among members: evenly, with as few moves as can be, and only so many at a time. It does no I/O.
+// Package rebalance assigns shards to members: evenly, with as few moves as possible and a bounded
+// number at a time. It does no I/O.
 package rebalance
 
 import (
@@ -10,25 +11,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shard is one as it is now.
+// Shard is a shard's present assignment.
 type Shard struct {
 	ID     int
-	Holder string // empty: nobody's
-	Pinned bool   // it is on its way already, or an operator wants it there
-	Avoid  string // of one that is nobody's: who is to have it only where there is no other
+	Holder string // empty: nobody
+	Pinned bool   // it must not move
+	Avoid  string // member that gets it only if there is no other
 }
 
-// Assignment has a shard go to a member.
+// Assignment assigns a shard to a member.
 type Assignment struct {
 	Shard  int
 	Member string
 }
 
-// Plan gives shards that are nobody's, or whose holder is not among the members, to whoever has least; and where somebody has two more
-// than another, moves the difference, most shards at a time. Equal inputs give equal plans, whatever the members' order. Of those that
-// have equally many, one goes first that bears less than half of another's load, as members tell it; other ties go by rendezvous hashing of member and shard (Thaler and Ravishankar, 1998), so that tasks of one shard each don't all meet at
-// one member.
-func Plan(task string, shards []Shard, members []string, load map[string]uint16, most int) (given, moved []Assignment) {
+// Plan assigns shards without a holder, or whose holder is not among the members, to the members with
+// the fewest shards; then, while one member has at least two more than another, it moves a shard from
+// the first to the second, maxMoves at most. Ties go to the member with less load, if another has at
+// least twice as much, and then by rendezvous hashing of member and shard (Thaler and Ravishankar,
+// 1998), so that tasks with one shard each do not all meet at one member. The result does not depend
+// on the members' order.
+func Plan(task string, shards []Shard, members []string, load map[string]uint16, maxMoves int) (given, moved []Assignment) {
 	if len(members) == 0 {
 		return nil, nil
 	}
@@ -65,7 +68,7 @@
 		fixed[s.ID] = true
 		given = append(given, Assignment{s.ID, to})
 	}
-	for len(moved) < most {
+	for len(moved) < maxMoves {
 		from, shard := "", 0
 		for _, m := range members {
 			if from != "" && len(has[m]) <= len(has[from]) {
@@ -90,6 +93,7 @@
 	return given, moved
 }
 
+// score is the rendezvous hash of a member for a shard.
 func score(task string, shard int, member string) uint64 {
 	return xxhash.Sum64String(task + "\x00" + strconv.Itoa(shard) + "\x00" + member)
 }
--- a/internal/controlplane/lease/renewal.go
+++ b/internal/controlplane/lease/renewal.go
@@ -1,50 +1,51 @@
 package lease
 
-// HolderStatus is what a member says of a lease that it has.
+// HolderStatus is what a member reports of a lease that it holds. The counts are for this token.
 type HolderStatus struct {
 	Key
 	Token     uint64 `json:"token"`
-	Completed uint64 `json:"acts"`    // ended under this token
-	Fenced    uint64 `json:"refused"` // of them, by the place
-	Failed    uint64 `json:"failed"`  // of them, for another reason: these are no progress
+	Completed uint64 `json:"acts"`    // operations that succeeded: progress
+	Fenced    uint64 `json:"refused"` // operations rejected because of a newer token
+	Failed    uint64 `json:"failed"`  // operations that failed for another reason
 }
 
-// Ref is a lease given back: its holder does nothing under the token any more.
+// Ref names a lease under one token.
 type Ref struct {
 	Key
 	Token uint64 `json:"token"`
 }
 
-// ProbeResult is what a holder found out about a target.
+// ProbeResult is what a lease holder found out about an ejected target.
 type ProbeResult struct {
 	Task      string `json:"task"`
 	Target    string `json:"target"`
 	Token     uint64 `json:"token"` // of the target's shard
 	Healthy   bool   `json:"well"`
 	LatencyUs int64  `json:"took_us"`
-	AgeMs     int64  `json:"ago_ms"` // since it was found out, at least
+	AgeMs     int64  `json:"ago_ms"` // since the probe, at least
 }
 
-// RenewalRequest is all that a member says of leases at a time, with each renewal.
+// RenewalRequest is all that a member reports of leases with one renewal of its session.
 type RenewalRequest struct {
-	Seq           uint64         `json:"seq"`               // grows with each
-	ConfigVersion uint64         `json:"version,omitempty"` // of the tasks it goes by
-	Tasks         []string       `json:"runs,omitempty"`    // the tasks that it can do
+	Seq           uint64         `json:"seq"`               // grows with each request
+	ConfigVersion uint64         `json:"version,omitempty"` // of the tasks that it uses
+	Tasks         []string       `json:"runs,omitempty"`    // names of the tasks that it can run
 	Held          []HolderStatus `json:"holds,omitempty"`
-	Released      []Ref          `json:"gives,omitempty"`
-	HighestToken  uint64         `json:"seen,omitempty"` // the newest token that a place has ever shown it: the next has to be greater
-	Ejected       []string       `json:"avoids,omitempty"`
+	Released      []Ref          `json:"gives,omitempty"`  // released since they were granted
+	HighestToken  uint64         `json:"seen,omitempty"`   // that any guarded resource has shown it; the next grant must be greater
+	Ejected       []string       `json:"avoids,omitempty"` // targets that it has ejected
 	Results       []ProbeResult  `json:"results,omitempty"`
-	OpenRequests  uint16         `json:"load,omitempty"`  // requests open, as it counts them
-	DeadInstances []string       `json:"ended,omitempty"` // instances that the member holds dead or gone, by name: for planning alone
+	OpenRequests  uint16         `json:"load,omitempty"` // its load, for balance
+	// names that its membership view holds dead or gone: a hint for planning alone
+	DeadInstances []string `json:"ended,omitempty"`
 }
 
-// RenewalResponse is the answer to a claim.
+// RenewalResponse answers a RenewalRequest.
 type RenewalResponse struct {
 	Seq          uint64        `json:"seq"`
-	Leases       []Ref         `json:"leases,omitempty"`  // held until lease_ms after the claim was begun
-	Recalled     []Ref         `json:"recalls,omitempty"` // to be given back once no act is under way
-	Config       *Config       `json:"doc,omitempty"`     // where the member goes by another
-	ProbeTargets []string      `json:"work,omitempty"`    // targets that are avoided, of the shards held
-	ProbeResults []ProbeResult `json:"news,omitempty"`    // of targets that the member avoids
+	Leases       []Ref         `json:"leases,omitempty"`  // held until the task's TTL after the request was started
+	Recalled     []Ref         `json:"recalls,omitempty"` // to be released once no operation is running
+	Config       *Config       `json:"doc,omitempty"`     // set if the member uses another version
+	ProbeTargets []string      `json:"work,omitempty"`    // ejected targets of the shards that it holds
+	ProbeResults []ProbeResult `json:"news,omitempty"`    // of targets that it has ejected
 }
--- a/internal/controlplane/lease/task.go
+++ b/internal/controlplane/lease/task.go
@@ -12,62 +12,65 @@
 // Kind is what a task does.
 type Kind string
 
+// The kinds.
 const (
-	EndpointProbe Kind = "watch"   // targets that are avoided are tried by one member each
-	FleetReport   Kind = "account" // the latency accounts of all instances, one report for each window
-	Drill         Kind = "drill"   // acts at a guarded folder that change nothing else, to try out the leases themselves
+	EndpointProbe Kind = "watch"   // one member each probes ejected targets on behalf of all
+	FleetReport   Kind = "account" // one report of all instances' latency accounts for each window
+	// operations at a guarded folder without any effect, to test leases themselves
+	Drill Kind = "drill"
 )
 
-// Kinds is all of them.
+// Kinds lists all kinds.
 var Kinds = []Kind{EndpointProbe, FleetReport, Drill}
 
-// Task is something that is done once for the fleet, not once by each instance, as an operator sets it.
+// Task is a task as an operator sets it. It runs once for the fleet, not once for each instance.
 type Task struct {
 	Name               string `toml:"name" json:"name"`
 	Kind               Kind   `toml:"kind" json:"kind"`
-	Disabled           bool   `toml:"off" json:"off,omitempty"`               // shards are given back, and not given to anyone
-	Shards             int    `toml:"shards" json:"shards"`                   // 1 where it is not told
-	TTLMs              int64  `toml:"lease_ms" json:"lease_ms"`               // how long a lease lasts after its renewal was begun
-	OperationTimeoutMs int64  `toml:"act_ms" json:"act_ms"`                   // how long one act takes at most
-	IntervalMs         int64  `toml:"every_ms" json:"every_ms"`               // from the beginning of one act to that of the next
-	ProgressTimeoutMs  int64  `toml:"progress_ms" json:"progress_ms"`         // a holder that ends no act for so long loses the shard
-	MaxPauseMs         int64  `toml:"pause_ms" json:"pause_ms,omitempty"`     // the longest a process stands still, where something touched can't check tokens
-	Dir                string `toml:"dir" json:"dir,omitempty"`               // account, drill: the guarded folder, the same for all members
-	WindowS            int64  `toml:"window_s" json:"window_s,omitempty"`     // account: 60 where it is not told
-	KeepReports        int    `toml:"keep" json:"keep,omitempty"`             // account: reports, 1,440 where it is not told
-	Witness            string `toml:"witness" json:"witness,omitempty"`       // drill: told of each call of the place and of its return; empty: nobody
-	MaxMoves           int    `toml:"moves_at_once" json:"moves_at_once"`     // for evenness' sake, at a time; a tenth of the shards where it is not told
-	ProbePath          string `toml:"probe_path" json:"probe_path,omitempty"` // watch: what a target is asked, /-/healthy where it is not told
+	Disabled           bool   `toml:"off" json:"off,omitempty"`               // shards are released and not granted
+	Shards             int    `toml:"shards" json:"shards"`                   // default 1
+	TTLMs              int64  `toml:"lease_ms" json:"lease_ms"`               // how long a lease lasts after its renewal was started
+	OperationTimeoutMs int64  `toml:"act_ms" json:"act_ms"`                   // longest duration of one operation
+	IntervalMs         int64  `toml:"every_ms" json:"every_ms"`               // from the start of one operation to the start of the next
+	ProgressTimeoutMs  int64  `toml:"progress_ms" json:"progress_ms"`         // a holder that completes nothing for so long loses the shard
+	MaxPauseMs         int64  `toml:"pause_ms" json:"pause_ms,omitempty"`     // longest pause of a process, where targets cannot check tokens
+	Dir                string `toml:"dir" json:"dir,omitempty"`               // FleetReport, Drill: the guarded folder, shared by all members
+	WindowS            int64  `toml:"window_s" json:"window_s,omitempty"`     // FleetReport: length of a window; default 60
+	KeepReports        int    `toml:"keep" json:"keep,omitempty"`             // FleetReport: default 1440
+	Witness            string `toml:"witness" json:"witness,omitempty"`       // Drill: address that is told of each call and its return
+	MaxMoves           int    `toml:"moves_at_once" json:"moves_at_once"`     // shards that move at a time for balance; default a tenth of all
+	ProbePath          string `toml:"probe_path" json:"probe_path,omitempty"` // EndpointProbe: default /-/healthy
 }
 
-// TTL is how long a lease lasts by its holder's clock.
+// TTL is how long a lease lasts, by its holder's clock.
 func (t *Task) TTL() time.Duration { return time.Duration(t.TTLMs) * time.Millisecond }
 
-// OperationTimeout is how long one act takes at most by its holder's clock.
+// OperationTimeout is the longest duration of one operation, by its holder's clock.
 func (t *Task) OperationTimeout() time.Duration {
 	return time.Duration(t.OperationTimeoutMs) * time.Millisecond
 }
 
-// Interval is from the beginning of one act to that of the next.
+// Interval is the time from the start of one operation to the start of the next.
 func (t *Task) Interval() time.Duration { return time.Duration(t.IntervalMs) * time.Millisecond }
 
-// ProgressTimeout is how long a holder may go without ending an act.
+// ProgressTimeout is how long a holder may go without completing an operation.
 func (t *Task) ProgressTimeout() time.Duration {
 	return time.Duration(t.ProgressTimeoutMs) * time.Millisecond
 }
 
-// MaxPause is the longest that a process is taken to stand still; 0: no bound is needed.
+// MaxPause is the longest pause of a process that is allowed for; 0: no bound is needed.
 func (t *Task) MaxPause() time.Duration { return time.Duration(t.MaxPauseMs) * time.Millisecond }
 
-// Window is the stretch of time of one report.
+// Window is the period that one report covers.
 func (t *Task) Window() time.Duration { return time.Duration(t.WindowS) * time.Second }
 
-// ShardOf is the shard that a target is in.
+// ShardOf returns the shard that a target belongs to.
 func (t *Task) ShardOf(target string) int { return int(xxhash.Sum64String(target) % uint64(t.Shards)) }
 
-// unguarded tells whether acts of the task reach something that can't check a token.
+// unguarded reports whether operations reach something that cannot check a token.
 func (t *Task) unguarded() bool { return t.Kind == EndpointProbe }
 
+// validate fills in defaults and returns an error that names the first invalid field.
 func (t *Task) validate(f *quota.Config) error {
 	switch {
 	case t.Name == "" || len(t.Name) > quota.MaxNameBytes:
