--- a/internal/controlplane/membership/awareness.go
+++ b/internal/controlplane/membership/awareness.go
@@ -6,18 +6,21 @@
 	"time"
 )
 
-// scaleByHealth lengthens the member's own time-outs by its doubt in itself.
+// scaleByHealth lengthens the member's own timeouts by its health score (Lifeguard).
 func (m *Node) scaleByHealth(d time.Duration) time.Duration {
 	return d * time.Duration(1+m.healthScore)
 }
 
+// adjustHealth changes the health score within its bounds.
 func (m *Node) adjustHealth(by int) {
 	if !m.config.DisableLifeguard {
 		m.healthScore = max(0, min(maxHealthScore, m.healthScore+by))
 	}
 }
 
-// observeClock compares the clock with what was due. A jump voids every verdict under way (4): what was not heard may have been there to hear.
+// observeClock compares the clock with the time of the announced tick. A large delay is a pause of
+// this process and restarts all suspicions (step 4); a smaller one means that messages wait unread,
+// and moves the timeouts.
 func (m *Node) observeClock(now time.Duration) {
 	late := now - m.announcedTick
 	switch {
@@ -31,7 +34,7 @@
 	case late > m.config.ProbeTimeout/2:
 		m.Counts.Starved++
 		m.adjustHealth(1)
-		// What came meanwhile has not been read: that time counts for nothing that is waited for, and there is some to read it.
+		// Messages that came meanwhile have not been read: the delay does not count, and there is time to read them.
 		late += m.config.ProbeTimeout
 		if m.currentProbe != nil {
 			m.currentProbe.startedAt += late
@@ -47,18 +50,19 @@
 	}
 }
 
-// markIsolated notes that nobody is heard: until somebody is, nobody is judged (4).
+// markIsolated notes that nobody is heard: until somebody is, no member is declared dead (step 4).
 func (m *Node) markIsolated(now time.Duration) {
 	m.isolated = true
 	m.addEvent(now, &member{info: &m.self.Info, id: m.self.ID}, "alone", m.self.Incarnation, "we hear nobody")
 }
 
-// receivesPings tells whether pings of others came lately, and so whether a member that nobody answers is mute and not deaf.
+// receivesPings reports whether pings of others arrived recently: then this member hears, but is not
+// heard.
 func (m *Node) receivesPings(now time.Duration) bool {
 	return slices.ContainsFunc(m.recentPings, func(p pendingRequest) bool { return now-p.sentAt < 4*m.config.ProbeInterval })
 }
 
-// IsolationReason tells why the member judges nobody; empty: it does.
+// IsolationReason returns why the member declares nobody dead; empty: it does.
 func (m *Node) IsolationReason(now time.Duration) string {
 	switch {
 	case !m.isolated:
--- a/internal/controlplane/membership/broadcast.go
+++ b/internal/controlplane/membership/broadcast.go
@@ -7,30 +7,31 @@
 	"time"
 )
 
-// broadcast is a record that is being passed on.
+// broadcast is a record that is being piggybacked.
 type broadcast struct {
 	Record
 	transmissions int
 }
 
-// retransmitLimit is how often a record is passed on.
+// retransmitLimit is how often a record is piggybacked.
 func (m *Node) retransmitLimit() int {
 	return int(math.Ceil(m.config.RetransmitMult * math.Log2(float64(m.Size())+1)))
 }
 
-// queueBroadcast has a record passed on, in place of what was said of the member before, but for the words of other reporters.
+// queueBroadcast has a record piggybacked. It replaces what was to be told of the member before,
+// except the reports of other reporters.
 func (m *Node) queueBroadcast(r Record) {
 	m.broadcasts = slices.DeleteFunc(m.broadcasts, func(u broadcast) bool {
 		return u.ID == r.ID && (u.Incarnation < r.Incarnation || u.Incarnation == r.Incarnation && (u.Status < r.Status || u.Status == r.Status && u.Reporter == r.Reporter))
 	})
-	if len(m.broadcasts) >= maxBroadcasts { // the most passed on has done its work
+	if len(m.broadcasts) >= maxBroadcasts { // it was sent most often
 		m.broadcasts = slices.Delete(m.broadcasts, 0, 1)
 	}
 	m.broadcasts = append(m.broadcasts, broadcast{Record: r})
 }
 
-// piggyback puts what is to be passed on into a verified message: first what its receiver should know of itself, then what was passed on
-// least. No message grows with the fleet.
+// piggyback fills a verified message with what is to be spread: first what the receiver should know of
+// itself, then what was sent least often. A message's size does not depend on the fleet's.
 func (m *Node) piggyback(x *Message, to uint64) {
 	room := MaxMessageBytes - 200 - x.From.size()
 	if e := m.lookup(to); e != nil && e.status != Alive && e.status != Left {
@@ -62,7 +63,7 @@
 			room -= 60
 			x.Reachability = append(x.Reachability, l.Reachability)
 			if l.transmissions++; l.transmissions < most {
-				told = append(told, k) // behind the others
+				told = append(told, k) // after the others
 			} else {
 				l.transmissions = -1
 			}
@@ -71,7 +72,7 @@
 	m.reachBroadcasts = append(kept, told...)
 }
 
-// mergePiggyback reads what a verified message passes on.
+// mergePiggyback takes over what a verified message carries.
 func (m *Node) mergePiggyback(now time.Duration, x *Message) {
 	for i := range x.Records {
 		m.mergeRecord(now, &x.Records[i])
@@ -83,7 +84,7 @@
 	}
 }
 
-// gossipUrgent tells what is urgent, twice in a period at most.
+// gossipUrgent spreads an own change at once, at most twice in a probe interval.
 func (m *Node) gossipUrgent(now time.Duration, o *outbox) {
 	if m.gossipPending && now-m.lastUrgentGossip >= m.config.ProbeInterval/2 {
 		m.gossipPending, m.lastUrgentGossip = false, now
@@ -91,7 +92,7 @@
 	}
 }
 
-// pingRecentlyHeard opens an exchange with those heard last, so that what is urgent is passed on.
+// pingRecentlyHeard pings the members heard last, so that their answers carry away what is urgent.
 func (m *Node) pingRecentlyHeard(now time.Duration, n int, o *outbox) {
 	var best []*member
 	for i := range m.members {
@@ -107,7 +108,7 @@
 	}
 }
 
-// raiseIncarnation gives the member's own record a later incarnation, and has it told.
+// raiseIncarnation gives the member's own record a greater incarnation and has it spread.
 func (m *Node) raiseIncarnation() {
 	m.toggleDigest(&m.self)
 	m.self.Incarnation++
--- a/internal/controlplane/membership/config.go
+++ b/internal/controlplane/membership/config.go
@@ -4,22 +4,24 @@
 	"time"
 )
 
-// Config are the same at all members of a fleet. Lengths scale with the logarithm of the size where docs/members.md says so.
+// Config is the same at all members of a fleet. The trade-offs are those of SWIM: shorter intervals
+// find a death sooner and cost more messages; shorter suspicion finds it sooner and errs more often.
 type Config struct {
-	FleetID          uint64        // tells fleets apart
+	FleetID          uint64        // messages of other fleets are ignored
 	ProbeInterval    time.Duration // from one probe to the next
-	ProbeTimeout     time.Duration // for a probe's answer, before others are asked
-	IndirectProbes   int           // how many are
-	SuspicionMult    float64       // periods of suspicion, times log10 of the size: half of it with enough reporters
-	SuspicionMaxMult float64       // times that half where one member alone suspects
-	Confirmations    int           // that are enough
-	RetransmitMult   float64       // how often a record is passed on, times log2 of the size
-	SyncInterval     time.Duration // from one comparison of views to the next
-	PauseThreshold   time.Duration // past which a stretch between two looks at the clock is a pause
-	TombstoneTTL     time.Duration // how long what ended is remembered
-	DisableLifeguard bool          // neither doubts itself nor asks for reporters: what it is compared with
+	ProbeTimeout     time.Duration // for an Ack before helpers are asked
+	IndirectProbes   int           // helpers that are asked
+	SuspicionMult    float64       // shortest suspicion in probe intervals, times half the log10 of the size
+	SuspicionMaxMult float64       // longest suspicion (a single reporter) over the shortest
+	Confirmations    int           // reporters that shorten a suspicion to the shortest
+	RetransmitMult   float64       // how often a record is piggybacked, times the log2 of the size
+	SyncInterval     time.Duration // from one sync of views to the next
+	PauseThreshold   time.Duration // a longer gap between two looks at the clock is a pause of this process
+	TombstoneTTL     time.Duration // how long ended members are remembered
+	// plain SWIM, for comparison: no health score, no confirmations, no pause detection
+	DisableLifeguard bool
 }
 
-// DefaultConfig are the settings where an operator's file has none.
+// DefaultConfig is used where an operator sets nothing.
 var DefaultConfig = Config{ProbeInterval: time.Second, ProbeTimeout: 300 * time.Millisecond, IndirectProbes: 3, SuspicionMult: 2, SuspicionMaxMult: 5, Confirmations: 3, RetransmitMult: 3,
 	SyncInterval: 10 * time.Second, PauseThreshold: 2 * time.Second, TombstoneTTL: time.Hour}
--- a/internal/controlplane/membership/debug.go
+++ b/internal/controlplane/membership/debug.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// DebugString writes down the state, but for what was drawn: states that print alike go on alike. Times are told from now.
+// DebugString prints the state except for random numbers, with times relative to now: equal states go
+// on alike.
 func (m *Node) DebugString(now time.Duration, name func(uint64) string) string {
 	var b strings.Builder
 	ago := func(t time.Duration) int64 { return (now - t).Milliseconds() }
@@ -52,6 +53,7 @@
 	return b.String()
 }
 
+// sortedIndexes returns the positions of members in order of id.
 func (m *Node) sortedIndexes() []int {
 	order := make([]int, len(m.members))
 	for i := range order {
@@ -61,7 +63,7 @@
 	return order
 }
 
-// Lookup is the view's word on one life; false: none.
+// Lookup returns the view's record of one member.
 func (m *Node) Lookup(birth uint64) (Record, bool) {
 	e := m.lookup(birth)
 	if e == nil {
@@ -70,10 +72,10 @@
 	return m.recordOf(e), true
 }
 
-// PendingBroadcasts is how many records are still being passed on.
+// PendingBroadcasts is the number of records that are still being piggybacked.
 func (m *Node) PendingBroadcasts() int { return len(m.broadcasts) }
 
-// DirectSuspects are those that have not answered this member itself, with the incarnation that it is of.
+// DirectSuspects returns the members that this one suspects by its own probes, with the incarnation.
 func (m *Node) DirectSuspects() map[uint64]uint32 {
 	all := map[uint64]uint32{}
 	for _, s := range m.suspicions {
--- a/internal/controlplane/membership/events.go
+++ b/internal/controlplane/membership/events.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Event is a change of the view, and its cause.
+// Event is a change of the view with its cause.
 type Event struct {
 	At          time.Duration `json:"-"`
 	ID          uint64        `json:"birth"`
@@ -13,15 +13,16 @@
 	Status      string        `json:"to"`
 	Incarnation uint32        `json:"incarnation"`
 	Reason      string        `json:"why"`
-	Reporters   []uint64      `json:"-"` // of a death: whose word it is
+	Reporters   []uint64      `json:"-"` // of a death
 }
 
-// Counts are what has come to pass since the start.
+// Counts are the node's counters. JSON uses the field names.
 type Counts struct {
 	Probes, Failed, Suspected, Buried, Refuted, Pauses, Starved, Voided uint64
-	Stale, Foreign, Misdirected, Limited, Absurd                        uint64 // messages that changed nothing
+	Stale, Foreign, Misdirected, Limited, Absurd                        uint64 // messages that were ignored: not recent,
 }
 
+// addEvent records a change of the view.
 func (m *Node) addEvent(now time.Duration, e *member, to string, inc uint32, why string) {
 	m.eventCount++
 	m.events = append(m.events, Event{At: now, ID: e.id, Name: e.info.Name, Status: to, Incarnation: inc, Reason: why})
@@ -30,5 +31,5 @@
 	}
 }
 
-// Events are the changes of the view that are kept, the latest last, and how many there ever were.
+// Events returns the changes that are kept, the latest last, and the number of all.
 func (m *Node) Events() (kept []Event, ever int) { return m.events, m.eventCount }
--- a/internal/controlplane/membership/message.go
+++ b/internal/controlplane/membership/message.go
@@ -1,7 +1,9 @@
-// Package membership is how initiators know each other without a leader: periodic probes, probes through others, suspicion that its
-// member can refute, records carried on the probes, and an exchange of what two views do not share. It does no I/O; time and
-// randomness are passed in, and equal inputs give equal outputs. docs/members.md has the argument; the numbers in the comments here
-// are that page's steps.
+// Package membership lets initiators know each other without a leader, by SWIM with the extensions of
+// Lifeguard: periodic probes, indirect probes, suspicion that its subject can refute, records
+// piggybacked on probes, and a periodic sync of what two views do not share. It adds reachability
+// records, which name links that are cut in one direction, and keeps processes that were paused from
+// judging others. It does no I/O; time and randomness are passed in, and equal inputs give equal
+// outputs. docs/members.md has the argument; numbers of steps in comments are that page's.
 package membership
 
 import (
@@ -9,23 +11,24 @@
 	"fmt"
 )
 
-// Version is of the messages; others are not read.
+// Version is the protocol version; messages of other versions are not read.
 const Version = 1
 
-// Bounds of what a message may hold.
+// Bounds of a message.
 const (
-	MaxTextBytes    = 64   // bytes of a name, an address or a zone
-	MaxMessageBytes = 1200 // of a message, whatever the size of the fleet
+	MaxTextBytes    = 64   // of a name, an address or a zone
+	MaxMessageBytes = 1200 // whatever the size of the fleet
 	MaxRecords      = 24
 	MaxReachability = 8
-	DigestBuckets   = 64 // that a view is compared by
-	maxSyncPages    = 8  // answered to one comparison
+	DigestBuckets   = 64 // by which two views are compared
+	maxSyncPages    = 8  // sent in answer to one sync request
 )
 
-// Status is what a record says of a member.
+// Status is what a record says of a member. Of two records with the same incarnation, the one with the
+// greater status wins.
 type Status uint8
 
-// A later one wins over an earlier one of the same incarnation.
+// The statuses.
 const (
 	Alive Status = iota
 	Suspect
@@ -34,6 +37,7 @@
 	statuses
 )
 
+// String returns the status in lower case.
 func (s Status) String() string {
 	if s >= statuses {
 		return fmt.Sprint("status ", uint8(s))
@@ -41,27 +45,29 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Info is what is known of a member besides.
+// Info is the static information on a member.
 type Info struct {
 	Name string `cbor:"1,keyasint"`
 	Addr string `cbor:"2,keyasint"` // where it is reached
 	Zone string `cbor:"3,keyasint,omitempty"`
 }
 
-// Record is one word on one member. A member is one life of a process, and Birth, drawn at its start, is its identity: what is said
-// of a process goes for no later one of the same name. Inc is its incarnation, which it alone raises.
+// Record is a statement on one member. A member is one run of a process; its ID is drawn at its start,
+// so that statements on one run do not apply to a later run with the same name. Only the member itself
+// raises its incarnation.
 type Record struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Incarnation uint32 `cbor:"2,keyasint"`
 	Status      Status `cbor:"3,keyasint,omitempty"`
 	Info        Info   `cbor:"4,keyasint"`
-	Reporter    uint64 `cbor:"5,keyasint,omitempty"` // whose word a suspicion or a death is
-	PausedMs    uint32 `cbor:"6,keyasint,omitempty"` // ms that the member stood still before it raised its incarnation
+	Reporter    uint64 `cbor:"5,keyasint,omitempty"` // who suspects it or declared it dead
+	PausedMs    uint32 `cbor:"6,keyasint,omitempty"` // pause that made it raise its incarnation
 }
 
+// size is an upper bound of the encoded size in bytes.
 func (r *Record) size() int { return len(r.Info.Name) + len(r.Info.Addr) + len(r.Info.Zone) + 48 }
 
-// Validate names the field that cannot be right.
+// Validate returns an error that names the first invalid field.
 func (r *Record) Validate() error {
 	switch {
 	case r.ID == 0:
@@ -78,25 +84,26 @@
 	return nil
 }
 
-// Reachability is what one member found of the way from one to another.
+// Reachability is what one member found out about the link from one member to another.
 type Reachability struct {
 	Observer uint64    `cbor:"1,keyasint"`
 	From     uint64    `cbor:"2,keyasint"`
 	To       uint64    `cbor:"3,keyasint"`
 	State    LinkState `cbor:"4,keyasint"`
-	Seq      uint32    `cbor:"5,keyasint"` // of By: the greater is the later
+	Seq      uint32    `cbor:"5,keyasint"` // of the observer: the greatest is the latest
 }
 
-// LinkState is what is wrong with a way.
+// LinkState is the state of a link.
 type LinkState uint8
 
-// The kinds of cuts.
+// The states.
 const (
-	LinkUp        LinkState = iota // nothing, again
-	LinkDown                       // From's messages do not come to To
-	DatagramsLost                  // datagrams do not pass, streams do
+	LinkUp        LinkState = iota // works again
+	LinkDown                       // messages do not arrive
+	DatagramsLost                  // streams arrive, datagrams do not
 )
 
+// String returns the state as views show it.
 func (c LinkState) String() string {
 	if c > DatagramsLost {
 		return fmt.Sprint("cut ", uint8(c))
@@ -104,22 +111,23 @@
 	return [...]string{"open", "cut", "datagrams cut"}[c]
 }
 
-// MessageKind is what a message is.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
-// The kinds of messages.
+// The kinds.
 const (
-	Ping        MessageKind = iota // answer
-	Ack                            // the answer to a ping, with a question of its own
-	AckConfirm                     // the answer to that
-	PingRequest                    // ping another for me
-	IndirectAck                    // the other has answered
-	Nack                           // it has not, and I am here
-	SyncRequest                    // which parts of our views differ?
+	Ping        MessageKind = iota // asks for an Ack
+	Ack                            // answers a Ping, with a nonce of its own
+	AckConfirm                     // answers an Ack
+	PingRequest                    // asks a helper to ping another member
+	IndirectAck                    // the helper reached it
+	Nack                           // the helper is there, and has not reached it yet
+	SyncRequest                    // asks for the parts of a view that differ
 	SyncPage                       // records of parts that differ
 	kinds
 )
 
+// String returns the kind as logs show it.
 func (k MessageKind) String() string {
 	if k >= kinds {
 		return fmt.Sprint("kind ", uint8(k))
@@ -129,38 +137,35 @@
 
 // Message is one datagram, or one frame of a stream.
 type Message struct {
-	Version uint8       `cbor:"1,keyasint"`
-	FleetID uint64      `cbor:"2,keyasint"`
-	Kind    MessageKind `cbor:"3,keyasint"`
-	From    Record      `cbor:"4,keyasint"`           // the sender, by its own word
-	To      uint64      `cbor:"5,keyasint,omitempty"` // the birth that it is for; 0: whoever is there
-	Nonce   uint64      `cbor:"6,keyasint,omitempty"` // to be echoed
-	Echo    uint64      `cbor:"7,keyasint,omitempty"` // of what this answers: it was written after that
-	// Of a ping: what its sender knows of the one it is for, and for how long it has not heard it.
-	Opinion  *Opinion `cbor:"8,keyasint,omitempty"`
-	SilentMs uint32   `cbor:"9,keyasint,omitempty"` // ms; 0: heard lately, or never met
-	// Of an ask, a told and a nack: who is meant; of a ping for another and its answer, the asker's nonce.
-	Subject          Record `cbor:"10,keyasint,omitempty"`
-	RequesterNonce   uint64 `cbor:"11,keyasint,omitempty"`
-	SawRequesterPing bool   `cbor:"12,keyasint,omitempty"` // the one asked for has had the asker's own ping
-	// What the sender tells of itself, where it can be trusted to be of now.
-	Health uint8  `cbor:"13,keyasint,omitempty"` // 0: well; more: it doubts itself
-	Load   uint16 `cbor:"14,keyasint,omitempty"`
-	Agent  string `cbor:"15,keyasint,omitempty"` // one that has answered it lately
+	Version          uint8       `cbor:"1,keyasint"`
+	FleetID          uint64      `cbor:"2,keyasint"`
+	Kind             MessageKind `cbor:"3,keyasint"`
+	From             Record      `cbor:"4,keyasint"`           // the sender's own record
+	To               uint64      `cbor:"5,keyasint,omitempty"` // id of the receiver; 0: whoever has the address
+	Nonce            uint64      `cbor:"6,keyasint,omitempty"` // to be echoed
+	Echo             uint64      `cbor:"7,keyasint,omitempty"` // nonce that this answers: the message was written after it
+	Opinion          *Opinion    `cbor:"8,keyasint,omitempty"`
+	SilentMs         uint32      `cbor:"9,keyasint,omitempty"` // since the sender heard it; 0: recently, or never
+	Subject          Record      `cbor:"10,keyasint,omitempty"`
+	RequesterNonce   uint64      `cbor:"11,keyasint,omitempty"`
+	SawRequesterPing bool        `cbor:"12,keyasint,omitempty"` // the subject has received the requester's own ping
+	Health           uint8       `cbor:"13,keyasint,omitempty"` // health score; 0: healthy
+	Load             uint16      `cbor:"14,keyasint,omitempty"` // open requests
+	Agent            string      `cbor:"15,keyasint,omitempty"` // an agent that answered it recently
 
 	Records      []Record       `cbor:"16,keyasint,omitempty"`
 	Reachability []Reachability `cbor:"17,keyasint,omitempty"`
 	Digests      []uint64       `cbor:"18,keyasint,omitempty"`
-	ViewSize     uint32         `cbor:"19,keyasint,omitempty"` // of the sender's view
+	ViewSize     uint32         `cbor:"19,keyasint,omitempty"` // live members in the sender's view
 }
 
-// Opinion is a status and the incarnation that it is of.
+// Opinion is a status and the incarnation that it is about.
 type Opinion struct {
 	Incarnation uint32 `cbor:"1,keyasint"`
 	Status      Status `cbor:"2,keyasint,omitempty"`
 }
 
-// Validate names what cannot be right: nothing of such a message is used.
+// Validate returns an error that names the first invalid field. Nothing of an invalid message is used.
 func (m *Message) Validate() error {
 	switch {
 	case m.Version != Version:
@@ -199,16 +204,16 @@
 	return nil
 }
 
-// Channel is what a message goes by.
+// Channel is how a message travels.
 type Channel uint8
 
-// The ways of a message.
+// The channels.
 const (
 	Datagram Channel = iota
 	Stream
 )
 
-// Outgoing is a message that is to go out.
+// Outgoing is a message to send.
 type Outgoing struct {
 	Addr    string
 	Channel Channel
--- a/internal/controlplane/membership/node.go
+++ b/internal/controlplane/membership/node.go
@@ -6,92 +6,96 @@
 	"time"
 )
 
+// Constants of the protocol.
 const (
-	maxHealthScore     = 8   // of doubt in oneself
-	maxPendingRequests = 256 // questions that wait for an answer
-	maxRecentPings     = 64  // of others, remembered
+	maxHealthScore     = 8
+	maxPendingRequests = 256 // requests that wait for an answer
+	maxRecentPings     = 64  // pings of others that are remembered
 	maxBroadcasts      = 4096
 	maxReachRecords    = 1024
-	maxSuspectPaths    = 8 // ways tried again at a time
-	failuresBeforeCut  = 6 // failures in a row, with answers by another way, name a cut
+	maxSuspectPaths    = 8 // links that are tested again at a time
+	failuresBeforeCut  = 6 // failed probes in a row, with answers by another path, that make a cut
 	maxEvents          = 256
 	maxAgents          = 8
-	maxTombstones      = 1024 // that are remembered
-	maxSyncAnswers     = 4    // comparisons answered in a period
-	deadProbeEvery     = 4    // one probe in so many goes to somebody held dead
+	maxTombstones      = 1024 // ended members that are remembered
+	maxSyncAnswers     = 4    // sync requests answered in a probe interval
+	deadProbeEvery     = 4    // one probe in so many goes to a member declared dead
 )
 
-// Node is one member's side.
+// Node is one member's protocol state machine.
 type Node struct {
 	config          Config
 	rng             *rand.Rand
 	self            Record
-	load            uint16
-	agent           string
+	load            uint16 // open requests, told to others
+	agent           string // an agent that answered this process recently
 	seeds           []string
-	members         []member
+	members         []member // all others, in no order; index has their positions by id
 	index           map[uint64]int32
-	liveCount       int // others that are alive or suspected
-	endedCount      int
-	rotation        []uint64
+	liveCount       int      // others that are alive or suspected
+	endedCount      int      // others that are dead or have left
+	rotation        []uint64 // probe order: ids from rotationPos on have not been probed in this round
 	rotationPos     int
-	currentProbe    *probe
-	probeCount      uint64
-	pending         map[uint64]pendingRequest
-	recentPings     []pendingRequest // of others, unverified: their nonces and births
+	currentProbe    *probe                    // nil: none
+	probeCount      uint64                    // ever
+	pending         map[uint64]pendingRequest // requests that wait for an answer, by nonce
+	recentPings     []pendingRequest          // pings of others, not verified
 	suspicions      []suspicion
 	suspectPaths    []suspectPath
 	reachability    map[reachKey]*reachRecord
-	reachBroadcasts []reachKey // that are being passed on
-	reachSeq        uint32     // Seq of the last link told
-	broadcasts      []broadcast
-	digests         [DigestBuckets]uint64 // of all records
-	aliveDigest     uint64                // of those alive
+	reachBroadcasts []reachKey            // reachability records to be piggybacked
+	reachSeq        uint32                // of the last own reachability record
+	broadcasts      []broadcast           // records to be piggybacked
+	digests         [DigestBuckets]uint64 // over all records, by bucket
+	aliveDigest     uint64                // over the live members
 
 	nextProbe, nextSync, nextJoin time.Duration
-	announcedTick                 time.Duration // what Next told last
-	clockCheckedAt                time.Duration // when the clock was looked at last
-	lastHeardAt                   time.Duration // the last verified message from anybody
-	missedProbes                  map[uint64]bool
-	healthScore                   int
-	isolated                      bool
-	gossipPending                 bool // something of our own is to be told at once
-	lastUrgentGossip              time.Duration
-	syncAnswers                   int // comparisons, in this period
+	announcedTick                 time.Duration   // what NextTick returned last
+	clockCheckedAt                time.Duration   // last call of observeClock
+	lastHeardAt                   time.Duration   // last verified message from anybody
+	missedProbes                  map[uint64]bool // members whose probes failed since anybody was heard
+	healthScore                   int             // Lifeguard's local health multiplier; 0: healthy
+	isolated                      bool            // nobody is heard: no verdicts are made
+	gossipPending                 bool            // an own change has to be spread at once
+	lastUrgentGossip              time.Duration   // when that was last done
+	syncAnswers                   int             // sync requests answered since syncPeriodStart
 	syncPeriodStart               time.Duration
 	events                        []Event
-	eventCount                    int
-	agents                        []agentSeen
+	eventCount                    int         // ever, including those no longer kept
+	agents                        []agentSeen // named by others recently, the latest last
 	Counts                        Counts
 }
 
+// agentSeen is an agent that another member named.
 type agentSeen struct {
 	addr   string
 	seenAt time.Duration
 }
 
-// New begins a life. Birth has to be drawn at random; seeds are addresses to join by.
-func New(set Config, birth uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Node {
-	m := &Node{config: set, rng: rng, self: Record{ID: birth, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
+// New starts a run of a member. The id must be drawn at random; seeds are addresses to join by.
+func New(config Config, id uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Node {
+	m := &Node{config: config, rng: rng, self: Record{ID: id, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
 		pending: map[uint64]pendingRequest{}, reachability: map[reachKey]*reachRecord{}, missedProbes: map[uint64]bool{}, lastHeardAt: now, syncPeriodStart: now}
-	m.nextProbe = now + time.Duration(rng.Int64N(int64(set.ProbeInterval)))
-	m.nextSync, m.nextJoin = now+set.SyncInterval, now
+	m.nextProbe = now + time.Duration(rng.Int64N(int64(config.ProbeInterval)))
+	m.nextSync, m.nextJoin = now+config.SyncInterval, now
 	m.clockCheckedAt = now
 	m.announcedTick = m.NextTick()
 	m.toggleDigest(&m.self)
 	return m
 }
 
-// Self is the member's own record.
+// Self returns the member's own record.
 func (m *Node) Self() Record { return m.self }
 
-// SetLocalState sets what the member tells of itself: its load, and an agent that has answered it; empty: none.
+// SetLocalState sets what the member tells of itself: its load, and an agent that answered it
+// recently; empty: none.
 func (m *Node) SetLocalState(load uint16, agent string) { m.load, m.agent = load, agent }
 
-// Size is how many live in the view, oneself among them.
+// Size is the number of live members in the view, including this one.
 func (m *Node) Size() int { return m.liveCount + 1 }
 
-// NextTick is when Tick is due: once in a period at least, or a pause could go by unseen (4).
+// NextTick is when Tick is due: at least once in a probe interval, so that no pause goes unnoticed
+// (step 4).
 func (m *Node) NextTick() time.Duration {
 	at := min(m.nextProbe, m.nextSync, m.clockCheckedAt+m.config.ProbeInterval)
 	if p := m.currentProbe; p != nil && !p.acked {
@@ -110,7 +114,7 @@
 	return at
 }
 
-// SharedInfos are the facts of members, once for many views.
+// SharedInfos returns the static information of members, to be shared by many views in one process.
 func SharedInfos(all []Record) []*Info {
 	out := make([]*Info, len(all))
 	for i := range all {
@@ -119,7 +123,7 @@
 	return out
 }
 
-// Preload has the member know others from the start, as after a comparison with somebody who knows them.
+// Preload makes others known from the start, as after a sync with a member that knows them.
 func (m *Node) Preload(now time.Duration, all []Record, infos []*Info) {
 	m.members = slices.Grow(m.members, len(all))
 	for i := range all {
@@ -136,10 +140,10 @@
 	m.rng.Shuffle(len(m.rotation), func(i, j int) { m.rotation[i], m.rotation[j] = m.rotation[j], m.rotation[i] })
 }
 
-// outbox collects what is to go out.
+// outbox collects messages to send.
 type outbox []Outgoing
 
-// Tick does what is due.
+// Tick does what is due and returns the messages to send.
 func (m *Node) Tick(now time.Duration) []Outgoing {
 	var o outbox
 	m.observeClock(now)
@@ -163,8 +167,9 @@
 	return o
 }
 
-// Receive takes a message that passed its Check. Only what echoes a number that we drew is believed (2): of all else, however old, no
-// more comes than an answer.
+// Receive processes a valid message and returns the messages to send. Only a message that echoes a
+// nonce of this member is believed (step 2). Any other, however old it may be, causes no more than an
+// answer.
 func (m *Node) Receive(now time.Duration, x *Message, via Channel) []Outgoing {
 	var o outbox
 	m.observeClock(now)
@@ -183,6 +188,7 @@
 	return o
 }
 
+// dispatch processes a message by its kind.
 func (m *Node) dispatch(now time.Duration, x *Message, via Channel, o *outbox) {
 	switch x.Kind {
 	case Ping:
@@ -223,7 +229,7 @@
 	}
 }
 
-// Leave ends the life in order: it is told to some that were heard lately, and they pass it on.
+// Leave ends the membership in order: members that were heard recently are told and spread it.
 func (m *Node) Leave(now time.Duration) []Outgoing {
 	if m.self.Status == Left {
 		return nil
@@ -239,7 +245,7 @@
 	return o
 }
 
-// LeaveAcknowledged tells whether somebody has surely heard that the member leaves.
+// LeaveAcknowledged reports whether another member has heard that this one leaves.
 func (m *Node) LeaveAcknowledged() bool {
 	own := func(u broadcast) bool { return u.ID == m.self.ID && u.transmissions < 2 }
 	return m.self.Status == Left && !slices.ContainsFunc(m.broadcasts, own)
--- a/internal/controlplane/membership/probe.go
+++ b/internal/controlplane/membership/probe.go
@@ -5,36 +5,38 @@
 	"time"
 )
 
-// probe is the one question under way.
+// probe is the probe in progress.
 type probe struct {
 	target        uint64
 	addr          string
 	nonce         uint64
 	startedAt     time.Duration
-	helpers       []uint64 // helpers
+	helpers       []uint64 // asked to ping it; a single 0: there was nobody to ask
 	nacks         int
-	acked         bool
-	reachedBy     uint64 // the helper that reached it; 0: none
-	sawOurPing    bool   // it has had our own ping
-	ackedByStream bool   // it answered by a stream
+	acked         bool   // it answered this member itself
+	reachedBy     uint64 // helper that reached it; 0: none
+	sawOurPing    bool   // it received this member's own ping
+	ackedByStream bool   // its answer came by stream only
 }
 
-// pendingRequest is a question that waits for its answer.
+// pendingRequest is a request that waits for its answer.
 type pendingRequest struct {
-	responder uint64 // of whom; 0: whoever is there
+	responder uint64 // who has to answer; 0: whoever has the address
 	kind      MessageKind
 	sentAt    time.Duration
-	// Of a ping for another:
+	// Of a ping on behalf of another member:
 	requester      Record
 	about          Record
 	requesterNonce uint64
 }
 
+// newMessage returns a message with the fields that all messages have.
 func (m *Node) newMessage(k MessageKind, to uint64) *Message {
 	return &Message{Version: Version, FleetID: m.config.FleetID, Kind: k, From: m.self, To: to, Health: uint8(m.healthScore), Load: m.load, Agent: m.agent,
 		ViewSize: uint32(m.Size())}
 }
 
+// newNonce draws a nonce that is not 0.
 func (m *Node) newNonce() uint64 {
 	for {
 		if n := m.rng.Uint64(); n != 0 {
@@ -43,7 +45,7 @@
 	}
 }
 
-// expectReply remembers a question; past the bound the oldest is not waited for any more.
+// expectReply remembers a request; beyond the bound the oldest one is dropped.
 func (m *Node) expectReply(nonce uint64, a pendingRequest) {
 	if len(m.pending) >= maxPendingRequests {
 		var oldest uint64
@@ -71,7 +73,8 @@
 	m.sendPing(now, e, p.nonce, Datagram, o)
 }
 
-// nextProbeTarget is who is probed next: a way in doubt every second time, somebody held dead now and then (5), else the round goes on.
+// nextProbeTarget returns who is probed next: every second time a member on a suspect path, now and
+// then one declared dead (step 5), else the next of the rotation.
 func (m *Node) nextProbeTarget() *member {
 	m.probeCount++
 	if m.endedCount > 0 && m.probeCount%deadProbeEvery == 0 {
@@ -108,7 +111,7 @@
 	return nil
 }
 
-// sendPing asks a member whether it is there, and tells it what is thought of it.
+// sendPing pings a member and tells it what this view says of it, so that it can refute.
 func (m *Node) sendPing(now time.Duration, e *member, nonce uint64, via Channel, o *outbox) {
 	x := m.newMessage(Ping, e.id)
 	x.Nonce = nonce
@@ -119,7 +122,7 @@
 	*o = append(*o, Outgoing{e.info.Addr, via, x})
 }
 
-// probeIndirectly has helpers ping who has not answered, and tries a stream.
+// probeIndirectly asks helpers to ping a member that has not answered, and tries a stream.
 func (m *Node) probeIndirectly(now time.Duration, o *outbox) {
 	p := m.currentProbe
 	e := m.lookup(p.target)
@@ -151,7 +154,8 @@
 	}
 }
 
-// finishProbe ends the probe under way: who was reached by nobody is suspected, and who answered tells of the ways.
+// finishProbe ends the probe in progress: a member that nobody reached is suspected; one that was
+// reached by others only is on a suspect path.
 func (m *Node) finishProbe(now time.Duration) {
 	p := m.currentProbe
 	m.currentProbe = nil
@@ -174,7 +178,7 @@
 	m.Counts.Failed++
 	m.missedProbes[p.target] = true
 	if p.nacks == 0 && len(p.helpers) > 0 && p.helpers[0] != 0 {
-		m.adjustHealth(1) // the helpers are silent too: it may be we who do not hear
+		m.adjustHealth(1) // the helpers are silent too: this process may be the one that does not hear
 	}
 	if !m.isolated && !m.config.DisableLifeguard && len(m.missedProbes) >= min(3, m.liveCount) && now-m.lastHeardAt > 2*m.config.ProbeInterval {
 		m.markIsolated(now)
@@ -182,8 +186,10 @@
 	m.suspect(now, e, e.incarnation, m.self.ID, "no answer to us")
 }
 
+// handlePing answers a ping.
 func (m *Node) handlePing(now time.Duration, x *Message, via Channel, o *outbox) {
-	// Unverified: it may be old. It moves nothing but our own incarnation, and that only past a word on just this one.
+	// A ping is not verified and may be old. It changes nothing but this member's own incarnation, and only if it
+	// doubts exactly the present one.
 	if x.Opinion != nil && x.Opinion.Status != Alive && x.Opinion.Status != Left {
 		m.refute(now, &Record{ID: m.self.ID, Incarnation: x.Opinion.Incarnation, Status: x.Opinion.Status})
 	}
@@ -193,7 +199,7 @@
 	m.recentPings = append(m.recentPings, pendingRequest{responder: x.From.ID, requesterNonce: x.Nonce, sentAt: now})
 	r := m.newMessage(Ack, x.From.ID)
 	r.Echo, r.Nonce = x.Nonce, m.newNonce()
-	if x.RequesterNonce != 0 { // asked for by another: has its own ping come?
+	if x.RequesterNonce != 0 { // on behalf of another member: has that one's own ping arrived?
 		r.SawRequesterPing = slices.ContainsFunc(m.recentPings, func(p pendingRequest) bool {
 			return p.requesterNonce == x.RequesterNonce && p.responder == x.Subject.ID
 		})
@@ -204,6 +210,7 @@
 	*o = append(*o, Outgoing{x.From.Info.Addr, via, r})
 }
 
+// handleAck processes the answer to an own ping.
 func (m *Node) handleAck(now time.Duration, x *Message, a pendingRequest, via Channel, o *outbox) {
 	e := m.noteHeard(now, x)
 	if p := m.currentProbe; p != nil && p.nonce == x.Echo {
@@ -233,11 +240,11 @@
 	*o = append(*o, Outgoing{x.From.Info.Addr, via, c})
 }
 
-// handlePingRequest pings one member for another.
+// handlePingRequest pings a member on behalf of another one.
 func (m *Node) handlePingRequest(now time.Duration, x *Message, o *outbox) {
 	n := m.newMessage(Nack, x.From.ID)
 	n.Echo, n.Subject = x.Nonce, x.Subject
-	*o = append(*o, Outgoing{x.From.Info.Addr, Datagram, n}) // I am here, whatever comes of it
+	*o = append(*o, Outgoing{x.From.Info.Addr, Datagram, n}) // this helper is there, whether or not the probe succeeds
 	e := m.lookup(x.Subject.ID)
 	if e == nil || e.status > Suspect {
 		return
@@ -249,7 +256,7 @@
 	*o = append(*o, Outgoing{e.info.Addr, Datagram, p})
 }
 
-// handleIndirectReply hears of a helper.
+// handleIndirectReply processes a helper's answer.
 func (m *Node) handleIndirectReply(now time.Duration, x *Message) {
 	p := m.currentProbe
 	if p == nil || p.nonce != x.Echo || !slices.Contains(p.helpers, x.From.ID) || x.Subject.ID != p.target {
--- a/internal/controlplane/membership/reachability.go
+++ b/internal/controlplane/membership/reachability.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// suspectPath is a way that has failed and is tried again.
+// suspectPath is a member that others reach and this one does not; it is probed more often.
 type suspectPath struct {
 	target     uint64
-	failures   int
-	pingsSeen  int    // of these, it had our ping
-	streamAcks int    // of these, a stream came through
-	lastHelper uint64 // who reached it last
-	published  bool
+	failures   int    // probes that failed in a row
+	pingsSeen  int    // of these, it received our ping
+	streamAcks int    // of these, it answered by stream
+	lastHelper uint64 // that reached it
+	published  bool   // a reachability record was published
 }
 
+// reachKey identifies a reachability record: what one observer says of one link.
 type reachKey struct{ observer, from, to uint64 }
 
+// reachRecord is a reachability record as this member has it.
 type reachRecord struct {
 	Reachability
-	at            time.Duration
-	transmissions int // -1: as often as it has to be
+	at            time.Duration // arrival
+	transmissions int           // -1: sent as often as needed
 }
 
+// findSuspectPath returns the suspect path to a member, or nil.
 func (m *Node) findSuspectPath(birth uint64) *suspectPath {
 	for i := range m.suspectPaths {
 		if m.suspectPaths[i].target == birth {
@@ -34,7 +37,7 @@
 	return nil
 }
 
-// clearSuspectPath takes back what was found of the way to a member.
+// clearSuspectPath withdraws what was found of the links to and from a member that answers again.
 func (m *Node) clearSuspectPath(now time.Duration, e *member) {
 	d := m.findSuspectPath(e.id)
 	if d == nil {
@@ -51,7 +54,8 @@
 	m.suspectPaths = slices.DeleteFunc(m.suspectPaths, func(x suspectPath) bool { return x.target == e.id })
 }
 
-// notePathFailure notes that a member lives and did not answer us: after enough of that in a row the way is cut, and it is known which.
+// notePathFailure counts a probe of a live member that did not answer this one. After enough of them
+// in a row it is known which direction is cut, and published.
 func (m *Node) notePathFailure(now time.Duration, e *member, p *probe) {
 	d := m.findSuspectPath(e.id)
 	if d == nil {
@@ -78,7 +82,7 @@
 	switch {
 	case 2*d.streamAcks > d.failures:
 		l.State = DatagramsLost
-	case 2*d.pingsSeen > d.failures: // it has our pings, we not its answers
+	case 2*d.pingsSeen > d.failures: // it receives our pings, but its answers do not arrive
 		l.From, l.To = l.To, l.From
 	}
 	if !d.published {
@@ -88,14 +92,14 @@
 	m.publishReachability(now, l)
 }
 
-// publishReachability publishes a finding of one's own.
+// publishReachability publishes a finding of this member.
 func (m *Node) publishReachability(now time.Duration, l Reachability) {
 	m.reachSeq++
 	l.Observer, l.Seq = m.self.ID, m.reachSeq
 	m.mergeReachability(now, l)
 }
 
-// mergeReachability keeps a finding, the latest of each member on each way.
+// mergeReachability keeps the latest finding of each observer on each link.
 func (m *Node) mergeReachability(now time.Duration, l Reachability) {
 	k := reachKey{l.Observer, l.From, l.To}
 	if was := m.reachability[k]; was != nil && was.Seq >= l.Seq {
@@ -117,14 +121,15 @@
 	m.reachability[k] = &reachRecord{Reachability: l, at: now}
 }
 
+// reachKeyLess orders keys.
 func reachKeyLess(a, b reachKey) bool {
 	return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) < 0
 }
 
-// reachabilityTTL is how long a finding holds that is not told again.
+// reachabilityTTL is how long a finding holds that is not repeated.
 func (m *Node) reachabilityTTL() time.Duration { return 60 * m.config.ProbeInterval }
 
-// sortedReachKeys are the findings in a fixed order.
+// sortedReachKeys returns the keys of all findings in order.
 func (m *Node) sortedReachKeys() []reachKey {
 	return slices.SortedFunc(maps.Keys(m.reachability), func(a, b reachKey) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -9,24 +9,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// member is what is known of one member.
+// member is what is known of another member.
 type member struct {
 	info          *Info
 	id            uint64
-	lastHeardAt   time.Duration // its last message that was surely of then; -1: none
-	statusSince   time.Duration // its status is this
-	pauseToldAt   time.Duration // when it told of a pause; with paused
-	deathReporter uint64        // whose verdict it is that it is dead
+	lastHeardAt   time.Duration // last message that surely was recent; -1: none
+	statusSince   time.Duration // last change of status
+	pauseToldAt   time.Duration // when it told of a pause of pausedMs
+	deathReporter uint64        // who declared it dead
 	incarnation   uint32
 	pausedMs      uint32
 	load          uint16
 	status        Status
-	health        uint8
-	lateAcks      uint8 // answers in a row that came late
-	inRotation    bool  // it has a turn in the round
-	suppressed    bool  // it ended so long ago that nothing is said of it any more
+	health        uint8 // health score that it told
+	lateAcks      uint8 // late answers in a row
+	inRotation    bool  // it is in the probe order
+	suppressed    bool  // it ended long ago and is not told any more
 }
 
+// lookup returns a known member, or nil.
 func (m *Node) lookup(birth uint64) *member {
 	if i, ok := m.index[birth]; ok {
 		return &m.members[i]
@@ -34,19 +35,19 @@
 	return nil
 }
 
-// recordOf is the view's word on a member.
+// recordOf returns the view's record of a member.
 func (m *Node) recordOf(e *member) Record {
 	r := Record{ID: e.id, Incarnation: e.incarnation, Status: e.status, Info: *e.info, PausedMs: e.pausedMs}
 	switch e.status {
 	case Suspect:
 		r.Reporter = m.self.ID
-	case Dead: // a verdict stays its judge's: who was told it is no further one (3)
+	case Dead: // keeps who declared it: hearing of it makes nobody a further reporter (step 3)
 		r.Reporter = e.deathReporter
 	}
 	return r
 }
 
-// setStatus changes a member's record, with the cause.
+// setStatus changes a member's status and incarnation, and records the cause.
 func (m *Node) setStatus(now time.Duration, e *member, s Status, inc uint32, why string) {
 	if was := m.recordOf(e); !e.suppressed {
 		m.toggleDigest(&was)
@@ -72,7 +73,7 @@
 	}
 }
 
-// addMember takes in a member that was not known.
+// addMember adds a member that was not known.
 func (m *Node) addMember(now time.Duration, r *Record, why string) *member {
 	info := r.Info
 	m.index[r.ID] = int32(len(m.members))
@@ -90,7 +91,7 @@
 	return e
 }
 
-// removeMember forgets a member that ended.
+// removeMember forgets a member that has ended.
 func (m *Node) removeMember(birth uint64) {
 	i := m.index[birth]
 	if was := m.recordOf(&m.members[i]); !m.members[i].suppressed {
@@ -106,7 +107,8 @@
 	delete(m.index, birth)
 }
 
-// insertIntoRotation puts a member into the round at random, so that nobody's first turn can be told.
+// insertIntoRotation puts a member at a random place of the rest of the round, so that the time of its
+// first probe is not predictable.
 func (m *Node) insertIntoRotation(e *member) {
 	if !e.inRotation {
 		e.inRotation = true
@@ -114,7 +116,7 @@
 	}
 }
 
-// mergeRecord takes in a record that came with a verified message (2).
+// mergeRecord takes over a record that came with a verified message (step 2).
 func (m *Node) mergeRecord(now time.Duration, r *Record) {
 	if r.ID == m.self.ID {
 		m.refute(now, r)
@@ -134,7 +136,7 @@
 		return
 	}
 	if r.Incarnation > e.incarnation && (r.Status <= Suspect || r.Status == Dead && e.status <= Suspect) {
-		// Whatever was said of it before is over: it has lived since.
+		// A greater incarnation outdates everything that was said before: only the member itself raises it.
 		was := e.status
 		info := r.Info
 		e.info, e.pausedMs, e.pauseToldAt = &info, r.PausedMs, now
@@ -159,7 +161,7 @@
 	}
 }
 
-// refute refutes what is said of oneself (1).
+// refute answers a suspicion or a death of this member with a greater incarnation (step 1).
 func (m *Node) refute(now time.Duration, r *Record) {
 	switch {
 	case r.Incarnation > m.self.Incarnation:
@@ -172,7 +174,7 @@
 	}
 }
 
-// noteHeard notes a message that is surely of now: it echoes what we drew.
+// noteHeard records a message that surely is recent, since it echoes a nonce of this member.
 func (m *Node) noteHeard(now time.Duration, x *Message) *member {
 	m.lastHeardAt = now
 	clear(m.missedProbes)
@@ -198,6 +200,8 @@
 	return e
 }
 
+// recordHash is a record's part of the digests. A suspicion counts as alive, since views differ in
+// suspicions all the time.
 func recordHash(birth uint64, inc uint32, s Status) uint64 {
 	if s == Suspect {
 		s = Alive
@@ -209,7 +213,7 @@
 	return xxhash.Sum64(b[:])
 }
 
-// toggleDigest adds a record to the digests, or takes it out.
+// toggleDigest adds a record to the digests, or removes it.
 func (m *Node) toggleDigest(r *Record) {
 	h := recordHash(r.ID, r.Incarnation, r.Status)
 	m.digests[r.ID%DigestBuckets] ^= h
@@ -218,10 +222,11 @@
 	}
 }
 
-// AliveDigest is of all that live in the view: two views that have the same members under the same incarnations have the same.
+// AliveDigest is equal for two views that have the same live members with the same incarnations.
 func (m *Node) AliveDigest() uint64 { return m.aliveDigest }
 
-// expireState forgets what ended long ago, questions that nobody answers, and findings that were not told again; it tells ours again.
+// expireState forgets members that ended long ago, requests that nobody answers, and reachability
+// records that were not repeated; it repeats its own.
 func (m *Node) expireState(now time.Duration) {
 	var ended []*member
 	var gone []uint64
@@ -230,7 +235,7 @@
 			if now-e.statusSince > m.config.TombstoneTTL {
 				gone = append(gone, e.id)
 			} else {
-				if now-e.statusSince > m.config.TombstoneTTL/2 && !e.suppressed { // nobody who has forgotten it must hear of it again
+				if now-e.statusSince > m.config.TombstoneTTL/2 && !e.suppressed { // a member that has forgotten it must not learn of it again
 					r := m.recordOf(e)
 					m.toggleDigest(&r)
 					e.suppressed = true
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// suspicion is a verdict under way.
+// suspicion is a member that is suspected, until it refutes or the timeout declares it dead.
 type suspicion struct {
 	id             uint64
 	incarnation    uint32
-	startedAt      time.Duration
-	reporters      []uint64 // whose word it is, each once
-	deathReporters []uint64 // who holds it dead
-	restarted      bool     // begun anew after a pause or a time of hearing nobody
-	reached        bool     // somebody said that it answered while we suspected it
+	startedAt      time.Duration // start of the timeout
+	reporters      []uint64      // members that could not reach it themselves
+	deathReporters []uint64      // members that declare it dead
+	restarted      bool          // after a pause or isolation of this process
+	reached        bool          // somebody said that it answered while we suspected it
 }
 
-// MinSuspicion and Most are how long a suspicion lasts, with enough reporters and with one, of a member that trusts itself.
+// MinSuspicion is how long a suspicion lasts once enough reporters have confirmed it, with a health
+// score of 0.
 func (m *Node) MinSuspicion() time.Duration {
 	return time.Duration(m.config.SuspicionMult / 2 * max(1, math.Log10(float64(m.Size()))) * float64(m.config.ProbeInterval))
 }
 
-// MaxSuspicion is how long one reporter alone waits.
+// MaxSuspicion is how long a suspicion with a single reporter lasts.
 func (m *Node) MaxSuspicion() time.Duration {
 	return time.Duration(m.config.SuspicionMaxMult * float64(m.MinSuspicion()))
 }
 
-// suspicionDeadline is when a suspicion becomes a verdict here (3).
+// suspicionDeadline is when a suspicion becomes a death in this view: the timeout shrinks with the
+// logarithm of the reporters (step 3) and grows with this process's own health score.
 func (m *Node) suspicionDeadline(s *suspicion) time.Duration {
 	least, most := m.MinSuspicion(), m.MaxSuspicion()
 	if m.config.DisableLifeguard {
 		return s.startedAt + 2*least
 	}
-	k := min(m.config.Confirmations, max(1, m.Size()-1)) // who could report, oneself among them
+	k := min(m.config.Confirmations, max(1, m.Size()-1)) // possible reporters, including this member
 	if k > 1 && len(s.reporters) > 0 {
 		c := min(len(s.reporters), k)
 		most -= time.Duration(float64(most-least) * math.Log(float64(c)) / math.Log(float64(k)))
@@ -41,7 +43,7 @@
 	return s.startedAt + most + most*time.Duration(m.healthScore)/2
 }
 
-// suspect notes somebody's word against a member.
+// suspect records that reporter suspects a member; 0: nobody in particular.
 func (m *Node) suspect(now time.Duration, e *member, inc uint32, by uint64, why string) {
 	if e.status == Alive {
 		m.setStatus(now, e, Suspect, inc, why)
@@ -60,7 +62,7 @@
 	}
 }
 
-// declareDead makes a verdict.
+// declareDead declares a member dead.
 func (m *Node) declareDead(now time.Duration, e *member, why string, judge uint64, by []uint64) {
 	e.deathReporter = judge
 	m.setStatus(now, e, Dead, e.incarnation, why)
@@ -69,7 +71,8 @@
 	m.queueBroadcast(m.recordOf(e))
 }
 
-// mergeDeath weighs another's verdict: it is one more reporter's word, until enough hold the member dead (3).
+// mergeDeath counts another member's declaration that a member is dead, until enough have declared it
+// (step 3).
 func (m *Node) mergeDeath(now time.Duration, e *member, r *Record) {
 	if m.config.DisableLifeguard {
 		e.deathReporter = r.Reporter
@@ -77,7 +80,7 @@
 		m.queueBroadcast(*r)
 		return
 	}
-	m.suspect(now, e, max(r.Incarnation, e.incarnation), 0, "told dead") // a judge may have judged by others' words: it is no reporter
+	m.suspect(now, e, max(r.Incarnation, e.incarnation), 0, "told dead") // it may have declared by others' reports: it is no reporter
 	for i := range m.suspicions {
 		s := &m.suspicions[i]
 		if s.id != e.id || slices.Contains(s.deathReporters, r.Reporter) {
@@ -92,7 +95,8 @@
 	}
 }
 
-// confirmSuspicions makes the verdicts that are due. Who hears nobody judges nobody (4).
+// confirmSuspicions declares members dead whose suspicion has timed out. A member that hears nobody
+// declares nobody dead (step 4).
 func (m *Node) confirmSuspicions(now time.Duration) {
 	if m.isolated && !m.config.DisableLifeguard {
 		return
@@ -113,7 +117,8 @@
 	}
 }
 
-// restartSuspicions begins all verdicts anew, from nobody's word.
+// restartSuspicions starts all suspicions again without reporters: what was not heard may have been
+// there to hear.
 func (m *Node) restartSuspicions(now time.Duration) {
 	m.currentProbe = nil
 	clear(m.pending)
--- a/internal/controlplane/membership/sync.go
+++ b/internal/controlplane/membership/sync.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// startSync asks somebody which parts of its view are not as ours (5).
+// startSync asks a random live member for the parts of its view that differ (step 5).
 func (m *Node) startSync(now time.Duration, o *outbox) {
 	m.nextSync = now + m.config.SyncInterval
 	for range 8 {
@@ -19,6 +19,7 @@
 	}
 }
 
+// sendSyncRequest sends the digests of this view.
 func (m *Node) sendSyncRequest(now time.Duration, addr string, birth uint64, via Channel, o *outbox) {
 	x := m.newMessage(SyncRequest, birth)
 	x.Nonce, x.Digests = m.newNonce(), slices.Clone(m.digests[:])
@@ -26,8 +27,9 @@
 	*o = append(*o, Outgoing{addr, via, x})
 }
 
-// joinSeeds asks a seed that is nobody's whom we know, by datagram and by stream: at once while nobody is known, and now and then later,
-// since those who joined by one seed each would never meet (5).
+// joinSeeds sends a sync request to a seed address that no known member has, by datagram and by
+// stream: at once while nobody is known, and now and then later, since two groups that joined by
+// different seeds would never meet (step 5).
 func (m *Node) joinSeeds(now time.Duration, o *outbox) {
 	known := map[string]bool{m.self.Info.Addr: true}
 	if !m.isolated {
@@ -37,18 +39,19 @@
 			}
 		}
 	}
-	strange := slices.DeleteFunc(slices.Clone(m.seeds), func(s string) bool { return known[s] })
+	unknown := slices.DeleteFunc(slices.Clone(m.seeds), func(s string) bool { return known[s] })
 	if m.nextJoin = now + m.scaleByHealth(m.config.ProbeInterval); m.liveCount > 0 && !m.isolated {
 		m.nextJoin = now + m.config.SyncInterval/2
 	}
-	if len(strange) > 0 {
-		seed := strange[m.rng.IntN(len(strange))]
+	if len(unknown) > 0 {
+		seed := unknown[m.rng.IntN(len(unknown))]
 		m.sendSyncRequest(now, seed, 0, Datagram, o)
 		m.sendSyncRequest(now, seed, 0, Stream, o)
 	}
 }
 
-// handleSyncRequest answers with records of what differs, so many in a period.
+// handleSyncRequest answers with records of the parts that differ, a bounded number of times in a
+// probe interval.
 func (m *Node) handleSyncRequest(now time.Duration, x *Message, via Channel, o *outbox) {
 	if m.syncAnswers >= maxSyncAnswers || len(x.Digests) != DigestBuckets {
 		m.Counts.Limited++
@@ -58,8 +61,8 @@
 	m.sendSyncPages(now, x, via, x.Nonce, o)
 }
 
-// sendSyncPages sends records of the parts that differ from the sender's. The first page has our own digests and a question, so that the other
-// side can answer in kind.
+// sendSyncPages sends the records of the buckets whose digests differ. The first page has this view's
+// own digests and a nonce, so that the other side can answer in kind.
 func (m *Node) sendSyncPages(now time.Duration, x *Message, via Channel, echo uint64, o *outbox) {
 	from := m.rng.IntN(DigestBuckets)
 	differ := make([]bool, DigestBuckets)
@@ -99,7 +102,7 @@
 	for i := range DigestBuckets {
 		for _, at := range by[(from+i)%DigestBuckets] {
 			r := m.recordOf(&m.members[at])
-			if r.Status == Suspect { // whose word it is comes by itself
+			if r.Status == Suspect { // reporters spread suspicions themselves
 				r.Status, r.Reporter = Alive, 0
 			}
 			if !add(&r) {
@@ -116,7 +119,7 @@
 	}
 }
 
-// handleSyncPage takes records in, and answers the first page with ours.
+// handleSyncPage takes over records, and answers the first page with this view's.
 func (m *Node) handleSyncPage(now time.Duration, x *Message, a pendingRequest, via Channel, o *outbox) {
 	m.noteHeard(now, x)
 	m.mergePiggyback(now, x)
@@ -125,12 +128,12 @@
 	}
 	level := slices.Equal(x.Digests, m.digests[:])
 	if !level && a.kind == SyncRequest {
-		m.nextSync = min(m.nextSync, now+m.config.ProbeInterval/2) // there may be more than so many pages
+		m.nextSync = min(m.nextSync, now+m.config.ProbeInterval/2) // more records may differ than pages allow
 	}
 	if a.kind == SyncRequest && !level {
 		m.sendSyncPages(now, x, via, x.Nonce, o)
 	} else if a.kind == SyncRequest {
-		c := m.newMessage(SyncPage, x.From.ID) // so that it knows that we have heard it
+		c := m.newMessage(SyncPage, x.From.ID) // acknowledges the page
 		c.Echo = x.Nonce
 		*o = append(*o, Outgoing{x.From.Info.Addr, via, c})
 	}
--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -7,7 +7,7 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 )
 
-// Tell tells the numbers of the membership.
+// Tell writes the metrics of the membership.
 func (p *Runner) Tell(to statsd.ExtendedStatSender) {
 	p.onLoop(func(now time.Duration) {
 		v := p.node.View(now)
--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -1,5 +1,5 @@
-// Package transport is an instance's edge of the membership: sockets, the clock, the encoding and the log around one machine, which one
-// goroutine alone touches.
+// Package transport runs a membership.Node: it has the sockets, the clock, the encoding and the log. A
+// single goroutine touches the node.
 package transport
 
 import (
@@ -20,55 +20,58 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// Bounds and times of the sockets.
 const (
-	maxFrameBytes  = 4 << 10 // bytes of one message
-	maxStreams     = 32      // taken at a time
+	maxFrameBytes  = 4 << 10 // of one message
+	maxStreams     = 32      // accepted at a time
 	maxDials       = 16
-	streamTimeout  = 2 * time.Second // a stream may take in all
-	leaveTimeout   = time.Second     // to have it told that the member leaves
+	streamTimeout  = 2 * time.Second // for a whole stream
+	leaveTimeout   = time.Second     // to tell others that the member leaves
 	rebindInterval = time.Second
-	maxQueued      = 1024 // messages that came and were not read yet
+	maxQueued      = 1024 // messages that were received and not processed yet
 )
 
-// Options set up one member.
+// Options configure one member.
 type Options struct {
 	Name, Bind, Advertise, Zone string
 	FleetKey                    string
 	Seeds                       []string
 	Config                      membership.Config
-	AllowOtherPort              bool // a predecessor may still hold the address: another port is taken until it is free
-	Log                         *slog.Logger
+	// a predecessor may still hold the address: use another port until it is free
+	AllowOtherPort bool
+	Log            *slog.Logger
 }
 
 // Runner is the member of one process.
 type Runner struct {
 	opt        Options
-	localState func() (load uint16, agent string)
+	localState func() (load uint16, agent string) // see OnLocalState
 	id         uint64
-	node       *membership.Node
+	node       *membership.Node // of the run goroutine alone
 	incoming   chan received
-	calls      chan func()
+	calls      chan func() // run on the run goroutine
 	sockets    *sockets
-	dialSlots  chan struct{}
+	dialSlots  chan struct{} // bounds outgoing streams
 	enc        cbor.EncMode
 	dec        cbor.DecMode
 	cancel     context.CancelFunc
 	done       chan struct{}
 
-	malformed, dropped, sentMessages, sentBytes atomic.Int64
+	malformed, dropped, sentMessages, sentBytes atomic.Int64 // counters of messages; dropped ones could not be sent or queued
 	warnForeign                                 sync.Once
-	agents                                      atomic.Pointer[[]string]
+	agents                                      atomic.Pointer[[]string] // published for other goroutines
 	endedInstances                              atomic.Pointer[[]membership.EndedInstance]
-	loggedEvents                                int
+	loggedEvents                                int // number of events that were logged
 	loggedIsolation                             string
 }
 
+// received is a message with the channel that it came by.
 type received struct {
 	*membership.Message
 	channel membership.Channel
 }
 
-// New checks what the files can't; it listens nowhere yet.
+// New validates the options; it opens no sockets yet.
 func New(opt Options) (*Runner, error) {
 	if len(opt.Name) > membership.MaxTextBytes {
 		return nil, fmt.Errorf("name: %d bytes are too long for fleet.members, %d at most", len(opt.Name), membership.MaxTextBytes)
@@ -87,10 +90,11 @@
 	return p, err
 }
 
-// OnLocalState sets what the member tells of itself, asked for once in a period. It must be called before Start.
+// OnLocalState sets what returns the state that the member tells of itself, once in a probe interval.
+// It must be called before Start.
 func (p *Runner) OnLocalState(f func() (load uint16, agent string)) { p.localState = f }
 
-// Start listens, and begins a life.
+// Start opens the sockets and starts a run of the member.
 func (p *Runner) Start(context.Context) error {
 	box, err := listenAt(p.opt.Bind)
 	at := p.opt.Advertise
@@ -117,7 +121,7 @@
 	return nil
 }
 
-// run is the one goroutine that touches the machine.
+// run is the only goroutine that touches the node.
 func (p *Runner) run(ctx context.Context) {
 	defer close(p.done)
 	timer := time.NewTimer(0)
@@ -138,7 +142,7 @@
 		case <-timer.C:
 			p.send(p.node.Tick(monotone.Now()))
 		case x := <-p.incoming:
-			// The clock first: after a pause, what waits here must not be read as if it had just come.
+			// The clock first: after a pause, a queued message must not be processed as if it had just arrived.
 			if now := monotone.Now(); now >= p.node.NextTick() {
 				p.send(p.node.Tick(now))
 			}
@@ -168,14 +172,14 @@
 	}
 }
 
-// publish leaves what others of this process read.
+// publish stores what other goroutines read.
 func (p *Runner) publish() {
 	agents, verdicts := p.node.Agents(), p.node.EndedInstances(membership.MaxRecords)
 	p.agents.Store(&agents)
 	p.endedInstances.Store(&verdicts)
 }
 
-// logEvents logs what has changed.
+// logEvents logs changes of the view.
 func (p *Runner) logEvents() {
 	now := monotone.Now()
 	events, ever := p.node.Events()
@@ -200,7 +204,7 @@
 	}
 }
 
-// onLoop has a question answered on the machine's goroutine; false: it has ended.
+// onLoop runs f on the run goroutine and waits for it; false: the runner has stopped.
 func (p *Runner) onLoop(f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
@@ -212,13 +216,13 @@
 	}
 }
 
-// View tells what this member knows of all.
+// View returns what this member knows of all.
 func (p *Runner) View() (v membership.View, ok bool) {
 	ok = p.onLoop(func(now time.Duration) { v = p.node.View(now) })
 	return v, ok
 }
 
-// Agents are those that have answered other members lately.
+// Agents returns agents that answered other members recently.
 func (p *Runner) Agents() []string {
 	if l := p.agents.Load(); l != nil {
 		return *l
@@ -226,7 +230,8 @@
 	return nil
 }
 
-// EndedInstances are the names that this member holds dead or gone, a bounded number, a period old at most.
+// EndedInstances returns a bounded number of instances that this view holds dead or gone, at most a
+// probe interval old.
 func (p *Runner) EndedInstances() []membership.EndedInstance {
 	if l := p.endedInstances.Load(); l != nil {
 		return *l
--- a/internal/controlplane/membership/transport/sockets.go
+++ b/internal/controlplane/membership/transport/sockets.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// sockets is where a member is reached.
+// sockets are where a member is reached.
 type sockets struct {
 	packet net.PacketConn
 	stream net.Listener
 	bound  string
 }
 
+// listenAt opens a stream listener and a datagram socket at one address.
 func listenAt(addr string) (*sockets, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -29,12 +30,13 @@
 	return &sockets{p, l, l.Addr().String()}, nil
 }
 
+// close closes both.
 func (s *sockets) close() {
 	s.packet.Close()
 	s.stream.Close()
 }
 
-// adoptSockets has a member be reached at sockets, in place of those before.
+// adoptSockets has the member be reached at sockets, in place of previous ones.
 func (p *Runner) adoptSockets(box *sockets) {
 	if p.sockets != nil {
 		p.sockets.close()
@@ -44,7 +46,7 @@
 	go p.acceptStreams(box.stream)
 }
 
-// send puts messages on their ways; what can't go is lost, as it may be on any way.
+// send sends messages. What cannot be sent is dropped, as it may be on any network.
 func (p *Runner) send(list []membership.Outgoing) {
 	streams := map[string][]byte{}
 	for _, s := range list {
@@ -83,6 +85,7 @@
 	}
 }
 
+// dial sends frames by a stream of their own.
 func dial(from, addr string, b []byte) error {
 	d := net.Dialer{Timeout: streamTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	c, err := d.Dial("tcp", addr)
@@ -95,7 +98,7 @@
 	return err
 }
 
-// receive has a message read, if it is one.
+// receive decodes a message and queues it.
 func (p *Runner) receive(b []byte, via membership.Channel) {
 	x := &membership.Message{}
 	if err := p.dec.Unmarshal(b, x); err != nil || x.Validate() != nil {
@@ -109,6 +112,7 @@
 	}
 }
 
+// readDatagrams receives until the socket is closed.
 func (p *Runner) readDatagrams(c net.PacketConn) {
 	b := make([]byte, 64<<10)
 	for {
@@ -125,6 +129,7 @@
 	}
 }
 
+// acceptStreams receives until the listener is closed.
 func (p *Runner) acceptStreams(l net.Listener) {
 	room := make(chan struct{}, maxStreams)
 	for {
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// State is what a view tells of a member.
+// State is a member's state in a view.
 type State string
 
-// The states of a member, as a view tells them.
+// The states.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "unsure" // suspected: until when, and why, is told
+	StateSuspect     State = "unsure" // suspected; when it ends and why are told
 	StateDead        State = "dead"   // nobody hears it
 	StateUnreachable State = "cut"    // some hear it
-	StatePaused      State = "paused" // it was silent for all, and came back as the same life
+	StatePaused      State = "paused" // it was silent for all, and came back as the same run
 	StateSlow        State = "slow"
 	StateLeft        State = "left"
 )
 
-// MemberView is a member as a view tells of it.
+// MemberView is a member in a view.
 type MemberView struct {
 	Name        string  `json:"name"`
 	ID          string  `json:"birth"`
@@ -31,51 +31,54 @@
 	Incarnation uint32  `json:"incarnation"`
 	State       State   `json:"state"`
 	Reason      string  `json:"why,omitempty"`
-	DeadlineS   float64 `json:"until_s,omitempty"` // of unsure: a verdict by then, at the latest
+	DeadlineS   float64 `json:"until_s,omitempty"` // of a suspicion: at the latest
 	SinceS      float64 `json:"since_s"`
-	LastHeardS  float64 `json:"heard_s"` // ago, by us; -1: never
+	LastHeardS  float64 `json:"heard_s"` // ago, by this member; -1: never
 	Load        uint16  `json:"load"`
 	Self        bool    `json:"self,omitempty"`
 }
 
-// PathView is a way that is cut, or, with Times over 1 between two zones, a sum of many.
+// PathView is a cut link, or with BetweenZones the sum of many between two zones.
 type PathView struct {
 	From         string   `json:"from"`
 	To           string   `json:"to"`
 	Kind         string   `json:"kind"`
 	BetweenZones bool     `json:"zones,omitempty"` // between zones
 	Count        int      `json:"times"`
-	Observers    []string `json:"by"` // who says so, some of them
+	Observers    []string `json:"by"` // some of them
 	AgoS         float64  `json:"ago_s"`
 }
 
 // View is what a member knows of all.
 type View struct {
 	Self           string       `json:"self"`
-	Digest         string       `json:"digest"` // equal where two views have the same members under the same incarnations
-	Size           int          `json:"size"`   // living
-	HealthScore    int          `json:"doubt"`  // in oneself, 0 to 8
+	Digest         string       `json:"digest"` // equal for views with the same live members and incarnations
+	Size           int          `json:"size"`   // live members
+	HealthScore    int          `json:"doubt"`  // of the member itself, 0 (healthy) to 8
 	Isolation      string       `json:"alone,omitempty"`
 	Members        []MemberView `json:"members"`
 	Paths          []PathView   `json:"ways,omitempty"`
-	DuplicateNames []string     `json:"twice,omitempty"` // names that two lives have
+	DuplicateNames []string     `json:"twice,omitempty"` // names of more than one live member
 	Agents         []string     `json:"agents,omitempty"`
 	Counts         Counts       `json:"counts"`
 	Events         []Event      `json:"changes,omitempty"`
 	EventAgesS     []float64    `json:"changes_ago_s,omitempty"`
-	EventCount     int          `json:"changes_ever"` // since the start, those not kept any more too
+	EventCount     int          `json:"changes_ever"` // ever, including those no longer kept
 }
 
+// Constants of views.
 const (
-	pauseShownFor     = 30 * time.Second // a pause is told for so long
-	slowThreshold     = 3                // late answers in a row, or doubt in itself
-	maxObserversShown = 5                // observers that are named
-	minPathsToSum     = 3                // cuts between two zones that are told as one
+	pauseShownFor     = 30 * time.Second // after the pause was told
+	slowThreshold     = 3                // late answers in a row, or health score
+	maxObserversShown = 5                // of a path
+	minPathsToSum     = 3                // cut links between two zones that are shown as one
 )
 
+// idText prints an id.
 func idText(b uint64) string { return fmt.Sprintf("%016x", b) }
 
-// pathViews sums up the findings that hold.
+// pathViews sums up the reachability records that hold; cut has, by member, descriptions of its cut
+// links.
 func (m *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
 	cut = map[uint64][]string{}
 	type sum struct {
@@ -152,7 +155,7 @@
 	return list, cut
 }
 
-// View tells what is known now.
+// View returns what is known now.
 func (m *Node) View(now time.Duration) View {
 	v := View{Self: m.self.Info.Name, Digest: idText(m.aliveDigest), Size: m.Size(), HealthScore: m.healthScore, Isolation: m.IsolationReason(now), Counts: m.Counts,
 		Events: slices.Clone(m.events), EventCount: m.eventCount}
@@ -210,7 +213,7 @@
 	return v
 }
 
-// suspectView tells why a member is suspected and when that ends at the latest.
+// suspectView returns why a member is suspected and when that ends at the latest.
 func (m *Node) suspectView(now time.Duration, e *member) (State, string, float64) {
 	for i := range m.suspicions {
 		s := &m.suspicions[i]
@@ -229,14 +232,15 @@
 	return StateSuspect, "", 0
 }
 
-// EndedInstance is one member's word on another for those who plan by it: never for what must be safe.
+// EndedInstance is an instance that this view holds dead or gone. It is a hint for planning, never for
+// safety.
 type EndedInstance struct {
 	Name   string `json:"name"`
 	Addr   string `json:"addr"`
 	Failed bool   `json:"dead"` // else it has left
 }
 
-// EndedInstances are the names of which no life is left, up to so many, the latest first.
+// EndedInstances returns names without a live member, the latest first.
 func (m *Node) EndedInstances(most int) (list []EndedInstance) {
 	lives := map[string]bool{m.self.Info.Name: m.self.Status == Alive}
 	var ended []*member
@@ -257,7 +261,7 @@
 	return list
 }
 
-// Agents are those that have answered others lately, the latest last.
+// Agents returns agents that answered other members recently, the latest last.
 func (m *Node) Agents() (list []string) {
 	for _, a := range m.agents {
 		list = append(list, a.addr)
@@ -273,8 +277,8 @@
 	B     string `json:"b"`
 }
 
-// Diff is what two views have otherwise: who lives under which incarnation. Of those that ended, and of what is only somebody's doubt,
-// views may differ.
+// Diff returns the members that two views have as live with different incarnations, or that only one
+// of them has as live. Ended members and suspicions may differ.
 func Diff(a, b View) (rows []ViewDifference) {
 	word := func(v View) map[string]MemberView {
 		m := map[string]MemberView{}
--- a/internal/controlplane/readindex/queue.go
+++ b/internal/controlplane/readindex/queue.go
@@ -1,27 +1,32 @@
+// Package readindex delays a leader's answers until its leadership is confirmed, as Raft's read index
+// does (Ongaro's thesis, section 6.4): an answer may be sent only after a majority of the agents has
+// said, later than the answer was decided, that it knows of no later term. One round of questions
+// serves all answers that wait for it. It does no I/O.
 package readindex
 
-// Queue keeps decisions back until a majority has confirmed, after they were taken, that no later term has begun (6). One
-// question serves all that wait for it.
+// Queue holds answers until a round of questions that began after them has ended.
 type Queue[T any] struct {
-	roundNumber  uint64 // of the question asked last
-	roundTerm    uint64 // that it was asked for
+	roundNumber  uint64 // of the round started last
+	roundTerm    uint64 // the term that it confirms
 	roundPending bool
 	waiting      []pendingAnswer[T]
 }
 
+// pendingAnswer is an answer that waits.
 type pendingAnswer[T any] struct {
-	confirmedBy uint64 // the first question that confirms it
-	term        uint64 // of the giver that took it
+	confirmedBy uint64 // first round that confirms it
+	term        uint64 // in which it was decided
 	answer      T
 }
 
-// Add keeps back a decision of that term's giver. A question that is already on its way may have been answered before it: the next
-// one counts.
+// Add holds an answer that was decided in that term. A round that is already running may have been
+// answered before, so the next one counts.
 func (d *Queue[T]) Add(term uint64, it T) {
 	d.waiting = append(d.waiting, pendingAnswer[T]{d.roundNumber + 1, term, it})
 }
 
-// StartRound tells whether a question is to be asked now, for the term that the agent leads in, and its number.
+// StartRound reports whether a round of questions has to be started now, for the term that the agent
+// leads in, and its number.
 func (d *Queue[T]) StartRound(term uint64) (round uint64, due bool) {
 	if d.roundPending || len(d.waiting) == 0 {
 		return d.roundNumber, false
@@ -31,8 +36,9 @@
 	return d.roundNumber, true
 }
 
-// FinishRound ends a question: what it confirms, or fails to, is returned and waits no more. No question confirms a decision of
-// another term, as of an agent that led before, lost its lead and has it again: void is those.
+// FinishRound ends a round and returns the answers that it decides on: done may be sent if the
+// majority agreed. No round confirms an answer of another term, as of an agent that led before, lost
+// its leadership and leads again: those are void.
 func (d *Queue[T]) FinishRound(round uint64) (done, void []T) {
 	if round != d.roundNumber || !d.roundPending {
 		return nil, nil
@@ -53,7 +59,7 @@
 	return done, void
 }
 
-// Waiting is all that is kept back.
+// Waiting returns all answers that are held.
 func (d *Queue[T]) Waiting() (all []T) {
 	for _, w := range d.waiting {
 		all = append(all, w.answer)
@@ -61,8 +67,8 @@
 	return all
 }
 
-// MajorityAgrees tells whether the terms that other agents have just told, with the asker's own, are those of a majority of so many
-// that know of no later term: then nobody had been elected in one.
+// MajorityAgrees reports whether the leader's own term is not behind the terms that others have just
+// told, for a majority of all agents: then no later leader had been elected.
 func MajorityAgrees(own uint64, others []uint64, agents int) bool {
 	agree := 1
 	for _, t := range others {
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -7,7 +7,8 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// SetLeaseConfig takes a checked set of tasks over at the log's index, its new version; an error changes nothing. Shards come and go with it.
+// SetLeaseConfig takes over a set of tasks; its version is the log index. Leases are added and removed
+// with their shards. An error changes nothing.
 func (r *Registry) SetLeaseConfig(index uint64, d lease.Config) error {
 	if r.QuotaConfig.Version == 0 {
 		return quota.ErrNoBudgets
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// Lease returns the lease of that name, or nil.
+// Lease returns the lease of that key, or nil.
 func (r *Registry) Lease(k lease.Key) *lease.Lease {
 	at, there := slices.BinarySearchFunc(r.Leases, k, func(l lease.Lease, k lease.Key) int { return lease.CompareKeys(l.Key, k) })
 	if !there {
@@ -48,8 +49,8 @@
 	return &r.Leases[at]
 }
 
-// ApplyEvents carries out orders at the log's index and returns those that were not void (4). seen is a token that a place has been shown: the
-// next is greater.
+// ApplyEvents applies events and returns those that had an effect (docs/leases.md, step 4). seen is a
+// token that a guarded resource was shown: the next grant gets a greater one.
 func (r *Registry) ApplyEvents(index, seen uint64, orders []lease.Event) (done []lease.Event) {
 	r.LastToken = max(r.LastToken, seen)
 	for _, o := range orders {
@@ -63,7 +64,7 @@
 			if !member {
 				continue
 			}
-			r.LastToken = max(r.LastToken+1, index) // (3)
+			r.LastToken = max(r.LastToken+1, index) // step 3
 			pin := ""
 			if l.PinnedTo == o.Member {
 				pin = o.Member
@@ -89,7 +90,8 @@
 	return done
 }
 
-// releaseLeases frees what members held that have left: they said that they do nothing any more, or their seats outlasted their leases.
+// releaseLeases releases what removed members held: they left and do nothing more, or their sessions
+// lasted longer than their leases.
 func (r *Registry) releaseLeases(ids []string) {
 	for i := range r.Leases {
 		l := &r.Leases[i]
@@ -104,7 +106,8 @@
 	}
 }
 
-// LastChangeFor is the index of the last change of a lease that a member has; 0: it has none.
+// LastChangeFor is the log index of the last change of a lease that the member holds; 0: it holds
+// none.
 func (r *Registry) LastChangeFor(id string) (index uint64) {
 	for i := range r.Leases {
 		if r.Leases[i].Holder == id {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry is what the agents' log says of the fleet: the set of budgets, who has a seat, the tasks and who has which lease. Every agent that has applied as
-// much of the log has the same. It does no I/O.
+// Package registry is the replicated state of the fleet: the quota config, the members' sessions, the
+// tasks and the leases. Every agent that has applied the same log entries has the same registry. It
+// does no I/O.
 package registry
 
 import (
@@ -9,13 +10,13 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Registry is the state. Its zero value has no seats.
+// Registry is the state. The zero value has no sessions.
 type Registry struct {
 	QuotaConfig quota.Config   `json:"doc"`
 	Members     []quota.Member `json:"members,omitempty"` // in order of incarnation
 	LeaseConfig lease.Config   `json:"tasks"`
 	Leases      []lease.Lease  `json:"leases,omitempty"` // in order of their keys
-	LastToken   uint64         `json:"token,omitempty"`  // the newest given
+	LastToken   uint64         `json:"token,omitempty"`  // newest token granted
 }
 
 // Clone returns a copy that shares nothing.
@@ -27,7 +28,7 @@
 	return c
 }
 
-// SetQuotaConfig takes a checked set of budgets over at the log's index, its new version; an error changes nothing.
+// SetQuotaConfig takes over a set of budgets; its version is the log index. An error changes nothing.
 func (r *Registry) SetQuotaConfig(index uint64, d quota.Config) error {
 	if err := d.Validate(); err != nil {
 		return err
@@ -37,7 +38,7 @@
 			return err
 		}
 	}
-	if err := r.LeaseConfig.Validate(&d); err != nil { // a copy's tasks are checked, and stay as they are
+	if err := r.LeaseConfig.Validate(&d); err != nil { // Validate fills in defaults only, so the tasks stay as they are
 		return err
 	}
 	d.Version = index
@@ -45,7 +46,8 @@
 	return nil
 }
 
-// Join gives a member a seat, with the index as its incarnation. One that has a seat keeps it: its first answer was lost.
+// Join gives a member a session with the log index as its incarnation. A member that has a session
+// keeps it: the answer to its first join was lost.
 func (r *Registry) Join(index uint64, m quota.Member) (quota.Member, error) {
 	if i := r.memberIndex(m.ID); i >= 0 {
 		return r.Members[i], nil
@@ -61,12 +63,13 @@
 	return m, nil
 }
 
-// Leave takes seats back, and leases with them. Ids that have none are passed over.
+// Leave removes sessions and releases their leases. Unknown ids are ignored.
 func (r *Registry) Leave(ids ...string) {
 	r.releaseLeases(ids)
 	r.Members = slices.DeleteFunc(r.Members, func(m quota.Member) bool { return slices.Contains(ids, m.ID) })
 }
 
+// memberIndex is the position of a member; -1: it is not registered.
 func (r *Registry) memberIndex(id string) int {
 	return slices.IndexFunc(r.Members, func(m quota.Member) bool { return m.ID == id })
 }
--- a/internal/testbed/modelcheck/leases/wrong_test.go
+++ b/internal/testbed/modelcheck/leases/wrong_test.go
@@ -15,7 +15,7 @@
 	{"no guard at the place when it is changed", "lease/fencing/fencing.go", "if !p.InProgress || token != p.Token || act != p.Operation {", "if !p.InProgress {", "TestSearch/an_act_paused"},
 	{"a token that doesn't grow", "registry/leases.go", "r.LastToken = max(r.LastToken+1, index)", "r.LastToken = max(r.LastToken, 1)", "TestLong"},
 	{"a token by a count that a snapshot loses", "registry/leases.go" + explore.Places + "registry/registry.go",
-		"r.LastToken = max(r.LastToken+1, index)" + explore.Places + "`json:\"token,omitempty\"`  // the newest", "r.LastToken++" + explore.Places + "`json:\"-\"`  // the newest", "TestLong"},
+		"r.LastToken = max(r.LastToken+1, index)" + explore.Places + "`json:\"token,omitempty\"`  // newest", "r.LastToken++" + explore.Places + "`json:\"-\"`  // newest", "TestLong"},
 	{"an order of whatever token", "registry/leases.go", "if l == nil || l.Token != o.ExpectedToken {", "if l == nil {", "TestSearch/a_log_behind,_asked"},
 	{"renewed while it is given on", "lease/lessor/renew.go", "if x.Holder != id || x.released || x.revoking {", "if x.Holder != id || x.released {", "TestSearch/a_log_behind,_clocks"},
 	{"renewed after it was given back", "lease/lessor/renew.go" + explore.Places + "lease/lessee/renewal.go",
--- a/internal/testbed/modelcheck/members/wrong_test.go
+++ b/internal/testbed/modelcheck/members/wrong_test.go
@@ -29,7 +29,7 @@
 	{"the way named the wrong way round", "membership/reachability.go", "		l.From, l.To = l.To, l.From\n	}", "		_ = l\n	}", ""},
 	{"a way never taken back", "membership/reachability.go", "\tif d.published {\n\t\tm.addEvent(", "\tif false {\n\t\tm.addEvent(", ""},
 	{"the dead never asked again", "membership/probe.go", "if m.endedCount > 0 && m.probeCount%deadProbeEvery == 0 {", "if false {", "TestBuried"},
-	{"seeds asked only while nobody is known", "membership/sync.go", "\tif len(strange) > 0 {", "\tif len(strange) > 0 && (m.liveCount == 0 || m.isolated) {", ""},
+	{"seeds asked only while nobody is known", "membership/sync.go", "\tif len(unknown) > 0 {", "\tif len(unknown) > 0 && (m.liveCount == 0 || m.isolated) {", ""},
 	{"views never compared", "membership/sync.go", "differ[b] = x.Digests[b] != m.digests[b]", "differ[b] = false", "TestFar"},
 	{"records passed on for ever", "membership/broadcast.go", "return u.transmissions >= most })", "return u.transmissions < 0 })", ""},
 	{"words on two incarnations counted together", "membership/state.go", "(r.Status <= Suspect || r.Status == Dead && e.status <= Suspect)", "r.Status <= Suspect", ""},
