--- a/internal/controlplane/watchstream/ack_tracker.go
+++ b/internal/controlplane/watchstream/ack_tracker.go
@@ -7,49 +7,53 @@
 	"time"
 )
 
-// AckTrackerOptions bound what the tally keeps. What is zero is as Counted has it.
+// AckTrackerOptions bound what the tracker keeps. Zero values stand for those of
+// DefaultAckTrackerOptions.
 type AckTrackerOptions struct {
-	SilentAfter     time.Duration // a relay that isn't heard for so long, and with it its readers, are silent
-	ForgetAfter     time.Duration // readers that are silent for so long are no more counted
-	WarmUp          time.Duration // when versions were reached isn't told for this time after the first report
+	SilentAfter     time.Duration // a relay that is not heard for so long is silent, with its readers
+	ForgetAfter     time.Duration // readers that are silent for so long are dropped
+	WarmUp          time.Duration // no times are recorded for so long after the first report
 	MaxReaders      int           // at most
-	MaxVersionTimes int           // versions of which it is known when they were reached
-	MaxListed       int           // names in a status, at most
+	MaxVersionTimes int           // versions whose times are kept
+	MaxListed       int           // names in a status
 }
 
-// DefaultAckTrackerOptions is the usual bounds.
+// DefaultAckTrackerOptions fit a fleet of 16,384 readers.
 var DefaultAckTrackerOptions = AckTrackerOptions{SilentAfter: 10 * time.Second, ForgetAfter: 10 * time.Minute, WarmUp: 5 * time.Second, MaxReaders: 1 << 14, MaxVersionTimes: 1 << 13, MaxListed: 100}
 
-// AckTracker knows, at the agents' leader, what is in force at whom. It is in memory: a new leader's asks for all.
+// AckTracker knows, at the agents' leader, which versions are applied at which readers. Its state is
+// in memory: a new leader's tracker asks for full reports.
 type AckTracker struct {
 	fleet          string
 	opt            AckTrackerOptions
 	epoch          string
 	relays         map[string]*relayReport
 	readers        map[string]*trackedReader
-	firstReportAt  time.Duration // the first report; 0: there was none
-	commits        versionTimes
-	reachedBy      [len(ackShares)]versionTimes
-	appliedSorted  []uint64
-	appliedChanged bool // sorted
+	firstReportAt  time.Duration                // 0: none yet
+	commits        versionTimes                 // when versions were committed
+	reachedBy      [len(ackShares)]versionTimes // when versions were applied, by ackShares
+	appliedSorted  []uint64                     // applied versions of all readers, for noteReached
+	appliedChanged bool                         // appliedSorted has to be computed again
 	rejections     map[Reason]uint64
 }
 
-// ackShares are the shares of readers of which it is kept when they had a version.
+// ackShares are the shares of readers for which times are recorded.
 var ackShares = [...]float64{0.5, 0.99, 1}
 
+// relayReport is a relay's last report, without its readers.
 type relayReport struct {
 	Report     // without its readers
 	receivedAt time.Duration
 }
 
+// trackedReader is a reader's state with the relay that reported it.
 type trackedReader struct {
 	Cursor
 	relay       string
-	lastHeardAt time.Duration // as of the last word on it; a reader that isn't silent is heard whenever its relay is
+	lastHeardAt time.Duration // as reported; a reader that is not silent is heard whenever its relay is
 }
 
-// NewAckTracker returns a tally that knows nobody.
+// NewAckTracker returns a tracker that knows no readers.
 func NewAckTracker(fleet string, o AckTrackerOptions) *AckTracker {
 	o.SilentAfter, o.ForgetAfter, o.WarmUp = cmp.Or(o.SilentAfter, DefaultAckTrackerOptions.SilentAfter), cmp.Or(o.ForgetAfter, DefaultAckTrackerOptions.ForgetAfter), cmp.Or(o.WarmUp, DefaultAckTrackerOptions.WarmUp)
 	o.MaxReaders, o.MaxVersionTimes, o.MaxListed = cmp.Or(o.MaxReaders, DefaultAckTrackerOptions.MaxReaders), cmp.Or(o.MaxVersionTimes, DefaultAckTrackerOptions.MaxVersionTimes), cmp.Or(o.MaxListed, DefaultAckTrackerOptions.MaxListed)
@@ -58,6 +62,7 @@
 	return t
 }
 
+// resetTimes drops all times, as for a new epoch.
 func (t *AckTracker) resetTimes() {
 	t.commits = versionTimes{max: t.opt.MaxVersionTimes}
 	for i := range t.reachedBy {
@@ -65,19 +70,19 @@
 	}
 }
 
-// NoteCommit says that the log has a change, of that version, since now.
+// NoteCommit records that the log has a change.
 func (t *AckTracker) NoteCommit(now time.Duration, epoch string, version uint64) {
 	if epoch != t.epoch {
 		t.epoch, t.appliedChanged = epoch, true
 		t.resetTimes()
 	}
 	if len(t.commits.list) == 0 {
-		t.commits.add(version-1, now) // when that was isn't known
+		t.commits.add(version-1, now) // its time is unknown
 	}
 	t.commits.add(version, now)
 }
 
-// Rejections are the reports that were refused, by reason.
+// Rejections returns the rejected reports by reason.
 func (t *AckTracker) Rejections() map[Reason]uint64 {
 	c := make(map[Reason]uint64, len(t.rejections))
 	for k, n := range t.rejections {
@@ -86,7 +91,7 @@
 	return c
 }
 
-// AddReport takes a relay's report. Where it returns an error nothing has changed.
+// AddReport processes a relay's report. An error means that nothing has changed.
 func (t *AckTracker) AddReport(now time.Duration, r Report) (ReportResponse, error) {
 	a, err := t.addReport(now, r)
 	if e, ok := err.(*RejectedError); ok {
@@ -111,7 +116,7 @@
 	if t.firstReportAt == 0 {
 		t.firstReportAt = max(now, 1)
 	}
-	if r.Full && was != nil { // who isn't in it any more was heard there as of the report before, at most
+	if r.Full && was != nil { // a reader that is missing was last heard before the previous report
 		named := make(map[string]bool, len(r.Readers))
 		for i := range r.Readers {
 			named[r.Readers[i].Name] = true
@@ -132,7 +137,8 @@
 	return ReportResponse{Incarnation: r.Incarnation, UpTo: r.UpTo}, nil
 }
 
-// trackReader takes one reader's state: nobody counts twice, since there is one state for each name, and that of the later turn wins (step 8).
+// trackReader takes over one reader's state. There is one state for each name, and that of the later
+// generation wins, so that no reader counts twice (step 8).
 func (t *AckTracker) trackReader(now time.Duration, relay string, x Cursor) {
 	c := t.readers[x.Name]
 	switch {
@@ -148,7 +154,7 @@
 	t.appliedChanged = true
 }
 
-// appliedVersion is up to where everything is in force at a reader, in the log's history.
+// appliedVersion is the version of the log's history up to which a reader has applied everything.
 func (t *AckTracker) appliedVersion(c *trackedReader) uint64 {
 	if c.Applied.Epoch != t.epoch {
 		return 0
@@ -156,7 +162,8 @@
 	return c.Applied.Min()
 }
 
-// Expire forgets readers that are silent for long, and relays without any. It is to be called now and then.
+// Expire forgets readers that were silent for long, and relays that stopped reporting. It must be
+// called regularly.
 func (t *AckTracker) Expire(now time.Duration) {
 	for name, c := range t.readers {
 		if at, silent := t.lastHeard(now, c); silent && now-at >= t.opt.ForgetAfter {
@@ -180,7 +187,7 @@
 	return max(c.lastHeardAt, r.receivedAt), now-r.receivedAt >= t.opt.SilentAfter
 }
 
-// noteReached notes which versions have been reached by which part of the readers.
+// noteReached records which versions have been applied by which share of the readers.
 func (t *AckTracker) noteReached(now time.Duration) {
 	if !t.appliedChanged || now-t.firstReportAt < t.opt.WarmUp {
 		return
--- a/internal/controlplane/watchstream/apply.go
+++ b/internal/controlplane/watchstream/apply.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// ApplyDelta takes a delta, and returns the records that changed by it, gone ones too, targets first. They are to be applied at once; what is
-// then in force is told by Applied. Where it returns an error (a *Refusal) nothing has changed.
+// ApplyDelta applies a delta and returns the records that it changed, deleted ones included, targets
+// first. They must be applied at once; MarkApplied then acknowledges them. An error (a *RejectedError)
+// means that nothing has changed.
 func (r *Replica) ApplyDelta(d *Delta) (changed []Record, err error) {
 	s, begins, err := r.checkDelta(d)
 	if err != nil {
@@ -39,22 +40,23 @@
 		r.progress = nil
 	}
 	s.have = d.To
-	for _, k := range Kinds { // 3
+	for _, k := range Kinds { // step 3
 		if *d.To.version(k) == *s.newestSeen.version(k) {
 			*s.consistent.version(k) = *d.To.version(k)
 		}
 	}
 	s.trimTombstones()
 	if s == r.successor {
-		if s.consistent != s.newestSeen || s.consistent.Targets != s.consistent.Config { // a relay that has no configuration yet has all that it has, too
+		if s.consistent != s.newestSeen || s.consistent.Targets != s.consistent.Config { // the new history is not complete yet
 			return nil, nil
 		}
-		return r.switchHistory(), nil // 9
+		return r.switchHistory(), nil // step 9
 	}
 	return changed, nil
 }
 
-// checkDelta finds the store that the delta is for, and whether that begins with it; it changes nothing.
+// checkDelta returns the store that a delta applies to, and whether that store starts with it. It
+// changes nothing.
 func (r *Replica) checkDelta(d *Delta) (s *Store, begins bool, err error) {
 	s = r.following()
 	switch {
@@ -96,6 +98,7 @@
 	return s, begins, r.checkRecords(s, d)
 }
 
+// checkRecords checks the records of a delta by version.
 func (r *Replica) checkRecords(s *Store, d *Delta) error {
 	if len(d.Buckets) > 0 {
 		return reject(ReasonDisorder, "the delta brings buckets and doesn't say which it covers")
@@ -122,7 +125,7 @@
 	return nil
 }
 
-// checkRecord holds one record against the scope and against what is held of its key (step 5).
+// checkRecord checks one record against the scope and against what is held of its key (step 5).
 func (r *Replica) checkRecord(s *Store, x *Record) error {
 	if err := (&Put{x.Kind, x.Key, x.Deleted, x.Value}).validate(); err != nil {
 		return reject(ReasonMalformed, "%s %q: %s: %s", x.Kind, x.Key, err.Field, err.Why)
@@ -136,6 +139,7 @@
 	return nil
 }
 
+// checkBuckets checks the buckets of a delta by digests.
 func (r *Replica) checkBuckets(s *Store, d *Delta) error {
 	p, n := d.Range, len(s.digests)
 	progress := DigestProgress{p.Start, 0}
@@ -188,6 +192,7 @@
 	return nil
 }
 
+// applyRecords applies the records of a delta by version and returns those that changed something.
 func (s *Store) applyRecords(d *Delta) (changed []Record) {
 	for i := range d.Records {
 		if x := d.Records[i]; s.applyRecord(x) {
@@ -197,7 +202,7 @@
 	return changed
 }
 
-// applyRecord tells whether the record changed something that is not only a tombstone's version.
+// applyRecord reports whether a record changed more than a tombstone's version.
 func (s *Store) applyRecord(x Record) bool {
 	old := s.lanes[x.Kind].keys[x.Key]
 	if old != nil && old.Version >= x.Version {
@@ -207,8 +212,8 @@
 	return !x.Deleted || old == nil || !old.Deleted
 }
 
-// applyBuckets puts whole buckets in place of those that are held. What is not named in one went at the source's head or before: so it is
-// held, and the floor rises, since when it went is not known (step 6).
+// applyBuckets replaces whole buckets. A target that a bucket does not name was deleted at the
+// source's head or before; since it is unknown when, the tombstone floor rises to that head (step 6).
 func (s *Store) applyBuckets(d *Delta) (changed []Record) {
 	for _, b := range d.Buckets {
 		named := make(map[string]bool, len(b.Records)+len(b.Unchanged))
@@ -235,7 +240,7 @@
 	return changed
 }
 
-// switchHistory puts the new history in place of the one that was held, and returns what differs.
+// switchHistory puts the new history in place of the old one, and returns what differs.
 func (r *Replica) switchHistory() (changed []Record) {
 	old, now := r.store, r.successor
 	for _, k := range Kinds {
--- a/internal/controlplane/watchstream/change.go
+++ b/internal/controlplane/watchstream/change.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Put sets a key, or takes it away.
+// Put sets or deletes a key.
 type Put struct {
 	Kind    Kind            `json:"kind"`
 	Key     string          `json:"key"`
@@ -14,16 +14,16 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Change is what goes through the log as one entry and gets one version, whatever it reaches.
+// Change is one entry of the log; it gets one version, whatever number of keys it changes.
 type Change struct {
 	Fleet     string  `json:"fleet"`
 	Epoch     string  `json:"epoch,omitempty"`    // proposed; the first change of a group of agents names its history by it
-	Replaces  string  `json:"replaces,omitempty"` // the operator's word that this history takes the place of that epoch (step 9)
-	IfVersion *uint64 `json:"if,omitempty"`       // only over this version
+	Replaces  string  `json:"replaces,omitempty"` // set by an operator: this history replaces the one of that epoch (step 9)
+	IfVersion *uint64 `json:"if,omitempty"`       // apply only if this is the newest version
 	Puts      []Put   `json:"puts"`
 }
 
-// Validate names the first field of a change that cannot be used.
+// Validate returns an error that names the first field of a change that cannot be used.
 func (c *Change) Validate() error {
 	switch {
 	case c.Fleet == "":
@@ -61,6 +61,7 @@
 	return nil
 }
 
+// validate returns the first field that cannot be used.
 func (p *Put) validate() *FieldError {
 	most := MaxTargetBytes
 	if p.Kind == Config {
@@ -89,6 +90,7 @@
 	return nil
 }
 
+// firstByte is the position of the first byte that is not white space.
 func firstByte(b []byte) int {
 	return max(0, slices.IndexFunc(b, func(c byte) bool { return c != ' ' && c != '\n' && c != '\t' && c != '\r' }))
 }
--- a/internal/controlplane/watchstream/debug.go
+++ b/internal/controlplane/watchstream/debug.go
@@ -20,7 +20,7 @@
 	fmt.Fprintln(w, s.digests)
 }
 
-// DebugPrint writes the reader's state, but for the number of its hellos.
+// DebugPrint writes the reader's state, except the number of its requests.
 func (r *Replica) DebugPrint(w io.Writer) {
 	r.store.DebugPrint(w)
 	if r.successor != nil {
@@ -29,8 +29,8 @@
 	fmt.Fprintln(w, r.applied, r.generation, r.rejection, r.progress, r.digestsWanted)
 }
 
-// DebugPrint writes the source's state but for its store and the times and numbers that nothing depends on any more. Said is how many hellos a reader
-// has said.
+// DebugPrint writes the source's state except its store, and times and numbers that have no effect any
+// more. said is how many requests a reader has sent.
 func (s *Source) DebugPrint(w io.Writer, now time.Duration, said func(name string) uint64) {
 	s.admission.refill(now)
 	fmt.Fprintf(w, "%.2f %v %d %d", s.admission.tokens, max(0, s.nextBusySlot-now).Round(time.Millisecond), s.reportedSeq, s.changeSeq)
@@ -47,7 +47,7 @@
 	fmt.Fprintln(w)
 }
 
-// DebugPrint writes what the tally knows, but for times.
+// DebugPrint writes what the tracker knows, except times.
 func (t *AckTracker) DebugPrint(w io.Writer) {
 	fmt.Fprint(w, t.epoch)
 	for _, id := range slices.Sorted(maps.Keys(t.relays)) {
@@ -61,7 +61,7 @@
 	fmt.Fprintln(w)
 }
 
-// EachReader calls f with what the tally counts of each reader, in order of names, and the relay that it has it from.
+// EachReader calls f for each reader in order of name, with the relay that reported it.
 func (t *AckTracker) EachReader(f func(relay string, r Cursor)) {
 	for _, name := range slices.Sorted(maps.Keys(t.readers)) {
 		f(t.readers[name].relay, t.readers[name].Cursor)
--- a/internal/controlplane/watchstream/delta.go
+++ b/internal/controlplane/watchstream/delta.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
+// Constants of deltas.
 const (
-	idleWait     = time.Minute       // one waits so long who has nothing to wait for but a change
-	digestBytes  = 11                // that a bucket's sum takes in a hello
-	maxDeltaFill = MaxDeltaBytes / 8 // bytes that a delta is filled with at most, whatever the buckets allow; the change that passes it goes whole
+	idleWait    = time.Minute // for a reader that waits for a change alone
+	digestBytes = 11          // of one bucket's digest in a request
+	// bytes at which a delta is full; the version that exceeds it is sent whole
+	maxDeltaFill = MaxDeltaBytes / 8
 )
 
-// NextDelta is what a reader whose hello waits is to get now. If nothing: when to ask again, unless the store changes or the reader is heard
-// before. There is one delta for each hello at most.
+// NextDelta returns what a waiting reader gets now, or nil and when to ask again, unless the store
+// changes or the reader sends a request before. There is at most one delta for each request.
 func (s *Source) NextDelta(now time.Duration, name string) (d *Delta, wait time.Duration) {
 	r, st := s.readers[name], s.store
 	if r == nil || !r.waiting || st.epoch == "" {
 		return nil, idleWait
 	}
 	have, seen, fresh := r.request.Have, r.request.Seen, r.request.Epoch != st.epoch
-	if fresh { // 9
+	if fresh { // it has another history, which this one replaces (step 9)
 		have, seen = Position{}, Position{}
 	}
 	head := st.consistent
 	switch {
-	case !seen.notAfter(head) || !st.isConsistent(Targets): // 4
+	case !seen.notAfter(head) || !st.isConsistent(Targets): // step 4
 		return nil, idleWait
 	case have == head || have.Targets == head.Targets && !st.isConsistent(Config):
 		return nil, idleWait
@@ -35,7 +37,7 @@
 	r.refill(now)
 	d = &Delta{Fleet: st.fleet, Epoch: st.epoch, Replaces: slices.Clone(st.replaces), Scope: r.request.Scope, From: have, To: have, Head: head,
 		AgeMs: s.Age(now).Milliseconds()}
-	if have.Targets < st.tombstoneFloor { // 6
+	if have.Targets < st.tombstoneFloor { // deletions since then are forgotten (step 6)
 		wait = s.fillByDigest(r, d, fresh)
 	} else {
 		r.resync = nil
@@ -48,13 +50,14 @@
 	return d, 0
 }
 
-// isConsistent tells whether a lane is the log's state at one version: not so in the midst of a bring-up in pieces (step 3).
+// isConsistent reports whether what is held of a kind is the log's state at one version. It is not
+// during a resync in parts (step 3).
 func (s *Store) isConsistent(k Kind) bool {
 	return *s.consistent.version(k) == *s.newestSeen.version(k)
 }
 
-// fillByVersion fills a delta with what changed after the reader's position: of targets first, and the configuration once nothing of targets
-// is owed (step 7).
+// fillByVersion fills a delta with what changed after the reader's position: targets first, and
+// configuration once no target is missing (step 7).
 func (s *Source) fillByVersion(r *reader, d *Delta) (wait time.Duration) {
 	st := s.store
 	list, to, wait := s.pendingRecords(r, Targets, d.From.Targets, r.targetBudget())
@@ -81,8 +84,9 @@
 	return wait
 }
 
-// pendingRecords is what is owed of a kind, oldest first, in whole versions and of one at least, and how far it goes. What doesn't fit waits until a
-// good part of the burst is there, so that it doesn't go in crumbs.
+// pendingRecords returns what a reader lacks of a kind, oldest first, in whole versions and at least
+// one, and how far it goes. What the reader's rate does not allow waits until a good part of the burst
+// is available, so that it is not sent in tiny pieces.
 func (s *Source) pendingRecords(r *reader, k Kind, from uint64, may float64) (list []Record, to uint64, wait time.Duration) {
 	most, total, cut := min(may, maxDeltaFill), 0, false
 	to = from
@@ -103,7 +107,8 @@
 	return list, to, 0
 }
 
-// pendingLayers is what is owed of a reader's own configuration: all of it or nothing, since its layers belong together.
+// pendingLayers returns the layers that a reader lacks of its own configuration: all or nothing, since
+// its layers belong together.
 func (s *Source) pendingLayers(r *reader, d *Delta) (list []Record, to uint64, wait time.Duration) {
 	for _, key := range d.Scope.layerKeys() {
 		if x := s.store.lanes[Config].keys[key]; x != nil && x.Version > d.From.Config {
@@ -117,6 +122,7 @@
 	return list, d.Head.Config, 0
 }
 
+// recordsSize is an upper bound of the records' bytes.
 func recordsSize(records []Record) (n int) {
 	for i := range records {
 		n += records[i].Size()
--- a/internal/controlplane/watchstream/digest.go
+++ b/internal/controlplane/watchstream/digest.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, the least first.
+// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, little endian.
 type Digests []uint64
 
 // MarshalText implements encoding.TextMarshaler.
@@ -32,14 +32,16 @@
 	return nil
 }
 
-// DigestProgress is how far a reader is in a run by digests: buckets before At are as the source had them at or after version Start.
+// DigestProgress is how far a reader is in a resync by digests: the buckets before NextBucket are as
+// the source had them at version Start or later.
 type DigestProgress struct {
 	Start      uint64 `json:"start"`
 	NextBucket int    `json:"at"`
 }
 
-// Bucket is the live targets of one bucket, all of them: a target of it that is not named is gone. Held are those that the reader has as they
-// are, since they changed last before its position. Sum is the bucket's sum with all of that.
+// Bucket is all live targets of one bucket: a target of it that is not named was deleted. Unchanged
+// names those that the reader has as they are, since they last changed before its position. Digest is
+// the bucket's digest with all of them.
 type Bucket struct {
 	Index     int      `json:"n"`
 	Digest    uint64   `json:"sum"`
@@ -47,7 +49,7 @@
 	Records   []Record `json:"records,omitempty"`
 }
 
-// Size is the bytes that a bucket takes in a delta, at most.
+// Size is an upper bound of the bucket's bytes in a delta.
 func (b *Bucket) Size() int {
 	n := 64
 	for _, key := range b.Unchanged {
@@ -56,26 +58,27 @@
 	return n + recordsSize(b.Records)
 }
 
-// BucketRange is which buckets a delta by digests covers, From to before To: those that it doesn't bring are alike. Start is where plain deltas
-// go on from once all are covered.
+// BucketRange is the buckets From to To-1 that a delta by digests covers: those that it does not bring
+// are equal. Start is the version from which deltas by version continue once all buckets are covered.
 type BucketRange struct {
 	Start uint64 `json:"start"`
 	From  int    `json:"from"`
 	To    int    `json:"to"`
 }
 
-// fillByDigest fills a delta with the next buckets that differ, or asks the reader for its sums.
+// fillByDigest fills a delta with the next buckets that differ, or asks the reader for its digests. It
+// returns how long to wait if the reader's rate does not allow that now.
 func (s *Source) fillByDigest(r *reader, d *Delta, fresh bool) (wait time.Duration) {
 	st, p := s.store, r.request.Progress
 	at := 0
 	switch {
 	case fresh:
 		r.resync = &digestRun{epoch: st.epoch, start: d.Head.Targets}
-	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its sums have just come
+	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its digests have just arrived
 	case r.resync != nil && r.resync.epoch == st.epoch && p != nil && r.resync.start == p.Start && p.NextBucket <= len(st.digests):
 		at = p.NextBucket
 	default:
-		// It is asked only when there is enough for the sums and for a first part at once: else it would send them again and again.
+		// It is asked only if its rate allows the digests and a first part at once, or it would send them repeatedly.
 		sums := float64(digestBytes * len(st.digests))
 		if wait = r.waitForBytes(min(sums+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
 			return wait
@@ -99,7 +102,7 @@
 		}
 		b := Bucket{Index: to, Digest: st.digests[to]}
 		for _, x := range st.buckets[to] {
-			if x.Version <= d.From.Targets { // 2: the reader has it so
+			if x.Version <= d.From.Targets { // the reader has this version (step 2)
 				b.Unchanged = append(b.Unchanged, x.Key)
 			} else {
 				b.Records = append(b.Records, *x)
@@ -118,7 +121,7 @@
 	return 0
 }
 
-// digestRun is a bring-up by digests.
+// digestRun is a resync of one reader by digests.
 type digestRun struct {
 	epoch   string
 	start   uint64
--- a/internal/controlplane/watchstream/errors.go
+++ b/internal/controlplane/watchstream/errors.go
@@ -5,53 +5,61 @@
 	"time"
 )
 
-// Reason is why something was refused; refusals are counted by it.
+// Reason is why something was rejected. Rejections are counted by it.
 type Reason string
 
 // The reasons.
 const (
-	ReasonForeignFleet Reason = "foreign"   // of another fleet: the addresses of the relays, or the fleet's name, are wrong
-	ReasonEpoch        Reason = "epoch"     // of another history, which does not say that it takes the place of the one that is held (step 9)
-	ReasonMisdirected  Reason = "misdirect" // made for another reader, or another region or zone
-	ReasonGap          Reason = "gap"       // it begins elsewhere than where the reader is; harmless, the next one fits
-	ReasonBehind       Reason = "back"      // from a source that is behind what the reader has seen; harmless, it catches up
-	ReasonOversize     Reason = "oversize"  // over its size
-	ReasonDisorder     Reason = "disorder"  // records out of order, twice, or outside what the delta says that it covers
-	ReasonOutOfScope   Reason = "scope"     // a record that is of another's scope, or of none
-	ReasonMalformed    Reason = "malformed" // a record or a field that cannot be read
-	ReasonStale        Reason = "stale"     // a hello that came late: a newer one is known
-	ReasonNotReady     Reason = "unready"   // the source has nothing yet
+	ReasonForeignFleet Reason = "foreign"   // of another fleet: wrong relay addresses, or a wrong fleet name
+	ReasonEpoch        Reason = "epoch"     // of another history that does not replace the present one (step 9)
+	ReasonMisdirected  Reason = "misdirect" // made for another reader, region or zone
+	// starts at another position than the reader's; harmless, the next one fits
+	ReasonGap        Reason = "gap"
+	ReasonBehind     Reason = "back" // from a source that is behind what the reader has seen; harmless
+	ReasonOversize   Reason = "oversize"
+	ReasonDisorder   Reason = "disorder"  // records out of order, twice, or outside the delta's range
+	ReasonOutOfScope Reason = "scope"     // a record of another's scope, or of none
+	ReasonMalformed  Reason = "malformed" // a record or a field that cannot be read
+	ReasonStale      Reason = "stale"     // an old request: a newer one was processed
+	ReasonNotReady   Reason = "unready"   // the source has nothing yet
 )
 
-// RejectedError says that something was not taken, and that nothing was changed by it.
+// RejectedError says that something was rejected and has changed nothing.
 type RejectedError struct {
 	Reason Reason
 	Why    string
 }
 
+// Error returns the reason and the detail.
 func (e *RejectedError) Error() string { return fmt.Sprintf("feed: refused (%s): %s", e.Reason, e.Why) }
 
+// reject returns a RejectedError.
 func reject(r Reason, why string, args ...any) error {
 	return &RejectedError{r, fmt.Sprintf(why, args...)}
 }
 
-// BusyError says that a source takes no new reader now; it is to come again after a while, here or elsewhere.
+// BusyError says that a source takes no new reader now; the reader may retry after RetryAfter, here or
+// elsewhere.
 type BusyError struct{ RetryAfter time.Duration }
 
+// Error says when to retry.
 func (e *BusyError) Error() string { return fmt.Sprintf("feed: busy: come again in %v", e.RetryAfter) }
 
-// ConflictError says that a change was for another version than the log's head.
+// ConflictError says that a change expected another version than the newest one.
 type ConflictError struct{ Expected, Head uint64 }
 
+// Error names both versions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("feed: the change is for version %d and the log is at %d: look at what has changed, and put it again", e.Expected, e.Head)
 }
 
-// FieldError names what in a change, a hello or a configuration cannot be used.
+// FieldError names a field of a change, a request or a configuration that cannot be used.
 type FieldError struct{ Field, Why string }
 
+// Error returns the field and what is wrong with it.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
+// fieldError returns a FieldError.
 func fieldError(name, why string, args ...any) error {
 	return &FieldError{name, fmt.Sprintf(why, args...)}
 }
--- a/internal/controlplane/watchstream/messages.go
+++ b/internal/controlplane/watchstream/messages.go
@@ -1,28 +1,31 @@
 package watchstream
 
-// Rejection is a configuration that could not be served: the last good one stays in force.
+// Rejection is a configuration that an initiator could not apply (a NACK): the last good one stays in
+// force.
 type Rejection struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// SubscribeRequest is a reader's word to a source: who it is, what it has, and what of it is in force.
+// SubscribeRequest is a reader's request to a source: who it is, what it has, and what it has applied.
+// It acknowledges what is applied and asks for what comes next.
 type SubscribeRequest struct {
-	Fleet      string          `json:"fleet"`
-	Epoch      string          `json:"epoch,omitempty"` // of Have and Seen
-	Scope                      // who it is
-	Have       Position        `json:"have"`
-	Seen       Position        `json:"seen"`     // the furthest that it has heard of: a source that is behind brings it nothing (step 4)
-	Applied    Watermark       `json:"in_force"` // what is applied: this counts as acknowledged (step 8)
-	Generation uint64          `json:"turn"`     // grows with each move to another source, over restarts too
-	Seq        uint64          `json:"seq"`      // grows with each hello of a turn
+	Fleet string   `json:"fleet"`
+	Epoch string   `json:"epoch,omitempty"` // of Have and Seen
+	Scope          // who it is
+	Have  Position `json:"have"`
+	// newest position it has heard of: a source behind it sends nothing (step 4)
+	Seen       Position        `json:"seen"`
+	Applied    Watermark       `json:"in_force"` // acknowledged (step 8)
+	Generation uint64          `json:"turn"`     // grows with each change of source, also over restarts
+	Seq        uint64          `json:"seq"`      // grows with each request of a generation
 	Rejection  *Rejection      `json:"refused,omitempty"`
-	Progress   *DigestProgress `json:"digest,omitempty"`
-	Digests    Digests         `json:"sums,omitempty"` // only when asked for
+	Progress   *DigestProgress `json:"digest,omitempty"` // of a resync by digests
+	Digests    Digests         `json:"sums,omitempty"`   // only if the source asked for them
 	WaitMs     int64           `json:"wait_ms,omitempty"`
 }
 
-// Validate names the first field that cannot be used.
+// Validate returns an error that names the first field that cannot be used.
 func (h *SubscribeRequest) Validate() error {
 	if err := h.Scope.Validate(); err != nil {
 		return err
@@ -42,7 +45,7 @@
 	return nil
 }
 
-// MaxReasonBytes bounds the reason of one who turned something down, in bytes.
+// MaxReasonBytes bounds the reason of a rejection.
 const MaxReasonBytes = 512
 
 // Delta brings one reader from a position to another.
@@ -53,15 +56,15 @@
 	Scope       Scope        `json:"for"`
 	From        Position     `json:"from"`
 	To          Position     `json:"to"`
-	Head        Position     `json:"head"` // of the source: where To is as far, all is there
+	Head        Position     `json:"head"` // of the source: a reader at Head has everything
 	Records     []Record     `json:"records,omitempty"`
 	Range       *BucketRange `json:"span,omitempty"`
 	Buckets     []Bucket     `json:"buckets,omitempty"`
-	WantDigests bool         `json:"ask,omitempty"` // the reader's sums are wanted; nothing else is in it
-	AgeMs       int64        `json:"age_ms"`        // since the source knew the log's head for certain
+	WantDigests bool         `json:"ask,omitempty"` // the reader's digests are needed; nothing else is in this delta
+	AgeMs       int64        `json:"age_ms"`        // since the source surely had the newest state
 }
 
-// Size is the bytes that a delta takes, at most.
+// Size is an upper bound of the delta's bytes.
 func (d *Delta) Size() int {
 	n := 512
 	for i := range d.Records {
--- a/internal/controlplane/watchstream/pacing.go
+++ b/internal/controlplane/watchstream/pacing.go
@@ -4,16 +4,19 @@
 	"time"
 )
 
-// tokenBucket is a token bucket. It may be overdrawn by what can't be sent in parts.
+// tokenBucket is a token bucket in bytes or requests. It may be overdrawn by what cannot be sent in
+// parts.
 type tokenBucket struct {
 	tokens, rate, burst float64
 	at                  time.Duration
 }
 
+// newTokenBucket returns a full bucket.
 func newTokenBucket(now time.Duration, rate, burst float64) tokenBucket {
 	return tokenBucket{burst, rate, burst, now}
 }
 
+// refill fills the bucket up to now.
 func (b *tokenBucket) refill(now time.Duration) {
 	if now > b.at {
 		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
@@ -21,12 +24,12 @@
 	}
 }
 
-// waitFor is how long it takes until there are so many.
+// waitFor is how long it takes until n tokens are available.
 func (b *tokenBucket) waitFor(n float64) time.Duration {
 	return max(time.Millisecond, time.Duration((min(n, b.burst)-b.tokens)/b.rate*float64(time.Second)))
 }
 
-// waitForBytes is how long it takes until so many bytes of targets may go.
+// waitForBytes is how long it takes until n bytes of targets may be sent.
 func (r *reader) waitForBytes(n float64) time.Duration {
 	if may := r.targetBudget(); may < n {
 		return max(time.Millisecond, time.Duration((n-may)/(r.targetTokens.rate+r.sharedTokens.rate)*float64(time.Second)))
@@ -34,13 +37,13 @@
 	return 0
 }
 
-// pacingWait is how long to wait before a part is sent, or anything.
-func (r *reader) pacingWait(may float64, cut, any bool, k Kind) time.Duration {
+// pacingWait is how long to wait before a part, or anything, is sent.
+func (r *reader) pacingWait(may float64, cut, pending bool, k Kind) time.Duration {
 	rate, least := r.sharedTokens.rate, r.sharedTokens.burst/4
 	if k == Targets {
 		rate, least = rate+r.targetTokens.rate, (r.targetTokens.burst+r.sharedTokens.burst)/4
 	}
-	if !any || may > 0 && !cut || cut && may >= least {
+	if !pending || may > 0 && !cut || cut && may >= least {
 		return 0
 	}
 	if !cut {
@@ -49,7 +52,8 @@
 	return max(time.Millisecond, time.Duration((least-may)/rate*float64(time.Second)))
 }
 
-// refill lets time go on. What targets owe is paid by what either may have, too.
+// refill fills the reader's buckets up to now. A debt of the targets' bucket is paid from the shared
+// one as well.
 func (r *reader) refill(now time.Duration) {
 	r.targetTokens.refill(now)
 	r.sharedTokens.refill(now)
@@ -59,10 +63,11 @@
 	}
 }
 
-// targetBudget is how many bytes of targets may go now: what configuration owes doesn't count, what targets owe does.
+// targetBudget is how many bytes of targets may be sent now. A debt of the shared bucket comes from
+// configuration and does not count.
 func (r *reader) targetBudget() float64 { return r.targetTokens.tokens + max(0, r.sharedTokens.tokens) }
 
-// spendTargetBytes takes bytes of targets out of what either kind may have first, then out of what targets alone may.
+// spendTargetBytes takes bytes of targets from the shared bucket first.
 func (r *reader) spendTargetBytes(bytes int) {
 	n := float64(bytes)
 	of := min(n, max(0, r.sharedTokens.tokens))
@@ -70,24 +75,23 @@
 	r.targetTokens.tokens -= n - of
 }
 
-// DeltaSent tells what a delta that Next gave took on the wire, its question and all that is around it included: readers' buckets are of those
-// bytes. Next reckons with records as they are, since it can't know how they are packed; what that was too much comes back, and what
-// was too little is owed.
+// DeltaSent tells what a delta took on the wire, with its request and all overhead. NextDelta charges
+// the estimated size; the difference is refunded or charged here.
 func (s *Source) DeltaSent(name string, d *Delta, bytes int) {
 	r := s.readers[name]
 	if r == nil {
 		return
 	}
-	reckoned := recordsSize(d.Records)
+	estimated := recordsSize(d.Records)
 	for i := range d.Buckets {
-		reckoned += d.Buckets[i].Size()
+		estimated += d.Buckets[i].Size()
 	}
-	if bytes > reckoned {
-		r.spendTargetBytes(bytes - reckoned)
+	if bytes > estimated {
+		r.spendTargetBytes(bytes - estimated)
 		return
 	}
-	back := float64(reckoned - bytes)
-	of := min(back, r.targetTokens.burst-r.targetTokens.tokens)
-	r.targetTokens.tokens += of
-	r.sharedTokens.tokens = min(r.sharedTokens.burst, r.sharedTokens.tokens+back-of)
+	refund := float64(estimated - bytes)
+	toTargets := min(refund, r.targetTokens.burst-r.targetTokens.tokens)
+	r.targetTokens.tokens += toTargets
+	r.sharedTokens.tokens = min(r.sharedTokens.burst, r.sharedTokens.tokens+refund-toTargets)
 }
--- a/internal/controlplane/watchstream/position.go
+++ b/internal/controlplane/watchstream/position.go
@@ -1,14 +1,15 @@
 package watchstream
 
-// Position is how far somebody is in the stream, by kind: changes up to this version.
+// Position is how far a reader or a store is in the stream, by kind: all changes up to that version.
 type Position struct {
 	Targets uint64 `json:"targets"`
 	Config  uint64 `json:"config"`
 }
 
-// Min is the version that is reached in both lanes.
+// Min is the version that both kinds have reached.
 func (p Position) Min() uint64 { return min(p.Targets, p.Config) }
 
+// version returns the version of one kind.
 func (p *Position) version(k Kind) *uint64 {
 	if k == Config {
 		return &p.Config
@@ -16,14 +17,15 @@
 	return &p.Targets
 }
 
-// notAfter tells whether p is at or before q in both lanes.
+// notAfter reports whether p is at or before q for both kinds.
 func (p Position) notAfter(q Position) bool { return p.Targets <= q.Targets && p.Config <= q.Config }
 
+// furthest is the later position of each kind.
 func (p Position) furthest(q Position) Position {
 	return Position{max(p.Targets, q.Targets), max(p.Config, q.Config)}
 }
 
-// Watermark is a position in the history of that epoch.
+// Watermark is a position in the history of an epoch.
 type Watermark struct {
 	Epoch string `json:"epoch,omitempty"`
 	Position
--- a/internal/controlplane/watchstream/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -1,7 +1,13 @@
-// Package watchstream has the decisions by which changes of targets and of configuration get to all initiators: one numbered stream from the
-// agents' log over relays to initiators, by the same Store, Source and Replica at each hop. It does no I/O, has no clock and no
-// goroutines; callers hold a lock of their own. docs/feed.md has the design and the argument; the numbers in comments are that
-// page's steps.
+// Package watchstream decides how changes of targets and of configuration reach all initiators: one
+// numbered stream of changes goes from the agents' replicated log over relays to initiators, with the
+// same Store, Source and Replica at each hop. A Store has the newest state of each key; a Source
+// serves a Store to readers by deltas, and keeps per reader only bounded state; a Replica is a
+// reader's copy. RelaySelector decides which relay a reader calls, and AckTracker knows at the leader
+// which versions are applied where.
+//
+// The package does no I/O and has no clock and no goroutines; callers hold a lock of their own. Equal
+// inputs give equal outputs. docs/feed.md has the design and the argument; numbers of steps in
+// comments are that page's.
 package watchstream
 
 import (
@@ -9,19 +15,20 @@
 	"fmt"
 )
 
-// Kind is what a record tells of. Each kind is a lane of its own in a Position.
+// Kind is what a record is about. The versions of each kind are read separately (see Position).
 type Kind uint8
 
-// The kinds, in the order in which they go.
+// The kinds, in the order in which they are sent.
 const (
-	Targets Kind = iota // a target's entry of the list, by its id
+	Targets Kind = iota // a target's entry of the endpoint list, by its id
 	Config              // a layer of the configuration, by its scope
 	kinds
 )
 
-// Kinds is all of them.
+// Kinds lists all kinds.
 var Kinds = [kinds]Kind{Targets, Config}
 
+// String returns the kind as messages have it.
 func (k Kind) String() string {
 	switch k {
 	case Targets:
@@ -46,16 +53,16 @@
 	return fmt.Errorf("unknown kind %q: it is target or config", b)
 }
 
-// Bounds of what is taken, in bytes and in numbers.
+// Bounds of what is accepted.
 const (
-	MaxKeyBytes    = 128       // bytes of a key
-	MaxTargetBytes = 4 << 10   // bytes of a target's entry
-	MaxConfigBytes = 64 << 10  // bytes of a layer
-	MaxChangeBytes = 256 << 10 // bytes of a change: its keys and values
-	MaxPuts        = 1 << 12   // puts of a change
-	MaxDeltaBytes  = 2 << 20   // bytes of a delta, as Size counts them
-	MaxNameBytes   = 128       // bytes of a reader's name, a region, a zone, a fleet, an epoch
-	MaxReplaced    = 64        // epochs that a history takes the place of
+	MaxKeyBytes    = 128
+	MaxTargetBytes = 4 << 10   // of a target's entry
+	MaxConfigBytes = 64 << 10  // of a layer
+	MaxChangeBytes = 256 << 10 // keys and values of a change
+	MaxPuts        = 1 << 12   // of a change
+	MaxDeltaBytes  = 2 << 20   // of a delta, as Size counts
+	MaxNameBytes   = 128       // of a reader's name, a region, a zone, a fleet, an epoch
+	MaxReplaced    = 64        // epochs that a history replaces
 )
 
 // Record is the state of one key at the version that last changed it.
@@ -67,5 +74,5 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Size is the bytes that a record takes in a delta, at most: its JSON where the key needs no escapes.
+// Size is an upper bound of the record's bytes in a delta, if its key needs no escapes.
 func (r *Record) Size() int { return len(r.Key) + len(r.Value) + 72 }
--- a/internal/controlplane/watchstream/relay_selector.go
+++ b/internal/controlplane/watchstream/relay_selector.go
@@ -10,15 +10,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Relay is where readers call.
+// Relay is a relay that readers call.
 type Relay struct {
 	ID     string `json:"id"`
 	Region string `json:"region"`
 	Addr   string `json:"addr"`
 }
 
-// RankRelays is the relays as a reader of that region and name goes to them: its region's first, each part by rendezvous hashing. With one gone
-// its readers go to several others; all others stay where they are.
+// RankRelays orders the relays for a reader: those of its region first, each part by rendezvous
+// hashing. If a relay is gone, its readers spread over several others, and all other readers stay.
 func RankRelays(relays []Relay, region, reader string) []Relay {
 	weight := func(r Relay) uint64 {
 		var d xxhash.Digest
@@ -46,47 +46,51 @@
 
 // The outcomes.
 const (
-	CallAnswered CallOutcome = iota // with a delta, or that there is none
-	CallFailed                      // not at all, or with an error of the source's own
-	CallTimedOut                    // within its time there was no answer
-	CallBusy                        // with a Busy: not now
-	CallRejected                    // with another refusal: what this source has is not for this reader now
+	CallAnswered CallOutcome = iota // with a delta, or without news
+	CallFailed                      // not at all, or with an error of the source itself
+	CallTimedOut                    // without an answer in time
+	CallBusy                        // with a BusyError: not now
+	CallRejected                    // with another rejection: what this source has is not for this reader now
 )
 
-// RelaySelectorOptions are the waits. What is zero is as Moves has it.
+// RelaySelectorOptions are the waits. Zero values stand for those of DefaultRelaySelectorOptions.
 type RelaySelectorOptions struct {
-	RetryMin, RetryMax         time.Duration // before another relay is called: drawn from Least to twice that, doubled by each failure up to Most
-	HomeRetryMin, HomeRetryMax time.Duration // after a move the first of the order is tried again: drawn between them
-	FailuresBeforeSwitch       int           // failures of one relay one after another before the next is called
-	StaleAfter                 time.Duration // past that age of what a relay has, others are asked whether theirs is newer
+	// wait before another relay is called: drawn from it to twice it, doubled by each failure up
+	// to RetryMax
+	RetryMin, RetryMax time.Duration
+	// after a switch, the first relay is tried again after a time drawn between these
+	HomeRetryMin, HomeRetryMax time.Duration
+	FailuresBeforeSwitch       int           // of one relay in a row
+	StaleAfter                 time.Duration // if a relay's state is older, others are asked whether theirs is newer
 }
 
-// DefaultRelaySelectorOptions is the usual waits.
+// DefaultRelaySelectorOptions are the usual waits.
 var DefaultRelaySelectorOptions = RelaySelectorOptions{RetryMin: 100 * time.Millisecond, RetryMax: 2 * time.Second, HomeRetryMin: 10 * time.Second, HomeRetryMax: 30 * time.Second, FailuresBeforeSwitch: 1,
 	StaleAfter: 3 * time.Second}
 
-// RelaySelector decides which relay a reader calls, and when.
+// RelaySelector decides which relay a reader calls, and when. The first relay in rank is its home.
 type RelaySelector struct {
 	relays       []Relay
-	localCount   int // of them are of the reader's region
+	localCount   int // relays of the reader's region
 	opt          RelaySelectorOptions
 	rand         *rand.Rand
-	current      int           // who is called now
-	nextCallAt   time.Duration // and when, at the earliest
-	homeRetryAt  time.Duration // when the first is tried again; 0: it is being called
-	returnTo     int           // who answered before home was tried; -1: home isn't being tried
-	failures     int           // one after another, of any
-	failuresHere int           // of this relay
-	lastAnswered int           // who answered last; -1: nobody
+	current      int           // the relay that is called now
+	nextCallAt   time.Duration // not before
+	homeRetryAt  time.Duration // when home is tried again; 0: home is the current one
+	returnTo     int           // relay to return to if home does not answer; -1: home is not being tried
+	failures     int           // in a row, of any relay
+	failuresHere int           // in a row, of the current one
+	lastAnswered int           // -1: none yet
 	switches     uint64
 
-	lastAge      time.Duration // of what who answered last had
-	searchOrigin int           // where it looks about from; -1: it doesn't
-	searchQueue  []int         // who is asked yet, after the one that is called
-	nextSearchAt time.Duration // when it may look about again
+	lastAge      time.Duration // age of the state at the relay that answered last
+	searchOrigin int           // relay from which a search for newer state began; -1: there is none
+	searchQueue  []int         // relays to ask after the current one
+	nextSearchAt time.Duration // not before
 }
 
-// NewRelaySelector returns a mover that has not called yet. Equal arguments give equal waits. Without relays Next tells of none.
+// NewRelaySelector returns a selector that has not called yet. Equal arguments give equal waits.
+// Without relays NextCall returns none.
 func NewRelaySelector(relays []Relay, region, reader string, seed uint64, o RelaySelectorOptions) *RelaySelector {
 	o.RetryMin, o.RetryMax, o.FailuresBeforeSwitch = cmp.Or(o.RetryMin, DefaultRelaySelectorOptions.RetryMin), cmp.Or(o.RetryMax, DefaultRelaySelectorOptions.RetryMax), cmp.Or(o.FailuresBeforeSwitch, DefaultRelaySelectorOptions.FailuresBeforeSwitch)
 	o.HomeRetryMin, o.HomeRetryMax = cmp.Or(o.HomeRetryMin, DefaultRelaySelectorOptions.HomeRetryMin), cmp.Or(o.HomeRetryMax, DefaultRelaySelectorOptions.HomeRetryMax)
@@ -98,7 +102,8 @@
 	return m
 }
 
-// NextCall is whom to call, and when: not before at. Whoever then calls another relay than the last time tells the Replica by Moved first.
+// NextCall returns the relay to call, and not before when. If it is another one than last time, the
+// caller has to tell the Replica by SwitchSource first.
 func (m *RelaySelector) NextCall(now time.Duration) (r Relay, at time.Duration) {
 	if len(m.relays) == 0 {
 		return Relay{}, now + m.opt.RetryMax
@@ -112,7 +117,8 @@
 // Switches is how often another relay answered than the one before.
 func (m *RelaySelector) Switches() uint64 { return m.switches }
 
-// CallEnded tells how the call ended; after is what a Busy said, age how old what one has may be who answered.
+// CallEnded tells how a call ended; after is what a BusyError said, age how old the answering relay's
+// state may be.
 func (m *RelaySelector) CallEnded(now time.Duration, o CallOutcome, after, age time.Duration) {
 	if len(m.relays) == 0 {
 		return
@@ -126,11 +132,11 @@
 		if aged && now >= m.nextSearchAt {
 			m.startSearch(now)
 		}
-	case m.returnTo >= 0: // home isn't ready: go on where it was
+	case m.returnTo >= 0: // home is not ready: return to the relay before
 		m.current, m.returnTo, m.nextCallAt = m.returnTo, -1, now
 		m.homeRetryAt = now + max(after, m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax))
 	case o == CallBusy:
-		// Its own place first: whoever goes on at once asks everybody while all are busy. Told twice, it looks elsewhere.
+		// The same relay first: switching at once would ask all relays while all are busy.
 		if m.failuresHere++; m.failuresHere > 1 {
 			m.switchRelay(now)
 		}
@@ -145,7 +151,7 @@
 	}
 }
 
-// stayWithCurrent stays with who has answered.
+// stayWithCurrent stays with the relay that has answered.
 func (m *RelaySelector) stayWithCurrent(now, age time.Duration) {
 	if m.lastAnswered >= 0 && m.lastAnswered != m.current {
 		m.switches++
@@ -154,19 +160,20 @@
 	switch {
 	case m.current == 0:
 		m.homeRetryAt = 0
-	case m.homeRetryAt == 0: // one whose time has come stays so until it is tried
+	case m.homeRetryAt == 0: // a retry that is due stays due until it is tried
 		m.homeRetryAt = now + m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
 	}
 }
 
-// isFresher tells whether what is so old is worth a move from where it is now: what isn't aged, or is not half as old. Where all are cut off
-// from the same, all are about as old, and everybody stays.
+// isFresher reports whether state of that age is worth a switch: it is not stale, or at most half as
+// old as the present relay's. If all relays are cut off from the same agents, their ages are similar
+// and everybody stays.
 func (m *RelaySelector) isFresher(age time.Duration) bool {
 	return age <= m.opt.StaleAfter || age <= m.lastAge/2
 }
 
-// startSearch asks the others of its region whether what they have is newer, and one of another region, which is the next in the reader's own order and so not
-// the same for all.
+// startSearch asks the other relays of the region whether their state is newer, and one of another
+// region, which rank makes a different one for each reader.
 func (m *RelaySelector) startSearch(now time.Duration) {
 	m.searchOrigin, m.searchQueue = m.current, m.searchQueue[:0]
 	for i := range min(m.localCount+1, len(m.relays)) {
@@ -177,7 +184,7 @@
 	m.searchNext(now)
 }
 
-// searchNext calls the next of those that are asked, or goes back to where it was, for a while.
+// searchNext calls the next relay of a search, or returns to where it began.
 func (m *RelaySelector) searchNext(now time.Duration) {
 	if m.nextCallAt = now; len(m.searchQueue) > 0 {
 		m.current, m.searchQueue = m.searchQueue[0], m.searchQueue[1:]
@@ -186,7 +193,8 @@
 	m.current, m.searchOrigin, m.nextSearchAt = m.searchOrigin, -1, now+m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
 }
 
-// searchAnswered takes the end of a call of one that is asked. One that is busy or doesn't answer is passed by: who asks has somebody who does.
+// searchAnswered processes the outcome of a call of a search. Relays that are busy or do not answer
+// are skipped: the reader has one that answers.
 func (m *RelaySelector) searchAnswered(now time.Duration, o CallOutcome, age time.Duration) {
 	if o != CallAnswered || !m.isFresher(age) {
 		m.searchNext(now)
@@ -199,6 +207,7 @@
 	m.stayWithCurrent(now, age)
 }
 
+// switchRelay goes on to the next relay.
 func (m *RelaySelector) switchRelay(now time.Duration) {
 	m.current, m.failuresHere = (m.current+1)%len(m.relays), 0
 	if m.current == 0 {
@@ -208,6 +217,7 @@
 	}
 }
 
+// randomBetween draws a duration from a to b.
 func (m *RelaySelector) randomBetween(a, b time.Duration) time.Duration {
 	if b <= a {
 		return a
--- a/internal/controlplane/watchstream/report.go
+++ b/internal/controlplane/watchstream/report.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Cursor is one reader as its relay knows it.
+// Cursor is how far one reader is, as its relay knows it.
 type Cursor struct {
 	Name        string     `json:"name"`
 	Region      string     `json:"region,omitempty"`
@@ -16,25 +16,25 @@
 	Generation  uint64     `json:"turn"`
 	Rejection   *Rejection `json:"refused,omitempty"`
 	Silent      bool       `json:"silent,omitempty"`
-	LastHeardMs int64      `json:"ago_ms"` // since it was heard
+	LastHeardMs int64      `json:"ago_ms"` // since its last request
 }
 
-// Report is what a relay tells the agents' leader of its readers: those that changed since Base, or all.
+// Report tells the leader's AckTracker of a relay's readers: those that changed since Base, or all.
 type Report struct {
 	Fleet       string    `json:"fleet"`
 	Relay       string    `json:"relay"`
 	Region      string    `json:"region,omitempty"`
 	Incarnation uint64    `json:"life"` // grows over the relay's restarts
-	Seq         uint64    `json:"seq"`  // grows with each report of a life
+	Seq         uint64    `json:"seq"`  // grows with each report of an incarnation
 	Base        uint64    `json:"base"`
 	UpTo        uint64    `json:"upto"`
 	Full        bool      `json:"whole,omitempty"`
-	Consistent  Watermark `json:"has"`    // what the relay has whole
+	Consistent  Watermark `json:"has"`    // what the relay has
 	AgeMs       int64     `json:"age_ms"` // how old that may be
 	Readers     []Cursor  `json:"readers,omitempty"`
 }
 
-// Validate names the first field that cannot be used.
+// Validate returns an error that names the first field that cannot be used.
 func (r *Report) Validate() error {
 	switch {
 	case r.Relay == "":
@@ -67,14 +67,16 @@
 // MaxReportedReaders bounds the readers of one report.
 const MaxReportedReaders = 1 << 13
 
-// ReportResponse is what the tally has of a relay then; Whole says that it has no base and wants all.
+// ReportResponse tells a relay what the tracker has of it; WantFull says that it lacks the base and
+// needs all readers.
 type ReportResponse struct {
 	Incarnation uint64 `json:"life"`
 	UpTo        uint64 `json:"upto"`
 	WantFull    bool   `json:"whole,omitempty"`
 }
 
-// BuildReport tells of the readers that changed since what the tally was last known to have. Readers that are relays themselves are left out.
+// BuildReport returns the readers that changed since what the tracker is known to have. Readers that
+// are relays themselves are left out.
 func (s *Source) BuildReport(now time.Duration, relay, region string) Report {
 	s.Expire(now)
 	s.reportSeq++
@@ -91,7 +93,7 @@
 	return rep
 }
 
-// ReportAcked takes the tally's answer to a report.
+// ReportAcked processes the tracker's answer to a report.
 func (s *Source) ReportAcked(a ReportResponse) {
 	switch {
 	case a.Incarnation != s.incarnation:
--- a/internal/controlplane/watchstream/scope.go
+++ b/internal/controlplane/watchstream/scope.go
@@ -5,24 +5,27 @@
 	"strings"
 )
 
-// The scopes of configuration, in the order in which one is merged over another.
+// sharedScope is the scope of the layer that all initiators have.
 const sharedScope = "shared"
 
+// scopePrefixes are the other scopes, in the order in which one layer is merged over another.
 var scopePrefixes = []string{"region/", "zone/", "instance/"}
 
+// isScope reports whether the key names a scope.
 func isScope(key string) bool {
 	return key == sharedScope || slices.ContainsFunc(scopePrefixes, func(s string) bool { return len(key) > len(s) && strings.HasPrefix(key, s) })
 }
 
-// Scope is for whom a reader takes records: all targets, and the layers of its own configuration; a relay takes all layers.
+// Scope is what a reader receives: all targets, and the configuration layers that apply to it. A relay
+// receives all layers.
 type Scope struct {
 	Name   string `json:"name"`
 	Region string `json:"region,omitempty"`
 	Zone   string `json:"zone,omitempty"`
-	All    bool   `json:"all,omitempty"`
+	All    bool   `json:"all,omitempty"` // a relay
 }
 
-// Validate names the field that cannot be used.
+// Validate returns an error that names the field that cannot be used.
 func (s Scope) Validate() error {
 	switch {
 	case s.Name == "":
@@ -37,7 +40,7 @@
 	return nil
 }
 
-// layerKeys are the keys of the configuration in this scope, in the order in which one is merged over another.
+// layerKeys returns the keys of the layers in this scope, in merge order.
 func (s Scope) layerKeys() []string {
 	keys := []string{sharedScope}
 	for i, name := range []string{s.Region, s.Zone, s.Name} {
@@ -48,7 +51,7 @@
 	return keys
 }
 
-// Includes tells whether a record of that kind and key is for this scope.
+// Includes reports whether a record of that kind and key belongs to the scope.
 func (s Scope) Includes(k Kind, key string) bool {
 	if k == Targets || s.All {
 		return k == Targets || isScope(key)
--- a/internal/controlplane/watchstream/snapshot.go
+++ b/internal/controlplane/watchstream/snapshot.go
@@ -13,10 +13,10 @@
 	Consistent     Position `json:"whole"`
 	NewestSeen     Position `json:"seen"`
 	TombstoneFloor uint64   `json:"floor"`
-	Records        []Record `json:"records"` // in order of version, gone ones too, targets first
+	Records        []Record `json:"records"` // targets first, each kind in order of version, deleted ones included
 }
 
-// Snapshot returns a copy of the store. Its values are shared and must not be written to.
+// Snapshot returns a snapshot of the store. Its values are shared and must not be modified.
 func (s *Store) Snapshot() Snapshot {
 	c := Snapshot{Fleet: s.fleet, Epoch: s.epoch, Replaces: slices.Clone(s.replaces), Have: s.have, Consistent: s.consistent, NewestSeen: s.newestSeen, TombstoneFloor: s.tombstoneFloor}
 	for k := range s.lanes {
@@ -28,7 +28,7 @@
 	return c
 }
 
-// Restore takes a copy in place of all that the store has. Where it returns an error nothing has changed.
+// Restore replaces the store's state by a snapshot. An error means that nothing has changed.
 func (s *Store) Restore(c Snapshot) error {
 	n := NewStore(s.fleet, s.limits)
 	switch {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// Restore begins with a copy, as it was on the disk. Nothing of it is in force yet.
+// Restore starts with a snapshot from the disk. Nothing of it is applied yet.
 func (r *Replica) Restore(c Snapshot) error {
 	for i := range c.Records {
 		if x := &c.Records[i]; !r.scope.Includes(x.Kind, x.Key) {
--- a/internal/controlplane/watchstream/source.go
+++ b/internal/controlplane/watchstream/source.go
@@ -6,76 +6,78 @@
 	"time"
 )
 
-// SourceOptions bound what readers get. What is zero is as Fair has it.
+// SourceOptions bound what readers get. Zero values stand for those of DefaultSourceOptions.
 type SourceOptions struct {
-	ReaderRate       float64       // bytes a second for a reader, half of it for targets alone
-	ReaderBurst      float64       // bytes that it may be ahead
-	RelayRate        float64       // the same for readers that are relays
-	RelayBurst       float64       //
+	ReaderRate       float64 // bytes a second for a reader, half of it for targets alone
+	ReaderBurst      float64 // bytes beyond the rate
+	RelayRate        float64 // the same for readers that are relays
+	RelayBurst       float64
 	AdmitRate        float64       // new readers a second
-	AdmitBurst       float64       // and so many at once
+	AdmitBurst       float64       // new readers at once
 	MaxReaders       int           // at a time
-	ForgetAfter      time.Duration // after so long without a hello a reader is dropped
-	SilentAfter      time.Duration // and after so long it is reported as silent
-	CoalesceInterval time.Duration // between two deltas to one reader; changes within it go together
+	ForgetAfter      time.Duration // a reader that sends nothing for so long is dropped
+	SilentAfter      time.Duration // and is reported as silent after this time
+	CoalesceInterval time.Duration // between two deltas to one reader: changes within it are sent together
 }
 
-// DefaultSourceOptions is what a relay of 200 to 400 initiators goes by.
+// DefaultSourceOptions fit a relay with 200 to 400 initiators.
 var DefaultSourceOptions = SourceOptions{ReaderRate: 10_000, ReaderBurst: 64 << 10, RelayRate: 4 << 20, RelayBurst: 4 << 20, AdmitRate: 100, AdmitBurst: 100, MaxReaders: 1024,
 	ForgetAfter: 10 * time.Minute, SilentAfter: 10 * time.Second, CoalesceInterval: 200 * time.Millisecond}
 
-// Source serves a store to readers. What it keeps of each is bounded, whatever the reader does; what is owed to one is never kept but
-// read off the store (step 7).
+// Source serves a store to readers. What it keeps of each reader is bounded, whatever the reader does;
+// what a reader lacks is read from the store and never kept (step 7).
 type Source struct {
 	store        *Store
 	opt          SourceOptions
 	readers      map[string]*reader
 	admission    tokenBucket
-	nextBusySlot time.Duration // when the next of those that were turned away is to come again
-	freshAt      time.Duration // when the store was last known to be as its own source's
+	nextBusySlot time.Duration // when the next rejected reader is told to retry
+	freshAt      time.Duration // when the store surely had its own source's newest state
 	rejections   map[Reason]uint64
-	busyCount    uint64 // away as busy
+	busyCount    uint64 // readers rejected as busy
 
-	incarnation uint64 // of reports
+	incarnation uint64 // of this source, over restarts
 	reportSeq   uint64
-	changeSeq   uint64 // of what is reported; each reader has the number of its last
-	reportedSeq uint64 // up to which the tally has them
+	changeSeq   uint64 // of changes to what is reported; each reader has its last one's
+	reportedSeq uint64 // up to which the tracker has acknowledged reports
 }
 
+// reader is what a source keeps of one reader.
 type reader struct {
-	request      SubscribeRequest
+	request      SubscribeRequest // the last one
 	lastHeardAt  time.Duration
-	lastDeltaAt  time.Duration // the last delta
+	lastDeltaAt  time.Duration // valid if hadDelta
 	hadDelta     bool          // there was one
-	waiting      bool          // a hello waits for its answer
-	targetTokens tokenBucket   // for targets alone
-	sharedTokens tokenBucket   // for either
+	waiting      bool          // the last request was not answered yet
+	targetTokens tokenBucket   // bytes, for targets alone
+	sharedTokens tokenBucket   // bytes, for either kind
 	resync       *digestRun
 	changeSeq    uint64
 	silent       bool
 }
 
-// NewSource returns a source without readers. Life is to grow over its restarts, as a Replica's first turn does.
-func NewSource(store *Store, o SourceOptions, life uint64) *Source {
+// NewSource returns a source without readers. The incarnation must grow over restarts, as a Replica's
+// first generation does.
+func NewSource(store *Store, o SourceOptions, incarnation uint64) *Source {
 	o.ReaderRate, o.ReaderBurst = cmp.Or(o.ReaderRate, DefaultSourceOptions.ReaderRate), cmp.Or(o.ReaderBurst, DefaultSourceOptions.ReaderBurst)
 	o.RelayRate, o.RelayBurst = cmp.Or(o.RelayRate, DefaultSourceOptions.RelayRate), cmp.Or(o.RelayBurst, DefaultSourceOptions.RelayBurst)
 	o.AdmitRate, o.AdmitBurst, o.MaxReaders = cmp.Or(o.AdmitRate, DefaultSourceOptions.AdmitRate), cmp.Or(o.AdmitBurst, DefaultSourceOptions.AdmitBurst), cmp.Or(o.MaxReaders, DefaultSourceOptions.MaxReaders)
 	o.ForgetAfter, o.SilentAfter, o.CoalesceInterval = cmp.Or(o.ForgetAfter, DefaultSourceOptions.ForgetAfter), cmp.Or(o.SilentAfter, DefaultSourceOptions.SilentAfter), cmp.Or(o.CoalesceInterval, DefaultSourceOptions.CoalesceInterval)
 	return &Source{store: store, opt: o, readers: map[string]*reader{}, admission: tokenBucket{tokens: o.AdmitBurst, rate: o.AdmitRate, burst: o.AdmitBurst},
-		rejections: map[Reason]uint64{}, incarnation: life}
+		rejections: map[Reason]uint64{}, incarnation: incarnation}
 }
 
-// MarkFresh says that the store was as its own source's at this moment: at an agent, that a leader was heard; at a relay, when the answer
-// came less what the answer's AgeMs said.
+// MarkFresh says that the store had its own source's newest state at this moment: at an agent, when a
+// leader was heard; at a relay, when an answer arrived, less the age that it told.
 func (s *Source) MarkFresh(now time.Duration) { s.freshAt = max(s.freshAt, now) }
 
-// Age is how old the store may be.
+// Age is how old the store's state may be.
 func (s *Source) Age(now time.Duration) time.Duration { return max(0, now-s.freshAt) }
 
-// ReaderCount is how many there are.
+// ReaderCount is the number of readers.
 func (s *Source) ReaderCount() int { return len(s.readers) }
 
-// Rejections are the hellos that were refused, by reason, and how many readers were turned away as busy.
+// Rejections returns the rejected requests by reason, and the number of readers rejected as busy.
 func (s *Source) Rejections() (refused map[Reason]uint64, busy uint64) {
 	c := make(map[Reason]uint64, len(s.rejections))
 	for k, n := range s.rejections {
@@ -84,7 +86,8 @@
 	return c, s.busyCount
 }
 
-// Subscribe takes a reader's word. It returns a *FieldError, a *Refusal or a *Busy, and has then changed nothing of what it knows of readers.
+// Subscribe processes a reader's request. It returns a *FieldError, a *RejectedError or a *BusyError,
+// and has then changed nothing of what it knows of readers.
 func (s *Source) Subscribe(now time.Duration, h SubscribeRequest) error {
 	err := s.subscribe(now, h)
 	if e, ok := err.(*RejectedError); ok {
@@ -133,13 +136,13 @@
 		r.resync = &digestRun{epoch: h.Epoch, start: s.store.consistent.Targets, digests: h.Digests}
 		h.Digests = nil
 	case h.Progress == nil:
-		r.resync = nil // it is over, or nothing of it arrived
+		r.resync = nil // it has ended, or nothing of it arrived
 	}
 	r.request, r.lastHeardAt, r.waiting, r.silent = h, now, true, false
 	return nil
 }
 
-// admitReader takes one new reader, or says when to come again: those that are turned away get moments one after another.
+// admitReader admits a new reader, or says when to retry: rejected readers are spread over time.
 func (s *Source) admitReader(now time.Duration) error {
 	s.Expire(now)
 	if len(s.readers) >= s.opt.MaxReaders {
@@ -154,12 +157,13 @@
 	return &BusyError{min(s.nextBusySlot-now, 30*time.Second)}
 }
 
-// Expire drops readers that are silent for long and marks those that have become silent. It is to be called now and then.
+// Expire drops readers that were silent for long and marks those that have become silent. It must be
+// called regularly.
 func (s *Source) Expire(now time.Duration) {
 	for name, r := range s.readers {
 		switch {
 		case now-r.lastHeardAt >= s.opt.ForgetAfter:
-			delete(s.readers, name) // the tally has it as silent
+			delete(s.readers, name) // the tracker has it as silent
 		case now-r.lastHeardAt >= s.opt.SilentAfter && !r.silent:
 			s.changeSeq++
 			r.silent, r.changeSeq = true, s.changeSeq
--- a/internal/controlplane/watchstream/status.go
+++ b/internal/controlplane/watchstream/status.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Why a reader does not have a version.
+// Why a reader lacks a version.
 const (
-	LagSilent      = "silent"  // nobody hears it
-	LagEpoch       = "epoch"   // it holds another history
-	LagRejected    = "refused" // it turned a configuration down
-	LagRelayBehind = "cut"     // its relay itself doesn't have it
-	LagPending     = "owed"    // its relay has it, and it hasn't said that it is in force
+	LagSilent      = "silent"  // it is not heard
+	LagEpoch       = "epoch"   // it has another history
+	LagRejected    = "refused" // it rejected a configuration
+	LagRelayBehind = "cut"     // its relay lacks the version, too
+	LagPending     = "owed"    // its relay has it, and it has not acknowledged it
 )
 
-// LaggingReader is a reader that does not have a version.
+// LaggingReader is a reader that has not applied a version.
 type LaggingReader struct {
 	Name        string     `json:"name"`
 	Region      string     `json:"region,omitempty"`
@@ -26,7 +26,7 @@
 	Rejection   *Rejection `json:"refused,omitempty"`
 }
 
-// RelayState is a relay as it reported last.
+// RelayState is a relay as of its last report.
 type RelayState struct {
 	ID          string `json:"id"`
 	Region      string `json:"region,omitempty"`
@@ -36,24 +36,24 @@
 	Readers     int    `json:"readers"`
 }
 
-// Status is where a version is in force.
+// Status is where a version is applied.
 type Status struct {
 	Epoch        string          `json:"epoch"`
 	Version      uint64          `json:"version"`
-	Readers      int             `json:"known"`  // readers
-	Applied      int             `json:"have"`   // and how many of them have it in force
-	Silent       int             `json:"silent"` // that nobody hears, whether they have it or not
+	Readers      int             `json:"known"`  // known
+	Applied      int             `json:"have"`   // readers that have applied it
+	Silent       int             `json:"silent"` // readers that are not heard, whether they have applied it or not
 	Rejected     int             `json:"refused"`
 	AppliedShare float64         `json:"share"`
-	SinceMs      int64           `json:"since_ms"` // since the log has it; -1: not known here
-	HalfMs       int64           `json:"half_ms"`  // from then, or where that isn't known from now on, until half had it; -1: not yet, or not known here
-	P99Ms        int64           `json:"most_ms"`  // until 99 in 100
+	SinceMs      int64           `json:"since_ms"` // since the log has it; -1: unknown here
+	HalfMs       int64           `json:"half_ms"`  // from then until half had applied it; -1: not yet, or unknown here
+	P99Ms        int64           `json:"most_ms"`  // until 99 of 100 had
 	AllMs        int64           `json:"all_ms"`
-	Lagging      []LaggingReader `json:"lagging,omitempty"` // some of them, those that are furthest behind first
+	Lagging      []LaggingReader `json:"lagging,omitempty"` // some of them, those furthest behind first
 	Relays       []RelayState    `json:"relays,omitempty"`
 }
 
-// Status tells of a version.
+// Status returns where a version is applied.
 func (t *AckTracker) Status(now time.Duration, version uint64) Status {
 	t.Expire(now)
 	s := Status{Epoch: t.epoch, Version: version, Readers: len(t.readers), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -9,44 +9,49 @@
 	"github.com/google/btree"
 )
 
-// Limits bound what a Store keeps. Buckets has to be the same at all.
+// Limits bound what a Store keeps. Buckets must be the same at all stores of a fleet.
 type Limits struct {
-	Targets    int // live targets; a change that brings more is refused
-	Tombstones int // of gone targets; the oldest is dropped, and the floor rises to it
-	Scopes     int // layers of configuration, gone ones too; a change that brings more is refused
-	Buckets    int // that digests are made of
+	Targets    int // live targets; a change that exceeds it is rejected
+	Tombstones int // of deleted targets; the oldest is dropped beyond it
+	Scopes     int // layers, deleted ones included; a change that exceeds it is rejected
+	Buckets    int // that digests are computed over
 }
 
-// DefaultLimits is the limits of a fleet of 20,000 targets with room.
+// DefaultLimits leave room for a fleet of 20,000 targets.
 var DefaultLimits = Limits{Targets: 1 << 16, Tombstones: 1 << 14, Scopes: 1 << 14, Buckets: 1 << 10}
 
-// Store is the newest state of each key, in order of version: the log's at an agent, a copy of it at a relay and at an initiator.
+// Store has the newest state of each key in order of version: the log's state at an agent, a copy of
+// it at a relay and at an initiator.
 type Store struct {
-	limits         Limits
-	fleet          string
-	epoch          string
-	replaces       []string // epochs that this one takes the place of (step 9)
-	have           Position // each key that the log last changed at or before it is held so (step 2)
-	consistent     Position // the last position at which all that is held was the log's state, or newer (step 3)
-	newestSeen     Position // the furthest source that anything came from (step 4)
-	tombstoneFloor uint64   // targets that went at or before it are not told of by a tombstone (step 6)
+	limits   Limits
+	fleet    string
+	epoch    string
+	replaces []string // epochs that this history replaces (step 9)
+	// every key that the log last changed at or before it is held in that state (step 2)
+	have Position
+	// last position at which everything held was the log's state, or newer (step 3)
+	consistent     Position
+	newestSeen     Position // newest position of any source that something came from (step 4)
+	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone (step 6)
 	lanes          [kinds]lane
 	digests        Digests
-	buckets        [][]*Record // live targets
+	buckets        [][]*Record // live targets by bucket
 }
 
+// lane is the state of one kind.
 type lane struct {
 	keys       map[string]*Record
-	byVersion  *btree.BTreeG[*Record]
-	tombstones *btree.BTreeG[*Record] // gone ones
+	byVersion  *btree.BTreeG[*Record] // all records
+	tombstones *btree.BTreeG[*Record] // deleted ones
 	bytes      int                    // of keys and values
 }
 
+// versionLess orders records by version and key.
 func versionLess(a, b *Record) bool {
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// NewStore returns an empty store. A limit that is zero is the usual one.
+// NewStore returns an empty store. Zero limits stand for those of DefaultLimits.
 func NewStore(fleet string, l Limits) *Store {
 	l.Targets, l.Tombstones = cmp.Or(l.Targets, DefaultLimits.Targets), cmp.Or(l.Tombstones, DefaultLimits.Tombstones)
 	l.Scopes, l.Buckets = cmp.Or(l.Scopes, DefaultLimits.Scopes), cmp.Or(l.Buckets, DefaultLimits.Buckets)
@@ -57,34 +62,35 @@
 	return s
 }
 
-// Fleet is whose stream it is.
+// Fleet is the fleet whose stream it is.
 func (s *Store) Fleet() string { return s.fleet }
 
-// Epoch is the history that the store has; empty before the first change.
+// Epoch names the history that the store has; empty before the first change.
 func (s *Store) Epoch() string { return s.epoch }
 
-// Replaces are the epochs that this history takes the place of.
+// Replaces are the epochs that this history replaces.
 func (s *Store) Replaces() []string { return slices.Clone(s.replaces) }
 
-// Head is the version of the last change. At a relay it is the least of both lanes.
+// Head is the version of the last change. At a relay it is the smaller one of both kinds.
 func (s *Store) Head() uint64 { return s.consistent.Min() }
 
-// Consistent is up to where the store has the log's state, by lane.
+// Consistent is the position up to which the store has the log's state.
 func (s *Store) Consistent() Position { return s.consistent }
 
-// TombstoneFloor is the version up to which gone targets are no longer told of one by one: readers behind it go by digests.
+// TombstoneFloor is the version up to which deletions are forgotten: readers behind it resync by
+// digests.
 func (s *Store) TombstoneFloor() uint64 { return s.tombstoneFloor }
 
-// Count is how many live records of a kind there are.
+// Count is the number of live records of a kind.
 func (s *Store) Count(k Kind) int { return s.lanes[k].byVersion.Len() - s.lanes[k].tombstones.Len() }
 
-// Tombstones is how many gone keys of a kind are remembered.
+// Tombstones is the number of remembered deleted keys of a kind.
 func (s *Store) Tombstones(k Kind) int { return s.lanes[k].tombstones.Len() }
 
-// Bytes is what the keys and values of a kind take.
+// Bytes is the size of the keys and values of a kind.
 func (s *Store) Bytes(k Kind) int { return s.lanes[k].bytes }
 
-// Get returns the state of a key, if it is known; it may be gone.
+// Get returns the state of a key, if it is known; it may be deleted.
 func (s *Store) Get(k Kind, key string) (Record, bool) {
 	if r := s.lanes[k].keys[key]; r != nil {
 		return *r, true
@@ -92,7 +98,8 @@
 	return Record{}, false
 }
 
-// Records are the live ones of a kind, in order of version. Their values are shared and must not be written to.
+// Records returns the live records of a kind in order of version. Their values are shared and must not
+// be modified.
 func (s *Store) Records(k Kind) []Record {
 	list := make([]Record, 0, s.Count(k))
 	s.lanes[k].byVersion.Ascend(func(r *Record) bool {
@@ -104,8 +111,8 @@
 	return list
 }
 
-// Apply makes a change, as the log has it: the same at every agent. It returns the change's version. Where it returns an error nothing
-// has changed.
+// Apply applies a change of the log, the same at every agent, and returns its version. An error means
+// that nothing has changed.
 func (s *Store) Apply(c Change) (uint64, error) {
 	if err := c.Validate(); err != nil {
 		return 0, err
@@ -154,7 +161,7 @@
 	return v, nil
 }
 
-// putRecord takes a record in place of what there was of its key.
+// putRecord replaces the record of its key.
 func (s *Store) putRecord(r *Record) {
 	l := &s.lanes[r.Kind]
 	if old := l.keys[r.Key]; old != nil {
@@ -174,6 +181,7 @@
 	}
 }
 
+// dropRecord removes a record.
 func (s *Store) dropRecord(r *Record) {
 	l := &s.lanes[r.Kind]
 	delete(l.keys, r.Key)
@@ -192,7 +200,7 @@
 	}
 }
 
-// trimTombstones drops the oldest tombstones beyond the limit: the floor rises to what was dropped.
+// trimTombstones drops the oldest tombstones beyond the limit and raises the floor to them.
 func (s *Store) trimTombstones() {
 	graves := s.lanes[Targets].tombstones
 	for graves.Len() > s.limits.Tombstones {
@@ -202,11 +210,12 @@
 	}
 }
 
+// bucketOf is the bucket of a key.
 func (s *Store) bucketOf(key string) int {
 	return int(xxhash.Sum64String(key) % uint64(len(s.digests)))
 }
 
-// digest is a record's part of its bucket's sum.
+// digest is a record's part of its bucket's digest.
 func (r *Record) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -217,7 +226,7 @@
 	return d.Sum64()
 }
 
-// ascendAfter goes through the records of a kind with versions over v, in order of version.
+// ascendAfter visits the records of a kind with greater versions, in order.
 func (s *Store) ascendAfter(k Kind, v uint64, each func(*Record) bool) {
 	s.lanes[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, each)
 }
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -1,12 +1,14 @@
-// Package targetmerge joins what two sources tell of the targets, discovery and the feed, into one list, of which it tells the changes. It has
-// no clock, no sockets and no goroutines.
+// Package targetmerge joins what two sources say of the targets, discovery and the watch stream, into
+// one list, and returns the changes of it. It has no clock, no sockets and no goroutines.
 //
-// Either source may lag, so what counts is not who spoke last but what is newer of the target itself: words are joined as in a lattice, by
-// the target's start first, then by SERVING < DRAINING < DELETED. A drain therefore never goes back for the same start, whichever source
-// still says SERVING, and the order in which the two are heard makes no difference to where a target stands.
+// Either source may lag, so the newer statement on a target wins, not the later message: statements
+// are joined as in a lattice, by the target's start first, then by SERVING < DRAINING < DELETED. So a
+// drain is never undone for the same start, whichever source still says SERVING, and the order in
+// which the two are heard does not matter.
 //
-// A source that names a target no more, after it had, counts as telling it DELETED at the start that it knew. That alone can be taken back,
-// by the same source: a list that came empty by mistake must not end all targets until each of them starts again.
+// A source that no longer lists a target counts as saying DELETED for the start that it knew. Only
+// that can be undone, by the same source: a list that was empty by mistake must not remove all targets
+// until each of them restarts.
 package targetmerge
 
 import (
@@ -17,17 +19,19 @@
 	"spindlehitch/internal/datapath/listing"
 )
 
-// Source is who tells of targets.
+// Source is who makes a statement.
 type Source int
 
+// The sources.
 const (
 	Discovery Source = iota
 	Feed
 	sources
 )
 
-// DefaultMaxRemoved is how many targets that no source names any more are remembered: as many as the feed keeps gone records for. Longer ago, a
-// source that lags would have to lag by so many removals to bring back one of them, and it could do so for that start alone.
+// DefaultMaxRemoved is how many removed targets are remembered: as many as the stream keeps tombstones
+// for. A source would have to lag by so many removals to bring one back, and could do so for that
+// start alone.
 const DefaultMaxRemoved = 1 << 14
 
 const (
@@ -39,14 +43,15 @@
 // stateRank orders the states of one start.
 func stateRank(state string) int { return slices.Index([]string{serving, draining, deleted}, state) }
 
-// sourceEntry is all that one source has told of a target, joined: its greatest start, and the greatest rank at it.
+// sourceEntry is what one source has said of a target, joined: its latest start, and the highest state
+// at it.
 type sourceEntry struct {
 	listing.Entry
-	changedAt uint64 // when it last changed, counted over all words
-	listed    bool   // it still does
+	changedAt uint64 // sequence number of its last change
+	listed    bool   // the source still lists it
 }
 
-// effectiveState is what the word comes to.
+// effectiveState is DELETED once the source does not list the target.
 func (w *sourceEntry) effectiveState() string {
 	if !w.listed {
 		return deleted
@@ -54,14 +59,14 @@
 	return w.State
 }
 
-// target is one that a source names or has named.
+// target is a target that a source lists or has listed.
 type target struct {
 	entries   [sources]*sourceEntry
-	published *listing.Entry // as the joined list has it; nil: it has none
-	removed   *list.Element  // among those that no source names
+	published *listing.Entry // its entry in the joined list; nil: none
+	removed   *list.Element  // among those that no source lists
 }
 
-// effectiveEntry is what the words come to.
+// effectiveEntry is the join of both sources.
 func (t *target) effectiveEntry() (e listing.Entry) {
 	var from *sourceEntry
 	for _, w := range t.entries {
@@ -74,7 +79,7 @@
 	return e
 }
 
-// supersedes tells whether a counts rather than b: of the same start and state, whoever told something new last.
+// supersedes reports whether a wins over b: with the same start and state, the one that changed last.
 func supersedes(a, b *sourceEntry) bool {
 	if a.Started != b.Started {
 		return a.Started > b.Started
@@ -85,21 +90,22 @@
 	return a.changedAt > b.changedAt
 }
 
-// View is the joined list. Its state is bounded by what the two sources name, and by how many that are gone it remembers.
+// View is the joined list. Its size is bounded by what the two sources list and by the removed targets
+// that it remembers.
 type View struct {
 	targets    map[string]*target
-	removed    *list.List // ids, the longest gone first
+	removed    *list.List // ids, the longest removed first
 	maxRemoved int
 	changeSeq  uint64
 	version    int64 // of the joined list
 }
 
-// New returns an empty view, that remembers so many targets that are gone.
+// New returns an empty view that remembers so many removed targets.
 func New(mostGone int) *View {
 	return &View{targets: map[string]*target{}, removed: list.New(), maxRemoved: mostGone}
 }
 
-// Len is how many targets there are in the joined list.
+// Len is the number of targets in the joined list.
 func (v *View) Len() (n int) {
 	for _, t := range v.targets {
 		if t.published != nil {
@@ -109,7 +115,7 @@
 	return n
 }
 
-// Full is the joined list, by id.
+// Full returns the joined list, by id.
 func (v *View) Full() *listing.List {
 	l := v.newList()
 	l.Full = true
@@ -122,15 +128,17 @@
 	return l
 }
 
+// newList returns an empty list with the current version.
 func (v *View) newList() *listing.List {
 	version := v.version
 	return &listing.List{Version: &version}
 }
 
-// Merge joins a source's list or change, which has been checked, and returns what changed in the joined list; nil: nothing. An entry DELETED without a start, or with an older one than the source
-// told before, says no more than that the source names it no longer.
+// Merge joins a source's list or change, which was validated, and returns what changed in the joined
+// list; nil: nothing. An entry DELETED without a start, or with an older one than the source's, only
+// says that the source does not list the target.
 func (v *View) Merge(from Source, l *listing.List) *listing.List {
-	var touched []string
+	var touched []string // ids, each once
 	named := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
 		if !named[e.ID] {
@@ -147,13 +155,13 @@
 				silent = append(silent, id)
 			}
 		}
-		slices.Sort(silent) // equal lists are answered equally
+		slices.Sort(silent) // so that the result does not depend on the order of the map
 		touched = append(touched, silent...)
 	}
 	var changed listing.Entries
 	for _, id := range touched {
 		if t := v.targets[id]; t != nil {
-			if e, new := v.publish(t); new {
+			if e, differs := v.publish(t); differs {
 				changed = append(changed, e)
 			}
 			v.trackRemoved(id, t)
@@ -168,7 +176,7 @@
 	return out
 }
 
-// mergeEntry joins an entry to what its source told before.
+// mergeEntry joins an entry to what its source said before.
 func (v *View) mergeEntry(from Source, e listing.Entry) {
 	t := v.targets[e.ID]
 	if t == nil {
@@ -176,7 +184,7 @@
 	}
 	w := t.entries[from]
 	if w == nil {
-		if e.State != deleted || e.Started > 0 { // of one that it never named, and no start of it: it tells nothing
+		if e.State != deleted || e.Started > 0 { // DELETED without a start, of a target that it never listed, says nothing
 			t.entries[from] = &sourceEntry{Entry: e, listed: e.State != deleted, changedAt: v.nextSeq()}
 			v.targets[e.ID] = t
 		}
@@ -193,19 +201,20 @@
 	case e.Started < w.Started:
 		return
 	case e.Started == w.Started && stateRank(e.State) < stateRank(w.State):
-		e.State = w.State // which stays, for this start; where it is may have changed all the same
+		e.State = w.State // the state stays for this start; the address may have changed all the same
 	}
 	if !sameEntry(e, w.Entry) {
 		w.Entry, w.changedAt = e, v.nextSeq()
 	}
 }
 
+// nextSeq is the next sequence number.
 func (v *View) nextSeq() uint64 {
 	v.changeSeq++
 	return v.changeSeq
 }
 
-// publish brings the joined list up to what the words come to, and tells whether that changed it.
+// publish updates a target's published entry and reports whether it changed.
 func (v *View) publish(t *target) (listing.Entry, bool) {
 	e := t.effectiveEntry()
 	switch {
@@ -219,7 +228,8 @@
 	return e, true
 }
 
-// trackRemoved counts a target among those that are gone while no source names it, and forgets the longest gone beyond what is remembered.
+// trackRemoved remembers targets that no source lists, and forgets the longest removed ones beyond the
+// bound.
 func (v *View) trackRemoved(id string, t *target) {
 	named := false
 	for _, w := range t.entries {
@@ -237,7 +247,7 @@
 	}
 }
 
-// sameEntry tells whether two entries say the same.
+// sameEntry reports whether two entries are equal.
 func sameEntry(a, b listing.Entry) bool {
 	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
 		return false
--- a/internal/controlplane/watchstream/version_times.go
+++ b/internal/controlplane/watchstream/version_times.go
@@ -6,17 +6,19 @@
 	"time"
 )
 
-// versionTimes are moments at which a version that only grows was reached.
+// versionTimes records when a growing version was reached.
 type versionTimes struct {
 	list []versionTime
 	max  int
 }
 
+// versionTime is one of these moments.
 type versionTime struct {
 	version uint64
 	at      time.Duration
 }
 
+// add records a version, if it is greater than the last one.
 func (s *versionTimes) add(version uint64, at time.Duration) {
 	if n := len(s.list); n == 0 || s.list[n-1].version < version {
 		s.list = append(s.list, versionTime{version, at})
@@ -26,8 +28,8 @@
 	}
 }
 
-// reachedAt is when the version was reached, if that is known: the first step at or after it, but not the first of all, since what was before
-// it isn't known.
+// reachedAt returns when the version was reached: the first entry at or after it, except the very
+// first, since it is unknown what happened before.
 func (s *versionTimes) reachedAt(version uint64) (at time.Duration, known bool) {
 	i, _ := slices.BinarySearchFunc(s.list, version, func(x versionTime, v uint64) int { return cmp.Compare(x.version, v) })
 	if i == len(s.list) || i == 0 {
