--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -22,7 +22,7 @@
 	maxPollWait    = time.Minute
 )
 
-// Peers is all agents, as one of them knows them.
+// Peers is all agents of a group.
 type Peers []config.Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -35,18 +35,18 @@
 	return "", fmt.Errorf("agent.peer: %q is none of the peers", id)
 }
 
-// Options set up one agent.
+// Options configure an agent.
 type Options struct {
 	ID              string
-	Dir             string                                 // holds its log, votes and snapshots
-	Peers           Peers                                  // all agents, this one included
-	ValidateConfig  func(name string, config []byte) error // whether the instance could start from it
+	Dir             string                                 // of its log, votes and snapshots
+	Peers           Peers                                  // all agents, including this one
+	ValidateConfig  func(name string, config []byte) error // whether an instance could start with the configuration
 	Log             *slog.Logger
 	ElectionTimeout time.Duration   // of heartbeats and elections; 0: one second
-	StartContext    context.Context // Start gives up waiting once it ends; nil: never
+	StartContext    context.Context // ends the wait of Start; nil: never
 }
 
-// Agent is one of the few that replicate the log.
+// Agent is one of the few processes that replicate the log.
 type Agent struct {
 	opt       Options
 	self      config.Peer
@@ -59,7 +59,7 @@
 	stream    *streamService
 }
 
-// Serve answers commands and instances until Stop.
+// Serve answers requests until Stop.
 func (a *Agent) Serve(l net.Listener) error {
 	if err := a.http.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -67,13 +67,13 @@
 	return nil
 }
 
-// Stop leaves the others in an orderly way and closes the durable store.
+// Stop leaves the group in order and closes the storage.
 func (a *Agent) Stop() error {
 	a.stream.server.Stop()
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	if a.http.Shutdown(ctx) != nil {
-		a.http.Close() // watches that still wait
+		a.http.Close() // ends polls that still wait
 	}
 	a.stream.stop()
 	a.leader.stop()
@@ -82,22 +82,24 @@
 	return err
 }
 
-// Status is what an agent says of itself.
+// Status is what an agent tells of itself.
 type Status struct {
 	ID             string `json:"id"`
 	State          string `json:"state"`
 	Leader         string `json:"leader"`
 	Applied        uint64 `json:"applied"`
-	SnapshotFormat int    `json:"format"` // of its snapshots: what it knows of; 0: it is older than that it tells
+	SnapshotFormat int    `json:"format"` // newest that it knows; 0: it does not tell
 }
 
+// handleStatus answers GET /v1/status.
 func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	_, leader := a.raft.LeaderWithID()
 	writeJSON(w, http.StatusOK, Status{ID: a.opt.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex(), SnapshotFormat: snapshotFormat})
 }
 
-// propose has a change made through the log and returns what the log says to it. After an error it may or may not be in the log:
-// the caller looks, or asks again by the same id.
+// propose makes a change through the log and returns the state machine's answer. After an error it is
+// unknown whether the change was made: the caller has to look, or propose it again with the same
+// request id.
 func (a *Agent) propose(c command) (any, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
--- a/internal/controlplane/agent/bootstrap.go
+++ b/internal/controlplane/agent/bootstrap.go
@@ -15,8 +15,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Start opens the durable store and joins the others. An agent that has no state yet begins with the peers it
-// is told of; one that has goes on from its log.
+// Start opens the storage and joins the other agents. An agent without state starts with the
+// configured peers; one with state continues from its log.
 func Start(opt Options) (_ *Agent, err error) {
 	a := &Agent{opt: opt, store: newStore()}
 	var servers []raft.Server
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
-	// Where the others are is this agent's file's to say, whatever a snapshot of another's has.
+	// Addresses come from this agent's own file, not from the log or a snapshot.
 	about := &raft.NetworkTransportConfig{ServerAddressProvider: opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
 	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, about); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
@@ -88,9 +88,10 @@
 	return a, nil
 }
 
-// waitForPeers returns once an agent without a log may take part. Where the others have one, this agent had a vote that it has forgotten, and
-// may give it twice, unless all others are up, follow one leader and have applied as much as it: then whoever could be elected
-// has all that was ever confirmed. Where nobody has, the group is new.
+// waitForPeers returns once an agent without a log may take part. If the other agents have a log, this
+// one may have voted before it lost its own, and could vote twice in one term. It waits until all
+// others are up, follow one leader and have applied the same entries: then any agent that could be
+// elected has everything that was ever committed. If no agent has a log, the group is new.
 func (a *Agent) waitForPeers() error {
 	ctx := a.opt.StartContext
 	if ctx == nil {
@@ -130,14 +131,16 @@
 	}
 }
 
-// logWriter passes the Raft library's lines on.
+// logWriter passes the Raft library's log lines on.
 type logWriter struct{ log *slog.Logger }
 
+// Write implements io.Writer.
 func (w logWriter) Write(b []byte) (int, error) {
 	w.log.Warn("raft", slog.String("line", string(b[:max(0, len(b)-1)])))
 	return len(b), nil
 }
 
+// closeStorage closes the transport and the log.
 func (a *Agent) closeStorage() {
 	if a.transport != nil {
 		a.transport.Close()
--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -19,27 +19,28 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Client speaks to the agents: any of them that answers, and through it the leader.
+// Client calls the agents: any of them that answers, and through it the leader.
 type Client struct {
 	Addrs []string
-	// FallbackAddrs are further agents to ask where none of Addrs answers; nil: there are none.
+	// FallbackAddrs returns further agents to call if none of Addrs answers; nil: there are none.
 	FallbackAddrs func() []string
 	http          http.Client
-	preferred     atomic.Int64 // which of Addrs answered last
+	preferred     atomic.Int64 // index of the address that answered last
 	lastAnswer    atomic.Pointer[agentAnswer]
 }
 
+// Times of calls.
 const (
 	callTimeout = 8 * time.Second
-	// attemptTimeout is what one agent gets of a call's time before the next is asked; each round over all of them doubles it,
-	// up to mostTry, so that a busy group is not taken for a silent one for ever.
+	// attemptTimeout is the time for one agent before the next is called. Each round over all agents doubles it
+	// up to maxAttemptTimeout, so that a busy group is not taken for a silent one for ever.
 	attemptTimeout    = 400 * time.Millisecond
 	maxAttemptTimeout = 2 * time.Second
 	minAttemptTimeout = 20 * time.Millisecond
-	// statusTimeout is what an agent gets to tell of itself.
+	// statusTimeout is the time for an agent to answer a status request.
 	statusTimeout = time.Second
 	watchWait     = time.Second
-	retryDelayMin = 100 * time.Millisecond // longer by half after each further round, up to
+	retryDelayMin = 100 * time.Millisecond // between rounds, growing up to retryDelayMax
 	retryDelayMax = 400 * time.Millisecond
 )
 
@@ -49,7 +50,7 @@
 	at   time.Time
 }
 
-// LastAnswered is the agent that answered last, within so long; empty: none did.
+// LastAnswered is the agent that answered last, if that was within the given time; empty: none did.
 func (c *Client) LastAnswered(within time.Duration) string {
 	if a := c.lastAnswer.Load(); a != nil && time.Since(a.at) < within {
 		return a.addr
@@ -66,71 +67,72 @@
 	Text   string
 }
 
+// Error returns the agent's text.
 func (r *RejectedError) Error() string { return r.Text }
 
-// call is one request to whichever agent can answer it.
+// call is one request, for whichever agent can answer it.
 type call struct {
 	method, path string
 	ifVersion    string
-	id           string // of a change: an agent that meets it twice makes it once
+	id           string // of a change: an agent that receives it twice makes it once
 	body         []byte
 }
 
-// do asks the agents in turn until one answers, from the one that answered last on. The caller's time is the whole call's:
-// a silent agent costs a try. While there is no leader it goes round again, until ctx ends; the error then tells what came of
-// each agent.
+// do calls the agents in turn until one answers, starting with the one that answered last. The
+// caller's time is for the whole call; a silent agent costs one attempt. While there is no leader it
+// starts over until ctx ends; the error then has each agent's last one.
 func (c *Client) do(ctx context.Context, call call) ([]byte, error) {
 	if len(c.Addrs) == 0 {
 		return nil, errors.New("no agents are named")
 	}
-	said := make([]error, len(c.Addrs)+1)
+	failures := make([]error, len(c.Addrs)+1) // the last of each agent, and of the fallbacks
 	within := attemptTimeout
 	answer, err := backoff.Retry(ctx, func() ([]byte, error) {
 		defer func() { within = min(2*within, maxAttemptTimeout) }()
-		return c.tryAll(ctx, call, within, said)
+		return c.tryAll(ctx, call, within, failures)
 	}, backoff.WithBackOff(newBackoff()), backoff.WithMaxElapsedTime(0))
 	if ctx.Err() != nil && !isAnswer(err) {
-		err = errors.Join(said...)
+		err = errors.Join(failures...)
 	}
 	return answer, err
 }
 
-// newBackoff are those between rounds over agents of which none could answer. Instances that lost their agents together must not
-// come back in step.
+// newBackoff returns the waits between rounds. They are random, so that instances that lost their
+// agents together do not come back together.
 func newBackoff() *backoff.ExponentialBackOff {
 	return &backoff.ExponentialBackOff{InitialInterval: retryDelayMin, RandomizationFactor: 0.5, Multiplier: 1.5, MaxInterval: retryDelayMax}
 }
 
-// isAnswer tells whether an agent has answered, be it with a refusal.
+// isAnswer reports whether an agent has answered, if only with a rejection.
 func isAnswer(err error) bool {
 	var no *RejectedError
 	return err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &no)
 }
 
-// tryAll asks each agent once, until one has answered, and writes down what the others said.
-func (c *Client) tryAll(ctx context.Context, call call, within time.Duration, said []error) ([]byte, error) {
+// tryAll calls each agent once until one has answered, and records the failures of the others.
+func (c *Client) tryAll(ctx context.Context, call call, within time.Duration, failures []error) ([]byte, error) {
 	from := int(c.preferred.Load())
 	for i := range c.Addrs {
 		at := (from + i) % len(c.Addrs)
 		try := within
 		if end, ok := ctx.Deadline(); ok {
-			try = max(min(try, time.Until(end)/2), minAttemptTimeout) // short calls have time for the next as well
+			try = max(min(try, time.Until(end)/2), minAttemptTimeout) // leaves time for the next agent
 		}
 		_, answer, err := c.callAgent(ctx, c.Addrs[at], call, try)
 		if isAnswer(err) {
 			c.preferred.Store(int64(at))
 			return answer, c.settle(c.Addrs[at], err)
 		}
-		if ctx.Err() == nil || said[at] == nil {
-			said[at] = err
+		if ctx.Err() == nil || failures[at] == nil {
+			failures[at] = err
 		}
-		c.preferred.CompareAndSwap(int64(at), int64((at+1)%len(c.Addrs))) // the next call begins elsewhere
+		c.preferred.CompareAndSwap(int64(at), int64((at+1)%len(c.Addrs))) // the next call starts elsewhere
 		if ctx.Err() != nil {
 			break
 		}
 	}
 	if c.FallbackAddrs == nil || ctx.Err() != nil {
-		return nil, errors.Join(said...)
+		return nil, errors.Join(failures...)
 	}
 	for _, addr := range c.FallbackAddrs() {
 		if slices.Contains(c.Addrs, addr) || ctx.Err() != nil {
@@ -140,12 +142,12 @@
 		if isAnswer(err) {
 			return answer, c.settle(addr, err)
 		}
-		said[len(c.Addrs)] = err
+		failures[len(c.Addrs)] = err
 	}
-	return nil, errors.Join(said...)
+	return nil, errors.Join(failures...)
 }
 
-// settle notes who answered; what it refuses is not asked of others.
+// settle records who answered. A rejection ends the call: other agents are not asked.
 func (c *Client) settle(addr string, err error) error {
 	c.lastAnswer.Store(&agentAnswer{addr, time.Now()})
 	if err != nil {
@@ -154,8 +156,8 @@
 	return nil
 }
 
-// callAgent asks one agent, and where that one knows the leader, the leader: each has within to answer. Errors name the agent
-// that they are about.
+// callAgent calls one agent, and the leader if that agent names it; each has the given time to answer.
+// Errors name the agent that they are about.
 func (c *Client) callAgent(ctx context.Context, addr string, call call, within time.Duration) (int, []byte, error) {
 	status, answer, leader, err := c.roundTrip(ctx, addr, call, within)
 	if leader != "" && leader != addr {
@@ -167,6 +169,7 @@
 	return status, answer, err
 }
 
+// roundTrip makes one HTTP request to an agent; leader is set if the agent redirects to it.
 func (c *Client) roundTrip(ctx context.Context, addr string, call call, within time.Duration) (status int, answer []byte, leader string, err error) {
 	ctx, done := context.WithTimeoutCause(ctx, within, fmt.Errorf("no answer within %v", within))
 	defer done()
@@ -188,7 +191,7 @@
 	if call.id != "" {
 		req.Header.Set("Change-Id", call.id)
 	}
-	// The transport alone: a redirect to the leader is another agent's turn, with a time of its own.
+	// The transport alone: following a redirect is another attempt with a timeout of its own.
 	resp, err := c.transport().RoundTrip(req)
 	if err != nil {
 		return 0, nil, "", err
@@ -215,6 +218,7 @@
 	return resp.StatusCode, answer, "", nil
 }
 
+// transport is the HTTP transport in use.
 func (c *Client) transport() http.RoundTripper {
 	if c.http.Transport != nil {
 		return c.http.Transport
@@ -222,11 +226,12 @@
 	return http.DefaultTransport
 }
 
+// withCallTimeout bounds a call that an operator waits for.
 func withCallTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, callTimeout)
 }
 
-// fetch makes a call within callWithin and reads its answer.
+// fetch makes a call within callTimeout and decodes its answer.
 func fetch[T any](ctx context.Context, c *Client, call call) (v T, _ error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
@@ -234,6 +239,7 @@
 	return decode[T](answer, err)
 }
 
+// decode decodes an agent's answer.
 func decode[T any](answer []byte, err error) (v T, _ error) {
 	if err != nil {
 		return v, err
@@ -244,15 +250,17 @@
 	return v, nil
 }
 
+// sendJSON makes a call with a JSON body and decodes its answer. A conflict is returned as a
+// quota.RejectionError.
 func sendJSON[T any](ctx context.Context, c *Client, method, path string, body any) (v T, err error) {
 	text, err := json.Marshal(body)
 	if err != nil {
 		return v, err
 	}
 	v, err = decode[T](c.do(ctx, call{method: method, path: path, body: text}))
-	var no *RejectedError
-	if errors.As(err, &no) && no.Status == http.StatusConflict {
-		err = quota.RejectionError(no.Text)
+	var rejected *RejectedError
+	if errors.As(err, &rejected) && rejected.Status == http.StatusConflict {
+		err = quota.RejectionError(rejected.Text)
 	}
 	return v, err
 }
--- a/internal/controlplane/agent/client_configs.go
+++ b/internal/controlplane/agent/client_configs.go
@@ -10,6 +10,7 @@
 	"time"
 )
 
+// instancePath is the path of an instance's configuration.
 func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
 
 // Get returns the latest configuration of an instance.
@@ -17,13 +18,14 @@
 	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
 }
 
-// List returns the names configured, with their versions.
+// List returns the names and versions of all configurations.
 func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
 	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
 }
 
-// Put writes a configuration, with ifVersion only over that version. A nil one is taken away. An agent that commits it
-// and is lost before it answers has it made once, though it is asked of the next as well.
+// Put writes a configuration; nil deletes it. If ifVersion is set, only that version is replaced. The
+// change is made once, even if an agent that committed it fails before it answers and the next agent
+// is called.
 func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
 	method := http.MethodPut
 	if config == nil {
@@ -32,7 +34,7 @@
 	return fetch[Entry](ctx, c, call{method: method, path: instancePath(name), ifVersion: ifVersion, id: rand.Text(), body: config})
 }
 
-// Status asks each agent for itself; one that does not answer has an error in place of a state.
+// Status asks each agent for its status. An agent that does not answer has the error as its state.
 func (c *Client) Status(ctx context.Context) []Status {
 	var all []Status
 	for _, addr := range c.Addrs {
@@ -46,9 +48,10 @@
 	return all
 }
 
-// Follow hands over an instance's configuration, first as it is and then whenever it changes, until ctx ends.
-// It asks any agent for what that one has: an instance goes on, and starts, also while there is no leader. An
-// agent that lags behind another cannot set it back. One that falls silent is found out within watchFor and a try.
+// Follow calls tell with an instance's configuration, first as it is and then whenever it changes,
+// until ctx ends. It asks any agent for what that one has, so that an instance starts and keeps
+// running while there is no leader. An agent that lags behind cannot set the configuration back. A
+// silent agent is detected within watchWait and one attempt.
 func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
 	var has uint64
 	waits := newBackoff()
--- a/internal/controlplane/agent/command.go
+++ b/internal/controlplane/agent/command.go
@@ -12,22 +12,23 @@
 	"github.com/hashicorp/raft"
 )
 
-// command is a command of the log: about one instance's configuration, or where one of the others is there, about the fleet.
+// command is an entry of the log. It concerns one instance's configuration unless one of the later
+// fields is set.
 type command struct {
 	Name         string              `json:"name,omitempty"`
-	Config       json.RawMessage     `json:"config,omitempty"` // empty: take it away
-	IfVersion    *uint64             `json:"if,omitempty"`     // only where the entry has this version; 0: where there is none
-	RequestID    string              `json:"id,omitempty"`     // the caller's own: a change that comes twice is made once
-	QuotaConfig  *quota.Config       `json:"set,omitempty"`    // the fleet's budgets
-	Join         *quota.Member       `json:"join,omitempty"`   // a seat is asked for
-	Leave        []string            `json:"leave,omitempty"`  // seats are given back
-	LeaseConfig  *lease.Config       `json:"tasks,omitempty"`  // the fleet's tasks
-	LeaseEvents  []lease.Event       `json:"orders,omitempty"` // leases are granted, planned to move, or freed
-	HighestToken uint64              `json:"seen,omitempty"`   // with orders, or alone: a token that a place was shown
-	StreamChange *watchstream.Change `json:"feed,omitempty"`   // targets and configuration of the whole fleet
+	Config       json.RawMessage     `json:"config,omitempty"` // empty: delete it
+	IfVersion    *uint64             `json:"if,omitempty"`     // only if the entry has this version; 0: if there is none
+	RequestID    string              `json:"id,omitempty"`     // drawn by the caller: a change that arrives twice is made once
+	QuotaConfig  *quota.Config       `json:"set,omitempty"`    // replace the fleet's budgets
+	Join         *quota.Member       `json:"join,omitempty"`   // add a session
+	Leave        []string            `json:"leave,omitempty"`  // remove sessions
+	LeaseConfig  *lease.Config       `json:"tasks,omitempty"`  // replace the fleet's tasks
+	LeaseEvents  []lease.Event       `json:"orders,omitempty"` // change leases
+	HighestToken uint64              `json:"seen,omitempty"`   // with events or alone: a token that a guarded resource was shown
+	StreamChange *watchstream.Change `json:"feed,omitempty"`   // change targets and shared configuration
 }
 
-// maxRecentChanges is how many changes are known by their ids.
+// maxRecentChanges bounds the changes that are recognized by their request ids.
 const maxRecentChanges = 256
 
 // joinResponse answers a join.
@@ -39,7 +40,7 @@
 // errConflict answers a change whose condition does not hold.
 var errConflict = errors.New("the entry has another version")
 
-// Apply implements raft.FSM. It returns the new entry or an error.
+// Apply implements raft.FSM. It returns the command's result, or an error.
 func (s *store) Apply(l *raft.Log) any {
 	var c command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
@@ -50,7 +51,7 @@
 	if c.RequestID != "" {
 		for _, made := range s.recentChanges {
 			if made.RequestID == c.RequestID {
-				return made // its first answer was lost
+				return made // a repeated request, whose first answer was lost
 			}
 		}
 	}
@@ -107,7 +108,7 @@
 	return e
 }
 
-// rememberChange keeps what a change made, if it has an id to know it by. Its caller holds mu.
+// rememberChange records the result of a change with a request id. The caller holds mu.
 func (s *store) rememberChange(made Entry) {
 	if made.RequestID == "" {
 		return
@@ -117,7 +118,7 @@
 	s.recentChanges = s.recentChanges[max(0, len(s.recentChanges)-maxRecentChanges):]
 }
 
-// notifyWatchers wakes whoever waits for a change. Its caller holds mu.
+// notifyWatchers wakes everybody who waits for a change. The caller holds mu.
 func (s *store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/controlplane/agent/configs.go
+++ b/internal/controlplane/agent/configs.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
+// handleList answers GET /v1/instances with the names and versions of all configurations.
 func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
 	if allowsStale(r) || !a.redirectUnlessLeader(w, r) {
 		writeJSON(w, http.StatusOK, a.store.versions())
 	}
 }
 
-// handleGet returns an entry: the latest, from the leader; or with stale what this agent has, waiting until it is
-// another version than after.
+// handleGet answers with an instance's configuration: the leader's, or with stale this agent's,
+// waiting until its version is not after any more.
 func (a *Agent) handleGet(w http.ResponseWriter, r *http.Request) {
 	if !allowsStale(r) && a.redirectUnlessLeader(w, r) {
 		return
@@ -47,8 +48,8 @@
 	}
 }
 
-// handlePut writes or takes away an entry through the log. A configuration that an instance could not start from is
-// refused before it gets there.
+// handlePut writes or deletes an instance's configuration through the log. One that the instance could
+// not start with is rejected before.
 func (a *Agent) handlePut(w http.ResponseWriter, r *http.Request) {
 	if a.redirectUnlessLeader(w, r) {
 		return
--- a/internal/controlplane/agent/confirm.go
+++ b/internal/controlplane/agent/confirm.go
@@ -10,7 +10,7 @@
 	"spindlehitch/internal/process/config"
 )
 
-// confirmLoop asks the other agents for their terms, one question at a time, while decisions wait for it.
+// confirmLoop asks the other agents for their terms, one round at a time, while answers wait for it.
 func (d *leaderService) confirmLoop() {
 	for {
 		select {
@@ -40,10 +40,10 @@
 	}
 }
 
-// queryMajority asks all others at once and returns as soon as enough agree.
+// queryMajority asks all other agents at once and returns as soon as enough of them agree.
 func (d *leaderService) queryMajority(term uint64) bool {
 	if d.agent.raft.CurrentTerm() != term {
-		return false // this agent has heard of a later one, or voted in it
+		return false // this agent knows of a later term, or has voted in it
 	}
 	ctx, done := context.WithTimeout(d.ctx, termQueryTimeout)
 	defer done()
@@ -75,6 +75,7 @@
 	return readindex.MajorityAgrees(term, terms, agents)
 }
 
+// fetchTerm asks another agent for its term.
 func (d *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.API+"/v1/term", nil)
 	if err != nil {
@@ -92,12 +93,14 @@
 	return strconv.ParseUint(string(b), 10, 64)
 }
 
-// handleTerm answers another agent. A vote raises the term before it is given, so whoever tells a term has not voted in a later one.
+// handleTerm answers GET /v1/term. An agent raises its term before it votes, so one that tells a term
+// has not voted in a later one.
 func (d *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
 	io.WriteString(w, strconv.FormatUint(d.agent.raft.CurrentTerm(), 10))
 }
 
-// confirmLeadership keeps a decision back until the majority has agreed after it was taken. It is called with mu held, and gives it up.
+// confirmLeadership waits until a majority has confirmed, after this call, that no later term has
+// begun. It must be called with mu held, which it releases.
 func (d *leaderService) confirmLeadership(ctx context.Context) bool {
 	agreed := make(chan bool, 1)
 	d.awaitingConfirmation.Add(d.term, agreed)
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -14,18 +14,18 @@
 // FleetView is the fleet as an agent sees it.
 type FleetView struct {
 	Agent          string                   `json:"agent"`
-	Leads          bool                     `json:"leads"`  // and a majority has just agreed
-	AgeMs          int64                    `json:"age_ms"` // since it heard of the leader last; how old this may be
+	Leads          bool                     `json:"leads"`  // a majority has just confirmed it
+	AgeMs          int64                    `json:"age_ms"` // since it last heard of the leader: how old the view may be
 	QuotaConfig    quota.Config             `json:"doc"`
 	Members        []allocator.MemberStatus `json:"members"`
-	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // only where it leads
-	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new giver gives anything new
+	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // of the leader only
+	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new term may allocate anything new
 	LeaseConfig    lease.Config             `json:"tasks"`
 	Leases         []lessor.LeaseStatus     `json:"leases,omitempty"`
-	Board          []outlierboard.Entry     `json:"board,omitempty"` // only where it leads
+	Board          []outlierboard.Entry     `json:"board,omitempty"` // of the leader only
 }
 
-// leaderContactMs is how many milliseconds ago this agent last led or heard of the one that does; -1: never.
+// leaderContactMs is how many milliseconds ago this agent last led or heard of the leader; -1: never.
 func (d *leaderService) leaderContactMs() int64 {
 	d.mu.Lock()
 	led := d.lastLedAt
@@ -43,7 +43,8 @@
 // livenessUnknown is the state of members at an agent that does not lead.
 const livenessUnknown allocator.Liveness = "unknown"
 
-// handleShowFleet answers with the fleet; with stale also where this agent does not lead, as far as its log goes.
+// handleShowFleet answers GET /v1/fleet: the leader's view, or with stale this agent's, as far as its
+// log goes.
 func (d *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
 	if !allowsStale(r) && d.redirectUnlessLeading(w, r) {
 		return
--- a/internal/controlplane/agent/http.go
+++ b/internal/controlplane/agent/http.go
@@ -5,19 +5,21 @@
 	"errors"
 	"io"
 	"net/http"
+
 	"spindlehitch/internal/controlplane/quota"
-	"time"
 
 	"github.com/hashicorp/raft"
 )
 
+// writeJSON answers with a value.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	json.NewEncoder(w).Encode(v)
 }
 
-// redirectUnlessLeader sends a client to the leader; false where this agent leads, and has just made sure that it does.
+// redirectUnlessLeader redirects the caller to the leader, and returns false if this agent leads and
+// has just confirmed it.
 func (a *Agent) redirectUnlessLeader(w http.ResponseWriter, r *http.Request) bool {
 	if a.raft.State() == raft.Leader && a.raft.VerifyLeader().Error() == nil {
 		return false
@@ -26,7 +28,7 @@
 	return true
 }
 
-// redirectToLeader sends a client to the leader, as far as this agent knows who that is.
+// redirectToLeader redirects the caller to the leader, if this agent knows it.
 func (a *Agent) redirectToLeader(w http.ResponseWriter, r *http.Request) {
 	_, id := a.raft.LeaderWithID()
 	for _, p := range a.opt.Peers {
@@ -38,15 +40,17 @@
 	http.Error(w, "no leader at the moment", http.StatusServiceUnavailable)
 }
 
-// allowsStale tells whether the caller takes what this agent has, however old.
+// allowsStale reports whether the caller accepts this agent's state, however old it is.
 func allowsStale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
+// readBody decodes a request body.
 func readBody[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
 	return readBodyUpTo[T](w, r, maxRequestBytes)
 }
 
-func readBodyUpTo[T any](w http.ResponseWriter, r *http.Request, most int64) (v T, ok bool) {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
+// readBodyUpTo decodes a request body of at most so many bytes.
+func readBodyUpTo[T any](w http.ResponseWriter, r *http.Request, maxBytes int64) (v T, ok bool) {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err == nil {
 		err = json.Unmarshal(b, &v)
 	}
@@ -56,23 +60,20 @@
 	return v, err == nil
 }
 
-// writeError answers with the reason that is told to members and operators.
+// writeError answers with an error: conflicts and rejections keep their status, everything else is
+// 503, so that the caller retries elsewhere.
 func writeError(w http.ResponseWriter, err error) {
-	var no quota.RejectionError
-	var r *RejectedError
+	var code quota.RejectionError
+	var rejected *RejectedError
 	switch {
-	case errors.As(err, &no):
+	case errors.As(err, &code):
 		http.Error(w, err.Error(), http.StatusConflict)
-	case errors.As(err, &r):
-		http.Error(w, err.Error(), r.Status)
+	case errors.As(err, &rejected):
+		http.Error(w, err.Error(), rejected.Status)
 	default:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	}
 }
 
-const (
-	maxRequestBytes  = 1 << 20
-	termQueryTimeout = 500 * time.Millisecond // for another agent to tell its term
-	expiryInterval   = 250 * time.Millisecond
-	probeResultTTL   = 10 * time.Minute // what was found out about a target is kept
-)
+// maxRequestBytes bounds a request body.
+const maxRequestBytes = 1 << 20
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -20,26 +20,35 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// leaderService is the edge of the fleet's giver and keeper at an agent: it begins them for each term that this agent leads, brings them
-// renewals with their claims, and lets answers go once a majority of the agents has told that no later term has begun.
+// Times of the leader's service.
+const (
+	termQueryTimeout = 500 * time.Millisecond // for another agent to tell its term
+	expiryInterval   = 250 * time.Millisecond // between checks for expired sessions and leases
+	probeResultTTL   = 10 * time.Minute       // for which a probe result is kept
+)
+
+// leaderService runs the allocator and the lessor while this agent leads: it starts them for each
+// term, passes them renewals, and sends their answers once a majority of the agents has confirmed that
+// no later term has begun.
 type leaderService struct {
 	agent            *Agent
 	client           http.Client
 	ctx              context.Context
 	cancel           context.CancelFunc
 	loops            sync.WaitGroup
-	confirmRequested chan struct{} // something waits to be asked for
+	confirmRequested chan struct{} // an answer waits for confirmation
 	lessorWake       chan struct{} // leases may be granted
 
 	mu                   sync.Mutex
-	term                 uint64 // of the giver; 0: this agent does not lead
-	allocator            *allocator.Allocator
-	lessor               *lessor.Lessor // as long as there is a giver
+	term                 uint64               // of the allocator; 0: this agent does not lead
+	allocator            *allocator.Allocator // nil: this agent does not lead
+	lessor               *lessor.Lessor       // as long as there is an allocator
 	board                *outlierboard.Board
 	awaitingConfirmation readindex.Queue[chan<- bool]
-	lastLedAt            time.Duration // when this agent last led; 0: never
+	lastLedAt            time.Duration // 0: never
 }
 
+// newLeaderService starts the service's goroutines.
 func newLeaderService(a *Agent) *leaderService {
 	d := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1)}
 	d.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
@@ -49,12 +58,14 @@
 	return d
 }
 
+// stop ends the goroutines and waits for them.
 func (d *leaderService) stop() {
 	d.cancel()
 	d.loops.Wait()
 	d.client.CloseIdleConnections()
 }
 
+// routes registers the service's routes.
 func (d *leaderService) routes(mux *http.ServeMux) {
 	mux.HandleFunc("GET /v1/term", d.handleTerm)
 	mux.HandleFunc("POST /v1/fleet/renew", d.handleRenew)
@@ -67,7 +78,7 @@
 	mux.HandleFunc("GET /v1/leases/changed/{id}", d.handleLeaseChanges)
 }
 
-// run follows who leads and keeps the giver to the log.
+// run keeps the service in step with the term and the log.
 func (d *leaderService) run() {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
@@ -75,7 +86,7 @@
 		_, changed := d.agent.store.registry()
 		d.syncWithTerm()
 		if d.applyPendingEvents() {
-			continue // what was changed is known before anything else is
+			continue // take over the change before anything else
 		}
 		select {
 		case <-d.ctx.Done():
@@ -88,7 +99,7 @@
 	}
 }
 
-// applyPendingEvents has the log changed as the keeper wants it; true where it was.
+// applyPendingEvents proposes the lessor's events, and reports whether that succeeded.
 func (d *leaderService) applyPendingEvents() bool {
 	d.mu.Lock()
 	var orders []lease.Event
@@ -104,7 +115,7 @@
 	v, err := d.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
 	failpoint.Hit("agent.ordered")
 	if err != nil {
-		return false // whether they are in the log is not known: they are asked for again
+		return false // it is unknown whether they are in the log: the lessor returns them again
 	}
 	done, _ := v.([]lease.Event)
 	for _, o := range done {
@@ -114,8 +125,8 @@
 	return true
 }
 
-// syncWithTerm begins a giver where this agent has begun to lead, ends it where it does not any more, tells it what the log says,
-// and has seats taken back that have ended.
+// syncWithTerm starts the allocator and the lessor once this agent leads, drops them once it does not,
+// passes them the registry's state, and removes expired sessions.
 func (d *leaderService) syncWithTerm() {
 	leads, term := d.agent.raft.State() == raft.Leader, d.agent.raft.CurrentTerm()
 	d.mu.Lock()
@@ -129,13 +140,13 @@
 		return
 	}
 	if had == 0 {
-		// All that earlier terms have put into the log is known before anything is given.
+		// Everything that earlier terms have committed must be applied before anything is decided.
 		if d.agent.raft.Barrier(applyTimeout).Error() != nil || d.agent.raft.CurrentTerm() != term {
 			return
 		}
 	}
 	d.mu.Lock()
-	reg, _ := d.agent.store.registry() // with mu held: two of these at a time must not take the log's word in the wrong order
+	reg, _ := d.agent.store.registry() // with mu held, so that two calls cannot pass older state after newer
 	now := monotone.Now()
 	if had == 0 {
 		d.allocator, d.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
@@ -156,9 +167,11 @@
 	}
 }
 
+// errNotLeading says that there is no leader to answer; the caller retries.
 var errNotLeading = errors.New("no giver at the moment")
 
-// redirectUnlessLeading sends a caller to the leader; false where a giver is at work here.
+// redirectUnlessLeading redirects the caller to the leader, and returns false if this agent has an
+// allocator.
 func (d *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
 	d.mu.Lock()
 	here := d.allocator != nil
--- a/internal/controlplane/agent/leases.go
+++ b/internal/controlplane/agent/leases.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// renewLeases has the keeper and the board answer a claim; nil where it is too old. Its caller holds mu.
+// renewLeases answers a lease renewal; nil if it is older than the last one. The caller holds mu.
 func (d *leaderService) renewLeases(now time.Duration, id string, c *lease.RenewalRequest) *lease.RenewalResponse {
 	a, err := d.lessor.Renew(now, id, *c)
 	if err != nil {
@@ -45,6 +45,7 @@
 	return &a
 }
 
+// handleSetTasks answers PUT /v1/leases.
 func (d *leaderService) handleSetTasks(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -56,7 +57,8 @@
 	d.proposeAndReply(w, command{LeaseConfig: &doc})
 }
 
-// handleMigrateLease has a lease go to a member, or to anyone: the plan for it goes through the log, the hand-over comes after that.
+// handleMigrateLease answers POST /v1/leases/move. The plan goes through the log; the holder then
+// releases the lease.
 func (d *leaderService) handleMigrateLease(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -83,8 +85,9 @@
 	}
 }
 
-// handleLeaseChanges answers once a lease that a member has was changed after the index that it knows, or the time is over. Any agent may be asked: it
-// is a reason to renew, and no more.
+// handleLeaseChanges answers GET /v1/leases/changed/{id} once a lease of the member was changed after
+// the index that it knows, or the wait is over. Any agent may be asked: the answer is only a hint to
+// renew.
 func (d *leaderService) handleLeaseChanges(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -108,7 +111,7 @@
 	}
 }
 
-// migrateRequest asks for a move.
+// migrateRequest asks for the migration of a lease.
 type migrateRequest struct {
 	lease.Key
 	Member string `json:"to"`
--- a/internal/controlplane/agent/sessions.go
+++ b/internal/controlplane/agent/sessions.go
@@ -9,6 +9,7 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// handleRenew answers POST /v1/fleet/renew.
 func (d *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -30,7 +31,7 @@
 		answer.Leases = d.renewLeases(now, ren.ID, ren.Leases)
 	}
 	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
-		// Also the word that a seat is gone must be that of an agent which really leads.
+		// Only a confirmed leader may tell a member that its session is gone.
 		if !d.confirmLeadership(r.Context()) {
 			writeError(w, errNotLeading)
 			return
@@ -46,6 +47,7 @@
 	writeJSON(w, http.StatusOK, answer)
 }
 
+// handleJoin answers POST /v1/fleet/members.
 func (d *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -73,6 +75,7 @@
 	d.proposeAndReply(w, command{Join: &m})
 }
 
+// handleLeave answers DELETE /v1/fleet/members/{id}.
 func (d *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -80,7 +83,7 @@
 	d.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
 }
 
-// proposeAndReply has the fleet changed through the log, and answers with what the log says to it.
+// proposeAndReply makes a change of the fleet through the log, and answers with its result.
 func (d *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
 	v, err := d.agent.propose(c)
 	if no, refused := v.(error); refused && err == nil {
@@ -90,10 +93,11 @@
 		writeError(w, err)
 		return
 	}
-	d.syncWithTerm() // the giver knows before the caller does
+	d.syncWithTerm() // the allocator must know the change before the caller does
 	writeJSON(w, http.StatusOK, v)
 }
 
+// handleSetQuotas answers PUT /v1/fleet.
 func (d *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
 	if d.redirectUnlessLeading(w, r) {
 		return
@@ -109,12 +113,13 @@
 	d.proposeAndReply(w, command{QuotaConfig: &doc})
 }
 
-// renewalRequest is a renewal with the claim of a member that runs tasks; renewed answers both.
+// renewalRequest is a session renewal with the lease renewal of a member that runs tasks.
 type renewalRequest struct {
 	quota.RenewalRequest
 	Leases *lease.RenewalRequest `json:"claim,omitempty"`
 }
 
+// renewalResponse answers both.
 type renewalResponse struct {
 	quota.RenewalResponse
 	Leases *lease.RenewalResponse `json:"award,omitempty"`
--- a/internal/controlplane/agent/snapshot.go
+++ b/internal/controlplane/agent/snapshot.go
@@ -12,17 +12,20 @@
 	"github.com/hashicorp/raft"
 )
 
-// snapshot is the store at one moment. Snapshots from before there were formats are the entries alone.
+// snapshot is the state machine at one moment. Snapshots from before there were formats are the
+// entries alone.
 type snapshot struct {
 	Format  int                   `json:"format"`
 	Entries map[string]Entry      `json:"entries"`
 	Recent  []Entry               `json:"recent,omitempty"`
 	Fleet   registry.Registry     `json:"fleet"`
-	Stream  *watchstream.Snapshot `json:"feed,omitempty"` // nil: no change of it has come yet
+	Stream  *watchstream.Snapshot `json:"feed,omitempty"` // nil: there was no change of it yet
 }
 
+// Formats of snapshots. An agent does not read a newer format, since it would lose what it does not
+// know.
 const (
-	snapshotFormat       = 4 // 2 had no leases, 3 no feed: a program that knows no more would lose them
+	snapshotFormat       = 4 // format 2 had no leases, format 3 no watch stream
 	streamSnapshotFormat = 4
 )
 
@@ -54,7 +57,8 @@
 	}
 	var m snapshot
 	if json.Unmarshal(text, &m) != nil || m.Format == 0 {
-		// An instance may be named like a field: then it is no number, or no map of entries.
+		// Without a format: the whole text is the entries. An instance may be named like a field of snapshot, which
+		// then has another type.
 		m = snapshot{}
 		if err := json.Unmarshal(text, &m.Entries); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -1,5 +1,11 @@
-// Package agent keeps the configurations of many instances in a log that a few agents replicate by Raft, and
-// brings each instance its own. It is off on the platform.
+// Package agent replicates the control state of the fleet among a few agents by Raft: the
+// configurations of instances, the registry of sessions, quotas and leases, and the watch stream. It
+// serves them over HTTP, runs the allocator and the lessor at the leader, and has the client that
+// instances and operators use. It is off on the platform.
+//
+// Every state change goes through the log as a command and is applied by store, the state machine,
+// alike at every agent. Decisions of one term (allocations, leases, acknowledgements) are kept in
+// memory by leaderService and streamService.
 package agent
 
 import (
@@ -9,29 +15,31 @@
 	"spindlehitch/internal/controlplane/registry"
 )
 
-// Entry is one instance's configuration. Version grows with each change of any entry.
+// Entry is one instance's configuration. Versions grow with each change of any entry.
 type Entry struct {
 	Name      string          `json:"name"`
 	Version   uint64          `json:"version"`
-	Config    json.RawMessage `json:"config,omitempty"` // empty: taken away
-	RequestID string          `json:"change,omitempty"` // the id of the change that made it
+	Config    json.RawMessage `json:"config,omitempty"` // empty: deleted
+	RequestID string          `json:"change,omitempty"` // of the change that made it
 }
 
-// store is what the log says, the same at every agent that has applied as much of it.
+// store is the replicated state machine, the same at every agent that has applied the same log
+// entries.
 type store struct {
 	mu            sync.Mutex
 	entries       map[string]Entry
-	recentChanges []Entry // what the last changes made, each known by its change's id
+	recentChanges []Entry // results of the last changes with a request id
 	fleet         registry.Registry
 	stream        streamState
-	changed       chan struct{} // closed and renewed at each change
+	changed       chan struct{} // closed and replaced at each change
 }
 
+// newStore returns the empty state machine.
 func newStore() *store {
 	return &store{entries: map[string]Entry{}, changed: make(chan struct{})}
 }
 
-// get returns an entry, and what is closed at the next change of any.
+// get returns an entry, and a channel that is closed at the next change of anything.
 func (s *store) get(name string) (e Entry, found bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,7 +47,7 @@
 	return e, found, s.changed
 }
 
-// versions returns the entries without their texts.
+// versions returns the names and versions of all entries.
 func (s *store) versions() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,14 +58,16 @@
 	return m
 }
 
-// registry returns what the log says of the fleet, and what is closed at the next change of anything.
+// registry returns a copy of the registry, and a channel that is closed at the next change of
+// anything.
 func (s *store) registry() (registry.Registry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.fleet.Clone(), s.changed
 }
 
-// lastLeaseChange returns when a lease that a member has was last changed, and what is closed at the next change of anything.
+// lastLeaseChange returns the log index of the last change of a lease that the member holds, and a
+// channel that is closed at the next change of anything.
 func (s *store) lastLeaseChange(id string) (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/agent/stream_client.go
+++ b/internal/controlplane/agent/stream_client.go
@@ -12,7 +12,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// PutChange has a change of the feed made, once, and returns its version. A *Refusal says that it was not made.
+// PutChange makes a change of the stream exactly once and returns its version. A *RejectedError says
+// that it was not made.
 func (c *Client) PutChange(ctx context.Context, ch watchstream.Change) (uint64, error) {
 	text, err := json.Marshal(ch)
 	if err != nil {
@@ -22,12 +23,13 @@
 	return p.Version, err
 }
 
-// SendReport brings the leader a relay's report.
+// SendReport sends a relay's report to the leader.
 func (c *Client) SendReport(ctx context.Context, rep watchstream.Report) (watchstream.ReportResponse, error) {
 	return sendJSON[watchstream.ReportResponse](ctx, c, http.MethodPost, "/v1/feed/report", rep)
 }
 
-// StreamStatus tells who has a version; 0: the newest. Where there is no leader it is how far some agent's log goes: Leads is false then.
+// StreamStatus returns where a version is applied; 0: the newest. Without a leader it is how far some
+// agent's log goes, and Leads is false.
 func (c *Client) StreamStatus(ctx context.Context, version uint64) (StreamStatus, error) {
 	at := "/v1/feed/versions/" + latestVersion
 	if version > 0 {
@@ -44,7 +46,8 @@
 	return decode[StreamStatus](c.do(ctx, call{method: http.MethodGet, path: at + "?stale"}))
 }
 
-// Records are the live ones of a kind, or the one with that key, as the leader has them, in order of version.
+// Records returns the live records of a kind, or the one with that key, from the leader, in order of
+// version.
 func (c *Client) Records(ctx context.Context, k watchstream.Kind, key string) (all []watchstream.Record, err error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -17,15 +17,16 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// Bounds and times of the stream service.
 const (
 	reportInterval = time.Second
-	maxPageRecords = 1000
-	maxReportBytes = 4 << 20 // bytes: the most readers with long names
-	latestVersion  = "latest"
+	maxPageRecords = 1000     // of an answer with records
+	maxReportBytes = 4 << 20  // the maximum of readers with long names
+	latestVersion  = "latest" // path element for the newest version
 )
 
-// streamService is the edge of the feed at an agent: changes go through the log, readers are served from what the log says, and where this
-// agent leads, it sums up what is in force.
+// streamService serves the watch stream at an agent: changes go through the log, readers are served
+// from the log's state, and while this agent leads it tracks which versions are applied where.
 type streamService struct {
 	agent  *Agent
 	server *edge.Server
@@ -34,12 +35,13 @@
 	loops  sync.WaitGroup
 
 	mu             sync.Mutex
-	term           uint64 // of the tally
+	term           uint64 // of acks
 	acks           *watchstream.AckTracker
-	epoch          string // what the tally knows to be committed
-	countedVersion uint64
+	epoch          string // of the last commit that acks knows
+	countedVersion uint64 // of it
 }
 
+// newStreamService starts the service's goroutine.
 func newStreamService(a *Agent) *streamService {
 	d := &streamService{agent: a}
 	d.server = edge.NewServer(d, 0)
@@ -48,11 +50,13 @@
 	return d
 }
 
+// stop ends the goroutine and waits for it.
 func (d *streamService) stop() {
 	d.cancel()
 	d.loops.Wait()
 }
 
+// routes registers the service's routes.
 func (d *streamService) routes(mux *http.ServeMux) {
 	d.server.Routes(mux)
 	mux.HandleFunc("POST /v1/feed/changes", d.handleChange)
@@ -62,7 +66,7 @@
 	mux.HandleFunc("GET /v1/feed", d.handleShow)
 }
 
-// WithSource implements the origin of a server: what the log says, as far as this agent has it.
+// WithSource implements distribution.Origin with the log's state, as far as this agent has applied it.
 func (d *streamService) WithSource(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := d.agent.leaderContactAge()
 	s := d.agent.store
@@ -78,7 +82,7 @@
 	return s.changed, true
 }
 
-// leaderContactAge is how long ago this agent led or heard of the one that does; below 0: never.
+// leaderContactAge is how long ago this agent led or heard of the leader; negative: never.
 func (a *Agent) leaderContactAge() (age, now time.Duration) {
 	now = monotone.Now()
 	if a.raft.State() == raft.Leader {
@@ -90,7 +94,7 @@
 	return -1, now
 }
 
-// handleChange has a change made through the log.
+// handleChange answers POST /v1/feed/changes.
 func (d *streamService) handleChange(w http.ResponseWriter, r *http.Request) {
 	if d.agent.redirectUnlessLeader(w, r) {
 		return
@@ -100,7 +104,7 @@
 		return
 	}
 	if c.Epoch == "" {
-		c.Epoch = rand.Text() // taken by the first change of all, and by no other
+		c.Epoch = rand.Text() // used by the very first change only
 	}
 	if err := c.Validate(); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -129,8 +133,10 @@
 	}
 }
 
-// checkSnapshotFormats tells whether a change may go into the log. An agent of before the feed passes over its entries and would have none of them after its
-// next snapshot, so the first of all waits until every agent has told that it knows of them; snapshots keep older programs out from then on.
+// checkSnapshotFormats returns an error if a change may not go into the log. An agent from before the
+// stream would ignore its entries and lose them with its next snapshot, so the very first change waits
+// until every agent has told that it knows them; from then on the snapshot format keeps older programs
+// out.
 func (d *streamService) checkSnapshotFormats(ctx context.Context) error {
 	s := d.agent.store
 	s.mu.Lock()
@@ -161,7 +167,8 @@
 	Version uint64 `json:"version"`
 }
 
-// lockTracker returns the tally, with mu held and the newest commits in it; nil where this agent doesn't lead, and then mu isn't held.
+// lockTracker returns the tracker with the newest commits, and mu held; nil, with mu not held, if this
+// agent does not lead.
 func (d *streamService) lockTracker() *watchstream.AckTracker {
 	if d.agent.raft.State() != raft.Leader {
 		return nil
@@ -191,7 +198,7 @@
 	return d.acks
 }
 
-// handleReport takes a relay's report.
+// handleReport answers POST /v1/feed/report.
 func (d *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
 	if d.agent.redirectUnlessLeader(w, r) {
 		return
@@ -215,8 +222,10 @@
 	}
 }
 
+// errNotTracking says that this agent does not lead; the caller retries.
 var errNotTracking = errors.New("nothing is counted at the moment")
 
+// addReport passes a report to the tracker.
 func (d *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
 	t := d.lockTracker()
 	if t == nil {
@@ -226,7 +235,7 @@
 	return t.AddReport(monotone.Now(), rep)
 }
 
-// reportLoop tells the leader of initiators that follow this agent itself, as groups without relays have it.
+// reportLoop reports the initiators that follow this agent directly, as in groups without relays.
 func (d *streamService) reportLoop() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
--- a/internal/controlplane/agent/stream_state.go
+++ b/internal/controlplane/agent/stream_state.go
@@ -9,24 +9,24 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// maxCommitTimes is how many of the feed's last versions are known with when they were put into the log.
+// maxCommitTimes bounds the versions whose commit times are kept.
 const maxCommitTimes = 1 << 13
 
-// streamState is the log's part of the feed. The store's lock guards it.
+// streamState is the watch stream in the state machine, guarded by the store's lock.
 type streamState struct {
-	store   *watchstream.Store // nil: no change has come yet, so that the fleet's name is not known
+	store   *watchstream.Store // nil: there was no change yet, and the fleet's name is unknown
 	source  *watchstream.Source
-	commits []commit // in order of version; not in snapshots
+	commits []commit // in order of version; not part of snapshots
 }
 
-// commit is when a version was put into the log.
+// commit is when a version was committed.
 type commit struct {
 	epoch   string
 	version uint64
 	at      time.Duration
 }
 
-// apply makes a change, the same at every agent, and returns its version.
+// apply applies a change, the same at every agent, and returns its version.
 func (s *streamState) apply(l *raft.Log, c watchstream.Change) (uint64, error) {
 	store := s.store
 	if store == nil {
@@ -40,7 +40,7 @@
 		s.startSource(store)
 	}
 	at := monotone.Now()
-	if !l.AppendedAt.IsZero() { // an agent that starts reads older ones again
+	if !l.AppendedAt.IsZero() { // an agent that starts replays older entries
 		at -= max(0, time.Since(l.AppendedAt))
 	}
 	s.commits = append(s.commits, commit{store.Epoch(), v, at})
@@ -50,7 +50,7 @@
 	return v, nil
 }
 
-// commitsSince are the commits after a version, the last of them last.
+// commitsSince returns the commits after a version, in order.
 func (s *streamState) commitsSince(epoch string, version uint64) []commit {
 	at := len(s.commits)
 	for at > 0 && (s.commits[at-1].epoch != epoch || s.commits[at-1].version > version) {
@@ -59,11 +59,13 @@
 	return append([]commit(nil), s.commits[at:]...)
 }
 
-// startSource has readers served from a store. The source's life grows over restarts, so that reports of an earlier one don't count.
+// startSource has readers served from a store. The source's incarnation grows over restarts, so that
+// reports of an earlier one are ignored.
 func (s *streamState) startSource(store *watchstream.Store) {
 	s.store, s.source = store, watchstream.NewSource(store, watchstream.SourceOptions{}, uint64(time.Now().UnixMilli()))
 }
 
+// snapshot returns the stream's snapshot; nil: there was no change yet.
 func (s *streamState) snapshot() *watchstream.Snapshot {
 	if s.store == nil {
 		return nil
@@ -72,7 +74,8 @@
 	return &c
 }
 
-// restore takes a snapshot's state; nil: it has none. Where it returns an error nothing has changed.
+// restore replaces the state by a snapshot's; nil: it has none. An error means that nothing has
+// changed.
 func (s *streamState) restore(c *watchstream.Snapshot) error {
 	if c == nil {
 		*s = streamState{}
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -8,22 +8,22 @@
 	"strconv"
 )
 
-// StreamStatus is who has a version, as an agent sees it.
+// StreamStatus is where a version is applied, as an agent sees it.
 type StreamStatus struct {
 	watchstream.Status
 	Agent           string `json:"agent"`
-	Leads           bool   `json:"leads"`         // and a majority has just agreed; else nothing is known of readers
-	LeaderContactMs int64  `json:"old_ms"`        // since it heard of the leader; -1: never
-	Head            uint64 `json:"head"`          // the newest version there
-	Fleet           string `json:"fleet"`         // whose stream it is
-	Floor           uint64 `json:"floor"`         // readers behind it go by digests
-	Targets         int    `json:"targets"`       // live ones
-	ConfigLayers    int    `json:"configuration"` // layers of it
+	Leads           bool   `json:"leads"`   // a majority has just confirmed it; else nothing is known of readers
+	LeaderContactMs int64  `json:"old_ms"`  // since it heard of the leader; -1: never
+	Head            uint64 `json:"head"`    // newest version
+	Fleet           string `json:"fleet"`   // whose stream it is
+	Floor           uint64 `json:"floor"`   // readers behind it resync by digests
+	Targets         int    `json:"targets"` // live
+	ConfigLayers    int    `json:"configuration"`
 	Tombstones      int    `json:"tombstones"`
 	Bytes           int    `json:"bytes"` // of keys and values
 }
 
-// logStatus is what an agent's log says, without what is known of readers.
+// logStatus is what the log says, without the readers; false: there was no change yet.
 func (d *streamService) logStatus() (v StreamStatus, ok bool) {
 	age, _ := d.agent.leaderContactAge()
 	v = StreamStatus{Agent: d.agent.opt.ID, LeaderContactMs: -1}
@@ -44,9 +44,11 @@
 	return v, true
 }
 
+// errNoChanges answers operators before the first change.
 var errNoChanges = &RejectedError{http.StatusNotFound, "no change has come yet"}
 
-// handleVersions tells who has a version: from the leader; or with stale only how far this agent's log goes.
+// handleVersions answers GET /v1/feed/versions/{version}: where a version is applied, or with stale
+// only how far this agent's log goes.
 func (d *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
 	old := allowsStale(r)
 	if !old && d.agent.redirectUnlessLeader(w, r) {
@@ -81,6 +83,7 @@
 	writeJSON(w, http.StatusOK, v)
 }
 
+// handleShow answers GET /v1/feed.
 func (d *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
 	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
 		return
@@ -94,8 +97,8 @@
 	writeJSON(w, http.StatusOK, v)
 }
 
-// handleRecords answers with a page of the live records of a kind, in order of version and whole versions alone: a key that changes while
-// pages are asked for comes again, later.
+// handleRecords answers GET /v1/feed/records with a page of the live records of a kind, in order of
+// version and in whole versions: a key that changes between two pages is returned again.
 func (d *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
 	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
 		return
@@ -110,6 +113,7 @@
 	writeJSON(w, http.StatusOK, d.recordsPage(k, q.Get("key"), after))
 }
 
+// recordsPage returns one key's record, or the records after a version.
 func (d *streamService) recordsPage(k watchstream.Kind, key string, after uint64) []watchstream.Record {
 	page := []watchstream.Record{}
 	s := d.agent.store
--- a/internal/controlplane/watchstream/distribution/compress.go
+++ b/internal/controlplane/watchstream/distribution/compress.go
@@ -10,21 +10,23 @@
 	"sync"
 )
 
+// Bounds and headers of bodies.
 const (
-	maxRequestBytes  = 64 << 10 // bytes of a reader's question: the sums of all buckets fit
-	maxAnswerBytes   = 4 << 20  // bytes of a source's answer, unpacked
-	minCompressBytes = 1 << 10  // bytes from which on packing saves
+	maxRequestBytes  = 64 << 10 // the digests of all buckets fit
+	maxAnswerBytes   = 4 << 20  // decompressed
+	minCompressBytes = 1 << 10  // from which compression saves bytes
 	watchPath        = "/v1/feed/watch"
 	gzipEncoding     = "gzip"
 	encodingHeader   = "Content-Encoding"
 )
 
+// gzipWriters are reused, since their buffers are large.
 var gzipWriters = sync.Pool{New: func() any {
-	z, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // a level that the library has
+	z, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // cannot fail: the level is valid
 	return z
 }}
 
-// compress returns text packed where that saves, and whether it is.
+// compress returns the text compressed if that saves bytes, and whether it is.
 func compress(text []byte) ([]byte, bool) {
 	if len(text) < minCompressBytes {
 		return text, false
@@ -39,14 +41,15 @@
 	return b.Bytes(), true
 }
 
-// acceptsGzip tells whether whoever asked reads packed answers.
+// acceptsGzip reports whether the caller reads compressed answers.
 func acceptsGzip(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding)
 }
 
-// readAll reads a body of at most so many bytes, unpacked; a longer one is an error, however little of it was sent.
-func readAll(body io.Reader, packed bool, most int) ([]byte, error) {
-	if packed {
+// readAll reads a body of at most so many bytes, decompressed; a longer one is an error, however few
+// bytes were sent.
+func readAll(body io.Reader, compressed bool, maxBytes int) ([]byte, error) {
+	if compressed {
 		z, err := gzip.NewReader(body)
 		if err != nil {
 			return nil, err
@@ -54,9 +57,9 @@
 		defer z.Close()
 		body = z
 	}
-	b, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
-	if err == nil && len(b) > most {
-		err = fmt.Errorf("over %d bytes", most)
+	b, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
+	if err == nil && len(b) > maxBytes {
+		err = fmt.Errorf("over %d bytes", maxBytes)
 	}
 	return b, err
 }
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -1,5 +1,7 @@
-// Package distribution is the edge of the feed of changes: the server that readers poll, the follower that polls it, the copy on disk and the
-// relay that is made of them. internal/controlplane/watchstream decides; here are sockets, the clock, the encoding and the log.
+// Package distribution moves the watch stream between processes: the server that readers poll, the
+// follower that polls it, the follower's snapshot on disk, the relay that is made of both, and the
+// publisher that puts a discovery service's list into the stream. Package watchstream decides; here
+// are sockets, the clock, the encoding and the log.
 package distribution
 
 import (
@@ -18,43 +20,49 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// Times and bounds of a follower.
 const (
-	dialTimeout          = time.Second
-	pollWait             = time.Second             // a poll waits for news: a connection that fell silent looks just like none
-	pollGrace            = 1500 * time.Millisecond // beyond the poll's wait: then the source is silent
-	relayRetryMax        = time.Second             // between a relay's calls of agents that fail: a few relays ask, and a region waits for each
-	idleTimeout          = 30 * time.Second
-	saveInterval         = 10 * time.Second // between two copies on disk, while something changes; or
-	saveCostFactor       = 200              // times as long as the last one took
-	positionSaveInterval = 10 * time.Minute // where nothing has changed but the position
-	minPollInterval      = 100 * time.Millisecond
-	connBufferBytes      = 2 << 10 // of buffers, each way
+	dialTimeout = time.Second
+	// that a poll waits for news: a connection that has failed silently looks like none
+	pollWait  = time.Second
+	pollGrace = 1500 * time.Millisecond // beyond the poll's wait, after which the source is silent
+	// between a relay's calls of agents that fail: relays are few, and a region waits for each
+	relayRetryMax = time.Second
+	idleTimeout   = 30 * time.Second
+	// between two snapshots while records change, or saveCostFactor times as long as the last one
+	// took
+	saveInterval         = 10 * time.Second
+	saveCostFactor       = 200                    // times as long as the last one took
+	positionSaveInterval = 10 * time.Minute       // if only the position has changed
+	minPollInterval      = 100 * time.Millisecond // after an answer without news that came at once
+	connBufferBytes      = 2 << 10                // each way
 )
 
-// Options set up a follower.
+// Options configure a follower.
 type Options struct {
 	Fleet, Name, Region, Zone string
-	All                       bool                // a relay: all scopes are taken
-	Relays                    []watchstream.Relay // what it may follow
-	Dir                       string              // where the copy is kept; empty: nowhere
-	Seed                      uint64              // of what is spread; 0: from the name
+	All                       bool                // a relay: all scopes
+	Relays                    []watchstream.Relay // that it may call
+	Dir                       string              // of the snapshot; empty: none
+	Seed                      uint64              // of random waits; 0: from the name
 	Selection                 watchstream.RelaySelectorOptions
 	Log                       *slog.Logger // nil: none
-	// Transport carries the polls; nil: one of the follower's own, and then State counts all bytes of its connections and not the
-	// bodies alone.
+	// Transport carries the polls; nil: a transport of its own, and then State counts all bytes of its connections
+	// and not only bodies.
 	Transport http.RoundTripper
 	Dial      func(ctx context.Context, network, addr string) (net.Conn, error) // of its own transport; nil: the usual one
-	// OnChange is told what is new, be it only that more is there than was known to be, in order, from the goroutine of Run; first of all
-	// what the copy on disk had. When it returns nil, that is in force. An error turns the configuration down, with its text as the
-	// reason: targets are in force all the same. nil: everything is in force at once.
-	OnChange   func(Update) error
-	Generation uint64 // of the first hello, over all of earlier lives; 0: by the clock and the copy on disk
+	// OnChange is called with every update in order, on Run's goroutine, first with the snapshot from the disk.
+	// If it returns nil the update is applied. An error rejects the configuration, with its text as the reason;
+	// targets are applied all the same. nil: everything counts as applied at once.
+	OnChange func(Update) error
+	// of the first request, beyond those of earlier runs; 0: by the clock and the snapshot
+	Generation uint64
 }
 
-// Update is what a follower has got.
+// Update is what a follower has received.
 type Update struct {
-	Records  []watchstream.Record // the newest state of each key that changed; Gone: it was taken away. Values must not be written to
-	Full     bool                 // all there is, from the copy on disk
+	Records  []watchstream.Record // newest state of each key that changed; must not be modified
+	Full     bool                 // everything there is, from the snapshot
 	Position watchstream.Position // up to which everything is there
 }
 
@@ -63,8 +71,8 @@
 	Epoch            string                 `json:"epoch,omitempty"`
 	Position         watchstream.Position   `json:"position"` // up to which everything is there
 	Applied          watchstream.Position   `json:"in_force"`
-	Rejection        *watchstream.Rejection `json:"refused,omitempty"` // the configuration that couldn't be served
-	AgeMs            int64                  `json:"age_ms"`            // since it was known to be as the log is; -1: never
+	Rejection        *watchstream.Rejection `json:"refused,omitempty"` // of the configuration
+	AgeMs            int64                  `json:"age_ms"`            // since its state surely was the log's; -1: never
 	Relay            string                 `json:"relay,omitempty"`   // that answered last
 	Region           string                 `json:"region,omitempty"`  // of that relay
 	Switches         uint64                 `json:"moves"`
@@ -72,37 +80,37 @@
 	Deltas           uint64                 `json:"deltas"`
 	Records          uint64                 `json:"records"`
 	Failed           uint64                 `json:"failed"` // polls without an answer
-	Busy             uint64                 `json:"busy"`   // polls that were told to come again
-	Rejected         map[string]uint64      `json:"turned"` // deltas that were not taken and hellos that were not, by reason
+	Busy             uint64                 `json:"busy"`   // polls that were told to retry later
+	Rejected         map[string]uint64      `json:"turned"` // deltas and requests by reason
 	BytesIn          uint64                 `json:"bytes_in"`
 	BytesOut         uint64                 `json:"bytes_out"`
-	SnapshotsSaved   uint64                 `json:"saved"` // copies on disk
-	SnapshotsDamaged uint64                 `json:"torn"`  // copies on disk that could not be used
+	SnapshotsSaved   uint64                 `json:"saved"`
+	SnapshotsDamaged uint64                 `json:"torn"` // that could not be used
 }
 
-// Follower has a copy of the feed and keeps it up to date. One goroutine, that of Run, does all the work.
+// Follower has a copy of the stream and keeps it up to date. All work is done by the goroutine of Run.
 type Follower struct {
 	opt          Options
 	log          *slog.Logger
 	transport    http.RoundTripper
-	ownTransport *http.Transport // nil: another's
+	ownTransport *http.Transport // nil: the caller's is used
 	traffic      trafficMeter
 	selector     *watchstream.RelaySelector // of Run alone
 
 	mu      sync.Mutex
 	replica *watchstream.Replica
-	changed chan struct{} // closed and renewed with each delta
-	freshAt time.Duration // when what it has was known to be as the log is; 0: never
+	changed chan struct{} // closed and replaced with each delta
+	freshAt time.Duration // when its state surely was the log's; 0: never
 	state   FollowerState
 
-	notified        watchstream.Position // of Run alone, as what follows
-	recordsChanged  bool                 // records have changed since the copy on disk
-	positionChanged bool                 // the position has
-	nextSaveAt      time.Duration        // the next copy
-	lastSaveAt      time.Duration        // the last one
+	notified        watchstream.Position // of Run alone, as are the following
+	recordsChanged  bool                 // since the snapshot
+	positionChanged bool                 // since the snapshot
+	nextSaveAt      time.Duration
+	lastSaveAt      time.Duration
 }
 
-// NewFollower checks the options and reads the copy on disk; it asks for nothing yet.
+// NewFollower validates the options and reads the snapshot; it makes no call yet.
 func NewFollower(opt Options) (*Follower, error) {
 	scope := watchstream.Scope{Name: opt.Name, Region: opt.Region, Zone: opt.Zone, All: opt.All}
 	switch err := scope.Validate(); {
@@ -127,8 +135,8 @@
 			DisableCompression: true, ReadBufferSize: connBufferBytes, WriteBufferSize: connBufferBytes, MaxResponseHeaderBytes: 8 << 10}
 		f.transport = f.ownTransport
 	}
-	turn := cmp.Or(opt.Generation, uint64(time.Now().UnixMilli()))
-	f.replica = watchstream.NewReplica(opt.Fleet, scope, turn, watchstream.Limits{})
+	generation := cmp.Or(opt.Generation, uint64(time.Now().UnixMilli()))
+	f.replica = watchstream.NewReplica(opt.Fleet, scope, generation, watchstream.Limits{})
 	f.loadSnapshot()
 	if opt.All {
 		opt.Selection.RetryMax = cmp.Or(opt.Selection.RetryMax, relayRetryMax)
@@ -137,7 +145,7 @@
 	return f, nil
 }
 
-// Run follows until ctx ends.
+// Run follows the stream until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.applySnapshot()
 	last := ""
@@ -163,6 +171,7 @@
 	}
 }
 
+// sleep waits, and reports false if ctx ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -177,6 +186,7 @@
 	}
 }
 
+// switchTo notes that another relay is called from now on.
 func (f *Follower) switchTo(to watchstream.Relay, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +198,7 @@
 	f.log.Info("feed source", slog.String("reason", "FEED_MOVED"), slog.String("relay", to.ID), slog.String("region", to.Region), slog.String("from", from))
 }
 
-// State tells of the follower; any goroutine may ask.
+// State returns the follower's state. It is safe for concurrent use.
 func (f *Follower) State() FollowerState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -203,7 +213,8 @@
 	return s
 }
 
-// Records are the live ones of a kind that it has, in order of version; any goroutine may ask. Their values must not be written to.
+// Records returns the live records of a kind in order of version. It is safe for concurrent use; the
+// values must not be modified.
 func (f *Follower) Records(k watchstream.Kind) []watchstream.Record {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/watchstream/distribution/listener.go
+++ b/internal/controlplane/watchstream/distribution/listener.go
@@ -6,7 +6,8 @@
 	"sync/atomic"
 )
 
-// limitedListener is a listener that has so many connections at a time: others are closed at once, and their readers look elsewhere.
+// limitedListener accepts a bounded number of connections at a time. Others are closed at once, and
+// their readers call another relay.
 type limitedListener struct {
 	net.Listener
 	open *atomic.Int64
@@ -28,12 +29,14 @@
 	}
 }
 
+// countedConn is an accepted connection, which counts until it is closed.
 type countedConn struct {
 	net.Conn
 	open      *atomic.Int64
 	closeOnce sync.Once
 }
 
+// Close implements net.Conn.
 func (c *countedConn) Close() error {
 	c.closeOnce.Do(func() { c.open.Add(-1) })
 	return c.Conn.Close()
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// poll asks a relay once, and takes what it answers: after is when to come again, age how old what it has may be.
+// poll calls a relay once and applies the answer: after is when to retry, age how old the relay's
+// state may be.
 func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.CallOutcome, after, age time.Duration) {
 	f.mu.Lock()
 	h := f.replica.SubscribeRequest()
@@ -38,7 +39,7 @@
 	case status == http.StatusNoContent:
 		f.noteAnswer(relay, age)
 		if monotone.Now()-began < minPollInterval {
-			sleep(ctx, minPollInterval) // it leaves, or doesn't wait: it isn't asked without a pause
+			sleep(ctx, minPollInterval) // it shuts down, or does not wait for news
 		}
 		return watchstream.CallAnswered, 0, age
 	}
@@ -57,7 +58,7 @@
 	return watchstream.CallRejected, 0, 0
 }
 
-// roundTrip makes one call. The answer is unpacked.
+// roundTrip makes one call and returns the decompressed answer.
 func (f *Follower) roundTrip(ctx context.Context, addr string, h *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
 	text, err := jsonCodec.Marshal(h)
 	if err != nil {
@@ -69,7 +70,7 @@
 	if err != nil {
 		return 0, 0, nil, err
 	}
-	req.Header["User-Agent"] = nil // bytes that say nothing
+	req.Header["User-Agent"] = nil // not sent, to save bytes
 	req.Header.Set("Accept-Encoding", gzipEncoding)
 	resp, err := f.transport.RoundTrip(req)
 	if err != nil {
@@ -94,18 +95,20 @@
 	return resp.StatusCode, time.Duration(max(0, ms)) * time.Millisecond, body, err
 }
 
+// countingReader counts the bytes read.
 type countingReader struct {
 	io.Reader
 	n uint64
 }
 
+// Read implements io.Reader.
 func (c *countingReader) Read(b []byte) (int, error) {
 	n, err := c.Reader.Read(b)
 	c.n += uint64(n)
 	return n, err
 }
 
-// applyDelta has a delta taken, and applied.
+// applyDelta applies a delta and passes on what it changed.
 func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (out watchstream.CallOutcome, age time.Duration) {
 	var d watchstream.Delta
 	if err := jsonCodec.Unmarshal(body, &d); err != nil {
@@ -135,7 +138,7 @@
 	return watchstream.CallAnswered, age
 }
 
-// notify tells what is new, and acknowledges it as far as it is in force.
+// notify passes on an update and acknowledges it as far as it is applied.
 func (f *Follower) notify(c Update, mark watchstream.Watermark) {
 	var err error
 	if f.opt.OnChange != nil && (len(c.Records) > 0 || c.Full || c.Position != f.notified) {
@@ -152,7 +155,7 @@
 	f.replica.MarkApplied(mark)
 }
 
-// noteAnswer notes who answered, and how old that is what it has.
+// noteAnswer records which relay answered and how old its state may be.
 func (f *Follower) noteAnswer(relay watchstream.Relay, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,6 +163,7 @@
 	f.freshAt = max(f.freshAt, monotone.Now()-age)
 }
 
+// pollFailed counts and logs a poll without an answer.
 func (f *Follower) pollFailed(relay watchstream.Relay, err error) {
 	f.mu.Lock()
 	f.state.Failed++
@@ -167,7 +171,7 @@
 	f.log.Warn("feed poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
 }
 
-// noteRejected counts what was not taken. Its caller holds mu.
+// noteRejected counts and logs a rejection. The caller holds mu.
 func (f *Follower) noteRejected(relay watchstream.Relay, why watchstream.Reason, text string) {
 	f.state.Rejected[string(why)]++
 	f.log.Warn("feed refused", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -11,41 +11,42 @@
 	"spindlehitch/internal/datapath/listing"
 )
 
+// Times and bounds of a publisher.
 const (
-	publishInterval     = 50 * time.Millisecond // at the most: what comes meanwhile goes together
-	maxTargetsPerChange = 500                   // targets in one change
-	publishRetryDelay   = time.Second           // after a change of which it isn't known whether it was made
-	// A whole list that takes away more than half of so many targets is taken for a mistake of discovery's.
+	publishInterval     = 50 * time.Millisecond // between changes: updates within it are sent together
+	maxTargetsPerChange = 500
+	publishRetryDelay   = time.Second // after a change of which it is unknown whether it was made
+	// A full list that removes more than half of at least so many targets is taken for a mistake of discovery.
 	minTargetsToGuard = 8
 )
 
-// PublisherOptions set up a publisher.
+// PublisherOptions configure a publisher.
 type PublisherOptions struct {
 	Fleet       string
-	Put         func(context.Context, watchstream.Change) (uint64, error) // makes a change
-	Records     func(context.Context) ([]watchstream.Record, error)       // the targets in the stream
-	AllowShrink bool                                                      // whole lists may take away more than half
+	Put         func(context.Context, watchstream.Change) (uint64, error) // makes a change and returns its version
+	Records     func(context.Context) ([]watchstream.Record, error)       // returns the targets in the stream
+	AllowShrink bool                                                      // full lists may remove more than half of the targets
 	Log         *slog.Logger
 }
 
-// Publisher puts what a list of targets says into the stream: what differs, coalesced.
+// Publisher puts the differences between a list of targets and the stream into the stream.
 type Publisher struct {
 	opt  PublisherOptions
 	wake chan struct{}
 
 	mu            sync.Mutex
 	want          map[string]listing.Entry // by id
-	hasFullList   bool                     // a whole list has come
-	dirty         map[string]bool
-	unpublishable map[string]listing.Entry // that can't be put, until they change
+	hasFullList   bool                     // a full list has arrived
+	dirty         map[string]bool          // ids to compare
+	unpublishable map[string]listing.Entry // entries that cannot be put, until they change
 }
 
-// NewPublisher returns a publisher that has heard of no list yet.
+// NewPublisher returns a publisher without a list.
 func NewPublisher(opt PublisherOptions) *Publisher {
 	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]listing.Entry{}, dirty: map[string]bool{}, unpublishable: map[string]listing.Entry{}}
 }
 
-// SetList takes a list, or a change of it, as discovery has it.
+// SetList takes over a list, or a change of it, from discovery.
 func (p *Publisher) SetList(l *listing.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -66,7 +67,8 @@
 	}
 }
 
-// replaceAll has a whole list take the place of what was told before; false where that would take away too much.
+// replaceAll replaces the previous list by a full one, and reports false if that would remove too
+// much.
 func (p *Publisher) replaceAll(l *listing.List) bool {
 	named := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
@@ -92,7 +94,7 @@
 	return true
 }
 
-// Run puts changes until ctx ends.
+// Run makes changes until ctx ends.
 func (p *Publisher) Run(ctx context.Context) {
 	var have map[string]listing.Entry
 	for ctx.Err() == nil {
@@ -114,7 +116,7 @@
 		}
 		v, err := p.opt.Put(ctx, c)
 		if err != nil {
-			have = nil // whether it was made is seen there
+			have = nil // the stream shows whether it was made
 			p.publishFailed(ctx, err)
 			continue
 		}
@@ -130,12 +132,14 @@
 	}
 }
 
+// isListed reports whether a full list has arrived.
 func (p *Publisher) isListed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hasFullList
 }
 
+// wait waits for a new list.
 func (p *Publisher) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -143,6 +147,7 @@
 	}
 }
 
+// publishFailed logs a failure and waits before the next attempt.
 func (p *Publisher) publishFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -151,7 +156,7 @@
 	sleep(ctx, publishRetryDelay)
 }
 
-// loadPublished reads what the stream has. All of that and of the list is compared then.
+// loadPublished reads the targets in the stream, and has all of them and of the list compared.
 func (p *Publisher) loadPublished(ctx context.Context) (map[string]listing.Entry, error) {
 	records, err := p.opt.Records(ctx)
 	if err != nil {
@@ -161,7 +166,7 @@
 	for i := range records {
 		e, err := entryOf(records[i].Value)
 		if err != nil {
-			e = listing.Entry{} // which no list has: it is put anew
+			e = listing.Entry{} // equal to no listed entry, so it is put again
 		}
 		have[records[i].Key] = e
 	}
@@ -179,10 +184,12 @@
 	return have, nil
 }
 
+// entryOf decodes an entry of the list.
 func entryOf(value []byte) (e listing.Entry, err error) {
 	return e, jsonCodec.Unmarshal(value, &e)
 }
 
+// sameEntry reports whether two entries are equal.
 func sameEntry(a, b listing.Entry) bool {
 	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
 		return false
@@ -191,7 +198,7 @@
 	return a == b
 }
 
-// nextChange is the next change of what differs.
+// nextChange returns the next change: what differs, up to a bound.
 func (p *Publisher) nextChange(have map[string]listing.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -15,21 +15,23 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// Times and bounds of a relay.
 const (
 	reportInterval  = time.Second
-	reportTimeout   = 2 * time.Second // what it tells is older by then than the next would be
-	requestTimeout  = 5 * time.Second // for a reader to send its question
+	reportTimeout   = 2 * time.Second // by then the next report is more recent
+	requestTimeout  = 5 * time.Second // for a reader to send its request
 	shutdownTimeout = time.Second
-	extraConns      = 64 // beside one for each reader: those that move, and operators
+	// connections beyond one for each reader: readers that switch, and operators
+	extraConns = 64
 )
 
-// RelayOptions set up a relay.
+// RelayOptions configure a relay.
 type RelayOptions struct {
 	ID, Fleet, Region string
-	Agents            []string // where the agents answer; any of them is followed
-	Dir               string   // where the copy is kept; empty: nowhere
+	Agents            []string // addresses of agents; any of them is followed
+	Dir               string   // of the snapshot; empty: none
 	Source            watchstream.SourceOptions
-	// Report brings the agents' leader what the readers have; nil: nobody wants to know.
+	// Report sends a report to the agents' leader; nil: none is sent.
 	Report func(context.Context, watchstream.Report) (watchstream.ReportResponse, error)
 	Log    *slog.Logger
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
@@ -40,14 +42,14 @@
 	opt      RelayOptions
 	log      *slog.Logger
 	follower *Follower
-	source   *watchstream.Source // under the follower's lock
+	source   *watchstream.Source // guarded by the follower's lock
 	server   *Server
 	http     http.Server
 	conns    atomic.Int64
 	reports  struct{ sent, failed atomic.Uint64 }
 }
 
-// NewRelay checks the options, and reads the copy on disk.
+// NewRelay validates the options and reads the snapshot.
 func NewRelay(opt RelayOptions) (*Relay, error) {
 	r := &Relay{opt: opt, log: opt.Log}
 	if r.log == nil {
@@ -102,12 +104,13 @@
 	within, done := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer done()
 	if r.http.Shutdown(within) != nil {
-		r.http.Close() // readers that don't take their answers
+		r.http.Close() // readers that do not read their answers
 	}
 	work.Wait()
 }
 
-// reportLoop tells the agents' leader each second what has changed at the readers. With no leader the next report has it all.
+// reportLoop regularly tells the agents' leader what has changed at the readers. After a failure the
+// next report has it all.
 func (r *Relay) reportLoop(ctx context.Context) {
 	failing := false
 	for sleep(ctx, reportInterval) {
@@ -133,8 +136,8 @@
 type RelayState struct {
 	ID            string                        `json:"id"`
 	Readers       int                           `json:"readers"`
-	Rejected      map[watchstream.Reason]uint64 `json:"refused,omitempty"` // hellos
-	Busy          uint64                        `json:"busy"`              // readers that were told to come again
+	Rejected      map[watchstream.Reason]uint64 `json:"refused,omitempty"` // requests by reason
+	Busy          uint64                        `json:"busy"`              // readers that were told to retry later
 	Served        ServerState                   `json:"served"`
 	Follower      FollowerState                 `json:"follower"`
 	Reports       uint64                        `json:"reports"`
@@ -143,7 +146,7 @@
 	ConfigLayers  int                           `json:"layers"`
 }
 
-// State tells of the relay; any goroutine may ask.
+// State returns the relay's state. It is safe for concurrent use.
 func (r *Relay) State() RelayState {
 	s := RelayState{ID: r.opt.ID, Served: r.server.State(), Follower: r.follower.State(), Reports: r.reports.sent.Load(), ReportsFailed: r.reports.failed.Load()}
 	r.WithSource(func(_ time.Duration, src *watchstream.Source) {
@@ -155,6 +158,7 @@
 	return s
 }
 
+// handleState answers an operator.
 func (r *Relay) handleState(w http.ResponseWriter, _ *http.Request) {
 	text, err := jsonCodec.Marshal(r.State())
 	if err != nil {
@@ -162,5 +166,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text) // whoever is gone doesn't want it
+	_, _ = w.Write(text) // the operator may be gone
 }
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"errors"
-	"io"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -15,53 +14,57 @@
 	"spindlehitch/internal/process/monotone"
 )
 
+// jsonCodec is the JSON codec of all messages.
 var jsonCodec = jsoniter.ConfigCompatibleWithStandardLibrary
 
+// Times and bounds of a server.
 const (
-	maxPollWait     = 2 * time.Second // a poll lasts
-	answerTimeout   = 5 * time.Second // for a reader to take its answer; a slower one is cut off
+	maxPollWait   = 2 * time.Second // of a poll
+	answerTimeout = 5 * time.Second // for a reader to read its answer; a slower one is cut off
+	// for a reader whose rate is used up: it is not looked at again for each change of a burst
 	burstPause      = 200 * time.Millisecond
 	notReadyRetry   = time.Second // for readers of a source that has nothing yet
 	ageHeader       = "Feed-Age-Ms"
-	headerBytes     = 300  // of a question's and an answer's headers, about
-	defaultMaxPolls = 4096 // polls at a time, unless told
+	headerBytes     = 300  // estimated size of a request's and an answer's headers
+	defaultMaxPolls = 4096 // at a time
 )
 
 // Origin is where a server's deltas come from: a source under its owner's lock.
 type Origin interface {
-	// WithSource runs f while nobody else touches the source or its store, and returns what is closed at the store's next change. Without
-	// a source there is nothing to serve yet, and f isn't run.
+	// WithSource runs f while it holds the lock of the source and its store, and returns a channel that is closed
+	// at the store's next change. ok is false, and f is not run, if there is no source yet.
 	WithSource(f func(now time.Duration, s *watchstream.Source)) (changed <-chan struct{}, ok bool)
 }
 
-// RejectedError is what a source answers to a hello that it doesn't take.
+// RejectedError is a source's answer to a request that it does not serve.
 type RejectedError struct {
 	Reason       watchstream.Reason `json:"reason"`
 	Detail       string             `json:"why,omitempty"`
-	RetryAfterMs int64              `json:"after_ms,omitempty"` // come again then, here or elsewhere
+	RetryAfterMs int64              `json:"after_ms,omitempty"` // retry then, here or elsewhere
 }
 
+// Error returns the reason and the detail.
 func (e *RejectedError) Error() string { return string(e.Reason) + ": " + e.Detail }
 
-// reasonBusy is the reason that the source is used up for now.
+// reasonBusy says that the source has no capacity now.
 const reasonBusy watchstream.Reason = "busy"
 
-// Server answers readers' polls. What a reader is owed is read off the store when it can be sent, so that a slow one has nothing but its
-// own connection.
+// Server answers readers' polls. What a reader lacks is read from the store when it can be sent, so
+// that a slow reader has nothing but its own connection.
 type Server struct {
 	origin    Origin
-	pollSlots chan struct{}
-	done      chan struct{}
+	pollSlots chan struct{} // bounds polls at a time
+	done      chan struct{} // closed by Stop
 	stopped   atomic.Bool
 	counters  struct{ polls, deltas, records, bytes, refused, cut atomic.Uint64 }
 }
 
-// NewServer returns a server of at most so many polls at a time; 0: the usual number.
-func NewServer(from Origin, most int) *Server {
-	return &Server{origin: from, pollSlots: make(chan struct{}, cmp.Or(most, defaultMaxPolls)), done: make(chan struct{})}
+// NewServer returns a server of at most so many polls at a time; 0: the default.
+func NewServer(origin Origin, maxPolls int) *Server {
+	return &Server{origin: origin, pollSlots: make(chan struct{}, cmp.Or(maxPolls, defaultMaxPolls)), done: make(chan struct{})}
 }
 
-// Routes has the mux answer readers.
+// Routes registers the server's route.
 func (s *Server) Routes(mux *http.ServeMux) { mux.HandleFunc("POST "+watchPath, s.handlePoll) }
 
 // Stop ends the polls that wait.
@@ -71,22 +74,23 @@
 	}
 }
 
-// ServerState are a server's numbers since it began.
+// ServerState is a server's counters since its start.
 type ServerState struct {
 	Polls    uint64 `json:"polls"`
 	Deltas   uint64 `json:"deltas"`
 	Records  uint64 `json:"records"`
-	Bytes    uint64 `json:"bytes"`   // of answers' bodies, as they were sent
-	Rejected uint64 `json:"refused"` // hellos, busy ones too
-	CutOff   uint64 `json:"cut"`     // readers that didn't take their answer in time
+	Bytes    uint64 `json:"bytes"`   // of answer bodies, as sent
+	Rejected uint64 `json:"refused"` // requests, busy ones included
+	CutOff   uint64 `json:"cut"`     // readers that did not read their answer in time
 }
 
-// State tells the numbers.
+// State returns the counters.
 func (s *Server) State() ServerState {
 	c := &s.counters
 	return ServerState{c.polls.Load(), c.deltas.Load(), c.records.Load(), c.bytes.Load(), c.refused.Load(), c.cut.Load()}
 }
 
+// handlePoll answers one poll.
 func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request) {
 	s.counters.polls.Add(1)
 	select {
@@ -96,9 +100,9 @@
 		s.reject(w, http.StatusServiceUnavailable, &RejectedError{reasonBusy, "too many polls at a time", notReadyRetry.Milliseconds()})
 		return
 	}
-	// Of this answer alone: the connection may be another call's next.
+	// For this answer alone: the connection may serve other calls later.
 	ctl := http.NewResponseController(w)
-	_ = ctl.SetWriteDeadline(time.Now().Add(maxPollWait + answerTimeout)) // a writer that can't is bounded by its server
+	_ = ctl.SetWriteDeadline(time.Now().Add(maxPollWait + answerTimeout)) // a writer without deadlines is bounded by its server
 	defer func() { _ = ctl.SetWriteDeadline(time.Time{}) }()
 	var h watchstream.SubscribeRequest
 	body, err := readAll(http.MaxBytesReader(w, r.Body, maxRequestBytes), r.Header.Get(encodingHeader) == gzipEncoding, maxRequestBytes)
@@ -122,8 +126,8 @@
 	s.sendDelta(w, r, d, len(body))
 }
 
-// subscribe brings the source a reader's word.
-func (s *Server) subscribe(h watchstream.SubscribeRequest) (status int, no *RejectedError) {
+// subscribe passes a request to the source; rejection is nil if it was accepted.
+func (s *Server) subscribe(h watchstream.SubscribeRequest) (status int, rejection *RejectedError) {
 	var err error
 	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, h) }); !ok {
 		return http.StatusServiceUnavailable, &RejectedError{watchstream.ReasonNotReady, "there is nothing here yet", notReadyRetry.Milliseconds()}
@@ -143,7 +147,7 @@
 	return http.StatusUnprocessableEntity, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: err.Error()}
 }
 
-// waitForDelta waits for what a reader is to get; nil: nothing within the time that it waits.
+// waitForDelta waits for what a reader gets; nil: nothing within the time that it waits.
 func (s *Server) waitForDelta(r *http.Request, h watchstream.SubscribeRequest) (d *watchstream.Delta, age time.Duration) {
 	until := monotone.Now() + min(time.Duration(max(h.WaitMs, 0))*time.Millisecond, maxPollWait)
 	var timer *time.Timer
@@ -156,7 +160,7 @@
 		if d != nil || at >= until {
 			return d, age
 		}
-		// What is owed and may not go yet doesn't go sooner for a change: it isn't looked at again for each of a burst of them.
+		// What the reader's rate does not allow yet is not allowed sooner because of a change.
 		if wait < maxPollWait {
 			changed = nil
 			wait = min(wait, burstPause)
@@ -178,8 +182,9 @@
 	}
 }
 
-// sendDelta writes a delta, within a time that doesn't hang on its reader, and tells the source what it and its question took.
-func (s *Server) sendDelta(w http.ResponseWriter, r *http.Request, d *watchstream.Delta, asked int) {
+// sendDelta writes a delta within a time that does not depend on its reader, and tells the source how
+// many bytes it and its request took.
+func (s *Server) sendDelta(w http.ResponseWriter, r *http.Request, d *watchstream.Delta, requestBytes int) {
 	text, err := jsonCodec.Marshal(d)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -192,7 +197,7 @@
 		}
 	}
 	s.origin.WithSource(func(_ time.Duration, src *watchstream.Source) {
-		src.DeltaSent(d.Scope.Name, d, asked+len(text)+headerBytes)
+		src.DeltaSent(d.Scope.Name, d, requestBytes+len(text)+headerBytes)
 	})
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -209,6 +214,7 @@
 	s.counters.bytes.Add(uint64(len(text)))
 }
 
+// reject answers with a rejection.
 func (s *Server) reject(w http.ResponseWriter, status int, no *RejectedError) {
 	s.counters.refused.Add(1)
 	text, err := jsonCodec.Marshal(no)
@@ -220,5 +226,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, string(text)) // a reader that is gone asks again
+	_, _ = w.Write(text) // a reader that is gone asks again
 }
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -18,39 +18,42 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// The copy is one file: a mark, the length and the checksum (xxhash) of what follows, and that. It is replaced as a whole, so that what
-// is read at a start is what was once had, or nothing.
+// The snapshot is one file: a magic number, the length and the checksum (xxhash) of the body, and the body. It is replaced
+// atomically, so that a start reads a complete earlier state, or none.
 const (
 	snapshotName     = "feed.copy"
 	maxSnapshotBytes = 256 << 20 // bytes
 )
 
-// What follows is CBOR: a record takes a tenth of the time that it takes in JSON.
+// The body is CBOR, which takes a tenth of the time that JSON takes.
 var (
 	encode = must(cbor.EncOptions{}.EncMode())
 	decode = must(cbor.DecOptions{MaxArrayElements: 1 << 18, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 )
 
+// must returns m; the options are constants, so that an error is a mistake in the code.
 func must[M any](m M, err error) M {
 	if err != nil {
-		panic(err) // by options that are constants
+		panic(err)
 	}
 	return m
 }
 
+// snapshotMagic is how the file starts.
 var snapshotMagic = [8]byte{'s', 'h', 'f', 'e', 'e', 'd', '0', '1'}
 
-// errDamagedSnapshot says that a copy on disk is not whole.
+// errDamagedSnapshot says that a snapshot is not complete.
 var errDamagedSnapshot = errors.New("the copy is torn")
 
-// writeSnapshot replaces the copy under dir.
+// writeSnapshot replaces the snapshot under dir.
 func writeSnapshot(dir string, text []byte) error {
 	head := binary.BigEndian.AppendUint64(bytes.Clone(snapshotMagic[:]), uint64(len(text)))
 	head = binary.BigEndian.AppendUint64(head, xxhash.Sum64(text))
 	return renameio.WriteFile(filepath.Join(dir, snapshotName), append(head, text...), 0o600)
 }
 
-// readSnapshot returns the copy under dir; nil where there is none. A copy that is not whole is errTorn.
+// readSnapshot returns the body of the snapshot under dir; nil if there is none. An incomplete one is
+// errDamagedSnapshot.
 func readSnapshot(dir string) ([]byte, error) {
 	f, err := os.Open(filepath.Join(dir, snapshotName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -84,17 +87,18 @@
 	return text, nil
 }
 
-// storedSnapshot is what the copy on disk holds.
+// storedSnapshot is the body of the file.
 type storedSnapshot struct {
 	Generation uint64               `json:"turn"`
-	Scope      watchstream.Scope    `json:"scope"` // another one is owed other layers
+	Scope      watchstream.Scope    `json:"scope"` // with another scope, other layers are needed
 	Snapshot   watchstream.Snapshot `json:"copy"`
 }
 
-// generationGap are more than a life has between two copies on disk.
+// generationGap is more than the generations that a run can have between two snapshots.
 const generationGap = 1 << 20
 
-// loadSnapshot begins with the copy on disk. One that is torn, of another fleet or of another scope is passed over: the follower starts from nothing.
+// loadSnapshot starts with the snapshot on disk. One that is damaged, or of another fleet or scope, is
+// ignored: the follower starts empty.
 func (f *Follower) loadSnapshot() {
 	if f.opt.Dir == "" {
 		return
@@ -121,7 +125,7 @@
 	}
 }
 
-// applySnapshot has what the copy on disk had applied.
+// applySnapshot passes on what the snapshot had applied.
 func (f *Follower) applySnapshot() {
 	f.mu.Lock()
 	mark := f.replica.Consistent()
@@ -135,16 +139,16 @@
 	f.notify(Update{Records: records, Full: true, Position: mark.Position}, mark)
 }
 
-// restoreSnapshot takes a copy, before there is anyone else.
+// restoreSnapshot takes over a snapshot, before Run.
 func (f *Follower) restoreSnapshot(k *storedSnapshot) error {
 	if k.Scope != f.replica.Scope() {
 		return fmt.Errorf("the copy is for %+v, and this is %+v", k.Scope, f.replica.Scope())
 	}
-	turn := f.replica.Generation()
-	if turn <= k.Generation {
-		turn = k.Generation + generationGap // the machine's clock was set back
+	generation := f.replica.Generation()
+	if generation <= k.Generation {
+		generation = k.Generation + generationGap // the machine's clock was set back
 	}
-	r := watchstream.NewReplica(f.opt.Fleet, f.replica.Scope(), turn, watchstream.Limits{})
+	r := watchstream.NewReplica(f.opt.Fleet, f.replica.Scope(), generation, watchstream.Limits{})
 	if err := r.Restore(k.Snapshot); err != nil {
 		return err
 	}
@@ -152,13 +156,14 @@
 	return nil
 }
 
+// snapshotUnusable counts and logs a snapshot that is ignored.
 func (f *Follower) snapshotUnusable(err error) {
 	f.state.SnapshotsDamaged++
 	f.log.Warn("feed copy passed over", slog.String("reason", "FEED_COPY_BAD"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 }
 
-// saveSnapshot replaces the copy on disk, now and then or at the end. One whose records are all there is good for long: what is behind in position
-// alone is brought up by a delta of nothing.
+// saveSnapshot replaces the snapshot if it is due, or at the end. A snapshot that lags in position
+// alone stays usable for long: an empty delta brings it up to date.
 func (f *Follower) saveSnapshot(last bool) {
 	now := monotone.Now()
 	due := f.recordsChanged && now >= f.nextSaveAt || f.positionChanged && now-f.lastSaveAt >= positionSaveInterval || last && (f.recordsChanged || f.positionChanged)
--- a/internal/controlplane/watchstream/distribution/traffic.go
+++ b/internal/controlplane/watchstream/distribution/traffic.go
@@ -6,12 +6,13 @@
 	"sync/atomic"
 )
 
-// trafficMeter counts the bytes of connections, both ways.
+// trafficMeter counts the bytes of connections, in both directions.
 type trafficMeter struct{ in, out atomic.Uint64 }
 
+// dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// wrapDial has connections counted.
+// wrapDial returns a dialFunc whose connections are counted.
 func (m *trafficMeter) wrapDial(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -22,17 +23,20 @@
 	}
 }
 
+// meteredConn is a connection whose bytes are counted.
 type meteredConn struct {
 	net.Conn
 	m *trafficMeter
 }
 
+// Read implements net.Conn.
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.m.in.Add(uint64(n))
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.m.out.Add(uint64(n))
