--- a/internal/controlplane/agent/bootstrap.go
+++ b/internal/controlplane/agent/bootstrap.go
@@ -121,7 +121,7 @@
 		}
 		if !told {
 			told = true
-			a.opt.Log.Warn("the folder is empty, the group is not new: waiting until all others are up and level", slog.String("reason", "AGENT_EMPTY"))
+			a.opt.Log.Warn("the data folder is empty and the group is not new: waiting until all other agents are up and have applied the same entries", slog.String("reason", "AGENT_EMPTY"))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -151,7 +151,7 @@
 	if had == 0 {
 		d.allocator, d.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
 		d.lessor, d.board = lessor.New(now, &reg), &outlierboard.Board{}
-		d.agent.opt.Log.Info("giving begins", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
+		d.agent.opt.Log.Info("allocator started", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
 	} else {
 		d.allocator.Update(now, reg.QuotaConfig, reg.Members)
 		d.lessor.Update(now, &reg)
@@ -162,13 +162,13 @@
 	d.mu.Unlock()
 	if len(gone) > 0 {
 		if _, err := d.agent.propose(command{Leave: gone}); err == nil {
-			d.agent.opt.Log.Info("seats taken back", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
+			d.agent.opt.Log.Info("sessions expired", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
 		}
 	}
 }
 
 // errNotLeading says that there is no leader to answer; the caller retries.
-var errNotLeading = errors.New("no giver at the moment")
+var errNotLeading = errors.New("this agent does not lead at the moment")
 
 // redirectUnlessLeading redirects the caller to the leader, and returns false if this agent has an
 // allocator.
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -183,7 +183,7 @@
 	}
 	if fleet != "" && (d.acks == nil || d.term != term) {
 		d.term, d.acks, d.epoch, d.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
-		d.agent.opt.Log.Info("counting begins", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
+		d.agent.opt.Log.Info("acknowledgement tracking started", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
 	commits := s.stream.commitsSince(d.epoch, d.countedVersion)
 	s.mu.Unlock()
@@ -223,7 +223,7 @@
 }
 
 // errNotTracking says that this agent does not lead; the caller retries.
-var errNotTracking = errors.New("nothing is counted at the moment")
+var errNotTracking = errors.New("this agent does not track acknowledgements at the moment")
 
 // addReport passes a report to the tracker.
 func (d *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -98,7 +98,7 @@
 	r.mu.Unlock()
 	if err != nil {
 		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
-		r.opt.Log.Warn("act not done", slog.String("reason", reason), slog.String("lease", a.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
+		r.opt.Log.Warn("operation not completed", slog.String("reason", reason), slog.String("lease", a.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
 	}
 	if hurry {
 		r.opt.RenewNow()
--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -164,7 +164,7 @@
 				p.adoptSockets(box)
 				p.node.SetAddr(p.opt.Advertise)
 				rebind = nil
-				p.opt.Log.Info("member moved", slog.String("reason", "MEMBER_MOVED"), slog.String("addr", p.opt.Advertise))
+				p.opt.Log.Info("member address changed", slog.String("reason", "MEMBER_MOVED"), slog.String("addr", p.opt.Advertise))
 			}
 		}
 		p.logEvents()
@@ -197,9 +197,9 @@
 	p.loggedEvents = ever
 	if alone := p.node.IsolationReason(now); alone != p.loggedIsolation {
 		if p.loggedIsolation = alone; alone != "" {
-			p.opt.Log.Warn("no verdicts", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", alone))
+			p.opt.Log.Warn("isolated: no member is declared dead", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", alone))
 		} else {
-			p.opt.Log.Info("heard again", slog.String("reason", "MEMBERS_HEARD"))
+			p.opt.Log.Info("no longer isolated", slog.String("reason", "MEMBERS_HEARD"))
 		}
 	}
 }
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -63,7 +63,7 @@
 		r.status = why
 		r.mu.Unlock()
 		if !again {
-			r.opt.Log.Warn("turned away from the fleet", slog.String("reason", "FLEET_"+why), slog.Any("error", err))
+			r.opt.Log.Warn("join rejected", slog.String("reason", "FLEET_"+why), slog.Any("error", err))
 		}
 		if no == quota.ErrUnknownMember {
 			id = rand.Text()
@@ -155,13 +155,13 @@
 			r.counts.renewed++
 			if cut {
 				cut, r.status = false, ""
-				r.opt.Log.Info("heard the agents again", slog.String("reason", "FLEET_HEARD"))
+				r.opt.Log.Info("renewals succeed again", slog.String("reason", "FLEET_HEARD"))
 			}
 		default:
 			r.counts.failed++
 			if !cut && monotone.Now() >= r.client.AllocationsEnd() && ctx.Err() == nil {
 				cut, r.status = true, "CUT_OFF"
-				r.opt.Log.Warn("cut off from the agents: the floor is all there is", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
+				r.opt.Log.Warn("allocations expired: only the floor is left", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
 			}
 		}
 		r.mu.Unlock()
@@ -176,7 +176,7 @@
 	if r.opt.LeaseWorker != nil {
 		r.opt.LeaseWorker.DropAll()
 	}
-	r.opt.Log.Warn("seat lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", why))
+	r.opt.Log.Warn("session lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", why))
 }
 
 // Leave stops all use and, once no connection is open, gives up the session; if that takes too long it
@@ -187,7 +187,7 @@
 	r.client.Leave()
 	r.mu.Unlock()
 	if r.opt.LeaseWorker != nil && !r.opt.LeaseWorker.Stop(connectionCloseTimeout) {
-		r.opt.Log.Warn("seat not given back", slog.String("reason", "FLEET_NOT_LEFT"), slog.String("why", "an act is under way"))
+		r.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.String("why", "an act is under way"))
 		return
 	}
 	for end := time.Now().Add(connectionCloseTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -198,7 +198,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			r.opt.Log.Warn("seat not given back", slog.String("reason", "FLEET_NOT_LEFT"), slog.Int("connections", out))
+			r.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.Int("connections", out))
 			return
 		}
 	}
@@ -206,7 +206,7 @@
 		return
 	}
 	if err := r.agents.Leave(ctx, id); err != nil {
-		r.opt.Log.Warn("seat not given back", slog.String("reason", "FLEET_NOT_LEFT"), slog.Any("error", err))
+		r.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.Any("error", err))
 		return
 	}
 	r.opt.Log.Info("left the fleet", slog.String("reason", "FLEET_LEFT"))
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -195,7 +195,7 @@
 	}
 	f.replica.SwitchSource()
 	f.state.Switches++
-	f.log.Info("feed source", slog.String("reason", "FEED_MOVED"), slog.String("relay", to.ID), slog.String("region", to.Region), slog.String("from", from))
+	f.log.Info("relay changed", slog.String("reason", "FEED_MOVED"), slog.String("relay", to.ID), slog.String("region", to.Region), slog.String("from", from))
 }
 
 // State returns the follower's state. It is safe for concurrent use.
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -151,7 +151,7 @@
 	if err != nil {
 		f.replica.RejectConfig(mark.Config, err.Error())
 		f.state.Rejected["config"]++
-		f.log.Warn("configuration turned down", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", mark.Config), slog.Any("error", err))
+		f.log.Warn("configuration rejected", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", mark.Config), slog.Any("error", err))
 	}
 	f.replica.MarkApplied(mark)
 }
@@ -169,11 +169,11 @@
 	f.mu.Lock()
 	f.state.Failed++
 	f.mu.Unlock()
-	f.log.Warn("feed poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
+	f.log.Warn("stream poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
 }
 
 // noteRejected counts and logs a rejection. The caller holds mu.
 func (f *Follower) noteRejected(relay watchstream.Relay, why watchstream.Reason, text string) {
 	f.state.Rejected[string(why)]++
-	f.log.Warn("feed refused", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
+	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
 }
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -81,7 +81,7 @@
 		}
 	}
 	if len(p.want) >= minTargetsToGuard && 2*gone > len(p.want) && !p.opt.AllowShrink {
-		p.opt.Log.Warn("whole list not published", slog.String("reason", "FEED_LIST_SHRINKS"), slog.Int("targets", len(p.want)), slog.Int("gone", gone))
+		p.opt.Log.Warn("full list not published", slog.String("reason", "FEED_LIST_SHRINKS"), slog.Int("targets", len(p.want)), slog.Int("gone", gone))
 		return false
 	}
 	for id := range p.want {
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -121,7 +121,7 @@
 		done()
 		if err != nil {
 			if r.reports.failed.Add(1); !failing && ctx.Err() == nil {
-				r.log.Warn("feed report failed", slog.String("reason", "FEED_UNREPORTED"), slog.Any("error", err))
+				r.log.Warn("relay report failed", slog.String("reason", "FEED_UNREPORTED"), slog.Any("error", err))
 			}
 			failing = true
 			continue
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -134,7 +134,7 @@
 	if mark.Epoch == "" {
 		return
 	}
-	f.log.Info("feed copy", slog.String("reason", "FEED_COPY"), slog.Int("records", len(records)), slog.Uint64("targets", mark.Targets),
+	f.log.Info("started from snapshot", slog.String("reason", "FEED_COPY"), slog.Int("records", len(records)), slog.Uint64("targets", mark.Targets),
 		slog.Uint64("config", mark.Config))
 	f.notify(Update{Records: records, Full: true, Position: mark.Position}, mark)
 }
@@ -159,7 +159,7 @@
 // snapshotUnusable counts and logs a snapshot that is ignored.
 func (f *Follower) snapshotUnusable(err error) {
 	f.state.SnapshotsDamaged++
-	f.log.Warn("feed copy passed over", slog.String("reason", "FEED_COPY_BAD"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
+	f.log.Warn("snapshot ignored", slog.String("reason", "FEED_COPY_BAD"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 }
 
 // saveSnapshot replaces the snapshot if it is due, or at the end. A snapshot that lags in position
@@ -180,7 +180,7 @@
 	took := monotone.Now() - now
 	f.lastSaveAt, f.nextSaveAt = now, now+max(saveInterval, saveCostFactor*took)
 	if err != nil {
-		f.log.Warn("feed copy not written", slog.String("reason", "FEED_COPY_FAILED"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
+		f.log.Warn("snapshot not written", slog.String("reason", "FEED_COPY_FAILED"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 		return
 	}
 	f.recordsChanged, f.positionChanged = false, false
