--- a/internal/controlplane/agent/bootstrap.go
+++ b/internal/controlplane/agent/bootstrap.go
@@ -19,29 +19,43 @@
 // configured peers; one with state continues from its log.
 func Start(opt Options) (_ *Agent, err error) {
 	a := &Agent{opt: opt, store: newStore()}
-	var servers []raft.Server
 	for _, p := range opt.Peers {
 		if p.ID == opt.ID {
 			a.self = p
 		}
-		servers = append(servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
 	}
 	if a.self.ID == "" {
 		return nil, fmt.Errorf("agent.id: %q is none of the peers", opt.ID)
 	}
-	if err := os.MkdirAll(opt.Dir, 0o700); err != nil {
-		return nil, fmt.Errorf("agent.dir: %w", err)
-	}
 	defer func() {
 		if err != nil {
 			a.closeStorage()
 		}
 	}()
-	if a.bolt, err = raftboltdb.NewBoltStore(filepath.Join(opt.Dir, "raft.db")); err != nil {
+	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Log}})
+	snapshots, err := a.openStorage(log)
+	if err != nil {
+		return nil, err
+	}
+	if err = a.startRaft(snapshots, log); err != nil {
+		return nil, err
+	}
+	a.leader = newLeaderService(a)
+	a.stream = newStreamService(a)
+	a.http = http.Server{Handler: a.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
+	return a, nil
+}
+
+// openStorage opens the log, the snapshots and the transport.
+func (a *Agent) openStorage(log hclog.Logger) (raft.SnapshotStore, error) {
+	if err := os.MkdirAll(a.opt.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
 	}
-	log := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: logWriter{opt.Log}})
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(opt.Dir, 2, log)
+	var err error
+	if a.bolt, err = raftboltdb.NewBoltStore(filepath.Join(a.opt.Dir, "raft.db")); err != nil {
+		return nil, fmt.Errorf("agent.dir: %w", err)
+	}
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(a.opt.Dir, 2, log)
 	if err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
 	}
@@ -50,42 +64,51 @@
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
 	// Addresses come from this agent's own file, not from the log or a snapshot.
-	about := &raft.NetworkTransportConfig{ServerAddressProvider: opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
-	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, about); err != nil {
+	transport := &raft.NetworkTransportConfig{ServerAddressProvider: a.opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
+	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, transport); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
+	return snapshots, nil
+}
+
+// startRaft starts Raft, with the configured peers if there is no state yet.
+func (a *Agent) startRaft(snapshots raft.SnapshotStore, log hclog.Logger) error {
 	cfg := raft.DefaultConfig()
-	cfg.LocalID, cfg.Logger = raft.ServerID(opt.ID), log
-	if opt.ElectionTimeout > 0 {
-		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = opt.ElectionTimeout, opt.ElectionTimeout, opt.ElectionTimeout/2
+	cfg.LocalID, cfg.Logger = raft.ServerID(a.opt.ID), log
+	if t := a.opt.ElectionTimeout; t > 0 {
+		cfg.HeartbeatTimeout, cfg.ElectionTimeout, cfg.LeaderLeaseTimeout = t, t, t/2
 	}
-	known, err := raft.HasExistingState(a.bolt, a.bolt, snaps)
+	known, err := raft.HasExistingState(a.bolt, a.bolt, snapshots)
 	if err != nil {
-		return nil, err
+		return err
 	}
 	if !known {
-		if err = a.waitForPeers(); err != nil {
-			return nil, err
+		if err := a.waitForPeers(); err != nil {
+			return err
 		}
-		if err = raft.BootstrapCluster(cfg, a.bolt, a.bolt, snaps, a.transport, raft.Configuration{Servers: servers}); err != nil {
-			return nil, err
+		var servers []raft.Server
+		for _, p := range a.opt.Peers {
+			servers = append(servers, raft.Server{ID: raft.ServerID(p.ID), Address: raft.ServerAddress(p.Raft)})
+		}
+		if err := raft.BootstrapCluster(cfg, a.bolt, a.bolt, snapshots, a.transport, raft.Configuration{Servers: servers}); err != nil {
+			return err
 		}
 	}
-	if a.raft, err = raft.NewRaft(cfg, a.store, a.bolt, a.bolt, snaps, a.transport); err != nil {
-		return nil, err
-	}
-	a.leader = newLeaderService(a)
+	a.raft, err = raft.NewRaft(cfg, a.store, a.bolt, a.bolt, snapshots, a.transport)
+	return err
+}
+
+// routes registers the routes of the agent and of its services.
+func (a *Agent) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	a.leader.routes(mux)
-	a.stream = newStreamService(a)
 	a.stream.routes(mux)
 	mux.HandleFunc("GET /v1/status", a.handleStatus)
 	mux.HandleFunc("GET /v1/instances", a.handleList)
 	mux.HandleFunc("GET /v1/instances/{name}", a.handleGet)
 	mux.HandleFunc("PUT /v1/instances/{name}", a.handlePut)
 	mux.HandleFunc("DELETE /v1/instances/{name}", a.handlePut)
-	a.http = http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
-	return a, nil
+	return mux
 }
 
 // waitForPeers returns once an agent without a log may take part. If the other agents have a log, this
--- a/internal/controlplane/agent/command.go
+++ b/internal/controlplane/agent/command.go
@@ -57,48 +57,66 @@
 		}
 	}
 	switch {
-	case c.QuotaConfig != nil:
+	case c.StreamChange != nil && !c.isFleet():
+		return s.applyStreamChange(l, c)
+	case c.isFleet():
 		defer s.notifyWatchers()
-		if err := s.fleet.SetQuotaConfig(l.Index, *c.QuotaConfig); err != nil {
+		return s.applyFleet(l.Index, c)
+	}
+	return s.applyConfig(l.Index, c)
+}
+
+// isFleet reports whether the command changes the registry.
+func (c *command) isFleet() bool {
+	return c.QuotaConfig != nil || c.Join != nil || len(c.Leave) > 0 || c.LeaseConfig != nil || len(c.LeaseEvents) > 0 || c.HighestToken > 0
+}
+
+// applyFleet changes the registry. The caller holds mu.
+func (s *store) applyFleet(index uint64, c command) any {
+	switch {
+	case c.QuotaConfig != nil:
+		if err := s.fleet.SetQuotaConfig(index, *c.QuotaConfig); err != nil {
 			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
 		}
 		return s.fleet.QuotaConfig
 	case c.Join != nil:
-		defer s.notifyWatchers()
-		m, err := s.fleet.Join(l.Index, *c.Join)
+		m, err := s.fleet.Join(index, *c.Join)
 		if err != nil {
 			return err
 		}
 		return joinResponse{m, s.fleet.QuotaConfig}
 	case len(c.Leave) > 0:
-		defer s.notifyWatchers()
 		s.fleet.Leave(c.Leave...)
 		return struct{}{}
 	case c.LeaseConfig != nil:
-		defer s.notifyWatchers()
-		if err := s.fleet.SetLeaseConfig(l.Index, *c.LeaseConfig); errors.Is(err, quota.ErrNoBudgets) {
+		if err := s.fleet.SetLeaseConfig(index, *c.LeaseConfig); errors.Is(err, quota.ErrNoBudgets) {
 			return err
 		} else if err != nil {
 			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
 		}
 		return s.fleet.LeaseConfig
-	case len(c.LeaseEvents) > 0 || c.HighestToken > 0:
-		defer s.notifyWatchers()
-		return s.fleet.ApplyEvents(l.Index, c.HighestToken, c.LeaseEvents)
-	case c.StreamChange != nil:
-		v, err := s.stream.apply(l, *c.StreamChange)
-		if err != nil {
-			return err
-		}
-		defer s.notifyWatchers()
-		e := Entry{Version: v, RequestID: c.RequestID}
-		s.rememberChange(e)
-		return e
 	}
+	return s.fleet.ApplyEvents(index, c.HighestToken, c.LeaseEvents)
+}
+
+// applyStreamChange applies a change of targets or shared configuration. The caller holds mu.
+func (s *store) applyStreamChange(l *raft.Log, c command) any {
+	v, err := s.stream.apply(l, *c.StreamChange)
+	if err != nil {
+		return err
+	}
+	e := Entry{Version: v, RequestID: c.RequestID}
+	s.rememberChange(e)
+	s.notifyWatchers()
+	return e
+}
+
+// applyConfig sets or deletes one instance's configuration. The caller holds mu.
+func (s *store) applyConfig(index uint64, c command) any {
 	if had := s.entries[c.Name]; c.IfVersion != nil && had.Version != *c.IfVersion {
 		return fmt.Errorf("%s: %w: %d", c.Name, errConflict, had.Version)
 	}
-	e := Entry{Name: c.Name, Version: l.Index, Config: c.Config, RequestID: c.RequestID}
+	e := Entry{Name: c.Name, Version: index, Config: c.Config, RequestID: c.RequestID}
 	if len(c.Config) == 0 {
 		delete(s.entries, c.Name)
 	} else {
--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -18,6 +18,7 @@
 	"spindlehitch/internal/controlplane/lease/casfile"
 	"spindlehitch/internal/controlplane/lease/fencing"
 	"spindlehitch/internal/controlplane/quota"
+	"spindlehitch/internal/controlplane/quota/allocator"
 	"spindlehitch/internal/observability/accounts"
 	"spindlehitch/internal/process/failpoint"
 )
@@ -107,63 +108,22 @@
 		return fmt.Errorf("members: %w", err)
 	}
 	w := ReportWindow{Start: start.Unix(), WindowS: a.Task.WindowS, Token: a.Token, Member: j.Name, Instances: []string{}, Missing: []string{}}
-	var all []accounts.Snapshot
-	var mu sync.Mutex
-	var asking sync.WaitGroup
-	gate := make(chan struct{}, maxConcurrentQueries)
-	for _, m := range v.Members {
-		asking.Go(func() {
-			gate <- struct{}{}
-			defer func() { <-gate }()
-			s, err := j.fetchSnapshot(ctx, m.Member, start, a.Task.Window())
-			mu.Lock()
-			defer mu.Unlock()
-			if err != nil {
-				w.Missing = append(w.Missing, fmt.Sprintf("%s: %v", m.Name, err))
-				return
-			}
-			w.Instances = append(w.Instances, m.Name)
-			all = append(all, s)
-		})
-	}
-	asking.Wait()
+	snapshots := j.queryInstances(ctx, v.Members, start, a.Task.Window(), &w)
 	failpoint.Hit("account.asked")
-	slices.Sort(w.Instances)
-	slices.Sort(w.Missing)
 	if ctx.Err() != nil {
 		return errExpired
 	}
-	merged, err := accounts.Merge(all...)
-	if err != nil {
-		return err
-	}
-	if len(all) == 0 {
-		merged.From, merged.To = start, start.Add(a.Task.Window())
-	}
-	report, err := accounts.Tell(merged, "")
-	if err != nil {
-		return err
-	}
-	about := map[string]string{"instances": strings.Join(w.Instances, ","), "window": start.UTC().Format(time.RFC3339), "token": fmt.Sprint(a.Token)}
-	missing, err := json.Marshal(w.Missing)
+	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), a.Token)
+	report, about, err := mergeReport(snapshots, start, a.Task.Window(), &w)
 	if err != nil {
 		return err
 	}
-	about["missing"] = string(missing)
-	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), a.Token)
 	if !a.MayProceed() {
 		return errExpired
 	}
-	f, err := os.Create(filepath.Join(dir, w.File))
-	if err != nil {
+	if err := writeReportFile(filepath.Join(dir, w.File), report, about); err != nil {
 		return err
 	}
-	err = report.ParquetAbout(f, about)
-	failpoint.Hit("account.written")
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
-		return err
-	}
-	failpoint.Hit("account.synced")
 	if !a.MayProceed() {
 		return errExpired
 	}
@@ -186,6 +146,69 @@
 	return nil
 }
 
+// queryInstances gets the accounts of all instances, a bounded number at a time, and records in w which delivered them.
+func (j *FleetReport) queryInstances(ctx context.Context, members []allocator.MemberStatus, start time.Time, window time.Duration, w *ReportWindow) []accounts.Snapshot {
+	var mu sync.Mutex
+	var all []accounts.Snapshot
+	var queries sync.WaitGroup
+	slots := make(chan struct{}, maxConcurrentQueries)
+	for _, m := range members {
+		queries.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
+			s, err := j.fetchSnapshot(ctx, m.Member, start, window)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				w.Missing = append(w.Missing, fmt.Sprintf("%s: %v", m.Name, err))
+				return
+			}
+			w.Instances = append(w.Instances, m.Name)
+			all = append(all, s)
+		})
+	}
+	queries.Wait()
+	slices.Sort(w.Instances)
+	slices.Sort(w.Missing)
+	return all
+}
+
+// mergeReport merges the instances' accounts; about goes into the file's metadata.
+func mergeReport(snapshots []accounts.Snapshot, start time.Time, window time.Duration, w *ReportWindow) (report accounts.Report, about map[string]string, err error) {
+	merged, err := accounts.Merge(snapshots...)
+	if err != nil {
+		return report, nil, err
+	}
+	if len(snapshots) == 0 {
+		merged.From, merged.To = start, start.Add(window)
+	}
+	if report, err = accounts.Tell(merged, ""); err != nil {
+		return report, nil, err
+	}
+	missing, err := json.Marshal(w.Missing)
+	if err != nil {
+		return report, nil, err
+	}
+	about = map[string]string{"instances": strings.Join(w.Instances, ","), "window": start.UTC().Format(time.RFC3339),
+		"token": fmt.Sprint(w.Token), "missing": string(missing)}
+	return report, about, nil
+}
+
+// writeReportFile writes the file and has it on the medium when it returns.
+func writeReportFile(path string, report accounts.Report, about map[string]string) error {
+	f, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	err = report.ParquetAbout(f, about)
+	failpoint.Hit("account.written")
+	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+		return err
+	}
+	failpoint.Hit("account.synced")
+	return nil
+}
+
 // removeUnreferenced removes files that no window refers to and that no operation can refer to any
 // more.
 func removeUnreferenced(dir string, s ReportState, token uint64) {
--- a/internal/controlplane/lease/rebalance/rebalance.go
+++ b/internal/controlplane/lease/rebalance/rebalance.go
@@ -35,64 +35,87 @@
 	if len(members) == 0 {
 		return nil, nil
 	}
-	members = slices.Sorted(slices.Values(members))
-	has := make(map[string][]int, len(members))
-	for _, m := range members {
-		has[m] = nil
-	}
-	var orphans []Shard
-	fixed := map[int]bool{}
-	for _, s := range shards {
-		if _, there := has[s.Holder]; !there {
-			orphans = append(orphans, s)
-			continue
-		}
-		fixed[s.ID] = s.Pinned
-		has[s.Holder] = append(has[s.Holder], s.ID)
-	}
-	least := func(shard int, not string) (best string) {
-		for _, m := range members {
-			if m == not && len(members) > 1 {
-				continue
-			}
-			if best == "" || cmp.Or(cmp.Compare(len(has[m]), len(has[best])), cmp.Compare(bits.Len16(load[m]), bits.Len16(load[best])),
-				cmp.Compare(score(task, shard, best), score(task, shard, m))) < 0 {
-				best = m
-			}
-		}
-		return best
-	}
-	for _, s := range orphans {
-		to := least(s.ID, s.Avoid)
-		has[to] = append(has[to], s.ID)
-		fixed[s.ID] = true
+	p := newPlan(task, members, load)
+	for _, s := range p.place(shards) {
+		to := p.fewestShards(s.ID, s.Avoid)
+		p.held[to] = append(p.held[to], s.ID)
+		p.pinned[s.ID] = true
 		given = append(given, Assignment{s.ID, to})
 	}
 	for len(moved) < maxMoves {
-		from, shard := "", 0
-		for _, m := range members {
-			if from != "" && len(has[m]) <= len(has[from]) {
-				continue
-			}
-			if at := slices.IndexFunc(has[m], func(s int) bool { return !fixed[s] }); at >= 0 {
-				from, shard = m, has[m][at]
-			}
-		}
+		from, shard := p.mostShards()
 		if from == "" {
 			break
 		}
-		to := least(shard, "")
-		if len(has[from])-len(has[to]) < 2 {
+		to := p.fewestShards(shard, "")
+		if len(p.held[from])-len(p.held[to]) < 2 {
 			break
 		}
-		has[from] = slices.DeleteFunc(has[from], func(s int) bool { return s == shard })
-		has[to] = append(has[to], shard)
-		fixed[shard] = true
+		p.held[from] = slices.DeleteFunc(p.held[from], func(s int) bool { return s == shard })
+		p.held[to] = append(p.held[to], shard)
+		p.pinned[shard] = true
 		moved = append(moved, Assignment{shard, to})
 	}
 	return given, moved
 }
 
+// plan is an assignment while it is made.
+type plan struct {
+	task    string
+	members []string // sorted
+	load    map[string]uint16
+	held    map[string][]int // shards by member
+	pinned  map[int]bool     // shards that must not move, or have moved already
+}
+
+func newPlan(task string, members []string, load map[string]uint16) *plan {
+	p := &plan{task: task, members: slices.Sorted(slices.Values(members)), load: load, held: make(map[string][]int, len(members)), pinned: map[int]bool{}}
+	for _, m := range p.members {
+		p.held[m] = nil
+	}
+	return p
+}
+
+// place puts shards where they are now, and returns those without a holder among the members.
+func (p *plan) place(shards []Shard) (orphans []Shard) {
+	for _, s := range shards {
+		if _, there := p.held[s.Holder]; !there {
+			orphans = append(orphans, s)
+			continue
+		}
+		p.pinned[s.ID] = s.Pinned
+		p.held[s.Holder] = append(p.held[s.Holder], s.ID)
+	}
+	return orphans
+}
+
+// fewestShards is the member to get a shard; avoid only if there is no other.
+func (p *plan) fewestShards(shard int, avoid string) (best string) {
+	for _, m := range p.members {
+		if m == avoid && len(p.members) > 1 {
+			continue
+		}
+		if best == "" || cmp.Or(cmp.Compare(len(p.held[m]), len(p.held[best])), cmp.Compare(bits.Len16(p.load[m]), bits.Len16(p.load[best])),
+			cmp.Compare(score(p.task, shard, best), score(p.task, shard, m))) < 0 {
+			best = m
+		}
+	}
+	return best
+}
+
+// mostShards is the member with the most shards of those that have one to move, and that shard; empty: there is none.
+func (p *plan) mostShards() (from string, shard int) {
+	for _, m := range p.members {
+		if from != "" && len(p.held[m]) <= len(p.held[from]) {
+			continue
+		}
+		if at := slices.IndexFunc(p.held[m], func(s int) bool { return !p.pinned[s] }); at >= 0 {
+			from, shard = m, p.held[m][at]
+		}
+	}
+	return from, shard
+}
+
 // score is the rendezvous hash of a member for a shard.
 func score(task string, shard int, member string) uint64 {
 	return xxhash.Sum64String(task + "\x00" + strconv.Itoa(shard) + "\x00" + member)
--- a/internal/controlplane/lease/task.go
+++ b/internal/controlplane/lease/task.go
@@ -79,6 +79,23 @@
 	case !slices.Contains(Kinds, t.Kind):
 		return fmt.Errorf("kind: %q is none of watch, account, drill", t.Kind)
 	}
+	if err := t.setDefaults(); err != nil {
+		return err
+	}
+	if err := t.validateFields(); err != nil || f == nil {
+		return err
+	}
+	switch {
+	case f.MaxOnOtherClock(3*f.RenewInterval())+t.OperationTimeout() > t.TTL():
+		return fmt.Errorf("lease_ms: an act of %d ms after three renewals of %d ms does not fit in %d ms with clocks %v ppm off", t.OperationTimeoutMs, f.RenewIntervalMs, t.TTLMs, f.ClockPPM)
+	case f.MaxOnOtherClock(t.TTL()+t.MaxPause()) > f.SessionTTL():
+		return fmt.Errorf("lease_ms: with pause_ms and the clocks' bound longer than a seat of %d s", f.SessionTTLS)
+	}
+	return nil
+}
+
+// setDefaults fills in what is not set, and returns an error that names the first time out of range.
+func (t *Task) setDefaults() error {
 	for _, x := range []struct {
 		field         string
 		value         *int64
@@ -104,10 +121,19 @@
 	if t.ProbePath == "" && t.Kind == EndpointProbe {
 		t.ProbePath = "/-/healthy"
 	}
-	least := t.TTLMs + t.IntervalMs + t.OperationTimeoutMs
 	if t.ProgressTimeoutMs == 0 {
-		t.ProgressTimeoutMs = 2 * least
+		t.ProgressTimeoutMs = 2 * t.minProgressTimeoutMs()
 	}
+	return nil
+}
+
+// minProgressTimeoutMs is the shortest time within which a holder surely completes an operation.
+func (t *Task) minProgressTimeoutMs() int64 {
+	return t.TTLMs + t.IntervalMs + t.OperationTimeoutMs
+}
+
+// validateFields checks the fields of a task that do not depend on the quotas' config.
+func (t *Task) validateFields() error {
 	switch {
 	case t.Shards < 1 || t.Shards > MaxShards:
 		return fmt.Errorf("shards: %d is not from 1 to %d", t.Shards, MaxShards)
@@ -123,14 +149,8 @@
 		return fmt.Errorf("dir: a task of kind %s %s", t.Kind, map[bool]string{true: "needs the folder that is guarded", false: "has none"}[t.Dir == ""])
 	case t.Witness != "" && t.Kind != Drill:
 		return fmt.Errorf("witness: only a drill has one")
-	case t.ProgressTimeoutMs < least:
-		return fmt.Errorf("progress_ms: %d is shorter than a lease, an act and the time to the next, %d", t.ProgressTimeoutMs, least)
-	case f == nil:
-		return nil
-	case f.MaxOnOtherClock(3*f.RenewInterval())+t.OperationTimeout() > t.TTL():
-		return fmt.Errorf("lease_ms: an act of %d ms after three renewals of %d ms does not fit in %d ms with clocks %v ppm off", t.OperationTimeoutMs, f.RenewIntervalMs, t.TTLMs, f.ClockPPM)
-	case f.MaxOnOtherClock(t.TTL()+t.MaxPause()) > f.SessionTTL():
-		return fmt.Errorf("lease_ms: with pause_ms and the clocks' bound longer than a seat of %d s", f.SessionTTLS)
+	case t.ProgressTimeoutMs < t.minProgressTimeoutMs():
+		return fmt.Errorf("progress_ms: %d is shorter than a lease, an act and the time to the next, %d", t.ProgressTimeoutMs, t.minProgressTimeoutMs())
 	}
 	return nil
 }
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -77,48 +77,69 @@
 // idText prints an id.
 func idText(b uint64) string { return fmt.Sprintf("%016x", b) }
 
-// pathViews sums up the reachability records that hold; cut has, by member, descriptions of its cut
-// links.
-func (m *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
-	cut = map[uint64][]string{}
-	type sum struct {
-		PathView
-		at time.Duration
+// pathSum adds up the reachability records of one path.
+type pathSum struct {
+	PathView
+	at time.Duration // latest record
+}
+
+// pathKey names a path between two instances or two zones, with the kind of its cut.
+type pathKey struct{ from, to, kind string }
+
+// pathSums are sums by path, in the order in which the paths were first found.
+type pathSums struct {
+	byKey map[pathKey]*pathSum
+	order []pathKey
+}
+
+// add counts a record of an observer.
+func (p *pathSums) add(k pathKey, betweenZones bool, observer string, at time.Duration) {
+	s := p.byKey[k]
+	if s == nil {
+		s = &pathSum{PathView: PathView{From: k.from, To: k.to, Kind: k.kind, BetweenZones: betweenZones}}
+		p.byKey[k] = s
+		p.order = append(p.order, k)
 	}
-	name := func(b uint64) (string, string, bool) {
-		if b == m.self.ID {
-			return m.self.Info.Name, m.self.Info.Zone, true
-		}
-		e := m.lookup(b)
-		if e == nil || e.status > Suspect {
-			return "", "", false
-		}
-		return e.info.Name, e.info.Zone, true
+	s.Count++
+	if !slices.Contains(s.Observers, observer) && len(s.Observers) < maxObserversShown {
+		s.Observers = append(s.Observers, observer)
 	}
-	zones, pairs := map[[3]string]*sum{}, map[[3]string]*sum{}
-	var order, zoneOrder [][3]string
-	put := func(in map[[3]string]*sum, order *[][3]string, k [3]string, w PathView, by string, at time.Duration) {
-		s := in[k]
-		if s == nil {
-			s = &sum{PathView: w}
-			in[k] = s
-			*order = append(*order, k)
-		}
-		s.Count++
-		if !slices.Contains(s.Observers, by) && len(s.Observers) < maxObserversShown {
-			s.Observers = append(s.Observers, by)
-		}
-		s.at = max(s.at, at)
+	s.at = max(s.at, at)
+}
+
+// view returns a path's sum as views show it.
+func (p *pathSums) view(k pathKey, now time.Duration) PathView {
+	s := p.byKey[k]
+	s.AgoS = (now - s.at).Seconds()
+	return s.PathView
+}
+
+// liveInfo returns the information on a live member, this one included.
+func (m *Node) liveInfo(id uint64) (info Info, ok bool) {
+	if id == m.self.ID {
+		return m.self.Info, true
 	}
+	e := m.lookup(id)
+	if e == nil || e.status > Suspect {
+		return Info{}, false
+	}
+	return *e.info, true
+}
+
+// pathViews sums up the reachability records that hold; cut has, by member, descriptions of its cut
+// links. Many cut links between two zones are shown as one.
+func (m *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
+	cut = map[uint64][]string{}
+	zones, pairs := pathSums{byKey: map[pathKey]*pathSum{}}, pathSums{byKey: map[pathKey]*pathSum{}}
 	for _, k := range m.sortedReachKeys() {
 		l := m.reachability[k]
 		if l.State == LinkUp || now-l.at > m.reachabilityTTL() {
 			continue
 		}
-		from, fz, ok1 := name(k.from)
-		to, tz, ok2 := name(k.to)
-		by, _, ok3 := name(k.observer)
-		if !ok1 || !ok2 || !ok3 {
+		from, fromKnown := m.liveInfo(k.from)
+		to, toKnown := m.liveInfo(k.to)
+		observer, observerKnown := m.liveInfo(k.observer)
+		if !fromKnown || !toKnown || !observerKnown {
 			continue
 		}
 		kind := l.State.String()
@@ -126,29 +147,25 @@
 		if other == k.observer {
 			other = k.to
 		}
-		cut[other] = append(cut[other], fmt.Sprintf("%s to %s %s, says %s", from, to, kind, by))
-		put(pairs, &order, [3]string{from, to, kind}, PathView{From: from, To: to, Kind: kind}, by, l.at)
-		if fz != tz {
-			put(zones, &zoneOrder, [3]string{fz, tz, kind}, PathView{From: fz, To: tz, Kind: kind, BetweenZones: true}, by, l.at)
+		cut[other] = append(cut[other], fmt.Sprintf("%s to %s %s, says %s", from.Name, to.Name, kind, observer.Name))
+		pairs.add(pathKey{from.Name, to.Name, kind}, false, observer.Name, l.at)
+		if from.Zone != to.Zone {
+			zones.add(pathKey{from.Zone, to.Zone, kind}, true, observer.Name, l.at)
 		}
 	}
-	told := func(s *sum) PathView {
-		s.AgoS = (now - s.at).Seconds()
-		return s.PathView
-	}
-	for _, k := range zoneOrder {
-		if zones[k].Count >= minPathsToSum {
-			list = append(list, told(zones[k]))
+	for _, k := range zones.order {
+		if zones.byKey[k].Count >= minPathsToSum {
+			list = append(list, zones.view(k, now))
 		}
 	}
 	zoneOf := map[string]string{m.self.Info.Name: m.self.Info.Zone}
 	for i := range m.members {
 		zoneOf[m.members[i].info.Name] = m.members[i].info.Zone
 	}
-	for _, k := range order {
-		z := zones[[3]string{zoneOf[k[0]], zoneOf[k[1]], k[2]}]
-		if z == nil || z.Count < minPathsToSum {
-			list = append(list, told(pairs[k]))
+	for _, k := range pairs.order {
+		sum := zones.byKey[pathKey{zoneOf[k.from], zoneOf[k.to], k.kind}]
+		if sum == nil || sum.Count < minPathsToSum {
+			list = append(list, pairs.view(k, now))
 		}
 	}
 	return list, cut
@@ -164,8 +181,8 @@
 	for _, a := range m.agents {
 		v.Agents = append(v.Agents, a.addr)
 	}
-	ways, cut := m.pathViews(now)
-	v.Paths = ways
+	paths, cut := m.pathViews(now)
+	v.Paths = paths
 	self := MemberView{Name: m.self.Info.Name, ID: idText(m.self.ID), Addr: m.self.Info.Addr, Zone: m.self.Info.Zone, Incarnation: m.self.Incarnation, State: StateAlive,
 		Load: m.load, Self: true}
 	if m.self.Status == Left {
@@ -175,29 +192,7 @@
 	names := map[string]int{self.Name: 1}
 	for i := range m.members {
 		e := &m.members[i]
-		x := MemberView{Name: e.info.Name, ID: idText(e.id), Addr: e.info.Addr, Zone: e.info.Zone, Incarnation: e.incarnation, State: StateAlive,
-			SinceS: (now - e.statusSince).Seconds(), LastHeardS: -1, Load: e.load}
-		if e.lastHeardAt >= 0 {
-			x.LastHeardS = (now - e.lastHeardAt).Seconds()
-		}
-		switch {
-		case e.status == Left:
-			x.State = StateLeft
-		case e.status == Dead:
-			x.State, x.Reason = StateDead, "nobody hears it"
-		case e.status == Suspect:
-			x.State = StateSuspect
-			x.Reason, x.DeadlineS = m.suspectView(now, e)
-		case len(cut[e.id]) > 0:
-			x.State, x.Reason = StateUnreachable, strings.Join(cut[e.id][:min(2, len(cut[e.id]))], "; ")
-		case e.pausedMs > 0 && now-e.pauseToldAt < pauseShownFor:
-			x.State, x.Reason = StatePaused, fmt.Sprintf("stood still for %v", time.Duration(e.pausedMs)*time.Millisecond)
-		case e.health >= slowThreshold || e.lateAcks >= slowThreshold:
-			x.State, x.Reason = StateSlow, "it doubts itself"
-			if e.lateAcks >= slowThreshold {
-				x.Reason = "its answers come late"
-			}
-		}
+		x := m.memberView(now, e, cut[e.id])
 		if e.status <= Suspect {
 			names[x.Name]++
 		}
@@ -213,6 +208,34 @@
 	return v
 }
 
+// memberView returns a member as views show it; cutLinks describes its cut links.
+func (m *Node) memberView(now time.Duration, e *member, cutLinks []string) MemberView {
+	x := MemberView{Name: e.info.Name, ID: idText(e.id), Addr: e.info.Addr, Zone: e.info.Zone, Incarnation: e.incarnation, State: StateAlive,
+		SinceS: (now - e.statusSince).Seconds(), LastHeardS: -1, Load: e.load}
+	if e.lastHeardAt >= 0 {
+		x.LastHeardS = (now - e.lastHeardAt).Seconds()
+	}
+	switch {
+	case e.status == Left:
+		x.State = StateLeft
+	case e.status == Dead:
+		x.State, x.Reason = StateDead, "nobody hears it"
+	case e.status == Suspect:
+		x.State = StateSuspect
+		x.Reason, x.DeadlineS = m.suspectView(now, e)
+	case len(cutLinks) > 0:
+		x.State, x.Reason = StateUnreachable, strings.Join(cutLinks[:min(2, len(cutLinks))], "; ")
+	case e.pausedMs > 0 && now-e.pauseToldAt < pauseShownFor:
+		x.State, x.Reason = StatePaused, fmt.Sprintf("stood still for %v", time.Duration(e.pausedMs)*time.Millisecond)
+	case e.health >= slowThreshold || e.lateAcks >= slowThreshold:
+		x.State, x.Reason = StateSlow, "it doubts itself"
+		if e.lateAcks >= slowThreshold {
+			x.Reason = "its answers come late"
+		}
+	}
+	return x
+}
+
 // suspectView returns why a member is suspected and when that ends at the latest.
 func (m *Node) suspectView(now time.Duration, e *member) (reason string, deadlineS float64) {
 	for i := range m.suspicions {
--- a/internal/controlplane/quota/allocator/allocator.go
+++ b/internal/controlplane/quota/allocator/allocator.go
@@ -177,51 +177,62 @@
 	g.members[r.ID] = m
 	a := quota.RenewalResponse{ID: r.ID, Seq: r.Seq}
 	if r.Version != g.config.Version {
-		doc := g.config
-		a.Config = &doc
+		config := g.config
+		a.Config = &config
 	}
-	said := make(map[quota.Key]bool, len(r.Reports))
+	reported := make(map[quota.Key]bool, len(r.Reports))
 	for _, rep := range r.Reports {
 		b := g.config.Budget(rep.Budget)
-		if b == nil || said[rep.Key] {
+		if b == nil || reported[rep.Key] {
 			continue
 		}
-		said[rep.Key] = true
-		p := g.ledgers[rep.Key]
-		if p == nil {
-			p = &ledger{sharesStale: true}
-			g.ledgers[rep.Key] = p
-		}
-		at, there := p.find(r.ID)
-		if !there {
-			p.insert(at, r.ID)
-		}
-		// The member accepts no older answer any more, so an earlier allocation counts only as far as it reports
-		// to hold it (steps 3 and 4).
-		held := rep.Held
-		if b.IsConcurrencyLimit() {
-			held.Rate = max(held.Rate, rep.InUse-b.FloorRate)
-		}
-		x := &p.entries[at]
-		*x = entry{memberID: r.ID, fairShare: x.fairShare, hasFairShare: x.hasFairShare, reported: held, reportedUntil: now + g.outstandingTTL(b), usage: rep}
-		grant := quota.Allocation{Key: rep.Key}
-		left := g.available(now, b, p, at)
-		if now < g.startedAt+g.outstandingTTL(b) {
-			grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // step 5
-		} else {
-			grant.Amount = g.allocate(now, b, p, x, left)
-		}
-		x.granted, x.grantedUntil = grant.Amount, now+g.outstandingTTL(b)
-		p.invalidate(at)
-		a.Allocations = append(a.Allocations, grant)
+		reported[rep.Key] = true
+		a.Allocations = append(a.Allocations, g.renewLimit(now, r.ID, b, rep))
+	}
+	g.dropUnreported(r.ID, reported)
+	return a, nil
+}
+
+// renewLimit records what a member reports of one limit and decides its allocation.
+func (g *Allocator) renewLimit(now time.Duration, id string, b *quota.Budget, rep quota.UsageReport) quota.Allocation {
+	p := g.ledgers[rep.Key]
+	if p == nil {
+		p = &ledger{sharesStale: true}
+		g.ledgers[rep.Key] = p
+	}
+	at, there := p.find(id)
+	if !there {
+		p.insert(at, id)
+	}
+	// The member accepts no older answer any more, so an earlier allocation counts only as far as it reports
+	// to hold it (steps 3 and 4).
+	held := rep.Held
+	if b.IsConcurrencyLimit() {
+		held.Rate = max(held.Rate, rep.InUse-b.FloorRate)
+	}
+	x := &p.entries[at]
+	*x = entry{memberID: id, fairShare: x.fairShare, hasFairShare: x.hasFairShare, reported: held, reportedUntil: now + g.outstandingTTL(b), usage: rep}
+	grant := quota.Allocation{Key: rep.Key}
+	left := g.available(now, b, p, at)
+	if now < g.startedAt+g.outstandingTTL(b) {
+		grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // step 5
+	} else {
+		grant.Amount = g.allocate(now, b, p, x, left)
 	}
+	x.granted, x.grantedUntil = grant.Amount, now+g.outstandingTTL(b)
+	p.invalidate(at)
+	return grant
+}
+
+// dropUnreported removes a member's entries of limits that it did not report: it holds nothing of them, and accepts
+// no older answer.
+func (g *Allocator) dropUnreported(id string, reported map[quota.Key]bool) {
 	for k, p := range g.ledgers {
-		if said[k] {
+		if reported[k] {
 			continue
 		}
-		if _, there := p.find(r.ID); there && p.removeIf(func(x entry) bool { return x.memberID == r.ID }) == 0 { // it reports no holding there, and accepts no older answer
+		if _, there := p.find(id); there && p.removeIf(func(x entry) bool { return x.memberID == id }) == 0 {
 			delete(g.ledgers, k)
 		}
 	}
-	return a, nil
 }
--- a/internal/controlplane/quota/config.go
+++ b/internal/controlplane/quota/config.go
@@ -132,6 +132,17 @@
 	if b.Kind == "" {
 		b.Kind = "rate"
 	}
+	if err := b.validateNumbers(); err != nil {
+		return err
+	}
+	if err := b.validateFields(); err != nil {
+		return err
+	}
+	return d.validateSizes(b)
+}
+
+// validateNumbers returns an error that names the first number that is negative or not finite.
+func (b *Budget) validateNumbers() error {
 	number := func(field string, v float64) error {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return fmt.Errorf("%s: %v is not a number from 0 on", field, v)
@@ -146,7 +157,11 @@
 			return err
 		}
 	}
-	total, n := d.EffectiveLimit(b), float64(d.MaxSessions)
+	return nil
+}
+
+// validateFields checks the fields of a budget that do not depend on the rest of the config.
+func (b *Budget) validateFields() error {
 	switch {
 	case b.Name == "" || len(b.Name) > MaxNameBytes:
 		return fmt.Errorf("name: wanted 1 to %d bytes", MaxNameBytes)
@@ -166,6 +181,14 @@
 		return fmt.Errorf("whole: must be over 0")
 	case b.MaxPerMember > 0 && b.MaxPerMember < b.FloorRate:
 		return fmt.Errorf("most: %v is under least", b.MaxPerMember)
+	}
+	return nil
+}
+
+// validateSizes checks a budget's sizes against each other and against sessions, renewals and clocks.
+func (d *Config) validateSizes(b *Budget) error {
+	total, n := d.EffectiveLimit(b), float64(d.MaxSessions)
+	switch {
 	case b.IsConcurrencyLimit() && (b.Burst != 0 || b.FloorBurst != 0):
 		return fmt.Errorf("burst: a stock has none")
 	case b.IsConcurrencyLimit() && (b.FloorRate != math.Floor(b.FloorRate) || b.Capacity != math.Floor(b.Capacity)):
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -98,14 +98,25 @@
 // renewUntilLost renews until the session is lost or ctx ends.
 func (r *Session) renewUntilLost(ctx context.Context) {
 	if r.opt.LeaseWorker != nil {
-		heeding, stop := context.WithCancel(ctx)
+		watching, stop := context.WithCancel(ctx)
 		defer stop()
 		r.mu.Lock()
 		id := r.client.MemberID()
 		r.mu.Unlock()
-		go r.watchLeases(heeding, id)
+		go r.watchLeases(watching, id)
 	}
-	cut := false
+	cutOff := false
+	for r.waitForRenewal(ctx) {
+		lost := r.renewOnce(ctx, &cutOff)
+		r.onChange()
+		if lost {
+			return
+		}
+	}
+}
+
+// waitForRenewal waits until the next renewal is due, and reports false if ctx ended.
+func (r *Session) waitForRenewal(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		r.mu.Lock()
 		due := r.client.NextRenewal() - monotone.Now()
@@ -113,60 +124,69 @@
 			due = 0
 		}
 		r.mu.Unlock()
-		if due > 0 {
-			select {
-			case <-ctx.Done():
-				return
-			case <-time.After(due):
-			case <-r.wake:
-				continue // it may be due sooner now
-			}
+		if due <= 0 {
+			return true
 		}
-		r.mu.Lock()
-		if !r.client.Registered(monotone.Now()) {
-			r.loseSession("SEAT_ENDED")
-			r.mu.Unlock()
-			r.onChange()
-			return
+		select {
+		case <-ctx.Done():
+		case <-time.After(due):
+			return true
+		case <-r.wake: // it may be due sooner now
 		}
-		began := monotone.Now() // before it is sent: the allocation's TTL counts from here
-		ren := r.client.BeginRenewal(began)
-		within := r.client.RenewTimeout()
-		r.renewNow = false
+	}
+	return false
+}
+
+// renewOnce sends one renewal and processes its answer. It reports whether the session is lost. cutOff is whether
+// all allocations have expired for want of a renewal, which is logged once.
+func (r *Session) renewOnce(ctx context.Context, cutOff *bool) (lost bool) {
+	r.mu.Lock()
+	if !r.client.Registered(monotone.Now()) {
+		r.loseSession("SEAT_ENDED")
 		r.mu.Unlock()
-		var claim *lease.RenewalRequest
-		if r.opt.LeaseWorker != nil {
-			claim = r.opt.LeaseWorker.BeginRenewal(began)
-		}
-		call, done := context.WithTimeout(ctx, within)
-		a, award, err := r.agents.Renew(call, ren, claim)
-		done()
-		if err == nil && award != nil && r.opt.LeaseWorker != nil {
-			r.opt.LeaseWorker.AcceptRenewal(monotone.Now(), award)
-		}
-		r.mu.Lock()
-		switch {
-		case errors.Is(err, quota.ErrUnknownMember):
-			r.loseSession(err.Error())
-			r.mu.Unlock()
-			r.onChange()
-			return
-		case err == nil && r.client.AcceptRenewal(monotone.Now(), a):
-			r.counts.renewed++
-			if cut {
-				cut, r.status = false, ""
-				r.opt.Log.Info("renewals succeed again", slog.String("reason", "FLEET_HEARD"))
-			}
-		default:
-			r.counts.failed++
-			if !cut && monotone.Now() >= r.client.AllocationsEnd() && ctx.Err() == nil {
-				cut, r.status = true, "CUT_OFF"
-				r.opt.Log.Warn("allocations expired: only the floor is left", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
-			}
+		return true
+	}
+	startedAt := monotone.Now() // before it is sent: the allocation's TTL counts from here
+	request := r.client.BeginRenewal(startedAt)
+	timeout := r.client.RenewTimeout()
+	r.renewNow = false
+	r.mu.Unlock()
+	response, err := r.sendRenewal(ctx, startedAt, timeout, request)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	switch {
+	case errors.Is(err, quota.ErrUnknownMember):
+		r.loseSession(err.Error())
+		return true
+	case err == nil && r.client.AcceptRenewal(monotone.Now(), response):
+		r.counts.renewed++
+		if *cutOff {
+			*cutOff, r.status = false, ""
+			r.opt.Log.Info("renewals succeed again", slog.String("reason", "FLEET_HEARD"))
+		}
+	default:
+		r.counts.failed++
+		if !*cutOff && monotone.Now() >= r.client.AllocationsEnd() && ctx.Err() == nil {
+			*cutOff, r.status = true, "CUT_OFF"
+			r.opt.Log.Warn("allocations expired: only the floor is left", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
 		}
-		r.mu.Unlock()
-		r.onChange()
 	}
+	return false
+}
+
+// sendRenewal sends a renewal together with the one of the leases, and passes the leases' answer on.
+func (r *Session) sendRenewal(ctx context.Context, startedAt, timeout time.Duration, request quota.RenewalRequest) (quota.RenewalResponse, error) {
+	var leases *lease.RenewalRequest
+	if r.opt.LeaseWorker != nil {
+		leases = r.opt.LeaseWorker.BeginRenewal(startedAt)
+	}
+	ctx, done := context.WithTimeout(ctx, timeout)
+	defer done()
+	response, renewed, err := r.agents.Renew(ctx, request, leases)
+	if err == nil && renewed != nil && r.opt.LeaseWorker != nil {
+		r.opt.LeaseWorker.AcceptRenewal(monotone.Now(), renewed)
+	}
+	return response, err
 }
 
 // loseSession gives up the session. The caller holds mu.
--- a/internal/controlplane/watchstream/status.go
+++ b/internal/controlplane/watchstream/status.go
@@ -57,35 +57,23 @@
 func (t *AckTracker) Status(now time.Duration, version uint64) Status {
 	t.Expire(now)
 	s := Status{Epoch: t.epoch, Version: version, Readers: len(t.readers), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
-	readers := map[string]int{}
+	heardReaders := map[string]int{} // by relay
 	for _, c := range t.readers {
-		has := t.appliedVersion(c)
 		at, silent := t.lastHeard(now, c)
 		if silent {
 			s.Silent++
 		} else {
-			readers[c.relay]++
+			heardReaders[c.relay]++
 		}
 		if c.Rejection != nil {
 			s.Rejected++
 		}
-		if has >= version {
+		if t.appliedVersion(c) >= version {
 			s.Applied++
 			continue
 		}
-		l := LaggingReader{Name: c.Name, Region: c.Region, Relay: c.relay, Applied: has, Cause: LagPending, LastHeardMs: (now - at).Milliseconds(), Rejection: c.Rejection}
-		r := t.relays[c.relay]
-		switch {
-		case silent:
-			l.Cause = LagSilent
-		case c.Applied.Epoch != t.epoch && c.Applied.Epoch != "" || c.Epoch != t.epoch && c.Epoch != "":
-			l.Cause = LagEpoch
-		case c.Rejection != nil:
-			l.Cause = LagRejected
-		case r.Consistent.Epoch != t.epoch || r.Consistent.Min() < version:
-			l.Cause = LagRelayBehind
-		}
-		s.Lagging = append(s.Lagging, l)
+		s.Lagging = append(s.Lagging, LaggingReader{Name: c.Name, Region: c.Region, Relay: c.relay, Applied: t.appliedVersion(c),
+			Cause: t.lagCause(c, silent, version), LastHeardMs: (now - at).Milliseconds(), Rejection: c.Rejection})
 	}
 	if s.Readers > 0 {
 		s.AppliedShare = float64(s.Applied) / float64(s.Readers)
@@ -94,21 +82,50 @@
 		return cmp.Or(cmp.Compare(a.Applied, b.Applied), cmp.Compare(a.Name, b.Name))
 	})
 	s.Lagging = slices.Clip(s.Lagging[:min(len(s.Lagging), t.opt.MaxListed)])
-	if at, known := t.commits.reachedAt(version); known {
-		s.SinceMs = (now - at).Milliseconds()
-		for i, ms := range []*int64{&s.HalfMs, &s.P99Ms, &s.AllMs} {
-			if reached, known := t.reachedBy[i].reachedAt(version); known {
-				*ms = max(0, reached-at).Milliseconds()
-			}
+	t.fillTimes(&s, now)
+	s.Relays = t.relayStates(now, heardReaders)
+	return s
+}
+
+// lagCause is why a reader has not applied a version.
+func (t *AckTracker) lagCause(c *trackedReader, silent bool, version uint64) string {
+	relay := t.relays[c.relay]
+	switch {
+	case silent:
+		return LagSilent
+	case c.Applied.Epoch != t.epoch && c.Applied.Epoch != "" || c.Epoch != t.epoch && c.Epoch != "":
+		return LagEpoch
+	case c.Rejection != nil:
+		return LagRejected
+	case relay.Consistent.Epoch != t.epoch || relay.Consistent.Min() < version:
+		return LagRelayBehind
+	}
+	return LagPending
+}
+
+// fillTimes adds when the status's version was committed and applied, as far as that is known.
+func (t *AckTracker) fillTimes(s *Status, now time.Duration) {
+	committedAt, known := t.commits.reachedAt(s.Version)
+	if !known {
+		return
+	}
+	s.SinceMs = (now - committedAt).Milliseconds()
+	for i, ms := range []*int64{&s.HalfMs, &s.P99Ms, &s.AllMs} {
+		if reached, known := t.reachedBy[i].reachedAt(s.Version); known {
+			*ms = max(0, reached-committedAt).Milliseconds()
 		}
 	}
+}
+
+// relayStates returns the relays in order of their ids.
+func (t *AckTracker) relayStates(now time.Duration, heardReaders map[string]int) (states []RelayState) {
 	for id, r := range t.relays {
-		has := uint64(0)
+		state := RelayState{ID: id, Region: r.Region, AgeMs: r.AgeMs, LastHeardMs: (now - r.receivedAt).Milliseconds(), Readers: heardReaders[id]}
 		if r.Consistent.Epoch == t.epoch {
-			has = r.Consistent.Min()
+			state.Consistent = r.Consistent.Min()
 		}
-		s.Relays = append(s.Relays, RelayState{ID: id, Region: r.Region, Consistent: has, AgeMs: r.AgeMs, LastHeardMs: (now - r.receivedAt).Milliseconds(), Readers: readers[id]})
+		states = append(states, state)
 	}
-	slices.SortFunc(s.Relays, func(a, b RelayState) int { return cmp.Compare(a.ID, b.ID) })
-	return s
+	slices.SortFunc(states, func(a, b RelayState) int { return cmp.Compare(a.ID, b.ID) })
+	return states
 }
