--- a/internal/testbed/modelcheck/explore/explore.go
+++ b/internal/testbed/modelcheck/explore/explore.go
@@ -1,4 +1,5 @@
-// Package explore goes through the states of small worlds, and plants mistakes into the code that they drive.
+// Package explore searches the states of small worlds, breadth first or by random walks, and plants
+// mistakes into the code that the worlds run, to show that the searches find them.
 package explore
 
 import (
@@ -12,14 +13,14 @@
 	"pgregory.net/rapid"
 )
 
-// World is machines in one state, with all that is between them.
+// World is state machines in one state, with all messages between them.
 type World[S fmt.Stringer] interface {
 	Steps() []S    // all that can happen next, in a fixed order
 	Do(S) error    // takes one of them and checks the promises
 	Print() string // equal states print alike
 }
 
-// BrokenPromiseError is a broken promise and the steps to it.
+// BrokenPromiseError is a broken promise and the steps that lead to it.
 type BrokenPromiseError struct {
 	Case  string
 	Steps []string
@@ -30,7 +31,7 @@
 	return fmt.Sprintf("%s: %v, after / %s", f.Case, f.Err, strings.Join(f.Steps, " / "))
 }
 
-// Broken is a Found of these steps.
+// Broken returns a BrokenPromiseError with these steps.
 func Broken[S fmt.Stringer](name string, steps []S, err error) *BrokenPromiseError {
 	f := &BrokenPromiseError{Case: name, Err: err}
 	for _, s := range steps {
@@ -39,7 +40,7 @@
 	return f
 }
 
-// Replay takes the steps from the first state on.
+// Replay takes the steps from the first state.
 func Replay[S fmt.Stringer, W World[S]](name string, first func() (W, error), steps []S) (W, error) {
 	w, err := first()
 	if err != nil {
@@ -53,10 +54,11 @@
 	return w, nil
 }
 
-// Search goes through all states within depth steps of the first, each once, and returns how many there are. Breadth first: what
-// it finds is as short as can be. Past most states it goes no deeper; full tells whether it went through all. Where also is given,
-// one state in sixteen, the same each time, is handed to it, which may do with it what it likes.
-func Search[S fmt.Stringer, W World[S]](name string, first func() (W, error), depth, most int, also func(W) error) (states int, full bool, err error) { //nolint:gocognit // to be split with its package, see docs/left.md
+// Search visits all states within depth steps of the first, each once, and returns how many there are.
+// It goes breadth first, so that what it finds is as short as possible. Beyond limit states it goes no
+// deeper; full tells whether it visited all. If also is given, one state in sixteen, always the same
+// ones, is passed to it.
+func Search[S fmt.Stringer, W World[S]](name string, first func() (W, error), depth, limit int, also func(W) error) (states int, full bool, err error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	seen := map[uint64]bool{}
 	level := [][]S{nil}
 	type next struct {
@@ -118,15 +120,16 @@
 				}
 			}
 		}
-		if len(seen) > most {
+		if len(seen) > limit {
 			return len(seen), false, nil
 		}
 	}
 	return len(seen), true, nil
 }
 
-// Walk takes so many steps at random, of each kind as often, however many there are of it; time goes on with one in so many besides. It
-// returns the steps taken, and the promise that one of them broke.
+// Walk takes n random steps, each kind with the same probability whatever the number of its steps;
+// time passes with one step in oneIn besides. It returns the steps, and the promise that one of them
+// broke.
 func Walk[S fmt.Stringer, K comparable, W World[S]](name string, w W, t *rapid.T, n int, kind func(S) K, tick K, oneIn int) (steps []S, err error) {
 	for range n {
 		can := w.Steps()
--- a/internal/testbed/modelcheck/explore/plant.go
+++ b/internal/testbed/modelcheck/explore/plant.go
@@ -11,15 +11,17 @@
 	"testing"
 )
 
-// Mistake is put into the real code: its name, the file, what is right there, what stands in its place, and, where it is not all that
-// Plant is told, the tests that look for it. Places stands between several places, of one file or of as many.
+// Mistake is a mistake to plant: its name, the file, the correct text there, the wrong text, and the
+// tests that must find it if they are not those that Plant is given. Places separates several places,
+// of one file or of as many files.
 type Mistake [5]string
 
-// Places stands between several places in a Mistake.
+// Places separates several places in a Mistake.
 const Places = "\n----\n"
 
-// Plant puts each mistake into the code below root and has the tests of this folder that match run look for it: a mistake that they
-// do not find is one that they could not find if somebody made it. It returns how many were found.
+// Plant puts each mistake into the code below root and runs the tests of this folder that match run: a
+// mistake that they do not find is one that they would not find if somebody made it. It returns how
+// many were found.
 func Plant(t *testing.T, root, run string, all []Mistake) (found int) { //nolint:gocognit // to be split with its package, see docs/left.md
 	root, err := filepath.Abs(root)
 	if err != nil {
@@ -62,7 +64,7 @@
 				cmd := exec.Command("go", "test", "-overlay", overlay, "-count=1", "-vet=off", "-failfast", "-run", run, ".")
 				cmd.Env = append(os.Environ(), "SPINDLEHITCH_PROOF=", "GOMAXPROCS=2")
 				out, err := cmd.CombinedOutput()
-				// Only a broken promise counts: not a build that fails, nor a whole that is not in use.
+				// Only a broken promise counts: not a build that fails, nor a limit that is not used up.
 				at := strings.Index(string(out), "broken: ")
 				if err == nil || at < 0 {
 					t.Fatalf("not found: %.2000s", out)
--- a/internal/testbed/modelcheck/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -315,7 +315,7 @@
 		if err := w.reported(); err != nil {
 			return err
 		}
-		if err := w.Do(Step{Lead, 0}); err != nil {
+		if err := w.Do(Step{NewLeader, 0}); err != nil {
 			return err
 		}
 	}
@@ -345,7 +345,7 @@
 		all := true
 		for i := range most {
 			for range 4 {
-				if err := w.Do(Step{Exchange, i}); err != nil {
+				if err := w.Do(Step{PollAtOnce, i}); err != nil {
 					return err
 				}
 			}
--- a/internal/testbed/modelcheck/feed/feed_test.go
+++ b/internal/testbed/modelcheck/feed/feed_test.go
@@ -88,8 +88,8 @@
 		if s.TickMs == 0 {
 			s.TickMs = 500
 		}
-		if s.Letters == 0 {
-			s.Letters = 2
+		if s.MaxInTransit == 0 {
+			s.MaxInTransit = 2
 		}
 		list = append(list, smallCase{s, depth})
 	}
@@ -100,32 +100,32 @@
 		s.On, s.Source, s.Before = on, source, before
 		return s
 	}
-	round := []Step{{Exchange, 0}, {Exchange, 1}, {Exchange, 2}}
-	both := []Step{{Exchange, 0}, {Exchange, 1}, {Exchange, 2}, {Exchange, 3}}
-
-	add("a relay and two readers", 6, one, Put, Exchange)
-	add("messages", 6, with(one, []int{1}, ample, steps(puts(2), round)...), Put, Say, Deliver, Repeat, Lose, Apply, Exchange)
-	add("a relay's messages", 6, with(one, []int{0}, ample, Step{Put, 0}), Put, Say, Deliver, Repeat, Lose)
-	add("in parts", 7, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, Exchange)
-	add("all in parts", 7, with(two, []int{0, 1, 2}, tight, puts(3)...), Put, Exchange)
-	add("by digests", 7, with(one, []int{0, 1}, scant, puts(6)...), Put, Exchange)
-	add("by digests, messages", 7, with(one, []int{1}, scant, steps(puts(3), round, puts(3), Step{Exchange, 0})...), Say, Deliver, Repeat, Lose, Put, Exchange)
-	add("moves", 6, with(two, []int{0, 1, 2}, ample, steps(puts(2), both)...), Put, Exchange, Move)
-	add("moves by digests", 6, with(two, []int{1, 2}, scant, steps(puts(3), both, puts(3), Step{Exchange, 0})...), Put, Exchange, Move)
-	add("copies", 6, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, Exchange, Save, Restart, Move)
-	add("copies by digests", 7, with(two, []int{0, 2}, scant, steps(puts(3), both, Step{Save, 0}, Step{Save, 2})...), Put, Exchange, Restart, Move)
-	add("a lone reader", 7, with(lone, nil, scant), Put, Say, Deliver, Apply, Exchange)
-	add("what can't be served", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, ample, steps(puts(1), Step{Exchange, 0}, Step{Exchange, 1})...),
-		Put, Exchange, Apply, Save, Restart)
-	add("a log that begins anew", 7, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, Exchange, Empty, Word, Move)
-	add("a log that begins anew, in parts", 7, with(two, []int{0, 2}, tight, steps(puts(1), both, Step{Tick, 0}, both, Step{Empty, 0}, puts(4))...), Put, Exchange, Word, Move, Apply)
-	add("what nobody may take", 4, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, Exchange, Wrong, Empty)
-	add("reports", 6, with(two, []int{2}, ample, steps(puts(1), both)...), Put, Exchange, Report, Tell, Deliver, Repeat, Move)
-	add("reports of those who move", 6, with(two, []int{2}, ample, steps(puts(1), both, both, Step{Tell, 0}, Step{Put, 0}, Step{Exchange, 0}, Step{Exchange, 1})...),
-		Exchange, Report, Deliver, Move, Lead)
-	add("old hellos", 5, with(one, []int{1}, ample, steps(puts(1), round, Step{Exchange, 1}, Step{Say, 1}, Step{Put, 0}, Step{Exchange, 0}, Step{Exchange, 1})...),
-		Exchange, Report, Deliver, Repeat, Move)
-	add("reports and restarts", 6, with(two, []int{0, 2}, ample, steps(puts(1), both, Step{Report, 0})...), Put, Exchange, Tell, Report, Deliver, Restart, Lead)
+	round := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}}
+	both := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}, {PollAtOnce, 3}}
+
+	add("a relay and two readers", 6, one, Put, PollAtOnce)
+	add("messages", 6, with(one, []int{1}, ample, steps(puts(2), round)...), Put, SendRequest, Deliver, DeliverAgain, Lose, Apply, PollAtOnce)
+	add("a relay's messages", 6, with(one, []int{0}, ample, Step{Put, 0}), Put, SendRequest, Deliver, DeliverAgain, Lose)
+	add("in parts", 7, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, PollAtOnce)
+	add("all in parts", 7, with(two, []int{0, 1, 2}, tight, puts(3)...), Put, PollAtOnce)
+	add("by digests", 7, with(one, []int{0, 1}, scant, puts(6)...), Put, PollAtOnce)
+	add("by digests, messages", 7, with(one, []int{1}, scant, steps(puts(3), round, puts(3), Step{PollAtOnce, 0})...), SendRequest, Deliver, DeliverAgain, Lose, Put, PollAtOnce)
+	add("moves", 6, with(two, []int{0, 1, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, SwitchRelay)
+	add("moves by digests", 6, with(two, []int{1, 2}, scant, steps(puts(3), both, puts(3), Step{PollAtOnce, 0})...), Put, PollAtOnce, SwitchRelay)
+	add("copies", 6, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, SaveSnapshot, Restart, SwitchRelay)
+	add("copies by digests", 7, with(two, []int{0, 2}, scant, steps(puts(3), both, Step{SaveSnapshot, 0}, Step{SaveSnapshot, 2})...), Put, PollAtOnce, Restart, SwitchRelay)
+	add("a lone reader", 7, with(lone, nil, scant), Put, SendRequest, Deliver, Apply, PollAtOnce)
+	add("what can't be served", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, ample, steps(puts(1), Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+		Put, PollAtOnce, Apply, SaveSnapshot, Restart)
+	add("a log that begins anew", 7, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, EmptyLog, ReplaceHistory, SwitchRelay)
+	add("a log that begins anew, in parts", 7, with(two, []int{0, 2}, tight, steps(puts(1), both, Step{Tick, 0}, both, Step{EmptyLog, 0}, puts(4))...), Put, PollAtOnce, ReplaceHistory, SwitchRelay, Apply)
+	add("what nobody may take", 4, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, PollAtOnce, SendInvalid, EmptyLog)
+	add("reports", 6, with(two, []int{2}, ample, steps(puts(1), both)...), Put, PollAtOnce, Report, SendReport, Deliver, DeliverAgain, SwitchRelay)
+	add("reports of those who move", 6, with(two, []int{2}, ample, steps(puts(1), both, both, Step{SendReport, 0}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+		PollAtOnce, Report, Deliver, SwitchRelay, NewLeader)
+	add("old hellos", 5, with(one, []int{1}, ample, steps(puts(1), round, Step{PollAtOnce, 1}, Step{SendRequest, 1}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+		PollAtOnce, Report, Deliver, DeliverAgain, SwitchRelay)
+	add("reports and restarts", 6, with(two, []int{0, 2}, ample, steps(puts(1), both, Step{Report, 0})...), Put, PollAtOnce, SendReport, Report, Deliver, Restart, NewLeader)
 	return list
 }
 
@@ -142,14 +142,14 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		value = 0
-		s := Setup{Name: "long", Relays: rapid.IntRange(1, 2).Draw(t, "relays"), Readers: 2, Letters: 3, TickMs: rapid.SampledFrom([]int{50, 500, 3000}).Draw(t, "tick"),
+		s := Setup{Name: "long", Relays: rapid.IntRange(1, 2).Draw(t, "relays"), Readers: 2, MaxInTransit: 3, TickMs: rapid.SampledFrom([]int{50, 500, 3000}).Draw(t, "tick"),
 			Source: rapid.SampledFrom([]watchstream.SourceOptions{ample, scant, tight}).Draw(t, "source"),
 			Limits: watchstream.Limits{Targets: 8, Scopes: 8, Tombstones: rapid.IntRange(1, 3).Draw(t, "tombstones"), Buckets: rapid.IntRange(2, 5).Draw(t, "buckets")}}
 		for range rapid.IntRange(5, 20).Draw(t, "changes") {
 			s.Changes = append(s.Changes, drawPuts(t))
 		}
 		for op := Put; op < ops; op++ {
-			if op == Put || op == Exchange || rapid.IntRange(0, 2).Draw(t, "op") > 0 {
+			if op == Put || op == PollAtOnce || rapid.IntRange(0, 2).Draw(t, "op") > 0 {
 				s.Ops = append(s.Ops, op)
 			}
 		}
@@ -157,7 +157,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		taken, err := explore.Walk(s.Name, w, t, 60, func(s Step) Op { return s.Op }, Exchange, 3)
+		taken, err := explore.Walk(s.Name, w, t, 60, func(s Step) Op { return s.Op }, PollAtOnce, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/modelcheck/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -15,14 +15,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range []Step{{Put, 0}, {Put, 0}, {Exchange, 0}} {
+	for _, s := range []Step{{Put, 0}, {Put, 0}, {PollAtOnce, 0}} {
 		if err := w.Do(s); err != nil {
 			t.Fatal(err)
 		}
 	}
 	f := w.all[0]
 	late := f.r.Consistent() // an edge that is slow to apply says it later
-	for _, s := range []Step{{Empty, 0}, {Put, 0}, {Word, 0}} {
+	for _, s := range []Step{{EmptyLog, 0}, {Put, 0}, {ReplaceHistory, 0}} {
 		if err := w.Do(s); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -1,6 +1,8 @@
-// Package feed holds the pieces by which changes get to all against each other in small worlds: a log, relays, readers and the tally, with
-// messages that are lost, repeated and late, relays and readers that start again from old copies or from nothing, readers that move, and
-// logs that begin anew. A judge that knows nothing of the pieces looks at what they hold, say and send after each step. It does no I/O.
+// Package feed runs the state machines of the watch stream against each other in small worlds: a log,
+// relays, readers and the acknowledgement tracker, with messages that are lost, repeated and late,
+// relays and readers that restart from old snapshots or empty, readers that change their relay, and
+// logs that begin again. A judge that knows nothing of them looks at what they hold, send and
+// acknowledge after each step. It does no I/O.
 package feed
 
 import (
@@ -17,23 +19,23 @@
 
 // The kinds of steps.
 const (
-	Tick     Op = iota // time goes on
-	Put                // the next change of the case is in the log
-	Exchange           // a follower says hello, and takes what it gets for it
-	Say                // a follower says hello; that is on its way
-	Deliver            // a message arrives
-	Repeat             // a message arrives, and will again
-	Lose               // a message doesn't arrive
-	Apply              // a reader has what it took in force
-	Move               // a reader goes to another relay
-	Save               // a follower writes its copy
-	Restart            // a follower ends and starts from its copy
-	Report             // a relay reports, and hears the answer
-	Tell               // a relay reports; that is on its way
-	Lead               // another agent leads; its tally knows nobody
-	Empty              // the agents begin with an empty log
-	Word               // the operator says that this log takes the place of those before
-	Wrong              // a follower gets deltas that nobody may take
+	Tick           Op = iota // time passes
+	Put                      // the next change of the case is committed
+	PollAtOnce               // a follower's request and its answer, with nothing in between
+	SendRequest              // a follower sends a request
+	Deliver                  // a message arrives
+	DeliverAgain             // a message arrives, and will arrive again
+	Lose                     // a message is lost
+	Apply                    // a reader marks what it has as applied
+	SwitchRelay              // a reader goes to another relay
+	SaveSnapshot             // a follower saves its snapshot
+	Restart                  // a follower restarts from its snapshot
+	Report                   // a relay's report and its answer, with nothing in between
+	SendReport               // a relay sends a report
+	NewLeader                // another agent leads; its tracker knows no readers
+	EmptyLog                 // the agents begin with an empty log
+	ReplaceHistory           // an operator declares that this log replaces those before
+	SendInvalid              // a follower gets deltas that nobody may apply
 	ops
 )
 
@@ -52,17 +54,17 @@
 
 // Setup is a small case.
 type Setup struct {
-	Name    string
-	Relays  int
-	Readers int
-	Changes [][]watchstream.Put
-	Limits  watchstream.Limits
-	Source  watchstream.SourceOptions
-	TickMs  int
-	Letters int // on their way at a time, at most
-	Ops     []Op
-	On      []int // the followers that ops are done to; nil: all
-	Before  []Step
+	Name         string
+	Relays       int
+	Readers      int
+	Changes      [][]watchstream.Put
+	Limits       watchstream.Limits
+	Source       watchstream.SourceOptions
+	TickMs       int
+	MaxInTransit int // on their way at a time, at most
+	Ops          []Op
+	On           []int // the followers that ops are done to; nil: all
+	Before       []Step
 }
 
 const fleetName = "f"
@@ -90,8 +92,8 @@
 	was   string                           // the history that it had last
 }
 
-// letter is on its way.
-type letter struct {
+// message is on its way.
+type message struct {
 	from, to int // followers; -1 is the agent
 	life     uint64
 	hello    *watchstream.SubscribeRequest
@@ -111,7 +113,7 @@
 	past    map[string]*past
 	epoch   int
 	put     int
-	mail    []letter
+	mail    []message
 	accts   map[account]*spent
 	counted map[string]uint64 // the turn that the tally had last of each
 	last    map[string]watchstream.Watermark
@@ -259,41 +261,41 @@
 			if w.put < len(w.set.Changes) {
 				steps = append(steps, Step{op, 0})
 			}
-		case Exchange, Save, Restart, Wrong:
+		case PollAtOnce, SaveSnapshot, Restart, SendInvalid:
 			for _, i := range on {
 				steps = append(steps, Step{op, i})
 			}
-		case Say:
+		case SendRequest:
 			for _, i := range on {
-				if len(w.mail) < w.set.Letters {
+				if len(w.mail) < w.set.MaxInTransit {
 					steps = append(steps, Step{op, i})
 				}
 			}
-		case Deliver, Repeat, Lose:
+		case Deliver, DeliverAgain, Lose:
 			for i := range w.mail {
 				steps = append(steps, Step{op, i})
 			}
-		case Apply, Move:
+		case Apply, SwitchRelay:
 			for _, i := range on {
-				if f := w.all[i]; !f.scope.All && (op == Move && w.set.Relays > 1 || op == Apply && f.pending) {
+				if f := w.all[i]; !f.scope.All && (op == SwitchRelay && w.set.Relays > 1 || op == Apply && f.pending) {
 					steps = append(steps, Step{op, i})
 				}
 			}
-		case Report, Tell:
+		case Report, SendReport:
 			for i := range w.set.Relays {
-				if op == Report || len(w.mail) < w.set.Letters {
+				if op == Report || len(w.mail) < w.set.MaxInTransit {
 					steps = append(steps, Step{op, i})
 				}
 			}
-		case Empty:
+		case EmptyLog:
 			if w.epoch < 3 {
 				steps = append(steps, Step{op, 0})
 			}
-		case Word:
+		case ReplaceHistory:
 			if w.epoch > 1 && len(w.log.Replaces()) == 0 {
 				steps = append(steps, Step{op, 0})
 			}
-		case Lead:
+		case NewLeader:
 			steps = append(steps, Step{op, 0})
 		}
 	}
@@ -317,15 +319,15 @@
 	case Put:
 		w.put++
 		return w.change(watchstream.Change{Puts: w.set.Changes[w.put-1]})
-	case Exchange:
+	case PollAtOnce:
 		return w.exchange(s.On, true)
-	case Say:
+	case SendRequest:
 		h, err := w.hello(s.On)
 		if err != nil {
 			return err
 		}
-		w.mail = append(w.mail, letter{from: s.On, to: w.all[s.On].to, hello: &h})
-	case Deliver, Repeat:
+		w.mail = append(w.mail, message{from: s.On, to: w.all[s.On].to, hello: &h})
+	case Deliver, DeliverAgain:
 		l := w.mail[s.On]
 		if s.Op == Deliver {
 			w.mail = append(w.mail[:s.On:s.On], w.mail[s.On+1:]...)
@@ -336,12 +338,12 @@
 	case Apply:
 		w.all[s.On].apply()
 		w.touched = append(w.touched, w.all[s.On])
-	case Move:
+	case SwitchRelay:
 		f := w.all[s.On]
 		w.touched = append(w.touched, f)
 		f.to = (f.to + 1) % w.set.Relays
 		f.r.SwitchSource()
-	case Save:
+	case SaveSnapshot:
 		c := w.all[s.On].r.Store().Snapshot()
 		w.all[s.On].copy = &c
 	case Restart:
@@ -349,22 +351,22 @@
 	case Report:
 		rep := w.report(s.On)
 		return w.tell(rep, s.On)
-	case Tell:
+	case SendReport:
 		rep := w.report(s.On)
-		w.mail = append(w.mail, letter{from: s.On, to: -1, life: w.all[s.On].life, report: &rep})
-	case Lead:
+		w.mail = append(w.mail, message{from: s.On, to: -1, life: w.all[s.On].life, report: &rep})
+	case NewLeader:
 		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
 		w.tally.NoteCommit(w.now, w.log.Epoch(), w.log.Head())
 		clear(w.counted)
 		clear(w.last)
-	case Empty:
+	case EmptyLog:
 		w.empty()
 		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
 		clear(w.counted)
 		clear(w.last)
-	case Word:
+	case ReplaceHistory:
 		return w.word()
-	case Wrong:
+	case SendInvalid:
 		return w.wrong(s.On)
 	}
 	return nil
@@ -461,12 +463,12 @@
 	return nil
 }
 
-func (w *World) deliver(l letter) error {
+func (w *World) deliver(l message) error {
 	switch {
 	case l.hello != nil:
 		d, err := w.serve(l.to, *l.hello)
 		if d != nil {
-			w.mail = append(w.mail, letter{from: l.to, to: l.from, delta: d})
+			w.mail = append(w.mail, message{from: l.to, to: l.from, delta: d})
 		}
 		return err
 	case l.delta != nil:
--- a/internal/testbed/modelcheck/leaders/leaders.go
+++ b/internal/testbed/modelcheck/leaders/leaders.go
@@ -1,5 +1,6 @@
-// Package leaders is what the worlds of the proof share that a group of agents leads: terms, leaders that don't know that they lead no more,
-// letters that are late or come twice, and the majority that a leader asks before it answers.
+// Package leaders is the part of the worlds that concerns leadership: terms, leaders that do not know
+// that they have been replaced, messages that are late or arrive twice, and the majority that a leader
+// asks before it answers.
 package leaders
 
 import (
@@ -10,159 +11,161 @@
 	"spindlehitch/internal/controlplane/readindex"
 )
 
-// Letter is a question to a leader, or an answer.
-type Letter interface {
-	Asks() bool
+// Message is a request to a leader, or an answer.
+type Message interface {
+	IsRequest() bool
 	Print([]byte) []byte // equal letters print alike
 }
 
-// Lead is one leader with its book.
-type Lead[B any, L Letter] struct {
-	Book  B
-	Desk  readindex.Queue[L]
-	Term  uint64
-	Rate  float64 // of its clock
-	round uint64  // asked
-	told  uint64  // the term that the majority told; 0: nothing yet
+// Leader is one leader with its state.
+type Leader[B any, L Message] struct {
+	State         B
+	Confirmations readindex.Queue[L]
+	Term          uint64
+	Rate          float64 // of its clock
+	round         uint64  // in progress; 0: none
+	answeredTerm  uint64  // term that the majority answered; 0: no answer yet
 }
 
-// Round is the question that is out; 0: none.
-func (l *Lead[B, L]) Round() uint64 { return l.round }
+// Round is the round in progress; 0: none.
+func (l *Leader[B, L]) Round() uint64 { return l.round }
 
 // Put keeps an answer until a majority has confirmed.
-func (l *Lead[B, L]) Put(m L) { l.Desk.Add(l.Term, m) }
+func (l *Leader[B, L]) Put(m L) { l.Confirmations.Add(l.Term, m) }
 
-// Group is the leaders, the last of whom leads, and the mail.
-type Group[B fmt.Stringer, L Letter] struct {
-	Leads []*Lead[B, L]
-	Term  uint64
-	Mail  []L
+// Group is the leaders, the last of whom is the current one, and the messages in transit.
+type Group[B fmt.Stringer, L Message] struct {
+	Leaders   []*Leader[B, L]
+	Term      uint64
+	InTransit []L
 }
 
-// Scaled is a true time by a clock of that rate.
+// Scaled is a true time as a clock of that rate shows it.
 func Scaled(t time.Duration, rate float64) time.Duration { return time.Duration(float64(t) * rate) }
 
-// Lead is the one that leads.
-func (g *Group[B, L]) Lead() *Lead[B, L] { return g.Leads[len(g.Leads)-1] }
+// Leader is the one that leads.
+func (g *Group[B, L]) Leader() *Leader[B, L] { return g.Leaders[len(g.Leaders)-1] }
 
-// Rate is the clock of the next leader, of those in turn.
-func (g *Group[B, L]) Rate(rates []float64) float64 { return rates[int(g.Term)%len(rates)] }
+// NextRate is the rate of the next leader's clock.
+func (g *Group[B, L]) NextRate(rates []float64) float64 { return rates[int(g.Term)%len(rates)] }
 
-// Elect has another lead with that book; the one before doesn't know.
+// Elect makes another agent the leader; the previous one does not know.
 func (g *Group[B, L]) Elect(rate float64, book B) {
 	g.Term++
-	g.Leads = append(g.Leads, &Lead[B, L]{Book: book, Term: g.Term, Rate: rate})
-	if len(g.Leads) > 2 {
-		g.Leads = g.Leads[1:]
+	g.Leaders = append(g.Leaders, &Leader[B, L]{State: book, Term: g.Term, Rate: rate})
+	if len(g.Leaders) > 2 {
+		g.Leaders = g.Leaders[1:]
 	}
 }
 
-// Deliveries are the numbers that Take knows: a letter, and for a question the leader that it comes to.
+// Deliveries returns the numbers that Receive accepts: a message, and for a request the leader that
+// gets it.
 func (g *Group[B, L]) Deliveries() (on []int) {
-	for i, m := range g.Mail {
-		for j := range g.Leads {
-			if m.Asks() {
+	for i, m := range g.InTransit {
+		for j := range g.Leaders {
+			if m.IsRequest() {
 				on = append(on, i*4+j)
 			}
 		}
-		if !m.Asks() {
+		if !m.IsRequest() {
 			on = append(on, i*4)
 		}
 	}
 	return on
 }
 
-// Take is the letter of that number, which is still on its way where it is to come again; to is nil for an answer.
-func (g *Group[B, L]) Take(on int, again bool) (m L, to *Lead[B, L]) {
-	m = g.Mail[on/4]
+// Receive returns the message of that number, which stays in transit if it is to arrive again; to is
+// nil for an answer.
+func (g *Group[B, L]) Receive(on int, again bool) (m L, to *Leader[B, L]) {
+	m = g.InTransit[on/4]
 	if !again {
-		g.Mail = slices.Delete(slices.Clone(g.Mail), on/4, on/4+1)
+		g.InTransit = slices.Delete(slices.Clone(g.InTransit), on/4, on/4+1)
 	}
-	if m.Asks() {
-		to = g.Leads[on%4]
+	if m.IsRequest() {
+		to = g.Leaders[on%4]
 	}
 	return m, to
 }
 
-// Question is a step of a leader's question to the majority.
+// Question is a step of a round of questions to the majority.
 type Question int
 
-// The steps of a question.
+// The steps.
 const (
-	Ask    Question = iota
-	Told            // the majority answers
-	Heard           // the answer to that arrives
-	Finish          // asked and heard at once
+	StartRound      Question = iota
+	MajorityAnswers          // the majority answers
+	FinishRound              // the answers arrive
+	RoundAtOnce              // all of it at once
 )
 
-// Can are the leaders that can take a step of a question.
-func (g *Group[B, L]) Can(q Question) (on []int) {
-	for j, l := range g.Leads {
-		asks := l.round == 0 && len(l.Desk.Waiting()) > 0
-		if (q == Ask || q == Finish) && asks || q == Told && l.round != 0 && l.told == 0 || q == Heard && l.told != 0 {
+// PossibleSteps returns the leaders that can take a step.
+func (g *Group[B, L]) PossibleSteps(q Question) (on []int) {
+	for j, l := range g.Leaders {
+		asks := l.round == 0 && len(l.Confirmations.Waiting()) > 0
+		if (q == StartRound || q == RoundAtOnce) && asks || q == MajorityAnswers && l.round != 0 && l.answeredTerm == 0 || q == FinishRound && l.answeredTerm != 0 {
 			on = append(on, j)
 		}
 	}
 	return on
 }
 
-// Step takes a step of a question; answers that may go out are in the mail then.
+// Step takes a step; answers that may be sent are in transit then.
 func (g *Group[B, L]) Step(q Question, on int) {
-	l := g.Leads[on]
+	l := g.Leaders[on]
 	switch q {
-	case Ask:
-		if round, due := l.Desk.StartRound(l.Term); due {
-			l.round, l.told = round, 0
+	case StartRound:
+		if round, due := l.Confirmations.StartRound(l.Term); due {
+			l.round, l.answeredTerm = round, 0
 		}
-	case Told:
-		l.told = g.Term
-	case Heard:
-		g.Mail = append(g.Mail, g.hear(l)...)
-	case Finish:
-		l.round, _ = l.Desk.StartRound(l.Term)
-		l.told = g.Term
-		g.Mail = append(g.Mail, g.hear(l)...)
+	case MajorityAnswers:
+		l.answeredTerm = g.Term
+	case FinishRound:
+		g.InTransit = append(g.InTransit, g.finishRound(l)...)
+	case RoundAtOnce:
+		l.round, _ = l.Confirmations.StartRound(l.Term)
+		l.answeredTerm = g.Term
+		g.InTransit = append(g.InTransit, g.finishRound(l)...)
 	}
 }
 
-// Now asks the majority and hears it at once, where no question is out; it returns what may go out.
-func (g *Group[B, L]) Now(l *Lead[B, L]) []L {
-	round, due := l.Desk.StartRound(l.Term)
+// ConfirmNow runs a whole round, if none is in progress, and returns the answers that may be sent.
+func (g *Group[B, L]) ConfirmNow(l *Leader[B, L]) []L {
+	round, due := l.Confirmations.StartRound(l.Term)
 	if !due {
 		return nil
 	}
-	l.round, l.told = round, g.Term
-	return g.hear(l)
+	l.round, l.answeredTerm = round, g.Term
+	return g.finishRound(l)
 }
 
-// Drain ends a question that is out; nothing goes out.
-func (g *Group[B, L]) Drain(l *Lead[B, L]) {
+// AbandonRound ends a round without sending answers.
+func (g *Group[B, L]) AbandonRound(l *Leader[B, L]) {
 	if l.round != 0 {
-		l.told = g.Term
-		g.hear(l)
+		l.answeredTerm = g.Term
+		g.finishRound(l)
 	}
 }
 
-// hear has a leader hear what the majority told, of three agents.
-func (g *Group[B, L]) hear(l *Lead[B, L]) []L {
-	agreed := readindex.MajorityAgrees(l.Term, []uint64{l.told}, 3)
-	done, _ := l.Desk.FinishRound(l.round)
-	l.round, l.told = 0, 0
+// finishRound ends a round with what the majority of three agents answered.
+func (g *Group[B, L]) finishRound(l *Leader[B, L]) []L {
+	agreed := readindex.MajorityAgrees(l.Term, []uint64{l.answeredTerm}, 3)
+	done, _ := l.Confirmations.FinishRound(l.round)
+	l.round, l.answeredTerm = 0, 0
 	if !agreed {
 		return nil
 	}
 	return done
 }
 
-// Print writes all of it down.
+// Print writes the state as text.
 func (g *Group[B, L]) Print(b []byte) []byte {
-	for _, l := range g.Leads {
-		b = fmt.Appendf(b, "%v %d %d %d", l.Book, l.Term, l.round, l.told)
-		for _, m := range l.Desk.Waiting() {
+	for _, l := range g.Leaders {
+		b = fmt.Appendf(b, "%v %d %d %d", l.State, l.Term, l.round, l.answeredTerm)
+		for _, m := range l.Confirmations.Waiting() {
 			b = m.Print(b)
 		}
 	}
-	for _, m := range g.Mail {
+	for _, m := range g.InTransit {
 		b = m.Print(b)
 	}
 	return b
--- a/internal/testbed/modelcheck/leases/leases_test.go
+++ b/internal/testbed/modelcheck/leases/leases_test.go
@@ -26,8 +26,8 @@
 var (
 	fast, slow = 1 + ppm/1e6, 1 - ppm/1e6
 	clocks     = [][2][]float64{{{slow, fast}, {fast, slow}}, {{fast, slow}, {slow, fast}}, {{slow}, {fast}}}
-	acting     = []Op{Start, Open, Check, Take, Touch, End}
-	all        = append([]Op{Elect, Renew, Deliver, Repeat, Ask, Told, Heard, Finish, Exchange, Propose, Commit, Learn, Sweep, Turn, Whole, Release, Move, Reboot, Quit}, acting...)
+	acting     = []Op{StartOperation, BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, EndOperation}
+	all        = append([]Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Propose, Commit, UpdateLeader, ProposeAndLearn, FullTurn, OperationAtOnce, Release, Migrate, Restart, Leave}, acting...)
 )
 
 type small struct {
@@ -44,7 +44,7 @@
 			list = append(list, small{s, depth})
 		}
 	}
-	two := Setup{Processes: 2, Shards: 1, Letters: 2, TickMs: 250}
+	two := Setup{Processes: 2, Shards: 1, MaxInTransit: 2, TickMs: 250}
 	with := func(s Setup, name string, tick int, before ...Step) Setup {
 		s.Name, s.TickMs, s.Before = name, tick, before
 		return s
@@ -56,45 +56,45 @@
 		return append(all, more...)
 	}
 	join := func(all ...[]Step) []Step { return slices.Concat(all...) }
-	begun := []Step{{Start, 0}, {Open, 0}, {Check, 0}}
+	begun := []Step{{StartOperation, 0}, {BeginAtResource, 0}, {CheckLease, 0}}
 	led, three := two, two
 	led.Elections = 2
 	three.Processes, three.Shards = 3, 2
 	// A holder is at the end of its lease in most of them: what is wrong shows within few steps.
-	add(6, with(two, "an act paused at each step", 250, join(begun, ticks(3))...), Open, Check, Take, Touch, Exchange, Sweep, Start, Turn)
-	add(5, with(two, "an act not yet open", 250, join([]Step{{Start, 0}}, ticks(3))...), Open, Check, Take, Touch, Exchange, Turn, End)
-	add(5, with(two, "an act to the last moment", 70, ticks(7, Step{Start, 0}, Step{Open, 0}, Step{Tick, 0}, Step{Tick, 0})...), Open, Check, Touch, Turn, Whole)
-	add(7, with(two, "an act that begins late", 70, ticks(9)...), Start, Check, Touch, Turn)
-	add(6, with(two, "an act under the token before", 250, join([]Step{{Start, 0}}, ticks(4, Step{Turn, 1}, Step{Release, 1}, Step{Exchange, 1}))...), Open, Check, Touch, Take, Sweep, Exchange)
-	add(5, with(two, "an act from its start", 200), append([]Op{Turn, Whole}, acting...)...)
-	add(4, with(three, "three and two shards", 400), Turn, Sweep, Whole, Release, Move, Start, Open, Check, Take)
-	add(6, with(two, "letters", 350), Renew, Deliver, Repeat, Finish, Turn, Whole)
-	add(5, with(two, "a late answer", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {Finish, 0}}, ticks(2))...), Renew, Deliver, Repeat, Turn, Whole)
-	add(5, with(two, "a late answer after another claim", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {Finish, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, Turn, Whole, Exchange)
-	add(6, with(led, "leaders", 300), Elect, Exchange, Sweep, Turn, Whole)
-	add(6, with(led, "a leader in mid-act", 300, begun...), Elect, Turn, Take, Touch, Check, Whole)
-	add(6, with(led, "an old leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, Ask, Told, Heard, Finish, Turn, Whole)
-	add(6, with(led, "an old leader that had asked", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {Ask, 0}, {Told, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
-		Deliver, Heard, Turn, Whole)
-	add(6, with(two, "a log behind", 200, ticks(4, Step{Exchange, 1}, Step{Propose, 0})...), Propose, Commit, Learn, Exchange, Whole)
-	add(6, with(two, "a log behind, asked twice", 350, ticks(3, Step{Exchange, 1}, Step{Propose, 0}, Step{Propose, 0}, Step{Commit, 0}, Step{Learn, 0}, Step{Exchange, 1})...),
-		Propose, Commit, Learn, Exchange, Turn, Whole)
-	add(5, with(led, "given back", 250, Step{Release, 0}), Exchange, Turn, Whole, Elect, Move, Start, Take, Open, Check)
-	add(6, with(two, "given back, a late letter", 350, Step{Release, 0}, Step{Renew, 0}, Step{Repeat, 0}, Step{Sweep, 0}, Step{Exchange, 0}), Deliver, Finish, Sweep, Turn, Whole)
-	add(6, with(led, "given back, late letters", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, Repeat, Finish, Sweep, Whole, Turn)
-	add(6, with(led, "moved in mid-act", 120, join(begun, []Step{{Move, 0}, {Move, 4}})...), Exchange, Turn, Take, Touch, Check, End, Elect)
-	add(6, with(led, "moved and cut off", 300, Step{Move, 0}, Step{Move, 4}, Step{Exchange, 0}), Renew, Deliver, Finish, Turn, Whole)
+	add(6, with(two, "an act paused at each step", 250, join(begun, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, ProposeAndLearn, StartOperation, FullTurn)
+	add(5, with(two, "an act not yet open", 250, join([]Step{{StartOperation, 0}}, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, FullTurn, EndOperation)
+	add(5, with(two, "an act to the last moment", 70, ticks(7, Step{StartOperation, 0}, Step{BeginAtResource, 0}, Step{Tick, 0}, Step{Tick, 0})...), BeginAtResource, CheckLease, TouchUnguarded, FullTurn, OperationAtOnce)
+	add(7, with(two, "an act that begins late", 70, ticks(9)...), StartOperation, CheckLease, TouchUnguarded, FullTurn)
+	add(6, with(two, "an act under the token before", 250, join([]Step{{StartOperation, 0}}, ticks(4, Step{FullTurn, 1}, Step{Release, 1}, Step{RenewAtOnce, 1}))...), BeginAtResource, CheckLease, TouchUnguarded, ChangeResource, ProposeAndLearn, RenewAtOnce)
+	add(5, with(two, "an act from its start", 200), append([]Op{FullTurn, OperationAtOnce}, acting...)...)
+	add(4, with(three, "three and two shards", 400), FullTurn, ProposeAndLearn, OperationAtOnce, Release, Migrate, StartOperation, BeginAtResource, CheckLease, ChangeResource)
+	add(6, with(two, "letters", 350), Renew, Deliver, DeliverAgain, RoundAtOnce, FullTurn, OperationAtOnce)
+	add(5, with(two, "a late answer", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2))...), Renew, Deliver, DeliverAgain, FullTurn, OperationAtOnce)
+	add(5, with(two, "a late answer after another claim", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, FullTurn, OperationAtOnce, RenewAtOnce)
+	add(6, with(led, "leaders", 300), Elect, RenewAtOnce, ProposeAndLearn, FullTurn, OperationAtOnce)
+	add(6, with(led, "a leader in mid-act", 300, begun...), Elect, FullTurn, ChangeResource, TouchUnguarded, CheckLease, OperationAtOnce)
+	add(6, with(led, "an old leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, FullTurn, OperationAtOnce)
+	add(6, with(led, "an old leader that had asked", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
+		Deliver, FinishRound, FullTurn, OperationAtOnce)
+	add(6, with(two, "a log behind", 200, ticks(4, Step{RenewAtOnce, 1}, Step{Propose, 0})...), Propose, Commit, UpdateLeader, RenewAtOnce, OperationAtOnce)
+	add(6, with(two, "a log behind, asked twice", 350, ticks(3, Step{RenewAtOnce, 1}, Step{Propose, 0}, Step{Propose, 0}, Step{Commit, 0}, Step{UpdateLeader, 0}, Step{RenewAtOnce, 1})...),
+		Propose, Commit, UpdateLeader, RenewAtOnce, FullTurn, OperationAtOnce)
+	add(5, with(led, "given back", 250, Step{Release, 0}), RenewAtOnce, FullTurn, OperationAtOnce, Elect, Migrate, StartOperation, ChangeResource, BeginAtResource, CheckLease)
+	add(6, with(two, "given back, a late letter", 350, Step{Release, 0}, Step{Renew, 0}, Step{DeliverAgain, 0}, Step{ProposeAndLearn, 0}, Step{RenewAtOnce, 0}), Deliver, RoundAtOnce, ProposeAndLearn, FullTurn, OperationAtOnce)
+	add(6, with(led, "given back, late letters", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, DeliverAgain, RoundAtOnce, ProposeAndLearn, OperationAtOnce, FullTurn)
+	add(6, with(led, "moved in mid-act", 120, join(begun, []Step{{Migrate, 0}, {Migrate, 4}})...), RenewAtOnce, FullTurn, ChangeResource, TouchUnguarded, CheckLease, EndOperation, Elect)
+	add(6, with(led, "moved and cut off", 300, Step{Migrate, 0}, Step{Migrate, 4}, Step{RenewAtOnce, 0}), Renew, Deliver, RoundAtOnce, FullTurn, OperationAtOnce)
 	lies := led
 	lies.Lies = true
-	add(6, with(lies, "all say that the others are dead", 250, begun...), Exchange, Sweep, Turn, Take, Touch, Check, Elect)
-	add(4, with(three, "three, and all say so", 400), Turn, Sweep, Whole, Start, Open, Check, Take)
+	add(6, with(lies, "all say that the others are dead", 250, begun...), RenewAtOnce, ProposeAndLearn, FullTurn, ChangeResource, TouchUnguarded, CheckLease, Elect)
+	add(4, with(three, "three, and all say so", 400), FullTurn, ProposeAndLearn, OperationAtOnce, StartOperation, BeginAtResource, CheckLease, ChangeResource)
 	list[len(list)-1].Lies, list[len(list)-2].Lies, list[len(list)-3].Lies = true, true, true
-	add(5, with(led, "dies and leaves", 350), Reboot, Quit, Release, Turn, Whole, Elect)
+	add(5, with(led, "dies and leaves", 350), Restart, Leave, Release, FullTurn, OperationAtOnce, Elect)
 	var hangs []Step
 	for range 6 {
-		hangs = append(hangs, Step{Tick, 0}, Step{Exchange, 0}, Step{Exchange, 1}, Step{Sweep, 0})
+		hangs = append(hangs, Step{Tick, 0}, Step{RenewAtOnce, 0}, Step{RenewAtOnce, 1}, Step{ProposeAndLearn, 0})
 	}
-	add(5, with(led, "hangs and renews", 300, hangs...), Exchange, Turn, Whole, Start, Check, Touch, Elect)
+	add(5, with(led, "hangs and renews", 300, hangs...), RenewAtOnce, FullTurn, OperationAtOnce, StartOperation, CheckLease, TouchUnguarded, Elect)
 	return list
 }
 
@@ -136,7 +136,7 @@
 // walk takes a long random walk with two or three processes and one or two shards, and then ends all faults.
 func walk(t *rapid.T) time.Duration {
 	c := clocks[rapid.IntRange(0, len(clocks)-1).Draw(t, "clocks")]
-	s := Setup{Name: "long", Processes: rapid.IntRange(2, 3).Draw(t, "processes"), Shards: rapid.IntRange(1, 2).Draw(t, "shards"), Elections: 3, Letters: 3,
+	s := Setup{Name: "long", Processes: rapid.IntRange(2, 3).Draw(t, "processes"), Shards: rapid.IntRange(1, 2).Draw(t, "shards"), Elections: 3, MaxInTransit: 3,
 		TickMs: rapid.SampledFrom([]int{50, 120, 250}).Draw(t, "tick"), Rates: c[0], Leads: c[1], Fresh: rapid.Bool().Draw(t, "fresh")}
 	// Of all that can happen a part, another each time: what takes several steps of one kind is met sooner.
 	for _, op := range all {
@@ -186,7 +186,7 @@
 		}
 		gap, last, acts := time.Duration(0), w.now, 0
 		for range 200 {
-			for _, s := range []Step{{Tick, 0}, {Exchange, 0}, {Exchange, 1}, {Sweep, 0}, {Whole, 1}, {Whole, 1}} {
+			for _, s := range []Step{{Tick, 0}, {RenewAtOnce, 0}, {RenewAtOnce, 1}, {ProposeAndLearn, 0}, {OperationAtOnce, 1}, {OperationAtOnce, 1}} {
 				if err := w.Do(s); err != nil {
 					t.Fatal(err)
 				}
--- a/internal/testbed/modelcheck/leases/world.go
+++ b/internal/testbed/modelcheck/leases/world.go
@@ -1,7 +1,8 @@
-// Package leases holds the machines of leases against each other: the real register, keepers, desks, tenants and guarded places, with a
-// network that delays, repeats, loses and reorders, clocks at both ends of their bound, processes that pause between any two steps of
-// an act and leaders that are replaced while they believe to lead. A judge that knows nothing of them looks at what the places took.
-// It does no I/O.
+// Package leases runs the state machines of leases against each other: the real registry, lessors,
+// read index queues, lessees and fencing guards, with a network that delays, repeats, loses and
+// reorders messages, clocks at both ends of their bound, processes that pause between any two steps of
+// an operation, and leaders that are replaced without knowing it. A judge that knows nothing of them
+// looks at what the guarded resources accept. It does no I/O.
 package leases
 
 import (
@@ -24,32 +25,34 @@
 
 // The kinds of steps.
 const (
-	Tick     Op = iota // time goes on
-	Elect              // another agent begins to lead, from a snapshot; the one before doesn't know
-	Renew              // a process begins a claim and sends it
-	Deliver            // a message arrives
-	Repeat             // a message arrives, and will again
-	Ask                // a leader asks a majority for their terms
-	Told               // the majority answers
-	Heard              // the answer to that arrives
-	Finish             // a leader asks, and hears at once
-	Exchange           // a claim and its answer without anything in between
-	Propose            // a leader has the log changed; that is on its way
-	Commit             // what was proposed first is in the log
-	Learn              // the leader hears of the log
-	Sweep              // all three
-	Turn               // a process claims, the leader sweeps, it claims again and acts
-	Start              // a process begins an act
-	Open               // the act begins at the place
-	Check              // the process looks whether it may go on
-	Take               // the place is changed
-	Touch              // something that can't check a token is
-	End                // the act ends
-	Whole              // an act without anything in between
-	Release            // a process gives its shards back
-	Move               // an operator moves a shard to a process
-	Reboot             // a process dies and is started again
-	Quit               // a process leaves in order
+	Tick Op = iota // time passes
+	// another agent becomes leader, from a snapshot; the previous one does not know
+	Elect
+	Renew           // a process starts a renewal and sends it
+	Deliver         // a message arrives
+	DeliverAgain    // a message arrives, and will arrive again
+	StartRound      // a leader asks the majority for their terms
+	MajorityAnswers // the majority answers
+	FinishRound     // the answers arrive
+	RoundAtOnce     // a whole round, with nothing in between
+	RenewAtOnce     // a renewal and its answer, with nothing in between
+	Propose         // a leader proposes events; they are on their way
+	Commit          // the oldest proposal is committed
+	UpdateLeader    // the leader takes over the registry
+	ProposeAndLearn // all three
+	// a process renews, the leader proposes, the process renews again and operates
+	FullTurn
+	StartOperation  // a process starts an operation
+	BeginAtResource // the operation begins at the resource
+	CheckLease      // the process checks whether it may proceed
+	ChangeResource  // the resource is changed
+	TouchUnguarded  // something that cannot check tokens is changed
+	EndOperation    // the operation ends
+	OperationAtOnce // an operation with nothing in between
+	Release         // a process releases its shards
+	Migrate         // an operator migrates a shard to a process
+	Restart         // a process dies and starts again
+	Leave           // a process leaves in order
 	ops
 )
 
@@ -68,18 +71,18 @@
 
 // Setup is a small case.
 type Setup struct {
-	Name      string
-	Processes int
-	Shards    int
-	Rates     []float64 // of the processes' clocks, against true time
-	Leads     []float64 // of the agents' clocks, in the order in which they lead
-	Elections int       // at most
-	Letters   int       // on their way at a time, at most
-	Ops       []Op      // beside Tick
-	TickMs    int
-	Before    []Step
-	Lies      bool // every claim says that all others are dead
-	Fresh     bool // nothing is held yet; else the shards are granted, and their holders know
+	Name         string
+	Processes    int
+	Shards       int
+	Rates        []float64 // of the processes' clocks, against true time
+	Leads        []float64 // of the agents' clocks, in the order in which they lead
+	Elections    int       // at most
+	MaxInTransit int       // on their way at a time, at most
+	Ops          []Op      // beside Tick
+	TickMs       int
+	Before       []Step
+	Lies         bool // every claim says that all others are dead
+	Fresh        bool // nothing is held yet; else the shards are granted, and their holders know
 }
 
 // Times of the small cases: short, and clocks a tenth off, so that what is wrong shows within few steps.
@@ -102,23 +105,23 @@
 	checked time.Duration // true time of the last look; 0: there was none since the last change
 }
 
-type lead = leaders.Lead[*lessor.Lessor, letter]
+type lead = leaders.Leader[*lessor.Lessor, message]
 
 // questions are the steps of a leader's question.
-var questions = map[Op]leaders.Question{Ask: leaders.Ask, Told: leaders.Told, Heard: leaders.Heard, Finish: leaders.Finish}
+var questions = map[Op]leaders.Question{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
 
-type letter struct {
+type message struct {
 	to     int
 	id     string
 	claim  *lease.RenewalRequest
 	answer *lease.RenewalResponse
 }
 
-// Asks implements leaders.Letter.
-func (m letter) Asks() bool { return m.claim != nil }
+// IsRequest implements leaders.Letter.
+func (m message) IsRequest() bool { return m.claim != nil }
 
 // Print implements leaders.Letter.
-func (m letter) Print(b []byte) []byte {
+func (m message) Print(b []byte) []byte {
 	if m.claim != nil {
 		return fmt.Appendf(b, "%s>%+v\n", m.id, *m.claim)
 	}
@@ -135,12 +138,12 @@
 
 // World is one state of a small case.
 type World struct {
-	set   Setup
-	now   time.Duration
-	reg   registry.Registry
-	index uint64
-	procs []process
-	leaders.Group[*lessor.Lessor, letter]
+	set       Setup
+	now       time.Duration
+	registry  registry.Registry
+	index     uint64
+	processes []process
+	leaders.Group[*lessor.Lessor, message]
 	flight [][]lease.Event // proposed, and not in the log yet
 	places []fencing.Guard
 	judge  []judged
@@ -153,10 +156,10 @@
 
 // claimOf begins a claim of a process; where the case has members lie, it holds all others dead.
 func (w *World) claimOf(i int) lease.RenewalRequest {
-	c := w.procs[i].t.BeginRenewal(w.clock(i))
-	for j := range w.procs {
+	c := w.processes[i].t.BeginRenewal(w.clock(i))
+	for j := range w.processes {
 		if w.set.Lies && j != i {
-			c.DeadInstances = append(c.DeadInstances, w.procs[j].id)
+			c.DeadInstances = append(c.DeadInstances, w.processes[j].id)
 		}
 	}
 	return c
@@ -166,27 +169,27 @@
 func New(s Setup) (*World, error) {
 	w := &World{set: s, index: 2, now: time.Hour, places: make([]fencing.Guard, s.Shards), judge: make([]judged, s.Shards)}
 	f, l := docs(s)
-	if err := w.reg.SetQuotaConfig(1, f); err != nil {
+	if err := w.registry.SetQuotaConfig(1, f); err != nil {
 		return nil, err
 	}
-	if err := w.reg.SetLeaseConfig(2, l); err != nil {
+	if err := w.registry.SetLeaseConfig(2, l); err != nil {
 		return nil, err
 	}
 	for i := range s.Processes {
-		w.procs = append(w.procs, process{rate: s.Rates[i%len(s.Rates)]})
+		w.processes = append(w.processes, process{rate: s.Rates[i%len(s.Rates)]})
 		w.boot(i)
 	}
-	rate := w.Rate(s.Leads)
-	w.Elect(rate, lessor.New(scaled(w.now-10*time.Second, rate), &w.reg))
-	w.learn(w.Leads[0])
+	rate := w.NextRate(s.Leads)
+	w.Elect(rate, lessor.New(scaled(w.now-10*time.Second, rate), &w.registry))
+	w.learn(w.Leaders[0])
 	if !s.Fresh {
 		for range 2 {
-			for i := range w.procs {
+			for i := range w.processes {
 				w.exchange(i)
 			}
-			w.sweep(w.Leads[0])
+			w.sweep(w.Leaders[0])
 		}
-		for i := range w.procs {
+		for i := range w.processes {
 			w.exchange(i)
 		}
 	}
@@ -200,31 +203,31 @@
 
 func scaled(t time.Duration, rate float64) time.Duration { return leaders.Scaled(t, rate) }
 
-func (w *World) clock(i int) time.Duration { return scaled(w.now, w.procs[i].rate) }
+func (w *World) clock(i int) time.Duration { return scaled(w.now, w.processes[i].rate) }
 
 // boot has a process start, and join: its member of before stays in the log.
 func (w *World) boot(i int) {
-	p := &w.procs[i]
+	p := &w.processes[i]
 	p.born++
 	p.id = fmt.Sprintf("p%d.%d", i, p.born)
 	p.t, p.act = lessee.New([]string{task}), nil
 	w.index++
-	if _, err := w.reg.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1}); err != nil {
+	if _, err := w.registry.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1}); err != nil {
 		panic(err)
 	}
 }
 
 func (w *World) learn(l *lead) {
-	if l == w.Lead() { // one that no longer leads hears nothing
-		r := w.reg.Clone()
-		l.Book.Update(scaled(w.now, l.Rate), &r)
+	if l == w.Leader() { // one that no longer leads hears nothing
+		r := w.registry.Clone()
+		l.State.Update(scaled(w.now, l.Rate), &r)
 	}
 }
 
 // propose has the log changed as a leader wants it; one of an earlier term can't, and what is on its way is lost with its term.
 func (w *World) propose(l *lead) {
-	orders, seen := l.Book.PendingEvents(scaled(w.now, l.Rate))
-	if l == w.Lead() && (len(orders) > 0 || seen > 0) {
+	orders, seen := l.State.PendingEvents(scaled(w.now, l.Rate))
+	if l == w.Leader() && (len(orders) > 0 || seen > 0) {
 		w.flight = append(w.flight, orders)
 	}
 }
@@ -232,14 +235,14 @@
 func (w *World) commit() {
 	for _, orders := range w.flight[:min(1, len(w.flight))] {
 		w.index++
-		w.reg.ApplyEvents(w.index, 0, orders)
+		w.registry.ApplyEvents(w.index, 0, orders)
 		w.flight = w.flight[1:]
 	}
 }
 
 func (w *World) sweep(l *lead) {
 	w.propose(l)
-	for l == w.Lead() && len(w.flight) > 0 {
+	for l == w.Leader() && len(w.flight) > 0 {
 		w.commit()
 	}
 	w.learn(l)
@@ -254,53 +257,53 @@
 			if int(w.Term) <= w.set.Elections {
 				steps = append(steps, Step{op, 0})
 			}
-		case Deliver, Repeat:
+		case Deliver, DeliverAgain:
 			for _, on := range w.Deliveries() {
 				steps = append(steps, Step{op, on})
 			}
-		case Ask, Told, Heard, Finish:
-			for _, on := range w.Can(questions[op]) {
+		case StartRound, MajorityAnswers, FinishRound, RoundAtOnce:
+			for _, on := range w.PossibleSteps(questions[op]) {
 				steps = append(steps, Step{op, on})
 			}
-		case Propose, Sweep:
-			for j := range w.Leads {
-				if op == Sweep || len(w.flight) < 2 {
+		case Propose, ProposeAndLearn:
+			for j := range w.Leaders {
+				if op == ProposeAndLearn || len(w.flight) < 2 {
 					steps = append(steps, Step{op, j})
 				}
 			}
-		case Commit, Learn:
-			if op == Learn || len(w.flight) > 0 {
+		case Commit, UpdateLeader:
+			if op == UpdateLeader || len(w.flight) > 0 {
 				steps = append(steps, Step{op, 0})
 			}
-		case Move:
-			for i := range w.procs {
+		case Migrate:
+			for i := range w.processes {
 				for s := range w.set.Shards {
 					steps = append(steps, Step{op, i*4 + s})
 				}
 			}
 		default:
-			for i := range w.procs {
-				p := &w.procs[i]
+			for i := range w.processes {
+				p := &w.processes[i]
 				holds := len(p.t.Status()) > 0
 				var can bool
 				switch op {
 				case Renew:
-					can = len(w.Mail) < w.set.Letters
-				case Start, Whole:
+					can = len(w.InTransit) < w.set.MaxInTransit
+				case StartOperation, OperationAtOnce:
 					can = p.act == nil && holds
-				case Open:
+				case BeginAtResource:
 					can = p.act != nil && !p.opened
-				case Check:
+				case CheckLease:
 					can = p.act != nil && p.checked == 0
-				case Touch:
+				case TouchUnguarded:
 					can = p.act != nil && p.checked > 0
-				case Take:
+				case ChangeResource:
 					can = p.act != nil && p.opened && p.checked > 0
-				case End:
+				case EndOperation:
 					can = p.act != nil && p.opened
 				case Release:
 					can = holds
-				case Quit:
+				case Leave:
 					can = p.t.Idle() && p.act == nil
 				default:
 					can = true
@@ -321,71 +324,71 @@
 		w.now += time.Duration(w.set.TickMs) * time.Millisecond
 	case Elect:
 		// The new leader has what its snapshot and its log have; it goes through both here.
-		text, err := json.Marshal(w.reg)
+		text, err := json.Marshal(w.registry)
 		if err != nil {
 			return err
 		}
-		w.reg = registry.Registry{}
-		if err := json.Unmarshal(text, &w.reg); err != nil {
+		w.registry = registry.Registry{}
+		if err := json.Unmarshal(text, &w.registry); err != nil {
 			return err
 		}
 		w.flight = nil
-		r := w.reg.Clone()
-		rate := w.Rate(w.set.Leads)
+		r := w.registry.Clone()
+		rate := w.NextRate(w.set.Leads)
 		w.Elect(rate, lessor.New(scaled(w.now, rate), &r))
 	case Renew:
-		p := &w.procs[s.On]
+		p := &w.processes[s.On]
 		c := w.claimOf(s.On)
-		w.Mail = append(w.Mail, letter{to: s.On, id: p.id, claim: &c})
-	case Deliver, Repeat:
-		if m, l := w.Take(s.On, s.Op == Repeat); l == nil {
+		w.InTransit = append(w.InTransit, message{to: s.On, id: p.id, claim: &c})
+	case Deliver, DeliverAgain:
+		if m, l := w.Receive(s.On, s.Op == DeliverAgain); l == nil {
 			w.taken(m)
 		} else {
 			w.decide(l, m)
 		}
-	case Ask, Told, Heard, Finish:
+	case StartRound, MajorityAnswers, FinishRound, RoundAtOnce:
 		w.Step(questions[s.Op], s.On)
-	case Exchange:
+	case RenewAtOnce:
 		w.exchange(s.On)
 	case Propose:
-		w.propose(w.Leads[s.On])
+		w.propose(w.Leaders[s.On])
 	case Commit:
 		w.commit()
-	case Learn:
-		w.learn(w.Lead())
-	case Sweep:
-		w.sweep(w.Leads[s.On])
-	case Turn:
+	case UpdateLeader:
+		w.learn(w.Leader())
+	case ProposeAndLearn:
+		w.sweep(w.Leaders[s.On])
+	case FullTurn:
 		w.exchange(s.On)
-		w.sweep(w.Lead())
+		w.sweep(w.Leader())
 		w.exchange(s.On)
-		return w.Do(Step{Whole, s.On})
-	case Whole:
-		for _, op := range []Op{Start, Check, Touch, Open, Check, Take, End} {
+		return w.Do(Step{OperationAtOnce, s.On})
+	case OperationAtOnce:
+		for _, op := range []Op{StartOperation, CheckLease, TouchUnguarded, BeginAtResource, CheckLease, ChangeResource, EndOperation} {
 			if err := w.act(op, s.On); err != nil {
 				return err
 			}
 		}
 	case Release:
-		p := &w.procs[s.On]
+		p := &w.processes[s.On]
 		for _, h := range p.t.Status() {
 			p.t.Release(h.Key)
 		}
-	case Move:
-		l := w.Lead()
-		if o, err := l.Book.Migrate(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.procs[s.On/4].id); err == nil {
+	case Migrate:
+		l := w.Leader()
+		if o, err := l.State.Migrate(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.processes[s.On/4].id); err == nil {
 			w.index++
-			w.reg.ApplyEvents(w.index, 0, []lease.Event{o})
+			w.registry.ApplyEvents(w.index, 0, []lease.Event{o})
 			w.learn(l)
 		}
-	case Reboot:
+	case Restart:
 		w.boot(s.On)
-		w.learn(w.Lead())
-	case Quit:
+		w.learn(w.Leader())
+	case Leave:
 		w.index++
-		w.reg.Leave(w.procs[s.On].id)
+		w.registry.Leave(w.processes[s.On].id)
 		w.boot(s.On)
-		w.learn(w.Lead())
+		w.learn(w.Leader())
 	default:
 		return w.act(s.Op, s.On)
 	}
@@ -394,9 +397,9 @@
 
 // act takes one step of an act; whatever time goes by before the next is a pause.
 func (w *World) act(op Op, i int) error { //nolint:gocognit // to be split with its package, see docs/left.md
-	p := &w.procs[i]
+	p := &w.processes[i]
 	now := w.clock(i)
-	if op == Start {
+	if op == StartOperation {
 		if p.act != nil {
 			return nil
 		}
@@ -421,7 +424,7 @@
 		return err
 	}
 	switch op {
-	case Open:
+	case BeginAtResource:
 		if refused(place.Begin(a.Token, a.Number)) != nil {
 			return nil
 		}
@@ -430,12 +433,12 @@
 			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", a.Number, p.id, a.Token, j.act, j.by, j.token)
 		}
 		*j = judged{a.Token, a.Number, p.id, j.touched, j.acts}
-	case Check:
+	case CheckLease:
 		if p.checked = w.now; !p.t.MayProceed(now, a) {
 			p.t.FinishOperation(a, lessee.Failed, 0)
 			p.act = nil
 		}
-	case Take:
+	case ChangeResource:
 		if refused(place.CheckChange(a.Token, a.Number)) != nil {
 			return nil
 		}
@@ -444,14 +447,14 @@
 		}
 		j.acts++
 		p.checked = 0
-	case Touch:
+	case TouchUnguarded:
 		// The bound on pauses is true time's.
 		if late := w.now - p.checked; a.Token < j.touched && late <= pauseMs*time.Millisecond {
 			return fmt.Errorf("broken: %s touches under token %d after somebody did under %d, %v after it looked", p.id, a.Token, j.touched, late)
 		}
 		j.touched = max(j.touched, a.Token)
 		p.checked = 0
-	case End:
+	case EndOperation:
 		if refused(place.End(a.Token, a.Number)) == nil {
 			p.t.FinishOperation(a, lessee.Completed, place.Token)
 			p.act = nil
@@ -461,43 +464,43 @@
 }
 
 // decide has a leader answer a claim; the answer waits until a majority has confirmed.
-func (w *World) decide(l *lead, m letter) {
-	a, err := l.Book.Renew(scaled(w.now, l.Rate), m.id, *m.claim)
+func (w *World) decide(l *lead, m message) {
+	a, err := l.State.Renew(scaled(w.now, l.Rate), m.id, *m.claim)
 	if err == nil {
-		l.Put(letter{to: m.to, id: m.id, answer: &a})
+		l.Put(message{to: m.to, id: m.id, answer: &a})
 	}
 }
 
-func (w *World) taken(m letter) {
-	if p := &w.procs[m.to]; p.id == m.id {
+func (w *World) taken(m message) {
+	if p := &w.processes[m.to]; p.id == m.id {
 		p.t.AcceptRenewal(w.clock(m.to), *m.answer)
 	}
 }
 
 // exchange is a claim and its answer by the leader that leads, at once.
 func (w *World) exchange(i int) {
-	p, l := &w.procs[i], w.Lead()
-	a, err := l.Book.Renew(scaled(w.now, l.Rate), p.id, w.claimOf(i))
+	p, l := &w.processes[i], w.Leader()
+	a, err := l.State.Renew(scaled(w.now, l.Rate), p.id, w.claimOf(i))
 	if err == nil {
-		w.taken(letter{to: i, id: p.id, answer: &a})
+		w.taken(message{to: i, id: p.id, answer: &a})
 	}
 }
 
 // Settle ends all faults: everyone claims in time and acts. It tells how long it takes until each shard was acted on.
 func (w *World) Settle() (time.Duration, error) { //nolint:gocognit // to be split with its package, see docs/left.md
-	w.Mail, w.flight = nil, nil
+	w.InTransit, w.flight = nil, nil
 	began := w.now
 	acted := make([]int, len(w.judge))
 	for i, j := range w.judge {
 		acted[i] = j.acts
 	}
-	for i := range w.procs {
-		for _, op := range []Op{Open, Check, Take, End} {
-			p := &w.procs[i]
-			if p.act == nil || op == Open && p.opened {
+	for i := range w.processes {
+		for _, op := range []Op{BeginAtResource, CheckLease, ChangeResource, EndOperation} {
+			p := &w.processes[i]
+			if p.act == nil || op == BeginAtResource && p.opened {
 				continue
 			}
-			if op == Check {
+			if op == CheckLease {
 				p.checked = 0
 			}
 			if err := w.act(op, i); err != nil {
@@ -507,13 +510,13 @@
 	}
 	for range 400 {
 		w.now += renewMs / 2 * time.Millisecond
-		if err := w.Do(Step{Sweep, len(w.Leads) - 1}); err != nil {
+		if err := w.Do(Step{ProposeAndLearn, len(w.Leaders) - 1}); err != nil {
 			return 0, err
 		}
-		for i := range w.procs {
+		for i := range w.processes {
 			w.exchange(i)
 			for range w.set.Shards {
-				if err := w.Do(Step{Whole, i}); err != nil {
+				if err := w.Do(Step{OperationAtOnce, i}); err != nil {
 					return 0, err
 				}
 			}
@@ -531,8 +534,8 @@
 
 // Print is the state as text: equal states print alike.
 func (w *World) Print() string {
-	b := fmt.Appendf(nil, "%d %d %v %v\n%v\n%v\n", w.now, w.Term, w.reg, w.flight, w.places, w.judge)
-	for _, p := range w.procs {
+	b := fmt.Appendf(nil, "%d %d %v %v\n%v\n%v\n", w.now, w.Term, w.registry, w.flight, w.places, w.judge)
+	for _, p := range w.processes {
 		b = fmt.Appendf(b, "%s %v %v %v %v\n", p.id, p.t, p.act, p.opened, p.checked)
 	}
 	return string(w.Group.Print(b))
--- a/internal/testbed/modelcheck/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -41,18 +41,18 @@
 	depth int
 }{
 	{Setup{Name: "cuts of three", Size: 3, Ops: []Op{Cut, Heal}}, 6},
-	{Setup{Name: "pauses of three", Size: 3, Ops: []Op{Half, Pause, Resume, Hush}}, 6},
+	{Setup{Name: "pauses of three", Size: 3, Ops: []Op{Half, Pause, Resume, Silence}}, 6},
 	{Setup{Name: "deaths of three", Size: 3, Ops: []Op{Kill, Restart, Leave}}, 6},
 	{Setup{Name: "a member that pauses among cuts", Size: 3, Ops: []Op{Pause, Resume, Cut, Heal}, On: []int{0}}, 7},
-	{Setup{Name: "mute", Size: 4, Ops: []Op{Mute, Heal, Hush}, On: []int{0, 1}}, 7},
-	{Setup{Name: "old messages", Size: 3, Ops: []Op{Old, Mute, Heal, Restart, Kill, Foreign}, On: []int{1}, Before: rounds(2)}, 4},
-	{Setup{Name: "old messages of a suspicion", Size: 3, Ops: []Op{Old, Heal}, On: []int{1},
+	{Setup{Name: "mute", Size: 4, Ops: []Op{Mute, Heal, Silence}, On: []int{0, 1}}, 7},
+	{Setup{Name: "old messages", Size: 3, Ops: []Op{ReplayOld, Mute, Heal, Restart, Kill, Foreign}, On: []int{1}, Before: rounds(2)}, 4},
+	{Setup{Name: "old messages of a suspicion", Size: 3, Ops: []Op{ReplayOld, Heal}, On: []int{1},
 		Before: append([]Step{{Op: Mute, On: 1}}, append(rounds(3), Step{Op: Heal}, Step{Op: Round})...)}, 3},
-	{Setup{Name: "four, one cut off", Size: 4, Ops: []Op{Cut, Hush, Heal}, On: []int{0}, Before: rounds(1)}, 5},
+	{Setup{Name: "four, one cut off", Size: 4, Ops: []Op{Cut, Silence, Heal}, On: []int{0}, Before: rounds(1)}, 5},
 	{Setup{Name: "buried and back", Size: 3, Ops: []Op{Resume, Heal, Half, Kill}, On: []int{1}, Before: append([]Step{{Op: Pause, On: 1}}, rounds(9)...)}, 6},
-	{Setup{Name: "two halves", Size: 4, Ops: []Op{Heal, Hush}, Before: append([]Step{{Cut, 0, 2}, {Cut, 0, 3}, {Cut, 1, 2}, {Cut, 1, 3},
+	{Setup{Name: "two halves", Size: 4, Ops: []Op{Heal, Silence}, Before: append([]Step{{Cut, 0, 2}, {Cut, 0, 3}, {Cut, 1, 2}, {Cut, 1, 3},
 		{Cut, 2, 0}, {Cut, 2, 1}, {Cut, 3, 0}, {Cut, 3, 1}}, rounds(12)...)}, 5},
-	{Setup{Name: "joins by a seed each", Size: 4, Ops: []Op{Hush, Pause, Resume}, On: []int{0}, Seeds: [][]int{{1}, {0}, {3}, {2, 0}}}, 5},
+	{Setup{Name: "joins by a seed each", Size: 4, Ops: []Op{Silence, Pause, Resume}, On: []int{0}, Seeds: [][]int{{1}, {0}, {3}, {2, 0}}}, 5},
 }
 
 var clocks = [][]float64{{1}, {0.9, 1.1}}
@@ -88,7 +88,7 @@
 func TestLong(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := Setup{Name: "long", Size: rapid.IntRange(3, 5).Draw(t, "size"), Rates: clocks[rapid.IntRange(0, 1).Draw(t, "clocks")],
-			Ops: []Op{Half, Hush, Cut, Mute, Heal, Pause, Resume, Kill, Restart, Leave, Foreign}}
+			Ops: []Op{Half, Silence, Cut, Mute, Heal, Pause, Resume, Kill, Restart, Leave, Foreign}}
 		w, err := New(s)
 		if err != nil {
 			t.Fatal(err)
@@ -121,7 +121,7 @@
 				}
 			}
 			for i, n := range w.nodes {
-				ways := n.m.View(w.clock(i)).Paths
+				ways := n.member.View(w.clock(i)).Paths
 				if len(ways) != 1 || ways[0].From != addr(from) || ways[0].To != addr(to) || ways[0].Kind != membership.LinkDown.String() {
 					t.Errorf("broken: from %d to %d is cut, and %s tells of %+v", from, to, addr(i), ways)
 				}
@@ -133,7 +133,7 @@
 				}
 			}
 			for i, n := range w.nodes {
-				if ways := n.m.View(w.clock(i)).Paths; len(ways) > 0 {
+				if ways := n.member.View(w.clock(i)).Paths; len(ways) > 0 {
 					t.Errorf("broken: all is mended, and %s tells of %+v", addr(i), ways)
 				}
 			}
--- a/internal/testbed/modelcheck/members/world.go
+++ b/internal/testbed/modelcheck/members/world.go
@@ -1,6 +1,7 @@
-// Package members holds the membership machines against each other in small fleets: a network that loses, repeats and cuts one way,
-// processes that pause, die and are started again, and clocks at both ends of their bound. After each step it checks the promises
-// of docs/members.md. It does no I/O.
+// Package members runs membership nodes against each other in small fleets: a network that loses and
+// repeats messages and is cut in one direction, processes that pause, die and start again, and clocks
+// at both ends of their bound. After each step it checks the promises of docs/members.md. It does no
+// I/O.
 package members
 
 import (
@@ -18,19 +19,19 @@
 
 // The kinds of steps.
 const (
-	Round   Op = iota // a period goes by, and what is sent arrives where it can
-	Half              // half of one
-	Hush              // a period goes by, and nothing arrives
-	Cut               // nothing passes from one to another any more, that way
-	Mute              // nothing passes from one to anybody
-	Heal              // everything passes again
-	Pause             // one stands still, and what comes for it waits
-	Resume            // it goes on
-	Kill              // it dies
-	Restart           // a later life begins at its address
-	Leave             // it ends in order
-	Old               // what was sent long ago arrives again
-	Foreign           // another fleet's message arrives
+	Round     Op = iota // a probe interval passes, and messages arrive where they can
+	Half                // half of one
+	Silence             // a probe interval passes, and no message arrives
+	Cut                 // nothing passes from one member to another
+	Mute                // nothing passes from one member to anybody
+	Heal                // everything passes again
+	Pause               // a member is paused; its messages wait
+	Resume              // it continues
+	Kill                // it dies
+	Restart             // a later run begins at its address
+	Leave               // it leaves in order
+	ReplayOld           // an old message arrives again
+	Foreign             // another fleet's message arrives
 	ops
 )
 
@@ -59,26 +60,26 @@
 }
 
 const (
-	period  = time.Second
-	timeout = 300 * time.Millisecond
-	key     = 7
-	mostOld = 12 // messages that may arrive again
+	period      = time.Second
+	timeout     = 300 * time.Millisecond
+	key         = 7
+	maxReplayed = 12 // messages that may arrive again
 )
 
 var settings = membership.Config{FleetID: key, ProbeInterval: period, ProbeTimeout: timeout, IndirectProbes: 2, SuspicionMult: 2, SuspicionMaxMult: 3, Confirmations: 2, RetransmitMult: 2,
 	SyncInterval: 3 * period, PauseThreshold: 1500 * time.Millisecond, TombstoneTTL: time.Hour}
 
 type node struct {
-	m       *membership.Node
-	rate    float64
-	lives   int
-	alive   bool
-	leaves  bool
-	paused  bool
-	stood   time.Duration // when it began to stand still, by its own clock
-	resumed time.Duration // when it went on last after a pause past the bound
-	mail    []letter
-	came    time.Duration // when a message came last, by its own clock
+	member      *membership.Node
+	rate        float64
+	starts      int
+	alive       bool
+	leaving     bool
+	paused      bool
+	pausedSince time.Duration // when it began to stand still, by its own clock
+	resumedAt   time.Duration // when it went on last after a pause past the bound
+	mail        []message
+	came        time.Duration // when a message came last, by its own clock
 }
 
 // life is a member under one incarnation.
@@ -87,7 +88,7 @@
 	inc   uint32
 }
 
-type letter struct {
+type message struct {
 	from, to int
 	via      membership.Channel
 	*membership.Message
@@ -98,8 +99,8 @@
 	set    Setup
 	now    time.Duration
 	nodes  []*node
-	mail   []letter
-	old    []letter
+	mail   []message
+	old    []message
 	cut    map[[2]int]bool
 	hushed bool
 	names  map[uint64]string
@@ -127,10 +128,10 @@
 	if s.Seeds == nil {
 		var all []membership.Record
 		for _, n := range w.nodes {
-			all = append(all, n.m.Self())
+			all = append(all, n.member.Self())
 		}
 		for i, n := range w.nodes {
-			n.m.Preload(w.clock(i), all, membership.SharedInfos(all))
+			n.member.Preload(w.clock(i), all, membership.SharedInfos(all))
 		}
 	}
 	for i := range w.nodes {
@@ -148,9 +149,9 @@
 
 func (w *World) start(i int) {
 	n := w.nodes[i]
-	n.lives++
-	birth := uint64(i+1)<<32 | uint64(n.lives)
-	w.names[birth], w.incs[birth] = fmt.Sprintf("%s%d", addr(i), n.lives), 1
+	n.starts++
+	birth := uint64(i+1)<<32 | uint64(n.starts)
+	w.names[birth], w.incs[birth] = fmt.Sprintf("%s%d", addr(i), n.starts), 1
 	var seeds []string
 	if w.set.Seeds != nil {
 		for _, s := range w.set.Seeds[i] {
@@ -161,8 +162,8 @@
 			seeds = append(seeds, addr(j))
 		}
 	}
-	n.m = membership.New(settings, birth, membership.Info{Name: addr(i), Addr: addr(i)}, seeds, w.clock(i), rand.New(rand.NewPCG(uint64(i), uint64(n.lives))))
-	n.alive, n.leaves, n.paused, n.mail, n.came, n.resumed = true, false, false, nil, w.clock(i), w.clock(i)-time.Hour
+	n.member = membership.New(settings, birth, membership.Info{Name: addr(i), Addr: addr(i)}, seeds, w.clock(i), rand.New(rand.NewPCG(uint64(i), uint64(n.starts))))
+	n.alive, n.leaving, n.paused, n.mail, n.came, n.resumedAt = true, false, false, nil, w.clock(i), w.clock(i)-time.Hour
 	w.seen[i], w.susp[i] = 0, map[uint64]time.Duration{}
 	w.held[i] = map[uint64]membership.Record{}
 }
@@ -178,13 +179,13 @@
 	}
 	for _, op := range w.set.Ops {
 		switch op {
-		case Half, Hush:
+		case Half, Silence:
 			all = append(all, Step{Op: op})
 		case Heal:
 			if len(w.cut) > 0 {
 				all = append(all, Step{Op: op})
 			}
-		case Old:
+		case ReplayOld:
 			for i := range w.old {
 				all = append(all, Step{Op: op, On: i})
 			}
@@ -192,7 +193,7 @@
 			for _, i := range on {
 				n := w.nodes[i]
 				can := map[Op]bool{Cut: n.alive, Mute: n.alive && !w.cut[[2]int{i, (i + 1) % len(w.nodes)}], Pause: n.alive && !n.paused, Resume: n.paused && n.alive,
-					Kill: n.alive, Restart: !n.alive, Leave: n.alive && !n.paused && !n.leaves, Foreign: n.alive && !n.paused}[op]
+					Kill: n.alive, Restart: !n.alive, Leave: n.alive && !n.paused && !n.leaving, Foreign: n.alive && !n.paused}[op]
 				if !can {
 					continue
 				}
@@ -220,7 +221,7 @@
 		return w.pass(period)
 	case Half:
 		return w.pass(period / 2)
-	case Hush:
+	case Silence:
 		w.hushed = true
 		defer func() { w.hushed = false }()
 		return w.pass(period)
@@ -235,13 +236,13 @@
 	case Heal:
 		clear(w.cut)
 	case Pause:
-		n.paused, n.stood = true, w.clock(s.On)
+		n.paused, n.pausedSince = true, w.clock(s.On)
 	case Resume:
 		n.paused = false
-		if w.clock(s.On)-n.stood > settings.PauseThreshold+period { // whatever was due in between
-			n.resumed = w.clock(s.On)
+		if w.clock(s.On)-n.pausedSince > settings.PauseThreshold+period { // whatever was due in between
+			n.resumedAt = w.clock(s.On)
 		}
-		w.send(s.On, n.m.Tick(w.clock(s.On))) // the clock first
+		w.send(s.On, n.member.Tick(w.clock(s.On))) // the clock first
 		if err := w.check(s.On, "resume"); err != nil {
 			return err
 		}
@@ -257,20 +258,20 @@
 	case Restart:
 		w.start(s.On)
 	case Leave:
-		n.leaves = true
-		w.left[n.m.Self().ID] = true
-		w.send(s.On, n.m.Leave(w.clock(s.On)))
+		n.leaving = true
+		w.left[n.member.Self().ID] = true
+		w.send(s.On, n.member.Leave(w.clock(s.On)))
 		if err := w.check(s.On, "leave"); err != nil {
 			return err
 		}
-	case Old:
+	case ReplayOld:
 		l := w.old[s.On]
 		if to := w.nodes[l.to]; to.alive && !to.paused {
-			before := to.m.Self().Incarnation
+			before := to.member.Self().Incarnation
 			held := w.view(l.to)
-			to.m.Receive(w.clock(l.to), l.Message, l.via)
+			to.member.Receive(w.clock(l.to), l.Message, l.via)
 			if fresh := l.Echo != 0 && w.names[l.From.ID] != "" && w.now-time.Duration(0) == 0; !fresh {
-				if to.m.Self().Incarnation != before || !same(held, w.view(l.to)) {
+				if to.member.Self().Incarnation != before || !same(held, w.view(l.to)) {
 					return fmt.Errorf("broken: an old %v from %s changed the view of %s", l.Kind, w.names[l.From.ID], addr(l.to))
 				}
 			}
@@ -278,10 +279,10 @@
 	case Foreign:
 		for _, kind := range []membership.MessageKind{membership.Ping, membership.Ack, membership.SyncPage} {
 			x := &membership.Message{Version: membership.Version, FleetID: key + 1, Kind: kind, From: membership.Record{ID: 99, Incarnation: 1, Info: membership.Info{Name: "x", Addr: "x"}},
-				Nonce: 5, Opinion: &membership.Opinion{Incarnation: n.m.Self().Incarnation, Status: membership.Suspect}}
-			held, inc := w.view(s.On), n.m.Self().Incarnation
-			out := n.m.Receive(w.clock(s.On), x, membership.Datagram) // what was due in any case may go out
-			if slices.ContainsFunc(out, func(o membership.Outgoing) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.m.Self().Incarnation != inc {
+				Nonce: 5, Opinion: &membership.Opinion{Incarnation: n.member.Self().Incarnation, Status: membership.Suspect}}
+			held, inc := w.view(s.On), n.member.Self().Incarnation
+			out := n.member.Receive(w.clock(s.On), x, membership.Datagram) // what was due in any case may go out
+			if slices.ContainsFunc(out, func(o membership.Outgoing) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.member.Self().Incarnation != inc {
 				return fmt.Errorf("broken: another fleet's %v changed or drew something at %s", kind, addr(s.On))
 			}
 		}
@@ -308,7 +309,7 @@
 		at, who := end, -1
 		for i, n := range w.nodes {
 			if n.alive && !n.paused {
-				if due := max(w.now, time.Duration(float64(n.m.NextTick())/n.rate)+1); due < at {
+				if due := max(w.now, time.Duration(float64(n.member.NextTick())/n.rate)+1); due < at {
 					at, who = due, i
 				}
 			}
@@ -317,7 +318,7 @@
 		if who < 0 {
 			return nil
 		}
-		w.send(who, w.nodes[who].m.Tick(w.clock(who)))
+		w.send(who, w.nodes[who].member.Tick(w.clock(who)))
 		if err := w.check(who, "tick"); err != nil {
 			return err
 		}
@@ -334,7 +335,7 @@
 		if err := s.Validate(); err != nil {
 			panic(fmt.Sprintf("%s sends what nobody reads: %v", addr(from), err))
 		}
-		l := letter{from, to, s.Channel, s.Message}
+		l := message{from, to, s.Channel, s.Message}
 		if w.hushed || w.cut[[2]int{from, to}] || !w.nodes[to].alive {
 			continue
 		}
@@ -363,28 +364,28 @@
 	return nil
 }
 
-func (w *World) receive(l letter) error { //nolint:gocognit // to be split with its package, see docs/left.md
+func (w *World) receive(l message) error { //nolint:gocognit // to be split with its package, see docs/left.md
 	to := w.nodes[l.to]
-	if slices.Contains(w.set.Ops, Old) && (l.Echo != 0 || len(l.Records) > 0 || l.Opinion != nil && l.Opinion.Status != membership.Alive) && len(w.old) < mostOld {
+	if slices.Contains(w.set.Ops, ReplayOld) && (l.Echo != 0 || len(l.Records) > 0 || l.Opinion != nil && l.Opinion.Status != membership.Alive) && len(w.old) < maxReplayed {
 		w.old = append(w.old, l)
 	}
-	before := to.m.Counts
+	before := to.member.Counts
 	held := w.view(l.to)
-	inc := to.m.Self().Incarnation
-	w.send(l.to, to.m.Receive(w.clock(l.to), l.Message, l.via))
+	inc := to.member.Self().Incarnation
+	w.send(l.to, to.member.Receive(w.clock(l.to), l.Message, l.via))
 	to.came = w.clock(l.to)
-	c := to.m.Counts
+	c := to.member.Counts
 	believed := l.Echo != 0 && c.Stale == before.Stale && c.Foreign == before.Foreign && c.Misdirected == before.Misdirected
 	if believed {
 		for _, r := range append(slices.Clone(l.Records), l.From) {
-			if r.ID == to.m.Self().ID {
-				if r.Status == membership.Suspect && r.Incarnation == inc && !to.leaves && to.m.Self().Incarnation == inc {
+			if r.ID == to.member.Self().ID {
+				if r.Status == membership.Suspect && r.Incarnation == inc && !to.leaving && to.member.Self().Incarnation == inc {
 					return fmt.Errorf("broken: %s is told that it is suspected, and does not refute it", addr(l.to))
 				}
 				continue
 			}
 			was, knew := held[r.ID]
-			is, knows := to.m.Lookup(r.ID)
+			is, knows := to.member.Lookup(r.ID)
 			switch {
 			case !knows:
 				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(l.to), w.names[r.ID])
@@ -396,7 +397,7 @@
 		}
 	} else {
 		for birth, was := range held {
-			if is, ok := to.m.Lookup(birth); !ok || is.Status != was.Status || is.Incarnation != was.Incarnation {
+			if is, ok := to.member.Lookup(birth); !ok || is.Status != was.Status || is.Incarnation != was.Incarnation {
 				return fmt.Errorf("broken: an unverified %v changed what %s knows of %s", l.Kind, addr(l.to), w.names[birth])
 			}
 		}
@@ -410,7 +411,7 @@
 func (w *World) view(i int) map[uint64]membership.Record {
 	v := map[uint64]membership.Record{}
 	for b := range w.names {
-		if r, ok := w.nodes[i].m.Lookup(b); ok {
+		if r, ok := w.nodes[i].member.Lookup(b); ok {
 			v[b] = r
 		}
 	}
@@ -421,15 +422,15 @@
 func (w *World) check(i int, what string) error {
 	n := w.nodes[i]
 	now := w.clock(i)
-	self := n.m.Self()
+	self := n.member.Self()
 	if self.Incarnation < w.incs[self.ID] {
 		return fmt.Errorf("broken: the incarnation of %s went back", addr(i))
 	}
 	w.incs[self.ID] = self.Incarnation
-	for b, inc := range n.m.DirectSuspects() {
+	for b, inc := range n.member.DirectSuspects() {
 		note(w.own, life{b, inc}, self.ID)
 	}
-	events, ever := n.m.Events()
+	events, ever := n.member.Events()
 	for _, e := range events[max(0, len(events)-(ever-w.seen[i])):] {
 		switch {
 		case e.Status == "dead" && e.Reason == "nobody hears it":
@@ -477,21 +478,21 @@
 	n, birth := w.nodes[i], e.ID
 	reporters := map[uint64]bool{}
 	for _, by := range e.Reporters {
-		if by == n.m.Self().ID || w.own[life{birth, e.Incarnation}][by] { // one that says so of itself
+		if by == n.member.Self().ID || w.own[life{birth, e.Incarnation}][by] { // one that says so of itself
 			reporters[by] = true
 		}
 	}
 	began := w.susp[i][birth]
-	least := n.m.MinSuspicion()
+	least := n.member.MinSuspicion()
 	took := now - began
 	switch {
 	case took < least:
 		return fmt.Errorf("broken: %s held %s dead after %v, %v at least are due", addr(i), w.names[birth], took, least)
-	case len(reporters) < settings.Confirmations && took < n.m.MaxSuspicion() && w.set.Size > 2:
-		return fmt.Errorf("broken: %s held %s dead after %v by the word of one, who waits %v", addr(i), w.names[birth], took, n.m.MaxSuspicion())
-	case now-n.resumed < least:
-		return fmt.Errorf("broken: %s held %s dead %v after it stood still", addr(i), w.names[birth], now-n.resumed)
-	case w.set.Size > 2 && now-max(n.came, n.resumed) > 4*period*time.Duration(1+8):
+	case len(reporters) < settings.Confirmations && took < n.member.MaxSuspicion() && w.set.Size > 2:
+		return fmt.Errorf("broken: %s held %s dead after %v by the word of one, who waits %v", addr(i), w.names[birth], took, n.member.MaxSuspicion())
+	case now-n.resumedAt < least:
+		return fmt.Errorf("broken: %s held %s dead %v after it stood still", addr(i), w.names[birth], now-n.resumedAt)
+	case w.set.Size > 2 && now-max(n.came, n.resumedAt) > 4*period*time.Duration(1+8):
 		return fmt.Errorf("broken: %s hears nobody and holds %s dead", addr(i), w.names[birth])
 	}
 	return nil
@@ -502,9 +503,9 @@
 	var b strings.Builder
 	name := func(x uint64) string { return w.names[x] }
 	for i, n := range w.nodes {
-		fmt.Fprintf(&b, "%d alive %v paused %v mail %d leaves %v: ", n.lives, n.alive, n.paused, len(n.mail), n.leaves)
+		fmt.Fprintf(&b, "%d alive %v paused %v mail %d leaves %v: ", n.starts, n.alive, n.paused, len(n.mail), n.leaving)
 		if n.alive {
-			b.WriteString(n.m.DebugString(w.clock(i), name))
+			b.WriteString(n.member.DebugString(w.clock(i), name))
 		}
 		b.WriteByte('\n')
 	}
@@ -530,7 +531,7 @@
 				return err
 			}
 		}
-		if n.leaves {
+		if n.leaving {
 			n.alive = false
 		}
 	}
@@ -545,19 +546,19 @@
 		if n.alive {
 			living++
 			if first == nil {
-				first = n.m
+				first = n.member
 			}
 		}
 	}
 	for i, n := range w.nodes {
 		switch {
 		case !n.alive:
-		case n.m.Size() != living && living > 1:
-			return fmt.Errorf("broken: %s knows %d that live, and there are %d", addr(i), n.m.Size(), living)
-		case n.m.AliveDigest() != first.AliveDigest() && living > 1:
+		case n.member.Size() != living && living > 1:
+			return fmt.Errorf("broken: %s knows %d that live, and there are %d", addr(i), n.member.Size(), living)
+		case n.member.AliveDigest() != first.AliveDigest() && living > 1:
 			return fmt.Errorf("broken: the views of %s and another do not meet", addr(i))
-		case n.m.PendingBroadcasts() > 0 && living > 1:
-			return fmt.Errorf("broken: %s still passes on %d records", addr(i), n.m.PendingBroadcasts())
+		case n.member.PendingBroadcasts() > 0 && living > 1:
+			return fmt.Errorf("broken: %s still passes on %d records", addr(i), n.member.PendingBroadcasts())
 		}
 	}
 	return nil
--- a/internal/testbed/modelcheck/proof_test.go
+++ b/internal/testbed/modelcheck/proof_test.go
@@ -24,7 +24,7 @@
 var (
 	fast, slow = 1 + ppm/1e6, 1 - ppm/1e6
 	clocks     = [][2][]float64{{{slow, fast}, {fast, slow}}, {{fast, slow}, {slow, fast}}, {{slow}, {fast}}}
-	all        = []Op{Elect, Renew, Deliver, Repeat, Ask, Told, Heard, Finish, Exchange, Use, Shrink, Reshape, Join, Unheard, Quit, Sweep, Reboot}
+	all        = []Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Use, Shrink, Reshape, Join, JoinAnswerLost, Leave, ExpireSessions, Restart}
 )
 
 // cases are the small cases that are searched whole, and how deep.
@@ -36,48 +36,48 @@
 		for i, c := range clocks {
 			s := s
 			s.Name = fmt.Sprintf("%s, clocks %d", s.Name, i)
-			s.Rates, s.Leads = c[0], c[1]
+			s.Rates, s.LeaderRates = c[0], c[1]
 			list = append(list, struct {
 				Setup
 				depth int
 			}{s, depth})
 		}
 	}
-	three := []Step{{Exchange, 0}, {Exchange, 1}}
-	letters := []Op{Renew, Deliver, Repeat, Finish, Exchange}
-	add(6, Setup{Name: "letters", Processes: 2, Seats: 2, Joined: 2, Letters: 2, TickMs: 700, Ops: letters})
-	add(5, Setup{Name: "letters, three", Processes: 3, Seats: 3, Joined: 3, Letters: 2, TickMs: 560, Ops: letters, Before: three})
-	add(5, Setup{Name: "leaders", Processes: 3, Seats: 3, Joined: 3, Elections: 2, TickMs: 300, Ops: []Op{Elect, Exchange, Shrink, Reshape}})
-	add(6, Setup{Name: "a late letter to a new leader", Processes: 2, Seats: 2, Joined: 2, Elections: 2, Letters: 2, TickMs: 700,
-		Ops: []Op{Elect, Renew, Deliver, Finish, Exchange}, Before: []Step{{Exchange, 0}, {Tick, 0}, {Renew, 0}, {Tick, 0}, {Exchange, 1}}})
-	majority := []Op{Elect, Renew, Deliver, Ask, Told, Heard, Exchange}
-	add(6, Setup{Name: "an old leader", Processes: 2, Seats: 2, Joined: 2, Elections: 1, Letters: 2, TickMs: 700, Ops: majority,
-		Before: []Step{{Elect, 0}, {Tick, 0}, {Tick, 0}, {Exchange, 1}}})
-	add(5, Setup{Name: "an old leader that had asked", Processes: 2, Seats: 2, Joined: 2, Elections: 1, Letters: 2, TickMs: 700, Ops: majority,
-		Before: []Step{{Renew, 0}, {Deliver, 0}, {Ask, 0}, {Told, 0}, {Elect, 0}, {Tick, 0}, {Tick, 0}, {Exchange, 1}}})
-	add(6, Setup{Name: "uses", Processes: 2, Seats: 2, Joined: 2, Elections: 1, TickMs: 560, Ops: []Op{Elect, Exchange, Use, Shrink, Reshape}})
-	add(6, Setup{Name: "uses, saved up", Processes: 2, Seats: 2, Joined: 2, TickMs: 700, Ops: []Op{Exchange, Use},
-		Before: []Step{{Exchange, 0}, {Tick, 0}, {Tick, 0}}})
-	add(5, Setup{Name: "seats", Processes: 3, Seats: 2, Joined: 2, Elections: 1, TickMs: 700,
-		Ops: []Op{Elect, Exchange, Join, Unheard, Quit, Sweep, Reboot}})
-	add(4, Setup{Name: "seats that have ended", Processes: 3, Seats: 2, Joined: 2, TickMs: 700, Ops: []Op{Exchange, Join, Sweep},
+	three := []Step{{RenewAtOnce, 0}, {RenewAtOnce, 1}}
+	letters := []Op{Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAtOnce}
+	add(6, Setup{Name: "letters", Processes: 2, MaxSessions: 2, Registered: 2, MaxInTransit: 2, TickMs: 700, Ops: letters})
+	add(5, Setup{Name: "letters, three", Processes: 3, MaxSessions: 3, Registered: 3, MaxInTransit: 2, TickMs: 560, Ops: letters, Before: three})
+	add(5, Setup{Name: "leaders", Processes: 3, MaxSessions: 3, Registered: 3, Elections: 2, TickMs: 300, Ops: []Op{Elect, RenewAtOnce, Shrink, Reshape}})
+	add(6, Setup{Name: "a late letter to a new leader", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 2, MaxInTransit: 2, TickMs: 700,
+		Ops: []Op{Elect, Renew, Deliver, RoundAtOnce, RenewAtOnce}, Before: []Step{{RenewAtOnce, 0}, {Tick, 0}, {Renew, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
+	majority := []Op{Elect, Renew, Deliver, StartRound, MajorityAnswers, FinishRound, RenewAtOnce}
+	add(6, Setup{Name: "an old leader", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majority,
+		Before: []Step{{Elect, 0}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
+	add(5, Setup{Name: "an old leader that had asked", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majority,
+		Before: []Step{{Renew, 0}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
+	add(6, Setup{Name: "uses", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 560, Ops: []Op{Elect, RenewAtOnce, Use, Shrink, Reshape}})
+	add(6, Setup{Name: "uses, saved up", Processes: 2, MaxSessions: 2, Registered: 2, TickMs: 700, Ops: []Op{RenewAtOnce, Use},
+		Before: []Step{{RenewAtOnce, 0}, {Tick, 0}, {Tick, 0}}})
+	add(5, Setup{Name: "seats", Processes: 3, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 700,
+		Ops: []Op{Elect, RenewAtOnce, Join, JoinAnswerLost, Leave, ExpireSessions, Restart}})
+	add(4, Setup{Name: "seats that have ended", Processes: 3, MaxSessions: 2, Registered: 2, TickMs: 700, Ops: []Op{RenewAtOnce, Join, ExpireSessions},
 		Before: []Step{{Tick, 0}, {Tick, 0}, {Tick, 0}, {Tick, 0}}})
-	add(5, Setup{Name: "uses and seats", Processes: 2, Seats: 2, Joined: 2, TickMs: 560, Ops: []Op{Exchange, Use, Join, Quit},
-		Before: []Step{{Exchange, 1}, {Tick, 0}}})
-	add(4, Setup{Name: "stock and seats", Processes: 3, Seats: 2, Joined: 2, TickMs: 560, Stock: true, Ops: []Op{Exchange, Use, Join, Sweep},
-		Before: []Step{{Use, 0}, {Use, 1}, {Tick, 0}, {Tick, 0}, {Exchange, 1}, {Tick, 0}, {Tick, 0}, {Exchange, 1}}})
-	add(5, Setup{Name: "stock", Processes: 2, Seats: 3, Joined: 2, Elections: 1, TickMs: 560, Stock: true, Ops: []Op{Elect, Exchange, Use, Quit, Reboot}})
+	add(5, Setup{Name: "uses and seats", Processes: 2, MaxSessions: 2, Registered: 2, TickMs: 560, Ops: []Op{RenewAtOnce, Use, Join, Leave},
+		Before: []Step{{RenewAtOnce, 1}, {Tick, 0}}})
+	add(4, Setup{Name: "stock and seats", Processes: 3, MaxSessions: 2, Registered: 2, TickMs: 560, ConcurrencyLimit: true, Ops: []Op{RenewAtOnce, Use, Join, ExpireSessions},
+		Before: []Step{{Use, 0}, {Use, 1}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
+	add(5, Setup{Name: "stock", Processes: 2, MaxSessions: 3, Registered: 2, Elections: 1, TickMs: 560, ConcurrencyLimit: true, Ops: []Op{Elect, RenewAtOnce, Use, Leave, Restart}})
 	// A member that renewed just before an election dies with all its connections open, just before its part ends.
-	dies := []Step{{Exchange, 0}, {Use, 0}, {Exchange, 0}, {Use, 0}, {Elect, 0}}
+	dies := []Step{{RenewAtOnce, 0}, {Use, 0}, {RenewAtOnce, 0}, {Use, 0}, {Elect, 0}}
 	for i := range 11 {
 		dies = append(dies, Step{Tick, 0})
 		if i%4 == 3 {
-			dies = append(dies, Step{Use, 1}, Step{Exchange, 1})
+			dies = append(dies, Step{Use, 1}, Step{RenewAtOnce, 1})
 		}
 	}
-	add(5, Setup{Name: "stock, a death and an election", Processes: 2, Seats: 2, Joined: 2, Elections: 1, TickMs: 96, Stock: true, Ops: []Op{Exchange, Use, Vanish}, Before: dies})
-	add(5, Setup{Name: "stock, letters", Processes: 2, Seats: 2, Joined: 2, Letters: 2, TickMs: 90, Stock: true,
-		Ops: []Op{Renew, Deliver, Finish, Exchange, Use}, Before: []Step{{Exchange, 0}, {Use, 0}}})
+	add(5, Setup{Name: "stock, a death and an election", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 96, ConcurrencyLimit: true, Ops: []Op{RenewAtOnce, Use, CrashWithConnections}, Before: dies})
+	add(5, Setup{Name: "stock, letters", Processes: 2, MaxSessions: 2, Registered: 2, MaxInTransit: 2, TickMs: 90, ConcurrencyLimit: true,
+		Ops: []Op{Renew, Deliver, RoundAtOnce, RenewAtOnce, Use}, Before: []Step{{RenewAtOnce, 0}, {Use, 0}}})
 	return list
 }
 
@@ -88,9 +88,9 @@
 // held in the end.
 func walk(t *rapid.T) float64 {
 	c := clocks[rapid.IntRange(0, len(clocks)-1).Draw(t, "clocks")]
-	s := Setup{Name: "long", Processes: 3, Seats: rapid.IntRange(2, 4).Draw(t, "seats"), Joined: 2, Elections: 3, Letters: 3,
-		TickMs: rapid.SampledFrom([]int{90, 160, 350}).Draw(t, "tick"), Stock: rapid.Bool().Draw(t, "stock"),
-		Rates: c[0], Leads: c[1], Fresh: rapid.Bool().Draw(t, "fresh")}
+	s := Setup{Name: "long", Processes: 3, MaxSessions: rapid.IntRange(2, 4).Draw(t, "seats"), Registered: 2, Elections: 3, MaxInTransit: 3,
+		TickMs: rapid.SampledFrom([]int{90, 160, 350}).Draw(t, "tick"), ConcurrencyLimit: rapid.Bool().Draw(t, "stock"),
+		Rates: c[0], LeaderRates: c[1], NewTerm: rapid.Bool().Draw(t, "fresh")}
 	// Of all that can happen a part, another each time: what takes several steps of one kind is met sooner.
 	for _, op := range all {
 		if rapid.Bool().Draw(t, "op") {
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -1,6 +1,8 @@
-// Package modelcheck holds the fleet's machines against each other: the real register, givers, desks and holders, with a network that
-// delays, repeats, loses and reorders, clocks at both ends of their bound, processes that pause between any two steps and
-// leaders that are replaced while they believe to lead. After each step it sums what all processes could use. It does no I/O.
+// Package modelcheck runs the state machines of fleet-wide quotas against each other: the real
+// registry, allocators, read index queues and quota clients, with a network that delays, repeats,
+// loses and reorders messages, clocks at both ends of their bound, processes that are restarted, and
+// leaders that are replaced without knowing it. After each step it sums what all processes could use.
+// It does no I/O.
 package modelcheck
 
 import (
@@ -21,25 +23,26 @@
 
 // The kinds of steps.
 const (
-	Tick     Op = iota // time goes on
-	Elect              // another agent begins to lead; the one before doesn't know
-	Renew              // a process begins a renewal and sends it
-	Deliver            // a message arrives
-	Repeat             // a message arrives, and will again
-	Ask                // a leader asks a majority for their terms
-	Told               // the majority answers
-	Heard              // the answer to that arrives
-	Exchange           // a renewal and its answer without anything in between
-	Finish             // a leader asks, and hears at once
-	Use                // a process uses all that it may
-	Shrink             // the whole is made smaller
-	Reshape            // the rate is made larger and the burst smaller
-	Join               // a process without a seat asks for one
-	Unheard            // the same, and the answer is lost
-	Quit               // a process leaves in order
-	Sweep              // the leader takes back the seats that have ended
-	Reboot             // a process dies and is started again
-	Vanish             // the same, and its connections stay open at the target for as long as they may
+	Tick            Op = iota // time passes
+	Elect                     // another agent becomes leader; the previous one does not know
+	Renew                     // a process starts a renewal and sends it
+	Deliver                   // a message arrives
+	DeliverAgain              // a message arrives, and will arrive again
+	StartRound                // a leader asks the majority for their terms
+	MajorityAnswers           // the majority answers
+	FinishRound               // the answers arrive
+	RenewAtOnce               // a renewal and its answer, with nothing in between
+	RoundAtOnce               // a whole round, with nothing in between
+	Use                       // a process uses all that it may
+	Shrink                    // the limit is made smaller
+	Reshape                   // the rate is made larger and the burst smaller
+	Join                      // a process without a session joins
+	JoinAnswerLost            // the same, and the answer is lost
+	Leave                     // a process leaves in order
+	ExpireSessions            // the leader removes expired sessions
+	Restart                   // a process dies and starts again
+	// the same, and its connections stay open at the target as long as they may
+	CrashWithConnections
 	ops
 )
 
@@ -58,19 +61,19 @@
 
 // Setup is a small case.
 type Setup struct {
-	Name      string
-	Processes int
-	Seats     int
-	Rates     []float64 // of the processes' clocks, against true time
-	Leads     []float64 // of the agents' clocks, in the order in which they lead
-	Elections int       // at most
-	Letters   int       // on their way at a time, at most
-	Stock     bool      // connections at a target, else a rate
-	Ops       []Op      // beside Tick
-	TickMs    int
-	Joined    int // processes that have a seat at the beginning
-	Before    []Step
-	Fresh     bool // the first leader has just begun; else its wait is over
+	Name             string
+	Processes        int
+	MaxSessions      int
+	Rates            []float64 // of the processes' clocks against true time
+	LeaderRates      []float64 // of the agents' clocks, in the order in which they lead
+	Elections        int       // at most
+	MaxInTransit     int       // messages
+	ConcurrencyLimit bool      // connections at a target, instead of a rate
+	Ops              []Op      // beside Tick
+	TickMs           int
+	Registered       int // processes that have a session at the beginning
+	Before           []Step
+	NewTerm          bool // the first leader has just begun; else its recovery wait is over
 }
 
 // Bounds of the small cases: parts of a second and clocks a tenth off, so that what is wrong shows within few steps.
@@ -94,87 +97,87 @@
 )
 
 type process struct {
-	h    *quotaclient.Client
-	rate float64
-	id   string
-	born int
+	client *quotaclient.Client
+	rate   float64
+	id     string
+	starts int
 }
 
-type lead = leaders.Lead[*allocator.Allocator, letter]
+type leader = leaders.Leader[*allocator.Allocator, message]
 
-// ghost is connections of a dead process that are open at the target still.
-type ghost struct {
+// deadConnections is connections of a dead process that are open at the target still.
+type deadConnections struct {
 	n     int
 	until time.Duration // true time
 }
 
-type letter struct {
+type message struct {
 	to      int // a process, for an answer
 	renewal *quota.RenewalRequest
 	answer  *quota.RenewalResponse
-	during  uint64 // the question that was out when it was decided
+	round   uint64 // the question that was out when it was decided
 }
 
-// Asks implements leaders.Letter.
-func (m letter) Asks() bool { return m.renewal != nil }
+// IsRequest implements leaders.Letter.
+func (m message) IsRequest() bool { return m.renewal != nil }
 
 // Print implements leaders.Letter.
-func (m letter) Print(b []byte) []byte {
+func (m message) Print(b []byte) []byte {
 	if m.renewal != nil {
 		return fmt.Appendf(b, "%d>%+v\n", m.to, *m.renewal)
 	}
-	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.during, m.to, m.answer.ID, m.answer.Seq, m.answer.Allocations)
+	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.round, m.to, m.answer.ID, m.answer.Seq, m.answer.Allocations)
 }
 
-// questions are the steps of a leader's question.
-var questions = map[Op]leaders.Question{Ask: leaders.Ask, Told: leaders.Told, Heard: leaders.Heard, Finish: leaders.Finish}
+// roundSteps are the steps of a leader's question.
+var roundSteps = map[Op]leaders.Question{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
 
 // World is one state of a small case.
 type World struct {
-	set   Setup
-	now   time.Duration
-	reg   registry.Registry
-	index uint64
-	procs []process
-	leaders.Group[*allocator.Allocator, letter]
-	level  float64       // of a bucket that takes all uses, filled at the whole's rate
-	ghosts []ghost       // of processes that died
-	before quota.Config  // the set of budgets before the one that holds
-	until  time.Duration // until then that one may be met
+	set       Setup
+	now       time.Duration
+	registry  registry.Registry
+	index     uint64
+	processes []process
+	leaders.Group[*allocator.Allocator, message]
+	bucketLevel     float64           // of a bucket that takes all uses, filled at the whole's rate
+	deadConnections []deadConnections // of processes that died
+	previousConfig  quota.Config      // the set of budgets before the one that holds
+	previousUntil   time.Duration     // until then that one may be met
 }
 
 var key = quota.Key{Budget: "b"}
 
-func document(s Setup, whole, depth float64) quota.Config {
+func quotaConfig(s Setup, whole, depth float64) quota.Config {
 	b := quota.Budget{Name: "b", Resource: quota.AllWork, Scope: quota.PerFleet, Kind: "rate", Capacity: whole, Burst: whole*quota.MaxTransit.Seconds() + depth,
 		FloorRate: least, FloorBurst: 1}
-	if s.Stock {
+	if s.ConcurrencyLimit {
 		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: whole, FloorRate: least,
 			LingerMs: linger.Milliseconds()}
 	}
-	return quota.Config{MaxSessions: s.Seats, RenewIntervalMs: 100, AllocationTTLMs: partMs, SessionTTLS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
+	return quota.Config{MaxSessions: s.MaxSessions, RenewIntervalMs: 100, AllocationTTLMs: partMs, SessionTTLS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
 }
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
 	w := &World{set: s, index: 1, now: time.Hour}
-	if err := w.reg.SetQuotaConfig(w.index, document(s, wholeAt, depthAt)); err != nil {
+	if err := w.registry.SetQuotaConfig(w.index, quotaConfig(s, wholeAt, depthAt)); err != nil {
 		return nil, err
 	}
 	for i := range s.Processes {
-		w.procs = append(w.procs, process{rate: s.Rates[i%len(s.Rates)]})
-		w.boot(i)
+		w.processes = append(w.processes, process{rate: s.Rates[i%len(s.Rates)]})
+		w.start(i)
 	}
-	for i := range s.Joined {
+	for i := range s.Registered {
 		w.join(i, true)
 	}
 	began := w.now
-	if !s.Fresh {
+	if !s.NewTerm {
 		began -= 10 * time.Second
 	}
-	rate := w.Rate(s.Leads)
-	w.Elect(rate, allocator.New(scaled(began, rate), w.reg.QuotaConfig, nil))
-	w.sync()
+	rate := w.NextRate(s.LeaderRates)
+	w.Elect(rate, allocator.New(scaled(began, rate), w.registry.QuotaConfig, nil))
+	w.updateLeader()
 	for i, x := range s.Before {
 		if err := w.Do(x); err != nil {
 			return nil, explore.Broken(s.Name, s.Before[:i+1], err)
@@ -185,40 +188,40 @@
 
 func scaled(t time.Duration, rate float64) time.Duration { return leaders.Scaled(t, rate) }
 
-func (w *World) clock(i int) time.Duration { return scaled(w.now, w.procs[i].rate) }
+func (w *World) clockOf(i int) time.Duration { return scaled(w.now, w.processes[i].rate) }
 
 func (w *World) key() quota.Key {
-	if w.set.Stock {
+	if w.set.ConcurrencyLimit {
 		return quota.Key{Budget: "b", Key: target}
 	}
 	return key
 }
 
-func (w *World) boot(i int) {
-	p := &w.procs[i]
-	p.born++
-	p.id = fmt.Sprintf("p%d.%d", i, p.born)
-	p.h = quotaclient.New([]quota.Resource{quota.AllWork, quota.Connections})
+func (w *World) start(i int) {
+	p := &w.processes[i]
+	p.starts++
+	p.id = fmt.Sprintf("p%d.%d", i, p.starts)
+	p.client = quotaclient.New([]quota.Resource{quota.AllWork, quota.Connections})
 }
 
 func (w *World) join(i int, heard bool) bool {
-	p := &w.procs[i]
-	if p.h.MemberID() == p.id { // it had a seat by this id, which has ended
-		p.born++
-		p.id = fmt.Sprintf("p%d.%d", i, p.born)
+	p := &w.processes[i]
+	if p.client.MemberID() == p.id { // it had a seat by this id, which has ended
+		p.starts++
+		p.id = fmt.Sprintf("p%d.%d", i, p.starts)
 	}
 	w.index++
-	m, err := w.reg.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1})
+	m, err := w.registry.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1})
 	if err == nil && heard {
-		p.h.Register(w.clock(i), m.ID, w.reg.QuotaConfig)
+		p.client.Register(w.clockOf(i), m.ID, w.registry.QuotaConfig)
 	}
 	return err == nil
 }
 
-// sync has the leader hear of the log. One that no longer leads hears nothing.
-func (w *World) sync() {
-	l := w.Lead()
-	l.Book.Update(scaled(w.now, l.Rate), w.reg.QuotaConfig, w.reg.Members)
+// updateLeader has the leader hear of the log. One that no longer leads hears nothing.
+func (w *World) updateLeader() {
+	l := w.Leader()
+	l.State.Update(scaled(w.now, l.Rate), w.registry.QuotaConfig, w.registry.Members)
 }
 
 // Steps are all that can happen next, in a fixed order.
@@ -231,23 +234,23 @@
 				steps = append(steps, Step{op, 0})
 			}
 		case Shrink, Reshape:
-			if w.reg.QuotaConfig.Budgets[0].Capacity == wholeAt {
+			if w.registry.QuotaConfig.Budgets[0].Capacity == wholeAt {
 				steps = append(steps, Step{op, 0})
 			}
-		case Sweep:
+		case ExpireSessions:
 			steps = append(steps, Step{op, 0})
-		case Deliver, Repeat:
+		case Deliver, DeliverAgain:
 			for _, on := range w.Deliveries() {
 				steps = append(steps, Step{op, on})
 			}
-		case Ask, Told, Heard, Finish:
-			for _, on := range w.Can(questions[op]) {
+		case StartRound, MajorityAnswers, FinishRound, RoundAtOnce:
+			for _, on := range w.PossibleSteps(roundSteps[op]) {
 				steps = append(steps, Step{op, on})
 			}
 		default:
-			for i := range w.procs {
-				seated := w.procs[i].h.Registered(w.clock(i))
-				if op == Renew && len(w.Mail) >= w.set.Letters || op != Join && op != Unheard && op != Reboot && !seated || (op == Join || op == Unheard) && seated {
+			for i := range w.processes {
+				seated := w.processes[i].client.Registered(w.clockOf(i))
+				if op == Renew && len(w.InTransit) >= w.set.MaxInTransit || op != Join && op != JoinAnswerLost && op != Restart && !seated || (op == Join || op == JoinAnswerLost) && seated {
 					continue
 				}
 				steps = append(steps, Step{op, i})
@@ -261,87 +264,87 @@
 func (w *World) Do(s Step) error {
 	switch s.Op {
 	case Tick:
-		w.tick()
+		w.advance()
 	case Elect:
-		rate := w.Rate(w.set.Leads)
-		w.Elect(rate, allocator.New(scaled(w.now, rate), w.reg.QuotaConfig, w.reg.Members))
+		rate := w.NextRate(w.set.LeaderRates)
+		w.Elect(rate, allocator.New(scaled(w.now, rate), w.registry.QuotaConfig, w.registry.Members))
 	case Renew:
-		r := w.procs[s.On].h.BeginRenewal(w.clock(s.On))
-		w.Mail = append(w.Mail, letter{to: s.On, renewal: &r})
-	case Deliver, Repeat:
-		if m, l := w.Take(s.On, s.Op == Repeat); l == nil {
-			w.procs[m.to].h.AcceptRenewal(w.clock(m.to), *m.answer)
+		r := w.processes[s.On].client.BeginRenewal(w.clockOf(s.On))
+		w.InTransit = append(w.InTransit, message{to: s.On, renewal: &r})
+	case Deliver, DeliverAgain:
+		if m, l := w.Receive(s.On, s.Op == DeliverAgain); l == nil {
+			w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
 		} else {
 			w.decide(l, m)
 		}
-	case Ask, Told, Heard, Finish:
-		w.Step(questions[s.Op], s.On)
-	case Exchange:
-		w.exchange(s.On)
+	case StartRound, MajorityAnswers, FinishRound, RoundAtOnce:
+		w.Step(roundSteps[s.Op], s.On)
+	case RenewAtOnce:
+		w.renewAtOnce(s.On)
 	case Use:
 		if err := w.use(s.On); err != nil {
 			return err
 		}
 	case Shrink, Reshape:
 		w.index++
-		w.before = w.reg.Clone().QuotaConfig
-		next := document(w.set, smaller, depthSmaller)
+		w.previousConfig = w.registry.Clone().QuotaConfig
+		next := quotaConfig(w.set, smaller, depthSmaller)
 		if s.Op == Reshape {
-			next = document(w.set, larger, depthLarger)
+			next = quotaConfig(w.set, larger, depthLarger)
 		}
-		if err := w.reg.SetQuotaConfig(w.index, next); err != nil {
+		if err := w.registry.SetQuotaConfig(w.index, next); err != nil {
 			return err
 		}
 		// In force once all that was given before has ended, by the slowest clocks.
-		w.until = w.now + 2*partMs*time.Millisecond + 2*linger
-		w.sync()
-	case Join, Unheard:
-		p, l := &w.procs[s.On], w.Lead()
-		if err := l.Book.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); errors.Is(err, quota.ErrUnknownMember) {
-			w.boot(s.On)
+		w.previousUntil = w.now + 2*partMs*time.Millisecond + 2*linger
+		w.updateLeader()
+	case Join, JoinAnswerLost:
+		p, l := &w.processes[s.On], w.Leader()
+		if err := l.State.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); errors.Is(err, quota.ErrUnknownMember) {
+			w.start(s.On)
 		} else if err == nil && w.join(s.On, s.Op == Join) {
-			w.sync()
+			w.updateLeader()
 		}
-	case Quit:
-		p := &w.procs[s.On]
-		id := p.h.MemberID()
-		for p.h.OpenConnections() > 0 {
-			p.h.CloseConnection(target)
+	case Leave:
+		p := &w.processes[s.On]
+		id := p.client.MemberID()
+		for p.client.OpenConnections() > 0 {
+			p.client.CloseConnection(target)
 		}
-		p.h.Leave()
-		w.reg.Leave(id)
-		w.boot(s.On)
-		w.sync()
-	case Sweep:
-		l := w.Lead()
-		w.reg.Leave(l.Book.Expire(scaled(w.now, l.Rate))...)
-		w.sync()
-	case Vanish:
+		p.client.Leave()
+		w.registry.Leave(id)
+		w.start(s.On)
+		w.updateLeader()
+	case ExpireSessions:
+		l := w.Leader()
+		w.registry.Leave(l.State.Expire(scaled(w.now, l.Rate))...)
+		w.updateLeader()
+	case CrashWithConnections:
 		// linger_ms is from the end of the part on, which a death does not put off.
-		p, since := &w.procs[s.On], time.Duration(0)
-		if ended := p.h.AllocationsEnd(); ended <= w.clock(s.On) {
-			since = scaled(w.clock(s.On)-ended, 1/p.rate)
+		p, since := &w.processes[s.On], time.Duration(0)
+		if ended := p.client.AllocationsEnd(); ended <= w.clockOf(s.On) {
+			since = scaled(w.clockOf(s.On)-ended, 1/p.rate)
 		}
-		w.ghosts = append(w.ghosts, ghost{p.h.OpenConnections(), w.now - since + linger})
-		w.boot(s.On)
-	case Reboot:
-		w.boot(s.On) // the kernel closes its connections; its seat lasts
+		w.deadConnections = append(w.deadConnections, deadConnections{p.client.OpenConnections(), w.now - since + linger})
+		w.start(s.On)
+	case Restart:
+		w.start(s.On) // the kernel closes its connections; its seat lasts
 	}
 	return w.check()
 }
 
-func (w *World) tick() {
+func (w *World) advance() {
 	w.now += time.Duration(w.set.TickMs) * time.Millisecond
-	w.level = max(0, w.level-w.whole()*float64(w.set.TickMs)/1000)
-	if !w.set.Stock {
+	w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*float64(w.set.TickMs)/1000)
+	if !w.set.ConcurrencyLimit {
 		return
 	}
-	for i := range w.procs {
-		p := &w.procs[i]
-		n := p.h.ExcessConnections(w.clock(i), target)
+	for i := range w.processes {
+		p := &w.processes[i]
+		n := p.client.ExcessConnections(w.clockOf(i), target)
 		ended := time.Duration(0) // by its clock, when what it had last ended
-		for _, at := range []time.Duration{p.h.AllocationsEnd(), p.h.SessionEnd()} {
-			if at <= w.clock(i) {
+		for _, at := range []time.Duration{p.client.AllocationsEnd(), p.client.SessionEnd()} {
+			if at <= w.clockOf(i) {
 				ended = max(ended, at)
 			}
 		}
@@ -349,85 +352,85 @@
 			continue // an attempt goes on
 		}
 		for range n {
-			p.h.CloseConnection(target)
+			p.client.CloseConnection(target)
 		}
 	}
 }
 
 // decide has a leader decide on a renewal; the answer waits for the majority.
-func (w *World) decide(l *lead, m letter) {
-	a, err := l.Book.Renew(scaled(w.now, l.Rate), *m.renewal)
+func (w *World) decide(l *leader, m message) {
+	a, err := l.State.Renew(scaled(w.now, l.Rate), *m.renewal)
 	if err == nil {
-		l.Put(letter{to: m.to, answer: &a, during: l.Round()})
+		l.Put(message{to: m.to, answer: &a, round: l.Round()})
 	}
 }
 
-// exchange is a renewal at its best: nothing is late.
-func (w *World) exchange(i int) {
-	l := w.Lead()
+// renewAtOnce is a renewal at its best: nothing is late.
+func (w *World) renewAtOnce(i int) {
+	l := w.Leader()
 	if l.Round() != 0 {
 		return // a question is out
 	}
-	p := &w.procs[i]
-	r := p.h.BeginRenewal(w.clock(i))
-	w.decide(l, letter{to: i, renewal: &r})
-	for _, m := range w.Now(l) {
-		w.procs[m.to].h.AcceptRenewal(w.clock(m.to), *m.answer)
+	p := &w.processes[i]
+	r := p.client.BeginRenewal(w.clockOf(i))
+	w.decide(l, message{to: i, renewal: &r})
+	for _, m := range w.ConfirmNow(l) {
+		w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
 	}
 }
 
 // use has a process use all that it may now.
 func (w *World) use(i int) error {
-	p, now := &w.procs[i], w.clock(i)
-	if w.set.Stock {
-		for p.h.OpenConnection(now, target) {
+	p, now := &w.processes[i], w.clockOf(i)
+	if w.set.ConcurrencyLimit {
+		for p.client.OpenConnection(now, target) {
 		}
 		return nil
 	}
 	var units float64
-	p.h.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // it is known from now on
-	for _, x := range p.h.Status(now) {
+	p.client.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // it is known from now on
+	for _, x := range p.client.Status(now) {
 		units = x.Tokens
 	}
 	if units <= 0 {
 		return nil
 	}
-	if wait, _ := p.h.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: units}); wait > 0 {
+	if wait, _ := p.client.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: units}); wait > 0 {
 		return nil
 	}
-	p.h.Reserve(now, quota.Reservation{Resource: quota.AllWork, Units: units})
-	w.level += units
-	most := w.burst()
-	if w.level > most+1e-6 {
-		return fmt.Errorf("broken: a window sees %.4f units beyond the rate, of %.4f", w.level, most)
+	p.client.Reserve(now, quota.Reservation{Resource: quota.AllWork, Units: units})
+	w.bucketLevel += units
+	most := w.maxBurst()
+	if w.bucketLevel > most+1e-6 {
+		return fmt.Errorf("broken: a window sees %.4f units beyond the rate, of %.4f", w.bucketLevel, most)
 	}
 	return nil
 }
 
-// total is what binds now; after a change also what did before, while what was given under it may last.
-func (w *World) total() quota.Amount {
-	t := w.reg.QuotaConfig.EffectiveLimit(&w.reg.QuotaConfig.Budgets[0])
-	if w.now < w.until {
-		b := w.before.EffectiveLimit(&w.before.Budgets[0])
+// currentLimit is what binds now; after a change also what did before, while what was given under it may last.
+func (w *World) currentLimit() quota.Amount {
+	t := w.registry.QuotaConfig.EffectiveLimit(&w.registry.QuotaConfig.Budgets[0])
+	if w.now < w.previousUntil {
+		b := w.previousConfig.EffectiveLimit(&w.previousConfig.Budgets[0])
 		t = quota.Amount{Rate: max(t.Rate, b.Rate), Burst: max(t.Burst, b.Burst)}
 	}
 	return t
 }
 
-// whole is the rate that binds now, by true time.
-func (w *World) whole() float64 {
-	whole := w.reg.QuotaConfig.Budgets[0].Capacity
-	if w.now < w.until {
-		whole = max(whole, w.before.Budgets[0].Capacity)
+// currentRate is the rate that binds now, by true time.
+func (w *World) currentRate() float64 {
+	whole := w.registry.QuotaConfig.Budgets[0].Capacity
+	if w.now < w.previousUntil {
+		whole = max(whole, w.previousConfig.Budgets[0].Capacity)
 	}
 	return whole
 }
 
-// burst is how far a window that ends now may be over the rate. It may reach back to before a change.
-func (w *World) burst() float64 {
-	b := w.total().Burst
-	if w.until != 0 {
-		b = max(b, w.before.EffectiveLimit(&w.before.Budgets[0]).Burst)
+// maxBurst is how far a window that ends now may be over the rate. It may reach back to before a change.
+func (w *World) maxBurst() float64 {
+	b := w.currentLimit().Burst
+	if w.previousUntil != 0 {
+		b = max(b, w.previousConfig.EffectiveLimit(&w.previousConfig.Budgets[0]).Burst)
 	}
 	return b
 }
@@ -435,76 +438,76 @@
 // check sums what all processes could use at this moment.
 func (w *World) check() error {
 	var sum quota.Amount
-	for i := range w.procs {
-		p := &w.procs[i]
-		a := p.h.Limit(w.clock(i), w.key())
-		if w.set.Stock {
-			a.Rate = max(a.Rate, float64(p.h.OpenConnections()))
+	for i := range w.processes {
+		p := &w.processes[i]
+		a := p.client.Limit(w.clockOf(i), w.key())
+		if w.set.ConcurrencyLimit {
+			a.Rate = max(a.Rate, float64(p.client.OpenConnections()))
 		} else {
 			a.Rate *= p.rate // by true time
 		}
 		sum.Rate += a.Rate
 		sum.Burst += a.Burst
 	}
-	for _, g := range w.ghosts {
+	for _, g := range w.deadConnections {
 		if w.now < g.until {
 			sum.Rate += float64(g.n)
 		}
 	}
-	total := w.total()
-	if whole := w.whole(); sum.Rate > whole+1e-6 {
+	total := w.currentLimit()
+	if whole := w.currentRate(); sum.Rate > whole+1e-6 {
 		return fmt.Errorf("broken: parts sum to %.4f of %.4f", sum.Rate, whole)
 	}
 	if sum.Burst > total.Burst+1e-6 {
 		return fmt.Errorf("broken: bursts sum to %.4f of %.4f", sum.Burst, total.Burst)
 	}
-	if len(w.reg.Members) > w.reg.QuotaConfig.MaxSessions {
-		return fmt.Errorf("broken: %d members on %d seats", len(w.reg.Members), w.reg.QuotaConfig.MaxSessions)
+	if len(w.registry.Members) > w.registry.QuotaConfig.MaxSessions {
+		return fmt.Errorf("broken: %d members on %d seats", len(w.registry.Members), w.registry.QuotaConfig.MaxSessions)
 	}
 	return nil
 }
 
 // Settle ends all faults: whoever has no seat joins, everyone renews in time. It tells what part of the whole is held in the end.
 func (w *World) Settle() (float64, error) {
-	w.Mail = nil
-	l := w.Lead()
-	w.Drain(l)
+	w.InTransit = nil
+	l := w.Leader()
+	w.AbandonRound(l)
 	for range 4 * seatS * 1000 / 150 {
 		w.now += 150 * time.Millisecond
-		w.level = max(0, w.level-w.whole()*0.15)
-		if w.set.Stock {
-			w.tick()
+		w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*0.15)
+		if w.set.ConcurrencyLimit {
+			w.advance()
 		}
-		if err := w.Do(Step{Sweep, 0}); err != nil {
+		if err := w.Do(Step{ExpireSessions, 0}); err != nil {
 			return 0, err
 		}
-		for i := range w.procs {
-			op := Exchange
-			if !w.procs[i].h.Registered(w.clock(i)) {
+		for i := range w.processes {
+			op := RenewAtOnce
+			if !w.processes[i].client.Registered(w.clockOf(i)) {
 				op = Join
 			}
 			if err := w.Do(Step{op, i}); err != nil {
 				return 0, err
 			}
-			if w.set.Stock { // connections are asked for by need
-				w.procs[i].h.OpenConnection(w.clock(i), target)
+			if w.set.ConcurrencyLimit { // connections are asked for by need
+				w.processes[i].client.OpenConnection(w.clockOf(i), target)
 			}
 		}
 	}
 	sum := 0.0
-	for i := range w.procs {
-		sum += w.procs[i].h.Limit(w.clock(i), w.key()).Rate
+	for i := range w.processes {
+		sum += w.processes[i].client.Limit(w.clockOf(i), w.key()).Rate
 	}
-	d := w.reg.QuotaConfig
-	free := float64(d.MaxSessions-min(d.MaxSessions, len(w.procs))) * least
+	d := w.registry.QuotaConfig
+	free := float64(d.MaxSessions-min(d.MaxSessions, len(w.processes))) * least
 	return (sum + free) / d.EffectiveLimit(&d.Budgets[0]).Rate, nil
 }
 
 // Print is the state as text: equal states print alike.
 func (w *World) Print() string {
-	b := fmt.Appendf(nil, "%d %d %.6f %v %v %v\n", w.now, w.Term, w.level, w.until, w.reg, w.ghosts)
-	for _, p := range w.procs {
-		b = fmt.Appendf(b, "%+v\n", *p.h)
+	b := fmt.Appendf(nil, "%d %d %.6f %v %v %v\n", w.now, w.Term, w.bucketLevel, w.previousUntil, w.registry, w.deadConnections)
+	for _, p := range w.processes {
+		b = fmt.Appendf(b, "%+v\n", *p.client)
 	}
 	return string(w.Group.Print(b))
 }
