--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -105,8 +105,8 @@
 
 // isAnswer reports whether an agent has answered, if only with a rejection.
 func isAnswer(err error) bool {
-	var no *RejectedError
-	return err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &no)
+	var rejected *RejectedError
+	return err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &rejected)
 }
 
 // tryAll calls each agent once until one has answered, and records the failures of the others.
--- a/internal/controlplane/agent/client_fleet.go
+++ b/internal/controlplane/agent/client_fleet.go
@@ -18,9 +18,9 @@
 
 // Renew renews a session, with its leases if the member runs tasks. The lease answer is nil if there
 // is none.
-func (c *Client) Renew(ctx context.Context, r quota.RenewalRequest, claim *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
-	a, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{r, claim})
-	return a.RenewalResponse, a.Leases, err
+func (c *Client) Renew(ctx context.Context, req quota.RenewalRequest, claim *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
+	resp, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{req, claim})
+	return resp.RenewalResponse, resp.Leases, err
 }
 
 // WaitLeaseChange waits until a lease of the member is changed after the given log index and returns
@@ -33,10 +33,10 @@
 }
 
 // SetLeaseConfig replaces the fleet's tasks.
-func (c *Client) SetLeaseConfig(ctx context.Context, d lease.Config) (lease.Config, error) {
+func (c *Client) SetLeaseConfig(ctx context.Context, config lease.Config) (lease.Config, error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
-	return sendJSON[lease.Config](ctx, c, http.MethodPut, "/v1/leases", d)
+	return sendJSON[lease.Config](ctx, c, http.MethodPut, "/v1/leases", config)
 }
 
 // MigrateLease migrates a shard to a member, named by id or instance; with lease.AnyMember, away from
@@ -55,10 +55,10 @@
 }
 
 // SetQuotaConfig replaces the fleet's budgets.
-func (c *Client) SetQuotaConfig(ctx context.Context, d quota.Config) (quota.Config, error) {
+func (c *Client) SetQuotaConfig(ctx context.Context, config quota.Config) (quota.Config, error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
-	return sendJSON[quota.Config](ctx, c, http.MethodPut, "/v1/fleet", d)
+	return sendJSON[quota.Config](ctx, c, http.MethodPut, "/v1/fleet", config)
 }
 
 // Fleet returns the fleet as its leader sees it. Without a confirmed leader it is what some agent's
--- a/internal/controlplane/agent/confirm.go
+++ b/internal/controlplane/agent/confirm.go
@@ -11,25 +11,25 @@
 )
 
 // confirmLoop asks the other agents for their terms, one round at a time, while answers wait for it.
-func (d *leaderService) confirmLoop() {
+func (s *leaderService) confirmLoop() {
 	for {
 		select {
-		case <-d.ctx.Done():
+		case <-s.ctx.Done():
 			return
-		case <-d.confirmRequested:
+		case <-s.confirmRequested:
 		}
 		for {
-			d.mu.Lock()
-			term := d.term
-			round, due := d.awaitingConfirmation.StartRound(term)
-			d.mu.Unlock()
+			s.mu.Lock()
+			term := s.term
+			round, due := s.awaitingConfirmation.StartRound(term)
+			s.mu.Unlock()
 			if !due {
 				break
 			}
-			agreed := term != 0 && d.queryMajority(term)
-			d.mu.Lock()
-			done, void := d.awaitingConfirmation.FinishRound(round)
-			d.mu.Unlock()
+			agreed := term != 0 && s.queryMajority(term)
+			s.mu.Lock()
+			done, void := s.awaitingConfirmation.FinishRound(round)
+			s.mu.Unlock()
 			for _, k := range done {
 				k <- agreed
 			}
@@ -41,22 +41,22 @@
 }
 
 // queryMajority asks all other agents at once and returns as soon as enough of them agree.
-func (d *leaderService) queryMajority(term uint64) bool {
-	if d.agent.raft.CurrentTerm() != term {
+func (s *leaderService) queryMajority(term uint64) bool {
+	if s.agent.raft.CurrentTerm() != term {
 		return false // this agent knows of a later term, or has voted in it
 	}
-	ctx, done := context.WithTimeout(d.ctx, termQueryTimeout)
+	ctx, done := context.WithTimeout(s.ctx, termQueryTimeout)
 	defer done()
-	agents := len(d.agent.opt.Peers)
+	agents := len(s.agent.opt.Peers)
 	told := make(chan uint64, agents)
 	out := 0
-	for _, p := range d.agent.opt.Peers {
-		if p.ID == d.agent.opt.ID {
+	for _, p := range s.agent.opt.Peers {
+		if p.ID == s.agent.opt.ID {
 			continue
 		}
 		out++
 		go func() {
-			t, err := d.fetchTerm(ctx, p)
+			t, err := s.fetchTerm(ctx, p)
 			if err != nil {
 				t = 0
 			}
@@ -76,12 +76,12 @@
 }
 
 // fetchTerm asks another agent for its term.
-func (d *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
+func (s *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.API+"/v1/term", nil)
 	if err != nil {
 		return 0, err
 	}
-	resp, err := d.client.Do(req)
+	resp, err := s.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
@@ -95,25 +95,25 @@
 
 // handleTerm answers GET /v1/term. An agent raises its term before it votes, so one that tells a term
 // has not voted in a later one.
-func (d *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
-	_, _ = io.WriteString(w, strconv.FormatUint(d.agent.raft.CurrentTerm(), 10))
+func (s *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
+	_, _ = io.WriteString(w, strconv.FormatUint(s.agent.raft.CurrentTerm(), 10))
 }
 
 // confirmLeadership waits until a majority has confirmed, after this call, that no later term has
 // begun. It must be called with mu held, which it releases.
-func (d *leaderService) confirmLeadership(ctx context.Context) bool {
+func (s *leaderService) confirmLeadership(ctx context.Context) bool {
 	agreed := make(chan bool, 1)
-	d.awaitingConfirmation.Add(d.term, agreed)
-	d.mu.Unlock()
+	s.awaitingConfirmation.Add(s.term, agreed)
+	s.mu.Unlock()
 	select {
-	case d.confirmRequested <- struct{}{}:
+	case s.confirmRequested <- struct{}{}:
 	default:
 	}
 	select {
 	case ok := <-agreed:
 		return ok
 	case <-ctx.Done():
-	case <-d.ctx.Done():
+	case <-s.ctx.Done():
 	}
 	return false
 }
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -27,12 +27,12 @@
 }
 
 // leaderContactMs is how many milliseconds ago this agent last led or heard of the leader; -1: never.
-func (d *leaderService) leaderContactMs() int64 {
-	d.mu.Lock()
-	led := d.lastLedAt
-	d.mu.Unlock()
+func (s *leaderService) leaderContactMs() int64 {
+	s.mu.Lock()
+	led := s.lastLedAt
+	s.mu.Unlock()
 	age := int64(-1)
-	if heard := d.agent.raft.LastContact(); !heard.IsZero() {
+	if heard := s.agent.raft.LastContact(); !heard.IsZero() {
 		age = time.Since(heard).Milliseconds()
 	}
 	if since := (monotone.Now() - led).Milliseconds(); led > 0 && (age < 0 || since < age) {
@@ -46,23 +46,23 @@
 
 // handleShowFleet answers GET /v1/fleet: the leader's view, or with stale this agent's, as far as its
 // log goes.
-func (d *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
-	if !allowsStale(r) && d.redirectUnlessLeading(w, r) {
+func (s *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && s.redirectUnlessLeading(w, r) {
 		return
 	}
-	reg, _ := d.agent.store.registry()
-	v := FleetView{Agent: d.agent.opt.ID, QuotaConfig: reg.QuotaConfig, LeaseConfig: reg.LeaseConfig}
-	d.mu.Lock()
-	if d.allocator != nil {
+	reg, _ := s.agent.store.registry()
+	v := FleetView{Agent: s.agent.opt.ID, QuotaConfig: reg.QuotaConfig, LeaseConfig: reg.LeaseConfig}
+	s.mu.Lock()
+	if s.allocator != nil {
 		now := monotone.Now()
-		v.Members, v.Ledger = d.allocator.Members(now), d.allocator.Ledger(now, "")
-		v.Leases, v.Board = d.lessor.Status(now), d.board.Entries(now)
+		v.Members, v.Ledger = s.allocator.Members(now), s.allocator.Ledger(now, "")
+		v.Leases, v.Board = s.lessor.Status(now), s.board.Entries(now)
 		for i := range reg.QuotaConfig.Budgets {
-			v.RecoveryWaitMs = max(v.RecoveryWaitMs, d.allocator.RecoveryWait(now, &reg.QuotaConfig.Budgets[i]).Milliseconds())
+			v.RecoveryWaitMs = max(v.RecoveryWaitMs, s.allocator.RecoveryWait(now, &reg.QuotaConfig.Budgets[i]).Milliseconds())
 		}
-		v.Leads = d.confirmLeadership(r.Context())
+		v.Leads = s.confirmLeadership(r.Context())
 	} else {
-		d.mu.Unlock()
+		s.mu.Unlock()
 	}
 	if !v.Leads {
 		if !allowsStale(r) {
@@ -76,7 +76,7 @@
 		for _, l := range reg.Leases {
 			v.Leases = append(v.Leases, lessor.LeaseStatus{Lease: l, State: string(livenessUnknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
 		}
-		v.AgeMs = d.leaderContactMs()
+		v.AgeMs = s.leaderContactMs()
 	}
 	writeJSON(w, v)
 }
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -50,119 +50,119 @@
 
 // newLeaderService starts the service's goroutines.
 func newLeaderService(a *Agent) *leaderService {
-	d := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1)}
-	d.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
-	d.ctx, d.cancel = context.WithCancel(context.Background())
-	d.loops.Go(d.run)
-	d.loops.Go(d.confirmLoop)
-	return d
+	s := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1)}
+	s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.loops.Go(s.run)
+	s.loops.Go(s.confirmLoop)
+	return s
 }
 
 // stop ends the goroutines and waits for them.
-func (d *leaderService) stop() {
-	d.cancel()
-	d.loops.Wait()
-	d.client.CloseIdleConnections()
+func (s *leaderService) stop() {
+	s.cancel()
+	s.loops.Wait()
+	s.client.CloseIdleConnections()
 }
 
 // routes registers the service's routes.
-func (d *leaderService) routes(mux *http.ServeMux) {
-	mux.HandleFunc("GET /v1/term", d.handleTerm)
-	mux.HandleFunc("POST /v1/fleet/renew", d.handleRenew)
-	mux.HandleFunc("POST /v1/fleet/members", d.handleJoin)
-	mux.HandleFunc("DELETE /v1/fleet/members/{id}", d.handleLeave)
-	mux.HandleFunc("GET /v1/fleet", d.handleShowFleet)
-	mux.HandleFunc("PUT /v1/fleet", d.handleSetQuotas)
-	mux.HandleFunc("PUT /v1/leases", d.handleSetTasks)
-	mux.HandleFunc("POST /v1/leases/move", d.handleMigrateLease)
-	mux.HandleFunc("GET /v1/leases/changed/{id}", d.handleLeaseChanges)
+func (s *leaderService) routes(mux *http.ServeMux) {
+	mux.HandleFunc("GET /v1/term", s.handleTerm)
+	mux.HandleFunc("POST /v1/fleet/renew", s.handleRenew)
+	mux.HandleFunc("POST /v1/fleet/members", s.handleJoin)
+	mux.HandleFunc("DELETE /v1/fleet/members/{id}", s.handleLeave)
+	mux.HandleFunc("GET /v1/fleet", s.handleShowFleet)
+	mux.HandleFunc("PUT /v1/fleet", s.handleSetQuotas)
+	mux.HandleFunc("PUT /v1/leases", s.handleSetTasks)
+	mux.HandleFunc("POST /v1/leases/move", s.handleMigrateLease)
+	mux.HandleFunc("GET /v1/leases/changed/{id}", s.handleLeaseChanges)
 }
 
 // run keeps the service in step with the term and the log.
-func (d *leaderService) run() {
+func (s *leaderService) run() {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for {
-		_, changed := d.agent.store.registry()
-		d.syncWithTerm()
-		if d.applyPendingEvents() {
+		_, changed := s.agent.store.registry()
+		s.syncWithTerm()
+		if s.applyPendingEvents() {
 			continue // take over the change before anything else
 		}
 		select {
-		case <-d.ctx.Done():
+		case <-s.ctx.Done():
 			return
-		case <-d.agent.raft.LeaderCh():
+		case <-s.agent.raft.LeaderCh():
 		case <-changed:
-		case <-d.lessorWake:
+		case <-s.lessorWake:
 		case <-tick.C:
 		}
 	}
 }
 
 // applyPendingEvents proposes the lessor's events, and reports whether that succeeded.
-func (d *leaderService) applyPendingEvents() bool {
-	d.mu.Lock()
+func (s *leaderService) applyPendingEvents() bool {
+	s.mu.Lock()
 	var orders []lease.Event
 	var seen uint64
-	if d.lessor != nil {
-		orders, seen = d.lessor.PendingEvents(monotone.Now())
+	if s.lessor != nil {
+		orders, seen = s.lessor.PendingEvents(monotone.Now())
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if len(orders) == 0 && seen == 0 {
 		return false
 	}
 	failpoint.Hit("agent.orders")
-	v, err := d.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
+	v, err := s.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
 	failpoint.Hit("agent.ordered")
 	if err != nil {
 		return false // it is unknown whether they are in the log: the lessor returns them again
 	}
 	done, _ := v.([]lease.Event)
-	for _, o := range done {
-		d.agent.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(o.Kind))), slog.String("lease", o.String()),
-			slog.String("member", o.Member), slog.Uint64("over", o.ExpectedToken))
+	for _, e := range done {
+		s.agent.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(e.Kind))), slog.String("lease", e.String()),
+			slog.String("member", e.Member), slog.Uint64("over", e.ExpectedToken))
 	}
 	return true
 }
 
 // syncWithTerm starts the allocator and the lessor once this agent leads, drops them once it does not,
 // passes them the registry's state, and removes expired sessions.
-func (d *leaderService) syncWithTerm() {
-	leads, term := d.agent.raft.State() == raft.Leader, d.agent.raft.CurrentTerm()
-	d.mu.Lock()
-	had := d.term
+func (s *leaderService) syncWithTerm() {
+	leads, term := s.agent.raft.State() == raft.Leader, s.agent.raft.CurrentTerm()
+	s.mu.Lock()
+	had := s.term
 	if had != 0 && (!leads || term != had) {
-		d.term, d.allocator, d.lessor, d.board = 0, nil, nil, nil
+		s.term, s.allocator, s.lessor, s.board = 0, nil, nil, nil
 		had = 0
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if !leads {
 		return
 	}
 	if had == 0 {
 		// Everything that earlier terms have committed must be applied before anything is decided.
-		if d.agent.raft.Barrier(applyTimeout).Error() != nil || d.agent.raft.CurrentTerm() != term {
+		if s.agent.raft.Barrier(applyTimeout).Error() != nil || s.agent.raft.CurrentTerm() != term {
 			return
 		}
 	}
-	d.mu.Lock()
-	reg, _ := d.agent.store.registry() // with mu held, so that two calls cannot pass older state after newer
+	s.mu.Lock()
+	reg, _ := s.agent.store.registry() // with mu held, so that two calls cannot pass older state after newer
 	now := monotone.Now()
 	if had == 0 {
-		d.allocator, d.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
-		d.lessor, d.board = lessor.New(now, &reg), &outlierboard.Board{}
-		d.agent.opt.Log.Info("allocator started", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
+		s.allocator, s.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
+		s.lessor, s.board = lessor.New(now, &reg), &outlierboard.Board{}
+		s.agent.opt.Log.Info("allocator started", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
 	} else {
-		d.allocator.Update(now, reg.QuotaConfig, reg.Members)
-		d.lessor.Update(now, &reg)
-		d.board.Prune(now, probeResultTTL, d.lessor.IsMember)
+		s.allocator.Update(now, reg.QuotaConfig, reg.Members)
+		s.lessor.Update(now, &reg)
+		s.board.Prune(now, probeResultTTL, s.lessor.IsMember)
 	}
-	d.lastLedAt = now
-	gone := d.allocator.Expire(now)
-	d.mu.Unlock()
+	s.lastLedAt = now
+	gone := s.allocator.Expire(now)
+	s.mu.Unlock()
 	if len(gone) > 0 {
-		if _, err := d.agent.propose(command{Leave: gone}); err == nil {
-			d.agent.opt.Log.Info("sessions expired", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
+		if _, err := s.agent.propose(command{Leave: gone}); err == nil {
+			s.agent.opt.Log.Info("sessions expired", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
 		}
 	}
 }
@@ -172,13 +172,13 @@
 
 // redirectUnlessLeading redirects the caller to the leader, and returns false if this agent has an
 // allocator.
-func (d *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
-	d.mu.Lock()
-	here := d.allocator != nil
-	d.mu.Unlock()
+func (s *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
+	s.mu.Lock()
+	here := s.allocator != nil
+	s.mu.Unlock()
 	if here {
 		return false
 	}
-	d.agent.redirectToLeader(w, r)
+	s.agent.redirectToLeader(w, r)
 	return true
 }
--- a/internal/controlplane/agent/sessions.go
+++ b/internal/controlplane/agent/sessions.go
@@ -11,34 +11,34 @@
 )
 
 // handleRenew answers POST /v1/fleet/renew.
-func (d *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
-	if d.redirectUnlessLeading(w, r) {
+func (s *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
+	if s.redirectUnlessLeading(w, r) {
 		return
 	}
 	ren, ok := readBody[renewalRequest](w, r)
 	if !ok {
 		return
 	}
-	d.mu.Lock()
-	if d.allocator == nil {
-		d.mu.Unlock()
+	s.mu.Lock()
+	if s.allocator == nil {
+		s.mu.Unlock()
 		writeError(w, errNotLeading)
 		return
 	}
 	now := monotone.Now()
-	a, err := d.allocator.Renew(now, ren.RenewalRequest)
-	answer := renewalResponse{RenewalResponse: a}
+	resp, err := s.allocator.Renew(now, ren.RenewalRequest)
+	answer := renewalResponse{RenewalResponse: resp}
 	if err == nil && ren.Leases != nil {
-		answer.Leases = d.renewLeases(now, ren.ID, ren.Leases)
+		answer.Leases = s.renewLeases(now, ren.ID, ren.Leases)
 	}
 	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
 		// Only a confirmed leader may tell a member that its session is gone.
-		if !d.confirmLeadership(r.Context()) {
+		if !s.confirmLeadership(r.Context()) {
 			writeError(w, errNotLeading)
 			return
 		}
 	} else {
-		d.mu.Unlock()
+		s.mu.Unlock()
 	}
 	if err != nil {
 		writeError(w, err)
@@ -49,8 +49,8 @@
 }
 
 // handleJoin answers POST /v1/fleet/members.
-func (d *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
-	if d.redirectUnlessLeading(w, r) {
+func (s *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
+	if s.redirectUnlessLeading(w, r) {
 		return
 	}
 	m, ok := readBody[quota.Member](w, r)
@@ -62,31 +62,31 @@
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
-	d.mu.Lock()
-	if d.allocator == nil {
+	s.mu.Lock()
+	if s.allocator == nil {
 		err = errNotLeading
 	} else {
-		err = d.allocator.Admit(monotone.Now(), m)
+		err = s.allocator.Admit(monotone.Now(), m)
 	}
-	d.mu.Unlock()
+	s.mu.Unlock()
 	if err != nil {
 		writeError(w, err)
 		return
 	}
-	d.proposeAndReply(w, command{Join: &m})
+	s.proposeAndReply(w, command{Join: &m})
 }
 
 // handleLeave answers DELETE /v1/fleet/members/{id}.
-func (d *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
-	if d.redirectUnlessLeading(w, r) {
+func (s *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
+	if s.redirectUnlessLeading(w, r) {
 		return
 	}
-	d.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
+	s.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
 }
 
 // proposeAndReply makes a change of the fleet through the log, and answers with its result.
-func (d *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
-	v, err := d.agent.propose(c)
+func (s *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
+	v, err := s.agent.propose(c)
 	if no, refused := v.(error); refused && err == nil {
 		err = no
 	}
@@ -94,13 +94,13 @@
 		writeError(w, err)
 		return
 	}
-	d.syncWithTerm() // the allocator must know the change before the caller does
+	s.syncWithTerm() // the allocator must know the change before the caller does
 	writeJSON(w, v)
 }
 
 // handleSetQuotas answers PUT /v1/fleet.
-func (d *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
-	if d.redirectUnlessLeading(w, r) {
+func (s *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
+	if s.redirectUnlessLeading(w, r) {
 		return
 	}
 	doc, ok := readBody[quota.Config](w, r)
@@ -111,7 +111,7 @@
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
-	d.proposeAndReply(w, command{QuotaConfig: &doc})
+	s.proposeAndReply(w, command{QuotaConfig: &doc})
 }
 
 // renewalRequest is a session renewal with the lease renewal of a member that runs tasks.
--- a/internal/controlplane/agent/snapshot.go
+++ b/internal/controlplane/agent/snapshot.go
@@ -38,8 +38,8 @@
 }
 
 // Persist implements raft.FSMSnapshot.
-func (m snapshot) Persist(sink raft.SnapshotSink) error {
-	if err := json.NewEncoder(sink).Encode(m); err != nil {
+func (s snapshot) Persist(sink raft.SnapshotSink) error {
+	if err := json.NewEncoder(sink).Encode(s); err != nil {
 		_ = sink.Cancel()
 		return err
 	}
@@ -56,27 +56,27 @@
 	if err := json.NewDecoder(in).Decode(&text); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	var m snapshot
-	if json.Unmarshal(text, &m) != nil || m.Format == 0 {
+	var saved snapshot
+	if json.Unmarshal(text, &saved) != nil || saved.Format == 0 {
 		// Without a format: the whole text is the entries. An instance may be named like a field of snapshot, which
 		// then has another type.
-		m = snapshot{}
-		if err := json.Unmarshal(text, &m.Entries); err != nil {
+		saved = snapshot{}
+		if err := json.Unmarshal(text, &saved.Entries); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
 		}
 	}
-	if m.Format > snapshotFormat {
-		return fmt.Errorf("snapshot: format %d is newer than this program's %d", m.Format, snapshotFormat)
+	if saved.Format > snapshotFormat {
+		return fmt.Errorf("snapshot: format %d is newer than this program's %d", saved.Format, snapshotFormat)
 	}
-	if m.Entries == nil {
-		m.Entries = map[string]Entry{}
+	if saved.Entries == nil {
+		saved.Entries = map[string]Entry{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.stream.restore(m.Stream); err != nil {
+	if err := s.stream.restore(saved.Stream); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	s.entries, s.recentChanges, s.fleet = m.Entries, m.Recent, m.Fleet
+	s.entries, s.recentChanges, s.fleet = saved.Entries, saved.Recent, saved.Fleet
 	s.notifyWatchers()
 	return nil
 }
--- a/internal/controlplane/agent/stream_client.go
+++ b/internal/controlplane/agent/stream_client.go
@@ -19,8 +19,8 @@
 	if err != nil {
 		return 0, err
 	}
-	p, err := fetch[ChangeResponse](ctx, c, call{method: http.MethodPost, path: "/v1/feed/changes", id: rand.Text(), body: text})
-	return p.Version, err
+	resp, err := fetch[ChangeResponse](ctx, c, call{method: http.MethodPost, path: "/v1/feed/changes", id: rand.Text(), body: text})
+	return resp.Version, err
 }
 
 // SendReport sends a relay's report to the leader.
@@ -36,10 +36,10 @@
 		at = "/v1/feed/versions/" + strconv.FormatUint(version, 10)
 	}
 	fresh, done := context.WithTimeout(ctx, callTimeout/2)
-	v, err := decode[StreamStatus](c.do(fresh, call{method: http.MethodGet, path: at}))
+	s, err := decode[StreamStatus](c.do(fresh, call{method: http.MethodGet, path: at}))
 	done()
 	if isAnswer(err) {
-		return v, err
+		return s, err
 	}
 	ctx, done = context.WithTimeout(ctx, callTimeout/2)
 	defer done()
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -43,43 +43,43 @@
 
 // newStreamService starts the service's goroutine.
 func newStreamService(a *Agent) *streamService {
-	d := &streamService{agent: a}
-	d.server = edge.NewServer(d, 0)
-	d.ctx, d.cancel = context.WithCancel(context.Background())
-	d.loops.Go(d.reportLoop)
-	return d
+	s := &streamService{agent: a}
+	s.server = edge.NewServer(s, 0)
+	s.ctx, s.cancel = context.WithCancel(context.Background())
+	s.loops.Go(s.reportLoop)
+	return s
 }
 
 // stop ends the goroutine and waits for it.
-func (d *streamService) stop() {
-	d.cancel()
-	d.loops.Wait()
+func (s *streamService) stop() {
+	s.cancel()
+	s.loops.Wait()
 }
 
 // routes registers the service's routes.
-func (d *streamService) routes(mux *http.ServeMux) {
-	d.server.Routes(mux)
-	mux.HandleFunc("POST /v1/feed/changes", d.handleChange)
-	mux.HandleFunc("POST /v1/feed/report", d.handleReport)
-	mux.HandleFunc("GET /v1/feed/versions/{version}", d.handleVersions)
-	mux.HandleFunc("GET /v1/feed/records", d.handleRecords)
-	mux.HandleFunc("GET /v1/feed", d.handleShow)
+func (s *streamService) routes(mux *http.ServeMux) {
+	s.server.Routes(mux)
+	mux.HandleFunc("POST /v1/feed/changes", s.handleChange)
+	mux.HandleFunc("POST /v1/feed/report", s.handleReport)
+	mux.HandleFunc("GET /v1/feed/versions/{version}", s.handleVersions)
+	mux.HandleFunc("GET /v1/feed/records", s.handleRecords)
+	mux.HandleFunc("GET /v1/feed", s.handleShow)
 }
 
 // WithSource implements distribution.Origin with the log's state, as far as this agent has applied it.
-func (d *streamService) WithSource(do func(now time.Duration, s *watchstream.Source)) (<-chan struct{}, bool) {
-	age, now := d.agent.leaderContactAge()
-	s := d.agent.store
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.stream.source == nil {
-		return s.changed, false
+func (s *streamService) WithSource(do func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
+	age, now := s.agent.leaderContactAge()
+	st := s.agent.store
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if st.stream.source == nil {
+		return st.changed, false
 	}
 	if age >= 0 {
-		s.stream.source.MarkFresh(now - age)
+		st.stream.source.MarkFresh(now - age)
 	}
-	do(now, s.stream.source)
-	return s.changed, true
+	do(now, st.stream.source)
+	return st.changed, true
 }
 
 // leaderContactAge is how long ago this agent led or heard of the leader; negative: never.
@@ -95,8 +95,8 @@
 }
 
 // handleChange answers POST /v1/feed/changes.
-func (d *streamService) handleChange(w http.ResponseWriter, r *http.Request) {
-	if d.agent.redirectUnlessLeader(w, r) {
+func (s *streamService) handleChange(w http.ResponseWriter, r *http.Request) {
+	if s.agent.redirectUnlessLeader(w, r) {
 		return
 	}
 	c, ok := readBody[watchstream.Change](w, r)
@@ -110,11 +110,11 @@
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
-	if err := d.checkSnapshotFormats(r.Context()); err != nil {
+	if err := s.checkSnapshotFormats(r.Context()); err != nil {
 		writeError(w, err)
 		return
 	}
-	v, err := d.agent.propose(command{StreamChange: &c, RequestID: r.Header.Get("Change-Id")})
+	v, err := s.agent.propose(command{StreamChange: &c, RequestID: r.Header.Get("Change-Id")})
 	if no, is := v.(error); is && err == nil {
 		err = no
 	}
@@ -137,17 +137,17 @@
 // stream would ignore its entries and lose them with its next snapshot, so the very first change waits
 // until every agent has told that it knows them; from then on the snapshot format keeps older programs
 // out.
-func (d *streamService) checkSnapshotFormats(ctx context.Context) error {
-	s := d.agent.store
-	s.mu.Lock()
-	begun := s.stream.store != nil
-	s.mu.Unlock()
+func (s *streamService) checkSnapshotFormats(ctx context.Context) error {
+	st := s.agent.store
+	st.mu.Lock()
+	begun := st.stream.store != nil
+	st.mu.Unlock()
 	if begun {
 		return nil
 	}
 	c := &Client{}
-	for _, p := range d.agent.opt.Peers {
-		if p.ID == d.agent.opt.ID {
+	for _, p := range s.agent.opt.Peers {
+		if p.ID == s.agent.opt.ID {
 			continue
 		}
 		_, answer, err := c.callAgent(ctx, p.API, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
@@ -169,51 +169,51 @@
 
 // lockTracker returns the tracker with the newest commits, and mu held; nil, with mu not held, if this
 // agent does not lead.
-func (d *streamService) lockTracker() *watchstream.AckTracker {
-	if d.agent.raft.State() != raft.Leader {
+func (s *streamService) lockTracker() *watchstream.AckTracker {
+	if s.agent.raft.State() != raft.Leader {
 		return nil
 	}
-	term := d.agent.raft.CurrentTerm()
-	d.mu.Lock()
-	s := d.agent.store
+	term := s.agent.raft.CurrentTerm()
 	s.mu.Lock()
+	st := s.agent.store
+	st.mu.Lock()
 	fleet := ""
-	if s.stream.store != nil {
-		fleet = s.stream.store.Fleet()
+	if st.stream.store != nil {
+		fleet = st.stream.store.Fleet()
 	}
-	if fleet != "" && (d.acks == nil || d.term != term) {
-		d.term, d.acks, d.epoch, d.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
-		d.agent.opt.Log.Info("acknowledgement tracking started", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
+	if fleet != "" && (s.acks == nil || s.term != term) {
+		s.term, s.acks, s.epoch, s.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
+		s.agent.opt.Log.Info("acknowledgement tracking started", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
-	commits := s.stream.commitsSince(d.epoch, d.countedVersion)
-	s.mu.Unlock()
+	commits := st.stream.commitsSince(s.epoch, s.countedVersion)
+	st.mu.Unlock()
 	if fleet == "" {
-		d.mu.Unlock()
+		s.mu.Unlock()
 		return nil
 	}
 	for _, c := range commits {
-		d.acks.NoteCommit(c.at, c.epoch, c.version)
-		d.epoch, d.countedVersion = c.epoch, c.version
+		s.acks.NoteCommit(c.at, c.epoch, c.version)
+		s.epoch, s.countedVersion = c.epoch, c.version
 	}
-	return d.acks
+	return s.acks
 }
 
 // handleReport answers POST /v1/feed/report.
-func (d *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
-	if d.agent.redirectUnlessLeader(w, r) {
+func (s *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
+	if s.agent.redirectUnlessLeader(w, r) {
 		return
 	}
 	rep, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
 	if !ok {
 		return
 	}
-	answer, err := d.addReport(rep)
-	var no *watchstream.RejectedError
+	answer, err := s.addReport(rep)
+	var rejected *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch {
 	case err == nil:
 		writeJSON(w, answer)
-	case errors.As(err, &no):
+	case errors.As(err, &rejected):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 	case errors.As(err, &field):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -226,43 +226,45 @@
 var errNotTracking = errors.New("this agent does not track acknowledgements at the moment")
 
 // addReport passes a report to the tracker.
-func (d *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
-	t := d.lockTracker()
+func (s *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
+	t := s.lockTracker()
 	if t == nil {
 		return watchstream.ReportResponse{}, errNotTracking
 	}
-	defer d.mu.Unlock()
+	defer s.mu.Unlock()
 	return t.AddReport(monotone.Now(), rep)
 }
 
 // reportLoop reports the initiators that follow this agent directly, as in groups without relays.
-func (d *streamService) reportLoop() {
+func (s *streamService) reportLoop() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	c := &Client{}
-	for _, p := range d.agent.opt.Peers {
+	for _, p := range s.agent.opt.Peers {
 		c.Addrs = append(c.Addrs, p.API)
 	}
 	ever := false
 	for {
 		select {
-		case <-d.ctx.Done():
+		case <-s.ctx.Done():
 			return
 		case <-tick.C:
 		}
 		var rep watchstream.Report
-		d.WithSource(func(now time.Duration, s *watchstream.Source) { rep = s.BuildReport(now, "agent/"+d.agent.opt.ID, "") })
+		s.WithSource(func(now time.Duration, source *watchstream.Source) {
+			rep = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
+		})
 		if ever = ever || len(rep.Readers) > 0; !ever {
 			continue
 		}
-		answer, err := d.addReport(rep)
+		answer, err := s.addReport(rep)
 		if errors.Is(err, errNotTracking) {
-			ctx, done := context.WithTimeout(d.ctx, 2*reportInterval)
+			ctx, done := context.WithTimeout(s.ctx, 2*reportInterval)
 			answer, err = c.SendReport(ctx, rep)
 			done()
 		}
 		if err == nil {
-			d.WithSource(func(_ time.Duration, s *watchstream.Source) { s.ReportAcked(answer) })
+			s.WithSource(func(_ time.Duration, source *watchstream.Source) { source.ReportAcked(answer) })
 		}
 	}
 }
--- a/internal/controlplane/agent/stream_service_test.go
+++ b/internal/controlplane/agent/stream_service_test.go
@@ -41,8 +41,8 @@
 	g.until("a change is made", func() bool {
 		var err error
 		v, err = g.PutChange(context.Background(), c)
-		var no *RejectedError
-		require.False(g.t, errors.As(err, &no), "%v", err)
+		var rejected *RejectedError
+		require.False(g.t, errors.As(err, &rejected), "%v", err)
 		return err == nil
 	})
 	return v
@@ -159,22 +159,22 @@
 			http.StatusUnprocessableEntity, "puts[0].value"},
 	} {
 		_, err := g.PutChange(ctx, c.c)
-		var no *RejectedError
-		require.ErrorAs(t, err, &no, c.want)
-		require.Equal(t, c.status, no.Status, no.Text)
-		require.Contains(t, no.Text, c.want)
+		var rejected *RejectedError
+		require.ErrorAs(t, err, &rejected, c.want)
+		require.Equal(t, c.status, rejected.Status, rejected.Text)
+		require.Contains(t, rejected.Text, c.want)
 	}
 	for _, path := range []string{"/v1/feed/versions/0", "/v1/feed/versions/x", "/v1/feed/versions/2", "/v1/feed/records?kind=odd"} {
 		_, err := g.do(ctx, call{method: http.MethodGet, path: path})
-		var no *RejectedError
-		require.ErrorAs(t, err, &no, path)
-		require.Equal(t, http.StatusUnprocessableEntity, no.Status, path)
+		var rejected *RejectedError
+		require.ErrorAs(t, err, &rejected, path)
+		require.Equal(t, http.StatusUnprocessableEntity, rejected.Status, path)
 	}
 	for _, body := range []string{"", "nonsense", `{"relay":7}`, `{"relay":"r","base":2}`, `{"fleet":"other","relay":"r","whole":true}`} {
 		_, err := g.do(ctx, call{method: http.MethodPost, path: "/v1/feed/report", body: []byte(body)})
-		var no *RejectedError
-		require.ErrorAs(t, err, &no, body)
-		require.Less(t, no.Status, 500, body)
+		var rejected *RejectedError
+		require.ErrorAs(t, err, &rejected, body)
+		require.Less(t, rejected.Status, 500, body)
 	}
 	s, err := g.StreamStatus(ctx, 0)
 	require.NoError(t, err)
@@ -319,8 +319,8 @@
 	g.until("it is refused", func() bool {
 		err := ask()
 		require.Error(t, err)
-		var no *RejectedError
-		return errors.As(err, &no) && strings.Contains(no.Text, "from before the feed")
+		var rejected *RejectedError
+		return errors.As(err, &rejected) && strings.Contains(rejected.Text, "from before the feed")
 	})
 	before.Close()
 	g.start(old)
--- a/internal/controlplane/agent/stream_state.go
+++ b/internal/controlplane/agent/stream_state.go
@@ -70,22 +70,22 @@
 	if s.store == nil {
 		return nil
 	}
-	c := s.store.Snapshot()
-	return &c
+	snap := s.store.Snapshot()
+	return &snap
 }
 
 // restore replaces the state by a snapshot's; nil: it has none. An error means that nothing has
 // changed.
-func (s *streamState) restore(c *watchstream.Snapshot) error {
-	if c == nil {
+func (s *streamState) restore(snap *watchstream.Snapshot) error {
+	if snap == nil {
 		*s = streamState{}
 		return nil
 	}
 	store := s.store
-	if store == nil || store.Fleet() != c.Fleet {
-		store = watchstream.NewStore(c.Fleet, watchstream.Limits{})
+	if store == nil || store.Fleet() != snap.Fleet {
+		store = watchstream.NewStore(snap.Fleet, watchstream.Limits{})
 	}
-	if err := store.Restore(*c); err != nil {
+	if err := store.Restore(*snap); err != nil {
 		return err
 	}
 	if store != s.store {
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -25,24 +25,24 @@
 }
 
 // logStatus is what the log says, without the readers; false: there was no change yet.
-func (d *streamService) logStatus() (v StreamStatus, ok bool) {
-	age, _ := d.agent.leaderContactAge()
-	v = StreamStatus{Agent: d.agent.opt.ID, LeaderContactMs: -1}
+func (s *streamService) logStatus() (status StreamStatus, ok bool) {
+	age, _ := s.agent.leaderContactAge()
+	status = StreamStatus{Agent: s.agent.opt.ID, LeaderContactMs: -1}
 	if age >= 0 {
-		v.LeaderContactMs = age.Milliseconds()
+		status.LeaderContactMs = age.Milliseconds()
 	}
-	s := d.agent.store
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	st := s.stream.store
-	if st == nil {
-		return v, false
+	st := s.agent.store
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	changes := st.stream.store
+	if changes == nil {
+		return status, false
 	}
-	v.Status = watchstream.Status{Epoch: st.Epoch(), Version: st.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
-	v.Fleet, v.Head, v.Floor = st.Fleet(), st.Head(), st.TombstoneFloor()
-	v.Targets, v.ConfigLayers, v.Tombstones = st.Count(watchstream.Targets), st.Count(watchstream.Config), st.Tombstones(watchstream.Targets)
-	v.Bytes = st.Bytes(watchstream.Targets) + st.Bytes(watchstream.Config)
-	return v, true
+	status.Status = watchstream.Status{Epoch: changes.Epoch(), Version: changes.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
+	status.Fleet, status.Head, status.Floor = changes.Fleet(), changes.Head(), changes.TombstoneFloor()
+	status.Targets, status.ConfigLayers, status.Tombstones = changes.Count(watchstream.Targets), changes.Count(watchstream.Config), changes.Tombstones(watchstream.Targets)
+	status.Bytes = changes.Bytes(watchstream.Targets) + changes.Bytes(watchstream.Config)
+	return status, true
 }
 
 // errNoChanges answers operators before the first change.
@@ -50,12 +50,12 @@
 
 // handleVersions answers GET /v1/feed/versions/{version}: where a version is applied, or with stale
 // only how far this agent's log goes.
-func (d *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
+func (s *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
 	old := allowsStale(r)
-	if !old && d.agent.redirectUnlessLeader(w, r) {
+	if !old && s.agent.redirectUnlessLeader(w, r) {
 		return
 	}
-	v, ok := d.logStatus()
+	status, ok := s.logStatus()
 	if !ok {
 		writeError(w, errNoChanges)
 		return
@@ -66,42 +66,42 @@
 			writeError(w, &RejectedError{http.StatusUnprocessableEntity, fmt.Sprintf("version: %q is not a number from 1 on", text)})
 			return
 		}
-		v.Version = n
+		status.Version = n
 	}
 	if !old {
-		t := d.lockTracker()
+		t := s.lockTracker()
 		if t == nil {
 			writeError(w, errNotTracking)
 			return
 		}
-		v.Status, v.Leads = t.Status(monotone.Now(), v.Version), true
-		d.mu.Unlock()
+		status.Status, status.Leads = t.Status(monotone.Now(), status.Version), true
+		s.mu.Unlock()
 	}
-	if v.Version > v.Head {
-		writeError(w, &RejectedError{http.StatusUnprocessableEntity, fmt.Sprintf("version: %d is not there yet, the newest is %d", v.Version, v.Head)})
+	if status.Version > status.Head {
+		writeError(w, &RejectedError{http.StatusUnprocessableEntity, fmt.Sprintf("version: %d is not there yet, the newest is %d", status.Version, status.Head)})
 		return
 	}
-	writeJSON(w, v)
+	writeJSON(w, status)
 }
 
 // handleShow answers GET /v1/feed.
-func (d *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
-	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
+func (s *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && s.agent.redirectUnlessLeader(w, r) {
 		return
 	}
-	v, ok := d.logStatus()
+	status, ok := s.logStatus()
 	if !ok {
 		writeError(w, errNoChanges)
 		return
 	}
-	v.Leads = !allowsStale(r)
-	writeJSON(w, v)
+	status.Leads = !allowsStale(r)
+	writeJSON(w, status)
 }
 
 // handleRecords answers GET /v1/feed/records with a page of the live records of a kind, in order of
 // version and in whole versions: a key that changes between two pages is returned again.
-func (d *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
-	if !allowsStale(r) && d.agent.redirectUnlessLeader(w, r) {
+func (s *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
+	if !allowsStale(r) && s.agent.redirectUnlessLeader(w, r) {
 		return
 	}
 	q := r.URL.Query()
@@ -111,32 +111,32 @@
 		return
 	}
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	writeJSON(w, d.recordsPage(k, q.Get("key"), after))
+	writeJSON(w, s.recordsPage(k, q.Get("key"), after))
 }
 
 // recordsPage returns one key's record, or the records after a version.
-func (d *streamService) recordsPage(k watchstream.Kind, key string, after uint64) []watchstream.Record {
+func (s *streamService) recordsPage(k watchstream.Kind, key string, after uint64) []watchstream.Record {
 	page := []watchstream.Record{}
-	s := d.agent.store
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	st := s.stream.store
-	if st == nil {
+	st := s.agent.store
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	changes := st.stream.store
+	if changes == nil {
 		return page
 	}
 	if key != "" {
-		if one, found := st.Get(k, key); found && !one.Deleted {
+		if one, found := changes.Get(k, key); found && !one.Deleted {
 			page = append(page, one)
 		}
 		return page
 	}
-	for _, x := range st.Records(k) {
+	for _, r := range changes.Records(k) {
 		switch {
-		case x.Version <= after:
-		case len(page) >= maxPageRecords && x.Version != page[len(page)-1].Version:
+		case r.Version <= after:
+		case len(page) >= maxPageRecords && r.Version != page[len(page)-1].Version:
 			return page
 		default:
-			page = append(page, x)
+			page = append(page, r)
 		}
 	}
 	return page
--- a/internal/controlplane/lease/casfile/casfile_test.go
+++ b/internal/controlplane/lease/casfile/casfile_test.go
@@ -63,8 +63,8 @@
 			}
 			return c.Begin(2, 1)
 		})
-		var no *fencing.RejectedError
-		if !errors.As(err, &no) {
+		var rejected *fencing.RejectedError
+		if !errors.As(err, &rejected) {
 			t.Errorf("%d others: an older token was not refused: %v", others, err)
 		}
 		c, _, err := Read[counted](dir)
--- a/internal/controlplane/lease/config.go
+++ b/internal/controlplane/lease/config.go
@@ -20,10 +20,10 @@
 }
 
 // Task returns the task of that name, or nil.
-func (d *Config) Task(name string) *Task {
-	for i := range d.Tasks {
-		if d.Tasks[i].Name == name {
-			return &d.Tasks[i]
+func (c *Config) Task(name string) *Task {
+	for i := range c.Tasks {
+		if c.Tasks[i].Name == name {
+			return &c.Tasks[i]
 		}
 	}
 	return nil
@@ -31,14 +31,14 @@
 
 // Validate fills in defaults and returns an error that names the first field that cannot be served. If
 // f is given, times are checked against its renewals, sessions and clocks.
-func (d *Config) Validate(f *quota.Config) error {
-	if len(d.Tasks) > MaxTasks {
-		return fmt.Errorf("task: %d are too many, %d at most", len(d.Tasks), MaxTasks)
+func (c *Config) Validate(quotaConfig *quota.Config) error {
+	if len(c.Tasks) > MaxTasks {
+		return fmt.Errorf("task: %d are too many, %d at most", len(c.Tasks), MaxTasks)
 	}
 	seen := map[string]bool{}
-	for i := range d.Tasks {
-		t := &d.Tasks[i]
-		if err := t.validate(f); err != nil {
+	for i := range c.Tasks {
+		t := &c.Tasks[i]
+		if err := t.validate(quotaConfig); err != nil {
 			return fmt.Errorf("task[%d].%w", i, err)
 		}
 		if seen[t.Name] {
@@ -51,13 +51,13 @@
 
 // ValidateChange reports whether the config may replace before while shards are held: a member that is
 // cut off goes on with the old times.
-func (d *Config) ValidateChange(before *Config, held func(task string) bool) error {
+func (c *Config) ValidateChange(before *Config, held func(task string) bool) error {
 	for i := range before.Tasks {
 		old := &before.Tasks[i]
 		if !held(old.Name) {
 			continue
 		}
-		t := d.Task(old.Name)
+		t := c.Task(old.Name)
 		if t == nil {
 			return fmt.Errorf("task %q: can't be taken away while its shards are held; have it off = true first", old.Name)
 		}
--- a/internal/controlplane/lease/fencing/fencing.go
+++ b/internal/controlplane/lease/fencing/fencing.go
@@ -26,27 +26,27 @@
 
 // Begin begins an operation. It ends any operation before it, of which nothing is accepted any more.
 // Operations under one token have growing numbers.
-func (p *Guard) Begin(token, act uint64) error {
-	if token < p.Token || token == p.Token && act <= p.Operation {
-		return &RejectedError{token, act, *p}
+func (g *Guard) Begin(token, act uint64) error {
+	if token < g.Token || token == g.Token && act <= g.Operation {
+		return &RejectedError{token, act, *g}
 	}
-	*p = Guard{token, act, true}
+	*g = Guard{token, act, true}
 	return nil
 }
 
 // CheckChange reports whether a change by the operation is accepted: it must be the one in progress.
-func (p *Guard) CheckChange(token, act uint64) error {
-	if !p.InProgress || token != p.Token || act != p.Operation {
-		return &RejectedError{token, act, *p}
+func (g *Guard) CheckChange(token, act uint64) error {
+	if !g.InProgress || token != g.Token || act != g.Operation {
+		return &RejectedError{token, act, *g}
 	}
 	return nil
 }
 
 // End ends an operation.
-func (p *Guard) End(token, act uint64) error {
-	if err := p.CheckChange(token, act); err != nil {
+func (g *Guard) End(token, act uint64) error {
+	if err := g.CheckChange(token, act); err != nil {
 		return err
 	}
-	p.InProgress = false
+	g.InProgress = false
 	return nil
 }
--- a/internal/controlplane/lease/leasework/drill.go
+++ b/internal/controlplane/lease/leasework/drill.go
@@ -64,16 +64,16 @@
 const changesPerOperation = 2
 
 // Run implements Job: begin, a few changes, end, each one atomic step of the folder.
-func (d *Drill) Run(ctx context.Context, a *Operation) error {
-	dir := filepath.Join(a.Task.Dir, fmt.Sprintf("%s-%d", a.Task.Name, a.Shard))
+func (d *Drill) Run(ctx context.Context, act *Operation) error {
+	dir := filepath.Join(act.Task.Dir, fmt.Sprintf("%s-%d", act.Task.Name, act.Shard))
 	step := func(op string, do func(*fencing.Guard) error) error {
-		if !a.MayProceed() {
+		if !act.MayProceed() {
 			return errExpired
 		}
 		failpoint.Hit("act.checked")
-		e := DrillEntry{Token: a.Token, Operation: a.Number, Step: op, Member: d.Name}
-		n := DrillNotice{DrillEntry: e, ID: fmt.Sprintf("%s-%d", d.Name, d.noticeCount.Add(1)), Task: a.Task.Name, Shard: a.Shard}
-		d.notifyWitness(ctx, a, n)
+		e := DrillEntry{Token: act.Token, Operation: act.Number, Step: op, Member: d.Name}
+		n := DrillNotice{DrillEntry: e, ID: fmt.Sprintf("%s-%d", d.Name, d.noticeCount.Add(1)), Task: act.Task.Name, Shard: act.Shard}
+		d.notifyWitness(ctx, act, n)
 		_, err := casfile.Update(dir, func(s *DrillState) error {
 			if err := do(&s.Guard); err != nil {
 				return err
@@ -90,7 +90,7 @@
 		if n.Return, n.Accepted = true, err == nil; err != nil && !isRejected {
 			n.Error = err.Error()
 		}
-		d.notifyWitness(ctx, a, n)
+		d.notifyWitness(ctx, act, n)
 		if isRejected {
 			_, _ = casfile.Update(dir, func(s *DrillState) error {
 				s.Fenced++
@@ -102,22 +102,22 @@
 		}
 		return err
 	}
-	if err := step("begin", func(p *fencing.Guard) error { return p.Begin(a.Token, a.Number) }); err != nil {
+	if err := step("begin", func(g *fencing.Guard) error { return g.Begin(act.Token, act.Number) }); err != nil {
 		return err
 	}
 	failpoint.Hit("act.opened")
 	for range changesPerOperation {
-		if err := step("take", func(p *fencing.Guard) error { return p.CheckChange(a.Token, a.Number) }); err != nil {
+		if err := step("take", func(g *fencing.Guard) error { return g.CheckChange(act.Token, act.Number) }); err != nil {
 			return err
 		}
 		failpoint.Hit("act.taken")
 	}
-	return step("end", func(p *fencing.Guard) error { return p.End(a.Token, a.Number) })
+	return step("end", func(g *fencing.Guard) error { return g.End(act.Token, act.Number) })
 }
 
 // notifyWitness tells the witness. A notice that cannot be delivered is dropped.
-func (d *Drill) notifyWitness(ctx context.Context, a *Operation, n DrillNotice) {
-	if a.Task.Witness == "" {
+func (d *Drill) notifyWitness(ctx context.Context, op *Operation, n DrillNotice) {
+	if op.Task.Witness == "" {
 		return
 	}
 	// A witness that does not answer costs the operation some of its time. The return is told even after its end.
@@ -127,7 +127,7 @@
 	if err != nil {
 		return
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+a.Task.Witness+"/", bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+op.Task.Witness+"/", bytes.NewReader(text))
 	if err != nil {
 		return
 	}
--- a/internal/controlplane/lease/leasework/endpoint_probe.go
+++ b/internal/controlplane/lease/leasework/endpoint_probe.go
@@ -52,8 +52,8 @@
 }
 
 // Run implements Job: each ejected target of the shard is probed once, one after the other.
-func (p *EndpointProbe) Run(ctx context.Context, a *Operation) error {
-	for _, target := range p.runner.targetsOf(a) {
+func (p *EndpointProbe) Run(ctx context.Context, op *Operation) error {
+	for _, target := range p.runner.targetsOf(op) {
 		p.mu.Lock()
 		addr := p.addrs[target]
 		p.mu.Unlock()
@@ -63,7 +63,7 @@
 		if p.Connections != nil && !p.Connections.Open(target) {
 			continue // the quota allows no further connection there
 		}
-		if !a.MayProceed() {
+		if !op.MayProceed() {
 			if p.Connections != nil {
 				p.Connections.Close(target)
 			}
@@ -71,30 +71,30 @@
 		}
 		failpoint.Hit("probe.checked")
 		began := monotone.Now()
-		well := p.probe(ctx, a, addr)
+		well := p.probe(ctx, op, addr)
 		if p.Connections != nil {
 			p.Connections.Close(target)
 		}
 		if ctx.Err() != nil {
 			return errExpired // the operation ended, which says nothing about the target
 		}
-		p.runner.addResult(lease.ProbeResult{Task: a.Key.Task, Target: target, Token: a.Token, Healthy: well, LatencyUs: (monotone.Now() - began).Microseconds()})
+		p.runner.addResult(lease.ProbeResult{Task: op.Key.Task, Target: target, Token: op.Token, Healthy: well, LatencyUs: (monotone.Now() - began).Microseconds()})
 	}
 	return nil
 }
 
 // probe asks a target for its health on a connection of its own, and reports whether it answered 200
 // in time.
-func (p *EndpointProbe) probe(ctx context.Context, a *Operation, addr string) bool {
+func (p *EndpointProbe) probe(ctx context.Context, op *Operation, addr string) bool {
 	ctx, done := context.WithTimeout(ctx, p.AnswerTimeout)
 	defer done()
 	t := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: p.DialTimeout}).DialContext}
 	defer t.CloseIdleConnections()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+a.Task.ProbePath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+op.Task.ProbePath, nil)
 	if err != nil {
 		return false
 	}
-	req.Header.Set("Fleet-Lease", fmt.Sprintf("%s/%d/%d", a.Key.Task, a.Shard, a.Token))
+	req.Header.Set("Fleet-Lease", fmt.Sprintf("%s/%d/%d", op.Key.Task, op.Shard, op.Token))
 	resp, err := t.RoundTrip(req)
 	if err != nil {
 		return false
--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -68,19 +68,19 @@
 }
 
 // Run implements Job: it writes at most one window, the oldest that is over and not written.
-func (j *FleetReport) Run(ctx context.Context, a *Operation) error {
-	dir := a.Task.Dir
-	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(a.Token, a.Number) })
+func (r *FleetReport) Run(ctx context.Context, op *Operation) error {
+	dir := op.Task.Dir
+	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(op.Token, op.Number) })
 	if err != nil {
 		return err
 	}
 	failpoint.Hit("account.begun")
-	if start, due := nextWindow(state.Windows, a.Task.Window(), time.Now()); due {
-		if err := j.writeReport(ctx, a, dir, start); err != nil {
+	if start, due := nextWindow(state.Windows, op.Task.Window(), time.Now()); due {
+		if err := r.writeReport(ctx, op, dir, start); err != nil {
 			return err
 		}
 	}
-	_, err = casfile.Update(dir, func(s *ReportState) error { return s.End(a.Token, a.Number) })
+	_, err = casfile.Update(dir, func(s *ReportState) error { return s.End(op.Token, op.Number) })
 	return err
 }
 
@@ -102,52 +102,52 @@
 
 // writeReport queries all instances for a window and writes its report: first a complete file under a
 // name of its own, then one atomic step that makes it the window's report.
-func (j *FleetReport) writeReport(ctx context.Context, a *Operation, dir string, start time.Time) error {
-	v, err := j.Agents.Fleet(ctx)
+func (r *FleetReport) writeReport(ctx context.Context, op *Operation, dir string, start time.Time) error {
+	v, err := r.Agents.Fleet(ctx)
 	if err != nil {
 		return fmt.Errorf("members: %w", err)
 	}
-	w := ReportWindow{Start: start.Unix(), WindowS: a.Task.WindowS, Token: a.Token, Member: j.Name, Instances: []string{}, Missing: []string{}}
-	snapshots := j.queryInstances(ctx, v.Members, start, a.Task.Window(), &w)
+	w := ReportWindow{Start: start.Unix(), WindowS: op.Task.WindowS, Token: op.Token, Member: r.Name, Instances: []string{}, Missing: []string{}}
+	snapshots := r.queryInstances(ctx, v.Members, start, op.Task.Window(), &w)
 	failpoint.Hit("account.asked")
 	if ctx.Err() != nil {
 		return errExpired
 	}
-	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), a.Token)
-	report, about, err := mergeReport(snapshots, start, a.Task.Window(), &w)
+	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), op.Token)
+	report, about, err := mergeReport(snapshots, start, op.Task.Window(), &w)
 	if err != nil {
 		return err
 	}
-	if !a.MayProceed() {
+	if !op.MayProceed() {
 		return errExpired
 	}
 	if err := writeReportFile(filepath.Join(dir, w.File), report, about); err != nil {
 		return err
 	}
-	if !a.MayProceed() {
+	if !op.MayProceed() {
 		return errExpired
 	}
 	state, err := casfile.Update(dir, func(s *ReportState) error {
-		if err := s.CheckChange(a.Token, a.Number); err != nil {
+		if err := s.CheckChange(op.Token, op.Number); err != nil {
 			return err
 		}
 		if n := len(s.Windows); n > 0 && s.Windows[n-1].Start >= w.Start {
 			return nil // made by this operation; its answer was lost
 		}
 		s.Windows = append(s.Windows, w)
-		s.Windows = s.Windows[max(0, len(s.Windows)-a.Task.KeepReports):]
+		s.Windows = s.Windows[max(0, len(s.Windows)-op.Task.KeepReports):]
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	failpoint.Hit("account.committed")
-	removeUnreferenced(dir, state, a.Token)
+	removeUnreferenced(dir, state, op.Token)
 	return nil
 }
 
 // queryInstances gets the accounts of all instances, a bounded number at a time, and records in w which delivered them.
-func (j *FleetReport) queryInstances(ctx context.Context, members []allocator.MemberStatus, start time.Time, window time.Duration, w *ReportWindow) []accounts.Snapshot {
+func (r *FleetReport) queryInstances(ctx context.Context, members []allocator.MemberStatus, start time.Time, window time.Duration, w *ReportWindow) []accounts.Snapshot {
 	var mu sync.Mutex
 	var all []accounts.Snapshot
 	var queries sync.WaitGroup
@@ -156,7 +156,7 @@
 		queries.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			s, err := j.fetchSnapshot(ctx, m.Member, start, window)
+			s, err := r.fetchSnapshot(ctx, m.Member, start, window)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -230,7 +230,7 @@
 }
 
 // fetchSnapshot gets one instance's accounts of a window.
-func (j *FleetReport) fetchSnapshot(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
+func (r *FleetReport) fetchSnapshot(ctx context.Context, m quota.Member, start time.Time, window time.Duration) (s accounts.Snapshot, err error) {
 	if m.Accounts == "" {
 		return s, errors.New("it keeps no accounts")
 	}
@@ -245,7 +245,7 @@
 	if err != nil {
 		return s, err
 	}
-	resp, err := j.client.Do(req)
+	resp, err := r.client.Do(req)
 	if err != nil {
 		return s, errors.Unwrap(err)
 	}
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -22,10 +22,10 @@
 
 // MayProceed reports whether the operation may still have effects. It must be asked right before each
 // effect.
-func (a *Operation) MayProceed() bool {
-	a.runner.mu.Lock()
-	defer a.runner.mu.Unlock()
-	return a.runner.lessee.MayProceed(monotone.Now(), a.Operation)
+func (op *Operation) MayProceed() bool {
+	op.runner.mu.Lock()
+	defer op.runner.mu.Unlock()
+	return op.runner.lessee.MayProceed(monotone.Now(), op.Operation)
 }
 
 // errExpired says that the operation, or its lease, ended before all was done.
@@ -45,7 +45,7 @@
 		now := monotone.Now()
 		next := now + time.Second
 		for _, k := range r.lessee.Held(now) {
-			a, ok := r.lessee.StartOperation(now, k)
+			op, ok := r.lessee.StartOperation(now, k)
 			if !ok {
 				if due := r.lessee.NextOperation(k); due > now {
 					next = min(next, due)
@@ -54,7 +54,7 @@
 			}
 			next = min(next, r.lessee.NextOperation(k))
 			r.counts.begun++
-			act := &Operation{a, *r.lessee.Task(k.Task), r}
+			act := &Operation{op, *r.lessee.Task(k.Task), r}
 			r.running.Go(func() { r.runOperation(ctx, act) })
 		}
 		r.mu.Unlock()
@@ -67,25 +67,25 @@
 }
 
 // runOperation runs one operation and records its outcome.
-func (r *Runner) runOperation(ctx context.Context, a *Operation) {
+func (r *Runner) runOperation(ctx context.Context, op *Operation) {
 	failpoint.Hit("act.begun")
-	ctx, done := context.WithTimeout(ctx, a.Deadline-monotone.Now())
+	ctx, done := context.WithTimeout(ctx, op.Deadline-monotone.Now())
 	defer done()
 	err := errors.New("a task of a kind that is not done here")
-	if job := r.opt.Jobs[a.Task.Kind]; job != nil {
-		err = job.Run(ctx, a)
+	if job := r.opt.Jobs[op.Task.Kind]; job != nil {
+		err = job.Run(ctx, op)
 	}
 	failpoint.Hit("act.ending")
 	how, seen := lessee.Completed, uint64(0)
-	var no *fencing.RejectedError
+	var rejected *fencing.RejectedError
 	switch {
-	case errors.As(err, &no):
-		how, seen = lessee.Fenced, no.Current.Token
+	case errors.As(err, &rejected):
+		how, seen = lessee.Fenced, rejected.Current.Token
 	case err != nil:
 		how = lessee.Failed
 	}
 	r.mu.Lock()
-	r.lessee.FinishOperation(a.Operation, how, seen)
+	r.lessee.FinishOperation(op.Operation, how, seen)
 	hurry := r.lessee.NeedsRenewal() && !r.stopped
 	switch how {
 	case lessee.Completed:
@@ -98,7 +98,7 @@
 	r.mu.Unlock()
 	if err != nil {
 		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
-		r.opt.Log.Warn("operation not completed", slog.String("reason", reason), slog.String("lease", a.String()), slog.Uint64("token", a.Token), slog.Any("error", err))
+		r.opt.Log.Warn("operation not completed", slog.String("reason", reason), slog.String("lease", op.String()), slog.Uint64("token", op.Token), slog.Any("error", err))
 	}
 	if hurry {
 		r.opt.RenewNow()
--- a/internal/controlplane/lease/leasework/renewal.go
+++ b/internal/controlplane/lease/leasework/renewal.go
@@ -17,35 +17,35 @@
 func (r *Runner) BeginRenewal(now time.Duration) *lease.RenewalRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := r.lessee.BeginRenewal(now)
+	req := r.lessee.BeginRenewal(now)
 	r.renewalStartedAt = now
-	c.Ejected = r.ejected
+	req.Ejected = r.ejected
 	if r.opt.OpenRequests != nil {
-		c.OpenRequests = r.opt.OpenRequests()
+		req.OpenRequests = r.opt.OpenRequests()
 	}
 	if r.opt.DeadInstances != nil {
-		c.DeadInstances = r.opt.DeadInstances()
+		req.DeadInstances = r.opt.DeadInstances()
 	}
 	for i, x := range r.results {
 		x.AgeMs = (now - r.resultTimes[i]).Milliseconds()
-		c.Results = append(c.Results, x)
+		req.Results = append(req.Results, x)
 	}
 	r.results, r.resultTimes = nil, nil // reported once; the next probes bring newer ones
-	return &c
+	return &req
 }
 
 // AcceptRenewal takes over the answer to the last renewal.
-func (r *Runner) AcceptRenewal(now time.Duration, a *lease.RenewalResponse) {
+func (r *Runner) AcceptRenewal(now time.Duration, resp *lease.RenewalResponse) {
 	r.mu.Lock()
-	if !r.lessee.AcceptRenewal(now, *a) {
+	if !r.lessee.AcceptRenewal(now, *resp) {
 		r.mu.Unlock()
 		return
 	}
-	r.probeTargets = a.ProbeTargets
+	r.probeTargets = resp.ProbeTargets
 	hurry := r.lessee.NeedsRenewal()
 	r.mu.Unlock()
-	if len(a.ProbeResults) > 0 {
-		r.onResults(a.ProbeResults, now-r.renewalStartedAt)
+	if len(resp.ProbeResults) > 0 {
+		r.onResults(resp.ProbeResults, now-r.renewalStartedAt)
 	}
 	if hurry {
 		r.opt.RenewNow()
--- a/internal/controlplane/lease/leasework/runner.go
+++ b/internal/controlplane/lease/leasework/runner.go
@@ -69,11 +69,11 @@
 }
 
 // targetsOf returns the targets to probe for an operation's shard.
-func (r *Runner) targetsOf(a *Operation) (all []string) {
+func (r *Runner) targetsOf(op *Operation) (all []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, t := range r.probeTargets {
-		if a.Task.ShardOf(t) == a.Shard {
+		if op.Task.ShardOf(t) == op.Shard {
 			all = append(all, t)
 		}
 	}
--- a/internal/controlplane/lease/lessee/operation.go
+++ b/internal/controlplane/lease/lessee/operation.go
@@ -16,25 +16,25 @@
 }
 
 // StartOperation starts an operation if one is due and can end within the lease (step 5).
-func (t *Lessee) StartOperation(now time.Duration, k lease.Key) (Operation, bool) {
-	h, holds := t.held[k]
-	task := t.config.Task(k.Task)
-	_, acts := t.running[k]
+func (l *Lessee) StartOperation(now time.Duration, k lease.Key) (Operation, bool) {
+	h, holds := l.held[k]
+	task := l.config.Task(k.Task)
+	_, acts := l.running[k]
 	if !holds || task == nil || h.recalled || acts || now < h.nextOperationAt || now+task.OperationTimeout() > h.expiresAt {
 		return Operation{}, false
 	}
 	h.nextOperationAt = now + task.Interval()
-	t.held[k] = h
-	t.operations++
-	a := Operation{k, h.token, t.operations, now + task.OperationTimeout()}
-	t.running[k] = a
-	return a, true
+	l.held[k] = h
+	l.operations++
+	op := Operation{k, h.token, l.operations, now + task.OperationTimeout()}
+	l.running[k] = op
+	return op, true
 }
 
 // MayProceed reports whether a running operation may still have effects.
-func (t *Lessee) MayProceed(now time.Duration, a Operation) bool {
-	h, holds := t.held[a.Key]
-	return holds && h.token == a.Token && now < h.expiresAt && now < a.Deadline && t.running[a.Key] == a
+func (l *Lessee) MayProceed(now time.Duration, op Operation) bool {
+	h, holds := l.held[op.Key]
+	return holds && h.token == op.Token && now < h.expiresAt && now < op.Deadline && l.running[op.Key] == op
 }
 
 // Outcome is how an operation ended.
@@ -48,11 +48,11 @@
 )
 
 // FinishOperation ends an operation. seen is the newest token that the resource has shown; 0: none.
-func (t *Lessee) FinishOperation(a Operation, how Outcome, seen uint64) {
-	if t.running[a.Key] == a {
-		delete(t.running, a.Key)
+func (l *Lessee) FinishOperation(op Operation, how Outcome, seen uint64) {
+	if l.running[op.Key] == op {
+		delete(l.running, op.Key)
 	}
-	if h, holds := t.held[a.Key]; holds && h.token == a.Token {
+	if h, holds := l.held[op.Key]; holds && h.token == op.Token {
 		switch how {
 		case Completed:
 			h.completed++
@@ -61,15 +61,15 @@
 		case Failed:
 			h.failed++
 		}
-		t.held[a.Key] = h
-		if how == Fenced && seen > a.Token {
+		l.held[op.Key] = h
+		if how == Fenced && seen > op.Token {
 			h.recalled = true // there is a newer grant, or the resource has seen tokens of an earlier group of agents
-			t.held[a.Key] = h
+			l.held[op.Key] = h
 		}
 	}
-	t.highestToken = max(t.highestToken, seen)
-	t.releaseIfIdle(a.Key)
+	l.highestToken = max(l.highestToken, seen)
+	l.releaseIfIdle(op.Key)
 }
 
 // NextOperation is when the next operation of a shard is due.
-func (t *Lessee) NextOperation(k lease.Key) time.Duration { return t.held[k].nextOperationAt }
+func (l *Lessee) NextOperation(k lease.Key) time.Duration { return l.held[k].nextOperationAt }
--- a/internal/controlplane/lease/lessee/renewal.go
+++ b/internal/controlplane/lease/lessee/renewal.go
@@ -9,99 +9,99 @@
 )
 
 // BeginRenewal starts a renewal. From now on only its own answer is accepted (step 11).
-func (t *Lessee) BeginRenewal(now time.Duration) lease.RenewalRequest {
-	t.lastSeq++
-	t.renewalStartedAt, t.renewalAnswered, t.renewNow = now, false, false
-	c := lease.RenewalRequest{Seq: t.lastSeq, ConfigVersion: t.config.Version, Tasks: t.supported, HighestToken: t.highestToken}
-	for _, k := range slices.SortedFunc(maps.Keys(t.held), lease.CompareKeys) {
-		h := t.held[k]
-		c.Held = append(c.Held, lease.HolderStatus{Key: k, Token: h.token, Completed: h.completed, Fenced: h.fenced, Failed: h.failed})
+func (l *Lessee) BeginRenewal(now time.Duration) lease.RenewalRequest {
+	l.lastSeq++
+	l.renewalStartedAt, l.renewalAnswered, l.renewNow = now, false, false
+	req := lease.RenewalRequest{Seq: l.lastSeq, ConfigVersion: l.config.Version, Tasks: l.supported, HighestToken: l.highestToken}
+	for _, k := range slices.SortedFunc(maps.Keys(l.held), lease.CompareKeys) {
+		h := l.held[k]
+		req.Held = append(req.Held, lease.HolderStatus{Key: k, Token: h.token, Completed: h.completed, Fenced: h.fenced, Failed: h.failed})
 	}
-	for _, k := range slices.SortedFunc(maps.Keys(t.released), lease.CompareKeys) {
-		c.Released = append(c.Released, lease.Ref{Key: k, Token: t.released[k]})
+	for _, k := range slices.SortedFunc(maps.Keys(l.released), lease.CompareKeys) {
+		req.Released = append(req.Released, lease.Ref{Key: k, Token: l.released[k]})
 	}
-	return c
+	return req
 }
 
 // AcceptRenewal takes over an answer and reports whether it was accepted. An answer to another renewal
 // than the last, or to one that was answered, is ignored (step 11).
-func (t *Lessee) AcceptRenewal(now time.Duration, a lease.RenewalResponse) bool {
-	if a.Seq != t.lastSeq || t.renewalAnswered {
+func (l *Lessee) AcceptRenewal(now time.Duration, resp lease.RenewalResponse) bool {
+	if resp.Seq != l.lastSeq || l.renewalAnswered {
 		return false
 	}
-	t.renewalAnswered = true
-	if a.Config != nil && a.Config.Version > t.config.Version {
-		t.config = *a.Config
+	l.renewalAnswered = true
+	if resp.Config != nil && resp.Config.Version > l.config.Version {
+		l.config = *resp.Config
 	}
 	had := map[lease.Key]bool{} // leases that the lessor still has as this member's
-	for _, b := range a.Leases {
-		had[b.Key] = true
-		task := t.config.Task(b.Task)
-		h := t.held[b.Key]
-		if task == nil || b.Token < h.token || b.Token <= t.released[b.Key] {
+	for _, ref := range resp.Leases {
+		had[ref.Key] = true
+		task := l.config.Task(ref.Task)
+		h := l.held[ref.Key]
+		if task == nil || ref.Token < h.token || ref.Token <= l.released[ref.Key] {
 			continue // released: there is nothing to renew (step 8)
 		}
-		if b.Token > h.token {
-			h = heldLease{token: b.Token, nextOperationAt: now}
+		if ref.Token > h.token {
+			h = heldLease{token: ref.Token, nextOperationAt: now}
 		}
-		h.expiresAt, h.recalled = t.renewalStartedAt+task.TTL(), false // counted from before the request was sent (step 1)
-		t.held[b.Key] = h
-		delete(t.released, b.Key)
+		h.expiresAt, h.recalled = l.renewalStartedAt+task.TTL(), false // counted from before the request was sent (step 1)
+		l.held[ref.Key] = h
+		delete(l.released, ref.Key)
 	}
-	for _, b := range a.Recalled {
-		had[b.Key] = true
-		h, holds := t.held[b.Key]
+	for _, ref := range resp.Recalled {
+		had[ref.Key] = true
+		h, holds := l.held[ref.Key]
 		switch {
-		case holds && h.token == b.Token:
+		case holds && h.token == ref.Token:
 			h.recalled = true
-			t.held[b.Key] = h
-			t.releaseIfIdle(b.Key)
-		case b.Token > t.released[b.Key]: // this member never heard of it
-			t.released[b.Key], t.renewNow = b.Token, true
+			l.held[ref.Key] = h
+			l.releaseIfIdle(ref.Key)
+		case ref.Token > l.released[ref.Key]: // this member never heard of it
+			l.released[ref.Key], l.renewNow = ref.Token, true
 		}
 	}
-	maps.DeleteFunc(t.released, func(k lease.Key, _ uint64) bool {
+	maps.DeleteFunc(l.released, func(k lease.Key, _ uint64) bool {
 		_, told := had[k]
-		return !told && !t.renewNow
+		return !told && !l.renewNow
 	})
-	maps.DeleteFunc(t.held, func(k lease.Key, h heldLease) bool { return now >= h.expiresAt && !had[k] })
+	maps.DeleteFunc(l.held, func(k lease.Key, h heldLease) bool { return now >= h.expiresAt && !had[k] })
 	return true
 }
 
 // releaseIfIdle releases a recalled shard once no operation is running there.
-func (t *Lessee) releaseIfIdle(k lease.Key) {
-	h, holds := t.held[k]
-	if _, acts := t.running[k]; !holds || !h.recalled || acts {
+func (l *Lessee) releaseIfIdle(k lease.Key) {
+	h, holds := l.held[k]
+	if _, acts := l.running[k]; !holds || !h.recalled || acts {
 		return
 	}
-	delete(t.held, k) // before anybody is told (step 8)
-	t.released[k], t.renewNow = h.token, true
+	delete(l.held, k) // before anybody is told (step 8)
+	l.released[k], l.renewNow = h.token, true
 }
 
 // Release gives up a shard as soon as no operation is running there.
-func (t *Lessee) Release(k lease.Key) {
-	if h, holds := t.held[k]; holds {
+func (l *Lessee) Release(k lease.Key) {
+	if h, holds := l.held[k]; holds {
 		h.recalled = true
-		t.held[k] = h
-		t.releaseIfIdle(k)
+		l.held[k] = h
+		l.releaseIfIdle(k)
 	}
 }
 
 // ReleaseAll gives up everything as soon as no operation is running, and accepts no task from then on.
-func (t *Lessee) ReleaseAll() {
-	t.supported = nil
-	for k := range t.held {
-		t.Release(k)
+func (l *Lessee) ReleaseAll() {
+	l.supported = nil
+	for k := range l.held {
+		l.Release(k)
 	}
 }
 
 // DropAll gives up everything at once: the agents do not know this member. Running operations may not
 // continue.
-func (t *Lessee) DropAll() {
-	clear(t.held)
-	clear(t.released)
-	t.renewalAnswered, t.renewNow = true, false // an answer that is still on its way is ignored
+func (l *Lessee) DropAll() {
+	clear(l.held)
+	clear(l.released)
+	l.renewalAnswered, l.renewNow = true, false // an answer that is still on its way is ignored
 }
 
 // NeedsRenewal reports whether something has to be reported before the next regular renewal.
-func (t *Lessee) NeedsRenewal() bool { return t.renewNow }
+func (l *Lessee) NeedsRenewal() bool { return l.renewNow }
--- a/internal/controlplane/lease/lessor/lessor.go
+++ b/internal/controlplane/lease/lessor/lessor.go
@@ -64,61 +64,61 @@
 
 // New starts a term. The registry must have all entries of earlier terms applied.
 func New(now time.Duration, r *registry.Registry) *Lessor {
-	k := &Lessor{startedAt: now, members: map[string]member{}, backoffs: map[backoffKey]backoff{}}
-	k.Update(now, r)
-	return k
+	l := &Lessor{startedAt: now, members: map[string]member{}, backoffs: map[backoffKey]backoff{}}
+	l.Update(now, r)
+	return l
 }
 
 // leaseTTL is how long, by this clock, the holder of a lease whose renewal has just arrived may act,
 // including one operation that a pause has delayed at a target which cannot check tokens (step 5).
-func (k *Lessor) leaseTTL(t *lease.Task) time.Duration {
-	return k.quotaConfig.MaxOnOtherClock(t.TTL() + t.MaxPause())
+func (l *Lessor) leaseTTL(t *lease.Task) time.Duration {
+	return l.quotaConfig.MaxOnOtherClock(t.TTL() + t.MaxPause())
 }
 
 // Update takes over the registry's state.
-func (k *Lessor) Update(now time.Duration, r *registry.Registry) {
-	tasksChanged := k.config.Version != r.LeaseConfig.Version
-	k.quotaConfig, k.config, k.lastToken = r.QuotaConfig, r.LeaseConfig, max(k.lastToken, r.LastToken)
-	joined, left := quota.DiffMembers(k.registered, r.Members)
-	k.registered = append(k.registered[:0], r.Members...)
+func (l *Lessor) Update(now time.Duration, r *registry.Registry) {
+	tasksChanged := l.config.Version != r.LeaseConfig.Version
+	l.quotaConfig, l.config, l.lastToken = r.QuotaConfig, r.LeaseConfig, max(l.lastToken, r.LastToken)
+	joined, left := quota.DiffMembers(l.registered, r.Members)
+	l.registered = append(l.registered[:0], r.Members...)
 	for _, m := range left {
-		delete(k.members, m.ID)
+		delete(l.members, m.ID)
 	}
 	for _, m := range joined {
-		k.members[m.ID] = member{Member: m, lastHeardAt: now}
+		l.members[m.ID] = member{Member: m, lastHeardAt: now}
 	}
 	if len(left) > 0 || tasksChanged {
-		maps.DeleteFunc(k.backoffs, func(b backoffKey, _ backoff) bool { return !k.IsMember(b.memberID) || k.config.Task(b.task) == nil })
+		maps.DeleteFunc(l.backoffs, func(b backoffKey, _ backoff) bool { return !l.IsMember(b.memberID) || l.config.Task(b.task) == nil })
 	}
-	if slices.EqualFunc(k.leases, r.Leases, func(x leaseState, l lease.Lease) bool { return x.Lease == l }) {
+	if slices.EqualFunc(l.leases, r.Leases, func(state leaseState, granted lease.Lease) bool { return state.Lease == granted }) {
 		return
 	}
 	rows := make([]leaseState, 0, len(r.Leases))
-	for _, l := range r.Leases {
-		x := leaseState{Lease: l, grantSeenAt: now, lastProgressAt: now}
-		had := k.lease(l.Key)
+	for _, granted := range r.Leases {
+		state := leaseState{Lease: granted, grantSeenAt: now, lastProgressAt: now}
+		had := l.lease(granted.Key)
 		switch {
-		case had != nil && had.Token == l.Token && had.Holder == l.Holder:
-			x = *had
-			x.Lease = l
-		case l.Holder == "":
-			x.expiresAt = now // its holder released it, or left
+		case had != nil && had.Token == granted.Token && had.Holder == granted.Holder:
+			state = *had
+			state.Lease = granted
+		case granted.Holder == "":
+			state.expiresAt = now // its holder released it, or left
 		case had == nil:
 			// From before this term: it may have been renewed just before it began (step 6).
-			x.expiresAt, x.holderMayKnow = now+k.leaseTTL(k.config.Task(l.Task)), true
+			state.expiresAt, state.holderMayKnow = now+l.leaseTTL(l.config.Task(granted.Task)), true
 		default:
-			x.expiresAt = now // granted in this term: its holder does not know it yet
+			state.expiresAt = now // granted in this term: its holder does not know it yet
 		}
-		rows = append(rows, x)
+		rows = append(rows, state)
 	}
-	k.leases = rows
+	l.leases = rows
 }
 
 // lease returns the state of a lease, or nil.
-func (k *Lessor) lease(key lease.Key) *leaseState {
-	at, there := slices.BinarySearchFunc(k.leases, key, func(r leaseState, key lease.Key) int { return lease.CompareKeys(r.Key, key) })
+func (l *Lessor) lease(key lease.Key) *leaseState {
+	at, there := slices.BinarySearchFunc(l.leases, key, func(state leaseState, key lease.Key) int { return lease.CompareKeys(state.Key, key) })
 	if !there {
 		return nil
 	}
-	return &k.leases[at]
+	return &l.leases[at]
 }
--- a/internal/controlplane/lease/lessor/lessor_test.go
+++ b/internal/controlplane/lease/lessor/lessor_test.go
@@ -28,45 +28,45 @@
 			tb.Fatal(err)
 		}
 	}
-	k := New(0, r)
+	l := New(0, r)
 	seq := make([]uint64, members)
 	for i := range members {
-		claim(tb, k, time.Minute, i, seq, lease.RenewalRequest{Tasks: runs})
+		claim(tb, l, time.Minute, i, seq, lease.RenewalRequest{Tasks: runs})
 	}
-	return r, k, seq
+	return r, l, seq
 }
 
-func claim(tb testing.TB, k *Lessor, now time.Duration, i int, seq []uint64, c lease.RenewalRequest) lease.RenewalResponse {
+func claim(tb testing.TB, l *Lessor, now time.Duration, i int, seq []uint64, req lease.RenewalRequest) lease.RenewalResponse {
 	tb.Helper()
 	seq[i]++
-	c.Seq = seq[i]
-	a, err := k.Renew(now, fmt.Sprintf("member-%04d", i), c)
+	req.Seq = seq[i]
+	resp, err := l.Renew(now, fmt.Sprintf("member-%04d", i), req)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	return a
+	return resp
 }
 
 // settle has the log take what the keeper wants, until it wants nothing more.
-func settle(r *registry.Registry, k *Lessor, now time.Duration) {
+func settle(r *registry.Registry, l *Lessor, now time.Duration) {
 	for index := uint64(10_000); ; index++ {
-		orders, seen := k.PendingEvents(now)
+		orders, seen := l.PendingEvents(now)
 		if len(orders) == 0 && seen == 0 {
 			return
 		}
 		r.ApplyEvents(index+r.LastToken, seen, orders)
-		k.Update(now, r)
+		l.Update(now, r)
 	}
 }
 
 // TestSeen has a member report a token that a place has shown, of a group of agents before this one: the next grant is greater. One that no
 // place can have shown changes nothing.
 func TestSeen(t *testing.T) {
-	r, k, seq := world(t, 1, 1, "t")
-	settle(r, k, time.Minute)
+	r, l, seq := world(t, 1, 1, "t")
+	settle(r, l, time.Minute)
 	for seen, wanted := range map[uint64]bool{1 << 40: true, 1 << 63: false} {
-		claim(t, k, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}, HighestToken: seen, Released: []lease.Ref{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
-		settle(r, k, time.Minute)
+		claim(t, l, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}, HighestToken: seen, Released: []lease.Ref{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
+		settle(r, l, time.Minute)
 		if got := r.Leases[0].Token > seen; got != wanted || r.Leases[0].Token > 1<<41 {
 			t.Errorf("token %d after a place had shown %d", r.Leases[0].Token, seen)
 		}
@@ -91,12 +91,12 @@
 		err error
 	}{{lease.Key{Task: "u"}, to, lease.ErrUnknownTask}, {lease.Key{Task: "t", Shard: 6}, to, lease.ErrUnknownShard}, {key, "n7", lease.ErrUnknownMember},
 		{key, holder, lease.ErrAlreadyHolder}, {key, "n2", lease.ErrTaskNotSupported}, {key, to, nil}} {
-		o, err := k.Migrate(now, c.key, c.to)
+		e, err := k.Migrate(now, c.key, c.to)
 		if !errors.Is(err, c.err) {
 			t.Errorf("%v to %s: %v, wanted %v", c.key, c.to, err, c.err)
 		}
 		if err == nil {
-			r.ApplyEvents(50_000, 0, []lease.Event{o})
+			r.ApplyEvents(50_000, 0, []lease.Event{e})
 			k.Update(now, r)
 		}
 	}
@@ -137,12 +137,12 @@
 			size, answer := 0, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				c := lease.RenewalRequest{ConfigVersion: r.LeaseConfig.Version, Tasks: []string{"t"}, Held: held[fmt.Sprintf("member-%04d", i%n)]}
-				a := claim(b, k, time.Minute, i%n, seq, c)
+				req := lease.RenewalRequest{ConfigVersion: r.LeaseConfig.Version, Tasks: []string{"t"}, Held: held[fmt.Sprintf("member-%04d", i%n)]}
+				resp := claim(b, k, time.Minute, i%n, seq, req)
 				if i == n {
-					text, _ := json.Marshal(c)
+					text, _ := json.Marshal(req)
 					size = len(text)
-					text, _ = json.Marshal(a)
+					text, _ = json.Marshal(resp)
 					answer = len(text)
 				}
 			}
--- a/internal/controlplane/lease/lessor/renew.go
+++ b/internal/controlplane/lease/lessor/renew.go
@@ -21,87 +21,87 @@
 // Renew records a member's report and decides which leases it holds from now on. The answer may only
 // be sent once a majority of agents has confirmed, after this call, that no later term has begun (step
 // 7).
-func (k *Lessor) Renew(now time.Duration, id string, c lease.RenewalRequest) (lease.RenewalResponse, error) {
-	m, known := k.members[id]
+func (l *Lessor) Renew(now time.Duration, id string, req lease.RenewalRequest) (lease.RenewalResponse, error) {
+	m, known := l.members[id]
 	switch {
 	case !known:
 		return lease.RenewalResponse{}, quota.ErrUnknownMember
-	case c.Seq <= m.lastSeq:
+	case req.Seq <= m.lastSeq:
 		return lease.RenewalResponse{}, quota.ErrStaleRenewal
 	}
-	m.lastSeq, m.lastHeardAt, m.reportedThisTerm = c.Seq, now, true
-	m.openRequests = c.OpenRequests
-	m.deadInstances = slices.Clone(c.DeadInstances[:min(len(c.DeadInstances), maxDeadInstances)])
-	m.tasks = make(map[string]bool, len(c.Tasks))
-	for _, t := range c.Tasks {
-		if k.config.Task(t) != nil {
+	m.lastSeq, m.lastHeardAt, m.reportedThisTerm = req.Seq, now, true
+	m.openRequests = req.OpenRequests
+	m.deadInstances = slices.Clone(req.DeadInstances[:min(len(req.DeadInstances), maxDeadInstances)])
+	m.tasks = make(map[string]bool, len(req.Tasks))
+	for _, t := range req.Tasks {
+		if l.config.Task(t) != nil {
 			m.tasks[t] = true
 		}
 	}
-	k.members[id] = m
-	if c.HighestToken < maxPlausibleToken {
-		k.highestSeenToken = max(k.highestSeenToken, c.HighestToken)
+	l.members[id] = m
+	if req.HighestToken < maxPlausibleToken {
+		l.highestSeenToken = max(l.highestSeenToken, req.HighestToken)
 	}
-	a := lease.RenewalResponse{Seq: c.Seq}
-	if c.ConfigVersion != k.config.Version {
-		config := k.config
-		a.Config = &config
+	resp := lease.RenewalResponse{Seq: req.Seq}
+	if req.ConfigVersion != l.config.Version {
+		config := l.config
+		resp.Config = &config
 	}
-	for _, b := range c.Released {
-		if x := k.lease(b.Key); x != nil && x.Holder == id && x.Token == b.Token { // step 8
-			x.released, x.expiresAt = true, now
+	for _, ref := range req.Released {
+		if state := l.lease(ref.Key); state != nil && state.Holder == id && state.Token == ref.Token { // step 8
+			state.released, state.expiresAt = true, now
 		}
 	}
-	for _, h := range c.Held {
-		k.noteProgress(now, id, h)
+	for _, s := range req.Held {
+		l.noteProgress(now, id, s)
 	}
-	for i := range k.leases {
-		k.renewLease(now, id, &k.leases[i], &a)
+	for i := range l.leases {
+		l.renewLease(now, id, &l.leases[i], &resp)
 	}
-	return a, nil
+	return resp, nil
 }
 
 // noteProgress takes over what a holder reports of one lease.
-func (k *Lessor) noteProgress(now time.Duration, id string, h lease.HolderStatus) {
-	x := k.lease(h.Key)
-	if x == nil || x.Holder != id || x.Token != h.Token {
+func (l *Lessor) noteProgress(now time.Duration, id string, s lease.HolderStatus) {
+	state := l.lease(s.Key)
+	if state == nil || state.Holder != id || state.Token != s.Token {
 		return
 	}
-	if h.Completed > x.holderStatus.Completed {
-		x.lastProgressAt = now
-		if b := (backoffKey{h.Task, id}); now >= k.backoffs[b].until {
-			delete(k.backoffs, b)
+	if s.Completed > state.holderStatus.Completed {
+		state.lastProgressAt = now
+		if b := (backoffKey{s.Task, id}); now >= l.backoffs[b].until {
+			delete(l.backoffs, b)
 		}
 	}
-	x.holderStatus = h
+	state.holderStatus = s
 }
 
 // renewLease renews or recalls one lease of a member, if it holds it.
-func (k *Lessor) renewLease(now time.Duration, id string, x *leaseState, a *lease.RenewalResponse) {
-	if x.Holder != id || x.released || x.revoking {
+func (l *Lessor) renewLease(now time.Duration, id string, state *leaseState, resp *lease.RenewalResponse) {
+	if state.Holder != id || state.released || state.revoking {
 		return
 	}
-	t := k.config.Task(x.Task)
-	b := lease.Ref{Key: x.Key, Token: x.Token}
-	if x.NextHolder != "" || t.Disabled || !k.members[id].tasks[x.Task] {
-		a.Recalled = append(a.Recalled, b) // valid until it expires, but not renewed (step 9)
+	t := l.config.Task(state.Task)
+	ref := lease.Ref{Key: state.Key, Token: state.Token}
+	if state.NextHolder != "" || t.Disabled || !l.members[id].tasks[state.Task] {
+		resp.Recalled = append(resp.Recalled, ref) // valid until it expires, but not renewed (step 9)
 		return
 	}
-	if x.holderMayKnow && now-x.lastProgressAt >= k.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
-		k.backOff(now, t, id)
-		x.revoking = true // it expires by itself (step 10)
+	if state.holderMayKnow && now-state.lastProgressAt >= l.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
+		l.backOff(now, t, id)
+		state.revoking = true // it expires by itself (step 10)
 		return
 	}
-	x.expiresAt, x.holderMayKnow = now+k.leaseTTL(t), true
-	a.Leases = append(a.Leases, b)
+	state.expiresAt, state.holderMayKnow = now+l.leaseTTL(t), true
+	resp.Leases = append(resp.Leases, ref)
 }
 
 // backOff keeps a member without progress from the task's shards for a time that doubles with each
 // failure up to a bound. The time varies between members, so that two of them do not come back
 // together.
-func (k *Lessor) backOff(now time.Duration, t *lease.Task, id string) {
-	b := k.backoffs[backoffKey{t.Name, id}]
+func (l *Lessor) backOff(now time.Duration, t *lease.Task, id string) {
+	b := l.backoffs[backoffKey{t.Name, id}]
 	wait := t.ProgressTimeout() << min(b.failures, maxBackoffDoublings)
 	wait += time.Duration(float64(wait) / 2 * float64(xxhash.Sum64String(id)%1024) / 1024)
-	k.backoffs[backoffKey{t.Name, id}] = backoff{now + wait, b.failures + 1}
+	l.backoffs[backoffKey{t.Name, id}] = backoff{now + wait, b.failures + 1}
 }
--- a/internal/controlplane/lease/lessor/status.go
+++ b/internal/controlplane/lease/lessor/status.go
@@ -12,19 +12,19 @@
 )
 
 // IsCurrent reports whether a member holds a lease under that token and is not about to lose it.
-func (k *Lessor) IsCurrent(key lease.Key, id string, token uint64) bool {
-	x := k.lease(key)
-	return x != nil && x.Holder == id && x.Token == token && !x.released && !x.revoking
+func (l *Lessor) IsCurrent(key lease.Key, id string, token uint64) bool {
+	state := l.lease(key)
+	return state != nil && state.Holder == id && state.Token == token && !state.released && !state.revoking
 }
 
 // IsMember reports whether the member is registered.
-func (k *Lessor) IsMember(id string) bool {
-	_, known := k.members[id]
+func (l *Lessor) IsMember(id string) bool {
+	_, known := l.members[id]
 	return known
 }
 
 // Config is the set of tasks in use.
-func (k *Lessor) Config() *lease.Config { return &k.config }
+func (l *Lessor) Config() *lease.Config { return &l.config }
 
 // LeaseStatus is one lease as the lessor sees it.
 type LeaseStatus struct {
@@ -41,43 +41,43 @@
 }
 
 // Status returns all leases in order.
-func (k *Lessor) Status(now time.Duration) []LeaseStatus {
-	all := make([]LeaseStatus, 0, len(k.leases))
-	for i := range k.leases {
-		x := &k.leases[i]
-		s := LeaseStatus{Lease: x.Lease, HolderName: k.members[x.Holder].Name, State: "held", SinceMs: (now - x.grantSeenAt).Milliseconds(),
-			UntilMs: max(0, (x.expiresAt - now).Milliseconds()), ProgressMs: (now - x.lastProgressAt).Milliseconds(),
-			Completed: x.holderStatus.Completed, Fenced: x.holderStatus.Fenced, Failed: x.holderStatus.Failed}
+func (l *Lessor) Status(now time.Duration) []LeaseStatus {
+	all := make([]LeaseStatus, 0, len(l.leases))
+	for i := range l.leases {
+		state := &l.leases[i]
+		status := LeaseStatus{Lease: state.Lease, HolderName: l.members[state.Holder].Name, State: "held", SinceMs: (now - state.grantSeenAt).Milliseconds(),
+			UntilMs: max(0, (state.expiresAt - now).Milliseconds()), ProgressMs: (now - state.lastProgressAt).Milliseconds(),
+			Completed: state.holderStatus.Completed, Fenced: state.holderStatus.Fenced, Failed: state.holderStatus.Failed}
 		switch {
-		case x.Holder == "" && k.config.Task(x.Task).Disabled:
-			s.State = "off"
-		case x.Holder == "":
-			s.State = "free"
-		case x.released || x.holderMayKnow && now >= x.expiresAt:
-			s.State = "ended"
-		case x.NextHolder != "":
-			s.State = "moving"
-		case x.holderStatus.Token != x.Token:
-			s.State = "unsure"
+		case state.Holder == "" && l.config.Task(state.Task).Disabled:
+			status.State = "off"
+		case state.Holder == "":
+			status.State = "free"
+		case state.released || state.holderMayKnow && now >= state.expiresAt:
+			status.State = "ended"
+		case state.NextHolder != "":
+			status.State = "moving"
+		case state.holderStatus.Token != state.Token:
+			status.State = "unsure"
 		}
-		all = append(all, s)
+		all = append(all, status)
 	}
 	return all
 }
 
 // String is the whole state as text: equal states print alike.
-func (k *Lessor) String() string {
-	b := fmt.Appendf(nil, "%v %d %d %v", k.startedAt, k.lastToken, k.highestSeenToken, k.config)
-	for _, id := range slices.Sorted(maps.Keys(k.members)) {
-		b = fmt.Appendf(b, "\n%v", k.members[id])
+func (l *Lessor) String() string {
+	b := fmt.Appendf(nil, "%v %d %d %v", l.startedAt, l.lastToken, l.highestSeenToken, l.config)
+	for _, id := range slices.Sorted(maps.Keys(l.members)) {
+		b = fmt.Appendf(b, "\n%v", l.members[id])
 	}
-	for i := range k.leases {
-		b = fmt.Appendf(b, "\n%+v", k.leases[i])
+	for i := range l.leases {
+		b = fmt.Appendf(b, "\n%+v", l.leases[i])
 	}
-	for _, x := range slices.SortedFunc(maps.Keys(k.backoffs), func(a, b backoffKey) int {
+	for _, x := range slices.SortedFunc(maps.Keys(l.backoffs), func(a, b backoffKey) int {
 		return cmp.Or(strings.Compare(a.task, b.task), strings.Compare(a.memberID, b.memberID))
 	}) {
-		b = fmt.Appendf(b, "\n%v %v", x, k.backoffs[x])
+		b = fmt.Appendf(b, "\n%v %v", x, l.backoffs[x])
 	}
 	return string(b)
 }
--- a/internal/controlplane/lease/outlierboard/board.go
+++ b/internal/controlplane/lease/outlierboard/board.go
@@ -56,7 +56,7 @@
 			b.SetEjected(id, nil)
 		}
 	}
-	maps.DeleteFunc(b.results, func(_ string, f timedResult) bool { return now-f.receivedAt > within })
+	maps.DeleteFunc(b.results, func(_ string, r timedResult) bool { return now-r.receivedAt > within })
 }
 
 // AddResult records a result whose token the caller has just found to be the current one of the
@@ -65,7 +65,7 @@
 	if b.reporters[r.Target] == 0 {
 		return false // no member has it ejected any more
 	}
-	if f, there := b.results[r.Target]; there && r.Token < f.Token || !there && len(b.results) >= maxResults {
+	if last, there := b.results[r.Target]; there && r.Token < last.Token || !there && len(b.results) >= maxResults {
 		return false
 	}
 	b.results[r.Target] = timedResult{r, now}
@@ -86,9 +86,9 @@
 // ResultsFor returns the results for the targets that a member has ejected, with their ages.
 func (b *Board) ResultsFor(now time.Duration, id string) (all []lease.ProbeResult) {
 	for _, t := range b.ejectedBy[id] {
-		if f, there := b.results[t]; there {
-			r := f.ProbeResult
-			r.AgeMs += (now - f.receivedAt).Milliseconds()
+		if last, there := b.results[t]; there {
+			r := last.ProbeResult
+			r.AgeMs += (now - last.receivedAt).Milliseconds()
 			all = append(all, r)
 		}
 	}
@@ -106,13 +106,13 @@
 func (b *Board) Entries(now time.Duration) []Entry {
 	all := []Entry{}
 	for t, n := range b.reporters {
-		l := Entry{Target: t, Reporters: n}
-		if f, there := b.results[t]; there {
-			r := f.ProbeResult
-			r.AgeMs += (now - f.receivedAt).Milliseconds()
-			l.Result = &r
+		entry := Entry{Target: t, Reporters: n}
+		if last, there := b.results[t]; there {
+			r := last.ProbeResult
+			r.AgeMs += (now - last.receivedAt).Milliseconds()
+			entry.Result = &r
 		}
-		all = append(all, l)
+		all = append(all, entry)
 	}
 	slices.SortFunc(all, func(a, b Entry) int { return cmp.Compare(a.Target, b.Target) })
 	return all
--- a/internal/controlplane/lease/task.go
+++ b/internal/controlplane/lease/task.go
@@ -72,7 +72,7 @@
 func (t *Task) unguarded() bool { return t.Kind == EndpointProbe }
 
 // validate fills in defaults and returns an error that names the first invalid field.
-func (t *Task) validate(f *quota.Config) error {
+func (t *Task) validate(c *quota.Config) error {
 	switch {
 	case t.Name == "" || len(t.Name) > quota.MaxNameBytes:
 		return fmt.Errorf("name: wanted 1 to %d bytes", quota.MaxNameBytes)
@@ -82,14 +82,14 @@
 	if err := t.setDefaults(); err != nil {
 		return err
 	}
-	if err := t.validateFields(); err != nil || f == nil {
+	if err := t.validateFields(); err != nil || c == nil {
 		return err
 	}
 	switch {
-	case f.MaxOnOtherClock(3*f.RenewInterval())+t.OperationTimeout() > t.TTL():
-		return fmt.Errorf("lease_ms: an act of %d ms after three renewals of %d ms does not fit in %d ms with clocks %v ppm off", t.OperationTimeoutMs, f.RenewIntervalMs, t.TTLMs, f.ClockPPM)
-	case f.MaxOnOtherClock(t.TTL()+t.MaxPause()) > f.SessionTTL():
-		return fmt.Errorf("lease_ms: with pause_ms and the clocks' bound longer than a seat of %d s", f.SessionTTLS)
+	case c.MaxOnOtherClock(3*c.RenewInterval())+t.OperationTimeout() > t.TTL():
+		return fmt.Errorf("lease_ms: an act of %d ms after three renewals of %d ms does not fit in %d ms with clocks %v ppm off", t.OperationTimeoutMs, c.RenewIntervalMs, t.TTLMs, c.ClockPPM)
+	case c.MaxOnOtherClock(t.TTL()+t.MaxPause()) > c.SessionTTL():
+		return fmt.Errorf("lease_ms: with pause_ms and the clocks' bound longer than a seat of %d s", c.SessionTTLS)
 	}
 	return nil
 }
--- a/internal/controlplane/membership/debug.go
+++ b/internal/controlplane/membership/debug.go
@@ -10,16 +10,16 @@
 
 // DebugString prints the state except for random numbers, with times relative to now: equal states go
 // on alike.
-func (m *Node) DebugString(now time.Duration, name func(uint64) string) string {
+func (n *Node) DebugString(now time.Duration, name func(uint64) string) string {
 	var b strings.Builder
 	ago := func(t time.Duration) int64 { return (now - t).Milliseconds() }
-	fmt.Fprintf(&b, "%s.%d %v score %d alone %v poked %d heard %d next %d/%d", name(m.self.ID), m.self.Incarnation, m.self.Status, m.healthScore, m.isolated,
-		min(ago(m.lastUrgentGossip), 1000), ago(m.lastHeardAt), ago(m.nextProbe), ago(m.nextSync))
-	for _, i := range m.sortedIndexes() {
-		e := &m.members[i]
-		fmt.Fprintf(&b, " [%s.%d %v since %d heard %d]", name(e.id), e.incarnation, e.status, ago(e.statusSince), ago(e.lastHeardAt))
+	fmt.Fprintf(&b, "%s.%d %v score %d alone %v poked %d heard %d next %d/%d", name(n.self.ID), n.self.Incarnation, n.self.Status, n.healthScore, n.isolated,
+		min(ago(n.lastUrgentGossip), 1000), ago(n.lastHeardAt), ago(n.nextProbe), ago(n.nextSync))
+	for _, i := range n.sortedIndexes() {
+		m := &n.members[i]
+		fmt.Fprintf(&b, " [%s.%d %v since %d heard %d]", name(m.id), m.incarnation, m.status, ago(m.statusSince), ago(m.lastHeardAt))
 	}
-	for _, s := range m.suspicions {
+	for _, s := range n.suspicions {
 		fmt.Fprintf(&b, " susp %s %d by", name(s.id), ago(s.startedAt))
 		for _, x := range s.reporters {
 			b.WriteString(" " + name(x))
@@ -28,58 +28,58 @@
 			b.WriteString(" dead by " + name(x))
 		}
 	}
-	if p := m.currentProbe; p != nil {
+	if p := n.currentProbe; p != nil {
 		fmt.Fprintf(&b, " probe %s %d asked %d nacks %d answers %v told %v", name(p.target), ago(p.startedAt), len(p.helpers), p.nacks, p.acked, p.reachedBy != 0)
 	}
-	for _, d := range m.suspectPaths {
-		fmt.Fprintf(&b, " doubt %s %d %d %d", name(d.target), d.failures, d.pingsSeen, d.streamAcks)
+	for _, path := range n.suspectPaths {
+		fmt.Fprintf(&b, " doubt %s %d %d %d", name(path.target), path.failures, path.pingsSeen, path.streamAcks)
 	}
-	for _, k := range m.sortedReachKeys() {
-		fmt.Fprintf(&b, " way %s %s-%s %v", name(k.observer), name(k.from), name(k.to), m.reachability[k].State)
+	for _, k := range n.sortedReachKeys() {
+		fmt.Fprintf(&b, " way %s %s-%s %v", name(k.observer), name(k.from), name(k.to), n.reachability[k].State)
 	}
-	for _, u := range m.broadcasts {
+	for _, u := range n.broadcasts {
 		fmt.Fprintf(&b, " tell %s.%d %v %s %d", name(u.ID), u.Incarnation, u.Status, name(u.Reporter), u.transmissions)
 	}
-	missed := make([]string, 0, len(m.missedProbes))
-	for x := range m.missedProbes {
+	missed := make([]string, 0, len(n.missedProbes))
+	for x := range n.missedProbes {
 		missed = append(missed, name(x))
 	}
 	slices.Sort(missed)
 	fmt.Fprint(&b, " missed ", missed, " order")
-	for i := range m.rotation {
-		b.WriteString(" " + name(m.rotation[i]))
+	for i := range n.rotation {
+		b.WriteString(" " + name(n.rotation[i]))
 	}
-	fmt.Fprint(&b, " at ", m.rotationPos)
+	fmt.Fprint(&b, " at ", n.rotationPos)
 	return b.String()
 }
 
 // sortedIndexes returns the positions of members in order of id.
-func (m *Node) sortedIndexes() []int {
-	order := make([]int, len(m.members))
+func (n *Node) sortedIndexes() []int {
+	order := make([]int, len(n.members))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(m.members[a].id, m.members[b].id) })
+	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(n.members[a].id, n.members[b].id) })
 	return order
 }
 
 // Lookup returns the view's record of one member.
-func (m *Node) Lookup(birth uint64) (Record, bool) {
-	e := m.lookup(birth)
-	if e == nil {
+func (n *Node) Lookup(birth uint64) (Record, bool) {
+	m := n.lookup(birth)
+	if m == nil {
 		return Record{}, false
 	}
-	return m.recordOf(e), true
+	return n.recordOf(m), true
 }
 
 // PendingBroadcasts is the number of records that are still being piggybacked.
-func (m *Node) PendingBroadcasts() int { return len(m.broadcasts) }
+func (n *Node) PendingBroadcasts() int { return len(n.broadcasts) }
 
 // DirectSuspects returns the members that this one suspects by its own probes, with the incarnation.
-func (m *Node) DirectSuspects() map[uint64]uint32 {
+func (n *Node) DirectSuspects() map[uint64]uint32 {
 	all := map[uint64]uint32{}
-	for _, s := range m.suspicions {
-		if slices.Contains(s.reporters, m.self.ID) {
+	for _, s := range n.suspicions {
+		if slices.Contains(s.reporters, n.self.ID) {
 			all[s.id] = s.incarnation
 		}
 	}
--- a/internal/controlplane/membership/events.go
+++ b/internal/controlplane/membership/events.go
@@ -23,13 +23,13 @@
 }
 
 // addEvent records a change of the view.
-func (m *Node) addEvent(now time.Duration, e *member, to string, inc uint32, why string) {
-	m.eventCount++
-	m.events = append(m.events, Event{At: now, ID: e.id, Name: e.info.Name, Status: to, Incarnation: inc, Reason: why})
-	if len(m.events) > maxEvents {
-		m.events = slices.Delete(m.events, 0, len(m.events)-maxEvents)
+func (n *Node) addEvent(now time.Duration, m *member, to string, inc uint32, why string) {
+	n.eventCount++
+	n.events = append(n.events, Event{At: now, ID: m.id, Name: m.info.Name, Status: to, Incarnation: inc, Reason: why})
+	if len(n.events) > maxEvents {
+		n.events = slices.Delete(n.events, 0, len(n.events)-maxEvents)
 	}
 }
 
 // Events returns the changes that are kept, the latest last, and the number of all.
-func (m *Node) Events() (kept []Event, ever int) { return m.events, m.eventCount }
+func (n *Node) Events() (kept []Event, ever int) { return n.events, n.eventCount }
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -22,13 +22,13 @@
 	t.Helper()
 	set := DefaultConfig
 	set.FleetID = 7
-	m := New(set, 1, info("self"), nil, 0, rand.New(rand.NewPCG(1, 1)))
+	n := New(set, 1, info("self"), nil, 0, rand.New(rand.NewPCG(1, 1)))
 	var all []Record
 	for i := range known {
 		all = append(all, Record{ID: uint64(i + 2), Incarnation: 1, Info: info(fmt.Sprint("n", i))})
 	}
-	m.Preload(0, all, SharedInfos(all))
-	return m
+	n.Preload(0, all, SharedInfos(all))
+	return n
 }
 
 // TestLateness has a member look at the clock late while a probe is out: a short lateness costs the one that was asked nothing, since
@@ -40,23 +40,23 @@
 		pauses uint64
 		inc    uint32
 	}{{0, 1, 0, 1}, {100 * time.Millisecond, 1, 0, 1}, {700 * time.Millisecond, 0, 0, 1}, {1900 * time.Millisecond, 0, 0, 1}, {2100 * time.Millisecond, 0, 1, 2}} {
-		m := machine(t, 5)
-		at := m.NextTick()
-		m.Tick(at) // a probe goes out
-		at = m.NextTick()
-		m.Tick(at) // others are asked
-		at = m.NextTick() + c.late
-		m.Tick(at)
-		require.Equal(t, c.failed, m.Counts.Failed, "%v late", c.late)
-		require.Equal(t, c.pauses, m.Counts.Pauses, "%v late", c.late)
-		require.Equal(t, c.inc, m.Self().Incarnation, "%v late", c.late)
+		n := machine(t, 5)
+		at := n.NextTick()
+		n.Tick(at) // a probe goes out
+		at = n.NextTick()
+		n.Tick(at) // others are asked
+		at = n.NextTick() + c.late
+		n.Tick(at)
+		require.Equal(t, c.failed, n.Counts.Failed, "%v late", c.late)
+		require.Equal(t, c.pauses, n.Counts.Pauses, "%v late", c.late)
+		require.Equal(t, c.inc, n.Self().Incarnation, "%v late", c.late)
 	}
 }
 
 // TestNoMessageGrows fills a member with all that it may know, under the longest names, and looks at what it sends: no message is larger
 // for it.
 func TestNoMessageGrows(t *testing.T) {
-	m := machine(t, 0)
+	n := machine(t, 0)
 	long := strings.Repeat("x", MaxTextBytes)
 	var all []Record
 	for i := range 4000 {
@@ -64,18 +64,18 @@
 		all = append(all, r)
 	}
 	for i := range all {
-		m.mergeRecord(0, &all[i])
-		m.mergeReachability(0, Reachability{Observer: uint64(i + 2), From: 5, To: uint64(i + 3), State: LinkDown, Seq: 1})
+		n.mergeRecord(0, &all[i])
+		n.mergeReachability(0, Reachability{Observer: uint64(i + 2), From: 5, To: uint64(i + 3), State: LinkDown, Seq: 1})
 	}
-	require.LessOrEqual(t, len(m.broadcasts), maxBroadcasts)
-	require.LessOrEqual(t, len(m.reachability), maxReachRecords)
+	require.LessOrEqual(t, len(n.broadcasts), maxBroadcasts)
+	require.LessOrEqual(t, len(n.reachability), maxReachRecords)
 	var sent []Outgoing
-	for now := time.Duration(0); now < 30*time.Second; now = m.NextTick() {
-		sent = append(sent, m.Tick(now)...)
+	for now := time.Duration(0); now < 30*time.Second; now = n.NextTick() {
+		sent = append(sent, n.Tick(now)...)
 	}
 	for _, k := range []MessageKind{Ping, SyncRequest, PingRequest} {
-		x := &Message{Version: Version, FleetID: 7, Kind: k, From: all[0], Nonce: 9, Subject: all[1], Digests: make([]uint64, DigestBuckets)}
-		sent = append(sent, m.Receive(30*time.Second, x, Datagram)...)
+		msg := &Message{Version: Version, FleetID: 7, Kind: k, From: all[0], Nonce: 9, Subject: all[1], Digests: make([]uint64, DigestBuckets)}
+		sent = append(sent, n.Receive(30*time.Second, msg, Datagram)...)
 	}
 	require.Greater(t, len(sent), 40)
 	for _, s := range sent {
@@ -90,47 +90,47 @@
 // a bounded number of messages.
 func TestGarbage(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := machine(&testing.B{}, 3)
-		digest, inc := m.AliveDigest(), m.Self().Incarnation
+		n := machine(&testing.B{}, 3)
+		digest, inc := n.AliveDigest(), n.Self().Incarnation
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			record := func(name string) Record {
 				return Record{ID: rapid.Uint64Range(1, 6).Draw(t, name), Incarnation: rapid.Uint32().Draw(t, "inc"), Status: Status(rapid.IntRange(0, 3).Draw(t, "status")),
 					Info: info("g"), Reporter: rapid.Uint64().Draw(t, "by")}
 			}
-			x := &Message{Version: Version, FleetID: 7, Kind: MessageKind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), From: record("from"), To: rapid.Uint64Range(0, 2).Draw(t, "to"),
+			msg := &Message{Version: Version, FleetID: 7, Kind: MessageKind(rapid.IntRange(0, int(kinds)-1).Draw(t, "kind")), From: record("from"), To: rapid.Uint64Range(0, 2).Draw(t, "to"),
 				Nonce: rapid.Uint64().Draw(t, "nonce"), Echo: rapid.Uint64().Draw(t, "echo"), Subject: record("about"), Records: []Record{record("record")},
 				Reachability: []Reachability{{Observer: 9, From: 8, To: 7, State: LinkDown, Seq: 1}}}
 			if rapid.Bool().Draw(t, "you") {
-				x.Opinion = &Opinion{Incarnation: rapid.Uint32Range(2, 1<<30).Draw(t, "you inc"), Status: Suspect}
+				msg.Opinion = &Opinion{Incarnation: rapid.Uint32Range(2, 1<<30).Draw(t, "you inc"), Status: Suspect}
 			}
-			if err := x.Validate(); err != nil {
+			if err := msg.Validate(); err != nil {
 				t.Fatal(err)
 			}
-			if out := m.Receive(time.Second, x, Datagram); len(out) > maxSyncPages+2 {
+			if out := n.Receive(time.Second, msg, Datagram); len(out) > maxSyncPages+2 {
 				t.Fatalf("%d messages for one", len(out))
 			}
 		}
-		if m.AliveDigest() != digest || m.Self().Incarnation != inc || m.Size() != 4 || len(m.reachability) > 0 {
-			t.Fatalf("garbage changed the view: %s", m.DebugString(time.Second, idText))
+		if n.AliveDigest() != digest || n.Self().Incarnation != inc || n.Size() != 4 || len(n.reachability) > 0 {
+			t.Fatalf("garbage changed the view: %s", n.DebugString(time.Second, idText))
 		}
 	})
 }
 
 // TestViews tells states as they are: who is paused, slow, twice there, cut off or suspected, and ways between two zones as one.
 func TestViews(t *testing.T) {
-	m := machine(t, 0)
+	n := machine(t, 0)
 	for i := range 8 {
-		m.mergeRecord(0, &Record{ID: uint64(10 + i), Incarnation: 1, Info: Info{Name: fmt.Sprint("n", i), Addr: "a:1", Zone: []string{"a", "b"}[i%2]}})
+		n.mergeRecord(0, &Record{ID: uint64(10 + i), Incarnation: 1, Info: Info{Name: fmt.Sprint("n", i), Addr: "a:1", Zone: []string{"a", "b"}[i%2]}})
 	}
-	m.mergeRecord(0, &Record{ID: 10, Incarnation: 2, Info: info("n0"), PausedMs: 5000})
-	m.mergeRecord(0, &Record{ID: 30, Incarnation: 1, Info: info("n1")})
-	m.mergeRecord(0, &Record{ID: 12, Incarnation: 1, Status: Suspect, Reporter: 13, Info: info("n2")})
-	m.lookup(13).health = slowThreshold
-	m.mergeRecord(0, &Record{ID: 14, Incarnation: 1, Status: Left, Info: info("n4")})
+	n.mergeRecord(0, &Record{ID: 10, Incarnation: 2, Info: info("n0"), PausedMs: 5000})
+	n.mergeRecord(0, &Record{ID: 30, Incarnation: 1, Info: info("n1")})
+	n.mergeRecord(0, &Record{ID: 12, Incarnation: 1, Status: Suspect, Reporter: 13, Info: info("n2")})
+	n.lookup(13).health = slowThreshold
+	n.mergeRecord(0, &Record{ID: 14, Incarnation: 1, Status: Left, Info: info("n4")})
 	for i := range 3 {
-		m.mergeReachability(0, Reachability{Observer: uint64(15 + i), From: uint64(15 + i), To: uint64(16 - i%2), State: LinkDown, Seq: 1})
+		n.mergeReachability(0, Reachability{Observer: uint64(15 + i), From: uint64(15 + i), To: uint64(16 - i%2), State: LinkDown, Seq: 1})
 	}
-	v := m.View(time.Second)
+	v := n.View(time.Second)
 	states := map[string]State{}
 	for _, s := range v.Members {
 		if s.ID != idText(30) {
@@ -139,8 +139,8 @@
 	}
 	require.Equal(t, map[string]State{"self": StateAlive, "n0": StatePaused, "n1": StateAlive, "n2": StateSuspect, "n3": StateSlow, "n4": StateLeft, "n5": states["n5"], "n6": StateUnreachable, "n7": StateAlive}, states)
 	require.Equal(t, []string{"n1"}, v.DuplicateNames)
-	require.Len(t, m.EndedInstances(5), 1)
-	require.Equal(t, "n4", m.EndedInstances(5)[0].Name)
+	require.Len(t, n.EndedInstances(5), 1)
+	require.Equal(t, "n4", n.EndedInstances(5)[0].Name)
 	require.Empty(t, Diff(v, v))
 	w := machine(t, 0).View(0)
 	w.Members[0].ID = "other"
--- a/internal/controlplane/membership/message.go
+++ b/internal/controlplane/membership/message.go
@@ -104,11 +104,11 @@
 )
 
 // String returns the state as views show it.
-func (c LinkState) String() string {
-	if c > DatagramsLost {
-		return fmt.Sprint("cut ", uint8(c))
+func (state LinkState) String() string {
+	if state > DatagramsLost {
+		return fmt.Sprint("cut ", uint8(state))
 	}
-	return [...]string{"open", "cut", "datagrams cut"}[c]
+	return [...]string{"open", "cut", "datagrams cut"}[state]
 }
 
 // MessageKind is the kind of a message.
@@ -196,8 +196,8 @@
 			return fmt.Errorf("records[%d].%w", i, err)
 		}
 	}
-	for i, l := range m.Reachability {
-		if l.State > DatagramsLost || l.Observer == 0 || l.From == 0 || l.To == 0 {
+	for i, r := range m.Reachability {
+		if r.State > DatagramsLost || r.Observer == 0 || r.From == 0 || r.To == 0 {
 			return fmt.Errorf("links[%d]: not one", i)
 		}
 	}
--- a/internal/controlplane/membership/node.go
+++ b/internal/controlplane/membership/node.go
@@ -74,41 +74,41 @@
 
 // New starts a run of a member. The id must be drawn at random; seeds are addresses to join by.
 func New(config Config, id uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Node {
-	m := &Node{config: config, rng: rng, self: Record{ID: id, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
+	n := &Node{config: config, rng: rng, self: Record{ID: id, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
 		pending: map[uint64]pendingRequest{}, reachability: map[reachKey]*reachRecord{}, missedProbes: map[uint64]bool{}, lastHeardAt: now, syncPeriodStart: now}
-	m.nextProbe = now + time.Duration(rng.Int64N(int64(config.ProbeInterval)))
-	m.nextSync, m.nextJoin = now+config.SyncInterval, now
-	m.clockCheckedAt = now
-	m.announcedTick = m.NextTick()
-	m.toggleDigest(&m.self)
-	return m
+	n.nextProbe = now + time.Duration(rng.Int64N(int64(config.ProbeInterval)))
+	n.nextSync, n.nextJoin = now+config.SyncInterval, now
+	n.clockCheckedAt = now
+	n.announcedTick = n.NextTick()
+	n.toggleDigest(&n.self)
+	return n
 }
 
 // Self returns the member's own record.
-func (m *Node) Self() Record { return m.self }
+func (n *Node) Self() Record { return n.self }
 
 // SetLocalState sets what the member tells of itself: its load, and an agent that answered it
 // recently; empty: none.
-func (m *Node) SetLocalState(load uint16, agent string) { m.load, m.agent = load, agent }
+func (n *Node) SetLocalState(load uint16, agent string) { n.load, n.agent = load, agent }
 
 // Size is the number of live members in the view, including this one.
-func (m *Node) Size() int { return m.liveCount + 1 }
+func (n *Node) Size() int { return n.liveCount + 1 }
 
 // NextTick is when Tick is due: at least once in a probe interval, so that no pause goes unnoticed
 // (step 4).
-func (m *Node) NextTick() time.Duration {
-	at := min(m.nextProbe, m.nextSync, m.clockCheckedAt+m.config.ProbeInterval)
-	if p := m.currentProbe; p != nil && !p.acked {
+func (n *Node) NextTick() time.Duration {
+	at := min(n.nextProbe, n.nextSync, n.clockCheckedAt+n.config.ProbeInterval)
+	if p := n.currentProbe; p != nil && !p.acked {
 		if len(p.helpers) == 0 {
-			at = min(at, p.startedAt+m.scaleByHealth(m.config.ProbeTimeout))
+			at = min(at, p.startedAt+n.scaleByHealth(n.config.ProbeTimeout))
 		}
 	}
-	if len(m.seeds) > 0 {
-		at = min(at, m.nextJoin)
+	if len(n.seeds) > 0 {
+		at = min(at, n.nextJoin)
 	}
-	if !m.isolated {
-		for i := range m.suspicions {
-			at = min(at, m.suspicionDeadline(&m.suspicions[i]))
+	if !n.isolated {
+		for i := range n.suspicions {
+			at = min(at, n.suspicionDeadline(&n.suspicions[i]))
 		}
 	}
 	return at
@@ -124,136 +124,136 @@
 }
 
 // Preload makes others known from the start, as after a sync with a member that knows them.
-func (m *Node) Preload(now time.Duration, all []Record, infos []*Info) {
-	m.members = slices.Grow(m.members, len(all))
+func (n *Node) Preload(now time.Duration, all []Record, infos []*Info) {
+	n.members = slices.Grow(n.members, len(all))
 	for i := range all {
 		r := &all[i]
-		if r.ID == m.self.ID || m.lookup(r.ID) != nil {
+		if r.ID == n.self.ID || n.lookup(r.ID) != nil {
 			continue
 		}
-		m.index[r.ID] = int32(len(m.members))
-		m.members = append(m.members, member{info: infos[i], id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, inRotation: true})
-		m.rotation = append(m.rotation, r.ID)
-		m.toggleDigest(r)
-		m.liveCount++
+		n.index[r.ID] = int32(len(n.members))
+		n.members = append(n.members, member{info: infos[i], id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, inRotation: true})
+		n.rotation = append(n.rotation, r.ID)
+		n.toggleDigest(r)
+		n.liveCount++
 	}
-	m.rng.Shuffle(len(m.rotation), func(i, j int) { m.rotation[i], m.rotation[j] = m.rotation[j], m.rotation[i] })
+	n.rng.Shuffle(len(n.rotation), func(i, j int) { n.rotation[i], n.rotation[j] = n.rotation[j], n.rotation[i] })
 }
 
 // outbox collects messages to send.
 type outbox []Outgoing
 
 // Tick does what is due and returns the messages to send.
-func (m *Node) Tick(now time.Duration) []Outgoing {
+func (n *Node) Tick(now time.Duration) []Outgoing {
 	var o outbox
-	m.observeClock(now)
-	if p := m.currentProbe; p != nil && !p.acked && len(p.helpers) == 0 && now >= p.startedAt+m.scaleByHealth(m.config.ProbeTimeout) && now < m.nextProbe {
-		m.probeIndirectly(now, &o)
+	n.observeClock(now)
+	if p := n.currentProbe; p != nil && !p.acked && len(p.helpers) == 0 && now >= p.startedAt+n.scaleByHealth(n.config.ProbeTimeout) && now < n.nextProbe {
+		n.probeIndirectly(now, &o)
 	}
-	if now >= m.nextProbe {
-		m.finishProbe(now)
-		m.startProbe(now, &o)
+	if now >= n.nextProbe {
+		n.finishProbe(now)
+		n.startProbe(now, &o)
 	}
-	m.confirmSuspicions(now)
-	if now >= m.nextSync {
-		m.startSync(now, &o)
-		m.expireState(now)
+	n.confirmSuspicions(now)
+	if now >= n.nextSync {
+		n.startSync(now, &o)
+		n.expireState(now)
 	}
-	if len(m.seeds) > 0 && now >= m.nextJoin {
-		m.joinSeeds(now, &o)
+	if len(n.seeds) > 0 && now >= n.nextJoin {
+		n.joinSeeds(now, &o)
 	}
-	m.gossipUrgent(now, &o)
-	m.announcedTick = m.NextTick()
+	n.gossipUrgent(now, &o)
+	n.announcedTick = n.NextTick()
 	return o
 }
 
 // Receive processes a valid message and returns the messages to send. Only a message that echoes a
 // nonce of this member is believed (step 2). Any other, however old it may be, causes no more than an
 // answer.
-func (m *Node) Receive(now time.Duration, x *Message, via Channel) []Outgoing {
+func (n *Node) Receive(now time.Duration, msg *Message, via Channel) []Outgoing {
 	var o outbox
-	m.observeClock(now)
+	n.observeClock(now)
 	switch {
-	case x.FleetID != m.config.FleetID:
-		m.Counts.Foreign++
-	case x.From.ID == m.self.ID:
-		m.Counts.Stale++
-	case x.To != 0 && x.To != m.self.ID:
-		m.Counts.Misdirected++
+	case msg.FleetID != n.config.FleetID:
+		n.Counts.Foreign++
+	case msg.From.ID == n.self.ID:
+		n.Counts.Stale++
+	case msg.To != 0 && msg.To != n.self.ID:
+		n.Counts.Misdirected++
 	default:
-		m.dispatch(now, x, via, &o)
+		n.dispatch(now, msg, via, &o)
 	}
-	m.gossipUrgent(now, &o)
-	m.announcedTick = m.NextTick()
+	n.gossipUrgent(now, &o)
+	n.announcedTick = n.NextTick()
 	return o
 }
 
 // dispatch processes a message by its kind.
-func (m *Node) dispatch(now time.Duration, x *Message, via Channel, o *outbox) {
-	switch x.Kind {
+func (n *Node) dispatch(now time.Duration, msg *Message, via Channel, o *outbox) {
+	switch msg.Kind {
 	case Ping:
-		m.handlePing(now, x, via, o)
+		n.handlePing(now, msg, via, o)
 		return
 	case PingRequest:
-		m.handlePingRequest(now, x, o)
+		n.handlePingRequest(now, msg, o)
 		return
 	case SyncRequest:
-		m.handleSyncRequest(now, x, via, o)
+		n.handleSyncRequest(now, msg, via, o)
 		return
 	}
-	a, known := m.pending[x.Echo]
-	if x.Echo == 0 || !known || a.responder != 0 && a.responder != x.From.ID && !(a.kind == Ping && (x.Kind == IndirectAck || x.Kind == Nack)) {
-		m.Counts.Stale++
+	p, known := n.pending[msg.Echo]
+	if msg.Echo == 0 || !known || p.responder != 0 && p.responder != msg.From.ID && !(p.kind == Ping && (msg.Kind == IndirectAck || msg.Kind == Nack)) {
+		n.Counts.Stale++
 		return
 	}
 	switch {
-	case x.Kind == Ack && a.kind == Ping:
-		m.handleAck(now, x, via, o)
-	case x.Kind == Ack && a.kind == PingRequest:
-		delete(m.pending, x.Echo)
-		m.noteHeard(now, x)
-		m.mergePiggyback(now, x)
-		t := m.newMessage(IndirectAck, a.requester.ID)
-		t.Echo, t.Subject, t.SawRequesterPing = a.requesterNonce, x.From, x.SawRequesterPing
-		*o = append(*o, Outgoing{a.requester.Info.Addr, Datagram, t})
-	case x.Kind == AckConfirm && a.kind == Ack:
-		delete(m.pending, x.Echo)
-		m.noteHeard(now, x)
-		m.mergePiggyback(now, x)
-	case (x.Kind == IndirectAck || x.Kind == Nack) && a.kind == Ping:
-		m.handleIndirectReply(now, x)
-	case x.Kind == SyncPage && (a.kind == SyncRequest || a.kind == SyncPage):
-		m.handleSyncPage(now, x, a, via, o)
+	case msg.Kind == Ack && p.kind == Ping:
+		n.handleAck(now, msg, via, o)
+	case msg.Kind == Ack && p.kind == PingRequest:
+		delete(n.pending, msg.Echo)
+		n.noteHeard(now, msg)
+		n.mergePiggyback(now, msg)
+		t := n.newMessage(IndirectAck, p.requester.ID)
+		t.Echo, t.Subject, t.SawRequesterPing = p.requesterNonce, msg.From, msg.SawRequesterPing
+		*o = append(*o, Outgoing{p.requester.Info.Addr, Datagram, t})
+	case msg.Kind == AckConfirm && p.kind == Ack:
+		delete(n.pending, msg.Echo)
+		n.noteHeard(now, msg)
+		n.mergePiggyback(now, msg)
+	case (msg.Kind == IndirectAck || msg.Kind == Nack) && p.kind == Ping:
+		n.handleIndirectReply(now, msg)
+	case msg.Kind == SyncPage && (p.kind == SyncRequest || p.kind == SyncPage):
+		n.handleSyncPage(now, msg, p, via, o)
 	default:
-		m.Counts.Stale++
+		n.Counts.Stale++
 	}
 }
 
 // Leave ends the membership in order: members that were heard recently are told and spread it.
-func (m *Node) Leave(now time.Duration) []Outgoing {
-	if m.self.Status == Left {
+func (n *Node) Leave(now time.Duration) []Outgoing {
+	if n.self.Status == Left {
 		return nil
 	}
-	m.toggleDigest(&m.self)
-	m.self.Incarnation++
-	m.self.Status = Left
-	m.toggleDigest(&m.self)
-	m.queueBroadcast(m.self)
+	n.toggleDigest(&n.self)
+	n.self.Incarnation++
+	n.self.Status = Left
+	n.toggleDigest(&n.self)
+	n.queueBroadcast(n.self)
 	var o outbox
-	m.pingRecentlyHeard(now, 2*m.config.IndirectProbes, &o)
-	m.announcedTick = m.NextTick()
+	n.pingRecentlyHeard(now, 2*n.config.IndirectProbes, &o)
+	n.announcedTick = n.NextTick()
 	return o
 }
 
 // LeaveAcknowledged reports whether another member has heard that this one leaves.
-func (m *Node) LeaveAcknowledged() bool {
-	own := func(u broadcast) bool { return u.ID == m.self.ID && u.transmissions < 2 }
-	return m.self.Status == Left && !slices.ContainsFunc(m.broadcasts, own)
+func (n *Node) LeaveAcknowledged() bool {
+	own := func(u broadcast) bool { return u.ID == n.self.ID && u.transmissions < 2 }
+	return n.self.Status == Left && !slices.ContainsFunc(n.broadcasts, own)
 }
 
 // SetAddr has others reach the member at another address.
-func (m *Node) SetAddr(addr string) {
-	m.self.Info.Addr = addr
-	m.self.PausedMs = 0
-	m.raiseIncarnation()
+func (n *Node) SetAddr(addr string) {
+	n.self.Info.Addr = addr
+	n.self.PausedMs = 0
+	n.raiseIncarnation()
 }
--- a/internal/controlplane/membership/probe.go
+++ b/internal/controlplane/membership/probe.go
@@ -30,123 +30,123 @@
 }
 
 // newMessage returns a message with the fields that all messages have.
-func (m *Node) newMessage(k MessageKind, to uint64) *Message {
-	return &Message{Version: Version, FleetID: m.config.FleetID, Kind: k, From: m.self, To: to, Health: uint8(m.healthScore), Load: m.load, Agent: m.agent,
-		ViewSize: uint32(m.Size())}
+func (n *Node) newMessage(k MessageKind, to uint64) *Message {
+	return &Message{Version: Version, FleetID: n.config.FleetID, Kind: k, From: n.self, To: to, Health: uint8(n.healthScore), Load: n.load, Agent: n.agent,
+		ViewSize: uint32(n.Size())}
 }
 
 // newNonce draws a nonce that is not 0.
-func (m *Node) newNonce() uint64 {
+func (n *Node) newNonce() uint64 {
 	for {
-		if n := m.rng.Uint64(); n != 0 {
-			return n
+		if nonce := n.rng.Uint64(); nonce != 0 {
+			return nonce
 		}
 	}
 }
 
 // expectReply remembers a request; beyond the bound the oldest one is dropped.
-func (m *Node) expectReply(nonce uint64, a pendingRequest) {
-	if len(m.pending) >= maxPendingRequests {
+func (n *Node) expectReply(nonce uint64, p pendingRequest) {
+	if len(n.pending) >= maxPendingRequests {
 		var oldest uint64
-		for n, x := range m.pending {
-			if o := m.pending[oldest]; oldest == 0 || x.sentAt < o.sentAt || x.sentAt == o.sentAt && n < oldest {
-				oldest = n
+		for other, x := range n.pending {
+			if o := n.pending[oldest]; oldest == 0 || x.sentAt < o.sentAt || x.sentAt == o.sentAt && other < oldest {
+				oldest = other
 			}
 		}
-		delete(m.pending, oldest)
+		delete(n.pending, oldest)
 	}
-	m.pending[nonce] = a
+	n.pending[nonce] = p
 }
 
 // startProbe starts the next probe.
-func (m *Node) startProbe(now time.Duration, o *outbox) {
-	m.nextProbe = now + m.scaleByHealth(m.config.ProbeInterval)
-	e := m.nextProbeTarget()
-	if e == nil {
+func (n *Node) startProbe(now time.Duration, o *outbox) {
+	n.nextProbe = now + n.scaleByHealth(n.config.ProbeInterval)
+	m := n.nextProbeTarget()
+	if m == nil {
 		return
 	}
-	m.Counts.Probes++
-	p := &probe{target: e.id, addr: e.info.Addr, nonce: m.newNonce(), startedAt: now}
-	m.currentProbe = p
-	m.expectReply(p.nonce, pendingRequest{responder: e.id, kind: Ping, sentAt: now})
-	m.sendPing(now, e, p.nonce, Datagram, o)
+	n.Counts.Probes++
+	p := &probe{target: m.id, addr: m.info.Addr, nonce: n.newNonce(), startedAt: now}
+	n.currentProbe = p
+	n.expectReply(p.nonce, pendingRequest{responder: m.id, kind: Ping, sentAt: now})
+	n.sendPing(now, m, p.nonce, Datagram, o)
 }
 
 // nextProbeTarget returns who is probed next: every second time a member on a suspect path, now and
 // then one declared dead (step 5), else the next of the rotation.
-func (m *Node) nextProbeTarget() *member {
-	m.probeCount++
-	if m.endedCount > 0 && m.probeCount%deadProbeEvery == 0 {
-		from := m.rng.IntN(len(m.members))
-		for i := range m.members {
-			if e := &m.members[(from+i)%len(m.members)]; e.status == Dead {
-				return e
+func (n *Node) nextProbeTarget() *member {
+	n.probeCount++
+	if n.endedCount > 0 && n.probeCount%deadProbeEvery == 0 {
+		from := n.rng.IntN(len(n.members))
+		for i := range n.members {
+			if m := &n.members[(from+i)%len(n.members)]; m.status == Dead {
+				return m
 			}
 		}
 	}
-	if len(m.suspectPaths) > 0 && m.probeCount%2 == 1 {
-		d := m.suspectPaths[0]
-		m.suspectPaths = append(m.suspectPaths[1:], d)
-		if e := m.lookup(d.target); e != nil && e.status <= Suspect {
-			return e
+	if len(n.suspectPaths) > 0 && n.probeCount%2 == 1 {
+		path := n.suspectPaths[0]
+		n.suspectPaths = append(n.suspectPaths[1:], path)
+		if m := n.lookup(path.target); m != nil && m.status <= Suspect {
+			return m
 		}
-		m.suspectPaths = m.suspectPaths[:len(m.suspectPaths)-1]
+		n.suspectPaths = n.suspectPaths[:len(n.suspectPaths)-1]
 	}
-	for range len(m.rotation) {
-		if m.rotationPos >= len(m.rotation) {
-			m.rotationPos = 0
-			m.rng.Shuffle(len(m.rotation), func(i, j int) { m.rotation[i], m.rotation[j] = m.rotation[j], m.rotation[i] })
+	for range len(n.rotation) {
+		if n.rotationPos >= len(n.rotation) {
+			n.rotationPos = 0
+			n.rng.Shuffle(len(n.rotation), func(i, j int) { n.rotation[i], n.rotation[j] = n.rotation[j], n.rotation[i] })
 		}
-		e := m.lookup(m.rotation[m.rotationPos])
-		if e != nil && e.status <= Suspect {
-			m.rotationPos++
-			return e
+		m := n.lookup(n.rotation[n.rotationPos])
+		if m != nil && m.status <= Suspect {
+			n.rotationPos++
+			return m
 		}
-		if e != nil {
-			e.inRotation = false
+		if m != nil {
+			m.inRotation = false
 		}
-		m.rotation = slices.Delete(m.rotation, m.rotationPos, m.rotationPos+1)
+		n.rotation = slices.Delete(n.rotation, n.rotationPos, n.rotationPos+1)
 	}
 	return nil
 }
 
 // sendPing pings a member and tells it what this view says of it, so that it can refute.
-func (m *Node) sendPing(now time.Duration, e *member, nonce uint64, via Channel, o *outbox) {
-	x := m.newMessage(Ping, e.id)
-	x.Nonce = nonce
-	x.Opinion = &Opinion{e.incarnation, e.status}
-	if e.lastHeardAt >= 0 {
-		x.SilentMs = uint32(max(0, (now - e.lastHeardAt).Milliseconds()))
+func (n *Node) sendPing(now time.Duration, m *member, nonce uint64, via Channel, o *outbox) {
+	msg := n.newMessage(Ping, m.id)
+	msg.Nonce = nonce
+	msg.Opinion = &Opinion{m.incarnation, m.status}
+	if m.lastHeardAt >= 0 {
+		msg.SilentMs = uint32(max(0, (now - m.lastHeardAt).Milliseconds()))
 	}
-	*o = append(*o, Outgoing{e.info.Addr, via, x})
+	*o = append(*o, Outgoing{m.info.Addr, via, msg})
 }
 
 // probeIndirectly asks helpers to ping a member that has not answered, and tries a stream.
-func (m *Node) probeIndirectly(now time.Duration, o *outbox) {
-	p := m.currentProbe
-	e := m.lookup(p.target)
-	if e == nil || e.status > Suspect {
+func (n *Node) probeIndirectly(now time.Duration, o *outbox) {
+	p := n.currentProbe
+	m := n.lookup(p.target)
+	if m == nil || m.status > Suspect {
 		p.helpers = []uint64{0} // nobody
 		return
 	}
-	m.sendPing(now, e, p.nonce, Stream, o)
+	n.sendPing(now, m, p.nonce, Stream, o)
 	var helpers []*member
-	if d := m.findSuspectPath(e.id); d != nil {
-		if h := m.lookup(d.lastHelper); h != nil && h.status == Alive {
-			helpers = append(helpers, h)
+	if path := n.findSuspectPath(m.id); path != nil {
+		if helper := n.lookup(path.lastHelper); helper != nil && helper.status == Alive {
+			helpers = append(helpers, helper)
 		}
 	}
-	for tries := 0; len(helpers) < m.config.IndirectProbes && tries < 8*m.config.IndirectProbes && len(m.rotation) > 0; tries++ {
-		h := m.lookup(m.rotation[m.rng.IntN(len(m.rotation))])
-		if h != nil && h.status == Alive && h.id != e.id && !slices.Contains(helpers, h) {
-			helpers = append(helpers, h)
+	for tries := 0; len(helpers) < n.config.IndirectProbes && tries < 8*n.config.IndirectProbes && len(n.rotation) > 0; tries++ {
+		helper := n.lookup(n.rotation[n.rng.IntN(len(n.rotation))])
+		if helper != nil && helper.status == Alive && helper.id != m.id && !slices.Contains(helpers, helper) {
+			helpers = append(helpers, helper)
 		}
 	}
-	for _, h := range helpers {
-		x := m.newMessage(PingRequest, h.id)
-		x.Nonce, x.Subject = p.nonce, m.recordOf(e)
-		p.helpers = append(p.helpers, h.id)
-		*o = append(*o, Outgoing{h.info.Addr, Datagram, x})
+	for _, helper := range helpers {
+		msg := n.newMessage(PingRequest, helper.id)
+		msg.Nonce, msg.Subject = p.nonce, n.recordOf(m)
+		p.helpers = append(p.helpers, helper.id)
+		*o = append(*o, Outgoing{helper.info.Addr, Datagram, msg})
 	}
 	if len(p.helpers) == 0 {
 		p.helpers = []uint64{0}
@@ -155,122 +155,122 @@
 
 // finishProbe ends the probe in progress: a member that nobody reached is suspected; one that was
 // reached by others only is on a suspect path.
-func (m *Node) finishProbe(now time.Duration) {
-	p := m.currentProbe
-	m.currentProbe = nil
+func (n *Node) finishProbe(now time.Duration) {
+	p := n.currentProbe
+	n.currentProbe = nil
 	if p == nil {
 		return
 	}
-	delete(m.pending, p.nonce)
-	e := m.lookup(p.target)
-	if e == nil || e.status > Suspect {
+	delete(n.pending, p.nonce)
+	m := n.lookup(p.target)
+	if m == nil || m.status > Suspect {
 		return
 	}
 	if p.acked && !p.ackedByStream {
-		m.clearSuspectPath(now, e)
+		n.clearSuspectPath(now, m)
 		return
 	}
 	if p.acked || p.reachedBy != 0 {
-		m.notePathFailure(now, e, p)
+		n.notePathFailure(now, m, p)
 		return
 	}
-	m.Counts.Failed++
-	m.missedProbes[p.target] = true
+	n.Counts.Failed++
+	n.missedProbes[p.target] = true
 	if p.nacks == 0 && len(p.helpers) > 0 && p.helpers[0] != 0 {
-		m.adjustHealth(1) // the helpers are silent too: this process may be the one that does not hear
+		n.adjustHealth(1) // the helpers are silent too: this process may be the one that does not hear
 	}
-	if !m.isolated && !m.config.DisableLifeguard && len(m.missedProbes) >= min(3, m.liveCount) && now-m.lastHeardAt > 2*m.config.ProbeInterval {
-		m.markIsolated(now)
+	if !n.isolated && !n.config.DisableLifeguard && len(n.missedProbes) >= min(3, n.liveCount) && now-n.lastHeardAt > 2*n.config.ProbeInterval {
+		n.markIsolated(now)
 	}
-	m.suspect(now, e, e.incarnation, m.self.ID, "no answer to us")
+	n.suspect(now, m, m.incarnation, n.self.ID, "no answer to us")
 }
 
 // handlePing answers a ping.
-func (m *Node) handlePing(now time.Duration, x *Message, via Channel, o *outbox) {
+func (n *Node) handlePing(now time.Duration, msg *Message, via Channel, o *outbox) {
 	// A ping is not verified and may be old. It changes nothing but this member's own incarnation, and only if it
 	// doubts exactly the present one.
-	if x.Opinion != nil && x.Opinion.Status != Alive && x.Opinion.Status != Left {
-		m.refute(&Record{ID: m.self.ID, Incarnation: x.Opinion.Incarnation, Status: x.Opinion.Status})
+	if msg.Opinion != nil && msg.Opinion.Status != Alive && msg.Opinion.Status != Left {
+		n.refute(&Record{ID: n.self.ID, Incarnation: msg.Opinion.Incarnation, Status: msg.Opinion.Status})
 	}
-	if len(m.recentPings) >= maxRecentPings {
-		m.recentPings = slices.Delete(m.recentPings, 0, 1)
+	if len(n.recentPings) >= maxRecentPings {
+		n.recentPings = slices.Delete(n.recentPings, 0, 1)
 	}
-	m.recentPings = append(m.recentPings, pendingRequest{responder: x.From.ID, requesterNonce: x.Nonce, sentAt: now})
-	r := m.newMessage(Ack, x.From.ID)
-	r.Echo, r.Nonce = x.Nonce, m.newNonce()
-	if x.RequesterNonce != 0 { // on behalf of another member: has that one's own ping arrived?
-		r.SawRequesterPing = slices.ContainsFunc(m.recentPings, func(p pendingRequest) bool {
-			return p.requesterNonce == x.RequesterNonce && p.responder == x.Subject.ID
+	n.recentPings = append(n.recentPings, pendingRequest{responder: msg.From.ID, requesterNonce: msg.Nonce, sentAt: now})
+	r := n.newMessage(Ack, msg.From.ID)
+	r.Echo, r.Nonce = msg.Nonce, n.newNonce()
+	if msg.RequesterNonce != 0 { // on behalf of another member: has that one's own ping arrived?
+		r.SawRequesterPing = slices.ContainsFunc(n.recentPings, func(p pendingRequest) bool {
+			return p.requesterNonce == msg.RequesterNonce && p.responder == msg.Subject.ID
 		})
-		r.RequesterNonce = x.RequesterNonce
+		r.RequesterNonce = msg.RequesterNonce
 	}
-	m.expectReply(r.Nonce, pendingRequest{responder: x.From.ID, kind: Ack, sentAt: now})
-	m.piggyback(r, x.From.ID)
-	*o = append(*o, Outgoing{x.From.Info.Addr, via, r})
+	n.expectReply(r.Nonce, pendingRequest{responder: msg.From.ID, kind: Ack, sentAt: now})
+	n.piggyback(r, msg.From.ID)
+	*o = append(*o, Outgoing{msg.From.Info.Addr, via, r})
 }
 
 // handleAck processes the answer to an own ping.
-func (m *Node) handleAck(now time.Duration, x *Message, via Channel, o *outbox) {
-	e := m.noteHeard(now, x)
-	if p := m.currentProbe; p != nil && p.nonce == x.Echo {
+func (n *Node) handleAck(now time.Duration, msg *Message, via Channel, o *outbox) {
+	m := n.noteHeard(now, msg)
+	if p := n.currentProbe; p != nil && p.nonce == msg.Echo {
 		if via == Datagram {
 			p.ackedByStream = false
 		} else if !p.acked {
 			p.ackedByStream = true
 		}
 		p.acked = true
-		switch late := now-p.startedAt >= m.scaleByHealth(m.config.ProbeTimeout); {
-		case e == nil:
+		switch late := now-p.startedAt >= n.scaleByHealth(n.config.ProbeTimeout); {
+		case m == nil:
 		case late && via == Datagram:
-			e.lateAcks = min(e.lateAcks+1, 9)
-			m.adjustHealth(1)
+			m.lateAcks = min(m.lateAcks+1, 9)
+			n.adjustHealth(1)
 		default:
-			e.lateAcks = 0
-			m.adjustHealth(-1)
+			m.lateAcks = 0
+			n.adjustHealth(-1)
 		}
 	}
 	if via == Datagram {
-		delete(m.pending, x.Echo)
+		delete(n.pending, msg.Echo)
 	}
-	m.mergePiggyback(now, x)
-	c := m.newMessage(AckConfirm, x.From.ID)
-	c.Echo = x.Nonce
-	m.piggyback(c, x.From.ID)
-	*o = append(*o, Outgoing{x.From.Info.Addr, via, c})
+	n.mergePiggyback(now, msg)
+	c := n.newMessage(AckConfirm, msg.From.ID)
+	c.Echo = msg.Nonce
+	n.piggyback(c, msg.From.ID)
+	*o = append(*o, Outgoing{msg.From.Info.Addr, via, c})
 }
 
 // handlePingRequest pings a member on behalf of another one.
-func (m *Node) handlePingRequest(now time.Duration, x *Message, o *outbox) {
-	n := m.newMessage(Nack, x.From.ID)
-	n.Echo, n.Subject = x.Nonce, x.Subject
-	*o = append(*o, Outgoing{x.From.Info.Addr, Datagram, n}) // this helper is there, whether or not the probe succeeds
-	e := m.lookup(x.Subject.ID)
-	if e == nil || e.status > Suspect {
+func (n *Node) handlePingRequest(now time.Duration, msg *Message, o *outbox) {
+	nack := n.newMessage(Nack, msg.From.ID)
+	nack.Echo, nack.Subject = msg.Nonce, msg.Subject
+	*o = append(*o, Outgoing{msg.From.Info.Addr, Datagram, nack}) // this helper is there, whether or not the probe succeeds
+	m := n.lookup(msg.Subject.ID)
+	if m == nil || m.status > Suspect {
 		return
 	}
-	p := m.newMessage(Ping, e.id)
-	p.Nonce, p.RequesterNonce, p.Subject = m.newNonce(), x.Nonce, x.From
-	p.Opinion = &Opinion{e.incarnation, e.status}
-	m.expectReply(p.Nonce, pendingRequest{responder: e.id, kind: PingRequest, sentAt: now, requester: x.From, requesterNonce: x.Nonce})
-	*o = append(*o, Outgoing{e.info.Addr, Datagram, p})
+	p := n.newMessage(Ping, m.id)
+	p.Nonce, p.RequesterNonce, p.Subject = n.newNonce(), msg.Nonce, msg.From
+	p.Opinion = &Opinion{m.incarnation, m.status}
+	n.expectReply(p.Nonce, pendingRequest{responder: m.id, kind: PingRequest, sentAt: now, requester: msg.From, requesterNonce: msg.Nonce})
+	*o = append(*o, Outgoing{m.info.Addr, Datagram, p})
 }
 
 // handleIndirectReply processes a helper's answer.
-func (m *Node) handleIndirectReply(now time.Duration, x *Message) {
-	p := m.currentProbe
-	if p == nil || p.nonce != x.Echo || !slices.Contains(p.helpers, x.From.ID) || x.Subject.ID != p.target {
-		m.Counts.Stale++
+func (n *Node) handleIndirectReply(now time.Duration, msg *Message) {
+	p := n.currentProbe
+	if p == nil || p.nonce != msg.Echo || !slices.Contains(p.helpers, msg.From.ID) || msg.Subject.ID != p.target {
+		n.Counts.Stale++
 		return
 	}
-	m.noteHeard(now, x)
-	if x.Kind == Nack {
+	n.noteHeard(now, msg)
+	if msg.Kind == Nack {
 		p.nacks++
 		return
 	}
-	p.reachedBy, p.sawOurPing = x.From.ID, p.sawOurPing || x.SawRequesterPing
-	r := x.Subject
-	m.mergeRecord(now, &r)
-	if e := m.lookup(r.ID); e != nil && e.status == Suspect && r.Incarnation >= e.incarnation {
-		m.setStatus(now, e, Alive, e.incarnation, "heard by another")
+	p.reachedBy, p.sawOurPing = msg.From.ID, p.sawOurPing || msg.SawRequesterPing
+	r := msg.Subject
+	n.mergeRecord(now, &r)
+	if m := n.lookup(r.ID); m != nil && m.status == Suspect && r.Incarnation >= m.incarnation {
+		n.setStatus(now, m, Alive, m.incarnation, "heard by another")
 	}
 }
--- a/internal/controlplane/membership/reachability.go
+++ b/internal/controlplane/membership/reachability.go
@@ -28,97 +28,97 @@
 }
 
 // findSuspectPath returns the suspect path to a member, or nil.
-func (m *Node) findSuspectPath(birth uint64) *suspectPath {
-	for i := range m.suspectPaths {
-		if m.suspectPaths[i].target == birth {
-			return &m.suspectPaths[i]
+func (n *Node) findSuspectPath(birth uint64) *suspectPath {
+	for i := range n.suspectPaths {
+		if n.suspectPaths[i].target == birth {
+			return &n.suspectPaths[i]
 		}
 	}
 	return nil
 }
 
 // clearSuspectPath withdraws what was found of the links to and from a member that answers again.
-func (m *Node) clearSuspectPath(now time.Duration, e *member) {
-	d := m.findSuspectPath(e.id)
-	if d == nil {
+func (n *Node) clearSuspectPath(now time.Duration, m *member) {
+	path := n.findSuspectPath(m.id)
+	if path == nil {
 		return
 	}
-	if d.published {
-		m.addEvent(now, e, "open", e.incarnation, "it answers us again")
-		for _, k := range m.sortedReachKeys() {
-			if k.observer == m.self.ID && m.reachability[k].State != LinkUp && (k.from == e.id || k.to == e.id) {
-				m.publishReachability(now, Reachability{From: k.from, To: k.to, State: LinkUp})
+	if path.published {
+		n.addEvent(now, m, "open", m.incarnation, "it answers us again")
+		for _, k := range n.sortedReachKeys() {
+			if k.observer == n.self.ID && n.reachability[k].State != LinkUp && (k.from == m.id || k.to == m.id) {
+				n.publishReachability(now, Reachability{From: k.from, To: k.to, State: LinkUp})
 			}
 		}
 	}
-	m.suspectPaths = slices.DeleteFunc(m.suspectPaths, func(x suspectPath) bool { return x.target == e.id })
+	n.suspectPaths = slices.DeleteFunc(n.suspectPaths, func(x suspectPath) bool { return x.target == m.id })
 }
 
 // notePathFailure counts a probe of a live member that did not answer this one. After enough of them
 // in a row it is known which direction is cut, and published.
-func (m *Node) notePathFailure(now time.Duration, e *member, p *probe) {
-	d := m.findSuspectPath(e.id)
-	if d == nil {
-		if len(m.suspectPaths) >= maxSuspectPaths {
+func (n *Node) notePathFailure(now time.Duration, m *member, p *probe) {
+	path := n.findSuspectPath(m.id)
+	if path == nil {
+		if len(n.suspectPaths) >= maxSuspectPaths {
 			return
 		}
-		m.suspectPaths = append(m.suspectPaths, suspectPath{target: e.id})
-		d = &m.suspectPaths[len(m.suspectPaths)-1]
+		n.suspectPaths = append(n.suspectPaths, suspectPath{target: m.id})
+		path = &n.suspectPaths[len(n.suspectPaths)-1]
 	}
-	d.failures++
+	path.failures++
 	if p.reachedBy != 0 {
-		d.lastHelper = p.reachedBy
+		path.lastHelper = p.reachedBy
 	}
 	if p.sawOurPing {
-		d.pingsSeen++
+		path.pingsSeen++
 	}
 	if p.ackedByStream {
-		d.streamAcks++
+		path.streamAcks++
 	}
-	if d.failures%failuresBeforeCut != 0 {
+	if path.failures%failuresBeforeCut != 0 {
 		return
 	}
-	l := Reachability{From: m.self.ID, To: e.id, State: LinkDown}
+	r := Reachability{From: n.self.ID, To: m.id, State: LinkDown}
 	switch {
-	case 2*d.streamAcks > d.failures:
-		l.State = DatagramsLost
-	case 2*d.pingsSeen > d.failures: // it receives our pings, but its answers do not arrive
-		l.From, l.To = l.To, l.From
+	case 2*path.streamAcks > path.failures:
+		r.State = DatagramsLost
+	case 2*path.pingsSeen > path.failures: // it receives our pings, but its answers do not arrive
+		r.From, r.To = r.To, r.From
 	}
-	if !d.published {
-		m.addEvent(now, e, "cut", e.incarnation, map[bool]string{true: "its answers do not come", false: "we do not reach it"}[l.From == e.id])
+	if !path.published {
+		n.addEvent(now, m, "cut", m.incarnation, map[bool]string{true: "its answers do not come", false: "we do not reach it"}[r.From == m.id])
 	}
-	d.published = true
-	m.publishReachability(now, l)
+	path.published = true
+	n.publishReachability(now, r)
 }
 
 // publishReachability publishes a finding of this member.
-func (m *Node) publishReachability(now time.Duration, l Reachability) {
-	m.reachSeq++
-	l.Observer, l.Seq = m.self.ID, m.reachSeq
-	m.mergeReachability(now, l)
+func (n *Node) publishReachability(now time.Duration, r Reachability) {
+	n.reachSeq++
+	r.Observer, r.Seq = n.self.ID, n.reachSeq
+	n.mergeReachability(now, r)
 }
 
 // mergeReachability keeps the latest finding of each observer on each link.
-func (m *Node) mergeReachability(now time.Duration, l Reachability) {
-	k := reachKey{l.Observer, l.From, l.To}
-	if was := m.reachability[k]; was != nil && was.Seq >= l.Seq {
+func (n *Node) mergeReachability(now time.Duration, r Reachability) {
+	k := reachKey{r.Observer, r.From, r.To}
+	if was := n.reachability[k]; was != nil && was.Seq >= r.Seq {
 		return
 	}
-	if len(m.reachability) >= maxReachRecords && m.reachability[k] == nil {
+	if len(n.reachability) >= maxReachRecords && n.reachability[k] == nil {
 		var oldest reachKey
 		var at *reachRecord
-		for k, x := range m.reachability {
+		for k, x := range n.reachability {
 			if at == nil || x.at < at.at || x.at == at.at && reachKeyLess(k, oldest) {
 				oldest, at = k, x
 			}
 		}
-		delete(m.reachability, oldest)
+		delete(n.reachability, oldest)
 	}
-	if was := m.reachability[k]; was == nil || was.transmissions < 0 {
-		m.reachBroadcasts = append(m.reachBroadcasts, k)
+	if was := n.reachability[k]; was == nil || was.transmissions < 0 {
+		n.reachBroadcasts = append(n.reachBroadcasts, k)
 	}
-	m.reachability[k] = &reachRecord{Reachability: l, at: now}
+	n.reachability[k] = &reachRecord{Reachability: r, at: now}
 }
 
 // reachKeyLess orders keys.
@@ -127,11 +127,11 @@
 }
 
 // reachabilityTTL is how long a finding holds that is not repeated.
-func (m *Node) reachabilityTTL() time.Duration { return 60 * m.config.ProbeInterval }
+func (n *Node) reachabilityTTL() time.Duration { return 60 * n.config.ProbeInterval }
 
 // sortedReachKeys returns the keys of all findings in order.
-func (m *Node) sortedReachKeys() []reachKey {
-	return slices.SortedFunc(maps.Keys(m.reachability), func(a, b reachKey) int {
+func (n *Node) sortedReachKeys() []reachKey {
+	return slices.SortedFunc(maps.Keys(n.reachability), func(a, b reachKey) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
 	})
 }
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -28,176 +28,176 @@
 }
 
 // lookup returns a known member, or nil.
-func (m *Node) lookup(birth uint64) *member {
-	if i, ok := m.index[birth]; ok {
-		return &m.members[i]
+func (n *Node) lookup(birth uint64) *member {
+	if i, ok := n.index[birth]; ok {
+		return &n.members[i]
 	}
 	return nil
 }
 
 // recordOf returns the view's record of a member.
-func (m *Node) recordOf(e *member) Record {
-	r := Record{ID: e.id, Incarnation: e.incarnation, Status: e.status, Info: *e.info, PausedMs: e.pausedMs}
-	switch e.status {
+func (n *Node) recordOf(m *member) Record {
+	r := Record{ID: m.id, Incarnation: m.incarnation, Status: m.status, Info: *m.info, PausedMs: m.pausedMs}
+	switch m.status {
 	case Suspect:
-		r.Reporter = m.self.ID
+		r.Reporter = n.self.ID
 	case Dead: // keeps who declared it: hearing of it makes nobody a further reporter (step 3)
-		r.Reporter = e.deathReporter
+		r.Reporter = m.deathReporter
 	}
 	return r
 }
 
 // setStatus changes a member's status and incarnation, and records the cause.
-func (m *Node) setStatus(now time.Duration, e *member, s Status, inc uint32, why string) {
-	if was := m.recordOf(e); !e.suppressed {
-		m.toggleDigest(&was)
+func (n *Node) setStatus(now time.Duration, m *member, s Status, inc uint32, why string) {
+	if was := n.recordOf(m); !m.suppressed {
+		n.toggleDigest(&was)
 	}
-	e.suppressed = false
-	if e.status != s {
-		if was, is := e.status <= Suspect, s <= Suspect; was && !is {
-			m.liveCount--
-			m.endedCount++
+	m.suppressed = false
+	if m.status != s {
+		if was, is := m.status <= Suspect, s <= Suspect; was && !is {
+			n.liveCount--
+			n.endedCount++
 		} else if !was && is {
-			m.liveCount++
-			m.endedCount--
-			m.insertIntoRotation(e)
+			n.liveCount++
+			n.endedCount--
+			n.insertIntoRotation(m)
 		}
-		e.statusSince = now
-		m.addEvent(now, e, s.String(), inc, why)
+		m.statusSince = now
+		n.addEvent(now, m, s.String(), inc, why)
 	}
-	e.status, e.incarnation = s, inc
-	is := m.recordOf(e)
-	m.toggleDigest(&is)
+	m.status, m.incarnation = s, inc
+	is := n.recordOf(m)
+	n.toggleDigest(&is)
 	if s != Suspect {
-		m.suspicions = slices.DeleteFunc(m.suspicions, func(x suspicion) bool { return x.id == e.id })
+		n.suspicions = slices.DeleteFunc(n.suspicions, func(x suspicion) bool { return x.id == m.id })
 	}
 }
 
 // addMember adds a member that was not known.
-func (m *Node) addMember(now time.Duration, r *Record, why string) *member {
+func (n *Node) addMember(now time.Duration, r *Record, why string) *member {
 	info := r.Info
-	m.index[r.ID] = int32(len(m.members))
-	m.members = append(m.members, member{info: &info, id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, status: r.Status, pausedMs: r.PausedMs, deathReporter: r.Reporter})
-	e := &m.members[len(m.members)-1]
-	is := m.recordOf(e)
-	m.toggleDigest(&is)
+	n.index[r.ID] = int32(len(n.members))
+	n.members = append(n.members, member{info: &info, id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, status: r.Status, pausedMs: r.PausedMs, deathReporter: r.Reporter})
+	m := &n.members[len(n.members)-1]
+	is := n.recordOf(m)
+	n.toggleDigest(&is)
 	if r.Status <= Suspect {
-		m.liveCount++
-		m.insertIntoRotation(e)
+		n.liveCount++
+		n.insertIntoRotation(m)
 	} else {
-		m.endedCount++
+		n.endedCount++
 	}
-	m.addEvent(now, e, r.Status.String(), r.Incarnation, why)
-	return e
+	n.addEvent(now, m, r.Status.String(), r.Incarnation, why)
+	return m
 }
 
 // removeMember forgets a member that has ended.
-func (m *Node) removeMember(birth uint64) {
-	i := m.index[birth]
-	if was := m.recordOf(&m.members[i]); !m.members[i].suppressed {
-		m.toggleDigest(&was)
+func (n *Node) removeMember(birth uint64) {
+	i := n.index[birth]
+	if was := n.recordOf(&n.members[i]); !n.members[i].suppressed {
+		n.toggleDigest(&was)
 	}
-	m.endedCount--
-	m.rotation = slices.DeleteFunc(m.rotation, func(b uint64) bool { return b == birth })
-	m.rotationPos = min(m.rotationPos, len(m.rotation))
-	last := int32(len(m.members) - 1)
-	m.members[i] = m.members[last]
-	m.index[m.members[i].id] = i
-	m.members = m.members[:last]
-	delete(m.index, birth)
+	n.endedCount--
+	n.rotation = slices.DeleteFunc(n.rotation, func(b uint64) bool { return b == birth })
+	n.rotationPos = min(n.rotationPos, len(n.rotation))
+	last := int32(len(n.members) - 1)
+	n.members[i] = n.members[last]
+	n.index[n.members[i].id] = i
+	n.members = n.members[:last]
+	delete(n.index, birth)
 }
 
 // insertIntoRotation puts a member at a random place of the rest of the round, so that the time of its
 // first probe is not predictable.
-func (m *Node) insertIntoRotation(e *member) {
-	if !e.inRotation {
-		e.inRotation = true
-		m.rotation = slices.Insert(m.rotation, m.rotationPos+m.rng.IntN(len(m.rotation)-m.rotationPos+1), e.id)
+func (n *Node) insertIntoRotation(m *member) {
+	if !m.inRotation {
+		m.inRotation = true
+		n.rotation = slices.Insert(n.rotation, n.rotationPos+n.rng.IntN(len(n.rotation)-n.rotationPos+1), m.id)
 	}
 }
 
 // mergeRecord takes over a record that came with a verified message (step 2).
-func (m *Node) mergeRecord(now time.Duration, r *Record) {
-	if r.ID == m.self.ID {
-		m.refute(r)
+func (n *Node) mergeRecord(now time.Duration, r *Record) {
+	if r.ID == n.self.ID {
+		n.refute(r)
 		return
 	}
-	e := m.lookup(r.ID)
-	if e == nil {
-		n := *r
-		if n.Status == Suspect {
-			n.Status = Alive
+	m := n.lookup(r.ID)
+	if m == nil {
+		first := *r
+		if first.Status == Suspect {
+			first.Status = Alive
 		}
-		e = m.addMember(now, &n, "told")
-		m.queueBroadcast(n)
+		m = n.addMember(now, &first, "told")
+		n.queueBroadcast(first)
 		if r.Status == Suspect {
-			m.suspect(now, e, r.Incarnation, r.Reporter, "told")
+			n.suspect(now, m, r.Incarnation, r.Reporter, "told")
 		}
 		return
 	}
-	if r.Incarnation > e.incarnation && (r.Status <= Suspect || r.Status == Dead && e.status <= Suspect) {
+	if r.Incarnation > m.incarnation && (r.Status <= Suspect || r.Status == Dead && m.status <= Suspect) {
 		// A greater incarnation outdates everything that was said before: only the member itself raises it.
-		was := e.status
+		was := m.status
 		info := r.Info
-		e.info, e.pausedMs, e.pauseToldAt = &info, r.PausedMs, now
+		m.info, m.pausedMs, m.pauseToldAt = &info, r.PausedMs, now
 		why := "told"
 		if was != Alive {
 			why = "refuted"
 		}
-		m.setStatus(now, e, Alive, r.Incarnation, why)
-		m.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Info: r.Info, PausedMs: r.PausedMs})
+		n.setStatus(now, m, Alive, r.Incarnation, why)
+		n.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Info: r.Info, PausedMs: r.PausedMs})
 	}
 	switch {
-	case r.Status == Suspect && r.Incarnation == e.incarnation && e.status <= Suspect:
-		m.suspect(now, e, r.Incarnation, r.Reporter, "told")
-	case r.Status == Dead && r.Incarnation >= e.incarnation && e.status <= Suspect:
-		m.mergeDeath(now, e, r)
-	case r.Status == Dead && r.Incarnation > e.incarnation && e.status == Dead:
-		e.deathReporter = r.Reporter
-		m.setStatus(now, e, Dead, r.Incarnation, "told")
-	case r.Status == Left && r.Incarnation >= e.incarnation && e.status != Left:
-		m.setStatus(now, e, Left, r.Incarnation, "it said so")
-		m.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Status: Left, Info: r.Info})
+	case r.Status == Suspect && r.Incarnation == m.incarnation && m.status <= Suspect:
+		n.suspect(now, m, r.Incarnation, r.Reporter, "told")
+	case r.Status == Dead && r.Incarnation >= m.incarnation && m.status <= Suspect:
+		n.mergeDeath(now, m, r)
+	case r.Status == Dead && r.Incarnation > m.incarnation && m.status == Dead:
+		m.deathReporter = r.Reporter
+		n.setStatus(now, m, Dead, r.Incarnation, "told")
+	case r.Status == Left && r.Incarnation >= m.incarnation && m.status != Left:
+		n.setStatus(now, m, Left, r.Incarnation, "it said so")
+		n.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Status: Left, Info: r.Info})
 	}
 }
 
 // refute answers a suspicion or a death of this member with a greater incarnation (step 1).
-func (m *Node) refute(r *Record) {
+func (n *Node) refute(r *Record) {
 	switch {
-	case r.Incarnation > m.self.Incarnation:
-		m.Counts.Absurd++
-	case r.Incarnation == m.self.Incarnation && r.Status != Alive && m.self.Status == Alive:
-		m.Counts.Refuted++
-		m.adjustHealth(1)
-		m.self.PausedMs = 0
-		m.raiseIncarnation()
+	case r.Incarnation > n.self.Incarnation:
+		n.Counts.Absurd++
+	case r.Incarnation == n.self.Incarnation && r.Status != Alive && n.self.Status == Alive:
+		n.Counts.Refuted++
+		n.adjustHealth(1)
+		n.self.PausedMs = 0
+		n.raiseIncarnation()
 	}
 }
 
 // noteHeard records a message that surely is recent, since it echoes a nonce of this member.
-func (m *Node) noteHeard(now time.Duration, x *Message) *member {
-	m.lastHeardAt = now
-	clear(m.missedProbes)
-	if m.isolated {
-		m.isolated = false
-		m.restartSuspicions(now)
+func (n *Node) noteHeard(now time.Duration, msg *Message) *member {
+	n.lastHeardAt = now
+	clear(n.missedProbes)
+	if n.isolated {
+		n.isolated = false
+		n.restartSuspicions(now)
 	}
-	m.mergeRecord(now, &x.From)
-	e := m.lookup(x.From.ID)
-	if e == nil {
+	n.mergeRecord(now, &msg.From)
+	m := n.lookup(msg.From.ID)
+	if m == nil {
 		return nil
 	}
-	e.lastHeardAt, e.health, e.load = now, x.Health, x.Load
-	if e.status == Suspect && x.From.Incarnation >= e.incarnation {
-		m.setStatus(now, e, Alive, e.incarnation, "heard")
+	m.lastHeardAt, m.health, m.load = now, msg.Health, msg.Load
+	if m.status == Suspect && msg.From.Incarnation >= m.incarnation {
+		n.setStatus(now, m, Alive, m.incarnation, "heard")
 	}
-	if x.Agent != "" {
-		m.agents = slices.DeleteFunc(m.agents, func(a agentSeen) bool { return a.addr == x.Agent })
-		if m.agents = append(m.agents, agentSeen{x.Agent, now}); len(m.agents) > maxAgents {
-			m.agents = m.agents[1:]
+	if msg.Agent != "" {
+		n.agents = slices.DeleteFunc(n.agents, func(seen agentSeen) bool { return seen.addr == msg.Agent })
+		if n.agents = append(n.agents, agentSeen{msg.Agent, now}); len(n.agents) > maxAgents {
+			n.agents = n.agents[1:]
 		}
 	}
-	return e
+	return m
 }
 
 // recordHash is a record's part of the digests. A suspicion counts as alive, since views differ in
@@ -214,57 +214,57 @@
 }
 
 // toggleDigest adds a record to the digests, or removes it.
-func (m *Node) toggleDigest(r *Record) {
+func (n *Node) toggleDigest(r *Record) {
 	h := recordHash(r.ID, r.Incarnation, r.Status)
-	m.digests[r.ID%DigestBuckets] ^= h
+	n.digests[r.ID%DigestBuckets] ^= h
 	if r.Status <= Suspect {
-		m.aliveDigest ^= h
+		n.aliveDigest ^= h
 	}
 }
 
 // AliveDigest is equal for two views that have the same live members with the same incarnations.
-func (m *Node) AliveDigest() uint64 { return m.aliveDigest }
+func (n *Node) AliveDigest() uint64 { return n.aliveDigest }
 
 // expireState forgets members that ended long ago, requests that nobody answers, and reachability
 // records that were not repeated; it repeats its own.
-func (m *Node) expireState(now time.Duration) {
+func (n *Node) expireState(now time.Duration) {
 	var ended []*member
 	var gone []uint64
-	for i := range m.members {
-		if e := &m.members[i]; e.status > Suspect {
-			if now-e.statusSince > m.config.TombstoneTTL {
-				gone = append(gone, e.id)
+	for i := range n.members {
+		if m := &n.members[i]; m.status > Suspect {
+			if now-m.statusSince > n.config.TombstoneTTL {
+				gone = append(gone, m.id)
 			} else {
-				if now-e.statusSince > m.config.TombstoneTTL/2 && !e.suppressed { // a member that has forgotten it must not learn of it again
-					r := m.recordOf(e)
-					m.toggleDigest(&r)
-					e.suppressed = true
+				if now-m.statusSince > n.config.TombstoneTTL/2 && !m.suppressed { // a member that has forgotten it must not learn of it again
+					r := n.recordOf(m)
+					n.toggleDigest(&r)
+					m.suppressed = true
 				}
-				ended = append(ended, e)
+				ended = append(ended, m)
 			}
 		}
 	}
 	if over := len(ended) - maxTombstones; over > 0 {
-		slices.SortStableFunc(ended, func(a, b *member) int { return cmp.Compare(a.statusSince, b.statusSince) })
-		for _, e := range ended[:over] {
-			gone = append(gone, e.id)
+		slices.SortStableFunc(ended, func(x, y *member) int { return cmp.Compare(x.statusSince, y.statusSince) })
+		for _, m := range ended[:over] {
+			gone = append(gone, m.id)
 		}
 	}
-	for _, b := range gone {
-		m.removeMember(b)
+	for _, y := range gone {
+		n.removeMember(y)
 	}
-	for n, a := range m.pending {
-		if now-a.sentAt > 10*m.config.ProbeInterval*time.Duration(1+m.healthScore) {
-			delete(m.pending, n)
+	for nonce, x := range n.pending {
+		if now-x.sentAt > 10*n.config.ProbeInterval*time.Duration(1+n.healthScore) {
+			delete(n.pending, nonce)
 		}
 	}
-	for _, k := range m.sortedReachKeys() {
-		l := m.reachability[k]
+	for _, k := range n.sortedReachKeys() {
+		reach := n.reachability[k]
 		switch {
-		case k.observer == m.self.ID && l.State != LinkUp && now-l.at > m.reachabilityTTL()/3 && m.findSuspectPath(k.from+k.to-k.observer) != nil:
-			m.publishReachability(now, l.Reachability)
-		case now-l.at > m.reachabilityTTL():
-			delete(m.reachability, k)
+		case k.observer == n.self.ID && reach.State != LinkUp && now-reach.at > n.reachabilityTTL()/3 && n.findSuspectPath(k.from+k.to-k.observer) != nil:
+			n.publishReachability(now, reach.Reachability)
+		case now-reach.at > n.reachabilityTTL():
+			delete(n.reachability, k)
 		}
 	}
 }
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -18,77 +18,77 @@
 
 // MinSuspicion is how long a suspicion lasts once enough reporters have confirmed it, with a health
 // score of 0.
-func (m *Node) MinSuspicion() time.Duration {
-	return time.Duration(m.config.SuspicionMult / 2 * max(1, math.Log10(float64(m.Size()))) * float64(m.config.ProbeInterval))
+func (n *Node) MinSuspicion() time.Duration {
+	return time.Duration(n.config.SuspicionMult / 2 * max(1, math.Log10(float64(n.Size()))) * float64(n.config.ProbeInterval))
 }
 
 // MaxSuspicion is how long a suspicion with a single reporter lasts.
-func (m *Node) MaxSuspicion() time.Duration {
-	return time.Duration(m.config.SuspicionMaxMult * float64(m.MinSuspicion()))
+func (n *Node) MaxSuspicion() time.Duration {
+	return time.Duration(n.config.SuspicionMaxMult * float64(n.MinSuspicion()))
 }
 
 // suspicionDeadline is when a suspicion becomes a death in this view: the timeout shrinks with the
 // logarithm of the reporters (step 3) and grows with this process's own health score.
-func (m *Node) suspicionDeadline(s *suspicion) time.Duration {
-	least, most := m.MinSuspicion(), m.MaxSuspicion()
-	if m.config.DisableLifeguard {
+func (n *Node) suspicionDeadline(s *suspicion) time.Duration {
+	least, most := n.MinSuspicion(), n.MaxSuspicion()
+	if n.config.DisableLifeguard {
 		return s.startedAt + 2*least
 	}
-	k := min(m.config.Confirmations, max(1, m.Size()-1)) // possible reporters, including this member
+	k := min(n.config.Confirmations, max(1, n.Size()-1)) // possible reporters, including this member
 	if k > 1 && len(s.reporters) > 0 {
 		c := min(len(s.reporters), k)
 		most -= time.Duration(float64(most-least) * math.Log(float64(c)) / math.Log(float64(k)))
 	}
-	return s.startedAt + most + most*time.Duration(m.healthScore)/2
+	return s.startedAt + most + most*time.Duration(n.healthScore)/2
 }
 
 // suspect records that reporter suspects a member; 0: nobody in particular.
-func (m *Node) suspect(now time.Duration, e *member, inc uint32, by uint64, why string) {
-	if e.status == Alive {
-		m.setStatus(now, e, Suspect, inc, why)
-		m.suspicions = append(m.suspicions, suspicion{id: e.id, incarnation: inc, startedAt: now})
-		m.Counts.Suspected++
+func (n *Node) suspect(now time.Duration, m *member, inc uint32, by uint64, why string) {
+	if m.status == Alive {
+		n.setStatus(now, m, Suspect, inc, why)
+		n.suspicions = append(n.suspicions, suspicion{id: m.id, incarnation: inc, startedAt: now})
+		n.Counts.Suspected++
 	}
-	for i := range m.suspicions {
-		s := &m.suspicions[i]
-		if by == 0 || s.id != e.id || slices.Contains(s.reporters, by) || len(s.reporters) >= m.config.Confirmations {
+	for i := range n.suspicions {
+		s := &n.suspicions[i]
+		if by == 0 || s.id != m.id || slices.Contains(s.reporters, by) || len(s.reporters) >= n.config.Confirmations {
 			continue
 		}
 		s.reporters = append(s.reporters, by)
-		r := m.recordOf(e)
+		r := n.recordOf(m)
 		r.Reporter, r.PausedMs = by, 0
-		m.queueBroadcast(r)
+		n.queueBroadcast(r)
 	}
 }
 
 // declareDead declares a member dead.
-func (m *Node) declareDead(now time.Duration, e *member, why string, judge uint64, by []uint64) {
-	e.deathReporter = judge
-	m.setStatus(now, e, Dead, e.incarnation, why)
-	m.events[len(m.events)-1].Reporters = by
-	m.Counts.Buried++
-	m.queueBroadcast(m.recordOf(e))
+func (n *Node) declareDead(now time.Duration, m *member, why string, judge uint64, by []uint64) {
+	m.deathReporter = judge
+	n.setStatus(now, m, Dead, m.incarnation, why)
+	n.events[len(n.events)-1].Reporters = by
+	n.Counts.Buried++
+	n.queueBroadcast(n.recordOf(m))
 }
 
 // mergeDeath counts another member's declaration that a member is dead, until enough have declared it
 // (step 3).
-func (m *Node) mergeDeath(now time.Duration, e *member, r *Record) {
-	if m.config.DisableLifeguard {
-		e.deathReporter = r.Reporter
-		m.setStatus(now, e, Dead, r.Incarnation, "told")
-		m.queueBroadcast(*r)
+func (n *Node) mergeDeath(now time.Duration, m *member, r *Record) {
+	if n.config.DisableLifeguard {
+		m.deathReporter = r.Reporter
+		n.setStatus(now, m, Dead, r.Incarnation, "told")
+		n.queueBroadcast(*r)
 		return
 	}
-	m.suspect(now, e, max(r.Incarnation, e.incarnation), 0, "told dead") // it may have declared by others' reports: it is no reporter
-	for i := range m.suspicions {
-		s := &m.suspicions[i]
-		if s.id != e.id || slices.Contains(s.deathReporters, r.Reporter) {
+	n.suspect(now, m, max(r.Incarnation, m.incarnation), 0, "told dead") // it may have declared by others' reports: it is no reporter
+	for i := range n.suspicions {
+		s := &n.suspicions[i]
+		if s.id != m.id || slices.Contains(s.deathReporters, r.Reporter) {
 			continue
 		}
 		s.deathReporters = append(s.deathReporters, r.Reporter)
-		m.queueBroadcast(*r)
-		if len(s.deathReporters) >= m.config.Confirmations && !m.isolated {
-			m.declareDead(now, e, "enough hold it dead", s.deathReporters[0], s.deathReporters)
+		n.queueBroadcast(*r)
+		if len(s.deathReporters) >= n.config.Confirmations && !n.isolated {
+			n.declareDead(now, m, "enough hold it dead", s.deathReporters[0], s.deathReporters)
 		}
 		return
 	}
@@ -96,20 +96,20 @@
 
 // confirmSuspicions declares members dead whose suspicion has timed out. A member that hears nobody
 // declares nobody dead (step 4).
-func (m *Node) confirmSuspicions(now time.Duration) {
-	if m.isolated && !m.config.DisableLifeguard {
+func (n *Node) confirmSuspicions(now time.Duration) {
+	if n.isolated && !n.config.DisableLifeguard {
 		return
 	}
-	for i := 0; i < len(m.suspicions); i++ {
-		if s := &m.suspicions[i]; now >= m.suspicionDeadline(s) {
-			if m.lastHeardAt <= s.startedAt && !m.config.DisableLifeguard {
-				m.markIsolated(now) // nobody was heard in all that time
+	for i := 0; i < len(n.suspicions); i++ {
+		if s := &n.suspicions[i]; now >= n.suspicionDeadline(s) {
+			if n.lastHeardAt <= s.startedAt && !n.config.DisableLifeguard {
+				n.markIsolated(now) // nobody was heard in all that time
 				return
 			}
-			if e := m.lookup(s.id); e != nil && e.status == Suspect {
-				m.declareDead(now, e, "nobody hears it", m.self.ID, s.reporters)
+			if m := n.lookup(s.id); m != nil && m.status == Suspect {
+				n.declareDead(now, m, "nobody hears it", n.self.ID, s.reporters)
 			} else {
-				m.suspicions = slices.Delete(m.suspicions, i, i+1)
+				n.suspicions = slices.Delete(n.suspicions, i, i+1)
 			}
 			i--
 		}
@@ -118,15 +118,15 @@
 
 // restartSuspicions starts all suspicions again without reporters: what was not heard may have been
 // there to hear.
-func (m *Node) restartSuspicions(now time.Duration) {
-	m.currentProbe = nil
-	clear(m.pending)
-	clear(m.missedProbes)
-	m.recentPings = m.recentPings[:0]
-	m.lastHeardAt = now
-	for i := range m.suspicions {
-		s := &m.suspicions[i]
+func (n *Node) restartSuspicions(now time.Duration) {
+	n.currentProbe = nil
+	clear(n.pending)
+	clear(n.missedProbes)
+	n.recentPings = n.recentPings[:0]
+	n.lastHeardAt = now
+	for i := range n.suspicions {
+		s := &n.suspicions[i]
 		s.startedAt, s.reporters, s.deathReporters, s.restarted = now, nil, nil, true
-		m.Counts.Voided++
+		n.Counts.Voided++
 	}
 }
--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -9,9 +9,9 @@
 )
 
 // Tell writes the metrics of the membership.
-func (p *Runner) Tell(to statsd.ExtendedStatSender) {
-	p.onLoop(func(now time.Duration) {
-		v := p.node.View(now)
+func (r *Runner) Tell(to statsd.ExtendedStatSender) {
+	r.onLoop(func(now time.Duration) {
+		v := r.node.View(now)
 		count := map[membership.State]int64{}
 		for _, m := range v.Members {
 			count[m.State]++
@@ -21,10 +21,10 @@
 			to.Gauge("fleet.members."+string(s), count[s], 1)
 		}
 		to.Gauge("fleet.members.doubt", int64(v.HealthScore), 1)
-		to.Inc("fleet.members.sent", p.sentMessages.Load(), 1)
-		to.Inc("fleet.members.sent_bytes", p.sentBytes.Load(), 1)
-		to.Inc("fleet.members.lost", p.dropped.Load(), 1)
-		to.Inc("fleet.members.bad", p.malformed.Load(), 1)
+		to.Inc("fleet.members.sent", r.sentMessages.Load(), 1)
+		to.Inc("fleet.members.sent_bytes", r.sentBytes.Load(), 1)
+		to.Inc("fleet.members.lost", r.dropped.Load(), 1)
+		to.Inc("fleet.members.bad", r.malformed.Load(), 1)
 		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.Absurd), 1)
 		to.Inc("fleet.members.refuted", int64(v.Counts.Refuted), 1)
 		to.Inc("fleet.members.pauses", int64(v.Counts.Pauses), 1)
--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -80,26 +80,26 @@
 		opt.Advertise = opt.Bind
 	}
 	opt.Config.FleetID = xxhash.Sum64String(opt.FleetKey)
-	p := &Runner{opt: opt, incoming: make(chan received, maxQueued), calls: make(chan func()), dialSlots: make(chan struct{}, maxDials)}
+	r := &Runner{opt: opt, incoming: make(chan received, maxQueued), calls: make(chan func()), dialSlots: make(chan struct{}, maxDials)}
 	var err error
-	if p.enc, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
+	if r.enc, err = cbor.CoreDetEncOptions().EncMode(); err != nil {
 		return nil, err
 	}
-	p.dec, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 128, MaxMapPairs: 64, MaxNestedLevels: 8,
+	r.dec, err = cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, MaxArrayElements: 128, MaxMapPairs: 64, MaxNestedLevels: 8,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode()
-	return p, err
+	return r, err
 }
 
 // OnLocalState sets what returns the state that the member tells of itself, once in a probe interval.
 // It must be called before Start.
-func (p *Runner) OnLocalState(f func() (load uint16, agent string)) { p.localState = f }
+func (r *Runner) OnLocalState(f func() (load uint16, agent string)) { r.localState = f }
 
 // Start opens the sockets and starts a run of the member.
-func (p *Runner) Start(context.Context) error {
-	box, err := listenAt(p.opt.Bind)
-	at := p.opt.Advertise
-	if err != nil && p.opt.AllowOtherPort {
-		host, _, _ := net.SplitHostPort(p.opt.Bind)
+func (r *Runner) Start(context.Context) error {
+	box, err := listenAt(r.opt.Bind)
+	at := r.opt.Advertise
+	if err != nil && r.opt.AllowOtherPort {
+		host, _, _ := net.SplitHostPort(r.opt.Bind)
 		if box, err = listenAt(net.JoinHostPort(host, "0")); err == nil {
 			at = box.bound
 		}
@@ -107,29 +107,29 @@
 	if err != nil {
 		return fmt.Errorf("operator's file: fleet.members.bind: %w", err)
 	}
-	p.id = rand.Uint64() | 1
+	r.id = rand.Uint64() | 1
 	now := monotone.Now()
-	p.node = membership.New(p.opt.Config, p.id, membership.Info{Name: p.opt.Name, Addr: at, Zone: p.opt.Zone}, p.opt.Seeds, now,
+	r.node = membership.New(r.opt.Config, r.id, membership.Info{Name: r.opt.Name, Addr: at, Zone: r.opt.Zone}, r.opt.Seeds, now,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
-	p.done = make(chan struct{})
+	r.done = make(chan struct{})
 	var ctx context.Context
-	ctx, p.cancel = context.WithCancel(context.Background())
-	p.adoptSockets(box)
-	p.opt.Log.Info("member", slog.String("reason", "MEMBER_STARTED"), slog.String("name", p.opt.Name), slog.String("addr", at),
-		slog.String("birth", fmt.Sprintf("%016x", p.id)))
-	go p.run(ctx)
+	ctx, r.cancel = context.WithCancel(context.Background())
+	r.adoptSockets(box)
+	r.opt.Log.Info("member", slog.String("reason", "MEMBER_STARTED"), slog.String("name", r.opt.Name), slog.String("addr", at),
+		slog.String("birth", fmt.Sprintf("%016x", r.id)))
+	go r.run(ctx)
 	return nil
 }
 
 // run is the only goroutine that touches the node.
-func (p *Runner) run(ctx context.Context) {
-	defer close(p.done)
+func (r *Runner) run(ctx context.Context) {
+	defer close(r.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	about := time.NewTicker(max(p.opt.Config.ProbeInterval, 100*time.Millisecond))
+	about := time.NewTicker(max(r.opt.Config.ProbeInterval, 100*time.Millisecond))
 	defer about.Stop()
 	var rebind <-chan time.Time
-	if p.sockets.bound != p.opt.Bind {
+	if r.sockets.bound != r.opt.Bind {
 		t := time.NewTicker(rebindInterval)
 		defer t.Stop()
 		rebind = t.C
@@ -137,53 +137,53 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.sockets.close()
+			r.sockets.close()
 			return
 		case <-timer.C:
-			p.send(p.node.Tick(monotone.Now()))
-		case x := <-p.incoming:
+			r.send(r.node.Tick(monotone.Now()))
+		case x := <-r.incoming:
 			// The clock first: after a pause, a queued message must not be processed as if it had just arrived.
-			if now := monotone.Now(); now >= p.node.NextTick() {
-				p.send(p.node.Tick(now))
+			if now := monotone.Now(); now >= r.node.NextTick() {
+				r.send(r.node.Tick(now))
 			}
-			if x.FleetID != p.opt.Config.FleetID {
-				p.warnForeign.Do(func() {
-					p.opt.Log.Warn("messages of another fleet", slog.String("reason", "MEMBERS_FOREIGN"), slog.String("from", x.From.Info.Addr))
+			if x.FleetID != r.opt.Config.FleetID {
+				r.warnForeign.Do(func() {
+					r.opt.Log.Warn("messages of another fleet", slog.String("reason", "MEMBERS_FOREIGN"), slog.String("from", x.From.Info.Addr))
 				})
 			}
-			p.send(p.node.Receive(monotone.Now(), x.Message, x.channel))
-		case f := <-p.calls:
+			r.send(r.node.Receive(monotone.Now(), x.Message, x.channel))
+		case f := <-r.calls:
 			f()
 		case <-about.C:
-			if p.localState != nil {
-				p.node.SetLocalState(p.localState())
+			if r.localState != nil {
+				r.node.SetLocalState(r.localState())
 			}
-			p.publish()
+			r.publish()
 		case <-rebind:
-			if box, err := listenAt(p.opt.Bind); err == nil {
-				p.adoptSockets(box)
-				p.node.SetAddr(p.opt.Advertise)
+			if box, err := listenAt(r.opt.Bind); err == nil {
+				r.adoptSockets(box)
+				r.node.SetAddr(r.opt.Advertise)
 				rebind = nil
-				p.opt.Log.Info("member address changed", slog.String("reason", "MEMBER_MOVED"), slog.String("addr", p.opt.Advertise))
+				r.opt.Log.Info("member address changed", slog.String("reason", "MEMBER_MOVED"), slog.String("addr", r.opt.Advertise))
 			}
 		}
-		p.logEvents()
-		timer.Reset(max(0, p.node.NextTick()-monotone.Now()))
+		r.logEvents()
+		timer.Reset(max(0, r.node.NextTick()-monotone.Now()))
 	}
 }
 
 // publish stores what other goroutines read.
-func (p *Runner) publish() {
-	agents, verdicts := p.node.Agents(), p.node.EndedInstances(membership.MaxRecords)
-	p.agents.Store(&agents)
-	p.endedInstances.Store(&verdicts)
+func (r *Runner) publish() {
+	agents, verdicts := r.node.Agents(), r.node.EndedInstances(membership.MaxRecords)
+	r.agents.Store(&agents)
+	r.endedInstances.Store(&verdicts)
 }
 
 // logEvents logs changes of the view.
-func (p *Runner) logEvents() {
+func (r *Runner) logEvents() {
 	now := monotone.Now()
-	events, ever := p.node.Events()
-	for _, e := range events[max(0, len(events)-(ever-p.loggedEvents)):] {
+	events, ever := r.node.Events()
+	for _, e := range events[max(0, len(events)-(ever-r.loggedEvents)):] {
 		level, reason := slog.LevelInfo, "MEMBER_"
 		switch e.Status {
 		case "dead", "cut":
@@ -191,40 +191,40 @@
 		case "suspect", "alone":
 			continue
 		}
-		p.opt.Log.Log(context.Background(), level, "member", slog.String("reason", reason+strings.ToUpper(e.Status)), slog.String("name", e.Name),
+		r.opt.Log.Log(context.Background(), level, "member", slog.String("reason", reason+strings.ToUpper(e.Status)), slog.String("name", e.Name),
 			slog.String("birth", fmt.Sprintf("%016x", e.ID)), slog.Uint64("incarnation", uint64(e.Incarnation)), slog.String("why", e.Reason))
 	}
-	p.loggedEvents = ever
-	if alone := p.node.IsolationReason(now); alone != p.loggedIsolation {
-		if p.loggedIsolation = alone; alone != "" {
-			p.opt.Log.Warn("isolated: no member is declared dead", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", alone))
+	r.loggedEvents = ever
+	if alone := r.node.IsolationReason(now); alone != r.loggedIsolation {
+		if r.loggedIsolation = alone; alone != "" {
+			r.opt.Log.Warn("isolated: no member is declared dead", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", alone))
 		} else {
-			p.opt.Log.Info("no longer isolated", slog.String("reason", "MEMBERS_HEARD"))
+			r.opt.Log.Info("no longer isolated", slog.String("reason", "MEMBERS_HEARD"))
 		}
 	}
 }
 
 // onLoop runs f on the run goroutine and waits for it; false: the runner has stopped.
-func (p *Runner) onLoop(f func(now time.Duration)) bool {
+func (r *Runner) onLoop(f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
-	case p.calls <- func() { f(monotone.Now()); close(done) }:
+	case r.calls <- func() { f(monotone.Now()); close(done) }:
 		<-done
 		return true
-	case <-p.done:
+	case <-r.done:
 		return false
 	}
 }
 
 // View returns what this member knows of all.
-func (p *Runner) View() (v membership.View, ok bool) {
-	ok = p.onLoop(func(now time.Duration) { v = p.node.View(now) })
+func (r *Runner) View() (v membership.View, ok bool) {
+	ok = r.onLoop(func(now time.Duration) { v = r.node.View(now) })
 	return v, ok
 }
 
 // Agents returns agents that answered other members recently.
-func (p *Runner) Agents() []string {
-	if l := p.agents.Load(); l != nil {
+func (r *Runner) Agents() []string {
+	if l := r.agents.Load(); l != nil {
 		return *l
 	}
 	return nil
@@ -232,30 +232,30 @@
 
 // EndedInstances returns a bounded number of instances that this view holds dead or gone, at most a
 // probe interval old.
-func (p *Runner) EndedInstances() []membership.EndedInstance {
-	if l := p.endedInstances.Load(); l != nil {
+func (r *Runner) EndedInstances() []membership.EndedInstance {
+	if l := r.endedInstances.Load(); l != nil {
 		return *l
 	}
 	return nil
 }
 
 // Stop tells others that the member leaves, and ends it.
-func (p *Runner) Stop(within context.Context) error {
+func (r *Runner) Stop(within context.Context) error {
 	ctx, done := context.WithTimeout(within, leaveTimeout)
 	defer done()
 	heard := false
-	p.onLoop(func(now time.Duration) {
-		p.send(p.node.Leave(now))
-		heard = p.node.Size() == 1
+	r.onLoop(func(now time.Duration) {
+		r.send(r.node.Leave(now))
+		heard = r.node.Size() == 1
 	})
 	for !heard && ctx.Err() == nil {
-		p.onLoop(func(time.Duration) { heard = p.node.LeaveAcknowledged() })
+		r.onLoop(func(time.Duration) { heard = r.node.LeaveAcknowledged() })
 		select {
 		case <-ctx.Done():
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	p.cancel()
-	<-p.done
+	r.cancel()
+	<-r.done
 	return nil
 }
--- a/internal/controlplane/membership/transport/sockets.go
+++ b/internal/controlplane/membership/transport/sockets.go
@@ -38,50 +38,50 @@
 }
 
 // adoptSockets has the member be reached at sockets, in place of previous ones.
-func (p *Runner) adoptSockets(box *sockets) {
-	if p.sockets != nil {
-		p.sockets.close()
+func (r *Runner) adoptSockets(box *sockets) {
+	if r.sockets != nil {
+		r.sockets.close()
 	}
-	p.sockets = box
-	go p.readDatagrams(box.packet)
-	go p.acceptStreams(box.stream)
+	r.sockets = box
+	go r.readDatagrams(box.packet)
+	go r.acceptStreams(box.stream)
 }
 
 // send sends messages. What cannot be sent is dropped, as it may be on any network.
-func (p *Runner) send(list []membership.Outgoing) {
+func (r *Runner) send(list []membership.Outgoing) {
 	streams := map[string][]byte{}
 	for _, s := range list {
-		b, err := p.enc.Marshal(s.Message)
+		b, err := r.enc.Marshal(s.Message)
 		if err != nil || len(b) > maxFrameBytes {
-			p.dropped.Add(1)
+			r.dropped.Add(1)
 			continue
 		}
-		p.sentMessages.Add(1)
-		p.sentBytes.Add(int64(len(b)))
+		r.sentMessages.Add(1)
+		r.sentBytes.Add(int64(len(b)))
 		if s.Channel == membership.Stream {
 			streams[s.Addr] = append(binary.BigEndian.AppendUint16(streams[s.Addr], uint16(len(b))), b...)
 			continue
 		}
 		to, err := net.ResolveUDPAddr("udp", s.Addr)
 		if err == nil {
-			_, err = p.sockets.packet.WriteTo(b, to)
+			_, err = r.sockets.packet.WriteTo(b, to)
 		}
 		if err != nil {
-			p.dropped.Add(1)
+			r.dropped.Add(1)
 		}
 	}
-	from, _, _ := net.SplitHostPort(p.sockets.bound)
+	from, _, _ := net.SplitHostPort(r.sockets.bound)
 	for addr, b := range streams {
 		select {
-		case p.dialSlots <- struct{}{}:
+		case r.dialSlots <- struct{}{}:
 			go func() {
-				defer func() { <-p.dialSlots }()
+				defer func() { <-r.dialSlots }()
 				if err := dial(from, addr, b); err != nil {
-					p.dropped.Add(1)
+					r.dropped.Add(1)
 				}
 			}()
 		default:
-			p.dropped.Add(1)
+			r.dropped.Add(1)
 		}
 	}
 }
@@ -100,21 +100,21 @@
 }
 
 // receive decodes a message and queues it.
-func (p *Runner) receive(b []byte, via membership.Channel) {
-	x := &membership.Message{}
-	if err := p.dec.Unmarshal(b, x); err != nil || x.Validate() != nil {
-		p.malformed.Add(1)
+func (r *Runner) receive(b []byte, via membership.Channel) {
+	msg := &membership.Message{}
+	if err := r.dec.Unmarshal(b, msg); err != nil || msg.Validate() != nil {
+		r.malformed.Add(1)
 		return
 	}
 	select {
-	case p.incoming <- received{x, via}:
+	case r.incoming <- received{msg, via}:
 	default:
-		p.dropped.Add(1)
+		r.dropped.Add(1)
 	}
 }
 
 // readDatagrams receives until the socket is closed.
-func (p *Runner) readDatagrams(c net.PacketConn) {
+func (r *Runner) readDatagrams(c net.PacketConn) {
 	b := make([]byte, 64<<10)
 	for {
 		n, _, err := c.ReadFrom(b)
@@ -123,15 +123,15 @@
 			return
 		case err != nil:
 		case n > maxFrameBytes:
-			p.malformed.Add(1)
+			r.malformed.Add(1)
 		default:
-			p.receive(b[:n], membership.Datagram)
+			r.receive(b[:n], membership.Datagram)
 		}
 	}
 }
 
 // acceptStreams receives until the listener is closed.
-func (p *Runner) acceptStreams(l net.Listener) {
+func (r *Runner) acceptStreams(l net.Listener) {
 	room := make(chan struct{}, maxStreams)
 	for {
 		c, err := l.Accept()
@@ -142,7 +142,7 @@
 		case room <- struct{}{}:
 		default:
 			c.Close()
-			p.dropped.Add(1)
+			r.dropped.Add(1)
 			continue
 		}
 		go func() {
@@ -155,13 +155,13 @@
 				}
 				b := make([]byte, binary.BigEndian.Uint16(head[:]))
 				if len(b) > maxFrameBytes {
-					p.malformed.Add(1)
+					r.malformed.Add(1)
 					return
 				}
 				if _, err := io.ReadFull(c, b); err != nil {
 					return
 				}
-				p.receive(b, membership.Stream)
+				r.receive(b, membership.Stream)
 			}
 		}()
 	}
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -115,42 +115,42 @@
 }
 
 // liveInfo returns the information on a live member, this one included.
-func (m *Node) liveInfo(id uint64) (info Info, ok bool) {
-	if id == m.self.ID {
-		return m.self.Info, true
+func (n *Node) liveInfo(id uint64) (info Info, ok bool) {
+	if id == n.self.ID {
+		return n.self.Info, true
 	}
-	e := m.lookup(id)
-	if e == nil || e.status > Suspect {
+	m := n.lookup(id)
+	if m == nil || m.status > Suspect {
 		return Info{}, false
 	}
-	return *e.info, true
+	return *m.info, true
 }
 
 // pathViews sums up the reachability records that hold; cut has, by member, descriptions of its cut
 // links. Many cut links between two zones are shown as one.
-func (m *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
+func (n *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
 	cut = map[uint64][]string{}
 	zones, pairs := pathSums{byKey: map[pathKey]*pathSum{}}, pathSums{byKey: map[pathKey]*pathSum{}}
-	for _, k := range m.sortedReachKeys() {
-		l := m.reachability[k]
-		if l.State == LinkUp || now-l.at > m.reachabilityTTL() {
+	for _, k := range n.sortedReachKeys() {
+		r := n.reachability[k]
+		if r.State == LinkUp || now-r.at > n.reachabilityTTL() {
 			continue
 		}
-		from, fromKnown := m.liveInfo(k.from)
-		to, toKnown := m.liveInfo(k.to)
-		observer, observerKnown := m.liveInfo(k.observer)
+		from, fromKnown := n.liveInfo(k.from)
+		to, toKnown := n.liveInfo(k.to)
+		observer, observerKnown := n.liveInfo(k.observer)
 		if !fromKnown || !toKnown || !observerKnown {
 			continue
 		}
-		kind := l.State.String()
+		kind := r.State.String()
 		other := k.from
 		if other == k.observer {
 			other = k.to
 		}
 		cut[other] = append(cut[other], fmt.Sprintf("%s to %s %s, says %s", from.Name, to.Name, kind, observer.Name))
-		pairs.add(pathKey{from.Name, to.Name, kind}, false, observer.Name, l.at)
+		pairs.add(pathKey{from.Name, to.Name, kind}, false, observer.Name, r.at)
 		if from.Zone != to.Zone {
-			zones.add(pathKey{from.Zone, to.Zone, kind}, true, observer.Name, l.at)
+			zones.add(pathKey{from.Zone, to.Zone, kind}, true, observer.Name, r.at)
 		}
 	}
 	for _, k := range zones.order {
@@ -158,9 +158,9 @@
 			list = append(list, zones.view(k, now))
 		}
 	}
-	zoneOf := map[string]string{m.self.Info.Name: m.self.Info.Zone}
-	for i := range m.members {
-		zoneOf[m.members[i].info.Name] = m.members[i].info.Zone
+	zoneOf := map[string]string{n.self.Info.Name: n.self.Info.Zone}
+	for i := range n.members {
+		zoneOf[n.members[i].info.Name] = n.members[i].info.Zone
 	}
 	for _, k := range pairs.order {
 		sum := zones.byKey[pathKey{zoneOf[k.from], zoneOf[k.to], k.kind}]
@@ -172,27 +172,27 @@
 }
 
 // View returns what is known now.
-func (m *Node) View(now time.Duration) View {
-	v := View{Self: m.self.Info.Name, Digest: idText(m.aliveDigest), Size: m.Size(), HealthScore: m.healthScore, Isolation: m.IsolationReason(now), Counts: m.Counts,
-		Events: slices.Clone(m.events), EventCount: m.eventCount}
+func (n *Node) View(now time.Duration) View {
+	v := View{Self: n.self.Info.Name, Digest: idText(n.aliveDigest), Size: n.Size(), HealthScore: n.healthScore, Isolation: n.IsolationReason(now), Counts: n.Counts,
+		Events: slices.Clone(n.events), EventCount: n.eventCount}
 	for _, e := range v.Events {
 		v.EventAgesS = append(v.EventAgesS, (now - e.At).Seconds())
 	}
-	for _, a := range m.agents {
+	for _, a := range n.agents {
 		v.Agents = append(v.Agents, a.addr)
 	}
-	paths, cut := m.pathViews(now)
+	paths, cut := n.pathViews(now)
 	v.Paths = paths
-	self := MemberView{Name: m.self.Info.Name, ID: idText(m.self.ID), Addr: m.self.Info.Addr, Zone: m.self.Info.Zone, Incarnation: m.self.Incarnation, State: StateAlive,
-		Load: m.load, Self: true}
-	if m.self.Status == Left {
+	self := MemberView{Name: n.self.Info.Name, ID: idText(n.self.ID), Addr: n.self.Info.Addr, Zone: n.self.Info.Zone, Incarnation: n.self.Incarnation, State: StateAlive,
+		Load: n.load, Self: true}
+	if n.self.Status == Left {
 		self.State = StateLeft
 	}
 	v.Members = append(v.Members, self)
 	names := map[string]int{self.Name: 1}
-	for i := range m.members {
-		e := &m.members[i]
-		x := m.memberView(now, e, cut[e.id])
+	for i := range n.members {
+		e := &n.members[i]
+		x := n.memberView(now, e, cut[e.id])
 		if e.status <= Suspect {
 			names[x.Name]++
 		}
@@ -209,27 +209,27 @@
 }
 
 // memberView returns a member as views show it; cutLinks describes its cut links.
-func (m *Node) memberView(now time.Duration, e *member, cutLinks []string) MemberView {
-	x := MemberView{Name: e.info.Name, ID: idText(e.id), Addr: e.info.Addr, Zone: e.info.Zone, Incarnation: e.incarnation, State: StateAlive,
-		SinceS: (now - e.statusSince).Seconds(), LastHeardS: -1, Load: e.load}
-	if e.lastHeardAt >= 0 {
-		x.LastHeardS = (now - e.lastHeardAt).Seconds()
+func (n *Node) memberView(now time.Duration, m *member, cutLinks []string) MemberView {
+	x := MemberView{Name: m.info.Name, ID: idText(m.id), Addr: m.info.Addr, Zone: m.info.Zone, Incarnation: m.incarnation, State: StateAlive,
+		SinceS: (now - m.statusSince).Seconds(), LastHeardS: -1, Load: m.load}
+	if m.lastHeardAt >= 0 {
+		x.LastHeardS = (now - m.lastHeardAt).Seconds()
 	}
 	switch {
-	case e.status == Left:
+	case m.status == Left:
 		x.State = StateLeft
-	case e.status == Dead:
+	case m.status == Dead:
 		x.State, x.Reason = StateDead, "nobody hears it"
-	case e.status == Suspect:
+	case m.status == Suspect:
 		x.State = StateSuspect
-		x.Reason, x.DeadlineS = m.suspectView(now, e)
+		x.Reason, x.DeadlineS = n.suspectView(now, m)
 	case len(cutLinks) > 0:
 		x.State, x.Reason = StateUnreachable, strings.Join(cutLinks[:min(2, len(cutLinks))], "; ")
-	case e.pausedMs > 0 && now-e.pauseToldAt < pauseShownFor:
-		x.State, x.Reason = StatePaused, fmt.Sprintf("stood still for %v", time.Duration(e.pausedMs)*time.Millisecond)
-	case e.health >= slowThreshold || e.lateAcks >= slowThreshold:
+	case m.pausedMs > 0 && now-m.pauseToldAt < pauseShownFor:
+		x.State, x.Reason = StatePaused, fmt.Sprintf("stood still for %v", time.Duration(m.pausedMs)*time.Millisecond)
+	case m.health >= slowThreshold || m.lateAcks >= slowThreshold:
 		x.State, x.Reason = StateSlow, "it doubts itself"
-		if e.lateAcks >= slowThreshold {
+		if m.lateAcks >= slowThreshold {
 			x.Reason = "its answers come late"
 		}
 	}
@@ -237,20 +237,20 @@
 }
 
 // suspectView returns why a member is suspected and when that ends at the latest.
-func (m *Node) suspectView(now time.Duration, e *member) (reason string, deadlineS float64) {
-	for i := range m.suspicions {
-		s := &m.suspicions[i]
-		if s.id != e.id {
+func (n *Node) suspectView(now time.Duration, m *member) (reason string, deadlineS float64) {
+	for i := range n.suspicions {
+		s := &n.suspicions[i]
+		if s.id != m.id {
 			continue
 		}
 		why := fmt.Sprintf("%d do not hear it", len(s.reporters))
 		if s.restarted {
 			why = "begun anew after a pause of our own"
 		}
-		if m.isolated {
-			why = m.IsolationReason(now)
+		if n.isolated {
+			why = n.IsolationReason(now)
 		}
-		return why, max(0, (m.suspicionDeadline(s) - now).Seconds())
+		return why, max(0, (n.suspicionDeadline(s) - now).Seconds())
 	}
 	return "", 0
 }
@@ -264,30 +264,30 @@
 }
 
 // EndedInstances returns names without a live member, the latest first.
-func (m *Node) EndedInstances(most int) (list []EndedInstance) {
-	lives := map[string]bool{m.self.Info.Name: m.self.Status == Alive}
+func (n *Node) EndedInstances(most int) (list []EndedInstance) {
+	lives := map[string]bool{n.self.Info.Name: n.self.Status == Alive}
 	var ended []*member
-	for i := range m.members {
-		if e := &m.members[i]; e.status <= Suspect {
-			lives[e.info.Name] = true
+	for i := range n.members {
+		if m := &n.members[i]; m.status <= Suspect {
+			lives[m.info.Name] = true
 		} else {
-			ended = append(ended, e)
+			ended = append(ended, m)
 		}
 	}
 	slices.SortStableFunc(ended, func(a, b *member) int { return cmp.Compare(b.statusSince, a.statusSince) })
-	for _, e := range ended {
-		if len(list) < most && !lives[e.info.Name] {
-			lives[e.info.Name] = true // once
-			list = append(list, EndedInstance{e.info.Name, e.info.Addr, e.status == Dead})
+	for _, m := range ended {
+		if len(list) < most && !lives[m.info.Name] {
+			lives[m.info.Name] = true // once
+			list = append(list, EndedInstance{m.info.Name, m.info.Addr, m.status == Dead})
 		}
 	}
 	return list
 }
 
 // Agents returns agents that answered other members recently, the latest last.
-func (m *Node) Agents() (list []string) {
-	for _, a := range m.agents {
-		list = append(list, a.addr)
+func (n *Node) Agents() (list []string) {
+	for _, seen := range n.agents {
+		list = append(list, seen.addr)
 	}
 	return list
 }
--- a/internal/controlplane/quota/allocator/allocator.go
+++ b/internal/controlplane/quota/allocator/allocator.go
@@ -55,89 +55,89 @@
 }
 
 // maxOutstanding is the most that the member may still hold.
-func (r entry) maxOutstanding(now time.Duration) (a quota.Amount) {
-	if now < r.reportedUntil {
-		a = r.reported
+func (e entry) maxOutstanding(now time.Duration) (a quota.Amount) {
+	if now < e.reportedUntil {
+		a = e.reported
 	}
-	if now < r.grantedUntil {
-		a.Rate, a.Burst = max(a.Rate, r.granted.Rate), max(a.Burst, r.granted.Burst)
+	if now < e.grantedUntil {
+		a.Rate, a.Burst = max(a.Rate, e.granted.Rate), max(a.Burst, e.granted.Burst)
 	}
 	return a
 }
 
 // New starts a term. Members are those of the registry once all entries of earlier terms are applied.
 func New(now time.Duration, doc quota.Config, members []quota.Member) *Allocator {
-	g := &Allocator{config: doc, startedAt: now, members: map[string]member{}, ledgers: map[quota.Key]*ledger{}}
-	g.Update(now, doc, members)
-	return g
+	a := &Allocator{config: doc, startedAt: now, members: map[string]member{}, ledgers: map[quota.Key]*ledger{}}
+	a.Update(now, doc, members)
+	return a
 }
 
 // Update takes over the registry's state. A member that was removed holds nothing: it left by itself,
 // or its session lasted longer than all that it held (step 1).
-func (g *Allocator) Update(now time.Duration, doc quota.Config, members []quota.Member) {
-	g.config = doc
-	joined, left := quota.DiffMembers(g.registered, members)
-	g.registered = append(g.registered[:0], members...)
+func (a *Allocator) Update(now time.Duration, doc quota.Config, members []quota.Member) {
+	a.config = doc
+	joined, left := quota.DiffMembers(a.registered, members)
+	a.registered = append(a.registered[:0], members...)
 	for _, m := range left {
-		delete(g.members, m.ID)
-		if at, there := slices.BinarySearch(g.memberIDs, m.ID); there {
-			g.memberIDs = slices.Delete(g.memberIDs, at, at+1)
+		delete(a.members, m.ID)
+		if at, there := slices.BinarySearch(a.memberIDs, m.ID); there {
+			a.memberIDs = slices.Delete(a.memberIDs, at, at+1)
 		}
 	}
 	for _, m := range joined {
-		g.members[m.ID] = member{Member: m, lastHeardAt: now}
-		if at, there := slices.BinarySearch(g.memberIDs, m.ID); !there {
-			g.memberIDs = slices.Insert(g.memberIDs, at, m.ID)
+		a.members[m.ID] = member{Member: m, lastHeardAt: now}
+		if at, there := slices.BinarySearch(a.memberIDs, m.ID); !there {
+			a.memberIDs = slices.Insert(a.memberIDs, at, m.ID)
 		}
 	}
 	if len(left) == 0 {
 		return
 	}
-	for k, p := range g.ledgers {
-		if p.removeIf(func(r entry) bool { _, in := g.members[r.memberID]; return !in }) == 0 {
-			delete(g.ledgers, k)
+	for k, l := range a.ledgers {
+		if l.removeIf(func(e entry) bool { _, in := a.members[e.memberID]; return !in }) == 0 {
+			delete(a.ledgers, k)
 		}
 	}
 }
 
 // outstandingTTL is how long, by this clock, an allocation may be used whose renewal has just arrived.
-func (g *Allocator) outstandingTTL(b *quota.Budget) time.Duration {
-	return g.config.MaxOnOtherClock(g.config.AllocationTTL() + b.Linger())
+func (a *Allocator) outstandingTTL(b *quota.Budget) time.Duration {
+	return a.config.MaxOnOtherClock(a.config.AllocationTTL() + b.Linger())
 }
 
 // sessionTTL is how long, by this clock, a session lasts after its last renewal, including what
 // lingers of its floor.
-func (g *Allocator) sessionTTL() time.Duration {
+func (a *Allocator) sessionTTL() time.Duration {
 	linger := time.Duration(0)
-	for i := range g.config.Budgets {
-		linger = max(linger, g.config.Budgets[i].Linger())
+	for i := range a.config.Budgets {
+		linger = max(linger, a.config.Budgets[i].Linger())
 	}
-	return g.config.MaxOnOtherClock(g.config.SessionTTL() + linger)
+	return a.config.MaxOnOtherClock(a.config.SessionTTL() + linger)
 }
 
 // isLive reports whether the member renewed recently enough to hold an allocation.
-func (g *Allocator) isLive(now time.Duration, m member) bool {
-	return !m.expired && now < m.lastHeardAt+g.config.MaxOnOtherClock(g.config.AllocationTTL())
+func (a *Allocator) isLive(now time.Duration, m member) bool {
+	return !m.expired && now < m.lastHeardAt+a.config.MaxOnOtherClock(a.config.AllocationTTL())
 }
 
 // Admit reports whether a process may join. The registry decides on free sessions. A process whose
 // first answer was lost asks again: its session lasts from this request on, unless it is being
 // removed.
-func (g *Allocator) Admit(now time.Duration, m quota.Member) error {
-	if x, known := g.members[m.ID]; known {
-		if x.expired {
+func (a *Allocator) Admit(now time.Duration, m quota.Member) error {
+	if had, known := a.members[m.ID]; known {
+		if had.expired {
 			return quota.ErrUnknownMember
 		}
-		x.lastHeardAt = now
-		g.members[m.ID] = x
+		had.lastHeardAt = now
+		a.members[m.ID] = had
 		return nil
 	}
 	alike := 0
-	for _, x := range g.members {
-		if x.Name != m.Name || !g.isLive(now, x) {
+	for _, had := range a.members {
+		if had.Name != m.Name || !a.isLive(now, had) {
 			continue
 		}
-		if x.Addr != m.Addr {
+		if had.Addr != m.Addr {
 			return quota.ErrNameTaken
 		}
 		alike++
@@ -150,11 +150,11 @@
 
 // Expire marks the sessions that have ended and returns their members' ids, to be removed from the
 // registry. They are unknown from now on (step 1).
-func (g *Allocator) Expire(now time.Duration) (ids []string) {
-	for _, id := range g.memberIDs {
-		if m, known := g.members[id]; known && (m.expired || now >= m.lastHeardAt+g.sessionTTL()) {
+func (a *Allocator) Expire(now time.Duration) (ids []string) {
+	for _, id := range a.memberIDs {
+		if m, known := a.members[id]; known && (m.expired || now >= m.lastHeardAt+a.sessionTTL()) {
 			m.expired = true
-			g.members[id] = m
+			a.members[id] = m
 			ids = append(ids, id)
 		}
 	}
@@ -163,46 +163,46 @@
 
 // Renew records a member's report and decides its allocations. The answer may only be sent once a
 // majority of agents has confirmed, after this call, that no later term has begun (step 6).
-func (g *Allocator) Renew(now time.Duration, r quota.RenewalRequest) (quota.RenewalResponse, error) {
-	m, known := g.members[r.ID]
+func (a *Allocator) Renew(now time.Duration, req quota.RenewalRequest) (quota.RenewalResponse, error) {
+	m, known := a.members[req.ID]
 	switch {
 	case !known || m.expired:
 		return quota.RenewalResponse{}, quota.ErrUnknownMember
-	case len(r.Reports) > quota.MaxKeys+quota.MaxBudgets:
+	case len(req.Reports) > quota.MaxKeys+quota.MaxBudgets:
 		return quota.RenewalResponse{}, quota.ErrNoBudgets
-	case r.Seq <= m.lastSeq:
+	case req.Seq <= m.lastSeq:
 		return quota.RenewalResponse{}, quota.ErrStaleRenewal
 	}
-	m.lastSeq, m.lastHeardAt, m.renewedThisTerm, m.configVersion = r.Seq, now, true, r.Version
-	g.members[r.ID] = m
-	a := quota.RenewalResponse{ID: r.ID, Seq: r.Seq}
-	if r.Version != g.config.Version {
-		config := g.config
-		a.Config = &config
+	m.lastSeq, m.lastHeardAt, m.renewedThisTerm, m.configVersion = req.Seq, now, true, req.Version
+	a.members[req.ID] = m
+	resp := quota.RenewalResponse{ID: req.ID, Seq: req.Seq}
+	if req.Version != a.config.Version {
+		config := a.config
+		resp.Config = &config
 	}
-	reported := make(map[quota.Key]bool, len(r.Reports))
-	for _, rep := range r.Reports {
-		b := g.config.Budget(rep.Budget)
+	reported := make(map[quota.Key]bool, len(req.Reports))
+	for _, rep := range req.Reports {
+		b := a.config.Budget(rep.Budget)
 		if b == nil || reported[rep.Key] {
 			continue
 		}
 		reported[rep.Key] = true
-		a.Allocations = append(a.Allocations, g.renewLimit(now, r.ID, b, rep))
+		resp.Allocations = append(resp.Allocations, a.renewLimit(now, req.ID, b, rep))
 	}
-	g.dropUnreported(r.ID, reported)
-	return a, nil
+	a.dropUnreported(req.ID, reported)
+	return resp, nil
 }
 
 // renewLimit records what a member reports of one limit and decides its allocation.
-func (g *Allocator) renewLimit(now time.Duration, id string, b *quota.Budget, rep quota.UsageReport) quota.Allocation {
-	p := g.ledgers[rep.Key]
-	if p == nil {
-		p = &ledger{sharesStale: true}
-		g.ledgers[rep.Key] = p
+func (a *Allocator) renewLimit(now time.Duration, id string, b *quota.Budget, rep quota.UsageReport) quota.Allocation {
+	l := a.ledgers[rep.Key]
+	if l == nil {
+		l = &ledger{sharesStale: true}
+		a.ledgers[rep.Key] = l
 	}
-	at, there := p.find(id)
+	at, there := l.find(id)
 	if !there {
-		p.insert(at, id)
+		l.insert(at, id)
 	}
 	// The member accepts no older answer any more, so an earlier allocation counts only as far as it reports
 	// to hold it (steps 3 and 4).
@@ -210,29 +210,29 @@
 	if b.IsConcurrencyLimit() {
 		held.Rate = max(held.Rate, rep.InUse-b.FloorRate)
 	}
-	x := &p.entries[at]
-	*x = entry{memberID: id, fairShare: x.fairShare, hasFairShare: x.hasFairShare, reported: held, reportedUntil: now + g.outstandingTTL(b), usage: rep}
+	e := &l.entries[at]
+	*e = entry{memberID: id, fairShare: e.fairShare, hasFairShare: e.hasFairShare, reported: held, reportedUntil: now + a.outstandingTTL(b), usage: rep}
 	grant := quota.Allocation{Key: rep.Key}
-	left := g.available(now, b, p, at)
-	if now < g.startedAt+g.outstandingTTL(b) {
+	left := a.available(now, b, l, at)
+	if now < a.startedAt+a.outstandingTTL(b) {
 		grant.Amount, grant.ExtendsOnly = minAmount(rep.Held, left), true // step 5
 	} else {
-		grant.Amount = g.allocate(now, b, p, x, left)
+		grant.Amount = a.allocate(now, b, l, e, left)
 	}
-	x.granted, x.grantedUntil = grant.Amount, now+g.outstandingTTL(b)
-	p.invalidate(at)
+	e.granted, e.grantedUntil = grant.Amount, now+a.outstandingTTL(b)
+	l.invalidate(at)
 	return grant
 }
 
 // dropUnreported removes a member's entries of limits that it did not report: it holds nothing of them, and accepts
 // no older answer.
-func (g *Allocator) dropUnreported(id string, reported map[quota.Key]bool) {
-	for k, p := range g.ledgers {
+func (a *Allocator) dropUnreported(id string, reported map[quota.Key]bool) {
+	for k, l := range a.ledgers {
 		if reported[k] {
 			continue
 		}
-		if _, there := p.find(id); there && p.removeIf(func(x entry) bool { return x.memberID == id }) == 0 {
-			delete(g.ledgers, k)
+		if _, there := l.find(id); there && l.removeIf(func(e entry) bool { return e.memberID == id }) == 0 {
+			delete(a.ledgers, k)
 		}
 	}
 }
--- a/internal/controlplane/quota/allocator/ledger.go
+++ b/internal/controlplane/quota/allocator/ledger.go
@@ -31,54 +31,54 @@
 }
 
 // find returns the position of a member's entry, or where to insert it.
-func (p *ledger) find(id string) (int, bool) {
-	return slices.BinarySearchFunc(p.entries, id, func(r entry, id string) int { return strings.Compare(r.memberID, id) })
+func (l *ledger) find(id string) (int, bool) {
+	return slices.BinarySearchFunc(l.entries, id, func(e entry, id string) int { return strings.Compare(e.memberID, id) })
 }
 
 // insert adds an empty entry for a member.
-func (p *ledger) insert(at int, id string) {
-	p.entries = slices.Insert(p.entries, at, entry{memberID: id})
-	p.invalidateAll()
+func (l *ledger) insert(at int, id string) {
+	l.entries = slices.Insert(l.entries, at, entry{memberID: id})
+	l.invalidateAll()
 }
 
 // removeIf removes the entries that gone accepts and returns how many are left.
-func (p *ledger) removeIf(gone func(entry) bool) (left int) {
-	before := len(p.entries)
-	if p.entries = slices.DeleteFunc(p.entries, gone); len(p.entries) < before {
-		p.sharesStale = true
-		p.invalidateAll()
+func (l *ledger) removeIf(gone func(entry) bool) (left int) {
+	before := len(l.entries)
+	if l.entries = slices.DeleteFunc(l.entries, gone); len(l.entries) < before {
+		l.sharesStale = true
+		l.invalidateAll()
 	}
-	return len(p.entries)
+	return len(l.entries)
 }
 
 // invalidateAll drops all sums: entries have other positions.
-func (p *ledger) invalidateAll() { p.blockSums = p.blockSums[:0] }
+func (l *ledger) invalidateAll() { l.blockSums = l.blockSums[:0] }
 
 // invalidate drops the sum of the block that has the entry.
-func (p *ledger) invalidate(at int) {
-	if len(p.blockSums) > 0 {
-		p.blockSums[at/p.blockSize] = blockSum{}
+func (l *ledger) invalidate(at int) {
+	if len(l.blockSums) > 0 {
+		l.blockSums[at/l.blockSize] = blockSum{}
 	}
 }
 
 // outstandingExcept is what all members may hold but the one at that position.
-func (p *ledger) outstandingExcept(now time.Duration, but int) (all quota.Amount) {
-	if len(p.blockSums) == 0 { // a power of two near the square root
-		p.blockSize = 1 << (bits.Len(uint(len(p.entries))) / 2)
-		p.blockSums = append(p.blockSums, make([]blockSum, (len(p.entries)+p.blockSize-1)/p.blockSize)...)
+func (l *ledger) outstandingExcept(now time.Duration, but int) (all quota.Amount) {
+	if len(l.blockSums) == 0 { // a power of two near the square root
+		l.blockSize = 1 << (bits.Len(uint(len(l.entries))) / 2)
+		l.blockSums = append(l.blockSums, make([]blockSum, (len(l.entries)+l.blockSize-1)/l.blockSize)...)
 	}
-	for i := range p.blockSums {
-		s := &p.blockSums[i]
-		if i == but/p.blockSize {
-			for k := range p.block(i) {
-				if at := i*p.blockSize + k; at != but {
-					all = addAmounts(all, p.entries[at].maxOutstanding(now))
+	for i := range l.blockSums {
+		s := &l.blockSums[i]
+		if i == but/l.blockSize {
+			for k := range l.block(i) {
+				if at := i*l.blockSize + k; at != but {
+					all = addAmounts(all, l.entries[at].maxOutstanding(now))
 				}
 			}
 			continue
 		}
 		if now < s.validFrom || now >= s.validUntil {
-			*s = p.sumBlock(now, i)
+			*s = l.sumBlock(now, i)
 		}
 		all = addAmounts(all, s.total)
 	}
@@ -86,16 +86,16 @@
 }
 
 // block returns the entries of a block.
-func (p *ledger) block(i int) []entry {
-	return p.entries[i*p.blockSize : min((i+1)*p.blockSize, len(p.entries))]
+func (l *ledger) block(i int) []entry {
+	return l.entries[i*l.blockSize : min((i+1)*l.blockSize, len(l.entries))]
 }
 
 // sumBlock adds up what the members of a block may hold.
-func (p *ledger) sumBlock(now time.Duration, i int) blockSum {
+func (l *ledger) sumBlock(now time.Duration, i int) blockSum {
 	s := blockSum{validFrom: now, validUntil: 1<<63 - 1}
-	for _, r := range p.block(i) {
-		s.total = addAmounts(s.total, r.maxOutstanding(now))
-		for _, end := range []time.Duration{r.reportedUntil, r.grantedUntil} {
+	for _, e := range l.block(i) {
+		s.total = addAmounts(s.total, e.maxOutstanding(now))
+		for _, end := range []time.Duration{e.reportedUntil, e.grantedUntil} {
 			if now < end {
 				s.validUntil = min(s.validUntil, end)
 			}
@@ -110,6 +110,6 @@
 }
 
 // String prints the entries; sums follow from them.
-func (p *ledger) String() string {
-	return fmt.Sprintf("%+v %v %v", p.entries, p.sharesAt, p.sharesStale)
+func (l *ledger) String() string {
+	return fmt.Sprintf("%+v %v %v", l.entries, l.sharesAt, l.sharesStale)
 }
