--- a/internal/controlplane/quota/allocator/ledger_test.go
+++ b/internal/controlplane/quota/allocator/ledger_test.go
@@ -16,41 +16,41 @@
 // clock may be asked about a moment that is past.
 func TestOthers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p, now := &ledger{}, time.Hour
+		l, now := &ledger{}, time.Hour
 		amount := func() quota.Amount {
 			return quota.Amount{Rate: float64(rapid.IntRange(0, 8).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 8).Draw(t, "burst"))}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			id := fmt.Sprint(rapid.IntRange(10, 59).Draw(t, "who"))
-			at, there := p.find(id)
+			at, there := l.find(id)
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0:
-				p.removeIf(func(r entry) bool { return r.memberID == id })
+				l.removeIf(func(e entry) bool { return e.memberID == id })
 			case 1:
 				now += time.Duration(rapid.IntRange(-20, 300).Draw(t, "ms")) * time.Millisecond
 			default:
 				if !there {
-					p.insert(at, id)
+					l.insert(at, id)
 				}
-				x := &p.entries[at]
+				x := &l.entries[at]
 				x.reported, x.reportedUntil = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "held"))*time.Millisecond
 				if rapid.Bool().Draw(t, "granted") {
 					x.granted, x.grantedUntil = amount(), now+time.Duration(rapid.IntRange(-10, 900).Draw(t, "granted for"))*time.Millisecond
 				}
-				p.invalidate(at)
+				l.invalidate(at)
 			}
-			if len(p.entries) == 0 {
+			if len(l.entries) == 0 {
 				continue
 			}
-			but := rapid.IntRange(0, len(p.entries)-1).Draw(t, "but")
+			but := rapid.IntRange(0, len(l.entries)-1).Draw(t, "but")
 			var want quota.Amount
-			for i, r := range p.entries {
+			for i, e := range l.entries {
 				if i != but {
-					want = addAmounts(want, r.maxOutstanding(now))
+					want = addAmounts(want, e.maxOutstanding(now))
 				}
 			}
-			if got := p.outstandingExcept(now, but); got != want { // of whole numbers, so that no order of adding differs
-				t.Fatalf("others than %d of %d at %v: %v, want %v", but, len(p.entries), now, got, want)
+			if got := l.outstandingExcept(now, but); got != want { // of whole numbers, so that no order of adding differs
+				t.Fatalf("others than %d of %d at %v: %v, want %v", but, len(l.entries), now, got, want)
 			}
 		}
 	})
@@ -61,18 +61,18 @@
 func TestEqualRowsEqualSums(t *testing.T) {
 	now := time.Hour
 	fill := func(order []int, look bool) *ledger {
-		p := &ledger{}
+		l := &ledger{}
 		for _, i := range order {
 			id := fmt.Sprint(10 + i)
-			at, _ := p.find(id)
-			p.insert(at, id)
-			p.entries[at].reported, p.entries[at].reportedUntil = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
-			p.invalidate(at)
+			at, _ := l.find(id)
+			l.insert(at, id)
+			l.entries[at].reported, l.entries[at].reportedUntil = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
+			l.invalidate(at)
 			if look {
-				p.outstandingExcept(now, at)
+				l.outstandingExcept(now, at)
 			}
 		}
-		return p
+		return l
 	}
 	order := make([]int, 40)
 	for i := range order {
@@ -89,26 +89,26 @@
 
 // TestRenewCost counts what a renewal looks at: about two runs of rows, and not all.
 func TestRenewCost(t *testing.T) {
-	p, now := &ledger{}, time.Hour
+	l, now := &ledger{}, time.Hour
 	const rows = 4096
 	for i := range rows {
 		id := fmt.Sprintf("%05d", i)
-		p.insert(i, id)
-		p.entries[i].reported, p.entries[i].reportedUntil = quota.Amount{Rate: 1}, now+time.Minute
+		l.insert(i, id)
+		l.entries[i].reported, l.entries[i].reportedUntil = quota.Amount{Rate: 1}, now+time.Minute
 	}
-	p.outstandingExcept(now, 0)
+	l.outstandingExcept(now, 0)
 	summed := 0
 	for i := range rows {
 		now += time.Millisecond
-		p.outstandingExcept(now, i)
-		for _, s := range p.blockSums {
+		l.outstandingExcept(now, i)
+		for _, s := range l.blockSums {
 			if s.validFrom == now {
 				summed++
 			}
 		}
-		p.invalidate(i)
+		l.invalidate(i)
 	}
 	require.LessOrEqual(t, summed, rows, "runs summed anew by %d renewals", rows)
-	require.LessOrEqual(t, p.blockSize*len(p.blockSums), 2*rows)
-	require.LessOrEqual(t, len(p.blockSums)+p.blockSize, 4*64)
+	require.LessOrEqual(t, l.blockSize*len(l.blockSums), 2*rows)
+	require.LessOrEqual(t, len(l.blockSums)+l.blockSize, 4*64)
 }
--- a/internal/controlplane/quota/allocator/shares.go
+++ b/internal/controlplane/quota/allocator/shares.go
@@ -9,20 +9,20 @@
 )
 
 // available is the part of the shared pool that no other member may hold (step 2).
-func (g *Allocator) available(now time.Duration, b *quota.Budget, p *ledger, at int) quota.Amount {
-	pool, others := g.config.SharedPool(b), p.outstandingExcept(now, at)
+func (a *Allocator) available(now time.Duration, b *quota.Budget, l *ledger, at int) quota.Amount {
+	pool, others := a.config.SharedPool(b), l.outstandingExcept(now, at)
 	return quota.Amount{Rate: max(0, pool.Rate-others.Rate), Burst: max(0, pool.Burst-others.Burst)}
 }
 
 // allocate is the member's fair share, as far as it is available.
-func (g *Allocator) allocate(now time.Duration, b *quota.Budget, p *ledger, x *entry, left quota.Amount) quota.Amount {
-	pool := g.config.SharedPool(b)
-	if p.sharesStale || now-p.sharesAt >= g.config.RenewInterval()/20 || now < p.sharesAt {
-		g.recomputeShares(now, b, p)
+func (a *Allocator) allocate(now time.Duration, b *quota.Budget, l *ledger, e *entry, left quota.Amount) quota.Amount {
+	pool := a.config.SharedPool(b)
+	if l.sharesStale || now-l.sharesAt >= a.config.RenewInterval()/20 || now < l.sharesAt {
+		a.recomputeShares(now, b, l)
 	}
-	share := x.fairShare
-	if !x.hasFairShare { // it is new since the last division
-		share = pool.Rate / float64(len(p.entries))
+	share := e.fairShare
+	if !e.hasFairShare { // it is new since the last division
+		share = pool.Rate / float64(len(l.entries))
 	}
 	amount := min(share, left.Rate)
 	if b.IsConcurrencyLimit() {
@@ -40,20 +40,20 @@
 }
 
 // recomputeShares divides the shared pool among the live members by weighted max-min fairness.
-func (g *Allocator) recomputeShares(now time.Duration, b *quota.Budget, p *ledger) {
-	pool := g.config.SharedPool(b)
+func (a *Allocator) recomputeShares(now time.Duration, b *quota.Budget, l *ledger) {
+	pool := a.config.SharedPool(b)
 	most := pool.Rate
 	if b.MaxPerMember > 0 {
 		most = min(most, b.MaxPerMember-b.FloorRate)
 	}
-	at := make([]int, 0, len(p.entries))
-	claims := make([]maxmin.Claim, 0, len(p.entries))
-	for i := range p.entries {
-		x := &p.entries[i]
-		x.fairShare, x.hasFairShare = 0, false
-		if m, known := g.members[x.memberID]; known && g.isLive(now, m) {
+	at := make([]int, 0, len(l.entries))
+	claims := make([]maxmin.Claim, 0, len(l.entries))
+	for i := range l.entries {
+		e := &l.entries[i]
+		e.fairShare, e.hasFairShare = 0, false
+		if m, known := a.members[e.memberID]; known && a.isLive(now, m) {
 			at = append(at, i)
-			claims = append(claims, maxmin.Claim{Want: x.usage.Want - b.FloorRate, Max: most, Weight: m.Weight})
+			claims = append(claims, maxmin.Claim{Want: e.usage.Want - b.FloorRate, Max: most, Weight: m.Weight})
 		}
 	}
 	shares := maxmin.Shares(pool.Rate, claims)
@@ -61,9 +61,9 @@
 		shares = maxmin.RoundUnits(pool.Rate, shares)
 	}
 	for i, share := range shares {
-		p.entries[at[i]].fairShare, p.entries[at[i]].hasFairShare = share, true
+		l.entries[at[i]].fairShare, l.entries[at[i]].hasFairShare = share, true
 	}
-	p.sharesAt, p.sharesStale = now, false
+	l.sharesAt, l.sharesStale = now, false
 }
 
 // minAmount is the smaller of each figure.
--- a/internal/controlplane/quota/allocator/status.go
+++ b/internal/controlplane/quota/allocator/status.go
@@ -31,27 +31,27 @@
 }
 
 // Members returns every member in order of name and incarnation.
-func (g *Allocator) Members(now time.Duration) []MemberStatus {
-	all := make([]MemberStatus, 0, len(g.members))
-	for _, m := range g.members {
+func (a *Allocator) Members(now time.Duration) []MemberStatus {
+	all := make([]MemberStatus, 0, len(a.members))
+	for _, m := range a.members {
 		s := MemberStatus{Member: m.Member, Liveness: Live, LastHeardMs: (now - m.lastHeardAt).Milliseconds(), ConfigVersion: m.configVersion,
-			SessionTTLMs: (m.lastHeardAt + g.sessionTTL() - now).Milliseconds()}
+			SessionTTLMs: (m.lastHeardAt + a.sessionTTL() - now).Milliseconds()}
 		switch {
-		case !g.isLive(now, m):
+		case !a.isLive(now, m):
 			s.Liveness = Silent
 		case !m.renewedThisTerm:
 			s.Liveness = Unconfirmed
 		}
 		all = append(all, s)
 	}
-	slices.SortFunc(all, func(a, b MemberStatus) int {
-		if a.Name != b.Name {
-			if a.Name < b.Name {
+	slices.SortFunc(all, func(x, y MemberStatus) int {
+		if x.Name != y.Name {
+			if x.Name < y.Name {
 				return -1
 			}
 			return 1
 		}
-		return int(int64(a.Incarnation) - int64(b.Incarnation))
+		return int(int64(x.Incarnation) - int64(y.Incarnation))
 	})
 	return all
 }
@@ -70,23 +70,23 @@
 }
 
 // Ledger returns who may hold how much of a budget, or of all budgets if none is named.
-func (g *Allocator) Ledger(now time.Duration, budget string) []LedgerLine {
+func (a *Allocator) Ledger(now time.Duration, budget string) []LedgerLine {
 	all := []LedgerLine{}
-	for k, p := range g.ledgers {
+	for k, led := range a.ledgers {
 		if budget != "" && k.Budget != budget {
 			continue
 		}
-		for _, x := range p.entries {
-			l := LedgerLine{Key: k, ID: x.memberID, MaxOutstanding: x.maxOutstanding(now), Want: x.usage.Want, Used: x.usage.Used, InUse: x.usage.InUse,
-				ExpiresMs: max(0, max(x.reportedUntil, x.grantedUntil)-now).Milliseconds()}
-			if m, known := g.members[x.memberID]; known {
-				l.Name, l.LastHeardMs = m.Name, (now - m.lastHeardAt).Milliseconds()
+		for _, e := range led.entries {
+			line := LedgerLine{Key: k, ID: e.memberID, MaxOutstanding: e.maxOutstanding(now), Want: e.usage.Want, Used: e.usage.Used, InUse: e.usage.InUse,
+				ExpiresMs: max(0, max(e.reportedUntil, e.grantedUntil)-now).Milliseconds()}
+			if m, known := a.members[e.memberID]; known {
+				line.Name, line.LastHeardMs = m.Name, (now - m.lastHeardAt).Milliseconds()
 			}
-			all = append(all, l)
+			all = append(all, line)
 		}
 	}
-	slices.SortFunc(all, func(a, b LedgerLine) int {
-		for _, c := range [][2]string{{a.Budget, b.Budget}, {a.Key.Key, b.Key.Key}, {a.Name, b.Name}, {a.ID, b.ID}} {
+	slices.SortFunc(all, func(x, y LedgerLine) int {
+		for _, c := range [][2]string{{x.Budget, y.Budget}, {x.Key.Key, y.Key.Key}, {x.Name, y.Name}, {x.ID, y.ID}} {
 			if c[0] != c[1] {
 				if c[0] < c[1] {
 					return -1
@@ -100,17 +100,17 @@
 }
 
 // RecoveryWait is how long it takes until this term may allocate anything new of a budget (step 7).
-func (g *Allocator) RecoveryWait(now time.Duration, b *quota.Budget) time.Duration {
-	return max(0, g.startedAt+g.outstandingTTL(b)-now)
+func (a *Allocator) RecoveryWait(now time.Duration, b *quota.Budget) time.Duration {
+	return max(0, a.startedAt+a.outstandingTTL(b)-now)
 }
 
 // String is the whole state as text: equal states print alike.
-func (g *Allocator) String() string {
-	b := fmt.Appendf(nil, "%v %v %v %v", g.config, g.startedAt, g.members, g.memberIDs)
-	for _, k := range slices.SortedFunc(maps.Keys(g.ledgers), func(a, b quota.Key) int {
-		return cmp.Or(strings.Compare(a.Budget, b.Budget), strings.Compare(a.Key, b.Key))
+func (a *Allocator) String() string {
+	b := fmt.Appendf(nil, "%v %v %v %v", a.config, a.startedAt, a.members, a.memberIDs)
+	for _, k := range slices.SortedFunc(maps.Keys(a.ledgers), func(x, b quota.Key) int {
+		return cmp.Or(strings.Compare(x.Budget, b.Budget), strings.Compare(x.Key, b.Key))
 	}) {
-		b = fmt.Appendf(b, "\n%v %v", k, g.ledgers[k])
+		b = fmt.Appendf(b, "\n%v %v", k, a.ledgers[k])
 	}
 	return string(b)
 }
--- a/internal/controlplane/quota/budget.go
+++ b/internal/controlplane/quota/budget.go
@@ -68,20 +68,20 @@
 func (b *Budget) Linger() time.Duration { return time.Duration(b.LingerMs) * time.Millisecond }
 
 // Covers reports whether the budget limits the reservation.
-func (b *Budget) Covers(d Reservation) bool {
-	return b.Resource == d.Resource && (len(b.Only) == 0 || slices.Contains(b.Only, b.KeyOf(d)))
+func (b *Budget) Covers(r Reservation) bool {
+	return b.Resource == r.Resource && (len(b.Only) == 0 || slices.Contains(b.Only, b.KeyOf(r)))
 }
 
 // KeyOf returns which of the budget's limits the reservation counts against: a target, plan or class,
 // or empty for the fleet.
-func (b *Budget) KeyOf(d Reservation) string {
+func (b *Budget) KeyOf(r Reservation) string {
 	switch b.Scope {
 	case PerTarget:
-		return d.Target
+		return r.Target
 	case PerPlan:
-		return d.Plan
+		return r.Plan
 	case PerClass:
-		return d.Class
+		return r.Class
 	}
 	return ""
 }
--- a/internal/controlplane/quota/config.go
+++ b/internal/controlplane/quota/config.go
@@ -20,8 +20,8 @@
 
 // ValidateNames returns an error that names the first plan or class of a budget that an instance does
 // not know.
-func (d *Config) ValidateNames(plans, classes map[string]bool) error {
-	for i, b := range d.Budgets {
+func (c *Config) ValidateNames(plans, classes map[string]bool) error {
+	for i, b := range c.Budgets {
 		known := map[Scope]map[string]bool{PerPlan: plans, PerClass: classes}[b.Scope]
 		for _, name := range b.Only {
 			if known != nil && !known[name] {
@@ -33,32 +33,32 @@
 }
 
 // drift is the largest relative deviation of a clock's rate.
-func (d *Config) drift() float64 { return d.ClockPPM / 1e6 }
+func (c *Config) drift() float64 { return c.ClockPPM / 1e6 }
 
 // AllocationTTL is how long an allocation lasts, by its holder's clock.
-func (d *Config) AllocationTTL() time.Duration {
-	return time.Duration(d.AllocationTTLMs) * time.Millisecond
+func (c *Config) AllocationTTL() time.Duration {
+	return time.Duration(c.AllocationTTLMs) * time.Millisecond
 }
 
 // SessionTTL is how long a session lasts after the last renewal, by its member's clock.
-func (d *Config) SessionTTL() time.Duration { return time.Duration(d.SessionTTLS) * time.Second }
+func (c *Config) SessionTTL() time.Duration { return time.Duration(c.SessionTTLS) * time.Second }
 
 // RenewInterval is the time between two renewals.
-func (d *Config) RenewInterval() time.Duration {
-	return time.Duration(d.RenewIntervalMs) * time.Millisecond
+func (c *Config) RenewInterval() time.Duration {
+	return time.Duration(c.RenewIntervalMs) * time.Millisecond
 }
 
 // MaxOnOtherClock is the longest time that any clock within the bound may show while another one shows
 // t.
-func (d *Config) MaxOnOtherClock(t time.Duration) time.Duration {
-	return time.Duration(math.Ceil(float64(t) * (1 + d.drift()) / (1 - d.drift())))
+func (c *Config) MaxOnOtherClock(t time.Duration) time.Duration {
+	return time.Duration(math.Ceil(float64(t) * (1 + c.drift()) / (1 - c.drift())))
 }
 
 // Budget returns the budget of that name, or nil.
-func (d *Config) Budget(name string) *Budget {
-	for i := range d.Budgets {
-		if d.Budgets[i].Name == name {
-			return &d.Budgets[i]
+func (c *Config) Budget(name string) *Budget {
+	for i := range c.Budgets {
+		if c.Budgets[i].Name == name {
+			return &c.Budgets[i]
 		}
 	}
 	return nil
@@ -66,27 +66,27 @@
 
 // EffectiveLimit is what all members together may be allowed by their own clocks, so that the budget
 // holds in true time: clock drift, and the work that permits may still send, are taken off.
-func (d *Config) EffectiveLimit(b *Budget) Amount {
+func (c *Config) EffectiveLimit(b *Budget) Amount {
 	if b.IsConcurrencyLimit() {
 		return Amount{Rate: math.Floor(b.Capacity)}
 	}
-	return Amount{b.Capacity / (1 + d.drift()), b.Burst - b.Capacity*MaxTransit.Seconds()}
+	return Amount{b.Capacity / (1 + c.drift()), b.Burst - b.Capacity*MaxTransit.Seconds()}
 }
 
 // SharedPool is what is allocated by demand: the effective limit less the floors of all sessions.
-func (d *Config) SharedPool(b *Budget) Amount {
-	t, n := d.EffectiveLimit(b), float64(d.MaxSessions)
+func (c *Config) SharedPool(b *Budget) Amount {
+	t, n := c.EffectiveLimit(b), float64(c.MaxSessions)
 	return Amount{max(0, t.Rate-n*b.FloorRate), max(0, t.Burst-n*b.FloorBurst)}
 }
 
 // Validate fills in defaults and returns an error that names the first field that cannot be served.
-func (d *Config) Validate() error {
+func (c *Config) Validate() error {
 	for _, f := range []struct {
 		field  string
 		value  *int64
 		usual  int64
 		lo, hi int64
-	}{{"renew_ms", &d.RenewIntervalMs, 1000, 20, 60_000}, {"part_ms", &d.AllocationTTLMs, 4000, 100, 600_000}, {"seat_s", &d.SessionTTLS, 3600, 1, 30 * 86400}} {
+	}{{"renew_ms", &c.RenewIntervalMs, 1000, 20, 60_000}, {"part_ms", &c.AllocationTTLMs, 4000, 100, 600_000}, {"seat_s", &c.SessionTTLS, 3600, 1, 30 * 86400}} {
 		if *f.value == 0 {
 			*f.value = f.usual
 		}
@@ -94,25 +94,25 @@
 			return fmt.Errorf("%s: %d is not from %d to %d", f.field, *f.value, f.lo, f.hi)
 		}
 	}
-	if d.ClockPPM == 0 {
-		d.ClockPPM = 1000
+	if c.ClockPPM == 0 {
+		c.ClockPPM = 1000
 	}
 	switch {
-	case d.MaxSessions < 1 || d.MaxSessions > MaxSessions:
-		return fmt.Errorf("seats: %d is not from 1 to %d", d.MaxSessions, MaxSessions)
-	case !(d.ClockPPM > 0 && d.ClockPPM <= 100_000):
-		return fmt.Errorf("clock_ppm: %v is not over 0 and up to 100000", d.ClockPPM)
-	case float64(d.RenewIntervalMs)*3*(1+d.drift())/(1-d.drift()) > float64(d.AllocationTTLMs):
-		return fmt.Errorf("renew_ms: three renewals of %d ms do not fit in a part of %d ms with clocks %v ppm off", d.RenewIntervalMs, d.AllocationTTLMs, d.ClockPPM)
-	case d.SessionTTL() < d.AllocationTTL():
-		return fmt.Errorf("seat_s: %d s is shorter than a part", d.SessionTTLS)
-	case len(d.Budgets) > MaxBudgets:
-		return fmt.Errorf("budget: %d are too many, %d at most", len(d.Budgets), MaxBudgets)
+	case c.MaxSessions < 1 || c.MaxSessions > MaxSessions:
+		return fmt.Errorf("seats: %d is not from 1 to %d", c.MaxSessions, MaxSessions)
+	case !(c.ClockPPM > 0 && c.ClockPPM <= 100_000):
+		return fmt.Errorf("clock_ppm: %v is not over 0 and up to 100000", c.ClockPPM)
+	case float64(c.RenewIntervalMs)*3*(1+c.drift())/(1-c.drift()) > float64(c.AllocationTTLMs):
+		return fmt.Errorf("renew_ms: three renewals of %d ms do not fit in a part of %d ms with clocks %v ppm off", c.RenewIntervalMs, c.AllocationTTLMs, c.ClockPPM)
+	case c.SessionTTL() < c.AllocationTTL():
+		return fmt.Errorf("seat_s: %d s is shorter than a part", c.SessionTTLS)
+	case len(c.Budgets) > MaxBudgets:
+		return fmt.Errorf("budget: %d are too many, %d at most", len(c.Budgets), MaxBudgets)
 	}
 	seen := map[string]bool{}
-	for i := range d.Budgets {
-		b := &d.Budgets[i]
-		if err := d.validateBudget(b); err != nil {
+	for i := range c.Budgets {
+		b := &c.Budgets[i]
+		if err := c.validateBudget(b); err != nil {
 			return fmt.Errorf("budget[%d].%w", i, err)
 		}
 		if seen[b.Name] {
@@ -125,7 +125,7 @@
 
 // validateBudget fills in defaults of a budget and returns an error that names its first invalid
 // field.
-func (d *Config) validateBudget(b *Budget) error {
+func (c *Config) validateBudget(b *Budget) error {
 	if b.Scope == "" {
 		b.Scope = PerFleet
 	}
@@ -138,7 +138,7 @@
 	if err := b.validateFields(); err != nil {
 		return err
 	}
-	return d.validateSizes(b)
+	return c.validateSizes(b)
 }
 
 // validateNumbers returns an error that names the first number that is negative or not finite.
@@ -186,25 +186,25 @@
 }
 
 // validateSizes checks a budget's sizes against each other and against sessions, renewals and clocks.
-func (d *Config) validateSizes(b *Budget) error {
-	total, n := d.EffectiveLimit(b), float64(d.MaxSessions)
+func (c *Config) validateSizes(b *Budget) error {
+	total, n := c.EffectiveLimit(b), float64(c.MaxSessions)
 	switch {
 	case b.IsConcurrencyLimit() && (b.Burst != 0 || b.FloorBurst != 0):
 		return fmt.Errorf("burst: a stock has none")
 	case b.IsConcurrencyLimit() && (b.FloorRate != math.Floor(b.FloorRate) || b.Capacity != math.Floor(b.Capacity)):
 		return fmt.Errorf("whole: a stock and its least are whole numbers")
-	case b.IsConcurrencyLimit() && b.LingerMs < 2*d.RenewIntervalMs:
+	case b.IsConcurrencyLimit() && b.LingerMs < 2*c.RenewIntervalMs:
 		return fmt.Errorf("linger_ms: %d: a stock needs how long what a dead member has out lasts at its target, two renewals at least", b.LingerMs)
-	case b.IsConcurrencyLimit() && d.AllocationTTL()+b.Linger() > d.SessionTTL():
+	case b.IsConcurrencyLimit() && c.AllocationTTL()+b.Linger() > c.SessionTTL():
 		return fmt.Errorf("linger_ms: %d and a part are longer than a seat", b.LingerMs)
 	case !b.IsConcurrencyLimit() && b.LingerMs != 0:
 		return fmt.Errorf("linger_ms: a rate has none")
 	case !b.IsConcurrencyLimit() && total.Burst < 1:
 		return fmt.Errorf("burst: %v holds no unit beyond the %v that permits may take along", b.Burst, b.Capacity*MaxTransit.Seconds())
 	case n*b.FloorRate > total.Rate:
-		return fmt.Errorf("least: %d floors of %v sum to %v, more than the whole less the clocks' bound, %.4g", d.MaxSessions, b.FloorRate, n*b.FloorRate, total.Rate)
+		return fmt.Errorf("least: %d floors of %v sum to %v, more than the whole less the clocks' bound, %.4g", c.MaxSessions, b.FloorRate, n*b.FloorRate, total.Rate)
 	case !b.IsConcurrencyLimit() && n*b.FloorBurst > total.Burst:
-		return fmt.Errorf("least_burst: %d of %v sum to more than the burst, %.4g", d.MaxSessions, b.FloorBurst, total.Burst)
+		return fmt.Errorf("least_burst: %d of %v sum to more than the burst, %.4g", c.MaxSessions, b.FloorBurst, total.Burst)
 	case !b.IsConcurrencyLimit() && b.FloorRate > 0 && b.FloorBurst < 1:
 		return fmt.Errorf("least_burst: %v holds no unit, so that the floor could never be used", b.FloorBurst)
 	}
@@ -214,19 +214,19 @@
 // ValidateChange reports whether the config may replace before while there are members. A member that
 // is cut off goes on with the old one, so floors, sessions and times must stay, and no budget may be
 // removed.
-func (d *Config) ValidateChange(before *Config) error {
+func (c *Config) ValidateChange(before *Config) error {
 	switch {
-	case d.MaxSessions != before.MaxSessions:
+	case c.MaxSessions != before.MaxSessions:
 		return fmt.Errorf("seats: can't be changed while there are members")
-	case d.AllocationTTLMs != before.AllocationTTLMs:
+	case c.AllocationTTLMs != before.AllocationTTLMs:
 		return fmt.Errorf("part_ms: can't be changed while there are members")
-	case d.SessionTTLS != before.SessionTTLS:
+	case c.SessionTTLS != before.SessionTTLS:
 		return fmt.Errorf("seat_s: can't be changed while there are members")
-	case d.ClockPPM != before.ClockPPM:
+	case c.ClockPPM != before.ClockPPM:
 		return fmt.Errorf("clock_ppm: can't be changed while there are members")
 	}
 	for _, old := range before.Budgets {
-		b := d.Budget(old.Name)
+		b := c.Budget(old.Name)
 		if b == nil {
 			return fmt.Errorf("budget: %q can't be taken away while there are members", old.Name)
 		}
--- a/internal/controlplane/quota/quotaclient/bucket.go
+++ b/internal/controlplane/quota/quotaclient/bucket.go
@@ -23,35 +23,35 @@
 
 // lookup returns the state of a limit, created at first use with a bucket that has filled at the
 // floor's rate since the join. known is false if too many limits are kept already.
-func (h *Client) lookup(now time.Duration, k quota.Key) (x allocation, known bool) {
-	if x, known = h.allocations[k]; !known && len(h.allocations) < quota.MaxKeys {
-		x, known = allocation{tokensAt: h.registeredAt, lastUsedAt: now}, true
-		h.allocations[k] = x
+func (c *Client) lookup(now time.Duration, k quota.Key) (alloc allocation, known bool) {
+	if alloc, known = c.allocations[k]; !known && len(c.allocations) < quota.MaxKeys {
+		alloc, known = allocation{tokensAt: c.registeredAt, lastUsedAt: now}, true
+		c.allocations[k] = alloc
 	}
-	return x, known
+	return alloc, known
 }
 
 // refillAll brings all buckets up to now, before the config changes.
-func (h *Client) refillAll(now time.Duration) {
-	for k, x := range h.allocations {
-		if b := h.config.Budget(k.Budget); b != nil {
-			h.allocations[k] = h.refill(b, x, now)
+func (c *Client) refillAll(now time.Duration) {
+	for k, alloc := range c.allocations {
+		if b := c.config.Budget(k.Budget); b != nil {
+			c.allocations[k] = c.refill(b, alloc, now)
 		}
 	}
 }
 
 // grantedNow is the allocation beyond the floor that is valid now.
-func (h *Client) grantedNow(x allocation, now time.Duration) quota.Amount {
-	if h.registered && now < x.grantedUntil {
-		return x.granted
+func (c *Client) grantedNow(alloc allocation, now time.Duration) quota.Amount {
+	if c.registered && now < alloc.grantedUntil {
+		return alloc.granted
 	}
 	return quota.Amount{}
 }
 
 // limitNow is what may be used now: the floor and the allocation.
-func (h *Client) limitNow(b *quota.Budget, x allocation, now time.Duration) quota.Amount {
-	a := h.grantedNow(x, now)
-	if h.Registered(now) {
+func (c *Client) limitNow(b *quota.Budget, alloc allocation, now time.Duration) quota.Amount {
+	a := c.grantedNow(alloc, now)
+	if c.Registered(now) {
 		a.Rate += b.FloorRate
 		a.Burst += b.FloorBurst
 	}
@@ -59,31 +59,31 @@
 }
 
 // burstNow is the capacity of the bucket now.
-func (h *Client) burstNow(b *quota.Budget, x allocation, now time.Duration) float64 {
-	return h.limitNow(b, x, now).Burst
+func (c *Client) burstNow(b *quota.Budget, alloc allocation, now time.Duration) float64 {
+	return c.limitNow(b, alloc, now).Burst
 }
 
 // refill brings a bucket up to now, piecewise over the ends of allocation and session.
-func (h *Client) refill(b *quota.Budget, x allocation, now time.Duration) allocation {
-	for x.tokensAt < now {
+func (c *Client) refill(b *quota.Budget, alloc allocation, now time.Duration) allocation {
+	for alloc.tokensAt < now {
 		to := now
-		for _, end := range []time.Duration{x.grantedUntil, h.sessionEnd} {
-			if x.tokensAt < end && end < to {
+		for _, end := range []time.Duration{alloc.grantedUntil, c.sessionEnd} {
+			if alloc.tokensAt < end && end < to {
 				to = end
 			}
 		}
-		a := h.limitNow(b, x, x.tokensAt)
-		x.tokens = min(a.Burst, x.tokens+a.Rate*(to-x.tokensAt).Seconds())
-		x.tokensAt = to
+		a := c.limitNow(b, alloc, alloc.tokensAt)
+		alloc.tokens = min(a.Burst, alloc.tokens+a.Rate*(to-alloc.tokensAt).Seconds())
+		alloc.tokensAt = to
 	}
-	x.tokens = min(x.tokens, h.burstNow(b, x, now))
-	return x
+	alloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now))
+	return alloc
 }
 
 // inUse is how many units of a concurrency limit are in use.
-func (h *Client) inUse(b *quota.Budget, k quota.Key) float64 {
+func (c *Client) inUse(b *quota.Budget, k quota.Key) float64 {
 	if b.IsConcurrencyLimit() {
-		return h.openConnections[k.Key]
+		return c.openConnections[k.Key]
 	}
 	return 0
 }
--- a/internal/controlplane/quota/quotaclient/client.go
+++ b/internal/controlplane/quota/quotaclient/client.go
@@ -50,39 +50,39 @@
 // New returns a client without a session. The governed resources are blocked until the budgets are
 // known.
 func New(governed []quota.Resource) *Client {
-	h := &Client{governed: map[quota.Resource]bool{}, allocations: map[quota.Key]allocation{}, openConnections: map[string]float64{}}
-	for _, u := range governed {
-		h.governed[u] = true
+	c := &Client{governed: map[quota.Resource]bool{}, allocations: map[quota.Key]allocation{}, openConnections: map[string]float64{}}
+	for _, r := range governed {
+		c.governed[r] = true
 	}
-	return h
+	return c
 }
 
 // Register takes over a new session; startedAt is when the join was started. Buckets start empty (step
 // 8).
-func (h *Client) Register(startedAt time.Duration, id string, config quota.Config) {
-	h.memberID, h.config, h.hasConfig, h.registered, h.leaving = id, config, true, true, false
-	h.registeredAt, h.sessionEnd = startedAt, startedAt+config.SessionTTL()
-	h.allocations = map[quota.Key]allocation{}
-	h.lastSeq, h.wantsComputedAt = 0, startedAt
+func (c *Client) Register(startedAt time.Duration, id string, config quota.Config) {
+	c.memberID, c.config, c.hasConfig, c.registered, c.leaving = id, config, true, true, false
+	c.registeredAt, c.sessionEnd = startedAt, startedAt+config.SessionTTL()
+	c.allocations = map[quota.Key]allocation{}
+	c.lastSeq, c.wantsComputedAt = 0, startedAt
 }
 
 // Unregister gives up the session: the agents do not know it.
-func (h *Client) Unregister() {
-	h.registered = false
-	h.allocations = map[quota.Key]allocation{}
+func (c *Client) Unregister() {
+	c.registered = false
+	c.allocations = map[quota.Key]allocation{}
 }
 
 // Leave gives up everything for good. Nothing is used from now on, so the agents may be told.
-func (h *Client) Leave() {
-	h.Unregister()
-	h.leaving = true
+func (c *Client) Leave() {
+	c.Unregister()
+	c.leaving = true
 }
 
 // Registered reports whether there is a session at that moment.
-func (h *Client) Registered(now time.Duration) bool { return h.registered && now < h.sessionEnd }
+func (c *Client) Registered(now time.Duration) bool { return c.registered && now < c.sessionEnd }
 
 // MemberID is the id of the session.
-func (h *Client) MemberID() string { return h.memberID }
+func (c *Client) MemberID() string { return c.memberID }
 
 // SessionEnd is when the session ends, or ended.
-func (h *Client) SessionEnd() time.Duration { return h.sessionEnd }
+func (c *Client) SessionEnd() time.Duration { return c.sessionEnd }
--- a/internal/controlplane/quota/quotaclient/connections.go
+++ b/internal/controlplane/quota/quotaclient/connections.go
@@ -9,21 +9,21 @@
 
 // connectionLimit is the smallest limit of any budget on connections to a target. governed is false if
 // there is none.
-func (h *Client) connectionLimit(now time.Duration, target string) (limit float64, governed bool) {
-	if h.blocked(quota.Connections) {
+func (c *Client) connectionLimit(now time.Duration, target string) (limit float64, governed bool) {
+	if c.blocked(quota.Connections) {
 		return 0, true
 	}
-	if !h.hasConfig {
+	if !c.hasConfig {
 		return 0, false
 	}
 	limit = math.Inf(1)
-	for i := range h.config.Budgets {
-		if b := &h.config.Budgets[i]; b.IsConcurrencyLimit() && b.Covers(quota.Reservation{Resource: b.Resource, Target: target}) {
-			x, known := h.lookup(now, quota.Key{Budget: b.Name, Key: target})
+	for i := range c.config.Budgets {
+		if b := &c.config.Budgets[i]; b.IsConcurrencyLimit() && b.Covers(quota.Reservation{Resource: b.Resource, Target: target}) {
+			alloc, known := c.lookup(now, quota.Key{Budget: b.Name, Key: target})
 			if governed = true; !known {
 				return 0, true
 			}
-			limit = min(limit, h.limitNow(b, x, now).Rate)
+			limit = min(limit, c.limitNow(b, alloc, now).Rate)
 		}
 	}
 	return limit, governed
@@ -31,49 +31,49 @@
 
 // OpenConnection counts a new connection to a target, and reports false if the limit does not allow it
 // (step 10).
-func (h *Client) OpenConnection(now time.Duration, target string) bool {
-	limit, governed := h.connectionLimit(now, target)
-	full := governed && h.openConnections[target]+1 > limit+roundingSlack
+func (c *Client) OpenConnection(now time.Duration, target string) bool {
+	limit, governed := c.connectionLimit(now, target)
+	full := governed && c.openConnections[target]+1 > limit+roundingSlack
 	if !full {
-		h.openConnections[target]++
+		c.openConnections[target]++
 	}
-	if !h.hasConfig {
+	if !c.hasConfig {
 		return !full
 	}
-	for i := range h.config.Budgets {
-		b, k := &h.config.Budgets[i], quota.Key{Budget: h.config.Budgets[i].Name, Key: target}
-		x, known := h.allocations[k]
+	for i := range c.config.Budgets {
+		b, k := &c.config.Budgets[i], quota.Key{Budget: c.config.Budgets[i].Name, Key: target}
+		alloc, known := c.allocations[k]
 		if !b.IsConcurrencyLimit() || !known {
 			continue
 		}
-		x.lastUsedAt, x.peakInUse = now, max(x.peakInUse, h.openConnections[target])
+		alloc.lastUsedAt, alloc.peakInUse = now, max(alloc.peakInUse, c.openConnections[target])
 		if full {
-			x.largestDenied, h.denied = max(x.largestDenied, h.openConnections[target]+1), true
+			alloc.largestDenied, c.denied = max(alloc.largestDenied, c.openConnections[target]+1), true
 		}
-		h.allocations[k] = x
+		c.allocations[k] = alloc
 	}
 	return !full
 }
 
 // CloseConnection counts a connection that has ended.
-func (h *Client) CloseConnection(target string) {
-	if h.openConnections[target]--; h.openConnections[target] <= 0 {
-		delete(h.openConnections, target)
+func (c *Client) CloseConnection(target string) {
+	if c.openConnections[target]--; c.openConnections[target] <= 0 {
+		delete(c.openConnections, target)
 	}
 }
 
 // ExcessConnections is how many connections to a target exceed the limit and have to be closed.
-func (h *Client) ExcessConnections(now time.Duration, target string) int {
-	limit, governed := h.connectionLimit(now, target)
+func (c *Client) ExcessConnections(now time.Duration, target string) int {
+	limit, governed := c.connectionLimit(now, target)
 	if !governed {
 		return 0
 	}
-	return int(max(0, math.Ceil(h.openConnections[target]-limit-roundingSlack)))
+	return int(max(0, math.Ceil(c.openConnections[target]-limit-roundingSlack)))
 }
 
 // OpenConnections is the number of open connections to all targets.
-func (h *Client) OpenConnections() (n int) {
-	for _, x := range h.openConnections {
+func (c *Client) OpenConnections() (n int) {
+	for _, x := range c.openConnections {
 		n += int(x)
 	}
 	return n
--- a/internal/controlplane/quota/quotaclient/reserve.go
+++ b/internal/controlplane/quota/quotaclient/reserve.go
@@ -8,76 +8,76 @@
 
 // blocked reports whether a resource must not be used: it is governed and the budgets are unknown, or
 // the client leaves.
-func (h *Client) blocked(u quota.Resource) bool { return h.governed[u] && !h.hasConfig || h.leaving }
+func (c *Client) blocked(r quota.Resource) bool { return c.governed[r] && !c.hasConfig || c.leaving }
 
 // Wait returns the least time until the reservation may be made; 0: now. governed is false if no
 // budget covers it. For a concurrency limit, Units is how many would be in use.
-func (h *Client) Wait(now time.Duration, d quota.Reservation) (wait time.Duration, governed bool) {
+func (c *Client) Wait(now time.Duration, r quota.Reservation) (wait time.Duration, governed bool) {
 	const poll = 50 * time.Millisecond
-	if h.blocked(d.Resource) {
+	if c.blocked(r.Resource) {
 		return poll, true
 	}
-	if !h.hasConfig {
+	if !c.hasConfig {
 		return 0, false
 	}
-	for i := range h.config.Budgets {
-		b := &h.config.Budgets[i]
-		if !b.Covers(d) {
+	for i := range c.config.Budgets {
+		b := &c.config.Budgets[i]
+		if !b.Covers(r) {
 			continue
 		}
 		governed = true
-		k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
-		x, known := h.lookup(now, k)
+		k := quota.Key{Budget: b.Name, Key: b.KeyOf(r)}
+		alloc, known := c.lookup(now, k)
 		if !known {
 			wait = max(wait, poll)
 			continue
 		}
-		x = h.refill(b, x, now)
-		a := h.limitNow(b, x, now)
-		lack := d.Units - x.tokens
+		alloc = c.refill(b, alloc, now)
+		a := c.limitNow(b, alloc, now)
+		lack := r.Units - alloc.tokens
 		if b.IsConcurrencyLimit() {
-			lack = d.Units - a.Rate
+			lack = r.Units - a.Rate
 		}
 		if lack > roundingSlack {
-			x.largestDenied, x.lastUsedAt, h.denied = max(x.largestDenied, d.Units), now, true
+			alloc.largestDenied, alloc.lastUsedAt, c.denied = max(alloc.largestDenied, r.Units), now, true
 			next := poll
-			if !b.IsConcurrencyLimit() && a.Burst >= d.Units {
+			if !b.IsConcurrencyLimit() && a.Burst >= r.Units {
 				next = min(time.Duration(lack/a.Rate*float64(time.Second))+1, time.Second)
 			}
 			wait = max(wait, next)
 		}
-		h.allocations[k] = x
+		c.allocations[k] = alloc
 	}
 	return wait, governed
 }
 
 // Reserve makes reservations that Wait allowed at this moment, and returns until when they are valid:
 // the first byte has to leave by then (step 9).
-func (h *Client) Reserve(now time.Duration, draws ...quota.Reservation) (until time.Duration) {
+func (c *Client) Reserve(now time.Duration, draws ...quota.Reservation) (until time.Duration) {
 	until = now + quota.MaxTransit
-	for _, d := range draws {
-		if !h.hasConfig {
+	for _, r := range draws {
+		if !c.hasConfig {
 			continue
 		}
-		for i := range h.config.Budgets {
-			b := &h.config.Budgets[i]
-			if !b.Covers(d) || b.IsConcurrencyLimit() {
+		for i := range c.config.Budgets {
+			b := &c.config.Budgets[i]
+			if !b.Covers(r) || b.IsConcurrencyLimit() {
 				continue
 			}
-			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d)}
-			x, known := h.lookup(now, k)
+			k := quota.Key{Budget: b.Name, Key: b.KeyOf(r)}
+			alloc, known := c.lookup(now, k)
 			if !known {
 				return now - 1 // invalid
 			}
-			x = h.refill(b, x, now)
-			x.tokens -= d.Units
-			x.usedSinceRenewal += d.Units
-			x.lastUsedAt = now
-			h.allocations[k] = x
-			if now < x.grantedUntil {
-				until = min(until, x.grantedUntil)
+			alloc = c.refill(b, alloc, now)
+			alloc.tokens -= r.Units
+			alloc.usedSinceRenewal += r.Units
+			alloc.lastUsedAt = now
+			c.allocations[k] = alloc
+			if now < alloc.grantedUntil {
+				until = min(until, alloc.grantedUntil)
 			}
-			until = min(until, h.sessionEnd)
+			until = min(until, c.sessionEnd)
 		}
 	}
 	return until
--- a/internal/controlplane/quota/quotaclient/status.go
+++ b/internal/controlplane/quota/quotaclient/status.go
@@ -21,34 +21,34 @@
 }
 
 // Status returns all known limits in order of their keys.
-func (h *Client) Status(now time.Duration) []AllocationStatus {
+func (c *Client) Status(now time.Duration) []AllocationStatus {
 	var all []AllocationStatus
-	for _, k := range slices.SortedFunc(maps.Keys(h.allocations), func(a, b quota.Key) int {
+	for _, k := range slices.SortedFunc(maps.Keys(c.allocations), func(a, b quota.Key) int {
 		return cmp.Or(cmp.Compare(a.Budget, b.Budget), cmp.Compare(a.Key, b.Key))
 	}) {
-		b := h.config.Budget(k.Budget)
+		b := c.config.Budget(k.Budget)
 		if b == nil {
 			continue
 		}
-		x := h.refill(b, h.allocations[k], now)
-		all = append(all, AllocationStatus{k, h.limitNow(b, x, now), x.grantedUntil, x.tokens, h.inUse(b, k), x.wanted, x.usedRate})
+		alloc := c.refill(b, c.allocations[k], now)
+		all = append(all, AllocationStatus{k, c.limitNow(b, alloc, now), alloc.grantedUntil, alloc.tokens, c.inUse(b, k), alloc.wanted, alloc.usedRate})
 	}
 	return all
 }
 
 // ConfigVersion is the version of the config in use; 0: none is known.
-func (h *Client) ConfigVersion() uint64 {
-	if !h.hasConfig {
+func (c *Client) ConfigVersion() uint64 {
+	if !c.hasConfig {
 		return 0
 	}
-	return h.config.Version
+	return c.config.Version
 }
 
 // Limit is what may be used of one limit at a moment, floor and allocation.
-func (h *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
-	b := h.config.Budget(k.Budget)
-	if !h.hasConfig || b == nil {
+func (c *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
+	b := c.config.Budget(k.Budget)
+	if !c.hasConfig || b == nil {
 		return quota.Amount{}
 	}
-	return h.limitNow(b, h.allocations[k], now)
+	return c.limitNow(b, c.allocations[k], now)
 }
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -7,21 +7,21 @@
 )
 
 // Tell writes the metrics of the quotas.
-func (r *Session) Tell(to statsd.ExtendedStatSender) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (s *Session) Tell(to statsd.ExtendedStatSender) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	now := monotone.Now()
 	seated := int64(0)
-	if r.client.Registered(now) {
+	if s.client.Registered(now) {
 		seated = 1
 	}
 	to.Gauge("fleet.seated", seated, 1)
-	to.Gauge("fleet.version", int64(r.client.ConfigVersion()), 1)
-	to.Inc("fleet.renewals.taken", r.counts.renewed, 1)
-	to.Inc("fleet.renewals.failed", r.counts.failed, 1)
-	to.Inc("fleet.denied", r.counts.denied, 1)
-	to.Inc("fleet.lapsed", r.counts.lapsed, 1)
-	for _, x := range r.client.Status(now) {
+	to.Gauge("fleet.version", int64(s.client.ConfigVersion()), 1)
+	to.Inc("fleet.renewals.taken", s.counts.renewed, 1)
+	to.Inc("fleet.renewals.failed", s.counts.failed, 1)
+	to.Inc("fleet.denied", s.counts.denied, 1)
+	to.Inc("fleet.lapsed", s.counts.lapsed, 1)
+	for _, x := range s.client.Status(now) {
 		name := "fleet." + x.Budget
 		if x.Key.Key != "" {
 			name += "." + x.Key.Key
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -9,33 +9,33 @@
 )
 
 // toReservation converts the scheduler's reservation to the fleet's.
-func toReservation(d policy.Reservation) quota.Reservation {
+func toReservation(res policy.Reservation) quota.Reservation {
 	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries,
-		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[d.Resource]
-	return quota.Reservation{Resource: use, Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
+		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[res.Resource]
+	return quota.Reservation{Resource: use, Target: res.Endpoint, Plan: res.Plan, Class: res.Class, Units: res.Units}
 }
 
 // Wait implements policy.Quota.
-func (r *Session) Wait(d policy.Reservation) (time.Duration, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	wait, governed := r.client.Wait(monotone.Now(), toReservation(d))
+func (s *Session) Wait(res policy.Reservation) (time.Duration, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	wait, governed := s.client.Wait(monotone.Now(), toReservation(res))
 	if wait > 0 {
-		r.counts.denied++
-		r.wakeRenewal()
+		s.counts.denied++
+		s.wakeRenewal()
 	}
 	return wait, governed
 }
 
 // Reserve implements policy.Quota. The permit is valid as long as the allocation that it uses.
-func (r *Session) Reserve(draws []policy.Reservation) policy.Permit {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+func (s *Session) Reserve(draws []policy.Reservation) policy.Permit {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	all := make([]quota.Reservation, len(draws))
-	for i, d := range draws {
-		all[i] = toReservation(d)
+	for i, res := range draws {
+		all[i] = toReservation(res)
 	}
-	return permit{r, r.client.Reserve(monotone.Now(), all...)}
+	return permit{s, s.client.Reserve(monotone.Now(), all...)}
 }
 
 // permit is what a send may use, until a time on the monotonic clock.
@@ -56,27 +56,27 @@
 }
 
 // Open counts a new connection to a target, and reports false if the limit does not allow it.
-func (r *Session) Open(target string) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	ok := r.client.OpenConnection(monotone.Now(), target)
+func (s *Session) Open(target string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	ok := s.client.OpenConnection(monotone.Now(), target)
 	if !ok {
-		r.counts.denied++
-		r.wakeRenewal()
+		s.counts.denied++
+		s.wakeRenewal()
 	}
 	return ok
 }
 
 // Close counts a connection that has ended.
-func (r *Session) Close(target string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.client.CloseConnection(target)
+func (s *Session) Close(target string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.client.CloseConnection(target)
 }
 
 // Over is how many connections to a target have to be closed.
-func (r *Session) Over(target string) int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.client.ExcessConnections(monotone.Now(), target)
+func (s *Session) Over(target string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.client.ExcessConnections(monotone.Now(), target)
 }
--- a/internal/controlplane/quota/quotasession/session.go
+++ b/internal/controlplane/quota/quotasession/session.go
@@ -57,28 +57,28 @@
 }
 
 // ReachableAgent is an agent that answered recently; empty: none did.
-func (r *Session) ReachableAgent() string { return r.agents.LastAnswered(agentFreshness) }
+func (s *Session) ReachableAgent() string { return s.agents.LastAnswered(agentFreshness) }
 
 // OnChange sets what is called when allocations have changed. It must be called before Run.
-func (r *Session) OnChange(f func()) { r.onChange = f }
+func (s *Session) OnChange(f func()) { s.onChange = f }
 
 // wakeRenewal has a renewal sent early if the client wants one. The caller holds mu.
-func (r *Session) wakeRenewal() {
-	if r.client.HasUnmetDemand() {
+func (s *Session) wakeRenewal() {
+	if s.client.HasUnmetDemand() {
 		select {
-		case r.wake <- struct{}{}:
+		case s.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
 // RenewNow has the next renewal sent at once.
-func (r *Session) RenewNow() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.renewNow = true
+func (s *Session) RenewNow() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.renewNow = true
 	select {
-	case r.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
--- a/internal/controlplane/readindex/queue.go
+++ b/internal/controlplane/readindex/queue.go
@@ -21,48 +21,48 @@
 
 // Add holds an answer that was decided in that term. A round that is already running may have been
 // answered before, so the next one counts.
-func (d *Queue[T]) Add(term uint64, it T) {
-	d.waiting = append(d.waiting, pendingAnswer[T]{d.roundNumber + 1, term, it})
+func (q *Queue[T]) Add(term uint64, it T) {
+	q.waiting = append(q.waiting, pendingAnswer[T]{q.roundNumber + 1, term, it})
 }
 
 // StartRound reports whether a round of questions has to be started now, for the term that the agent
 // leads in, and its number.
-func (d *Queue[T]) StartRound(term uint64) (round uint64, due bool) {
-	if d.roundPending || len(d.waiting) == 0 {
-		return d.roundNumber, false
+func (q *Queue[T]) StartRound(term uint64) (round uint64, due bool) {
+	if q.roundPending || len(q.waiting) == 0 {
+		return q.roundNumber, false
 	}
-	d.roundNumber++
-	d.roundTerm, d.roundPending = term, true
-	return d.roundNumber, true
+	q.roundNumber++
+	q.roundTerm, q.roundPending = term, true
+	return q.roundNumber, true
 }
 
 // FinishRound ends a round and returns the answers that it decides on: done may be sent if the
 // majority agreed. No round confirms an answer of another term, as of an agent that led before, lost
 // its leadership and leads again: those are void.
-func (d *Queue[T]) FinishRound(round uint64) (done, void []T) {
-	if round != d.roundNumber || !d.roundPending {
+func (q *Queue[T]) FinishRound(round uint64) (done, void []T) {
+	if round != q.roundNumber || !q.roundPending {
 		return nil, nil
 	}
-	d.roundPending = false
-	kept := d.waiting[:0]
-	for _, w := range d.waiting {
+	q.roundPending = false
+	kept := q.waiting[:0]
+	for _, p := range q.waiting {
 		switch {
-		case w.confirmedBy > round:
-			kept = append(kept, w)
-		case w.term == d.roundTerm:
-			done = append(done, w.answer)
+		case p.confirmedBy > round:
+			kept = append(kept, p)
+		case p.term == q.roundTerm:
+			done = append(done, p.answer)
 		default:
-			void = append(void, w.answer)
+			void = append(void, p.answer)
 		}
 	}
-	d.waiting = kept
+	q.waiting = kept
 	return done, void
 }
 
 // Waiting returns all answers that are held.
-func (d *Queue[T]) Waiting() (all []T) {
-	for _, w := range d.waiting {
-		all = append(all, w.answer)
+func (q *Queue[T]) Waiting() (all []T) {
+	for _, p := range q.waiting {
+		all = append(all, p.answer)
 	}
 	return all
 }
--- a/internal/controlplane/readindex/queue_test.go
+++ b/internal/controlplane/readindex/queue_test.go
@@ -7,28 +7,28 @@
 
 // TestDesk keeps decisions back until a question that was asked after them, in their own term, is answered.
 func TestDesk(t *testing.T) {
-	var d Queue[string]
-	if _, due := d.StartRound(5); due {
+	var q Queue[string]
+	if _, due := q.StartRound(5); due {
 		t.Error("a question that nobody waits for")
 	}
-	d.Add(5, "a")
-	first, due := d.StartRound(5)
+	q.Add(5, "a")
+	first, due := q.StartRound(5)
 	if !due {
 		t.Fatal("no question")
 	}
-	d.Add(5, "b") // may have come after the answer
-	if _, due := d.StartRound(5); due {
+	q.Add(5, "b") // may have come after the answer
+	if _, due := q.StartRound(5); due {
 		t.Error("two questions at a time")
 	}
-	if done, void := d.FinishRound(first); !slices.Equal(done, []string{"a"}) || void != nil {
+	if done, void := q.FinishRound(first); !slices.Equal(done, []string{"a"}) || void != nil {
 		t.Errorf("first: %v, %v void", done, void)
 	}
-	d.Add(7, "c")
-	second, _ := d.StartRound(7) // the agent has lost its lead and leads again
-	if done, void := d.FinishRound(second); !slices.Equal(done, []string{"c"}) || !slices.Equal(void, []string{"b"}) {
+	q.Add(7, "c")
+	second, _ := q.StartRound(7) // the agent has lost its lead and leads again
+	if done, void := q.FinishRound(second); !slices.Equal(done, []string{"c"}) || !slices.Equal(void, []string{"b"}) {
 		t.Errorf("of another term: %v, %v void", done, void)
 	}
-	if done, void := d.FinishRound(second); done != nil || void != nil || len(d.Waiting()) != 0 {
+	if done, void := q.FinishRound(second); done != nil || void != nil || len(q.Waiting()) != 0 {
 		t.Errorf("heard twice: %v, %v void", done, void)
 	}
 }
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -9,25 +9,25 @@
 
 // SetLeaseConfig takes over a set of tasks; its version is the log index. Leases are added and removed
 // with their shards. An error changes nothing.
-func (r *Registry) SetLeaseConfig(index uint64, d lease.Config) error {
+func (r *Registry) SetLeaseConfig(index uint64, c lease.Config) error {
 	if r.QuotaConfig.Version == 0 {
 		return quota.ErrNoBudgets
 	}
-	if err := d.Validate(&r.QuotaConfig); err != nil {
+	if err := c.Validate(&r.QuotaConfig); err != nil {
 		return err
 	}
 	held := func(task string) bool {
 		return slices.ContainsFunc(r.Leases, func(l lease.Lease) bool { return l.Task == task && l.Holder != "" })
 	}
-	if err := d.ValidateChange(&r.LeaseConfig, held); err != nil {
+	if err := c.ValidateChange(&r.LeaseConfig, held); err != nil {
 		return err
 	}
-	d.Version = index
-	r.LeaseConfig = d
+	c.Version = index
+	r.LeaseConfig = c
 	var all []lease.Lease
-	for i := range d.Tasks {
-		for shard := range d.Tasks[i].Shards {
-			k := lease.Key{Task: d.Tasks[i].Name, Shard: shard}
+	for i := range c.Tasks {
+		for shard := range c.Tasks[i].Shards {
+			k := lease.Key{Task: c.Tasks[i].Name, Shard: shard}
 			l := lease.Lease{Key: k, ChangedIndex: index}
 			if had := r.Lease(k); had != nil {
 				l = *had
@@ -53,39 +53,39 @@
 // token that a guarded resource was shown: the next grant gets a greater one.
 func (r *Registry) ApplyEvents(index, seen uint64, orders []lease.Event) (done []lease.Event) {
 	r.LastToken = max(r.LastToken, seen)
-	for _, o := range orders {
-		l := r.Lease(o.Key)
-		if l == nil || l.Token != o.ExpectedToken {
+	for _, e := range orders {
+		l := r.Lease(e.Key)
+		if l == nil || l.Token != e.ExpectedToken {
 			continue
 		}
-		member := r.memberIndex(o.Member) >= 0
-		switch o.Kind {
+		member := r.memberIndex(e.Member) >= 0
+		switch e.Kind {
 		case lease.EventGrant:
 			if !member {
 				continue
 			}
 			r.LastToken = max(r.LastToken+1, index) // step 3
 			pin := ""
-			if l.PinnedTo == o.Member {
-				pin = o.Member
+			if l.PinnedTo == e.Member {
+				pin = e.Member
 			}
-			*l = lease.Lease{Key: l.Key, Token: r.LastToken, Holder: o.Member, PinnedTo: pin}
+			*l = lease.Lease{Key: l.Key, Token: r.LastToken, Holder: e.Member, PinnedTo: pin}
 		case lease.EventPlan:
-			if !member && o.Member != lease.AnyMember {
+			if !member && e.Member != lease.AnyMember {
 				continue
 			}
-			l.NextHolder = o.Member
-			if o.Pinned {
+			l.NextHolder = e.Member
+			if e.Pinned {
 				l.PinnedTo = ""
 				if member {
-					l.PinnedTo = o.Member
+					l.PinnedTo = e.Member
 				}
 			}
 		case lease.EventRelease:
 			l.Holder, l.NextHolder = "", ""
 		}
 		l.ChangedIndex = index
-		done = append(done, o)
+		done = append(done, e)
 	}
 	return done
 }
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -29,20 +29,20 @@
 }
 
 // SetQuotaConfig takes over a set of budgets; its version is the log index. An error changes nothing.
-func (r *Registry) SetQuotaConfig(index uint64, d quota.Config) error {
-	if err := d.Validate(); err != nil {
+func (r *Registry) SetQuotaConfig(index uint64, c quota.Config) error {
+	if err := c.Validate(); err != nil {
 		return err
 	}
 	if len(r.Members) > 0 {
-		if err := d.ValidateChange(&r.QuotaConfig); err != nil {
+		if err := c.ValidateChange(&r.QuotaConfig); err != nil {
 			return err
 		}
 	}
-	if err := r.LeaseConfig.Validate(&d); err != nil { // Validate fills in defaults only, so the tasks stay as they are
+	if err := r.LeaseConfig.Validate(&c); err != nil { // Validate fills in defaults only, so the tasks stay as they are
 		return err
 	}
-	d.Version = index
-	r.QuotaConfig = d
+	c.Version = index
+	r.QuotaConfig = c
 	return nil
 }
 
--- a/internal/controlplane/watchstream/ack_tracker.go
+++ b/internal/controlplane/watchstream/ack_tracker.go
@@ -86,88 +86,88 @@
 // Rejections returns the rejected reports by reason.
 func (t *AckTracker) Rejections() map[Reason]uint64 {
 	c := make(map[Reason]uint64, len(t.rejections))
-	for k, n := range t.rejections {
-		c[k] = n
+	for reason, n := range t.rejections {
+		c[reason] = n
 	}
 	return c
 }
 
 // AddReport processes a relay's report. An error means that nothing has changed.
-func (t *AckTracker) AddReport(now time.Duration, r Report) (ReportResponse, error) {
-	a, err := t.addReport(now, r)
+func (t *AckTracker) AddReport(now time.Duration, report Report) (ReportResponse, error) {
+	resp, err := t.addReport(now, report)
 	if e := (*RejectedError)(nil); errors.As(err, &e) {
 		t.rejections[e.Reason]++
 	}
-	return a, err
+	return resp, err
 }
 
-func (t *AckTracker) addReport(now time.Duration, r Report) (ReportResponse, error) {
-	if err := r.Validate(); err != nil {
+func (t *AckTracker) addReport(now time.Duration, report Report) (ReportResponse, error) {
+	if err := report.Validate(); err != nil {
 		return ReportResponse{}, err
 	}
-	was := t.relays[r.Relay]
+	was := t.relays[report.Relay]
 	switch {
-	case r.Fleet != t.fleet:
-		return ReportResponse{}, reject(ReasonForeignFleet, "the report is of fleet %q, and this is %q", r.Fleet, t.fleet)
-	case was != nil && (r.Incarnation < was.Incarnation || r.Incarnation == was.Incarnation && r.Seq <= was.Seq):
-		return ReportResponse{}, reject(ReasonStale, "report %d of life %d: %d of %d was taken", r.Seq, r.Incarnation, was.Seq, was.Incarnation)
-	case !r.Full && (was == nil || was.Incarnation != r.Incarnation || r.Base > was.UpTo):
-		return ReportResponse{Incarnation: r.Incarnation, WantFull: true}, nil
+	case report.Fleet != t.fleet:
+		return ReportResponse{}, reject(ReasonForeignFleet, "the report is of fleet %q, and this is %q", report.Fleet, t.fleet)
+	case was != nil && (report.Incarnation < was.Incarnation || report.Incarnation == was.Incarnation && report.Seq <= was.Seq):
+		return ReportResponse{}, reject(ReasonStale, "report %d of life %d: %d of %d was taken", report.Seq, report.Incarnation, was.Seq, was.Incarnation)
+	case !report.Full && (was == nil || was.Incarnation != report.Incarnation || report.Base > was.UpTo):
+		return ReportResponse{Incarnation: report.Incarnation, WantFull: true}, nil
 	}
 	if t.firstReportAt == 0 {
 		t.firstReportAt = max(now, 1)
 	}
-	if r.Full && was != nil { // a reader that is missing was last heard before the previous report
-		named := make(map[string]bool, len(r.Readers))
-		for i := range r.Readers {
-			named[r.Readers[i].Name] = true
+	if report.Full && was != nil { // a reader that is missing was last heard before the previous report
+		named := make(map[string]bool, len(report.Readers))
+		for i := range report.Readers {
+			named[report.Readers[i].Name] = true
 		}
-		for name, c := range t.readers {
-			if c.relay == r.Relay && !named[name] && !c.Silent {
-				c.Silent, c.lastHeardAt = true, was.receivedAt
+		for name, r := range t.readers {
+			if r.relay == report.Relay && !named[name] && !r.Silent {
+				r.Silent, r.lastHeardAt = true, was.receivedAt
 			}
 		}
 	}
-	for i := range r.Readers {
-		t.trackReader(now, r.Relay, r.Readers[i])
+	for i := range report.Readers {
+		t.trackReader(now, report.Relay, report.Readers[i])
 	}
-	rep := r
+	rep := report
 	rep.Readers = nil
-	t.relays[r.Relay] = &relayReport{rep, now}
+	t.relays[report.Relay] = &relayReport{rep, now}
 	t.noteReached(now)
-	return ReportResponse{Incarnation: r.Incarnation, UpTo: r.UpTo}, nil
+	return ReportResponse{Incarnation: report.Incarnation, UpTo: report.UpTo}, nil
 }
 
 // trackReader takes over one reader's state. There is one state for each name, and that of the later
 // generation wins, so that no reader counts twice (step 8).
 func (t *AckTracker) trackReader(now time.Duration, relay string, x Cursor) {
-	c := t.readers[x.Name]
+	r := t.readers[x.Name]
 	switch {
-	case c == nil && len(t.readers) >= t.opt.MaxReaders:
+	case r == nil && len(t.readers) >= t.opt.MaxReaders:
 		return
-	case c == nil:
-		c = &trackedReader{}
-		t.readers[x.Name] = c
-	case x.Generation < c.Generation || x.Generation == c.Generation && relay != c.relay:
+	case r == nil:
+		r = &trackedReader{}
+		t.readers[x.Name] = r
+	case x.Generation < r.Generation || x.Generation == r.Generation && relay != r.relay:
 		return
 	}
-	*c = trackedReader{x, relay, now - time.Duration(x.LastHeardMs)*time.Millisecond}
+	*r = trackedReader{x, relay, now - time.Duration(x.LastHeardMs)*time.Millisecond}
 	t.appliedChanged = true
 }
 
 // appliedVersion is the version of the log's history up to which a reader has applied everything.
-func (t *AckTracker) appliedVersion(c *trackedReader) uint64 {
-	if c.Applied.Epoch != t.epoch {
+func (t *AckTracker) appliedVersion(r *trackedReader) uint64 {
+	if r.Applied.Epoch != t.epoch {
 		return 0
 	}
-	return c.Applied.Min()
+	return r.Applied.Min()
 }
 
 // Expire forgets readers that were silent for long, and relays that stopped reporting. It must be
 // called regularly.
 func (t *AckTracker) Expire(now time.Duration) {
-	for name, c := range t.readers {
-		if at, silent := t.lastHeard(now, c); silent && now-at >= t.opt.ForgetAfter {
+	for name, state := range t.readers {
+		if at, silent := t.lastHeard(now, state); silent && now-at >= t.opt.ForgetAfter {
 			delete(t.readers, name)
 			t.appliedChanged = true
 		}
@@ -180,12 +180,12 @@
 }
 
 // lastHeard is when a reader was last heard, as far as is known, and whether it is silent.
-func (t *AckTracker) lastHeard(now time.Duration, c *trackedReader) (at time.Duration, silent bool) {
-	r := t.relays[c.relay]
-	if c.Silent || r == nil {
-		return c.lastHeardAt, true
+func (t *AckTracker) lastHeard(now time.Duration, state *trackedReader) (at time.Duration, silent bool) {
+	r := t.relays[state.relay]
+	if state.Silent || r == nil {
+		return state.lastHeardAt, true
 	}
-	return max(c.lastHeardAt, r.receivedAt), now-r.receivedAt >= t.opt.SilentAfter
+	return max(state.lastHeardAt, r.receivedAt), now-r.receivedAt >= t.opt.SilentAfter
 }
 
 // noteReached records which versions have been applied by which share of the readers.
@@ -195,8 +195,8 @@
 	}
 	t.appliedChanged = false
 	t.appliedSorted = t.appliedSorted[:0]
-	for _, c := range t.readers {
-		t.appliedSorted = append(t.appliedSorted, t.appliedVersion(c))
+	for _, r := range t.readers {
+		t.appliedSorted = append(t.appliedSorted, t.appliedVersion(r))
 	}
 	slices.Sort(t.appliedSorted)
 	n := len(t.appliedSorted)
--- a/internal/controlplane/watchstream/apply.go
+++ b/internal/controlplane/watchstream/apply.go
@@ -107,35 +107,35 @@
 	var last *Record
 	seen := make(map[string]Kind, len(d.Records))
 	for i := range d.Records {
-		x := &d.Records[i]
-		if err := r.checkRecord(s, x); err != nil {
+		record := &d.Records[i]
+		if err := r.checkRecord(s, record); err != nil {
 			return err
 		}
-		if k, again := seen[x.Key]; again && k == x.Kind {
-			return reject(ReasonDisorder, "records[%d]: %s %q is in it twice", i, x.Kind, x.Key)
+		if k, again := seen[record.Key]; again && k == record.Kind {
+			return reject(ReasonDisorder, "records[%d]: %s %q is in it twice", i, record.Kind, record.Key)
 		}
-		seen[x.Key] = x.Kind
+		seen[record.Key] = record.Kind
 		switch {
-		case last != nil && (x.Kind < last.Kind || x.Kind == last.Kind && x.Version < last.Version):
+		case last != nil && (record.Kind < last.Kind || record.Kind == last.Kind && record.Version < last.Version):
 			return reject(ReasonDisorder, "records[%d]: out of order", i)
-		case x.Version <= *d.From.version(x.Kind) || x.Version > *d.To.version(x.Kind):
-			return reject(ReasonDisorder, "records[%d]: its version %d is not within %v and %v", i, x.Version, d.From, d.To)
+		case record.Version <= *d.From.version(record.Kind) || record.Version > *d.To.version(record.Kind):
+			return reject(ReasonDisorder, "records[%d]: its version %d is not within %v and %v", i, record.Version, d.From, d.To)
 		}
-		last = x
+		last = record
 	}
 	return nil
 }
 
 // checkRecord checks one record against the scope and against what is held of its key (step 5).
-func (r *Replica) checkRecord(s *Store, x *Record) error {
-	if err := (&Put{x.Kind, x.Key, x.Deleted, x.Value}).validate(); err != nil {
-		return reject(ReasonMalformed, "%s %q: %s: %s", x.Kind, x.Key, err.Field, err.Why)
+func (r *Replica) checkRecord(s *Store, record *Record) error {
+	if err := (&Put{record.Kind, record.Key, record.Deleted, record.Value}).validate(); err != nil {
+		return reject(ReasonMalformed, "%s %q: %s: %s", record.Kind, record.Key, err.Field, err.Why)
 	}
-	if !r.scope.Includes(x.Kind, x.Key) {
-		return reject(ReasonOutOfScope, "%s %q is not of %+v", x.Kind, x.Key, r.scope)
+	if !r.scope.Includes(record.Kind, record.Key) {
+		return reject(ReasonOutOfScope, "%s %q is not of %+v", record.Kind, record.Key, r.scope)
 	}
-	if old := s.lanes[x.Kind].keys[x.Key]; old != nil && x.Version < old.Version && !(x.Deleted && old.Deleted) {
-		return reject(ReasonBehind, "%s %q is brought at version %d, and is held at %d", x.Kind, x.Key, x.Version, old.Version)
+	if old := s.lanes[record.Kind].keys[record.Key]; old != nil && record.Version < old.Version && !(record.Deleted && old.Deleted) {
+		return reject(ReasonBehind, "%s %q is brought at version %d, and is held at %d", record.Kind, record.Key, record.Version, old.Version)
 	}
 	return nil
 }
@@ -176,15 +176,15 @@
 			sum += old.digest()
 		}
 		for j := range b.Records {
-			x := &b.Records[j]
-			if err := r.checkRecord(s, x); err != nil {
+			record := &b.Records[j]
+			if err := r.checkRecord(s, record); err != nil {
 				return err
 			}
-			if x.Kind != Targets || x.Deleted || x.Version == 0 || x.Version > d.Head.Targets || s.bucketOf(x.Key) != b.Index || seen[x.Key] {
-				return reject(ReasonDisorder, "buckets[%d].records[%d]: %s %q doesn't belong there", i, j, x.Kind, x.Key)
+			if record.Kind != Targets || record.Deleted || record.Version == 0 || record.Version > d.Head.Targets || s.bucketOf(record.Key) != b.Index || seen[record.Key] {
+				return reject(ReasonDisorder, "buckets[%d].records[%d]: %s %q doesn't belong there", i, j, record.Kind, record.Key)
 			}
-			seen[x.Key] = true
-			sum += x.digest()
+			seen[record.Key] = true
+			sum += record.digest()
 		}
 		if sum != b.Digest {
 			return reject(ReasonDisorder, "buckets[%d]: what it names doesn't have the sum that it has at the source", i)
@@ -196,21 +196,21 @@
 // applyRecords applies the records of a delta by version and returns those that changed something.
 func (s *Store) applyRecords(d *Delta) (changed []Record) {
 	for i := range d.Records {
-		if x := d.Records[i]; s.applyRecord(x) {
-			changed = append(changed, x)
+		if r := d.Records[i]; s.applyRecord(r) {
+			changed = append(changed, r)
 		}
 	}
 	return changed
 }
 
 // applyRecord reports whether a record changed more than a tombstone's version.
-func (s *Store) applyRecord(x Record) bool {
-	old := s.lanes[x.Kind].keys[x.Key]
-	if old != nil && old.Version >= x.Version {
+func (s *Store) applyRecord(r Record) bool {
+	old := s.lanes[r.Kind].keys[r.Key]
+	if old != nil && old.Version >= r.Version {
 		return false
 	}
-	s.putRecord(&x)
-	return !x.Deleted || old == nil || !old.Deleted
+	s.putRecord(&r)
+	return !r.Deleted || old == nil || !old.Deleted
 }
 
 // applyBuckets replaces whole buckets. A target that a bucket does not name was deleted at the
@@ -221,8 +221,8 @@
 		for _, key := range b.Unchanged {
 			named[key] = true
 		}
-		for _, x := range b.Records {
-			named[x.Key] = true
+		for _, r := range b.Records {
+			named[r.Key] = true
 		}
 		for _, old := range slices.Clone(s.buckets[b.Index]) {
 			if !named[old.Key] {
@@ -231,9 +231,9 @@
 				changed = append(changed, gone)
 			}
 		}
-		for _, x := range b.Records {
-			if s.applyRecord(x) {
-				changed = append(changed, x)
+		for _, r := range b.Records {
+			if s.applyRecord(r) {
+				changed = append(changed, r)
 			}
 		}
 	}
@@ -245,15 +245,15 @@
 func (r *Replica) switchHistory() (changed []Record) {
 	old, now := r.store, r.successor
 	for _, k := range Kinds {
-		old.lanes[k].byVersion.Ascend(func(x *Record) bool {
-			if is := now.lanes[k].keys[x.Key]; !x.Deleted && (is == nil || is.Deleted) {
-				changed = append(changed, Record{Kind: k, Key: x.Key, Version: *now.consistent.version(k), Deleted: true})
+		old.lanes[k].byVersion.Ascend(func(record *Record) bool {
+			if is := now.lanes[k].keys[record.Key]; !record.Deleted && (is == nil || is.Deleted) {
+				changed = append(changed, Record{Kind: k, Key: record.Key, Version: *now.consistent.version(k), Deleted: true})
 			}
 			return true
 		})
-		now.lanes[k].byVersion.Ascend(func(x *Record) bool {
-			if was := old.lanes[k].keys[x.Key]; !x.Deleted && (was == nil || was.Deleted || !bytes.Equal(was.Value, x.Value)) {
-				changed = append(changed, *x)
+		now.lanes[k].byVersion.Ascend(func(record *Record) bool {
+			if was := old.lanes[k].keys[record.Key]; !record.Deleted && (was == nil || was.Deleted || !bytes.Equal(was.Value, record.Value)) {
+				changed = append(changed, *record)
 			}
 			return true
 		})
--- a/internal/controlplane/watchstream/bad_test.go
+++ b/internal/controlplane/watchstream/bad_test.go
@@ -183,27 +183,27 @@
 	apply(t, log, change(gone("a"), layer("shared", `{}`)))
 	b, err := json.Marshal(log.Snapshot())
 	require.NoError(t, err)
-	for want, change := range map[string]func(c *Snapshot){
-		"foreign":          func(c *Snapshot) { c.Fleet = "g" },
-		"no epoch":         func(c *Snapshot) { c.Epoch = "" },
-		"further":          func(c *Snapshot) { c.Have.Targets = 9 },
-		"out of order":     func(c *Snapshot) { c.Records[0], c.Records[1] = c.Records[1], c.Records[0] },
-		"in it twice":      func(c *Snapshot) { c.Records[1].Key = "b" },
-		"not within":       func(c *Snapshot) { c.Records[1].Version = 9 },
-		"records[0].value": func(c *Snapshot) { c.Records[0].Value = []byte(`{`) },
-		"is not of":        func(c *Snapshot) { c.Records[2].Key = "region/elsewhere" },
+	for want, change := range map[string]func(snap *Snapshot){
+		"foreign":          func(snap *Snapshot) { snap.Fleet = "g" },
+		"no epoch":         func(snap *Snapshot) { snap.Epoch = "" },
+		"further":          func(snap *Snapshot) { snap.Have.Targets = 9 },
+		"out of order":     func(snap *Snapshot) { snap.Records[0], snap.Records[1] = snap.Records[1], snap.Records[0] },
+		"in it twice":      func(snap *Snapshot) { snap.Records[1].Key = "b" },
+		"not within":       func(snap *Snapshot) { snap.Records[1].Version = 9 },
+		"records[0].value": func(snap *Snapshot) { snap.Records[0].Value = []byte(`{`) },
+		"is not of":        func(snap *Snapshot) { snap.Records[2].Key = "region/elsewhere" },
 	} {
-		var c Snapshot
-		require.NoError(t, json.Unmarshal(b, &c))
-		change(&c)
+		var snap Snapshot
+		require.NoError(t, json.Unmarshal(b, &snap))
+		change(&snap)
 		r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
-		require.ErrorContains(t, r.Restore(c), want)
+		require.ErrorContains(t, r.Restore(snap), want)
 		require.Equal(t, Snapshot{Fleet: fleetName}, r.Store().Snapshot())
 	}
-	var c Snapshot
-	require.NoError(t, json.Unmarshal(b, &c))
+	var snap Snapshot
+	require.NoError(t, json.Unmarshal(b, &snap))
 	r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
-	require.NoError(t, r.Restore(c))
+	require.NoError(t, r.Restore(snap))
 	require.Equal(t, log.Snapshot(), r.Store().Snapshot())
 	require.Equal(t, log.digests, r.Store().digests)
 	require.Equal(t, Watermark{}, r.Applied())
--- a/internal/controlplane/watchstream/debug.go
+++ b/internal/controlplane/watchstream/debug.go
@@ -37,8 +37,8 @@
 	for _, name := range slices.Sorted(maps.Keys(s.readers)) {
 		r := s.readers[name]
 		r.refill(now)
-		h := r.request
-		fmt.Fprintf(w, " %s %s%v%v%v%d.%d %v %v %t%t %.0f %.0f %d %v", name, h.Epoch, h.Have, h.Seen, h.Applied, h.Generation, said(name)-h.Seq, h.Rejection, h.Progress,
+		req := r.request
+		fmt.Fprintf(w, " %s %s%v%v%v%d.%d %v %v %t%t %.0f %.0f %d %v", name, req.Epoch, req.Have, req.Seen, req.Applied, req.Generation, said(name)-req.Seq, req.Rejection, req.Progress,
 			r.waiting, r.silent, r.targetTokens.tokens, r.sharedTokens.tokens, r.changeSeq, min(now-r.lastHeardAt, s.opt.SilentAfter).Round(10*time.Millisecond))
 		if r.resync != nil {
 			fmt.Fprint(w, *r.resync)
@@ -55,14 +55,14 @@
 		fmt.Fprint(w, " ", id, r.Incarnation, r.UpTo, r.Consistent)
 	}
 	for _, name := range slices.Sorted(maps.Keys(t.readers)) {
-		c := t.readers[name]
-		fmt.Fprint(w, " ", name, c.relay, c.Generation, c.Applied, c.Rejection, c.Silent)
+		state := t.readers[name]
+		fmt.Fprint(w, " ", name, state.relay, state.Generation, state.Applied, state.Rejection, state.Silent)
 	}
 	fmt.Fprintln(w)
 }
 
 // EachReader calls f for each reader in order of name, with the relay that reported it.
-func (t *AckTracker) EachReader(f func(relay string, r Cursor)) {
+func (t *AckTracker) EachReader(f func(relay string, c Cursor)) {
 	for _, name := range slices.Sorted(maps.Keys(t.readers)) {
 		f(t.readers[name].relay, t.readers[name].Cursor)
 	}
--- a/internal/controlplane/watchstream/delta.go
+++ b/internal/controlplane/watchstream/delta.go
@@ -90,12 +90,12 @@
 func (s *Source) pendingRecords(r *reader, k Kind, from uint64, may float64) (list []Record, to uint64, wait time.Duration) {
 	most, total, cut := min(may, maxDeltaFill), 0, false
 	to = from
-	s.store.ascendAfter(k, from, func(x *Record) bool {
-		if x.Version != to && len(list) > 0 && float64(total) >= most {
+	s.store.ascendAfter(k, from, func(record *Record) bool {
+		if record.Version != to && len(list) > 0 && float64(total) >= most {
 			cut = true
 			return false
 		}
-		list, to, total = append(list, *x), x.Version, total+x.Size()
+		list, to, total = append(list, *record), record.Version, total+record.Size()
 		return true
 	})
 	if !cut {
@@ -111,8 +111,8 @@
 // its layers belong together.
 func (s *Source) pendingLayers(r *reader, d *Delta) (list []Record, to uint64, wait time.Duration) {
 	for _, key := range d.Scope.layerKeys() {
-		if x := s.store.lanes[Config].keys[key]; x != nil && x.Version > d.From.Config {
-			list = append(list, *x)
+		if record := s.store.lanes[Config].keys[key]; record != nil && record.Version > d.From.Config {
+			list = append(list, *record)
 		}
 	}
 	slices.SortFunc(list, func(a, b Record) int { return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key)) })
--- a/internal/controlplane/watchstream/digest.go
+++ b/internal/controlplane/watchstream/digest.go
@@ -11,23 +11,23 @@
 type Digests []uint64
 
 // MarshalText implements encoding.TextMarshaler.
-func (s Digests) MarshalText() ([]byte, error) {
-	b := make([]byte, 0, 8*len(s))
-	for _, x := range s {
+func (d Digests) MarshalText() ([]byte, error) {
+	b := make([]byte, 0, 8*len(d))
+	for _, x := range d {
 		b = binary.LittleEndian.AppendUint64(b, x)
 	}
 	return base64.StdEncoding.AppendEncode(nil, b), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
-func (s *Digests) UnmarshalText(text []byte) error {
+func (d *Digests) UnmarshalText(text []byte) error {
 	b, err := base64.StdEncoding.AppendDecode(nil, text)
 	if err != nil || len(b)%8 != 0 {
 		return fmt.Errorf("sums: not base64 of whole sums")
 	}
-	*s = make(Digests, len(b)/8)
-	for i := range *s {
-		(*s)[i] = binary.LittleEndian.Uint64(b[8*i:])
+	*d = make(Digests, len(b)/8)
+	for i := range *d {
+		(*d)[i] = binary.LittleEndian.Uint64(b[8*i:])
 	}
 	return nil
 }
@@ -101,11 +101,11 @@
 			break
 		}
 		b := Bucket{Index: to, Digest: st.digests[to]}
-		for _, x := range st.buckets[to] {
-			if x.Version <= d.From.Targets { // the reader has this version (step 2)
-				b.Unchanged = append(b.Unchanged, x.Key)
+		for _, record := range st.buckets[to] {
+			if record.Version <= d.From.Targets { // the reader has this version (step 2)
+				b.Unchanged = append(b.Unchanged, record.Key)
 			} else {
-				b.Records = append(b.Records, *x)
+				b.Records = append(b.Records, *record)
 			}
 		}
 		d.Buckets = append(d.Buckets, b)
--- a/internal/controlplane/watchstream/distribution/distribution_test.go
+++ b/internal/controlplane/watchstream/distribution/distribution_test.go
@@ -89,8 +89,8 @@
 func (b *book) has() map[string]watchstream.Cursor {
 	m := map[string]watchstream.Cursor{}
 	b.WithSource(func(now time.Duration, s *watchstream.Source) {
-		for _, r := range s.BuildReport(now, "book", "").Readers {
-			m[r.Name] = r
+		for _, c := range s.BuildReport(now, "book", "").Readers {
+			m[c.Name] = c
 		}
 	})
 	return m
@@ -145,16 +145,16 @@
 	return h
 }
 
-func (h *heard) take(c Update) error {
+func (h *heard) take(u Update) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if n := len(h.list); n > 0 {
 		last := h.list[n-1].Position
-		assert.True(h.t, c.Position.Targets >= last.Targets && c.Position.Config >= last.Config, "from %v to %v", last, c.Position)
+		assert.True(h.t, u.Position.Targets >= last.Targets && u.Position.Config >= last.Config, "from %v to %v", last, u.Position)
 	}
-	h.list = append(h.list, c)
+	h.list = append(h.list, u)
 	if h.down != nil {
-		return h.down(c)
+		return h.down(u)
 	}
 	return nil
 }
@@ -191,9 +191,9 @@
 	require.Len(t, f.Records(watchstream.Targets), 299)
 	require.Len(t, f.Records(watchstream.Config), 2)
 	var last []watchstream.Record
-	for _, c := range f.told() {
-		require.False(t, c.Full)
-		for _, r := range c.Records {
+	for _, u := range f.told() {
+		require.False(t, u.Full)
+		for _, r := range u.Records {
 			if r.Version == v {
 				last = append(last, r)
 			}
@@ -215,10 +215,10 @@
 	v := b.put(target(0, 0))
 	r := watchstream.NewReplica(fleet, watchstream.Scope{Name: "i1"}, 1, watchstream.Limits{})
 	ask := func() (int, watchstream.Delta, time.Duration) {
-		h := r.SubscribeRequest()
-		h.WaitMs = maxPollWait.Milliseconds()
+		req := r.SubscribeRequest()
+		req.WaitMs = maxPollWait.Milliseconds()
 		from := time.Now()
-		status, body := post(t, b.addr, mustJSON(t, h), nil)
+		status, body := post(t, b.addr, mustJSON(t, req), nil)
 		var d watchstream.Delta
 		if status == http.StatusOK {
 			require.NoError(t, json.Unmarshal(body, &d))
@@ -307,8 +307,8 @@
 	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
 	f.mu.Lock()
-	f.down = func(c Update) error {
-		for _, r := range c.Records {
+	f.down = func(u Update) error {
+		for _, r := range u.Records {
 			if string(r.Value) == `{"a":"odd"}` {
 				return errors.New("a: not a number")
 			}
--- a/internal/controlplane/watchstream/distribution/garbage_test.go
+++ b/internal/controlplane/watchstream/distribution/garbage_test.go
@@ -47,9 +47,9 @@
 	} {
 		status, text := post(t, b.addr, c.body, c.head)
 		require.Equal(t, c.want, status, "%s: %s", c.name, text)
-		var no RejectedError
-		require.NoError(t, json.Unmarshal(text, &no), c.name)
-		require.NotEmpty(t, no.Reason, c.name)
+		var rejected RejectedError
+		require.NoError(t, json.Unmarshal(text, &rejected), c.name)
+		require.NotEmpty(t, rejected.Reason, c.name)
 	}
 	b.WithSource(func(_ time.Duration, s *watchstream.Source) { require.Zero(t, s.ReaderCount()) })
 	status, _ := post(t, b.addr, good, nil)
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -19,12 +19,12 @@
 // state may be.
 func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.CallOutcome, after, age time.Duration) {
 	f.mu.Lock()
-	h := f.replica.SubscribeRequest()
+	req := f.replica.SubscribeRequest()
 	f.state.Polls++
 	f.mu.Unlock()
-	h.WaitMs = pollWait.Milliseconds()
+	req.WaitMs = pollWait.Milliseconds()
 	began := monotone.Now()
-	status, age, body, err := f.roundTrip(ctx, relay.Addr, &h)
+	status, age, body, err := f.roundTrip(ctx, relay.Addr, &req)
 	switch {
 	case ctx.Err() != nil:
 		return watchstream.CallFailed, 0, 0
@@ -44,24 +44,24 @@
 		}
 		return watchstream.CallAnswered, 0, age
 	}
-	var no RejectedError
-	if err := jsonCodec.Unmarshal(body, &no); err != nil || no.Reason == "" {
+	var rejected RejectedError
+	if err := jsonCodec.Unmarshal(body, &rejected); err != nil || rejected.Reason == "" {
 		f.pollFailed(relay, fmt.Errorf("it answers %d, %.100q", status, body))
 		return watchstream.CallFailed, 0, 0
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if no.RetryAfterMs > 0 {
+	if rejected.RetryAfterMs > 0 {
 		f.state.Busy++
-		return watchstream.CallBusy, min(time.Duration(no.RetryAfterMs)*time.Millisecond, time.Minute), 0
+		return watchstream.CallBusy, min(time.Duration(rejected.RetryAfterMs)*time.Millisecond, time.Minute), 0
 	}
-	f.noteRejected(relay, no.Reason, no.Detail)
+	f.noteRejected(relay, rejected.Reason, rejected.Detail)
 	return watchstream.CallRejected, 0, 0
 }
 
 // roundTrip makes one call and returns the decompressed answer.
-func (f *Follower) roundTrip(ctx context.Context, addr string, h *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
-	text, err := jsonCodec.Marshal(h)
+func (f *Follower) roundTrip(ctx context.Context, addr string, hello *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
+	text, err := jsonCodec.Marshal(hello)
 	if err != nil {
 		return 0, 0, nil, err
 	}
@@ -120,9 +120,9 @@
 	}
 	f.mu.Lock()
 	records, err := f.replica.ApplyDelta(&d)
-	var no *watchstream.RejectedError
-	if errors.As(err, &no) {
-		f.noteRejected(relay, no.Reason, no.Why)
+	var rejected *watchstream.RejectedError
+	if errors.As(err, &rejected) {
+		f.noteRejected(relay, rejected.Reason, rejected.Why)
 		f.mu.Unlock()
 		return watchstream.CallRejected, 0
 	}
@@ -140,11 +140,11 @@
 }
 
 // notify passes on an update and acknowledges it as far as it is applied.
-func (f *Follower) notify(c Update, mark watchstream.Watermark) {
+func (f *Follower) notify(u Update, mark watchstream.Watermark) {
 	var err error
-	if f.opt.OnChange != nil && (len(c.Records) > 0 || c.Full || c.Position != f.notified) {
-		err = f.opt.OnChange(c)
-		f.notified = c.Position
+	if f.opt.OnChange != nil && (len(u.Records) > 0 || u.Full || u.Position != f.notified) {
+		err = f.opt.OnChange(u)
+		f.notified = u.Position
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -104,20 +104,20 @@
 	ctl := http.NewResponseController(w)
 	_ = ctl.SetWriteDeadline(time.Now().Add(maxPollWait + answerTimeout)) // a writer without deadlines is bounded by its server
 	defer func() { _ = ctl.SetWriteDeadline(time.Time{}) }()
-	var h watchstream.SubscribeRequest
+	var req watchstream.SubscribeRequest
 	body, err := readAll(http.MaxBytesReader(w, r.Body, maxRequestBytes), r.Header.Get(encodingHeader) == gzipEncoding, maxRequestBytes)
 	if err == nil {
-		err = jsonCodec.Unmarshal(body, &h)
+		err = jsonCodec.Unmarshal(body, &req)
 	}
 	if err != nil {
 		s.reject(w, http.StatusBadRequest, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: "body: " + err.Error()})
 		return
 	}
-	if status, no := s.subscribe(h); no != nil {
-		s.reject(w, status, no)
+	if status, rejected := s.subscribe(req); rejected != nil {
+		s.reject(w, status, rejected)
 		return
 	}
-	d, age := s.waitForDelta(r, h)
+	d, age := s.waitForDelta(r, req)
 	if d == nil {
 		w.Header().Set(ageHeader, strconv.FormatInt(age.Milliseconds(), 10))
 		w.WriteHeader(http.StatusNoContent)
@@ -127,9 +127,9 @@
 }
 
 // subscribe passes a request to the source; rejection is nil if it was accepted.
-func (s *Server) subscribe(h watchstream.SubscribeRequest) (status int, rejection *RejectedError) {
+func (s *Server) subscribe(req watchstream.SubscribeRequest) (status int, rejection *RejectedError) {
 	var err error
-	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, h) }); !ok {
+	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, req) }); !ok {
 		return http.StatusServiceUnavailable, &RejectedError{watchstream.ReasonNotReady, "there is nothing here yet", notReadyRetry.Milliseconds()}
 	}
 	var full *watchstream.BusyError
@@ -148,13 +148,13 @@
 }
 
 // waitForDelta waits for what a reader gets; nil: nothing within the time that it waits.
-func (s *Server) waitForDelta(r *http.Request, h watchstream.SubscribeRequest) (d *watchstream.Delta, age time.Duration) {
-	until := monotone.Now() + min(time.Duration(max(h.WaitMs, 0))*time.Millisecond, maxPollWait)
+func (s *Server) waitForDelta(r *http.Request, req watchstream.SubscribeRequest) (d *watchstream.Delta, age time.Duration) {
+	until := monotone.Now() + min(time.Duration(max(req.WaitMs, 0))*time.Millisecond, maxPollWait)
 	var timer *time.Timer
 	for {
 		var wait, at time.Duration
 		changed, _ := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) {
-			d, wait = src.NextDelta(now, h.Name)
+			d, wait = src.NextDelta(now, req.Name)
 			age, at = src.Age(now), now
 		})
 		if d != nil || at >= until {
@@ -215,14 +215,14 @@
 }
 
 // reject answers with a rejection.
-func (s *Server) reject(w http.ResponseWriter, status int, no *RejectedError) {
+func (s *Server) reject(w http.ResponseWriter, status int, rejected *RejectedError) {
 	s.counters.refused.Add(1)
-	text, err := jsonCodec.Marshal(no)
+	text, err := jsonCodec.Marshal(rejected)
 	if err != nil {
 		status, text = http.StatusInternalServerError, nil
 	}
-	if no.RetryAfterMs > 0 {
-		w.Header().Set("Retry-After", strconv.FormatInt((no.RetryAfterMs+999)/1000, 10))
+	if rejected.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", strconv.FormatInt((rejected.RetryAfterMs+999)/1000, 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -115,9 +115,9 @@
 	if text == nil {
 		return
 	}
-	var k storedSnapshot
-	if err = decode.Unmarshal(text, &k); err == nil {
-		err = f.restoreSnapshot(&k)
+	var s storedSnapshot
+	if err = decode.Unmarshal(text, &s); err == nil {
+		err = f.restoreSnapshot(&s)
 	}
 	if err != nil {
 		f.snapshotUnusable(err)
@@ -140,16 +140,16 @@
 }
 
 // restoreSnapshot takes over a snapshot, before Run.
-func (f *Follower) restoreSnapshot(k *storedSnapshot) error {
-	if k.Scope != f.replica.Scope() {
-		return fmt.Errorf("the copy is for %+v, and this is %+v", k.Scope, f.replica.Scope())
+func (f *Follower) restoreSnapshot(s *storedSnapshot) error {
+	if s.Scope != f.replica.Scope() {
+		return fmt.Errorf("the copy is for %+v, and this is %+v", s.Scope, f.replica.Scope())
 	}
 	generation := f.replica.Generation()
-	if generation <= k.Generation {
-		generation = k.Generation + generationGap // the machine's clock was set back
+	if generation <= s.Generation {
+		generation = s.Generation + generationGap // the machine's clock was set back
 	}
 	r := watchstream.NewReplica(f.opt.Fleet, f.replica.Scope(), generation, watchstream.Limits{})
-	if err := r.Restore(k.Snapshot); err != nil {
+	if err := r.Restore(s.Snapshot); err != nil {
 		return err
 	}
 	f.replica = r
@@ -171,9 +171,9 @@
 		return
 	}
 	f.mu.Lock()
-	k := storedSnapshot{Generation: f.replica.Generation(), Scope: f.replica.Scope(), Snapshot: f.replica.Store().Snapshot()}
+	s := storedSnapshot{Generation: f.replica.Generation(), Scope: f.replica.Scope(), Snapshot: f.replica.Store().Snapshot()}
 	f.mu.Unlock()
-	text, err := encode.Marshal(&k)
+	text, err := encode.Marshal(&s)
 	if err == nil {
 		err = writeSnapshot(f.opt.Dir, text)
 	}
--- a/internal/controlplane/watchstream/errors.go
+++ b/internal/controlplane/watchstream/errors.go
@@ -34,8 +34,8 @@
 func (e *RejectedError) Error() string { return fmt.Sprintf("feed: refused (%s): %s", e.Reason, e.Why) }
 
 // reject returns a RejectedError.
-func reject(r Reason, why string, args ...any) error {
-	return &RejectedError{r, fmt.Sprintf(why, args...)}
+func reject(reason Reason, why string, args ...any) error {
+	return &RejectedError{reason, fmt.Sprintf(why, args...)}
 }
 
 // BusyError says that a source takes no new reader now; the reader may retry after RetryAfter, here or
--- a/internal/controlplane/watchstream/messages.go
+++ b/internal/controlplane/watchstream/messages.go
@@ -26,20 +26,20 @@
 }
 
 // Validate returns an error that names the first field that cannot be used.
-func (h *SubscribeRequest) Validate() error {
-	if err := h.Scope.Validate(); err != nil {
+func (req *SubscribeRequest) Validate() error {
+	if err := req.Scope.Validate(); err != nil {
 		return err
 	}
 	switch {
-	case h.Fleet == "":
+	case req.Fleet == "":
 		return fieldError("fleet", "it is missing")
-	case len(h.Epoch) > MaxNameBytes || len(h.Applied.Epoch) > MaxNameBytes:
+	case len(req.Epoch) > MaxNameBytes || len(req.Applied.Epoch) > MaxNameBytes:
 		return fieldError("epoch", "over %d bytes", MaxNameBytes)
-	case h.Rejection != nil && len(h.Rejection.Reason) > MaxReasonBytes:
+	case req.Rejection != nil && len(req.Rejection.Reason) > MaxReasonBytes:
 		return fieldError("refused.reason", "over %d bytes", MaxReasonBytes)
-	case h.Progress != nil && h.Progress.NextBucket < 0:
-		return fieldError("digest.at", "%d is below 0", h.Progress.NextBucket)
-	case !h.Have.notAfter(h.Seen):
+	case req.Progress != nil && req.Progress.NextBucket < 0:
+		return fieldError("digest.at", "%d is below 0", req.Progress.NextBucket)
+	case !req.Have.notAfter(req.Seen):
 		return fieldError("seen", "it is before have")
 	}
 	return nil
--- a/internal/controlplane/watchstream/relay_selector.go
+++ b/internal/controlplane/watchstream/relay_selector.go
@@ -95,132 +95,132 @@
 	o.RetryMin, o.RetryMax, o.FailuresBeforeSwitch = cmp.Or(o.RetryMin, DefaultRelaySelectorOptions.RetryMin), cmp.Or(o.RetryMax, DefaultRelaySelectorOptions.RetryMax), cmp.Or(o.FailuresBeforeSwitch, DefaultRelaySelectorOptions.FailuresBeforeSwitch)
 	o.HomeRetryMin, o.HomeRetryMax = cmp.Or(o.HomeRetryMin, DefaultRelaySelectorOptions.HomeRetryMin), cmp.Or(o.HomeRetryMax, DefaultRelaySelectorOptions.HomeRetryMax)
 	o.StaleAfter = cmp.Or(o.StaleAfter, DefaultRelaySelectorOptions.StaleAfter)
-	m := &RelaySelector{relays: RankRelays(relays, region, reader), opt: o, rand: rand.New(rand.NewPCG(seed, xxhash.Sum64String(reader))), returnTo: -1, lastAnswered: -1, searchOrigin: -1}
-	for m.localCount < len(m.relays) && m.relays[m.localCount].Region == region {
-		m.localCount++
+	s := &RelaySelector{relays: RankRelays(relays, region, reader), opt: o, rand: rand.New(rand.NewPCG(seed, xxhash.Sum64String(reader))), returnTo: -1, lastAnswered: -1, searchOrigin: -1}
+	for s.localCount < len(s.relays) && s.relays[s.localCount].Region == region {
+		s.localCount++
 	}
-	return m
+	return s
 }
 
 // NextCall returns the relay to call, and not before when. If it is another one than last time, the
 // caller has to tell the Replica by SwitchSource first.
-func (m *RelaySelector) NextCall(now time.Duration) (r Relay, at time.Duration) {
-	if len(m.relays) == 0 {
-		return Relay{}, now + m.opt.RetryMax
+func (s *RelaySelector) NextCall(now time.Duration) (r Relay, at time.Duration) {
+	if len(s.relays) == 0 {
+		return Relay{}, now + s.opt.RetryMax
 	}
-	if m.current != 0 && m.searchOrigin < 0 && m.returnTo < 0 && m.failures == 0 && m.failuresHere == 0 && m.homeRetryAt > 0 && now >= m.homeRetryAt {
-		m.returnTo, m.current, m.nextCallAt = m.current, 0, now
+	if s.current != 0 && s.searchOrigin < 0 && s.returnTo < 0 && s.failures == 0 && s.failuresHere == 0 && s.homeRetryAt > 0 && now >= s.homeRetryAt {
+		s.returnTo, s.current, s.nextCallAt = s.current, 0, now
 	}
-	return m.relays[m.current], max(m.nextCallAt, now)
+	return s.relays[s.current], max(s.nextCallAt, now)
 }
 
 // Switches is how often another relay answered than the one before.
-func (m *RelaySelector) Switches() uint64 { return m.switches }
+func (s *RelaySelector) Switches() uint64 { return s.switches }
 
 // CallEnded tells how a call ended; after is what a BusyError said, age how old the answering relay's
 // state may be.
-func (m *RelaySelector) CallEnded(now time.Duration, o CallOutcome, after, age time.Duration) {
-	if len(m.relays) == 0 {
+func (s *RelaySelector) CallEnded(now time.Duration, o CallOutcome, after, age time.Duration) {
+	if len(s.relays) == 0 {
 		return
 	}
-	aged := o == CallAnswered && age > m.opt.StaleAfter
+	aged := o == CallAnswered && age > s.opt.StaleAfter
 	switch {
-	case m.searchOrigin >= 0:
-		m.searchAnswered(now, o, age)
-	case o == CallAnswered && !(aged && m.returnTo >= 0 && !m.isFresher(age)):
-		m.stayWithCurrent(now, age)
-		if aged && now >= m.nextSearchAt {
-			m.startSearch(now)
+	case s.searchOrigin >= 0:
+		s.searchAnswered(now, o, age)
+	case o == CallAnswered && !(aged && s.returnTo >= 0 && !s.isFresher(age)):
+		s.stayWithCurrent(now, age)
+		if aged && now >= s.nextSearchAt {
+			s.startSearch(now)
 		}
-	case m.returnTo >= 0: // home is not ready: return to the relay before
-		m.current, m.returnTo, m.nextCallAt = m.returnTo, -1, now
-		m.homeRetryAt = now + max(after, m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax))
+	case s.returnTo >= 0: // home is not ready: return to the relay before
+		s.current, s.returnTo, s.nextCallAt = s.returnTo, -1, now
+		s.homeRetryAt = now + max(after, s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax))
 	case o == CallBusy:
 		// The same relay first: switching at once would ask all relays while all are busy.
-		if m.failuresHere++; m.failuresHere > 1 {
-			m.switchRelay(now)
+		if s.failuresHere++; s.failuresHere > 1 {
+			s.switchRelay(now)
 		}
-		m.nextCallAt = now + after + m.randomBetween(0, m.opt.RetryMin)
+		s.nextCallAt = now + after + s.randomBetween(0, s.opt.RetryMin)
 	default:
-		m.failures++
-		if m.failuresHere++; m.failuresHere >= m.opt.FailuresBeforeSwitch {
-			m.switchRelay(now)
+		s.failures++
+		if s.failuresHere++; s.failuresHere >= s.opt.FailuresBeforeSwitch {
+			s.switchRelay(now)
 		}
-		wait := min(m.opt.RetryMin<<min(m.failures-1, 16), m.opt.RetryMax)
-		m.nextCallAt = now + m.randomBetween(wait, 2*wait)
+		wait := min(s.opt.RetryMin<<min(s.failures-1, 16), s.opt.RetryMax)
+		s.nextCallAt = now + s.randomBetween(wait, 2*wait)
 	}
 }
 
 // stayWithCurrent stays with the relay that has answered.
-func (m *RelaySelector) stayWithCurrent(now, age time.Duration) {
-	if m.lastAnswered >= 0 && m.lastAnswered != m.current {
-		m.switches++
+func (s *RelaySelector) stayWithCurrent(now, age time.Duration) {
+	if s.lastAnswered >= 0 && s.lastAnswered != s.current {
+		s.switches++
 	}
-	m.lastAnswered, m.failures, m.failuresHere, m.returnTo, m.nextCallAt, m.lastAge = m.current, 0, 0, -1, now, age
+	s.lastAnswered, s.failures, s.failuresHere, s.returnTo, s.nextCallAt, s.lastAge = s.current, 0, 0, -1, now, age
 	switch {
-	case m.current == 0:
-		m.homeRetryAt = 0
-	case m.homeRetryAt == 0: // a retry that is due stays due until it is tried
-		m.homeRetryAt = now + m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
+	case s.current == 0:
+		s.homeRetryAt = 0
+	case s.homeRetryAt == 0: // a retry that is due stays due until it is tried
+		s.homeRetryAt = now + s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax)
 	}
 }
 
 // isFresher reports whether state of that age is worth a switch: it is not stale, or at most half as
 // old as the present relay's. If all relays are cut off from the same agents, their ages are similar
 // and everybody stays.
-func (m *RelaySelector) isFresher(age time.Duration) bool {
-	return age <= m.opt.StaleAfter || age <= m.lastAge/2
+func (s *RelaySelector) isFresher(age time.Duration) bool {
+	return age <= s.opt.StaleAfter || age <= s.lastAge/2
 }
 
 // startSearch asks the other relays of the region whether their state is newer, and one of another
 // region, which rank makes a different one for each reader.
-func (m *RelaySelector) startSearch(now time.Duration) {
-	m.searchOrigin, m.searchQueue = m.current, m.searchQueue[:0]
-	for i := range min(m.localCount+1, len(m.relays)) {
-		if i != m.current {
-			m.searchQueue = append(m.searchQueue, i)
+func (s *RelaySelector) startSearch(now time.Duration) {
+	s.searchOrigin, s.searchQueue = s.current, s.searchQueue[:0]
+	for i := range min(s.localCount+1, len(s.relays)) {
+		if i != s.current {
+			s.searchQueue = append(s.searchQueue, i)
 		}
 	}
-	m.searchNext(now)
+	s.searchNext(now)
 }
 
 // searchNext calls the next relay of a search, or returns to where it began.
-func (m *RelaySelector) searchNext(now time.Duration) {
-	if m.nextCallAt = now; len(m.searchQueue) > 0 {
-		m.current, m.searchQueue = m.searchQueue[0], m.searchQueue[1:]
+func (s *RelaySelector) searchNext(now time.Duration) {
+	if s.nextCallAt = now; len(s.searchQueue) > 0 {
+		s.current, s.searchQueue = s.searchQueue[0], s.searchQueue[1:]
 		return
 	}
-	m.current, m.searchOrigin, m.nextSearchAt = m.searchOrigin, -1, now+m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
+	s.current, s.searchOrigin, s.nextSearchAt = s.searchOrigin, -1, now+s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax)
 }
 
 // searchAnswered processes the outcome of a call of a search. Relays that are busy or do not answer
 // are skipped: the reader has one that answers.
-func (m *RelaySelector) searchAnswered(now time.Duration, o CallOutcome, age time.Duration) {
-	if o != CallAnswered || !m.isFresher(age) {
-		m.searchNext(now)
+func (s *RelaySelector) searchAnswered(now time.Duration, o CallOutcome, age time.Duration) {
+	if o != CallAnswered || !s.isFresher(age) {
+		s.searchNext(now)
 		return
 	}
-	m.searchOrigin, m.nextSearchAt = -1, 0
-	if age > m.opt.StaleAfter {
-		m.nextSearchAt = now + m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
+	s.searchOrigin, s.nextSearchAt = -1, 0
+	if age > s.opt.StaleAfter {
+		s.nextSearchAt = now + s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax)
 	}
-	m.stayWithCurrent(now, age)
+	s.stayWithCurrent(now, age)
 }
 
 // switchRelay goes on to the next relay.
-func (m *RelaySelector) switchRelay(now time.Duration) {
-	m.current, m.failuresHere = (m.current+1)%len(m.relays), 0
-	if m.current == 0 {
-		m.homeRetryAt = 0
-	} else if m.homeRetryAt == 0 {
-		m.homeRetryAt = now + m.randomBetween(m.opt.HomeRetryMin, m.opt.HomeRetryMax)
+func (s *RelaySelector) switchRelay(now time.Duration) {
+	s.current, s.failuresHere = (s.current+1)%len(s.relays), 0
+	if s.current == 0 {
+		s.homeRetryAt = 0
+	} else if s.homeRetryAt == 0 {
+		s.homeRetryAt = now + s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax)
 	}
 }
 
 // randomBetween draws a duration from a to b.
-func (m *RelaySelector) randomBetween(a, b time.Duration) time.Duration {
+func (s *RelaySelector) randomBetween(a, b time.Duration) time.Duration {
 	if b <= a {
 		return a
 	}
-	return a + time.Duration(m.rand.Int64N(int64(b-a)))
+	return a + time.Duration(s.rand.Int64N(int64(b-a)))
 }
--- a/internal/controlplane/watchstream/replica.go
+++ b/internal/controlplane/watchstream/replica.go
@@ -60,8 +60,8 @@
 // Rejections returns the rejected deltas by reason.
 func (r *Replica) Rejections() map[Reason]uint64 {
 	c := make(map[Reason]uint64, len(r.rejections))
-	for k, n := range r.rejections {
-		c[k] = n
+	for reason, n := range r.rejections {
+		c[reason] = n
 	}
 	return c
 }
@@ -78,15 +78,15 @@
 func (r *Replica) SubscribeRequest() SubscribeRequest {
 	s := r.following()
 	r.seq++
-	h := SubscribeRequest{Fleet: s.fleet, Epoch: s.epoch, Scope: r.scope, Have: s.have, Seen: s.newestSeen, Applied: r.applied, Generation: r.generation, Seq: r.seq,
+	req := SubscribeRequest{Fleet: s.fleet, Epoch: s.epoch, Scope: r.scope, Have: s.have, Seen: s.newestSeen, Applied: r.applied, Generation: r.generation, Seq: r.seq,
 		Rejection: r.rejection}
 	if r.progress != nil {
 		p := *r.progress
-		h.Progress = &p
+		req.Progress = &p
 	} else if r.digestsWanted {
-		h.Digests = slices.Clone(s.digests)
+		req.Digests = slices.Clone(s.digests)
 	}
-	return h
+	return req
 }
 
 // SwitchSource says that the reader continues at another source: what was begun at the previous one
@@ -99,15 +99,15 @@
 // MarkApplied says that what ApplyDelta returned up to this watermark, one that Consistent returned,
 // is applied: it is acknowledged from now on (step 8). What the reader does not have consistently, or
 // has of another history, does not count.
-func (r *Replica) MarkApplied(m Watermark) {
-	if m.Epoch != r.store.epoch {
+func (r *Replica) MarkApplied(w Watermark) {
+	if w.Epoch != r.store.epoch {
 		return
 	}
 	was := r.applied.Position
-	if r.applied.Epoch != m.Epoch {
+	if r.applied.Epoch != w.Epoch {
 		was = Position{}
 	}
-	now := m.Position
+	now := w.Position
 	if !now.notAfter(r.store.consistent) {
 		return
 	}
@@ -118,7 +118,7 @@
 			r.rejection = nil
 		}
 	}
-	r.applied = Watermark{m.Epoch, was.furthest(now)}
+	r.applied = Watermark{w.Epoch, was.furthest(now)}
 }
 
 // RejectConfig says that the configuration up to this version, the one of Consistent, cannot be
--- a/internal/controlplane/watchstream/report.go
+++ b/internal/controlplane/watchstream/report.go
@@ -35,21 +35,21 @@
 }
 
 // Validate returns an error that names the first field that cannot be used.
-func (r *Report) Validate() error {
+func (report *Report) Validate() error {
 	switch {
-	case r.Relay == "":
+	case report.Relay == "":
 		return fieldError("relay", "it is missing")
-	case len(r.Relay) > MaxNameBytes || len(r.Region) > MaxNameBytes:
+	case len(report.Relay) > MaxNameBytes || len(report.Region) > MaxNameBytes:
 		return fieldError("relay", "over %d bytes", MaxNameBytes)
-	case len(r.Readers) > MaxReportedReaders:
-		return fieldError("readers", "%d of them: %d at most", len(r.Readers), MaxReportedReaders)
-	case r.Base > r.UpTo:
+	case len(report.Readers) > MaxReportedReaders:
+		return fieldError("readers", "%d of them: %d at most", len(report.Readers), MaxReportedReaders)
+	case report.Base > report.UpTo:
 		return fieldError("base", "it is after upto")
-	case r.AgeMs < 0:
-		return fieldError("age_ms", "%d is below 0", r.AgeMs)
+	case report.AgeMs < 0:
+		return fieldError("age_ms", "%d is below 0", report.AgeMs)
 	}
-	for i := range r.Readers {
-		x := &r.Readers[i]
+	for i := range report.Readers {
+		x := &report.Readers[i]
 		switch {
 		case x.Name == "" || len(x.Name) > MaxNameBytes:
 			return fieldError("readers", "readers[%d].name: missing, or over %d bytes", i, MaxNameBytes)
@@ -84,9 +84,9 @@
 		Consistent: Watermark{s.store.epoch, s.store.consistent}, AgeMs: s.Age(now).Milliseconds()}
 	for name, r := range s.readers {
 		if r.changeSeq > s.reportedSeq && !r.request.All {
-			h := &r.request
-			rep.Readers = append(rep.Readers, Cursor{Name: name, Region: h.Region, Zone: h.Zone, Epoch: h.Epoch, Applied: h.Applied, Generation: h.Generation,
-				Rejection: h.Rejection, Silent: r.silent, LastHeardMs: (now - r.lastHeardAt).Milliseconds()})
+			req := &r.request
+			rep.Readers = append(rep.Readers, Cursor{Name: name, Region: req.Region, Zone: req.Zone, Epoch: req.Epoch, Applied: req.Applied, Generation: req.Generation,
+				Rejection: req.Rejection, Silent: r.silent, LastHeardMs: (now - r.lastHeardAt).Milliseconds()})
 		}
 	}
 	slices.SortFunc(rep.Readers, func(a, b Cursor) int { return cmp.Compare(a.Name, b.Name) })
@@ -94,12 +94,12 @@
 }
 
 // ReportAcked processes the tracker's answer to a report.
-func (s *Source) ReportAcked(a ReportResponse) {
+func (s *Source) ReportAcked(resp ReportResponse) {
 	switch {
-	case a.Incarnation != s.incarnation:
-	case a.WantFull:
+	case resp.Incarnation != s.incarnation:
+	case resp.WantFull:
 		s.reportedSeq = 0
-	case a.UpTo <= s.changeSeq:
-		s.reportedSeq = max(s.reportedSeq, a.UpTo)
+	case resp.UpTo <= s.changeSeq:
+		s.reportedSeq = max(s.reportedSeq, resp.UpTo)
 	}
 }
--- a/internal/controlplane/watchstream/rules_test.go
+++ b/internal/controlplane/watchstream/rules_test.go
@@ -203,9 +203,9 @@
 	seq := map[string]uint64{}
 	report := func(now time.Duration, relay string, whole bool, has uint64, readers ...Cursor) ReportResponse {
 		seq[relay]++
-		a, err := tally.AddReport(now, Report{Fleet: fleetName, Relay: relay, Incarnation: 1, Seq: seq[relay], Base: seq[relay] - 1, UpTo: seq[relay], Full: whole, Consistent: at("e1", has), Readers: readers})
+		resp, err := tally.AddReport(now, Report{Fleet: fleetName, Relay: relay, Incarnation: 1, Seq: seq[relay], Base: seq[relay] - 1, UpTo: seq[relay], Full: whole, Consistent: at("e1", has), Readers: readers})
 		require.NoError(t, err)
-		return a
+		return resp
 	}
 	const s = time.Second
 	tally.NoteCommit(0, "e1", 1)
@@ -264,14 +264,14 @@
 
 // TestJSON has what goes over the wire come back as it went.
 func TestJSON(t *testing.T) {
-	h := SubscribeRequest{Fleet: "f", Epoch: "e", Scope: Scope{Name: "n", Region: "r", All: true}, Have: Position{1, 2}, Seen: Position{3, 4}, Applied: Watermark{"e", Position{1, 1}}, Generation: 5, Seq: 6,
+	req := SubscribeRequest{Fleet: "f", Epoch: "e", Scope: Scope{Name: "n", Region: "r", All: true}, Have: Position{1, 2}, Seen: Position{3, 4}, Applied: Watermark{"e", Position{1, 1}}, Generation: 5, Seq: 6,
 		Rejection: &Rejection{7, "x"}, Progress: &DigestProgress{8, 9}, Digests: Digests{10, 1 << 63}, WaitMs: 11}
 	var h2 SubscribeRequest
-	b, err := json.Marshal(h)
+	b, err := json.Marshal(req)
 	require.NoError(t, err)
 	require.NoError(t, json.Unmarshal(b, &h2))
-	require.Equal(t, h, h2)
-	d := Delta{Fleet: "f", Epoch: "e", Replaces: []string{"x"}, Scope: h.Scope, To: Position{1, 2}, Head: Position{3, 4}, Records: []Record{{Kind: Config, Key: "shared", Version: 2, Value: []byte(`{}`)}},
+	require.Equal(t, req, h2)
+	d := Delta{Fleet: "f", Epoch: "e", Replaces: []string{"x"}, Scope: req.Scope, To: Position{1, 2}, Head: Position{3, 4}, Records: []Record{{Kind: Config, Key: "shared", Version: 2, Value: []byte(`{}`)}},
 		Range: &BucketRange{1, 2, 3}, Buckets: []Bucket{{2, 1 << 63, []string{"b"}, []Record{{Key: "a", Version: 1, Value: []byte(`{}`)}}}}, AgeMs: 4}
 	var d2 Delta
 	b, err = json.Marshal(d)
--- a/internal/controlplane/watchstream/size_test.go
+++ b/internal/controlplane/watchstream/size_test.go
@@ -79,7 +79,7 @@
 		s := filled(t, n)
 		src := NewSource(s, SourceOptions{ReaderRate: 1e9, ReaderBurst: 1e9, CoalesceInterval: 1}, 1)
 		now := time.Second
-		h := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1", Region: "r1", Zone: "z1"}, Epoch: "e1", Generation: 1}
+		req := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1", Region: "r1", Zone: "z1"}, Epoch: "e1", Generation: 1}
 		i := 0
 		apply = testing.AllocsPerRun(200, func() {
 			i++
@@ -87,14 +87,14 @@
 			require.NoError(t, err)
 		})
 		hear := func() {
-			now, h.Seq = now+time.Second, h.Seq+1
-			require.NoError(t, src.Subscribe(now, h))
+			now, req.Seq = now+time.Second, req.Seq+1
+			require.NoError(t, src.Subscribe(now, req))
 		}
-		h.Have, h.Seen = s.Consistent(), s.Consistent()
+		req.Have, req.Seen = s.Consistent(), s.Consistent()
 		hear()
 		idle = testing.AllocsPerRun(200, func() { src.NextDelta(now, "n1") })
 		one = testing.AllocsPerRun(200, func() {
-			h.Have, h.Seen = s.Consistent(), s.Consistent()
+			req.Have, req.Seen = s.Consistent(), s.Consistent()
 			i++
 			_, err := s.Apply(change(entry(i%n, i)))
 			require.NoError(t, err)
@@ -184,11 +184,11 @@
 		}
 		turn, now := uint64(1), time.Second
 		var nodes []*node
-		start := func(n *node, scope Scope, c *Snapshot) {
+		start := func(n *node, scope Scope, snap *Snapshot) {
 			turn += 1 << 20
 			n.r = NewReplica(fleetName, scope, turn, limits)
-			if c != nil {
-				require.NoError(t, n.r.Restore(*c))
+			if snap != nil {
+				require.NoError(t, n.r.Restore(*snap))
 			}
 			if scope.All {
 				n.s = NewSource(n.r.Store(), opt, turn)
@@ -250,11 +250,11 @@
 				case 0:
 					n.copies = append(n.copies, n.r.Store().Snapshot())
 				case 1:
-					var c *Snapshot
+					var snap *Snapshot
 					if k := rapid.IntRange(0, len(n.copies)).Draw(t, "copy"); k > 0 {
-						c = &n.copies[k-1]
+						snap = &n.copies[k-1]
 					}
-					start(n, n.r.Scope(), c)
+					start(n, n.r.Scope(), snap)
 				default:
 					if n.from >= 0 {
 						n.from = 1 - n.from
@@ -281,9 +281,9 @@
 			require.Equal(t, log.Head(), n.r.Applied().Min(), "n%d", i)
 			require.Equal(t, log.Records(Targets), n.r.Records(Targets), "n%d", i)
 			require.Equal(t, log.digests, n.r.Store().digests, "n%d", i)
-			for _, x := range log.Records(Config) {
-				is, ok := n.r.Store().Get(Config, x.Key)
-				require.Equal(t, n.r.Scope().Includes(Config, x.Key), ok && is.Version == x.Version, "n%d", i)
+			for _, r := range log.Records(Config) {
+				is, ok := n.r.Store().Get(Config, r.Key)
+				require.Equal(t, n.r.Scope().Includes(Config, r.Key), ok && is.Version == r.Version, "n%d", i)
 			}
 		}
 	})
@@ -320,8 +320,8 @@
 					b.Fatal(err)
 				}
 				for _, name := range names {
-					h := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: name, Region: "r1", Zone: "z1"}, Epoch: "e1", Have: was, Seen: was, Generation: 1, Seq: uint64(i) + 1}
-					if err := src.Subscribe(now, h); err != nil {
+					req := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: name, Region: "r1", Zone: "z1"}, Epoch: "e1", Have: was, Seen: was, Generation: 1, Seq: uint64(i) + 1}
+					if err := src.Subscribe(now, req); err != nil {
 						b.Fatal(err)
 					}
 					if d, _ := src.NextDelta(now, name); len(d.Records) != 1 {
@@ -353,11 +353,11 @@
 		now += time.Second
 		t.NoteCommit(now, "e1", i)
 		for k := range 16 {
-			r := Report{Fleet: fleetName, Relay: fmt.Sprint("relay/", k), Incarnation: 1, Seq: i, Base: i - 1, UpTo: i, Full: i == 1, Consistent: Watermark{"e1", Position{i, i}}}
+			report := Report{Fleet: fleetName, Relay: fmt.Sprint("relay/", k), Incarnation: 1, Seq: i, Base: i - 1, UpTo: i, Full: i == 1, Consistent: Watermark{"e1", Position{i, i}}}
 			for j := range 181 {
-				r.Readers = append(r.Readers, Cursor{Name: fmt.Sprint("n", k, ".", j), Applied: Watermark{"e1", Position{i, i}}, Generation: 1})
+				report.Readers = append(report.Readers, Cursor{Name: fmt.Sprint("n", k, ".", j), Applied: Watermark{"e1", Position{i, i}}, Generation: 1})
 			}
-			if _, err := t.AddReport(now, r); err != nil {
+			if _, err := t.AddReport(now, report); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/controlplane/watchstream/source.go
+++ b/internal/controlplane/watchstream/source.go
@@ -81,38 +81,38 @@
 // Rejections returns the rejected requests by reason, and the number of readers rejected as busy.
 func (s *Source) Rejections() (refused map[Reason]uint64, busy uint64) {
 	c := make(map[Reason]uint64, len(s.rejections))
-	for k, n := range s.rejections {
-		c[k] = n
+	for reason, n := range s.rejections {
+		c[reason] = n
 	}
 	return c, s.busyCount
 }
 
 // Subscribe processes a reader's request. It returns a *FieldError, a *RejectedError or a *BusyError,
 // and has then changed nothing of what it knows of readers.
-func (s *Source) Subscribe(now time.Duration, h SubscribeRequest) error {
-	err := s.subscribe(now, h)
+func (s *Source) Subscribe(now time.Duration, req SubscribeRequest) error {
+	err := s.subscribe(now, req)
 	if e := (*RejectedError)(nil); errors.As(err, &e) {
 		s.rejections[e.Reason]++
 	}
 	return err
 }
 
-func (s *Source) subscribe(now time.Duration, h SubscribeRequest) error {
-	if err := h.Validate(); err != nil {
+func (s *Source) subscribe(now time.Duration, req SubscribeRequest) error {
+	if err := req.Validate(); err != nil {
 		return err
 	}
-	r := s.readers[h.Name]
+	r := s.readers[req.Name]
 	switch {
-	case h.Fleet != s.store.fleet:
-		return reject(ReasonForeignFleet, "the reader is of fleet %q, and this is %q", h.Fleet, s.store.fleet)
+	case req.Fleet != s.store.fleet:
+		return reject(ReasonForeignFleet, "the reader is of fleet %q, and this is %q", req.Fleet, s.store.fleet)
 	case s.store.epoch == "":
 		return reject(ReasonNotReady, "there is nothing here yet")
-	case h.Epoch != "" && h.Epoch != s.store.epoch && !slices.Contains(s.store.replaces, h.Epoch):
-		return reject(ReasonEpoch, "the reader has epoch %q, and %q doesn't say that it takes its place", h.Epoch, s.store.epoch)
-	case len(h.Digests) > 0 && len(h.Digests) != len(s.store.digests):
-		return reject(ReasonMalformed, "the reader has %d buckets, and this has %d", len(h.Digests), len(s.store.digests))
-	case r != nil && (h.Generation < r.request.Generation || h.Generation == r.request.Generation && h.Seq <= r.request.Seq):
-		return reject(ReasonStale, "turn %d, hello %d: %d, %d was heard", h.Generation, h.Seq, r.request.Generation, r.request.Seq)
+	case req.Epoch != "" && req.Epoch != s.store.epoch && !slices.Contains(s.store.replaces, req.Epoch):
+		return reject(ReasonEpoch, "the reader has epoch %q, and %q doesn't say that it takes its place", req.Epoch, s.store.epoch)
+	case len(req.Digests) > 0 && len(req.Digests) != len(s.store.digests):
+		return reject(ReasonMalformed, "the reader has %d buckets, and this has %d", len(req.Digests), len(s.store.digests))
+	case r != nil && (req.Generation < r.request.Generation || req.Generation == r.request.Generation && req.Seq <= r.request.Seq):
+		return reject(ReasonStale, "turn %d, hello %d: %d, %d was heard", req.Generation, req.Seq, r.request.Generation, r.request.Seq)
 	}
 	if r == nil {
 		if err := s.admitReader(now); err != nil {
@@ -120,26 +120,26 @@
 			return err
 		}
 		rate, burst := s.opt.ReaderRate, s.opt.ReaderBurst
-		if h.All {
+		if req.All {
 			rate, burst = s.opt.RelayRate, s.opt.RelayBurst
 		}
 		r = &reader{targetTokens: newTokenBucket(now, rate/2, burst/2), sharedTokens: newTokenBucket(now, rate/2, burst/2)}
-		s.readers[h.Name] = r
+		s.readers[req.Name] = r
 	}
 	was := r.request
-	if r.changeSeq == 0 || r.silent || was.Applied != h.Applied || was.Generation != h.Generation || was.Scope != h.Scope || was.Epoch != h.Epoch ||
-		(was.Rejection == nil) != (h.Rejection == nil) || was.Rejection != nil && *was.Rejection != *h.Rejection {
+	if r.changeSeq == 0 || r.silent || was.Applied != req.Applied || was.Generation != req.Generation || was.Scope != req.Scope || was.Epoch != req.Epoch ||
+		(was.Rejection == nil) != (req.Rejection == nil) || was.Rejection != nil && *was.Rejection != *req.Rejection {
 		s.changeSeq++
 		r.changeSeq = s.changeSeq
 	}
 	switch {
-	case len(h.Digests) > 0:
-		r.resync = &digestRun{epoch: h.Epoch, start: s.store.consistent.Targets, digests: h.Digests}
-		h.Digests = nil
-	case h.Progress == nil:
+	case len(req.Digests) > 0:
+		r.resync = &digestRun{epoch: req.Epoch, start: s.store.consistent.Targets, digests: req.Digests}
+		req.Digests = nil
+	case req.Progress == nil:
 		r.resync = nil // it has ended, or nothing of it arrived
 	}
-	r.request, r.lastHeardAt, r.waiting, r.silent = h, now, true, false
+	r.request, r.lastHeardAt, r.waiting, r.silent = req, now, true, false
 	return nil
 }
 
--- a/internal/controlplane/watchstream/status.go
+++ b/internal/controlplane/watchstream/status.go
@@ -58,22 +58,22 @@
 	t.Expire(now)
 	s := Status{Epoch: t.epoch, Version: version, Readers: len(t.readers), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
 	heardReaders := map[string]int{} // by relay
-	for _, c := range t.readers {
-		at, silent := t.lastHeard(now, c)
+	for _, r := range t.readers {
+		at, silent := t.lastHeard(now, r)
 		if silent {
 			s.Silent++
 		} else {
-			heardReaders[c.relay]++
+			heardReaders[r.relay]++
 		}
-		if c.Rejection != nil {
+		if r.Rejection != nil {
 			s.Rejected++
 		}
-		if t.appliedVersion(c) >= version {
+		if t.appliedVersion(r) >= version {
 			s.Applied++
 			continue
 		}
-		s.Lagging = append(s.Lagging, LaggingReader{Name: c.Name, Region: c.Region, Relay: c.relay, Applied: t.appliedVersion(c),
-			Cause: t.lagCause(c, silent, version), LastHeardMs: (now - at).Milliseconds(), Rejection: c.Rejection})
+		s.Lagging = append(s.Lagging, LaggingReader{Name: r.Name, Region: r.Region, Relay: r.relay, Applied: t.appliedVersion(r),
+			Cause: t.lagCause(r, silent, version), LastHeardMs: (now - at).Milliseconds(), Rejection: r.Rejection})
 	}
 	if s.Readers > 0 {
 		s.AppliedShare = float64(s.Applied) / float64(s.Readers)
@@ -88,14 +88,14 @@
 }
 
 // lagCause is why a reader has not applied a version.
-func (t *AckTracker) lagCause(c *trackedReader, silent bool, version uint64) string {
-	relay := t.relays[c.relay]
+func (t *AckTracker) lagCause(r *trackedReader, silent bool, version uint64) string {
+	relay := t.relays[r.relay]
 	switch {
 	case silent:
 		return LagSilent
-	case c.Applied.Epoch != t.epoch && c.Applied.Epoch != "" || c.Epoch != t.epoch && c.Epoch != "":
+	case r.Applied.Epoch != t.epoch && r.Applied.Epoch != "" || r.Epoch != t.epoch && r.Epoch != "":
 		return LagEpoch
-	case c.Rejection != nil:
+	case r.Rejection != nil:
 		return LagRejected
 	case relay.Consistent.Epoch != t.epoch || relay.Consistent.Min() < version:
 		return LagRelayBehind
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -52,11 +52,11 @@
 }
 
 // effectiveState is DELETED once the source does not list the target.
-func (w *sourceEntry) effectiveState() string {
-	if !w.listed {
+func (e *sourceEntry) effectiveState() string {
+	if !e.listed {
 		return deleted
 	}
-	return w.State
+	return e.State
 }
 
 // target is a target that a source lists or has listed.
@@ -69,9 +69,9 @@
 // effectiveEntry is the join of both sources.
 func (t *target) effectiveEntry() (e listing.Entry) {
 	var from *sourceEntry
-	for _, w := range t.entries {
-		if w != nil && (from == nil || supersedes(w, from)) {
-			from = w
+	for _, entry := range t.entries {
+		if entry != nil && (from == nil || supersedes(entry, from)) {
+			from = entry
 		}
 	}
 	e = from.Entry
@@ -150,8 +150,8 @@
 	if l.Full {
 		var silent []string
 		for id, t := range v.targets {
-			if w := t.entries[from]; w != nil && w.listed && !named[id] {
-				w.listed = false
+			if entry := t.entries[from]; entry != nil && entry.listed && !named[id] {
+				entry.listed = false
 				silent = append(silent, id)
 			}
 		}
@@ -182,8 +182,8 @@
 	if t == nil {
 		t = &target{}
 	}
-	w := t.entries[from]
-	if w == nil {
+	known := t.entries[from]
+	if known == nil {
 		if e.State != deleted || e.Started > 0 { // DELETED without a start, of a target that it never listed, says nothing
 			t.entries[from] = &sourceEntry{Entry: e, listed: e.State != deleted, changedAt: v.nextSeq()}
 			v.targets[e.ID] = t
@@ -191,20 +191,20 @@
 		return
 	}
 	if e.State == deleted {
-		if w.listed = false; e.Started <= 0 {
+		if known.listed = false; e.Started <= 0 {
 			return
 		}
 	} else {
-		w.listed = true
+		known.listed = true
 	}
 	switch {
-	case e.Started < w.Started:
+	case e.Started < known.Started:
 		return
-	case e.Started == w.Started && stateRank(e.State) < stateRank(w.State):
-		e.State = w.State // the state stays for this start; the address may have changed all the same
+	case e.Started == known.Started && stateRank(e.State) < stateRank(known.State):
+		e.State = known.State // the state stays for this start; the address may have changed all the same
 	}
-	if !sameEntry(e, w.Entry) {
-		w.Entry, w.changedAt = e, v.nextSeq()
+	if !sameEntry(e, known.Entry) {
+		known.Entry, known.changedAt = e, v.nextSeq()
 	}
 }
 
@@ -232,8 +232,8 @@
 // bound.
 func (v *View) trackRemoved(id string, t *target) {
 	named := false
-	for _, w := range t.entries {
-		named = named || w != nil && w.listed
+	for _, e := range t.entries {
+		named = named || e != nil && e.listed
 	}
 	switch {
 	case named && t.removed != nil:
--- a/internal/controlplane/watchstream/version_times.go
+++ b/internal/controlplane/watchstream/version_times.go
@@ -19,21 +19,21 @@
 }
 
 // add records a version, if it is greater than the last one.
-func (s *versionTimes) add(version uint64, at time.Duration) {
-	if n := len(s.list); n == 0 || s.list[n-1].version < version {
-		s.list = append(s.list, versionTime{version, at})
+func (t *versionTimes) add(version uint64, at time.Duration) {
+	if n := len(t.list); n == 0 || t.list[n-1].version < version {
+		t.list = append(t.list, versionTime{version, at})
 	}
-	if len(s.list) >= 2*s.max {
-		s.list = slices.Clone(s.list[s.max:])
+	if len(t.list) >= 2*t.max {
+		t.list = slices.Clone(t.list[t.max:])
 	}
 }
 
 // reachedAt returns when the version was reached: the first entry at or after it, except the very
 // first, since it is unknown what happened before.
-func (s *versionTimes) reachedAt(version uint64) (at time.Duration, known bool) {
-	i, _ := slices.BinarySearchFunc(s.list, version, func(x versionTime, v uint64) int { return cmp.Compare(x.version, v) })
-	if i == len(s.list) || i == 0 {
+func (t *versionTimes) reachedAt(version uint64) (at time.Duration, known bool) {
+	i, _ := slices.BinarySearchFunc(t.list, version, func(x versionTime, v uint64) int { return cmp.Compare(x.version, v) })
+	if i == len(t.list) || i == 0 {
 		return 0, false
 	}
-	return s.list[i].at, true
+	return t.list[i].at, true
 }
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,17 +6,17 @@
 
 // earliestSend is the single gate that every send passes. It returns the time from which the request
 // may go to the queue's endpoint, or a later time at which to ask again; never: not at all.
-func (s *Scheduler) earliestSend(r *request, l *shardQueue) time.Duration {
-	n := l.endpoint
-	if r.BoundEndpoint != "" && r.BoundEndpoint != n.ID {
+func (s *Scheduler) earliestSend(r *request, q *shardQueue) time.Duration {
+	ep := q.endpoint
+	if r.BoundEndpoint != "" && r.BoundEndpoint != ep.ID {
 		s.expireObjective(r) // most of its body was sent to another endpoint
 		return never
 	}
-	at := max(r.notBefore, n.blockedUntil, s.orderGate(r), s.coldGate(n, r), s.rateLimitGate(r), s.quotaGate(n, r))
+	at := max(r.notBefore, ep.blockedUntil, s.orderGate(r), s.coldGate(ep, r), s.rateLimitGate(r), s.quotaGate(ep, r))
 	if r.attempts > 0 {
-		at = max(at, s.retryBudgetGate(n, r))
+		at = max(at, s.retryBudgetGate(ep, r))
 		c := r.class
-		there := n.Zone == r.ranInZone && (c.DedupScope == DedupZone || n.Shard == r.ranInShard)
+		there := ep.Zone == r.ranInZone && (c.DedupScope == DedupZone || ep.Shard == r.ranInShard)
 		if r.mayHaveRun && c.Effect == IdempotentWithKey && c.DedupScope != DedupFleet && !there || !s.mayRetry(r) {
 			return never
 		}
@@ -26,14 +26,14 @@
 
 // orderGate lets requests of an ordered extent run one at a time, in the order in which they arrived.
 func (s *Scheduler) orderGate(r *request) time.Duration {
-	k := s.orderedExtents[r.Extent]
-	if k == nil || !r.class.Ordered || r.Extent == "" {
+	extent := s.orderedExtents[r.Extent]
+	if extent == nil || !r.class.Ordered || r.Extent == "" {
 		return 0
 	}
-	if k.queue[0] != r {
+	if extent.queue[0] != r {
 		return never
 	}
-	return k.quietUntil
+	return extent.quietUntil
 }
 
 // rateLimitGate keeps a volume within this initiator's even part of its plan's rate limit. The bucket
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -73,12 +73,12 @@
 	if !r.class.Ordered || r.Extent == "" {
 		return
 	}
-	k := s.orderedExtents[r.Extent]
-	if k == nil {
-		k = &orderedExtent{}
-		s.orderedExtents[r.Extent] = k
+	extent := s.orderedExtents[r.Extent]
+	if extent == nil {
+		extent = &orderedExtent{}
+		s.orderedExtents[r.Extent] = extent
 	}
-	k.queue = append(k.queue, r)
+	extent.queue = append(extent.queue, r)
 }
 
 // handleOutcome ends an attempt: it updates the endpoint's health, and finishes the request or queues
@@ -88,24 +88,24 @@
 	if r == nil || r.inFlightAt == nil || e.Attempt != r.attempts-1 {
 		return
 	}
-	n := r.inFlightAt
-	s.markUsed(n)
-	s.learnFromOutcome(n, r, e)
-	s.handleLoadReport(n, e.Load)
-	n.inFlight = removeRequest(n.inFlight, r)
+	ep := r.inFlightAt
+	s.markUsed(ep)
+	s.learnFromOutcome(ep, r, e)
+	s.handleLoadReport(ep, e.Load)
+	ep.inFlight = removeRequest(ep.inFlight, r)
 	r.inFlightAt, r.heldSince = nil, s.now
 	if e.Code == Served {
 		s.noteUsage(r.volume, r.Units, e.VolumeUsage)
 	}
 	inDoubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
-	if k := s.orderedExtents[r.Extent]; k != nil && r.class.Ordered && inDoubt {
-		k.quietUntil = max(k.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
+	if extent := s.orderedExtents[r.Extent]; extent != nil && r.class.Ordered && inDoubt {
+		extent.quietUntil = max(extent.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
 	}
 	if e.Code != NotConnected && e.Code != NotSent {
 		r.answerBy = r.objectiveAt // an attempt was sent, so waiting for a retry is worth it
 	}
 	if e.Code.MayHaveRun() && !r.mayHaveRun {
-		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, n.Zone, n.Shard, r.attemptStartedAt
+		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, ep.Zone, ep.Shard, r.attemptStartedAt
 	}
 	switch {
 	case r.answered:
@@ -117,7 +117,7 @@
 			r.answerBy = s.now // answered once all events of this step are known: its client may have left
 		}
 		// Backoff grows with each attempt; the endpoint's own block comes on top.
-		r.notBefore = s.now + s.silenceTimeout(n)*time.Duration(r.attempts)/8
+		r.notBefore = s.now + s.silenceTimeout(ep)*time.Duration(r.attempts)/8
 		r.queue.enqueue(r)
 		if r.heapIndex >= 0 {
 			heap.Fix(&s.deadlines, r.heapIndex)
@@ -144,24 +144,24 @@
 
 // retryBudgetGate keeps retries within the budget. Requests count from a little later and retries from
 // a little earlier than the window, so that the budget holds whichever way the clocks differ.
-func (s *Scheduler) retryBudgetGate(n *endpoint, r *request) time.Duration {
-	ru := s.settings.Rules
-	if at, governed := s.quotaWait(Retries, n, r, 1); governed {
+func (s *Scheduler) retryBudgetGate(ep *endpoint, r *request) time.Duration {
+	rules := s.settings.Rules
+	if at, governed := s.quotaWait(Retries, ep, r, 1); governed {
 		return at
 	}
-	if !ru.RetryBudget {
+	if !rules.RetryBudget {
 		return 0
 	}
-	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-ru.RetryBudgetWindow+2*s.settings.MinStep)
-	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-ru.RetryBudgetWindow-2*s.settings.MinStep)
-	if float64(len(s.recentRetries)+1) <= ru.RetryBudgetFree*s.processes.fraction(s.now)+ru.RetryBudgetRatio*float64(len(s.recentRequests)) {
+	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-rules.RetryBudgetWindow+2*s.settings.MinStep)
+	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-rules.RetryBudgetWindow-2*s.settings.MinStep)
+	if float64(len(s.recentRetries)+1) <= rules.RetryBudgetFree*s.processes.fraction(s.now)+rules.RetryBudgetRatio*float64(len(s.recentRequests)) {
 		return 0
 	}
-	return s.now + ru.RetryBudgetWindow/64
+	return s.now + rules.RetryBudgetWindow/64
 }
 
 // attemptTimeout is the time after which an attempt is given up. It is long: no other endpoint has the
 // data, so a premature retry only adds load. It frees the slot of an attempt whose answer was lost.
-func (s *Scheduler) attemptTimeout(n *endpoint, r *request) time.Duration {
-	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*n.latency))
+func (s *Scheduler) attemptTimeout(ep *endpoint, r *request) time.Duration {
+	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*ep.latency))
 }
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -53,8 +53,8 @@
 
 // allowed is N at that age of a cold node.
 func (f *coldFleet) allowed() float64 {
-	ru := f.set.Rules
-	grown := 1 + (1/ru.ColdCapacityFraction-1)*min(1, (f.now-f.began).Seconds()/ru.WarmUpTime.Seconds())
+	rules := f.set.Rules
+	grown := 1 + (1/rules.ColdCapacityFraction-1)*min(1, (f.now-f.began).Seconds()/rules.WarmUpTime.Seconds())
 	return f.set.ColdUnitsPerWindow * grown / f.set.MeanUnits
 }
 
@@ -119,14 +119,14 @@
 // serve has the node do the request after all that it has. It does as much as the settings let it be sent, over their multiple.
 func (f *coldFleet) serve(p *coldProc, a Action) {
 	r, n := p.s.requests[a.Request], int(a.Endpoint[1]-'0')
-	ru := f.set.Rules
-	rate := f.set.ColdUnitsPerWindow / ru.OverloadFactor / ru.OverloadWindow.Seconds() / ru.ColdCapacityFraction
+	rules := f.set.Rules
+	rate := f.set.ColdUnitsPerWindow / rules.OverloadFactor / rules.OverloadWindow.Seconds() / rules.ColdCapacityFraction
 	if n == 0 && f.began > 0 {
-		rate = f.allowed() * f.set.MeanUnits / ru.OverloadFactor / ru.OverloadWindow.Seconds()
+		rate = f.allowed() * f.set.MeanUnits / rules.OverloadFactor / rules.OverloadWindow.Seconds()
 		if p.told <= f.now {
-			f.drawn = append(dropOlderUnits(f.drawn, f.now-ru.OverloadWindow), timedUnits{f.now, r.Units})
+			f.drawn = append(dropOlderUnits(f.drawn, f.now-rules.OverloadWindow), timedUnits{f.now, r.Units})
 			allowed := f.allowed()
-			if f.now < f.began+ru.WarmUpTime {
+			if f.now < f.began+rules.WarmUpTime {
 				f.worst = max(f.worst, sumUnits(f.drawn)/f.set.MeanUnits-allowed-2*math.Sqrt(allowed)-2)
 			}
 		}
@@ -148,17 +148,17 @@
 
 // play has all that was held come at once as the start is told, restarts a third of the processes and doubles some for a while.
 func (f *coldFleet) play(pressure float64, late bool) float64 { //nolint:gocognit // one scenario, told in order
-	ru := f.set.Rules
+	rules := f.set.Rules
 	for i := range f.set.Initiators {
 		p := f.start(i)
 		f.procs = append(f.procs, p)
 		f.step(p, f.nodes())
 	}
 	// The nodes' full pace in requests, over the processes, one in eight of which gets several times the mean.
-	each := pressure * f.set.ColdUnitsPerWindow / ru.OverloadFactor / 3 / ru.ColdCapacityFraction / f.set.MeanUnits / float64(f.set.Initiators)
+	each := pressure * f.set.ColdUnitsPerWindow / rules.OverloadFactor / 3 / rules.ColdCapacityFraction / f.set.MeanUnits / float64(f.set.Initiators)
 	const tick, start = 10 * ms, 8 * time.Second
 	told := map[int]time.Duration{}
-	for f.now = tick; f.now < start+ru.WarmUpTime+time.Second; f.now += tick {
+	for f.now = tick; f.now < start+rules.WarmUpTime+time.Second; f.now += tick {
 		if f.now == start {
 			f.began = f.now
 			for i := range f.procs {
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -10,19 +10,21 @@
 // endpoints and queues of unknown shards.
 func (s *Scheduler) sweep(since time.Duration) {
 	idle := func(v *volume) bool { return v.backlog == 0 && v.tokensAt < since && v.ownUsageAt < since }
-	for _, l := range s.flowingQueues {
-		l.flows = slices.DeleteFunc(l.flows, func(f *flow) bool {
+	for _, q := range s.flowingQueues {
+		q.flows = slices.DeleteFunc(q.flows, func(f *flow) bool {
 			drop := f.queued == 0 && idle(f.volume)
 			if drop {
-				delete(l.flowByVolume, f.volume)
+				delete(q.flowByVolume, f.volume)
 			}
 			return drop
 		})
 	}
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
-	maps.DeleteFunc(s.orderedExtents, func(_ string, k *orderedExtent) bool { return len(k.queue) == 0 && k.quietUntil < since })
+	maps.DeleteFunc(s.orderedExtents, func(_ string, extent *orderedExtent) bool { return len(extent.queue) == 0 && extent.quietUntil < since })
 	// An empty queue of a shard that no endpoint serves is left over from requests for an unknown shard.
-	s.dropGone(func(n *endpoint) bool { return n.State == Removed && len(n.inFlight) == 0 && n.lastAnswerAt < since })
+	s.dropGone(func(ep *endpoint) bool {
+		return ep.State == Removed && len(ep.inFlight) == 0 && ep.lastAnswerAt < since
+	})
 	s.activeEndpoints()
 }
 
@@ -30,12 +32,12 @@
 func (s *Scheduler) forget(r *request) {
 	delete(s.requests, r.ID)
 	r.volume.backlog--
-	k := s.orderedExtents[r.Extent]
-	if k == nil || !r.class.Ordered {
+	extent := s.orderedExtents[r.Extent]
+	if extent == nil || !r.class.Ordered {
 		return
 	}
-	k.queue = removeRequest(k.queue, r)
-	if len(k.queue) == 0 && k.quietUntil <= s.now {
+	extent.queue = removeRequest(extent.queue, r)
+	if len(extent.queue) == 0 && extent.quietUntil <= s.now {
 		delete(s.orderedExtents, r.Extent)
 	}
 }
--- a/internal/policy/index.go
+++ b/internal/policy/index.go
@@ -51,125 +51,125 @@
 }
 
 // entryOf returns the entry of a shard, created at first use.
-func (x *endpointIndex) entryOf(number int) *shardEntry {
-	h := x.shardEntries[number]
-	if h == nil {
-		h = &shardEntry{}
-		x.shardEntries[number] = h
+func (ix *endpointIndex) entryOf(number int) *shardEntry {
+	e := ix.shardEntries[number]
+	if e == nil {
+		e = &shardEntry{}
+		ix.shardEntries[number] = e
 	}
-	return h
+	return e
 }
 
 // queueOf returns the queue of a shard, created at first use. It has no endpoint until takeStale is
 // processed.
-func (x *endpointIndex) queueOf(number int) *shardQueue {
-	h := x.entryOf(number)
-	if h.queue == nil {
-		h.queue = &shardQueue{shard: number, index: x, position: len(x.queues)}
-		x.queues = append(x.queues, h.queue)
-		x.markStale(h)
-		h.queue.markWaitStale()
+func (ix *endpointIndex) queueOf(number int) *shardQueue {
+	e := ix.entryOf(number)
+	if e.queue == nil {
+		e.queue = &shardQueue{shard: number, index: ix, position: len(ix.queues)}
+		ix.queues = append(ix.queues, e.queue)
+		ix.markStale(e)
+		e.queue.markWaitStale()
 	}
-	return h.queue
+	return e.queue
 }
 
 // markStale notes that the shard's queue may have to use another endpoint.
-func (x *endpointIndex) markStale(h *shardEntry) {
-	if h.queue == nil {
+func (ix *endpointIndex) markStale(e *shardEntry) {
+	if e.queue == nil {
 		return
 	}
-	x.staleQueues = appendOnce(x.staleQueues, h.queue, &h.queue.listedStale)
-	if len(h.endpoints) == 0 {
-		x.orphanedQueues = appendOnce(x.orphanedQueues, h.queue, &h.queue.listedOrphaned)
+	ix.staleQueues = appendOnce(ix.staleQueues, e.queue, &e.queue.listedStale)
+	if len(e.endpoints) == 0 {
+		ix.orphanedQueues = appendOnce(ix.orphanedQueues, e.queue, &e.queue.listedOrphaned)
 	}
 }
 
 // addEndpoint adds an endpoint that was unknown.
-func (x *endpointIndex) addEndpoint(n *endpoint) {
-	n.serial = x.nextSerial
-	x.nextSerial++
-	x.byID[n.ID] = n
-	x.endpoints = append(x.endpoints, n)
-	x.linkEndpoint(n)
+func (ix *endpointIndex) addEndpoint(ep *endpoint) {
+	ep.serial = ix.nextSerial
+	ix.nextSerial++
+	ix.byID[ep.ID] = ep
+	ix.endpoints = append(ix.endpoints, ep)
+	ix.linkEndpoint(ep)
 }
 
 // linkEndpoint adds the endpoint to its shard.
-func (x *endpointIndex) linkEndpoint(n *endpoint) {
-	h := x.entryOf(n.Shard)
-	at, _ := slices.BinarySearchFunc(h.endpoints, n, compareSerial)
-	h.endpoints = slices.Insert(h.endpoints, at, n)
-	x.changedEndpoints = appendOnce(x.changedEndpoints, n, &n.listedChanged)
-	x.markStale(h)
+func (ix *endpointIndex) linkEndpoint(ep *endpoint) {
+	e := ix.entryOf(ep.Shard)
+	at, _ := slices.BinarySearchFunc(e.endpoints, ep, compareSerial)
+	e.endpoints = slices.Insert(e.endpoints, at, ep)
+	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.listedChanged)
+	ix.markStale(e)
 }
 
 // unlinkEndpoint removes the endpoint from its shard.
-func (x *endpointIndex) unlinkEndpoint(n *endpoint) {
-	h := x.shardEntries[n.Shard]
-	h.endpoints = slices.DeleteFunc(h.endpoints, func(o *endpoint) bool { return o == n })
-	x.markStale(h)
-	x.dropEmptyShard(n.Shard)
+func (ix *endpointIndex) unlinkEndpoint(ep *endpoint) {
+	e := ix.shardEntries[ep.Shard]
+	e.endpoints = slices.DeleteFunc(e.endpoints, func(o *endpoint) bool { return o == ep })
+	ix.markStale(e)
+	ix.dropEmptyShard(ep.Shard)
 }
 
 // dropEmptyShard drops a shard without endpoints and without a queue.
-func (x *endpointIndex) dropEmptyShard(number int) {
-	if h := x.shardEntries[number]; h != nil && h.queue == nil && len(h.endpoints) == 0 {
-		delete(x.shardEntries, number)
+func (ix *endpointIndex) dropEmptyShard(number int) {
+	if e := ix.shardEntries[number]; e != nil && e.queue == nil && len(e.endpoints) == 0 {
+		delete(ix.shardEntries, number)
 	}
 }
 
 // updateEndpoint takes over what the list says of a known endpoint.
-func (x *endpointIndex) updateEndpoint(n *endpoint, as Endpoint) {
-	if n.Endpoint == as {
+func (ix *endpointIndex) updateEndpoint(ep *endpoint, as Endpoint) {
+	if ep.Endpoint == as {
 		return
 	}
-	was := n.Endpoint
+	was := ep.Endpoint
 	if as.Shard != was.Shard {
-		x.unlinkEndpoint(n)
+		ix.unlinkEndpoint(ep)
 	}
-	n.Endpoint = as
+	ep.Endpoint = as
 	if as.Shard != was.Shard {
-		x.linkEndpoint(n)
+		ix.linkEndpoint(ep)
 	}
-	x.changedEndpoints = appendOnce(x.changedEndpoints, n, &n.listedChanged)
-	x.markStale(x.shardEntries[n.Shard])
+	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.listedChanged)
+	ix.markStale(ix.shardEntries[ep.Shard])
 	if was.State == Draining {
-		x.drainingCount--
+		ix.drainingCount--
 	}
-	switch n.State {
+	switch ep.State {
 	case Draining:
-		x.drainingCount++
+		ix.drainingCount++
 	case Removed:
-		x.removedEndpoints = appendOnce(x.removedEndpoints, n, &n.listedRemoved)
+		ix.removedEndpoints = appendOnce(ix.removedEndpoints, ep, &ep.listedRemoved)
 	}
 }
 
 // takeChanged returns and clears the endpoints that the list has changed, in the order in which they
 // were first listed.
-func (x *endpointIndex) takeChanged() []*endpoint {
-	news := x.changedEndpoints
-	x.changedEndpoints = x.changedEndpoints[:0]
+func (ix *endpointIndex) takeChanged() []*endpoint {
+	news := ix.changedEndpoints
+	ix.changedEndpoints = ix.changedEndpoints[:0]
 	slices.SortFunc(news, compareSerial)
-	for _, n := range news {
-		n.listedChanged = false
+	for _, ep := range news {
+		ep.listedChanged = false
 	}
 	return news
 }
 
 // takeStale returns and clears the queues whose endpoint has to be looked up.
-func (x *endpointIndex) takeStale() []*shardQueue {
-	stale := x.staleQueues
-	x.staleQueues = x.staleQueues[:0]
-	for _, l := range stale {
-		l.listedStale = false
-		l.markWaitStale()
+func (ix *endpointIndex) takeStale() []*shardQueue {
+	stale := ix.staleQueues
+	ix.staleQueues = ix.staleQueues[:0]
+	for _, q := range stale {
+		q.listedStale = false
+		q.markWaitStale()
 	}
 	return stale
 }
 
 // endpointsOf returns the known endpoints of a shard, in any state.
-func (x *endpointIndex) endpointsOf(number int) []*endpoint {
-	if h := x.shardEntries[number]; h != nil {
-		return h.endpoints
+func (ix *endpointIndex) endpointsOf(number int) []*endpoint {
+	if e := ix.shardEntries[number]; e != nil {
+		return e.endpoints
 	}
 	return nil
 }
@@ -180,111 +180,113 @@
 
 // markUsed notes that an attempt starts at the endpoint or that it was heard: it may be ejected, and
 // its queue's wait may change.
-func (x *endpointIndex) markUsed(n *endpoint) {
-	x.usedEndpoints = appendOnce(x.usedEndpoints, n, &n.listedUsed)
-	if h := x.shardEntries[n.Shard]; h != nil && h.queue != nil {
-		h.queue.markWaitStale()
+func (ix *endpointIndex) markUsed(ep *endpoint) {
+	ix.usedEndpoints = appendOnce(ix.usedEndpoints, ep, &ep.listedUsed)
+	if e := ix.shardEntries[ep.Shard]; e != nil && e.queue != nil {
+		e.queue.markWaitStale()
 	}
 }
 
 // eachWaiting yields the queues with requests in order of position, including later ones that get
 // requests meanwhile.
-func (x *endpointIndex) eachWaiting() iter.Seq[*shardQueue] {
+func (ix *endpointIndex) eachWaiting() iter.Seq[*shardQueue] {
 	return func(yield func(*shardQueue) bool) {
-		x.settleWaiting()
-		for i := 0; i < len(x.waitingQueues); i++ {
-			l := x.waitingQueues[i]
-			if len(l.requests) == 0 {
+		ix.settleWaiting()
+		for i := 0; i < len(ix.waitingQueues); i++ {
+			q := ix.waitingQueues[i]
+			if len(q.requests) == 0 {
 				continue
 			}
-			if !yield(l) {
+			if !yield(q) {
 				return
 			}
-			if len(x.newlyWaiting) > 0 {
-				i += x.mergeWaiting(l)
+			if len(ix.newlyWaiting) > 0 {
+				i += ix.mergeWaiting(q)
 			}
 		}
 	}
 }
 
 // settleWaiting removes empty queues and merges newly waiting ones.
-func (x *endpointIndex) settleWaiting() {
-	if x.someEmptied {
-		x.someEmptied = false
-		x.waitingQueues = slices.DeleteFunc(x.waitingQueues, func(l *shardQueue) bool {
-			l.listedWaiting = len(l.requests) > 0
-			return !l.listedWaiting
+func (ix *endpointIndex) settleWaiting() {
+	if ix.someEmptied {
+		ix.someEmptied = false
+		ix.waitingQueues = slices.DeleteFunc(ix.waitingQueues, func(q *shardQueue) bool {
+			q.listedWaiting = len(q.requests) > 0
+			return !q.listedWaiting
 		})
 	}
-	if len(x.newlyWaiting) > 0 {
-		x.mergeWaiting(nil)
+	if len(ix.newlyWaiting) > 0 {
+		ix.mergeWaiting(nil)
 	}
 }
 
 // mergeWaiting merges the newly waiting queues into the ordered list, and returns how many are before
 // the given queue.
-func (x *endpointIndex) mergeWaiting(of *shardQueue) (before int) {
-	for _, o := range x.newlyWaiting {
+func (ix *endpointIndex) mergeWaiting(of *shardQueue) (before int) {
+	for _, o := range ix.newlyWaiting {
 		if of != nil && o.position < of.position {
 			before++
 		}
 	}
-	slices.SortFunc(x.newlyWaiting, comparePosition)
-	from, came := len(x.waitingQueues)-1, len(x.newlyWaiting)-1
-	x.waitingQueues = append(x.waitingQueues, x.newlyWaiting...)
-	for to := len(x.waitingQueues) - 1; came >= 0; to-- {
-		if from >= 0 && x.waitingQueues[from].position > x.newlyWaiting[came].position {
-			x.waitingQueues[to] = x.waitingQueues[from]
+	slices.SortFunc(ix.newlyWaiting, comparePosition)
+	from, came := len(ix.waitingQueues)-1, len(ix.newlyWaiting)-1
+	ix.waitingQueues = append(ix.waitingQueues, ix.newlyWaiting...)
+	for to := len(ix.waitingQueues) - 1; came >= 0; to-- {
+		if from >= 0 && ix.waitingQueues[from].position > ix.newlyWaiting[came].position {
+			ix.waitingQueues[to] = ix.waitingQueues[from]
 			from--
 		} else {
-			x.waitingQueues[to] = x.newlyWaiting[came]
+			ix.waitingQueues[to] = ix.newlyWaiting[came]
 			came--
 		}
 	}
-	clear(x.newlyWaiting)
-	x.newlyWaiting = x.newlyWaiting[:0]
+	clear(ix.newlyWaiting)
+	ix.newlyWaiting = ix.newlyWaiting[:0]
 	return before
 }
 
 // dropGone removes removed endpoints that gone accepts, and queues of shards without endpoints,
 // requests and flows.
-func (x *endpointIndex) dropGone(gone func(*endpoint) bool) {
-	x.settleWaiting()
-	x.flowingQueues = slices.DeleteFunc(x.flowingQueues, func(l *shardQueue) bool {
-		l.listedFlowing = len(l.flows) > 0
-		if !l.listedFlowing && len(l.requests) == 0 {
-			l.flows, l.requests, l.flowByVolume = nil, nil, nil
+func (ix *endpointIndex) dropGone(gone func(*endpoint) bool) {
+	ix.settleWaiting()
+	ix.flowingQueues = slices.DeleteFunc(ix.flowingQueues, func(q *shardQueue) bool {
+		q.listedFlowing = len(q.flows) > 0
+		if !q.listedFlowing && len(q.requests) == 0 {
+			q.flows, q.requests, q.flowByVolume = nil, nil, nil
 		}
-		return !l.listedFlowing
+		return !q.listedFlowing
 	})
 	dropped := false
-	x.orphanedQueues = slices.DeleteFunc(x.orphanedQueues, func(l *shardQueue) bool {
-		h := x.shardEntries[l.shard]
-		l.listedOrphaned = len(h.endpoints) == 0
-		if l.listedOrphaned && len(l.requests)+len(l.flows) == 0 {
-			dropped, h.queue = true, nil
-			x.dropEmptyShard(l.shard)
+	ix.orphanedQueues = slices.DeleteFunc(ix.orphanedQueues, func(q *shardQueue) bool {
+		e := ix.shardEntries[q.shard]
+		q.listedOrphaned = len(e.endpoints) == 0
+		if q.listedOrphaned && len(q.requests)+len(q.flows) == 0 {
+			dropped, e.queue = true, nil
+			ix.dropEmptyShard(q.shard)
 			return true
 		}
-		return !l.listedOrphaned
+		return !q.listedOrphaned
 	})
 	if dropped {
-		bare := func(l *shardQueue) bool { return x.shardEntries[l.shard] == nil || x.shardEntries[l.shard].queue != l }
-		x.queues = slices.DeleteFunc(x.queues, bare)
-		x.staleQueues = slices.DeleteFunc(x.staleQueues, bare)
-		for i, l := range x.queues {
-			l.position = i
+		bare := func(q *shardQueue) bool {
+			return ix.shardEntries[q.shard] == nil || ix.shardEntries[q.shard].queue != q
 		}
-		x.waitTree = minWaitTree{}
+		ix.queues = slices.DeleteFunc(ix.queues, bare)
+		ix.staleQueues = slices.DeleteFunc(ix.staleQueues, bare)
+		for i, q := range ix.queues {
+			q.position = i
+		}
+		ix.waitTree = minWaitTree{}
 	}
-	x.removedEndpoints = slices.DeleteFunc(x.removedEndpoints, func(n *endpoint) bool {
-		if n.listedRemoved = n.State == Removed; n.listedRemoved && gone(n) {
-			delete(x.byID, n.ID)
-			at, _ := slices.BinarySearchFunc(x.endpoints, n, compareSerial)
-			x.endpoints = slices.Delete(x.endpoints, at, at+1)
-			x.unlinkEndpoint(n)
+	ix.removedEndpoints = slices.DeleteFunc(ix.removedEndpoints, func(ep *endpoint) bool {
+		if ep.listedRemoved = ep.State == Removed; ep.listedRemoved && gone(ep) {
+			delete(ix.byID, ep.ID)
+			at, _ := slices.BinarySearchFunc(ix.endpoints, ep, compareSerial)
+			ix.endpoints = slices.Delete(ix.endpoints, at, at+1)
+			ix.unlinkEndpoint(ep)
 			return true
 		}
-		return !n.listedRemoved
+		return !ep.listedRemoved
 	})
 }
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -259,17 +259,17 @@
 			w.fault("rule 2: keyed %s sent outside its group", a.Request)
 		}
 	}
-	ru := w.set.Rules
-	if ru.OverloadWindow > 0 && n.Started > 0 && w.now-n.Started < ru.WarmUpTime {
+	rules := w.set.Rules
+	if rules.OverloadWindow > 0 && n.Started > 0 && w.now-n.Started < rules.WarmUpTime {
 		w.cold[a.Endpoint] = append(w.cold[a.Endpoint], drawn{w.now, q.req.Units})
 		sum := 0.0
 		for _, d := range w.cold[a.Endpoint] {
-			if d.at > w.now-ru.OverloadWindow && d.at >= n.Started {
+			if d.at > w.now-rules.OverloadWindow && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		grown := ru.ColdCapacityFraction + (1-ru.ColdCapacityFraction)*(w.now-n.Started).Seconds()/ru.WarmUpTime.Seconds()
-		if bears := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*grown/ru.ColdCapacityFraction + w.servedBy(a.Endpoint); sum > bears+1e-6 {
+		grown := rules.ColdCapacityFraction + (1-rules.ColdCapacityFraction)*(w.now-n.Started).Seconds()/rules.WarmUpTime.Seconds()
+		if bears := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*grown/rules.ColdCapacityFraction + w.servedBy(a.Endpoint); sum > bears+1e-6 {
 			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Endpoint, bears)
 		}
 	}
@@ -283,22 +283,22 @@
 			}
 		}
 		for _, p := range w.byKey[q.req.Extent] {
-			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+ru.OrderedQuietTime {
+			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+rules.OrderedQuietTime {
 				w.fault("rule 5: %s sent while its key rests", a.Request)
 			}
 		}
 	}
-	if ru.RetryBudget && len(q.sends) > 0 {
+	if rules.RetryBudget && len(q.sends) > 0 {
 		w.extra = append(w.extra, w.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
-				if at > w.now-ru.RetryBudgetWindow {
+				if at > w.now-rules.RetryBudgetWindow {
 					n++
 				}
 			}
 			return n
 		}
-		if from(w.extra) > ru.RetryBudgetFree+ru.RetryBudgetRatio*from(w.taken) {
+		if from(w.extra) > rules.RetryBudgetFree+rules.RetryBudgetRatio*from(w.taken) {
 			w.fault("rule 6: further attempt of %s over the budget", a.Request)
 		}
 	}
@@ -352,15 +352,15 @@
 	}
 	if mask&8 != 0 {
 		// Each initiator's part is a largest request at least: one over it may go from a few all the same.
-		switch ru := &set.Rules; w.rng.IntN(5) {
+		switch rules := &set.Rules; w.rng.IntN(5) {
 		case 0:
 			set.ColdUnitsPerWindow = some(45, 60)
 		case 1:
-			ru.OverloadWindow = time.Duration(some(0.5, 3) * float64(time.Second))
+			rules.OverloadWindow = time.Duration(some(0.5, 3) * float64(time.Second))
 		case 2:
-			ru.WarmUpTime = time.Duration(some(2, 8)) * time.Second
+			rules.WarmUpTime = time.Duration(some(2, 8)) * time.Second
 		case 3:
-			ru.ColdCapacityFraction, ru.WarmUpTime = 0.1, 9*time.Second
+			rules.ColdCapacityFraction, rules.WarmUpTime = 0.1, 9*time.Second
 		}
 	}
 	hosts := 2.0
--- a/internal/policy/list.go
+++ b/internal/policy/list.go
@@ -17,35 +17,35 @@
 	named := map[string]bool{}
 	for _, x := range e.Endpoints {
 		named[x.ID] = true
-		n := s.byID[x.ID]
-		if n == nil {
-			n = &endpoint{Endpoint: Endpoint{ID: x.ID, Shard: x.Shard}, concurrencyLimit: 2, lastAnswerAt: s.now, reportedLoad: -1}
-			s.addEndpoint(n)
+		ep := s.byID[x.ID]
+		if ep == nil {
+			ep = &endpoint{Endpoint: Endpoint{ID: x.ID, Shard: x.Shard}, concurrencyLimit: 2, lastAnswerAt: s.now, reportedLoad: -1}
+			s.addEndpoint(ep)
 		}
-		if x.Started != n.Started && s.now-x.Started < s.settings.Rules.WarmUpTime {
-			n.trafficShare = s.estimateTrafficShare(x.Shard) // before this restart changes the traffic
-			n.concurrencyLimit, n.failureStreak, n.latency, n.reportedLoad, n.coldServed = 1, 0, 0, -1, nil
+		if x.Started != ep.Started && s.now-x.Started < s.settings.Rules.WarmUpTime {
+			ep.trafficShare = s.estimateTrafficShare(x.Shard) // before this restart changes the traffic
+			ep.concurrencyLimit, ep.failureStreak, ep.latency, ep.reportedLoad, ep.coldServed = 1, 0, 0, -1, nil
 		}
-		s.updateEndpoint(n, x)
+		s.updateEndpoint(ep, x)
 	}
 	if e.Full {
-		for _, n := range s.endpoints {
-			if x := n.Endpoint; !named[n.ID] {
+		for _, ep := range s.endpoints {
+			if x := ep.Endpoint; !named[ep.ID] {
 				x.State = Removed
-				s.updateEndpoint(n, x)
+				s.updateEndpoint(ep, x)
 			}
 		}
 	}
-	for _, n := range s.takeChanged() {
-		if n.State == Up && n.Shard >= 0 {
-			s.queueOf(n.Shard)
+	for _, ep := range s.takeChanged() {
+		if ep.State == Up && ep.Shard >= 0 {
+			s.queueOf(ep.Shard)
 		}
 	}
-	for _, l := range s.takeStale() {
-		l.endpoint = nil
-		for _, n := range s.endpointsOf(l.shard) {
-			if n.State == Up && (l.endpoint == nil || n.Started > l.endpoint.Started) {
-				l.endpoint = n
+	for _, q := range s.takeStale() {
+		q.endpoint = nil
+		for _, ep := range s.endpointsOf(q.shard) {
+			if ep.State == Up && (q.endpoint == nil || ep.Started > q.endpoint.Started) {
+				q.endpoint = ep
 			}
 		}
 	}
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -7,8 +7,8 @@
 // placeRequest returns the queue for a request: its shard's, or for a new object the one with the
 // smallest expected wait. The search for the smallest starts at a random queue, so that ties spread.
 func (s *Scheduler) placeRequest(r *request) *shardQueue {
-	if n := s.byID[r.BoundEndpoint]; n != nil {
-		return s.queueOf(n.Shard)
+	if ep := s.byID[r.BoundEndpoint]; ep != nil {
+		return s.queueOf(ep.Shard)
 	}
 	if r.Shard >= 0 || len(s.queues) == 0 {
 		return s.queueOf(max(r.Shard, 0))
@@ -18,16 +18,16 @@
 
 // expectedWait estimates, in seconds, how long a new request would take in the queue. Faulty and
 // blocked endpoints get a large penalty, warming ones a factor.
-func (s *Scheduler) expectedWait(l *shardQueue) float64 {
-	n := l.endpoint
-	if n == nil {
+func (s *Scheduler) expectedWait(q *shardQueue) float64 {
+	ep := q.endpoint
+	if ep == nil {
 		return math.Inf(1)
 	}
-	w := max(n.latency, 1e-3) * (1 + float64(len(l.requests)+len(n.inFlight))/n.concurrencyLimit)
-	if s.isFaulty(n) || n.blockedUntil > s.now {
+	w := max(ep.latency, 1e-3) * (1 + float64(len(q.requests)+len(ep.inFlight))/ep.concurrencyLimit)
+	if s.isFaulty(ep) || ep.blockedUntil > s.now {
 		w += 100 * s.minObjective.Seconds()
 	}
-	if n.Started > 0 && s.now-n.Started < s.settings.Rules.WarmUpTime {
+	if ep.Started > 0 && s.now-ep.Started < s.settings.Rules.WarmUpTime {
 		w *= 4
 	}
 	return w
@@ -36,13 +36,13 @@
 // rebalanceNewObjects moves queued new objects away from queues whose wait has become more than twice
 // the smallest.
 func (s *Scheduler) rebalanceNewObjects() {
-	for l := range s.eachWaiting() {
-		for i := 0; i < len(l.requests); i++ {
-			r := l.requests[i]
+	for q := range s.eachWaiting() {
+		for i := 0; i < len(q.requests); i++ {
+			r := q.requests[i]
 			if r.Shard >= 0 || r.mayHaveRun || r.BoundEndpoint != "" {
 				continue
 			}
-			if to := s.placeRequest(r); to != l && 2*s.expectedWait(to) < s.expectedWait(l) {
+			if to := s.placeRequest(r); to != q && 2*s.expectedWait(to) < s.expectedWait(q) {
 				r.dequeue()
 				to.enqueue(r)
 				i--
@@ -55,8 +55,8 @@
 // none. The caller asks where a body has to be streamed before the request can be queued.
 func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
-	if l := s.placeRequest(r); l.endpoint != nil {
-		return l.endpoint.ID
+	if q := s.placeRequest(r); q.endpoint != nil {
+		return q.endpoint.ID
 	}
 	return ""
 }
--- a/internal/policy/probe_result.go
+++ b/internal/policy/probe_result.go
@@ -17,14 +17,14 @@
 // endpoint itself. A healthy endpoint may get a trial request now; an unhealthy one gets none before
 // its next probe. Endpoints that are not ejected are left alone.
 func (s *Scheduler) applyProbeResult(e ProbeResult) {
-	n := s.byID[e.Endpoint]
-	if n == nil || !s.isEjected(n) || s.now-e.Age <= n.lastAnswerAt {
+	ep := s.byID[e.Endpoint]
+	if ep == nil || !s.isEjected(ep) || s.now-e.Age <= ep.lastAnswerAt {
 		return
 	}
-	s.markUsed(n)
+	s.markUsed(ep)
 	if e.Healthy {
-		n.blockedUntil = min(n.blockedUntil, s.now)
+		ep.blockedUntil = min(ep.blockedUntil, s.now)
 		return
 	}
-	n.blockedUntil = max(n.blockedUntil, s.now-e.Age+e.NextProbe)
+	ep.blockedUntil = max(ep.blockedUntil, s.now-e.Age+e.NextProbe)
 }
--- a/internal/policy/process_group.go
+++ b/internal/policy/process_group.go
@@ -13,18 +13,18 @@
 
 // resize takes over the number of processes. After a process has left, its sends still count within
 // the window of the cold start rule.
-func (c *processGroup) resize(size int, now, span time.Duration) {
-	if next := float64(size); next < c.size {
-		c.size, c.previousSize, c.previousUntil = next, c.size, now+span
+func (g *processGroup) resize(size int, now, span time.Duration) {
+	if next := float64(size); next < g.size {
+		g.size, g.previousSize, g.previousUntil = next, g.size, now+span
 	} else {
-		c.size = next
+		g.size = next
 	}
 }
 
 // fraction is this process's part of what the rules allow the initiator.
-func (c *processGroup) fraction(now time.Duration) float64 {
-	if now < c.previousUntil {
-		return 1 / max(1, c.size, c.previousSize)
+func (g *processGroup) fraction(now time.Duration) float64 {
+	if now < g.previousUntil {
+		return 1 / max(1, g.size, g.previousSize)
 	}
-	return 1 / max(1, c.size)
+	return 1 / max(1, g.size)
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -22,40 +22,40 @@
 }
 
 // flow returns the volume's tag state in this queue, created at first use.
-func (l *shardQueue) flow(v *volume) *flow {
-	f := l.flowByVolume[v]
+func (q *shardQueue) flow(v *volume) *flow {
+	f := q.flowByVolume[v]
 	if f == nil {
 		f = &flow{volume: v}
-		if l.flowByVolume == nil {
-			l.flowByVolume = map[*volume]*flow{}
+		if q.flowByVolume == nil {
+			q.flowByVolume = map[*volume]*flow{}
 		}
-		l.flowByVolume[v] = f
-		l.index.flowingQueues = appendOnce(l.index.flowingQueues, l, &l.listedFlowing)
-		l.flows = append(l.flows, f)
+		q.flowByVolume[v] = f
+		q.index.flowingQueues = appendOnce(q.index.flowingQueues, q, &q.listedFlowing)
+		q.flows = append(q.flows, f)
 	}
 	return f
 }
 
 // enqueue inserts the request in order of its objective.
-func (l *shardQueue) enqueue(r *request) {
-	r.queue = l
-	at := len(l.requests)
-	for at > 0 && l.requests[at-1].objectiveAt > r.objectiveAt {
+func (q *shardQueue) enqueue(r *request) {
+	r.queue = q
+	at := len(q.requests)
+	for at > 0 && q.requests[at-1].objectiveAt > r.objectiveAt {
 		at--
 	}
-	l.requests = slices.Insert(l.requests, at, r)
-	l.index.newlyWaiting = appendOnce(l.index.newlyWaiting, l, &l.listedWaiting)
-	l.markWaitStale()
-	l.flow(r.volume).queued++
+	q.requests = slices.Insert(q.requests, at, r)
+	q.index.newlyWaiting = appendOnce(q.index.newlyWaiting, q, &q.listedWaiting)
+	q.markWaitStale()
+	q.flow(r.volume).queued++
 }
 
 // dequeue removes the request from its queue, if it is there.
 func (r *request) dequeue() {
-	l := r.queue
-	if i := slices.Index(l.requests, r); i >= 0 {
-		l.requests = slices.Delete(l.requests, i, i+1)
-		l.index.someEmptied = l.index.someEmptied || len(l.requests) == 0
-		l.markWaitStale()
-		l.flow(r.volume).queued--
+	q := r.queue
+	if i := slices.Index(q.requests, r); i >= 0 {
+		q.requests = slices.Delete(q.requests, i, i+1)
+		q.index.someEmptied = q.index.someEmptied || len(q.requests) == 0
+		q.markWaitStale()
+		q.flow(r.volume).queued--
 	}
 }
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -42,14 +42,14 @@
 
 // quotaWait returns the time from which the quota allows the request to use a resource. governed is
 // false if no quota covers it.
-func (s *Scheduler) quotaWait(use Resource, n *endpoint, r *request, units float64) (at time.Duration, governed bool) {
+func (s *Scheduler) quotaWait(use Resource, ep *endpoint, r *request, units float64) (at time.Duration, governed bool) {
 	if s.settings.Quota == nil {
 		return 0, false
 	}
 	if use == ColdWork {
-		units /= s.warmUpGrowth(n)
+		units /= s.warmUpGrowth(ep)
 	}
-	wait, governed := s.settings.Quota.Wait(Reservation{use, n.ID, r.Plan, r.Class, units})
+	wait, governed := s.settings.Quota.Wait(Reservation{use, ep.ID, r.Plan, r.Class, units})
 	if wait > 0 {
 		return s.now + max(wait, s.settings.MinStep), governed
 	}
@@ -57,27 +57,27 @@
 }
 
 // quotaGate applies the quotas on connections and on all work, which no rule of the settings bounds.
-func (s *Scheduler) quotaGate(n *endpoint, r *request) time.Duration {
-	conns, _ := s.quotaWait(Connections, n, r, float64(len(n.inFlight)+1))
+func (s *Scheduler) quotaGate(ep *endpoint, r *request) time.Duration {
+	conns, _ := s.quotaWait(Connections, ep, r, float64(len(ep.inFlight)+1))
 	if conns > s.now {
 		return conns
 	}
-	work, _ := s.quotaWait(AllWork, n, r, r.Units)
+	work, _ := s.quotaWait(AllWork, ep, r, r.Units)
 	return work
 }
 
 // reserveQuota reserves all that a send of the request uses. It must be called before the send is
 // recorded.
-func (s *Scheduler) reserveQuota(n *endpoint, r *request) Permit {
+func (s *Scheduler) reserveQuota(ep *endpoint, r *request) Permit {
 	if s.settings.Quota == nil {
 		return nil
 	}
-	reservations := []Reservation{{AllWork, n.ID, r.Plan, r.Class, r.Units}}
-	if s.isCold(n) {
-		reservations = append(reservations, Reservation{ColdWork, n.ID, r.Plan, r.Class, r.Units / s.warmUpGrowth(n)})
+	reservations := []Reservation{{AllWork, ep.ID, r.Plan, r.Class, r.Units}}
+	if s.isCold(ep) {
+		reservations = append(reservations, Reservation{ColdWork, ep.ID, r.Plan, r.Class, r.Units / s.warmUpGrowth(ep)})
 	}
 	if r.attempts > 0 {
-		reservations = append(reservations, Reservation{Retries, n.ID, r.Plan, r.Class, 1})
+		reservations = append(reservations, Reservation{Retries, ep.ID, r.Plan, r.Class, 1})
 	}
 	return s.settings.Quota.Reserve(reservations)
 }
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -11,9 +11,9 @@
 	taken int
 }
 
-func (f *fixed) Wait(d Reservation) (time.Duration, bool) {
-	left, governed := f.left[d.Resource]
-	if governed && left < d.Units {
+func (f *fixed) Wait(res Reservation) (time.Duration, bool) {
+	left, governed := f.left[res.Resource]
+	if governed && left < res.Units {
 		return 10 * ms, true
 	}
 	return 0, governed
@@ -21,9 +21,9 @@
 
 func (f *fixed) Reserve(draws []Reservation) Permit {
 	f.taken++
-	for _, d := range draws {
-		if _, governed := f.left[d.Resource]; governed {
-			f.left[d.Resource] -= d.Units
+	for _, res := range draws {
+		if _, governed := f.left[res.Resource]; governed {
+			f.left[res.Resource] -= res.Units
 		}
 	}
 	return f
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -7,49 +7,49 @@
 )
 
 // releaseQueue sends requests of a queue while its endpoint has capacity.
-func (s *Scheduler) releaseQueue(l *shardQueue) {
-	l.wakeAt = never
-	for l.endpoint != nil && len(l.requests) > 0 {
-		if wait := s.reuseConnectionUntil(l); wait > s.now {
-			l.wakeAt = min(l.wakeAt, wait)
+func (s *Scheduler) releaseQueue(q *shardQueue) {
+	q.wakeAt = never
+	for q.endpoint != nil && len(q.requests) > 0 {
+		if wait := s.reuseConnectionUntil(q); wait > s.now {
+			q.wakeAt = min(q.wakeAt, wait)
 			return
 		}
-		room := s.hasCapacity(l.endpoint, 0)
-		if !room && !(s.hasCapacity(l.endpoint, maxExtentRun-1) && slices.ContainsFunc(l.requests, l.endpoint.continuesExtent)) {
+		room := s.hasCapacity(q.endpoint, 0)
+		if !room && !(s.hasCapacity(q.endpoint, maxExtentRun-1) && slices.ContainsFunc(q.requests, q.endpoint.continuesExtent)) {
 			return // without visiting every queued request at each event
 		}
-		r := s.pickNext(l, room)
+		r := s.pickNext(q, room)
 		if r == nil {
 			return
 		}
-		s.send(r, l)
+		s.send(r, q)
 	}
 }
 
 // reuseConnectionUntil returns until when a queue waits for a connection that is in use rather than
 // opening another one. It applies where the settings price a new connection, and lasts until half of
 // the first request's objective has passed.
-func (s *Scheduler) reuseConnectionUntil(l *shardQueue) time.Duration {
-	n, r := l.endpoint, l.requests[0]
-	if s.settings.ConnectCost <= 0 || len(n.inFlight) == 0 || len(n.inFlight) < n.maxInFlight {
+func (s *Scheduler) reuseConnectionUntil(q *shardQueue) time.Duration {
+	ep, r := q.endpoint, q.requests[0]
+	if s.settings.ConnectCost <= 0 || len(ep.inFlight) == 0 || len(ep.inFlight) < ep.maxInFlight {
 		return 0
 	}
-	return min(r.objectiveAt-toDuration(2*s.expectedLatency(n)*s.relativeSize(r.Units)), r.objectiveAt-r.class.LatencyObjective/2)
+	return min(r.objectiveAt-toDuration(2*s.expectedLatency(ep)*s.relativeSize(r.Units)), r.objectiveAt-r.class.LatencyObjective/2)
 }
 
 // continuesExtent reports whether the request may follow the extent that was sent last: such a request
 // costs the endpoint less.
-func (n *endpoint) continuesExtent(r *request) bool {
-	return n.extentRun < maxExtentRun && r.Extent != "" && r.Extent == n.lastExtent && r.attempts == 0
+func (ep *endpoint) continuesExtent(r *request) bool {
+	return ep.extentRun < maxExtentRun && r.Extent != "" && r.Extent == ep.lastExtent && r.attempts == 0
 }
 
 // pickNext returns the request that leaves next, or nil: one that continues the last extent, else the
 // eligible one with the smallest finish tag, else at a synchronization point the one with the smallest
 // start tag, else on an idle endpoint the most valuable deferred one.
-func (s *Scheduler) pickNext(l *shardQueue, room bool) *request {
-	n := l.endpoint
+func (s *Scheduler) pickNext(q *shardQueue, room bool) *request {
+	ep := q.endpoint
 	var best, ahead, deferred, follow *request
-	s.filterSendable(l)
+	s.filterSendable(q)
 	for _, r := range s.sendable {
 		switch {
 		case r.deferred:
@@ -64,7 +64,7 @@
 			if best == nil || r.finishTag < best.finishTag {
 				best = r
 			}
-			if n.continuesExtent(r) && (follow == nil || r.finishTag < follow.finishTag) {
+			if ep.continuesExtent(r) && (follow == nil || r.finishTag < follow.finishTag) {
 				follow = r
 			}
 		}
@@ -77,9 +77,9 @@
 	case best != nil:
 		return best
 	case ahead != nil:
-		s.synchronize(l, ahead.startTag-s.now)
+		s.synchronize(q, ahead.startTag-s.now)
 		return ahead
-	case deferred != nil && len(n.inFlight) == 0:
+	case deferred != nil && len(ep.inFlight) == 0:
 		return deferred
 	}
 	return nil
@@ -89,19 +89,19 @@
 // its objective any more expires. Where not all of the rest can meet theirs, those with the least
 // value for a unit are deferred: in earliest-deadline order each of them would be served just too
 // late.
-func (s *Scheduler) filterSendable(l *shardQueue) {
-	n := l.endpoint
+func (s *Scheduler) filterSendable(q *shardQueue) {
+	ep := q.endpoint
 	s.sendable = s.sendable[:0]
-	usual, fresh := s.expectedLatency(n), s.freshness(n.lastAnswerAt)
-	work, each := 0.0, usual/n.concurrencyLimit/s.settings.MeanUnits
-	for _, r := range l.requests { // in order of objective
-		if wait := s.earliestSend(r, l); wait > s.now {
-			l.wakeAt = min(l.wakeAt, wait)
+	usual, fresh := s.expectedLatency(ep), s.freshness(ep.lastAnswerAt)
+	work, each := 0.0, usual/ep.concurrencyLimit/s.settings.MeanUnits
+	for _, r := range q.requests { // in order of objective
+		if wait := s.earliestSend(r, q); wait > s.now {
+			q.wakeAt = min(q.wakeAt, wait)
 			continue
 		}
 		// The base latency loses weight while no answer confirms it, or one slow answer would expire every
 		// request of a class with a short objective, and no answer would ever correct it.
-		if s.now+toDuration(n.baseLatency*fresh*s.relativeSize(r.Units)) > r.objectiveAt {
+		if s.now+toDuration(ep.baseLatency*fresh*s.relativeSize(r.Units)) > r.objectiveAt {
 			s.expireObjective(r)
 		}
 		if r.pastObjective {
@@ -113,7 +113,7 @@
 		work += r.Units
 		for alone+toDuration((work-r.Units)*each) > r.objectiveAt && !r.deferred {
 			least := s.leastValuable(r)
-			least.deferred, n.congestedAt = true, s.now
+			least.deferred, ep.congestedAt = true, s.now
 			work -= least.Units
 		}
 	}
@@ -122,9 +122,9 @@
 // leastValuable returns the sendable request with the least value for a unit that is not deferred yet, r among them.
 func (s *Scheduler) leastValuable(r *request) *request {
 	least := r
-	for _, q := range s.sendable {
-		if !q.deferred && q.unitValue < least.unitValue {
-			least = q
+	for _, other := range s.sendable {
+		if !other.deferred && other.unitValue < least.unitValue {
+			least = other
 		}
 	}
 	return least
@@ -160,28 +160,28 @@
 // hasCapacity reports whether the endpoint may have another attempt in flight, with extra beyond its
 // limit. An attempt that is overdue no longer counts: it was probably lost, and counting it would
 // block the endpoint until its timeout. A faulty endpoint gets one attempt at a time.
-func (s *Scheduler) hasCapacity(n *endpoint, extra int) bool {
+func (s *Scheduler) hasCapacity(ep *endpoint, extra int) bool {
 	fresh := 0
-	for _, r := range n.inFlight {
-		if s.now-r.attemptStartedAt < s.silenceTimeout(n) {
+	for _, r := range ep.inFlight {
+		if s.now-r.attemptStartedAt < s.silenceTimeout(ep) {
 			fresh++
 		}
 	}
-	if s.isFaulty(n) {
+	if s.isFaulty(ep) {
 		return fresh == 0
 	}
-	return float64(fresh) < math.Floor(n.concurrencyLimit)+float64(extra)
+	return float64(fresh) < math.Floor(ep.concurrencyLimit)+float64(extra)
 }
 
 // send starts an attempt of the request at the queue's endpoint. No other function emits Send.
-func (s *Scheduler) send(r *request, l *shardQueue) {
-	n := l.endpoint
-	permit := s.reserveQuota(n, r)
+func (s *Scheduler) send(r *request, q *shardQueue) {
+	ep := q.endpoint
+	permit := s.reserveQuota(ep, r)
 	r.dequeue()
-	if n.lastExtent == r.Extent {
-		n.extentRun++
+	if ep.lastExtent == r.Extent {
+		ep.extentRun++
 	} else {
-		n.lastExtent, n.extentRun = r.Extent, 1
+		ep.lastExtent, ep.extentRun = r.Extent, 1
 	}
 	if r.attempts > 0 {
 		s.recentRetries = append(dropOlderTimes(s.recentRetries, s.now-s.settings.Rules.RetryBudgetWindow-2*s.settings.MinStep), s.now)
@@ -192,18 +192,18 @@
 		r.volume.rateLimitTokens, r.rateLimitCharged = r.volume.rateLimitTokens-r.Units, true
 	}
 	if s.settings.Rules.OverloadWindow > 0 {
-		n.chargeCold(s.now, r.Units, s.isCold(n))
-		l.sentRate.add(s.now, r.Units, s.settings.Rules.WarmUpTime)
+		ep.chargeCold(s.now, r.Units, s.isCold(ep))
+		q.sentRate.add(s.now, r.Units, s.settings.Rules.WarmUpTime)
 	}
 	r.attempts++
-	r.inFlightAt, r.attemptStartedAt = n, s.now
-	n.inFlight = append(n.inFlight, r)
-	n.maxInFlight = max(n.maxInFlight, len(n.inFlight))
-	s.markUsed(n)
-	wait, within := min(s.attemptTimeout(n, r), max(r.deadlineAt-s.now, s.settings.MinStep)), time.Duration(0)
+	r.inFlightAt, r.attemptStartedAt = ep, s.now
+	ep.inFlight = append(ep.inFlight, r)
+	ep.maxInFlight = max(ep.maxInFlight, len(ep.inFlight))
+	s.markUsed(ep)
+	wait, within := min(s.attemptTimeout(ep, r), max(r.deadlineAt-s.now, s.settings.MinStep)), time.Duration(0)
 	if r.mayHaveRun && r.class.Effect == IdempotentWithKey {
 		within = max(s.dedupDeadline(r)-s.now, 1) // the attempt may still wait for a connection
 	}
-	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, TagLead: r.tagLead(s.now),
+	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: ep.ID, Wait: wait, TagLead: r.tagLead(s.now),
 		Permit: permit, SendWithin: within})
 }
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -176,8 +176,8 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			s, now := shards(b, count)
 			list := EndpointList{Full: true}
-			for _, n := range s.endpoints {
-				list.Endpoints = append(list.Endpoints, n.Endpoint)
+			for _, ep := range s.endpoints {
+				list.Endpoints = append(list.Endpoints, ep.Endpoint)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/policy/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -121,8 +121,8 @@
 	if !idle {
 		s.answerExpired()
 		s.rebalanceNewObjects()
-		for l := range s.eachWaiting() {
-			s.releaseQueue(l)
+		for q := range s.eachWaiting() {
+			s.releaseQueue(q)
 		}
 		s.answerExpired() // objectives may have expired during release
 	}
@@ -173,8 +173,8 @@
 	if len(s.deadlines) > 0 {
 		next = min(next, s.deadlines[0].answerBy)
 	}
-	for l := range s.eachWaiting() {
-		next = min(next, l.wakeAt)
+	for q := range s.eachWaiting() {
+		next = min(next, q.wakeAt)
 	}
 	s.wakeAt, next = next, min(next, s.now+s.minObjective/timersPerObjective)
 	if next < s.timerAt {
--- a/internal/policy/scheduler_test.go
+++ b/internal/policy/scheduler_test.go
@@ -193,8 +193,8 @@
 	r.step(req("warm", "v", 1))
 	r.wait(300 * ms)
 	r.end("warm", Served, 300*ms)
-	n := r.s.byID["n"]
-	n.concurrencyLimit = 1
+	ep := r.s.byID["n"]
+	ep.concurrencyLimit = 1
 	a, b, c := req("cheap1", "v", 1), req("cheap2", "w", 1), req("dear", "x", 1)
 	c.Class = "dear"
 	r.step(a, b, c)
@@ -228,14 +228,14 @@
 // three errors in a row must not cut a node down to trials, while twelve must.
 func TestErringNodeIsStillUsed(t *testing.T) {
 	r := newRig(t, plain(), up("n", 0))
-	n := r.s.byID["n"]
+	ep := r.s.byID["n"]
 	for i := range 12 {
 		id := string(rune('a' + i))
 		r.now += time.Second
 		r.step(req(id, "v", 1))
 		r.end(id, AnsweredError, ms)
 		r.step(ClientGone{ID: id})
-		if got, want := r.s.isFaulty(n), i >= 11; got != want {
+		if got, want := r.s.isFaulty(ep), i >= 11; got != want {
 			t.Fatalf("after %d errors troubled is %v, want %v", i+1, got, want)
 		}
 	}
@@ -269,7 +269,7 @@
 	set.Classes[0] = Class{Name: "get", LatencyObjective: 10 * time.Second, Deadline: 60 * time.Second}
 	set.Plans[0].Rate, set.Plans[0].ReservedRate = 50, 50
 	r := newRig(t, set, up("n", 0))
-	n := r.s.byID["n"]
+	ep := r.s.byID["n"]
 	ask := func(vol string, count int) {
 		for range count {
 			q := req(vol+string(rune(0x4e00+len(r.s.requests)+len(r.sends))), vol, 1)
@@ -281,9 +281,9 @@
 	play := func(steps int) { // the node serves one request each 10 ms, in the order sent
 		for range steps {
 			r.now += 10 * ms
-			n.concurrencyLimit = 1
-			if len(n.inFlight) > 0 {
-				id := n.inFlight[0].ID
+			ep.concurrencyLimit = 1
+			if len(ep.inFlight) > 0 {
+				id := ep.inFlight[0].ID
 				served[id[0]]++
 				r.end(id, Served, 10*ms)
 			}
@@ -481,22 +481,22 @@
 		set := plain()
 		set.Initiators = 8 // else its part of what the node serves at once is deeper than either
 		r := newRig(t, set, up("n", 0))
-		n := r.s.byID["n"]
+		ep := r.s.byID["n"]
 		r.wait(time.Minute)
 		for i := range 60 {
 			if pressed {
-				n.congestedAt = r.now
+				ep.congestedAt = r.now
 			}
 			a, b := req(fmt.Sprintf("a%d", i), "v", 1), req(fmt.Sprintf("b%d", i), "w", 1)
 			r.step(a, b)
 			took := time.Duration(20+15*(i%4)) * ms
 			r.wait(took)
-			for _, q := range slices.Clone(n.inFlight) {
+			for _, q := range slices.Clone(ep.inFlight) {
 				r.end(q.ID, Served, took)
 			}
 			r.wait(100 * ms)
 		}
-		return n.concurrencyLimit
+		return ep.concurrencyLimit
 	}
 	if calm, pressed := depth(false), depth(true); calm <= pressed {
 		t.Fatalf("depth %.2f when calm, %.2f under pressure; want it deeper when calm", calm, pressed)
@@ -889,9 +889,9 @@
 		if got := r.s.EndpointFor(1); got != "b" {
 			t.Errorf("shard 1 is at %q, want b", got)
 		}
-		q := ask
-		q.Shard = shard
-		r.step(q)
+		req := ask
+		req.Shard = shard
+		r.step(req)
 		if len(r.sends) != 1 || r.sends[0].Endpoint != "a" {
 			t.Fatalf("shard %d: sent %+v, want once to a", shard, r.sends)
 		}
--- a/internal/policy/settings_change.go
+++ b/internal/policy/settings_change.go
@@ -49,8 +49,8 @@
 	}
 	if set.tightensColdLimits(was) {
 		s.startedAt = s.now // as after a start: what was sent under the old limits says nothing about the new ones
-		for _, n := range s.endpoints {
-			n.coldServed = nil
+		for _, ep := range s.endpoints {
+			ep.coldServed = nil
 		}
 	}
 	for _, v := range s.volumes {
@@ -85,14 +85,14 @@
 
 // rescaleTags moves the tags of volumes whose rate has changed.
 func (s *Scheduler) rescaleTags() {
-	for _, l := range s.flowingQueues {
-		for _, r := range l.requests {
+	for _, q := range s.flowingQueues {
+		for _, r := range q.requests {
 			if k := r.volume.tagScale; k != 0 && r.startTag > s.now {
 				by := toDuration((r.startTag-s.now).Seconds()*k) - (r.startTag - s.now)
 				r.startTag, r.finishTag = r.startTag+by, r.finishTag+by
 			}
 		}
-		for _, f := range l.flows {
+		for _, f := range q.flows {
 			if k := f.volume.tagScale; k != 0 && f.maxStartTag > s.now {
 				f.maxStartTag = s.now + toDuration((f.maxStartTag-s.now).Seconds()*k)
 			}
--- a/internal/policy/tags.go
+++ b/internal/policy/tags.go
@@ -71,8 +71,8 @@
 
 // assignTags gives the request its start and finish tags: now while the volume's bucket covers it,
 // later by what the bucket lacks, and after the volume's last tag once the bucket is empty.
-func (s *Scheduler) assignTags(r *request, l *shardQueue) {
-	v, f, rho := r.volume, l.flow(r.volume), s.refillRate(r.volume)
+func (s *Scheduler) assignTags(r *request, q *shardQueue) {
+	v, f, rho := r.volume, q.flow(r.volume), s.refillRate(r.volume)
 	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
 	switch {
 	case v.tokens >= r.Units:
@@ -92,9 +92,9 @@
 	f := r.queue.flow(r.volume)
 	r.volume.tokens += r.Units
 	back := toDuration(r.Units / s.refillRate(r.volume))
-	for _, q := range r.queue.requests {
-		if q.volume == r.volume && q.startTag > r.startTag {
-			q.startTag, q.finishTag = q.startTag-back, q.finishTag-back
+	for _, other := range r.queue.requests {
+		if other.volume == r.volume && other.startTag > r.startTag {
+			other.startTag, other.finishTag = other.startTag-back, other.finishTag-back
 		}
 	}
 	f.maxStartTag -= back
@@ -102,11 +102,11 @@
 
 // synchronize is a synchronization point of fair queuing: the endpoint has capacity and no request is
 // eligible. All tags of the queue move back by the smallest gap, and volumes without backlog refill.
-func (s *Scheduler) synchronize(l *shardQueue, gap time.Duration) {
-	for _, r := range l.requests {
+func (s *Scheduler) synchronize(q *shardQueue, gap time.Duration) {
+	for _, r := range q.requests {
 		r.startTag, r.finishTag = r.startTag-gap, r.finishTag-gap
 	}
-	for _, f := range l.flows {
+	for _, f := range q.flows {
 		if f.queued > 0 {
 			f.maxStartTag -= gap
 		}
--- a/internal/policy/wait_tree.go
+++ b/internal/policy/wait_tree.go
@@ -16,9 +16,9 @@
 }
 
 // markWaitStale notes that the queue's expected wait may have changed.
-func (l *shardQueue) markWaitStale() {
-	if t := &l.index.waitTree; t.leaves > 0 {
-		t.touched = appendOnce(t.touched, l, &l.listedTouched)
+func (q *shardQueue) markWaitStale() {
+	if t := &q.index.waitTree; t.leaves > 0 {
+		t.touched = appendOnce(t.touched, q, &q.listedTouched)
 	}
 }
 
@@ -27,19 +27,19 @@
 	t := &s.waitTree
 	if t.asOf != s.now {
 		t.asOf = s.now
-		for _, l := range t.moving {
-			l.listedMoving = false
-			l.markWaitStale()
+		for _, q := range t.moving {
+			q.listedMoving = false
+			q.markWaitStale()
 		}
 		t.moving = t.moving[:0]
 	}
 	if len(s.queues) > t.leaves || len(t.touched) > 16+len(s.queues)/8 {
 		s.rebuildWaitTree()
 	}
-	for _, l := range t.touched {
-		l.listedTouched = false
-		s.updateWaitLeaf(l)
-		for at := (t.leaves + l.position) / 2; at > 0; at /= 2 {
+	for _, q := range t.touched {
+		q.listedTouched = false
+		s.updateWaitLeaf(q)
+		for at := (t.leaves + q.position) / 2; at > 0; at /= 2 {
 			least := min(t.minima[2*at], t.minima[2*at+1])
 			if t.minima[at] == least {
 				break
@@ -65,9 +65,9 @@
 		t.minima = make([]float64, 2*t.leaves)
 	}
 	t.touched, t.moving = t.touched[:0], t.moving[:0]
-	for _, l := range s.queues {
-		l.listedTouched, l.listedMoving = false, false
-		s.updateWaitLeaf(l)
+	for _, q := range s.queues {
+		q.listedTouched, q.listedMoving = false, false
+		s.updateWaitLeaf(q)
 	}
 	for at := t.leaves - 1; at > 0; at-- {
 		t.minima[at] = min(t.minima[2*at], t.minima[2*at+1])
@@ -76,11 +76,11 @@
 
 // updateWaitLeaf computes a queue's wait. It changes with time alone while attempts are in flight,
 // which may become overdue, while the endpoint is blocked, and until it is warm.
-func (s *Scheduler) updateWaitLeaf(l *shardQueue) {
-	t, n := &s.waitTree, l.endpoint
-	t.minima[t.leaves+l.position] = s.expectedWait(l)
-	if n != nil && (len(n.inFlight) > 0 || n.blockedUntil > s.now || n.Started > 0 && s.now-n.Started < s.settings.Rules.WarmUpTime) {
-		t.moving = appendOnce(t.moving, l, &l.listedMoving)
+func (s *Scheduler) updateWaitLeaf(q *shardQueue) {
+	t, ep := &s.waitTree, q.endpoint
+	t.minima[t.leaves+q.position] = s.expectedWait(q)
+	if ep != nil && (len(ep.inFlight) > 0 || ep.blockedUntil > s.now || ep.Started > 0 && s.now-ep.Started < s.settings.Rules.WarmUpTime) {
+		t.moving = appendOnce(t.moving, q, &q.listedMoving)
 	}
 }
 
--- a/internal/testbed/modelcheck/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -49,13 +49,13 @@
 		f.tops[epoch] = map[key]top{}
 	}
 	tops := f.tops[epoch]
-	for k, x := range h {
-		if was := tops[k]; x.Version < was.version || was.went && x.Version == was.version {
-			return fmt.Errorf("broken: %s went back to version %d of %q", f.scope.Name, x.Version, x.Key)
+	for k, r := range h {
+		if was := tops[k]; r.Version < was.version || was.went && r.Version == was.version {
+			return fmt.Errorf("broken: %s went back to version %d of %q", f.scope.Name, r.Version, r.Key)
 		}
-		tops[k] = top{x.Version, false}
-		if x.Version > w.past[epoch].head() || !bytes.Equal(w.past[epoch].states[x.Version][k].Value, x.Value) {
-			return fmt.Errorf("broken: %s has %q at version %d as the log never had it", f.scope.Name, x.Key, x.Version)
+		tops[k] = top{r.Version, false}
+		if r.Version > w.past[epoch].head() || !bytes.Equal(w.past[epoch].states[r.Version][k].Value, r.Value) {
+			return fmt.Errorf("broken: %s has %q at version %d as the log never had it", f.scope.Name, r.Key, r.Version)
 		}
 	}
 	for k, t := range tops {
@@ -76,12 +76,12 @@
 }
 
 // checkForce has what a reader says to be in force be so.
-func (w *World) checkForce(f *follower, m watchstream.Watermark) error {
-	if m.Epoch == "" || f.scope.All {
+func (w *World) checkForce(f *follower, mark watchstream.Watermark) error {
+	if mark.Epoch == "" || f.scope.All {
 		return nil
 	}
-	earlier := m.Config == 0 && f.r.Rejection() != nil // the last good one is of the history before
-	if err := w.past[m.Epoch].since(f.force, f.scope, m.Position, earlier); err != nil {
+	earlier := mark.Config == 0 && f.r.Rejection() != nil // the last good one is of the history before
+	if err := w.past[mark.Epoch].since(f.force, f.scope, mark.Position, earlier); err != nil {
 		return fmt.Errorf("%w, in force", err)
 	}
 	return nil
@@ -90,29 +90,29 @@
 // checkTally has the tally count nobody for what it has not said, or that it said in an earlier turn than is known.
 func (w *World) checkTally() (err error) {
 	seen := map[string]bool{}
-	w.tally.EachReader(func(relay string, r watchstream.Cursor) {
+	w.tally.EachReader(func(relay string, c watchstream.Cursor) {
 		var f *follower
 		for _, x := range w.all {
-			if x.scope.Name == r.Name {
+			if x.scope.Name == c.Name {
 				f = x
 			}
 		}
 		said, ok := watchstream.Watermark{}, false
 		if f != nil {
-			said, ok = f.said[r.Generation]
+			said, ok = f.said[c.Generation]
 		}
 		switch {
 		case err != nil:
-		case f == nil || f.scope.All || seen[r.Name]:
-			err = fmt.Errorf("broken: %s is counted twice, or is no reader", r.Name)
-		case !ok || r.Applied.Epoch == said.Epoch && (r.Applied.Targets > said.Targets || r.Applied.Config > said.Config):
-			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", r.Name, r.Applied, r.Generation, said)
-		case r.Generation < w.counted[r.Name]:
-			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", r.Name, r.Generation, w.counted[r.Name])
-		case r.Generation == w.counted[r.Name] && r.Applied.Epoch == w.last[r.Name].Epoch && !reached(w.last[r.Name], r.Applied):
-			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", r.Name, r.Applied, w.last[r.Name])
+		case f == nil || f.scope.All || seen[c.Name]:
+			err = fmt.Errorf("broken: %s is counted twice, or is no reader", c.Name)
+		case !ok || c.Applied.Epoch == said.Epoch && (c.Applied.Targets > said.Targets || c.Applied.Config > said.Config):
+			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", c.Name, c.Applied, c.Generation, said)
+		case c.Generation < w.counted[c.Name]:
+			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", c.Name, c.Generation, w.counted[c.Name])
+		case c.Generation == w.counted[c.Name] && c.Applied.Epoch == w.last[c.Name].Epoch && !reached(w.last[c.Name], c.Applied):
+			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", c.Name, c.Applied, w.last[c.Name])
 		}
-		seen[r.Name], w.counted[r.Name], w.last[r.Name] = true, r.Generation, r.Applied
+		seen[c.Name], w.counted[c.Name], w.last[c.Name] = true, c.Generation, c.Applied
 	})
 	if err != nil {
 		return err
@@ -120,8 +120,8 @@
 	s := w.tally.Status(w.now, w.log.Head())
 	said := 0
 	for _, f := range w.all {
-		for _, m := range f.said {
-			if !f.scope.All && m.Epoch == w.name() && m.Min() >= w.log.Head() {
+		for _, mark := range f.said {
+			if !f.scope.All && mark.Epoch == w.name() && mark.Min() >= w.log.Head() {
 				said++
 				break
 			}
@@ -142,11 +142,11 @@
 		rate, burst = w.set.Source.RelayRate, w.set.Source.RelayBurst
 	}
 	groups, configs := map[uint64]float64{}, 0.0
-	for _, x := range d.Records {
-		n := float64(x.Size())
-		if a.n += n; x.Kind == watchstream.Targets {
-			groups[x.Version] += n
-			a.target = max(a.target, groups[x.Version])
+	for _, r := range d.Records {
+		n := float64(r.Size())
+		if a.n += n; r.Kind == watchstream.Targets {
+			groups[r.Version] += n
+			a.target = max(a.target, groups[r.Version])
 		} else {
 			configs += n
 		}
@@ -183,13 +183,13 @@
 func (w *World) wrong(i int) error {
 	f := w.all[i]
 	have, whole := f.r.Position(), f.r.Consistent()
-	h, err := w.hello(i)
+	req, err := w.hello(i)
 	if err != nil {
 		return err
 	}
-	head := watchstream.Position{Targets: h.Seen.Targets + 1, Config: h.Seen.Config + 1}
+	head := watchstream.Position{Targets: req.Seen.Targets + 1, Config: req.Seen.Config + 1}
 	good := func() *watchstream.Delta {
-		return &watchstream.Delta{Fleet: fleetName, Epoch: h.Epoch, Replaces: f.r.Store().Replaces(), Scope: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
+		return &watchstream.Delta{Fleet: fleetName, Epoch: req.Epoch, Replaces: f.r.Store().Replaces(), Scope: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
 			Head: head, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "x", Version: head.Targets, Value: json.RawMessage(`{"x":0}`)}}}
 	}
 	buckets := func(d *watchstream.Delta) {
@@ -209,7 +209,7 @@
 		"a gap in configuration":   func(d *watchstream.Delta) { d.From.Config, d.To.Config = d.From.Config+1, d.To.Config+1 },
 		"before where it is":       func(d *watchstream.Delta) { d.From.Targets--; d.To.Targets = d.From.Targets },
 		"a source behind": func(d *watchstream.Delta) {
-			d.Head.Targets = h.Seen.Targets - 1
+			d.Head.Targets = req.Seen.Targets - 1
 			d.To.Targets, d.Records = have.Targets, nil
 		},
 		"over its size": func(d *watchstream.Delta) {
@@ -244,13 +244,13 @@
 			}
 		},
 	}
-	if h.Epoch != whole.Epoch {
+	if req.Epoch != whole.Epoch {
 		return nil // it builds another history up
 	}
 	run := good()
 	buckets(run)
 	for _, d := range []*watchstream.Delta{good(), run} {
-		if h.Epoch == "" {
+		if req.Epoch == "" {
 			break
 		}
 		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.set.Limits)
@@ -264,7 +264,7 @@
 	before := w.printOf(i)
 	for name, c := range change {
 		switch {
-		case h.Epoch == "" && (strings.HasPrefix(name, "another epoch") || name == "a source behind"), h.Seen.Targets == 0 && name == "a source behind",
+		case req.Epoch == "" && (strings.HasPrefix(name, "another epoch") || name == "a source behind"), req.Seen.Targets == 0 && name == "a source behind",
 			have.Targets == 0 && (name == "before where it is" || name == "another epoch"), whole.Epoch == "" && name != "another fleet" && name != "no epoch":
 			continue
 		}
@@ -355,11 +355,11 @@
 					return err
 				}
 			}
-			m := f.r.Consistent()
+			mark := f.r.Consistent()
 			if !f.scope.All {
-				m = f.r.Applied()
+				mark = f.r.Applied()
 			}
-			if m != (watchstream.Watermark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
+			if mark != (watchstream.Watermark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
 				all = false
 			}
 		}
--- a/internal/testbed/modelcheck/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -27,11 +27,11 @@
 			t.Fatal(err)
 		}
 	}
-	h, err := w.hello(0)
+	req, err := w.hello(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := w.serve(-1, h)
+	d, err := w.serve(-1, req)
 	if err != nil || d == nil {
 		t.Fatal(d, err)
 	}
@@ -53,15 +53,15 @@
 }
 
 // call drives a mover until it has called n times, and returns whom it called and when.
-func call(m *watchstream.RelaySelector, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
+func call(s *watchstream.RelaySelector, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
 	for range n {
-		r, due := m.NextCall(now)
+		r, due := s.NextCall(now)
 		now = max(now, due)
-		if again, due := m.NextCall(now); due <= now {
+		if again, due := s.NextCall(now); due <= now {
 			r = again
 		}
 		o, after := answer(now, r.ID)
-		m.CallEnded(now, o, after, 0)
+		s.CallEnded(now, o, after, 0)
 		ids, at = append(ids, r.ID), append(at, now)
 		now += 100 * time.Millisecond
 	}
@@ -174,10 +174,10 @@
 	stay = map[string]int{}
 	for i := range regionReaders {
 		reader := fmt.Sprint("n", i)
-		m := watchstream.NewRelaySelector(relays(), "r1", reader, uint64(i), watchstream.RelaySelectorOptions{})
+		s := watchstream.NewRelaySelector(relays(), "r1", reader, uint64(i), watchstream.RelaySelectorOptions{})
 		last := ""
 		for now := time.Duration(i) * time.Second / time.Duration(regionReaders); now < lasts; {
-			r, at := m.NextCall(now)
+			r, at := s.NextCall(now)
 			if now = at; now >= lasts {
 				break
 			}
@@ -185,14 +185,14 @@
 			last = r.ID
 			if busy(r.ID, now) {
 				now += 5 * time.Millisecond
-				m.CallEnded(now, watchstream.CallBusy, 700*time.Millisecond, 0)
+				s.CallEnded(now, watchstream.CallBusy, 700*time.Millisecond, 0)
 				continue
 			}
 			now += time.Second
-			m.CallEnded(now, watchstream.CallAnswered, 0, ages(r.ID, now))
+			s.CallEnded(now, watchstream.CallAnswered, 0, ages(r.ID, now))
 		}
 		stay[last]++
-		moves += int(m.Switches())
+		moves += int(s.Switches())
 	}
 	return stay, moves
 }
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -215,10 +215,10 @@
 
 // apply has all that was taken in force. A layer with "bad" in it can't be served.
 func (f *follower) apply() {
-	for _, x := range f.changed {
-		if k := (key{x.Kind, x.Key}); x.Kind == watchstream.Targets {
-			if delete(f.force, k); !x.Deleted {
-				f.force[k] = x
+	for _, r := range f.changed {
+		if k := (key{r.Kind, r.Key}); r.Kind == watchstream.Targets {
+			if delete(f.force, k); !r.Deleted {
+				f.force[k] = r
 			}
 		}
 	}
@@ -231,8 +231,8 @@
 				delete(f.force, k)
 			}
 		}
-		for _, x := range f.config {
-			f.force[key{x.Kind, x.Key}] = x
+		for _, r := range f.config {
+			f.force[key{r.Kind, r.Key}] = r
 		}
 	}
 	f.r.MarkApplied(f.mark)
@@ -322,17 +322,17 @@
 	case PollAtOnce:
 		return w.exchange(s.On, true)
 	case SendRequest:
-		h, err := w.hello(s.On)
+		req, err := w.hello(s.On)
 		if err != nil {
 			return err
 		}
-		w.mail = append(w.mail, message{from: s.On, to: w.all[s.On].to, hello: &h})
+		w.mail = append(w.mail, message{from: s.On, to: w.all[s.On].to, hello: &req})
 	case Deliver, DeliverAgain:
-		l := w.mail[s.On]
+		m := w.mail[s.On]
 		if s.Op == Deliver {
 			w.mail = append(w.mail[:s.On:s.On], w.mail[s.On+1:]...)
 		}
-		return w.deliver(l)
+		return w.deliver(m)
 	case Lose:
 		w.mail = append(w.mail[:s.On:s.On], w.mail[s.On+1:]...)
 	case Apply:
@@ -344,8 +344,8 @@
 		f.to = (f.to + 1) % w.set.Relays
 		f.r.SwitchSource()
 	case SaveSnapshot:
-		c := w.all[s.On].r.Store().Snapshot()
-		w.all[s.On].copy = &c
+		snap := w.all[s.On].r.Store().Snapshot()
+		w.all[s.On].copy = &snap
 	case Restart:
 		return w.start(s.On)
 	case Report:
@@ -399,19 +399,19 @@
 func (w *World) hello(i int) (watchstream.SubscribeRequest, error) {
 	f := w.all[i]
 	w.touched = append(w.touched, f)
-	h := f.r.SubscribeRequest()
-	f.said[h.Generation], f.seq = h.Applied, h.Seq
-	return h, w.checkForce(f, h.Applied)
+	req := f.r.SubscribeRequest()
+	f.said[req.Generation], f.seq = req.Applied, req.Seq
+	return req, w.checkForce(f, req.Applied)
 }
 
 // exchange has a follower say hello and take the answer, and have it in force if so wished.
 func (w *World) exchange(i int, apply bool) error {
 	f := w.all[i]
-	h, err := w.hello(i)
+	req, err := w.hello(i)
 	if err != nil {
 		return err
 	}
-	d, err := w.serve(f.to, h)
+	d, err := w.serve(f.to, req)
 	if err != nil || d == nil {
 		return err
 	}
@@ -422,20 +422,20 @@
 }
 
 // serve has a source hear a hello, and returns what it sends for it.
-func (w *World) serve(to int, h watchstream.SubscribeRequest) (*watchstream.Delta, error) {
+func (w *World) serve(to int, req watchstream.SubscribeRequest) (*watchstream.Delta, error) {
 	source, name, life := w.source(to)
 	readers := source.ReaderCount()
-	if err := source.Subscribe(w.now, h); err != nil {
+	if err := source.Subscribe(w.now, req); err != nil {
 		return nil, w.refusal(err)
 	}
-	at := account{name, life, h.Name}
+	at := account{name, life, req.Name}
 	if source.ReaderCount() > readers {
 		w.accts[at] = &spent{since: w.now}
 		if err := w.admitted(account{name, life, ""}); err != nil {
 			return nil, err
 		}
 	}
-	d, _ := source.NextDelta(w.now, h.Name)
+	d, _ := source.NextDelta(w.now, req.Name)
 	if d == nil {
 		return nil, nil
 	}
@@ -463,18 +463,18 @@
 	return nil
 }
 
-func (w *World) deliver(l message) error {
+func (w *World) deliver(m message) error {
 	switch {
-	case l.hello != nil:
-		d, err := w.serve(l.to, *l.hello)
+	case m.hello != nil:
+		d, err := w.serve(m.to, *m.hello)
 		if d != nil {
-			w.mail = append(w.mail, message{from: l.to, to: l.from, delta: d})
+			w.mail = append(w.mail, message{from: m.to, to: m.from, delta: d})
 		}
 		return err
-	case l.delta != nil:
-		return w.take(l.to, l.delta)
+	case m.delta != nil:
+		return w.take(m.to, m.delta)
 	}
-	return w.tell(*l.report, l.from)
+	return w.tell(*m.report, m.from)
 }
 
 func (w *World) report(i int) watchstream.Report {
@@ -483,11 +483,11 @@
 
 func (w *World) tell(rep watchstream.Report, from int) error {
 	w.told = true
-	a, err := w.tally.AddReport(w.now, rep)
+	resp, err := w.tally.AddReport(w.now, rep)
 	if err != nil {
 		return w.refusal(err)
 	}
-	w.all[from].source.ReportAcked(a)
+	w.all[from].source.ReportAcked(resp)
 	return nil
 }
 
@@ -516,14 +516,14 @@
 		}
 		fmt.Fprintln(&b)
 	}
-	for _, l := range w.mail {
+	for _, m := range w.mail {
 		switch {
-		case l.hello != nil:
-			fmt.Fprint(&b, l.from, l.to, l.hello.Have, l.hello.Applied, l.hello.Generation, w.all[l.from].seq-l.hello.Seq, l.hello.Progress, len(l.hello.Digests))
-		case l.delta != nil:
-			fmt.Fprint(&b, l.from, l.to, l.delta.Epoch, l.delta.From, l.delta.To, l.delta.Head, len(l.delta.Records), l.delta.Range, l.delta.WantDigests)
+		case m.hello != nil:
+			fmt.Fprint(&b, m.from, m.to, m.hello.Have, m.hello.Applied, m.hello.Generation, w.all[m.from].seq-m.hello.Seq, m.hello.Progress, len(m.hello.Digests))
+		case m.delta != nil:
+			fmt.Fprint(&b, m.from, m.to, m.delta.Epoch, m.delta.From, m.delta.To, m.delta.Head, len(m.delta.Records), m.delta.Range, m.delta.WantDigests)
 		default:
-			fmt.Fprint(&b, l.from, l.report.Incarnation, l.report.Base, l.report.UpTo, l.report.Full, len(l.report.Readers))
+			fmt.Fprint(&b, m.from, m.report.Incarnation, m.report.Base, m.report.UpTo, m.report.Full, len(m.report.Readers))
 		}
 		fmt.Fprintln(&b)
 	}
--- a/internal/testbed/modelcheck/leases/world.go
+++ b/internal/testbed/modelcheck/leases/world.go
@@ -156,20 +156,20 @@
 
 // claimOf begins a claim of a process; where the case has members lie, it holds all others dead.
 func (w *World) claimOf(i int) lease.RenewalRequest {
-	c := w.processes[i].t.BeginRenewal(w.clock(i))
+	req := w.processes[i].t.BeginRenewal(w.clock(i))
 	for j := range w.processes {
 		if w.set.Lies && j != i {
-			c.DeadInstances = append(c.DeadInstances, w.processes[j].id)
+			req.DeadInstances = append(req.DeadInstances, w.processes[j].id)
 		}
 	}
-	return c
+	return req
 }
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
 	w := &World{set: s, index: 2, now: time.Hour, places: make([]fencing.Guard, s.Shards), judge: make([]judged, s.Shards)}
-	f, l := docs(s)
-	if err := w.registry.SetQuotaConfig(1, f); err != nil {
+	c, l := docs(s)
+	if err := w.registry.SetQuotaConfig(1, c); err != nil {
 		return nil, err
 	}
 	if err := w.registry.SetLeaseConfig(2, l); err != nil {
@@ -338,8 +338,8 @@
 		w.Elect(rate, lessor.New(scaled(w.now, rate), &r))
 	case Renew:
 		p := &w.processes[s.On]
-		c := w.claimOf(s.On)
-		w.InTransit = append(w.InTransit, message{to: s.On, id: p.id, claim: &c})
+		req := w.claimOf(s.On)
+		w.InTransit = append(w.InTransit, message{to: s.On, id: p.id, claim: &req})
 	case Deliver, DeliverAgain:
 		if m, l := w.Receive(s.On, s.Op == DeliverAgain); l == nil {
 			w.taken(m)
@@ -371,14 +371,14 @@
 		}
 	case Release:
 		p := &w.processes[s.On]
-		for _, h := range p.t.Status() {
-			p.t.Release(h.Key)
+		for _, held := range p.t.Status() {
+			p.t.Release(held.Key)
 		}
 	case Migrate:
 		l := w.Leader()
-		if o, err := l.State.Migrate(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.processes[s.On/4].id); err == nil {
+		if e, err := l.State.Migrate(scaled(w.now, l.Rate), lease.Key{Task: task, Shard: s.On % 4}, w.processes[s.On/4].id); err == nil {
 			w.index++
-			w.registry.ApplyEvents(w.index, 0, []lease.Event{o})
+			w.registry.ApplyEvents(w.index, 0, []lease.Event{e})
 			w.learn(l)
 		}
 	case Restart:
@@ -403,9 +403,9 @@
 		if p.act != nil {
 			return nil
 		}
-		for _, h := range p.t.Status() {
-			if a, ok := p.t.StartOperation(now, h.Key); ok {
-				p.act, p.opened, p.checked = &a, false, 0
+		for _, s := range p.t.Status() {
+			if act, ok := p.t.StartOperation(now, s.Key); ok {
+				p.act, p.opened, p.checked = &act, false, 0
 				break
 			}
 		}
@@ -414,49 +414,49 @@
 	if p.act == nil {
 		return nil // of whoever holds nothing, before a case begins
 	}
-	a := *p.act
-	place, j := &w.places[a.Shard], &w.judge[a.Shard]
+	act := *p.act
+	place, j := &w.places[act.Shard], &w.judge[act.Shard]
 	refused := func(err error) error {
 		if err != nil {
-			p.t.FinishOperation(a, lessee.Fenced, place.Token)
+			p.t.FinishOperation(act, lessee.Fenced, place.Token)
 			p.act = nil
 		}
 		return err
 	}
 	switch op {
 	case BeginAtResource:
-		if refused(place.Begin(a.Token, a.Number)) != nil {
+		if refused(place.Begin(act.Token, act.Number)) != nil {
 			return nil
 		}
 		p.opened = true
-		if a.Token < j.token || a.Token == j.token && (a.Number <= j.act || p.id != j.by) {
-			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", a.Number, p.id, a.Token, j.act, j.by, j.token)
+		if act.Token < j.token || act.Token == j.token && (act.Number <= j.act || p.id != j.by) {
+			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", act.Number, p.id, act.Token, j.act, j.by, j.token)
 		}
-		*j = judged{a.Token, a.Number, p.id, j.touched, j.acts}
+		*j = judged{act.Token, act.Number, p.id, j.touched, j.acts}
 	case CheckLease:
-		if p.checked = w.now; !p.t.MayProceed(now, a) {
-			p.t.FinishOperation(a, lessee.Failed, 0)
+		if p.checked = w.now; !p.t.MayProceed(now, act) {
+			p.t.FinishOperation(act, lessee.Failed, 0)
 			p.act = nil
 		}
 	case ChangeResource:
-		if refused(place.CheckChange(a.Token, a.Number)) != nil {
+		if refused(place.CheckChange(act.Token, act.Number)) != nil {
 			return nil
 		}
-		if j.token != a.Token || j.act != a.Number || j.by != p.id {
-			return fmt.Errorf("broken: a change of act %d of %s under token %d is taken after act %d of %s under %d has begun", a.Number, p.id, a.Token, j.act, j.by, j.token)
+		if j.token != act.Token || j.act != act.Number || j.by != p.id {
+			return fmt.Errorf("broken: a change of act %d of %s under token %d is taken after act %d of %s under %d has begun", act.Number, p.id, act.Token, j.act, j.by, j.token)
 		}
 		j.acts++
 		p.checked = 0
 	case TouchUnguarded:
 		// The bound on pauses is true time's.
-		if late := w.now - p.checked; a.Token < j.touched && late <= pauseMs*time.Millisecond {
-			return fmt.Errorf("broken: %s touches under token %d after somebody did under %d, %v after it looked", p.id, a.Token, j.touched, late)
+		if late := w.now - p.checked; act.Token < j.touched && late <= pauseMs*time.Millisecond {
+			return fmt.Errorf("broken: %s touches under token %d after somebody did under %d, %v after it looked", p.id, act.Token, j.touched, late)
 		}
-		j.touched = max(j.touched, a.Token)
+		j.touched = max(j.touched, act.Token)
 		p.checked = 0
 	case EndOperation:
-		if refused(place.End(a.Token, a.Number)) == nil {
-			p.t.FinishOperation(a, lessee.Completed, place.Token)
+		if refused(place.End(act.Token, act.Number)) == nil {
+			p.t.FinishOperation(act, lessee.Completed, place.Token)
 			p.act = nil
 		}
 	}
@@ -465,9 +465,9 @@
 
 // decide has a leader answer a claim; the answer waits until a majority has confirmed.
 func (w *World) decide(l *lead, m message) {
-	a, err := l.State.Renew(scaled(w.now, l.Rate), m.id, *m.claim)
+	resp, err := l.State.Renew(scaled(w.now, l.Rate), m.id, *m.claim)
 	if err == nil {
-		l.Put(message{to: m.to, id: m.id, answer: &a})
+		l.Put(message{to: m.to, id: m.id, answer: &resp})
 	}
 }
 
@@ -480,9 +480,9 @@
 // exchange is a claim and its answer by the leader that leads, at once.
 func (w *World) exchange(i int) {
 	p, l := &w.processes[i], w.Leader()
-	a, err := l.State.Renew(scaled(w.now, l.Rate), p.id, w.claimOf(i))
+	resp, err := l.State.Renew(scaled(w.now, l.Rate), p.id, w.claimOf(i))
 	if err == nil {
-		w.taken(message{to: i, id: p.id, answer: &a})
+		w.taken(message{to: i, id: p.id, answer: &resp})
 	}
 }
 
