--- a/internal/testbed/modelcheck/members/world.go
+++ b/internal/testbed/modelcheck/members/world.go
@@ -248,8 +248,8 @@
 		}
 		mail := n.mail
 		n.mail = nil
-		for _, l := range mail {
-			if err := w.receive(l); err != nil {
+		for _, m := range mail {
+			if err := w.receive(m); err != nil {
 				return err
 			}
 		}
@@ -265,23 +265,23 @@
 			return err
 		}
 	case ReplayOld:
-		l := w.old[s.On]
-		if to := w.nodes[l.to]; to.alive && !to.paused {
+		m := w.old[s.On]
+		if to := w.nodes[m.to]; to.alive && !to.paused {
 			before := to.member.Self().Incarnation
-			held := w.view(l.to)
-			to.member.Receive(w.clock(l.to), l.Message, l.via)
-			if fresh := l.Echo != 0 && w.names[l.From.ID] != "" && w.now-time.Duration(0) == 0; !fresh {
-				if to.member.Self().Incarnation != before || !same(held, w.view(l.to)) {
-					return fmt.Errorf("broken: an old %v from %s changed the view of %s", l.Kind, w.names[l.From.ID], addr(l.to))
+			held := w.view(m.to)
+			to.member.Receive(w.clock(m.to), m.Message, m.via)
+			if fresh := m.Echo != 0 && w.names[m.From.ID] != "" && w.now-time.Duration(0) == 0; !fresh {
+				if to.member.Self().Incarnation != before || !same(held, w.view(m.to)) {
+					return fmt.Errorf("broken: an old %v from %s changed the view of %s", m.Kind, w.names[m.From.ID], addr(m.to))
 				}
 			}
 		}
 	case Foreign:
 		for _, kind := range []membership.MessageKind{membership.Ping, membership.Ack, membership.SyncPage} {
-			x := &membership.Message{Version: membership.Version, FleetID: key + 1, Kind: kind, From: membership.Record{ID: 99, Incarnation: 1, Info: membership.Info{Name: "x", Addr: "x"}},
+			msg := &membership.Message{Version: membership.Version, FleetID: key + 1, Kind: kind, From: membership.Record{ID: 99, Incarnation: 1, Info: membership.Info{Name: "x", Addr: "x"}},
 				Nonce: 5, Opinion: &membership.Opinion{Incarnation: n.member.Self().Incarnation, Status: membership.Suspect}}
 			held, inc := w.view(s.On), n.member.Self().Incarnation
-			out := n.member.Receive(w.clock(s.On), x, membership.Datagram) // what was due in any case may go out
+			out := n.member.Receive(w.clock(s.On), msg, membership.Datagram) // what was due in any case may go out
 			if slices.ContainsFunc(out, func(o membership.Outgoing) bool { return o.Addr == "x" }) || !same(held, w.view(s.On)) || n.member.Self().Incarnation != inc {
 				return fmt.Errorf("broken: another fleet's %v changed or drew something at %s", kind, addr(s.On))
 			}
@@ -335,77 +335,77 @@
 		if err := s.Validate(); err != nil {
 			panic(fmt.Sprintf("%s sends what nobody reads: %v", addr(from), err))
 		}
-		l := message{from, to, s.Channel, s.Message}
+		m := message{from, to, s.Channel, s.Message}
 		if w.hushed || w.cut[[2]int{from, to}] || !w.nodes[to].alive {
 			continue
 		}
-		w.mail = append(w.mail, l)
+		w.mail = append(w.mail, m)
 	}
 }
 
 func (w *World) settleMail() error {
 	for len(w.mail) > 0 {
-		l := w.mail[0]
+		m := w.mail[0]
 		w.mail = w.mail[1:]
-		to := w.nodes[l.to]
+		to := w.nodes[m.to]
 		switch {
 		case !to.alive:
 		case to.paused:
-			to.mail = append(to.mail, l)
+			to.mail = append(to.mail, m)
 		default:
-			if err := w.receive(l); err != nil {
+			if err := w.receive(m); err != nil {
 				return err
 			}
 		}
 		if w.sent > 400 {
-			return fmt.Errorf("broken: %d messages in one step, the last a %v from %s to %s", w.sent, l.Kind, addr(l.from), addr(l.to))
+			return fmt.Errorf("broken: %d messages in one step, the last a %v from %s to %s", w.sent, m.Kind, addr(m.from), addr(m.to))
 		}
 	}
 	return nil
 }
 
-func (w *World) receive(l message) error { //nolint:gocognit // to be split with its package, see docs/left.md
-	to := w.nodes[l.to]
-	if slices.Contains(w.set.Ops, ReplayOld) && (l.Echo != 0 || len(l.Records) > 0 || l.Opinion != nil && l.Opinion.Status != membership.Alive) && len(w.old) < maxReplayed {
-		w.old = append(w.old, l)
+func (w *World) receive(m message) error { //nolint:gocognit // to be split with its package, see docs/left.md
+	to := w.nodes[m.to]
+	if slices.Contains(w.set.Ops, ReplayOld) && (m.Echo != 0 || len(m.Records) > 0 || m.Opinion != nil && m.Opinion.Status != membership.Alive) && len(w.old) < maxReplayed {
+		w.old = append(w.old, m)
 	}
 	before := to.member.Counts
-	held := w.view(l.to)
+	held := w.view(m.to)
 	inc := to.member.Self().Incarnation
-	w.send(l.to, to.member.Receive(w.clock(l.to), l.Message, l.via))
-	to.came = w.clock(l.to)
+	w.send(m.to, to.member.Receive(w.clock(m.to), m.Message, m.via))
+	to.came = w.clock(m.to)
 	c := to.member.Counts
-	believed := l.Echo != 0 && c.Stale == before.Stale && c.Foreign == before.Foreign && c.Misdirected == before.Misdirected
+	believed := m.Echo != 0 && c.Stale == before.Stale && c.Foreign == before.Foreign && c.Misdirected == before.Misdirected
 	if believed {
-		for _, r := range append(slices.Clone(l.Records), l.From) {
+		for _, r := range append(slices.Clone(m.Records), m.From) {
 			if r.ID == to.member.Self().ID {
 				if r.Status == membership.Suspect && r.Incarnation == inc && !to.leaving && to.member.Self().Incarnation == inc {
-					return fmt.Errorf("broken: %s is told that it is suspected, and does not refute it", addr(l.to))
+					return fmt.Errorf("broken: %s is told that it is suspected, and does not refute it", addr(m.to))
 				}
 				continue
 			}
 			was, knew := held[r.ID]
-			is, knows := to.member.Lookup(r.ID)
+			now, knows := to.member.Lookup(r.ID)
 			switch {
 			case !knows:
-				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(l.to), w.names[r.ID])
-			case r.Status == membership.Alive && knew && r.Incarnation > was.Incarnation && (is.Incarnation < r.Incarnation || is.Status == membership.Dead && is.Incarnation <= r.Incarnation):
-				return fmt.Errorf("broken: %s holds %s dead that has refuted it", addr(l.to), w.names[r.ID])
-			case knew && r.Incarnation < was.Incarnation && r.Status != membership.Alive && is.Status != was.Status && is.Status == r.Status:
-				return fmt.Errorf("broken: %s took an older word on %s", addr(l.to), w.names[r.ID])
+				return fmt.Errorf("broken: %s was told of %s and does not know it", addr(m.to), w.names[r.ID])
+			case r.Status == membership.Alive && knew && r.Incarnation > was.Incarnation && (now.Incarnation < r.Incarnation || now.Status == membership.Dead && now.Incarnation <= r.Incarnation):
+				return fmt.Errorf("broken: %s holds %s dead that has refuted it", addr(m.to), w.names[r.ID])
+			case knew && r.Incarnation < was.Incarnation && r.Status != membership.Alive && now.Status != was.Status && now.Status == r.Status:
+				return fmt.Errorf("broken: %s took an older word on %s", addr(m.to), w.names[r.ID])
 			}
 		}
 	} else {
 		for birth, was := range held {
-			if is, ok := to.member.Lookup(birth); !ok || is.Status != was.Status || is.Incarnation != was.Incarnation {
-				return fmt.Errorf("broken: an unverified %v changed what %s knows of %s", l.Kind, addr(l.to), w.names[birth])
+			if now, ok := to.member.Lookup(birth); !ok || now.Status != was.Status || now.Incarnation != was.Incarnation {
+				return fmt.Errorf("broken: an unverified %v changed what %s knows of %s", m.Kind, addr(m.to), w.names[birth])
 			}
 		}
-		if len(w.view(l.to)) != len(held) {
-			return fmt.Errorf("broken: an unverified %v brought %s somebody", l.Kind, addr(l.to))
+		if len(w.view(m.to)) != len(held) {
+			return fmt.Errorf("broken: an unverified %v brought %s somebody", m.Kind, addr(m.to))
 		}
 	}
-	return w.check(l.to, l.Kind.String())
+	return w.check(m.to, m.Kind.String())
 }
 
 func (w *World) view(i int) map[uint64]membership.Record {
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -269,8 +269,8 @@
 		rate := w.NextRate(w.set.LeaderRates)
 		w.Elect(rate, allocator.New(scaled(w.now, rate), w.registry.QuotaConfig, w.registry.Members))
 	case Renew:
-		r := w.processes[s.On].client.BeginRenewal(w.clockOf(s.On))
-		w.InTransit = append(w.InTransit, message{to: s.On, renewal: &r})
+		req := w.processes[s.On].client.BeginRenewal(w.clockOf(s.On))
+		w.InTransit = append(w.InTransit, message{to: s.On, renewal: &req})
 	case Deliver, DeliverAgain:
 		if m, l := w.Receive(s.On, s.Op == DeliverAgain); l == nil {
 			w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
@@ -359,9 +359,9 @@
 
 // decide has a leader decide on a renewal; the answer waits for the majority.
 func (w *World) decide(l *leader, m message) {
-	a, err := l.State.Renew(scaled(w.now, l.Rate), *m.renewal)
+	resp, err := l.State.Renew(scaled(w.now, l.Rate), *m.renewal)
 	if err == nil {
-		l.Put(message{to: m.to, answer: &a, round: l.Round()})
+		l.Put(message{to: m.to, answer: &resp, round: l.Round()})
 	}
 }
 
@@ -372,8 +372,8 @@
 		return // a question is out
 	}
 	p := &w.processes[i]
-	r := p.client.BeginRenewal(w.clockOf(i))
-	w.decide(l, message{to: i, renewal: &r})
+	req := p.client.BeginRenewal(w.clockOf(i))
+	w.decide(l, message{to: i, renewal: &req})
 	for _, m := range w.ConfirmNow(l) {
 		w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
 	}
@@ -389,8 +389,8 @@
 	}
 	var units float64
 	p.client.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // it is known from now on
-	for _, x := range p.client.Status(now) {
-		units = x.Tokens
+	for _, s := range p.client.Status(now) {
+		units = s.Tokens
 	}
 	if units <= 0 {
 		return nil
@@ -498,9 +498,9 @@
 	for i := range w.processes {
 		sum += w.processes[i].client.Limit(w.clockOf(i), w.key()).Rate
 	}
-	d := w.registry.QuotaConfig
-	free := float64(d.MaxSessions-min(d.MaxSessions, len(w.processes))) * least
-	return (sum + free) / d.EffectiveLimit(&d.Budgets[0]).Rate, nil
+	c := w.registry.QuotaConfig
+	free := float64(c.MaxSessions-min(c.MaxSessions, len(w.processes))) * least
+	return (sum + free) / c.EffectiveLimit(&c.Budgets[0]).Rate, nil
 }
 
 // Print is the state as text: equal states print alike.
