--- a/internal/controlplane/lease/fencing/fencing.go
+++ b/internal/controlplane/lease/fencing/fencing.go
@@ -1,7 +1,7 @@
 // Package fencing is the check that a shared resource makes of fencing tokens. Of any two operations
 // whose changes it accepts, one ends before the other begins, in the order of their tokens. It does no
 // I/O: whoever stores the state must make each call, together with the change that it guards, one
-// atomic step (docs/leases.md, step 12).
+// atomic step (package lease, step 12).
 package fencing
 
 import "fmt"
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -1,7 +1,3 @@
-// Package lease defines leases for tasks that run once for the whole fleet: the tasks that an operator
-// sets, the lease of each shard, the events by which the replicated log changes leases, and the
-// messages by which a member renews them at the leading agent. It does no I/O. docs/leases.md has the
-// design and the safety argument.
 package lease
 
 import (
--- a/internal/controlplane/lease/lessee/lessee.go
+++ b/internal/controlplane/lease/lessee/lessee.go
@@ -4,8 +4,7 @@
 //
 // Invariants: a lease is valid until its TTL counted from the start of its renewal, so before the
 // answer arrived; an operation starts only if it can end within the lease; a released lease is not
-// used again under the same token. docs/leases.md has the argument; numbers of steps in comments are
-// that page's.
+// used again under the same token. Numbers of steps in comments are those of package lease.
 package lessee
 
 import (
--- a/internal/controlplane/lease/lessor/lessor.go
+++ b/internal/controlplane/lease/lessor/lessor.go
@@ -4,8 +4,8 @@
 //
 // Invariant: a shard is granted to another member only after its holder released it, or after the
 // latest time at which the holder's clock can still show the lease as valid. A new term assumes that
-// every lease was renewed just before it began. docs/leases.md has the argument; numbers of steps in
-// comments are that page's.
+// every lease was renewed just before it began. Numbers of steps in comments are those of package
+// lease.
 package lessor
 
 import (
--- a/internal/controlplane/membership/message.go
+++ b/internal/controlplane/membership/message.go
@@ -1,9 +1,3 @@
-// Package membership lets initiators know each other without a leader, by SWIM with the extensions of
-// Lifeguard: periodic probes, indirect probes, suspicion that its subject can refute, records
-// piggybacked on probes, and a periodic sync of what two views do not share. It adds reachability
-// records, which name links that are cut in one direction, and keeps processes that were paused from
-// judging others. It does no I/O; time and randomness are passed in, and equal inputs give equal
-// outputs. docs/members.md has the argument; numbers of steps in comments are that page's.
 package membership
 
 import (
--- a/internal/controlplane/quota/allocator/allocator.go
+++ b/internal/controlplane/quota/allocator/allocator.go
@@ -5,8 +5,7 @@
 // Invariant: for each limit, the allocations that members may still use, counted until the latest time
 // at which any member's clock can have them expire, never exceed the shared pool. A new term cannot
 // know the allocations of the one before; until all of them have expired it only extends what members
-// report to hold. docs/fleet-budgets.md has the argument; numbers of steps in comments are that
-// page's.
+// report to hold. Numbers of steps in comments are those of package quota.
 package allocator
 
 import (
--- a/internal/controlplane/quota/budget.go
+++ b/internal/controlplane/quota/budget.go
@@ -1,7 +1,3 @@
-// Package quota defines fleet-wide quotas: the budgets that an operator sets, the members that share
-// them, and the messages by which a member renews its allocations at the leading agent. It validates
-// what operators and members send. It does no I/O. docs/fleet-budgets.md has the design and the safety
-// argument.
 package quota
 
 import (
--- a/internal/controlplane/quota/quotaclient/client.go
+++ b/internal/controlplane/quota/quotaclient/client.go
@@ -4,8 +4,7 @@
 //
 // Invariants: an allocation is used until its TTL counted from the start of its renewal, so before its
 // answer arrived; only the answer to the last renewal is accepted, and only once; a bucket never gains
-// tokens by an allocation, only by time. docs/fleet-budgets.md has the argument; numbers of steps in
-// comments are that page's.
+// tokens by an allocation, only by time. Numbers of steps in comments are those of package quota.
 package quotaclient
 
 import (
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -49,7 +49,7 @@
 	return &r.Leases[at]
 }
 
-// ApplyEvents applies events and returns those that had an effect (docs/leases.md, step 4). seen is a
+// ApplyEvents applies events and returns those that had an effect (package lease, step 4). seen is a
 // token that a guarded resource was shown: the next grant gets a greater one.
 func (r *Registry) ApplyEvents(index, seen uint64, orders []lease.Event) (done []lease.Event) {
 	r.LastToken = max(r.LastToken, seen)
--- a/internal/controlplane/watchstream/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -1,13 +1,3 @@
-// Package watchstream decides how changes of targets and of configuration reach all initiators: one
-// numbered stream of changes goes from the agents' replicated log over relays to initiators, with the
-// same Store, Source and Replica at each hop. A Store has the newest state of each key; a Source
-// serves a Store to readers by deltas, and keeps per reader only bounded state; a Replica is a
-// reader's copy. RelaySelector decides which relay a reader calls, and AckTracker knows at the leader
-// which versions are applied where.
-//
-// The package does no I/O and has no clock and no goroutines; callers hold a lock of their own. Equal
-// inputs give equal outputs. docs/feed.md has the design and the argument; numbers of steps in
-// comments are that page's.
 package watchstream
 
 import (
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -6,19 +6,19 @@
 )
 
 // handleRequest queues a new request, or rejects one that the settings do not know.
-func (s *Scheduler) handleRequest(e Request) {
-	if s.requests[e.ID] != nil {
+func (s *Scheduler) handleRequest(event Request) {
+	if s.requests[event.ID] != nil {
 		return
 	}
 	s.recentRequests = append(dropOlderTimes(s.recentRequests, s.now-s.settings.Rules.RetryBudgetWindow), s.now)
-	c, p := s.classes[e.Class], s.plans[e.Plan]
-	if c == nil || p == nil || e.TimeLeft <= 0 {
-		s.emit(Action{Kind: Reject, Request: e.ID})
+	class, plan := s.classes[event.Class], s.plans[event.Plan]
+	if class == nil || plan == nil || event.TimeLeft <= 0 {
+		s.emit(Action{Kind: Reject, Request: event.ID})
 		return
 	}
-	e.TimeLeft = min(e.TimeLeft, c.Deadline)
-	e.Units = max(e.Units, 0)
-	r := s.newRequest(e, c, s.volumeFor(e, p))
+	event.TimeLeft = min(event.TimeLeft, class.Deadline)
+	event.Units = max(event.Units, 0)
+	r := s.newRequest(event, class, s.volumeFor(event, plan))
 	s.requests[r.ID] = r
 	heap.Push(&s.deadlines, r)
 	r.volume.backlog++
@@ -52,18 +52,18 @@
 // newRequest derives the times of a request from its class and the time that its client has left.
 func (s *Scheduler) newRequest(e Request, c *Class, v *volume) *request {
 	r := &request{Request: e, class: c, volume: v, firstSeenAt: s.now, heldSince: s.now, deadlineAt: s.now + e.TimeLeft}
-	r.answerBy = s.now + max(e.TimeLeft/2-4*s.settings.MinStep, s.settings.MinStep)
+	r.answerBy = s.now + max(e.TimeLeft/2-sendMarginSteps*s.settings.MinStep, s.settings.MinStep)
 	r.objectiveAt = s.now + c.LatencyObjective
 	if waited := c.Deadline - e.TimeLeft; s.stalledFor > 0 && waited < s.stalledFor+s.minObjective/timersPerObjective {
 		r.objectiveAt -= waited // it waited for this process, which was paused
 	}
 	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized
 	// by its identity within the class's deadline; a short time left alone may belong to an impatient client.
-	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+2*s.settings.MinStep {
+	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+clockMarginSteps*s.settings.MinStep {
 		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+c.LatencyObjective
 		delete(s.rejected, r.identity())
 	}
-	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-2*s.settings.MinStep)
+	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-clockMarginSteps*s.settings.MinStep)
 	r.answerBy = min(r.answerBy, r.objectiveAt)
 	return r
 }
@@ -117,7 +117,7 @@
 			r.answerBy = s.now // answered once all events of this step are known: its client may have left
 		}
 		// Backoff grows with each attempt; the endpoint's own block comes on top.
-		r.notBefore = s.now + s.silenceTimeout(ep)*time.Duration(r.attempts)/8
+		r.notBefore = s.now + s.silenceTimeout(ep)*time.Duration(r.attempts)/backoffDivisor
 		r.queue.enqueue(r)
 		if r.heapIndex >= 0 {
 			heap.Fix(&s.deadlines, r.heapIndex)
@@ -139,7 +139,7 @@
 // dedupDeadline is until when endpoints surely drop a repeat: a little before the window ends, since
 // sending takes time.
 func (s *Scheduler) dedupDeadline(r *request) time.Duration {
-	return r.firstRanAt + r.class.DedupWindow - 4*s.settings.MinStep
+	return r.firstRanAt + r.class.DedupWindow - sendMarginSteps*s.settings.MinStep
 }
 
 // retryBudgetGate keeps retries within the budget. Requests count from a little later and retries from
@@ -152,16 +152,16 @@
 	if !rules.RetryBudget {
 		return 0
 	}
-	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-rules.RetryBudgetWindow+2*s.settings.MinStep)
-	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-rules.RetryBudgetWindow-2*s.settings.MinStep)
+	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-rules.RetryBudgetWindow+clockMarginSteps*s.settings.MinStep)
+	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-rules.RetryBudgetWindow-clockMarginSteps*s.settings.MinStep)
 	if float64(len(s.recentRetries)+1) <= rules.RetryBudgetFree*s.processes.fraction(s.now)+rules.RetryBudgetRatio*float64(len(s.recentRequests)) {
 		return 0
 	}
-	return s.now + rules.RetryBudgetWindow/64
+	return s.now + rules.RetryBudgetWindow/budgetPollsPerWindow
 }
 
 // attemptTimeout is the time after which an attempt is given up. It is long: no other endpoint has the
 // data, so a premature retry only adds load. It frees the slot of an attempt whose answer was lost.
 func (s *Scheduler) attemptTimeout(ep *endpoint, r *request) time.Duration {
-	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*ep.latency))
+	return max(attemptObjectives*r.class.LatencyObjective, toDuration(attemptSilences*silenceFactor*ep.latency))
 }
--- a/internal/policy/coldstart.go
+++ b/internal/policy/coldstart.go
@@ -38,8 +38,8 @@
 	}
 	for units > 0 && len(ep.coldServed) > 0 {
 		d := &ep.coldServed[0]
-		took := min(units, d.units)
-		d.units, units = d.units-took, units-took
+		used := min(units, d.units)
+		d.units, units = d.units-used, units-used
 		if d.units <= 0 {
 			ep.coldServed = ep.coldServed[1:]
 		}
@@ -53,13 +53,13 @@
 }
 
 // current is the sum, decayed to now with the time constant over.
-func (d *decayingRate) current(now, over time.Duration) float64 {
-	return d.units * math.Exp(-(now-d.at).Seconds()/max(over.Seconds(), 1e-3))
+func (d *decayingRate) current(now, timeConstant time.Duration) float64 {
+	return d.units * math.Exp(-(now-d.at).Seconds()/max(timeConstant.Seconds(), 1e-3))
 }
 
 // add adds units at now.
-func (d *decayingRate) add(now time.Duration, units float64, over time.Duration) {
-	d.units, d.at = d.current(now, over)+units, now
+func (d *decayingRate) add(now time.Duration, units float64, timeConstant time.Duration) {
+	d.units, d.at = d.current(now, timeConstant)+units, now
 }
 
 // coldGate bounds what all initiators together send to an endpoint that started recently, without any
@@ -73,49 +73,49 @@
 	rules, units := s.settings.Rules, r.Units
 	// Also while it is warm, since a restart may be announced late.
 	ep.coldSent = dropOlderUnits(ep.coldSent, s.now-rules.OverloadWindow-s.settings.MinStep)
-	answers := time.Duration(float64(rules.OverloadWindow) * max(0, rules.OverloadFactor/2-1)) // how long an answered unit counts
-	ep.coldServed = dropOlderUnits(ep.coldServed, s.now-answers+s.settings.MinStep)
+	earnedFor := time.Duration(float64(rules.OverloadWindow) * max(0, rules.OverloadFactor/2-1)) // how long an answered unit counts
+	ep.coldServed = dropOlderUnits(ep.coldServed, s.now-earnedFor+s.settings.MinStep)
 	if !s.isCold(ep) {
 		return 0 // before the sums: every queued request comes here at every step
 	}
-	if at, governed := s.quotaWait(ColdWork, ep, r, units); governed {
-		return at
+	if quotaAt, governed := s.quotaWait(ColdWork, ep, r, units); governed {
+		return quotaAt
 	}
-	each, sum := s.processes.fraction(s.now)/float64(s.settings.Initiators), sumUnits(ep.coldSent)
-	part := s.settings.ColdUnitsPerWindow * s.warmUpGrowth(ep) * each
-	if answers > 0 {
+	fraction, sent := s.processes.fraction(s.now)/float64(s.settings.Initiators), sumUnits(ep.coldSent)
+	part := s.settings.ColdUnitsPerWindow * s.warmUpGrowth(ep) * fraction
+	if earnedFor > 0 {
 		part /= 2
 	}
-	crowd := part < s.settings.MeanUnits
-	few := len(ep.inFlight) == 0 && ep.reportedLoad >= 0 && ep.reportedLoad <= maxColdLoad && s.now-ep.lastReportAt < rules.OverloadWindow
-	if crowd && few || !crowd && sumUnits(ep.coldServed) >= units {
+	partBelowRequest := part < s.settings.MeanUnits
+	reportsLittleLoad := len(ep.inFlight) == 0 && ep.reportedLoad >= 0 && ep.reportedLoad <= maxColdLoad && s.now-ep.lastReportAt < rules.OverloadWindow
+	if partBelowRequest && reportsLittleLoad || !partBelowRequest && sumUnits(ep.coldServed) >= units {
 		return 0
 	}
 	if ep.Started < s.startedAt && s.now-s.startedAt < rules.OverloadWindow {
 		return s.startedAt + rules.OverloadWindow // what a previous process sent is unknown
 	}
-	if crowd { // parts follow the traffic share; earned units are covered by the reserve below
-		part, ep.coldServed = s.coldCapacity(ep)*(1-1/max(rules.OverloadFactor, 2))*each*ep.trafficShare, nil
+	if partBelowRequest { // parts follow the traffic share; earned units are covered by the reserve below
+		part, ep.coldServed = s.coldCapacity(ep)*(1-1/max(rules.OverloadFactor, 2))*fraction*ep.trafficShare, nil
 	}
 	// A request larger than the part is sent by as many initiators as parts make up one request. The rank
 	// differs for each endpoint, so that it is not always the same initiators.
-	if sum+units <= part || sum == 0 && units*s.initiatorRank(ep) <= part {
+	if sent+units <= part || sent == 0 && units*s.initiatorRank(ep) <= part {
 		return 0
 	}
-	return s.now + rules.OverloadWindow/16
+	return s.now + rules.OverloadWindow/coldPollsPerWindow
 }
 
 // coldCapacity is the units that a cold endpoint bears within Rules.OverloadWindow from all
 // initiators: by the settings, or if that is more by what warm endpoints were seen to do (Little's
 // law), scaled along the slowest allowed warm-up.
 func (s *Scheduler) coldCapacity(ep *endpoint) float64 {
-	rules, grown := s.settings.Rules, s.warmUpGrowth(ep)
-	told := s.settings.ColdUnitsPerWindow * grown
+	rules, growth := s.settings.Rules, s.warmUpGrowth(ep)
+	configured := s.settings.ColdUnitsPerWindow * growth
 	if s.warmServiceTime <= 0 || rules.ColdCapacityFraction <= 0 {
-		return told
+		return configured
 	}
-	takes := max(ep.latency, s.warmServiceTime/(rules.ColdCapacityFraction*grown)) / max(1, s.warmConcurrency)
-	return max(told, s.settings.MeanUnits*rules.OverloadFactor*rules.OverloadWindow.Seconds()/takes)
+	serviceTime := max(ep.latency, s.warmServiceTime/(rules.ColdCapacityFraction*growth)) / max(1, s.warmConcurrency)
+	return max(configured, s.settings.MeanUnits*rules.OverloadFactor*rules.OverloadWindow.Seconds()/serviceTime)
 }
 
 // estimateTrafficShare estimates this initiator's traffic to a shard relative to an even share: what
@@ -131,11 +131,11 @@
 			rate = max(rate, ep.reportedConcurrency/ep.latency)
 		}
 	}
-	over, all := s.settings.Rules.WarmUpTime, float64(s.settings.Initiators)
-	sent := s.queueOf(max(shard, 0)).sentRate.current(s.now, over) / s.settings.MeanUnits
-	little := s.settings.Rules.OverloadWindow.Seconds() / over.Seconds() * all
-	rate *= over.Seconds() * (1 - math.Exp(-(s.now-s.startedAt).Seconds()/over.Seconds())) // in its life
-	return (sent*all + little) / (rate + little)
+	window, initiators := s.settings.Rules.WarmUpTime, float64(s.settings.Initiators)
+	sent := s.queueOf(max(shard, 0)).sentRate.current(s.now, window) / s.settings.MeanUnits
+	prior := s.settings.Rules.OverloadWindow.Seconds() / window.Seconds() * initiators
+	rate *= window.Seconds() * (1 - math.Exp(-(s.now-s.startedAt).Seconds()/window.Seconds())) // in its life
+	return (sent*initiators + prior) / (rate + prior)
 }
 
 // initiatorRank is this initiator's rank among all at an endpoint, in (0, 1], by a hash that all
@@ -160,12 +160,12 @@
 }
 
 // learnWarm updates the mean service time and concurrency of warm endpoints.
-func (s *Scheduler) learnWarm(ep *endpoint, took float64, l *Load) {
-	if l == nil || !(l.InFlight >= 0 && l.InFlight < 1e6) || s.isCold(ep) {
+func (s *Scheduler) learnWarm(ep *endpoint, serviceTime float64, load *Load) {
+	if load == nil || !(load.InFlight >= 0 && load.InFlight < maxPlausibleLoad) || s.isCold(ep) {
 		return
 	}
-	s.warmServiceTime = cmp.Or(s.warmServiceTime, took)
-	s.warmServiceTime += (took - s.warmServiceTime) * learningGain / 8
-	s.warmConcurrency += (l.InFlight - s.warmConcurrency) * learningGain / 8
-	ep.reportedConcurrency += (l.InFlight - ep.reportedConcurrency) * learningGain
+	s.warmServiceTime = cmp.Or(s.warmServiceTime, serviceTime)
+	s.warmServiceTime += (serviceTime - s.warmServiceTime) * learningGain / slowGainDivisor
+	s.warmConcurrency += (load.InFlight - s.warmConcurrency) * learningGain / slowGainDivisor
+	ep.reportedConcurrency += (load.InFlight - ep.reportedConcurrency) * learningGain
 }
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -27,23 +27,23 @@
 
 // handleLoadReport takes over an endpoint's report of its load. Reports that cannot be right are
 // ignored.
-func (s *Scheduler) handleLoadReport(ep *endpoint, l *Load) {
-	if l == nil || ep.latency == 0 {
+func (s *Scheduler) handleLoadReport(ep *endpoint, report *Load) {
+	if report == nil || ep.latency == 0 {
 		return
 	}
-	load := l.InFlight
-	if l.Queued >= 0 {
-		load = l.Queued + freeLoad
+	load := report.InFlight
+	if report.Queued >= 0 {
+		load = report.Queued + freeLoad
 	}
-	if load >= 0 && load < 1e6 {
+	if load >= 0 && load < maxPlausibleLoad {
 		ep.reportedLoad, ep.lastReportAt = load, s.now
 	}
 }
 
 // isFaulty reports whether the endpoint is silent (an attempt is overdue and nothing was heard since
-// it began) or has failed three times in a row. A faulty endpoint gets one attempt at a time.
+// it began) or has failed faultyStreak times in a row. A faulty endpoint gets one attempt at a time.
 func (s *Scheduler) isFaulty(ep *endpoint) bool {
-	if ep.failureStreak >= 3 {
+	if ep.failureStreak >= faultyStreak {
 		return true
 	}
 	for _, r := range ep.inFlight {
@@ -93,7 +93,7 @@
 	if latency < ep.baseLatency {
 		ep.baseLatency += (latency - ep.baseLatency) * gain
 	} else {
-		ep.baseLatency += (latency - ep.baseLatency) * learningGain / 8
+		ep.baseLatency += (latency - ep.baseLatency) * learningGain / slowGainDivisor
 	}
 	ep.latency += (latency - ep.latency) * gain
 	ep.lastAnswerAt = s.now
@@ -131,7 +131,7 @@
 		return
 	}
 	ep.lastAnswerAt = s.now
-	ep.blockedUntil = s.now + s.silenceTimeout(ep)*time.Duration(max(0, min(ep.failureStreak, 4)-1)*16)/64
+	ep.blockedUntil = s.now + s.silenceTimeout(ep)*time.Duration(max(0, min(ep.failureStreak, maxBlockStreak)-1)*blockStepsPerFailure)/blockSteps
 }
 
 // isEjected reports whether the endpoint is listed as up but gets no request, or one at a time.
@@ -151,14 +151,14 @@
 }
 
 // EjectedCount is the number of listed endpoints that drain or are ejected.
-func (s *Scheduler) EjectedCount() (n int) {
-	n = s.drainingCount
+func (s *Scheduler) EjectedCount() (count int) {
+	count = s.drainingCount
 	for _, other := range s.activeEndpoints() {
 		if s.isEjected(other) {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // activeEndpoints returns the endpoints that may be ejected, in the order in which they were first
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -25,16 +25,16 @@
 	}
 	w := max(ep.latency, 1e-3) * (1 + float64(len(q.requests)+len(ep.inFlight))/ep.concurrencyLimit)
 	if s.isFaulty(ep) || ep.blockedUntil > s.now {
-		w += 100 * s.minObjective.Seconds()
+		w += faultyPenaltyObjectives * s.minObjective.Seconds()
 	}
 	if ep.Started > 0 && s.now-ep.Started < s.settings.Rules.WarmUpTime {
-		w *= 4
+		w *= warmingPenalty
 	}
 	return w
 }
 
-// rebalanceNewObjects moves queued new objects away from queues whose wait has become more than twice
-// the smallest.
+// rebalanceNewObjects moves queued new objects away from queues whose wait has become more than
+// rebalanceRatio times the smallest.
 func (s *Scheduler) rebalanceNewObjects() {
 	for q := range s.eachWaiting() {
 		for i := 0; i < len(q.requests); i++ {
@@ -42,7 +42,7 @@
 			if r.Shard >= 0 || r.mayHaveRun || r.BoundEndpoint != "" {
 				continue
 			}
-			if to := s.placeRequest(r); to != q && 2*s.expectedWait(to) < s.expectedWait(q) {
+			if to := s.placeRequest(r); to != q && rebalanceRatio*s.expectedWait(to) < s.expectedWait(q) {
 				r.dequeue()
 				to.enqueue(r)
 				i--
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -5,6 +5,19 @@
 	"time"
 )
 
+// A request that is not served ends here, by answerUnserved. It comes here in five ways:
+//
+//   - Its class or plan is unknown, or it has no time left: rejected at arrival (handleRequest).
+//   - The endpoint's base latency alone would exceed its latency objective (filterSendable), or the
+//     objective has passed (answerExpired): expireObjective marks it, and it is answered in this step.
+//   - Half of its time has passed without an attempt (answerExpired): its client should be able to try
+//     elsewhere. After an attempt it waits until its objective instead (request.answerBy).
+//   - An attempt failed and no further one is allowed (handleOutcome, mayRetry).
+//   - Its body went to another endpoint than the one that its shard has now (earliestSend).
+//
+// The answer is Reject, which invites a retry, unless the request may have run and its class does not
+// allow a repeat: then it is Fail.
+
 // requestIdentity is what a rejected request and its client's retry have in common. The request id is
 // not part of it: clients draw a new one.
 type requestIdentity struct {
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -92,8 +92,8 @@
 func (s *Scheduler) filterSendable(q *shardQueue) {
 	ep := q.endpoint
 	s.sendable = s.sendable[:0]
-	usual, fresh := s.expectedLatency(ep), s.freshness(ep.lastAnswerAt)
-	work, each := 0.0, usual/ep.concurrencyLimit/s.settings.MeanUnits
+	expected, fresh := s.expectedLatency(ep), s.freshness(ep.lastAnswerAt)
+	work, serviceTimePerUnit := 0.0, expected/ep.concurrencyLimit/s.settings.MeanUnits
 	for _, r := range q.requests { // in order of objective
 		if wait := s.earliestSend(r, q); wait > s.now {
 			q.wakeAt = min(q.wakeAt, wait)
@@ -109,9 +109,9 @@
 		}
 		s.sendable = append(s.sendable, r)
 		r.deferred, r.unitValue = false, s.unitValue(r)
-		alone := s.now + toDuration(usual*s.relativeSize(r.Units))
+		alone := s.now + toDuration(expected*s.relativeSize(r.Units))
 		work += r.Units
-		for alone+toDuration((work-r.Units)*each) > r.objectiveAt && !r.deferred {
+		for alone+toDuration((work-r.Units)*serviceTimePerUnit) > r.objectiveAt && !r.deferred {
 			least := s.leastValuable(r)
 			least.deferred, ep.congestedAt = true, s.now
 			work -= least.Units
@@ -184,7 +184,7 @@
 		ep.lastExtent, ep.extentRun = r.Extent, 1
 	}
 	if r.attempts > 0 {
-		s.recentRetries = append(dropOlderTimes(s.recentRetries, s.now-s.settings.Rules.RetryBudgetWindow-2*s.settings.MinStep), s.now)
+		s.recentRetries = append(dropOlderTimes(s.recentRetries, s.now-s.settings.Rules.RetryBudgetWindow-clockMarginSteps*s.settings.MinStep), s.now)
 	} else {
 		r.volume.reserveTokens = max(0, s.reserveAvailable(r.volume)-r.Units)
 	}
--- a/internal/policy/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -37,7 +37,34 @@
 	latencyPerLoad = 0.25
 	// Reported requests up to which a cold endpoint gets another probe request in a large fleet.
 	maxColdLoad       = 8
-	usageFreshPeriods = 5 // Usage periods for which a reported volume usage is used.
+	usageFreshPeriods = 5   // Usage periods for which a reported volume usage is used.
+	usageGain         = 0.3 // Weight of one report in a volume's total usage.
+	// The base latency and the figures of warm endpoints follow an answer this many times more slowly
+	// than learningGain.
+	slowGainDivisor = 8
+	// Requests in flight beyond which a load report cannot be right.
+	maxPlausibleLoad = 1e6
+
+	faultyStreak   = 3 // Failures in a row from which an endpoint counts as faulty.
+	maxBlockStreak = 4 // Failures in a row from which the time that an endpoint is blocked stays the same.
+	// After each failure but the first an endpoint is blocked for blockStepsPerFailure of blockSteps
+	// parts of its silence timeout more.
+	blockStepsPerFailure = 16
+	blockSteps           = 64
+	backoffDivisor       = 8 // The backoff before a retry is the silence timeout for each attempt, over this.
+	attemptObjectives    = 4 // Lower bound of an attempt's timeout, in latency objectives of its class.
+	attemptSilences      = 2 // Another one, in silence timeouts of its endpoint.
+
+	sendMarginSteps  = 4 // Time that sending or answering takes beyond its decision, in MinSteps.
+	clockMarginSteps = 2 // Allowance for the rounding of other clocks, in MinSteps.
+	// How often within its window a request asks again that waits for the retry budget, or for room at
+	// a cold endpoint.
+	budgetPollsPerWindow = 64
+	coldPollsPerWindow   = 16
+
+	faultyPenaltyObjectives = 100 // Added to the expected wait of a new object at a faulty endpoint, in smallest objectives.
+	warmingPenalty          = 4   // Factor of the expected wait of a new object at an endpoint that warms up.
+	rebalanceRatio          = 2   // A new object moves to a queue with so many times less to wait.
 )
 
 // Scheduler decides for one initiator: which request is sent to which endpoint and when, and how each
--- a/internal/policy/tags.go
+++ b/internal/policy/tags.go
@@ -61,11 +61,11 @@
 		return
 	}
 	v.ownUsage, v.ownUsageAt = s.ownUsageRate(v)+units/(2*s.settings.UsagePeriod.Seconds()), s.now
-	if told := float64(used-1) / 100 * v.plan.Rate; used > 0 {
+	if reported := float64(used-1) / 100 * v.plan.Rate; used > 0 {
 		if v.totalUsageAt == 0 {
-			v.totalUsage = told
+			v.totalUsage = reported
 		}
-		v.totalUsage, v.totalUsageAt = v.totalUsage+(told-v.totalUsage)*0.3, s.now
+		v.totalUsage, v.totalUsageAt = v.totalUsage+(reported-v.totalUsage)*usageGain, s.now
 	}
 }
 
@@ -91,13 +91,13 @@
 func (s *Scheduler) refundTags(r *request) {
 	f := r.queue.flow(r.volume)
 	r.volume.tokens += r.Units
-	back := toDuration(r.Units / s.refillRate(r.volume))
+	refund := toDuration(r.Units / s.refillRate(r.volume))
 	for _, other := range r.queue.requests {
 		if other.volume == r.volume && other.startTag > r.startTag {
-			other.startTag, other.finishTag = other.startTag-back, other.finishTag-back
+			other.startTag, other.finishTag = other.startTag-refund, other.finishTag-refund
 		}
 	}
-	f.maxStartTag -= back
+	f.maxStartTag -= refund
 }
 
 // synchronize is a synchronization point of fair queuing: the endpoint has capacity and no request is
