--- a/internal/policy/state.go
+++ /dev/null
@@ -1,3 +0,0 @@
-package policy
-
-// What the module in scheduler.go keeps, and small helpers. No decision is taken here.
