--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -29,10 +29,9 @@
 	// between a relay's calls of agents that fail: relays are few, and a region waits for each
 	relayRetryMax = time.Second
 	idleTimeout   = 30 * time.Second
-	// between two snapshots while records change, or saveCostFactor times as long as the last one
-	// took
+	// between two snapshots while records change, or longer: saveCostFactor times what the last one took
 	saveInterval         = 10 * time.Second
-	saveCostFactor       = 200                    // times as long as the last one took
+	saveCostFactor       = 200
 	positionSaveInterval = 10 * time.Minute       // if only the position has changed
 	minPollInterval      = 100 * time.Millisecond // after an answer without news that came at once
 	connBufferBytes      = 2 << 10                // each way
