--- a/Makefile
+++ b/Makefile
@@ -1,3 +1,6 @@
+# The linter, at the version that tools/go.mod pins. It is built from source, so that nothing but the module proxy is needed.
+LINT = go tool -modfile=tools/go.mod golangci-lint
+
 # The operators' kit, for sites.
 KIT ?= ../given/kit
 
@@ -23,6 +26,7 @@
 lint:
 	@test -z "$$(gofmt -l .)" || { echo "gofmt needed:"; gofmt -l .; exit 1; }
 	go vet ./...
+	$(LINT) run ./...
 
 # PROXY_CONFIG names the configuration.
 run: build
