--- a/cmd/benchlink/decode.go
+++ b/cmd/benchlink/decode.go
@@ -110,7 +110,7 @@
 	case "app_error":
 		return policy.AnsweredError, nil
 	case "shed":
-		return policy.TurnedAway, nil
+		return policy.Rejected, nil
 	case "expired":
 		return policy.TimedOut, nil
 	case "dial_failed":
--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -462,7 +462,7 @@
 		if !r.Began.IsZero() {
 			o.Begin(c.clock.At(r.Began), r.Request) // it lies back, among what others were told of since
 		}
-		o.Answer(c.observed(now), r.Request, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
+		o.Answer(c.observed(now), r.Request, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.Rejected)
 	}
 	e.out, e.last = false, r.Code
 	e.mayRun = e.mayRun || r.Code.MayHaveRun()
@@ -495,7 +495,7 @@
 		return
 	}
 	if o := c.opt.Observer; o != nil {
-		o.Release(c.observed(now), a.Request, a.Endpoint, a.TagLead, a.Kind == policy.Send)
+		o.Release(c.observed(now), a.Request, a.Endpoint, a.StartTagWait, a.Kind == policy.Send)
 	}
 	switch a.Kind {
 	case policy.Send:
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -466,7 +466,7 @@
 // TestAttemptsLastWithinWhatIsLeft has attempt after attempt of a request end, however late the core hears of it: each next one may last no longer
 // than its client still waits, less the margin for the answer.
 func TestAttemptsLastWithinWhatIsLeft(t *testing.T) {
-	for _, code := range []policy.OutcomeCode{policy.TurnedAway, policy.NotConnected, policy.ConnectionReset, policy.NotSent} {
+	for _, code := range []policy.OutcomeCode{policy.Rejected, policy.NotConnected, policy.ConnectionReset, policy.NotSent} {
 		for _, behind := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond} {
 			h := newHand(t)
 			var answers []Answer
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -135,7 +135,7 @@
 	case s == stOK:
 		return policy.Served
 	case s.code() == stNSNotReady && s&dnr == 0:
-		return policy.TurnedAway
+		return policy.Rejected
 	}
 	return policy.AnsweredError
 }
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -274,7 +274,7 @@
 	case a.status == http.StatusOK:
 		return policy.Served
 	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
-		return policy.TurnedAway
+		return policy.Rejected
 	}
 	return policy.AnsweredError
 }
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -144,8 +144,8 @@
 		{"served", "200 OK", policy.Served},
 		{"error", "500 Internal Server Error", policy.AnsweredError},
 		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", policy.AnsweredError},
-		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", policy.TurnedAway},
-		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", policy.TurnedAway},
+		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", policy.Rejected},
+		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", policy.Rejected},
 		{"unavailable, no word", "503 Service Unavailable", policy.AnsweredError},
 		{"broken off", "", policy.ConnectionReset},
 	} {
--- a/internal/policy/actions.go
+++ b/internal/policy/actions.go
@@ -19,13 +19,13 @@
 
 // Action is something for the initiator to do, in the order given.
 type Action struct {
-	Kind     ActionKind
-	Request  string
-	Endpoint string
-	Wait     time.Duration
-	TagLead  time.Duration // of a Send or an end: how long the request waited for its start tag
-	Text     string
-	Permit   Permit // of a Send: must be valid at the first byte; nil: none needed
+	Kind         ActionKind
+	Request      string
+	Endpoint     string
+	Wait         time.Duration
+	StartTagWait time.Duration // of a Send or an end: how long the request waited for its start tag
+	Text         string
+	Permit       Permit // of a Send: must be valid at the first byte; nil: none needed
 	// of a Send: how long from now its bytes may leave; 0: as long as the attempt lasts
 	SendWithin time.Duration
 }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -55,7 +55,7 @@
 const (
 	Served          OutcomeCode = iota // with an answer
 	AnsweredError                      // with an error answer; it may have run
-	TurnedAway                         // rejected by the endpoint before it ran
+	Rejected                           // rejected by the endpoint before it ran
 	TimedOut                           // without an answer in time; it may have run
 	NotConnected                       // the endpoint was never reached
 	ConnectionReset                    // the connection was lost; it may have run
@@ -64,7 +64,7 @@
 )
 
 // MayHaveRun reports whether an attempt that ended so may have had its effect.
-func (c OutcomeCode) MayHaveRun() bool { return c != TurnedAway && c != NotConnected && c != NotSent }
+func (c OutcomeCode) MayHaveRun() bool { return c != Rejected && c != NotConnected && c != NotSent }
 
 // Load is an endpoint's report of its load, late and noisy. A negative figure was not reported.
 type Load struct {
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -61,7 +61,7 @@
 	switch e.Code {
 	case Served:
 		s.learnFromAnswer(ep, r, e)
-	case TurnedAway:
+	case Rejected:
 		ep.concurrencyLimit = max(1, ep.concurrencyLimit/2)
 		ep.lastAnswerAt = s.now
 		ep.blockedUntil = s.now + toDuration(ep.latency)
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -26,7 +26,7 @@
 // ran returns when and where an attempt that may have run was sent.
 func (q *seen) ran() (int, bool) {
 	for i, c := range q.codes {
-		if c != TurnedAway && c != NotConnected && c != NotSent {
+		if c != Rejected && c != NotConnected && c != NotSent {
 			return i, true
 		}
 	}
@@ -188,7 +188,7 @@
 		if over {
 			code = TimedOut
 		} else if w.pick(bad) {
-			code = []OutcomeCode{AnsweredError, TurnedAway, NotConnected, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
+			code = []OutcomeCode{AnsweredError, Rejected, NotConnected, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
 		}
 		q.codes[i] = code
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -59,7 +59,7 @@
 	if r.mayHaveRun && c.Effect != Idempotent && (c.Effect != IdempotentWithKey || c.DedupScope != DedupFleet || r.MissingKey) {
 		kind, wait = Fail, 0
 	}
-	end := Action{Kind: kind, Request: r.ID, Wait: wait, TagLead: r.tagLead(s.now)}
+	end := Action{Kind: kind, Request: r.ID, Wait: wait, StartTagWait: r.startTagWait(s.now)}
 	if r.queue.endpoint != nil {
 		end.Endpoint = r.queue.endpoint.ID
 	}
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -204,6 +204,6 @@
 	if r.mayHaveRun && r.class.Effect == IdempotentWithKey {
 		within = max(s.dedupDeadline(r)-s.now, 1) // the attempt may still wait for a connection
 	}
-	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: ep.ID, Wait: wait, TagLead: r.tagLead(s.now),
+	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: ep.ID, Wait: wait, StartTagWait: r.startTagWait(s.now),
 		Permit: permit, SendWithin: within})
 }
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -36,7 +36,7 @@
 }
 
 // tagLead is how much of its time in the queue its start tag lay ahead.
-func (r *request) tagLead(now time.Duration) time.Duration {
+func (r *request) startTagWait(now time.Duration) time.Duration {
 	return max(0, min(r.startTag, now)-r.heldSince)
 }
 
--- a/internal/policy/scheduler_test.go
+++ b/internal/policy/scheduler_test.go
@@ -713,7 +713,7 @@
 		}
 		r.step(req("a", "v", 1))
 		if sent {
-			r.end("a", TurnedAway, ms)
+			r.end("a", Rejected, ms)
 			r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		}
 		r.wait(380 * ms)
@@ -870,7 +870,7 @@
 	if len(r.ends) != 0 {
 		t.Errorf("ended %v with the attempt out", r.ends)
 	}
-	r.end("a", TurnedAway, 1500*ms)
+	r.end("a", Rejected, 1500*ms)
 	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
 		t.Errorf("ends %v, want one refusal", r.ends)
 	}
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -53,7 +53,7 @@
 		j.answer(policy.AnsweredError, t.load())
 		return
 	case len(t.waiting) >= o.Queue:
-		j.answer(policy.TurnedAway, t.load())
+		j.answer(policy.Rejected, t.load())
 		return
 	}
 	if t.isCold() && o.Bears > 0 {
--- a/internal/testbed/reference/names_test.go
+++ b/internal/testbed/reference/names_test.go
@@ -40,7 +40,7 @@
 	GroupZone    = policy.DedupZone
 	Delivered    = policy.Served
 	Errored      = policy.AnsweredError
-	Full         = policy.TurnedAway
+	Full         = policy.Rejected
 	Expired      = policy.TimedOut
 	NoConnection = policy.NotConnected
 	Reset        = policy.ConnectionReset
--- a/internal/testbed/reference/scheduler_test.go
+++ b/internal/testbed/reference/scheduler_test.go
@@ -450,7 +450,7 @@
 	if r.mayRun && r.class.Effect == Keyed {
 		within = max(s.repeatBy(r)-s.now, 1) // it may wait for a connection yet
 	}
-	s.act(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, TagLead: r.ahead(s.now),
+	s.act(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, StartTagWait: r.ahead(s.now),
 		Permit: permit, SendWithin: within})
 }
 
@@ -737,7 +737,7 @@
 	if r.mayRun && c.Effect != Pure && (c.Effect != Keyed || c.DedupScope != GroupAll || r.MissingKey) {
 		kind, wait = Fail, 0
 	}
-	end := Action{Kind: kind, Request: r.ID, Wait: wait, TagLead: r.ahead(s.now)}
+	end := Action{Kind: kind, Request: r.ID, Wait: wait, StartTagWait: r.ahead(s.now)}
 	if r.lane.node != nil {
 		end.Endpoint = r.lane.node.ID
 	}
