--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,7 +5,7 @@
 )
 
 // earliestSend is the single gate that every send passes. It returns the time from which the request
-// may go to the queue's endpoint, or a later time at which to ask again; never: not at all.
+// may be sent to the queue's endpoint, or a time at which to check again; never: it may not be sent.
 func (s *Scheduler) earliestSend(r *request, q *shardQueue) time.Duration {
 	ep := q.endpoint
 	if r.BoundEndpoint != "" && r.BoundEndpoint != ep.ID {
@@ -16,8 +16,8 @@
 	if r.attempts > 0 {
 		at = max(at, s.retryBudgetGate(ep, r))
 		c := r.class
-		there := ep.Zone == r.ranInZone && (c.DedupScope == DedupZone || ep.Shard == r.ranInShard)
-		if r.mayHaveRun && c.Effect == IdempotentWithKey && c.DedupScope != DedupFleet && !there || !s.mayRetry(r) {
+		inDedupScope := ep.Zone == r.ranInZone && (c.DedupScope == DedupZone || ep.Shard == r.ranInShard)
+		if r.mayHaveRun && c.Effect == IdempotentWithKey && c.DedupScope != DedupFleet && !inDedupScope || !s.mayRetry(r) {
 			return never
 		}
 	}
@@ -36,8 +36,8 @@
 	return extent.quietUntil
 }
 
-// rateLimitGate keeps a volume within this initiator's even part of its plan's rate limit. The bucket
-// starts empty: after a restart it is unknown what was sent before.
+// rateLimitGate keeps a volume within this initiator's even share of its plan's rate limit. The bucket
+// starts empty, since after a restart it is unknown what the previous process sent.
 func (s *Scheduler) rateLimitGate(r *request) time.Duration {
 	v := r.volume
 	if v.plan.RateLimit <= 0 || r.rateLimitCharged {
@@ -50,8 +50,8 @@
 	return s.now + toDuration((r.Units-v.rateLimitTokens)*sharers/v.plan.RateLimit) + s.settings.MinStep
 }
 
-// refillRateLimit fills the volume's rate limit bucket up to now and returns how many processes share
-// the plan's limit.
+// refillRateLimit refills the volume's rate limit bucket up to now and returns how many processes
+// share the plan's limit.
 func (s *Scheduler) refillRateLimit(v *volume) (sharers float64) {
 	sharers = v.initiators / s.processes.fraction(s.now)
 	if v.plan.RateLimit > 0 {
@@ -63,6 +63,6 @@
 
 // orderedExtent is an extent whose requests run one at a time.
 type orderedExtent struct {
-	queue      []*request    // the first may be sent
-	quietUntil time.Duration // pause after an attempt of which it is unknown whether it ran
+	queue      []*request    // in order of arrival; only the first may be sent
+	quietUntil time.Duration // no attempt is sent before, since it is unknown whether the last one ran
 }
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// handleRequest queues a new request, or rejects one that the settings do not know.
+// handleRequest queues a new request. It rejects one whose class or plan is unknown or that has no
+// time left.
 func (s *Scheduler) handleRequest(event Request) {
 	if s.requests[event.ID] != nil {
 		return
@@ -24,15 +25,16 @@
 	r.volume.backlog++
 	s.joinOrderedExtent(r)
 	r.queue = s.placeRequest(r)
-	if r.objectiveAt <= s.now { // a retry that comes after its objective
-		r.pastObjective = true // answered once all events of this step are known: its client may have left
+	if r.objectiveAt <= s.now { // a retry that arrives after its objective
+		r.pastObjective = true // answered after all events of this step: its client may have disconnected
 		return
 	}
 	s.assignTags(r, r.queue)
 	r.queue.enqueue(r)
 }
 
-// volumeFor returns the volume of a request on plan p, with a full bucket at first use.
+// volumeFor returns the volume of a request on plan p. It is created with a full bucket at first use,
+// and changes to p if its plan was removed.
 func (s *Scheduler) volumeFor(e Request, p *Plan) *volume {
 	initiators := float64(max(1, e.VolumeInitiators))
 	v := s.volumes[e.Volume]
@@ -41,7 +43,7 @@
 		v.tokens = s.bucketDepth(v)
 		s.volumes[e.Volume] = v
 	} else if s.plans[v.plan.Name] != v.plan { // its plan was removed from the settings
-		s.moveVolume(v, p)
+		s.changePlan(v, p)
 		s.rescaleTags()
 		v.tagScale = 0
 	}
@@ -49,16 +51,16 @@
 	return v
 }
 
-// newRequest derives the times of a request from its class and the time that its client has left.
+// newRequest computes the deadlines of a request from its class and its client's remaining time.
 func (s *Scheduler) newRequest(e Request, c *Class, v *volume) *request {
-	r := &request{Request: e, class: c, volume: v, firstSeenAt: s.now, heldSince: s.now, deadlineAt: s.now + e.TimeLeft}
+	r := &request{Request: e, class: c, volume: v, firstSeenAt: s.now, queuedSince: s.now, deadlineAt: s.now + e.TimeLeft}
 	r.answerBy = s.now + max(e.TimeLeft/2-sendMarginSteps*s.settings.MinStep, s.settings.MinStep)
 	r.objectiveAt = s.now + c.LatencyObjective
-	if waited := c.Deadline - e.TimeLeft; s.stalledFor > 0 && waited < s.stalledFor+s.minObjective/timersPerObjective {
-		r.objectiveAt -= waited // it waited for this process, which was paused
+	if waited := c.Deadline - e.TimeLeft; s.pausedFor > 0 && waited < s.pausedFor+s.minObjective/timersPerObjective {
+		r.objectiveAt -= waited // it waited while this process was paused
 	}
 	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized
-	// by its identity within the class's deadline; a short time left alone may belong to an impatient client.
+	// by its identity within the class's deadline: a short remaining time alone may mean a client with a short timeout.
 	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+clockMarginSteps*s.settings.MinStep {
 		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+c.LatencyObjective
 		delete(s.rejected, r.identity())
@@ -68,7 +70,7 @@
 	return r
 }
 
-// joinOrderedExtent puts a request whose class is ordered behind the others of its extent.
+// joinOrderedExtent appends a request of an ordered class to its extent's queue.
 func (s *Scheduler) joinOrderedExtent(r *request) {
 	if !r.class.Ordered || r.Extent == "" {
 		return
@@ -82,7 +84,7 @@
 }
 
 // handleOutcome ends an attempt: it updates the endpoint's health, and finishes the request or queues
-// it for a retry.
+// it again for a retry.
 func (s *Scheduler) handleOutcome(e Outcome) {
 	r := s.requests[e.ID]
 	if r == nil || r.inFlightAt == nil || e.Attempt != r.attempts-1 {
@@ -93,16 +95,16 @@
 	s.learnFromOutcome(ep, r, e)
 	s.handleLoadReport(ep, e.Load)
 	ep.inFlight = removeRequest(ep.inFlight, r)
-	r.inFlightAt, r.heldSince = nil, s.now
+	r.inFlightAt, r.queuedSince = nil, s.now
 	if e.Code == Served {
-		s.noteUsage(r.volume, r.Units, e.VolumeUsage)
+		s.recordUsage(r.volume, r.Units, e.VolumeUsage)
 	}
 	inDoubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
 	if extent := s.orderedExtents[r.Extent]; extent != nil && r.class.Ordered && inDoubt {
 		extent.quietUntil = max(extent.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
 	}
 	if e.Code != NotConnected && e.Code != NotSent {
-		r.answerBy = r.objectiveAt // an attempt was sent, so waiting for a retry is worth it
+		r.answerBy = r.objectiveAt // an attempt was sent, so a retry is awaited up to the objective
 	}
 	if e.Code.MayHaveRun() && !r.mayHaveRun {
 		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, ep.Zone, ep.Shard, r.attemptStartedAt
@@ -114,9 +116,9 @@
 		s.finishRequest(r)
 	default:
 		if !s.mayRetry(r) {
-			r.answerBy = s.now // answered once all events of this step are known: its client may have left
+			r.answerBy = s.now // answered after all events of this step: its client may have disconnected
 		}
-		// Backoff grows with each attempt; the endpoint's own block comes on top.
+		// The backoff grows with each attempt. The endpoint may also be blocked for longer.
 		r.notBefore = s.now + s.silenceTimeout(ep)*time.Duration(r.attempts)/backoffDivisor
 		r.queue.enqueue(r)
 		if r.heapIndex >= 0 {
@@ -136,14 +138,14 @@
 		r.class.Effect == IdempotentWithKey && !r.MissingKey && s.now < s.dedupDeadline(r)
 }
 
-// dedupDeadline is until when endpoints surely drop a repeat: a little before the window ends, since
-// sending takes time.
+// dedupDeadline is the time until which endpoints are certain to drop a repeat: a little before the
+// deduplication window ends, since sending takes time.
 func (s *Scheduler) dedupDeadline(r *request) time.Duration {
 	return r.firstRanAt + r.class.DedupWindow - sendMarginSteps*s.settings.MinStep
 }
 
-// retryBudgetGate keeps retries within the budget. Requests count from a little later and retries from
-// a little earlier than the window, so that the budget holds whichever way the clocks differ.
+// retryBudgetGate keeps retries within the budget. Requests are counted over slightly less than the
+// window and retries over slightly more, so that the budget holds in spite of clock rounding.
 func (s *Scheduler) retryBudgetGate(ep *endpoint, r *request) time.Duration {
 	rules := s.settings.Rules
 	if at, governed := s.quotaWait(Retries, ep, r, 1); governed {
@@ -160,8 +162,8 @@
 	return s.now + rules.RetryBudgetWindow/budgetPollsPerWindow
 }
 
-// attemptTimeout is the time after which an attempt is given up. It is long: no other endpoint has the
+// attemptTimeout is the time after which an attempt is cancelled. It is long: no other endpoint has the
 // data, so a premature retry only adds load. It frees the slot of an attempt whose answer was lost.
 func (s *Scheduler) attemptTimeout(ep *endpoint, r *request) time.Duration {
-	return max(attemptObjectives*r.class.LatencyObjective, toDuration(attemptSilences*silenceFactor*ep.latency))
+	return max(attemptObjectives*r.class.LatencyObjective, toDuration(attemptSilenceTimeouts*silenceFactor*ep.latency))
 }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// Event is one of the event types of this package.
+// Event is an input of Scheduler.Step; the implementations are the event types of this package.
 type Event interface{ event() }
 
-// EndpointState is what the list says of an endpoint.
+// EndpointState is the state of an endpoint in the list.
 type EndpointState int
 
-// The states.
+// States of endpoints.
 const (
 	Up       EndpointState = iota // takes requests
-	Draining                      // finishes what it has and takes nothing new
-	Removed                       // is gone
+	Draining                      // finishes the requests that it has and takes no new ones
+	Removed                       // no longer listed
 )
 
 // Endpoint is an entry of the endpoint list.
@@ -26,10 +26,10 @@
 	Started time.Duration // time of its last start; 0: long ago
 }
 
-// EndpointList is the list of endpoints, or what has changed in it.
+// EndpointList is the whole list of endpoints, or a change of it.
 type EndpointList struct {
-	Full      bool // an endpoint that is absent is gone
-	Failed    bool // the call for the list failed; nothing has changed
+	Full      bool // the whole list: an endpoint that is absent is removed
+	Failed    bool // the call for the list failed: the known list stays in force
 	Endpoints []Endpoint
 }
 
@@ -39,63 +39,63 @@
 	Class            string
 	Plan             string
 	Volume           string
-	Extent           string        // the piece of data; may be empty
-	Shard            int           // where the data is; -1: a new object, for any endpoint
-	Units            float64       // its size
+	Extent           string        // the piece of data that it accesses; may be empty
+	Shard            int           // the shard that holds the data; -1: a new object, which may go to any endpoint
+	Units            float64       // size of its work
 	VolumeInitiators int           // initiators that serve this volume
-	BoundEndpoint    string        // the endpoint that already has most of its body; empty: the body is here
-	MissingKey       bool          // its class needs an idempotency key, and it has none
-	TimeLeft         time.Duration // until its client gives up
+	BoundEndpoint    string        // the endpoint that already received most of its body; empty: none, the whole body is here
+	MissingKey       bool          // its class requires an idempotency key, but it has none
+	TimeLeft         time.Duration // remaining time until its client gives up
 }
 
 // OutcomeCode is how an attempt ended.
 type OutcomeCode int
 
-// The outcomes.
+// Outcomes of attempts.
 const (
-	Served          OutcomeCode = iota // with an answer
-	AnsweredError                      // with an error answer; it may have run
-	Rejected                           // rejected by the endpoint before it ran
-	TimedOut                           // without an answer in time; it may have run
-	NotConnected                       // the endpoint was never reached
+	Served          OutcomeCode = iota // answered
+	AnsweredError                      // answered with an error; it may have run
+	Rejected                           // the endpoint rejected it before it ran
+	TimedOut                           // no answer within the timeout; it may have run
+	NotConnected                       // the endpoint was not reached
 	ConnectionReset                    // the connection was lost; it may have run
-	Cancelled                          // it was given up; it may have run
-	NotSent                            // nothing was sent
+	Cancelled                          // it was cancelled; it may have run
+	NotSent                            // no byte of it was sent
 )
 
-// MayHaveRun reports whether an attempt that ended so may have had its effect.
+// MayHaveRun reports whether an attempt with this outcome may have taken effect.
 func (c OutcomeCode) MayHaveRun() bool { return c != Rejected && c != NotConnected && c != NotSent }
 
-// Load is an endpoint's report of its load, late and noisy. A negative figure was not reported.
+// Load is an endpoint's report of its load, delayed and noisy. A negative figure was not reported.
 type Load struct {
-	Queued   float64 // requests that wait
-	InFlight float64 // requests that it holds
+	Queued   float64 // requests waiting
+	InFlight float64 // requests accepted and not answered
 }
 
-// Outcome ends one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	ID       string // of the request
 	Attempt  int    // its number, from 0
 	Endpoint string
 	Code     OutcomeCode
-	Latency  time.Duration // from the send on
-	Final    bool          // the request has its final answer
+	Latency  time.Duration // since the send
+	Final    bool          // the request has got its final answer
 	Load     *Load         // the endpoint's report; nil: none
 	// one more than the percentage of its plan's rate that the volume uses; 0: unknown
 	VolumeUsage int
 }
 
-// ResponseStarted tells that the answer of an attempt is being passed on: the request can no longer be
-// rejected.
+// ResponseStarted reports that the answer of an attempt is being forwarded to the client: the request
+// can no longer be rejected.
 type ResponseStarted struct{ ID string }
 
-// ProcessCount tells how many processes act for this initiator. There is one until it comes.
+// ProcessCount sets how many processes act as this initiator. It is one before the first such event.
 type ProcessCount struct{ Processes int }
 
-// ClientGone tells that the client has left: no answer is owed any more.
+// ClientGone reports that the client has disconnected: no answer is needed any more.
 type ClientGone struct{ ID string }
 
-// TimerFired tells that the timer asked for with SetTimer is due.
+// TimerFired reports that the timer set by a SetTimer action has expired.
 type TimerFired struct{}
 
 func (EndpointList) event() {}
--- a/internal/policy/expiry.go
+++ b/internal/policy/expiry.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// sweep drops state that was not used since then: volumes with their flows, ordered extents, removed
+// sweep drops state that was not used after since: volumes with their flows, ordered extents, removed
 // endpoints and queues of unknown shards.
 func (s *Scheduler) sweep(since time.Duration) {
 	idle := func(v *volume) bool { return v.backlog == 0 && v.tokensAt < since && v.ownUsageAt < since }
-	for _, q := range s.flowingQueues {
+	for _, q := range s.queuesWithFlows {
 		q.flows = slices.DeleteFunc(q.flows, func(f *flow) bool {
 			drop := f.queued == 0 && idle(f.volume)
 			if drop {
@@ -21,8 +21,8 @@
 	}
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
 	maps.DeleteFunc(s.orderedExtents, func(_ string, extent *orderedExtent) bool { return len(extent.queue) == 0 && extent.quietUntil < since })
-	// An empty queue of a shard that no endpoint serves is left over from requests for an unknown shard.
-	s.dropGone(func(ep *endpoint) bool {
+	// This also drops the empty queues that requests for unknown shards have left.
+	s.dropUnused(func(ep *endpoint) bool {
 		return ep.State == Removed && len(ep.inFlight) == 0 && ep.lastAnswerAt < since
 	})
 	s.activeEndpoints()
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -6,27 +6,26 @@
 	"time"
 )
 
-// silenceTimeout is how long an endpoint may owe an answer before it counts as silent.
+// silenceTimeout is how long an attempt may be unanswered before the endpoint counts as silent.
 func (s *Scheduler) silenceTimeout(ep *endpoint) time.Duration {
 	return max(s.minObjective, toDuration(silenceFactor*ep.latency))
 }
 
 // expectedLatency is the latency, in seconds, to expect of a request of mean size: the larger of what
-// answers and load reports indicate. It falls back to the base latency while neither is renewed, so
-// that an initiator that holds back after a slow phase does not hold back for ever.
+// answers and load reports indicate. It decays to the base latency while neither is renewed: otherwise
+// an initiator that stops sending after a slow phase would never send again.
 func (s *Scheduler) expectedLatency(ep *endpoint) float64 {
 	observed := (ep.latency - ep.baseLatency) * s.freshness(ep.lastAnswerAt)
 	reported := ep.baseLatency * latencyPerLoad * max(0, ep.reportedLoad-freeLoad) * s.freshness(ep.lastReportAt)
 	return ep.baseLatency + max(observed, reported)
 }
 
-// freshness is the weight, from 1 down to 0, of what was learned at that time.
+// freshness is the weight, from 1 down to 0, of an observation made at that time.
 func (s *Scheduler) freshness(at time.Duration) float64 {
-	return math.Exp(-(s.now - at).Seconds() / (freshObjectives * s.minObjective.Seconds()))
+	return math.Exp(-(s.now - at).Seconds() / (freshnessObjectives * s.minObjective.Seconds()))
 }
 
-// handleLoadReport takes over an endpoint's report of its load. Reports that cannot be right are
-// ignored.
+// handleLoadReport records an endpoint's report of its load. Implausible reports are ignored.
 func (s *Scheduler) handleLoadReport(ep *endpoint, report *Load) {
 	if report == nil || ep.latency == 0 {
 		return
@@ -40,8 +39,8 @@
 	}
 }
 
-// isFaulty reports whether the endpoint is silent (an attempt is overdue and nothing was heard since
-// it began) or has failed faultyStreak times in a row. A faulty endpoint gets one attempt at a time.
+// isFaulty reports whether the endpoint is silent (an attempt is overdue and no answer has arrived
+// since it was sent) or has failed faultyStreak times in a row. A faulty endpoint gets one attempt at a time.
 func (s *Scheduler) isFaulty(ep *endpoint) bool {
 	if ep.failureStreak >= faultyStreak {
 		return true
@@ -55,8 +54,8 @@
 }
 
 // learnFromOutcome updates the endpoint's latency, concurrency limit and health from the end of an
-// attempt. The limit follows PARDA: it steers to a latency of targetLatencyRatio times the base
-// latency, and grows only while it is used.
+// attempt. The limit follows PARDA: it is adjusted towards a latency of targetLatencyRatio times the
+// base latency, and grows only while it is used up.
 func (s *Scheduler) learnFromOutcome(ep *endpoint, r *request, e Outcome) {
 	switch e.Code {
 	case Served:
@@ -70,22 +69,22 @@
 	}
 }
 
-// learnFromAnswer takes over the latency of a served attempt. After a pause of this process the measured latency
-// contains the pause and is not used.
+// learnFromAnswer updates the estimates from the latency of a served attempt. After a pause of this
+// process the measured latency contains the pause and is not used.
 func (s *Scheduler) learnFromAnswer(ep *endpoint, r *request, e Outcome) {
 	if s.isFaulty(ep) {
 		ep.concurrencyLimit = 1
 	}
 	ep.failureStreak, ep.blockedUntil = 0, 0
 	if s.settings.Rules.OverloadWindow > 0 && r.attemptStartedAt >= s.startedAt {
-		ep.coldServed = append(ep.coldServed, timedUnits{s.now, r.Units})
+		ep.coldCredit = append(ep.coldCredit, timedUnits{s.now, r.Units})
 	}
-	if s.stalledFor > 0 {
+	if s.pausedFor > 0 {
 		ep.lastAnswerAt = s.now
 		return
 	}
 	latency := e.Latency.Seconds() / s.relativeSize(r.Units)
-	s.learnWarm(ep, latency, e.Load)
+	s.updateWarmEstimates(ep, latency, e.Load)
 	if ep.latency == 0 {
 		ep.latency, ep.baseLatency = latency, latency
 	}
@@ -103,28 +102,29 @@
 // adjustConcurrencyLimit moves the limit towards the value at which the endpoint's latency meets the target.
 func (s *Scheduler) adjustConcurrencyLimit(ep *endpoint) {
 	target := targetLatencyRatio * ep.baseLatency
-	if s.now-ep.congestedAt > calmObjectives*s.minObjective {
-		target *= 2 // the queue at the endpoint need not be ordered
+	if s.now-ep.congestedAt > uncongestedObjectives*s.minObjective {
+		target *= 2 // without congestion the order at the endpoint does not matter
 	}
 	next := ep.concurrencyLimit*min(2, target/max(ep.latency, 1e-6)) + limitIncrease
 	if next < ep.concurrencyLimit || float64(len(ep.inFlight)) >= math.Floor(ep.concurrencyLimit) {
 		ep.concurrencyLimit += (next - ep.concurrencyLimit) * learningGain
 	}
-	// Each of few initiators may use its part of what the endpoint serves at once: with a limit of 1 for
-	// each of two, most of the endpoint would idle, above all after a fault has lowered the limits.
+	// The limit is at least an even share of the requests that the endpoint serves at once: with two
+	// initiators at a limit of 1, most of the endpoint would idle, above all after a fault has lowered it.
 	ep.concurrencyLimit = min(maxConcurrencyLimit, max(1, freeLoad/float64(s.settings.Initiators), ep.concurrencyLimit))
 }
 
-// learnFromFailure counts a failure and blocks the endpoint for a time that grows with the failures in a row.
+// learnFromFailure counts a failure and blocks the endpoint for a time that grows with the failures in
+// a row. After a timeout it halves the concurrency limit instead.
 func (s *Scheduler) learnFromFailure(ep *endpoint, e Outcome) {
 	if e.Code == TimedOut && e.Latency < s.silenceTimeout(ep) {
-		// The client's deadline was short: this only shows that the endpoint takes at least that long.
+		// The client's deadline was short: the endpoint's latency is at least this, but that is no failure.
 		ep.latency += max(0, e.Latency.Seconds()-ep.latency) * learningGain
 		return
 	}
 	ep.failureStreak++
 	if e.Code == AnsweredError {
-		ep.failureStreak -= errorForgiveness
+		ep.failureStreak -= errorFailureDiscount
 	}
 	if e.Code == TimedOut {
 		ep.concurrencyLimit = max(1, ep.concurrencyLimit/2)
@@ -134,12 +134,13 @@
 	ep.blockedUntil = s.now + s.silenceTimeout(ep)*time.Duration(max(0, min(ep.failureStreak, maxBlockStreak)-1)*blockStepsPerFailure)/blockSteps
 }
 
-// isEjected reports whether the endpoint is listed as up but gets no request, or one at a time.
+// isEjected reports whether the endpoint is listed as up but blocked, or faulty and so limited to one
+// attempt at a time.
 func (s *Scheduler) isEjected(ep *endpoint) bool {
 	return ep.State == Up && (ep.blockedUntil > s.now || s.isFaulty(ep))
 }
 
-// EjectedEndpoints returns the ids of the endpoints that are listed as up but get no request, or one
+// EjectedEndpoints returns the ids of the endpoints that are listed as up but get no attempt, or one
 // at a time.
 func (s *Scheduler) EjectedEndpoints() (ids []string) {
 	for _, ep := range s.activeEndpoints() {
@@ -150,7 +151,7 @@
 	return ids
 }
 
-// EjectedCount is the number of listed endpoints that drain or are ejected.
+// EjectedCount returns the number of listed endpoints that are draining or ejected.
 func (s *Scheduler) EjectedCount() (count int) {
 	count = s.drainingCount
 	for _, other := range s.activeEndpoints() {
--- a/internal/policy/index.go
+++ b/internal/policy/index.go
@@ -6,47 +6,47 @@
 	"slices"
 )
 
-// endpointIndex finds queues and endpoints, so that the cost of a step depends on what changes and
-// what is in use, not on the number of listed endpoints. It takes no decisions: it finds what a scan
-// over all of them would find, in the same order.
+// endpointIndex finds queues and endpoints, so that the cost of a step depends on the entries that have
+// changed or are in use, not on the number of listed endpoints. It takes no decisions: its results are
+// those of a scan over all of them, in the same order.
 type endpointIndex struct {
 	queues       []*shardQueue // in order of creation
 	endpoints    []*endpoint   // in the order in which they were first listed
 	byID         map[string]*endpoint
 	shardEntries map[int]*shardEntry
-	nextSerial   uint32 // of the next endpoint
+	nextSerial   uint32 // serial of the next endpoint added
 
-	changedEndpoints []*endpoint   // new or different entries
-	staleQueues      []*shardQueue // queues whose endpoint has to be looked up again
+	changedEndpoints []*endpoint   // new or changed entries, until takeChanged
+	staleQueues      []*shardQueue // queues whose endpoint has to be looked up again, until takeStale
 
-	waitingQueues    []*shardQueue // have requests; in order of position
-	newlyWaiting     []*shardQueue // the same, not merged yet
-	someEmptied      bool          // some of them have become empty
-	flowingQueues    []*shardQueue // have flows
+	waitingQueues    []*shardQueue // have requests; ordered by position
+	newlyWaiting     []*shardQueue // have requests; not yet merged into waitingQueues
+	hasEmptyQueues   bool          // waitingQueues contains queues without requests
+	queuesWithFlows  []*shardQueue // have flows
 	orphanedQueues   []*shardQueue // no endpoint of their shard is listed
-	usedEndpoints    []*endpoint   // may be ejected: attempts are in flight or ended badly
+	usedEndpoints    []*endpoint   // may be ejected: attempts are in flight or have failed
 	removedEndpoints []*endpoint
 	drainingCount    int
 
 	waitTree minWaitTree
 }
 
-// shardEntry is what is known of one shard.
+// shardEntry holds the endpoints and the queue of one shard.
 type shardEntry struct {
-	endpoints []*endpoint // that hold it, in any state, in the order in which they were listed
-	queue     *shardQueue // nil: not needed yet
+	endpoints []*endpoint // endpoints that hold the shard, in any state, in the order in which they were first listed
+	queue     *shardQueue // created by queueOf at first use; nil before
 }
 
 func newEndpointIndex() endpointIndex {
 	return endpointIndex{byID: map[string]*endpoint{}, shardEntries: map[int]*shardEntry{}}
 }
 
-// appendOnce appends x unless its flag says that it is on the list already.
-func appendOnce[T any](list []T, x T, on *bool) []T {
-	if *on {
+// appendOnce appends x to the list and sets x's flag listed, unless the flag is set already.
+func appendOnce[T any](list []T, x T, listed *bool) []T {
+	if *listed {
 		return list
 	}
-	*on = true
+	*listed = true
 	return append(list, x)
 }
 
@@ -60,20 +60,20 @@
 	return e
 }
 
-// queueOf returns the queue of a shard, created at first use. It has no endpoint until takeStale is
-// processed.
+// queueOf returns the queue of a shard, created at first use. A new queue has no endpoint until its
+// entry in takeStale is processed.
 func (ix *endpointIndex) queueOf(number int) *shardQueue {
 	e := ix.entryOf(number)
 	if e.queue == nil {
 		e.queue = &shardQueue{shard: number, index: ix, position: len(ix.queues)}
 		ix.queues = append(ix.queues, e.queue)
 		ix.markStale(e)
-		e.queue.markWaitStale()
+		e.queue.markWaitDirty()
 	}
 	return e.queue
 }
 
-// markStale notes that the shard's queue may have to use another endpoint.
+// markStale records that the shard's queue may have to use another endpoint.
 func (ix *endpointIndex) markStale(e *shardEntry) {
 	if e.queue == nil {
 		return
@@ -105,7 +105,7 @@
 // unlinkEndpoint removes the endpoint from its shard.
 func (ix *endpointIndex) unlinkEndpoint(ep *endpoint) {
 	e := ix.shardEntries[ep.Shard]
-	e.endpoints = slices.DeleteFunc(e.endpoints, func(o *endpoint) bool { return o == ep })
+	e.endpoints = slices.DeleteFunc(e.endpoints, func(other *endpoint) bool { return other == ep })
 	ix.markStale(e)
 	ix.dropEmptyShard(ep.Shard)
 }
@@ -117,22 +117,22 @@
 	}
 }
 
-// updateEndpoint takes over what the list says of a known endpoint.
-func (ix *endpointIndex) updateEndpoint(ep *endpoint, as Endpoint) {
-	if ep.Endpoint == as {
+// updateEndpoint replaces the list entry of a known endpoint.
+func (ix *endpointIndex) updateEndpoint(ep *endpoint, entry Endpoint) {
+	if ep.Endpoint == entry {
 		return
 	}
-	was := ep.Endpoint
-	if as.Shard != was.Shard {
+	previous := ep.Endpoint
+	if entry.Shard != previous.Shard {
 		ix.unlinkEndpoint(ep)
 	}
-	ep.Endpoint = as
-	if as.Shard != was.Shard {
+	ep.Endpoint = entry
+	if entry.Shard != previous.Shard {
 		ix.linkEndpoint(ep)
 	}
 	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.listedChanged)
 	ix.markStale(ix.shardEntries[ep.Shard])
-	if was.State == Draining {
+	if previous.State == Draining {
 		ix.drainingCount--
 	}
 	switch ep.State {
@@ -143,16 +143,16 @@
 	}
 }
 
-// takeChanged returns and clears the endpoints that the list has changed, in the order in which they
+// takeChanged returns and clears the endpoints whose entries have changed, in the order in which they
 // were first listed.
 func (ix *endpointIndex) takeChanged() []*endpoint {
-	news := ix.changedEndpoints
+	changed := ix.changedEndpoints
 	ix.changedEndpoints = ix.changedEndpoints[:0]
-	slices.SortFunc(news, compareSerial)
-	for _, ep := range news {
+	slices.SortFunc(changed, compareSerial)
+	for _, ep := range changed {
 		ep.listedChanged = false
 	}
-	return news
+	return changed
 }
 
 // takeStale returns and clears the queues whose endpoint has to be looked up.
@@ -161,7 +161,7 @@
 	ix.staleQueues = ix.staleQueues[:0]
 	for _, q := range stale {
 		q.listedStale = false
-		q.markWaitStale()
+		q.markWaitDirty()
 	}
 	return stale
 }
@@ -178,20 +178,20 @@
 
 func comparePosition(a, b *shardQueue) int { return cmp.Compare(a.position, b.position) }
 
-// markUsed notes that an attempt starts at the endpoint or that it was heard: it may be ejected, and
-// its queue's wait may change.
+// markUsed records that an attempt at the endpoint starts or ends, or that a probe result of it has
+// arrived: it may become ejected, and its queue's wait may change.
 func (ix *endpointIndex) markUsed(ep *endpoint) {
 	ix.usedEndpoints = appendOnce(ix.usedEndpoints, ep, &ep.listedUsed)
 	if e := ix.shardEntries[ep.Shard]; e != nil && e.queue != nil {
-		e.queue.markWaitStale()
+		e.queue.markWaitDirty()
 	}
 }
 
-// eachWaiting yields the queues with requests in order of position, including later ones that get
-// requests meanwhile.
+// eachWaiting yields the queues with requests in order of position. A queue that gets its first request
+// during the iteration is yielded too if its position is still ahead.
 func (ix *endpointIndex) eachWaiting() iter.Seq[*shardQueue] {
 	return func(yield func(*shardQueue) bool) {
-		ix.settleWaiting()
+		ix.compactWaiting()
 		for i := 0; i < len(ix.waitingQueues); i++ {
 			q := ix.waitingQueues[i]
 			if len(q.requests) == 0 {
@@ -207,10 +207,10 @@
 	}
 }
 
-// settleWaiting removes empty queues and merges newly waiting ones.
-func (ix *endpointIndex) settleWaiting() {
-	if ix.someEmptied {
-		ix.someEmptied = false
+// compactWaiting removes the empty queues from waitingQueues and merges in the newly waiting ones.
+func (ix *endpointIndex) compactWaiting() {
+	if ix.hasEmptyQueues {
+		ix.hasEmptyQueues = false
 		ix.waitingQueues = slices.DeleteFunc(ix.waitingQueues, func(q *shardQueue) bool {
 			q.listedWaiting = len(q.requests) > 0
 			return !q.listedWaiting
@@ -221,24 +221,24 @@
 	}
 }
 
-// mergeWaiting merges the newly waiting queues into the ordered list, and returns how many are before
-// the given queue.
-func (ix *endpointIndex) mergeWaiting(of *shardQueue) (before int) {
-	for _, o := range ix.newlyWaiting {
-		if of != nil && o.position < of.position {
+// mergeWaiting merges the newly waiting queues into waitingQueues, and returns how many of them are
+// before the current queue (nil: not counted).
+func (ix *endpointIndex) mergeWaiting(current *shardQueue) (before int) {
+	for _, added := range ix.newlyWaiting {
+		if current != nil && added.position < current.position {
 			before++
 		}
 	}
 	slices.SortFunc(ix.newlyWaiting, comparePosition)
-	from, came := len(ix.waitingQueues)-1, len(ix.newlyWaiting)-1
+	oldIndex, newIndex := len(ix.waitingQueues)-1, len(ix.newlyWaiting)-1
 	ix.waitingQueues = append(ix.waitingQueues, ix.newlyWaiting...)
-	for to := len(ix.waitingQueues) - 1; came >= 0; to-- {
-		if from >= 0 && ix.waitingQueues[from].position > ix.newlyWaiting[came].position {
-			ix.waitingQueues[to] = ix.waitingQueues[from]
-			from--
+	for to := len(ix.waitingQueues) - 1; newIndex >= 0; to-- {
+		if oldIndex >= 0 && ix.waitingQueues[oldIndex].position > ix.newlyWaiting[newIndex].position {
+			ix.waitingQueues[to] = ix.waitingQueues[oldIndex]
+			oldIndex--
 		} else {
-			ix.waitingQueues[to] = ix.newlyWaiting[came]
-			came--
+			ix.waitingQueues[to] = ix.newlyWaiting[newIndex]
+			newIndex--
 		}
 	}
 	clear(ix.newlyWaiting)
@@ -246,16 +246,16 @@
 	return before
 }
 
-// dropGone removes removed endpoints that gone accepts, and queues of shards without endpoints,
-// requests and flows.
-func (ix *endpointIndex) dropGone(gone func(*endpoint) bool) {
-	ix.settleWaiting()
-	ix.flowingQueues = slices.DeleteFunc(ix.flowingQueues, func(q *shardQueue) bool {
-		q.listedFlowing = len(q.flows) > 0
-		if !q.listedFlowing && len(q.requests) == 0 {
+// dropUnused drops the removed endpoints for which expired returns true, and the queues without
+// requests and flows whose shard has no endpoint.
+func (ix *endpointIndex) dropUnused(expired func(*endpoint) bool) {
+	ix.compactWaiting()
+	ix.queuesWithFlows = slices.DeleteFunc(ix.queuesWithFlows, func(q *shardQueue) bool {
+		q.listedWithFlows = len(q.flows) > 0
+		if !q.listedWithFlows && len(q.requests) == 0 {
 			q.flows, q.requests, q.flowByVolume = nil, nil, nil
 		}
-		return !q.listedFlowing
+		return !q.listedWithFlows
 	})
 	dropped := false
 	ix.orphanedQueues = slices.DeleteFunc(ix.orphanedQueues, func(q *shardQueue) bool {
@@ -269,18 +269,18 @@
 		return !q.listedOrphaned
 	})
 	if dropped {
-		bare := func(q *shardQueue) bool {
+		detached := func(q *shardQueue) bool {
 			return ix.shardEntries[q.shard] == nil || ix.shardEntries[q.shard].queue != q
 		}
-		ix.queues = slices.DeleteFunc(ix.queues, bare)
-		ix.staleQueues = slices.DeleteFunc(ix.staleQueues, bare)
+		ix.queues = slices.DeleteFunc(ix.queues, detached)
+		ix.staleQueues = slices.DeleteFunc(ix.staleQueues, detached)
 		for i, q := range ix.queues {
 			q.position = i
 		}
 		ix.waitTree = minWaitTree{}
 	}
 	ix.removedEndpoints = slices.DeleteFunc(ix.removedEndpoints, func(ep *endpoint) bool {
-		if ep.listedRemoved = ep.State == Removed; ep.listedRemoved && gone(ep) {
+		if ep.listedRemoved = ep.State == Removed; ep.listedRemoved && expired(ep) {
 			delete(ix.byID, ep.ID)
 			at, _ := slices.BinarySearchFunc(ix.endpoints, ep, compareSerial)
 			ix.endpoints = slices.Delete(ix.endpoints, at, at+1)
--- a/internal/policy/list.go
+++ b/internal/policy/list.go
@@ -5,7 +5,7 @@
 )
 
 // handleList applies the endpoint list or a change of it. A draining or removed endpoint gets no new
-// attempt from then on. A failed list call only schedules the next subscription, with backoff.
+// attempt from then on. A failed call for the list only schedules the next subscription, with backoff.
 func (s *Scheduler) handleList(e EndpointList) {
 	if e.Failed {
 		if s.settings.SubscribeToList {
@@ -14,25 +14,25 @@
 		return
 	}
 	s.subscribeBackoff = time.Second
-	named := map[string]bool{}
-	for _, x := range e.Endpoints {
-		named[x.ID] = true
-		ep := s.byID[x.ID]
+	listed := map[string]bool{}
+	for _, entry := range e.Endpoints {
+		listed[entry.ID] = true
+		ep := s.byID[entry.ID]
 		if ep == nil {
-			ep = &endpoint{Endpoint: Endpoint{ID: x.ID, Shard: x.Shard}, concurrencyLimit: 2, lastAnswerAt: s.now, reportedLoad: -1}
+			ep = &endpoint{Endpoint: Endpoint{ID: entry.ID, Shard: entry.Shard}, concurrencyLimit: 2, lastAnswerAt: s.now, reportedLoad: -1}
 			s.addEndpoint(ep)
 		}
-		if x.Started != ep.Started && s.now-x.Started < s.settings.Rules.WarmUpTime {
-			ep.trafficShare = s.estimateTrafficShare(x.Shard) // before this restart changes the traffic
-			ep.concurrencyLimit, ep.failureStreak, ep.latency, ep.reportedLoad, ep.coldServed = 1, 0, 0, -1, nil
+		if entry.Started != ep.Started && s.now-entry.Started < s.settings.Rules.WarmUpTime {
+			ep.trafficShare = s.estimateTrafficShare(entry.Shard) // while the traffic is still that from before the restart
+			ep.concurrencyLimit, ep.failureStreak, ep.latency, ep.reportedLoad, ep.coldCredit = 1, 0, 0, -1, nil
 		}
-		s.updateEndpoint(ep, x)
+		s.updateEndpoint(ep, entry)
 	}
 	if e.Full {
 		for _, ep := range s.endpoints {
-			if x := ep.Endpoint; !named[ep.ID] {
-				x.State = Removed
-				s.updateEndpoint(ep, x)
+			if removed := ep.Endpoint; !listed[ep.ID] {
+				removed.State = Removed
+				s.updateEndpoint(ep, removed)
 			}
 		}
 	}
--- a/internal/policy/placement.go
+++ b/internal/policy/placement.go
@@ -5,7 +5,7 @@
 )
 
 // placeRequest returns the queue for a request: its shard's, or for a new object the one with the
-// smallest expected wait. The search for the smallest starts at a random queue, so that ties spread.
+// smallest expected wait. The search starts at a random queue, so that ties are spread evenly.
 func (s *Scheduler) placeRequest(r *request) *shardQueue {
 	if ep := s.byID[r.BoundEndpoint]; ep != nil {
 		return s.queueOf(ep.Shard)
@@ -16,21 +16,21 @@
 	return s.minWaitFrom(s.rng.IntN(len(s.queues)))
 }
 
-// expectedWait estimates, in seconds, how long a new request would take in the queue. Faulty and
-// blocked endpoints get a large penalty, warming ones a factor.
+// expectedWait estimates, in seconds, how long a new request in the queue would take. It is increased
+// by a large penalty for faulty and blocked endpoints, and by a factor for warming ones.
 func (s *Scheduler) expectedWait(q *shardQueue) float64 {
 	ep := q.endpoint
 	if ep == nil {
 		return math.Inf(1)
 	}
-	w := max(ep.latency, 1e-3) * (1 + float64(len(q.requests)+len(ep.inFlight))/ep.concurrencyLimit)
+	wait := max(ep.latency, 1e-3) * (1 + float64(len(q.requests)+len(ep.inFlight))/ep.concurrencyLimit)
 	if s.isFaulty(ep) || ep.blockedUntil > s.now {
-		w += faultyPenaltyObjectives * s.minObjective.Seconds()
+		wait += faultyPenaltyObjectives * s.minObjective.Seconds()
 	}
 	if ep.Started > 0 && s.now-ep.Started < s.settings.Rules.WarmUpTime {
-		w *= warmingPenalty
+		wait *= warmingPenalty
 	}
-	return w
+	return wait
 }
 
 // rebalanceNewObjects moves queued new objects away from queues whose wait has become more than
@@ -52,7 +52,7 @@
 }
 
 // EndpointFor returns the id of the endpoint that a request for the shard would go to now; empty:
-// none. The caller asks where a body has to be streamed before the request can be queued.
+// none. Callers use it to stream a body to the endpoint before they pass on the Request event.
 func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
 	if q := s.placeRequest(r); q.endpoint != nil {
--- a/internal/policy/probe_result.go
+++ b/internal/policy/probe_result.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// ProbeResult is what one member of the fleet has found out about an ejected endpoint on behalf of
-// all.
+// ProbeResult is the result of one fleet member's probe of an ejected endpoint, shared with all
+// members.
 type ProbeResult struct {
 	Endpoint  string
 	Healthy   bool
@@ -13,9 +13,9 @@
 
 func (ProbeResult) event() {}
 
-// applyProbeResult takes over a probe result that is newer than what this initiator has heard of the
-// endpoint itself. A healthy endpoint may get a trial request now; an unhealthy one gets none before
-// its next probe. Endpoints that are not ejected are left alone.
+// applyProbeResult applies a probe result that is newer than the endpoint's last answer to this
+// initiator. A healthy endpoint may get a trial request now; an unhealthy one gets none before its next
+// probe. Results for endpoints that are not ejected are ignored.
 func (s *Scheduler) applyProbeResult(e ProbeResult) {
 	ep := s.byID[e.Endpoint]
 	if ep == nil || !s.isEjected(ep) || s.now-e.Age <= ep.lastAnswerAt {
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -12,13 +12,13 @@
 	requests     []*request
 	flows        []*flow
 	flowByVolume map[*volume]*flow
-	wakeAt       time.Duration // when a request that may not be sent yet is to be looked at again
+	wakeAt       time.Duration // when to check again a request that may not be sent yet; never: none
 	sentRate     decayingRate  // units sent recently
 
 	index    *endpointIndex
-	position int // among the index's queues
-	// Which lists of the index it is on.
-	listedWaiting, listedFlowing, listedOrphaned, listedStale, listedTouched, listedMoving bool
+	position int // in the index's list of queues
+	// Whether it is on the index's list of that name (see appendOnce).
+	listedWaiting, listedWithFlows, listedOrphaned, listedStale, listedDirty, listedTimeDependent bool
 }
 
 // flow returns the volume's tag state in this queue, created at first use.
@@ -30,7 +30,7 @@
 			q.flowByVolume = map[*volume]*flow{}
 		}
 		q.flowByVolume[v] = f
-		q.index.flowingQueues = appendOnce(q.index.flowingQueues, q, &q.listedFlowing)
+		q.index.queuesWithFlows = appendOnce(q.index.queuesWithFlows, q, &q.listedWithFlows)
 		q.flows = append(q.flows, f)
 	}
 	return f
@@ -45,7 +45,7 @@
 	}
 	q.requests = slices.Insert(q.requests, at, r)
 	q.index.newlyWaiting = appendOnce(q.index.newlyWaiting, q, &q.listedWaiting)
-	q.markWaitStale()
+	q.markWaitDirty()
 	q.flow(r.volume).queued++
 }
 
@@ -54,8 +54,8 @@
 	q := r.queue
 	if i := slices.Index(q.requests, r); i >= 0 {
 		q.requests = slices.Delete(q.requests, i, i+1)
-		q.index.someEmptied = q.index.someEmptied || len(q.requests) == 0
-		q.markWaitStale()
+		q.index.hasEmptyQueues = q.index.hasEmptyQueues || len(q.requests) == 0
+		q.markWaitDirty()
 		q.flow(r.volume).queued--
 	}
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// A request that is not served ends here, by answerUnserved. It comes here in five ways:
+// Requests that are not served are answered in this file, by answerUnserved. There are five reasons:
 //
 //   - Its class or plan is unknown, or it has no time left: rejected at arrival (handleRequest).
 //   - The endpoint's base latency alone would exceed its latency objective (filterSendable), or the
 //     objective has passed (answerExpired): expireObjective marks it, and it is answered in this step.
-//   - Half of its time has passed without an attempt (answerExpired): its client should be able to try
-//     elsewhere. After an attempt it waits until its objective instead (request.answerBy).
+//   - Half of its time has passed without an attempt (answerExpired): its client should have time to
+//     retry elsewhere. After an attempt it waits until its objective instead (request.answerBy).
 //   - An attempt failed and no further one is allowed (handleOutcome, mayRetry).
-//   - Its body went to another endpoint than the one that its shard has now (earliestSend).
+//   - Its body was sent to an endpoint that no longer serves its shard (earliestSend).
 //
-// The answer is Reject, which invites a retry, unless the request may have run and its class does not
-// allow a repeat: then it is Fail.
+// The answer is Reject, after which a retry is safe, unless the request may have run and its class does
+// not allow a repeat: then it is Fail.
 
-// requestIdentity is what a rejected request and its client's retry have in common. The request id is
-// not part of it: clients draw a new one.
+// requestIdentity is the fields that a rejected request and its client's retry have in common. The
+// request id is not part of it, since clients generate a new one for a retry.
 type requestIdentity struct {
 	class, volume, extent string
 	units                 float64
 }
 
-// identity is by what a retry of the request is recognized.
+// identity returns the key by which a retry of the request is recognized.
 func (r *request) identity() requestIdentity {
 	return requestIdentity{r.Class, r.Volume, r.Extent, r.Units}
 }
 
-// expireObjective gives up a request that cannot meet its latency objective any more: it is answered
-// before the step ends. Waiting longer would block its client's connection, and a late answer is worth
-// next to nothing.
+// expireObjective marks a request that cannot meet its latency objective any more: it is answered
+// before the step ends. Waiting longer would block its client's connection, and a late answer has
+// almost no value.
 func (s *Scheduler) expireObjective(r *request) {
 	if r.pastObjective {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// answerUnserved ends a request that was not served: with Reject where a retry is harmless, otherwise
-// with Fail.
+// answerUnserved ends a request that was not served: with Reject where a retry is safe, otherwise with
+// Fail. It also drops rejected requests whose retries are no longer recognized.
 func (s *Scheduler) answerUnserved(r *request) {
 	c, kind, wait := r.class, Reject, time.Duration(0)
 	if r.pastObjective {
@@ -75,7 +75,7 @@
 	s.finishRequest(r)
 }
 
-// finishRequest marks the request as answered. It stays known while an attempt is in flight.
+// finishRequest marks the request as answered. It is kept while an attempt is in flight.
 func (s *Scheduler) finishRequest(r *request) {
 	r.answered = true
 	if r.heapIndex >= 0 {
@@ -87,8 +87,8 @@
 	}
 }
 
-// answerExpired ends queued requests whose answer is due: those that cannot meet their objective, and
-// those without an attempt after half of their time.
+// answerExpired answers the queued requests whose answerBy has passed: those that cannot meet their
+// objective, and those without an attempt after half of their time.
 func (s *Scheduler) answerExpired() {
 	for len(s.deadlines) > 0 {
 		r := s.deadlines[0]
@@ -96,7 +96,7 @@
 			return
 		}
 		if r.inFlightAt != nil {
-			// The attempt's timeout ends with the deadline; its outcome answers the request or queues it again.
+			// The attempt times out at the deadline at the latest; its outcome answers or requeues the request.
 			heap.Pop(&s.deadlines)
 			continue
 		}
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -126,16 +126,16 @@
 	}
 	serve(s, now, "new", -1)
 	s.EjectedCount()
-	for name, list := range map[string]int{"held": len(s.waitingQueues) + len(s.newlyWaiting), "flowing": len(s.flowingQueues), "bare": len(s.orphanedQueues), "used": len(s.usedEndpoints),
-		"news": len(s.changedEndpoints), "stale": len(s.staleQueues), "touched": len(s.waitTree.touched), "moving": len(s.waitTree.moving)} {
+	for name, list := range map[string]int{"held": len(s.waitingQueues) + len(s.newlyWaiting), "flowing": len(s.queuesWithFlows), "bare": len(s.orphanedQueues), "used": len(s.usedEndpoints),
+		"news": len(s.changedEndpoints), "stale": len(s.staleQueues), "touched": len(s.waitTree.dirty), "moving": len(s.waitTree.timeDependent)} {
 		if list > 12 {
 			t.Errorf("%d lanes or nodes are %s with ten shards in use", list, name)
 		}
 	}
 	s.Step(now+time.Minute, []Event{TimerFired{}})
 	s.Step(now+2*time.Minute, []Event{TimerFired{}})
-	if len(s.flowingQueues)+len(s.usedEndpoints)+len(s.volumes) > 0 || len(s.endpoints) != count || len(s.queues) != count {
-		t.Errorf("after a while %d lanes have flows, %d nodes are in use, %d nodes, %d lanes", len(s.flowingQueues), len(s.usedEndpoints), len(s.endpoints), len(s.queues))
+	if len(s.queuesWithFlows)+len(s.usedEndpoints)+len(s.volumes) > 0 || len(s.endpoints) != count || len(s.queues) != count {
+		t.Errorf("after a while %d lanes have flows, %d nodes are in use, %d nodes, %d lanes", len(s.queuesWithFlows), len(s.usedEndpoints), len(s.endpoints), len(s.queues))
 	}
 }
 
--- a/internal/policy/settings_change.go
+++ b/internal/policy/settings_change.go
@@ -1,18 +1,19 @@
 package policy
 
-// tightensColdLimits reports whether a cold endpoint may get less under these settings than under the
-// previous ones, from one initiator or over a longer window.
-func (set Settings) tightensColdLimits(was Settings) bool {
-	a, b := set.Rules, was.Rules
-	each := func(s Settings) float64 { return s.ColdUnitsPerWindow / float64(s.Initiators) }
-	grows := func(r Rules) float64 {
+// tightensColdLimits reports whether a cold endpoint may get less from one initiator under these settings
+// than under the previous ones, or over a longer window. Any change of OverloadFactor or MeanUnits counts
+// as tightening.
+func (set Settings) tightensColdLimits(previous Settings) bool {
+	rules, previousRules := set.Rules, previous.Rules
+	unitsPerInitiator := func(s Settings) float64 { return s.ColdUnitsPerWindow / float64(s.Initiators) }
+	growthRate := func(r Rules) float64 {
 		return (1/max(r.ColdCapacityFraction, 0.01) - 1) / max(r.WarmUpTime.Seconds(), 1e-3)
 	}
-	return a.OverloadWindow > b.OverloadWindow || a.WarmUpTime > b.WarmUpTime || a.OverloadFactor != b.OverloadFactor ||
-		each(set) < each(was) || grows(a) < grows(b) || set.MeanUnits != was.MeanUnits
+	return rules.OverloadWindow > previousRules.OverloadWindow || rules.WarmUpTime > previousRules.WarmUpTime || rules.OverloadFactor != previousRules.OverloadFactor ||
+		unitsPerInitiator(set) < unitsPerInitiator(previous) || growthRate(rules) < growthRate(previousRules) || set.MeanUnits != previous.MeanUnits
 }
 
-// applySettings takes over the settings and what is derived from them.
+// applySettings replaces the settings and the tables that are derived from them.
 func (s *Scheduler) applySettings(set Settings) {
 	s.settings, s.minObjective = set.clone(), never
 	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
@@ -27,39 +28,39 @@
 	}
 }
 
-// adoptSettings replaces the settings while requests are in progress. What was learned and what was
-// sent stays, so that no rule starts counting anew. Known requests keep their class; everything else
-// applies from now on. The quota is not part of the settings that arrive, and stays. Invalid settings
-// change nothing.
+// adoptSettings replaces the settings while requests are open. Estimates and counts of what was sent are
+// kept, so that no rule starts counting from zero. Known requests keep their class; everything else
+// applies from now on. The Quota is not part of the settings event and is kept. Invalid settings are
+// ignored.
 func (s *Scheduler) adoptSettings(set Settings) {
 	if set.Validate() != nil {
 		return
 	}
-	was := s.settings
-	set.Quota = was.Quota
+	previous := s.settings
+	set.Quota = previous.Quota
 	s.applySettings(set)
 	if set.InitiatorIndex > 0 {
 		s.initiatorIndex = set.InitiatorIndex - 1
 	}
-	if set.SubscribeToList != was.SubscribeToList {
+	if set.SubscribeToList != previous.SubscribeToList {
 		s.subscribeAt = never
 		if set.SubscribeToList {
 			s.subscribeAt = s.now
 		}
 	}
-	if set.tightensColdLimits(was) {
-		s.startedAt = s.now // as after a start: what was sent under the old limits says nothing about the new ones
+	if set.tightensColdLimits(previous) {
+		s.startedAt = s.now // as after a start: what was sent under the old limits cannot be counted against the new ones
 		for _, ep := range s.endpoints {
-			ep.coldServed = nil
+			ep.coldCredit = nil
 		}
 	}
 	for _, v := range s.volumes {
 		switch p := s.plans[v.plan.Name]; {
-		case p == nil: // its requests keep the removed plan
+		case p == nil: // the plan was removed: the volume keeps it
 		case *p == *v.plan:
 			v.plan = p
 		default:
-			s.moveVolume(v, p)
+			s.changePlan(v, p)
 		}
 	}
 	s.rescaleTags()
@@ -69,32 +70,32 @@
 	s.waitTree = minWaitTree{} // expected waits depend on the settings
 }
 
-// moveVolume moves a volume to another plan. Its buckets are filled up to now at the old rates;
-// tagScale lets rescaleTags stretch what lies ahead of now by the ratio of the rates.
-func (s *Scheduler) moveVolume(v *volume, to *Plan) {
-	rho := s.refillRate(v)
-	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
+// changePlan changes the plan of a volume. Its buckets are refilled up to now at the old rates; tagScale
+// makes rescaleTags stretch the part of its tags that lies in the future by the ratio of the rates.
+func (s *Scheduler) changePlan(v *volume, to *Plan) {
+	oldRate := s.refillRate(v)
+	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*oldRate), s.now
 	s.reserveAvailable(v)
 	s.refillRateLimit(v)
 	if v.plan.RateLimit <= 0 {
-		v.rateLimitTokens = 0 // there was no limit that filled it
+		v.rateLimitTokens = 0 // without a limit the bucket was only debited, never refilled
 	}
 	v.plan = to
-	v.tagScale = rho / s.refillRate(v)
+	v.tagScale = oldRate / s.refillRate(v)
 }
 
-// rescaleTags moves the tags of volumes whose rate has changed.
+// rescaleTags moves the future tags of the volumes whose tagScale changePlan has set.
 func (s *Scheduler) rescaleTags() {
-	for _, q := range s.flowingQueues {
+	for _, q := range s.queuesWithFlows {
 		for _, r := range q.requests {
-			if k := r.volume.tagScale; k != 0 && r.startTag > s.now {
-				by := toDuration((r.startTag-s.now).Seconds()*k) - (r.startTag - s.now)
-				r.startTag, r.finishTag = r.startTag+by, r.finishTag+by
+			if ratio := r.volume.tagScale; ratio != 0 && r.startTag > s.now {
+				shift := toDuration((r.startTag-s.now).Seconds()*ratio) - (r.startTag - s.now)
+				r.startTag, r.finishTag = r.startTag+shift, r.finishTag+shift
 			}
 		}
 		for _, f := range q.flows {
-			if k := f.volume.tagScale; k != 0 && f.maxStartTag > s.now {
-				f.maxStartTag = s.now + toDuration((f.maxStartTag-s.now).Seconds()*k)
+			if ratio := f.volume.tagScale; ratio != 0 && f.maxStartTag > s.now {
+				f.maxStartTag = s.now + toDuration((f.maxStartTag-s.now).Seconds()*ratio)
 			}
 		}
 	}
