--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -21,7 +21,7 @@
 		return
 	}
 	events := []policy.Event{
-		policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "node-a", Shard: 0}}},
+		policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "endpoint-a", Shard: 0}}},
 		policy.Request{ID: "r1", Class: "read", Plan: "basic", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second},
 	}
 	for _, a := range s.Step(time.Second, events) {
@@ -29,5 +29,5 @@
 			fmt.Println("send", a.Request, "to", a.Endpoint)
 		}
 	}
-	// Output: send r1 to node-a
+	// Output: send r1 to endpoint-a
 }
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -8,24 +8,26 @@
 	"time"
 )
 
-// seen is what the checker knows of one request, from events and actions alone.
-type seen struct {
-	req     Request
-	class   Class
-	due     time.Duration
-	sends   []Action
-	sentAt  []time.Duration
-	codes   []OutcomeCode // outcome of each send; -1: still out
-	ended   bool
-	endedAt time.Duration
-	doubtAt time.Duration
+// requestRecord is what the checker knows about one request, from events and actions alone.
+type requestRecord struct {
+	req         Request
+	class       Class
+	deadline    time.Duration
+	sends       []Action
+	sentAt      []time.Duration
+	outcomes    []OutcomeCode // outcome of each send; -1: still in flight
+	ended       bool
+	endedAt     time.Duration
+	uncertainAt time.Duration
 }
 
-func (q *seen) out() bool { return len(q.codes) > 0 && q.codes[len(q.codes)-1] == -1 }
+func (q *requestRecord) inFlight() bool {
+	return len(q.outcomes) > 0 && q.outcomes[len(q.outcomes)-1] == -1
+}
 
-// ran returns when and where an attempt that may have run was sent.
-func (q *seen) ran() (int, bool) {
-	for i, c := range q.codes {
+// firstRun returns the index of the first attempt that may have run, and whether there is one.
+func (q *requestRecord) firstRun() (int, bool) {
+	for i, c := range q.outcomes {
 		if c != Rejected && c != NotConnected && c != NotSent {
 			return i, true
 		}
@@ -33,52 +35,62 @@
 	return 0, false
 }
 
-type drawn struct {
+// unitsRecord is a number of units sent or served at a time.
+type unitsRecord struct {
 	at    time.Duration
 	units float64
 }
 
-// store is what is left of a volume's limit here.
-type store struct {
-	level float64
-	at    time.Duration
+// rateBucket is the token bucket of a volume's rate limit at this initiator.
+type rateBucket struct {
+	tokens float64
+	at     time.Duration
 }
 
-// fill fills it up to now by a plan of which it has this part.
-func (s *store) fill(now time.Duration, p Plan, hosts float64) {
+// refill refills the bucket up to now, with one of initiators shares of the plan's rate limit.
+func (s *rateBucket) refill(now time.Duration, p Plan, initiators float64) {
 	if p.RateLimit > 0 {
-		s.level = min(p.RateLimitBurst/hosts, s.level+(now-s.at).Seconds()*p.RateLimit/hosts)
+		s.tokens = min(p.RateLimitBurst/initiators, s.tokens+(now-s.at).Seconds()*p.RateLimit/initiators)
 	}
 	s.at = now
 }
 
-// world plays random legal events into one scheduler and checks the seven rules by its own counting. It has
-// no service model: outcomes and their times are drawn at random.
-type world struct {
-	rng    *rand.Rand
-	set    Settings
-	s      *Scheduler
-	now    time.Duration
-	nodes  map[string]Endpoint
-	barred map[string]time.Duration // node told draining or gone since
-	all    map[string]*seen
-	order  []*seen
-	serial int
-	byKey  map[string][]*seen
-	taken  []time.Duration
-	extra  []time.Duration
-	cold   map[string][]drawn
-	served map[string][]drawn
-	stores map[string]*store
-	timers []time.Duration
-	faults []string
+// ruleChecker passes random legal events to one scheduler and checks the rules by its own counting. It has
+// no service model: outcomes and their times are random. The rules:
+//
+//  1. A request gets exactly one final answer, by its deadline.
+//  2. A request has one attempt in flight, and is retried or rejected after an attempt that may have run only
+//     where its class allows it.
+//  3. No attempt is sent to a draining or removed endpoint.
+//  4. A cold endpoint gets no more units than its limit for this initiator.
+//  5. Requests of an ordered extent run one at a time in order, with a pause after an uncertain outcome.
+//  6. Retries stay within the retry budget.
+//  7. A volume stays within its share of the plan's rate limit.
+type ruleChecker struct {
+	rng              *rand.Rand
+	set              Settings
+	s                *Scheduler
+	now              time.Duration
+	endpoints        map[string]Endpoint
+	unavailableSince map[string]time.Duration // endpoints that are listed as draining or removed, and since when
+	records          map[string]*requestRecord
+	open             []*requestRecord
+	requestCount     int
+	byExtent         map[string][]*requestRecord
+	arrivals         []time.Duration
+	retries          []time.Duration
+	coldSent         map[string][]unitsRecord
+	served           map[string][]unitsRecord
+	buckets          map[string]*rateBucket
+	timers           []time.Duration
+	violations       []string
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (w *ruleChecker) violated(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *world) pick(p float64) bool { return w.rng.Float64() < p }
+func (w *ruleChecker) chance(p float64) bool { return w.rng.Float64() < p }
 
 func ruleSettings(mask int) Settings {
 	set := Settings{Initiators: 3, MinStep: 2 * ms, MeanUnits: 2, MaxUnits: 6, UsagePeriod: time.Second, MaxAttempts: 4,
@@ -107,39 +119,39 @@
 	return set
 }
 
-// list returns a random change of the list and notes what it tells.
-func (w *world) list() EndpointList {
-	if w.pick(0.1) {
+// randomList returns a random change of the endpoint list and records its content.
+func (w *ruleChecker) randomList() EndpointList {
+	if w.chance(0.1) {
 		return EndpointList{Failed: true}
 	}
-	e := EndpointList{Full: w.pick(0.3)}
+	e := EndpointList{Full: w.chance(0.3)}
 	id := fmt.Sprintf("n%d", w.rng.IntN(8))
-	n := w.nodes[id]
-	n.ID, n.Shard, n.Zone = id, int(id[1]-'0')%4, []string{"a", "b"}[int(id[1]-'0')/4]
-	n.State = EndpointState(w.rng.IntN(3))
-	if n.State == Up && w.pick(0.5) {
-		n.Started = w.now - time.Duration(w.rng.IntN(500))*ms
+	changed := w.endpoints[id]
+	changed.ID, changed.Shard, changed.Zone = id, int(id[1]-'0')%4, []string{"a", "b"}[int(id[1]-'0')/4]
+	changed.State = EndpointState(w.rng.IntN(3))
+	if changed.State == Up && w.chance(0.5) {
+		changed.Started = w.now - time.Duration(w.rng.IntN(500))*ms
 	}
-	e.Endpoints = []Endpoint{n}
+	e.Endpoints = []Endpoint{changed}
 	if e.Full {
-		for _, m := range slices.Sorted(keysOf(w.nodes)) {
-			if m != id && w.pick(0.8) {
-				e.Endpoints = append(e.Endpoints, w.nodes[m])
+		for _, m := range slices.Sorted(keysOf(w.endpoints)) {
+			if m != id && w.chance(0.8) {
+				e.Endpoints = append(e.Endpoints, w.endpoints[m])
 			}
 		}
 	}
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range e.Endpoints {
-		w.nodes[m.ID], told[m.ID] = m, true
+		w.endpoints[m.ID], listed[m.ID] = m, true
 		if m.State == Up {
-			delete(w.barred, m.ID)
-		} else if _, ok := w.barred[m.ID]; !ok {
-			w.barred[m.ID] = w.now
+			delete(w.unavailableSince, m.ID)
+		} else if _, ok := w.unavailableSince[m.ID]; !ok {
+			w.unavailableSince[m.ID] = w.now
 		}
 	}
-	for m := range w.nodes {
-		if _, ok := w.barred[m]; e.Full && !told[m] && !ok {
-			w.barred[m] = w.now
+	for m := range w.endpoints {
+		if _, ok := w.unavailableSince[m]; e.Full && !listed[m] && !ok {
+			w.unavailableSince[m] = w.now
 		}
 	}
 	return e
@@ -155,47 +167,47 @@
 	}
 }
 
-func (w *world) arrive() Request {
-	w.serial++
+func (w *ruleChecker) randomRequest() Request {
+	w.requestCount++
 	c := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
 	vol := w.rng.IntN(6)
-	r := Request{ID: fmt.Sprintf("r%d", w.serial), Class: c.Name, Plan: w.set.Plans[vol%2].Name,
+	r := Request{ID: fmt.Sprintf("r%d", w.requestCount), Class: c.Name, Plan: w.set.Plans[vol%2].Name,
 		Volume: fmt.Sprintf("v%d", vol), Extent: fmt.Sprintf("k%d", w.rng.IntN(5)), Shard: w.rng.IntN(5) - 1,
 		Units: float64(1 + w.rng.IntN(6)), VolumeInitiators: 2, TimeLeft: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
-	q := &seen{req: r, class: c, due: w.now + r.TimeLeft}
-	w.all[r.ID] = q
-	w.order = append(w.order, q)
-	w.taken = append(w.taken, w.now)
+	q := &requestRecord{req: r, class: c, deadline: w.now + r.TimeLeft}
+	w.records[r.ID] = q
+	w.open = append(w.open, q)
+	w.arrivals = append(w.arrivals, w.now)
 	if c.Ordered {
-		w.byKey[r.Extent] = append(w.byKey[r.Extent], q)
+		w.byExtent[r.Extent] = append(w.byExtent[r.Extent], q)
 	}
 	return r
 }
 
-// outcomes ends some of what is out; everything has ended by its time-out.
-func (w *world) outcomes(bad float64) []Event {
+// randomOutcomes ends some of the attempts in flight, and all that have reached their timeout.
+func (w *ruleChecker) randomOutcomes(failureRate float64) []Event {
 	var events []Event
-	for _, q := range w.order {
-		if !q.out() {
+	for _, q := range w.open {
+		if !q.inFlight() {
 			continue
 		}
 		i := len(q.sends) - 1
-		over := w.now >= min(q.sentAt[i]+q.sends[i].Wait, q.due)
-		if !over && !w.pick(0.1) {
+		expired := w.now >= min(q.sentAt[i]+q.sends[i].Wait, q.deadline)
+		if !expired && !w.chance(0.1) {
 			continue
 		}
 		code := Served
-		if over {
+		if expired {
 			code = TimedOut
-		} else if w.pick(bad) {
+		} else if w.chance(failureRate) {
 			code = []OutcomeCode{AnsweredError, Rejected, NotConnected, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
 		}
-		q.codes[i] = code
+		q.outcomes[i] = code
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
-			q.doubtAt = w.now
+			q.uncertainAt = w.now
 		}
 		if code == Served {
-			w.served[q.sends[i].Endpoint] = append(w.served[q.sends[i].Endpoint], drawn{w.now, q.req.Units})
+			w.served[q.sends[i].Endpoint] = append(w.served[q.sends[i].Endpoint], unitsRecord{w.now, q.req.Units})
 		}
 		if code == Served && !q.ended {
 			q.ended, q.endedAt = true, w.now
@@ -206,90 +218,90 @@
 	return events
 }
 
-func (w *world) act(a Action) {
+func (w *ruleChecker) checkAction(a Action) {
 	if a.Kind == SetTimer {
 		w.timers = append(w.timers, w.now+a.Wait)
 	}
 	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
-	q := w.all[a.Request]
+	q := w.records[a.Request]
 	if q == nil {
-		w.fault("action for unknown request %s", a.Request)
+		w.violated("action for unknown request %s", a.Request)
 		return
 	}
 	if q.ended {
-		w.fault("rule 1: action %d for %s after its end", a.Kind, a.Request)
+		w.violated("rule 1: action %d for %s after its final answer", a.Kind, a.Request)
 		return
 	}
 	if a.Kind != Send {
 		q.ended, q.endedAt = true, w.now
-		if _, ran := q.ran(); ran && a.Kind == Reject && q.class.Effect != Idempotent && q.class.DedupScope != DedupFleet {
-			w.fault("rule 2: %s refused though it may have run", a.Request)
+		if _, ran := q.firstRun(); ran && a.Kind == Reject && q.class.Effect != Idempotent && q.class.DedupScope != DedupFleet {
+			w.violated("rule 2: %s rejected though it may have run", a.Request)
 		} else if ran && a.Kind == Reject && q.class.Effect == NonIdempotent {
-			w.fault("rule 2: unsafe %s refused though it may have run", a.Request)
+			w.violated("rule 2: non-idempotent %s rejected though it may have run", a.Request)
 		}
 		return
 	}
 	w.checkSend(q, a)
-	q.sends, q.sentAt, q.codes = append(q.sends, a), append(q.sentAt, w.now), append(q.codes, -1)
+	q.sends, q.sentAt, q.outcomes = append(q.sends, a), append(q.sentAt, w.now), append(q.outcomes, -1)
 }
 
-func (w *world) checkSend(q *seen, a Action) { //nolint:gocognit // one scenario, told in order
-	n, known := w.nodes[a.Endpoint]
+func (w *ruleChecker) checkSend(q *requestRecord, a Action) { //nolint:gocognit // one check for each rule
+	n, known := w.endpoints[a.Endpoint]
 	if !known {
-		w.fault("sent to unknown node %s", a.Endpoint)
+		w.violated("sent to unknown endpoint %s", a.Endpoint)
 	}
-	if _, bad := w.barred[a.Endpoint]; bad {
-		w.fault("rule 3: sent to %s, which drains or is gone", a.Endpoint)
+	if _, unavailable := w.unavailableSince[a.Endpoint]; unavailable {
+		w.violated("rule 3: sent to %s, which is draining or removed", a.Endpoint)
 	}
-	if q.out() {
-		w.fault("rule 2: two attempts of %s out", a.Request)
+	if q.inFlight() {
+		w.violated("rule 2: two attempts of %s in flight", a.Request)
 	}
-	if i, ran := q.ran(); ran && q.class.Effect != Idempotent {
-		first := w.nodes[q.sends[i].Endpoint]
+	if i, ran := q.firstRun(); ran && q.class.Effect != Idempotent {
+		first := w.endpoints[q.sends[i].Endpoint]
 		switch {
 		case q.class.Effect == NonIdempotent:
-			w.fault("rule 2: unsafe %s sent again", a.Request)
+			w.violated("rule 2: non-idempotent %s sent again", a.Request)
 		case w.now > q.sentAt[i]+q.class.DedupWindow:
-			w.fault("rule 2: keyed %s sent after its window", a.Request)
+			w.violated("rule 2: %s with a key sent after its deduplication window", a.Request)
 		case a.SendWithin <= 0 || w.now+a.SendWithin >= q.sentAt[i]+q.class.DedupWindow:
-			w.fault("rule 2: keyed %s may leave %v after it was decided on, past its window", a.Request, a.SendWithin)
+			w.violated("rule 2: %s with a key may be written up to %v after the decision, past its deduplication window", a.Request, a.SendWithin)
 		case q.class.DedupScope == DedupShard && first.Shard != n.Shard, first.Zone != n.Zone:
-			w.fault("rule 2: keyed %s sent outside its group", a.Request)
+			w.violated("rule 2: %s with a key sent outside its deduplication scope", a.Request)
 		}
 	}
 	rules := w.set.Rules
 	if rules.OverloadWindow > 0 && n.Started > 0 && w.now-n.Started < rules.WarmUpTime {
-		w.cold[a.Endpoint] = append(w.cold[a.Endpoint], drawn{w.now, q.req.Units})
+		w.coldSent[a.Endpoint] = append(w.coldSent[a.Endpoint], unitsRecord{w.now, q.req.Units})
 		sum := 0.0
-		for _, d := range w.cold[a.Endpoint] {
+		for _, d := range w.coldSent[a.Endpoint] {
 			if d.at > w.now-rules.OverloadWindow && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		grown := rules.ColdCapacityFraction + (1-rules.ColdCapacityFraction)*(w.now-n.Started).Seconds()/rules.WarmUpTime.Seconds()
-		if bears := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*grown/rules.ColdCapacityFraction + w.servedBy(a.Endpoint); sum > bears+1e-6 {
-			w.fault("rule 4: %v units to cold %s, which bears %v of this host", sum, a.Endpoint, bears)
+		growth := rules.ColdCapacityFraction + (1-rules.ColdCapacityFraction)*(w.now-n.Started).Seconds()/rules.WarmUpTime.Seconds()
+		if limit := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*growth/rules.ColdCapacityFraction + w.recentlyServed(a.Endpoint); sum > limit+1e-6 {
+			w.violated("rule 4: %v units to cold %s, whose limit for this initiator is %v", sum, a.Endpoint, limit)
 		}
 	}
 	if q.class.Ordered {
-		for _, p := range w.byKey[q.req.Extent] {
+		for _, p := range w.byExtent[q.req.Extent] {
 			if p == q {
 				break
 			}
-			if !p.ended || p.out() {
-				w.fault("rule 5: %s sent before %s of its key is over", a.Request, p.req.ID)
+			if !p.ended || p.inFlight() {
+				w.violated("rule 5: %s sent before %s of its extent has ended", a.Request, p.req.ID)
 			}
 		}
-		for _, p := range w.byKey[q.req.Extent] {
-			if p != q && p.doubtAt > 0 && w.now < p.doubtAt+rules.OrderedQuietTime {
-				w.fault("rule 5: %s sent while its key rests", a.Request)
+		for _, p := range w.byExtent[q.req.Extent] {
+			if p != q && p.uncertainAt > 0 && w.now < p.uncertainAt+rules.OrderedQuietTime {
+				w.violated("rule 5: %s sent while its extent is paused", a.Request)
 			}
 		}
 	}
 	if rules.RetryBudget && len(q.sends) > 0 {
-		w.extra = append(w.extra, w.now)
+		w.retries = append(w.retries, w.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
 				if at > w.now-rules.RetryBudgetWindow {
@@ -298,26 +310,26 @@
 			}
 			return n
 		}
-		if from(w.extra) > rules.RetryBudgetFree+rules.RetryBudgetRatio*from(w.taken) {
-			w.fault("rule 6: further attempt of %s over the budget", a.Request)
+		if from(w.retries) > rules.RetryBudgetFree+rules.RetryBudgetRatio*from(w.arrivals) {
+			w.violated("rule 6: retry of %s exceeds the budget", a.Request)
 		}
 	}
 	if p := w.set.Plans[slices.IndexFunc(w.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.RateLimit > 0 && len(q.sends) == 0 {
-		v, hosts := q.req.Volume, float64(q.req.VolumeInitiators)
-		if w.stores[v] == nil {
-			w.stores[v] = &store{}
+		v, initiators := q.req.Volume, float64(q.req.VolumeInitiators)
+		if w.buckets[v] == nil {
+			w.buckets[v] = &rateBucket{}
 		}
-		w.stores[v].fill(w.now, p, hosts)
-		w.stores[v].level -= q.req.Units
-		if level := w.stores[v].level; level < -1e-6 {
-			w.fault("rule 7: volume %s is %v under its part of the limit", v, -level)
+		w.buckets[v].refill(w.now, p, initiators)
+		w.buckets[v].tokens -= q.req.Units
+		if level := w.buckets[v].tokens; level < -1e-6 {
+			w.violated("rule 7: volume %s exceeds its share of the rate limit by %v", v, -level)
 		}
 	}
 }
 
-// servedBy is what the node has answered within the span of the cold rule, which it has shown to bear.
-func (w *world) servedBy(node string) (sum float64) {
-	for _, d := range w.served[node] {
+// recentlyServed returns the units that the endpoint has served within the window of the cold start rule, which add to its limit.
+func (w *ruleChecker) recentlyServed(endpoint string) (sum float64) {
+	for _, d := range w.served[endpoint] {
 		if d.at > w.now-w.set.Rules.OverloadWindow {
 			sum += d.units
 		}
@@ -325,132 +337,133 @@
 	return sum
 }
 
-// change draws other settings: times, effects, rates, limits, bounds and spans, of the rules that there are.
-func (w *world) change(mask int) Settings {
+// randomSettings changes the settings at random: times, effects, rates, limits, bounds and windows, of the rules in force.
+func (w *ruleChecker) randomSettings(mask int) Settings {
 	set := ruleSettings(mask)
-	some := func(of ...float64) float64 { return of[w.rng.IntN(len(of))] }
+	oneOf := func(values ...float64) float64 { return values[w.rng.IntN(len(values))] }
 	for i := range set.Classes {
 		c := &set.Classes[i]
-		c.LatencyObjective, c.Deadline = time.Duration(some(0.5, 1, 2)*float64(c.LatencyObjective)), time.Duration(some(1, 1, 2)*float64(c.Deadline))
-		c.PriorityWeight *= some(0.1, 1, 10)
-		if c.Effect == NonIdempotent && w.pick(0.3) {
+		c.LatencyObjective, c.Deadline = time.Duration(oneOf(0.5, 1, 2)*float64(c.LatencyObjective)), time.Duration(oneOf(1, 1, 2)*float64(c.Deadline))
+		c.PriorityWeight *= oneOf(0.1, 1, 10)
+		if c.Effect == NonIdempotent && w.chance(0.3) {
 			c.Effect = Idempotent
 		}
-		c.Ordered = c.Ordered && w.pick(0.8)
+		c.Ordered = c.Ordered && w.chance(0.8)
 	}
 	for i := range set.Plans {
 		p := &set.Plans[i]
-		k := some(0.2, 1, 5)
-		p.Rate, p.ReservedRate = p.Rate*k, p.ReservedRate*some(0, 1, 2)
+		k := oneOf(0.2, 1, 5)
+		p.Rate, p.ReservedRate = p.Rate*k, p.ReservedRate*oneOf(0, 1, 2)
 		if p.RateLimit > 0 {
-			p.RateLimit, p.RateLimitBurst = p.RateLimit*some(0, 0.5, 1, 2), p.RateLimitBurst*some(0.5, 1, 2)
+			p.RateLimit, p.RateLimitBurst = p.RateLimit*oneOf(0, 0.5, 1, 2), p.RateLimitBurst*oneOf(0.5, 1, 2)
 		}
 	}
-	set.MaxAttempts, set.Initiators, set.UsagePeriod = w.rng.IntN(5), 2+w.rng.IntN(4), time.Duration(some(0, 1, 3))*time.Second
+	set.MaxAttempts, set.Initiators, set.UsagePeriod = w.rng.IntN(5), 2+w.rng.IntN(4), time.Duration(oneOf(0, 1, 3))*time.Second
 	if mask&2 != 0 {
-		set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio = some(0, 3, 6), some(0, 0.2, 0.5)
+		set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio = oneOf(0, 3, 6), oneOf(0, 0.2, 0.5)
 	}
 	if mask&8 != 0 {
-		// Each initiator's part is a largest request at least: one over it may go from a few all the same.
+		// Each initiator's share stays at least one largest request, since a few initiators may send a request that exceeds their share.
 		switch rules := &set.Rules; w.rng.IntN(5) {
 		case 0:
-			set.ColdUnitsPerWindow = some(45, 60)
+			set.ColdUnitsPerWindow = oneOf(45, 60)
 		case 1:
-			rules.OverloadWindow = time.Duration(some(0.5, 3) * float64(time.Second))
+			rules.OverloadWindow = time.Duration(oneOf(0.5, 3) * float64(time.Second))
 		case 2:
-			rules.WarmUpTime = time.Duration(some(2, 8)) * time.Second
+			rules.WarmUpTime = time.Duration(oneOf(2, 8)) * time.Second
 		case 3:
 			rules.ColdCapacityFraction, rules.WarmUpTime = 0.1, 9*time.Second
 		}
 	}
-	hosts := 2.0
-	for v, s := range w.stores {
+	initiators := 2.0
+	for v, s := range w.buckets {
 		i := int(v[1]-'0') % 2
-		s.fill(w.now, w.set.Plans[i], hosts)
+		s.refill(w.now, w.set.Plans[i], initiators)
 		if w.set.Plans[i].RateLimit <= 0 {
-			s.level = 0
+			s.tokens = 0
 		}
-		s.level = min(s.level, max(0, set.Plans[i].RateLimitBurst/hosts))
+		s.tokens = min(s.tokens, max(0, set.Plans[i].RateLimitBurst/initiators))
 	}
 	w.set = set
 	return set
 }
 
-// play runs one seeded sequence and returns the rules broken and a digest of the actions. With changing, other settings come now and then.
-func play(seed uint64, mask int, changing bool) (faults []string, digest string) {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), set: ruleSettings(mask), now: time.Second,
-		nodes: map[string]Endpoint{}, barred: map[string]time.Duration{}, all: map[string]*seen{},
-		byKey: map[string][]*seen{}, cold: map[string][]drawn{}, served: map[string][]drawn{}, stores: map[string]*store{}}
+// runRandom runs one seeded sequence and returns the violations and a digest of the actions. With changing, the settings change at
+// random times.
+func runRandom(seed uint64, mask int, changing bool) (violations []string, digest string) {
+	w := &ruleChecker{rng: rand.New(rand.NewPCG(seed, 7)), set: ruleSettings(mask), now: time.Second,
+		endpoints: map[string]Endpoint{}, unavailableSince: map[string]time.Duration{}, records: map[string]*requestRecord{},
+		byExtent: map[string][]*requestRecord{}, coldSent: map[string][]unitsRecord{}, served: map[string][]unitsRecord{}, buckets: map[string]*rateBucket{}}
 	w.s, _ = New(w.set, seed)
 	const length = 6000
 	for i := range length {
 		w.now += 2 * ms
-		bad := []float64{0.05, 0.5, 0.95}[i/700%3]
-		events := w.outcomes(bad)
-		if w.pick(0.01) || i == 0 {
-			events = append(events, w.list())
+		failureRate := []float64{0.05, 0.5, 0.95}[i/700%3]
+		events := w.randomOutcomes(failureRate)
+		if w.chance(0.01) || i == 0 {
+			events = append(events, w.randomList())
 		}
-		if changing && w.pick(0.005) {
-			events = append(events, w.change(mask))
+		if changing && w.chance(0.005) {
+			events = append(events, w.randomSettings(mask))
 		}
-		for i < length-1500 && w.pick(0.25) {
-			events = append(events, w.arrive())
+		for i < length-1500 && w.chance(0.25) {
+			events = append(events, w.randomRequest())
 		}
-		if q := w.some(); q != nil && w.pick(0.01) && !q.ended {
+		if q := w.randomOpen(); q != nil && w.chance(0.01) && !q.ended {
 			q.ended, q.endedAt = true, w.now
 			events = append(events, ClientGone{ID: q.req.ID})
 		}
-		if w.pick(0.02) && len(w.order) > 0 { // what is already dropped
-			old := w.order[w.rng.IntN(len(w.order))].req.ID
+		if w.chance(0.02) && len(w.open) > 0 { // events for requests that are no longer known
+			old := w.open[w.rng.IntN(len(w.open))].req.ID
 			events = append(events, TimerFired{}, Outcome{ID: old, Attempt: 9, Code: ConnectionReset}, ClientGone{ID: old + "x"})
 		}
-		due := false
-		w.timers = slices.DeleteFunc(w.timers, func(t time.Duration) bool { due = due || t <= w.now; return t <= w.now })
-		if due {
+		timerDue := false
+		w.timers = slices.DeleteFunc(w.timers, func(t time.Duration) bool { timerDue = timerDue || t <= w.now; return t <= w.now })
+		if timerDue {
 			events = append(events, TimerFired{})
 		}
 		if len(events) > 0 {
 			for _, a := range w.s.Step(w.now, events) {
-				w.act(a)
+				w.checkAction(a)
 				digest += fmt.Sprintf("%d%s%s", a.Kind, a.Request, a.Endpoint)
 			}
 		}
-		w.order = slices.DeleteFunc(w.order, func(q *seen) bool {
-			if !q.ended && w.now > q.due+8*ms {
-				w.fault("rule 1: no final answer for %s", q.req.ID)
+		w.open = slices.DeleteFunc(w.open, func(q *requestRecord) bool {
+			if !q.ended && w.now > q.deadline+8*ms {
+				w.violated("rule 1: no final answer for %s", q.req.ID)
 				return true
 			}
-			return q.ended && !q.out()
+			return q.ended && !q.inFlight()
 		})
 	}
-	return w.faults, digest
+	return w.violations, digest
 }
 
-func (w *world) some() *seen {
-	if len(w.order) == 0 {
+func (w *ruleChecker) randomOpen() *requestRecord {
+	if len(w.open) == 0 {
 		return nil
 	}
-	return w.order[w.rng.IntN(len(w.order))]
+	return w.open[w.rng.IntN(len(w.open))]
 }
 
-// TestRulesHold checks the seven rules over random event sequences, with each rule present and absent, also while settings change,
-// and that the same events give the same actions.
-func TestRulesHold(t *testing.T) {
+// TestRulesHoldForRandomEvents checks the seven rules over random event sequences, with each optional rule on and off, also while
+// settings change, and that equal events give equal actions.
+func TestRulesHoldForRandomEvents(t *testing.T) {
 	for mask := range 16 {
 		for seed := range uint64(8) {
 			changing := seed >= 3
-			faults, first := play(seed, mask, changing)
-			for i, f := range faults {
+			violations, first := runRandom(seed, mask, changing)
+			for i, violation := range violations {
 				if i < 3 {
-					t.Errorf("settings %04b, seed %d, changing %v: %s", mask, seed, changing, f)
+					t.Errorf("settings %04b, seed %d, changing %v: %s", mask, seed, changing, violation)
 				}
 			}
 			if len(first) < 1000 {
-				t.Errorf("settings %04b, seed %d, changing %v: hardly any action", mask, seed, changing)
+				t.Errorf("settings %04b, seed %d, changing %v: too few actions", mask, seed, changing)
 			}
 			if seed == 0 || seed == 3 {
-				if _, again := play(seed, mask, changing); again != first {
-					t.Errorf("settings %04b, changing %v: the same events gave other actions", mask, changing)
+				if _, again := runRandom(seed, mask, changing); again != first {
+					t.Errorf("settings %04b, changing %v: equal events gave different actions", mask, changing)
 				}
 			}
 		}
--- a/internal/policy/probe_result_test.go
+++ b/internal/policy/probe_result_test.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// TestWatched has a node avoided after errors, and others tell what they found out: what is older than its last answer, or about a node
-// that is not avoided, changes nothing; that it is well lets a trial go now, that it is not bars it until the next try.
-func TestWatched(t *testing.T) {
+// TestProbeResults applies probe results to an endpoint that is ejected after errors. A result that is older than its last answer, or
+// for an endpoint that is not ejected, changes nothing. A healthy result unblocks the endpoint now, an unhealthy one blocks it until
+// the next probe.
+func TestProbeResults(t *testing.T) {
 	s, err := New(Settings{Initiators: 2, Classes: []Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans: []Plan{{Name: "p", Rate: 100, PriorityFactor: 1}}}, 1)
 	if err != nil {
@@ -29,13 +30,13 @@
 	} {
 		s.Step(10*time.Second, []Event{c.e})
 		if bad.blockedUntil != c.want {
-			t.Errorf("%d: open at %v, wanted %v", i, bad.blockedUntil, c.want)
+			t.Errorf("%d: blocked until %v, want %v", i, bad.blockedUntil, c.want)
 		}
 	}
 	if s.Step(10*time.Second, []Event{ProbeResult{Endpoint: "good", NextProbe: time.Minute}}); good.blockedUntil != 0 {
-		t.Errorf("a node that is not avoided is barred until %v", good.blockedUntil)
+		t.Errorf("an endpoint that is not ejected is blocked until %v", good.blockedUntil)
 	}
 	if ids := s.EjectedEndpoints(); !slices.Equal(ids, []string{"bad"}) || s.EjectedCount() != 1 {
-		t.Errorf("avoided %v, %d", ids, s.EjectedCount())
+		t.Errorf("ejected %v, count %d", ids, s.EjectedCount())
 	}
 }
--- a/internal/policy/scale_test.go
+++ b/internal/policy/scale_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// shards returns a scheduler that knows so many nodes, each of a shard of its own, and the time of its last step.
-func shards(tb testing.TB, count int) (*Scheduler, time.Duration) {
+// newWithEndpoints returns a scheduler with count listed endpoints, each with a shard of its own, and the time of its last step.
+func newWithEndpoints(tb testing.TB, count int) (*Scheduler, time.Duration) {
 	tb.Helper()
 	set := ruleSettings(15)
 	s, err := New(set, 1)
@@ -18,17 +18,17 @@
 	}
 	list := EndpointList{Full: true}
 	for i := range count {
-		list.Endpoints = append(list.Endpoints, shardNode(i))
+		list.Endpoints = append(list.Endpoints, shardEndpoint(i))
 	}
 	now := time.Hour
 	s.Step(now, []Event{list})
 	return s, now
 }
 
-func shardNode(i int) Endpoint { return Endpoint{ID: fmt.Sprintf("n%d", i), Zone: "z", Shard: i} }
+func shardEndpoint(i int) Endpoint { return Endpoint{ID: fmt.Sprintf("n%d", i), Zone: "z", Shard: i} }
 
-// serve has the scheduler take one request, and its answer.
-func serve(s *Scheduler, now time.Duration, id string, shard int) (served bool) {
+// serveRequest passes the scheduler one request and, if it is sent, its answer. It reports whether the request was sent.
+func serveRequest(s *Scheduler, now time.Duration, id string, shard int) (served bool) {
 	events := []Event{Request{ID: id, Class: "pure", Plan: "p1", Volume: "v", Extent: "k", Shard: shard, Units: 1, VolumeInitiators: 1, TimeLeft: time.Second}}
 	for _, a := range s.Step(now, events) {
 		if a.Kind == Send {
@@ -40,79 +40,80 @@
 	return served
 }
 
-// change has the scheduler take a change of one entry: a node that drains, or is back.
-func change(s *Scheduler, now time.Duration, i, at int) {
-	x := shardNode(at)
+// changeEntry passes the scheduler a change of one entry: the endpoint is draining if i is odd, and up otherwise.
+func changeEntry(s *Scheduler, now time.Duration, i, at int) {
+	x := shardEndpoint(at)
 	x.State = EndpointState(i % 2)
 	s.Step(now, []Event{EndpointList{Endpoints: []Endpoint{x}}})
 }
 
-// costs are what an initiator does all the time, each done count times from the given moment on.
-var costs = []struct {
+// operations are what an initiator does all the time.
+var operations = []struct {
 	name string
 	do   func(s *Scheduler, now time.Duration, i int)
 }{
-	{"change of one entry", func(s *Scheduler, now time.Duration, i int) { change(s, now, i, i/2%64) }},
-	{"request and answer", func(s *Scheduler, now time.Duration, i int) { serve(s, now, fmt.Sprint(i), i%64) }},
-	{"new object and answer", func(s *Scheduler, now time.Duration, i int) { serve(s, now, fmt.Sprint(i), -1) }},
-	{"request that waits, its client leaves", func(s *Scheduler, now time.Duration, i int) {
+	{"change of one entry", func(s *Scheduler, now time.Duration, i int) { changeEntry(s, now, i, i/2%64) }},
+	{"request and answer", func(s *Scheduler, now time.Duration, i int) { serveRequest(s, now, fmt.Sprint(i), i%64) }},
+	{"new object and answer", func(s *Scheduler, now time.Duration, i int) { serveRequest(s, now, fmt.Sprint(i), -1) }},
+	{"queued request whose client disconnects", func(s *Scheduler, now time.Duration, i int) {
 		s.Step(now, []Event{Request{ID: fmt.Sprint(i), Class: "pure", Plan: "p1", Volume: "v", Shard: 1 << 20, Units: 1, VolumeInitiators: 1, TimeLeft: time.Second}})
 		s.Step(now, []Event{ClientGone{ID: fmt.Sprint(i)}})
 	}},
-	{"step after a long silence", func(s *Scheduler, now time.Duration, i int) {
+	{"step after a long idle time", func(s *Scheduler, now time.Duration, i int) {
 		s.Step(now+time.Duration(i)*time.Minute, []Event{TimerFired{}})
 	}},
-	{"which are avoided", func(s *Scheduler, now time.Duration, i int) {
+	{"list of ejected endpoints", func(s *Scheduler, now time.Duration, i int) {
 		s.EjectedCount()
 		s.EjectedEndpoints()
 	}},
 }
 
-// TestCostByUse fails where what is done all the time comes to cost by the number of listed nodes again: a hundred times as many
-// may cost five times as much, since caches hold less of them. The least of many short runs is compared, until it is small enough:
-// a run that is disturbed only takes longer. With a look at every lane or node, the ratios were 36 to 60,000.
-func TestCostByUse(t *testing.T) {
-	const most, runs, least, calls = 5, 400, 20, 32
-	for _, c := range costs {
+// TestCostIndependentOfListSize fails if a frequent operation takes time in proportion to the number of listed endpoints: a hundred
+// times as many may cost five times as much, since caches hold a smaller part of them. It compares the minimum of many short runs,
+// and runs until the ratio is small enough, since a disturbed run only takes longer. When each step visited every queue or endpoint,
+// the ratios were 36 to 60,000.
+func TestCostIndependentOfListSize(t *testing.T) {
+	const maxRatio, maxRuns, minRuns, calls = 5, 400, 20, 32
+	for _, c := range operations {
 		var best [2]time.Duration
 		var s [2]*Scheduler
 		var now [2]time.Duration
 		for i, count := range []int{200, 20000} {
-			s[i], now[i] = shards(t, count)
+			s[i], now[i] = newWithEndpoints(t, count)
 			best[i] = never
 		}
 		ratio, n := math.Inf(1), 0
-		for run := 0; run < runs && (run < least || ratio > most); run++ {
+		for run := 0; run < maxRuns && (run < minRuns || ratio > maxRatio); run++ {
 			for i := range s {
-				began := time.Now()
+				start := time.Now()
 				for range calls {
 					now[i] += 4 * ms
 					n++
 					c.do(s[i], now[i], n)
 				}
-				best[i] = min(best[i], time.Since(began))
+				best[i] = min(best[i], time.Since(start))
 			}
 			ratio = float64(best[1]) / float64(best[0])
 		}
-		if t.Logf("%s: %v among 200, %v among 20000", c.name, best[0]/calls, best[1]/calls); ratio > most {
-			t.Errorf("%s: %.1f times as much among 20000 nodes as among 200, want %d at most", c.name, ratio, most)
+		if t.Logf("%s: %v with 200 endpoints, %v with 20000", c.name, best[0]/calls, best[1]/calls); ratio > maxRatio {
+			t.Errorf("%s: %.1f times as long with 20000 endpoints as with 200, want %d at most", c.name, ratio, maxRatio)
 		}
 	}
 }
 
-// TestIdleNodes bounds what a node takes that is listed and that nothing is sent to, and looks that what a step goes through is
-// what is in use.
-func TestIdleNodes(t *testing.T) {
-	const count, most = 20000, 700
+// TestIdleEndpoints bounds the memory of a listed endpoint to which nothing is sent, and checks that the lists that a step goes
+// through contain only the queues and endpoints in use.
+func TestIdleEndpoints(t *testing.T) {
+	const count, maxBytes = 20000, 700
 	before := heapBytes()
-	s, now := shards(t, count)
+	s, now := newWithEndpoints(t, count)
 	per := float64(heapBytes()-before) / count
-	if t.Logf("%.0f bytes", per); per > most {
-		t.Errorf("%.0f bytes for each idle node, want %d at most", per, most)
+	if t.Logf("%.0f bytes", per); per > maxBytes {
+		t.Errorf("%.0f bytes for each idle endpoint, want %d at most", per, maxBytes)
 	}
-	for i := range 200 { // others were in use once
+	for i := range 200 { // these were in use earlier
 		now += 4 * ms
-		serve(s, now, fmt.Sprint("old", i), 1000+i)
+		serveRequest(s, now, fmt.Sprint("old", i), 1000+i)
 	}
 	for range 2 {
 		now += time.Minute
@@ -120,32 +121,32 @@
 	}
 	for i := range 200 {
 		now += 4 * ms
-		if !serve(s, now, fmt.Sprint(i), i%10) {
-			t.Fatalf("request %d is not sent", i)
+		if !serveRequest(s, now, fmt.Sprint(i), i%10) {
+			t.Fatalf("request %d was not sent", i)
 		}
 	}
-	serve(s, now, "new", -1)
+	serveRequest(s, now, "new", -1)
 	s.EjectedCount()
-	for name, list := range map[string]int{"held": len(s.waitingQueues) + len(s.newlyWaiting), "flowing": len(s.queuesWithFlows), "bare": len(s.orphanedQueues), "used": len(s.usedEndpoints),
-		"news": len(s.changedEndpoints), "stale": len(s.staleQueues), "touched": len(s.waitTree.dirty), "moving": len(s.waitTree.timeDependent)} {
+	for name, list := range map[string]int{"waiting": len(s.waitingQueues) + len(s.newlyWaiting), "with flows": len(s.queuesWithFlows), "orphaned": len(s.orphanedQueues), "used": len(s.usedEndpoints),
+		"changed": len(s.changedEndpoints), "stale": len(s.staleQueues), "dirty": len(s.waitTree.dirty), "time-dependent": len(s.waitTree.timeDependent)} {
 		if list > 12 {
-			t.Errorf("%d lanes or nodes are %s with ten shards in use", list, name)
+			t.Errorf("%d queues or endpoints are %s with ten shards in use", list, name)
 		}
 	}
 	s.Step(now+time.Minute, []Event{TimerFired{}})
 	s.Step(now+2*time.Minute, []Event{TimerFired{}})
 	if len(s.queuesWithFlows)+len(s.usedEndpoints)+len(s.volumes) > 0 || len(s.endpoints) != count || len(s.queues) != count {
-		t.Errorf("after a while %d lanes have flows, %d nodes are in use, %d nodes, %d lanes", len(s.queuesWithFlows), len(s.usedEndpoints), len(s.endpoints), len(s.queues))
+		t.Errorf("after the idle time %d queues have flows, %d endpoints are in use, of %d endpoints and %d queues", len(s.queuesWithFlows), len(s.usedEndpoints), len(s.endpoints), len(s.queues))
 	}
 }
 
 var shardCounts = []int{200, 2000, 20000}
 
-// among does something again and again where so many nodes are listed.
-func among(b *testing.B, do func(s *Scheduler, now time.Duration, i, count int)) {
+// benchmarkCounts benchmarks do for each number of listed endpoints.
+func benchmarkCounts(b *testing.B, do func(s *Scheduler, now time.Duration, i, count int)) {
 	for _, count := range shardCounts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			s, now := shards(b, count)
+			s, now := newWithEndpoints(b, count)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now += 4 * ms
@@ -155,26 +156,26 @@
 	}
 }
 
-// BenchmarkListChange is a change of one entry among so many.
+// BenchmarkListChange measures a change of one entry of the list.
 func BenchmarkListChange(b *testing.B) {
-	among(b, func(s *Scheduler, now time.Duration, i, count int) { change(s, now, i, i/2%count) })
+	benchmarkCounts(b, func(s *Scheduler, now time.Duration, i, count int) { changeEntry(s, now, i, i/2%count) })
 }
 
-// BenchmarkRequest is a request and its answer, at shards in turn.
+// BenchmarkRequest measures a request and its answer, for 64 shards in turn.
 func BenchmarkRequest(b *testing.B) {
-	among(b, func(s *Scheduler, now time.Duration, i, _ int) { serve(s, now, fmt.Sprint(i), i%64) })
+	benchmarkCounts(b, func(s *Scheduler, now time.Duration, i, _ int) { serveRequest(s, now, fmt.Sprint(i), i%64) })
 }
 
-// BenchmarkNewObject is a request for a new object, which may go to any node, and its answer.
+// BenchmarkNewObject measures a request for a new object, which may go to any endpoint, and its answer.
 func BenchmarkNewObject(b *testing.B) {
-	among(b, func(s *Scheduler, now time.Duration, i, _ int) { serve(s, now, fmt.Sprint(i), -1) })
+	benchmarkCounts(b, func(s *Scheduler, now time.Duration, i, _ int) { serveRequest(s, now, fmt.Sprint(i), -1) })
 }
 
-// BenchmarkWholeList is a whole list in which nothing is new.
-func BenchmarkWholeList(b *testing.B) {
+// BenchmarkFullList measures a full list in which nothing has changed.
+func BenchmarkFullList(b *testing.B) {
 	for _, count := range shardCounts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			s, now := shards(b, count)
+			s, now := newWithEndpoints(b, count)
 			list := EndpointList{Full: true}
 			for _, ep := range s.endpoints {
 				list.Endpoints = append(list.Endpoints, ep.Endpoint)
@@ -188,12 +189,12 @@
 	}
 }
 
-// BenchmarkAvoided asks which nodes are avoided, as the core does ten times a second.
-func BenchmarkAvoided(b *testing.B) {
+// BenchmarkEjected measures EjectedCount and EjectedEndpoints, which the core calls ten times a second.
+func BenchmarkEjected(b *testing.B) {
 	for _, count := range shardCounts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			s, now := shards(b, count)
-			serve(s, now, "r", 0)
+			s, now := newWithEndpoints(b, count)
+			serveRequest(s, now, "r", 0)
 			for b.Loop() {
 				s.EjectedCount()
 				s.EjectedEndpoints()
@@ -202,14 +203,14 @@
 	}
 }
 
-// BenchmarkIdleNode tells the bytes that a listed node takes which nothing was sent to, and what the whole list costs.
-func BenchmarkIdleNode(b *testing.B) {
+// BenchmarkIdleEndpoint reports the bytes that a listed endpoint takes to which nothing was sent, and measures the full list.
+func BenchmarkIdleEndpoint(b *testing.B) {
 	for _, count := range shardCounts {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			var per float64
 			for b.Loop() {
 				before := heapBytes()
-				s, _ := shards(b, count)
+				s, _ := newWithEndpoints(b, count)
 				per = float64(heapBytes()-before) / float64(count)
 				runtime.KeepAlive(s)
 			}
