--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -43,22 +43,22 @@
 	if v.plan.RateLimit <= 0 || r.rateLimitCharged {
 		return 0
 	}
-	sharers := s.refillRateLimit(v)
+	sharingProcesses := s.refillRateLimit(v)
 	if v.rateLimitTokens >= r.Units {
 		return 0
 	}
-	return s.now + toDuration((r.Units-v.rateLimitTokens)*sharers/v.plan.RateLimit) + s.settings.MinStep
+	return s.now + toDuration((r.Units-v.rateLimitTokens)*sharingProcesses/v.plan.RateLimit) + s.settings.MinStep
 }
 
 // refillRateLimit refills the volume's rate limit bucket up to now and returns how many processes
 // share the plan's limit.
-func (s *Scheduler) refillRateLimit(v *volume) (sharers float64) {
-	sharers = v.initiators / s.processes.fraction(s.now)
+func (s *Scheduler) refillRateLimit(v *volume) (sharingProcesses float64) {
+	sharingProcesses = v.initiators / s.processes.fraction(s.now)
 	if v.plan.RateLimit > 0 {
-		v.rateLimitTokens = min(v.plan.RateLimitBurst/sharers, v.rateLimitTokens+(s.now-v.rateLimitTokensAt).Seconds()*v.plan.RateLimit/sharers)
+		v.rateLimitTokens = min(v.plan.RateLimitBurst/sharingProcesses, v.rateLimitTokens+(s.now-v.rateLimitTokensAt).Seconds()*v.plan.RateLimit/sharingProcesses)
 	}
 	v.rateLimitTokensAt = s.now
-	return sharers
+	return sharingProcesses
 }
 
 // orderedExtent is an extent whose requests run one at a time.
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -99,8 +99,8 @@
 	if e.Code == Served {
 		s.recordUsage(r.volume, r.Units, e.VolumeUsage)
 	}
-	inDoubt := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
-	if extent := s.orderedExtents[r.Extent]; extent != nil && r.class.Ordered && inDoubt {
+	outcomeUncertain := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
+	if extent := s.orderedExtents[r.Extent]; extent != nil && r.class.Ordered && outcomeUncertain {
 		extent.quietUntil = max(extent.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
 	}
 	if e.Code != NotConnected && e.Code != NotSent {
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -29,14 +29,15 @@
 type coldProcess struct {
 	s             *Scheduler
 	index         int
-	notifiedAt    time.Duration
-	timerAt       time.Duration
-	pending       []timedEvent
-	trafficFactor float64
-	attempts      map[string]int
-	exitsAt       time.Duration
+	notifiedAt    time.Duration  // when it learned of the endpoint's restart; never: not yet
+	timerAt       time.Duration  // when its timer fires; never: none is set
+	pending       []timedEvent   // outcomes to deliver, in order of time
+	trafficFactor float64        // its request rate over ratePerProcess
+	attempts      map[string]int // number of sends by request
+	exitsAt       time.Duration  // when it exits after its successor has started; never: it has none
 }
 
+// timedEvent is an event that is delivered at a time.
 type timedEvent struct {
 	at time.Duration
 	Event
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -115,7 +115,7 @@
 }
 
 // learnFromFailure counts a failure and blocks the endpoint for a time that grows with the failures in
-// a row. After a timeout it halves the concurrency limit instead.
+// a row. After a timeout it halves the concurrency limit instead of blocking.
 func (s *Scheduler) learnFromFailure(ep *endpoint, e Outcome) {
 	if e.Code == TimedOut && e.Latency < s.silenceTimeout(ep) {
 		// The client's deadline was short: the endpoint's latency is at least this, but that is no failure.
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -48,11 +48,11 @@
 }
 
 // refill refills the bucket up to now, with one of initiators shares of the plan's rate limit.
-func (s *rateBucket) refill(now time.Duration, p Plan, initiators float64) {
+func (b *rateBucket) refill(now time.Duration, p Plan, initiators float64) {
 	if p.RateLimit > 0 {
-		s.tokens = min(p.RateLimitBurst/initiators, s.tokens+(now-s.at).Seconds()*p.RateLimit/initiators)
+		b.tokens = min(p.RateLimitBurst/initiators, b.tokens+(now-b.at).Seconds()*p.RateLimit/initiators)
 	}
-	s.at = now
+	b.at = now
 }
 
 // ruleChecker passes random legal events to one scheduler and checks the rules by its own counting. It has
@@ -86,11 +86,11 @@
 	violations       []string
 }
 
-func (w *ruleChecker) violated(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf("%v: ", w.now)+fmt.Sprintf(format, args...))
+func (rc *ruleChecker) violated(format string, args ...any) {
+	rc.violations = append(rc.violations, fmt.Sprintf("%v: ", rc.now)+fmt.Sprintf(format, args...))
 }
 
-func (w *ruleChecker) chance(p float64) bool { return w.rng.Float64() < p }
+func (rc *ruleChecker) chance(p float64) bool { return rc.rng.Float64() < p }
 
 func ruleSettings(mask int) Settings {
 	set := Settings{Initiators: 3, MinStep: 2 * ms, MeanUnits: 2, MaxUnits: 6, UsagePeriod: time.Second, MaxAttempts: 4,
@@ -120,38 +120,38 @@
 }
 
 // randomList returns a random change of the endpoint list and records its content.
-func (w *ruleChecker) randomList() EndpointList {
-	if w.chance(0.1) {
+func (rc *ruleChecker) randomList() EndpointList {
+	if rc.chance(0.1) {
 		return EndpointList{Failed: true}
 	}
-	e := EndpointList{Full: w.chance(0.3)}
-	id := fmt.Sprintf("n%d", w.rng.IntN(8))
-	changed := w.endpoints[id]
+	e := EndpointList{Full: rc.chance(0.3)}
+	id := fmt.Sprintf("n%d", rc.rng.IntN(8))
+	changed := rc.endpoints[id]
 	changed.ID, changed.Shard, changed.Zone = id, int(id[1]-'0')%4, []string{"a", "b"}[int(id[1]-'0')/4]
-	changed.State = EndpointState(w.rng.IntN(3))
-	if changed.State == Up && w.chance(0.5) {
-		changed.Started = w.now - time.Duration(w.rng.IntN(500))*ms
+	changed.State = EndpointState(rc.rng.IntN(3))
+	if changed.State == Up && rc.chance(0.5) {
+		changed.Started = rc.now - time.Duration(rc.rng.IntN(500))*ms
 	}
 	e.Endpoints = []Endpoint{changed}
 	if e.Full {
-		for _, m := range slices.Sorted(keysOf(w.endpoints)) {
-			if m != id && w.chance(0.8) {
-				e.Endpoints = append(e.Endpoints, w.endpoints[m])
+		for _, m := range slices.Sorted(keysOf(rc.endpoints)) {
+			if m != id && rc.chance(0.8) {
+				e.Endpoints = append(e.Endpoints, rc.endpoints[m])
 			}
 		}
 	}
 	listed := map[string]bool{}
 	for _, m := range e.Endpoints {
-		w.endpoints[m.ID], listed[m.ID] = m, true
+		rc.endpoints[m.ID], listed[m.ID] = m, true
 		if m.State == Up {
-			delete(w.unavailableSince, m.ID)
-		} else if _, ok := w.unavailableSince[m.ID]; !ok {
-			w.unavailableSince[m.ID] = w.now
+			delete(rc.unavailableSince, m.ID)
+		} else if _, ok := rc.unavailableSince[m.ID]; !ok {
+			rc.unavailableSince[m.ID] = rc.now
 		}
 	}
-	for m := range w.endpoints {
-		if _, ok := w.unavailableSince[m]; e.Full && !listed[m] && !ok {
-			w.unavailableSince[m] = w.now
+	for m := range rc.endpoints {
+		if _, ok := rc.unavailableSince[m]; e.Full && !listed[m] && !ok {
+			rc.unavailableSince[m] = rc.now
 		}
 	}
 	return e
@@ -167,170 +167,170 @@
 	}
 }
 
-func (w *ruleChecker) randomRequest() Request {
-	w.requestCount++
-	c := w.set.Classes[w.rng.IntN(len(w.set.Classes))]
-	vol := w.rng.IntN(6)
-	r := Request{ID: fmt.Sprintf("r%d", w.requestCount), Class: c.Name, Plan: w.set.Plans[vol%2].Name,
-		Volume: fmt.Sprintf("v%d", vol), Extent: fmt.Sprintf("k%d", w.rng.IntN(5)), Shard: w.rng.IntN(5) - 1,
-		Units: float64(1 + w.rng.IntN(6)), VolumeInitiators: 2, TimeLeft: c.Deadline * time.Duration(1+w.rng.IntN(4)) / 4}
-	q := &requestRecord{req: r, class: c, deadline: w.now + r.TimeLeft}
-	w.records[r.ID] = q
-	w.open = append(w.open, q)
-	w.arrivals = append(w.arrivals, w.now)
+func (rc *ruleChecker) randomRequest() Request {
+	rc.requestCount++
+	c := rc.set.Classes[rc.rng.IntN(len(rc.set.Classes))]
+	vol := rc.rng.IntN(6)
+	r := Request{ID: fmt.Sprintf("r%d", rc.requestCount), Class: c.Name, Plan: rc.set.Plans[vol%2].Name,
+		Volume: fmt.Sprintf("v%d", vol), Extent: fmt.Sprintf("k%d", rc.rng.IntN(5)), Shard: rc.rng.IntN(5) - 1,
+		Units: float64(1 + rc.rng.IntN(6)), VolumeInitiators: 2, TimeLeft: c.Deadline * time.Duration(1+rc.rng.IntN(4)) / 4}
+	q := &requestRecord{req: r, class: c, deadline: rc.now + r.TimeLeft}
+	rc.records[r.ID] = q
+	rc.open = append(rc.open, q)
+	rc.arrivals = append(rc.arrivals, rc.now)
 	if c.Ordered {
-		w.byExtent[r.Extent] = append(w.byExtent[r.Extent], q)
+		rc.byExtent[r.Extent] = append(rc.byExtent[r.Extent], q)
 	}
 	return r
 }
 
 // randomOutcomes ends some of the attempts in flight, and all that have reached their timeout.
-func (w *ruleChecker) randomOutcomes(failureRate float64) []Event {
+func (rc *ruleChecker) randomOutcomes(failureRate float64) []Event {
 	var events []Event
-	for _, q := range w.open {
+	for _, q := range rc.open {
 		if !q.inFlight() {
 			continue
 		}
 		i := len(q.sends) - 1
-		expired := w.now >= min(q.sentAt[i]+q.sends[i].Wait, q.deadline)
-		if !expired && !w.chance(0.1) {
+		expired := rc.now >= min(q.sentAt[i]+q.sends[i].Wait, q.deadline)
+		if !expired && !rc.chance(0.1) {
 			continue
 		}
 		code := Served
 		if expired {
 			code = TimedOut
-		} else if w.chance(failureRate) {
-			code = []OutcomeCode{AnsweredError, Rejected, NotConnected, ConnectionReset, Cancelled, NotSent}[w.rng.IntN(6)]
+		} else if rc.chance(failureRate) {
+			code = []OutcomeCode{AnsweredError, Rejected, NotConnected, ConnectionReset, Cancelled, NotSent}[rc.rng.IntN(6)]
 		}
 		q.outcomes[i] = code
 		if code == TimedOut || code == ConnectionReset || code == Cancelled {
-			q.uncertainAt = w.now
+			q.uncertainAt = rc.now
 		}
 		if code == Served {
-			w.served[q.sends[i].Endpoint] = append(w.served[q.sends[i].Endpoint], unitsRecord{w.now, q.req.Units})
+			rc.served[q.sends[i].Endpoint] = append(rc.served[q.sends[i].Endpoint], unitsRecord{rc.now, q.req.Units})
 		}
 		if code == Served && !q.ended {
-			q.ended, q.endedAt = true, w.now
+			q.ended, q.endedAt = true, rc.now
 		}
 		events = append(events, Outcome{ID: q.req.ID, Attempt: i, Endpoint: q.sends[i].Endpoint, Code: code,
-			Latency: w.now - q.sentAt[i], Final: q.ended, VolumeUsage: w.rng.IntN(200)})
+			Latency: rc.now - q.sentAt[i], Final: q.ended, VolumeUsage: rc.rng.IntN(200)})
 	}
 	return events
 }
 
-func (w *ruleChecker) checkAction(a Action) {
+func (rc *ruleChecker) checkAction(a Action) {
 	if a.Kind == SetTimer {
-		w.timers = append(w.timers, w.now+a.Wait)
+		rc.timers = append(rc.timers, rc.now+a.Wait)
 	}
 	if a.Kind != Send && a.Kind != Reject && a.Kind != Fail {
 		return
 	}
-	q := w.records[a.Request]
+	q := rc.records[a.Request]
 	if q == nil {
-		w.violated("action for unknown request %s", a.Request)
+		rc.violated("action for unknown request %s", a.Request)
 		return
 	}
 	if q.ended {
-		w.violated("rule 1: action %d for %s after its final answer", a.Kind, a.Request)
+		rc.violated("rule 1: action %d for %s after its final answer", a.Kind, a.Request)
 		return
 	}
 	if a.Kind != Send {
-		q.ended, q.endedAt = true, w.now
+		q.ended, q.endedAt = true, rc.now
 		if _, ran := q.firstRun(); ran && a.Kind == Reject && q.class.Effect != Idempotent && q.class.DedupScope != DedupFleet {
-			w.violated("rule 2: %s rejected though it may have run", a.Request)
+			rc.violated("rule 2: %s rejected though it may have run", a.Request)
 		} else if ran && a.Kind == Reject && q.class.Effect == NonIdempotent {
-			w.violated("rule 2: non-idempotent %s rejected though it may have run", a.Request)
+			rc.violated("rule 2: non-idempotent %s rejected though it may have run", a.Request)
 		}
 		return
 	}
-	w.checkSend(q, a)
-	q.sends, q.sentAt, q.outcomes = append(q.sends, a), append(q.sentAt, w.now), append(q.outcomes, -1)
+	rc.checkSend(q, a)
+	q.sends, q.sentAt, q.outcomes = append(q.sends, a), append(q.sentAt, rc.now), append(q.outcomes, -1)
 }
 
-func (w *ruleChecker) checkSend(q *requestRecord, a Action) { //nolint:gocognit // one check for each rule
-	n, known := w.endpoints[a.Endpoint]
+func (rc *ruleChecker) checkSend(q *requestRecord, a Action) { //nolint:gocognit // one check for each rule
+	n, known := rc.endpoints[a.Endpoint]
 	if !known {
-		w.violated("sent to unknown endpoint %s", a.Endpoint)
+		rc.violated("sent to unknown endpoint %s", a.Endpoint)
 	}
-	if _, unavailable := w.unavailableSince[a.Endpoint]; unavailable {
-		w.violated("rule 3: sent to %s, which is draining or removed", a.Endpoint)
+	if _, unavailable := rc.unavailableSince[a.Endpoint]; unavailable {
+		rc.violated("rule 3: sent to %s, which is draining or removed", a.Endpoint)
 	}
 	if q.inFlight() {
-		w.violated("rule 2: two attempts of %s in flight", a.Request)
+		rc.violated("rule 2: two attempts of %s in flight", a.Request)
 	}
 	if i, ran := q.firstRun(); ran && q.class.Effect != Idempotent {
-		first := w.endpoints[q.sends[i].Endpoint]
+		first := rc.endpoints[q.sends[i].Endpoint]
 		switch {
 		case q.class.Effect == NonIdempotent:
-			w.violated("rule 2: non-idempotent %s sent again", a.Request)
-		case w.now > q.sentAt[i]+q.class.DedupWindow:
-			w.violated("rule 2: %s with a key sent after its deduplication window", a.Request)
-		case a.SendWithin <= 0 || w.now+a.SendWithin >= q.sentAt[i]+q.class.DedupWindow:
-			w.violated("rule 2: %s with a key may be written up to %v after the decision, past its deduplication window", a.Request, a.SendWithin)
+			rc.violated("rule 2: non-idempotent %s sent again", a.Request)
+		case rc.now > q.sentAt[i]+q.class.DedupWindow:
+			rc.violated("rule 2: %s with a key sent after its deduplication window", a.Request)
+		case a.SendWithin <= 0 || rc.now+a.SendWithin >= q.sentAt[i]+q.class.DedupWindow:
+			rc.violated("rule 2: %s with a key may be written up to %v after the decision, past its deduplication window", a.Request, a.SendWithin)
 		case q.class.DedupScope == DedupShard && first.Shard != n.Shard, first.Zone != n.Zone:
-			w.violated("rule 2: %s with a key sent outside its deduplication scope", a.Request)
+			rc.violated("rule 2: %s with a key sent outside its deduplication scope", a.Request)
 		}
 	}
-	rules := w.set.Rules
-	if rules.OverloadWindow > 0 && n.Started > 0 && w.now-n.Started < rules.WarmUpTime {
-		w.coldSent[a.Endpoint] = append(w.coldSent[a.Endpoint], unitsRecord{w.now, q.req.Units})
+	rules := rc.set.Rules
+	if rules.OverloadWindow > 0 && n.Started > 0 && rc.now-n.Started < rules.WarmUpTime {
+		rc.coldSent[a.Endpoint] = append(rc.coldSent[a.Endpoint], unitsRecord{rc.now, q.req.Units})
 		sum := 0.0
-		for _, d := range w.coldSent[a.Endpoint] {
-			if d.at > w.now-rules.OverloadWindow && d.at >= n.Started {
+		for _, d := range rc.coldSent[a.Endpoint] {
+			if d.at > rc.now-rules.OverloadWindow && d.at >= n.Started {
 				sum += d.units
 			}
 		}
-		growth := rules.ColdCapacityFraction + (1-rules.ColdCapacityFraction)*(w.now-n.Started).Seconds()/rules.WarmUpTime.Seconds()
-		if limit := w.set.ColdUnitsPerWindow/float64(w.set.Initiators)*growth/rules.ColdCapacityFraction + w.recentlyServed(a.Endpoint); sum > limit+1e-6 {
-			w.violated("rule 4: %v units to cold %s, whose limit for this initiator is %v", sum, a.Endpoint, limit)
+		growth := rules.ColdCapacityFraction + (1-rules.ColdCapacityFraction)*(rc.now-n.Started).Seconds()/rules.WarmUpTime.Seconds()
+		if limit := rc.set.ColdUnitsPerWindow/float64(rc.set.Initiators)*growth/rules.ColdCapacityFraction + rc.recentlyServed(a.Endpoint); sum > limit+1e-6 {
+			rc.violated("rule 4: %v units to cold %s, whose limit for this initiator is %v", sum, a.Endpoint, limit)
 		}
 	}
 	if q.class.Ordered {
-		for _, p := range w.byExtent[q.req.Extent] {
+		for _, p := range rc.byExtent[q.req.Extent] {
 			if p == q {
 				break
 			}
 			if !p.ended || p.inFlight() {
-				w.violated("rule 5: %s sent before %s of its extent has ended", a.Request, p.req.ID)
+				rc.violated("rule 5: %s sent before %s of its extent has ended", a.Request, p.req.ID)
 			}
 		}
-		for _, p := range w.byExtent[q.req.Extent] {
-			if p != q && p.uncertainAt > 0 && w.now < p.uncertainAt+rules.OrderedQuietTime {
-				w.violated("rule 5: %s sent while its extent is paused", a.Request)
+		for _, p := range rc.byExtent[q.req.Extent] {
+			if p != q && p.uncertainAt > 0 && rc.now < p.uncertainAt+rules.OrderedQuietTime {
+				rc.violated("rule 5: %s sent while its extent is paused", a.Request)
 			}
 		}
 	}
 	if rules.RetryBudget && len(q.sends) > 0 {
-		w.retries = append(w.retries, w.now)
+		rc.retries = append(rc.retries, rc.now)
 		from := func(list []time.Duration) (n float64) {
 			for _, at := range list {
-				if at > w.now-rules.RetryBudgetWindow {
+				if at > rc.now-rules.RetryBudgetWindow {
 					n++
 				}
 			}
 			return n
 		}
-		if from(w.retries) > rules.RetryBudgetFree+rules.RetryBudgetRatio*from(w.arrivals) {
-			w.violated("rule 6: retry of %s exceeds the budget", a.Request)
+		if from(rc.retries) > rules.RetryBudgetFree+rules.RetryBudgetRatio*from(rc.arrivals) {
+			rc.violated("rule 6: retry of %s exceeds the budget", a.Request)
 		}
 	}
-	if p := w.set.Plans[slices.IndexFunc(w.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.RateLimit > 0 && len(q.sends) == 0 {
+	if p := rc.set.Plans[slices.IndexFunc(rc.set.Plans, func(p Plan) bool { return p.Name == q.req.Plan })]; p.RateLimit > 0 && len(q.sends) == 0 {
 		v, initiators := q.req.Volume, float64(q.req.VolumeInitiators)
-		if w.buckets[v] == nil {
-			w.buckets[v] = &rateBucket{}
+		if rc.buckets[v] == nil {
+			rc.buckets[v] = &rateBucket{}
 		}
-		w.buckets[v].refill(w.now, p, initiators)
-		w.buckets[v].tokens -= q.req.Units
-		if level := w.buckets[v].tokens; level < -1e-6 {
-			w.violated("rule 7: volume %s exceeds its share of the rate limit by %v", v, -level)
+		rc.buckets[v].refill(rc.now, p, initiators)
+		rc.buckets[v].tokens -= q.req.Units
+		if level := rc.buckets[v].tokens; level < -1e-6 {
+			rc.violated("rule 7: volume %s exceeds its share of the rate limit by %v", v, -level)
 		}
 	}
 }
 
 // recentlyServed returns the units that the endpoint has served within the window of the cold start rule, which add to its limit.
-func (w *ruleChecker) recentlyServed(endpoint string) (sum float64) {
-	for _, d := range w.served[endpoint] {
-		if d.at > w.now-w.set.Rules.OverloadWindow {
+func (rc *ruleChecker) recentlyServed(endpoint string) (sum float64) {
+	for _, d := range rc.served[endpoint] {
+		if d.at > rc.now-rc.set.Rules.OverloadWindow {
 			sum += d.units
 		}
 	}
@@ -338,17 +338,17 @@
 }
 
 // randomSettings changes the settings at random: times, effects, rates, limits, bounds and windows, of the rules in force.
-func (w *ruleChecker) randomSettings(mask int) Settings {
+func (rc *ruleChecker) randomSettings(mask int) Settings {
 	set := ruleSettings(mask)
-	oneOf := func(values ...float64) float64 { return values[w.rng.IntN(len(values))] }
+	oneOf := func(values ...float64) float64 { return values[rc.rng.IntN(len(values))] }
 	for i := range set.Classes {
 		c := &set.Classes[i]
 		c.LatencyObjective, c.Deadline = time.Duration(oneOf(0.5, 1, 2)*float64(c.LatencyObjective)), time.Duration(oneOf(1, 1, 2)*float64(c.Deadline))
 		c.PriorityWeight *= oneOf(0.1, 1, 10)
-		if c.Effect == NonIdempotent && w.chance(0.3) {
+		if c.Effect == NonIdempotent && rc.chance(0.3) {
 			c.Effect = Idempotent
 		}
-		c.Ordered = c.Ordered && w.chance(0.8)
+		c.Ordered = c.Ordered && rc.chance(0.8)
 	}
 	for i := range set.Plans {
 		p := &set.Plans[i]
@@ -358,13 +358,13 @@
 			p.RateLimit, p.RateLimitBurst = p.RateLimit*oneOf(0, 0.5, 1, 2), p.RateLimitBurst*oneOf(0.5, 1, 2)
 		}
 	}
-	set.MaxAttempts, set.Initiators, set.UsagePeriod = w.rng.IntN(5), 2+w.rng.IntN(4), time.Duration(oneOf(0, 1, 3))*time.Second
+	set.MaxAttempts, set.Initiators, set.UsagePeriod = rc.rng.IntN(5), 2+rc.rng.IntN(4), time.Duration(oneOf(0, 1, 3))*time.Second
 	if mask&2 != 0 {
 		set.Rules.RetryBudgetFree, set.Rules.RetryBudgetRatio = oneOf(0, 3, 6), oneOf(0, 0.2, 0.5)
 	}
 	if mask&8 != 0 {
 		// Each initiator's share stays at least one largest request, since a few initiators may send a request that exceeds their share.
-		switch rules := &set.Rules; w.rng.IntN(5) {
+		switch rules := &set.Rules; rc.rng.IntN(5) {
 		case 0:
 			set.ColdUnitsPerWindow = oneOf(45, 60)
 		case 1:
@@ -376,15 +376,15 @@
 		}
 	}
 	initiators := 2.0
-	for v, s := range w.buckets {
+	for v, s := range rc.buckets {
 		i := int(v[1]-'0') % 2
-		s.refill(w.now, w.set.Plans[i], initiators)
-		if w.set.Plans[i].RateLimit <= 0 {
+		s.refill(rc.now, rc.set.Plans[i], initiators)
+		if rc.set.Plans[i].RateLimit <= 0 {
 			s.tokens = 0
 		}
 		s.tokens = min(s.tokens, max(0, set.Plans[i].RateLimitBurst/initiators))
 	}
-	w.set = set
+	rc.set = set
 	return set
 }
 
@@ -439,11 +439,11 @@
 	return w.violations, digest
 }
 
-func (w *ruleChecker) randomOpen() *requestRecord {
-	if len(w.open) == 0 {
+func (rc *ruleChecker) randomOpen() *requestRecord {
+	if len(rc.open) == 0 {
 		return nil
 	}
-	return w.open[w.rng.IntN(len(w.open))]
+	return rc.open[rc.rng.IntN(len(rc.open))]
 }
 
 // TestRulesHoldForRandomEvents checks the seven rules over random event sequences, with each optional rule on and off, also while
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -63,27 +63,27 @@
 			if c.halfWarm {
 				set.Rules.ColdCapacityFraction, set.Rules.WarmUpTime, ep.Started = 0.5, 2*(time.Second-ms), ms
 			}
-			r := newHarness(t, set, ep)
+			h := newHarness(t, set, ep)
 			for i := range 6 {
 				id := string(rune('a' + i))
-				sent := len(r.sends)
-				r.step(testRequest(id, id, 1))
-				if len(r.sends) > sent {
-					r.endAttempt(id, Served, 5*ms)
+				sent := len(h.sends)
+				h.step(testRequest(id, id, 1))
+				if len(h.sends) > sent {
+					h.endAttempt(id, Served, 5*ms)
 				}
 			}
-			if len(r.sends) != c.sends || quota.reserveCalls != c.sends {
-				t.Errorf("%d sends, %d reservations, want %d", len(r.sends), quota.reserveCalls, c.sends)
+			if len(h.sends) != c.sends || quota.reserveCalls != c.sends {
+				t.Errorf("%d sends, %d reservations, want %d", len(h.sends), quota.reserveCalls, c.sends)
 			}
-			for _, a := range r.sends {
+			for _, a := range h.sends {
 				if a.Permit == nil {
 					t.Error("a send without a permit")
 				}
 			}
 			if quota.remaining[AllWork] = 10; c.name == "no work allowed" {
-				r.step(QuotaChanged{})
-				r.advance(20 * ms)
-				if len(r.sends) == 0 {
+				h.step(QuotaChanged{})
+				h.advance(20 * ms)
+				if len(h.sends) == 0 {
 					t.Error("nothing was sent after the quota grew")
 				}
 			}
@@ -93,13 +93,13 @@
 	set.Rules = Rules{RetryBudget: true, RetryBudgetWindow: time.Second} // the settings allow no retry
 	quota := &fixedQuota{remaining: map[Resource]float64{Retries: 1}}
 	set.Quota = quota
-	r := newHarness(t, set, upEndpoint("a", 0))
-	r.step(testRequest("a", "a", 1))
-	r.endAttempt("a", AnsweredError, 5*ms)
-	r.advance(100 * ms)
-	r.endAttempt("a", AnsweredError, 5*ms)
-	r.advance(100 * ms)
-	if len(r.sends) != 2 || quota.remaining[Retries] != 0 {
-		t.Errorf("%d attempts with a quota of one retry, %v left", len(r.sends), quota.remaining[Retries])
+	h := newHarness(t, set, upEndpoint("a", 0))
+	h.step(testRequest("a", "a", 1))
+	h.endAttempt("a", AnsweredError, 5*ms)
+	h.advance(100 * ms)
+	h.endAttempt("a", AnsweredError, 5*ms)
+	h.advance(100 * ms)
+	if len(h.sends) != 2 || quota.remaining[Retries] != 0 {
+		t.Errorf("%d attempts with a quota of one retry, %v left", len(h.sends), quota.remaining[Retries])
 	}
 }
--- a/internal/policy/scheduler_test.go
+++ b/internal/policy/scheduler_test.go
@@ -38,41 +38,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &harness{t: t, s: s, now: time.Second, attempts: map[string]int{}}
+	h := &harness{t: t, s: s, now: time.Second, attempts: map[string]int{}}
 	s.Step(0, nil) // the process has run for a second, so that it is known what it sent to endpoints that start now
-	r.step(EndpointList{Full: true, Endpoints: endpoints})
-	return r
+	h.step(EndpointList{Full: true, Endpoints: endpoints})
+	return h
 }
 
-func (r *harness) step(events ...Event) []Action {
-	out := r.s.Step(r.now, events)
+func (h *harness) step(events ...Event) []Action {
+	out := h.s.Step(h.now, events)
 	for _, a := range out {
 		switch a.Kind {
 		case Send:
-			r.sends, r.sentAt = append(r.sends, a), append(r.sentAt, r.now)
-			r.attempts[a.Request]++
+			h.sends, h.sentAt = append(h.sends, a), append(h.sentAt, h.now)
+			h.attempts[a.Request]++
 		case Reject, Fail:
-			r.ends = append(r.ends, a)
+			h.ends = append(h.ends, a)
 		}
 	}
 	return out
 }
 
 // advance advances the time by d and steps with a timer event every 5 ms.
-func (r *harness) advance(d time.Duration) {
-	for end := r.now + d; r.now < end; {
-		r.now += 5 * ms
-		r.step(TimerFired{})
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 5 * ms
+		h.step(TimerFired{})
 	}
 }
 
-func (r *harness) endAttempt(id string, code OutcomeCode, latency time.Duration) {
-	r.step(Outcome{ID: id, Attempt: r.attempts[id] - 1, Code: code, Latency: latency, Final: code == Served})
+func (h *harness) endAttempt(id string, code OutcomeCode, latency time.Duration) {
+	h.step(Outcome{ID: id, Attempt: h.attempts[id] - 1, Code: code, Latency: latency, Final: code == Served})
 }
 
-func (r *harness) sentIDs() []string {
+func (h *harness) sentIDs() []string {
 	var ids []string
-	for _, a := range r.sends {
+	for _, a := range h.sends {
 		ids = append(ids, a.Request)
 	}
 	return ids
@@ -99,13 +99,13 @@
 		{"bucket empty: after the largest start tag", []float64{8, 5}, 3, 500 * ms, -5},
 		{"bucket exactly empty: after the largest start tag", []float64{11}, 2, 200 * ms, -2},
 	} {
-		r := newHarness(t, testSettings()) // no endpoint: nothing is sent
+		h := newHarness(t, testSettings()) // no endpoint: nothing is sent
 		for i, u := range c.before {
-			r.step(testRequest(string(rune('a'+i)), "v", u))
+			h.step(testRequest(string(rune('a'+i)), "v", u))
 		}
-		r.step(testRequest("x", "v", c.units))
-		x := r.s.requests["x"]
-		if got := (x.startTag - r.now).Round(time.Microsecond); got != c.start {
+		h.step(testRequest("x", "v", c.units))
+		x := h.s.requests["x"]
+		if got := (x.startTag - h.now).Round(time.Microsecond); got != c.start {
 			t.Errorf("%s: start tag %v after now, want %v", c.name, got, c.start)
 		}
 		if x.finishTag-x.startTag != 400*ms {
@@ -136,28 +136,28 @@
 // TestQueuedRequestIsRejectedInTime checks that a request for a shard that no endpoint holds is rejected
 // before its client's time ends.
 func TestQueuedRequestIsRejectedInTime(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 1))
+	h := newHarness(t, testSettings(), upEndpoint("n", 1))
 	q := testRequest("a", "v", 1)
 	q.TimeLeft = 100 * ms
-	r.step(q)
-	r.advance(98 * ms)
-	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
-		t.Fatalf("sends %v, ends %v; want one Reject", r.sends, r.ends)
+	h.step(q)
+	h.advance(98 * ms)
+	if len(h.sends) != 0 || len(h.ends) != 1 || h.ends[0].Kind != Reject {
+		t.Fatalf("sends %v, ends %v; want one Reject", h.sends, h.ends)
 	}
 }
 
 // TestDrainingEndpointGetsNoRequest checks that a draining endpoint gets no request, and that the new
 // endpoint of the shard gets the queued one.
 func TestDrainingEndpointGetsNoRequest(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("old", 0))
-	r.step(EndpointList{Endpoints: []Endpoint{{ID: "old", State: Draining}}}, testRequest("a", "v", 1))
-	r.advance(50 * ms)
-	if len(r.sends) != 0 {
-		t.Fatalf("sent to a draining endpoint: %v", r.sends)
+	h := newHarness(t, testSettings(), upEndpoint("old", 0))
+	h.step(EndpointList{Endpoints: []Endpoint{{ID: "old", State: Draining}}}, testRequest("a", "v", 1))
+	h.advance(50 * ms)
+	if len(h.sends) != 0 {
+		t.Fatalf("sent to a draining endpoint: %v", h.sends)
 	}
-	r.step(EndpointList{Endpoints: []Endpoint{upEndpoint("new", 0)}})
-	if len(r.sends) != 1 || r.sends[0].Endpoint != "new" {
-		t.Fatalf("sends %v, want one to the new endpoint", r.sends)
+	h.step(EndpointList{Endpoints: []Endpoint{upEndpoint("new", 0)}})
+	if len(h.sends) != 1 || h.sends[0].Endpoint != "new" {
+		t.Fatalf("sends %v, want one to the new endpoint", h.sends)
 	}
 }
 
@@ -165,22 +165,22 @@
 // all requests were expected to miss their objectives, nothing was sent, and so no answer ever corrected
 // the estimate.
 func TestLatencyEstimateDecays(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
 	for i := range 5 {
 		id := string(rune('a' + i))
-		r.step(testRequest(id, "v", 1))
-		r.now += 30 * ms
-		r.endAttempt(id, Served, 30*ms)
-	}
-	r.step(testRequest("slow", "v", 1))
-	r.now += 5 * time.Second
-	r.endAttempt("slow", Served, 5*time.Second)
-	r.now += 10 * time.Second // long enough for the estimate to decay
-	r.step(testRequest("next", "v", 1))
-	if got := r.sentIDs(); got[len(got)-1] != "next" {
+		h.step(testRequest(id, "v", 1))
+		h.now += 30 * ms
+		h.endAttempt(id, Served, 30*ms)
+	}
+	h.step(testRequest("slow", "v", 1))
+	h.now += 5 * time.Second
+	h.endAttempt("slow", Served, 5*time.Second)
+	h.now += 10 * time.Second // long enough for the estimate to decay
+	h.step(testRequest("next", "v", 1))
+	if got := h.sentIDs(); got[len(got)-1] != "next" {
 		t.Fatalf("sent %v, want the next request sent at once", got)
 	}
-	if r.s.requests["next"].pastObjective {
+	if h.s.requests["next"].pastObjective {
 		t.Fatal("the next request counts as past its objective")
 	}
 }
@@ -192,16 +192,16 @@
 	set.Classes[0].PriorityWeight = 1
 	set.Classes = append(set.Classes, Class{Name: "dear", LatencyObjective: 400 * ms, Deadline: 2 * time.Second, PriorityWeight: 3})
 	set.Plans[0].PriorityFactor = 1
-	r := newHarness(t, set, upEndpoint("n", 0))
-	r.step(testRequest("warm", "v", 1))
-	r.advance(300 * ms)
-	r.endAttempt("warm", Served, 300*ms)
-	ep := r.s.byID["n"]
+	h := newHarness(t, set, upEndpoint("n", 0))
+	h.step(testRequest("warm", "v", 1))
+	h.advance(300 * ms)
+	h.endAttempt("warm", Served, 300*ms)
+	ep := h.s.byID["n"]
 	ep.concurrencyLimit = 1
 	a, b, c := testRequest("cheap1", "v", 1), testRequest("cheap2", "w", 1), testRequest("dear", "x", 1)
 	c.Class = "dear"
-	r.step(a, b, c)
-	if got := r.sentIDs(); len(got) != 2 || got[1] != "dear" {
+	h.step(a, b, c)
+	if got := h.sentIDs(); len(got) != 2 || got[1] != "dear" {
 		t.Fatalf("sent %v, want the most valuable of three requests, since only one can be served in time", got)
 	}
 }
@@ -209,20 +209,20 @@
 // TestShortTimeoutIsNotTakenForRetry guards against incident i4c00f7: when all clients used a tenth of
 // their usual timeout, every request was taken for a late retry and queued until it was rejected.
 func TestShortTimeoutIsNotTakenForRetry(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
-	r.step(testRequest("full", "v", 1))
-	r.now += 20 * ms
-	r.endAttempt("full", Served, 20*ms)
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h.step(testRequest("full", "v", 1))
+	h.now += 20 * ms
+	h.endAttempt("full", Served, 20*ms)
 	for i := range 40 {
 		q := testRequest(string(rune('A'+i)), "v", 1)
 		q.TimeLeft = 200 * ms
-		r.step(q)
-		r.now += 20 * ms
-		if r.attempts[q.ID] > 0 {
-			r.endAttempt(q.ID, Served, 20*ms)
+		h.step(q)
+		h.now += 20 * ms
+		if h.attempts[q.ID] > 0 {
+			h.endAttempt(q.ID, Served, 20*ms)
 		}
 	}
-	if got := len(r.sends); got < 25 {
+	if got := len(h.sends); got < 25 {
 		t.Fatalf("%d of 41 requests sent", got)
 	}
 }
@@ -230,15 +230,15 @@
 // TestQuickErrorsCountLess guards against lost throughput at endpoints that fail some of their requests
 // quickly: three errors in a row must not limit an endpoint to one attempt at a time, while twelve must.
 func TestQuickErrorsCountLess(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
-	ep := r.s.byID["n"]
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
+	ep := h.s.byID["n"]
 	for i := range 12 {
 		id := string(rune('a' + i))
-		r.now += time.Second
-		r.step(testRequest(id, "v", 1))
-		r.endAttempt(id, AnsweredError, ms)
-		r.step(ClientGone{ID: id})
-		if got, want := r.s.isFaulty(ep), i >= 11; got != want {
+		h.now += time.Second
+		h.step(testRequest(id, "v", 1))
+		h.endAttempt(id, AnsweredError, ms)
+		h.step(ClientGone{ID: id})
+		if got, want := h.s.isFaulty(ep), i >= 11; got != want {
 			t.Fatalf("after %d errors faulty is %v, want %v", i+1, got, want)
 		}
 	}
@@ -249,18 +249,18 @@
 func TestSilentEndpointGetsOneAttempt(t *testing.T) {
 	set := testSettings()
 	set.Initiators = 4 // so that each initiator's share of the endpoint's concurrency is one request
-	r := newHarness(t, set, upEndpoint("n", 0))
-	r.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
-	r.now += 500 * ms
+	h := newHarness(t, set, upEndpoint("n", 0))
+	h.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
+	h.now += 500 * ms
 	for i := range 5 {
-		r.step(testRequest(string(rune('p'+i)), "w", 1))
+		h.step(testRequest(string(rune('p'+i)), "w", 1))
 	}
-	if got := r.sentIDs(); len(got) != 3 {
+	if got := h.sentIDs(); len(got) != 3 {
 		t.Fatalf("sent %v, want the two unanswered ones and one trial", got)
 	}
-	r.now += 10 * ms
-	r.endAttempt("p", Served, 10*ms)
-	if got := r.sentIDs(); len(got) != 4 {
+	h.now += 10 * ms
+	h.endAttempt("p", Served, 10*ms)
+	if got := h.sentIDs(); len(got) != 4 {
 		t.Fatalf("sent %v, want one more after the trial's answer", got)
 	}
 }
@@ -271,29 +271,29 @@
 	set := testSettings()
 	set.Classes[0] = Class{Name: "get", LatencyObjective: 10 * time.Second, Deadline: 60 * time.Second}
 	set.Plans[0].Rate, set.Plans[0].ReservedRate = 50, 50
-	r := newHarness(t, set, upEndpoint("n", 0))
-	ep := r.s.byID["n"]
+	h := newHarness(t, set, upEndpoint("n", 0))
+	ep := h.s.byID["n"]
 	addRequests := func(vol string, count int) {
 		for range count {
-			q := testRequest(vol+string(rune(0x4e00+len(r.s.requests)+len(r.sends))), vol, 1)
+			q := testRequest(vol+string(rune(0x4e00+len(h.s.requests)+len(h.sends))), vol, 1)
 			q.TimeLeft = time.Minute
-			r.step(q)
+			h.step(q)
 		}
 	}
 	served := map[byte]int{}
-	play := func(steps int) { // the endpoint serves one request each 10 ms, in the order sent
+	serveSteps := func(steps int) { // the endpoint serves one request each 10 ms, in the order sent
 		for range steps {
-			r.now += 10 * ms
+			h.now += 10 * ms
 			ep.concurrencyLimit = 1
 			if len(ep.inFlight) > 0 {
 				id := ep.inFlight[0].ID
 				served[id[0]]++
-				r.endAttempt(id, Served, 10*ms)
+				h.endAttempt(id, Served, 10*ms)
 			}
 		}
 	}
 	addRequests("1", 200)
-	play(200)
+	serveSteps(200)
 	if served['1'] < 195 {
 		t.Fatalf("%d of 200 served from spare capacity", served['1'])
 	}
@@ -301,7 +301,7 @@
 	addRequests("2", 100)
 	for range 50 {
 		addRequests("1", 1)
-		play(2)
+		serveSteps(2)
 	}
 	if served['1'] < 20 || served['2'] < 20 {
 		t.Fatalf("in the second thereafter: %v served, want neither client starved", served)
@@ -322,13 +322,13 @@
 		{"four waiting", Load{Queued: 4, InFlight: 30}, 0, 0.05 * (1 + 4*latencyPerLoad)},
 		{"no new report for a long time", Load{Queued: 4, InFlight: -1}, 30 * time.Second, 0.05},
 	} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
-		r.step(testRequest("a", "v", 1))
-		r.now += 50 * ms
-		r.step(Outcome{ID: "a", Code: Served, Latency: 50 * ms, Final: true, Load: &c.load})
-		r.now += c.gap
-		r.step()
-		if got := r.s.expectedLatency(r.s.byID["n"]); math.Abs(got-c.want) > 1e-6 {
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h.step(testRequest("a", "v", 1))
+		h.now += 50 * ms
+		h.step(Outcome{ID: "a", Code: Served, Latency: 50 * ms, Final: true, Load: &c.load})
+		h.now += c.gap
+		h.step()
+		if got := h.s.expectedLatency(h.s.byID["n"]); math.Abs(got-c.want) > 1e-6 {
 			t.Errorf("%s: %.4f s expected, want %.4f", c.name, got, c.want)
 		}
 	}
@@ -337,15 +337,15 @@
 // TestAnswerAfterGapHasFullWeight guards against an old latency estimate that outweighs a new answer after a long gap, at an
 // initiator that gets an answer only every few seconds.
 func TestAnswerAfterGapHasFullWeight(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
 	for i, latency := range []time.Duration{50 * ms, 50 * ms, 600 * ms} {
 		id := fmt.Sprintf("a%d", i)
-		r.advance(10 * time.Second)
-		r.step(testRequest(id, "v", 1))
-		r.advance(latency)
-		r.endAttempt(id, Served, latency)
+		h.advance(10 * time.Second)
+		h.step(testRequest(id, "v", 1))
+		h.advance(latency)
+		h.endAttempt(id, Served, latency)
 	}
-	if got := r.s.expectedLatency(r.s.byID["n"]); got < 0.5 {
+	if got := h.s.expectedLatency(h.s.byID["n"]); got < 0.5 {
 		t.Fatalf("%.2f s expected after an answer in 0.6 s, long after the previous ones", got)
 	}
 }
@@ -353,12 +353,12 @@
 // TestTimerFiresEarly guards against a lost request found by hunt --rules: the timer fired a fraction of a microsecond
 // early, nothing was due yet, and no other timer was set.
 func TestTimerFiresEarly(t *testing.T) {
-	r := newHarness(t, testSettings()) // no endpoint: queued until it is rejected
+	h := newHarness(t, testSettings()) // no endpoint: queued until it is rejected
 	q := testRequest("a", "v", 1)
-	r.step(q)
-	for end := r.now + q.TimeLeft; r.now < end; {
+	h.step(q)
+	for end := h.now + q.TimeLeft; h.now < end; {
 		wait := time.Duration(-1)
-		for _, a := range r.step(TimerFired{}) {
+		for _, a := range h.step(TimerFired{}) {
 			if a.Kind == SetTimer {
 				wait = a.Wait
 			}
@@ -366,10 +366,10 @@
 		if wait < 0 {
 			break
 		}
-		r.now += wait - time.Nanosecond
+		h.now += wait - time.Nanosecond
 	}
-	if len(r.ends) != 1 {
-		t.Fatalf("no final answer by %v, and no timer is set", r.now)
+	if len(h.ends) != 1 {
+		t.Fatalf("no final answer by %v, and no timer is set", h.now)
 	}
 }
 
@@ -386,23 +386,23 @@
 		{"timers fired", false, 400 * ms, true},
 		{"paused", true, 100 * ms, false},
 	} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
-		r.step(testRequest("a", "v", 1))
-		r.advance(50 * ms)
-		r.endAttempt("a", Served, 50*ms)
-		r.step(testRequest("b", "v", 1))
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h.step(testRequest("a", "v", 1))
+		h.advance(50 * ms)
+		h.endAttempt("a", Served, 50*ms)
+		h.step(testRequest("b", "v", 1))
 		if c.paused {
-			r.now += 600 * ms
+			h.now += 600 * ms
 		} else {
-			r.advance(600 * ms)
+			h.advance(600 * ms)
 		}
 		q := testRequest("c", "v", 1)
 		q.TimeLeft -= 300 * ms
-		r.step(q, Outcome{ID: "b", Code: Served, Latency: 600 * ms, Final: true})
-		if got := r.s.requests["c"].objectiveAt - r.now; got != c.objective {
+		h.step(q, Outcome{ID: "b", Code: Served, Latency: 600 * ms, Final: true})
+		if got := h.s.requests["c"].objectiveAt - h.now; got != c.objective {
 			t.Errorf("%s: objective in %v, want %v", c.name, got, c.objective)
 		}
-		if got := r.s.byID["n"].latency > 0.06; got != c.updates {
+		if got := h.s.byID["n"].latency > 0.06; got != c.updates {
 			t.Errorf("%s: estimate updated: %v, want %v", c.name, got, c.updates)
 		}
 	}
@@ -410,15 +410,15 @@
 
 // TestShortDeadlineIsNoFailure guards against counting an attempt that a client's short deadline ended as a failure of the endpoint.
 func TestShortDeadlineIsNoFailure(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
 	for i := range 5 {
 		q := testRequest(fmt.Sprintf("a%d", i), "v", 1)
 		q.TimeLeft = 60 * ms
-		r.step(q)
-		r.now += 60 * ms
-		r.endAttempt(q.ID, TimedOut, 60*ms)
+		h.step(q)
+		h.now += 60 * ms
+		h.endAttempt(q.ID, TimedOut, 60*ms)
 	}
-	if r.s.isFaulty(r.s.byID["n"]) {
+	if h.s.isFaulty(h.s.byID["n"]) {
 		t.Fatal("five attempts with short deadlines make the endpoint faulty")
 	}
 }
@@ -429,30 +429,30 @@
 		set := testSettings()
 		set.Rules.RetryBudget, set.Rules.RetryBudgetWindow, set.Rules.RetryBudgetFree = budget, time.Second, 3
 		set.Classes[0].Ordered, set.Rules.OrderedQuietTime = true, 100*ms
-		r := newHarness(t, set, upEndpoint("n0", 0))
+		h := newHarness(t, set, upEndpoint("n0", 0))
 		for i := range 4000 {
 			if i%10 == 0 {
-				r.step(EndpointList{Full: true, Endpoints: []Endpoint{{ID: fmt.Sprintf("n%d", i), Started: r.now - time.Hour}}})
+				h.step(EndpointList{Full: true, Endpoints: []Endpoint{{ID: fmt.Sprintf("n%d", i), Started: h.now - time.Hour}}})
 			}
 			q := testRequest(fmt.Sprintf("r%d", i), fmt.Sprintf("v%d", i), 1)
 			q.Extent = fmt.Sprintf("k%d", i)
-			r.step(q)
-			r.now += 20 * ms
-			if r.attempts[q.ID] > 0 {
-				r.endAttempt(q.ID, []OutcomeCode{Served, ConnectionReset}[i%2], 20*ms)
+			h.step(q)
+			h.now += 20 * ms
+			if h.attempts[q.ID] > 0 {
+				h.endAttempt(q.ID, []OutcomeCode{Served, ConnectionReset}[i%2], 20*ms)
 			}
 			for range 5 {
-				r.now += time.Second
-				r.step(TimerFired{})
+				h.now += time.Second
+				h.step(TimerFired{})
 			}
-			for _, a := range r.sends {
-				if r.s.requests[a.Request] != nil && r.s.requests[a.Request].inFlightAt != nil {
-					r.endAttempt(a.Request, Served, time.Second)
+			for _, a := range h.sends {
+				if h.s.requests[a.Request] != nil && h.s.requests[a.Request].inFlightAt != nil {
+					h.endAttempt(a.Request, Served, time.Second)
 				}
 			}
-			r.sends = nil
+			h.sends = nil
 		}
-		s := r.s
+		s := h.s
 		for name, size := range map[string]int{"requests": len(s.requests), "recent requests": len(s.recentRequests), "recent retries": len(s.recentRetries),
 			"rejected": len(s.rejected), "rejected in order": len(s.rejectedInOrder), "deadlines": len(s.deadlines)} {
 			if size > 10 {
@@ -471,10 +471,10 @@
 // TestSettingsAreCopied checks that a caller may reuse the slices of its settings.
 func TestSettingsAreCopied(t *testing.T) {
 	set := testSettings()
-	r := newHarness(t, set, upEndpoint("n", 0))
+	h := newHarness(t, set, upEndpoint("n", 0))
 	set.Classes[0].LatencyObjective, set.Plans[0].Rate = 0, 0
-	r.step(testRequest("a", "v", 1))
-	if r.s.classes["get"].LatencyObjective != 400*ms || r.s.plans["std"].Rate != 10 {
+	h.step(testRequest("a", "v", 1))
+	if h.s.classes["get"].LatencyObjective != 400*ms || h.s.plans["std"].Rate != 10 {
 		t.Fatal("the settings changed with the caller's slices")
 	}
 }
@@ -485,21 +485,21 @@
 	limitAfter := func(congested bool) float64 {
 		set := testSettings()
 		set.Initiators = 8 // so that its share of the endpoint's concurrency is below either limit
-		r := newHarness(t, set, upEndpoint("n", 0))
-		ep := r.s.byID["n"]
-		r.advance(time.Minute)
+		h := newHarness(t, set, upEndpoint("n", 0))
+		ep := h.s.byID["n"]
+		h.advance(time.Minute)
 		for i := range 60 {
 			if congested {
-				ep.congestedAt = r.now
+				ep.congestedAt = h.now
 			}
 			a, b := testRequest(fmt.Sprintf("a%d", i), "v", 1), testRequest(fmt.Sprintf("b%d", i), "w", 1)
-			r.step(a, b)
+			h.step(a, b)
 			latency := time.Duration(20+15*(i%4)) * ms
-			r.advance(latency)
+			h.advance(latency)
 			for _, q := range slices.Clone(ep.inFlight) {
-				r.endAttempt(q.ID, Served, latency)
+				h.endAttempt(q.ID, Served, latency)
 			}
-			r.advance(100 * ms)
+			h.advance(100 * ms)
 		}
 		return ep.concurrencyLimit
 	}
@@ -518,20 +518,20 @@
 		set := testSettings()
 		set.Initiators, set.InitiatorIndex, set.ColdUnitsPerWindow = 200, index+1, 10
 		set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 10 * time.Second, OverloadWindow: time.Second, OverloadFactor: 3}
-		r := newHarness(t, set, upEndpoint("n", 0))
-		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: r.now - time.Millisecond}}})
-		listedAt := r.now
+		h := newHarness(t, set, upEndpoint("n", 0))
+		h.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: h.now - time.Millisecond}}})
+		listedAt := h.now
 		first, sent := time.Duration(0), []time.Duration{}
 		for i := range 400 {
 			q := testRequest(fmt.Sprintf("r%d", i), "v", 1)
-			r.step(q)
-			if n := len(r.sends); n > len(sent) {
-				sent = append(sent, r.now)
+			h.step(q)
+			if n := len(h.sends); n > len(sent) {
+				sent = append(sent, h.now)
 				if first == 0 {
-					first = r.now - listedAt + 1
+					first = h.now - listedAt + 1
 				}
 			}
-			r.advance(15 * ms)
+			h.advance(15 * ms)
 		}
 		if first > 0 {
 			senders++
@@ -563,26 +563,26 @@
 		set := testSettings()
 		set.Initiators, set.ColdUnitsPerWindow = 200, 10
 		set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 10 * time.Second, OverloadWindow: time.Second, OverloadFactor: 3}
-		r := newHarness(t, set, upEndpoint("n", 0))
-		r.s.initiatorIndex = 0
-		for r.s.initiatorRank(&endpoint{Endpoint: upEndpoint("n", 0)}) > 0.01 { // one of the initiators that send first to this endpoint
-			r.s.initiatorIndex++
-		}
-		r.advance(20 * time.Second)
-		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: r.now - time.Millisecond}}})
-		began := len(r.sends)
+		h := newHarness(t, set, upEndpoint("n", 0))
+		h.s.initiatorIndex = 0
+		for h.s.initiatorRank(&endpoint{Endpoint: upEndpoint("n", 0)}) > 0.01 { // one of the initiators that send first to this endpoint
+			h.s.initiatorIndex++
+		}
+		h.advance(20 * time.Second)
+		h.step(EndpointList{Endpoints: []Endpoint{{ID: "n", Started: h.now - time.Millisecond}}})
+		began := len(h.sends)
 		for i := range 10 {
 			id := fmt.Sprintf("r%d", i)
-			r.step(testRequest(id, "v", 1), testRequest(id+"b", "w", 1))
-			if inFlight := len(r.s.byID["n"].inFlight); inFlight > 1 {
+			h.step(testRequest(id, "v", 1), testRequest(id+"b", "w", 1))
+			if inFlight := len(h.s.byID["n"].inFlight); inFlight > 1 {
 				t.Errorf("%+v: %d in flight at a cold endpoint", c.load, inFlight)
 			}
-			r.now += 40 * ms
-			for _, q := range r.s.byID["n"].inFlight {
-				r.step(Outcome{ID: q.ID, Attempt: r.attempts[q.ID] - 1, Code: Served, Latency: 40 * ms, Final: true, Load: c.load})
+			h.now += 40 * ms
+			for _, q := range h.s.byID["n"].inFlight {
+				h.step(Outcome{ID: q.ID, Attempt: h.attempts[q.ID] - 1, Code: Served, Latency: 40 * ms, Final: true, Load: c.load})
 			}
 		}
-		if got := len(r.sends) - began; got < c.want || c.want == 1 && got > 1 {
+		if got := len(h.sends) - began; got < c.want || c.want == 1 && got > 1 {
 			t.Errorf("%+v: %d sent in 0.4 s, want %d", c.load, got, c.want)
 		}
 	}
@@ -593,27 +593,27 @@
 // connection a cost.
 func TestConnectCostDelaysNewConnections(t *testing.T) {
 	set := testSettings()
-	r := newHarness(t, set, upEndpoint("n", 0))
-	r.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
-	if len(r.sends) != 2 {
-		t.Fatalf("%d of 2 sent at once without a connect cost", len(r.sends))
+	h := newHarness(t, set, upEndpoint("n", 0))
+	h.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
+	if len(h.sends) != 2 {
+		t.Fatalf("%d of 2 sent at once without a connect cost", len(h.sends))
 	}
 	set.ConnectCost = 0.08
-	r = newHarness(t, set, upEndpoint("n", 0))
-	r.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
-	r.advance(100 * ms)
-	if len(r.sends) != 1 {
-		t.Fatalf("%d sent 100 ms into an objective of 400 ms, want 1 on the one connection", len(r.sends))
+	h = newHarness(t, set, upEndpoint("n", 0))
+	h.step(testRequest("a", "v", 1), testRequest("b", "v", 1))
+	h.advance(100 * ms)
+	if len(h.sends) != 1 {
+		t.Fatalf("%d sent 100 ms into an objective of 400 ms, want 1 on the one connection", len(h.sends))
 	}
-	r.advance(120 * ms)
-	if len(r.sends) != 2 {
-		t.Fatalf("%d sent past half of the objective, want the second one on a new connection", len(r.sends))
+	h.advance(120 * ms)
+	if len(h.sends) != 2 {
+		t.Fatalf("%d sent past half of the objective, want the second one on a new connection", len(h.sends))
 	}
-	r.endAttempt("a", Served, 220*ms)
-	r.endAttempt("b", Served, 20*ms)
-	r.step(testRequest("c", "v", 1), testRequest("d", "v", 1))
-	if len(r.sends) != 4 {
-		t.Errorf("%d of 2 more sent at once on the two existing connections", len(r.sends)-2)
+	h.endAttempt("a", Served, 220*ms)
+	h.endAttempt("b", Served, 20*ms)
+	h.step(testRequest("c", "v", 1), testRequest("d", "v", 1))
+	if len(h.sends) != 4 {
+		t.Errorf("%d of 2 more sent at once on the two existing connections", len(h.sends)-2)
 	}
 }
 
@@ -622,18 +622,18 @@
 func TestImplausibleLoadReports(t *testing.T) {
 	for _, load := range []*Load{nil, {Queued: -1, InFlight: -1}, {Queued: 1e300, InFlight: -1}, {Queued: math.Inf(1)},
 		{Queued: math.NaN(), InFlight: math.NaN()}, {Queued: -7, InFlight: -1e9}} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
 		for i := range 3 {
 			id := fmt.Sprintf("a%d", i)
-			r.step(testRequest(id, "v", 1))
-			r.now += 40 * ms
-			r.step(Outcome{ID: id, Code: Served, Latency: 40 * ms, Final: true, Load: load})
+			h.step(testRequest(id, "v", 1))
+			h.now += 40 * ms
+			h.step(Outcome{ID: id, Code: Served, Latency: 40 * ms, Final: true, Load: load})
 		}
-		if got := r.s.expectedLatency(r.s.byID["n"]); got < 0.039 || got > 0.041 {
+		if got := h.s.expectedLatency(h.s.byID["n"]); got < 0.039 || got > 0.041 {
 			t.Errorf("%+v: %v s expected, want the 40 ms of the answers", load, got)
 		}
-		if len(r.sends) != 3 {
-			t.Errorf("%+v: %d of 3 sent", load, len(r.sends))
+		if len(h.sends) != 3 {
+			t.Errorf("%+v: %d of 3 sent", load, len(h.sends))
 		}
 	}
 }
@@ -641,13 +641,13 @@
 // TestRejectedByHalfOfItsTime checks that a request without an attempt is rejected before half of its time has passed,
 // with the wait after which a retry makes sense: queueing it longer costs its client the time for a retry elsewhere.
 func TestRejectedByHalfOfItsTime(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 1)) // no endpoint holds shard 0
+	h := newHarness(t, testSettings(), upEndpoint("n", 1)) // no endpoint holds shard 0
 	q := testRequest("a", "v", 1)
 	q.TimeLeft = time.Second
-	r.step(q)
-	r.advance(500 * ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
-		t.Fatalf("ends %v by half of the time, want one Reject", r.ends)
+	h.step(q)
+	h.advance(500 * ms)
+	if len(h.ends) != 1 || h.ends[0].Kind != Reject {
+		t.Fatalf("ends %v by half of the time, want one Reject", h.ends)
 	}
 }
 
@@ -656,17 +656,17 @@
 // last extent.
 func TestFullEndpointSkipsQueueScan(t *testing.T) {
 	for _, extent := range []string{"other", "same"} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
-		r.s.byID["n"].concurrencyLimit = 1
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h.s.byID["n"].concurrencyLimit = 1
 		inFlight := testRequest("out", "v", 1)
 		inFlight.Extent = "same"
-		r.step(inFlight)
-		r.s.sendable = nil
+		h.step(inFlight)
+		h.s.sendable = nil
 		queued := testRequest("held", "w", 1)
 		queued.Extent = extent
-		r.step(queued)
-		if scanned := r.s.sendable != nil; scanned != (extent == "same") || scanned != (len(r.sends) == 2) {
-			t.Errorf("queued request of extent %q: scanned %v, sent %v", extent, scanned, r.sentIDs())
+		h.step(queued)
+		if scanned := h.s.sendable != nil; scanned != (extent == "same") || scanned != (len(h.sends) == 2) {
+			t.Errorf("queued request of extent %q: scanned %v, sent %v", extent, scanned, h.sentIDs())
 		}
 	}
 }
@@ -677,17 +677,17 @@
 	for initiators, want := range map[int]float64{1: 4, 2: 2, 8: 1} {
 		set := testSettings()
 		set.Initiators = initiators
-		r := newHarness(t, set, upEndpoint("n", 0))
-		r.s.byID["n"].concurrencyLimit = 6
+		h := newHarness(t, set, upEndpoint("n", 0))
+		h.s.byID["n"].concurrencyLimit = 6
 		for i := range 80 {
 			id := fmt.Sprintf("a%d", i)
-			r.step(testRequest(id, "v", 1))
+			h.step(testRequest(id, "v", 1))
 			latency := time.Duration(10+i*5) * ms
-			r.advance(latency)
-			r.s.byID["n"].congestedAt = r.now
-			r.endAttempt(id, Served, latency)
+			h.advance(latency)
+			h.s.byID["n"].congestedAt = h.now
+			h.endAttempt(id, Served, latency)
 		}
-		if got := math.Round(r.s.byID["n"].concurrencyLimit); got != want {
+		if got := math.Round(h.s.byID["n"].concurrencyLimit); got != want {
 			t.Errorf("%d initiators: limit %v after increasingly slow answers, want %v", initiators, got, want)
 		}
 	}
@@ -696,17 +696,17 @@
 // TestSlowFirstAnswerDoesNotBlockClass guards against a feedback loop at an endpoint whose first answer took longer than the
 // objective: every later request expired at once, so that no answer could ever show that the endpoint is fast again.
 func TestSlowFirstAnswerDoesNotBlockClass(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
-	r.step(testRequest("slow", "v", 1))
-	r.advance(900 * ms)
-	r.endAttempt("slow", Served, 900*ms)
-	r.step(testRequest("lapsed", "v", 1))
-	if len(r.ends) != 1 || r.ends[0].Request != "lapsed" {
-		t.Fatalf("ends %v, want one rejected: the endpoint takes 900 ms", r.ends)
-	}
-	r.advance(3 * time.Second)
-	r.step(testRequest("trial", "v", 1))
-	if got := r.sentIDs(); !slices.Contains(got, "trial") {
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h.step(testRequest("slow", "v", 1))
+	h.advance(900 * ms)
+	h.endAttempt("slow", Served, 900*ms)
+	h.step(testRequest("lapsed", "v", 1))
+	if len(h.ends) != 1 || h.ends[0].Request != "lapsed" {
+		t.Fatalf("ends %v, want one rejected: the endpoint takes 900 ms", h.ends)
+	}
+	h.advance(3 * time.Second)
+	h.step(testRequest("trial", "v", 1))
+	if got := h.sentIDs(); !slices.Contains(got, "trial") {
 		t.Errorf("sent %v, want a trial after some time without an answer", got)
 	}
 }
@@ -716,22 +716,22 @@
 // endpoint rejected stays queued.
 func TestRejectedAtObjective(t *testing.T) {
 	for _, sent := range []bool{false, true} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
 		if !sent {
-			r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
+			h.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		}
-		r.step(testRequest("a", "v", 1))
+		h.step(testRequest("a", "v", 1))
 		if sent {
-			r.endAttempt("a", Rejected, ms)
-			r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
+			h.endAttempt("a", Rejected, ms)
+			h.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
 		}
-		r.advance(380 * ms)
-		if len(r.ends) != 0 {
-			t.Errorf("sent %v: ended %v within the objective", sent, r.ends)
+		h.advance(380 * ms)
+		if len(h.ends) != 0 {
+			t.Errorf("sent %v: ended %v within the objective", sent, h.ends)
 		}
-		r.advance(30 * ms)
-		if len(r.ends) != 1 || r.ends[0].Kind != Reject || r.ends[0].Wait < 1500*ms {
-			t.Errorf("sent %v: ends %v past the objective, want one Reject with a wait until the client's deadline", sent, r.ends)
+		h.advance(30 * ms)
+		if len(h.ends) != 1 || h.ends[0].Kind != Reject || h.ends[0].Wait < 1500*ms {
+			t.Errorf("sent %v: ends %v past the objective, want one Reject with a wait until the client's deadline", sent, h.ends)
 		}
 	}
 }
@@ -739,26 +739,26 @@
 // TestExpiresBeforeObjective checks that a request that a busy endpoint can no longer serve in time is rejected before its
 // objective ends, and that its units are refunded to its volume.
 func TestExpiresBeforeObjective(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
-	r.step(testRequest("warm", "v", 1))
-	r.advance(200 * ms)
-	r.endAttempt("warm", Served, 200*ms)
-	r.s.byID["n"].concurrencyLimit = 1
-	r.step(testRequest("first", "v", 1), testRequest("next", "w", 1))
-	before := r.s.volumes["w"].tokens
-	r.advance(250 * ms)
-	r.endAttempt("first", Served, 250*ms)
-	if len(r.ends) != 1 || r.ends[0].Request != "next" || r.ends[0].Kind != Reject {
-		t.Fatalf("ends %v, want next rejected: 200 ms of work do not fit into the remaining 150 ms", r.ends)
-	}
-	if got := r.s.volumes["w"].tokens; got != before+1 {
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h.step(testRequest("warm", "v", 1))
+	h.advance(200 * ms)
+	h.endAttempt("warm", Served, 200*ms)
+	h.s.byID["n"].concurrencyLimit = 1
+	h.step(testRequest("first", "v", 1), testRequest("next", "w", 1))
+	before := h.s.volumes["w"].tokens
+	h.advance(250 * ms)
+	h.endAttempt("first", Served, 250*ms)
+	if len(h.ends) != 1 || h.ends[0].Request != "next" || h.ends[0].Kind != Reject {
+		t.Fatalf("ends %v, want next rejected: 200 ms of work do not fit into the remaining 150 ms", h.ends)
+	}
+	if got := h.s.volumes["w"].tokens; got != before+1 {
 		t.Errorf("%v tokens after %v, want one refunded", got, before)
 	}
 }
 
 // TestRetryNearDedupWindowEnd ends an attempt with an idempotency key by a connection reset at every millisecond around the end of the
 // deduplication window. A retry is sent only within the window, with the time until which it may be written, and only to an endpoint
-// in the deduplication scope. If no retry is possible any more, the request ends.
+// in the deduplication scope. If no retry is possible any more, the request ends at once.
 func TestRetryNearDedupWindowEnd(t *testing.T) {
 	const window = 300 * ms
 	for _, scope := range []DedupScope{DedupFleet, DedupZone, DedupShard} {
@@ -766,29 +766,29 @@
 		for endedAfter := 200 * ms; endedAfter < window+20*ms; endedAfter += ms {
 			set := testSettings()
 			set.Classes[0].Effect, set.Classes[0].DedupScope, set.Classes[0].DedupWindow = IdempotentWithKey, scope, window
-			r := newHarness(t, set, Endpoint{ID: "n", Zone: "a"})
+			h := newHarness(t, set, Endpoint{ID: "n", Zone: "a"})
 			x := testRequest("x", "v", 1)
 			x.Extent = "e"
-			r.step(x)
-			sent := r.now
-			r.now += endedAfter
-			r.endAttempt("x", ConnectionReset, endedAfter)
+			h.step(x)
+			sent := h.now
+			h.now += endedAfter
+			h.endAttempt("x", ConnectionReset, endedAfter)
 			next, sameZone := Endpoint{ID: "m", Zone: "b"}, endedAfter%(2*ms) == 0
 			if sameZone {
 				next.Zone = "a"
 			}
-			r.step(EndpointList{Full: true, Endpoints: []Endpoint{next}})
-			r.advance(500 * ms)
-			if len(r.sends) == 1 {
+			h.step(EndpointList{Full: true, Endpoints: []Endpoint{next}})
+			h.advance(500 * ms)
+			if len(h.sends) == 1 {
 				notRetried++
-				if len(r.ends) != 1 || (r.ends[0].Kind == Reject) != (scope == DedupFleet) {
-					t.Errorf("scope %v, reset after %v: ends %+v", scope, endedAfter, r.ends)
+				if len(h.ends) != 1 || (h.ends[0].Kind == Reject) != (scope == DedupFleet) {
+					t.Errorf("scope %v, reset after %v: ends %+v", scope, endedAfter, h.ends)
 				}
 				continue
 			}
 			retried++
-			if a := r.sends[1]; a.SendWithin <= 0 || r.sentAt[1]+a.SendWithin >= sent+window || scope != DedupFleet && !sameZone {
-				t.Errorf("scope %v, reset after %v: retried at %v, may be written for %v", scope, endedAfter, r.sentAt[1]-sent, a.SendWithin)
+			if a := h.sends[1]; a.SendWithin <= 0 || h.sentAt[1]+a.SendWithin >= sent+window || scope != DedupFleet && !sameZone {
+				t.Errorf("scope %v, reset after %v: retried at %v, may be written for %v", scope, endedAfter, h.sentAt[1]-sent, a.SendWithin)
 			}
 		}
 		if retried < 10 || notRetried < 10 {
@@ -800,20 +800,20 @@
 // TestRetryPastObjectiveIsRejectedAtOnce checks that a client's retry of a rejected request that arrives past the
 // objective takes no tokens, and is rejected at once with a wait until the client's deadline.
 func TestRetryPastObjectiveIsRejectedAtOnce(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 1))
+	h := newHarness(t, testSettings(), upEndpoint("n", 1))
 	q := testRequest("a", "v", 3)
-	r.step(q)
-	r.advance(time.Second)
-	if len(r.ends) != 1 {
-		t.Fatalf("ends %v, want the first try rejected", r.ends)
+	h.step(q)
+	h.advance(time.Second)
+	if len(h.ends) != 1 {
+		t.Fatalf("ends %v, want the first try rejected", h.ends)
 	}
-	before := r.s.volumes["v"].tokens
+	before := h.s.volumes["v"].tokens
 	q.ID, q.TimeLeft = "b", 900*ms
-	out := r.step(q)
-	if len(r.ends) != 2 || r.ends[1].Kind != Reject || r.ends[1].Wait != 900*ms {
+	out := h.step(q)
+	if len(h.ends) != 2 || h.ends[1].Kind != Reject || h.ends[1].Wait != 900*ms {
 		t.Fatalf("second try: %v, want it rejected at once with a wait of 900ms", out)
 	}
-	if after := r.s.volumes["v"].tokens; after != before {
+	if after := h.s.volumes["v"].tokens; after != before {
 		t.Errorf("the second try changed the tokens from %v to %v", before, after)
 	}
 }
@@ -821,38 +821,38 @@
 // TestNoSendAfterClientDisconnects disconnects the client in the same step as a late retry, while the request is queued, between
 // attempts and during one: nothing is sent or answered from then on.
 func TestNoSendAfterClientDisconnects(t *testing.T) {
-	for name, before := range map[string]func(r *harness){
-		"late retry": func(r *harness) {
-			r.step(testRequest("first", "v", 3)) // no endpoint holds its shard
-			r.advance(time.Second)
+	for name, before := range map[string]func(h *harness){
+		"late retry": func(h *harness) {
+			h.step(testRequest("first", "v", 3)) // no endpoint holds its shard
+			h.advance(time.Second)
 			q := testRequest("first", "v", 3)
 			q.ID, q.TimeLeft = "a", 900*ms
-			r.sends, r.ends = nil, nil
-			r.step(q, ClientGone{ID: "a"})
+			h.sends, h.ends = nil, nil
+			h.step(q, ClientGone{ID: "a"})
 		},
-		"queued": func(r *harness) { r.step(testRequest("a", "v", 3)); r.step(ClientGone{ID: "a"}) },
-		"between attempts": func(r *harness) {
-			r.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}}, testRequest("a", "v", 3))
-			r.endAttempt("a", AnsweredError, 5*ms)
-			require.Len(t, r.sends, 1)
-			r.step(ClientGone{ID: "a"})
+		"queued": func(h *harness) { h.step(testRequest("a", "v", 3)); h.step(ClientGone{ID: "a"}) },
+		"between attempts": func(h *harness) {
+			h.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}}, testRequest("a", "v", 3))
+			h.endAttempt("a", AnsweredError, 5*ms)
+			require.Len(t, h.sends, 1)
+			h.step(ClientGone{ID: "a"})
 		},
-		"in flight": func(r *harness) {
-			r.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}}, testRequest("a", "v", 3))
-			r.step(ClientGone{ID: "a"})
-			require.Len(t, r.sends, 1)
-			r.endAttempt("a", ConnectionReset, 5*ms)
+		"in flight": func(h *harness) {
+			h.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}}, testRequest("a", "v", 3))
+			h.step(ClientGone{ID: "a"})
+			require.Len(t, h.sends, 1)
+			h.endAttempt("a", ConnectionReset, 5*ms)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newHarness(t, testSettings(), upEndpoint("m", 1))
-			before(r)
-			sent := len(r.sends)
-			r.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}})
-			r.advance(3 * time.Second)
-			require.Len(t, r.sends, sent, "sends after the client disconnected")
-			require.Empty(t, r.ends)
-			require.Empty(t, r.s.requests)
+			h := newHarness(t, testSettings(), upEndpoint("m", 1))
+			before(h)
+			sent := len(h.sends)
+			h.step(EndpointList{Endpoints: []Endpoint{upEndpoint("n", 0)}})
+			h.advance(3 * time.Second)
+			require.Len(t, h.sends, sent, "sends after the client disconnected")
+			require.Empty(t, h.ends)
+			require.Empty(t, h.s.requests)
 		})
 	}
 }
@@ -861,13 +861,13 @@
 // extend the time until the request is rejected: it is half of the request's time, as without an attempt.
 func TestUnsentAttemptIsRejectedByHalfTime(t *testing.T) {
 	for _, code := range []OutcomeCode{NotConnected, NotSent} {
-		r := newHarness(t, testSettings(), upEndpoint("n", 0))
-		r.step(testRequest("a", "v", 1))
-		r.endAttempt("a", code, ms)
-		r.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
-		r.advance(time.Second)
-		if len(r.ends) != 1 || r.ends[0].Kind != Reject {
-			t.Errorf("code %v: ends %v by half of the time, want one Reject", code, r.ends)
+		h := newHarness(t, testSettings(), upEndpoint("n", 0))
+		h.step(testRequest("a", "v", 1))
+		h.endAttempt("a", code, ms)
+		h.step(EndpointList{Endpoints: []Endpoint{{ID: "n", State: Draining}}})
+		h.advance(time.Second)
+		if len(h.ends) != 1 || h.ends[0].Kind != Reject {
+			t.Errorf("code %v: ends %v by half of the time, want one Reject", code, h.ends)
 		}
 	}
 }
@@ -875,19 +875,19 @@
 // TestLongAttemptIsAnsweredOnce has an attempt in flight past the objective that the endpoint then rejects: the request gets one
 // answer, at once.
 func TestLongAttemptIsAnsweredOnce(t *testing.T) {
-	r := newHarness(t, testSettings(), upEndpoint("n", 0))
-	r.step(testRequest("a", "v", 1))
-	r.advance(1500 * ms)
-	if len(r.ends) != 0 {
-		t.Errorf("ended %v with the attempt in flight", r.ends)
+	h := newHarness(t, testSettings(), upEndpoint("n", 0))
+	h.step(testRequest("a", "v", 1))
+	h.advance(1500 * ms)
+	if len(h.ends) != 0 {
+		t.Errorf("ended %v with the attempt in flight", h.ends)
 	}
-	r.endAttempt("a", Rejected, 1500*ms)
-	if len(r.ends) != 1 || r.ends[0].Kind != Reject {
-		t.Errorf("ends %v, want one Reject", r.ends)
+	h.endAttempt("a", Rejected, 1500*ms)
+	if len(h.ends) != 1 || h.ends[0].Kind != Reject {
+		t.Errorf("ends %v, want one Reject", h.ends)
 	}
-	r.advance(time.Second)
-	if len(r.ends) != 1 {
-		t.Errorf("ends %v, want one", r.ends)
+	h.advance(time.Second)
+	if len(h.ends) != 1 {
+		t.Errorf("ends %v, want one", h.ends)
 	}
 }
 
@@ -896,25 +896,25 @@
 func TestBoundEndpoint(t *testing.T) {
 	bound := Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second, BoundEndpoint: "a"}
 	for _, shard := range []int{0, -1} {
-		r := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Shard: 1})
-		if got := r.s.EndpointFor(1); got != "b" {
+		h := newHarness(t, testSettings(), Endpoint{ID: "a"}, Endpoint{ID: "b", Shard: 1})
+		if got := h.s.EndpointFor(1); got != "b" {
 			t.Errorf("shard 1 is at %q, want b", got)
 		}
 		req := bound
 		req.Shard = shard
-		r.step(req)
-		if len(r.sends) != 1 || r.sends[0].Endpoint != "a" {
-			t.Fatalf("shard %d: sent %+v, want once to a", shard, r.sends)
+		h.step(req)
+		if len(h.sends) != 1 || h.sends[0].Endpoint != "a" {
+			t.Fatalf("shard %d: sent %+v, want once to a", shard, h.sends)
 		}
-		r.step(Outcome{ID: "1", Endpoint: "a", Code: NotConnected})
-		if r.advance(time.Second); len(r.sends) != 1 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
-			t.Errorf("shard %d: after the attempt: sends %+v, ends %+v", shard, r.sends, r.ends)
+		h.step(Outcome{ID: "1", Endpoint: "a", Code: NotConnected})
+		if h.advance(time.Second); len(h.sends) != 1 || len(h.ends) != 1 || h.ends[0].Kind != Reject {
+			t.Errorf("shard %d: after the attempt: sends %+v, ends %+v", shard, h.sends, h.ends)
 		}
 	}
-	r := newHarness(t, testSettings(), Endpoint{ID: "a", State: Draining}, Endpoint{ID: "b"})
-	r.step(bound)
-	if len(r.sends) != 0 || len(r.ends) != 1 || r.ends[0].Kind != Reject {
-		t.Errorf("with another endpoint for the shard: sends %+v, ends %+v", r.sends, r.ends)
+	h := newHarness(t, testSettings(), Endpoint{ID: "a", State: Draining}, Endpoint{ID: "b"})
+	h.step(bound)
+	if len(h.sends) != 0 || len(h.ends) != 1 || h.ends[0].Kind != Reject {
+		t.Errorf("with another endpoint for the shard: sends %+v, ends %+v", h.sends, h.ends)
 	}
 }
 
@@ -924,18 +924,18 @@
 	for _, missingKey := range []bool{false, true} {
 		set := testSettings()
 		set.Classes[0].Effect, set.Classes[0].DedupWindow = IdempotentWithKey, time.Minute
-		r := newHarness(t, set, Endpoint{ID: "a"})
-		r.step(Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second, MissingKey: missingKey})
-		r.step(Outcome{ID: "1", Endpoint: "a", Code: ConnectionReset})
-		r.advance(time.Second)
+		h := newHarness(t, set, Endpoint{ID: "a"})
+		h.step(Request{ID: "1", Class: "get", Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1, TimeLeft: time.Second, MissingKey: missingKey})
+		h.step(Outcome{ID: "1", Endpoint: "a", Code: ConnectionReset})
+		h.advance(time.Second)
 		if !missingKey {
-			if len(r.sends) < 2 {
+			if len(h.sends) < 2 {
 				t.Error("with its key it is not retried")
 			}
 			continue
 		}
-		if len(r.sends) != 1 || len(r.ends) != 1 || r.ends[0].Kind != Fail {
-			t.Errorf("without its key: sends %+v, ends %+v", r.sends, r.ends)
+		if len(h.sends) != 1 || len(h.ends) != 1 || h.ends[0].Kind != Fail {
+			t.Errorf("without its key: sends %+v, ends %+v", h.sends, h.ends)
 		}
 	}
 }
@@ -946,18 +946,18 @@
 	set.ColdUnitsPerWindow = 4
 	set.Rules = Rules{ColdCapacityFraction: 0.2, WarmUpTime: 20 * time.Second, OverloadWindow: 3 * time.Second, OverloadFactor: 4}
 	sent := func(processCounts ...int) int {
-		r := newHarness(t, set, Endpoint{ID: "a", Started: time.Second - 10*ms})
+		h := newHarness(t, set, Endpoint{ID: "a", Started: time.Second - 10*ms})
 		for _, n := range processCounts {
-			r.step(ProcessCount{Processes: n})
+			h.step(ProcessCount{Processes: n})
 		}
 		for i := range 8 {
 			id := string(rune('a' + i))
-			r.step(Request{ID: id, Class: "get", Plan: "std", Volume: id, Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second})
-			if len(r.sends) > i {
-				r.step(Outcome{ID: id, Endpoint: "a", Code: AnsweredError})
+			h.step(Request{ID: id, Class: "get", Plan: "std", Volume: id, Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second})
+			if len(h.sends) > i {
+				h.step(Outcome{ID: id, Endpoint: "a", Code: AnsweredError})
 			}
 		}
-		return len(r.sends)
+		return len(h.sends)
 	}
 	if alone, shared, afterExit := sent(), sent(2), sent(2, 1); shared >= alone || afterExit != shared {
 		t.Errorf("%d sends alone, %d as one of two, %d just after the other has exited", alone, shared, afterExit)
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -68,7 +68,7 @@
 // Validate rejects is ignored.
 type Settings struct {
 	Initiators     int           // initiators that share the pool
-	InitiatorIndex int           // this initiator's number among them, from 1; 0: unknown, drawn at random
+	InitiatorIndex int           // this initiator's number among them, from 1; 0: unknown (New draws one, an event changes nothing)
 	MinStep        time.Duration // smallest time between two steps
 	Classes        []Class
 	Plans          []Plan
--- a/internal/policy/tags.go
+++ b/internal/policy/tags.go
@@ -50,8 +50,8 @@
 
 // ownUsageRate is the volume's usage at this initiator, decayed to now.
 func (s *Scheduler) ownUsageRate(v *volume) float64 {
-	tau := 2 * s.settings.UsagePeriod.Seconds()
-	return v.ownUsage * math.Exp(-(s.now-v.ownUsageAt).Seconds()/tau)
+	timeConstant := 2 * s.settings.UsagePeriod.Seconds()
+	return v.ownUsage * math.Exp(-(s.now-v.ownUsageAt).Seconds()/timeConstant)
 }
 
 // recordUsage adds a served request to the volume's own usage, and averages in the total usage that the
