--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -53,7 +53,7 @@
 
 // Outcomes of attempts.
 const (
-	Served          OutcomeCode = iota // answered
+	Served          OutcomeCode = iota // answered without an error
 	AnsweredError                      // answered with an error; it may have run
 	Rejected                           // the endpoint rejected it before it ran
 	TimedOut                           // no answer within the timeout; it may have run
