--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -172,7 +172,7 @@
 	sum := map[string]float64{}
 	for _, l := range s.Holders {
 		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", l.Key.Key, l.Name, l.MaxOutstanding.Rate, l.MaxOutstanding.Burst, l.Want, l.Used, l.InUse,
-			ms(l.ExpiresMs), ms(l.LastHeardMs), s.Agent, l.ID)
+			ms(l.ExpiresMs), ms(l.LastSeenMs), s.Agent, l.ID)
 		sum[l.Key.Key] += l.MaxOutstanding.Rate
 	}
 	most := 0.0
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -51,8 +51,8 @@
 				fmt.Fprintln(w, "NAME\tINCARNATION\tSTATE\tSEEN\tBY\tSEAT ENDS IN\tADDRESS\tVERSION\tMEMBER")
 				for _, m := range v.Members {
 					seen := "never"
-					if m.LastHeardMs >= 0 {
-						seen = ms(m.LastHeardMs) + " ago"
+					if m.LastSeenMs >= 0 {
+						seen = ms(m.LastSeenMs) + " ago"
 					}
 					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Incarnation, m.Liveness, seen, v.Agent, ms(m.SessionTTLMs), m.Addr, m.ConfigVersion, m.ID)
 				}
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -75,7 +75,7 @@
 		return v, true
 	}
 	for _, m := range reg.Members {
-		v.Members = append(v.Members, allocator.MemberStatus{Member: m, Liveness: livenessUnknown, LastHeardMs: -1})
+		v.Members = append(v.Members, allocator.MemberStatus{Member: m, Liveness: livenessUnknown, LastSeenMs: -1})
 	}
 	for _, l := range reg.Leases {
 		v.Leases = append(v.Leases, lessor.LeaseStatus{Lease: l, State: string(livenessUnknown), SinceMs: -1, UntilMs: -1, ProgressMs: -1})
--- a/internal/controlplane/lease/casfile/casfile.go
+++ b/internal/controlplane/lease/casfile/casfile.go
@@ -33,8 +33,8 @@
 
 // Errors of folders that cannot be used.
 var (
-	ErrDamaged = errors.New("damaged")
-	ErrBusy    = errors.New("changed by others each time")
+	ErrCorrupt    = errors.New("damaged")
+	ErrContention = errors.New("changed by others each time")
 )
 
 // record is one file.
@@ -69,7 +69,7 @@
 	return all, err
 }
 
-// Read returns the state and its number; 0: there is none yet. A damaged state is ErrDamaged and never
+// Read returns the state and its number; 0: there is none yet. A damaged state is ErrCorrupt and never
 // skipped.
 func Read[S any](dir string) (state S, n uint64, err error) {
 	for {
@@ -87,16 +87,16 @@
 		}
 		var r record
 		if err := json.Unmarshal(b, &r); err != nil {
-			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrDamaged, err)
+			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrCorrupt, err)
 		}
 		switch {
 		case r.Format != recordFormat:
 			return state, 0, fmt.Errorf("%s: format %d, this program reads %d", recordPath(dir, n), r.Format, recordFormat)
 		case r.Number != n || crc32.Checksum(r.State, castagnoli) != r.Sum:
-			return state, 0, fmt.Errorf("%s: %w", recordPath(dir, n), ErrDamaged)
+			return state, 0, fmt.Errorf("%s: %w", recordPath(dir, n), ErrCorrupt)
 		}
 		if err := json.Unmarshal(r.State, &state); err != nil {
-			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrDamaged, err)
+			return state, 0, fmt.Errorf("%s: %w: %w", recordPath(dir, n), ErrCorrupt, err)
 		}
 		return state, n, nil
 	}
@@ -122,7 +122,7 @@
 			return state, err
 		}
 	}
-	return state, fmt.Errorf("%s: %w", dir, ErrBusy)
+	return state, fmt.Errorf("%s: %w", dir, ErrContention)
 }
 
 // appendRecord writes the record of that number, the next after a state that was read.
--- a/internal/controlplane/lease/casfile/casfile_test.go
+++ b/internal/controlplane/lease/casfile/casfile_test.go
@@ -97,7 +97,7 @@
 		if all, _ := recordNumbers(dir); err == nil || len(all) != 3 {
 			t.Errorf("%s: %v, records %v", what, err, all)
 		}
-		if what != "another format" && !errors.Is(err, ErrDamaged) {
+		if what != "another format" && !errors.Is(err, ErrCorrupt) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
--- a/internal/controlplane/lease/leasework/endpoint_probe.go
+++ b/internal/controlplane/lease/leasework/endpoint_probe.go
@@ -31,8 +31,8 @@
 	runner *Runner
 }
 
-// Attach sets the runner that gets the results.
-func (p *EndpointProbe) Attach(r *Runner) { p.runner = r }
+// SetRunner sets the runner that gets the results.
+func (p *EndpointProbe) SetRunner(r *Runner) { p.runner = r }
 
 // SetTargets updates the addresses of the targets; an empty address removes a target. full replaces
 // all.
--- a/internal/controlplane/quota/allocator/shares.go
+++ b/internal/controlplane/quota/allocator/shares.go
@@ -47,13 +47,13 @@
 		most = min(most, b.MaxPerMember-b.FloorRate)
 	}
 	at := make([]int, 0, len(l.entries))
-	claims := make([]maxmin.Claim, 0, len(l.entries))
+	claims := make([]maxmin.Demand, 0, len(l.entries))
 	for i := range l.entries {
 		e := &l.entries[i]
 		e.fairShare, e.hasFairShare = 0, false
 		if m, known := a.members[e.memberID]; known && a.isLive(now, m) {
 			at = append(at, i)
-			claims = append(claims, maxmin.Claim{Want: e.usage.Want - b.FloorRate, Max: most, Weight: m.Weight})
+			claims = append(claims, maxmin.Demand{Want: e.usage.Want - b.FloorRate, Max: most, Weight: m.Weight})
 		}
 	}
 	shares := maxmin.Shares(pool.Rate, claims)
--- a/internal/controlplane/quota/allocator/status.go
+++ b/internal/controlplane/quota/allocator/status.go
@@ -25,7 +25,7 @@
 type MemberStatus struct {
 	quota.Member
 	Liveness      Liveness `json:"state"`
-	LastHeardMs   int64    `json:"seen_ms_ago"` // since the last renewal, or since the term began
+	LastSeenMs    int64    `json:"seen_ms_ago"` // since the last renewal, or since the term began
 	SessionTTLMs  int64    `json:"seat_ms"`     // until its session ends, if it stays silent
 	ConfigVersion uint64   `json:"version"`     // that it uses
 }
@@ -34,7 +34,7 @@
 func (a *Allocator) Members(now time.Duration) []MemberStatus {
 	all := make([]MemberStatus, 0, len(a.members))
 	for _, m := range a.members {
-		s := MemberStatus{Member: m.Member, Liveness: Live, LastHeardMs: (now - m.lastHeardAt).Milliseconds(), ConfigVersion: m.configVersion,
+		s := MemberStatus{Member: m.Member, Liveness: Live, LastSeenMs: (now - m.lastHeardAt).Milliseconds(), ConfigVersion: m.configVersion,
 			SessionTTLMs: (m.lastHeardAt + a.sessionTTL() - now).Milliseconds()}
 		switch {
 		case !a.isLive(now, m):
@@ -66,7 +66,7 @@
 	Used           float64      `json:"used,omitempty"`
 	InUse          float64      `json:"in_use,omitempty"`
 	ExpiresMs      int64        `json:"until_ms"` // until none of it may be used any more
-	LastHeardMs    int64        `json:"seen_ms_ago"`
+	LastSeenMs     int64        `json:"seen_ms_ago"`
 }
 
 // Ledger returns who may hold how much of a budget, or of all budgets if none is named.
@@ -80,7 +80,7 @@
 			line := LedgerLine{Key: k, ID: e.memberID, MaxOutstanding: e.maxOutstanding(now), Want: e.usage.Want, Used: e.usage.Used, InUse: e.usage.InUse,
 				ExpiresMs: max(0, max(e.reportedUntil, e.grantedUntil)-now).Milliseconds()}
 			if m, known := a.members[e.memberID]; known {
-				line.Name, line.LastHeardMs = m.Name, (now - m.lastHeardAt).Milliseconds()
+				line.Name, line.LastSeenMs = m.Name, (now - m.lastHeardAt).Milliseconds()
 			}
 			all = append(all, line)
 		}
--- a/internal/controlplane/quota/maxmin/maxmin.go
+++ b/internal/controlplane/quota/maxmin/maxmin.go
@@ -10,8 +10,8 @@
 	"slices"
 )
 
-// Claim is one member's demand.
-type Claim struct {
+// Demand is one member's demand.
+type Demand struct {
 	Want   float64 // what it could use
 	Max    float64 // what it may get
 	Weight float64 // greater than 0
@@ -20,16 +20,16 @@
 // Shares divides the capacity: first by demand, then what is left by weight up to each claim's
 // maximum, so that a demand that grows finds something there. The shares sum to no more than the
 // capacity.
-func Shares(whole float64, claims []Claim) []float64 {
+func Shares(whole float64, claims []Demand) []float64 {
 	got := make([]float64, len(claims))
-	raiseShares(whole, claims, got, func(c Claim) float64 { return min(max(c.Want, 0), c.Max) })
-	raiseShares(whole, claims, got, func(c Claim) float64 { return c.Max })
+	raiseShares(whole, claims, got, func(c Demand) float64 { return min(max(c.Want, 0), c.Max) })
+	raiseShares(whole, claims, got, func(c Demand) float64 { return c.Max })
 	return got
 }
 
 // raiseShares raises all shares together, in proportion to their weights, up to each one's bound
 // (water filling).
-func raiseShares(whole float64, claims []Claim, got []float64, bound func(Claim) float64) {
+func raiseShares(whole float64, claims []Demand, got []float64, bound func(Demand) float64) {
 	order := make([]int, len(claims))
 	left, weights := whole, 0.0
 	for i, c := range claims {
--- a/internal/controlplane/quota/maxmin/maxmin_test.go
+++ b/internal/controlplane/quota/maxmin/maxmin_test.go
@@ -18,19 +18,19 @@
 	for _, c := range []struct {
 		name   string
 		whole  float64
-		claims []Claim
+		claims []Demand
 		want   []float64
 	}{
 		{"nobody", 10, nil, []float64{}},
-		{"one gets all that it may", 10, []Claim{{1, 8, 1}}, []float64{8}},
-		{"equal needs, equal parts", 12, []Claim{{9, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{4, 4, 4}},
-		{"small needs first", 12, []Claim{{2, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{2, 5, 5}},
-		{"by weight", 12, []Claim{{20, far, 1}, {20, far, 2}}, []float64{4, 8}},
-		{"a small need with a large weight", 12, []Claim{{1, 1, 9}, {20, far, 1}}, []float64{1, 11}},
-		{"what is left over is shared out as well", 12, []Claim{{1, far, 1}, {3, far, 1}}, []float64{5, 7}},
-		{"up to the most", 12, []Claim{{1, 2, 1}, {3, 4, 1}}, []float64{2, 4}},
-		{"nothing to share", 0, []Claim{{1, far, 1}}, []float64{0}},
-		{"a want below nothing", 4, []Claim{{-3, far, 1}, {4, far, 1}}, []float64{0, 4}},
+		{"one gets all that it may", 10, []Demand{{1, 8, 1}}, []float64{8}},
+		{"equal needs, equal parts", 12, []Demand{{9, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{4, 4, 4}},
+		{"small needs first", 12, []Demand{{2, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{2, 5, 5}},
+		{"by weight", 12, []Demand{{20, far, 1}, {20, far, 2}}, []float64{4, 8}},
+		{"a small need with a large weight", 12, []Demand{{1, 1, 9}, {20, far, 1}}, []float64{1, 11}},
+		{"what is left over is shared out as well", 12, []Demand{{1, far, 1}, {3, far, 1}}, []float64{5, 7}},
+		{"up to the most", 12, []Demand{{1, 2, 1}, {3, 4, 1}}, []float64{2, 4}},
+		{"nothing to share", 0, []Demand{{1, far, 1}}, []float64{0}},
+		{"a want below nothing", 4, []Demand{{-3, far, 1}, {4, far, 1}}, []float64{0, 4}},
 	} {
 		got := Shares(c.whole, c.claims)
 		for i := range c.want {
@@ -40,7 +40,7 @@
 			}
 		}
 	}
-	if got := RoundUnits(10, Shares(10, []Claim{{9, far, 1}, {9, far, 1}, {9, far, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
+	if got := RoundUnits(10, Shares(10, []Demand{{9, far, 1}, {9, far, 1}, {9, far, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
 		t.Errorf("units of ten among three: %v", got)
 	}
 }
@@ -51,11 +51,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "claims")
 		whole := rapid.Float64Range(0, 100).Draw(t, "whole")
-		claims := make([]Claim, n)
+		claims := make([]Demand, n)
 		room := 0.0
 		for i := range claims {
 			most := rapid.Float64Range(0, 60).Draw(t, "most")
-			claims[i] = Claim{rapid.Float64Range(0, 80).Draw(t, "want"), most, rapid.Float64Range(0.1, 10).Draw(t, "weight")}
+			claims[i] = Demand{rapid.Float64Range(0, 80).Draw(t, "want"), most, rapid.Float64Range(0.1, 10).Draw(t, "weight")}
 			room += most
 		}
 		got := Shares(whole, claims)
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -6,8 +6,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Tell writes the metrics of the quotas.
-func (s *Session) Tell(to statsd.ExtendedStatSender) {
+// WriteMetrics writes the metrics of the quotas.
+func (s *Session) WriteMetrics(to statsd.ExtendedStatSender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -33,7 +33,7 @@
 		jobs[lease.EndpointProbe] = d.probe // else such a task fails here, and goes to another member
 	}
 	d.runner = leasework.New(leasework.Options{Tasks: op.Fleet.Tasks, Jobs: jobs, RenewNow: hurry, OpenRequests: load, DeadInstances: ended, Log: log})
-	d.probe.Attach(d.runner)
+	d.probe.SetRunner(d.runner)
 	d.run = d.runner.Run
 	return d
 }
@@ -48,7 +48,7 @@
 }
 
 // Tell implements teller.
-func (d *duty) Tell(to statsd.ExtendedStatSender) { d.runner.Tell(to) }
+func (d *duty) Tell(to statsd.ExtendedStatSender) { d.runner.WriteMetrics(to) }
 
 // Listed implements listener.
 func (d *duty) Listed(l *listing.List) {
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -383,7 +383,7 @@
 }
 
 // Tell implements teller.
-func (s *seat) Tell(to statsd.ExtendedStatSender) { s.part.Tell(to) }
+func (s *seat) Tell(to statsd.ExtendedStatSender) { s.part.WriteMetrics(to) }
 
 // watch is the list of targets, as discovery tells it.
 type watch struct {
