--- a/internal/controlplane/lease/casfile/casfile.go
+++ b/internal/controlplane/lease/casfile/casfile.go
@@ -1,9 +1,9 @@
 // Package casfile keeps a small state in a folder that many processes, on machines that share a file
-// system, change by compare and swap, without locks that a paused process could hold for ever.
+// system, change by compare and swap. It takes no locks, since a paused process could hold one forever.
 //
-// The state is a chain of numbered records. A change writes the next record under a temporary name and
-// gives it its number by link(2), which fails if another process was first. The record with the
-// highest number is the state.
+// The state is a sequence of numbered records. A change writes the next record under a temporary name
+// and links it to its numbered name by link(2), which fails if another process was first. The record
+// with the highest number is the current state.
 package casfile
 
 import (
@@ -22,22 +22,22 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
-// Form of the records.
+// Format and names of record files.
 const (
 	recordFormat = 1
 	recordSuffix = ".record"
 	tempPrefix   = "writing-"
-	keptRecords  = 64   // older ones are removed
-	maxAttempts  = 1000 // of a change against others
+	keptRecords  = 64   // newest records that are kept; older ones are removed
+	maxAttempts  = 1000 // attempts at one change that concurrent changes preempt
 )
 
-// Errors of folders that cannot be used.
+// Errors of Read and Update.
 var (
 	ErrCorrupt    = errors.New("damaged")
-	ErrContention = errors.New("changed by others each time")
+	ErrContention = errors.New("too many concurrent changes")
 )
 
-// record is one file.
+// record is the content of one record file.
 type record struct {
 	Format int             `json:"format"`
 	Number uint64          `json:"n"`
@@ -53,31 +53,31 @@
 }
 
 // recordNumbers returns the numbers of all records in order.
-func recordNumbers(dir string) (all []uint64, err error) {
+func recordNumbers(dir string) (numbers []uint64, err error) {
 	entries, err := os.ReadDir(dir)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil
 	}
 	for _, e := range entries {
-		if text, is := strings.CutSuffix(e.Name(), recordSuffix); is {
-			if n, err := strconv.ParseUint(text, 10, 64); err == nil {
-				all = append(all, n)
+		if digits, isRecord := strings.CutSuffix(e.Name(), recordSuffix); isRecord {
+			if n, err := strconv.ParseUint(digits, 10, 64); err == nil {
+				numbers = append(numbers, n)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all, err
+	slices.Sort(numbers)
+	return numbers, err
 }
 
-// Read returns the state and its number; 0: there is none yet. A damaged state is ErrCorrupt and never
-// skipped.
+// Read returns the state and its number; 0: there is none yet. If the newest record is corrupt, it
+// returns ErrCorrupt and does not fall back to an older record.
 func Read[S any](dir string) (state S, n uint64, err error) {
 	for {
-		all, err := recordNumbers(dir)
-		if err != nil || len(all) == 0 {
+		numbers, err := recordNumbers(dir)
+		if err != nil || len(numbers) == 0 {
 			return state, 0, err
 		}
-		n = all[len(all)-1]
+		n = numbers[len(numbers)-1]
 		b, err := os.ReadFile(recordPath(dir, n))
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // a newer record exists, and this one was removed
@@ -91,7 +91,7 @@
 		}
 		switch {
 		case r.Format != recordFormat:
-			return state, 0, fmt.Errorf("%s: format %d, this program reads %d", recordPath(dir, n), r.Format, recordFormat)
+			return state, 0, fmt.Errorf("%s: unsupported format %d, expected %d", recordPath(dir, n), r.Format, recordFormat)
 		case r.Number != n || crc32.Checksum(r.State, castagnoli) != r.Sum:
 			return state, 0, fmt.Errorf("%s: %w", recordPath(dir, n), ErrCorrupt)
 		}
@@ -102,10 +102,11 @@
 	}
 }
 
-// Update changes the state in one atomic step. change gets the present state, possibly several times,
-// and possibly again after its change was made: it has to recognize that from the state, as a fenced
-// operation does (fencing.Guard). An error of change is returned with the state, and nothing is
-// changed. After another error the change may have been made: the caller has to read the state.
+// Update changes the state in one atomic step. It calls change with the current state, possibly
+// several times, and possibly again after the change was made; change must detect that from the state,
+// as a fenced operation does (fencing.Guard). An error of change is returned with the state, and
+// nothing is changed. After any other error the change may have been made: the caller has to read the
+// state.
 func Update[S any](dir string, change func(*S) error) (state S, err error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return state, err
@@ -118,20 +119,21 @@
 		if err := change(&state); err != nil {
 			return state, err
 		}
-		if won, err := appendRecord(dir, n+1, &state); err != nil || won {
+		if appended, err := appendRecord(dir, n+1, &state); err != nil || appended {
 			return state, err
 		}
 	}
 	return state, fmt.Errorf("%s: %w", dir, ErrContention)
 }
 
-// appendRecord writes the record of that number, the next after a state that was read.
-func appendRecord(dir string, n uint64, state any) (won bool, err error) {
-	text, err := json.Marshal(state)
+// appendRecord writes the record of number n, the next after a state that was read. It reports whether
+// the record became the state.
+func appendRecord(dir string, n uint64, state any) (appended bool, err error) {
+	stateJSON, err := json.Marshal(state)
 	if err != nil {
 		return false, err
 	}
-	b, err := json.Marshal(record{recordFormat, n, crc32.Checksum(text, castagnoli), text})
+	b, err := json.Marshal(record{recordFormat, n, crc32.Checksum(stateJSON, castagnoli), stateJSON})
 	if err != nil {
 		return false, err
 	}
@@ -146,35 +148,35 @@
 	}
 	failpoint.Hit("place.link")
 	err = os.Link(f.Name(), recordPath(dir, n))
-	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) { // another process was first, or removed the temporary file of a long pause
+	if errors.Is(err, fs.ErrExist) || errors.Is(err, fs.ErrNotExist) { // another process was first, or removed the temporary file while this one was paused
 		return false, nil
 	}
 	if err != nil {
 		return false, err
 	}
 	failpoint.Hit("place.linked")
-	all, err := recordNumbers(dir)
+	numbers, err := recordNumbers(dir)
 	if err != nil {
 		return false, err
 	}
-	highest := slices.Max(append(all, n))
-	for _, x := range all {
+	highest := slices.Max(append(numbers, n))
+	for _, x := range numbers {
 		if x+keptRecords <= highest {
 			os.Remove(recordPath(dir, x))
 		}
 	}
 	removeStaleTemp(dir)
 	// A number is reused only after keptRecords newer ones exist. If they do, this record may have taken a removed
-	// number and is not the state: the change is tried again on the present state, which shows whether it was made.
+	// number and is not the state: the change is retried on the current state, which shows whether it was made.
 	return n+keptRecords > highest, syncDir(dir)
 }
 
 // removeStaleTemp removes temporary files that a process left behind when it died or was paused for
-// minutes.
+// more than 5 minutes.
 func removeStaleTemp(dir string) {
-	left, _ := filepath.Glob(filepath.Join(dir, tempPrefix+"*"))
-	for _, path := range left {
-		if i, err := os.Stat(path); err == nil && time.Since(i.ModTime()) > 5*time.Minute {
+	paths, _ := filepath.Glob(filepath.Join(dir, tempPrefix+"*"))
+	for _, path := range paths {
+		if info, err := os.Stat(path); err == nil && time.Since(info.ModTime()) > 5*time.Minute {
 			os.Remove(path)
 		}
 	}
--- a/internal/controlplane/lease/config.go
+++ b/internal/controlplane/lease/config.go
@@ -6,14 +6,14 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Bounds on what is kept by key.
+// Bounds on the sizes of lists and maps.
 const (
 	MaxTasks   = 16
-	MaxShards  = 1024 // of one task
-	MaxTargets = 1024 // that a member names, or is told, at a time
+	MaxShards  = 1024 // per task
+	MaxTargets = 1024 // in one renewal request or response
 )
 
-// Config is the set of all tasks, replicated as one.
+// Config is the set of all tasks, replicated as a unit.
 type Config struct {
 	Version uint64 `toml:"-" json:"version"`
 	Tasks   []Task `toml:"task" json:"tasks"`
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// Validate fills in defaults and returns an error that names the first field that cannot be served. If
-// f is given, times are checked against its renewals, sessions and clocks.
+// Validate fills in defaults and returns an error that names the first invalid field. If quotaConfig
+// is not nil, times are checked against its renewal interval, session TTL and clock drift.
 func (c *Config) Validate(quotaConfig *quota.Config) error {
 	if len(c.Tasks) > MaxTasks {
 		return fmt.Errorf("task: %d are too many, %d at most", len(c.Tasks), MaxTasks)
@@ -49,11 +49,11 @@
 	return nil
 }
 
-// ValidateChange reports whether the config may replace before while shards are held: a member that is
-// cut off goes on with the old times.
-func (c *Config) ValidateChange(before *Config, held func(task string) bool) error {
-	for i := range before.Tasks {
-		old := &before.Tasks[i]
+// ValidateChange returns an error if the config may not replace previous while shards are held: a
+// member that cannot reach the agents keeps using the old times.
+func (c *Config) ValidateChange(previous *Config, held func(task string) bool) error {
+	for i := range previous.Tasks {
+		old := &previous.Tasks[i]
 		if !held(old.Name) {
 			continue
 		}
--- a/internal/controlplane/lease/errors.go
+++ b/internal/controlplane/lease/errors.go
@@ -1,9 +1,9 @@
 package lease
 
-// RejectionError is why a change of leases is rejected, as an operator sees it.
+// RejectionError is the reason why a change of leases is rejected, as shown to the operator.
 type RejectionError string
 
-// The reasons.
+// Reasons for rejecting a change.
 const (
 	ErrUnknownTask      RejectionError = "task: unknown"
 	ErrUnknownShard     RejectionError = "shard: the task has no such shard"
--- a/internal/controlplane/lease/lease.go
+++ b/internal/controlplane/lease/lease.go
@@ -4,7 +4,7 @@
 	"fmt"
 )
 
-// AnyMember as the next holder of a lease stands for whichever member rebalancing finds.
+// AnyMember as the next holder of a lease stands for any member that rebalancing selects.
 const AnyMember = "*"
 
 // Key names one lease: a shard of a task.
@@ -27,33 +27,33 @@
 	return a.Shard - b.Shard
 }
 
-// Lease is the replicated state of a shard's lease. Tokens grow with each grant of any lease, for as
-// long as the log exists.
+// Lease is the replicated state of a shard's lease. Each grant of any lease gets a greater token than
+// all grants before it in the log.
 type Lease struct {
 	Key
 	Token        uint64 `json:"token"`             // fencing token; 0: never granted
-	Holder       string `json:"holder,omitempty"`  // id of the member; empty: nobody
-	NextHolder   string `json:"next,omitempty"`    // who is to get it once it is released or has expired; or AnyMember
-	PinnedTo     string `json:"pin,omitempty"`     // member to which an operator migrated it: it stays there
+	Holder       string `json:"holder,omitempty"`  // id of the member; empty: none
+	NextHolder   string `json:"next,omitempty"`    // member that gets it once it is released or has expired; or AnyMember
+	PinnedTo     string `json:"pin,omitempty"`     // member to which an operator migrated it; rebalancing does not move it away
 	ChangedIndex uint64 `json:"changed,omitempty"` // log index of the last change
 }
 
 // EventKind is the kind of an Event.
 type EventKind string
 
-// The kinds.
+// Kinds of events.
 const (
-	EventGrant   EventKind = "grant" // to a member, under a new token
-	EventPlan    EventKind = "plan"  // it is to go to a member next, or to any
-	EventRelease EventKind = "free"  // nobody holds it
+	EventGrant   EventKind = "grant" // grants the lease to a member under a new token
+	EventPlan    EventKind = "plan"  // sets the next holder: a member or AnyMember
+	EventRelease EventKind = "free"  // removes the holder
 )
 
-// Event is a change of a lease through the log. It has no effect if the lease does not have
-// ExpectedToken any more.
+// Event is a change of a lease through the log. It has no effect if the lease's token is no longer
+// ExpectedToken.
 type Event struct {
 	Key
 	ExpectedToken uint64    `json:"over"`
 	Kind          EventKind `json:"do"`
 	Member        string    `json:"to,omitempty"`
-	Pinned        bool      `json:"pin,omitempty"` // by an operator
+	Pinned        bool      `json:"pin,omitempty"` // requested by an operator
 }
--- a/internal/controlplane/lease/leasework/compat_test.go
+++ b/internal/controlplane/lease/leasework/compat_test.go
@@ -9,8 +9,8 @@
 	"spindlehitch/internal/controlplane/lease/fencing"
 )
 
-// TestFoldersOfOlderVersion reads guarded folders that commit 62b6efc wrote: the fencing token and the operation that they have seen decide
-// who may write there next, so they must be read as they were written.
+// TestFoldersOfOlderVersion reads guarded folders written at commit 62b6efc. Their recorded fencing token and operation decide which
+// operation may write next, so a newer version must read the same values.
 func TestFoldersOfOlderVersion(t *testing.T) {
 	drill, number, err := casfile.Read[DrillState]("testdata/62b6efc/drill")
 	require.NoError(t, err)
--- a/internal/controlplane/lease/leasework/endpoint_probe.go
+++ b/internal/controlplane/lease/leasework/endpoint_probe.go
@@ -13,29 +13,29 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// ConnectionQuota counts connections at targets against the fleet's quota (package quotasession).
+// ConnectionQuota counts connections to targets against the fleet's quota (package quotasession).
 type ConnectionQuota interface {
 	Open(target string) bool
 	Close(target string)
 }
 
 // EndpointProbe probes ejected targets on behalf of the fleet. A target cannot check a fencing token,
-// so each probe is checked right before it is made, and carries the lease for the target's log.
+// so the lease is checked right before each probe, and the probe names it for the target's log.
 type EndpointProbe struct {
 	Connections   ConnectionQuota // nil: no quota applies
 	DialTimeout   time.Duration
-	AnswerTimeout time.Duration // including the connection
+	AnswerTimeout time.Duration // of a whole probe, including the connect
 
-	mu     sync.Mutex
-	addrs  map[string]string
-	runner *Runner
+	mu     sync.Mutex        // guards addrs
+	addrs  map[string]string // by target
+	runner *Runner           // set before Run
 }
 
-// SetRunner sets the runner that gets the results.
+// SetRunner sets the runner that gives the targets and gets the results. It must be called before Run.
 func (p *EndpointProbe) SetRunner(r *Runner) { p.runner = r }
 
-// SetTargets updates the addresses of the targets; an empty address removes a target. full replaces
-// all.
+// SetTargets updates the addresses of the targets; an empty address removes a target. If full is set,
+// addrs replaces all of them.
 func (p *EndpointProbe) SetTargets(addrs map[string]string, full bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,17 +51,17 @@
 	}
 }
 
-// Run implements Job: each ejected target of the shard is probed once, one after the other.
+// Run implements Job. It probes each ejected target of the shard once, one after the other.
 func (p *EndpointProbe) Run(ctx context.Context, op *Operation) error {
 	for _, target := range p.runner.targetsOf(op) {
 		p.mu.Lock()
 		addr := p.addrs[target]
 		p.mu.Unlock()
 		if addr == "" {
-			continue // not on this instance's list: it is gone, or not known yet
+			continue // removed from this instance's list, or not on it yet
 		}
 		if p.Connections != nil && !p.Connections.Open(target) {
-			continue // the quota allows no further connection there
+			continue // the quota allows no further connection to it
 		}
 		if !op.MayProceed() {
 			if p.Connections != nil {
@@ -70,32 +70,32 @@
 			return errExpired
 		}
 		failpoint.Hit("probe.checked")
-		began := monotone.Now()
-		well := p.probe(ctx, op, addr)
+		startedAt := monotone.Now()
+		healthy := p.probe(ctx, op, addr)
 		if p.Connections != nil {
 			p.Connections.Close(target)
 		}
 		if ctx.Err() != nil {
-			return errExpired // the operation ended, which says nothing about the target
+			return errExpired // the probe was cut short by the operation's end, so it has no result
 		}
-		p.runner.addResult(lease.ProbeResult{Task: op.Key.Task, Target: target, Token: op.Token, Healthy: well, LatencyUs: (monotone.Now() - began).Microseconds()})
+		p.runner.addResult(lease.ProbeResult{Task: op.Key.Task, Target: target, Token: op.Token, Healthy: healthy, LatencyUs: (monotone.Now() - startedAt).Microseconds()})
 	}
 	return nil
 }
 
-// probe asks a target for its health on a connection of its own, and reports whether it answered 200
-// in time.
+// probe sends a health check to a target on a new connection, and reports whether the target answered
+// with status 200 in time.
 func (p *EndpointProbe) probe(ctx context.Context, op *Operation, addr string) bool {
-	ctx, done := context.WithTimeout(ctx, p.AnswerTimeout)
-	defer done()
-	t := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: p.DialTimeout}).DialContext}
-	defer t.CloseIdleConnections()
+	ctx, cancel := context.WithTimeout(ctx, p.AnswerTimeout)
+	defer cancel()
+	transport := &http.Transport{DisableKeepAlives: true, DialContext: (&net.Dialer{Timeout: p.DialTimeout}).DialContext}
+	defer transport.CloseIdleConnections()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+op.Task.ProbePath, nil)
 	if err != nil {
 		return false
 	}
 	req.Header.Set("Fleet-Lease", fmt.Sprintf("%s/%d/%d", op.Key.Task, op.Shard, op.Token))
-	resp, err := t.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return false
 	}
--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -23,34 +23,34 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
-// Constants of the report.
+// Bounds of the report.
 const (
-	// KeptWindows is how many windows an instance keeps for the report: a window is asked for
-	// while it is one of these.
+	// KeptWindows is how many windows an instance keeps for the report: a window can be queried while it
+	// is one of these.
 	KeptWindows          = 4
-	windowSettleDelay    = 2 * time.Second // after a window's end, since instances cut windows by their own clocks
+	windowSettleDelay    = 2 * time.Second // wait after a window's end, since instances end windows by their own clocks
 	maxConcurrentQueries = 16              // instances that are queried at a time
-	maxSnapshotBytes     = 64 << 20        // of one instance's accounts
+	maxSnapshotBytes     = 64 << 20        // size of one instance's accounts
 )
 
 // ReportState is the state of a report folder.
 type ReportState struct {
 	fencing.Guard
-	Windows []ReportWindow `json:"windows"` // written, in order of time
+	Windows []ReportWindow `json:"windows"` // reports written, in order of time
 }
 
-// ReportWindow is one report. Its file is complete, and no other report of that window is written.
+// ReportWindow is the report of one window. Its file is complete, and it is the only one of its window.
 type ReportWindow struct {
 	Start     int64    `json:"start"` // Unix seconds
 	WindowS   int64    `json:"window_s"`
 	File      string   `json:"file"`
 	Token     uint64   `json:"token"`
 	Member    string   `json:"member"`    // the instance that wrote it
-	Instances []string `json:"instances"` // that delivered their accounts
-	Missing   []string `json:"missing"`   // that could not be asked, each with the reason
+	Instances []string `json:"instances"` // instances whose accounts are included
+	Missing   []string `json:"missing"`   // instances whose accounts are not, each with the reason
 }
 
-// Reports returns the reports of a folder.
+// Reports returns the reports that are listed in a report folder.
 func Reports(dir string) ([]ReportWindow, error) {
 	s, n, err := casfile.Read[ReportState](dir)
 	if err == nil && n == 0 {
@@ -62,12 +62,13 @@
 // FleetReport collects the latency accounts of all instances by window and writes one report for the
 // fleet.
 type FleetReport struct {
-	Name   string // of the instance
-	Agents *agent.Client
+	Name   string        // of the instance
+	Agents *agent.Client // gives the list of instances
 	client http.Client
 }
 
-// Run implements Job: it writes at most one window, the oldest that is over and not written.
+// Run implements Job. It writes the report of at most one window, the oldest that has ended and has no
+// report.
 func (r *FleetReport) Run(ctx context.Context, op *Operation) error {
 	dir := op.Task.Dir
 	state, err := casfile.Update(dir, func(s *ReportState) error { return s.Begin(op.Token, op.Number) })
@@ -84,15 +85,15 @@
 	return err
 }
 
-// nextWindow returns the start of the oldest window that is over, still kept by the instances, and
-// later than all that were written. The wall clock only names windows; the fencing guard ensures that
-// each is written at most once.
-func nextWindow(written []ReportWindow, window time.Duration, now time.Time) (start time.Time, due bool) {
+// nextWindow returns the start of the oldest window that has ended, is still kept by the instances, and
+// is later than all windows with a report. The wall clock only names windows; the fencing guard ensures
+// that each is written at most once.
+func nextWindow(windows []ReportWindow, window time.Duration, now time.Time) (start time.Time, due bool) {
 	end := now.Add(-windowSettleDelay).Truncate(window)
 	start = end.Add(-(KeptWindows - 1) * window)
-	if n := len(written); n > 0 {
-		if after := time.Unix(written[n-1].Start, 0).Add(window); after.After(start) {
-			start = after
+	if n := len(windows); n > 0 {
+		if next := time.Unix(windows[n-1].Start, 0).Add(window); next.After(start) {
+			start = next
 		}
 	} else {
 		start = end.Add(-window) // the first report
@@ -101,7 +102,7 @@
 }
 
 // writeReport queries all instances for a window and writes its report: first a complete file under a
-// name of its own, then one atomic step that makes it the window's report.
+// unique name, then one atomic change of the folder's state that makes it the window's report.
 func (r *FleetReport) writeReport(ctx context.Context, op *Operation, dir string, start time.Time) error {
 	v, err := r.Agents.Fleet(ctx)
 	if err != nil {
@@ -114,14 +115,14 @@
 		return errExpired
 	}
 	w.File = fmt.Sprintf("fleet-%s-%d.parquet", start.UTC().Format("20060102T150405Z"), op.Token)
-	report, about, err := mergeReport(snapshots, start, op.Task.Window(), &w)
+	report, metadata, err := mergeReport(snapshots, start, op.Task.Window(), &w)
 	if err != nil {
 		return err
 	}
 	if !op.MayProceed() {
 		return errExpired
 	}
-	if err := writeReportFile(filepath.Join(dir, w.File), report, about); err != nil {
+	if err := writeReportFile(filepath.Join(dir, w.File), report, metadata); err != nil {
 		return err
 	}
 	if !op.MayProceed() {
@@ -132,7 +133,7 @@
 			return err
 		}
 		if n := len(s.Windows); n > 0 && s.Windows[n-1].Start >= w.Start {
-			return nil // made by this operation; its answer was lost
+			return nil // an earlier attempt of this update has already added it
 		}
 		s.Windows = append(s.Windows, w)
 		s.Windows = s.Windows[max(0, len(s.Windows)-op.Task.KeepReports):]
@@ -146,14 +147,15 @@
 	return nil
 }
 
-// queryInstances gets the accounts of all instances, a bounded number at a time, and records in w which delivered them.
+// queryInstances gets the accounts of all instances, a bounded number at a time, and records in w which of them
+// delivered theirs.
 func (r *FleetReport) queryInstances(ctx context.Context, members []allocator.MemberStatus, start time.Time, window time.Duration, w *ReportWindow) []accounts.Snapshot {
-	var mu sync.Mutex
+	var mu sync.Mutex // guards w and all
 	var all []accounts.Snapshot
-	var queries sync.WaitGroup
+	var workers sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, m := range members {
-		queries.Go(func() {
+		workers.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			s, err := r.fetchSnapshot(ctx, m.Member, start, window)
@@ -167,14 +169,14 @@
 			all = append(all, s)
 		})
 	}
-	queries.Wait()
+	workers.Wait()
 	slices.Sort(w.Instances)
 	slices.Sort(w.Missing)
 	return all
 }
 
-// mergeReport merges the instances' accounts; about goes into the file's metadata.
-func mergeReport(snapshots []accounts.Snapshot, start time.Time, window time.Duration, w *ReportWindow) (report accounts.Report, about map[string]string, err error) {
+// mergeReport merges the instances' accounts into a report; metadata is written to the file with it.
+func mergeReport(snapshots []accounts.Snapshot, start time.Time, window time.Duration, w *ReportWindow) (report accounts.Report, metadata map[string]string, err error) {
 	merged, err := accounts.Merge(snapshots...)
 	if err != nil {
 		return report, nil, err
@@ -189,18 +191,18 @@
 	if err != nil {
 		return report, nil, err
 	}
-	about = map[string]string{"instances": strings.Join(w.Instances, ","), "window": start.UTC().Format(time.RFC3339),
+	metadata = map[string]string{"instances": strings.Join(w.Instances, ","), "window": start.UTC().Format(time.RFC3339),
 		"token": fmt.Sprint(w.Token), "missing": string(missing)}
-	return report, about, nil
+	return report, metadata, nil
 }
 
-// writeReportFile writes the file and has it on the medium when it returns.
-func writeReportFile(path string, report accounts.Report, about map[string]string) error {
+// writeReportFile writes the report to a file and syncs it to disk.
+func writeReportFile(path string, report accounts.Report, metadata map[string]string) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	err = report.ParquetAbout(f, about)
+	err = report.ParquetAbout(f, metadata)
 	failpoint.Hit("account.written")
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
@@ -209,21 +211,21 @@
 	return nil
 }
 
-// removeUnreferenced removes files that no window refers to and that no operation can refer to any
-// more.
+// removeUnreferenced removes report files that no window refers to and that no operation can add any
+// more, as their token is not newer than the given one.
 func removeUnreferenced(dir string, s ReportState, token uint64) {
-	has := map[string]bool{}
+	referenced := map[string]bool{}
 	for _, w := range s.Windows {
-		has[w.File] = true
+		referenced[w.File] = true
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "fleet-*.parquet"))
 	for _, path := range files {
-		var of uint64
+		var fileToken uint64
 		name := filepath.Base(path)
 		if _, after, found := strings.Cut(strings.TrimPrefix(name, "fleet-"), "-"); found {
-			_, _ = fmt.Sscanf(after, "%d.parquet", &of)
+			_, _ = fmt.Sscanf(after, "%d.parquet", &fileToken)
 		}
-		if !has[name] && of > 0 && of <= token {
+		if !referenced[name] && fileToken > 0 && fileToken <= token {
 			os.Remove(path)
 		}
 	}
@@ -234,11 +236,11 @@
 	if m.Accounts == "" {
 		return s, errors.New("it keeps no accounts")
 	}
-	// An instance that does not answer must leave time for the report.
-	if end, bounded := ctx.Deadline(); bounded {
-		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, time.Until(end)/2)
-		defer done()
+	// Half of the time is reserved for writing the report, even if an instance does not answer.
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, time.Until(deadline)/2)
+		defer cancel()
 	}
 	url := fmt.Sprintf("http://%s/accounts?window=%d&window_s=%d", m.Accounts, start.Unix(), int64(window.Seconds()))
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -252,8 +254,8 @@
 	defer resp.Body.Close()
 	body := io.LimitReader(resp.Body, maxSnapshotBytes)
 	if resp.StatusCode != http.StatusOK {
-		text, _ := io.ReadAll(io.LimitReader(body, 200))
-		return s, fmt.Errorf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(text)))
+		detail, _ := io.ReadAll(io.LimitReader(body, 200))
+		return s, fmt.Errorf("status %d: %s", resp.StatusCode, strings.TrimSpace(string(detail)))
 	}
 	if err := json.NewDecoder(body).Decode(&s); err != nil {
 		return s, err
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -13,14 +13,14 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Operation is a running operation.
+// Operation is a running operation with its task.
 type Operation struct {
 	lessee.Operation
 	Task   lease.Task
 	runner *Runner
 }
 
-// MayProceed reports whether the operation may still have effects. It must be asked right before each
+// MayProceed reports whether the operation may still have effects. It must be called right before each
 // effect.
 func (op *Operation) MayProceed() bool {
 	op.runner.mu.Lock()
@@ -28,17 +28,17 @@
 	return op.runner.lessee.MayProceed(monotone.Now(), op.Operation)
 }
 
-// errExpired says that the operation, or its lease, ended before all was done.
-var errExpired = errors.New("the act or its lease is over")
+// errExpired is returned by a Job whose operation or lease ended before its work was complete.
+var errExpired = errors.New("the operation or its lease has expired")
 
 // Job runs the operations of one kind of task. An error that is a *fencing.RejectedError means that
 // the resource has seen a newer token; any other error is a failure.
 type Job interface {
-	Run(ctx context.Context, a *Operation) error
+	Run(ctx context.Context, op *Operation) error
 }
 
-// Run starts operations as they become due until ctx ends. Running operations then end by themselves;
-// Stop waits for them.
+// Run starts operations as they become due until ctx ends. Each operation runs in a goroutine of its
+// own, with a context that ends at the operation's deadline or with ctx; Stop waits for them.
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
@@ -54,8 +54,8 @@
 			}
 			next = min(next, r.lessee.NextOperation(k))
 			r.counts.begun++
-			act := &Operation{op, *r.lessee.Task(k.Task), r}
-			r.running.Go(func() { r.runOperation(ctx, act) })
+			operation := &Operation{op, *r.lessee.Task(k.Task), r}
+			r.running.Go(func() { r.runOperation(ctx, operation) })
 		}
 		r.mu.Unlock()
 		select {
@@ -69,25 +69,25 @@
 // runOperation runs one operation and records its outcome.
 func (r *Runner) runOperation(ctx context.Context, op *Operation) {
 	failpoint.Hit("act.begun")
-	ctx, done := context.WithTimeout(ctx, op.Deadline-monotone.Now())
-	defer done()
-	err := errors.New("a task of a kind that is not done here")
+	ctx, cancel := context.WithTimeout(ctx, op.Deadline-monotone.Now())
+	defer cancel()
+	err := errors.New("no job for tasks of this kind")
 	if job := r.opt.Jobs[op.Task.Kind]; job != nil {
 		err = job.Run(ctx, op)
 	}
 	failpoint.Hit("act.ending")
-	how, seen := lessee.Completed, uint64(0)
+	outcome, seenToken := lessee.Completed, uint64(0)
 	var rejected *fencing.RejectedError
 	switch {
 	case errors.As(err, &rejected):
-		how, seen = lessee.Fenced, rejected.Current.Token
+		outcome, seenToken = lessee.Fenced, rejected.Current.Token
 	case err != nil:
-		how = lessee.Failed
+		outcome = lessee.Failed
 	}
 	r.mu.Lock()
-	r.lessee.FinishOperation(op.Operation, how, seen)
-	hurry := r.lessee.NeedsRenewal() && !r.stopped
-	switch how {
+	r.lessee.FinishOperation(op.Operation, outcome, seenToken)
+	renewEarly := r.lessee.NeedsRenewal() && !r.stopped
+	switch outcome {
 	case lessee.Completed:
 		r.counts.done++
 	case lessee.Fenced:
@@ -97,17 +97,17 @@
 	}
 	r.mu.Unlock()
 	if err != nil {
-		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[how]
+		reason := map[lessee.Outcome]string{lessee.Fenced: "ACT_REFUSED", lessee.Failed: "ACT_FAILED"}[outcome]
 		r.opt.Log.Warn("operation not completed", slog.String("reason", reason), slog.String("lease", op.String()), slog.Uint64("token", op.Token), slog.Any("error", err))
 	}
-	if hurry {
+	if renewEarly {
 		r.opt.RenewNow()
 	}
 	r.wakeUp()
 }
 
-// OperationPeriod is the time from one operation of a task to the next, and the duration of that one;
-// 0: the task is unknown.
+// OperationPeriod returns the longest time from the start of one operation of a task to the end of the
+// next; 0: the task is unknown.
 func (r *Runner) OperationPeriod(task string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/lease/leasework/renewal.go
+++ b/internal/controlplane/lease/leasework/renewal.go
@@ -6,14 +6,14 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// SetEjected replaces the targets that are ejected here.
+// SetEjected replaces the targets that this instance has ejected.
 func (r *Runner) SetEjected(targets []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ejected = targets[:min(len(targets), lease.MaxTargets)]
 }
 
-// BeginRenewal starts a lease renewal together with a session renewal that starts now.
+// BeginRenewal returns the lease part of a session renewal that starts now.
 func (r *Runner) BeginRenewal(now time.Duration) *lease.RenewalRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 	return &req
 }
 
-// AcceptRenewal takes over the answer to the last renewal.
+// AcceptRenewal applies the response to the last renewal.
 func (r *Runner) AcceptRenewal(now time.Duration, resp *lease.RenewalResponse) {
 	r.mu.Lock()
 	if !r.lessee.AcceptRenewal(now, *resp) {
@@ -42,18 +42,18 @@
 		return
 	}
 	r.probeTargets = resp.ProbeTargets
-	hurry := r.lessee.NeedsRenewal()
+	renewEarly := r.lessee.NeedsRenewal()
 	r.mu.Unlock()
 	if len(resp.ProbeResults) > 0 {
 		r.onResults(resp.ProbeResults, now-r.renewalStartedAt)
 	}
-	if hurry {
+	if renewEarly {
 		r.opt.RenewNow()
 	}
 	r.wakeUp()
 }
 
-// DropAll gives up all leases: the session is lost.
+// DropAll drops all leases, since the session is lost.
 func (r *Runner) DropAll() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +61,7 @@
 	r.probeTargets, r.results, r.resultTimes = nil, nil, nil
 }
 
-// Stop releases everything and reports whether all operations have ended within that time.
+// Stop releases all leases, waits for running operations, and reports whether all ended in that time.
 func (r *Runner) Stop(within time.Duration) bool {
 	r.mu.Lock()
 	r.stopped = true
--- a/internal/controlplane/lease/leasework/runner.go
+++ b/internal/controlplane/lease/leasework/runner.go
@@ -17,9 +17,9 @@
 type Options struct {
 	Tasks        []string // names of the tasks that it can run
 	Jobs         map[lease.Kind]Job
-	RenewNow     func()        // has the next renewal sent at once; it must not block
-	OpenRequests func() uint16 // its load; nil: not reported
-	// instances that its membership view holds dead or gone; nil: there is no view
+	RenewNow     func()        // requests that the next renewal is sent at once; it must not block
+	OpenRequests func() uint16 // the instance's load; nil: not reported
+	// names of instances that its membership view considers dead or departed; nil: there is no view
 	DeadInstances func() []string
 	Log           *slog.Logger
 }
@@ -27,18 +27,18 @@
 // Runner runs an instance's tasks. It is safe for concurrent use.
 type Runner struct {
 	opt  Options
-	wake chan struct{}
+	wake chan struct{} // signals Run that an operation may be due; never closed
 
-	mu               sync.Mutex
+	mu               sync.Mutex // guards the fields below, except onResults and running
 	lessee           *lessee.Lessee
-	ejected          []string            // targets ejected here
-	probeTargets     []string            // to be probed, of the shards held
-	results          []lease.ProbeResult // not reported yet, with the times of the probes
-	resultTimes      []time.Duration
+	ejected          []string                                 // targets ejected by this instance
+	probeTargets     []string                                 // targets to probe, of the held shards
+	results          []lease.ProbeResult                      // not reported yet
+	resultTimes      []time.Duration                          // times of the probes, in the order of results
 	onResults        func([]lease.ProbeResult, time.Duration) // see OnResults
-	renewalStartedAt time.Duration                            // of the renewal sent last
-	running          sync.WaitGroup
-	stopped          bool // Stop was called
+	renewalStartedAt time.Duration                            // start of the last renewal
+	running          sync.WaitGroup                           // running operations
+	stopped          bool                                     // Stop was called
 	counts           struct{ begun, done, refused, failed int64 }
 }
 
@@ -47,11 +47,12 @@
 	return &Runner{opt: opt, wake: make(chan struct{}, 1), lessee: lessee.New(opt.Tasks), onResults: func([]lease.ProbeResult, time.Duration) {}}
 }
 
-// OnResults sets what is called with probe results for targets that are ejected here, and how long
-// these have been on their way at most. It must be called before Run; f must not block.
+// OnResults sets the function that is called with probe results for targets ejected by this instance,
+// and an upper bound on the time that the results took to arrive. It must be called before Run; f must
+// not block.
 func (r *Runner) OnResults(f func([]lease.ProbeResult, time.Duration)) { r.onResults = f }
 
-// wakeUp has Run look for due operations.
+// wakeUp makes Run check for due operations.
 func (r *Runner) wakeUp() {
 	select {
 	case r.wake <- struct{}{}:
@@ -59,7 +60,7 @@
 	}
 }
 
-// addResult records a probe result for the next renewal.
+// addResult records a probe result for the next renewal, up to lease.MaxTargets of them.
 func (r *Runner) addResult(x lease.ProbeResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/lease/lessee/lessee.go
+++ b/internal/controlplane/lease/lessee/lessee.go
@@ -2,9 +2,9 @@
 // operation may start or continue, and what it reports to the lessor. It does no I/O; time is passed
 // in, and equal inputs give equal outputs.
 //
-// Invariants: a lease is valid until its TTL counted from the start of its renewal, so before the
-// answer arrived; an operation starts only if it can end within the lease; a released lease is not
-// used again under the same token. Numbers of steps in comments are those of package lease.
+// Invariants: the TTL of a lease is counted from the start of its renewal, which is before the response
+// arrived; an operation starts only if it can end within the lease; a released lease is not used again
+// under the same token. Step numbers in comments refer to package lease.
 package lessee
 
 import (
@@ -14,31 +14,31 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// Lessee is one process's leases. It is not safe for concurrent use.
+// Lessee is the lease state of one process. It is not safe for concurrent use.
 type Lessee struct {
 	supported        []string // names of the tasks that it can run
 	config           lease.Config
 	held             map[lease.Key]heldLease
-	released         map[lease.Key]uint64    // tokens released, until the lessor has confirmed
+	released         map[lease.Key]uint64    // tokens of released leases that the lessor has not confirmed yet
 	running          map[lease.Key]Operation // operations that have not finished, by shard
-	lastSeq          uint64                  // of the renewal sent last
-	renewalStartedAt time.Duration           // of it
-	renewalAnswered  bool                    // its answer was accepted
-	highestToken     uint64                  // newest token that a guarded resource has shown
-	renewNow         bool                    // something has to be reported before the next regular renewal
-	operations       uint64                  // started so far: their numbers grow
+	lastSeq          uint64                  // sequence number of the last renewal
+	renewalStartedAt time.Duration           // start of the last renewal
+	renewalAnswered  bool                    // the response to the last renewal was accepted
+	highestToken     uint64                  // newest token that a guarded resource has reported
+	renewNow         bool                    // a renewal must be sent before the next regular one
+	operations       uint64                  // number of operations started, and number of the last one
 }
 
-// heldLease is one lease held, with its operations under this token.
+// heldLease is a held lease with the outcomes of operations under its token.
 type heldLease struct {
 	token                     uint64
-	expiresAt                 time.Duration // nothing may be done from then on
+	expiresAt                 time.Duration // no operation may have effects from then on
 	recalled                  bool          // to be released once no operation is running
 	completed, fenced, failed uint64
-	nextOperationAt           time.Duration // when the next act is due
+	nextOperationAt           time.Duration // when the next operation is due
 }
 
-// New returns a lessee without leases, of a process that can run the tasks named.
-func New(runs []string) *Lessee {
-	return &Lessee{supported: slices.Clone(runs), held: map[lease.Key]heldLease{}, released: map[lease.Key]uint64{}, running: map[lease.Key]Operation{}}
+// New returns a lessee without leases for a process that can run the named tasks.
+func New(tasks []string) *Lessee {
+	return &Lessee{supported: slices.Clone(tasks), held: map[lease.Key]heldLease{}, released: map[lease.Key]uint64{}, running: map[lease.Key]Operation{}}
 }
--- a/internal/controlplane/lease/lessee/operation.go
+++ b/internal/controlplane/lease/lessee/operation.go
@@ -6,21 +6,21 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// Operation is one operation of a task. It runs under a token, has a bounded duration, and ends
-// whether or not it is seen to end.
+// Operation is one operation of a task. It runs under a token and has no effects after its deadline,
+// even if it has not been finished by then.
 type Operation struct {
 	lease.Key
 	Token    uint64
 	Number   uint64        // grows with each operation of the process
-	Deadline time.Duration // it does nothing from then on
+	Deadline time.Duration // it has no effects from then on
 }
 
-// StartOperation starts an operation if one is due and can end within the lease (step 5).
+// StartOperation starts an operation on a shard if one is due and can end within the lease (step 5).
 func (l *Lessee) StartOperation(now time.Duration, k lease.Key) (Operation, bool) {
 	h, holds := l.held[k]
 	task := l.config.Task(k.Task)
-	_, acts := l.running[k]
-	if !holds || task == nil || h.recalled || acts || now < h.nextOperationAt || now+task.OperationTimeout() > h.expiresAt {
+	_, busy := l.running[k]
+	if !holds || task == nil || h.recalled || busy || now < h.nextOperationAt || now+task.OperationTimeout() > h.expiresAt {
 		return Operation{}, false
 	}
 	h.nextOperationAt = now + task.Interval()
@@ -40,20 +40,20 @@
 // Outcome is how an operation ended.
 type Outcome int
 
-// The outcomes.
+// Outcomes of operations.
 const (
 	Completed Outcome = iota
-	Fenced            // the resource has seen a newer token
-	Failed            // for another reason
+	Fenced            // rejected by the resource, which has seen a newer token
+	Failed            // ended with another error
 )
 
-// FinishOperation ends an operation. seen is the newest token that the resource has shown; 0: none.
-func (l *Lessee) FinishOperation(op Operation, how Outcome, seen uint64) {
+// FinishOperation ends an operation. seenToken is the newest token that the resource reported; 0: none.
+func (l *Lessee) FinishOperation(op Operation, outcome Outcome, seenToken uint64) {
 	if l.running[op.Key] == op {
 		delete(l.running, op.Key)
 	}
 	if h, holds := l.held[op.Key]; holds && h.token == op.Token {
-		switch how {
+		switch outcome {
 		case Completed:
 			h.completed++
 		case Fenced:
@@ -62,14 +62,14 @@
 			h.failed++
 		}
 		l.held[op.Key] = h
-		if how == Fenced && seen > op.Token {
-			h.recalled = true // there is a newer grant, or the resource has seen tokens of an earlier group of agents
+		if outcome == Fenced && seenToken > op.Token {
+			h.recalled = true // there is a newer grant, or the resource has seen tokens from before the agents lost their log
 			l.held[op.Key] = h
 		}
 	}
-	l.highestToken = max(l.highestToken, seen)
+	l.highestToken = max(l.highestToken, seenToken)
 	l.releaseIfIdle(op.Key)
 }
 
-// NextOperation is when the next operation of a shard is due.
+// NextOperation returns when the next operation of a shard is due.
 func (l *Lessee) NextOperation(k lease.Key) time.Duration { return l.held[k].nextOperationAt }
--- a/internal/controlplane/lease/lessee/renewal.go
+++ b/internal/controlplane/lease/lessee/renewal.go
@@ -8,7 +8,7 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// BeginRenewal starts a renewal. From now on only its own answer is accepted (step 11).
+// BeginRenewal starts a renewal. From now on only the response to it is accepted (step 11).
 func (l *Lessee) BeginRenewal(now time.Duration) lease.RenewalRequest {
 	l.lastSeq++
 	l.renewalStartedAt, l.renewalAnswered, l.renewNow = now, false, false
@@ -23,8 +23,8 @@
 	return req
 }
 
-// AcceptRenewal takes over an answer and reports whether it was accepted. An answer to another renewal
-// than the last, or to one that was answered, is ignored (step 11).
+// AcceptRenewal applies a response and reports whether it was accepted. A response to a renewal that is
+// not the last, or that was already answered, is ignored (step 11).
 func (l *Lessee) AcceptRenewal(now time.Duration, resp lease.RenewalResponse) bool {
 	if resp.Seq != l.lastSeq || l.renewalAnswered {
 		return false
@@ -33,9 +33,9 @@
 	if resp.Config != nil && resp.Config.Version > l.config.Version {
 		l.config = *resp.Config
 	}
-	had := map[lease.Key]bool{} // leases that the lessor still has as this member's
+	listed := map[lease.Key]bool{} // leases that the lessor still lists as held by this member
 	for _, ref := range resp.Leases {
-		had[ref.Key] = true
+		listed[ref.Key] = true
 		task := l.config.Task(ref.Task)
 		h := l.held[ref.Key]
 		if task == nil || ref.Token < h.token || ref.Token <= l.released[ref.Key] {
@@ -49,36 +49,36 @@
 		delete(l.released, ref.Key)
 	}
 	for _, ref := range resp.Recalled {
-		had[ref.Key] = true
+		listed[ref.Key] = true
 		h, holds := l.held[ref.Key]
 		switch {
 		case holds && h.token == ref.Token:
 			h.recalled = true
 			l.held[ref.Key] = h
 			l.releaseIfIdle(ref.Key)
-		case ref.Token > l.released[ref.Key]: // this member never heard of it
+		case ref.Token > l.released[ref.Key]: // the grant never reached this member
 			l.released[ref.Key], l.renewNow = ref.Token, true
 		}
 	}
 	maps.DeleteFunc(l.released, func(k lease.Key, _ uint64) bool {
-		_, told := had[k]
-		return !told && !l.renewNow
+		_, isListed := listed[k]
+		return !isListed && !l.renewNow
 	})
-	maps.DeleteFunc(l.held, func(k lease.Key, h heldLease) bool { return now >= h.expiresAt && !had[k] })
+	maps.DeleteFunc(l.held, func(k lease.Key, h heldLease) bool { return now >= h.expiresAt && !listed[k] })
 	return true
 }
 
-// releaseIfIdle releases a recalled shard once no operation is running there.
+// releaseIfIdle releases a recalled shard if no operation is running on it.
 func (l *Lessee) releaseIfIdle(k lease.Key) {
 	h, holds := l.held[k]
-	if _, acts := l.running[k]; !holds || !h.recalled || acts {
+	if _, busy := l.running[k]; !holds || !h.recalled || busy {
 		return
 	}
-	delete(l.held, k) // before anybody is told (step 8)
+	delete(l.held, k) // before the release is reported (step 8)
 	l.released[k], l.renewNow = h.token, true
 }
 
-// Release gives up a shard as soon as no operation is running there.
+// Release releases a shard as soon as no operation is running on it.
 func (l *Lessee) Release(k lease.Key) {
 	if h, holds := l.held[k]; holds {
 		h.recalled = true
@@ -87,7 +87,8 @@
 	}
 }
 
-// ReleaseAll gives up everything as soon as no operation is running, and accepts no task from then on.
+// ReleaseAll releases each shard as soon as no operation is running on it, and stops offering to run
+// tasks.
 func (l *Lessee) ReleaseAll() {
 	l.supported = nil
 	for k := range l.held {
@@ -95,13 +96,13 @@
 	}
 }
 
-// DropAll gives up everything at once: the agents do not know this member. Running operations may not
-// continue.
+// DropAll drops all leases at once, since the agents have no session of this member. Running operations
+// may not have effects any more.
 func (l *Lessee) DropAll() {
 	clear(l.held)
 	clear(l.released)
-	l.renewalAnswered, l.renewNow = true, false // an answer that is still on its way is ignored
+	l.renewalAnswered, l.renewNow = true, false // a response still in flight is ignored
 }
 
-// NeedsRenewal reports whether something has to be reported before the next regular renewal.
+// NeedsRenewal reports whether a renewal must be sent before the next regular one.
 func (l *Lessee) NeedsRenewal() bool { return l.renewNow }
--- a/internal/controlplane/lease/lessee/status.go
+++ b/internal/controlplane/lease/lessee/status.go
@@ -20,16 +20,16 @@
 	return all
 }
 
-// Token is the token of a shard that is held; 0: it is not.
+// Token returns the token of a held shard; 0: it is not held.
 func (l *Lessee) Token(k lease.Key) uint64 { return l.held[k].token }
 
-// Idle reports whether nothing is held, running or to be reported.
+// Idle reports whether no lease is held, no operation is running, and no release is unconfirmed.
 func (l *Lessee) Idle() bool { return len(l.held) == 0 && len(l.running) == 0 && len(l.released) == 0 }
 
-// Task returns a task as this member knows it, or nil.
+// Task returns the task of that name in this member's config, or nil.
 func (l *Lessee) Task(name string) *lease.Task { return l.config.Task(name) }
 
-// LeaseStatus is one held lease at a moment.
+// LeaseStatus is a snapshot of one held lease.
 type LeaseStatus struct {
 	lease.Key
 	Token                     uint64
@@ -46,19 +46,19 @@
 	return all
 }
 
-// String is the whole state as text: equal states print alike.
+// String returns the whole state as text; equal states give equal texts.
 func (l *Lessee) String() string {
 	b := fmt.Appendf(nil, "%v %d %v %v %d %v %d", l.supported, l.lastSeq, l.renewalStartedAt, l.renewalAnswered, l.highestToken, l.renewNow, l.operations)
 	for _, k := range slices.SortedFunc(maps.Keys(l.held), lease.CompareKeys) {
 		b = fmt.Appendf(b, "\n%v %+v", k, l.held[k])
 	}
 	for _, k := range slices.SortedFunc(maps.Keys(l.released), lease.CompareKeys) {
-		b = fmt.Appendf(b, "\n%v gives %d", k, l.released[k])
+		b = fmt.Appendf(b, "\n%v released %d", k, l.released[k])
 	}
-	for _, op := range slices.SortedFunc(maps.Values(l.running), func(op, b Operation) int {
-		return cmp.Or(lease.CompareKeys(op.Key, b.Key), cmp.Compare(op.Number, b.Number))
+	for _, a := range slices.SortedFunc(maps.Values(l.running), func(a, b Operation) int {
+		return cmp.Or(lease.CompareKeys(a.Key, b.Key), cmp.Compare(a.Number, b.Number))
 	}) {
-		b = fmt.Appendf(b, "\n%+v", op)
+		b = fmt.Appendf(b, "\n%+v", a)
 	}
 	return string(b)
 }
--- a/internal/controlplane/lease/lessor/lessor_test.go
+++ b/internal/controlplane/lease/lessor/lessor_test.go
@@ -12,8 +12,9 @@
 	"spindlehitch/internal/controlplane/registry"
 )
 
-// world is a register and a keeper with so many members, all of which have claimed.
-func world(tb testing.TB, members, shards int, runs ...string) (*registry.Registry, *Lessor, []uint64) {
+// newTestLessor returns a registry and a lessor with that many members, each of which has renewed once, and their renewals'
+// sequence numbers.
+func newTestLessor(tb testing.TB, members, shards int, tasks ...string) (*registry.Registry, *Lessor, []uint64) {
 	tb.Helper()
 	r := &registry.Registry{}
 	if err := r.SetQuotaConfig(1, quota.Config{MaxSessions: 2000}); err != nil {
@@ -31,12 +32,13 @@
 	l := New(0, r)
 	seq := make([]uint64, members)
 	for i := range members {
-		claim(tb, l, time.Minute, i, seq, lease.RenewalRequest{Tasks: runs})
+		renew(tb, l, time.Minute, i, seq, lease.RenewalRequest{Tasks: tasks})
 	}
 	return r, l, seq
 }
 
-func claim(tb testing.TB, l *Lessor, now time.Duration, i int, seq []uint64, req lease.RenewalRequest) lease.RenewalResponse {
+// renew sends the next renewal of member i.
+func renew(tb testing.TB, l *Lessor, now time.Duration, i int, seq []uint64, req lease.RenewalRequest) lease.RenewalResponse {
 	tb.Helper()
 	seq[i]++
 	req.Seq = seq[i]
@@ -47,164 +49,166 @@
 	return resp
 }
 
-// settle has the log take what the keeper wants, until it wants nothing more.
-func settle(r *registry.Registry, l *Lessor, now time.Duration) {
+// applyPendingEvents applies the lessor's pending events to the registry until there are none.
+func applyPendingEvents(r *registry.Registry, l *Lessor, now time.Duration) {
 	for index := uint64(10_000); ; index++ {
-		orders, seen := l.PendingEvents(now)
-		if len(orders) == 0 && seen == 0 {
+		events, seenToken := l.PendingEvents(now)
+		if len(events) == 0 && seenToken == 0 {
 			return
 		}
-		r.ApplyEvents(index+r.LastToken, seen, orders)
+		r.ApplyEvents(index+r.LastToken, seenToken, events)
 		l.Update(now, r)
 	}
 }
 
-// TestSeen has a member report a token that a place has shown, of a group of agents before this one: the next grant is greater. One that no
-// place can have shown changes nothing.
-func TestSeen(t *testing.T) {
-	r, l, seq := world(t, 1, 1, "t")
-	settle(r, l, time.Minute)
-	for seen, wanted := range map[uint64]bool{1 << 40: true, 1 << 63: false} {
-		claim(t, l, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}, HighestToken: seen, Released: []lease.Ref{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
-		settle(r, l, time.Minute)
-		if got := r.Leases[0].Token > seen; got != wanted || r.Leases[0].Token > 1<<41 {
-			t.Errorf("token %d after a place had shown %d", r.Leases[0].Token, seen)
+// TestReportedToken has a member report a token that a guarded resource has seen, as after the agents lost their log. The next grant
+// must get a greater token. An implausibly large token must be ignored.
+func TestReportedToken(t *testing.T) {
+	r, l, seq := newTestLessor(t, 1, 1, "t")
+	applyPendingEvents(r, l, time.Minute)
+	for reported, counted := range map[uint64]bool{1 << 40: true, 1 << 63: false} {
+		renew(t, l, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}, HighestToken: reported, Released: []lease.Ref{{Key: lease.Key{Task: "t"}, Token: r.Leases[0].Token}}})
+		applyPendingEvents(r, l, time.Minute)
+		if got := r.Leases[0].Token > reported; got != counted || r.Leases[0].Token > 1<<41 {
+			t.Errorf("granted token %d after token %d was reported", r.Leases[0].Token, reported)
 		}
 	}
 }
 
-// TestMoves has operators' moves refused, each for its reason, and a moved shard stay where it was moved to.
-func TestMoves(t *testing.T) {
-	r, k, seq := world(t, 3, 6, "t")
+// TestMigrate checks the reason for which each invalid migration is rejected, and that a migrated shard is granted only after its
+// release and then stays at its new holder.
+func TestMigrate(t *testing.T) {
+	r, l, seq := newTestLessor(t, 3, 6, "t")
 	now := time.Minute
-	settle(r, k, now)
+	applyPendingEvents(r, l, now)
 	key := lease.Key{Task: "t", Shard: 0}
 	holder := r.Lease(key).Holder
 	to := "n0"
 	if holder == "member-0000" {
 		to = "n1"
 	}
-	claim(t, k, now, 2, seq, lease.RenewalRequest{}) // it does the task no more
+	renew(t, l, now, 2, seq, lease.RenewalRequest{}) // it no longer runs the task
 	for _, c := range []struct {
 		key lease.Key
 		to  string
 		err error
 	}{{lease.Key{Task: "u"}, to, lease.ErrUnknownTask}, {lease.Key{Task: "t", Shard: 6}, to, lease.ErrUnknownShard}, {key, "n7", lease.ErrUnknownMember},
 		{key, holder, lease.ErrAlreadyHolder}, {key, "n2", lease.ErrTaskNotSupported}, {key, to, nil}} {
-		e, err := k.Migrate(now, c.key, c.to)
+		e, err := l.Migrate(now, c.key, c.to)
 		if !errors.Is(err, c.err) {
-			t.Errorf("%v to %s: %v, wanted %v", c.key, c.to, err, c.err)
+			t.Errorf("%v to %s: %v, want %v", c.key, c.to, err, c.err)
 		}
 		if err == nil {
 			r.ApplyEvents(50_000, 0, []lease.Event{e})
-			k.Update(now, r)
+			l.Update(now, r)
 		}
 	}
 	before := r.Lease(key).Token
-	settle(r, k, now)
+	applyPendingEvents(r, l, now)
 	if r.Lease(key).Token != before {
-		t.Fatal("granted on before it was given back")
+		t.Fatal("granted to the next holder before it was released")
 	}
 	for i := range 3 {
 		c := lease.RenewalRequest{Tasks: []string{"t"}}
-		for _, l := range r.Leases {
-			if l.Holder == fmt.Sprintf("member-%04d", i) {
-				c.Released = append(c.Released, lease.Ref{Key: l.Key, Token: l.Token})
+		for _, granted := range r.Leases {
+			if granted.Holder == fmt.Sprintf("member-%04d", i) {
+				c.Released = append(c.Released, lease.Ref{Key: granted.Key, Token: granted.Token})
 			}
 		}
 		if i < 2 {
-			claim(t, k, now, i, seq, c)
+			renew(t, l, now, i, seq, c)
 		}
 	}
 	for range 5 {
-		settle(r, k, now)
+		applyPendingEvents(r, l, now)
 	}
-	if l := r.Lease(key); l.PinnedTo == "" || l.Holder != l.PinnedTo || l.Holder == holder {
-		t.Errorf("moved to %s: %+v", to, l)
+	if granted := r.Lease(key); granted.PinnedTo == "" || granted.Holder != granted.PinnedTo || granted.Holder == holder {
+		t.Errorf("after the migration to %s: %+v", to, granted)
 	}
 }
 
-// BenchmarkClaim is what a claim costs the leader, of so many members with three shards each.
-func BenchmarkClaim(b *testing.B) {
+// BenchmarkRenew measures the leader's cost of one lease renewal, with members that hold three shards each.
+func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{20, 300} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			r, k, seq := world(b, n, min(3*n, lease.MaxShards), "t")
-			settle(r, k, time.Minute)
+			r, l, seq := newTestLessor(b, n, min(3*n, lease.MaxShards), "t")
+			applyPendingEvents(r, l, time.Minute)
 			held := map[string][]lease.HolderStatus{}
-			for _, l := range r.Leases {
-				held[l.Holder] = append(held[l.Holder], lease.HolderStatus{Key: l.Key, Token: l.Token, Completed: 1})
+			for _, granted := range r.Leases {
+				held[granted.Holder] = append(held[granted.Holder], lease.HolderStatus{Key: granted.Key, Token: granted.Token, Completed: 1})
 			}
-			size, answer := 0, 0
+			requestBytes, responseBytes := 0, 0
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				req := lease.RenewalRequest{ConfigVersion: r.LeaseConfig.Version, Tasks: []string{"t"}, Held: held[fmt.Sprintf("member-%04d", i%n)]}
-				resp := claim(b, k, time.Minute, i%n, seq, req)
+				resp := renew(b, l, time.Minute, i%n, seq, req)
 				if i == n {
 					text, _ := json.Marshal(req)
-					size = len(text)
+					requestBytes = len(text)
 					text, _ = json.Marshal(resp)
-					answer = len(text)
+					responseBytes = len(text)
 				}
 			}
-			b.ReportMetric(float64(size), "B/claim")
-			b.ReportMetric(float64(answer), "B/award")
+			b.ReportMetric(float64(requestBytes), "B/request")
+			b.ReportMetric(float64(responseBytes), "B/response")
 		})
 	}
 }
 
-// TestVerdicts has members hold another dead: by the word of three, once it has missed a renewal, nothing more is given to it; by two, or
-// while it renews, all goes on. What it holds is not touched before its time, whoever says what.
-func TestVerdicts(t *testing.T) {
+// TestDeathReports has members report another one as dead. With three reports and a missed renewal, it must be treated as dead and be
+// granted no more shards; with two reports, or while it renews, it must not. Its lease must not end before it expires, whatever
+// the reports.
+func TestDeathReports(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		judges  int
-		renews  bool
-		planned bool // the shards go to others once their time is over, though the member may only be late
-	}{{"nobody", 0, false, false}, {"two", 2, false, false}, {"three", 3, false, true}, {"three, and it renews", 3, true, false}} {
-		r, k, seq := world(t, 5, 5, "t")
-		settle(r, k, time.Minute)
+		name      string
+		reporters int
+		renews    bool
+		planned   bool // its shard is granted to another member once the lease has expired
+	}{{"none", 0, false, false}, {"two", 2, false, false}, {"three", 3, false, true}, {"three, and it renews", 3, true, false}} {
+		r, l, seq := newTestLessor(t, 5, 5, "t")
+		applyPendingEvents(r, l, time.Minute)
 		held := func() (n int) {
-			for _, l := range r.Leases {
-				if l.Holder == "member-0000" {
+			for _, granted := range r.Leases {
+				if granted.Holder == "member-0000" {
 					n++
 				}
 			}
 			return n
 		}
 		if held() != 1 {
-			t.Fatalf("%d shards of five", held())
+			t.Fatalf("member-0000 holds %d of five shards, want 1", held())
 		}
-		claim(t, k, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}}) // it is told of its shard
-		until := k.lease(lease.Key{Task: "t", Shard: shardOf(r, "member-0000")}).expiresAt
-		now := time.Minute + k.quotaConfig.MaxOnOtherClock(k.quotaConfig.RenewInterval())
+		renew(t, l, time.Minute, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}}) // delivers the grant of its shard
+		until := l.lease(lease.Key{Task: "t", Shard: shardHeldBy(r, "member-0000")}).expiresAt
+		now := time.Minute + l.quotaConfig.MaxOnOtherClock(l.quotaConfig.RenewInterval())
 		for i := 1; i < 5; i++ {
-			x := lease.RenewalRequest{Tasks: []string{"t"}}
-			if i <= c.judges {
-				x.DeadInstances = []string{"n0"}
+			req := lease.RenewalRequest{Tasks: []string{"t"}}
+			if i <= c.reporters {
+				req.DeadInstances = []string{"n0"}
 			}
-			claim(t, k, now, i, seq, x)
+			renew(t, l, now, i, seq, req)
 		}
 		if c.renews {
-			claim(t, k, now, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}})
+			renew(t, l, now, 0, seq, lease.RenewalRequest{Tasks: []string{"t"}})
 		}
-		if settle(r, k, now); held() != 1 {
-			t.Errorf("%s: a shard went on before its time", c.name)
+		if applyPendingEvents(r, l, now); held() != 1 {
+			t.Errorf("%s: the shard was granted to another member before the lease expired", c.name)
 		}
-		if dead := k.deadMembers(now)["member-0000"]; dead != c.planned {
-			t.Errorf("%s: held dead %v, want %v", c.name, dead, c.planned)
+		if dead := l.deadMembers(now)["member-0000"]; dead != c.planned {
+			t.Errorf("%s: treated as dead: %v, want %v", c.name, dead, c.planned)
 		}
 		if c.planned {
 			for i := 1; i < 5; i++ {
-				claim(t, k, until, i, seq, lease.RenewalRequest{Tasks: []string{"t"}, DeadInstances: []string{"n0"}})
+				renew(t, l, until, i, seq, lease.RenewalRequest{Tasks: []string{"t"}, DeadInstances: []string{"n0"}})
 			}
-			if settle(r, k, until); held() != 0 {
-				t.Errorf("%s: its shard did not go on when its time was over", c.name)
+			if applyPendingEvents(r, l, until); held() != 0 {
+				t.Errorf("%s: the shard was not granted to another member after the lease expired", c.name)
 			}
 		}
 	}
 }
 
-func shardOf(r *registry.Registry, id string) int {
+func shardHeldBy(r *registry.Registry, id string) int {
 	for _, l := range r.Leases {
 		if l.Holder == id {
 			return l.Shard
--- a/internal/controlplane/lease/lessor/plan.go
+++ b/internal/controlplane/lease/lessor/plan.go
@@ -8,32 +8,33 @@
 	"spindlehitch/internal/controlplane/lease/rebalance"
 )
 
-// PendingEvents returns the changes that the log should get now: shards whose lease was released or
-// has expired are granted on, and a few others are planned to move for balance. An event whose fate is
-// unknown is returned again; once applied, it has no effect a second time (step 4).
-func (l *Lessor) PendingEvents(now time.Duration) (events []lease.Event, seen uint64) {
+// PendingEvents returns the changes to append to the log now: shards whose lease was released or has
+// expired are granted to other members, and a few others are planned to move for rebalancing. An event
+// that may or may not have been applied is returned again; applying it twice has no further effect
+// (step 4). seenToken, if not 0, is a token that the next grant must exceed.
+func (l *Lessor) PendingEvents(now time.Duration) (events []lease.Event, seenToken uint64) {
 	if l.highestSeenToken > l.lastToken {
-		seen = l.highestSeenToken
+		seenToken = l.highestSeenToken
 	}
 	dead := l.deadMembers(now)
 	for i := range l.config.Tasks {
 		events = append(events, l.planTask(now, &l.config.Tasks[i], dead)...)
 	}
-	return events, seen
+	return events, seenToken
 }
 
-// taskPlan is the plan of one task while it is made.
+// taskPlan is the working state while one task is planned.
 type taskPlan struct {
-	able   []string            // members that may be granted shards
-	shards []rebalance.Shard   // shards that may be assigned, with their present assignment
-	ended  map[int]*leaseState // shards whose lease has ended
-	moving int                 // shards that are on their way to another member
-	events []lease.Event
+	eligible []string            // members that may be granted shards
+	shards   []rebalance.Shard   // shards that may be assigned, with their current assignment
+	ended    map[int]*leaseState // shards whose lease has ended
+	moving   int                 // number of shards with a next holder
+	events   []lease.Event
 }
 
 // planTask returns the events of one task.
 func (l *Lessor) planTask(now time.Duration, t *lease.Task, dead map[string]bool) []lease.Event {
-	p := &taskPlan{able: l.ableMembers(now, t, dead), ended: map[int]*leaseState{}}
+	p := &taskPlan{eligible: l.eligibleMembers(now, t, dead), ended: map[int]*leaseState{}}
 	for i := range l.leases {
 		if state := &l.leases[i]; state.Task == t.Name {
 			l.planShard(now, t, dead, state, p)
@@ -43,61 +44,61 @@
 		return p.events
 	}
 	if now < l.startedAt+l.gracePeriod() && len(p.ended) == len(p.shards) {
-		return p.events // the member that is heard first would get everything
+		return p.events // wait for all members to renew, or the first one would get every shard
 	}
 	l.balance(t, p)
 	return p.events
 }
 
-// ableMembers returns the members that may be granted shards of a task. Members without progress are among them
-// only if there is no other.
-func (l *Lessor) ableMembers(now time.Duration, t *lease.Task, dead map[string]bool) []string {
-	var able, withoutProgress []string
+// eligibleMembers returns the members that may be granted shards of a task. Members that are backed off for lack of
+// progress are returned only if there is no other.
+func (l *Lessor) eligibleMembers(now time.Duration, t *lease.Task, dead map[string]bool) []string {
+	var progressing, withoutProgress []string
 	for id, m := range l.members {
 		switch {
-		case !m.tasks[t.Name] || !l.isPrompt(now, id) || dead[id]:
+		case !m.tasks[t.Name] || !l.isLive(now, id) || dead[id]:
 		case now < l.backoffs[backoffKey{t.Name, id}].until:
 			withoutProgress = append(withoutProgress, id)
 		default:
-			able = append(able, id)
+			progressing = append(progressing, id)
 		}
 	}
-	if len(able) == 0 {
+	if len(progressing) == 0 {
 		return withoutProgress
 	}
-	return able
+	return progressing
 }
 
-// planShard adds a shard to the plan. If its lease has ended, it is granted to the member that was planned next, or
+// planShard adds a shard to the plan. If its lease has ended, the shard is granted to its planned next holder, or
 // released if no member can run the task.
 func (l *Lessor) planShard(now time.Duration, t *lease.Task, dead map[string]bool, state *leaseState, p *taskPlan) {
 	shard := rebalance.Shard{ID: state.Shard, Holder: state.Holder, Pinned: state.PinnedTo != "" && state.PinnedTo == state.Holder}
-	// A lease has ended if its holder released it, or did not renew it in time and will not (step 2). One that
-	// its holder does not know has not begun.
-	silent := !l.isPrompt(now, state.Holder) || dead[state.Holder]
-	over := state.Holder == "" || state.released || now >= state.expiresAt && (state.revoking || silent || state.holderMayKnow && (state.NextHolder != "" || t.Disabled))
-	nextIsAble := state.NextHolder != "" && slices.Contains(p.able, state.NextHolder)
+	// A lease has ended if its holder released it, or if it has expired and will not be renewed (step 2). A lease that was
+	// never sent to its holder has not begun, so a planned move waits for that.
+	unresponsive := !l.isLive(now, state.Holder) || dead[state.Holder]
+	leaseEnded := state.Holder == "" || state.released || now >= state.expiresAt && (state.revoking || unresponsive || state.maybeDelivered && (state.NextHolder != "" || t.Disabled))
+	nextIsEligible := state.NextHolder != "" && slices.Contains(p.eligible, state.NextHolder)
 	if state.NextHolder != "" {
 		p.moving++
 		shard.Pinned = true
 	}
-	if nextIsAble {
+	if nextIsEligible {
 		shard.Holder = state.NextHolder
 	}
-	if !over {
-		if slices.Contains(p.able, shard.Holder) { // else it is still held by a member that gets nothing new
+	if !leaseEnded {
+		if slices.Contains(p.eligible, shard.Holder) { // else its holder is not eligible, but the lease is still valid
 			p.shards = append(p.shards, shard)
 		}
 		return
 	}
 	p.ended[state.Shard] = state
-	if !nextIsAble {
+	if !nextIsEligible {
 		shard.Holder = ""
 	}
 	if state.NextHolder == lease.AnyMember {
 		shard.Avoid = state.Holder
 	}
-	if state.Holder != "" && (t.Disabled || len(p.able) == 0) {
+	if state.Holder != "" && (t.Disabled || len(p.eligible) == 0) {
 		p.add(state, lease.EventRelease, "")
 	}
 	if shard.Holder != "" && !t.Disabled {
@@ -106,20 +107,20 @@
 	p.shards = append(p.shards, shard)
 }
 
-// add adds an event that revokes the present lease of a shard.
+// add adds an event that replaces or removes the lease of a shard, which is not renewed from then on.
 func (p *taskPlan) add(state *leaseState, kind lease.EventKind, member string) {
 	state.revoking = true
 	p.events = append(p.events, lease.Event{Key: state.Key, ExpectedToken: state.Token, Kind: kind, Member: member})
 }
 
-// balance grants the shards that have no holder, and plans a few others to move.
+// balance grants the shards that have no holder, and plans to move a few others.
 func (l *Lessor) balance(t *lease.Task, p *taskPlan) {
-	load := make(map[string]uint16, len(p.able))
-	for _, id := range p.able {
+	load := make(map[string]uint16, len(p.eligible))
+	for _, id := range p.eligible {
 		load[id] = l.members[id].openRequests
 	}
-	given, moved := rebalance.Plan(t.Name, p.shards, p.able, load, max(0, t.MaxMoves-p.moving))
-	for _, a := range given {
+	assigned, moved := rebalance.Plan(t.Name, p.shards, p.eligible, load, max(0, t.MaxMoves-p.moving))
+	for _, a := range assigned {
 		if state := p.ended[a.Shard]; state != nil {
 			p.add(state, lease.EventGrant, a.Member)
 		}
@@ -131,8 +132,8 @@
 	}
 }
 
-// Migrate returns the event by which an operator moves a shard to a member, named by id or instance,
-// or with AnyMember away from its holder.
+// Migrate returns the event by which an operator moves a shard to a member, given by its id or its
+// instance's name, or away from its holder if to is AnyMember.
 func (l *Lessor) Migrate(now time.Duration, key lease.Key, to string) (lease.Event, error) {
 	t, state := l.config.Task(key.Task), l.lease(key)
 	switch {
@@ -151,7 +152,7 @@
 	}
 	id := ""
 	for _, m := range l.members {
-		if (m.ID == to || m.Name == to) && l.isPrompt(now, m.ID) && (id == "" || m.Incarnation > l.members[id].Incarnation) {
+		if (m.ID == to || m.Name == to) && l.isLive(now, m.ID) && (id == "" || m.Incarnation > l.members[id].Incarnation) {
 			id = m.ID
 		}
 	}
--- a/internal/controlplane/lease/lessor/renew.go
+++ b/internal/controlplane/lease/lessor/renew.go
@@ -10,15 +10,16 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
+// backoffKey names a member that is backed off from a task.
 type backoffKey struct{ task, memberID string }
 
-// backoff is a member that held a shard without making progress.
+// backoff is the backoff of a member that held a shard without making progress.
 type backoff struct {
 	until    time.Duration
 	failures int
 }
 
-// Renew records a member's report and decides which leases it holds from now on. The answer may only
+// Renew records a member's report and decides which leases it holds from now on. The response may only
 // be sent once a majority of agents has confirmed, after this call, that no later term has begun (step
 // 7).
 func (l *Lessor) Renew(now time.Duration, id string, req lease.RenewalRequest) (lease.RenewalResponse, error) {
@@ -29,7 +30,7 @@
 	case req.Seq <= m.lastSeq:
 		return lease.RenewalResponse{}, quota.ErrStaleRenewal
 	}
-	m.lastSeq, m.lastHeardAt, m.reportedThisTerm = req.Seq, now, true
+	m.lastSeq, m.lastSeenAt, m.reportedThisTerm = req.Seq, now, true
 	m.openRequests = req.OpenRequests
 	m.deadInstances = slices.Clone(req.DeadInstances[:min(len(req.DeadInstances), maxDeadInstances)])
 	m.tasks = make(map[string]bool, len(req.Tasks))
@@ -61,7 +62,7 @@
 	return resp, nil
 }
 
-// noteProgress takes over what a holder reports of one lease.
+// noteProgress records what a holder reports about one lease.
 func (l *Lessor) noteProgress(now time.Duration, id string, s lease.HolderStatus) {
 	state := l.lease(s.Key)
 	if state == nil || state.Holder != id || state.Token != s.Token {
@@ -76,7 +77,7 @@
 	state.holderStatus = s
 }
 
-// renewLease renews or recalls one lease of a member, if it holds it.
+// renewLease renews or recalls one lease, if the member holds it.
 func (l *Lessor) renewLease(now time.Duration, id string, state *leaseState, resp *lease.RenewalResponse) {
 	if state.Holder != id || state.released || state.revoking {
 		return
@@ -84,21 +85,21 @@
 	t := l.config.Task(state.Task)
 	ref := lease.Ref{Key: state.Key, Token: state.Token}
 	if state.NextHolder != "" || t.Disabled || !l.members[id].tasks[state.Task] {
-		resp.Recalled = append(resp.Recalled, ref) // valid until it expires, but not renewed (step 9)
+		resp.Recalled = append(resp.Recalled, ref) // stays valid until it expires, but is not renewed (step 9)
 		return
 	}
-	if state.holderMayKnow && now-state.lastProgressAt >= l.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
+	if state.maybeDelivered && now-state.lastProgressAt >= l.quotaConfig.MaxOnOtherClock(t.ProgressTimeout()) {
 		l.backOff(now, t, id)
 		state.revoking = true // it expires by itself (step 10)
 		return
 	}
-	state.expiresAt, state.holderMayKnow = now+l.leaseTTL(t), true
+	state.expiresAt, state.maybeDelivered = now+l.leaseTTL(t), true
 	resp.Leases = append(resp.Leases, ref)
 }
 
-// backOff keeps a member without progress from the task's shards for a time that doubles with each
-// failure up to a bound. The time varies between members, so that two of them do not come back
-// together.
+// backOff excludes a member without progress from the task's shards for a time that doubles with each
+// failure up to a bound. The time varies between members, so that the backoffs of two of them do not
+// end together.
 func (l *Lessor) backOff(now time.Duration, t *lease.Task, id string) {
 	b := l.backoffs[backoffKey{t.Name, id}]
 	wait := t.ProgressTimeout() << min(b.failures, maxBackoffDoublings)
--- a/internal/controlplane/lease/lessor/status.go
+++ b/internal/controlplane/lease/lessor/status.go
@@ -11,7 +11,8 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// IsCurrent reports whether a member holds a lease under that token and is not about to lose it.
+// IsCurrent reports whether a member holds a lease under that token and the lease is neither released
+// nor being revoked.
 func (l *Lessor) IsCurrent(key lease.Key, id string, token uint64) bool {
 	state := l.lease(key)
 	return state != nil && state.Holder == id && state.Token == token && !state.released && !state.revoking
@@ -23,17 +24,17 @@
 	return known
 }
 
-// Config is the set of tasks in use.
+// Config returns the set of tasks in use.
 func (l *Lessor) Config() *lease.Config { return &l.config }
 
-// LeaseStatus is one lease as the lessor sees it.
+// LeaseStatus is the lessor's view of one lease, for operators.
 type LeaseStatus struct {
 	lease.Lease
-	HolderName string `json:"name,omitempty"` // the holder's instance
-	// held, moving, ended, free, off; unsure: holder not heard in this term; unknown
+	HolderName string `json:"name,omitempty"` // instance name of the holder
+	// held, moving, ended, free, off; unsure: holder has not reported this token in this term; unknown
 	State      string `json:"state"`
-	SinceMs    int64  `json:"since_ms"`    // since this term first saw the token: it is at least that old
-	UntilMs    int64  `json:"until_ms"`    // until its holder cannot act any more
+	SinceMs    int64  `json:"since_ms"`    // since this term first saw the token: a lower bound on the age of the grant
+	UntilMs    int64  `json:"until_ms"`    // until its holder can no longer act
 	ProgressMs int64  `json:"progress_ms"` // since the last completed operation
 	Completed  uint64 `json:"acts"`
 	Fenced     uint64 `json:"refused"`
@@ -53,7 +54,7 @@
 			status.State = "off"
 		case state.Holder == "":
 			status.State = "free"
-		case state.released || state.holderMayKnow && now >= state.expiresAt:
+		case state.released || state.maybeDelivered && now >= state.expiresAt:
 			status.State = "ended"
 		case state.NextHolder != "":
 			status.State = "moving"
@@ -65,7 +66,7 @@
 	return all
 }
 
-// String is the whole state as text: equal states print alike.
+// String returns the whole state as text; equal states give equal texts.
 func (l *Lessor) String() string {
 	b := fmt.Appendf(nil, "%v %d %d %v", l.startedAt, l.lastToken, l.highestSeenToken, l.config)
 	for _, id := range slices.Sorted(maps.Keys(l.members)) {
--- a/internal/controlplane/lease/outlierboard/board.go
+++ b/internal/controlplane/lease/outlierboard/board.go
@@ -1,6 +1,6 @@
-// Package outlierboard is the agents' shared view of ejected targets: which members have ejected
-// which, what is to be probed, and the probe results with their ages. A result counts only under the
-// newest fencing token of the target's shard (docs/leases.md, Places). It does no I/O.
+// Package outlierboard is the leading agent's view of ejected targets: which members have ejected
+// which targets, which targets to probe, and the probe results with their ages. A result counts only
+// under the newest fencing token of the target's shard (docs/leases.md, Places). It does no I/O.
 package outlierboard
 
 import (
@@ -12,10 +12,10 @@
 	"spindlehitch/internal/controlplane/lease"
 )
 
-// maxResults bounds the results that are kept.
+// maxResults is the maximum number of results that a Board keeps.
 const maxResults = 4 * lease.MaxTargets
 
-// Board is the view of one term. The zero value is empty.
+// Board is the view of one term. The zero value is empty. It is not safe for concurrent use.
 type Board struct {
 	ejectedBy map[string][]string    // targets by member, as last reported
 	reporters map[string]int         // number of members that have ejected a target
@@ -49,33 +49,35 @@
 	}
 }
 
-// Prune forgets members that are gone, and results older than the given time.
-func (b *Board) Prune(now, within time.Duration, alive func(id string) bool) {
+// Prune removes members that are not alive, and results received more than maxAge ago.
+func (b *Board) Prune(now, maxAge time.Duration, alive func(id string) bool) {
 	for id := range b.ejectedBy {
 		if !alive(id) {
 			b.SetEjected(id, nil)
 		}
 	}
-	maps.DeleteFunc(b.results, func(_ string, r timedResult) bool { return now-r.receivedAt > within })
+	maps.DeleteFunc(b.results, func(_ string, r timedResult) bool { return now-r.receivedAt > maxAge })
 }
 
-// AddResult records a result whose token the caller has just found to be the current one of the
-// target's shard. A result under an older token than the one recorded is rejected.
+// AddResult records a result and reports whether it did. The caller must have checked that the
+// result's token is the current one of the target's shard. A result under an older token than the one
+// recorded is rejected.
 func (b *Board) AddResult(now time.Duration, r lease.ProbeResult) bool {
 	if b.reporters[r.Target] == 0 {
-		return false // no member has it ejected any more
+		return false // no member ejects it any more
 	}
-	if last, there := b.results[r.Target]; there && r.Token < last.Token || !there && len(b.results) >= maxResults {
+	if last, found := b.results[r.Target]; found && r.Token < last.Token || !found && len(b.results) >= maxResults {
 		return false
 	}
 	b.results[r.Target] = timedResult{r, now}
 	return true
 }
 
-// ProbeTargets returns the ejected targets that wanted accepts, in order.
-func (b *Board) ProbeTargets(wanted func(target string) bool) (all []string) {
+// ProbeTargets returns the ejected targets that accept returns true for, in order, up to
+// lease.MaxTargets.
+func (b *Board) ProbeTargets(accept func(target string) bool) (all []string) {
 	for t := range b.reporters {
-		if wanted(t) {
+		if accept(t) {
 			all = append(all, t)
 		}
 	}
@@ -95,7 +97,7 @@
 	return all
 }
 
-// Entry is one ejected target.
+// Entry is one ejected target with its last probe result, if any.
 type Entry struct {
 	Target    string             `json:"target"`
 	Reporters int                `json:"avoided_by"`
--- a/internal/controlplane/lease/rebalance/rebalance.go
+++ b/internal/controlplane/lease/rebalance/rebalance.go
@@ -11,12 +11,12 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Shard is a shard's present assignment.
+// Shard is a shard's current assignment.
 type Shard struct {
 	ID     int
-	Holder string // empty: nobody
+	Holder string // empty: none
 	Pinned bool   // it must not move
-	Avoid  string // member that gets it only if there is no other
+	Avoid  string // member that is assigned the shard only if there is no other
 }
 
 // Assignment assigns a shard to a member.
@@ -27,11 +27,11 @@
 
 // Plan assigns shards without a holder, or whose holder is not among the members, to the members with
 // the fewest shards; then, while one member has at least two more than another, it moves a shard from
-// the first to the second, maxMoves at most. Ties go to the member with less load, if another has at
-// least twice as much, and then by rendezvous hashing of member and shard (Thaler and Ravishankar,
-// 1998), so that tasks with one shard each do not all meet at one member. The result does not depend
-// on the members' order.
-func Plan(task string, shards []Shard, members []string, load map[string]uint16, maxMoves int) (given, moved []Assignment) {
+// the first to the second, maxMoves at most. Ties go to the member with the lower load, compared by
+// powers of two, and then by rendezvous hashing of member and shard (Thaler and Ravishankar, 1998), so
+// that tasks with one shard each are not all assigned to one member. The result does not depend on the
+// members' order.
+func Plan(task string, shards []Shard, members []string, load map[string]uint16, maxMoves int) (assigned, moved []Assignment) {
 	if len(members) == 0 {
 		return nil, nil
 	}
@@ -40,7 +40,7 @@
 		to := p.fewestShards(s.ID, s.Avoid)
 		p.held[to] = append(p.held[to], s.ID)
 		p.pinned[s.ID] = true
-		given = append(given, Assignment{s.ID, to})
+		assigned = append(assigned, Assignment{s.ID, to})
 	}
 	for len(moved) < maxMoves {
 		from, shard := p.mostShards()
@@ -56,16 +56,16 @@
 		p.pinned[shard] = true
 		moved = append(moved, Assignment{shard, to})
 	}
-	return given, moved
+	return assigned, moved
 }
 
-// plan is an assignment while it is made.
+// plan is the working state of Plan.
 type plan struct {
 	task    string
 	members []string // sorted
 	load    map[string]uint16
 	held    map[string][]int // shards by member
-	pinned  map[int]bool     // shards that must not move, or have moved already
+	pinned  map[int]bool     // shards that must not move, or were assigned by this plan
 }
 
 func newPlan(task string, members []string, load map[string]uint16) *plan {
@@ -76,10 +76,11 @@
 	return p
 }
 
-// place puts shards where they are now, and returns those without a holder among the members.
+// place records the shards at their current holders, and returns those without a holder among the
+// members.
 func (p *plan) place(shards []Shard) (orphans []Shard) {
 	for _, s := range shards {
-		if _, there := p.held[s.Holder]; !there {
+		if _, found := p.held[s.Holder]; !found {
 			orphans = append(orphans, s)
 			continue
 		}
@@ -89,7 +90,7 @@
 	return orphans
 }
 
-// fewestShards is the member to get a shard; avoid only if there is no other.
+// fewestShards returns the member that should get a shard; avoid is returned only if there is no other.
 func (p *plan) fewestShards(shard int, avoid string) (best string) {
 	for _, m := range p.members {
 		if m == avoid && len(p.members) > 1 {
@@ -103,7 +104,8 @@
 	return best
 }
 
-// mostShards is the member with the most shards of those that have one to move, and that shard; empty: there is none.
+// mostShards returns the member with the most shards among those that have a movable one, and that shard; empty: none
+// has.
 func (p *plan) mostShards() (from string, shard int) {
 	for _, m := range p.members {
 		if from != "" && len(p.held[m]) <= len(p.held[from]) {
@@ -116,7 +118,7 @@
 	return from, shard
 }
 
-// score is the rendezvous hash of a member for a shard.
+// score returns the rendezvous hash of a member for a shard.
 func score(task string, shard int, member string) uint64 {
 	return xxhash.Sum64String(task + "\x00" + strconv.Itoa(shard) + "\x00" + member)
 }
--- a/internal/controlplane/lease/rebalance/rebalance_test.go
+++ b/internal/controlplane/lease/rebalance/rebalance_test.go
@@ -12,46 +12,46 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// TestPlan has members come and go at random: whatever stood before, all is given, evenly in the end, at most so many move at a time, and no
-// more than the least that can be.
-func TestPlan(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestPlanRandomMembers adds and removes members at random and plans until no shard moves. All shards without a holder must be
+// assigned in the first plan, no plan may move more than maxMoves, the result must be even, and the number of moves minimal.
+func TestPlanRandomMembers(t *testing.T) { //nolint:gocognit // one scenario in sequence
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "shards")
-		most := rapid.IntRange(1, 5).Draw(t, "most")
+		maxMoves := rapid.IntRange(1, 5).Draw(t, "maxMoves")
 		holder := make([]string, n)
 		var members []string
 		for range 6 {
 			members = nil
 			for i := range 12 {
-				if rapid.Bool().Draw(t, "lives") {
+				if rapid.Bool().Draw(t, "alive") {
 					members = append(members, fmt.Sprint("m", i))
 				}
 			}
 			if len(members) == 0 {
 				continue
 			}
-			orphans, least := 0, 0
-			had := map[string]int{}
+			orphans, minMoves := 0, 0
+			heldBefore := map[string]int{}
 			for _, h := range holder {
 				if slices.Contains(members, h) {
-					had[h]++
+					heldBefore[h]++
 				} else {
 					orphans++
 				}
 			}
-			// No more can stay than each may have: n mod members of them one more than the rest.
-			small, large := n/len(members), n%len(members)
+			// A member keeps at most its fair count: n/len(members), or one more for n%len(members) of them. The rest must move.
+			perMember, remainder := n/len(members), n%len(members)
 			counts := []int{}
 			for _, m := range members {
-				counts = append(counts, had[m])
+				counts = append(counts, heldBefore[m])
 			}
 			slices.SortFunc(counts, func(a, b int) int { return b - a })
 			for i, c := range counts {
-				may := small
-				if i < large {
-					may++
+				fairCount := perMember
+				if i < remainder {
+					fairCount++
 				}
-				least += max(0, c-may)
+				minMoves += max(0, c-fairCount)
 			}
 			moves := 0
 			for round := 0; ; round++ {
@@ -59,40 +59,41 @@
 				for i, h := range holder {
 					shards = append(shards, Shard{ID: i, Holder: h})
 				}
-				given, moved := Plan("t", shards, members, nil, most)
-				turned := slices.Clone(members)
-				slices.Reverse(turned)
-				again, _ := Plan("t", shards, turned, nil, most)
-				if !slices.Equal(given, again) {
-					t.Fatalf("another order of members, another plan: %v, %v", given, again)
+				assigned, moved := Plan("t", shards, members, nil, maxMoves)
+				reversed := slices.Clone(members)
+				slices.Reverse(reversed)
+				assignedReversed, _ := Plan("t", shards, reversed, nil, maxMoves)
+				if !slices.Equal(assigned, assignedReversed) {
+					t.Fatalf("the plan depends on the order of members: %v, %v", assigned, assignedReversed)
 				}
-				if round == 0 && len(given) != orphans || round > 0 && len(given) > 0 || len(moved) > most {
-					t.Fatalf("round %d: %d given of %d, %d moved of %d at a time", round, len(given), orphans, len(moved), most)
+				if round == 0 && len(assigned) != orphans || round > 0 && len(assigned) > 0 || len(moved) > maxMoves {
+					t.Fatalf("round %d: %d assigned of %d without a holder, %d moved of at most %d", round, len(assigned), orphans, len(moved), maxMoves)
 				}
-				for _, m := range append(given, moved...) {
+				for _, m := range append(assigned, moved...) {
 					holder[m.Shard] = m.Member
 				}
 				if moves += len(moved); len(moved) == 0 {
 					break
 				}
 			}
-			has := map[string]int{}
+			heldAfter := map[string]int{}
 			for _, h := range holder {
-				has[h]++
+				heldAfter[h]++
 			}
-			lo, hi := n, 0
+			fewest, most := n, 0
 			for _, m := range members {
-				lo, hi = min(lo, has[m]), max(hi, has[m])
+				fewest, most = min(fewest, heldAfter[m]), max(most, heldAfter[m])
 			}
-			if hi-lo > 1 || moves > least {
-				t.Fatalf("%d to %d shards a member, %d moves, %d are the least", lo, hi, moves, least)
+			if most-fewest > 1 || moves > minMoves {
+				t.Fatalf("%d to %d shards per member, %d moves, want at most %d", fewest, most, moves, minMoves)
 			}
 		}
 	})
 }
 
-// TestLoad gives a shard to the least loaded of those that have equally many; shards count first, and small differences of load not at all.
-func TestLoad(t *testing.T) {
+// TestPlanByLoad assigns a shard to the least loaded of the members with equally many shards. The number of shards has precedence
+// over the load, and small differences in load are ignored.
+func TestPlanByLoad(t *testing.T) {
 	members := []string{"a", "b", "c"}
 	one := []Shard{{ID: 0}}
 	first, _ := Plan("t", one, members, nil, 0)
@@ -102,11 +103,11 @@
 	}{{nil, first[0].Member}, {map[string]uint16{"a": 40, "b": 9, "c": 40}, "b"}, {map[string]uint16{"a": 9, "b": 40, "c": 40}, "a"},
 		{map[string]uint16{"a": 33, "b": 40, "c": 60}, first[0].Member}} {
 		if got, _ := Plan("t", one, members, c.load, 0); got[0].Member != c.want {
-			t.Errorf("load %v: to %s, want %s", c.load, got[0].Member, c.want)
+			t.Errorf("load %v: assigned to %s, want %s", c.load, got[0].Member, c.want)
 		}
 	}
 	two := []Shard{{ID: 0, Holder: "b"}, {ID: 1}}
 	if got, _ := Plan("t", two, members, map[string]uint16{"a": 400, "c": 400}, 0); got[0].Member == "b" {
-		t.Error("a member with a shard got another, for its load")
+		t.Error("a member that has a shard was assigned another because of its lower load")
 	}
 }
