--- a/internal/controlplane/quota/allocator/ledger.go
+++ b/internal/controlplane/quota/allocator/ledger.go
@@ -10,24 +10,24 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// ledger has the entries of one limit, in order of member id, so that sums are always made in the same
-// order.
+// ledger has the entries of one limit, in order of member id, so that sums are always computed in the
+// same order.
 type ledger struct {
 	entries     []entry
 	sharesAt    time.Duration // when fair shares were last computed
-	sharesStale bool          // they have to be computed again
+	sharesStale bool          // they must be recomputed
 
 	// Sums over blocks of entries, each computed from its entries alone, so that equal entries give equal sums.
-	// A renewal has one block of about the square root of all entries summed again.
+	// A renewal invalidates one block, whose size is about the square root of the number of entries.
 	blockSums []blockSum
-	blockSize int // entries of a block
+	blockSize int // entries per block
 }
 
-// blockSum is the sum over a block of entries. It is valid from a moment until one of its amounts
-// expires.
+// blockSum is the sum over a block of entries. It is valid from when it was computed until one of its
+// amounts expires.
 type blockSum struct {
 	total                 quota.Amount
-	validFrom, validUntil time.Duration // not valid unless before validUntil
+	validFrom, validUntil time.Duration // valid from validFrom until before validUntil; zero: invalid
 }
 
 // find returns the position of a member's entry, or where to insert it.
@@ -41,38 +41,38 @@
 	l.invalidateAll()
 }
 
-// removeIf removes the entries that gone accepts and returns how many are left.
-func (l *ledger) removeIf(gone func(entry) bool) (left int) {
+// removeIf removes the entries that remove returns true for, and returns how many remain.
+func (l *ledger) removeIf(remove func(entry) bool) (remaining int) {
 	before := len(l.entries)
-	if l.entries = slices.DeleteFunc(l.entries, gone); len(l.entries) < before {
+	if l.entries = slices.DeleteFunc(l.entries, remove); len(l.entries) < before {
 		l.sharesStale = true
 		l.invalidateAll()
 	}
 	return len(l.entries)
 }
 
-// invalidateAll drops all sums: entries have other positions.
+// invalidateAll drops all sums, since the positions of entries have changed.
 func (l *ledger) invalidateAll() { l.blockSums = l.blockSums[:0] }
 
-// invalidate drops the sum of the block that has the entry.
+// invalidate drops the sum of the block that contains the entry at that position.
 func (l *ledger) invalidate(at int) {
 	if len(l.blockSums) > 0 {
 		l.blockSums[at/l.blockSize] = blockSum{}
 	}
 }
 
-// outstandingExcept is what all members may hold but the one at that position.
-func (l *ledger) outstandingExcept(now time.Duration, but int) (all quota.Amount) {
-	if len(l.blockSums) == 0 { // a power of two near the square root
+// outstandingExcept returns what all members except the one at that position may hold.
+func (l *ledger) outstandingExcept(now time.Duration, except int) (sum quota.Amount) {
+	if len(l.blockSums) == 0 { // a power of two near the square root of the number of entries
 		l.blockSize = 1 << (bits.Len(uint(len(l.entries))) / 2)
 		l.blockSums = append(l.blockSums, make([]blockSum, (len(l.entries)+l.blockSize-1)/l.blockSize)...)
 	}
 	for i := range l.blockSums {
 		s := &l.blockSums[i]
-		if i == but/l.blockSize {
+		if i == except/l.blockSize {
 			for k := range l.block(i) {
-				if at := i*l.blockSize + k; at != but {
-					all = addAmounts(all, l.entries[at].maxOutstanding(now))
+				if at := i*l.blockSize + k; at != except {
+					sum = addAmounts(sum, l.entries[at].maxOutstanding(now))
 				}
 			}
 			continue
@@ -80,9 +80,9 @@
 		if now < s.validFrom || now >= s.validUntil {
 			*s = l.sumBlock(now, i)
 		}
-		all = addAmounts(all, s.total)
+		sum = addAmounts(sum, s.total)
 	}
-	return all
+	return sum
 }
 
 // block returns the entries of a block.
@@ -90,7 +90,7 @@
 	return l.entries[i*l.blockSize : min((i+1)*l.blockSize, len(l.entries))]
 }
 
-// sumBlock adds up what the members of a block may hold.
+// sumBlock computes the sum of what the members of a block may hold.
 func (l *ledger) sumBlock(now time.Duration, i int) blockSum {
 	s := blockSum{validFrom: now, validUntil: 1<<63 - 1}
 	for _, e := range l.block(i) {
@@ -104,12 +104,12 @@
 	return s
 }
 
-// addAmounts is the sum of both figures.
+// addAmounts adds rates and bursts.
 func addAmounts(a, b quota.Amount) quota.Amount {
 	return quota.Amount{Rate: a.Rate + b.Rate, Burst: a.Burst + b.Burst}
 }
 
-// String prints the entries; sums follow from them.
+// String returns the entries as text; block sums are omitted, since they follow from the entries.
 func (l *ledger) String() string {
 	return fmt.Sprintf("%+v %v %v", l.entries, l.sharesAt, l.sharesStale)
 }
--- a/internal/controlplane/quota/allocator/ledger_test.go
+++ b/internal/controlplane/quota/allocator/ledger_test.go
@@ -12,24 +12,24 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// TestOthers holds the sums that are kept against those made anew, over random pages and times: rows come, go, change and run out, and the
-// clock may be asked about a moment that is past.
-func TestOthers(t *testing.T) {
+// TestOutstandingExcept compares the cached block sums with sums over all entries, on random ledgers and times: entries are added,
+// removed, changed and expire, and the time may go back.
+func TestOutstandingExcept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, now := &ledger{}, time.Hour
 		amount := func() quota.Amount {
 			return quota.Amount{Rate: float64(rapid.IntRange(0, 8).Draw(t, "rate")), Burst: float64(rapid.IntRange(0, 8).Draw(t, "burst"))}
 		}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			id := fmt.Sprint(rapid.IntRange(10, 59).Draw(t, "who"))
-			at, there := l.find(id)
-			switch rapid.IntRange(0, 5).Draw(t, "what") {
+			id := fmt.Sprint(rapid.IntRange(10, 59).Draw(t, "member"))
+			at, found := l.find(id)
+			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				l.removeIf(func(e entry) bool { return e.memberID == id })
 			case 1:
 				now += time.Duration(rapid.IntRange(-20, 300).Draw(t, "ms")) * time.Millisecond
 			default:
-				if !there {
+				if !found {
 					l.insert(at, id)
 				}
 				x := &l.entries[at]
@@ -42,25 +42,25 @@
 			if len(l.entries) == 0 {
 				continue
 			}
-			but := rapid.IntRange(0, len(l.entries)-1).Draw(t, "but")
+			except := rapid.IntRange(0, len(l.entries)-1).Draw(t, "except")
 			var want quota.Amount
 			for i, e := range l.entries {
-				if i != but {
+				if i != except {
 					want = addAmounts(want, e.maxOutstanding(now))
 				}
 			}
-			if got := l.outstandingExcept(now, but); got != want { // of whole numbers, so that no order of adding differs
-				t.Fatalf("others than %d of %d at %v: %v, want %v", but, len(l.entries), now, got, want)
+			if got := l.outstandingExcept(now, except); got != want { // the amounts are integers, so the order of addition does not matter
+				t.Fatalf("outstanding except %d of %d at %v: %v, want %v", except, len(l.entries), now, got, want)
 			}
 		}
 	})
 }
 
-// TestEqualRowsEqualSums has two pages come to the same rows by different ways: what they tell is the same to the last digit, since the searches
-// take equal states for one.
-func TestEqualRowsEqualSums(t *testing.T) {
+// TestEqualEntriesEqualSums builds two ledgers with equal entries in different orders. Their sums must be equal to the last bit, since
+// the state search of the model checker treats states with equal texts as one.
+func TestEqualEntriesEqualSums(t *testing.T) {
 	now := time.Hour
-	fill := func(order []int, look bool) *ledger {
+	fill := func(order []int, sumEachTime bool) *ledger {
 		l := &ledger{}
 		for _, i := range order {
 			id := fmt.Sprint(10 + i)
@@ -68,7 +68,7 @@
 			l.insert(at, id)
 			l.entries[at].reported, l.entries[at].reportedUntil = quota.Amount{Rate: 1 / float64(i+3), Burst: 0.1 * float64(i)}, now+time.Second
 			l.invalidate(at)
-			if look {
+			if sumEachTime {
 				l.outstandingExcept(now, at)
 			}
 		}
@@ -87,18 +87,18 @@
 	}
 }
 
-// TestRenewCost counts what a renewal looks at: about two runs of rows, and not all.
+// TestRenewCost counts the blocks that renewals sum again. A renewal must cost about two blocks, not all entries.
 func TestRenewCost(t *testing.T) {
 	l, now := &ledger{}, time.Hour
-	const rows = 4096
-	for i := range rows {
+	const entries = 4096
+	for i := range entries {
 		id := fmt.Sprintf("%05d", i)
 		l.insert(i, id)
 		l.entries[i].reported, l.entries[i].reportedUntil = quota.Amount{Rate: 1}, now+time.Minute
 	}
 	l.outstandingExcept(now, 0)
 	summed := 0
-	for i := range rows {
+	for i := range entries {
 		now += time.Millisecond
 		l.outstandingExcept(now, i)
 		for _, s := range l.blockSums {
@@ -108,7 +108,7 @@
 		}
 		l.invalidate(i)
 	}
-	require.LessOrEqual(t, summed, rows, "runs summed anew by %d renewals", rows)
-	require.LessOrEqual(t, l.blockSize*len(l.blockSums), 2*rows)
+	require.LessOrEqual(t, summed, entries, "blocks summed again by %d renewals", entries)
+	require.LessOrEqual(t, l.blockSize*len(l.blockSums), 2*entries)
 	require.LessOrEqual(t, len(l.blockSums)+l.blockSize, 4*64)
 }
--- a/internal/controlplane/quota/allocator/status.go
+++ b/internal/controlplane/quota/allocator/status.go
@@ -11,31 +11,31 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Liveness is how a member stands.
+// Liveness is whether a member renews.
 type Liveness string
 
-// The states.
+// Values of Liveness.
 const (
-	Live        Liveness = "live"   // it renewed and may hold an allocation
+	Live        Liveness = "live"   // renewed recently: it may hold an allocation
 	Silent      Liveness = "silent" // not renewed recently: it has at most its floor
-	Unconfirmed Liveness = "unsure" // not heard since this term began
+	Unconfirmed Liveness = "unsure" // not renewed in this term yet
 )
 
-// MemberStatus is one member as the allocator sees it.
+// MemberStatus is the allocator's view of one member, for operators.
 type MemberStatus struct {
 	quota.Member
 	Liveness      Liveness `json:"state"`
 	LastSeenMs    int64    `json:"seen_ms_ago"` // since the last renewal, or since the term began
-	SessionTTLMs  int64    `json:"seat_ms"`     // until its session ends, if it stays silent
-	ConfigVersion uint64   `json:"version"`     // that it uses
+	SessionTTLMs  int64    `json:"seat_ms"`     // until its session ends, if it does not renew
+	ConfigVersion uint64   `json:"version"`     // of the config that it uses
 }
 
 // Members returns every member in order of name and incarnation.
 func (a *Allocator) Members(now time.Duration) []MemberStatus {
 	all := make([]MemberStatus, 0, len(a.members))
 	for _, m := range a.members {
-		s := MemberStatus{Member: m.Member, Liveness: Live, LastSeenMs: (now - m.lastHeardAt).Milliseconds(), ConfigVersion: m.configVersion,
-			SessionTTLMs: (m.lastHeardAt + a.sessionTTL() - now).Milliseconds()}
+		s := MemberStatus{Member: m.Member, Liveness: Live, LastSeenMs: (now - m.lastSeenAt).Milliseconds(), ConfigVersion: m.configVersion,
+			SessionTTLMs: (m.lastSeenAt + a.sessionTTL() - now).Milliseconds()}
 		switch {
 		case !a.isLive(now, m):
 			s.Liveness = Silent
@@ -69,7 +69,7 @@
 	LastSeenMs     int64        `json:"seen_ms_ago"`
 }
 
-// Ledger returns who may hold how much of a budget, or of all budgets if none is named.
+// Ledger returns what each member may hold of a budget, or of all budgets if the name is empty.
 func (a *Allocator) Ledger(now time.Duration, budget string) []LedgerLine {
 	all := []LedgerLine{}
 	for k, led := range a.ledgers {
@@ -80,7 +80,7 @@
 			line := LedgerLine{Key: k, ID: e.memberID, MaxOutstanding: e.maxOutstanding(now), Want: e.usage.Want, Used: e.usage.Used, InUse: e.usage.InUse,
 				ExpiresMs: max(0, max(e.reportedUntil, e.grantedUntil)-now).Milliseconds()}
 			if m, known := a.members[e.memberID]; known {
-				line.Name, line.LastSeenMs = m.Name, (now - m.lastHeardAt).Milliseconds()
+				line.Name, line.LastSeenMs = m.Name, (now - m.lastSeenAt).Milliseconds()
 			}
 			all = append(all, line)
 		}
@@ -99,12 +99,13 @@
 	return all
 }
 
-// RecoveryWait is how long it takes until this term may allocate anything new of a budget (step 7).
+// RecoveryWait returns how long it takes until this term may grant new allocations of a budget (steps 5
+// and 7).
 func (a *Allocator) RecoveryWait(now time.Duration, b *quota.Budget) time.Duration {
 	return max(0, a.startedAt+a.outstandingTTL(b)-now)
 }
 
-// String is the whole state as text: equal states print alike.
+// String returns the whole state as text; equal states give equal texts.
 func (a *Allocator) String() string {
 	b := fmt.Appendf(nil, "%v %v %v %v", a.config, a.startedAt, a.members, a.memberIDs)
 	for _, k := range slices.SortedFunc(maps.Keys(a.ledgers), func(x, b quota.Key) int {
--- a/internal/controlplane/quota/budget.go
+++ b/internal/controlplane/quota/budget.go
@@ -8,21 +8,21 @@
 // Resource is what a budget limits.
 type Resource string
 
-// The resources.
+// Resources that a budget can limit.
 const (
 	ColdWork    Resource = "cold"       // units sent to targets that started recently
 	Retries     Resource = "repeat"     // attempts after the first
-	Connections Resource = "connection" // connections held at targets
+	Connections Resource = "connection" // open connections to targets
 	AllWork     Resource = "work"       // units sent
 )
 
 // Resources lists all resources.
 var Resources = []Resource{ColdWork, Retries, Connections, AllWork}
 
-// Scope is what a budget has a separate limit for.
+// Scope is the set of keys that a budget has separate limits for.
 type Scope string
 
-// The scopes.
+// Scopes of budgets.
 const (
 	PerFleet  Scope = "fleet"
 	PerTarget Scope = "target"
@@ -30,31 +30,32 @@
 	PerClass  Scope = "class"
 )
 
-// MaxTransit is how long a permit is valid at most: from the decision to send until the first byte
-// leaves.
+// MaxTransit is the longest time for which a permit is valid, from the decision to send until the first
+// byte is sent.
 const MaxTransit = 300 * time.Millisecond
 
-// Bounds on what is kept by key.
+// Bounds on the sizes of lists, maps and names.
 const (
 	MaxBudgets   = 16
 	MaxSessions  = 16384 // members with a session
-	MaxKeys      = 1024  // limits that one member may hold an allocation of
+	MaxKeys      = 1024  // limits that one member tracks
 	MaxNameBytes = 128   // length of a name in bytes
 )
 
-// Budget is one fleet-wide limit, as an operator sets it.
+// Budget is one fleet-wide budget, as an operator configures it. It has one limit for each key of its
+// scope.
 type Budget struct {
 	Name         string   `toml:"name" json:"name"`
 	Resource     Resource `toml:"use" json:"use"`
 	Scope        Scope    `toml:"per" json:"per"`
 	Only         []string `toml:"only" json:"only,omitempty"`               // targets, plans or classes that it applies to; empty: all
-	Kind         string   `toml:"kind" json:"kind"`                         // "rate" or "stock" (so many in use at once)
+	Kind         string   `toml:"kind" json:"kind"`                         // "rate", or "stock" for a concurrency limit
 	Capacity     float64  `toml:"whole" json:"whole"`                       // units a second, or units in use at once
-	Burst        float64  `toml:"burst" json:"burst,omitempty"`             // of a rate: units beyond it
-	FloorRate    float64  `toml:"least" json:"least,omitempty"`             // guaranteed to each session, without any allocation
+	Burst        float64  `toml:"burst" json:"burst,omitempty"`             // of a rate: units allowed beyond it at once
+	FloorRate    float64  `toml:"least" json:"least,omitempty"`             // guaranteed to each session without an allocation
 	FloorBurst   float64  `toml:"least_burst" json:"least_burst,omitempty"` // burst of the floor
 	MaxPerMember float64  `toml:"most" json:"most,omitempty"`               // 0: no bound
-	LingerMs     int64    `toml:"linger_ms" json:"linger_ms,omitempty"`     // of a stock: how long a dead member's units stay in use
+	LingerMs     int64    `toml:"linger_ms" json:"linger_ms,omitempty"`     // of a stock: how long units of a dead member stay in use
 }
 
 // IsConcurrencyLimit reports whether the budget limits what is in use at once, rather than a rate.
@@ -68,8 +69,8 @@
 	return b.Resource == r.Resource && (len(b.Only) == 0 || slices.Contains(b.Only, b.KeyOf(r)))
 }
 
-// KeyOf returns which of the budget's limits the reservation counts against: a target, plan or class,
-// or empty for the fleet.
+// KeyOf returns the key of the budget's limit that the reservation counts against: a target, plan or
+// class, or empty for the fleet.
 func (b *Budget) KeyOf(r Reservation) string {
 	switch b.Scope {
 	case PerTarget:
@@ -95,7 +96,7 @@
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Floor is what each session may use without an allocation.
+// Floor returns what each session may use without an allocation.
 func (b *Budget) Floor() Amount { return Amount{b.FloorRate, b.FloorBurst} }
 
 // Key names one limit: a budget and, if it is not per fleet, the target, plan or class.
--- a/internal/controlplane/quota/config.go
+++ b/internal/controlplane/quota/config.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Config is the set of all budgets, replicated as one.
+// Config is the set of all budgets and the times of sessions and allocations, replicated as a unit.
 type Config struct {
 	Version         uint64   `toml:"-" json:"version"`
-	MaxSessions     int      `toml:"seats" json:"seats"`         // sessions that may exist; the floors of all are set aside
+	MaxSessions     int      `toml:"seats" json:"seats"`         // maximum number of sessions; their floors are reserved
 	RenewIntervalMs int64    `toml:"renew_ms" json:"renew_ms"`   // how often a member renews
-	AllocationTTLMs int64    `toml:"part_ms" json:"part_ms"`     // how long an allocation lasts after its renewal was started
+	AllocationTTLMs int64    `toml:"part_ms" json:"part_ms"`     // how long an allocation is valid after its renewal was started
 	SessionTTLS     int64    `toml:"seat_s" json:"seat_s"`       // how long a session lasts after the last renewal
-	ClockPPM        float64  `toml:"clock_ppm" json:"clock_ppm"` // largest deviation of a clock's rate from true time
+	ClockPPM        float64  `toml:"clock_ppm" json:"clock_ppm"` // largest deviation of a clock's rate from real time
 	Budgets         []Budget `toml:"budget" json:"budgets"`
 }
 
-// ValidateNames returns an error that names the first plan or class of a budget that an instance does
-// not know.
+// ValidateNames returns an error that names the first plan or class of a budget that is not in an
+// instance's settings.
 func (c *Config) ValidateNames(plans, classes map[string]bool) error {
 	for i, b := range c.Budgets {
 		known := map[Scope]map[string]bool{PerPlan: plans, PerClass: classes}[b.Scope]
@@ -48,8 +48,8 @@
 	return time.Duration(c.RenewIntervalMs) * time.Millisecond
 }
 
-// MaxOnOtherClock is the longest time that any clock within the bound may show while another one shows
-// t.
+// MaxOnOtherClock returns the longest time that a clock within the drift bound may measure while
+// another one measures t.
 func (c *Config) MaxOnOtherClock(t time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(t) * (1 + c.drift()) / (1 - c.drift())))
 }
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// EffectiveLimit is what all members together may be allowed by their own clocks, so that the budget
-// holds in true time: clock drift, and the work that permits may still send, are taken off.
+// EffectiveLimit returns the limit for all members together, measured by their own clocks, that keeps
+// the budget in real time: the capacity less the clock drift and what valid permits may still send.
 func (c *Config) EffectiveLimit(b *Budget) Amount {
 	if b.IsConcurrencyLimit() {
 		return Amount{Rate: math.Floor(b.Capacity)}
@@ -73,25 +73,26 @@
 	return Amount{b.Capacity / (1 + c.drift()), b.Burst - b.Capacity*MaxTransit.Seconds()}
 }
 
-// SharedPool is what is allocated by demand: the effective limit less the floors of all sessions.
+// SharedPool returns the part that is allocated by demand: the effective limit less the floors of all
+// sessions.
 func (c *Config) SharedPool(b *Budget) Amount {
-	t, n := c.EffectiveLimit(b), float64(c.MaxSessions)
-	return Amount{max(0, t.Rate-n*b.FloorRate), max(0, t.Burst-n*b.FloorBurst)}
+	limit, sessions := c.EffectiveLimit(b), float64(c.MaxSessions)
+	return Amount{max(0, limit.Rate-sessions*b.FloorRate), max(0, limit.Burst-sessions*b.FloorBurst)}
 }
 
-// Validate fills in defaults and returns an error that names the first field that cannot be served.
+// Validate fills in defaults and returns an error that names the first invalid field.
 func (c *Config) Validate() error {
 	for _, f := range []struct {
-		field  string
-		value  *int64
-		usual  int64
-		lo, hi int64
+		field           string
+		value           *int64
+		defaultValue    int64
+		lowest, highest int64
 	}{{"renew_ms", &c.RenewIntervalMs, 1000, 20, 60_000}, {"part_ms", &c.AllocationTTLMs, 4000, 100, 600_000}, {"seat_s", &c.SessionTTLS, 3600, 1, 30 * 86400}} {
 		if *f.value == 0 {
-			*f.value = f.usual
+			*f.value = f.defaultValue
 		}
-		if *f.value < f.lo || *f.value > f.hi {
-			return fmt.Errorf("%s: %d is not from %d to %d", f.field, *f.value, f.lo, f.hi)
+		if *f.value < f.lowest || *f.value > f.highest {
+			return fmt.Errorf("%s: %d is not from %d to %d", f.field, *f.value, f.lowest, f.highest)
 		}
 	}
 	if c.ClockPPM == 0 {
@@ -143,7 +144,7 @@
 
 // validateNumbers returns an error that names the first number that is negative or not finite.
 func (b *Budget) validateNumbers() error {
-	number := func(field string, v float64) error {
+	check := func(field string, v float64) error {
 		if v < 0 || math.IsNaN(v) || math.IsInf(v, 0) {
 			return fmt.Errorf("%s: %v is not a number from 0 on", field, v)
 		}
@@ -153,7 +154,7 @@
 		field string
 		value float64
 	}{{"whole", b.Capacity}, {"burst", b.Burst}, {"least", b.FloorRate}, {"least_burst", b.FloorBurst}, {"most", b.MaxPerMember}, {"linger_ms", float64(b.LingerMs)}} {
-		if err := number(f.field, f.value); err != nil {
+		if err := check(f.field, f.value); err != nil {
 			return err
 		}
 	}
@@ -185,9 +186,10 @@
 	return nil
 }
 
-// validateSizes checks a budget's sizes against each other and against sessions, renewals and clocks.
+// validateSizes checks a budget's sizes against each other and against the number of sessions, the
+// renewal times and the clock drift.
 func (c *Config) validateSizes(b *Budget) error {
-	total, n := c.EffectiveLimit(b), float64(c.MaxSessions)
+	limit, sessions := c.EffectiveLimit(b), float64(c.MaxSessions)
 	switch {
 	case b.IsConcurrencyLimit() && (b.Burst != 0 || b.FloorBurst != 0):
 		return fmt.Errorf("burst: a stock has none")
@@ -199,33 +201,33 @@
 		return fmt.Errorf("linger_ms: %d and a part are longer than a seat", b.LingerMs)
 	case !b.IsConcurrencyLimit() && b.LingerMs != 0:
 		return fmt.Errorf("linger_ms: a rate has none")
-	case !b.IsConcurrencyLimit() && total.Burst < 1:
+	case !b.IsConcurrencyLimit() && limit.Burst < 1:
 		return fmt.Errorf("burst: %v holds no unit beyond the %v that permits may take along", b.Burst, b.Capacity*MaxTransit.Seconds())
-	case n*b.FloorRate > total.Rate:
-		return fmt.Errorf("least: %d floors of %v sum to %v, more than the whole less the clocks' bound, %.4g", c.MaxSessions, b.FloorRate, n*b.FloorRate, total.Rate)
-	case !b.IsConcurrencyLimit() && n*b.FloorBurst > total.Burst:
-		return fmt.Errorf("least_burst: %d of %v sum to more than the burst, %.4g", c.MaxSessions, b.FloorBurst, total.Burst)
+	case sessions*b.FloorRate > limit.Rate:
+		return fmt.Errorf("least: %d floors of %v sum to %v, more than the whole less the clocks' bound, %.4g", c.MaxSessions, b.FloorRate, sessions*b.FloorRate, limit.Rate)
+	case !b.IsConcurrencyLimit() && sessions*b.FloorBurst > limit.Burst:
+		return fmt.Errorf("least_burst: %d of %v sum to more than the burst, %.4g", c.MaxSessions, b.FloorBurst, limit.Burst)
 	case !b.IsConcurrencyLimit() && b.FloorRate > 0 && b.FloorBurst < 1:
 		return fmt.Errorf("least_burst: %v holds no unit, so that the floor could never be used", b.FloorBurst)
 	}
 	return nil
 }
 
-// ValidateChange reports whether the config may replace before while there are members. A member that
-// is cut off goes on with the old one, so floors, sessions and times must stay, and no budget may be
-// removed.
-func (c *Config) ValidateChange(before *Config) error {
+// ValidateChange returns an error if the config may not replace previous while there are members. A
+// member that cannot reach the agents keeps using the previous one, so floors, sessions and times must
+// stay, and no budget may be removed.
+func (c *Config) ValidateChange(previous *Config) error {
 	switch {
-	case c.MaxSessions != before.MaxSessions:
+	case c.MaxSessions != previous.MaxSessions:
 		return fmt.Errorf("seats: can't be changed while there are members")
-	case c.AllocationTTLMs != before.AllocationTTLMs:
+	case c.AllocationTTLMs != previous.AllocationTTLMs:
 		return fmt.Errorf("part_ms: can't be changed while there are members")
-	case c.SessionTTLS != before.SessionTTLS:
+	case c.SessionTTLS != previous.SessionTTLS:
 		return fmt.Errorf("seat_s: can't be changed while there are members")
-	case c.ClockPPM != before.ClockPPM:
+	case c.ClockPPM != previous.ClockPPM:
 		return fmt.Errorf("clock_ppm: can't be changed while there are members")
 	}
-	for _, old := range before.Budgets {
+	for _, old := range previous.Budgets {
 		b := c.Budget(old.Name)
 		if b == nil {
 			return fmt.Errorf("budget: %q can't be taken away while there are members", old.Name)
--- a/internal/controlplane/quota/errors.go
+++ b/internal/controlplane/quota/errors.go
@@ -1,16 +1,16 @@
 package quota
 
-// RejectionError is the code that a member gets when a join or a renewal is rejected. Members and logs
-// see the code as text.
+// RejectionError is the code in the response to a rejected join or renewal. Members and logs use the
+// code as text.
 type RejectionError string
 
-// The codes.
+// Codes of rejections.
 const (
-	ErrNoSession     RejectionError = "NO_SEAT"        // all sessions are taken
+	ErrNoSession     RejectionError = "NO_SEAT"        // the maximum number of sessions is reached
 	ErrNameTaken     RejectionError = "NAME_TAKEN"     // another live instance has the name
-	ErrUnknownMember RejectionError = "UNKNOWN_MEMBER" // there is no such session
+	ErrUnknownMember RejectionError = "UNKNOWN_MEMBER" // the agents have no such session
 	ErrStaleRenewal  RejectionError = "OLD_RENEWAL"    // a later renewal of the session was processed
-	ErrNoBudgets     RejectionError = "NO_BUDGETS"     // no budgets are set
+	ErrNoBudgets     RejectionError = "NO_BUDGETS"     // no budgets are configured
 )
 
 // Error returns the code.
--- a/internal/controlplane/quota/maxmin/maxmin.go
+++ b/internal/controlplane/quota/maxmin/maxmin.go
@@ -1,7 +1,7 @@
 // Package maxmin divides a capacity by weighted max-min fairness (Bertsekas and Gallager, Data
-// Networks, section 6.5.2, with weights): nobody gets less than another, relative to its weight,
-// unless it wants no more. It does no I/O; equal claims get equal parts, and the result does not
-// depend on the order of the claims.
+// Networks, section 6.5.2, with weights): a member gets less than another, relative to its weight, only
+// if it wants no more. It does no I/O; equal demands get equal shares, and the result does not depend
+// on the order of the demands.
 package maxmin
 
 import (
@@ -12,67 +12,66 @@
 
 // Demand is one member's demand.
 type Demand struct {
-	Want   float64 // what it could use
-	Max    float64 // what it may get
+	Want   float64 // amount that it can use
+	Max    float64 // upper bound of its share
 	Weight float64 // greater than 0
 }
 
-// Shares divides the capacity: first by demand, then what is left by weight up to each claim's
-// maximum, so that a demand that grows finds something there. The shares sum to no more than the
-// capacity.
-func Shares(whole float64, claims []Demand) []float64 {
-	got := make([]float64, len(claims))
-	raiseShares(whole, claims, got, func(c Demand) float64 { return min(max(c.Want, 0), c.Max) })
-	raiseShares(whole, claims, got, func(c Demand) float64 { return c.Max })
-	return got
+// Shares divides the capacity: first by demand, then the rest by weight up to each member's maximum, so
+// that there is capacity for a demand that grows. The shares sum to no more than the capacity.
+func Shares(capacity float64, demands []Demand) []float64 {
+	shares := make([]float64, len(demands))
+	raiseShares(capacity, demands, shares, func(c Demand) float64 { return min(max(c.Want, 0), c.Max) })
+	raiseShares(capacity, demands, shares, func(c Demand) float64 { return c.Max })
+	return shares
 }
 
 // raiseShares raises all shares together, in proportion to their weights, up to each one's bound
 // (water filling).
-func raiseShares(whole float64, claims []Demand, got []float64, bound func(Demand) float64) {
-	order := make([]int, len(claims))
-	left, weights := whole, 0.0
-	for i, c := range claims {
+func raiseShares(capacity float64, demands []Demand, shares []float64, bound func(Demand) float64) {
+	order := make([]int, len(demands))
+	left, weights := capacity, 0.0
+	for i, d := range demands {
 		order[i] = i
-		left -= got[i]
-		weights += c.Weight
+		left -= shares[i]
+		weights += d.Weight
 	}
-	room := func(i int) float64 { return max(0, bound(claims[i])-got[i]) }
+	room := func(i int) float64 { return max(0, bound(demands[i])-shares[i]) }
 	slices.SortStableFunc(order, func(a, b int) int {
-		return cmp.Compare(room(a)/claims[a].Weight, room(b)/claims[b].Weight)
+		return cmp.Compare(room(a)/demands[a].Weight, room(b)/demands[b].Weight)
 	})
 	for _, i := range order {
 		if left <= 0 {
 			return
 		}
-		add := min(room(i), left*claims[i].Weight/weights)
-		got[i] += add
+		add := min(room(i), left*demands[i].Weight/weights)
+		shares[i] += add
 		left -= add
-		weights -= claims[i].Weight
+		weights -= demands[i].Weight
 	}
 }
 
-// RoundUnits makes shares of an indivisible resource whole numbers: rounded down, and the units that
-// leaves go to those that lost most by it, the first of equals first.
-func RoundUnits(whole float64, shares []float64) []float64 {
-	out := make([]float64, len(shares))
+// RoundUnits makes shares of an indivisible resource integers by the largest remainder method: shares
+// are rounded down, and the remaining units go to the largest remainders, ties in order of the shares.
+func RoundUnits(capacity float64, shares []float64) []float64 {
+	units := make([]float64, len(shares))
 	order := make([]int, len(shares))
-	sum, cut := 0.0, 0.0
+	sum, remainders := 0.0, 0.0
 	for i, s := range shares {
-		out[i], order[i] = math.Floor(s+1e-9), i
-		sum += out[i]
-		cut += max(0, s-out[i])
+		units[i], order[i] = math.Floor(s+1e-9), i
+		sum += units[i]
+		remainders += max(0, s-units[i])
 	}
-	// Losses that differ by rounding errors alone are equal, or the odd unit would move between members.
-	lost := func(i int) float64 { return math.Round((shares[i] - out[i]) * 1e6) }
-	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(lost(b), lost(a)) })
-	left := min(math.Floor(whole-sum+1e-9), math.Floor(cut+1e-6))
+	// Remainders that differ only by rounding errors count as equal, or the last unit would move between members.
+	remainder := func(i int) float64 { return math.Round((shares[i] - units[i]) * 1e6) }
+	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(remainder(b), remainder(a)) })
+	left := min(math.Floor(capacity-sum+1e-9), math.Floor(remainders+1e-6))
 	for _, i := range order {
-		if left < 1 || shares[i]-out[i] < 1e-9 {
+		if left < 1 || shares[i]-units[i] < 1e-9 {
 			break
 		}
-		out[i]++
+		units[i]++
 		left--
 	}
-	return out
+	return units
 }
--- a/internal/controlplane/quota/maxmin/maxmin_test.go
+++ b/internal/controlplane/quota/maxmin/maxmin_test.go
@@ -12,27 +12,27 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// TestShares works small divisions by hand.
-func TestShares(t *testing.T) {
-	far := math.Inf(1)
+// TestSharesAndRoundUnits checks small divisions that were computed by hand.
+func TestSharesAndRoundUnits(t *testing.T) {
+	unbounded := math.Inf(1)
 	for _, c := range []struct {
-		name   string
-		whole  float64
-		claims []Demand
-		want   []float64
+		name     string
+		capacity float64
+		demands  []Demand
+		want     []float64
 	}{
-		{"nobody", 10, nil, []float64{}},
-		{"one gets all that it may", 10, []Demand{{1, 8, 1}}, []float64{8}},
-		{"equal needs, equal parts", 12, []Demand{{9, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{4, 4, 4}},
-		{"small needs first", 12, []Demand{{2, far, 1}, {9, far, 1}, {9, far, 1}}, []float64{2, 5, 5}},
-		{"by weight", 12, []Demand{{20, far, 1}, {20, far, 2}}, []float64{4, 8}},
-		{"a small need with a large weight", 12, []Demand{{1, 1, 9}, {20, far, 1}}, []float64{1, 11}},
-		{"what is left over is shared out as well", 12, []Demand{{1, far, 1}, {3, far, 1}}, []float64{5, 7}},
-		{"up to the most", 12, []Demand{{1, 2, 1}, {3, 4, 1}}, []float64{2, 4}},
-		{"nothing to share", 0, []Demand{{1, far, 1}}, []float64{0}},
-		{"a want below nothing", 4, []Demand{{-3, far, 1}, {4, far, 1}}, []float64{0, 4}},
+		{"no demands", 10, nil, []float64{}},
+		{"one demand gets its maximum", 10, []Demand{{1, 8, 1}}, []float64{8}},
+		{"equal demands", 12, []Demand{{9, unbounded, 1}, {9, unbounded, 1}, {9, unbounded, 1}}, []float64{4, 4, 4}},
+		{"small demand in full", 12, []Demand{{2, unbounded, 1}, {9, unbounded, 1}, {9, unbounded, 1}}, []float64{2, 5, 5}},
+		{"by weight", 12, []Demand{{20, unbounded, 1}, {20, unbounded, 2}}, []float64{4, 8}},
+		{"small demand with a large weight", 12, []Demand{{1, 1, 9}, {20, unbounded, 1}}, []float64{1, 11}},
+		{"rest is shared beyond the demands", 12, []Demand{{1, unbounded, 1}, {3, unbounded, 1}}, []float64{5, 7}},
+		{"shares end at the maximum", 12, []Demand{{1, 2, 1}, {3, 4, 1}}, []float64{2, 4}},
+		{"no capacity", 0, []Demand{{1, unbounded, 1}}, []float64{0}},
+		{"negative demand", 4, []Demand{{-3, unbounded, 1}, {4, unbounded, 1}}, []float64{0, 4}},
 	} {
-		got := Shares(c.whole, c.claims)
+		got := Shares(c.capacity, c.demands)
 		for i := range c.want {
 			if math.Abs(got[i]-c.want[i]) > 1e-9 {
 				t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -40,52 +40,52 @@
 			}
 		}
 	}
-	if got := RoundUnits(10, Shares(10, []Demand{{9, far, 1}, {9, far, 1}, {9, far, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
-		t.Errorf("units of ten among three: %v", got)
+	if got := RoundUnits(10, Shares(10, []Demand{{9, unbounded, 1}, {9, unbounded, 1}, {9, unbounded, 1}})); !slices.Equal(got, []float64{4, 3, 3}) {
+		t.Errorf("10 units divided by 3: %v", got)
 	}
 }
 
-// TestFair divides at random: never more than the whole, nobody past the most, all of it used where anybody could use it, nobody
-// gets less for its weight than another whose want is not smaller, and in another order everyone gets the same.
-func TestFair(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestFairnessProperties divides random capacities among random demands. The shares must not exceed the capacity or a maximum, use all
+// capacity that can be used, be max-min fair by weight, and not depend on the order. Rounded shares must be integers within the capacity.
+func TestFairnessProperties(t *testing.T) { //nolint:gocognit // one scenario in sequence
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 8).Draw(t, "claims")
-		whole := rapid.Float64Range(0, 100).Draw(t, "whole")
-		claims := make([]Demand, n)
+		n := rapid.IntRange(1, 8).Draw(t, "demands")
+		capacity := rapid.Float64Range(0, 100).Draw(t, "capacity")
+		demands := make([]Demand, n)
 		room := 0.0
-		for i := range claims {
-			most := rapid.Float64Range(0, 60).Draw(t, "most")
-			claims[i] = Demand{rapid.Float64Range(0, 80).Draw(t, "want"), most, rapid.Float64Range(0.1, 10).Draw(t, "weight")}
-			room += most
+		for i := range demands {
+			maxShare := rapid.Float64Range(0, 60).Draw(t, "maximum")
+			demands[i] = Demand{rapid.Float64Range(0, 80).Draw(t, "want"), maxShare, rapid.Float64Range(0.1, 10).Draw(t, "weight")}
+			room += maxShare
 		}
-		got := Shares(whole, claims)
+		got := Shares(capacity, demands)
 		sum := 0.0
 		for i, x := range got {
 			sum += x
-			if x > claims[i].Max+1e-9 {
-				t.Fatalf("%v gets %v", claims[i], x)
+			if x > demands[i].Max+1e-9 {
+				t.Fatalf("%v gets %v", demands[i], x)
 			}
 			for j, y := range got {
-				wanted := min(claims[i].Want, claims[i].Max)
-				if x < wanted-1e-6 && y > min(claims[j].Want, claims[j].Max)+1e-6 {
-					t.Fatalf("%v gets only %v while %v has %v, more than it wants", claims[i], x, claims[j], y)
+				wanted := min(demands[i].Want, demands[i].Max)
+				if x < wanted-1e-6 && y > min(demands[j].Want, demands[j].Max)+1e-6 {
+					t.Fatalf("%v gets only %v while %v has %v, more than it wants", demands[i], x, demands[j], y)
 				}
-				if x < wanted-1e-6 && x/claims[i].Weight < y/claims[j].Weight-1e-6 {
-					t.Fatalf("%v gets %v, less for its weight than %v, with %v", claims[i], x, claims[j], y)
+				if x < wanted-1e-6 && x/demands[i].Weight < y/demands[j].Weight-1e-6 {
+					t.Fatalf("%v gets %v, less for its weight than %v with %v", demands[i], x, demands[j], y)
 				}
 			}
 		}
-		if sum > whole+1e-6 || sum < min(whole, room)-1e-6 {
-			t.Fatalf("%v shared out of %v, with room for %v", sum, whole, room)
+		if sum > capacity+1e-6 || sum < min(capacity, room)-1e-6 {
+			t.Fatalf("shares sum to %v of capacity %v, maxima to %v", sum, capacity, room)
 		}
-		order := rapid.Permutation(claims).Draw(t, "order")
-		again := Shares(whole, order)
+		order := rapid.Permutation(demands).Draw(t, "order")
+		reordered := Shares(capacity, order)
 		for i, c := range order {
-			if at := slices.Index(claims, c); math.Abs(again[i]-got[at]) > 1e-6 {
-				t.Fatalf("%v gets %v in another order, %v before", c, again[i], got[at])
+			if at := slices.Index(demands, c); math.Abs(reordered[i]-got[at]) > 1e-6 {
+				t.Fatalf("%v gets %v in another order, want %v", c, reordered[i], got[at])
 			}
 		}
-		units := RoundUnits(whole, got)
+		units := RoundUnits(capacity, got)
 		total := 0.0
 		for i, x := range units {
 			total += x
@@ -93,8 +93,8 @@
 				t.Fatalf("%v units of a share of %v", x, got[i])
 			}
 		}
-		if total > whole+1e-6 {
-			t.Fatalf("%v units of %v", total, whole)
+		if total > capacity+1e-6 {
+			t.Fatalf("%v units of capacity %v", total, capacity)
 		}
 	})
 }
--- a/internal/controlplane/quota/member.go
+++ b/internal/controlplane/quota/member.go
@@ -9,12 +9,12 @@
 	ID          string  `json:"id"`                 // drawn by the process for each session
 	Name        string  `json:"name"`               // the instance's name
 	Addr        string  `json:"addr"`               // where it serves clients
-	Weight      float64 `json:"weight"`             // in divisions of a limit
-	Incarnation uint64  `json:"incarnation"`        // log index of its join: a later session has a greater one
+	Weight      float64 `json:"weight"`             // its weight in max-min fair shares
+	Incarnation uint64  `json:"incarnation"`        // log index of its join; later sessions have greater ones
 	Accounts    string  `json:"accounts,omitempty"` // where it serves its latency accounts; empty: nowhere
 }
 
-// Validate returns an error that names the first field of a join that cannot be served.
+// Validate returns an error that names the first invalid field of a join.
 func (m *Member) Validate() error {
 	switch {
 	case m.ID == "" || len(m.ID) > MaxNameBytes:
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// DiffMembers returns which members were added and removed between two states of the registry. Both
+// DiffMembers returns the members that were added and removed between two states of the registry. Both
 // lists must be in order of incarnation, so that the cost is linear.
 func DiffMembers(before, now []Member) (joined, left []Member) {
 	i, j := 0, 0
--- a/internal/controlplane/quota/quotaclient/bucket.go
+++ b/internal/controlplane/quota/quotaclient/bucket.go
@@ -6,32 +6,32 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// allocation is one limit as this member has it: its token bucket, what it was granted, and its usage
+// allocation is this member's state of one limit: its token bucket, what it was granted, and its usage
 // since the last renewal.
 type allocation struct {
 	granted          quota.Amount // beyond the floor, until grantedUntil
 	grantedUntil     time.Duration
-	tokens           float64       // filled up to tokensAt
-	tokensAt         time.Duration // when tokens were last reckoned
+	tokens           float64       // tokens in the bucket at tokensAt
+	tokensAt         time.Duration // when the bucket was last refilled
 	lastUsedAt       time.Duration // last reservation, successful or not
 	usedSinceRenewal float64
 	peakInUse        float64 // most units in use at once
 	largestDenied    float64 // largest reservation that was denied
-	wanted           float64 // asked for with the last renewal
-	usedRate         float64 // units a second before the last renewal
+	wanted           float64 // requested with the last renewal
+	usedRate         float64 // units a second between the last two renewals
 }
 
-// lookup returns the state of a limit, created at first use with a bucket that has filled at the
-// floor's rate since the join. known is false if too many limits are kept already.
-func (c *Client) lookup(now time.Duration, k quota.Key) (alloc allocation, known bool) {
-	if alloc, known = c.allocations[k]; !known && len(c.allocations) < quota.MaxKeys {
-		alloc, known = allocation{tokensAt: c.registeredAt, lastUsedAt: now}, true
+// lookup returns the state of a limit. It is created at first use, with a bucket that has been refilled
+// at the floor's rate since the join. found is false if quota.MaxKeys limits are kept already.
+func (c *Client) lookup(now time.Duration, k quota.Key) (alloc allocation, found bool) {
+	if alloc, found = c.allocations[k]; !found && len(c.allocations) < quota.MaxKeys {
+		alloc, found = allocation{tokensAt: c.registeredAt, lastUsedAt: now}, true
 		c.allocations[k] = alloc
 	}
-	return alloc, known
+	return alloc, found
 }
 
-// refillAll brings all buckets up to now, before the config changes.
+// refillAll refills all buckets up to now, before the config changes.
 func (c *Client) refillAll(now time.Duration) {
 	for k, alloc := range c.allocations {
 		if b := c.config.Budget(k.Budget); b != nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-// grantedNow is the allocation beyond the floor that is valid now.
+// grantedNow returns the allocation beyond the floor that is valid now.
 func (c *Client) grantedNow(alloc allocation, now time.Duration) quota.Amount {
 	if c.registered && now < alloc.grantedUntil {
 		return alloc.granted
@@ -48,7 +48,7 @@
 	return quota.Amount{}
 }
 
-// limitNow is what may be used now: the floor and the allocation.
+// limitNow returns what may be used now: the floor plus the valid allocation.
 func (c *Client) limitNow(b *quota.Budget, alloc allocation, now time.Duration) quota.Amount {
 	a := c.grantedNow(alloc, now)
 	if c.Registered(now) {
@@ -58,12 +58,13 @@
 	return a
 }
 
-// burstNow is the capacity of the bucket now.
+// burstNow returns the current depth of the bucket.
 func (c *Client) burstNow(b *quota.Budget, alloc allocation, now time.Duration) float64 {
 	return c.limitNow(b, alloc, now).Burst
 }
 
-// refill brings a bucket up to now, piecewise over the ends of allocation and session.
+// refill refills a bucket up to now, piecewise, since the rate changes when the allocation or the
+// session expires.
 func (c *Client) refill(b *quota.Budget, alloc allocation, now time.Duration) allocation {
 	for alloc.tokensAt < now {
 		to := now
@@ -80,7 +81,7 @@
 	return alloc
 }
 
-// inUse is how many units of a concurrency limit are in use.
+// inUse returns how many units of a concurrency limit are in use, and 0 for a rate.
 func (c *Client) inUse(b *quota.Budget, k quota.Key) float64 {
 	if b.IsConcurrencyLimit() {
 		return c.openConnections[k.Key]
--- a/internal/controlplane/quota/quotaclient/client.go
+++ b/internal/controlplane/quota/quotaclient/client.go
@@ -1,10 +1,10 @@
 // Package quotaclient is a member's side of fleet-wide quotas: what it may use at a moment, what it
-// asks for, and which answers it accepts. It does no I/O; time is passed in, and equal inputs give
+// requests, and which responses it accepts. It does no I/O; time is passed in, and equal inputs give
 // equal outputs.
 //
-// Invariants: an allocation is used until its TTL counted from the start of its renewal, so before its
-// answer arrived; only the answer to the last renewal is accepted, and only once; a bucket never gains
-// tokens by an allocation, only by time. Numbers of steps in comments are those of package quota.
+// Invariants: the TTL of an allocation is counted from the start of its renewal, which is before the
+// response arrived; only the response to the last renewal is accepted, and only once; a bucket gains
+// tokens only by time, never by a new allocation. Step numbers in comments refer to package quota.
 package quotaclient
 
 import (
@@ -15,35 +15,35 @@
 
 // Constants of the demand estimate.
 const (
-	wantHeadroom = 1.25 // times the usage that is asked for, so that demand can grow
-	// times the present limit that is asked for after a denial: the real demand is unknown then
+	wantHeadroom = 1.25 // requested multiple of the usage, so that demand can grow
+	// requested multiple of the current limit after a denial, when the real demand is unknown
 	deniedGrowth = 4
-	// smallest fraction of the previous demand to ask for: a short lull gives nothing up
+	// smallest fraction of the previous demand to request, so that a short lull does not give up the allocation
 	wantDecay      = 0.8
 	wantHysteresis = 0.1         // relative change of demand that is ignored
-	roundingSlack  = 1e-9        // rounding error of sums
-	idleTTL        = time.Minute // how long an unused limit stays known
+	roundingSlack  = 1e-9        // tolerance for rounding errors of sums
+	idleTTL        = time.Minute // how long the state of an unused limit is kept
 )
 
-// Client is one process's quotas. It is not safe for concurrent use.
+// Client is the quota state of one process. It is not safe for concurrent use.
 type Client struct {
 	governed         map[quota.Resource]bool // resources that are blocked until the budgets are known
-	memberID         string                  // of the current or last session
-	registered       bool                    // it has a session, which ends at sessionEnd
-	leaving          bool                    // nothing is used any more
+	memberID         string                  // id of the current or last session
+	registered       bool                    // it has a session, which expires at sessionEnd
+	leaving          bool                    // Leave was called: nothing may be used any more
 	registeredAt     time.Duration           // start of the join
 	sessionEnd       time.Duration
 	config           quota.Config
-	hasConfig        bool                     // config is known
+	hasConfig        bool                     // config is set
 	allocations      map[quota.Key]allocation // by limit
 	openConnections  map[string]float64       // by target
-	lastSeq          uint64                   // of the renewal sent last
-	renewalStartedAt time.Duration            // of it
-	renewalAnswered  bool                     // its answer was accepted
+	lastSeq          uint64                   // sequence number of the last renewal
+	renewalStartedAt time.Duration            // start of the last renewal
+	renewalAnswered  bool                     // the response to the last renewal was accepted
 	wantsComputedAt  time.Duration            // when demand was last computed
 	denied           bool                     // a reservation was denied since the last renewal
-	deniedBefore     bool                     // and between the last two renewals
-	allocationGrew   bool                     // by the last answer
+	deniedBefore     bool                     // a reservation was denied between the last two renewals
+	allocationGrew   bool                     // the last response increased an allocation
 }
 
 // New returns a client without a session. The governed resources are blocked until the budgets are
@@ -56,8 +56,7 @@
 	return c
 }
 
-// Register takes over a new session; startedAt is when the join was started. Buckets start empty (step
-// 8).
+// Register starts a new session; startedAt is when the join was started. Buckets start empty (step 8).
 func (c *Client) Register(startedAt time.Duration, id string, config quota.Config) {
 	c.memberID, c.config, c.hasConfig, c.registered, c.leaving = id, config, true, true, false
 	c.registeredAt, c.sessionEnd = startedAt, startedAt+config.SessionTTL()
@@ -65,23 +64,24 @@
 	c.lastSeq, c.wantsComputedAt = 0, startedAt
 }
 
-// Unregister gives up the session: the agents do not know it.
+// Unregister drops the session, which has ended or is unknown to the agents.
 func (c *Client) Unregister() {
 	c.registered = false
 	c.allocations = map[quota.Key]allocation{}
 }
 
-// Leave gives up everything for good. Nothing is used from now on, so the agents may be told.
+// Leave drops the session permanently. Nothing is used from now on, so the session may be ended at the
+// agents.
 func (c *Client) Leave() {
 	c.Unregister()
 	c.leaving = true
 }
 
-// Registered reports whether there is a session at that moment.
+// Registered reports whether there is a session that has not expired.
 func (c *Client) Registered(now time.Duration) bool { return c.registered && now < c.sessionEnd }
 
-// MemberID is the id of the session.
+// MemberID returns the member id of the current or last session.
 func (c *Client) MemberID() string { return c.memberID }
 
-// SessionEnd is when the session ends, or ended.
+// SessionEnd returns when the session expires or expired.
 func (c *Client) SessionEnd() time.Duration { return c.sessionEnd }
--- a/internal/controlplane/quota/quotaclient/connections.go
+++ b/internal/controlplane/quota/quotaclient/connections.go
@@ -7,8 +7,8 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// connectionLimit is the smallest limit of any budget on connections to a target. governed is false if
-// there is none.
+// connectionLimit returns the smallest limit of all budgets on connections to a target. governed is
+// false if no budget covers them.
 func (c *Client) connectionLimit(now time.Duration, target string) (limit float64, governed bool) {
 	if c.blocked(quota.Connections) {
 		return 0, true
@@ -33,12 +33,12 @@
 // (step 10).
 func (c *Client) OpenConnection(now time.Duration, target string) bool {
 	limit, governed := c.connectionLimit(now, target)
-	full := governed && c.openConnections[target]+1 > limit+roundingSlack
-	if !full {
+	rejected := governed && c.openConnections[target]+1 > limit+roundingSlack
+	if !rejected {
 		c.openConnections[target]++
 	}
 	if !c.hasConfig {
-		return !full
+		return !rejected
 	}
 	for i := range c.config.Budgets {
 		b, k := &c.config.Budgets[i], quota.Key{Budget: c.config.Budgets[i].Name, Key: target}
@@ -47,22 +47,22 @@
 			continue
 		}
 		alloc.lastUsedAt, alloc.peakInUse = now, max(alloc.peakInUse, c.openConnections[target])
-		if full {
+		if rejected {
 			alloc.largestDenied, c.denied = max(alloc.largestDenied, c.openConnections[target]+1), true
 		}
 		c.allocations[k] = alloc
 	}
-	return !full
+	return !rejected
 }
 
-// CloseConnection counts a connection that has ended.
+// CloseConnection releases a connection that was closed.
 func (c *Client) CloseConnection(target string) {
 	if c.openConnections[target]--; c.openConnections[target] <= 0 {
 		delete(c.openConnections, target)
 	}
 }
 
-// ExcessConnections is how many connections to a target exceed the limit and have to be closed.
+// ExcessConnections returns how many connections to a target exceed the limit and have to be closed.
 func (c *Client) ExcessConnections(now time.Duration, target string) int {
 	limit, governed := c.connectionLimit(now, target)
 	if !governed {
@@ -71,7 +71,7 @@
 	return int(max(0, math.Ceil(c.openConnections[target]-limit-roundingSlack)))
 }
 
-// OpenConnections is the number of open connections to all targets.
+// OpenConnections returns the number of open connections to all targets.
 func (c *Client) OpenConnections() (n int) {
 	for _, x := range c.openConnections {
 		n += int(x)
--- a/internal/controlplane/quota/quotaclient/renewal.go
+++ b/internal/controlplane/quota/quotaclient/renewal.go
@@ -9,17 +9,17 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// BeginRenewal starts a renewal. From now on only its own answer is accepted (step 4).
+// BeginRenewal starts a renewal. From now on only the response to it is accepted (step 4).
 func (c *Client) BeginRenewal(now time.Duration) quota.RenewalRequest {
 	c.lastSeq++
 	c.renewalStartedAt, c.renewalAnswered, c.deniedBefore, c.denied, c.allocationGrew = now, false, c.denied, false, false
 	req := quota.RenewalRequest{ID: c.memberID, Seq: c.lastSeq, Version: c.config.Version}
-	span := max((now - c.wantsComputedAt).Seconds(), 1e-3)
+	elapsed := max((now - c.wantsComputedAt).Seconds(), 1e-3)
 	c.wantsComputedAt = now
 	for i := range c.config.Budgets {
 		b := &c.config.Budgets[i]
 		if b.Scope == quota.PerFleet {
-			c.lookup(now, quota.Key{Budget: b.Name}) // always reported: unused capacity is divided as well
+			c.lookup(now, quota.Key{Budget: b.Name}) // always reported, since unused capacity is divided as well
 		}
 		if b.IsConcurrencyLimit() {
 			for target := range c.openConnections {
@@ -37,11 +37,11 @@
 			continue
 		}
 		alloc = c.refill(b, alloc, now)
-		alloc = c.updateWant(b, k, alloc, span, now)
+		alloc = c.updateWant(b, k, alloc, elapsed, now)
 		held := c.grantedNow(alloc, now)
 		idle := now - alloc.lastUsedAt
 		if held == (quota.Amount{}) && c.inUse(b, k) == 0 && b.Scope != quota.PerFleet && idle > idleTTL && alloc.tokens >= b.FloorBurst-roundingSlack {
-			delete(c.allocations, k) // equal to a bucket that was never used
+			delete(c.allocations, k) // the bucket is full at its floor, as if it had never been used
 			continue
 		}
 		c.allocations[k] = alloc
@@ -53,10 +53,11 @@
 	return req
 }
 
-// updateWant computes the demand to ask for: usage with headroom, and much more after a denial.
-func (c *Client) updateWant(b *quota.Budget, k quota.Key, alloc allocation, span float64, now time.Duration) allocation {
-	has := b.FloorRate + c.grantedNow(alloc, now).Rate
-	alloc.usedRate = alloc.usedSinceRenewal / span
+// updateWant computes the demand to request: the usage with headroom, and much more after a denial. It
+// resets the usage for the next interval.
+func (c *Client) updateWant(b *quota.Budget, k quota.Key, alloc allocation, elapsed float64, now time.Duration) allocation {
+	limitRate := b.FloorRate + c.grantedNow(alloc, now).Rate
+	alloc.usedRate = alloc.usedSinceRenewal / elapsed
 	want := alloc.usedRate * wantHeadroom
 	if b.IsConcurrencyLimit() {
 		alloc.peakInUse = max(alloc.peakInUse, c.inUse(b, k))
@@ -65,7 +66,7 @@
 		}
 	}
 	if alloc.largestDenied > 0 {
-		want = max(want, deniedGrowth*has, alloc.largestDenied, c.config.EffectiveLimit(b).Rate/float64(c.config.MaxSessions))
+		want = max(want, deniedGrowth*limitRate, alloc.largestDenied, c.config.EffectiveLimit(b).Rate/float64(c.config.MaxSessions))
 	}
 	want = max(want, alloc.wanted*wantDecay)
 	if math.Abs(want-alloc.wanted) < wantHysteresis*alloc.wanted {
@@ -78,8 +79,8 @@
 	return alloc
 }
 
-// AcceptRenewal takes over an answer and reports whether it was accepted. Answers to another renewal
-// than the last, to one that was answered, and to another session are ignored (step 4).
+// AcceptRenewal applies a response and reports whether it was accepted. A response to a renewal that is
+// not the last, that was already answered, or that belongs to another session is ignored (step 4).
 func (c *Client) AcceptRenewal(now time.Duration, resp quota.RenewalResponse) bool {
 	if !c.registered || resp.ID != c.memberID || resp.Seq != c.lastSeq || c.renewalAnswered {
 		return false
@@ -106,11 +107,11 @@
 		}
 		alloc = c.refill(b, alloc, now)
 		if a.ExtendsOnly && now >= alloc.grantedUntil {
-			continue // what it would extend may be allocated to another member by now (step 5)
+			continue // the allocation to extend has expired, and may be allocated to another member by now (step 5)
 		}
 		c.allocationGrew = c.allocationGrew || a.Rate > c.grantedNow(alloc, now).Rate*(1+wantHysteresis)
 		alloc.granted, alloc.grantedUntil = a.Amount, end
-		alloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now)) // an allocation brings no tokens (step 8)
+		alloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now)) // an allocation adds no tokens (step 8)
 		c.allocations[a.Key] = alloc
 	}
 	return true
@@ -119,9 +120,10 @@
 // HasUnmetDemand reports whether a reservation was denied since the last renewal.
 func (c *Client) HasUnmetDemand() bool { return c.denied }
 
-// NextRenewal is when the next renewal is due. It is early if something was denied that was not denied
-// before, or if the last answer brought more. A member that is denied all the time renews no more
-// often than others, so that an overload does not become the agents' overload.
+// NextRenewal returns when the next renewal is due. It is early if a reservation was denied since the
+// last renewal, and none was denied in the interval before or the last response increased an allocation.
+// A member whose reservations are always denied renews no more often than others, so that an overload
+// of the fleet does not overload the agents.
 func (c *Client) NextRenewal() time.Duration {
 	if !c.hasConfig {
 		return 0
@@ -132,10 +134,10 @@
 	return c.renewalStartedAt + c.config.RenewInterval()
 }
 
-// RenewTimeout is how long to wait for the answer to a renewal.
+// RenewTimeout returns how long to wait for the response to a renewal.
 func (c *Client) RenewTimeout() time.Duration { return c.config.RenewInterval() }
 
-// AllocationsEnd is when the last allocation expires; 0: there was none.
+// AllocationsEnd returns when the last allocation expires; 0: there was none.
 func (c *Client) AllocationsEnd() (end time.Duration) {
 	for _, alloc := range c.allocations {
 		end = max(end, alloc.grantedUntil)
--- a/internal/controlplane/quota/quotaclient/reserve.go
+++ b/internal/controlplane/quota/quotaclient/reserve.go
@@ -6,12 +6,12 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// blocked reports whether a resource must not be used: it is governed and the budgets are unknown, or
-// the client leaves.
+// blocked reports whether a resource must not be used: it is governed and the budgets are not known
+// yet, or Leave was called.
 func (c *Client) blocked(r quota.Resource) bool { return c.governed[r] && !c.hasConfig || c.leaving }
 
-// Wait returns the least time until the reservation may be made; 0: now. governed is false if no
-// budget covers it. For a concurrency limit, Units is how many would be in use.
+// Wait returns the minimum time until the reservation may be made; 0: now. governed is false if no
+// budget covers it. For a concurrency limit, r.Units is the number in use including the reservation.
 func (c *Client) Wait(now time.Duration, r quota.Reservation) (wait time.Duration, governed bool) {
 	const poll = 50 * time.Millisecond
 	if c.blocked(r.Resource) {
@@ -34,17 +34,17 @@
 		}
 		alloc = c.refill(b, alloc, now)
 		a := c.limitNow(b, alloc, now)
-		lack := r.Units - alloc.tokens
+		deficit := r.Units - alloc.tokens
 		if b.IsConcurrencyLimit() {
-			lack = r.Units - a.Rate
+			deficit = r.Units - a.Rate
 		}
-		if lack > roundingSlack {
+		if deficit > roundingSlack {
 			alloc.largestDenied, alloc.lastUsedAt, c.denied = max(alloc.largestDenied, r.Units), now, true
-			next := poll
+			budgetWait := poll
 			if !b.IsConcurrencyLimit() && a.Burst >= r.Units {
-				next = min(time.Duration(lack/a.Rate*float64(time.Second))+1, time.Second)
+				budgetWait = min(time.Duration(deficit/a.Rate*float64(time.Second))+1, time.Second)
 			}
-			wait = max(wait, next)
+			wait = max(wait, budgetWait)
 		}
 		c.allocations[k] = alloc
 	}
@@ -52,10 +52,10 @@
 }
 
 // Reserve makes reservations that Wait allowed at this moment, and returns until when they are valid:
-// the first byte has to leave by then (step 9).
-func (c *Client) Reserve(now time.Duration, draws ...quota.Reservation) (until time.Duration) {
+// the first byte must be sent before then (step 9).
+func (c *Client) Reserve(now time.Duration, reservations ...quota.Reservation) (until time.Duration) {
 	until = now + quota.MaxTransit
-	for _, r := range draws {
+	for _, r := range reservations {
 		if !c.hasConfig {
 			continue
 		}
@@ -67,7 +67,7 @@
 			k := quota.Key{Budget: b.Name, Key: b.KeyOf(r)}
 			alloc, known := c.lookup(now, k)
 			if !known {
-				return now - 1 // invalid
+				return now - 1 // expired: the limit has no state to count against
 			}
 			alloc = c.refill(b, alloc, now)
 			alloc.tokens -= r.Units
--- a/internal/controlplane/quota/quotaclient/status.go
+++ b/internal/controlplane/quota/quotaclient/status.go
@@ -9,15 +9,15 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// AllocationStatus is one limit as this member has it.
+// AllocationStatus is this member's view of one limit.
 type AllocationStatus struct {
 	quota.Key
-	Limit        quota.Amount  // floor and allocation
-	GrantedUntil time.Duration // end of the part beyond the floor; past: there is none
+	Limit        quota.Amount  // floor plus allocation
+	GrantedUntil time.Duration // end of the allocation beyond the floor; in the past: there is none
 	Tokens       float64
 	InUse        float64
 	Wanted       float64
-	UsedRate     float64 // units a second before the last renewal
+	UsedRate     float64 // units a second between the last two renewals
 }
 
 // Status returns all known limits in order of their keys.
@@ -36,7 +36,7 @@
 	return all
 }
 
-// ConfigVersion is the version of the config in use; 0: none is known.
+// ConfigVersion returns the version of the config in use; 0: there is none.
 func (c *Client) ConfigVersion() uint64 {
 	if !c.hasConfig {
 		return 0
@@ -44,7 +44,7 @@
 	return c.config.Version
 }
 
-// Limit is what may be used of one limit at a moment, floor and allocation.
+// Limit returns what may be used of one limit at that time: the floor plus the allocation.
 func (c *Client) Limit(now time.Duration, k quota.Key) quota.Amount {
 	b := c.config.Budget(k.Budget)
 	if !c.hasConfig || b == nil {
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -6,16 +6,16 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// WriteMetrics writes the metrics of the quotas.
+// WriteMetrics writes the metrics of the session and its allocations.
 func (s *Session) WriteMetrics(to statsd.ExtendedStatSender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
-	seated := int64(0)
+	registered := int64(0)
 	if s.client.Registered(now) {
-		seated = 1
+		registered = 1
 	}
-	to.Gauge("fleet.seated", seated, 1)
+	to.Gauge("fleet.seated", registered, 1)
 	to.Gauge("fleet.version", int64(s.client.ConfigVersion()), 1)
 	to.Inc("fleet.renewals.taken", s.counts.renewed, 1)
 	to.Inc("fleet.renewals.failed", s.counts.failed, 1)
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -16,13 +16,14 @@
 
 // Times of joining and leaving.
 const (
-	agentFreshness         = 5 * time.Second        // for which an agent's last answer makes it reachable
-	joinRetryMin           = 200 * time.Millisecond // doubled up to joinRetryMax
+	agentFreshness         = 5 * time.Second        // how long an agent counts as reachable after its last answer
+	joinRetryMin           = 200 * time.Millisecond // first retry delay of a join, doubled up to joinRetryMax
 	joinRetryMax           = 5 * time.Second
-	connectionCloseTimeout = time.Second // for connections to close before the session is given up
+	connectionCloseTimeout = time.Second // how long Leave waits for operations, and for connections, to end
 )
 
-// Run joins and renews until ctx ends. Leave then gives up the session.
+// Run joins and renews until ctx ends, and joins again if the session is lost. Leave then ends the
+// session.
 func (s *Session) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if s.register(ctx) {
@@ -31,39 +32,39 @@
 	}
 }
 
-// register joins until it has a session, and reports false if ctx ended. Each session has an id of its
-// own; if an answer was lost, the join is repeated with the same id for as long as its session could
-// last.
+// register joins until it has a session, and reports false if ctx ended. Each session has a new random
+// id. A join is repeated with the same id, since the response may have been lost and the session exist,
+// until the agents report that a session of that id has ended.
 func (s *Session) register(ctx context.Context) bool {
 	id := rand.Text()
-	waits := backoff.ExponentialBackOff{InitialInterval: joinRetryMin, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: joinRetryMax}
+	retryBackoff := backoff.ExponentialBackOff{InitialInterval: joinRetryMin, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: joinRetryMax}
 	for {
-		began := monotone.Now()
-		m, doc, err := s.agents.Join(ctx, quota.Member{ID: id, Name: s.opt.Name, Addr: s.opt.Addr, Weight: s.opt.Weight, Accounts: s.opt.AccountsAddr})
+		startedAt := monotone.Now()
+		m, quotaConfig, err := s.agents.Join(ctx, quota.Member{ID: id, Name: s.opt.Name, Addr: s.opt.Addr, Weight: s.opt.Weight, Accounts: s.opt.AccountsAddr})
 		if err == nil {
 			s.mu.Lock()
-			s.client.Register(began, m.ID, doc)
+			s.client.Register(startedAt, m.ID, quotaConfig)
 			s.status = ""
 			s.mu.Unlock()
 			s.opt.Log.Info("joined the fleet", slog.String("reason", "FLEET_JOINED"), slog.String("member", m.ID),
-				slog.Uint64("incarnation", m.Incarnation), slog.Uint64("version", doc.Version))
+				slog.Uint64("incarnation", m.Incarnation), slog.Uint64("version", quotaConfig.Version))
 			s.onChange()
 			return true
 		}
 		if ctx.Err() != nil {
 			return false
 		}
-		why := "NO_AGENT"
+		reason := "NO_AGENT"
 		var rejected quota.RejectionError
 		if errors.As(err, &rejected) {
-			why = string(rejected)
+			reason = string(rejected)
 		}
 		s.mu.Lock()
-		again := s.status == why
-		s.status = why
+		alreadyLogged := s.status == reason
+		s.status = reason
 		s.mu.Unlock()
-		if !again {
-			s.opt.Log.Warn("join rejected", slog.String("reason", "FLEET_"+why), slog.Any("error", err))
+		if !alreadyLogged {
+			s.opt.Log.Warn("join rejected", slog.String("reason", "FLEET_"+reason), slog.Any("error", err))
 		}
 		if rejected == quota.ErrUnknownMember {
 			id = rand.Text()
@@ -71,12 +72,13 @@
 		select {
 		case <-ctx.Done():
 			return false
-		case <-time.After(waits.NextBackOff()):
+		case <-time.After(retryBackoff.NextBackOff()):
 		}
 	}
 }
 
-// watchLeases has a renewal sent whenever the agents' log changes a lease of this member.
+// watchLeases requests a renewal whenever the agents' log changes a lease of this member. It returns
+// when ctx ends.
 func (s *Session) watchLeases(ctx context.Context, id string) {
 	var known uint64
 	for ctx.Err() == nil {
@@ -95,19 +97,19 @@
 	}
 }
 
-// renewUntilLost renews until the session is lost or ctx ends.
+// renewUntilLost renews until the session is lost or ctx ends. Meanwhile it runs watchLeases.
 func (s *Session) renewUntilLost(ctx context.Context) {
 	if s.opt.LeaseWorker != nil {
-		watching, stop := context.WithCancel(ctx)
-		defer stop()
+		watchCtx, cancel := context.WithCancel(ctx)
+		defer cancel()
 		s.mu.Lock()
 		id := s.client.MemberID()
 		s.mu.Unlock()
-		go s.watchLeases(watching, id)
+		go s.watchLeases(watchCtx, id)
 	}
-	cutOff := false
+	allocationsExpired := false
 	for s.waitForRenewal(ctx) {
-		lost := s.renewOnce(ctx, &cutOff)
+		lost := s.renewOnce(ctx, &allocationsExpired)
 		s.onChange()
 		if lost {
 			return
@@ -137,9 +139,9 @@
 	return false
 }
 
-// renewOnce sends one renewal and processes its answer. It reports whether the session is lost. cutOff is whether
-// all allocations have expired for want of a renewal, which is logged once.
-func (s *Session) renewOnce(ctx context.Context, cutOff *bool) (lost bool) {
+// renewOnce sends one renewal and processes the response. It reports whether the session is lost. allocationsExpired is
+// whether all allocations have expired because renewals failed, which is logged once.
+func (s *Session) renewOnce(ctx context.Context, allocationsExpired *bool) (lost bool) {
 	s.mu.Lock()
 	if !s.client.Registered(monotone.Now()) {
 		s.loseSession("SEAT_ENDED")
@@ -160,69 +162,69 @@
 		return true
 	case err == nil && s.client.AcceptRenewal(monotone.Now(), response):
 		s.counts.renewed++
-		if *cutOff {
-			*cutOff, s.status = false, ""
+		if *allocationsExpired {
+			*allocationsExpired, s.status = false, ""
 			s.opt.Log.Info("renewals succeed again", slog.String("reason", "FLEET_HEARD"))
 		}
 	default:
 		s.counts.failed++
-		if !*cutOff && monotone.Now() >= s.client.AllocationsEnd() && ctx.Err() == nil {
-			*cutOff, s.status = true, "CUT_OFF"
+		if !*allocationsExpired && monotone.Now() >= s.client.AllocationsEnd() && ctx.Err() == nil {
+			*allocationsExpired, s.status = true, "CUT_OFF"
 			s.opt.Log.Warn("allocations expired: only the floor is left", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
 		}
 	}
 	return false
 }
 
-// sendRenewal sends a renewal together with the one of the leases, and passes the leases' answer on.
+// sendRenewal sends a session renewal together with the lease renewal, and passes the lease response to the LeaseWorker.
 func (s *Session) sendRenewal(ctx context.Context, startedAt, timeout time.Duration, request quota.RenewalRequest) (quota.RenewalResponse, error) {
-	var leases *lease.RenewalRequest
+	var leaseRequest *lease.RenewalRequest
 	if s.opt.LeaseWorker != nil {
-		leases = s.opt.LeaseWorker.BeginRenewal(startedAt)
+		leaseRequest = s.opt.LeaseWorker.BeginRenewal(startedAt)
 	}
-	ctx, done := context.WithTimeout(ctx, timeout)
-	defer done()
-	response, renewed, err := s.agents.Renew(ctx, request, leases)
-	if err == nil && renewed != nil && s.opt.LeaseWorker != nil {
-		s.opt.LeaseWorker.AcceptRenewal(monotone.Now(), renewed)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
+	defer cancel()
+	response, leaseResponse, err := s.agents.Renew(ctx, request, leaseRequest)
+	if err == nil && leaseResponse != nil && s.opt.LeaseWorker != nil {
+		s.opt.LeaseWorker.AcceptRenewal(monotone.Now(), leaseResponse)
 	}
 	return response, err
 }
 
-// loseSession gives up the session. The caller holds mu.
-func (s *Session) loseSession(why string) {
-	s.status = why
+// loseSession drops the session and all leases. The caller holds mu.
+func (s *Session) loseSession(reason string) {
+	s.status = reason
 	s.client.Unregister()
 	if s.opt.LeaseWorker != nil {
 		s.opt.LeaseWorker.DropAll()
 	}
-	s.opt.Log.Warn("session lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", why))
+	s.opt.Log.Warn("session lost", slog.String("reason", "FLEET_SEAT_LOST"), slog.String("why", reason))
 }
 
-// Leave stops all use and, once no connection is open, gives up the session; if that takes too long it
-// is left to expire. Run must have ended.
+// Leave stops all use and, once no operation is running and no connection is open, ends the session. If
+// that takes longer than connectionCloseTimeout, the session is left to expire. Run must have ended.
 func (s *Session) Leave(ctx context.Context) {
 	s.mu.Lock()
-	seated, id := s.client.Registered(monotone.Now()), s.client.MemberID()
+	registered, id := s.client.Registered(monotone.Now()), s.client.MemberID()
 	s.client.Leave()
 	s.mu.Unlock()
 	if s.opt.LeaseWorker != nil && !s.opt.LeaseWorker.Stop(connectionCloseTimeout) {
-		s.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.String("why", "an act is under way"))
+		s.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.String("why", "an operation is still running"))
 		return
 	}
-	for end := time.Now().Add(connectionCloseTimeout); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(connectionCloseTimeout); ; time.Sleep(10 * time.Millisecond) {
 		s.mu.Lock()
-		out := s.client.OpenConnections()
+		open := s.client.OpenConnections()
 		s.mu.Unlock()
-		if out == 0 {
+		if open == 0 {
 			break
 		}
-		if time.Now().After(end) {
-			s.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.Int("connections", out))
+		if time.Now().After(deadline) {
+			s.opt.Log.Warn("session not released", slog.String("reason", "FLEET_NOT_LEFT"), slog.Int("connections", open))
 			return
 		}
 	}
-	if !seated {
+	if !registered {
 		return
 	}
 	if err := s.agents.Leave(ctx, id); err != nil {
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -8,11 +8,11 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// toReservation converts the scheduler's reservation to the fleet's.
+// toReservation converts a reservation of package policy to one of package quota.
 func toReservation(res policy.Reservation) quota.Reservation {
-	use := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries,
+	resource := [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries,
 		policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}[res.Resource]
-	return quota.Reservation{Resource: use, Target: res.Endpoint, Plan: res.Plan, Class: res.Class, Units: res.Units}
+	return quota.Reservation{Resource: resource, Target: res.Endpoint, Plan: res.Plan, Class: res.Class, Units: res.Units}
 }
 
 // Wait implements policy.Quota.
@@ -27,18 +27,19 @@
 	return wait, governed
 }
 
-// Reserve implements policy.Quota. The permit is valid as long as the allocation that it uses.
-func (s *Session) Reserve(draws []policy.Reservation) policy.Permit {
+// Reserve implements policy.Quota. The permit is valid for quota.MaxTransit, but not beyond the
+// allocation that it uses.
+func (s *Session) Reserve(reservations []policy.Reservation) policy.Permit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	all := make([]quota.Reservation, len(draws))
-	for i, res := range draws {
+	all := make([]quota.Reservation, len(reservations))
+	for i, res := range reservations {
 		all[i] = toReservation(res)
 	}
 	return permit{s, s.client.Reserve(monotone.Now(), all...)}
 }
 
-// permit is what a send may use, until a time on the monotonic clock.
+// permit allows a send until a time on the monotonic clock.
 type permit struct {
 	session *Session
 	until   time.Duration
@@ -46,35 +47,35 @@
 
 // Valid implements policy.Permit.
 func (p permit) Valid() bool {
-	good := monotone.Now() < p.until
-	if !good {
+	valid := monotone.Now() < p.until
+	if !valid {
 		p.session.mu.Lock()
 		p.session.counts.lapsed++
 		p.session.mu.Unlock()
 	}
-	return good
+	return valid
 }
 
 // Open counts a new connection to a target, and reports false if the limit does not allow it.
 func (s *Session) Open(target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok := s.client.OpenConnection(monotone.Now(), target)
-	if !ok {
+	allowed := s.client.OpenConnection(monotone.Now(), target)
+	if !allowed {
 		s.counts.denied++
 		s.wakeRenewal()
 	}
-	return ok
+	return allowed
 }
 
-// Close counts a connection that has ended.
+// Close releases a connection that was closed.
 func (s *Session) Close(target string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.client.CloseConnection(target)
 }
 
-// Over is how many connections to a target have to be closed.
+// Over returns how many connections to a target have to be closed.
 func (s *Session) Over(target string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/quota/quotasession/session.go
+++ b/internal/controlplane/quota/quotasession/session.go
@@ -1,7 +1,7 @@
 // Package quotasession connects an instance to the fleet's quotas: it joins at the agents, keeps the
-// session by renewals, and answers the scheduler's and the connection pools' questions from a
-// quotaclient.Client, on the clock that counts sleep. All decisions are in quotaclient. The claims of
-// leases travel with the renewals (LeaseWorker).
+// session by renewals, and implements the quota interfaces of the scheduler and the connection pools by
+// a quotaclient.Client, on the boot-time clock. All decisions are in quotaclient. Lease renewals are
+// sent together with the session's (LeaseWorker).
 package quotasession
 
 import (
@@ -18,13 +18,13 @@
 // Options configure an instance's session.
 type Options struct {
 	Name           string
-	Addr           string // where it serves clients: two processes at one address are an upgrade
+	Addr           string // where it serves clients: two processes with one name and address are an upgrade
 	Agents         []string
-	FallbackAgents func() []string // agents that other members know, if none of Agents answers; nil: none
+	FallbackAgents func() []string // agents learned from other members, used if none of Agents answers; nil: none
 	Weight         float64
 	Governed       []quota.Resource // resources that are blocked until the budgets are known
 	Log            *slog.Logger
-	LeaseWorker    LeaseWorker // nil: the instance runs no tasks
+	LeaseWorker    LeaseWorker // nil: the instance runs no fleet-wide tasks
 	AccountsAddr   string      // where it serves its latency accounts; empty: nowhere
 }
 
@@ -32,21 +32,21 @@
 type LeaseWorker interface {
 	BeginRenewal(now time.Duration) *lease.RenewalRequest
 	AcceptRenewal(now time.Duration, a *lease.RenewalResponse)
-	DropAll()                       // the session is lost
-	Stop(within time.Duration) bool // releases everything; whether all operations have ended
+	DropAll()                       // called when the session is lost
+	Stop(within time.Duration) bool // releases all leases and reports whether all operations have ended
 }
 
 // Session is an instance's session. It is safe for concurrent use.
 type Session struct {
 	opt      Options
 	agents   agent.Client
-	onChange func()        // called when allocations have changed; it must not block
-	wake     chan struct{} // a renewal may be due earlier than planned
+	onChange func()        // called when allocations have changed; it must not block; set before Run
+	wake     chan struct{} // signals Run that a renewal may be due earlier; never closed
 
-	mu       sync.Mutex
-	client   *quotaclient.Client // the decisions
+	mu       sync.Mutex          // guards the fields below
+	client   *quotaclient.Client // quota state, which decides
 	renewNow bool                // the next renewal is due at once
-	status   string              // why there is no session or no allocation; empty: all is well
+	status   string              // code of why there is no session or no allocation; empty: there is
 	counts   struct{ renewed, failed, lapsed, denied int64 }
 }
 
@@ -56,13 +56,13 @@
 		wake: make(chan struct{}, 1), onChange: func() {}}
 }
 
-// ReachableAgent is an agent that answered recently; empty: none did.
+// ReachableAgent returns an agent that answered recently; empty: none did.
 func (s *Session) ReachableAgent() string { return s.agents.LastAnswered(agentFreshness) }
 
-// OnChange sets what is called when allocations have changed. It must be called before Run.
+// OnChange sets the function that is called when allocations have changed. It must be called before Run.
 func (s *Session) OnChange(f func()) { s.onChange = f }
 
-// wakeRenewal has a renewal sent early if the client wants one. The caller holds mu.
+// wakeRenewal makes Run check for an early renewal if there is unmet demand. The caller holds mu.
 func (s *Session) wakeRenewal() {
 	if s.client.HasUnmetDemand() {
 		select {
@@ -72,7 +72,7 @@
 	}
 }
 
-// RenewNow has the next renewal sent at once.
+// RenewNow makes Run send the next renewal at once.
 func (s *Session) RenewNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/controlplane/quota/renewal.go
+++ b/internal/controlplane/quota/renewal.go
@@ -1,28 +1,28 @@
 package quota
 
-// UsageReport is what a member reports for one limit with a renewal.
+// UsageReport is a member's report about one limit in a renewal.
 type UsageReport struct {
 	Key
 	Held  Amount  `json:"held"`             // allocation held beyond the floor when the renewal was started
-	Want  float64 `json:"want"`             // wanted in all
+	Want  float64 `json:"want"`             // total amount wanted, floor included
 	InUse float64 `json:"in_use,omitempty"` // of a concurrency limit: units in use now
 	Used  float64 `json:"used,omitempty"`   // of a rate: units a second since the last renewal
 }
 
-// RenewalRequest is all that a member reports with one renewal.
+// RenewalRequest is one renewal of a member's session and allocations.
 type RenewalRequest struct {
 	ID      string        `json:"id"`
 	Seq     uint64        `json:"seq"`     // grows with each renewal of a session
-	Version uint64        `json:"version"` // of the config that it uses
+	Version uint64        `json:"version"` // version of the config that it uses
 	Reports []UsageReport `json:"reports,omitempty"`
 }
 
-// Allocation is a member's part of one limit beyond its floor. It lasts for AllocationTTL from the
+// Allocation is a member's share of one limit beyond its floor. It is valid for AllocationTTL from the
 // start of its renewal.
 type Allocation struct {
 	Key
 	Amount
-	ExtendsOnly bool `json:"extends,omitempty"` // valid only if the previous allocation has not expired when this arrives
+	ExtendsOnly bool `json:"extends,omitempty"` // accepted only if the previous allocation is still valid when this arrives
 }
 
 // RenewalResponse answers a renewal.
--- a/internal/controlplane/readindex/queue.go
+++ b/internal/controlplane/readindex/queue.go
@@ -1,32 +1,33 @@
 // Package readindex delays a leader's answers until its leadership is confirmed, as Raft's read index
-// does (Ongaro's thesis, section 6.4): an answer may be sent only after a majority of the agents has
-// said, later than the answer was decided, that it knows of no later term. One round of questions
-// serves all answers that wait for it. It does no I/O.
+// does (Ongaro's thesis, section 6.4): an answer may be sent only after a majority of the agents,
+// queried after the answer was decided, has reported no later term. One round of queries confirms all
+// answers that were added before it. It does no I/O.
 package readindex
 
-// Queue holds answers until a round of questions that began after them has ended.
+// Queue holds answers until a round of queries that started after them has ended. It is not safe for
+// concurrent use.
 type Queue[T any] struct {
-	roundNumber  uint64 // of the round started last
-	roundTerm    uint64 // the term that it confirms
-	roundPending bool
+	roundNumber  uint64 // number of the last round started
+	roundTerm    uint64 // term that this round confirms
+	roundPending bool   // this round has not ended
 	waiting      []pendingAnswer[T]
 }
 
-// pendingAnswer is an answer that waits.
+// pendingAnswer is an answer that waits for a round.
 type pendingAnswer[T any] struct {
 	confirmedBy uint64 // first round that confirms it
-	term        uint64 // in which it was decided
+	term        uint64 // term in which it was decided
 	answer      T
 }
 
-// Add holds an answer that was decided in that term. A round that is already running may have been
-// answered before, so the next one counts.
-func (q *Queue[T]) Add(term uint64, it T) {
-	q.waiting = append(q.waiting, pendingAnswer[T]{q.roundNumber + 1, term, it})
+// Add adds an answer that was decided in that term. In a round that is already running, agents may have
+// replied before the decision, so only a later round confirms it.
+func (q *Queue[T]) Add(term uint64, answer T) {
+	q.waiting = append(q.waiting, pendingAnswer[T]{q.roundNumber + 1, term, answer})
 }
 
-// StartRound reports whether a round of questions has to be started now, for the term that the agent
-// leads in, and its number.
+// StartRound starts a round for the term in which the agent leads, if answers are waiting and no round
+// is pending. It returns the round's number and whether the caller has to send the queries.
 func (q *Queue[T]) StartRound(term uint64) (round uint64, due bool) {
 	if q.roundPending || len(q.waiting) == 0 {
 		return q.roundNumber, false
@@ -36,10 +37,10 @@
 	return q.roundNumber, true
 }
 
-// FinishRound ends a round and returns the answers that it decides on: done may be sent if the
-// majority agreed. No round confirms an answer of another term, as of an agent that led before, lost
-// its leadership and leads again: those are void.
-func (q *Queue[T]) FinishRound(round uint64) (done, void []T) {
+// FinishRound ends a round and returns the answers that were added before it started. Those of the
+// round's term are covered: they may be sent if the majority agreed. Those of another term, decided
+// before the agent lost its leadership and became leader again, are stale: no round can confirm them.
+func (q *Queue[T]) FinishRound(round uint64) (covered, stale []T) {
 	if round != q.roundNumber || !q.roundPending {
 		return nil, nil
 	}
@@ -50,16 +51,16 @@
 		case p.confirmedBy > round:
 			kept = append(kept, p)
 		case p.term == q.roundTerm:
-			done = append(done, p.answer)
+			covered = append(covered, p.answer)
 		default:
-			void = append(void, p.answer)
+			stale = append(stale, p.answer)
 		}
 	}
 	q.waiting = kept
-	return done, void
+	return covered, stale
 }
 
-// Waiting returns all answers that are held.
+// Waiting returns all answers that are waiting.
 func (q *Queue[T]) Waiting() (all []T) {
 	for _, p := range q.waiting {
 		all = append(all, p.answer)
@@ -67,12 +68,12 @@
 	return all
 }
 
-// MajorityAgrees reports whether the leader's own term is not behind the terms that others have just
-// told, for a majority of all agents: then no later leader had been elected.
-func MajorityAgrees(own uint64, others []uint64, agents int) bool {
+// MajorityAgrees reports whether a majority of all agents, the leader included, has no later term than
+// the leader. Then no later leader had been elected when they reported their terms.
+func MajorityAgrees(ownTerm uint64, otherTerms []uint64, agents int) bool {
 	agree := 1
-	for _, t := range others {
-		if t <= own {
+	for _, t := range otherTerms {
+		if t <= ownTerm {
 			agree++
 		}
 	}
--- a/internal/controlplane/registry/leases.go
+++ b/internal/controlplane/registry/leases.go
@@ -7,8 +7,8 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// SetLeaseConfig takes over a set of tasks; its version is the log index. Leases are added and removed
-// with their shards. An error changes nothing.
+// SetLeaseConfig replaces the set of tasks; its version is the log index. Leases are added and removed
+// with their shards. On an error nothing is changed.
 func (r *Registry) SetLeaseConfig(index uint64, c lease.Config) error {
 	if r.QuotaConfig.Version == 0 {
 		return quota.ErrNoBudgets
@@ -29,8 +29,8 @@
 		for shard := range c.Tasks[i].Shards {
 			k := lease.Key{Task: c.Tasks[i].Name, Shard: shard}
 			l := lease.Lease{Key: k, ChangedIndex: index}
-			if had := r.Lease(k); had != nil {
-				l = *had
+			if existing := r.Lease(k); existing != nil {
+				l = *existing
 			}
 			all = append(all, l)
 		}
@@ -42,26 +42,26 @@
 
 // Lease returns the lease of that key, or nil.
 func (r *Registry) Lease(k lease.Key) *lease.Lease {
-	at, there := slices.BinarySearchFunc(r.Leases, k, func(l lease.Lease, k lease.Key) int { return lease.CompareKeys(l.Key, k) })
-	if !there {
+	at, found := slices.BinarySearchFunc(r.Leases, k, func(l lease.Lease, k lease.Key) int { return lease.CompareKeys(l.Key, k) })
+	if !found {
 		return nil
 	}
 	return &r.Leases[at]
 }
 
-// ApplyEvents applies events and returns those that had an effect (package lease, step 4). seen is a
-// token that a guarded resource was shown: the next grant gets a greater one.
-func (r *Registry) ApplyEvents(index, seen uint64, orders []lease.Event) (done []lease.Event) {
-	r.LastToken = max(r.LastToken, seen)
-	for _, e := range orders {
+// ApplyEvents applies events and returns those that had an effect (package lease, step 4). seenToken is
+// the newest token that a guarded resource has seen; the next grant gets a greater one.
+func (r *Registry) ApplyEvents(index, seenToken uint64, events []lease.Event) (applied []lease.Event) {
+	r.LastToken = max(r.LastToken, seenToken)
+	for _, e := range events {
 		l := r.Lease(e.Key)
 		if l == nil || l.Token != e.ExpectedToken {
 			continue
 		}
-		member := r.memberIndex(e.Member) >= 0
+		registered := r.memberIndex(e.Member) >= 0
 		switch e.Kind {
 		case lease.EventGrant:
-			if !member {
+			if !registered {
 				continue
 			}
 			r.LastToken = max(r.LastToken+1, index) // step 3
@@ -71,13 +71,13 @@
 			}
 			*l = lease.Lease{Key: l.Key, Token: r.LastToken, Holder: e.Member, PinnedTo: pin}
 		case lease.EventPlan:
-			if !member && e.Member != lease.AnyMember {
+			if !registered && e.Member != lease.AnyMember {
 				continue
 			}
 			l.NextHolder = e.Member
 			if e.Pinned {
 				l.PinnedTo = ""
-				if member {
+				if registered {
 					l.PinnedTo = e.Member
 				}
 			}
@@ -85,19 +85,19 @@
 			l.Holder, l.NextHolder = "", ""
 		}
 		l.ChangedIndex = index
-		done = append(done, e)
+		applied = append(applied, e)
 	}
-	return done
+	return applied
 }
 
-// releaseLeases releases what removed members held: they left and do nothing more, or their sessions
-// lasted longer than their leases.
+// releaseLeases releases the leases of removed members. These have left and stopped using them, or
+// their sessions lasted longer than their leases.
 func (r *Registry) releaseLeases(ids []string) {
 	for i := range r.Leases {
 		l := &r.Leases[i]
-		for _, of := range []*string{&l.Holder, &l.NextHolder, &l.PinnedTo} {
-			if *of != "" && slices.Contains(ids, *of) {
-				*of = ""
+		for _, memberID := range []*string{&l.Holder, &l.NextHolder, &l.PinnedTo} {
+			if *memberID != "" && slices.Contains(ids, *memberID) {
+				*memberID = ""
 			}
 		}
 		if l.Holder == "" {
@@ -106,8 +106,8 @@
 	}
 }
 
-// LastChangeFor is the log index of the last change of a lease that the member holds; 0: it holds
-// none.
+// LastChangeFor returns the log index of the last change of any lease that the member holds; 0: it
+// holds none.
 func (r *Registry) LastChangeFor(id string) (index uint64) {
 	for i := range r.Leases {
 		if r.Leases[i].Holder == id {
--- a/internal/controlplane/registry/registry.go
+++ b/internal/controlplane/registry/registry.go
@@ -1,6 +1,6 @@
-// Package registry is the replicated state of the fleet: the quota config, the members' sessions, the
-// tasks and the leases. Every agent that has applied the same log entries has the same registry. It
-// does no I/O.
+// Package registry implements the replicated state of the fleet: the quota config, the members'
+// sessions, the tasks and the leases. Agents that have applied the same log entries have equal
+// registries. It does no I/O.
 package registry
 
 import (
@@ -10,7 +10,8 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Registry is the state. The zero value has no sessions.
+// Registry is the replicated state. The zero value is the state before any log entry. It is not safe
+// for concurrent use.
 type Registry struct {
 	QuotaConfig quota.Config   `json:"doc"`
 	Members     []quota.Member `json:"members,omitempty"` // in order of incarnation
@@ -19,7 +20,7 @@
 	LastToken   uint64         `json:"token,omitempty"`  // newest token granted
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a copy that shares no slice that the registry changes.
 func (r *Registry) Clone() Registry {
 	c := *r
 	c.QuotaConfig.Budgets = slices.Clone(r.QuotaConfig.Budgets)
@@ -28,7 +29,8 @@
 	return c
 }
 
-// SetQuotaConfig takes over a set of budgets; its version is the log index. An error changes nothing.
+// SetQuotaConfig replaces the set of budgets; its version is the log index. On an error nothing is
+// changed.
 func (r *Registry) SetQuotaConfig(index uint64, c quota.Config) error {
 	if err := c.Validate(); err != nil {
 		return err
@@ -46,8 +48,8 @@
 	return nil
 }
 
-// Join gives a member a session with the log index as its incarnation. A member that has a session
-// keeps it: the answer to its first join was lost.
+// Join creates a session for a member, with the log index as its incarnation. A member that has a
+// session keeps it, as it repeats a join whose response was lost.
 func (r *Registry) Join(index uint64, m quota.Member) (quota.Member, error) {
 	if i := r.memberIndex(m.ID); i >= 0 {
 		return r.Members[i], nil
@@ -69,7 +71,7 @@
 	r.Members = slices.DeleteFunc(r.Members, func(m quota.Member) bool { return slices.Contains(ids, m.ID) })
 }
 
-// memberIndex is the position of a member; -1: it is not registered.
+// memberIndex returns the position of a member; -1: it is not registered.
 func (r *Registry) memberIndex(id string) int {
 	return slices.IndexFunc(r.Members, func(m quota.Member) bool { return m.ID == id })
 }
