--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -152,10 +152,10 @@
 func (r *FleetReport) queryInstances(ctx context.Context, members []allocator.MemberStatus, start time.Time, window time.Duration, w *ReportWindow) []accounts.Snapshot {
 	var mu sync.Mutex // guards w and all
 	var all []accounts.Snapshot
-	var workers sync.WaitGroup
+	var queries sync.WaitGroup
 	slots := make(chan struct{}, maxConcurrentQueries)
 	for _, m := range members {
-		workers.Go(func() {
+		queries.Go(func() {
 			slots <- struct{}{}
 			defer func() { <-slots }()
 			s, err := r.fetchSnapshot(ctx, m.Member, start, window)
@@ -169,7 +169,7 @@
 			all = append(all, s)
 		})
 	}
-	workers.Wait()
+	queries.Wait()
 	slices.Sort(w.Instances)
 	slices.Sort(w.Missing)
 	return all
--- a/internal/controlplane/lease/lessor/lessor.go
+++ b/internal/controlplane/lease/lessor/lessor.go
@@ -20,7 +20,7 @@
 // Bounds on reports and backoffs.
 const (
 	maxDeadInstances    = 64      // names of dead instances that one member may report
-	deadQuorum          = 3       // reports from other members after which planning treats a member as dead
+	deadQuorum          = 3       // reports after which planning treats a member as dead; fewer, but at least 2, in a small fleet
 	maxBackoffDoublings = 4       // doublings of the time for which a member without progress is granted no shard
 	maxPlausibleToken   = 1 << 60 // a reported token beyond it comes from corrupt state and is ignored
 )
@@ -43,8 +43,8 @@
 	quota.Member
 	lastSeq          uint64
 	lastSeenAt       time.Duration   // last renewal; before the first in this term: start of the term or join
-	tasks            map[string]bool // that it can run
-	openRequests     uint16          // requests open at it
+	tasks            map[string]bool // names of the tasks that it can run
+	openRequests     uint16          // number of requests open at it
 	deadInstances    []string        // names of instances that it considers dead or departed
 	reportedThisTerm bool            // it has renewed in this term, so tasks is known
 }
--- a/internal/controlplane/lease/lessor/lessor_test.go
+++ b/internal/controlplane/lease/lessor/lessor_test.go
@@ -164,7 +164,7 @@
 		reporters int
 		renews    bool
 		planned   bool // its shard is granted to another member once the lease has expired
-	}{{"none", 0, false, false}, {"two", 2, false, false}, {"three", 3, false, true}, {"three, and it renews", 3, true, false}} {
+	}{{"no reports", 0, false, false}, {"two reports", 2, false, false}, {"three reports", 3, false, true}, {"three reports of a member that renews", 3, true, false}} {
 		r, l, seq := newTestLessor(t, 5, 5, "t")
 		applyPendingEvents(r, l, time.Minute)
 		held := func() (n int) {
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -202,7 +202,7 @@
 }
 
 // Leave stops all use and, once no operation is running and no connection is open, ends the session. If
-// that takes longer than connectionCloseTimeout, the session is left to expire. Run must have ended.
+// either takes longer than connectionCloseTimeout, the session is left to expire. Run must have ended.
 func (s *Session) Leave(ctx context.Context) {
 	s.mu.Lock()
 	registered, id := s.client.Registered(monotone.Now()), s.client.MemberID()
--- a/internal/controlplane/quota/quotasession/session.go
+++ b/internal/controlplane/quota/quotasession/session.go
@@ -31,7 +31,7 @@
 // LeaseWorker runs fleet-wide tasks under leases (package leasework).
 type LeaseWorker interface {
 	BeginRenewal(now time.Duration) *lease.RenewalRequest
-	AcceptRenewal(now time.Duration, a *lease.RenewalResponse)
+	AcceptRenewal(now time.Duration, resp *lease.RenewalResponse)
 	DropAll()                       // called when the session is lost
 	Stop(within time.Duration) bool // releases all leases and reports whether all operations have ended
 }
