--- a/internal/controlplane/quota/quotaclient/reserve.go
+++ b/internal/controlplane/quota/quotaclient/reserve.go
@@ -13,7 +13,7 @@
 // Wait returns the minimum time until the reservation may be made; 0: now. governed is false if no
 // budget covers it. For a concurrency limit, r.Units is the number in use including the reservation.
 func (c *Client) Wait(now time.Duration, r quota.Reservation) (wait time.Duration, governed bool) {
-	const poll = 50 * time.Millisecond
+	const poll = 50 * time.Millisecond // retry interval if it is unknown when the reservation may be made
 	if c.blocked(r.Resource) {
 		return poll, true
 	}
