--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -74,8 +74,8 @@
 	s.client.CloseConnection(target)
 }
 
-// Over is how many connections to a target have to be closed.
-func (s *Session) Over(target string) int {
+// Excess is how many connections to a target have to be closed.
+func (s *Session) Excess(target string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.client.ExcessConnections(monotone.Now(), target)
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -53,7 +53,7 @@
 	if l.Full && !p.replaceAll(l) || !l.Full && !p.hasFullList {
 		return
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Targets {
 		if e.State == "DELETED" {
 			delete(p.want, e.ID)
 		} else {
@@ -70,8 +70,8 @@
 // replaceAll replaces the previous list by a full one, and reports false if that would remove too
 // much.
 func (p *Publisher) replaceAll(l *listing.List) bool {
-	named := make(map[string]bool, len(l.Servers))
-	for _, e := range l.Servers {
+	named := make(map[string]bool, len(l.Targets))
+	for _, e := range l.Targets {
 		named[e.ID] = e.State != "DELETED"
 	}
 	gone := 0
@@ -191,10 +191,10 @@
 
 // sameEntry reports whether two entries are equal.
 func sameEntry(a, b listing.Entry) bool {
-	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
+	if (a.Shard == nil) != (b.Shard == nil) || a.Shard != nil && *a.Shard != *b.Shard {
 		return false
 	}
-	a.Cell, b.Cell = nil, nil
+	a.Shard, b.Shard = nil, nil
 	return a == b
 }
 
--- a/internal/controlplane/watchstream/distribution/publisher_test.go
+++ b/internal/controlplane/watchstream/distribution/publisher_test.go
@@ -80,14 +80,14 @@
 
 func entries(from, to, port int) (list listing.Entries) {
 	for i := from; i < to; i++ {
-		list = append(list, listing.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Cell: &i, State: "SERVING"})
+		list = append(list, listing.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Shard: &i, State: "SERVING"})
 	}
 	return list
 }
 
-func whole(list listing.Entries) *listing.List { return &listing.List{Full: true, Servers: list} }
+func whole(list listing.Entries) *listing.List { return &listing.List{Full: true, Targets: list} }
 
-func some(list listing.Entries) *listing.List { return &listing.List{Servers: list} }
+func some(list listing.Entries) *listing.List { return &listing.List{Targets: list} }
 
 // TestPublish puts what a list says into the stream: what differs and no more, in few changes, and once also where an answer is lost.
 func TestPublish(t *testing.T) {
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -81,8 +81,8 @@
 
 // supersedes reports whether a wins over b: with the same start and state, the one that changed last.
 func supersedes(a, b *sourceEntry) bool {
-	if a.Started != b.Started {
-		return a.Started > b.Started
+	if a.StartedMs != b.StartedMs {
+		return a.StartedMs > b.StartedMs
 	}
 	if x, y := stateRank(a.effectiveState()), stateRank(b.effectiveState()); x != y {
 		return x > y
@@ -121,10 +121,10 @@
 	l.Full = true
 	for _, t := range v.targets {
 		if t.published != nil {
-			l.Servers = append(l.Servers, *t.published)
+			l.Targets = append(l.Targets, *t.published)
 		}
 	}
-	slices.SortFunc(l.Servers, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(l.Targets, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
@@ -139,8 +139,8 @@
 // says that the source does not list the target.
 func (v *View) Merge(from Source, l *listing.List) *listing.List {
 	var touched []string // ids, each once
-	named := make(map[string]bool, len(l.Servers))
-	for _, e := range l.Servers {
+	named := make(map[string]bool, len(l.Targets))
+	for _, e := range l.Targets {
 		if !named[e.ID] {
 			named[e.ID] = true
 			touched = append(touched, e.ID)
@@ -172,7 +172,7 @@
 	}
 	v.version++
 	out := v.newList()
-	out.Servers = changed
+	out.Targets = changed
 	return out
 }
 
@@ -184,23 +184,23 @@
 	}
 	known := t.entries[from]
 	if known == nil {
-		if e.State != deleted || e.Started > 0 { // DELETED without a start, of a target that it never listed, says nothing
+		if e.State != deleted || e.StartedMs > 0 { // DELETED without a start, of a target that it never listed, says nothing
 			t.entries[from] = &sourceEntry{Entry: e, listed: e.State != deleted, changedAt: v.nextSeq()}
 			v.targets[e.ID] = t
 		}
 		return
 	}
 	if e.State == deleted {
-		if known.listed = false; e.Started <= 0 {
+		if known.listed = false; e.StartedMs <= 0 {
 			return
 		}
 	} else {
 		known.listed = true
 	}
 	switch {
-	case e.Started < known.Started:
+	case e.StartedMs < known.StartedMs:
 		return
-	case e.Started == known.Started && stateRank(e.State) < stateRank(known.State):
+	case e.StartedMs == known.StartedMs && stateRank(e.State) < stateRank(known.State):
 		e.State = known.State // the state stays for this start; the address may have changed all the same
 	}
 	if !sameEntry(e, known.Entry) {
@@ -249,9 +249,9 @@
 
 // sameEntry reports whether two entries are equal.
 func sameEntry(a, b listing.Entry) bool {
-	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
+	if (a.Shard == nil) != (b.Shard == nil) || a.Shard != nil && *a.Shard != *b.Shard {
 		return false
 	}
-	a.Cell, b.Cell = nil, nil
+	a.Shard, b.Shard = nil, nil
 	return a == b
 }
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -30,12 +30,12 @@
 		for range rapid.IntRange(0, 4).Draw(t, "entries") {
 			cell := rapid.IntRange(0, 1).Draw(t, "cell")
 			e := listing.Entry{ID: fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "id")), Addr: fmt.Sprint("10.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Zone: "z",
-				Cell: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), Started: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
+				Shard: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), StartedMs: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
 			if l.Full && has[e.ID] {
 				continue // a whole list says one thing of a target
 			}
 			has[e.ID] = true
-			l.Servers = append(l.Servers, e)
+			l.Targets = append(l.Targets, e)
 		}
 		all = append(all, said{Source(rapid.IntRange(0, 1).Draw(t, "from")), l})
 	}
@@ -52,7 +52,7 @@
 	if l.Full {
 		clear(s)
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Targets {
 		if s[e.ID] = e; e.State == deleted {
 			delete(s, e.ID)
 		}
@@ -68,7 +68,7 @@
 func (s shown) standings() map[string]standing {
 	all := map[string]standing{}
 	for id, e := range s {
-		all[id] = standing{e.Started, e.State}
+		all[id] = standing{e.StartedMs, e.State}
 	}
 	return all
 }
@@ -86,21 +86,21 @@
 		var by [sources]*heard
 		for _, s := range all {
 			h, mentioned := by[s.from], false
-			for _, e := range s.list.Servers {
+			for _, e := range s.list.Targets {
 				if e.ID != id {
 					continue
 				}
 				mentioned = true
 				if h == nil {
-					if e.State == deleted && e.Started == 0 {
+					if e.State == deleted && e.StartedMs == 0 {
 						continue
 					}
 					h = &heard{starts: map[int64]int{}}
 					by[s.from] = h
 				}
 				h.names = e.State != deleted
-				if e.State != deleted || e.Started > 0 {
-					h.starts[e.Started] = max(h.starts[e.Started], stateRank(e.State))
+				if e.State != deleted || e.StartedMs > 0 {
+					h.starts[e.StartedMs] = max(h.starts[e.StartedMs], stateRank(e.State))
 				}
 			}
 			if s.list.Full && !mentioned && h != nil {
@@ -142,7 +142,7 @@
 		v, s := New(DefaultMaxRemoved), shown{}
 		for i, x := range all {
 			l := v.Merge(x.from, x.list)
-			if l != nil && (l.Full || len(l.Servers) == 0) {
+			if l != nil && (l.Full || len(l.Targets) == 0) {
 				t.Fatalf("list %d: answered by %+v, wanted changes", i, l)
 			}
 			s.apply(l)
@@ -200,26 +200,26 @@
 			l := v.Merge(x.from, x.list)
 			s.apply(l)
 			// What either source has told to drain, by the lists themselves.
-			for _, e := range x.list.Servers {
+			for _, e := range x.list.Targets {
 				if e.State == draining {
-					drained[e.ID] = max(drained[e.ID], e.Started+1)
+					drained[e.ID] = max(drained[e.ID], e.StartedMs+1)
 				}
 			}
 			for id, e := range s {
-				if e.Started < started[id] {
-					t.Fatalf("%s went back from start %d to %d", id, started[id], e.Started)
+				if e.StartedMs < started[id] {
+					t.Fatalf("%s went back from start %d to %d", id, started[id], e.StartedMs)
 				}
-				started[id] = e.Started
-				if e.State == serving && e.Started < drained[id] {
-					t.Fatalf("%s serves at start %d, and was told to drain at %d", id, e.Started, drained[id]-1)
+				started[id] = e.StartedMs
+				if e.State == serving && e.StartedMs < drained[id] {
+					t.Fatalf("%s serves at start %d, and was told to drain at %d", id, e.StartedMs, drained[id]-1)
 				}
 			}
 			if again := v.Merge(x.from, x.list); again != nil {
 				names := map[string]int{}
-				for _, e := range x.list.Servers {
+				for _, e := range x.list.Targets {
 					names[e.ID]++
 				}
-				for _, e := range again.Servers {
+				for _, e := range again.Targets {
 					if names[e.ID] < 2 { // two words of one target in one change take each other back each time
 						t.Fatalf("heard again it changed %+v", e)
 					}
@@ -232,13 +232,13 @@
 
 func entry(state string, started int64, addr string) listing.Entry {
 	cell := 0
-	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Cell: &cell, State: state, Started: started}
+	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Shard: &cell, State: state, StartedMs: started}
 }
 
 // TestWords plays cases by hand.
 func TestWords(t *testing.T) {
-	change := func(e ...listing.Entry) *listing.List { return &listing.List{Servers: e} }
-	whole := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Servers: e} }
+	change := func(e ...listing.Entry) *listing.List { return &listing.List{Targets: e} }
+	whole := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Targets: e} }
 	for _, c := range []struct {
 		name string
 		all  []said
@@ -269,7 +269,7 @@
 			}
 			got := ""
 			if e, there := s["t"]; there {
-				got = fmt.Sprint(e.State, " ", e.Started, " ", e.Addr)
+				got = fmt.Sprint(e.State, " ", e.StartedMs, " ", e.Addr)
 			}
 			require.Equal(t, c.want, got)
 		})
@@ -283,7 +283,7 @@
 	at := func(id, state string, started int64) *listing.List {
 		e := entry(state, started, "a:1")
 		e.ID = id
-		return &listing.List{Servers: listing.Entries{e}}
+		return &listing.List{Targets: listing.Entries{e}}
 	}
 	for i := range 100 {
 		id := fmt.Sprint("t", i)
--- a/internal/datapath/budget/budget.go
+++ b/internal/datapath/budget/budget.go
@@ -14,7 +14,7 @@
 }
 
 // Take takes n bytes, or none and tells so.
-func (b *Bytes) Take(n int64) bool {
+func (b *Bytes) TryAcquire(n int64) bool {
 	if b.left.Add(-n) < 0 {
 		b.left.Add(n)
 		return false
@@ -23,7 +23,7 @@
 }
 
 // Give returns what was taken. A negative number makes the budget less: what is out then comes back to it first.
-func (b *Bytes) Give(n int64) { b.left.Add(n) }
+func (b *Bytes) Release(n int64) { b.left.Add(n) }
 
 // Left tells how much is left.
-func (b *Bytes) Left() int64 { return b.left.Load() }
+func (b *Bytes) Available() int64 { return b.left.Load() }
--- a/internal/datapath/discovery/crowd_test.go
+++ b/internal/datapath/discovery/crowd_test.go
@@ -177,11 +177,11 @@
 	var told []time.Duration
 	var all sync.WaitGroup
 	run := func(i int) {
-		opt := Options{Addr: "all", Crowd: n, Seed: uint64(i), Log: quiet}
+		opt := Options{Addr: "all", Initiators: n, Seed: uint64(i), Log: quiet}
 		if known {
 			l, err := listing.Decode([]byte(list(5, true, one)))
 			require.NoError(t, err)
-			opt.Known = l
+			opt.LastKnown = l
 		}
 		w := New(opt, func(l *listing.List) {
 			mu.Lock()
--- a/internal/datapath/discovery/discovery.go
+++ b/internal/datapath/discovery/discovery.go
@@ -89,11 +89,11 @@
 
 // Options say where discovery is and what of it is known.
 type Options struct {
-	Addr  string
-	Known *listing.List // the list as last had; nil: none
-	Crowd int           // how many initiators' calls wait for their turn at one service, at first; 0: it pushes to each
-	Seed  uint64        // spreads the pauses
-	Log   *slog.Logger
+	Addr       string
+	LastKnown  *listing.List // the list as last had; nil: none
+	Initiators int           // how many initiators' calls wait for their turn at one service, at first; 0: it pushes to each
+	Seed       uint64        // spreads the pauses
+	Log        *slog.Logger
 }
 
 // New returns a watcher of discovery. It tells the list as last known first, if there is one, however old; then what
@@ -102,8 +102,8 @@
 	w := &Watcher{opt: opt, tell: tell, log: opt.Log, rng: rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
 		box: mailbox.New[*listing.List](), moves: mailbox.New[string](), has: -1,
 		waits: backoff.ExponentialBackOff{InitialInterval: retryAfter, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: retryMost}}
-	w.Crowd(opt.Crowd)
-	if known := opt.Known; known != nil {
+	w.SetInitiators(opt.Initiators)
+	if known := opt.LastKnown; known != nil {
 		whole := *known
 		whole.Full = true
 		w.box.Put(&whole)
@@ -117,11 +117,11 @@
 }
 
 // Crowd sets how many initiators' calls wait for their turn at one service, from the next call on; 0: it pushes to each.
-func (w *Watcher) Crowd(n int) { w.crowd.Store(int64(n)) }
+func (w *Watcher) SetInitiators(n int) { w.crowd.Store(int64(n)) }
 
 // Move has discovery asked at another address from now on, for the whole list first: what the old one had still
 // to tell is not waited for.
-func (w *Watcher) Move(addr string) { w.moves.Put(addr) }
+func (w *Watcher) SetAddr(addr string) { w.moves.Put(addr) }
 
 // Run tells until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
@@ -269,7 +269,7 @@
 				}
 				on, sure, due, w.has = a.of.sure, true, false, *l.Version
 				failed, refused, overdue = 0, 0, 0
-				if l.Full || len(l.Servers) > 0 {
+				if l.Full || len(l.Targets) > 0 {
 					w.box.Put(l)
 				}
 			}
--- a/internal/datapath/discovery/discovery_test.go
+++ b/internal/datapath/discovery/discovery_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Known: known, Log: quiet}, func(l *listing.List) { told <- *l.Version })
+	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: quiet}, func(l *listing.List) { told <- *l.Version })
 	go w.Run(ctx)
 	for i, a := range answers {
 		if got := <-asked; got != a.ask {
@@ -149,7 +149,7 @@
 	var all sync.WaitGroup
 	for seed := range uint64(crowd) {
 		told := make(chan int64, 4)
-		w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Known: known, Crowd: crowd, Seed: seed, Log: quiet},
+		w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Initiators: crowd, Seed: seed, Log: quiet},
 			func(l *listing.List) { told <- *l.Version })
 		at, enough := context.WithCancel(ctx)
 		all.Go(func() {
@@ -179,8 +179,8 @@
 // TestPauses bounds the waits, whatever fails for how long, and spreads them.
 func TestPauses(t *testing.T) {
 	for _, crowd := range []int{0, 80} {
-		w := New(Options{Crowd: 7, Seed: 7, Log: quiet}, nil)
-		w.Crowd(crowd)
+		w := New(Options{Initiators: 7, Seed: 7, Log: quiet}, nil)
+		w.SetInitiators(crowd)
 		most := retryMost*3/2 + time.Duration(crowd)*turnFor*8
 		seen := map[time.Duration]bool{}
 		for failed := 1; failed < 100; failed++ {
@@ -224,8 +224,8 @@
 			t.Fatalf("at first %q was asked, want %q", got, want)
 		}
 	}
-	w.Move("127.0.0.1:1")
-	w.Move(strings.TrimPrefix(second.URL, "http://"))
+	w.SetAddr("127.0.0.1:1")
+	w.SetAddr(strings.TrimPrefix(second.URL, "http://"))
 	for _, want := range []string{"/api/targets", "/api/targets?after=4&wait_ms=1000"} {
 		if got := <-askedSecond; got != want {
 			t.Fatalf("after the move %q was asked, want %q", got, want)
--- a/internal/datapath/discovery/paths_test.go
+++ b/internal/datapath/discovery/paths_test.go
@@ -210,7 +210,7 @@
 	}
 	heard := make(chan int64, 64)
 	log = &bytes.Buffer{}
-	w = New(Options{Addr: "all", Known: known, Crowd: crowd, Seed: seed, Log: slog.New(slog.NewTextHandler(log, nil))},
+	w = New(Options{Addr: "all", LastKnown: known, Initiators: crowd, Seed: seed, Log: slog.New(slog.NewTextHandler(log, nil))},
 		func(l *listing.List) { heard <- *l.Version })
 	w.call.Transport.(*http.Transport).DialContext = f.Dial
 	t.Cleanup(func() {
@@ -256,7 +256,7 @@
 							}
 							if how == "moved" {
 								time.Sleep(2 * time.Second)
-								w.Move("another")
+								w.SetAddr("another")
 							}
 							time.Sleep(8*time.Second + time.Duration(seed)*666*time.Millisecond)
 							set("")
--- a/internal/datapath/discovery/terms_test.go
+++ b/internal/datapath/discovery/terms_test.go
@@ -148,11 +148,11 @@
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
 			told := make(chan int64, 64)
-			opt := Options{Addr: s.addr(), Crowd: c.crowd, Seed: 7, Log: quiet}
+			opt := Options{Addr: s.addr(), Initiators: c.crowd, Seed: 7, Log: quiet}
 			if c.known {
 				l, err := listing.Decode([]byte(list(1, true, one)))
 				require.NoError(t, err)
-				opt.Known = l
+				opt.LastKnown = l
 			}
 			w := New(opt, func(l *listing.List) { told <- *l.Version })
 			go w.Run(ctx)
@@ -197,13 +197,13 @@
 			if c.known {
 				l, err := listing.Decode([]byte(list(12, true, one))) // newer than the new address has
 				require.NoError(t, err)
-				opt.Known = l
+				opt.LastKnown = l
 			}
 			w := New(opt, func(l *listing.List) { told <- *l.Version })
 			go w.Run(ctx)
 			<-old.asked
 			time.Sleep(c.after)
-			w.Move(next.addr())
+			w.SetAddr(next.addr())
 			end := time.After(3 * time.Second)
 			for {
 				select {
--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -56,24 +56,24 @@
 // receive takes the body: held, where it is small, or on its way to its target but for the last of it. A request that
 // could not be taken in for want of room or of a target is refused; nothing of it can have run. Held bytes are given back
 // by what it returns last.
-func (s *Server) receive(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message) (*fault, *core.Answer, func()) {
+func (s *Server) receive(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Request) (*fault, *core.Answer, func()) {
 	free := func() {}
 	if r.ContentLength == 0 {
 		return nil, nil, free
 	}
 	body := &paced{body: r.Body, rc: http.NewResponseController(w), since: conn.arrival()}
-	if r.ContentLength > upstream.MaxHeld {
+	if r.ContentLength > upstream.MaxBufferedBody {
 		f, a := s.forward(r, conn, j, m, body, nil)
 		return f, a, free
 	}
 	hold := r.ContentLength
 	if hold < 0 {
-		hold = upstream.MaxHeld
+		hold = upstream.MaxBufferedBody
 	}
-	if !s.opt.Room.Take(hold) {
+	if !s.opt.Room.TryAcquire(hold) {
 		return nil, &core.TooMany, free
 	}
-	free = func() { s.opt.Room.Give(hold) }
+	free = func() { s.opt.Room.Release(hold) }
 	held, whole, err := readHeld(body, r.ContentLength)
 	switch {
 	case err != nil:
@@ -83,7 +83,7 @@
 		return f, a, free
 	}
 	if left := hold - int64(len(held)); left > 0 {
-		s.opt.Room.Give(left)
+		s.opt.Room.Release(left)
 		hold -= left
 	}
 	m.Body = held
@@ -97,21 +97,21 @@
 		_, err = io.ReadFull(body, held)
 		return held, true, err
 	}
-	held, err = io.ReadAll(io.LimitReader(body, upstream.MaxHeld))
-	return held, len(held) < upstream.MaxHeld, err
+	held, err = io.ReadAll(io.LimitReader(body, upstream.MaxBufferedBody))
+	return held, len(held) < upstream.MaxBufferedBody, err
 }
 
 // forward has the body go ahead to the target that the module names, a piece at a time, all but the last one.
-func (s *Server) forward(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *paced, held []byte) (*fault, *core.Answer) {
+func (s *Server) forward(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Request, body *paced, held []byte) (*fault, *core.Answer) {
 	conn.claim() // it brings what it claimed to: it does not make room for others any more
-	a, done := upstream.Piece()
+	a, done := upstream.AcquireBuffer()
 	defer done()
-	b, doneToo := upstream.Piece()
+	b, doneToo := upstream.AcquireBuffer()
 	defer doneToo()
-	if room := int64(len(a) + len(b)); !s.opt.Room.Take(room) {
+	if room := int64(len(a) + len(b)); !s.opt.Room.TryAcquire(room) {
 		return nil, &core.TooMany
 	} else {
-		defer s.opt.Room.Give(room)
+		defer s.opt.Room.Release(room)
 	}
 	ctx, leave := context.WithCancel(r.Context())
 	defer leave()
@@ -131,7 +131,7 @@
 		}
 		return nil, &noTarget
 	}
-	m.Upload, j.BoundEndpoint = up, up.Node()
+	m.Upload, j.BoundEndpoint = up, up.TargetID()
 	return nil, nil
 }
 
@@ -159,7 +159,7 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF) && len(last) > 0:
-			up.Last(last)
+			up.HoldLastPiece(last)
 			return nil, nil
 		case err != nil:
 			return broken(err), nil
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -26,7 +26,7 @@
 	_, b, addr := newFront(t, 64)
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: j.Payload.(*upstream.Message).Body})
+			j.Done(core.Answer{Payload: j.Payload.(*upstream.Request).Body})
 		}
 	}()
 	defer close(b.jobs)
@@ -173,7 +173,7 @@
 				}
 				select {
 				case j := <-b.jobs:
-					m := j.Payload.(*upstream.Message)
+					m := j.Payload.(*upstream.Request)
 					require.Equal(t, "body", string(m.Body))
 					require.Equal(t, "PUT /put/x/7f3a9c21e0b4d655?q=1 id1", m.Method+" "+m.URI+" "+m.ID)
 					require.Equal(t, "00000003b4d60021 2 5 3 std put", fmt.Sprint(strings.ToLower(j.Volume), " ", j.Units, j.Shard, j.VolumeInitiators, " ", j.Plan, " ", j.Class))
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -31,7 +31,7 @@
 
 const (
 	// aheadMost is how much is kept of what a client sends while its request is open: about a head and a body.
-	aheadMost = maxHead + upstream.MaxHeld
+	aheadMost = maxHead + upstream.MaxBufferedBody
 	// aheadPieces is how many pieces of it are read at a time.
 	aheadPieces = 16
 	// mindEvery is how often a client is looked after whose body waits for its target.
@@ -121,7 +121,7 @@
 		return c.more || c.lost != nil
 	case len(c.ahead) > 0:
 		c.got = copy(c.into, c.ahead)
-		c.table.room.Give(int64(c.got))
+		c.table.room.Release(int64(c.got))
 		if c.ahead = c.ahead[c.got:]; len(c.ahead) == 0 {
 			c.ahead = nil
 		}
@@ -182,17 +182,17 @@
 			b = b[:min(len(b), aheadMost-len(c.ahead))]
 		}
 		room, flooded := int64(len(b)), c.flood.Load()
-		if room == 0 || !flooded && !c.table.room.Take(room) {
+		if room == 0 || !flooded && !c.table.room.TryAcquire(room) {
 			return false // for want of room a request must not be lost: it stays with the machine
 		}
 		n, again := c.receive(fd, b)
 		kept := !flooded && len(c.ahead)+n <= aheadMost
 		switch {
 		case kept:
-			c.table.room.Give(room - int64(n))
+			c.table.room.Release(room - int64(n))
 			c.ahead = append(c.ahead, b[:n]...)
 		case !flooded:
-			c.table.room.Give(room)
+			c.table.room.Release(room)
 			c.flood.Store(true)
 			c.end("CLIENT_FLOOD")
 			c.forget()
@@ -206,7 +206,7 @@
 			c.dropped += n
 		}
 		if cap(b) == 1 {
-			b, done = upstream.Piece()
+			b, done = upstream.AcquireBuffer()
 		}
 	}
 	return true
@@ -214,7 +214,7 @@
 
 // forget gives back what came ahead of its turn. The connection is locked.
 func (c *clientConn) forget() {
-	c.table.room.Give(int64(len(c.ahead)))
+	c.table.room.Release(int64(len(c.ahead)))
 	c.ahead = nil
 }
 
@@ -300,7 +300,7 @@
 func (c *clientConn) shut(phase int32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut || len(c.ahead) > 0 || phase != spent && !upstream.Quiet(c.Conn) {
+	if c.cut || len(c.ahead) > 0 || phase != spent && !upstream.OpenAndIdle(c.Conn) {
 		return false
 	}
 	to := phase
--- a/internal/datapath/front/ends_test.go
+++ b/internal/datapath/front/ends_test.go
@@ -104,7 +104,7 @@
 func TestLeftAfterMore(t *testing.T) {
 	var log lines
 	s, b, addr := newFront(t, 64, log.edit)
-	room := s.opt.Room.Left()
+	room := s.opt.Room.Available()
 	ways := map[string]func(*net.TCPConn){"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}
 	for name, leave := range ways {
@@ -124,7 +124,7 @@
 	}
 	empty(t, s)
 	require.Empty(t, b.jobs)
-	require.Equal(t, room, s.opt.Room.Left())
+	require.Equal(t, room, s.opt.Room.Available())
 	log.ended(t, 18)
 	require.Contains(t, log.String(), "CLIENT_FLOOD")
 }
@@ -164,15 +164,15 @@
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, good)
 	j := <-b.jobs
-	left := s.opt.Room.Left()
-	s.opt.Room.Give(-left)
+	left := s.opt.Room.Available()
+	s.opt.Room.Release(-left)
 	cc := s.conns.the()
 	_, _ = io.WriteString(c, strings.Replace(strings.Replace(goodHead, "PUT", "GET", 1), "/put/", "/get/", 1)+"\r\n")
-	require.Eventually(t, func() bool { return cc.flood.Load() || !upstream.Quiet(cc.Conn) }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return cc.flood.Load() || !upstream.OpenAndIdle(cc.Conn) }, 20*time.Second, time.Millisecond)
 	require.False(t, cc.gone(true))
 	j.Done(core.Answer{Payload: []byte("first")})
 	j2(t, b)
-	s.opt.Room.Give(left)
+	s.opt.Room.Release(left)
 	c.Close()
 	empty(t, s)
 	c = dial(t, addr)
@@ -190,11 +190,11 @@
 }
 
 // j2 takes the next request and serves it as the second.
-func j2(t *testing.T, b *back) *upstream.Message {
+func j2(t *testing.T, b *back) *upstream.Request {
 	select {
 	case j := <-b.jobs:
 		j.Done(core.Answer{Payload: []byte("second")})
-		return j.Payload.(*upstream.Message)
+		return j.Payload.(*upstream.Request)
 	case <-time.After(20 * time.Second):
 		t.Fatal("the second request was not taken")
 	}
@@ -224,7 +224,7 @@
 func TestLeftWhileBodyWaits(t *testing.T) {
 	opening, given := make(chan bool), make(chan error, 1)
 	_, b, addr := newFront(t, 64, func(s *Server) {
-		s.opt.Ahead = func(ctx context.Context, _ string, _ *upstream.Message, _ int64, _ time.Duration) (*upstream.Upload, error) {
+		s.opt.Ahead = func(ctx context.Context, _ string, _ *upstream.Request, _ int64, _ time.Duration) (*upstream.Upload, error) {
 			opening <- true
 			<-ctx.Done()
 			given <- ctx.Err()
@@ -232,7 +232,7 @@
 		}
 	})
 	c := dial(t, addr)
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", goodHead, 10*upstream.MaxHeld, strings.Repeat("x", upstream.MaxHeld/2))
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", goodHead, 10*upstream.MaxBufferedBody, strings.Repeat("x", upstream.MaxBufferedBody/2))
 	<-opening
 	c.Close()
 	select {
@@ -345,7 +345,7 @@
 			_, _ = io.Copy(io.Discard, resp.Body)
 			<-reached
 			_, _ = io.WriteString(c, good)
-			require.Eventually(t, func() bool { return !upstream.Quiet(s.conns.the().Conn) }, 20*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return !upstream.OpenAndIdle(s.conns.the().Conn) }, 20*time.Second, time.Millisecond)
 		} else {
 			<-reached
 		}
@@ -498,11 +498,11 @@
 func TestGarbageAndCuts(t *testing.T) {
 	var log lines
 	s, b, addr := newFront(t, 400, log.edit, func(s *Server) {
-		s.opt.Ahead = func(context.Context, string, *upstream.Message, int64, time.Duration) (*upstream.Upload, error) {
-			return nil, upstream.ErrNoUpload
+		s.opt.Ahead = func(context.Context, string, *upstream.Request, int64, time.Duration) (*upstream.Upload, error) {
+			return nil, upstream.ErrUploadFailed
 		}
 	})
-	room := s.opt.Room.Left()
+	room := s.opt.Room.Available()
 	spoilt := rapid.Custom(func(t *rapid.T) string {
 		raw := []byte(rapid.SampledFrom([]string{good, good + good, goodHead + "\r\n", codedHead + "\r\n3\r\nabc\r\n0\r\n\r\n",
 			strings.Replace(good, "Content-Length: 4", "Content-Length: 70000", 1) + strings.Repeat("b", 70000)}).Draw(t, "whole"))
@@ -524,8 +524,8 @@
 	})
 	go func() {
 		for j := range b.jobs {
-			m := j.Payload.(*upstream.Message)
-			assert.True(t, isHex16(j.Extent) && isHex16(j.Volume) && j.Plan == "std" && len(m.Body) <= upstream.MaxHeld, "%+v", j)
+			m := j.Payload.(*upstream.Request)
+			assert.True(t, isHex16(j.Extent) && isHex16(j.Volume) && j.Plan == "std" && len(m.Body) <= upstream.MaxBufferedBody, "%+v", j)
 			j.Done(core.Answer{Payload: []byte("x")})
 		}
 	}()
@@ -549,7 +549,7 @@
 	empty(t, s)
 	log.ended(t, clients)
 	require.Equal(t, clients, strings.Count(log.String(), "reason="))
-	require.Equal(t, room, s.opt.Room.Left())
+	require.Equal(t, room, s.opt.Room.Available())
 	resp, _, _ := ask(t, addr, good)
 	require.Equal(t, 200, resp.StatusCode)
 }
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -53,7 +53,7 @@
 	Figures   *figures.Book
 	Room      *budget.Bytes // for bodies and pieces of them
 	// Ahead opens a large body's way to a target.
-	Ahead func(ctx context.Context, node string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
+	Ahead func(ctx context.Context, node string, m *upstream.Request, length int64, wait time.Duration) (*upstream.Upload, error)
 	Log   *slog.Logger
 }
 
@@ -383,10 +383,10 @@
 	if st.Length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(st.Length, 10))
 	}
-	piece, done := upstream.Piece()
+	piece, done := upstream.AcquireBuffer()
 	defer done()
-	if room := int64(len(piece)); s.opt.Room.Take(room) {
-		defer s.opt.Room.Give(room)
+	if room := int64(len(piece)); s.opt.Room.TryAcquire(room) {
+		defer s.opt.Room.Release(room)
 	} else {
 		piece = make([]byte, 2<<10) // it goes on, more slowly
 	}
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -126,7 +126,7 @@
 	}
 	go func() {
 		j := <-b.jobs
-		m := j.Payload.(*upstream.Message)
+		m := j.Payload.(*upstream.Request)
 		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.VolumeInitiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
 		j.Done(core.Answer{Payload: []byte(text)})
 	}()
@@ -137,7 +137,7 @@
 	for head, key := range map[string]string{"": "", "Idempotency-Key:  a 7=\"x\" \r\n": `a 7="x"`, "Idempotency-Key: \r\n": ""} {
 		go func() {
 			j := <-b.jobs
-			j.Done(core.Answer{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Message).Key)})
+			j.Done(core.Answer{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Request).IdempotencyKey)})
 		}()
 		_, body, _ := ask(t, addr, goodHead+head+"Content-Length: 4\r\n\r\nbody")
 		require.Equal(t, fmt.Sprint(key == "", key), body)
@@ -670,7 +670,7 @@
 	}
 	left.Close()
 	<-b.gone
-	s.opt.Room.Give(-testRoom) // also what the request that was left still holds: its body comes back after its departure is known
+	s.opt.Room.Release(-testRoom) // also what the request that was left still holds: its body comes back after its departure is known
 	if resp, _, _ := ask(t, addr, good); resp.StatusCode != 503 {
 		t.Errorf("without room: %d", resp.StatusCode)
 	}
--- a/internal/datapath/front/request.go
+++ b/internal/datapath/front/request.go
@@ -25,7 +25,7 @@
 }
 
 // parse reads the head of a request into a job; the body comes later.
-func (s *Server) parse(r *http.Request) (*core.Job, *upstream.Message, *fault) {
+func (s *Server) parse(r *http.Request) (*core.Job, *upstream.Request, *fault) {
 	// net/http takes a Content-Length beside a Transfer-Encoding for nothing and drops it, and of HTTP/1.0 takes the
 	// coding for nothing: whoever stands before or after may see another request in the body.
 	switch {
@@ -74,8 +74,8 @@
 	}
 	j := &core.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
 	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
-	m := &upstream.Message{Method: r.Method, URI: r.RequestURI, ID: id, Key: strings.Join(keys, "")}
-	j.MissingKey = m.Key == ""
+	m := &upstream.Request{Method: r.Method, URI: r.RequestURI, ID: id, IdempotencyKey: strings.Join(keys, "")}
+	j.MissingKey = m.IdempotencyKey == ""
 	admits := s.admits.Load()
 	if !admits.Classes[j.Class] {
 		return nil, nil, bad(http.StatusNotFound, "class %q is not served here", j.Class)
--- a/internal/datapath/keys/keys.go
+++ b/internal/datapath/keys/keys.go
@@ -28,20 +28,20 @@
 }
 
 // Keys are the certificates in use.
-type Keys struct {
+type Store struct {
 	files config.TLS
 	ring  atomic.Pointer[ring]
 }
 
 // Load reads the files.
-func Load(f config.TLS) (*Keys, error) {
-	k := &Keys{files: f}
+func Load(f config.TLS) (*Store, error) {
+	k := &Store{files: f}
 	k.ring.Store(&ring{})
 	return k, k.Reload()
 }
 
 // Reload reads the files again. Where they cannot be used all stays as it is; only one caller at a time.
-func (k *Keys) Reload() error {
+func (k *Store) Reload() error {
 	m, err := read(k.files)
 	if err != nil {
 		return err
@@ -52,23 +52,23 @@
 }
 
 // Serial grows with each change.
-func (k *Keys) Serial() int { return k.ring.Load().now.serial }
+func (k *Store) Generation() int { return k.ring.Load().now.serial }
 
 // Server is for a front: it shows the newest certificate and asks for the host's.
-func (k *Keys) Server() *tls.Config {
+func (k *Store) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true,
 		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.ring.Load().now.own, nil },
-		VerifyConnection: func(s tls.ConnectionState) error { return k.Good(s) }}
+		VerifyConnection: func(s tls.ConnectionState) error { return k.VerifyClient(s) }}
 }
 
 // Good tells whether the peer of a front's connection is still vouched for.
-func (k *Keys) Good(s tls.ConnectionState) error {
+func (k *Store) VerifyClient(s tls.ConnectionState) error {
 	return k.ring.Load().verify(s.PeerCertificates, time.Now(), x509.ExtKeyUsageClientAuth, "")
 }
 
 // Client is for the way to a target of that name or address. The chain is verified here, against each set that is good,
 // which the library's own check could not.
-func (k *Keys) Client(name string) *tls.Config {
+func (k *Store) ClientConfig(name string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: name, InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.ring.Load().now.own, nil },
 		VerifyConnection: func(s tls.ConnectionState) error {
--- a/internal/datapath/keys/keys_test.go
+++ b/internal/datapath/keys/keys_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	first := state(t, f)
-	if err := k.Good(first); err != nil || k.Serial() != 0 {
+	if err := k.VerifyClient(first); err != nil || k.Generation() != 0 {
 		t.Errorf("before a change: %v", err)
 	}
 	change := func() {
@@ -51,22 +51,22 @@
 	}
 	change()
 	second := state(t, f)
-	if err := errors.Join(k.Good(first), k.Good(second)); err != nil || k.Serial() != 1 {
+	if err := errors.Join(k.VerifyClient(first), k.VerifyClient(second)); err != nil || k.Generation() != 1 {
 		t.Errorf("during the overlap: %v", err)
 	}
 	time.Sleep(320 * time.Millisecond)
-	if k.Good(first) == nil || k.Good(second) != nil {
+	if k.VerifyClient(first) == nil || k.VerifyClient(second) != nil {
 		t.Error("past the overlap: the old one is good, or the new one is not")
 	}
 	change()
 	change()
-	if k.Good(second) == nil {
+	if k.VerifyClient(second) == nil {
 		t.Error("two changes within an overlap left the oldest good")
 	}
-	if k.Good(tls.ConnectionState{}) == nil {
+	if k.VerifyClient(tls.ConnectionState{}) == nil {
 		t.Error("nobody's certificate is good")
 	}
-	if err := k.Good(first); !errors.Is(err, keys.ErrRefused) {
+	if err := k.VerifyClient(first); !errors.Is(err, keys.ErrPeerRejected) {
 		t.Errorf("refused with %v", err)
 	}
 }
@@ -78,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k.Good(state(t, f)) == nil {
+	if k.VerifyClient(state(t, f)) == nil {
 		t.Error("an expired certificate is good")
 	}
 }
@@ -98,7 +98,7 @@
 			t.Errorf("%s: %v", c.path, err)
 		}
 	}
-	if k.Serial() != 0 {
+	if k.Generation() != 0 {
 		t.Error("files that cannot be used were taken into use")
 	}
 }
--- a/internal/datapath/keys/ring.go
+++ b/internal/datapath/keys/ring.go
@@ -44,12 +44,12 @@
 }
 
 // ErrRefused marks a peer that is not vouched for.
-var ErrRefused = errors.New("the peer's certificate is refused")
+var ErrPeerRejected = errors.New("the peer's certificate is refused")
 
 // verify tells whether a peer's chain is good at that time, for that use and, unless it is empty, that name.
 func (r ring) verify(chain []*x509.Certificate, at time.Time, use x509.ExtKeyUsage, name string) error {
 	if len(chain) == 0 {
-		return fmt.Errorf("%w: it showed none", ErrRefused)
+		return fmt.Errorf("%w: it showed none", ErrPeerRejected)
 	}
 	between := x509.NewCertPool()
 	for _, c := range chain[1:] {
@@ -62,5 +62,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %w", ErrRefused, err)
+	return fmt.Errorf("%w: %w", ErrPeerRejected, err)
 }
--- a/internal/datapath/listing/entry.go
+++ b/internal/datapath/listing/entry.go
@@ -8,5 +8,5 @@
 		return e, fmt.Errorf("entry: %w", err)
 	}
 	var version int64
-	return e, (&List{Version: &version, Servers: Entries{e}}).Check()
+	return e, (&List{Version: &version, Targets: Entries{e}}).Check()
 }
--- a/internal/datapath/listing/entry_test.go
+++ b/internal/datapath/listing/entry_test.go
@@ -11,7 +11,7 @@
 	e, err := DecodeEntry([]byte(`{"id":"a","addr":"127.0.0.1:1","zone":"z","cell":3,"state":"DRAINING","started_ms":5}`))
 	require.NoError(t, err)
 	cell := 3
-	require.Equal(t, Entry{ID: "a", Addr: "127.0.0.1:1", Zone: "z", Cell: &cell, State: "DRAINING", Started: 5}, e)
+	require.Equal(t, Entry{ID: "a", Addr: "127.0.0.1:1", Zone: "z", Shard: &cell, State: "DRAINING", StartedMs: 5}, e)
 	_, err = DecodeEntry([]byte(`{"id":"a","state":"DELETED"}`))
 	require.NoError(t, err)
 	for text, want := range map[string]string{
--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/listing/listing.go
@@ -15,19 +15,19 @@
 
 // Entry is a target as the list tells it.
 type Entry struct {
-	ID      string `json:"id"`
-	Addr    string `json:"addr"`
-	Zone    string `json:"zone"`
-	Cell    *int   `json:"cell"`
-	State   string `json:"state"`
-	Started int64  `json:"started_ms"`
+	ID        string `json:"id"`
+	Addr      string `json:"addr"`
+	Zone      string `json:"zone"`
+	Shard     *int   `json:"cell"`
+	State     string `json:"state"`
+	StartedMs int64  `json:"started_ms"`
 }
 
 // List is the whole list or a change of it.
 type List struct {
 	Version *int64  `json:"version"`
 	Full    bool    `json:"full"`
-	Servers Entries `json:"servers"`
+	Targets Entries `json:"servers"`
 }
 
 // Entries are those of one list.
@@ -42,7 +42,7 @@
 const mostEntries = 4 << 20 / usualEntry
 
 // ErrHuge says that a list has more entries than are read.
-var ErrHuge = fmt.Errorf("list: over %d entries", mostEntries)
+var ErrTooManyEntries = fmt.Errorf("list: over %d entries", mostEntries)
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
 
@@ -73,10 +73,10 @@
 	if err := l.Check(); err != nil || !l.Full {
 		return &l, err
 	}
-	said := make(map[string]int, len(l.Servers))
-	for i, e := range l.Servers {
+	said := make(map[string]int, len(l.Targets))
+	for i, e := range l.Targets {
 		first, again := said[e.ID]
-		if again && (e.Node() != l.Servers[first].Node() || e.Addr != l.Servers[first].Addr) {
+		if again && (e.Endpoint() != l.Targets[first].Endpoint() || e.Addr != l.Targets[first].Addr) {
 			return &l, fmt.Errorf("list: servers[%d].id: servers[%d] says otherwise", i, first)
 		}
 		said[e.ID] = i
@@ -89,10 +89,10 @@
 	if l.Version == nil {
 		return fmt.Errorf("list: version is missing")
 	}
-	if len(l.Servers) > mostEntries {
-		return ErrHuge
+	if len(l.Targets) > mostEntries {
+		return ErrTooManyEntries
 	}
-	for i, e := range l.Servers {
+	for i, e := range l.Targets {
 		_, known := states[e.State]
 		switch {
 		case e.ID == "":
@@ -100,7 +100,7 @@
 		case !known:
 			return fmt.Errorf("list: servers[%d].state: unknown state %q", i, e.State)
 		case e.State == "DELETED":
-		case e.Cell == nil:
+		case e.Shard == nil:
 			return fmt.Errorf("list: servers[%d].cell is missing", i)
 		}
 		if _, _, err := net.SplitHostPort(e.Addr); err != nil && e.State != "DELETED" {
@@ -115,11 +115,11 @@
 }
 
 // Node is the entry as the module knows it.
-func (e Entry) Node() policy.Endpoint {
+func (e Entry) Endpoint() policy.Endpoint {
 	n := policy.Endpoint{ID: e.ID, Zone: e.Zone, State: states[e.State],
-		Started: time.Duration(e.Started) * time.Millisecond}
-	if e.Cell != nil {
-		n.Shard = *e.Cell
+		Started: time.Duration(e.StartedMs) * time.Millisecond}
+	if e.Shard != nil {
+		n.Shard = *e.Shard
 	}
 	return n
 }
--- a/internal/datapath/listing/listing_test.go
+++ b/internal/datapath/listing/listing_test.go
@@ -43,10 +43,10 @@
 		t.Fatal(err)
 	}
 	want := policy.Endpoint{ID: "a", Zone: "z", Shard: 3, Started: 7 * time.Millisecond}
-	if got := l.Servers[0].Node(); got != want {
+	if got := l.Targets[0].Endpoint(); got != want {
 		t.Errorf("entry %+v, want %+v", got, want)
 	}
-	if got := l.Servers[1].Node(); got.State != policy.Removed {
+	if got := l.Targets[1].Endpoint(); got.State != policy.Removed {
 		t.Errorf("deleted entry %+v", got)
 	}
 }
@@ -89,7 +89,7 @@
 		require.Less(t, after.TotalAlloc-before.TotalAlloc, uint64(40<<20), name)
 	}
 	_, err := Decode(fill(`{"version":1,"servers":[{}`, `,{}`, `]}`))
-	require.ErrorIs(t, err, ErrHuge)
+	require.ErrorIs(t, err, ErrTooManyEntries)
 }
 
 // many is a list of so many targets.
@@ -111,8 +111,8 @@
 		l, err := Decode(body)
 		runtime.ReadMemStats(&after)
 		require.NoError(t, err)
-		require.Len(t, l.Servers, count)
-		require.Equal(t, fmt.Sprintf("target-%d", count-1), l.Servers[count-1].ID)
+		require.Len(t, l.Targets, count)
+		require.Equal(t, fmt.Sprintf("target-%d", count-1), l.Targets[count-1].ID)
 		per[i] = float64(after.TotalAlloc-before.TotalAlloc) / float64(count)
 	}
 	t.Logf("%.0f bytes an entry of 200, %.0f of 20000", per[0], per[1])
@@ -120,7 +120,7 @@
 	_, err := Decode(many(mostEntries))
 	require.NoError(t, err)
 	_, err = Decode(many(mostEntries + 1))
-	require.ErrorIs(t, err, ErrHuge)
+	require.ErrorIs(t, err, ErrTooManyEntries)
 }
 
 // BenchmarkDecode reads a whole list of so many targets.
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -28,7 +28,7 @@
 	QueueDepth int
 	MostConn   int                      // hosts' connections at a time
 	MostBytes  int64                    // data of commands held at a time
-	Keys       *keys.Keys               // TLS, where there are any
+	Keys       *keys.Store              // TLS, where there are any
 	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
 	Figures    *figures.Book            // nil: none are kept
 	Leave      core.Leave
@@ -157,7 +157,7 @@
 			continue
 		}
 		if s.opt.Keys != nil {
-			c = tls.Server(c, s.opt.Keys.Server())
+			c = tls.Server(c, s.opt.Keys.ServerConfig())
 		}
 		q := &queue{server: s, net: c, box: mailbox.New[[]byte](), ended: make(chan struct{}),
 			cmds: map[uint16]*pending{}, since: time.Now()}
@@ -194,7 +194,7 @@
 		}
 		s.mu.Lock()
 		for q := range s.queues {
-			if c := q.net.(*tls.Conn); !q.retired.Load() && q.joined.Load() && s.opt.Keys.Good(c.ConnectionState()) != nil {
+			if c := q.net.(*tls.Conn); !q.retired.Load() && q.joined.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
 				q.retired.Store(true)
 			}
 			if q.retired.Load() && q.unused() {
@@ -375,7 +375,7 @@
 		reason = "HOST_TERMINATED"
 	case errors.As(err, &timeout) && timeout.Timeout():
 		reason = "HANDSHAKE_SLOW"
-	case errors.Is(err, keys.ErrRefused), errors.As(err, &noTLS):
+	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &noTLS):
 		reason = "TLS_REFUSED"
 	case err != nil && err.Error() != "EOF":
 		reason = "HOST_RESET"
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -28,8 +28,8 @@
 	HostNQN   string
 	HostID    [16]byte
 	KeepAlive time.Duration
-	Digests   bool       // ask for header and data digests
-	Keys      *keys.Keys // TLS, where there are any
+	Digests   bool        // ask for header and data digests
+	Keys      *keys.Store // TLS, where there are any
 }
 
 // serial tells which keys connections are made with now.
@@ -37,7 +37,7 @@
 	if o.Keys == nil {
 		return 0
 	}
-	return o.Keys.Serial()
+	return o.Keys.Generation()
 }
 
 // peer is a target's address with the keys it is met with: after a change of keys a new association is made beside the
@@ -150,7 +150,7 @@
 	}
 	if h.opt.Keys != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		secure := tls.Client(c, h.opt.Keys.Client(host))
+		secure := tls.Client(c, h.opt.Keys.ClientConfig(host))
 		if err := secure.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return nil, err
@@ -463,10 +463,10 @@
 // Close ends the queue.
 func (s *session) Close() error {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok && upstream.Unheard(secure.NetConn()) { // its word of the end would wait for that
+	if secure, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(secure.NetConn()) { // its word of the end would wait for that
 		c = secure.NetConn()
 	}
-	err := upstream.CloseNow(c)
+	err := upstream.CloseOrReset(c)
 	s.once.Do(func() { s.from.free(s.qid) })
 	return err
 }
@@ -480,7 +480,7 @@
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.Quiet(c)
+	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.OpenAndIdle(c)
 }
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
@@ -512,7 +512,7 @@
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
 		r.Code = policy.NotConnected
-		return r, false, "WRITE_" + upstream.Cause(err)
+		return r, false, "WRITE_" + upstream.ReasonCode(err)
 	}
 	written := !x.Write || inside
 	if written {
@@ -535,7 +535,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
 		}
-		return r, false, "READ_" + upstream.Cause(err)
+		return r, false, "READ_" + upstream.ReasonCode(err)
 	}
 	r.Code, r.Payload = outcomeOf(st), body
 	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
@@ -629,4 +629,4 @@
 	return nil
 }
 
-var _ upstream.Wire = (*Host)(nil)
+var _ upstream.Dialer = (*Host)(nil)
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -135,7 +135,7 @@
 	}
 	r := &rig{}
 	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAlive: time.Minute, Digests: digests})
-	r.up = upstream.NewRegistry(upstream.Options{Wire: host, Dial: patient, Idle: time.Minute, MostConn: 16, MostAll: 64, Log: quiet},
+	r.up = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: patient, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConnsTotal: 64, Log: quiet},
 		func(x core.Result) { r.core.Report(x) })
 	r.core = core.New(module, r.up, core.NewClock(), core.Options{})
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -14,7 +14,7 @@
 )
 
 // secured is a stand-in target over TLS, and the keys of host and target, which change together.
-func secured(t *testing.T, dir string, overlap time.Duration) (*keys.Keys, *store, *Server, string) {
+func secured(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
@@ -35,7 +35,7 @@
 }
 
 // secureHost is a host of such a target with keys of its own.
-func secureHost(k *keys.Keys) *Host {
+func secureHost(k *keys.Store) *Host {
 	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Keys: k})
 }
 
@@ -87,8 +87,8 @@
 			last = time.Now()
 		}
 	}
-	if k.Serial() < 2 || n < 100 {
-		t.Errorf("%d changes, %d writes", k.Serial(), n)
+	if k.Generation() < 2 || n < 100 {
+		t.Errorf("%d changes, %d writes", k.Generation(), n)
 	}
 	back.mu.Lock()
 	if len(back.writes) != n {
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -23,7 +23,7 @@
 
 const (
 	// MaxHeld is the largest body that is held whole, of a request or an answer.
-	MaxHeld = 64 << 10
+	MaxBufferedBody = 64 << 10
 	// MaxBody is the largest body there may be: 32 MB, and some room.
 	MaxBody = 36 << 20
 	maxHead = 16 << 10
@@ -38,25 +38,25 @@
 )
 
 // Message is the payload of a job on this wire: what passes on unchanged.
-type Message struct {
-	Method string
-	URI    string
-	ID     string
-	Key    string // Idempotency-Key; empty: there is none
-	Body   []byte
-	Upload *Upload // where the body is instead, but for its last piece; nil: here
+type Request struct {
+	Method         string
+	URI            string
+	ID             string
+	IdempotencyKey string // Idempotency-Key; empty: there is none
+	Body           []byte
+	Upload         *Upload // where the body is instead, but for its last piece; nil: here
 }
 
 // HTTP is the platform's wire.
-type HTTP struct {
+type HTTPDialer struct {
 	room *budget.Bytes // for answers that are held
 }
 
 // NewHTTP returns a wire that holds answers within the budget.
-func NewHTTP(room *budget.Bytes) HTTP { return HTTP{room} }
+func NewHTTPDialer(room *budget.Bytes) HTTPDialer { return HTTPDialer{room} }
 
 // Dial opens a connection.
-func (h HTTP) Dial(ctx context.Context, addr string) (Session, error) {
+func (h HTTPDialer) Dial(ctx context.Context, addr string) (Session, error) {
 	n, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 func (c *httpSession) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) { //nolint:gocognit // to be split with its package, see docs/left.md
 	c.SetDeadline(a.Until)
 	c.SetWriteDeadline(a.WriteBy())
-	m := a.Payload.(*Message)
+	m := a.Payload.(*Request)
 	var raw []byte
 	if m.Upload != nil {
 		raw = m.Upload.tail
@@ -133,13 +133,13 @@
 	// And at the connection: what came since the pool looked is no answer to what is only now written.
 	if !c.Alive() {
 		r.Code = policy.NotConnected
-		return r, false, Stale
+		return r, false, ReasonClosedWhileIdle
 	}
 	again, soon := c.asked, time.Since(c.heardAt) < secondWithin
 	c.asked = true
 	if n, err := c.Write(raw); n < len(raw) {
 		r.Code = policy.NotConnected
-		return r, false, "WRITE_" + Cause(err)
+		return r, false, "WRITE_" + ReasonCode(err)
 	}
 	a.Sent()
 	parts := &stallReader{Conn: c.Conn, until: a.Until, stall: stallAfter}
@@ -156,7 +156,7 @@
 			return err
 		}
 		_, err := in.Peek(1)
-		if parts.begun = err == nil; parts.begun && again && Unheard(c.Conn) {
+		if parts.begun = err == nil; parts.begun && again && HasUnackedData(c.Conn) {
 			return errTooSoon
 		}
 		return err
@@ -174,7 +174,7 @@
 			c.talked = true
 			return r, false, "ANSWER_TOO_SOON"
 		}
-		return r, false, "READ_" + Cause(err)
+		return r, false, "READ_" + ReasonCode(err)
 	}
 	c.odd = c.odd || ans.odd
 	// Nothing in an answer tells whose it is. One just like the one before and soon after it may be that one once more: then its
@@ -222,16 +222,16 @@
 }
 
 // Close ends it.
-func (c *httpSession) Close() error { return CloseNow(c.Conn) }
+func (c *httpSession) Close() error { return CloseOrReset(c.Conn) }
 
 // Talked implements Talker.
-func (c *httpSession) Talked() bool { return c.talked }
+func (c *httpSession) UnsolicitedData() bool { return c.talked }
 
 // Odd implements Talker.
-func (c *httpSession) Odd() bool { return c.odd }
+func (c *httpSession) InvalidReport() bool { return c.odd }
 
 // appendHead writes the request's head; a length of -1 has the body in chunks. What is not listed in the protocol is not sent.
-func appendHead(b []byte, m *Message, host string, waitMs, length int64) []byte {
+func appendHead(b []byte, m *Request, host string, waitMs, length int64) []byte {
 	b = append(b, m.Method...)
 	b = append(b, ' ')
 	b = append(b, m.URI...)
@@ -239,9 +239,9 @@
 	b = append(b, host...)
 	b = append(b, "\r\nRequest-Id: "...)
 	b = append(b, m.ID...)
-	if m.Key != "" {
+	if m.IdempotencyKey != "" {
 		b = append(b, "\r\nIdempotency-Key: "...)
-		b = append(b, m.Key...)
+		b = append(b, m.IdempotencyKey...)
 	}
 	b = append(b, "\r\nRequest-Timeout-Ms: "...)
 	b = strconv.AppendInt(b, waitMs, 10)
@@ -319,8 +319,8 @@
 		if err := await(false); err != nil {
 			return nil, err
 		}
-		if n := resp.ContentLength; n >= 0 && n <= MaxHeld && room.Take(n) {
-			defer room.Give(n)
+		if n := resp.ContentLength; n >= 0 && n <= MaxBufferedBody && room.TryAcquire(n) {
+			defer room.Release(n)
 			a.body = make([]byte, n)
 			if _, err := io.ReadFull(resp.Body, a.body); err != nil {
 				return nil, err
@@ -383,7 +383,7 @@
 }
 
 // Cause is the reason code of a failed read or write.
-func Cause(err error) string {
+func ReasonCode(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return "TIMEOUT"
@@ -401,7 +401,7 @@
 
 // Unheard tells whether the other side has yet to acknowledge some of what was written. It acknowledges all that it has with
 // whatever it sends, so what it sent before that answers nothing of this. Where the system does not tell, it has heard all.
-func Unheard(c net.Conn) (yes bool) {
+func HasUnackedData(c net.Conn) (yes bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -419,15 +419,15 @@
 
 // CloseNow closes a connection. What of a request is still on its way then does not arrive: else the system would go on with it,
 // for minutes where the other side is silent, and it could begin long after it was given up.
-func CloseNow(c net.Conn) error {
-	if tc, ok := c.(*net.TCPConn); ok && Unheard(tc) {
+func CloseOrReset(c net.Conn) error {
+	if tc, ok := c.(*net.TCPConn); ok && HasUnackedData(tc) {
 		tc.SetLinger(0)
 	}
 	return c.Close()
 }
 
 // Quiet tells whether an idle connection is still open and quiet.
-func Quiet(c net.Conn) bool {
+func OpenAndIdle(c net.Conn) bool {
 	quiet, _ := listen(c)
 	return quiet
 }
--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -33,13 +33,13 @@
 // TestIdleTargetsCostNothing has an initiator send nothing to many targets for an hour: none of their actors wakes up meanwhile.
 func TestIdleTargetsCostNothing(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		g := NewRegistry(Options{Wire: NewHTTP(budget.New(0)), Idle: time.Second, MostConn: 1, MostAll: 1, Log: slog.New(slog.DiscardHandler)}, nil)
+		g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Second, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
 		var list []Target
 		for i := range 200 {
 			list = append(list, Target{ID: fmt.Sprint(i), Addr: "127.0.0.1:1"})
 		}
 		g.Apply(list, true)
-		defer g.Retire()
+		defer g.Shutdown()
 		for _, x := range list { // their actors run
 			g.mu.Lock()
 			g.tell(g.targets[x.ID], moved{})
@@ -60,10 +60,10 @@
 	require.NoError(t, err)
 	defer l.Close()
 	results := make(chan core.Result, 1)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: idle, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: idle, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
-	g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+	g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	c, err := l.Accept()
 	require.NoError(t, err)
 	defer c.Close()
@@ -87,17 +87,17 @@
 		list = append(list, Target{ID: fmt.Sprint(i), Addr: s.Addr().String()})
 	}
 	results := make(chan core.Result, 8)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	before := runtime.NumGoroutine()
 	require.Equal(t, 1000, g.Apply(list, true))
-	g.Review()
+	g.PruneIdle()
 	g.Cancel("7", "r")
 	require.Equal(t, 1000, g.Apply([]Target{{ID: "8", State: policy.Draining}, {ID: "9", Addr: "127.0.0.1:1"}}, false))
 	require.Equal(t, 999, g.Apply([]Target{{ID: "10", State: policy.Removed}, {ID: "none", State: policy.Removed}}, false))
 	require.LessOrEqual(t, runtime.NumGoroutine(), before)
 	send := func(node string) policy.OutcomeCode {
-		g.Send(core.Attempt{Request: "r", Node: node, Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{Request: "r", Node: node, Until: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 		return (<-results).Code
 	}
 	require.Equal(t, policy.NotSent, send("8"))
@@ -106,7 +106,7 @@
 	require.Equal(t, policy.Served, send("11"))
 	require.Equal(t, 1, g.Apply([]Target{{ID: "11", Addr: s.Addr().String()}}, true))
 	require.Equal(t, policy.Served, send("11"))
-	g.Retire()
+	g.Shutdown()
 	require.Equal(t, policy.NotSent, send("11"))
 	s.Close()
 	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
@@ -116,7 +116,7 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{200, 2000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := NewRegistry(Options{Wire: NewHTTP(budget.New(0)), Idle: time.Minute, MostConn: 1, MostAll: 1, Log: slog.New(slog.DiscardHandler)}, nil)
+			g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Minute, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
 			var list []Target
 			for i := range n {
 				list = append(list, Target{ID: fmt.Sprint(i), Addr: "127.0.0.1:1"})
@@ -131,7 +131,7 @@
 				g.Apply([]Target{{ID: "7", State: policy.EndpointState(i % 2)}}, false)
 			}
 			b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/float64(n), "B/target")
-			g.Retire()
+			g.Shutdown()
 		})
 	}
 }
@@ -142,11 +142,11 @@
 	require.NoError(t, err)
 	defer l.Close()
 	results := make(chan core.Result, 1)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Hour, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Hour, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
 	send := func() {
-		g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	}
 	send()
 	c, err := l.Accept()
@@ -157,7 +157,7 @@
 	require.NoError(t, err)
 	say(c, "200 OK", "")
 	<-results
-	g.Times(time.Nanosecond, 50*time.Millisecond)
+	g.SetTimeouts(time.Nanosecond, 50*time.Millisecond)
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	send()
--- a/internal/datapath/upstream/moments_test.go
+++ b/internal/datapath/upstream/moments_test.go
@@ -25,7 +25,7 @@
 
 // held is a wire whose connections come up when the test says so, however long ago they were given up, and which keeps the last one.
 type held struct {
-	Wire
+	Dialer
 	dials chan dialling
 	last  atomic.Pointer[httpSession]
 }
@@ -40,7 +40,7 @@
 	d := dialling{ctx, make(chan bool)}
 	h.dials <- d
 	<-d.up
-	s, err := h.Wire.Dial(context.Background(), addr)
+	s, err := h.Dialer.Dial(context.Background(), addr)
 	if err == nil {
 		h.last.Store(s.(*httpSession))
 	}
@@ -61,8 +61,8 @@
 // newHeld is a bench whose connections come up one by one.
 func newHeld(addr string, opt Options) (*bench, *held) {
 	b := newBenchThat(addr, opt)
-	h := &held{Wire: b.opt.Wire, dials: make(chan dialling, 8)}
-	b.opt.Wire = h
+	h := &held{Dialer: b.opt.Dialer, dials: make(chan dialling, 8)}
+	b.opt.Dialer = h
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
 	return b, h
@@ -100,13 +100,13 @@
 		}
 		return say(c, "200 OK", fmt.Sprint(n))
 	})
-	opt := Options{MostConn: 4, MostAll: 4, Rest: time.Hour, Sent: func() { sent <- true }}
+	opt := Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour, OnSent: func() { sent <- true }}
 	b, h := newHeld(s.Addr().String(), opt)
 	b.send(10 * time.Second)
 	close(h.next(t).up)
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	var once sync.Once
-	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"},
+	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"},
 		Permit: moment(func() { once.Do(func() { close(twice); h.spoken(t) }) })}
 	b.Send(next)
 	close(h.next(t).up)
@@ -134,7 +134,7 @@
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	<-sent
 	_ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
-	next.Permit, next.Payload = nil, &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, MaxHeld)}
+	next.Permit, next.Payload = nil, &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, MaxBufferedBody)}
 	b.Send(next)
 	<-sent
 	close(twice)
@@ -148,7 +148,7 @@
 func TestSecondAnswerComesFirst(t *testing.T) {
 	b := newBenchThat(newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		return (n != 2 || say(c, "200 OK", "1")) && say(c, "200 OK", fmt.Sprint(n))
-	}).Addr().String(), Options{MostConn: 4, MostAll: 4, Rest: time.Hour})
+	}).Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
 	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset, policy.Served} {
 		b.send(10 * time.Second)
 		require.Equal(t, want, b.result(t).Code)
@@ -156,7 +156,7 @@
 	s := newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		return n < 20 && say(c, "200 OK", "alike") || n >= 20 && say(c, "200 OK", "1") && (n < 21 || say(c, "200 OK", "2"))
 	})
-	b = newBenchThat(s.Addr().String(), Options{MostConn: 4, MostAll: 4, Rest: time.Hour})
+	b = newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
 	var waited time.Duration
 	for range 19 {
 		begun := time.Now()
@@ -220,9 +220,9 @@
 			var sent atomic.Int32
 			stock := &few{}
 			stock.most.Store(4)
-			b, h := newHeld(addr, Options{MostConn: 4, MostAll: 4, Stock: stock, Sent: func() { sent.Add(1) }})
+			b, h := newHeld(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: stock, OnSent: func() { sent.Add(1) }})
 			a := core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Left: new(atomic.Bool), Before: time.Now().Add(10 * time.Second),
-				Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}}
+				Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
 			case "its time is over":
 				a.Until = time.Now().Add(200 * time.Millisecond)
@@ -293,7 +293,7 @@
 	}
 	for _, head := range []string{"", "Content-Length: 99999\r\n", "Transfer-Encoding: chunked\r\n"} {
 		next <- answer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", pieceSize), true}
-		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		st := b.result(t).Payload.(*Stream)
 		_, _ = io.ReadFull(st, make([]byte, 100))
 		passed <- true
@@ -326,13 +326,13 @@
 			}()
 		}
 	}()
-	b, h := newHeld(l.Addr().String(), Options{MostConn: 4, MostAll: 4})
+	b, h := newHeld(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	ctx, leave := context.WithCancel(context.Background())
 	begin := func() (*Upload, error) {
-		return b.Ahead(ctx, "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
+		return b.StartUpload(ctx, "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
 	attempt := func(u *Upload) policy.OutcomeCode {
-		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		return b.result(t).Code
 	}
 	settled := func() {
@@ -347,7 +347,7 @@
 		go func() { close((<-h.dials).up) }()
 		u, err := begin()
 		require.NoError(t, err)
-		u.Last([]byte("body"))
+		u.HoldLastPiece([]byte("body"))
 		return u
 	}
 	another := func() {
@@ -361,7 +361,7 @@
 		close(d.up)
 	}()
 	_, err = begin()
-	require.ErrorIs(t, err, ErrNoUpload)
+	require.ErrorIs(t, err, ErrUploadFailed)
 	require.Empty(t, <-heard, "a byte was written for a client that had left")
 	settled()
 
@@ -390,12 +390,12 @@
 func TestUploadGoesToItsTarget(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "its own") })
 	b := newBench(s.Addr().String())
-	u, err := b.Ahead(context.Background(), "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
+	u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	require.NoError(t, err)
-	u.Last([]byte("body"))
+	u.HoldLastPiece([]byte("body"))
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: "127.0.0.1:1"}}, false)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
@@ -425,7 +425,7 @@
 				arrived <- int(n) + 1
 			}()
 			sent := make(chan bool, 1)
-			b, h := newHeld(l.Addr().String(), Options{MostConn: 4, MostAll: 4, Sent: func() { sent <- true }})
+			b, h := newHeld(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, OnSent: func() { sent <- true }})
 			closed := make(chan error, 1)
 			b.Apply(nil, true)
 			b.report = func(r core.Result) {
@@ -435,7 +435,7 @@
 			b.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, false)
 			b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute),
 				Permit:  moment(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
-				Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxHeld)}})
+				Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxBufferedBody)}})
 			close(h.next(t).up)
 			<-asked
 			if x.want == policy.Cancelled {
@@ -445,7 +445,7 @@
 			require.Equal(t, x.want, b.result(t).Code)
 			require.ErrorIs(t, <-closed, net.ErrClosed)
 			close(over)
-			require.Less(t, <-arrived, 2*MaxHeld)
+			require.Less(t, <-arrived, 2*MaxBufferedBody)
 		})
 	}
 }
@@ -456,10 +456,10 @@
 	b := newBench(s.Addr().String())
 	tg := newTarget("n", b.opt, &b.pool, b.report)
 	tg.set(s.Addr().String(), policy.Up)
-	c, err := b.opt.Wire.Dial(context.Background(), s.Addr().String())
+	c, err := b.opt.Dialer.Dial(context.Background(), s.Addr().String())
 	require.NoError(t, err)
 	require.True(t, tg.count(1))
-	tg.idle = []*conn{{Session: c, addr: s.Addr().String(), idleAt: time.Now().Add(-b.opt.Idle)}}
+	tg.idle = []*conn{{Session: c, addr: s.Addr().String(), idleAt: time.Now().Add(-b.opt.IdleTimeout)}}
 	got, may := tg.take()
 	require.True(t, may)
 	require.Nil(t, got)
@@ -505,7 +505,7 @@
 		}
 		return say(c, "200 OK", "x")
 	})
-	b := newBenchThat(s.Addr().String(), Options{MostConn: 3, MostAll: 5, Rest: 5 * time.Millisecond})
+	b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 3, MaxConnsTotal: 5, ReuseDelay: 5 * time.Millisecond})
 	b.results = make(chan core.Result, 10000)
 	names := []string{"n", "m", "o"}
 	var sends sync.WaitGroup
@@ -515,11 +515,11 @@
 			rng := rand.New(rand.NewPCG(uint64(g), 1))
 			for i := range each {
 				a := core.Attempt{Request: fmt.Sprint(g, "/", i), Node: names[rng.IntN(3)], Until: time.Now().Add(time.Duration(rng.IntN(100)) * time.Millisecond),
-					Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("x")}}
+					Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("x")}}
 				if rng.IntN(4) == 0 {
-					if u, err := b.Ahead(context.Background(), a.Node, &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
-						u.Last([]byte("x"))
-						a.Payload = &Message{Method: "PUT", Upload: u}
+					if u, err := b.StartUpload(context.Background(), a.Node, &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
+						u.HoldLastPiece([]byte("x"))
+						a.Payload = &Request{Method: "PUT", Upload: u}
 						if rng.IntN(2) == 0 {
 							sends.Go(u.Close)
 						}
@@ -556,7 +556,7 @@
 	sends.Wait()
 	close(over)
 	<-listed
-	b.Retire()
+	b.Shutdown()
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -584,7 +584,7 @@
 	var asked atomic.Int32
 	b := newBench(l.Addr().String())
 	send := func(name string, wait time.Duration) {
-		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Message{Method: "GET", URI: "/r/1", ID: name}})
+		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Request{Method: "GET", URI: "/r/1", ID: name}})
 	}
 	send("over", 100*time.Millisecond)
 	send("called off", time.Minute)
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -20,22 +20,22 @@
 
 // Options are the bounds of every connection.
 type Options struct {
-	Wire     Wire
-	Dial     time.Duration // for a connection to come up, at first
-	Idle     time.Duration // an unused connection is closed after that, at first
-	Rest     time.Duration // and is not used again before that, where another may be made
-	MostConn int           // connections to one target
-	MostAll  int           // connections to all targets together
-	Sent     func()        // called for each attempt that is written whole; nil: nobody asks
-	Stock    Stock         // of connections over all instances; nil: none is kept
-	Log      *slog.Logger
+	Dialer            Dialer
+	DialTimeout       time.Duration // for a connection to come up, at first
+	IdleTimeout       time.Duration // an unused connection is closed after that, at first
+	ReuseDelay        time.Duration // and is not used again before that, where another may be made
+	MaxConnsPerTarget int           // connections to one target
+	MaxConnsTotal     int           // connections to all targets together
+	OnSent            func()        // called for each attempt that is written whole; nil: nobody asks
+	Quota             ConnQuota     // of connections over all instances; nil: none is kept
+	Log               *slog.Logger
 }
 
 // Stock is this process's part of the connections that all instances hold at a target. It is asked before each is made.
-type Stock interface {
+type ConnQuota interface {
 	Open(target string) bool // false: there may be none more
 	Close(target string)
-	Over(target string) int // open beyond what may be
+	Excess(target string) int // open beyond what may be
 }
 
 // Registry holds the targets' actors. The list actor applies news to it before the module hears of them, so
@@ -61,21 +61,21 @@
 // NewRegistry returns an empty registry; results go to report.
 func NewRegistry(opt Options, report func(core.Result)) *Registry {
 	g := &Registry{opt: opt, report: report, targets: map[string]*target{}, leaving: map[*target]bool{}}
-	g.Bound(opt.MostConn, opt.MostAll)
-	g.Times(opt.Dial, opt.Idle)
+	g.SetConnLimits(opt.MaxConnsPerTarget, opt.MaxConnsTotal)
+	g.SetTimeouts(opt.DialTimeout, opt.IdleTimeout)
 	return g
 }
 
 // Times sets how long a connection may take to come up, and how long one is kept that is not used, from now on.
-func (g *Registry) Times(dial, idle time.Duration) {
+func (g *Registry) SetTimeouts(dial, idle time.Duration) {
 	g.pool.dial.Store(int64(dial))
 	if g.pool.idle.Swap(int64(idle)) != int64(idle) {
-		g.Review()
+		g.PruneIdle()
 	}
 }
 
 // Bound sets how many connections there may be, to one target and to all, from now on.
-func (g *Registry) Bound(one, all int) {
+func (g *Registry) SetConnLimits(one, all int) {
 	g.pool.mostOne.Store(int64(one))
 	g.pool.mostAll.Store(int64(all))
 }
@@ -174,7 +174,7 @@
 }
 
 // Review has every target's actor look at what it may keep open.
-func (g *Registry) Review() {
+func (g *Registry) PruneIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, t := range g.targets {
@@ -185,7 +185,7 @@
 }
 
 // Retire has every target's actor end once nothing is out at it, and close its idle connections. Nothing may be sent after it.
-func (g *Registry) Retire() { g.Apply(nil, true) }
+func (g *Registry) Shutdown() { g.Apply(nil, true) }
 
 // Cancel calls an attempt off; its connection is closed before its result is reported. The target may have left the list
 // since, and another may have its name.
--- a/internal/datapath/upstream/stream.go
+++ b/internal/datapath/upstream/stream.go
@@ -23,7 +23,7 @@
 var pieces = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
 
 // Piece lends a buffer for a piece of a body; done returns it.
-func Piece() (piece []byte, done func()) {
+func AcquireBuffer() (piece []byte, done func()) {
 	p := pieces.Get().(*[]byte)
 	return *p, func() { pieces.Put(p) }
 }
@@ -106,7 +106,7 @@
 func (s *Stream) finish(err error) {
 	switch {
 	case err != nil && !errors.Is(err, io.EOF):
-		s.over(false, "READ_"+Cause(err))
+		s.over(false, "READ_"+ReasonCode(err))
 	case s.close || s.in.Buffered() > 0:
 		s.over(false, "TARGET_CLOSES")
 	default:
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -136,7 +136,7 @@
 		go func() { _ = http.Serve(l, answer) }()
 		b := newBench(l.Addr().String())
 		up := func() *Upload {
-			u, err := b.Ahead(context.Background(), "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
+			u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,7 +145,7 @@
 					t.Fatal(err)
 				}
 			}
-			u.Last(make([]byte, 1000))
+			u.HoldLastPiece(make([]byte, 1000))
 			return u
 		}
 		u := up()
@@ -156,7 +156,7 @@
 		// It drains meanwhile, and the list has another one: the first byte was before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
 		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
-			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 			if r := b.result(t); r.Code != want {
 				t.Errorf("attempt %d: code %v, want %v", i, r.Code, want)
 			}
@@ -164,13 +164,13 @@
 		if got, want := <-bodies, fmt.Sprint(length, " 5000 id"); got != want {
 			t.Errorf("the target had %q, want %q", got, want)
 		}
-		if _, err := b.Ahead(context.Background(), "n", u.msg, length, time.Second); err == nil {
+		if _, err := b.StartUpload(context.Background(), "n", u.msg, length, time.Second); err == nil {
 			t.Error("a body goes ahead to a target that drains")
 		}
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
 		u = up()
 		u.Close()
-		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("after it was closed: code %v", r.Code)
 		}
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -45,7 +45,7 @@
 }
 
 // Wire opens connections of one protocol.
-type Wire interface {
+type Dialer interface {
 	Dial(ctx context.Context, addr string) (Session, error)
 }
 
@@ -61,14 +61,14 @@
 }
 
 // Stale is why a connection ends, and an attempt on it with NoConnection, that was closed or spoke while nothing was asked on it.
-const Stale = "TARGET_CLOSED_IDLE"
+const ReasonClosedWhileIdle = "TARGET_CLOSED_IDLE"
 
 // Talker is a Session whose answers name no request, so that one that comes twice could pass for the next.
-type Talker interface {
+type UncorrelatedSession interface {
 	// Talked tells whether more came than was asked for; it is called after Do, or after Alive.
-	Talked() bool
+	UnsolicitedData() bool
 	// Odd tells whether an answer reported what cannot be, which counts as not told.
-	Odd() bool
+	InvalidReport() bool
 }
 
 // conn is one connection of the pool.
@@ -177,7 +177,7 @@
 		}
 	}
 	ctx, stop := context.WithDeadline(context.Background(), a.Until)
-	a.OnSent = t.opt.Sent
+	a.OnSent = t.opt.OnSent
 	y := &try{Attempt: a, ctx: ctx, stop: stop}
 	t.busy[a.Request] = y
 	go t.attempt(y, c)
@@ -185,7 +185,7 @@
 
 // uploadOf is the connection that has an attempt's body already; nil: none has.
 func uploadOf(a core.Attempt) *Upload {
-	if m, ok := a.Payload.(*Message); ok {
+	if m, ok := a.Payload.(*Request); ok {
 		return m.Upload
 	}
 	return nil
@@ -210,7 +210,7 @@
 // reuse takes the idle connection used last of those that have rested, and with resting, where none has, the one that has for
 // longest: what a target that was never heard to says twice is most likely over there.
 func (t *target) reuse(resting bool) *conn {
-	for rested := time.Now().Add(-t.opt.Rest); len(t.idle) > 0; {
+	for rested := time.Now().Add(-t.opt.ReuseDelay); len(t.idle) > 0; {
 		i := slices.IndexFunc(t.idle, func(c *conn) bool { return c.idleAt.After(rested) }) // they are in order of it
 		switch {
 		case i < 0:
@@ -227,15 +227,15 @@
 		}
 		t.talks = t.talks || t.talked(c)
 		// Closed by the target while idle: no byte of the attempt has been near it.
-		t.drop(c, Stale)
+		t.drop(c, ReasonClosedWhileIdle)
 	}
 	return nil
 }
 
 // talked tells whether more came on a connection than was asked for.
 func (t *target) talked(c *conn) bool {
-	x, ok := c.Session.(Talker)
-	return ok && t.opt.Rest > 0 && x.Talked()
+	x, ok := c.Session.(UncorrelatedSession)
+	return ok && t.opt.ReuseDelay > 0 && x.UnsolicitedData()
 }
 
 func (t *target) finish(m done) {
@@ -260,8 +260,8 @@
 	t.closeIdle("TARGET_LEAVES", func(*conn) bool { return !open(&t.state) })
 	t.closeIdle("TARGET_MOVED", func(c *conn) bool { return c.addr != addr })
 	t.closeOld()
-	if t.opt.Stock != nil && len(t.idle) > 0 {
-		over := t.opt.Stock.Over(t.id)
+	if t.opt.Quota != nil && len(t.idle) > 0 {
+		over := t.opt.Quota.Excess(t.id)
 		t.closeIdle("RATION", func(*conn) bool { over--; return over >= 0 })
 	}
 }
@@ -290,10 +290,10 @@
 		t.pool.conns.Add(int64(-n))
 		return false
 	}
-	if t.opt.Stock != nil {
+	if t.opt.Quota != nil {
 		if n < 0 {
-			t.opt.Stock.Close(t.id)
-		} else if !t.opt.Stock.Open(t.id) {
+			t.opt.Quota.Close(t.id)
+		} else if !t.opt.Quota.Open(t.id) {
 			t.pool.conns.Add(int64(-n))
 			return false
 		}
@@ -340,11 +340,11 @@
 		r, used = core.Result{Code: policy.NotConnected}, c.used+1
 		again, reason = t.exchange(y, c, &r)
 		talks = talks || t.talked(c)
-		if x, ok := c.Session.(Talker); ok && x.Odd() && !c.odd {
+		if x, ok := c.Session.(UncorrelatedSession); ok && x.InvalidReport() && !c.odd {
 			c.odd = true // once for each connection
 			t.opt.Log.Warn("report not usable", slog.String("peer", t.id), slog.String("reason", "BAD_REPORT"))
 		}
-		if !pooled || reason != Stale || uploadOf(y.Attempt) != nil {
+		if !pooled || reason != ReasonClosedWhileIdle || uploadOf(y.Attempt) != nil {
 			break
 		}
 		// It ended, or spoke, since the pool looked: no byte of the attempt has been near it, and a new one takes its place.
@@ -381,7 +381,7 @@
 	ctx, stop := context.WithTimeout(within, t.pool.dialFor())
 	defer stop()
 	addr := t.address()
-	s, err := t.opt.Wire.Dial(ctx, addr)
+	s, err := t.opt.Dialer.Dial(ctx, addr)
 	if err != nil {
 		return nil
 	}
--- a/internal/datapath/upstream/terms_test.go
+++ b/internal/datapath/upstream/terms_test.go
@@ -33,7 +33,7 @@
 				time.Sleep(2 * time.Millisecond) // a request takes its time
 				return true
 			})
-			b := newBenchThat(s.Addr().String(), Options{MostConn: 40, MostAll: 40, Rest: 60 * time.Millisecond})
+			b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: 60 * time.Millisecond})
 			for i := range 30 {
 				b.send(10 * time.Second)
 				r := b.result(t)
@@ -51,7 +51,7 @@
 // TestNoRest has a target that answers once: its connection is used again at once, however long connections would rest elsewhere.
 func TestNoRest(t *testing.T) {
 	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "once") })
-	b := newBenchThat(s.Addr().String(), Options{MostConn: 40, MostAll: 40, Rest: time.Hour})
+	b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: time.Hour})
 	for range 20 {
 		b.send(10 * time.Second)
 		require.Equal(t, policy.Served, b.result(t).Code)
@@ -91,11 +91,11 @@
 			return say(c, "200 OK", "done")
 		})
 		b := newBench(s.Addr().String())
-		m := &Message{Method: "PUT", URI: "/w/1", ID: "id", Key: key}
-		u, err := b.Ahead(context.Background(), "n", m, 4, time.Second)
+		m := &Request{Method: "PUT", URI: "/w/1", ID: "id", IdempotencyKey: key}
+		u, err := b.StartUpload(context.Background(), "n", m, 4, time.Second)
 		require.NoError(t, err)
-		u.Last([]byte("body"))
-		for i, m := range []*Message{m, {Upload: u}} {
+		u.HoldLastPiece([]byte("body"))
+		for i, m := range []*Request{m, {Upload: u}} {
 			b.Send(core.Attempt{Request: fmt.Sprint(i), Node: "n", Until: time.Now().Add(10 * time.Second), Payload: m})
 			require.Equal(t, policy.Served, b.result(t).Code)
 			if got := <-seen; key == "" {
@@ -114,10 +114,10 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
-	b := newBenchThat(addr, Options{MostConn: 8, MostAll: 8})
+	b := newBenchThat(addr, Options{MaxConnsPerTarget: 8, MaxConnsTotal: 8})
 	sent := make(chan bool, 8)
 	b.Apply(nil, true)
-	b.opt.Sent = func() { sent <- true }
+	b.opt.OnSent = func() { sent <- true }
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
 	for range 4 {
 		b.send(20 * time.Second)
@@ -159,10 +159,10 @@
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n") // each attempt has a connection of its own
 		return false
 	})
-	b, h := newHeld(s.Addr().String(), Options{MostConn: 4, MostAll: 4})
+	b, h := newHeld(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	for number := range 3 {
 		until := time.Now().Add(10 * time.Second)
-		b.Send(core.Attempt{Request: "r", Number: number, Node: "n", Until: until, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{Request: "r", Number: number, Node: "n", Until: until, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		d := h.next(t)
 		time.Sleep(30 * time.Millisecond)
 		up := time.Now()
--- a/internal/datapath/upstream/upload.go
+++ b/internal/datapath/upstream/upload.go
@@ -12,13 +12,13 @@
 const uploadWithin = 10 * time.Second
 
 // ErrNoUpload tells that a body could not go ahead to its target. Nothing of its request can have run.
-var ErrNoUpload = errors.New("no connection for the body")
+var ErrUploadFailed = errors.New("no connection for the body")
 
 // Upload is a connection on which a body goes to its target ahead of the decision on its request. The target begins a
 // request at its last byte, so the last piece stays here until the attempt is made; up to then nothing has run, and closing
 // it undoes all.
 type Upload struct {
-	msg    *Message
+	msg    *Request
 	length int64 // -1: in chunks
 	wait   time.Duration
 	ctx    context.Context
@@ -50,7 +50,7 @@
 
 // Ahead has a body's request opened at a target. Length is -1 where it is not known; wait is how long the target is told
 // that an answer will be waited for.
-func (g *Registry) Ahead(ctx context.Context, node string, m *Message, length int64, wait time.Duration) (*Upload, error) {
+func (g *Registry) StartUpload(ctx context.Context, node string, m *Request, length int64, wait time.Duration) (*Upload, error) {
 	u := &Upload{msg: m, length: length, wait: wait, ctx: ctx, ready: make(chan struct{})}
 	g.mu.Lock()
 	if u.t = g.targets[node]; u.t != nil {
@@ -58,11 +58,11 @@
 	}
 	g.mu.Unlock()
 	if u.t == nil {
-		return nil, ErrNoUpload
+		return nil, ErrUploadFailed
 	}
 	<-u.ready // a connection comes up within the dial's time, or not
 	if u.conn == nil {
-		return nil, ErrNoUpload
+		return nil, ErrUploadFailed
 	}
 	return u, nil
 }
@@ -116,7 +116,7 @@
 // Write sends a piece that is not the last.
 func (u *Upload) Write(piece []byte) (int, error) {
 	if !u.put(u.conn.Session.(*httpSession), u.frame(piece)) {
-		return 0, ErrNoUpload
+		return 0, ErrUploadFailed
 	}
 	return len(piece), nil
 }
@@ -132,7 +132,7 @@
 }
 
 // Last keeps the last piece, which is not empty, until the attempt.
-func (u *Upload) Last(piece []byte) {
+func (u *Upload) HoldLastPiece(piece []byte) {
 	u.tail = append([]byte(nil), u.frame(piece)...)
 	if u.length < 0 {
 		u.tail = append(u.tail, "0\r\n\r\n"...)
@@ -140,7 +140,7 @@
 }
 
 // Node is the target that has it.
-func (u *Upload) Node() string { return u.t.id }
+func (u *Upload) TargetID() string { return u.t.id }
 
 // Close ends it, unless an attempt has taken it over.
 func (u *Upload) Close() {
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -72,11 +72,13 @@
 	tries   int
 }
 
-func newBench(addr string) *bench { return newBenchThat(addr, Options{MostConn: 4, MostAll: 6}) }
+func newBench(addr string) *bench {
+	return newBenchThat(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 6})
+}
 
 func newBenchThat(addr string, opt Options) *bench {
 	b := &bench{results: make(chan core.Result, 64)}
-	opt.Wire, opt.Dial, opt.Idle, opt.Log = NewHTTP(budget.New(1<<20)), 20*time.Second, time.Minute, slog.New(slog.DiscardHandler)
+	opt.Dialer, opt.DialTimeout, opt.IdleTimeout, opt.Log = NewHTTPDialer(budget.New(1<<20)), 20*time.Second, time.Minute, slog.New(slog.DiscardHandler)
 	b.Registry = NewRegistry(opt, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
 	return b
@@ -86,7 +88,7 @@
 	b.tries++
 	now := time.Now()
 	b.Send(core.Attempt{Request: fmt.Sprint(b.tries), Node: "n", Until: now.Add(wait),
-		Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
+		Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
 }
 
 func (b *bench) result(t *testing.T) core.Result {
@@ -128,8 +130,8 @@
 	}()
 	c := &deadlineConn{Conn: near}
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, reason := tg.exchange(y, &conn{Session: &httpSession{Conn: c, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again == nil || !c.at.IsZero() {
+	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	if again, reason := tg.exchange(y, &conn{Session: &httpSession{Conn: c, host: "", room: NewHTTPDialer(budget.New(1 << 20)).room}}, &r); again == nil || !c.at.IsZero() {
 		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
 	}
 }
@@ -304,8 +306,8 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotSent {
+	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTPDialer(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Code)
 	}
 }
@@ -319,7 +321,7 @@
 	for i := range 10 {
 		now := time.Now()
 		b.Send(core.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
-			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+			Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
 		if r := b.result(t); r.Code != policy.NotConnected {
@@ -341,9 +343,9 @@
 	near, far := net.Pipe()
 	go func() { _, _ = io.ReadFull(far, make([]byte, 20)); far.Close() }()
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
+	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotConnected {
+	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTPDialer(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotConnected {
 		t.Errorf("code %v, want no connection", r.Code)
 	}
 }
@@ -377,16 +379,16 @@
 		body := rapid.StringN(0, 200, 300).Draw(t, "body")
 		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Load: inflight=3\r\nVolume-Load: 85\r\nContent-Length: %d\r\n\r\n%s",
 			len(body), body)
-		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTP(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {})
+		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTPDialer(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {})
 		if err != nil || string(a.body) != body || a.used != 86 || a.load.InFlight != 3 {
 			t.Fatalf("whole answer: %+v, %v", a, err)
 		}
 		cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut")
-		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTP(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {}); err == nil {
+		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTPDialer(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {}); err == nil {
 			t.Fatalf("cut at %d passed for whole: %+v", cut, a)
 		}
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
-		_, _ = readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTP(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {})
+		_, _ = readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTPDialer(budget.New(1<<20)).room, func(bool) error { return nil }, func(time.Time) {})
 		parseLoad(string(garbage))
 	})
 }
@@ -406,8 +408,8 @@
 	}
 	return true
 }
-func (f *few) Close(string)    { f.open.Add(-1) }
-func (f *few) Over(string) int { return int(max(0, f.open.Load()-f.most.Load())) }
+func (f *few) Close(string)      { f.open.Add(-1) }
+func (f *few) Excess(string) int { return int(max(0, f.open.Load()-f.most.Load())) }
 
 // TestRationed has an attempt whose permit has ended, which sends nothing, and a stock of connections that bounds them, is told of
 // each that ends, and has idle ones closed when it shrinks.
@@ -416,10 +418,10 @@
 	stock := &few{}
 	stock.most.Store(1)
 	b := &bench{results: make(chan core.Result, 64)}
-	b.Registry = NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
-		Stock: stock, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
+	b.Registry = NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConnsTotal: 6,
+		Quota: stock, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: lapsed{}, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: lapsed{}, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	if r := b.result(t); r.Code != policy.NotSent || s.asked.Load() != 0 {
 		t.Errorf("without a permit: code %v, %d requests reached the target", r.Code, s.asked.Load())
 	}
@@ -428,7 +430,7 @@
 		t.Errorf("within the stock: code %v", r.Code)
 	}
 	stock.most.Store(0)
-	b.Review()
+	b.PruneIdle()
 	require.Eventually(t, func() bool { return stock.open.Load() == 0 }, time.Minute, time.Millisecond, "an idle connection past the stock stays open")
 	b.send(time.Minute)
 	if r := b.result(t); r.Code != policy.NotConnected {
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -170,7 +170,7 @@
 		return
 	}
 	listed := map[string]bool{}
-	for _, e := range list.Servers {
+	for _, e := range list.Targets {
 		listed[e.ID] = true
 	}
 	l.core.Inspect(func() { l.book.Forget(func(id string) bool { return listed[id] }) })
--- a/internal/process/instance/adopt.go
+++ b/internal/process/instance/adopt.go
@@ -36,9 +36,9 @@
 		runtime.GOMAXPROCS(threads(cfg))
 	}
 	a.limits.grant(granted(cfg.Limits))
-	a.module.up.Times(cfg.Dial, cfg.ConnIdle*4/5)
+	a.module.up.SetTimeouts(cfg.Dial, cfg.ConnIdle*4/5)
 	a.module.numbers.Know(slices.Collect(maps.Keys(cfg.Classes())))
-	a.list.list.Crowd(crowd(cfg))
+	a.list.list.SetInitiators(crowd(cfg))
 	if a.book != nil {
 		a.in.core.Inspect(func() { a.book.book.Values(worth(cfg)) })
 	}
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -52,10 +52,10 @@
 
 // Listed implements listener.
 func (d *duty) Listed(l *listing.List) {
-	addrs := make(map[string]string, len(l.Servers))
-	for _, e := range l.Servers {
+	addrs := make(map[string]string, len(l.Targets))
+	for _, e := range l.Targets {
 		addrs[e.ID] = e.Addr
-		if e.Node().State == policy.Removed {
+		if e.Endpoint().State == policy.Removed {
 			addrs[e.ID] = ""
 		}
 	}
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -139,12 +139,12 @@
 			if e, err = listing.DecodeEntry(r.Value); err != nil || e.ID != r.Key {
 				s.doubt(r, err)
 				if known, had := s.had(r.Key); c.Full && had {
-					l.Servers = append(l.Servers, known)
+					l.Targets = append(l.Targets, known)
 				}
 				continue
 			}
 		}
-		l.Servers = append(l.Servers, e)
+		l.Targets = append(l.Targets, e)
 	}
 	s.pass(l, c.Position)
 	if s.configure == nil || len(configs) == 0 {
@@ -186,8 +186,8 @@
 	if l.Full {
 		clear(s.list)
 	}
-	for _, e := range l.Servers {
-		if s.list[e.ID] = e; e.State == "DELETED" && e.Started == 0 {
+	for _, e := range l.Targets {
+		if s.list[e.ID] = e; e.State == "DELETED" && e.StartedMs == 0 {
 			delete(s.list, e.ID)
 		}
 	}
@@ -195,7 +195,7 @@
 	if s.known = s.known || at.Targets > 0; s.known && !was {
 		l = s.all()
 	}
-	if !l.Full && len(l.Servers) == 0 || !s.known && len(s.list) == 0 {
+	if !l.Full && len(l.Targets) == 0 || !s.known && len(s.list) == 0 {
 		return
 	}
 	if !s.known {
@@ -210,9 +210,9 @@
 func (s *stream) all() *listing.List {
 	l := &listing.List{Full: true}
 	for _, e := range s.list {
-		l.Servers = append(l.Servers, e)
+		l.Targets = append(l.Targets, e)
 	}
-	slices.SortFunc(l.Servers, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(l.Targets, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
@@ -221,7 +221,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.joints = append(s.joints, j)
-	if l := s.all(); s.known || len(l.Servers) > 0 {
+	if l := s.all(); s.known || len(l.Targets) > 0 {
 		l.Full = s.known
 		j.hear(l, !s.known)
 	}
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -23,7 +23,7 @@
 
 func entryOf(id, state string, started int64) listing.Entry {
 	cell := 0
-	return listing.Entry{ID: id, Addr: "127.0.0.1:1", Cell: &cell, State: state, Started: started}
+	return listing.Entry{ID: id, Addr: "127.0.0.1:1", Shard: &cell, State: state, StartedMs: started}
 }
 
 func recordOf(version uint64, id, state string, started int64) watchstream.Record {
@@ -51,20 +51,20 @@
 		told++
 		mu.Lock()
 		defer mu.Unlock()
-		for _, e := range l.Servers {
+		for _, e := range l.Targets {
 			view[e.ID] = e
 		}
 	})
 	var both sync.WaitGroup
 	both.Go(func() {
 		for i := range 200 {
-			j.discovered(&listing.List{Servers: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
+			j.discovered(&listing.List{Targets: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
 		}
 	})
 	both.Go(func() {
 		for i := range 200 {
 			id := fmt.Sprint("t", i)
-			j.hear(&listing.List{Servers: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
+			j.hear(&listing.List{Targets: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
 			mu.Lock()
 			if view[id].State != "DRAINING" {
 				t.Errorf("%s drains by the feed, and is %q where it is listened to", id, view[id].State)
@@ -88,7 +88,7 @@
 	note := func(by heardBy) func(*listing.List) {
 		return func(l *listing.List) {
 			by[""] += "."
-			for _, e := range l.Servers {
+			for _, e := range l.Targets {
 				by[e.ID] = e.State
 			}
 		}
@@ -122,20 +122,20 @@
 		var told []string
 		var first *listing.List
 		j := started(t, func(l *listing.List) {
-			if told = append(told, fmt.Sprint(l.Full, len(l.Servers))); first == nil {
+			if told = append(told, fmt.Sprint(l.Full, len(l.Targets))); first == nil {
 				first = l
 			}
 		})
 		s.join(j)
 		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if discovered {
-			j.box.Put(news{from: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
+			j.box.Put(news{from: targetmerge.Discovery, list: &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
 		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
 		require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
 		if discovered {
 			require.Equal(t, []string{"true 1", "false 1", "false 1"}, told)
-			require.Equal(t, "DRAINING", first.Servers[0].State, "it drains by the feed from the first")
+			require.Equal(t, "DRAINING", first.Targets[0].State, "it drains by the feed from the first")
 		} else {
 			require.Equal(t, []string{"true 3"}, told)
 		}
@@ -245,12 +245,12 @@
 	s := &stream{log: quiet, list: map[string]listing.Entry{}}
 	state := map[string]string{}
 	j := started(t, func(l *listing.List) {
-		for _, e := range l.Servers {
-			state[e.ID] = fmt.Sprint(e.State, e.Started)
+		for _, e := range l.Targets {
+			state[e.ID] = fmt.Sprint(e.State, e.StartedMs)
 		}
 	})
 	s.join(j)
-	old := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
+	old := &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
 	j.box.Put(news{from: targetmerge.Discovery, list: old})
 	_ = s.changed(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
 	j.box.Put(news{from: targetmerge.Discovery, list: old})
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -161,8 +161,8 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	room := budget.New(0) // until it is shared out
-	var certs *keys.Keys
-	var wire upstream.Wire = upstream.NewHTTP(room)
+	var certs *keys.Store
+	var wire upstream.Dialer = upstream.NewHTTPDialer(room)
 	rest := connRest
 	if op.NVMe != nil {
 		if op.NVMe.TLS != nil {
@@ -173,9 +173,9 @@
 		wire, rest = nvme.NewHost(host(op.NVMe, certs)), 0 // its answers name their commands
 	}
 	numbers := figures.New(slices.Collect(maps.Keys(cfg.Classes())))
-	out := upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5, Rest: rest, Sent: numbers.Dispatched, Log: log}
+	out := upstream.Options{Dialer: wire, DialTimeout: cfg.Dial, IdleTimeout: cfg.ConnIdle * 4 / 5, ReuseDelay: rest, OnSent: numbers.Dispatched, Log: log}
 	if part != nil {
-		out.Stock = part
+		out.Quota = part
 	}
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
 	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
@@ -190,7 +190,7 @@
 	in.core = core.New(scheduler, up, core.NewClock(), bounds)
 	var listed atomic.Bool
 	clients := front.New(in.core, front.Options{Admits: admits(cfg), Ready: listed.Load,
-		ReadyOnly: op.NVMe != nil, Figures: numbers, Room: room, Ahead: up.Ahead, Log: log})
+		ReadyOnly: op.NVMe != nil, Figures: numbers, Room: room, Ahead: up.StartUpload, Log: log})
 	// What there may be of connections and bytes is set here alone, now and whenever the processes become more or fewer.
 	limits := &shares{limits: granted(cfg.Limits), room: room, up: up, clients: clients, core: in.core}
 	limits.divide(1)
@@ -339,10 +339,10 @@
 
 // Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
 func (d *decisions) Listed(l *listing.List) {
-	targets := make([]upstream.Target, len(l.Servers))
-	nodes := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Servers))}
-	for i, e := range l.Servers {
-		nodes.Endpoints[i] = e.Node()
+	targets := make([]upstream.Target, len(l.Targets))
+	nodes := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Targets))}
+	for i, e := range l.Targets {
+		nodes.Endpoints[i] = e.Endpoint()
 		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Endpoints[i].State}
 	}
 	d.numbers.Listed(d.up.Apply(targets, l.Full))
@@ -352,7 +352,7 @@
 // Stop implements Part. The process may go on, with another configuration: the targets' actors and connections end with this one.
 func (d *decisions) Stop(within context.Context) error {
 	err := d.loop.Stop(within)
-	d.up.Retire()
+	d.up.Shutdown()
 	return err
 }
 
@@ -369,7 +369,7 @@
 func newSeat(part *quotasession.Session, c *core.Core, up *upstream.Registry) *seat {
 	part.OnChange(func() {
 		c.Rationed()
-		up.Review()
+		up.PruneIdle()
 	})
 	return &seat{loop{run: part.Run}, part, up}
 }
@@ -377,7 +377,7 @@
 // Stop implements Part.
 func (s *seat) Stop(within context.Context) error {
 	err := s.loop.Stop(within)
-	s.up.Retire()
+	s.up.Shutdown()
 	s.part.Leave(within)
 	return err
 }
@@ -392,7 +392,7 @@
 }
 
 func newWatch(cfg *config.Config, log *slog.Logger, tell func(*listing.List)) *watch {
-	list := discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.Known, Crowd: crowd(cfg), Seed: cfg.Seed, Log: log}, tell)
+	list := discovery.New(discovery.Options{Addr: cfg.Discovery, LastKnown: cfg.Known, Initiators: crowd(cfg), Seed: cfg.Seed, Log: log}, tell)
 	return &watch{loop{run: list.Run}, list}
 }
 
@@ -407,7 +407,7 @@
 // Reload implements reloader.
 func (w *watch) Reload(c Change) error {
 	if c.Discovery != "" {
-		w.list.Move(c.Discovery)
+		w.list.SetAddr(c.Discovery)
 	}
 	return nil
 }
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -266,12 +266,12 @@
 	s.Start()
 	defer s.Close()
 	results := make(chan core.Result, 1)
-	up := upstream.NewRegistry(upstream.Options{Wire: upstream.NewHTTP(budget.New(1 << 20)), Dial: time.Minute, Idle: time.Hour, MostConn: 1, MostAll: 1,
+	up := upstream.NewRegistry(upstream.Options{Dialer: upstream.NewHTTPDialer(budget.New(1 << 20)), DialTimeout: time.Minute, IdleTimeout: time.Hour, MaxConnsPerTarget: 1, MaxConnsTotal: 1,
 		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { results <- r })
 	d := &decisions{loop: loop{run: func(ctx context.Context) { <-ctx.Done() }}, up: up}
 	require.NoError(t, d.Start(context.Background()))
 	up.Apply([]upstream.Target{{ID: "n", Addr: s.Listener.Addr().String()}}, true)
-	up.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Payload: &upstream.Message{Method: "GET", URI: "/r/1", ID: "id"}})
+	up.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Payload: &upstream.Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	require.Equal(t, policy.Served, (<-results).Code)
 	require.NoError(t, d.Stop(context.Background()))
 	select {
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -99,9 +99,9 @@
 func (s *shares) share() {
 	part := s.limits.of(s.parts)
 	debug.SetMemoryLimit(int64(part.MemoryMB) << 20 * 7 / 10)
-	s.room.Give(part.held() - s.given)
+	s.room.Release(part.held() - s.given)
 	s.given = part.held()
-	s.up.Bound(part.target(), part.allTargets())
+	s.up.SetConnLimits(part.target(), part.allTargets())
 	s.clients.Bound(part.clients(), part.easy())
 	s.core.Share(s.parts)
 }
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -15,7 +15,7 @@
 )
 
 // host is this initiator as a host of its targets.
-func host(n *config.NVMe, certs *keys.Keys) nvme.HostOptions {
+func host(n *config.NVMe, certs *keys.Store) nvme.HostOptions {
 	h := nvme.HostOptions{Subsystem: n.TargetSubsystem, HostNQN: n.HostNQN, Digests: n.Digests,
 		KeepAlive: time.Duration(n.KeepAliveMs) * time.Millisecond, Keys: certs}
 	id, _ := hex.DecodeString(n.HostID)
@@ -25,7 +25,7 @@
 
 // about is this initiator as its hosts' controller. Connections and data held have their part of the
 // process's limits.
-func about(n *config.NVMe, c *config.Config, certs *keys.Keys, numbers *figures.Book, leave core.Leave, log *slog.Logger) nvme.Options {
+func about(n *config.NVMe, c *config.Config, certs *keys.Store, numbers *figures.Book, leave core.Leave, log *slog.Logger) nvme.Options {
 	own := limits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: namespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MostConn: own.clients(), MostBytes: own.held(), Patience: map[string]time.Duration{},
@@ -70,7 +70,7 @@
 // certificates are read again at each reload.
 type certificates struct {
 	passive
-	keys *keys.Keys
+	keys *keys.Store
 }
 
 // Reload implements reloader.
--- a/internal/testbed/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/feed.go
@@ -52,11 +52,11 @@
 				continue
 			}
 		}
-		l.Servers = append(l.Servers, e)
+		l.Targets = append(l.Targets, e)
 	}
-	if len(l.Servers) > 0 || l.Full {
+	if len(l.Targets) > 0 || l.Full {
 		if m == nil {
-			in.Journal.Told(l.Servers)
+			in.Journal.Told(l.Targets)
 		} else if !m.wait(l) {
 			return fmt.Errorf("stopped")
 		}
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -97,7 +97,7 @@
 	in.stop = stop
 	in.mu.Unlock()
 	if in.opt.Discovery != "" {
-		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, Known: in.opt.Known, Crowd: in.opt.Crowd, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
+		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.Known, Initiators: in.opt.Crowd, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
 		in.all.Go(func() { w.Run(ctx) })
 	}
 	if len(in.opt.Agents) > 0 {
@@ -117,7 +117,7 @@
 			m.list(l, done)
 			return
 		}
-		in.Journal.Told(l.Servers)
+		in.Journal.Told(l.Targets)
 		done()
 	}
 }
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -37,7 +37,7 @@
 }
 
 func target(id string, cell int, turn int64, state string) listing.Entry {
-	return listing.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Cell: &cell, State: state, Started: turn}
+	return listing.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Shard: &cell, State: state, StartedMs: turn}
 }
 
 // source serves a store of the feed.
@@ -134,13 +134,13 @@
 	go m.run(ctx)
 	defer func() { stop(); <-m.ended }()
 	v := int64(1)
-	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Servers: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Servers: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Servers: listing.Entries{target("b", 1, 2, serving)}}))
+	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
+	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
+	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
 	n, what := j.Broken()
 	require.Zero(t, n, what)
 	j.Told([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
-	require.True(t, m.wait(&listing.List{Version: &v, Servers: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Cell: new(int), State: serving, Zone: "z", Started: 2}}}))
+	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
 	n, what = j.Broken()
 	require.Positive(t, n, what)
 }
--- a/internal/testbed/scale/hollow/journal.go
+++ b/internal/testbed/scale/hollow/journal.go
@@ -84,14 +84,14 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range entries {
-		if e.Started == 0 {
+		if e.StartedMs == 0 {
 			continue // as it stood at the beginning
 		}
-		if had, there := j.told[e.ID]; there && e.Started < had.turn {
-			j.breaks("target %s: its change %d (%s) in force after its change %d (%s)", e.ID, e.Started, e.State, had.turn, had.state)
+		if had, there := j.told[e.ID]; there && e.StartedMs < had.turn {
+			j.breaks("target %s: its change %d (%s) in force after its change %d (%s)", e.ID, e.StartedMs, e.State, had.turn, had.state)
 			continue
 		}
-		j.told[e.ID] = told{e.Started, e.State}
+		j.told[e.ID] = told{e.StartedMs, e.State}
 	}
 }
 
--- a/internal/testbed/scale/hollow/journal_test.go
+++ b/internal/testbed/scale/hollow/journal_test.go
@@ -11,7 +11,7 @@
 )
 
 func entry(id string, turn int64, state string) []listing.Entry {
-	return []listing.Entry{{ID: id, Started: turn, State: state}}
+	return []listing.Entry{{ID: id, StartedMs: turn, State: state}}
 }
 
 // TestJournal holds the judge against what it has to find, and against what it has to let through.
--- a/internal/testbed/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/module.go
@@ -78,11 +78,11 @@
 }
 
 func (x *module) listed(l lists) {
-	nodes := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Servers))}
-	for i, e := range l.list.Servers {
-		nodes.Endpoints[i] = e.Node()
+	nodes := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Targets))}
+	for i, e := range l.list.Targets {
+		nodes.Endpoints[i] = e.Endpoint()
 	}
-	x.journal.Told(l.list.Servers) // here, as a send decided before it is none past it
+	x.journal.Told(l.list.Targets) // here, as a send decided before it is none past it
 	x.step(nodes)
 	l.done()
 	if l.list.Full {
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -160,7 +160,7 @@
 	e := &f.entries[i]
 	f.turns[i]++
 	f.busy[i] = true
-	if e.Started = f.turns[i]; e.State == "SERVING" {
+	if e.StartedMs = f.turns[i]; e.State == "SERVING" {
 		e.State = "DRAINING"
 	} else {
 		e.State = "SERVING"
--- a/internal/testbed/scale/run/service.go
+++ b/internal/testbed/scale/run/service.go
@@ -131,7 +131,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.version
-	return &listing.List{Version: &v, Full: true, Servers: append(listing.Entries(nil), s.entries...)}
+	return &listing.List{Version: &v, Full: true, Targets: append(listing.Entries(nil), s.entries...)}
 }
 
 // turn waits for a call's turn and until it is done.
@@ -195,10 +195,10 @@
 		}
 	}
 	s.mu.Lock()
-	answer := listing.List{Version: new(int64), Full: whole, Servers: s.entries}
+	answer := listing.List{Version: new(int64), Full: whole, Targets: s.entries}
 	*answer.Version = s.version
 	if !whole {
-		answer.Servers = s.news(after)
+		answer.Targets = s.news(after)
 	}
 	text, err := format.Marshal(answer)
 	s.last[r.RemoteAddr] = time.Now()
--- a/internal/testbed/scale/run/topology.go
+++ b/internal/testbed/scale/run/topology.go
@@ -97,9 +97,9 @@
 func (f *fleet) grow(to int) []listing.Entry {
 	from := len(f.entries)
 	for i := from; i < to; i++ {
-		e := listing.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Cell: new(int), State: "SERVING"}
-		if *e.Cell = i; i < len(f.targets.addrs) {
-			e.Addr, *e.Cell = f.targets.addrs[i], i/2
+		e := listing.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
+		if *e.Shard = i; i < len(f.targets.addrs) {
+			e.Addr, *e.Shard = f.targets.addrs[i], i/2
 		}
 		f.entries, f.turns = append(f.entries, e), append(f.turns, 0)
 	}
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -77,7 +77,7 @@
 	var all sync.WaitGroup
 	version := int64(1)
 	for i := range n {
-		w := discovery.New(discovery.Options{Addr: at.String(), Known: &listing.List{Version: &version}, Crowd: crowd, Seed: uint64(i + 1),
+		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &listing.List{Version: &version}, Initiators: crowd, Seed: uint64(i + 1),
 			Log: slog.New(slog.DiscardHandler)}, told)
 		all.Go(func() { w.Run(ctx) })
 	}
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -56,7 +56,7 @@
 			})
 			if l == nil {
 				_, err := listing.Decode(t)
-				if errors.Is(err, listing.ErrHuge) {
+				if errors.Is(err, listing.ErrTooManyEntries) {
 					err = ErrBeyond
 				}
 				return nil, err
@@ -76,12 +76,12 @@
 				all[i] = upstream.Target{ID: target(i), Addr: "127.0.0.1:1", State: policy.Up}
 			}
 			held, g := holds(func() *upstream.Registry {
-				g := upstream.NewRegistry(upstream.Options{MostConn: 1, MostAll: 1, Idle: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
+				g := upstream.NewRegistry(upstream.Options{MaxConnsPerTarget: 1, MaxConnsTotal: 1, IdleTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
 				g.Apply(all, true)
 				time.Sleep(50 * time.Millisecond) // each actor has its stack
 				return g
 			})
-			defer g.Retire()
+			defer g.Shutdown()
 			i := 0
 			change := quickest(5, 100*time.Millisecond, func() {
 				i++
