--- a/internal/datapath/budget/budget.go
+++ b/internal/datapath/budget/budget.go
@@ -1,29 +1,29 @@
-// Package budget bounds the bytes that requests and answers may hold together.
+// Package budget bounds the memory that buffered requests and answers take together.
 package budget
 
 import "sync/atomic"
 
-// Bytes is what is left of a budget. It is safe for concurrent use.
-type Bytes struct{ left atomic.Int64 }
+// Bytes is a budget of bytes. It is safe for concurrent use.
+type Bytes struct{ available atomic.Int64 }
 
 // New returns a budget of n bytes.
 func New(n int64) *Bytes {
 	b := &Bytes{}
-	b.left.Store(n)
+	b.available.Store(n)
 	return b
 }
 
-// Take takes n bytes, or none and tells so.
+// TryAcquire takes n bytes from the budget. It returns false and takes nothing if fewer are available.
 func (b *Bytes) TryAcquire(n int64) bool {
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return false
 	}
 	return true
 }
 
-// Give returns what was taken. A negative number makes the budget less: what is out then comes back to it first.
-func (b *Bytes) Release(n int64) { b.left.Add(n) }
+// Release returns n acquired bytes. A negative n shrinks the budget; bytes that are released later make up the difference first.
+func (b *Bytes) Release(n int64) { b.available.Add(n) }
 
-// Left tells how much is left.
-func (b *Bytes) Available() int64 { return b.left.Load() }
+// Available returns how many bytes are available, which is negative while a shrunk budget is overdrawn.
+func (b *Bytes) Available() int64 { return b.available.Load() }
--- a/internal/datapath/keys/keys.go
+++ b/internal/datapath/keys/keys.go
@@ -11,67 +11,71 @@
 	"spindlehitch/internal/process/config"
 )
 
-func read(f config.TLS) (*material, error) {
-	own, err := tls.LoadX509KeyPair(f.Cert, f.Key)
+// loadCertSet reads the certificate, its private key and the CA file.
+func loadCertSet(f config.TLS) (*certSet, error) {
+	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("cert, key: %w", err)
 	}
-	text, err := os.ReadFile(f.CA)
+	caPEM, err := os.ReadFile(f.CA)
 	if err != nil {
 		return nil, fmt.Errorf("ca: %w", err)
 	}
-	m := &material{own: own, trust: x509.NewCertPool()}
-	if !m.trust.AppendCertsFromPEM(text) {
+	set := &certSet{cert: pair, roots: x509.NewCertPool()}
+	if !set.roots.AppendCertsFromPEM(caPEM) {
 		return nil, fmt.Errorf("ca: %s holds no certificate", f.CA)
 	}
-	return m, nil
+	return set, nil
 }
 
-// Keys are the certificates in use.
+// Store holds the certificates in use. Its methods are safe for concurrent use, except Reload.
 type Store struct {
-	files config.TLS
-	ring  atomic.Pointer[ring]
+	files    config.TLS
+	rotation atomic.Pointer[rotation]
 }
 
-// Load reads the files.
+// Load returns a store with the certificates of the files.
 func Load(f config.TLS) (*Store, error) {
 	k := &Store{files: f}
-	k.ring.Store(&ring{})
+	k.rotation.Store(&rotation{})
 	return k, k.Reload()
 }
 
-// Reload reads the files again. Where they cannot be used all stays as it is; only one caller at a time.
+// Reload reads the files again and rotates to their certificates. On an error the certificates in use stay. It must not be
+// called concurrently.
 func (k *Store) Reload() error {
-	m, err := read(k.files)
+	set, err := loadCertSet(k.files)
 	if err != nil {
 		return err
 	}
-	next := k.ring.Load().change(m, time.Now(), time.Duration(k.files.OverlapMs)*time.Millisecond)
-	k.ring.Store(&next)
+	next := k.rotation.Load().rotate(set, time.Now(), time.Duration(k.files.OverlapMs)*time.Millisecond)
+	k.rotation.Store(&next)
 	return nil
 }
 
-// Serial grows with each change.
-func (k *Store) Generation() int { return k.ring.Load().now.serial }
+// Generation is the number of rotations since Load.
+func (k *Store) Generation() int { return k.rotation.Load().current.generation }
 
-// Server is for a front: it shows the newest certificate and asks for the host's.
+// ServerConfig is the TLS configuration of a listener: it presents the newest certificate and requires one of the host.
 func (k *Store) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, SessionTicketsDisabled: true,
-		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.ring.Load().now.own, nil },
+		GetCertificate:   func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.rotation.Load().current.cert, nil },
 		VerifyConnection: func(s tls.ConnectionState) error { return k.VerifyClient(s) }}
 }
 
-// Good tells whether the peer of a front's connection is still vouched for.
+// VerifyClient checks the client certificate of a connection that a listener accepted against the certificates that are accepted now.
 func (k *Store) VerifyClient(s tls.ConnectionState) error {
-	return k.ring.Load().verify(s.PeerCertificates, time.Now(), x509.ExtKeyUsageClientAuth, "")
+	return k.rotation.Load().verify(s.PeerCertificates, time.Now(), x509.ExtKeyUsageClientAuth, "")
 }
 
-// Client is for the way to a target of that name or address. The chain is verified here, against each set that is good,
-// which the library's own check could not.
+// ClientConfig is the TLS configuration of a connection to a target of that name or address. InsecureSkipVerify is set since
+// VerifyConnection checks the chain against each accepted set, which the library's own check cannot do.
 func (k *Store) ClientConfig(name string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: name, InsecureSkipVerify: true,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &k.ring.Load().now.own, nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return &k.rotation.Load().current.cert, nil
+		},
 		VerifyConnection: func(s tls.ConnectionState) error {
-			return k.ring.Load().verify(s.PeerCertificates, time.Now(), x509.ExtKeyUsageServerAuth, name)
+			return k.rotation.Load().verify(s.PeerCertificates, time.Now(), x509.ExtKeyUsageServerAuth, name)
 		}}
 }
--- a/internal/datapath/keys/keys_test.go
+++ b/internal/datapath/keys/keys_test.go
@@ -14,8 +14,8 @@
 	"spindlehitch/internal/testbed/issue"
 )
 
-// state is what a front knows of a peer that showed the certificate at that path.
-func state(t *testing.T, f config.TLS) tls.ConnectionState {
+// peerState is the state of a connection whose peer presented the certificate of these files.
+func peerState(t *testing.T, f config.TLS) tls.ConnectionState {
 	t.Helper()
 	pair, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -28,9 +28,9 @@
 	return tls.ConnectionState{PeerCertificates: []*x509.Certificate{leaf}}
 }
 
-// TestChange follows one peer's certificate through changes: good while its authority is in use, for the overlap after
-// that, not past it, and not past a second change.
-func TestChange(t *testing.T) {
+// TestRotation checks one peer's certificate across rotations: accepted while its authority is current and during the
+// overlap after that, rejected after the overlap and after a second rotation.
+func TestRotation(t *testing.T) {
 	dir := t.TempDir()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = 300
@@ -38,53 +38,53 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := state(t, f)
-	if err := k.VerifyClient(first); err != nil || k.Generation() != 0 {
-		t.Errorf("before a change: %v", err)
+	firstPeer := peerState(t, f)
+	if err := k.VerifyClient(firstPeer); err != nil || k.Generation() != 0 {
+		t.Errorf("before a rotation: %v", err)
 	}
-	change := func() {
+	rotate := func() {
 		t.Helper()
 		issue.Into(t, dir, time.Hour)
 		if err := k.Reload(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	change()
-	second := state(t, f)
-	if err := errors.Join(k.VerifyClient(first), k.VerifyClient(second)); err != nil || k.Generation() != 1 {
+	rotate()
+	secondPeer := peerState(t, f)
+	if err := errors.Join(k.VerifyClient(firstPeer), k.VerifyClient(secondPeer)); err != nil || k.Generation() != 1 {
 		t.Errorf("during the overlap: %v", err)
 	}
 	time.Sleep(320 * time.Millisecond)
-	if k.VerifyClient(first) == nil || k.VerifyClient(second) != nil {
-		t.Error("past the overlap: the old one is good, or the new one is not")
+	if k.VerifyClient(firstPeer) == nil || k.VerifyClient(secondPeer) != nil {
+		t.Error("after the overlap: the old certificate is accepted, or the new one is rejected")
 	}
-	change()
-	change()
-	if k.VerifyClient(second) == nil {
-		t.Error("two changes within an overlap left the oldest good")
+	rotate()
+	rotate()
+	if k.VerifyClient(secondPeer) == nil {
+		t.Error("the oldest certificate is accepted after two rotations within one overlap")
 	}
 	if k.VerifyClient(tls.ConnectionState{}) == nil {
-		t.Error("nobody's certificate is good")
+		t.Error("a peer without a certificate is accepted")
 	}
-	if err := k.VerifyClient(first); !errors.Is(err, keys.ErrPeerRejected) {
-		t.Errorf("refused with %v", err)
+	if err := k.VerifyClient(firstPeer); !errors.Is(err, keys.ErrPeerRejected) {
+		t.Errorf("rejected with %v, want ErrPeerRejected", err)
 	}
 }
 
-// TestExpiry refuses a certificate past its own time, whatever else holds.
-func TestExpiry(t *testing.T) {
+// TestExpiredCertificateIsRejected checks that an expired certificate is rejected although its authority is current.
+func TestExpiredCertificateIsRejected(t *testing.T) {
 	f := issue.Into(t, t.TempDir(), -time.Second)
 	k, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if k.VerifyClient(state(t, f)) == nil {
-		t.Error("an expired certificate is good")
+	if k.VerifyClient(peerState(t, f)) == nil {
+		t.Error("an expired certificate is accepted")
 	}
 }
 
-// TestBadFiles names the file that cannot be used, and keeps what there was.
-func TestBadFiles(t *testing.T) {
+// TestInvalidFilesKeepTheCurrentCertificates checks that a failed reload names the invalid file and changes nothing.
+func TestInvalidFilesKeepTheCurrentCertificates(t *testing.T) {
 	f := issue.Into(t, t.TempDir(), time.Hour)
 	k, err := keys.Load(f)
 	if err != nil {
@@ -99,6 +99,6 @@
 		}
 	}
 	if k.Generation() != 0 {
-		t.Error("files that cannot be used were taken into use")
+		t.Error("invalid files changed the certificates in use")
 	}
 }
--- a/internal/datapath/listing/entry.go
+++ b/internal/datapath/listing/entry.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// DecodeEntry reads one entry by itself and checks it as those of a list are.
+// DecodeEntry decodes a single entry and checks it as Decode checks those of a list.
 func DecodeEntry(b []byte) (e Entry, err error) {
-	if err := format.Unmarshal(b, &e); err != nil {
+	if err := jsonAPI.Unmarshal(b, &e); err != nil {
 		return e, fmt.Errorf("entry: %w", err)
 	}
 	var version int64
--- a/internal/datapath/listing/entry_test.go
+++ b/internal/datapath/listing/entry_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDecodeEntry reads entries by themselves, good and bad: each is checked as in a list.
+// TestDecodeEntry decodes single entries, valid and invalid: each is checked as in a list.
 func TestDecodeEntry(t *testing.T) {
 	e, err := DecodeEntry([]byte(`{"id":"a","addr":"127.0.0.1:1","zone":"z","cell":3,"state":"DRAINING","started_ms":5}`))
 	require.NoError(t, err)
--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/listing/listing.go
@@ -1,4 +1,4 @@
-// Package listing reads the list of targets as discovery writes it, whole or as a change.
+// Package listing decodes the list of targets that discovery sends, either full or as a change.
 package listing
 
 import (
@@ -13,7 +13,7 @@
 	"spindlehitch/internal/policy"
 )
 
-// Entry is a target as the list tells it.
+// Entry is one target of a list.
 type Entry struct {
 	ID        string `json:"id"`
 	Addr      string `json:"addr"`
@@ -23,36 +23,36 @@
 	StartedMs int64  `json:"started_ms"`
 }
 
-// List is the whole list or a change of it.
+// List is the full list, or with Full false a change of the list that came before.
 type List struct {
 	Version *int64  `json:"version"`
 	Full    bool    `json:"full"`
 	Targets Entries `json:"servers"`
 }
 
-// Entries are those of one list.
+// Entries are the targets of one list. Their decoder bounds how many are kept.
 type Entries []Entry
 
-// usualEntry is about the fewest bytes of an entry that says all.
-const usualEntry = 64
+// typicalEntrySize is about the smallest encoding, in bytes, of an entry with all its fields.
+const typicalEntrySize = 64
 
-// mostEntries bounds what a list costs, whatever its entries say: those of three bytes take thirty times as much memory once they
-// are read. It is what 4 MiB hold of usual entries, the most that is read from discovery, so that no such list is turned away
-// for its number: 5 MiB of entries, and some 40 MB in the module, which keeps 0.6 kB for each target that nothing is sent to.
-const mostEntries = 4 << 20 / usualEntry
+// maxEntries bounds the memory of a decoded list: entries of three bytes take thirty times as much once they are decoded. It is
+// the number of typical entries in 4 MiB, the most that is read from discovery, so that no list of typical entries is rejected
+// for their number. That is 5 MiB of entries, and some 40 MB in the policy module, which keeps 0.6 kB for each unused target.
+const maxEntries = 4 << 20 / typicalEntrySize
 
-// ErrHuge says that a list has more entries than are read.
-var ErrTooManyEntries = fmt.Errorf("list: over %d entries", mostEntries)
+// ErrTooManyEntries marks a list with more entries than are accepted.
+var ErrTooManyEntries = fmt.Errorf("list: over %d entries", maxEntries)
 
-var format = jsoniter.ConfigCompatibleWithStandardLibrary
+var jsonAPI = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (s *Entries) UnmarshalJSON(b []byte) error {
-	*s = slices.Grow(Entries(nil), min(bytes.Count(b, []byte("{")), mostEntries)) // at once, and no more than it takes
-	iter := jsoniter.ParseBytes(format, b)
+	*s = slices.Grow(Entries(nil), min(bytes.Count(b, []byte("{")), maxEntries)) // one allocation, of bounded size
+	iter := jsoniter.ParseBytes(jsonAPI, b)
 	for iter.ReadArray() {
-		if len(*s) > mostEntries {
-			return nil // Check says so, with an error of its own
+		if len(*s) > maxEntries {
+			return nil // Check then returns ErrTooManyEntries
 		}
 		var e Entry
 		if iter.ReadVal(&e); iter.Error != nil {
@@ -63,37 +63,37 @@
 	return iter.Error
 }
 
-// Decode reads a list and checks it: a list that is not understood whole is not used at all, nor a whole one that says two
-// things of one target. In a change the later entry counts.
+// Decode decodes and checks a list. A list with any invalid entry is rejected as a whole, and so is a full list with two
+// different entries for one target. In a change the later entry counts.
 func Decode(b []byte) (*List, error) {
 	var l List
-	if err := format.Unmarshal(b, &l); err != nil {
+	if err := jsonAPI.Unmarshal(b, &l); err != nil {
 		return nil, fmt.Errorf("list: %w", err)
 	}
 	if err := l.Check(); err != nil || !l.Full {
 		return &l, err
 	}
-	said := make(map[string]int, len(l.Targets))
+	indexByID := make(map[string]int, len(l.Targets))
 	for i, e := range l.Targets {
-		first, again := said[e.ID]
-		if again && (e.Endpoint() != l.Targets[first].Endpoint() || e.Addr != l.Targets[first].Addr) {
-			return &l, fmt.Errorf("list: servers[%d].id: servers[%d] says otherwise", i, first)
+		previous, seen := indexByID[e.ID]
+		if seen && (e.Endpoint() != l.Targets[previous].Endpoint() || e.Addr != l.Targets[previous].Addr) {
+			return &l, fmt.Errorf("list: servers[%d].id: servers[%d] has the same id but differs", i, previous)
 		}
-		said[e.ID] = i
+		indexByID[e.ID] = i
 	}
 	return &l, nil
 }
 
-// Check names the first field that cannot be used.
+// Check returns an error that names the first missing or invalid field.
 func (l *List) Check() error {
 	if l.Version == nil {
 		return fmt.Errorf("list: version is missing")
 	}
-	if len(l.Targets) > mostEntries {
+	if len(l.Targets) > maxEntries {
 		return ErrTooManyEntries
 	}
 	for i, e := range l.Targets {
-		_, known := states[e.State]
+		_, known := stateByName[e.State]
 		switch {
 		case e.ID == "":
 			return fmt.Errorf("list: servers[%d].id is missing", i)
@@ -110,13 +110,13 @@
 	return nil
 }
 
-var states = map[string]policy.EndpointState{
+var stateByName = map[string]policy.EndpointState{
 	"SERVING": policy.Up, "DRAINING": policy.Draining, "DELETED": policy.Removed,
 }
 
-// Node is the entry as the module knows it.
+// Endpoint converts the entry to the policy module's type.
 func (e Entry) Endpoint() policy.Endpoint {
-	n := policy.Endpoint{ID: e.ID, Zone: e.Zone, State: states[e.State],
+	n := policy.Endpoint{ID: e.ID, Zone: e.Zone, State: stateByName[e.State],
 		Started: time.Duration(e.StartedMs) * time.Millisecond}
 	if e.Shard != nil {
 		n.Shard = *e.Shard
--- a/internal/datapath/listing/listing_test.go
+++ b/internal/datapath/listing/listing_test.go
@@ -16,29 +16,29 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-const one = `{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"SERVING","weight":1.0,"started_ms":7}`
+const entryJSON = `{"id":"a","addr":"127.0.0.1:1","zone":"z","kind":"k","cell":3,"state":"SERVING","weight":1.0,"started_ms":7}`
 
-func list(version int, full bool, entries ...string) string {
+func listJSON(version int, full bool, entries ...string) string {
 	return fmt.Sprintf(`{"version":%d,"full":%v,"servers":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// TestBadLists names the field that cannot be used.
-func TestBadLists(t *testing.T) {
+// TestInvalidLists checks that the error names the missing or invalid field.
+func TestInvalidLists(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"no version", `{"full":true,"servers":[]}`, "version is missing"},
-		{"no id", list(1, true, strings.Replace(one, `"id":"a",`, "", 1)), "servers[0].id"},
-		{"no cell", list(1, true, one, strings.Replace(one, `"cell":3,`, "", 1)), "servers[1].cell"},
-		{"odd state", list(1, true, strings.Replace(one, "SERVING", "ODD", 1)), `unknown state "ODD"`},
-		{"two things of one target", list(1, true, one, one, strings.Replace(one, "SERVING", "DRAINING", 1)), "servers[2].id: servers[1] says otherwise"},
+		{"no id", listJSON(1, true, strings.Replace(entryJSON, `"id":"a",`, "", 1)), "servers[0].id"},
+		{"no cell", listJSON(1, true, entryJSON, strings.Replace(entryJSON, `"cell":3,`, "", 1)), "servers[1].cell"},
+		{"unknown state", listJSON(1, true, strings.Replace(entryJSON, "SERVING", "ODD", 1)), `unknown state "ODD"`},
+		{"two different entries for one target", listJSON(1, true, entryJSON, entryJSON, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "servers[2].id: servers[1] has the same id but differs"},
 		{"not a list", `{"version":1,"full":true,"servers":{}}`, "servers"},
 		{"wrong types", `{"version":1,"full":true,"servers":[{"id":7}]}`, "id"},
-		{"odd address", list(1, true, strings.Replace(one, "127.0.0.1:1", "here", 1)), "servers[0].addr"},
+		{"invalid address", listJSON(1, true, strings.Replace(entryJSON, "127.0.0.1:1", "here", 1)), "servers[0].addr"},
 	} {
 		if _, err := Decode([]byte(c.in)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
-	l, err := Decode([]byte(list(1, false, one, `{"id":"b","state":"DELETED"}`, one, one)))
+	l, err := Decode([]byte(listJSON(1, false, entryJSON, `{"id":"b","state":"DELETED"}`, entryJSON, entryJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,23 +51,23 @@
 	}
 }
 
-// TestListCuts cuts a valid list anywhere and feeds garbage: no part passes for the whole.
-func TestListCuts(t *testing.T) {
+// TestTruncatedAndRandomLists checks that no truncated list is accepted, and that random bytes cause no panic.
+func TestTruncatedAndRandomLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		whole := list(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), one, one)
-		if _, err := Decode([]byte(whole)); err != nil {
+		complete := listJSON(rapid.IntRange(0, 99).Draw(t, "version"), rapid.Bool().Draw(t, "full"), entryJSON, entryJSON)
+		if _, err := Decode([]byte(complete)); err != nil {
 			t.Fatal(err)
 		}
-		cut := whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]
+		cut := complete[:rapid.IntRange(0, len(complete)-1).Draw(t, "cut")]
 		if l, err := Decode([]byte(cut)); err == nil {
-			t.Fatalf("%q passed as %+v", cut, l)
+			t.Fatalf("truncated list %q accepted as %+v", cut, l)
 		}
 		_, _ = Decode(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 }
 
-// TestBombs bounds the memory that a list takes, whatever its body holds: the largest that is read from discovery.
-func TestBombs(t *testing.T) {
+// TestDecodeMemoryIsBounded checks that decoding a body of the largest size read from discovery takes bounded memory, whatever it holds.
+func TestDecodeMemoryIsBounded(t *testing.T) {
 	const size = 4 << 20
 	fill := func(head, piece, tail string) []byte {
 		return []byte(head + strings.Repeat(piece, size/len(piece)) + tail)
@@ -92,20 +92,20 @@
 	require.ErrorIs(t, err, ErrTooManyEntries)
 }
 
-// many is a list of so many targets.
-func many(count int) []byte {
+// listOfSize returns a full list of count targets.
+func listOfSize(count int) []byte {
 	entries := make([]string, count)
 	for i := range entries {
-		entries[i] = strings.Replace(one, `"id":"a"`, fmt.Sprintf(`"id":"target-%d"`, i), 1)
+		entries[i] = strings.Replace(entryJSON, `"id":"a"`, fmt.Sprintf(`"id":"target-%d"`, i), 1)
 	}
-	return []byte(list(1, true, entries...))
+	return []byte(listJSON(1, true, entries...))
 }
 
-// TestLargeLists reads lists of as many targets as there may be, at a cost that grows with their number alone.
+// TestLargeLists decodes lists of up to the largest number of targets, at a cost that is linear in that number.
 func TestLargeLists(t *testing.T) {
-	var per [2]float64
+	var bytesPerEntry [2]float64
 	for i, count := range []int{200, 20000} {
-		body := many(count)
+		body := listOfSize(count)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		l, err := Decode(body)
@@ -113,21 +113,21 @@
 		require.NoError(t, err)
 		require.Len(t, l.Targets, count)
 		require.Equal(t, fmt.Sprintf("target-%d", count-1), l.Targets[count-1].ID)
-		per[i] = float64(after.TotalAlloc-before.TotalAlloc) / float64(count)
+		bytesPerEntry[i] = float64(after.TotalAlloc-before.TotalAlloc) / float64(count)
 	}
-	t.Logf("%.0f bytes an entry of 200, %.0f of 20000", per[0], per[1])
-	require.Less(t, per[1], 1.5*per[0])
-	_, err := Decode(many(mostEntries))
+	t.Logf("%.0f bytes an entry in a list of 200, %.0f in one of 20000", bytesPerEntry[0], bytesPerEntry[1])
+	require.Less(t, bytesPerEntry[1], 1.5*bytesPerEntry[0])
+	_, err := Decode(listOfSize(maxEntries))
 	require.NoError(t, err)
-	_, err = Decode(many(mostEntries + 1))
+	_, err = Decode(listOfSize(maxEntries + 1))
 	require.ErrorIs(t, err, ErrTooManyEntries)
 }
 
-// BenchmarkDecode reads a whole list of so many targets.
+// BenchmarkDecode decodes full lists of several lengths.
 func BenchmarkDecode(b *testing.B) {
 	for _, count := range []int{200, 2000, 20000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			body := many(count)
+			body := listOfSize(count)
 			b.SetBytes(int64(len(body)))
 			b.ReportAllocs()
 			for b.Loop() {
