--- a/internal/datapath/discovery/discovery.go
+++ b/internal/datapath/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery keeps the list of targets: one actor watches it and tells what changes.
+// Package discovery watches the discovery service's list of targets by long polling and delivers the list and its changes.
 package discovery
 
 import (
@@ -21,320 +21,323 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// What discovery has to tell counts as told 6 s after it had it and could be reached, whatever went wrong with a call. The
-// longest that each path takes, from the moment in which discovery answers again, or from the one at which a watch fell silent:
+// A change must be delivered within 6 s after discovery has it and is reachable, whatever failure a call met. Discovery is either the
+// machine's own agent, which pushes changes to its initiator, or one service that all initiators share and that serves their calls one
+// by one. The longest delay by failure, counted from when discovery answers again, or from when a watch fell silent:
 //
-//	                                  pushed                            asked for at one service, alone in its trouble
-//	refused, reset, half a list       0.4 s (a pause)                   4.4 s (pause and turn)
-//	no sense, a version gone back     0.4 s, then the whole list        4.4 s, then the whole list
-//	hangs, dials included             0.5 s (the next call)             4.2 s (the next call)
-//	a watch falls silent              1.5 s                             3.5 s (1.5 s and its turn)
-//	the next n in a row too           1.5 s + 0.5 s each (eight)        3.5 s + 2.4 s (one; three more in a crowd of five)
-//	silent from its first moment      1.5 s                             4.4 s (a second time too: 8.5 s, in a crowd of ten 3.6 s)
-//	an address moved to comes up      0.4 s refused, 0.5 s silent       4.4 s, 4.2 s
+//	                                  pushed by the agent               shared service, one initiator affected
+//	refused, reset, truncated list    0.4 s (retry pause)               4.4 s (retry pause and queue)
+//	invalid list, older version       0.4 s, then the full list         4.4 s, then the full list
+//	call hangs, dials included        0.5 s (the next call)             4.2 s (the next call)
+//	a watch falls silent              1.5 s                             3.5 s (1.5 s and queue)
+//	and the next n calls too          1.5 s + 0.5 s each (up to 8)      3.5 s + 2.4 s (n = 1; n = 3 with 5 initiators)
+//	silent from the first call on     1.5 s                             4.4 s (second call too: 8.5 s, with 10 initiators 3.6 s)
+//	a new address comes up            0.4 s refused, 0.5 s silent       4.4 s refused, 4.2 s silent
 //
-// At one service all calls that wait in front come on top, 50 ms each: when all fall silent together, eighty are through after 5 s, a
-// hundred after 6.5 s, and of three hundred nine in ten after 15 s and the last after 17 s, where 14.7 and 16.3 s are the best there is.
+// At a shared service the calls queued ahead come on top, 50 ms each: when all watches fall silent together, 80 initiators have the
+// change after 5 s, 100 after 6.5 s, and of 300 90 % after 15 s and the last after 17 s, where the optimum is 14.7 and 16.3 s.
 const (
-	// watchFor is how long a watch may wait. It is short, since a call whose connection fell silent looks just like a
-	// list that does not change, until the wait is over: at 20 s, targets that were long replaced were still sent to.
-	watchFor = time.Second
-	// openFor is how long a call that opens a watch at one service may wait, beyond its turn: answered soon, it shows that it
-	// is not silent. The watch that goes on from there is the one that waits.
-	openFor = 50 * time.Millisecond
-	// graceFor is how long an answer may be overdue before another call is made. Discovery is the machine's own agent
-	// and answers at once; far above what a busy process is late by.
-	graceFor = 500 * time.Millisecond
-	// retryAfter is the pause after a call that failed, twice as long after each further one up to retryMost, and spread
-	// by half of it either way: initiators that failed together must not come back in step.
-	retryAfter = 100 * time.Millisecond
-	retryMost  = 250 * time.Millisecond
-	// turnFor is the part of the time that each of them leaves to every other, where discovery is one service for all
-	// initiators: a call costs such a service 50 ms, more with the lines of its answer, and it goes on with calls that were
-	// given up.
-	turnFor = 60 * time.Millisecond
-	// spreadFor is the most that calls are spread over, twice that where several failed, and queueFor the most that a call's turn is
-	// waited for before another is made. Hundreds of initiators ask for more than the service does in that time, but a call that
-	// has to wait there keeps its place (see keepFor), so that it is busy all the time with calls that are waited for. Spread
-	// over all turns instead, one of 300 whose watch fell silent alone would hear of a change after 18 s.
-	spreadFor = 2000 * time.Millisecond
-	queueFor  = 1800 * time.Millisecond
-	// laterMost is the most that is waited for a turn once calls before were overdue as well: a queue that long needs no more of them,
-	// and a service that was silent and comes back is asked in time all the same.
-	laterMost = 3600 * time.Millisecond
-	// keepFor is how long a call is kept beside those made after it, mostOpen how many: it may merely be waiting for its turn, and
-	// would lose its place.
-	keepFor  = time.Minute
-	mostOpen = 5
-	maxList  = 4 << 20
-	mostHead = 64 << 10
-	// mostLogged bounds what the log has of an answer that makes no sense.
-	mostLogged = 300
+	// watchWait is the wait of a long poll. It is short, since until it is over a silent connection cannot be told from a list
+	// that does not change: with 20 s, requests still went to targets that had long been replaced.
+	watchWait = time.Second
+	// openWait is the wait of the call that opens a watch at a shared service, apart from its time in the queue. It is short so
+	// that a silent connection is detected soon; the following calls of the watch wait for watchWait.
+	openWait = 50 * time.Millisecond
+	// overdueAfter is how long after its wait an answer counts as overdue and another call is made. An agent on the same machine
+	// answers at once; this is far above the delays of a busy process.
+	overdueAfter = 500 * time.Millisecond
+	// retryInitial is the pause after a failed call. It doubles with each further failure up to retryMax, with a jitter of 50 %
+	// either way, so that initiators whose calls failed together do not retry in step.
+	retryInitial = 100 * time.Millisecond
+	retryMax     = 250 * time.Millisecond
+	// slotTime is the time that is allowed for each initiator's call at a shared service: a call costs such a service 50 ms, more
+	// for the lines of its answer, and the service also processes calls that were cancelled.
+	slotTime = 60 * time.Millisecond
+	// maxSpread is the longest time over which calls are spread, doubled after several failures. maxQueueWait is the longest time
+	// that a call may spend in the service's queue before another one is made. The calls of hundreds of initiators take the service
+	// longer than that, but a queued call keeps its place (see callTimeout), so that the service always works on calls whose
+	// answers are awaited. Spread over queueTime instead, a change would take 18 s to reach one of 300 initiators whose watch
+	// alone fell silent.
+	maxSpread    = 2000 * time.Millisecond
+	maxQueueWait = 1800 * time.Millisecond
+	// maxQueueWaitAfterOverdue bounds the time in the queue when earlier calls were overdue too: a queue that long must not get
+	// more calls, and a service that comes back after a silence is still called in time.
+	maxQueueWaitAfterOverdue = 3600 * time.Millisecond
+	// callTimeout and maxOpenCalls bound how long and how many overdue calls stay open beside newer ones: an overdue call may
+	// merely be queued, and would lose its place.
+	callTimeout    = time.Minute
+	maxOpenCalls   = 5
+	maxListBytes   = 4 << 20
+	maxHeaderBytes = 64 << 10
+	// maxLoggedError bounds the error text in the log, which may quote an invalid answer.
+	maxLoggedError = 300
 )
 
-// Watcher is the list's actor: what its calls bring waits in its mailbox and is told in order, so that the
-// next call, which may not come later than 200 ms after the last answer, waits for nobody.
+// Watcher calls discovery in one goroutine and delivers the lists from another, in order, through a mailbox. So a slow receiver
+// does not delay the next call, which must follow the last answer within 200 ms.
 type Watcher struct {
-	opt   Options
-	tell  func(*listing.List)
-	log   *slog.Logger
-	rng   *rand.Rand
-	call  http.Client
-	box   *mailbox.Box[*listing.List]
-	moves *mailbox.Box[string]
-	crowd atomic.Int64
-	has   int64 // the version that came last
-	waits backoff.ExponentialBackOff
+	opt        Options
+	deliver    func(*listing.List)
+	log        *slog.Logger
+	rng        *rand.Rand
+	client     http.Client
+	lists      *mailbox.Box[*listing.List]
+	addrs      *mailbox.Box[string]
+	initiators atomic.Int64
+	version    int64 // of the list received last; -1: none
+	retryDelay backoff.ExponentialBackOff
 }
 
-// Options say where discovery is and what of it is known.
+// Options are a watcher's settings at its start.
 type Options struct {
 	Addr       string
-	LastKnown  *listing.List // the list as last had; nil: none
-	Initiators int           // how many initiators' calls wait for their turn at one service, at first; 0: it pushes to each
-	Seed       uint64        // spreads the pauses
+	LastKnown  *listing.List // the list received in an earlier run; nil: none
+	Initiators int           // see SetInitiators
+	Seed       uint64        // of the random pauses
 	Log        *slog.Logger
 }
 
-// New returns a watcher of discovery. It tells the list as last known first, if there is one, however old; then what
-// comes.
-func New(opt Options, tell func(*listing.List)) *Watcher {
-	w := &Watcher{opt: opt, tell: tell, log: opt.Log, rng: rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
-		box: mailbox.New[*listing.List](), moves: mailbox.New[string](), has: -1,
-		waits: backoff.ExponentialBackOff{InitialInterval: retryAfter, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: retryMost}}
+// New returns a watcher. It first delivers the last known list as a full one, if there is one, however old, and then every
+// list that discovery sends.
+func New(opt Options, deliver func(*listing.List)) *Watcher {
+	w := &Watcher{opt: opt, deliver: deliver, log: opt.Log, rng: rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
+		lists: mailbox.New[*listing.List](), addrs: mailbox.New[string](), version: -1,
+		retryDelay: backoff.ExponentialBackOff{InitialInterval: retryInitial, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: retryMax}}
 	w.SetInitiators(opt.Initiators)
 	if known := opt.LastKnown; known != nil {
-		whole := *known
-		whole.Full = true
-		w.box.Put(&whole)
-		w.has = *known.Version
+		full := *known
+		full.Full = true
+		w.lists.Put(&full)
+		w.version = *known.Version
 	}
-	// Calls that are kept have a connection each, and dials go on for a while after theirs is given up. A redirection is no list.
-	w.call.Transport = &http.Transport{MaxConnsPerHost: mostOpen + 3, MaxResponseHeaderBytes: mostHead, DisableCompression: true,
+	// Each open call has a connection of its own, and the dial of a cancelled call goes on for a while, hence the 3 extra ones.
+	// Redirects are not followed: they count as failed calls.
+	w.client.Transport = &http.Transport{MaxConnsPerHost: maxOpenCalls + 3, MaxResponseHeaderBytes: maxHeaderBytes, DisableCompression: true,
 		DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-	w.call.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+	w.client.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return w
 }
 
-// Crowd sets how many initiators' calls wait for their turn at one service, from the next call on; 0: it pushes to each.
-func (w *Watcher) SetInitiators(n int) { w.crowd.Store(int64(n)) }
+// SetInitiators sets how many initiators share one discovery service, from the next call on; 0 means that an agent pushes the list.
+func (w *Watcher) SetInitiators(n int) { w.initiators.Store(int64(n)) }
 
-// Move has discovery asked at another address from now on, for the whole list first: what the old one had still
-// to tell is not waited for.
-func (w *Watcher) SetAddr(addr string) { w.moves.Put(addr) }
+// SetAddr changes discovery's address. Open calls at the old address are cancelled and the full list is requested at the new one.
+func (w *Watcher) SetAddr(addr string) { w.addrs.Put(addr) }
 
-// Run tells until the context ends.
+// Run calls discovery and delivers its lists until the context ends.
 func (w *Watcher) Run(ctx context.Context) {
 	go w.watch(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.box.Wake():
-			for _, l := range w.box.Take(nil) {
-				w.tell(l)
+		case <-w.lists.Wake():
+			for _, l := range w.lists.Take(nil) {
+				w.deliver(l)
 			}
 		}
 	}
 }
 
-// watch calls discovery until the context ends, wherever it is by then.
+// watch calls discovery until the context ends, at its current address.
 func (w *Watcher) watch(ctx context.Context) {
-	sure := w.has >= 0
-	for addr := w.opt.Addr; ctx.Err() == nil; sure = false {
-		at, leave := context.WithCancel(ctx)
-		left := make(chan struct{})
-		go func(addr string) { // as it is now: a move that comes at once changes it
-			defer close(left)
-			w.watchAt(at, addr, sure)
+	trusted := w.version >= 0
+	for addr := w.opt.Addr; ctx.Err() == nil; trusted = false {
+		watchCtx, stop := context.WithCancel(ctx)
+		ended := make(chan struct{})
+		go func(addr string) { // a copy, since SetAddr changes addr
+			defer close(ended)
+			w.watchAt(watchCtx, addr, trusted)
 		}(addr)
 		select {
 		case <-ctx.Done():
-		case <-w.moves.Wake():
-			for _, a := range w.moves.Take(nil) {
+		case <-w.addrs.Wake():
+			for _, a := range w.addrs.Take(nil) {
 				addr = a
 			}
 		}
-		leave()
-		<-left // a call at the old address must not overtake the first at the new one
-		w.call.CloseIdleConnections()
+		stop()
+		<-ended // a list from the old address must not follow the first one from the new address
+		w.client.CloseIdleConnections()
 	}
 }
 
-// call is one that is out.
+// call is an open call to discovery.
 type call struct {
-	sure  bool      // it asks for what came since the version held, not for the whole list
-	until time.Time // when it may answer that there is nothing new
-	stop  context.CancelFunc
+	incremental bool      // requests the changes since w.version, not the full list
+	waitUntil   time.Time // end of its wait, at which an empty answer is due
+	cancel      context.CancelFunc
 }
 
-// answer is a call's end.
-type answer struct {
-	of   *call
+// callResult is the outcome of a call.
+type callResult struct {
+	call *call
 	list *listing.List
 	err  error
 }
 
-// watchAt calls discovery at one address until the context ends. Where it is sure of the version it has, it watches from
-// there; a watch that goes on is called again at once, since a gap of 200 ms between two calls would end it. A call that
-// failed or is overdue leaves that version as good as it was: the next asks for what came since. Only a list that
-// makes no sense, or a version that went back, has the whole list asked for, the dearest call of all.
+// watchAt calls discovery at one address until the context ends. While the held version is trusted, it requests the changes since
+// that version; after an answer the next call follows at once, since a gap of 200 ms between two calls would end the watch. A
+// failed or overdue call leaves the held version trusted: the next one requests the changes since. Only after an invalid list or
+// an older version it requests the full list, the most expensive call.
 //
-// An overdue call is kept beside the next, which has a connection of its own: the first good answer ends all others.
-func (w *Watcher) watchAt(ctx context.Context, addr string, sure bool) { //nolint:gocognit // to be split with its package, see docs/left.md
-	var open []*call // the newest last
-	var ending sync.WaitGroup
-	answers := make(chan answer)
-	giveUp := func() {
-		for _, c := range open {
-			c.stop()
+// An overdue call stays open beside the next one, which has a connection of its own. The first valid answer cancels all others.
+func (w *Watcher) watchAt(ctx context.Context, addr string, trusted bool) { //nolint:gocognit // to be split with its package, see docs/left.md
+	var openCalls []*call // oldest first
+	var running sync.WaitGroup
+	results := make(chan callResult)
+	cancelAll := func() {
+		for _, c := range openCalls {
+			c.cancel()
 		}
-		open = nil
+		openCalls = nil
 	}
-	defer func() { giveUp(); ending.Wait() }()
-	on, due := false, false          // whether the watch goes on; whether the newest call's answer is still due
-	var failed, refused, overdue int // calls in a row that brought nothing; of them, those that ended, and those that opened a watch and were overdue
+	defer func() { cancelAll(); running.Wait() }()
+	watching, pending := false, false  // whether the newest call continues a watch; whether its answer is still to come
+	var failures, errored, overdue int // consecutive calls without a valid answer; of them, those with an error, and those that opened a watch and were overdue
 	fail := func(err error) {
-		// One line for each time that discovery goes down, not one for each call meanwhile.
-		if failed++; failed == 1 {
-			text := err.Error() // of a body's making, perhaps
-			w.log.Warn("list call failed", slog.String("reason", "LIST_FAILED"), slog.String("error", text[:min(len(text), mostLogged)]))
+		// One log line for each outage, not for each failed call.
+		if failures++; failures == 1 {
+			text := err.Error() // may quote the answer's body
+			w.log.Warn("list call failed", slog.String("reason", "LIST_FAILED"), slog.String("error", text[:min(len(text), maxLoggedError)]))
 		}
-		on, due = false, false
+		watching, pending = false, false
 	}
-	next := time.NewTimer(0)
-	if sure {
-		next.Reset(w.turn(spreadFor)) // what is known serves until then; those that started together call one by one
+	timer := time.NewTimer(0)
+	if trusted {
+		timer.Reset(w.randomDelay(maxSpread)) // the last known list serves until then; initiators that start together are spread
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-next.C:
-			if due {
-				if on { // with all others, perhaps
-					next.Reset(w.turn(spreadFor))
+		case <-timer.C:
+			if pending {
+				if watching { // other initiators' watches may have fallen silent too: spread the calls
+					timer.Reset(w.randomDelay(maxSpread))
 				} else {
 					overdue++
-					next.Reset(0)
+					timer.Reset(0)
 				}
-				fail(errSilent)
+				fail(errOverdue)
 				continue
 			}
-			if len(open) == mostOpen { // the first have the best places
-				open[mostOpen-1].stop()
-				open = open[:mostOpen-1]
+			if len(openCalls) == maxOpenCalls { // keep the oldest, which are ahead in the service's queue
+				openCalls[maxOpenCalls-1].cancel()
+				openCalls = openCalls[:maxOpenCalls-1]
 			}
-			path, wait, within := w.ask(sure, on, failed, overdue)
-			at, stop := context.WithCancel(ctx)
-			c := &call{sure, time.Now().Add(wait), stop}
-			open, due = append(open, c), true
-			next.Reset(within)
-			ending.Go(func() {
-				l, err := w.fetch(at, "http://"+addr+path, keepFor)
+			path, wait, dueIn := w.nextRequest(trusted, watching, failures, overdue)
+			callCtx, stop := context.WithCancel(ctx)
+			c := &call{trusted, time.Now().Add(wait), stop}
+			openCalls, pending = append(openCalls, c), true
+			timer.Reset(dueIn)
+			running.Go(func() {
+				l, err := w.fetch(callCtx, "http://"+addr+path, callTimeout)
 				select {
-				case answers <- answer{c, l, err}:
-				case <-at.Done():
+				case results <- callResult{c, l, err}:
+				case <-callCtx.Done():
 				}
 			})
-		case a := <-answers:
-			i := slices.Index(open, a.of)
+		case result := <-results:
+			i := slices.Index(openCalls, result.call)
 			if i < 0 {
-				continue // given up in this moment
+				continue // it was cancelled meanwhile
 			}
-			newest := i == len(open)-1
-			open = slices.Delete(open, i, i+1)
-			l, err := a.list, a.err
-			if err == nil && !l.Full && (!a.of.sure || *l.Version < w.has) {
-				err = fmt.Errorf("%w: a change to version %d where %d is held and the whole list was due", errDoubt, *l.Version, w.has)
+			isNewest := i == len(openCalls)-1
+			openCalls = slices.Delete(openCalls, i, i+1)
+			l, err := result.list, result.err
+			if err == nil && !l.Full && (!result.call.incremental || *l.Version < w.version) {
+				err = fmt.Errorf("%w: change to version %d, while version %d is held or the full list was requested", errInvalidList, *l.Version, w.version)
 			}
-			a.of.stop()
-			switch doubt := errors.Is(err, errDoubt); {
-			case doubt || err != nil && newest && due:
-				if doubt {
-					sure = false
-					giveUp()
+			result.call.cancel()
+			switch invalid := errors.Is(err, errInvalidList); {
+			case invalid || err != nil && isNewest && pending:
+				if invalid {
+					trusted = false
+					cancelAll()
 				}
 				fail(err)
-				refused++
-				next.Reset(w.pause(refused))
+				errored++
+				timer.Reset(w.retryPause(errored))
 			case err == nil:
-				giveUp()
-				if failed > 0 {
-					w.log.Info("list call works again", slog.Int("failed", failed))
+				cancelAll()
+				if failures > 0 {
+					w.log.Info("list call works again", slog.Int("failed", failures))
 				}
-				next.Reset(0)
-				if a.of.sure && *l.Version == w.has && time.Until(a.of.until) > graceFor/10 {
-					next.Reset(retryAfter) // nothing new, and too soon: asked at once, it would answer thousands of calls a second
+				timer.Reset(0)
+				if result.call.incremental && *l.Version == w.version && time.Until(result.call.waitUntil) > overdueAfter/10 {
+					timer.Reset(retryInitial) // the service does not wait: without a pause it would get thousands of calls a second
 				}
-				on, sure, due, w.has = a.of.sure, true, false, *l.Version
-				failed, refused, overdue = 0, 0, 0
+				watching, trusted, pending, w.version = result.call.incremental, true, false, *l.Version
+				failures, errored, overdue = 0, 0, 0
 				if l.Full || len(l.Targets) > 0 {
-					w.box.Put(l)
+					w.lists.Put(l)
 				}
 			}
 		}
 	}
 }
 
-// ask is what the next call asks, how long it may wait and how long its answer is due in: by its wait, and where calls take turns by theirs. Where the list
-// is pushed calls cost nothing, and after one that failed the next follows before that wait is over.
-func (w *Watcher) ask(sure, on bool, failed, overdue int) (path string, wait, within time.Duration) {
-	path, within = "/api/targets", graceFor
-	crowd := w.crowd.Load() > 0
-	if sure {
-		wait = watchFor
-		if crowd && !on {
-			wait = openFor
+// nextRequest returns the next call's path, its wait, and the time after which its answer is overdue. That is the wait, the time in a
+// shared service's queue and overdueAfter. Where an agent pushes the list, calls are cheap: after a failure the wait is not included,
+// so that the next call follows before it is over.
+func (w *Watcher) nextRequest(incremental, watching bool, failures, overdue int) (path string, wait, dueIn time.Duration) {
+	path, dueIn = "/api/targets", overdueAfter
+	shared := w.initiators.Load() > 0
+	if incremental {
+		wait = watchWait
+		if shared && !watching {
+			wait = openWait
 		}
-		path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", w.has, wait.Milliseconds())
-		if crowd || failed == 0 {
-			within += wait
+		path = fmt.Sprintf("/api/targets?after=%d&wait_ms=%d", w.version, wait.Milliseconds())
+		if shared || failures == 0 {
+			dueIn += wait
 		}
 	}
-	if crowd && !on {
-		within += min(min(w.turns(), queueFor)<<min(overdue, 8), laterMost)
+	if shared && !watching {
+		dueIn += min(min(w.queueTime(), maxQueueWait)<<min(overdue, 8), maxQueueWaitAfterOverdue)
 	}
-	return path, wait, within
+	return path, wait, dueIn
 }
 
-// errSilent says of a call that its answer is overdue.
-var errSilent = errors.New("no answer in time")
+// errOverdue is the failure of a call whose answer is overdue.
+var errOverdue = errors.New("no answer in time")
 
-// errDoubt marks an answer that came whole and makes no sense.
-var errDoubt = errors.New("list makes no sense")
+// errInvalidList marks a complete answer whose list cannot be used.
+var errInvalidList = errors.New("invalid list")
 
-// turns is the time that all initiators' calls take.
-func (w *Watcher) turns() time.Duration { return time.Duration(w.crowd.Load()) * turnFor }
+// queueTime is the time that a shared service takes for one call of each initiator.
+func (w *Watcher) queueTime() time.Duration { return time.Duration(w.initiators.Load()) * slotTime }
 
-// turn is a moment within it, as far as calls are spread.
-func (w *Watcher) turn(most time.Duration) time.Duration {
-	return time.Duration(w.rng.Float64() * float64(min(w.turns(), most)))
+// randomDelay returns a random time of up to queueTime, bounded by limit.
+func (w *Watcher) randomDelay(limit time.Duration) time.Duration {
+	return time.Duration(w.rng.Float64() * float64(min(w.queueTime(), limit)))
 }
 
-// pause is how long to wait after so many calls that failed in a row and not by silence: a service that turned several away has many to answer, and
-// may have to work for each refusal.
-func (w *Watcher) pause(failed int) time.Duration {
-	if failed == 1 {
-		w.waits.Reset()
-		return w.waits.NextBackOff() + w.turn(spreadFor)
+// retryPause is the pause before the next call after consecutive calls that ended with an error. After more than one the spread is
+// doubled: the service has a long queue then, and each rejection may cost it time.
+func (w *Watcher) retryPause(failures int) time.Duration {
+	if failures == 1 {
+		w.retryDelay.Reset()
+		return w.retryDelay.NextBackOff() + w.randomDelay(maxSpread)
 	}
-	return w.waits.NextBackOff() + w.turn(2*spreadFor)
+	return w.retryDelay.NextBackOff() + w.randomDelay(2*maxSpread)
 }
 
-func (w *Watcher) fetch(ctx context.Context, url string, within time.Duration) (*listing.List, error) {
-	ctx, stop := context.WithTimeout(ctx, within)
+// fetch makes one call and decodes its answer. A complete answer with an unusable list is an errInvalidList.
+func (w *Watcher) fetch(ctx context.Context, url string, timeout time.Duration) (*listing.List, error) {
+	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := w.call.Do(req)
+	resp, err := w.client.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	switch {
 	case err != nil:
 		return nil, err
@@ -343,7 +346,7 @@
 	}
 	l, err := listing.Decode(body)
 	if err != nil {
-		err = fmt.Errorf("%w: %w", errDoubt, err)
+		err = fmt.Errorf("%w: %w", errInvalidList, err)
 	}
 	return l, err
 }
