--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -22,38 +22,38 @@
 )
 
 const (
-	// MaxHeld is the largest body that is held whole, of a request or an answer.
+	// MaxBufferedBody is the largest body of a request or an answer that is buffered completely.
 	MaxBufferedBody = 64 << 10
-	// MaxBody is the largest body there may be: 32 MB, and some room.
-	MaxBody = 36 << 20
-	maxHead = 16 << 10
-	// stallAfter is how long an answer that has begun may bring nothing: one that stops midway is not waited for until
-	// the attempt's time is over. Far above what a busy process is late by.
-	stallAfter = 250 * time.Millisecond
-	// mostInformed is how many 1xx answers may come in front of one.
-	mostInformed = 8
-	// secondWithin is how soon after an answer one like it is taken for the same once more. Targets are late with it by some
-	// milliseconds.
-	secondWithin = 50 * time.Millisecond
+	// MaxBody is the largest body that is accepted: 32 MB, with some margin.
+	MaxBody      = 36 << 20
+	maxHeadBytes = 16 << 10
+	// stallTimeout is how long an answer that has begun may bring no data: one that stops midway is given up before the
+	// attempt's deadline. It is far above the delays of a busy process.
+	stallTimeout = 250 * time.Millisecond
+	// maxInformational is how many 1xx answers may precede an answer.
+	maxInformational = 8
+	// duplicateWindow is how soon after an answer an equal one is suspected to be its duplicate. Targets send duplicates some
+	// milliseconds late.
+	duplicateWindow = 50 * time.Millisecond
 )
 
-// Message is the payload of a job on this wire: what passes on unchanged.
+// Request is the payload of an attempt over HTTP: the parts of the client's request that are forwarded unchanged.
 type Request struct {
 	Method         string
 	URI            string
 	ID             string
-	IdempotencyKey string // Idempotency-Key; empty: there is none
+	IdempotencyKey string // the header of that name; empty: none
 	Body           []byte
-	Upload         *Upload // where the body is instead, but for its last piece; nil: here
+	Upload         *Upload // carries the body instead; nil: it is in Body
 }
 
-// HTTP is the platform's wire.
+// HTTPDialer opens connections of the targets' HTTP protocol.
 type HTTPDialer struct {
-	room *budget.Bytes // for answers that are held
+	memory *budget.Bytes // for buffered answers
 }
 
-// NewHTTP returns a wire that holds answers within the budget.
-func NewHTTPDialer(room *budget.Bytes) HTTPDialer { return HTTPDialer{room} }
+// NewHTTPDialer returns a dialer whose connections buffer answers within the memory budget.
+func NewHTTPDialer(memory *budget.Bytes) HTTPDialer { return HTTPDialer{memory} }
 
 // Dial opens a connection.
 func (h HTTPDialer) Dial(ctx context.Context, addr string) (Session, error) {
@@ -61,47 +61,48 @@
 	if err != nil {
 		return nil, err
 	}
-	return &httpSession{Conn: n, host: addr, room: h.room}, nil
+	return &httpSession{Conn: n, host: addr, memory: h.memory}, nil
 }
 
+// httpSession is an HTTP/1.1 connection. One goroutine uses it at a time, except for Close.
 type httpSession struct {
 	net.Conn
-	host   string
-	room   *budget.Bytes
-	talked bool // more came than was asked for
-	// What comes may be a second answer to the request before, if there was one: what its answer was like, when it was here,
-	// and which answers are alike here and no second ones.
-	asked   bool
-	last    uint64
-	heardAt time.Time
-	alike   [2]uint64 // of good ones and others
-	odd     bool      // it brought a report that cannot be
+	host        string
+	memory      *budget.Bytes
+	unsolicited bool // the target sent data that no request asked for
+	// An answer may be a duplicate of the previous one. For detecting that: whether there was a request before, the previous answer's
+	// fingerprint and time, and the fingerprints of answers that the target is known to repeat for different requests.
+	used          bool
+	lastSum       uint64
+	lastAt        time.Time
+	repeatedSums  [2]uint64 // with status 200, and with others
+	invalidReport bool      // an answer had an impossible load report
 }
 
-// stallReader reads an answer that has begun, as long as its parts keep coming: each within stall, and all of them until
-// a moment, if there is one. How the connection ended stays known: the system tells of a reset once, and of an end from then
-// on, which bufio's Peek would make of it, since it forgets the error that it returns.
+// stallReader sets a read deadline before each read of an answer that has started: maxGap from now, and at most deadline, if set. It
+// returns the same error again after the connection has ended. The system returns a reset only once and an end of file after that, and
+// bufio's Peek forgets the error that it returned, so a reset would pass for the regular end of an answer.
 type stallReader struct {
 	net.Conn
-	until time.Time
-	stall time.Duration
-	begun bool
-	ended error
+	deadline time.Time
+	maxGap   time.Duration
+	started  bool  // the answer's first byte is there
+	endErr   error // by which the connection ended
 }
 
 func (s *stallReader) Read(b []byte) (n int, err error) {
-	if s.ended != nil {
-		return 0, s.ended
+	if s.endErr != nil {
+		return 0, s.endErr
 	}
 	defer func() {
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			s.ended = err
+			s.endErr = err
 		}
 	}()
-	if s.begun {
-		at := time.Now().Add(s.stall)
-		if !s.until.IsZero() && s.until.Before(at) {
-			at = s.until
+	if s.started {
+		at := time.Now().Add(s.maxGap)
+		if !s.deadline.IsZero() && s.deadline.Before(at) {
+			at = s.deadline
 		}
 		if err := s.SetReadDeadline(at); err != nil {
 			return 0, err
@@ -110,189 +111,191 @@
 	return s.Conn.Read(b)
 }
 
-// Do writes the request and reads the answer. The outcome is judged by the bytes written: short of the last
-// one the target cannot have begun, after it the attempt may have run. Write, head and body are all bounded
-// by the attempt's time.
-func (c *httpSession) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) { //nolint:gocognit // to be split with its package, see docs/left.md
+// Do writes the request and reads the answer. After an error the outcome depends on the bytes written: before the last byte is
+// written the target cannot have started the request, after that it may have run. Writing and reading are bounded by the attempt's
+// deadline.
+func (c *httpSession) Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string) { //nolint:gocognit // to be split with its package, see docs/left.md
 	c.SetDeadline(a.Until)
 	c.SetWriteDeadline(a.WriteBy())
-	m := a.Payload.(*Request)
+	req := a.Payload.(*Request)
 	var raw []byte
-	if m.Upload != nil {
-		raw = m.Upload.tail
+	if req.Upload != nil {
+		raw = req.Upload.lastPiece
 	} else {
 		wait := max(time.Until(a.Until).Milliseconds(), 1)
-		raw = append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait, int64(len(m.Body))), m.Body...)
+		raw = append(appendHead(make([]byte, 0, 256+len(req.Body)), req, c.host, wait, int64(len(req.Body))), req.Body...)
 	}
-	// The last look before the first byte: news may have come while the connection was being made. The first byte of a
-	// body that went ahead is long written, but nothing of it has begun: without a permit it does not.
-	if !first() && (m.Upload == nil || !a.Allowed()) {
+	// Check once more before the first byte: the target's state may have changed during the dial. An upload's first byte is already
+	// written, but the target has not started the request: only the permit counts then.
+	if !mayStart() && (req.Upload == nil || !a.Allowed()) {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
-	// And at the connection: what came since the pool looked is no answer to what is only now written.
+	// Check the connection too: data that arrived since takeIdle checked it cannot be the answer to a request not yet written.
 	if !c.Alive() {
 		r.Code = policy.NotConnected
 		return r, false, ReasonClosedWhileIdle
 	}
-	again, soon := c.asked, time.Since(c.heardAt) < secondWithin
-	c.asked = true
+	hadRequest, recent := c.used, time.Since(c.lastAt) < duplicateWindow
+	c.used = true
 	if n, err := c.Write(raw); n < len(raw) {
 		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + ReasonCode(err)
 	}
 	a.Sent()
-	parts := &stallReader{Conn: c.Conn, until: a.Until, stall: stallAfter}
-	limit := &io.LimitedReader{R: parts}
-	in := bufio.NewReaderSize(limit, 4096)
-	ans, err := readAnswer(in, m.Method, c.room, func(head bool) error {
+	reader := &stallReader{Conn: c.Conn, deadline: a.Until, maxGap: stallTimeout}
+	limited := &io.LimitedReader{R: reader}
+	in := bufio.NewReaderSize(limited, 4096)
+	ans, err := readAnswer(in, req.Method, c.memory, func(head bool) error {
 		if !head {
-			limit.N = 2*MaxBody + maxHead // chunks have some framing; what is held is bounded besides
+			limited.N = 2*MaxBody + maxHeadBytes // room for chunk framing; buffered bytes are bounded separately
 			return nil
 		}
-		// A head without end must cost no more than a head.
-		limit.N, parts.begun = maxHead, false
+		// Bounds the bytes read for a head that does not end.
+		limited.N, reader.started = maxHeadBytes, false
 		if err := c.SetReadDeadline(a.Until); err != nil {
 			return err
 		}
 		_, err := in.Peek(1)
-		if parts.begun = err == nil; parts.begun && again && HasUnackedData(c.Conn) {
-			return errTooSoon
+		if reader.started = err == nil; reader.started && hadRequest && HasUnackedData(c.Conn) {
+			return errEarlyAnswer
 		}
 		return err
-	}, func(until time.Time) { parts.until, parts.stall = until, streamStall })
+	}, func(until time.Time) { reader.deadline, reader.maxGap = until, streamStallTimeout })
 	if err != nil {
 		r.Code = policy.ConnectionReset
-		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && parts.begun && time.Now().Before(a.Until):
+		switch timedOut := errors.Is(err, os.ErrDeadlineExceeded); {
+		case timedOut && reader.started && time.Now().Before(a.Until):
 			return r, false, "READ_STALLED"
-		case late:
+		case timedOut:
 			r.Code = policy.TimedOut
-		case limit.N <= 0:
+		case limited.N <= 0:
 			return r, false, "ANSWER_TOO_LARGE"
-		case errors.Is(err, errTooSoon):
-			c.talked = true
+		case errors.Is(err, errEarlyAnswer):
+			c.unsolicited = true
 			return r, false, "ANSWER_TOO_SOON"
 		}
 		return r, false, "READ_" + ReasonCode(err)
 	}
-	c.odd = c.odd || ans.odd
-	// Nothing in an answer tells whose it is. One just like the one before and soon after it may be that one once more: then its
-	// own comes behind it. Where none does, those like it are what the target says, and are not waited behind again.
-	before, heardAt := c.last, c.heardAt
-	c.last, c.heardAt = ans.sum(), time.Now()
-	alike := &c.alike[0]
+	c.invalidReport = c.invalidReport || ans.invalidReport
+	// An answer does not identify its request. One that equals the previous answer and follows soon after it may be a duplicate: then
+	// the request's own answer comes behind it. If none comes, the target repeats this answer for different requests, and later equal
+	// ones are accepted without waiting.
+	previousSum, previousAt := c.lastSum, c.lastAt
+	c.lastSum, c.lastAt = ans.fingerprint(), time.Now()
+	repeated := &c.repeatedSums[0]
 	if ans.status != http.StatusOK {
-		alike = &c.alike[1]
+		repeated = &c.repeatedSums[1]
 	}
-	if again && soon && !ans.close && ans.stream == nil && c.last == before && c.last != *alike {
-		if at := heardAt.Add(secondWithin); ans.status != http.StatusOK && at.Before(a.Until) {
-			parts.until = at // turned away, most of all: there is little to tell such answers apart, and they come in rows
+	if hadRequest && recent && !ans.closes && ans.stream == nil && c.lastSum == previousSum && c.lastSum != *repeated {
+		if at := previousAt.Add(duplicateWindow); ans.status != http.StatusOK && at.Before(a.Until) {
+			reader.deadline = at // rejections mostly: many in a row are equal, so the wait is shorter
 		}
 		if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.talked = err == nil
+			c.unsolicited = err == nil
 			r.Code = policy.ConnectionReset
 			return r, false, "ANSWER_TWICE"
 		} else if !time.Now().Before(a.Until) {
 			r.Code = policy.TimedOut
 			return r, false, "READ_TIMEOUT"
 		}
-		*alike = c.last
+		*repeated = c.lastSum
 	}
-	r.Code, r.Load, r.Used, r.Payload = ans.code(), ans.load, ans.used, ans.body
+	r.Code, r.Load, r.Used, r.Payload = ans.code(), ans.load, ans.volumeLoad, ans.body
 	if s := ans.stream; s != nil {
 		s.conn = c
 		r.Payload = s
 		return r, false, ""
 	}
-	if ans.close || in.Buffered() > 0 {
-		c.talked = in.Buffered() > 0
+	if ans.closes || in.Buffered() > 0 {
+		c.unsolicited = in.Buffered() > 0
 		return r, false, "TARGET_CLOSES"
 	}
-	// An attempt's time must not outlive it: once past, the next look at the idle connection would fail and
-	// take a healthy connection for a closed one.
+	// The deadline must not stay on the connection: once past, Alive would fail and a healthy connection would be
+	// closed.
 	return r, c.SetDeadline(time.Time{}) == nil, "CLOSED"
 }
 
 // Alive implements Session.
 func (c *httpSession) Alive() bool {
-	quiet, says := listen(c.Conn)
-	c.talked = c.talked || says
-	return quiet
+	idle, readable := probeIdle(c.Conn)
+	c.unsolicited = c.unsolicited || readable
+	return idle
 }
 
-// Close ends it.
+// Close implements Session.
 func (c *httpSession) Close() error { return CloseOrReset(c.Conn) }
 
-// Talked implements Talker.
-func (c *httpSession) UnsolicitedData() bool { return c.talked }
+// UnsolicitedData implements UncorrelatedSession.
+func (c *httpSession) UnsolicitedData() bool { return c.unsolicited }
 
-// Odd implements Talker.
-func (c *httpSession) InvalidReport() bool { return c.odd }
+// InvalidReport implements UncorrelatedSession.
+func (c *httpSession) InvalidReport() bool { return c.invalidReport }
 
-// appendHead writes the request's head; a length of -1 has the body in chunks. What is not listed in the protocol is not sent.
-func appendHead(b []byte, m *Request, host string, waitMs, length int64) []byte {
-	b = append(b, m.Method...)
+// appendHead appends the request's head; with a length of -1 the body is chunked. Only headers of the targets' protocol are sent.
+func appendHead(b []byte, req *Request, host string, waitMs, length int64) []byte {
+	b = append(b, req.Method...)
 	b = append(b, ' ')
-	b = append(b, m.URI...)
+	b = append(b, req.URI...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, host...)
 	b = append(b, "\r\nRequest-Id: "...)
-	b = append(b, m.ID...)
-	if m.IdempotencyKey != "" {
+	b = append(b, req.ID...)
+	if req.IdempotencyKey != "" {
 		b = append(b, "\r\nIdempotency-Key: "...)
-		b = append(b, m.IdempotencyKey...)
+		b = append(b, req.IdempotencyKey...)
 	}
 	b = append(b, "\r\nRequest-Timeout-Ms: "...)
 	b = strconv.AppendInt(b, waitMs, 10)
 	switch {
 	case length < 0:
 		b = append(b, "\r\nTransfer-Encoding: chunked"...)
-	case length > 0 || m.Method != http.MethodGet:
+	case length > 0 || req.Method != http.MethodGet:
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, length, 10)
 	}
 	return append(b, "\r\n\r\n"...)
 }
 
-// answer is what a target said.
+// answer is a target's answer.
 type answer struct {
-	status int
-	notRun bool
-	load   *policy.Load
-	used   int
-	body   []byte  // held
-	stream *Stream // passes through instead
-	close  bool
-	odd    bool // it reports what cannot be
+	status        int
+	notStarted    bool         // it has Not-Started: 1
+	load          *policy.Load // nil: not reported
+	volumeLoad    int          // percentage + 1; 0: not reported
+	body          []byte       // if buffered
+	stream        *Stream      // the body if it is streamed; nil otherwise
+	closes        bool         // the connection cannot be reused after it
+	invalidReport bool         // a load figure is impossible
 }
 
-// code is the outcome. The target's word that it never began counts only with the two statuses that go
-// with it: anything else may have run.
+// code returns the outcome. Not-Started counts only with status 503 and 504; with any other error the request
+// may have run.
 func (a *answer) code() policy.OutcomeCode {
 	switch {
 	case a.status == http.StatusOK:
 		return policy.Served
-	case a.notRun && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
+	case a.notStarted && (a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout):
 		return policy.TurnedAway
 	}
 	return policy.AnsweredError
 }
 
-// sum tells answers that are held apart by what they bring; their heads may differ.
-func (a *answer) sum() uint64 { return xxhash.Sum64(a.body) + uint64(a.status) }
+// fingerprint identifies a buffered answer by its status and body; equal ones may have different headers.
+func (a *answer) fingerprint() uint64 { return xxhash.Sum64(a.body) + uint64(a.status) }
 
 var (
-	errTooLarge = errors.New("answer's body is too large")
-	errInformed = errors.New("too many answers of the kind 1xx")
-	errTooSoon  = errors.New("answer to an earlier request")
+	errTooLarge             = errors.New("answer body is too large")
+	errTooManyInformational = errors.New("too many 1xx answers")
+	errEarlyAnswer          = errors.New("answer arrived before the target had the whole request")
 )
 
-// readAnswer reads one answer: whole, if it is small and there is room, otherwise up to the first of its body. Await is
-// called before each head and before the body, and hold, for one that passes through, to bound what may be waited for.
-func readAnswer(in *bufio.Reader, method string, room *budget.Bytes, await func(head bool) error, hold func(until time.Time)) (*answer, error) { //nolint:gocognit // to be split with its package, see docs/left.md
-	for informed := 0; ; informed++ {
-		if err := await(true); err != nil {
+// readAnswer reads one answer: completely if its body is small and fits the memory budget, otherwise up to the first part of its body,
+// which is then streamed. It calls beforeRead before each head (true) and before the body (false), and setReadDeadline, for a streamed
+// body only, to bound the next reads; a zero time is no deadline.
+func readAnswer(in *bufio.Reader, method string, memory *budget.Bytes, beforeRead func(head bool) error, setReadDeadline func(until time.Time)) (*answer, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+	for informational := 0; ; informational++ {
+		if err := beforeRead(true); err != nil {
 			return nil, err
 		}
 		resp, err := http.ReadResponse(in, &http.Request{Method: method})
@@ -300,27 +303,27 @@
 			return nil, err
 		}
 		if resp.StatusCode/100 == 1 && resp.StatusCode != http.StatusSwitchingProtocols {
-			if informed == mostInformed {
-				return nil, errInformed
+			if informational == maxInformational {
+				return nil, errTooManyInformational
 			}
 			continue
 		}
-		a := &answer{status: resp.StatusCode, notRun: resp.Header.Get("Not-Started") == "1", close: resp.Close}
-		a.close = a.close || a.status == http.StatusSwitchingProtocols // nobody asked to
-		a.load, a.odd = parseLoad(resp.Header.Get("Server-Load"))
-		if n, err := strconv.Atoi(resp.Header.Get("Volume-Load")); err == nil && n >= 0 && n < mostUsed {
-			a.used = n + 1 // the header is the percentage itself; the module's 0 means not told
+		a := &answer{status: resp.StatusCode, notStarted: resp.Header.Get("Not-Started") == "1", closes: resp.Close}
+		a.closes = a.closes || a.status == http.StatusSwitchingProtocols // no request asks for an upgrade
+		a.load, a.invalidReport = parseLoad(resp.Header.Get("Server-Load"))
+		if n, err := strconv.Atoi(resp.Header.Get("Volume-Load")); err == nil && n >= 0 && n < maxVolumeLoad {
+			a.volumeLoad = n + 1 // the header is the percentage; 0 in core.Result means that there was none
 		} else {
-			a.odd = a.odd || resp.Header.Get("Volume-Load") != ""
+			a.invalidReport = a.invalidReport || resp.Header.Get("Volume-Load") != ""
 		}
 		if resp.ContentLength > MaxBody {
 			return nil, errTooLarge
 		}
-		if err := await(false); err != nil {
+		if err := beforeRead(false); err != nil {
 			return nil, err
 		}
-		if n := resp.ContentLength; n >= 0 && n <= MaxBufferedBody && room.TryAcquire(n) {
-			defer room.Release(n)
+		if n := resp.ContentLength; n >= 0 && n <= MaxBufferedBody && memory.TryAcquire(n) {
+			defer memory.Release(n)
 			a.body = make([]byte, n)
 			if _, err := io.ReadFull(resp.Body, a.body); err != nil {
 				return nil, err
@@ -328,61 +331,60 @@
 			return a, nil
 		}
 		if resp.StatusCode != http.StatusOK {
-			a.close = true // nobody is owed its body, so it is not read
+			a.closes = true // the body of an error is not forwarded, so it is not read
 			return a, nil
 		}
-		a.stream = &Stream{Length: resp.ContentLength, body: resp.Body, in: in, close: resp.Close}
+		a.stream = &Stream{Length: resp.ContentLength, body: resp.Body, in: in, closes: resp.Close}
 		if len(resp.TransferEncoding) > 0 {
-			a.stream.body = &chunks{in: in}
+			a.stream.body = &chunkedReader{in: in}
 		}
-		if err := a.stream.begin(hold); err != nil {
+		if err := a.stream.readPrefix(setReadDeadline); err != nil {
 			return nil, err
 		}
-		if s := a.stream; s.eof {
-			a.body, a.stream = s.first, nil
+		if s := a.stream; s.complete {
+			a.body, a.stream = s.prefix, nil
 		}
 		return a, nil
 	}
 }
 
-// mostLoad is past any number of requests that a target holds: what tells of more is no report.
-const mostLoad = 1e5
+// maxLoad is above any number of requests that a target can hold. Higher figures in a load report are invalid.
+const maxLoad = 1e5
 
-// mostUsed is past any use of a volume, as a percentage of its plan's rate.
-const mostUsed = 1e6
+// maxVolumeLoad is above any load of a volume, as a percentage of its plan's rate. Higher figures are invalid.
+const maxVolumeLoad = 1e6
 
-// parseLoad reads a load report such as concurrent=7,depth=2; nil where there is none that can be read. Its fields have
-// the names that the settings give (report.fields: concurrent, depth); inflight and queue are the names in the protocol's
-// own example. A report under names that are not known here would be missed without a sign. A figure that cannot be counts as not
-// told, and makes the report odd.
-func parseLoad(s string) (l *policy.Load, odd bool) {
+// parseLoad parses a load report such as concurrent=7,depth=2; it returns nil if no field can be used. The field names are those of
+// the settings (report.fields: concurrent, depth); inflight and queue are the names in the protocol's own example. A report that uses
+// other names is ignored without notice. An impossible figure is ignored and makes the report invalid.
+func parseLoad(s string) (l *policy.Load, invalid bool) {
 	if s == "" {
 		return nil, false
 	}
 	l = &policy.Load{Queued: -1, InFlight: -1}
 	for field := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(field), "=")
-		into := &l.Queued
+		dest := &l.Queued
 		switch name {
 		case "depth", "queue":
 		case "concurrent", "inflight":
-			into = &l.InFlight
+			dest = &l.InFlight
 		default:
 			continue
 		}
-		if x, err := strconv.ParseFloat(value, 64); err == nil && x >= 0 && x < mostLoad {
-			*into = x
+		if x, err := strconv.ParseFloat(value, 64); err == nil && x >= 0 && x < maxLoad {
+			*dest = x
 		} else {
-			odd = true
+			invalid = true
 		}
 	}
 	if l.Queued < 0 && l.InFlight < 0 {
-		return nil, odd
+		return nil, invalid
 	}
-	return l, odd
+	return l, invalid
 }
 
-// Cause is the reason code of a failed read or write.
+// ReasonCode returns the reason code of a failed read or write.
 func ReasonCode(err error) string {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
@@ -399,9 +401,10 @@
 	return "MALFORMED"
 }
 
-// Unheard tells whether the other side has yet to acknowledge some of what was written. It acknowledges all that it has with
-// whatever it sends, so what it sent before that answers nothing of this. Where the system does not tell, it has heard all.
-func HasUnackedData(c net.Conn) (yes bool) {
+// HasUnackedData reports whether the peer has not acknowledged all written data. Every segment that the peer sends acknowledges all
+// that it has received, so data that arrives before that cannot be the answer to what was written last. It returns false if the system
+// does not say.
+func HasUnackedData(c net.Conn) (unacked bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -412,13 +415,13 @@
 	}
 	_ = raw.Control(func(fd uintptr) {
 		n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ)
-		yes = err == nil && n > 0
+		unacked = err == nil && n > 0
 	})
-	return yes
+	return unacked
 }
 
-// CloseNow closes a connection. What of a request is still on its way then does not arrive: else the system would go on with it,
-// for minutes where the other side is silent, and it could begin long after it was given up.
+// CloseOrReset closes a connection, with a reset if written data is not acknowledged. A reset drops that data: otherwise the system
+// would retransmit it, for minutes if the peer is silent, and a request could start long after it was given up.
 func CloseOrReset(c net.Conn) error {
 	if tc, ok := c.(*net.TCPConn); ok && HasUnackedData(tc) {
 		tc.SetLinger(0)
@@ -426,15 +429,15 @@
 	return c.Close()
 }
 
-// Quiet tells whether an idle connection is still open and quiet.
+// OpenAndIdle reports whether a connection is still open and has nothing to read.
 func OpenAndIdle(c net.Conn) bool {
-	quiet, _ := listen(c)
-	return quiet
+	idle, _ := probeIdle(c)
+	return idle
 }
 
-// listen tells whether an idle connection is still open and quiet, and if not, whether there is something to read. It looks without
-// taking: a target that closed it, or that speaks unasked, makes it useless, and a write to it would end as a reset.
-func listen(c net.Conn) (quiet, says bool) {
+// probeIdle reports whether a connection is open with nothing to read, and if not, whether there is data to read. It reads nothing. A
+// connection that the target closed, or sent unsolicited data on, is useless: a write to it would end in a reset.
+func probeIdle(c net.Conn) (idle, readable bool) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return true, false
@@ -444,10 +447,10 @@
 		return false, false
 	}
 	var one [1]byte
-	// Control, not Read, which would wait for a reader that waits for bytes.
+	// Control, not Read, since Read would block while another goroutine reads.
 	err = raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet, says = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, err == nil && n > 0
+		idle, readable = err == syscall.EAGAIN || err == syscall.EWOULDBLOCK, err == nil && n > 0
 	})
-	return err == nil && quiet, says
+	return err == nil && idle, readable
 }
--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -21,7 +21,7 @@
 )
 
 // wakings is about how often goroutines were run so far.
-func wakings() (n uint64) {
+func goroutineWakeups() (n uint64) {
 	s := []metrics.Sample{{Name: "/sched/latencies:seconds"}}
 	metrics.Read(s)
 	for _, c := range s[0].Value.Float64Histogram().Counts {
@@ -31,7 +31,7 @@
 }
 
 // TestIdleTargetsCostNothing has an initiator send nothing to many targets for an hour: none of their actors wakes up meanwhile.
-func TestIdleTargetsCostNothing(t *testing.T) {
+func TestIdleTargetsDoNotWake(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Second, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
 		var list []Target
@@ -42,14 +42,14 @@
 		defer g.Shutdown()
 		for _, x := range list { // their actors run
 			g.mu.Lock()
-			g.tell(g.targets[x.ID], moved{})
+			g.post(g.targets[x.ID], pruneMsg{})
 			g.mu.Unlock()
 		}
 		synctest.Wait()
-		before := wakings()
+		before := goroutineWakeups()
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		require.Less(t, wakings()-before, uint64(10_000))
+		require.Less(t, goroutineWakeups()-before, uint64(10_000))
 	})
 }
 
@@ -70,18 +70,18 @@
 	_, err = c.Read(make([]byte, 4096))
 	require.NoError(t, err)
 	before := time.Now()
-	say(c, "200 OK", "")
+	respond(c, "200 OK", "")
 	<-results
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	require.GreaterOrEqual(t, time.Since(before), idle)
-	require.Eventually(t, func() bool { return g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
 // TestUnusedTargetsHaveNoActor lists many targets, of which one is used, and has them drain, move and go: only that one has an actor, which ends when it is gone.
 func TestUnusedTargetsHaveNoActor(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "") })
 	var list []Target
 	for i := range 1000 {
 		list = append(list, Target{ID: fmt.Sprint(i), Addr: s.Addr().String()})
@@ -109,11 +109,11 @@
 	g.Shutdown()
 	require.Equal(t, policy.NotSent, send("11"))
 	s.Close()
-	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
 // BenchmarkChange applies a change of one entry to lists of several lengths.
-func BenchmarkChange(b *testing.B) {
+func BenchmarkApplyChange(b *testing.B) {
 	for _, n := range []int{200, 2000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Minute, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
@@ -137,7 +137,7 @@
 }
 
 // TestTimesChange has a connection rest for a time that becomes a shorter one: it is closed by that, and the next has another time to come up.
-func TestTimesChange(t *testing.T) {
+func TestTimeoutsChange(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -155,7 +155,7 @@
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err = c.Read(make([]byte, 4096))
 	require.NoError(t, err)
-	say(c, "200 OK", "")
+	respond(c, "200 OK", "")
 	<-results
 	g.SetTimeouts(time.Nanosecond, 50*time.Millisecond)
 	_, err = c.Read(make([]byte, 1))
--- a/internal/datapath/upstream/moments_test.go
+++ b/internal/datapath/upstream/races_test.go
@@ -24,22 +24,22 @@
 )
 
 // held is a wire whose connections come up when the test says so, however long ago they were given up, and which keeps the last one.
-type held struct {
+type blockingDialer struct {
 	Dialer
-	dials chan dialling
+	dials chan pendingDial
 	last  atomic.Pointer[httpSession]
 }
 
 // dialling is a connection that is to come up once up is closed; ctx is its attempt's.
-type dialling struct {
-	ctx context.Context
-	up  chan bool
+type pendingDial struct {
+	ctx     context.Context
+	proceed chan bool
 }
 
-func (h *held) Dial(ctx context.Context, addr string) (Session, error) {
-	d := dialling{ctx, make(chan bool)}
+func (h *blockingDialer) Dial(ctx context.Context, addr string) (Session, error) {
+	d := pendingDial{ctx, make(chan bool)}
 	h.dials <- d
-	<-d.up
+	<-d.proceed
 	s, err := h.Dialer.Dial(context.Background(), addr)
 	if err == nil {
 		h.last.Store(s.(*httpSession))
@@ -48,20 +48,20 @@
 }
 
 // next is the connection that is asked for next.
-func (h *held) next(t *testing.T) dialling {
+func (h *blockingDialer) nextDial(t *testing.T) pendingDial {
 	select {
 	case d := <-h.dials:
 		return d
 	case <-time.After(10 * time.Second):
 		t.Fatal("no connection is asked for")
-		return dialling{}
+		return pendingDial{}
 	}
 }
 
 // newHeld is a bench whose connections come up one by one.
-func newHeld(addr string, opt Options) (*bench, *held) {
-	b := newBenchThat(addr, opt)
-	h := &held{Dialer: b.opt.Dialer, dials: make(chan dialling, 8)}
+func newBlockingHarness(addr string, opt Options) (*harness, *blockingDialer) {
+	b := newHarnessWith(addr, opt)
+	h := &blockingDialer{Dialer: b.opt.Dialer, dials: make(chan pendingDial, 8)}
 	b.opt.Dialer = h
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
@@ -69,17 +69,17 @@
 }
 
 // moment is a permit that has something happen just before the first byte, between the pool's look at a connection and the write.
-type moment func()
+type permitFunc func()
 
-func (m moment) Valid() bool { m(); return true }
+func (m permitFunc) Valid() bool { m(); return true }
 
 // spoken waits until there is something to read on the wire's last connection.
-func (h *held) spoken(t *testing.T) {
-	require.Eventually(t, func() bool { _, says := listen(h.last.Load().Conn); return says }, 10*time.Second, 100*time.Microsecond)
+func (h *blockingDialer) waitReadable(t *testing.T) {
+	require.Eventually(t, func() bool { _, says := probeIdle(h.last.Load().Conn); return says }, 10*time.Second, 100*time.Microsecond)
 }
 
 // narrow listens where little is taken that nobody reads.
-func narrow(t *testing.T) net.Listener {
+func listenSmallBuffer(t *testing.T) net.Listener {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10) })
 	}}
@@ -92,45 +92,45 @@
 // TestSecondAnswerInTheGap has a target answer twice for the first time, the second time in the two gaps in which the next request is on
 // its way: after the pool has looked at the connection, and after the write and before the target has all of it. Neither is taken for an
 // answer to that. In the first gap it is not even written, and goes out on a connection of its own.
-func TestSecondAnswerInTheGap(t *testing.T) {
+func TestDuplicateAnswerDuringSend(t *testing.T) {
 	twice, sent := make(chan bool), make(chan bool, 4)
-	s := newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
+	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		if n == 1 {
-			go func() { <-twice; say(c, "200 OK", "1") }()
+			go func() { <-twice; respond(c, "200 OK", "1") }()
 		}
-		return say(c, "200 OK", fmt.Sprint(n))
+		return respond(c, "200 OK", fmt.Sprint(n))
 	})
 	opt := Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour, OnSent: func() { sent <- true }}
-	b, h := newHeld(s.Addr().String(), opt)
+	b, h := newBlockingHarness(s.Addr().String(), opt)
 	b.send(10 * time.Second)
-	close(h.next(t).up)
+	close(h.nextDial(t).proceed)
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	var once sync.Once
 	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"},
-		Permit: moment(func() { once.Do(func() { close(twice); h.spoken(t) }) })}
+		Permit: permitFunc(func() { once.Do(func() { close(twice); h.waitReadable(t) }) })}
 	b.Send(next)
-	close(h.next(t).up)
+	close(h.nextDial(t).proceed)
 	r := b.result(t)
 	require.Equal(t, policy.Served, r.Code)
 	require.Equal(t, "2", string(r.Payload.([]byte)))
 	require.EqualValues(t, 2, s.accepted.Load())
 
 	// A target that reads no more than the first request: most of the next one stays with whoever wrote it.
-	l := narrow(t)
+	l := listenSmallBuffer(t)
 	twice = make(chan bool)
 	go func() {
 		c, _ := l.Accept()
 		_, _ = http.ReadRequest(bufio.NewReaderSize(c, 16))
-		say(c, "200 OK", "1")
+		respond(c, "200 OK", "1")
 		<-twice
-		say(c, "200 OK", "1")
+		respond(c, "200 OK", "1")
 	}()
 	for len(sent) > 0 {
 		<-sent
 	}
-	b, h = newHeld(l.Addr().String(), opt)
+	b, h = newBlockingHarness(l.Addr().String(), opt)
 	b.send(10 * time.Second)
-	close(h.next(t).up)
+	close(h.nextDial(t).proceed)
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	<-sent
 	_ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(1 << 20)
@@ -145,18 +145,18 @@
 
 // TestSecondAnswerComesFirst has a target that has the next request already answer the one before once more, ahead of its own answer: the
 // first time that it is heard to. Where all answers are alike none is a second one, and they are waited for behind one of them alone.
-func TestSecondAnswerComesFirst(t *testing.T) {
-	b := newBenchThat(newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
-		return (n != 2 || say(c, "200 OK", "1")) && say(c, "200 OK", fmt.Sprint(n))
+func TestDuplicateAnswerBeforeOwn(t *testing.T) {
+	b := newHarnessWith(newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
+		return (n != 2 || respond(c, "200 OK", "1")) && respond(c, "200 OK", fmt.Sprint(n))
 	}).Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
 	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset, policy.Served} {
 		b.send(10 * time.Second)
 		require.Equal(t, want, b.result(t).Code)
 	}
-	s := newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
-		return n < 20 && say(c, "200 OK", "alike") || n >= 20 && say(c, "200 OK", "1") && (n < 21 || say(c, "200 OK", "2"))
+	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
+		return n < 20 && respond(c, "200 OK", "alike") || n >= 20 && respond(c, "200 OK", "1") && (n < 21 || respond(c, "200 OK", "2"))
 	})
-	b = newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
+	b = newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
 	var waited time.Duration
 	for range 19 {
 		begun := time.Now()
@@ -164,7 +164,7 @@
 		require.Equal(t, policy.Served, b.result(t).Code)
 		waited += time.Since(begun)
 	}
-	require.Less(t, waited, 5*stallAfter)
+	require.Less(t, waited, 5*stallTimeout)
 	require.EqualValues(t, 1, s.accepted.Load())
 	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset} { // another answer twice, all the same
 		b.send(10 * time.Second)
@@ -189,7 +189,7 @@
 				defer c.Close()
 				all := make([]byte, 1<<10)
 				n, _ := c.Read(all)
-				say(c, "200 OK", "")
+				respond(c, "200 OK", "")
 				heard <- string(all[:n])
 			}()
 		}
@@ -197,30 +197,30 @@
 	addr := l.Addr().String()
 	for _, x := range []struct {
 		name      string
-		meanwhile func(b *bench, a *core.Attempt, given <-chan struct{})
+		meanwhile func(b *harness, a *core.Attempt, given <-chan struct{})
 		want      policy.OutcomeCode
 	}{
-		{"in time", func(*bench, *core.Attempt, <-chan struct{}) {}, policy.Served},
-		{"its time is over", func(_ *bench, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.NotSent},
-		{"called off", func(b *bench, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NotConnected},
-		{"called off at a target that is gone", func(b *bench, a *core.Attempt, given <-chan struct{}) {
+		{"in time", func(*harness, *core.Attempt, <-chan struct{}) {}, policy.Served},
+		{"its time is over", func(_ *harness, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.NotSent},
+		{"called off", func(b *harness, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NotConnected},
+		{"called off at a target that is gone", func(b *harness, a *core.Attempt, given <-chan struct{}) {
 			b.Apply(nil, true)
 			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // and is back under its name
 			b.Cancel("n", a.Request)
 			<-given
 		}, policy.NotConnected},
-		{"its client has left", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
-		{"the target drains", func(b *bench, _ *core.Attempt, _ <-chan struct{}) {
+		{"its client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
+		{"the target drains", func(b *harness, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
 		}, policy.NotSent},
-		{"the target is gone", func(b *bench, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
-		{"past its window", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
+		{"the target is gone", func(b *harness, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
+		{"past its window", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var sent atomic.Int32
-			stock := &few{}
-			stock.most.Store(4)
-			b, h := newHeld(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: stock, OnSent: func() { sent.Add(1) }})
+			stock := &fakeQuota{}
+			stock.limit.Store(4)
+			b, h := newBlockingHarness(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: stock, OnSent: func() { sent.Add(1) }})
 			a := core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Left: new(atomic.Bool), Before: time.Now().Add(10 * time.Second),
 				Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
@@ -230,9 +230,9 @@
 				a.Before = time.Now().Add(50 * time.Millisecond)
 			}
 			b.Send(a)
-			d := h.next(t)
+			d := h.nextDial(t)
 			x.meanwhile(b, &a, d.ctx.Done())
-			close(d.up)
+			close(d.proceed)
 			r := b.result(t)
 			require.Equal(t, x.want, r.Code)
 			if x.want == policy.Served {
@@ -243,21 +243,21 @@
 			require.Empty(t, <-heard, "a byte was written")
 			require.Zero(t, sent.Load())
 			require.Zero(t, r.Began)
-			require.Eventually(t, func() bool { return b.pool.conns.Load() == 0 && stock.open.Load() == 0 }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return b.limits.open.Load() == 0 && stock.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
 }
 
 // TestCutAnywhere resets connections, and ends them, at every place of an answer in each framing: none passes for whole but the one that
 // is whole by its own word, and the same once its first bytes have been passed on.
-func TestCutAnywhere(t *testing.T) {
+func TestAnswerCutAtEveryByte(t *testing.T) {
 	const none = "HTTP/1.1 200 OK\r\nServer-Load: concurrent=1\r\n\r\nwhole"
 	type answer struct {
 		says  string
 		reset bool
 	}
 	next, passed, closed := make(chan answer, 1), make(chan bool), make(chan bool, 8)
-	s := newStandIn(t, func(_ int32, req *http.Request, c net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, req *http.Request, c net.Conn) bool {
 		x := <-next
 		_, _ = io.WriteString(c, x.says)
 		if req.Method == http.MethodGet {
@@ -270,7 +270,7 @@
 		closed <- true
 		return false
 	})
-	b := newBench(s.Addr().String())
+	b := newHarness(s.Addr().String())
 	for _, whole := range []string{none, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n"} {
 		for cut := range len(whole) + 1 {
@@ -292,7 +292,7 @@
 		}
 	}
 	for _, head := range []string{"", "Content-Length: 99999\r\n", "Transfer-Encoding: chunked\r\n"} {
-		next <- answer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", pieceSize), true}
+		next <- answer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", bufferSize), true}
 		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		st := b.result(t).Payload.(*Stream)
 		_, _ = io.ReadFull(st, make([]byte, 100))
@@ -300,7 +300,7 @@
 		_, err := io.Copy(io.Discard, st)
 		require.Error(t, err)
 	}
-	require.Eventually(t, func() bool { return b.pool.conns.Load() == 0 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return b.limits.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
 // TestUploadEnds has bodies that went ahead end at the wrong moment: their client leaves while the connection is made, their target is gone and
@@ -320,13 +320,13 @@
 			}
 			go func() {
 				defer c.Close()
-				go func() { <-early; say(c, "200 OK", "early") }()
+				go func() { <-early; respond(c, "200 OK", "early") }()
 				all, _ := io.ReadAll(c)
 				heard <- string(all)
 			}()
 		}
 	}()
-	b, h := newHeld(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
+	b, h := newBlockingHarness(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	ctx, leave := context.WithCancel(context.Background())
 	begin := func() (*Upload, error) {
 		return b.StartUpload(ctx, "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
@@ -340,11 +340,11 @@
 		require.Eventually(t, func() bool {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return b.pool.conns.Load() == 0 && len(b.leaving) == 0
+			return b.limits.open.Load() == 0 && len(b.removed) == 0
 		}, 10*time.Second, time.Millisecond)
 	}
 	whole := func() *Upload {
-		go func() { close((<-h.dials).up) }()
+		go func() { close((<-h.dials).proceed) }()
 		u, err := begin()
 		require.NoError(t, err)
 		u.HoldLastPiece([]byte("body"))
@@ -358,7 +358,7 @@
 	go func() {
 		d := <-h.dials
 		leave()
-		close(d.up)
+		close(d.proceed)
 	}()
 	_, err = begin()
 	require.ErrorIs(t, err, ErrUploadFailed)
@@ -380,7 +380,7 @@
 
 	u = whole()
 	close(early)
-	h.spoken(t)
+	h.waitReadable(t)
 	require.Equal(t, policy.NotConnected, attempt(u))
 	require.NotContains(t, <-heard, "body")
 	settled()
@@ -388,8 +388,8 @@
 
 // TestUploadGoesToItsTarget has a body go ahead to a target that leaves the list and whose name another takes: its attempt ends on its own connection.
 func TestUploadGoesToItsTarget(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "its own") })
-	b := newBench(s.Addr().String())
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "its own") })
+	b := newHarness(s.Addr().String())
 	u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	require.NoError(t, err)
 	u.HoldLastPiece([]byte("body"))
@@ -400,20 +400,20 @@
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.pool.conns.Load() == 0 && len(b.leaving) == 0
+		return b.limits.open.Load() == 0 && len(b.removed) == 0
 	}, 10*time.Second, time.Millisecond)
 }
 
 // TestCalledOffOnItsWay calls attempts off, or ends their time, that are half written, or written whole to a target that does not read: by the
 // time the outcome is told the connection is closed, and what was on its way then never arrives.
-func TestCalledOffOnItsWay(t *testing.T) {
+func TestCancelWhileSending(t *testing.T) {
 	for _, x := range []struct {
 		name   string
 		buffer int
 		want   policy.OutcomeCode
 	}{{"half written", 4 << 10, policy.NotConnected}, {"written whole", 1 << 20, policy.Cancelled}} {
 		t.Run(x.name, func(t *testing.T) {
-			l := narrow(t)
+			l := listenSmallBuffer(t)
 			asked, over, arrived := make(chan bool), make(chan bool), make(chan int, 1)
 			go func() {
 				c, _ := l.Accept()
@@ -425,7 +425,7 @@
 				arrived <- int(n) + 1
 			}()
 			sent := make(chan bool, 1)
-			b, h := newHeld(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, OnSent: func() { sent <- true }})
+			b, h := newBlockingHarness(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, OnSent: func() { sent <- true }})
 			closed := make(chan error, 1)
 			b.Apply(nil, true)
 			b.report = func(r core.Result) {
@@ -434,9 +434,9 @@
 			}
 			b.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, false)
 			b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute),
-				Permit:  moment(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
+				Permit:  permitFunc(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
 				Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxBufferedBody)}})
-			close(h.next(t).up)
+			close(h.nextDial(t).proceed)
 			<-asked
 			if x.want == policy.Cancelled {
 				<-sent
@@ -451,29 +451,29 @@
 }
 
 // TestOldConnectionIsNotTaken has a connection be too old that the last look at idle ones left: the target may close it any moment.
-func TestOldConnectionIsNotTaken(t *testing.T) {
-	s := newStandIn(t, func(int32, *http.Request, net.Conn) bool { return true })
-	b := newBench(s.Addr().String())
-	tg := newTarget("n", b.opt, &b.pool, b.report)
-	tg.set(s.Addr().String(), policy.Up)
+func TestExpiredConnectionIsNotReused(t *testing.T) {
+	s := newFakeTarget(t, func(int32, *http.Request, net.Conn) bool { return true })
+	b := newHarness(s.Addr().String())
+	tg := newTarget("n", b.opt, &b.limits, b.report)
+	tg.setState(s.Addr().String(), policy.Up)
 	c, err := b.opt.Dialer.Dial(context.Background(), s.Addr().String())
 	require.NoError(t, err)
-	require.True(t, tg.count(1))
-	tg.idle = []*conn{{Session: c, addr: s.Addr().String(), idleAt: time.Now().Add(-b.opt.IdleTimeout)}}
-	got, may := tg.take()
+	require.True(t, tg.addConns(1))
+	tg.idle = []*conn{{Session: c, addr: s.Addr().String(), idleSince: time.Now().Add(-b.opt.IdleTimeout)}}
+	got, may := tg.acquireConn()
 	require.True(t, may)
 	require.Nil(t, got)
 	require.ErrorIs(t, c.(*httpSession).SetDeadline(time.Time{}), net.ErrClosed)
-	require.EqualValues(t, 1, b.pool.conns.Load())
+	require.EqualValues(t, 1, b.limits.open.Load())
 }
 
 // TestOddReportsAreLoggedOnce has a target report what cannot be in each answer: it counts as not told, and each connection has one line.
-func TestOddReportsAreLoggedOnce(t *testing.T) {
+func TestInvalidReportsAreLoggedOnce(t *testing.T) {
 	for _, odd := range []string{"Server-Load: concurrent=NaN", "Server-Load: depth=-1,tps=3", "Volume-Load: 99999999999999999999", "Volume-Load: -1",
 		"Volume-Load: 1e3", "Server-Load: inflight=" + strings.Repeat("9", 400) + "\r\nOther-Hosts: NaN"} {
-		s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK\r\n"+odd, "") })
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK\r\n"+odd, "") })
 		var lines bytes.Buffer
-		b := newBench(s.Addr().String())
+		b := newHarness(s.Addr().String())
 		b.opt.Log = slog.New(slog.NewTextHandler(&lines, nil))
 		b.Apply(nil, true)
 		b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, false)
@@ -492,20 +492,20 @@
 // TestEachSendHasOneResult sends, with bodies ahead and without, and calls off while targets come, drain, go, come back under their names and
 // break connections: each send has its one result, and in the end nothing is counted.
 func TestEachSendHasOneResult(t *testing.T) { //nolint:gocognit // one scenario, told in order
-	s := newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
+	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		switch n % 7 {
 		case 0:
 			return false
 		case 1:
-			first := say(c, "200 OK", "x")
-			return first && say(c, "200 OK", "x")
+			first := respond(c, "200 OK", "x")
+			return first && respond(c, "200 OK", "x")
 		case 2:
-			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*pieceSize))
+			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", 2*bufferSize))
 			return false
 		}
-		return say(c, "200 OK", "x")
+		return respond(c, "200 OK", "x")
 	})
-	b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 3, MaxConnsTotal: 5, ReuseDelay: 5 * time.Millisecond})
+	b := newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 3, MaxConnsTotal: 5, ReuseDelay: 5 * time.Millisecond})
 	b.results = make(chan core.Result, 10000)
 	names := []string{"n", "m", "o"}
 	var sends sync.WaitGroup
@@ -560,14 +560,14 @@
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return b.pool.conns.Load() == 0 && len(b.leaving) == 0
+		return b.limits.open.Load() == 0 && len(b.removed) == 0
 	}, 20*time.Second, time.Millisecond)
 	require.Empty(t, b.results)
 }
 
 // TestConnectionsThatComeUpLate has a target whose machine takes no connection until it has room: an attempt whose time is over and one that is
 // called off end at once, and nothing of them is there when the machine takes connections again. One that waits gets its own a second later.
-func TestConnectionsThatComeUpLate(t *testing.T) {
+func TestFullAcceptQueue(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -582,7 +582,7 @@
 		}
 	}
 	var asked atomic.Int32
-	b := newBench(l.Addr().String())
+	b := newHarness(l.Addr().String())
 	send := func(name string, wait time.Duration) {
 		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Request{Method: "GET", URI: "/r/1", ID: name}})
 	}
@@ -595,7 +595,7 @@
 		require.NotEqual(t, "waits", r.Request)
 		require.Equal(t, policy.NotConnected, r.Code)
 	}
-	require.Eventually(t, func() bool { return b.pool.conns.Load() == 1 }, 10*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return b.limits.open.Load() == 1 }, 10*time.Second, time.Millisecond)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -606,7 +606,7 @@
 				defer c.Close()
 				if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 					asked.Add(1)
-					say(c, "200 OK", req.Header.Get("Request-Id"))
+					respond(c, "200 OK", req.Header.Get("Request-Id"))
 				}
 			}()
 		}
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -1,4 +1,4 @@
-// Package upstream carries attempts to targets over net.Conn: an actor per target owns its connections.
+// Package upstream carries out attempts at targets. One actor per target owns its connection pool.
 package upstream
 
 import (
@@ -11,77 +11,78 @@
 	"spindlehitch/internal/policy"
 )
 
-// Target is what discovery says of one target.
+// Target is an entry of discovery's list.
 type Target struct {
 	ID    string
 	Addr  string
 	State policy.EndpointState
 }
 
-// Options are the bounds of every connection.
+// Options are the settings of a registry and its connections.
 type Options struct {
 	Dialer            Dialer
-	DialTimeout       time.Duration // for a connection to come up, at first
-	IdleTimeout       time.Duration // an unused connection is closed after that, at first
-	ReuseDelay        time.Duration // and is not used again before that, where another may be made
-	MaxConnsPerTarget int           // connections to one target
-	MaxConnsTotal     int           // connections to all targets together
-	OnSent            func()        // called for each attempt that is written whole; nil: nobody asks
-	Quota             ConnQuota     // of connections over all instances; nil: none is kept
+	DialTimeout       time.Duration // of a new connection; SetTimeouts changes it
+	IdleTimeout       time.Duration // after which an unused connection is closed; SetTimeouts changes it
+	ReuseDelay        time.Duration // idle time before reuse at a target that sends unsolicited data, unless no connection can be added; 0: reuse is never delayed
+	MaxConnsPerTarget int           // SetConnLimits changes it
+	MaxConnsTotal     int           // to all targets together; SetConnLimits changes it
+	OnSent            func()        // called when an attempt has been written completely; nil: not called
+	Quota             ConnQuota     // on connections over all instances; nil: none
 	Log               *slog.Logger
 }
 
-// Stock is this process's part of the connections that all instances hold at a target. It is asked before each is made.
+// ConnQuota limits this process's share of the connections that all instances have to a target. Open is called before each dial and
+// Close after each connection or failed dial.
 type ConnQuota interface {
-	Open(target string) bool // false: there may be none more
+	Open(target string) bool // false: no further connection is allowed
 	Close(target string)
-	Excess(target string) int // open beyond what may be
+	Excess(target string) int // connections that are open beyond the quota
 }
 
-// Registry holds the targets' actors. The list actor applies news to it before the module hears of them, so
-// that a send decided on an older list still meets the newer state at its first byte.
+// Registry holds the targets' actors. List changes are applied to it before the policy module gets them, so that a send decided on an
+// older list is still checked against the newer state at its first byte. The mutex guards targets, removed and each target's started.
 type Registry struct {
 	opt     Options
 	report  func(core.Result)
 	mu      sync.Mutex
 	targets map[string]*target
-	leaving map[*target]bool // gone from the list, with something out yet
-	pool    pool
+	removed map[*target]bool // no longer listed, but the actor has not ended
+	limits  connLimits
 }
 
-// pool is all targets' connections, those being made included, how many there may be, and their times.
-type pool struct {
-	conns, mostOne, mostAll atomic.Int64
-	dial, idle              atomic.Int64 // nanoseconds
+// connLimits counts the connections to all targets, including those being dialed, and holds their limits and timeouts.
+type connLimits struct {
+	open, maxPerTarget, maxTotal atomic.Int64
+	dialNanos, idleNanos         atomic.Int64 // the timeouts
 }
 
-func (p *pool) dialFor() time.Duration { return time.Duration(p.dial.Load()) }
-func (p *pool) idleFor() time.Duration { return time.Duration(p.idle.Load()) }
+func (p *connLimits) dialTimeout() time.Duration { return time.Duration(p.dialNanos.Load()) }
+func (p *connLimits) idleTimeout() time.Duration { return time.Duration(p.idleNanos.Load()) }
 
-// NewRegistry returns an empty registry; results go to report.
+// NewRegistry returns an empty registry. The result of each attempt goes to report.
 func NewRegistry(opt Options, report func(core.Result)) *Registry {
-	g := &Registry{opt: opt, report: report, targets: map[string]*target{}, leaving: map[*target]bool{}}
+	g := &Registry{opt: opt, report: report, targets: map[string]*target{}, removed: map[*target]bool{}}
 	g.SetConnLimits(opt.MaxConnsPerTarget, opt.MaxConnsTotal)
 	g.SetTimeouts(opt.DialTimeout, opt.IdleTimeout)
 	return g
 }
 
-// Times sets how long a connection may take to come up, and how long one is kept that is not used, from now on.
+// SetTimeouts sets the dial timeout of new connections and the idle timeout of all connections.
 func (g *Registry) SetTimeouts(dial, idle time.Duration) {
-	g.pool.dial.Store(int64(dial))
-	if g.pool.idle.Swap(int64(idle)) != int64(idle) {
+	g.limits.dialNanos.Store(int64(dial))
+	if g.limits.idleNanos.Swap(int64(idle)) != int64(idle) {
 		g.PruneIdle()
 	}
 }
 
-// Bound sets how many connections there may be, to one target and to all, from now on.
-func (g *Registry) SetConnLimits(one, all int) {
-	g.pool.mostOne.Store(int64(one))
-	g.pool.mostAll.Store(int64(all))
+// SetConnLimits sets how many connections are allowed to one target and to all together. Open ones beyond a lower limit stay.
+func (g *Registry) SetConnLimits(perTarget, total int) {
+	g.limits.maxPerTarget.Store(int64(perTarget))
+	g.limits.maxTotal.Store(int64(total))
 }
 
-// Apply takes over entries of the list; with whole, a target that is absent is gone. It tells how many are listed now.
-func (g *Registry) Apply(list []Target, whole bool) int {
+// Apply applies entries of the list. With full it removes every target that has none. It returns the number of listed targets.
+func (g *Registry) Apply(list []Target, full bool) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, x := range list {
@@ -90,117 +91,118 @@
 			if x.State == policy.Removed {
 				continue
 			}
-			t = newTarget(x.ID, g.opt, &g.pool, g.report)
+			t = newTarget(x.ID, g.opt, &g.limits, g.report)
 			g.targets[x.ID] = t
 		}
-		g.set(t, x.Addr, x.State)
+		g.setTarget(t, x.Addr, x.State)
 	}
-	if whole {
-		named := make(map[string]bool, len(list))
+	if full {
+		listed := make(map[string]bool, len(list))
 		for _, x := range list {
-			named[x.ID] = true
+			listed[x.ID] = true
 		}
 		for id, t := range g.targets {
-			if !named[id] {
-				g.set(t, "", policy.Removed)
+			if !listed[id] {
+				g.setTarget(t, "", policy.Removed)
 			}
 		}
 	}
 	return len(g.targets)
 }
 
-// set takes over what the list says of a target: at once for attempts about to write, in turn for its pool. An actor of a target that is
-// gone ends once nothing is out at it.
-func (g *Registry) set(t *target, addr string, state policy.EndpointState) {
-	t.set(addr, state)
+// setTarget applies a target's address and state, at once for attempts that have not begun to write, and through its actor for its
+// idle connections. The actor of a removed target ends once it has no attempt or upload left.
+func (g *Registry) setTarget(t *target, addr string, state policy.EndpointState) {
+	t.setState(addr, state)
 	if t.started {
-		t.box.Put(moved{})
+		t.inbox.Put(pruneMsg{})
 	}
 	if state != policy.Removed {
 		return
 	}
 	delete(g.targets, t.id)
 	if t.started {
-		g.leaving[t] = true
-		t.box.Put(retire{})
+		g.removed[t] = true
+		t.inbox.Put(removedMsg{})
 	}
 }
 
-// tell gives a message to a target's actor, which starts with its first: of the targets that are listed an initiator may use few.
-func (g *Registry) tell(t *target, message any) {
+// post sends a message to a target's actor and starts the actor if it is the first one: an initiator may use few of the listed targets.
+func (g *Registry) post(t *target, message any) {
 	if !t.started {
 		t.started = true
 		go func() {
 			t.run()
-			g.ended(t)
+			g.forget(t)
 		}()
 	}
-	t.box.Put(message)
+	t.inbox.Put(message)
 }
 
-// Send starts an attempt; one result follows.
+// Send starts an attempt. Exactly one result follows.
 func (g *Registry) Send(a core.Attempt) {
 	g.mu.Lock()
 	t := g.targets[a.Node]
-	if u := uploadOf(a); u != nil { // whatever has the target's name by now
-		if t = u.t; g.targets[t.id] != t && !g.leaving[t] {
+	if u := uploadOf(a); u != nil { // it goes to the upload's target, even if another target has that ID now
+		if t = u.target; g.targets[t.id] != t && !g.removed[t] {
 			t = nil
 		}
 	}
 	if t != nil {
-		g.tell(t, a)
+		g.post(t, a)
 	}
 	g.mu.Unlock()
 	if t == nil {
-		g.moot(a)
+		g.reportNotSent(a)
 	}
 }
 
-// moot ends an attempt that was not sent: its target left the list between the decision and now.
-func (g *Registry) moot(a core.Attempt) {
+// reportNotSent reports an attempt as not sent: its target was removed after the decision to send.
+func (g *Registry) reportNotSent(a core.Attempt) {
 	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.NotSent})
 }
 
-// ended forgets a target whose actor has ended. What came to it at the last moment is owed a result all the same.
-func (g *Registry) ended(t *target) {
+// forget drops a target whose actor has ended. Attempts that were posted to it after its end still get their result.
+func (g *Registry) forget(t *target) {
 	g.mu.Lock()
-	delete(g.leaving, t)
+	delete(g.removed, t)
 	g.mu.Unlock()
-	for _, m := range t.box.Take(nil) {
+	for _, m := range t.inbox.Take(nil) {
 		if a, ok := m.(core.Attempt); ok {
-			g.moot(a)
+			g.reportNotSent(a)
 		}
 	}
 }
 
-// Review has every target's actor look at what it may keep open.
+// PruneIdle makes every target's actor close the idle connections that it may no longer keep.
 func (g *Registry) PruneIdle() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, t := range g.targets {
 		if t.started {
-			t.box.Put(moved{})
+			t.inbox.Put(pruneMsg{})
 		}
 	}
 }
 
-// Retire has every target's actor end once nothing is out at it, and close its idle connections. Nothing may be sent after it.
+// Shutdown removes all targets. Their actors close the idle connections and end once they have no attempt or upload left. Attempts sent
+// after it are reported as not sent.
 func (g *Registry) Shutdown() { g.Apply(nil, true) }
 
-// Cancel calls an attempt off; its connection is closed before its result is reported. The target may have left the list
-// since, and another may have its name.
-func (g *Registry) Cancel(node, request string) {
+// Cancel cancels an attempt. Its connection is closed before its result is reported. The target may have been removed meanwhile, and
+// another one may have its ID.
+func (g *Registry) Cancel(targetID, request string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if t := g.targets[node]; t != nil && t.started {
-		t.box.Put(cancel{request})
+	if t := g.targets[targetID]; t != nil && t.started {
+		t.inbox.Put(cancelMsg{request})
 	}
-	for t := range g.leaving {
-		if t.id == node {
-			t.box.Put(cancel{request})
+	for t := range g.removed {
+		if t.id == targetID {
+			t.inbox.Put(cancelMsg{request})
 		}
 	}
 }
 
-// open tells whether something new may still go to the target.
-func open(state *atomic.Int32) bool { return state.Load() == int32(policy.Up) }
+// acceptsNew reports whether the target takes new requests.
+func acceptsNew(state *atomic.Int32) bool { return state.Load() == int32(policy.Up) }
--- a/internal/datapath/upstream/terms_test.go
+++ b/internal/datapath/upstream/requirements_test.go
@@ -20,25 +20,25 @@
 // TestLateSecondAnswer has a target answer twice, the second time some milliseconds late, while the connection is idle or has just been
 // taken for another request: once it has been heard to do so, the second is never taken for an answer to what comes next. Its first time
 // comes while the connection is idle.
-func TestLateSecondAnswer(t *testing.T) {
+func TestLateDuplicateAnswer(t *testing.T) {
 	for _, late := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 		t.Run(fmt.Sprint(late), func(t *testing.T) {
-			s := newStandIn(t, func(n int32, _ *http.Request, c net.Conn) bool {
+			s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 				body := fmt.Sprint("answer ", n)
-				say(c, "200 OK", body)
+				respond(c, "200 OK", body)
 				go func() {
 					time.Sleep(late)
-					say(c, "200 OK", body)
+					respond(c, "200 OK", body)
 				}()
 				time.Sleep(2 * time.Millisecond) // a request takes its time
 				return true
 			})
-			b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: 60 * time.Millisecond})
+			b := newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: 60 * time.Millisecond})
 			for i := range 30 {
 				b.send(10 * time.Second)
 				r := b.result(t)
 				require.Equal(t, policy.Served, r.Code)
-				require.Equal(t, fmt.Sprint("answer ", s.asked.Load()), string(r.Payload.([]byte)))
+				require.Equal(t, fmt.Sprint("answer ", s.requests.Load()), string(r.Payload.([]byte)))
 				if i == 0 {
 					time.Sleep(2 * late)
 				}
@@ -49,9 +49,9 @@
 }
 
 // TestNoRest has a target that answers once: its connection is used again at once, however long connections would rest elsewhere.
-func TestNoRest(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "once") })
-	b := newBenchThat(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: time.Hour})
+func TestReuseWithoutDelay(t *testing.T) {
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "once") })
+	b := newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: time.Hour})
 	for range 20 {
 		b.send(10 * time.Second)
 		require.Equal(t, policy.Served, b.result(t).Code)
@@ -61,15 +61,15 @@
 
 // TestResetIsNoEnd resets a connection under an answer that has no length: however much of it came, it is not whole, neither where it is
 // held until its end nor where it is passed on.
-func TestResetIsNoEnd(t *testing.T) {
-	for _, came := range []int{0, 1, 200, pieceSize - 1, 3 * pieceSize} {
+func TestResetIsNotEndOfBody(t *testing.T) {
+	for _, came := range []int{0, 1, 200, bufferSize - 1, 3 * bufferSize} {
 		t.Run(fmt.Sprint(came), func(t *testing.T) {
-			s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool {
+			s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool {
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", came))
 				c.(*net.TCPConn).SetLinger(0) // what was written before the reset is read before it
 				return false
 			})
-			b := newBench(s.Addr().String())
+			b := newHarness(s.Addr().String())
 			b.send(10 * time.Second)
 			r := b.result(t)
 			if st, passed := r.Payload.(*Stream); passed {
@@ -83,14 +83,14 @@
 }
 
 // TestKeyPassesOn has targets see a request's key as its client wrote it, where the body goes with the head and where it goes ahead.
-func TestKeyPassesOn(t *testing.T) {
+func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	for _, key := range []string{"", `a 7="x"`} {
 		seen := make(chan []string, 1)
-		s := newStandIn(t, func(_ int32, r *http.Request, c net.Conn) bool {
+		s := newFakeTarget(t, func(_ int32, r *http.Request, c net.Conn) bool {
 			seen <- r.Header.Values("Idempotency-Key")
-			return say(c, "200 OK", "done")
+			return respond(c, "200 OK", "done")
 		})
-		b := newBench(s.Addr().String())
+		b := newHarness(s.Addr().String())
 		m := &Request{Method: "PUT", URI: "/w/1", ID: "id", IdempotencyKey: key}
 		u, err := b.StartUpload(context.Background(), "n", m, 4, time.Second)
 		require.NoError(t, err)
@@ -110,11 +110,11 @@
 // TestKilledBehindAccept has a target be killed while the machine still takes connections for it that nobody there accepts, and while one that
 // it has accepted brings a request. What was written whole may have run and ends as a reset, at once; what was not cannot have. Each attempt has
 // one result, no connection stays counted, and its successor at the same address is reached by a new one.
-func TestKilledBehindAccept(t *testing.T) {
+func TestTargetKilledBeforeAccept(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
-	b := newBenchThat(addr, Options{MaxConnsPerTarget: 8, MaxConnsTotal: 8})
+	b := newHarnessWith(addr, Options{MaxConnsPerTarget: 8, MaxConnsTotal: 8})
 	sent := make(chan bool, 8)
 	b.Apply(nil, true)
 	b.opt.OnSent = func() { sent <- true }
@@ -136,7 +136,7 @@
 	require.Less(t, time.Since(began), 10*time.Second, "waited for until its time was over")
 	b.send(20 * time.Second)
 	require.Equal(t, policy.NotConnected, b.result(t).Code)
-	require.Eventually(t, func() bool { return b.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return b.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 	l, err = net.Listen("tcp", addr)
 	require.NoError(t, err)
 	defer l.Close()
@@ -145,28 +145,28 @@
 	require.NoError(t, err)
 	defer c.Close()
 	<-sent
-	say(c, "200 OK", "")
+	respond(c, "200 OK", "")
 	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Empty(t, b.results)
 }
 
 // TestToldTime has connections come up late under first and further attempts: the time that a target is told is what is left of the attempt's
 // then, not what there was as it was decided.
-func TestToldTime(t *testing.T) {
+func TestRequestTimeoutHeader(t *testing.T) {
 	told := make(chan string, 1)
-	s := newStandIn(t, func(_ int32, r *http.Request, c net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, r *http.Request, c net.Conn) bool {
 		told <- r.Header.Get("Request-Timeout-Ms")
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n") // each attempt has a connection of its own
 		return false
 	})
-	b, h := newHeld(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
+	b, h := newBlockingHarness(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	for number := range 3 {
 		until := time.Now().Add(10 * time.Second)
 		b.Send(core.Attempt{Request: "r", Number: number, Node: "n", Until: until, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
-		d := h.next(t)
+		d := h.nextDial(t)
 		time.Sleep(30 * time.Millisecond)
 		up := time.Now()
-		close(d.up)
+		close(d.proceed)
 		ms, err := strconv.Atoi(<-told)
 		require.NoError(t, err)
 		require.LessOrEqual(t, time.Duration(ms)*time.Millisecond, until.Sub(up))
--- a/internal/datapath/upstream/stream.go
+++ b/internal/datapath/upstream/stream.go
@@ -11,49 +11,49 @@
 )
 
 const (
-	// pieceSize is how much of a body that passes through is here at a time.
-	pieceSize = 16 << 10
-	// holdFor is how long an answer without a length is held, since most are small and whole by then.
-	holdFor = 25 * time.Millisecond
-	// streamStall is how long an answer that is being passed on may bring nothing. What a target still gives must not be cut
-	// off, and no request can be sent again for it.
-	streamStall = 10 * time.Second
+	// bufferSize is the size of the buffers through which bodies are streamed.
+	bufferSize = 16 << 10
+	// holdTimeout is how long the start of an answer without a length is buffered: most are small and complete by then.
+	holdTimeout = 25 * time.Millisecond
+	// streamStallTimeout is how long an answer that is being streamed may bring no data. It is long since the request cannot be
+	// retried any more, and an answer that still makes progress must not be cut off.
+	streamStallTimeout = 10 * time.Second
 )
 
-var pieces = sync.Pool{New: func() any { b := make([]byte, pieceSize); return &b }}
+var buffers = sync.Pool{New: func() any { b := make([]byte, bufferSize); return &b }}
 
-// Piece lends a buffer for a piece of a body; done returns it.
-func AcquireBuffer() (piece []byte, done func()) {
-	p := pieces.Get().(*[]byte)
-	return *p, func() { pieces.Put(p) }
+// AcquireBuffer returns a pooled buffer for a piece of a body; release returns it to the pool.
+func AcquireBuffer() (buf []byte, release func()) {
+	p := buffers.Get().(*[]byte)
+	return *p, func() { buffers.Put(p) }
 }
 
-// Stream is the body of an answer that passes through. Whoever has it reads it to its end or discards it; only then is
-// its connection free.
+// Stream is the body of an answer that is not buffered completely. Its owner must read it until an error, io.EOF included, or
+// discard it; only then does its connection go back to the pool or close. The mutex guards ended and notify.
 type Stream struct {
-	Length int64 // -1: not told
-	first  []byte
-	eof    bool // first is all there is
-	body   io.Reader
-	in     *bufio.Reader
-	conn   *httpSession
-	close  bool // the connection ends with the answer
-	passed int64
-	mu     sync.Mutex
-	ended  bool
-	end    func(reuse bool, reason string)
+	Length    int64  // -1: unknown
+	prefix    []byte // the part that readPrefix has read and Read has not returned
+	complete  bool   // prefix is the whole body
+	body      io.Reader
+	in        *bufio.Reader
+	conn      *httpSession
+	closes    bool // the connection ends with the answer
+	bytesRead int64
+	mu        sync.Mutex
+	ended     bool
+	notify    func(reuse bool, reason string) // called once, when it ends
 }
 
-// Read implements io.Reader. The end of a body that is not whole is an error other than io.EOF.
+// Read implements io.Reader. A truncated body ends with an error other than io.EOF.
 func (s *Stream) Read(b []byte) (int, error) {
-	if len(s.first) > 0 {
-		n := copy(b, s.first)
-		s.first = s.first[n:]
+	if len(s.prefix) > 0 {
+		n := copy(b, s.prefix)
+		s.prefix = s.prefix[n:]
 		return n, nil
 	}
 	n, err := s.body.Read(b)
-	if s.passed += int64(n); s.passed > MaxBody {
-		err = errTooLarge // one without a length could go on for ever
+	if s.bytesRead += int64(n); s.bytesRead > MaxBody {
+		err = errTooLarge // a body without a length could be endless
 	}
 	if err != nil {
 		s.finish(err)
@@ -61,21 +61,21 @@
 	return n, err
 }
 
-// begin reads the first of the body; all of it, where it is soon whole and small. Without a length it may be that: most
-// are, so more of it is waited for a little.
-func (s *Stream) begin(hold func(until time.Time)) error {
-	first := make([]byte, 0, 4<<10)
+// readPrefix reads the first part of the body. Without a length it waits up to holdTimeout for more, since most bodies are small
+// and complete by then.
+func (s *Stream) readPrefix(setReadDeadline func(until time.Time)) error {
+	prefix := make([]byte, 0, 4<<10)
 	var since time.Time
 	for {
-		if len(first) == cap(first) {
-			first = slices.Grow(first, len(first))
+		if len(prefix) == cap(prefix) {
+			prefix = slices.Grow(prefix, len(prefix))
 		}
-		n, err := s.body.Read(first[len(first):cap(first)])
-		first = first[:len(first)+n]
-		s.first = first
+		n, err := s.body.Read(prefix[len(prefix):cap(prefix)])
+		prefix = prefix[:len(prefix)+n]
+		s.prefix = prefix
 		switch {
 		case errors.Is(err, io.EOF):
-			s.eof = true
+			s.complete = true
 			return nil
 		case err != nil:
 			return err
@@ -84,50 +84,51 @@
 		case since.IsZero():
 			since = time.Now()
 		}
-		hold(time.Time{})
-		until := since.Add(holdFor)
-		if s.Length >= 0 || len(first) >= pieceSize || !time.Now().Before(until) {
+		setReadDeadline(time.Time{})
+		holdUntil := since.Add(holdTimeout)
+		if s.Length >= 0 || len(prefix) >= bufferSize || !time.Now().Before(holdUntil) {
 			return nil
 		}
-		// The wait is for raw bytes: a body's reader that met a deadline could not be read on.
-		hold(until)
+		// Peek waits for bytes of the connection: the body's reader could not continue after a missed deadline.
+		setReadDeadline(holdUntil)
 		_, err = s.in.Peek(1)
-		hold(time.Time{})
+		setReadDeadline(time.Time{})
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
 	}
 }
 
-// Discard ends it early, if it has not ended.
-func (s *Stream) Discard() { s.over(false, "CANCELLED") }
+// Discard ends the stream and closes its connection, unless the stream has ended already.
+func (s *Stream) Discard() { s.end(false, "CANCELLED") }
 
-// finish ends it as its body did.
+// finish ends the stream after the error that its body ended with.
 func (s *Stream) finish(err error) {
 	switch {
 	case err != nil && !errors.Is(err, io.EOF):
-		s.over(false, "READ_"+ReasonCode(err))
-	case s.close || s.in.Buffered() > 0:
-		s.over(false, "TARGET_CLOSES")
+		s.end(false, "READ_"+ReasonCode(err))
+	case s.closes || s.in.Buffered() > 0:
+		s.end(false, "TARGET_CLOSES")
 	default:
-		s.over(s.conn.SetDeadline(time.Time{}) == nil, "CLOSED")
+		s.end(s.conn.SetDeadline(time.Time{}) == nil, "CLOSED")
 	}
 }
 
-func (s *Stream) over(reuse bool, reason string) {
+// end marks the stream as ended and calls notify, once.
+func (s *Stream) end(reuse bool, reason string) {
 	s.mu.Lock()
-	end := s.end
-	was := s.ended
+	notify := s.notify
+	already := s.ended
 	s.ended = true
 	s.mu.Unlock()
-	if !was && end != nil {
-		end(reuse, reason)
+	if !already && notify != nil {
+		notify(reuse, reason)
 	}
 }
 
-// onEnd has f called once it has ended, of which no reader can have heard before.
-func (s *Stream) onEnd(f func(reuse bool, reason string)) {
+// setNotify sets the function that is called at the end. It is called before the stream is given to a reader.
+func (s *Stream) setNotify(f func(reuse bool, reason string)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.end = f
+	s.notify = f
 }
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -46,14 +46,14 @@
 		{"chunks, cut", chunked + "0\r\n\r\n", 5, -1, 2},
 	} {
 		rest := make(chan bool)
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			half := len(c.says) / 2
 			_, _ = io.WriteString(conn, c.says[:half])
 			<-rest
 			_, _ = io.WriteString(conn, c.says[half:len(c.says)-c.cut])
 			return c.cut == 0 && c.name != "until the end"
 		})
-		b := newBench(s.Addr().String())
+		b := newHarness(s.Addr().String())
 		for range 2 {
 			b.send(20 * time.Second)
 			r := b.result(t) // while the target holds half of it back
@@ -77,7 +77,7 @@
 
 // TestSmallAnswersAreHeld checks that small answers of unknown length are whole before anything of them is passed on: cut
 // short, they can be asked for again.
-func TestSmallAnswersAreHeld(t *testing.T) {
+func TestSmallAnswersAreBuffered(t *testing.T) {
 	for says, want := range map[string]policy.OutcomeCode{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": policy.Served,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":           policy.Served,
@@ -85,8 +85,8 @@
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n":         policy.ConnectionReset,
 		"HTTP/1.1 200 OK\r\n\r\nx": policy.Served,
 	} {
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, says); return false })
-		b := newBench(s.Addr().String())
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, says); return false })
+		b := newHarness(s.Addr().String())
 		b.send(10 * time.Second)
 		r := b.result(t)
 		if _, held := r.Payload.([]byte); r.Code != want || !held && want == policy.Served {
@@ -98,7 +98,7 @@
 // TestEndlessAnswer guards against an answer without a length that never ends: it costs no more than the largest there may
 // be, and does not pass for whole.
 func TestEndlessAnswer(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n")
 		for part := make([]byte, 1<<20); ; {
 			if _, err := conn.Write(part); err != nil {
@@ -106,7 +106,7 @@
 			}
 		}
 	})
-	b := newBench(s.Addr().String())
+	b := newHarness(s.Addr().String())
 	b.send(20 * time.Second)
 	n, err := io.Copy(io.Discard, b.result(t).Payload.(*Stream))
 	if !errors.Is(err, errTooLarge) || n > MaxBody+64<<10 {
@@ -119,7 +119,7 @@
 func TestUpload(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	for _, length := range []int64{5 * 1000, -1} {
 		bodies := make(chan string, 1)
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool { return false })
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { return false })
 		s.Close()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -134,7 +134,7 @@
 			_, _ = io.WriteString(w, "done")
 		})
 		go func() { _ = http.Serve(l, answer) }()
-		b := newBench(l.Addr().String())
+		b := newHarness(l.Addr().String())
 		up := func() *Upload {
 			u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
 			if err != nil {
@@ -164,7 +164,7 @@
 		if got, want := <-bodies, fmt.Sprint(length, " 5000 id"); got != want {
 			t.Errorf("the target had %q, want %q", got, want)
 		}
-		if _, err := b.StartUpload(context.Background(), "n", u.msg, length, time.Second); err == nil {
+		if _, err := b.StartUpload(context.Background(), "n", u.request, length, time.Second); err == nil {
 			t.Error("a body goes ahead to a target that drains")
 		}
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
@@ -174,7 +174,7 @@
 		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("after it was closed: code %v", r.Code)
 		}
-		require.Eventually(t, func() bool { return b.pool.conns.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
+		require.Eventually(t, func() bool { return b.limits.open.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
 		if len(bodies) > 0 {
 			t.Errorf("the target took what was closed: %q", <-bodies)
 		}
@@ -185,19 +185,19 @@
 func TestSlowChunks(t *testing.T) {
 	stop := make(chan bool)
 	defer close(stop)
-	s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100000\r\nthe first")
 		<-stop
 		return false
 	})
-	b := newBench(s.Addr().String())
+	b := newHarness(s.Addr().String())
 	begun := time.Now()
 	b.send(10 * time.Second)
 	st, ok := b.result(t).Payload.(*Stream)
 	if !ok || time.Since(begun) > 5*time.Second {
 		t.Fatalf("a stream %v after %v", ok, time.Since(begun))
 	}
-	got := make([]byte, pieceSize)
+	got := make([]byte, bufferSize)
 	if n, err := st.Read(got); string(got[:n]) != "the first" || err != nil {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
@@ -206,7 +206,7 @@
 
 // TestChunkCuts reads bodies in chunks through readers of any size, cuts them, and feeds garbage: a whole one comes as it
 // was written and leaves what follows it, and no cut passes for whole.
-func TestChunkCuts(t *testing.T) {
+func TestTruncatedChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var raw bytes.Buffer
 		w := httputil.NewChunkedWriter(&raw)
@@ -219,7 +219,7 @@
 		raw.WriteString(rapid.SampledFrom([]string{"\r\n", "A: b\r\n\r\n"}).Draw(t, "trailer"))
 		read := func(b []byte) ([]byte, string, error) {
 			in := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(b)), 16)
-			got, err := io.ReadAll(&chunks{in: in})
+			got, err := io.ReadAll(&chunkedReader{in: in})
 			rest, _ := io.ReadAll(in)
 			return got, string(rest), err
 		}
@@ -233,7 +233,7 @@
 		_, _, _ = read(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 	for _, bad := range []string{"-1\r\n", "fffffffff\r\n", "x\r\n", "1\r\nab\r\n", "0\r\n" + strings.Repeat("A: b\r\n", maxTrailer)} {
-		if _, err := io.ReadAll(&chunks{in: bufio.NewReader(strings.NewReader(bad))}); !errors.Is(err, errChunk) {
+		if _, err := io.ReadAll(&chunkedReader{in: bufio.NewReader(strings.NewReader(bad))}); !errors.Is(err, errBadChunk) {
 			t.Errorf("%.20q: %v", bad, err)
 		}
 	}
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -13,138 +13,141 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// Messages of a target's actor, beside core.Attempt.
+// Messages to a target's actor, besides core.Attempt.
 type (
-	cancel struct{ request string }
-	moved  struct{}
-	retire struct{}
-	done   struct {
-		try   *try
-		conn  *conn // to be used again; nil: closed
-		talks bool  // more came on a connection that it was on than was asked for
+	cancelMsg  struct{ request string }
+	pruneMsg   struct{}
+	removedMsg struct{}
+	doneMsg    struct {
+		attempt     *activeAttempt
+		conn        *conn // goes back to the pool; nil: closed
+		unsolicited bool  // one of its connections had unsolicited data
 	}
 )
 
-// target is the actor of one target. Only its goroutine touches idle, busy and conns; state and addr are
-// written by the list and read by every attempt at its first byte.
+// target is the actor of one target and owns its connection pool. Only its goroutine, run, uses idle, attempts, connCount, uploads and
+// unsolicited; state and addr are set by the registry and read by every attempt just before its first byte.
 type target struct {
 	id      string
 	opt     Options
 	report  func(core.Result)
-	box     *mailbox.Box[any]
-	started bool // the registry's alone
+	inbox   *mailbox.Box[any]
+	started bool // run's goroutine exists; guarded by the registry's mutex
 	state   atomic.Int32
 	addr    atomic.Pointer[string]
 
-	idle    []*conn
-	busy    map[string]*try
-	conns   int
-	uploads int   // connections on which a body goes ahead
-	talks   bool  // it has said more than it was asked: its connections rest after each answer
-	pool    *pool // of all targets
+	idle        []*conn                   // by idleSince, oldest first
+	attempts    map[string]*activeAttempt // by request
+	connCount   int                       // idle, in use and being dialed
+	uploads     int                       // connections that carry a body before its attempt
+	unsolicited bool                      // the target has sent unsolicited data: connections are not reused before ReuseDelay
+	limits      *connLimits               // shared by all targets
 }
 
-// Wire opens connections of one protocol.
+// Dialer opens connections of one protocol.
 type Dialer interface {
 	Dial(ctx context.Context, addr string) (Session, error)
 }
 
 // Session is a connection that carries one attempt at a time.
 type Session interface {
-	// Do carries an attempt to its end and tells its outcome, whether the connection can be used again, and
-	// if not, why. It asks first just before the first byte that could start anything, and sends nothing if
-	// the answer is no. Close, from another goroutine, ends it early.
-	Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string)
-	// Alive tells whether an unused connection is still open and quiet.
+	// Do carries out an attempt and returns its outcome, whether the connection can be reused, and if not, the
+	// reason code. It calls mayStart just before the first byte that could start the request, and sends nothing if
+	// that returns false. Close, from another goroutine, ends it early.
+	Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string)
+	// Alive reports whether an idle connection is still open and has nothing to read.
 	Alive() bool
 	Close() error
 }
 
-// Stale is why a connection ends, and an attempt on it with NoConnection, that was closed or spoke while nothing was asked on it.
+// ReasonClosedWhileIdle is the reason code of a connection that the target closed, or sent data on, while no request was open on it.
+// An attempt that is given such a connection ends as NotConnected.
 const ReasonClosedWhileIdle = "TARGET_CLOSED_IDLE"
 
-// Talker is a Session whose answers name no request, so that one that comes twice could pass for the next.
+// UncorrelatedSession is a Session whose answers do not identify their request, so that a duplicate could be taken for the answer to
+// the next request.
 type UncorrelatedSession interface {
-	// Talked tells whether more came than was asked for; it is called after Do, or after Alive.
+	// UnsolicitedData reports whether the target sent more than the answers to the requests. It is called after Do or Alive.
 	UnsolicitedData() bool
-	// Odd tells whether an answer reported what cannot be, which counts as not told.
+	// InvalidReport reports whether an answer had an impossible load report. Such a report is ignored.
 	InvalidReport() bool
 }
 
-// conn is one connection of the pool.
+// conn is a connection to a target. It belongs to the target's actor while idle, and to the attempt or upload that uses it otherwise.
 type conn struct {
 	Session
-	addr   string
-	odd    bool // that it brought an odd report is in the log
-	used   int
-	idleAt time.Time
+	addr         string
+	reportLogged bool // an invalid report on it was logged
+	requests     int  // carried so far
+	idleSince    time.Time
 }
 
-// try is one attempt under way.
-type try struct {
+// activeAttempt is an attempt that is being carried out by its own goroutine, runAttempt. The mutex guards conn and cancelled.
+type activeAttempt struct {
 	core.Attempt
-	ctx    context.Context
-	stop   context.CancelFunc
-	mu     sync.Mutex
-	conn   Session
-	called bool // called off
+	ctx       context.Context
+	stop      context.CancelFunc
+	mu        sync.Mutex
+	conn      Session
+	cancelled bool
 }
 
-func newTarget(id string, opt Options, all *pool, report func(core.Result)) *target {
-	return &target{id: id, opt: opt, pool: all, report: report, box: mailbox.New[any](), busy: map[string]*try{}}
+func newTarget(id string, opt Options, shared *connLimits, report func(core.Result)) *target {
+	return &target{id: id, opt: opt, limits: shared, report: report, inbox: mailbox.New[any](), attempts: map[string]*activeAttempt{}}
 }
 
-// set takes over what the list says, at once for attempts about to write.
-func (t *target) set(addr string, state policy.EndpointState) {
+// setState sets the target's address and state from the list. Attempts that have not sent their first byte see them at once.
+func (t *target) setState(addr string, state policy.EndpointState) {
 	if addr != "" {
 		t.addr.Store(&addr)
 	}
 	t.state.Store(int32(state))
 }
 
+// run is the actor's loop. It ends once the target is removed and no attempt or upload is left.
 func (t *target) run() {
 	var spare []any
-	old := time.NewTimer(0) // when the connection that is idle for longest is too old
-	defer old.Stop()
-	retired := false
-	for !retired || len(t.busy)+t.uploads > 0 {
-		// A target that nothing was sent to has nothing to look after: an initiator may know thousands of them.
+	expiry := time.NewTimer(0) // fires when the longest idle connection reaches the idle timeout
+	defer expiry.Stop()
+	removed := false
+	for !removed || len(t.attempts)+t.uploads > 0 {
+		// Without idle connections there is no timer: an initiator may have thousands of unused targets.
 		if len(t.idle) > 0 {
-			old.Reset(max(time.Until(t.idle[0].idleAt.Add(t.pool.idleFor())), time.Millisecond))
+			expiry.Reset(max(time.Until(t.idle[0].idleSince.Add(t.limits.idleTimeout())), time.Millisecond))
 		} else {
-			old.Stop()
+			expiry.Stop()
 		}
 		select {
-		case <-t.box.Wake():
-		case <-old.C:
-			t.prune()
+		case <-t.inbox.Wake():
+		case <-expiry.C:
+			t.pruneIdle()
 			continue
 		}
-		msgs := t.box.Take(spare)
+		msgs := t.inbox.Take(spare)
 		for _, m := range msgs {
 			switch m := m.(type) {
 			case core.Attempt:
-				t.start(m)
-			case cancel:
-				if a := t.busy[m.request]; a != nil {
-					a.callOff()
+				t.startAttempt(m)
+			case cancelMsg:
+				if a := t.attempts[m.request]; a != nil {
+					a.cancel()
 				}
-			case done:
-				t.finish(m)
-			case ahead:
-				t.begin(m.up)
-			case unloaded:
+			case doneMsg:
+				t.finishAttempt(m)
+			case uploadMsg:
+				t.startUpload(m.upload)
+			case uploadEndedMsg:
 				t.uploads--
 				if m.conn != nil {
-					t.drop(m.conn, m.reason)
+					t.closeConn(m.conn, m.reason)
 				} else {
-					t.count(-1)
-					t.logEnd(0, m.reason)
+					t.addConns(-1)
+					t.logConnEnd(0, m.reason)
 				}
-			case moved:
-				t.prune()
-			case retire:
-				retired = true // a move came before it
+			case pruneMsg:
+				t.pruneIdle()
+			case removedMsg:
+				removed = true // a pruneMsg came before it
 			}
 		}
 		spare = msgs
@@ -152,25 +155,25 @@
 	t.closeIdle("TARGET_GONE", func(*conn) bool { return true })
 }
 
-// start gives the attempt a connection, an idle one that is still whole or a new one.
-func (t *target) start(a core.Attempt) {
+// startAttempt starts an attempt on its upload's connection, on an idle one, or on a new one that the attempt's goroutine dials.
+func (t *target) startAttempt(a core.Attempt) {
 	r := core.Result{Request: a.Request, Number: a.Number, Node: t.id}
 	var c *conn
 	if u := uploadOf(a); u != nil {
-		if !u.move(attempted) {
+		if !u.transition(uploadAttached) {
 			r.Code = policy.NotConnected
 			t.report(r)
 			return
 		}
 		t.uploads--
 		c = u.conn
-	} else if !open(&t.state) {
+	} else if !acceptsNew(&t.state) {
 		r.Code = policy.NotSent
 		t.report(r)
 		return
 	} else {
 		var ok bool
-		if c, ok = t.take(); !ok {
+		if c, ok = t.acquireConn(); !ok {
 			r.Code = policy.NotConnected
 			t.report(r)
 			return
@@ -178,12 +181,12 @@
 	}
 	ctx, stop := context.WithDeadline(context.Background(), a.Until)
 	a.OnSent = t.opt.OnSent
-	y := &try{Attempt: a, ctx: ctx, stop: stop}
-	t.busy[a.Request] = y
-	go t.attempt(y, c)
+	active := &activeAttempt{Attempt: a, ctx: ctx, stop: stop}
+	t.attempts[a.Request] = active
+	go t.runAttempt(active, c)
 }
 
-// uploadOf is the connection that has an attempt's body already; nil: none has.
+// uploadOf returns the upload that carries an attempt's body; nil if there is none.
 func uploadOf(a core.Attempt) *Upload {
 	if m, ok := a.Payload.(*Request); ok {
 		return m.Upload
@@ -191,33 +194,33 @@
 	return nil
 }
 
-// take counts a connection and returns an idle one that is still whole; nil: one is to be made. It tells whether there
-// may be one. At a target that has said more than it was asked a connection rests after its answer: what it says twice comes meanwhile,
-// and is no answer to what comes next. Where no more connections may be made, one that rests is better than none.
-func (t *target) take() (*conn, bool) {
-	t.closeOld() // the last look at them may be long ago, and one that is too old may be closed any moment
-	if c := t.reuse(!t.talks); c != nil {
+// acquireConn returns an idle connection, or nil with true if the caller is to dial one, which is counted already. It returns false if
+// the limits allow none. At a target that has sent unsolicited data a connection is reused only after ReuseDelay: a duplicate answer
+// arrives within that time and cannot be taken for the next answer. If no connection can be added, an earlier reuse is better than none.
+func (t *target) acquireConn() (*conn, bool) {
+	t.closeExpired() // the timer may be late, and the target may close an expired connection at any moment
+	if c := t.takeIdle(!t.unsolicited); c != nil {
 		return c, true
 	}
-	// Both bounds keep the process within its descriptors, whatever the number of targets.
-	if int64(t.conns) < t.pool.mostOne.Load() && t.count(1) {
+	// Both limits keep the process within its file descriptors, whatever the number of targets.
+	if int64(t.connCount) < t.limits.maxPerTarget.Load() && t.addConns(1) {
 		return nil, true
 	}
-	c := t.reuse(true)
+	c := t.takeIdle(true)
 	return c, c != nil
 }
 
-// reuse takes the idle connection used last of those that have rested, and with resting, where none has, the one that has for
-// longest: what a target that was never heard to says twice is most likely over there.
-func (t *target) reuse(resting bool) *conn {
-	for rested := time.Now().Add(-t.opt.ReuseDelay); len(t.idle) > 0; {
-		i := slices.IndexFunc(t.idle, func(c *conn) bool { return c.idleAt.After(rested) }) // they are in order of it
+// takeIdle takes the most recently used of the connections that have been idle for ReuseDelay. If there is none and allowResting is
+// set, it takes the one that has been idle for longest, on which a duplicate answer is the least likely to be still on its way.
+func (t *target) takeIdle(allowResting bool) *conn {
+	for restedBefore := time.Now().Add(-t.opt.ReuseDelay); len(t.idle) > 0; {
+		i := slices.IndexFunc(t.idle, func(c *conn) bool { return c.idleSince.After(restedBefore) }) // idle is ordered by idleSince
 		switch {
 		case i < 0:
 			i = len(t.idle) - 1
 		case i > 0:
 			i--
-		case !resting:
+		case !allowResting:
 			return nil
 		}
 		c := t.idle[i]
@@ -225,57 +228,61 @@
 		if c.Alive() {
 			return c
 		}
-		t.talks = t.talks || t.talked(c)
-		// Closed by the target while idle: no byte of the attempt has been near it.
-		t.drop(c, ReasonClosedWhileIdle)
+		t.unsolicited = t.unsolicited || t.hasUnsolicited(c)
+		// The target closed it, or sent data, while it was idle: no byte of the attempt was written to it.
+		t.closeConn(c, ReasonClosedWhileIdle)
 	}
 	return nil
 }
 
-// talked tells whether more came on a connection than was asked for.
-func (t *target) talked(c *conn) bool {
-	x, ok := c.Session.(UncorrelatedSession)
-	return ok && t.opt.ReuseDelay > 0 && x.UnsolicitedData()
+// hasUnsolicited reports whether the target sent unsolicited data on a connection.
+func (t *target) hasUnsolicited(c *conn) bool {
+	uncorrelated, ok := c.Session.(UncorrelatedSession)
+	return ok && t.opt.ReuseDelay > 0 && uncorrelated.UnsolicitedData()
 }
 
-func (t *target) finish(m done) {
-	m.try.stop()
-	t.talks = t.talks || m.talks
-	// A later attempt of the same request may have begun here since; its entry is not this one's.
-	if t.busy[m.try.Request] == m.try {
-		delete(t.busy, m.try.Request)
+// finishAttempt removes an attempt and takes its connection back.
+func (t *target) finishAttempt(m doneMsg) {
+	m.attempt.stop()
+	t.unsolicited = t.unsolicited || m.unsolicited
+	// The entry may already be that of a later attempt of the same request.
+	if t.attempts[m.attempt.Request] == m.attempt {
+		delete(t.attempts, m.attempt.Request)
 	}
 	if m.conn == nil {
-		t.count(-1)
+		t.addConns(-1)
 		return
 	}
-	m.conn.idleAt = time.Now()
+	m.conn.idleSince = time.Now()
 	t.idle = append(t.idle, m.conn)
-	t.prune()
+	t.pruneIdle()
 }
 
-// prune closes idle connections that nothing will use: too old, of an old address, of a target that leaves.
-func (t *target) prune() {
+// pruneIdle closes idle connections that will not be used: expired, of a former address, of a target that takes no new requests, or
+// beyond the quota.
+func (t *target) pruneIdle() {
 	addr := t.address()
-	t.closeIdle("TARGET_LEAVES", func(*conn) bool { return !open(&t.state) })
+	t.closeIdle("TARGET_LEAVES", func(*conn) bool { return !acceptsNew(&t.state) })
 	t.closeIdle("TARGET_MOVED", func(c *conn) bool { return c.addr != addr })
-	t.closeOld()
+	t.closeExpired()
 	if t.opt.Quota != nil && len(t.idle) > 0 {
-		over := t.opt.Quota.Excess(t.id)
-		t.closeIdle("RATION", func(*conn) bool { over--; return over >= 0 })
+		excess := t.opt.Quota.Excess(t.id)
+		t.closeIdle("RATION", func(*conn) bool { excess--; return excess >= 0 })
 	}
 }
 
-func (t *target) closeOld() {
+// closeExpired closes the connections that have reached the idle timeout.
+func (t *target) closeExpired() {
 	now := time.Now()
-	t.closeIdle("IDLE", func(c *conn) bool { return now.Sub(c.idleAt) >= t.pool.idleFor() })
+	t.closeIdle("IDLE", func(c *conn) bool { return now.Sub(c.idleSince) >= t.limits.idleTimeout() })
 }
 
-func (t *target) closeIdle(reason string, which func(*conn) bool) {
+// closeIdle closes the idle connections that match.
+func (t *target) closeIdle(reason string, match func(*conn) bool) {
 	kept := t.idle[:0]
 	for _, c := range t.idle {
-		if which(c) {
-			t.drop(c, reason)
+		if match(c) {
+			t.closeConn(c, reason)
 		} else {
 			kept = append(kept, c)
 		}
@@ -284,29 +291,30 @@
 	t.idle = kept
 }
 
-// count notes a connection more, unless all targets' connections are too many, or one less.
-func (t *target) count(n int) bool {
-	if t.pool.conns.Add(int64(n)) > t.pool.mostAll.Load() && n > 0 {
-		t.pool.conns.Add(int64(-n))
+// addConns counts one connection more (n = 1) or less (n = -1). It returns false and counts nothing if another one would exceed the
+// limit over all targets or the quota.
+func (t *target) addConns(n int) bool {
+	if t.limits.open.Add(int64(n)) > t.limits.maxTotal.Load() && n > 0 {
+		t.limits.open.Add(int64(-n))
 		return false
 	}
 	if t.opt.Quota != nil {
 		if n < 0 {
 			t.opt.Quota.Close(t.id)
 		} else if !t.opt.Quota.Open(t.id) {
-			t.pool.conns.Add(int64(-n))
+			t.limits.open.Add(int64(-n))
 			return false
 		}
 	}
-	t.conns += n
+	t.connCount += n
 	return true
 }
 
-// drop closes a connection that no attempt is on.
-func (t *target) drop(c *conn, reason string) {
+// closeConn closes and uncounts a connection that carries no attempt.
+func (t *target) closeConn(c *conn, reason string) {
 	c.Close()
-	t.count(-1)
-	t.logEnd(c.used, reason)
+	t.addConns(-1)
+	t.logConnEnd(c.requests, reason)
 }
 
 func (t *target) address() string {
@@ -316,69 +324,70 @@
 	return ""
 }
 
-func (t *target) logEnd(used int, reason string) {
+func (t *target) logConnEnd(requests int, reason string) {
 	t.opt.Log.Info("connection ended", slog.String("side", "target"), slog.String("peer", t.id),
-		slog.String("reason", reason), slog.Int("requests", used))
+		slog.String("reason", reason), slog.Int("requests", requests))
 }
 
-// attempt carries one attempt through connect and exchange and reports its outcome. Where it ends early, the
-// connection is closed first: one attempt out at a time.
-func (t *target) attempt(y *try, c *conn) {
+// runAttempt dials a connection if c is nil, carries out the attempt and reports its outcome. A connection that cannot be reused is
+// closed before that, so that the target never has two attempts of a request from here at a time.
+func (t *target) runAttempt(active *activeAttempt, c *conn) {
 	var r core.Result
 	var again *conn
 	var reason string
 	var used int
-	talks := false
+	unsolicited := false
 	for {
-		pooled := c != nil
-		if !pooled {
-			if c = t.dial(y.ctx); c == nil {
+		fromPool := c != nil
+		if !fromPool {
+			if c = t.dial(active.ctx); c == nil {
 				r, reason, used = core.Result{Code: policy.NotConnected}, "CONNECT_FAILED", 0
 				break
 			}
 		}
-		r, used = core.Result{Code: policy.NotConnected}, c.used+1
-		again, reason = t.exchange(y, c, &r)
-		talks = talks || t.talked(c)
-		if x, ok := c.Session.(UncorrelatedSession); ok && x.InvalidReport() && !c.odd {
-			c.odd = true // once for each connection
+		r, used = core.Result{Code: policy.NotConnected}, c.requests+1
+		again, reason = t.exchange(active, c, &r)
+		unsolicited = unsolicited || t.hasUnsolicited(c)
+		if uncorrelated, ok := c.Session.(UncorrelatedSession); ok && uncorrelated.InvalidReport() && !c.reportLogged {
+			c.reportLogged = true // one line per connection
 			t.opt.Log.Warn("report not usable", slog.String("peer", t.id), slog.String("reason", "BAD_REPORT"))
 		}
-		if !pooled || reason != ReasonClosedWhileIdle || uploadOf(y.Attempt) != nil {
+		if !fromPool || reason != ReasonClosedWhileIdle || uploadOf(active.Attempt) != nil {
 			break
 		}
-		// It ended, or spoke, since the pool looked: no byte of the attempt has been near it, and a new one takes its place.
+		// It was closed, or sent data, after takeIdle had checked it: no byte of the attempt was written, and a new one replaces it.
 		c.Close()
-		t.logEnd(c.used-1, reason)
+		t.logConnEnd(c.requests-1, reason)
 		c = nil
 	}
-	r.Request, r.Number, r.Node = y.Request, y.Number, t.id
-	ended := func(again *conn, reason string) {
+	r.Request, r.Number, r.Node = active.Request, active.Number, t.id
+	endConn := func(again *conn, reason string) {
 		if again == nil {
 			if c != nil {
 				c.Close()
 			}
-			t.logEnd(used, reason)
+			t.logConnEnd(used, reason)
 		}
-		// The pool hears first, so that a send decided on this outcome finds the connection.
-		t.box.Put(done{y, again, talks || c != nil && t.talked(c)})
+		// The actor gets the connection before the outcome is reported, so that a send decided on the outcome finds it idle.
+		t.inbox.Put(doneMsg{active, again, unsolicited || c != nil && t.hasUnsolicited(c)})
 	}
 	if s, ok := r.Payload.(*Stream); ok {
-		s.onEnd(func(reuse bool, reason string) {
+		s.setNotify(func(reuse bool, reason string) {
 			if reuse {
-				ended(c, "")
+				endConn(c, "")
 			} else {
-				ended(nil, reason)
+				endConn(nil, reason)
 			}
 		})
 	} else {
-		ended(again, reason)
+		endConn(again, reason)
 	}
 	t.report(r)
 }
 
-func (t *target) dial(within context.Context) *conn {
-	ctx, stop := context.WithTimeout(within, t.pool.dialFor())
+// dial opens a connection within the dial timeout; nil if that fails.
+func (t *target) dial(parent context.Context) *conn {
+	ctx, stop := context.WithTimeout(parent, t.limits.dialTimeout())
 	defer stop()
 	addr := t.address()
 	s, err := t.opt.Dialer.Dial(ctx, addr)
@@ -388,24 +397,24 @@
 	return &conn{Session: s, addr: addr}
 }
 
-// exchange has the attempt carried out on c, and returns c if it can be used again.
-func (t *target) exchange(y *try, c *conn, r *core.Result) (*conn, string) {
-	if !y.hold(c.Session) {
+// exchange carries out the attempt on c. It returns c if it can be reused, and otherwise the reason code.
+func (t *target) exchange(active *activeAttempt, c *conn, r *core.Result) (*conn, string) {
+	if !active.attach(c.Session) {
 		return nil, "CANCELLED"
 	}
-	c.used++
+	c.requests++
 	var reuse bool
 	var reason string
 	var began time.Time
-	*r, reuse, reason = c.Do(y.Attempt, func() bool {
-		if !open(&t.state) || !y.Allowed() {
+	*r, reuse, reason = c.Do(active.Attempt, func() bool {
+		if !acceptsNew(&t.state) || !active.Allowed() {
 			return false
 		}
 		began = time.Now()
 		return true
 	})
 	r.Began = began
-	if y.calledOff() {
+	if active.isCancelled() {
 		switch r.Code {
 		case policy.Served, policy.NotSent, policy.NotConnected:
 		default:
@@ -419,27 +428,27 @@
 	return c, ""
 }
 
-// callOff ends an attempt from outside: whatever it waits for fails at once.
-func (y *try) callOff() {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.called = true
-	y.stop()
-	if y.conn != nil {
-		y.conn.Close()
+// cancel ends an attempt from the actor's goroutine: its dial, read or write fails at once.
+func (active *activeAttempt) cancel() {
+	active.mu.Lock()
+	defer active.mu.Unlock()
+	active.cancelled = true
+	active.stop()
+	if active.conn != nil {
+		active.conn.Close()
 	}
 }
 
-// hold notes the connection for callOff; false when it came too late.
-func (y *try) hold(c Session) bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.conn = c
-	return !y.called
+// attach sets the connection that cancel closes. It returns false if the attempt is already cancelled.
+func (active *activeAttempt) attach(c Session) bool {
+	active.mu.Lock()
+	defer active.mu.Unlock()
+	active.conn = c
+	return !active.cancelled
 }
 
-func (y *try) calledOff() bool {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.called
+func (active *activeAttempt) isCancelled() bool {
+	active.mu.Lock()
+	defer active.mu.Unlock()
+	return active.cancelled
 }
--- a/internal/datapath/upstream/upload.go
+++ b/internal/datapath/upstream/upload.go
@@ -8,72 +8,72 @@
 	"time"
 )
 
-// uploadWithin is how long a target may take to read a piece of a body that goes ahead.
-const uploadWithin = 10 * time.Second
+// uploadWriteTimeout is how long the write of one piece of a body may take.
+const uploadWriteTimeout = 10 * time.Second
 
-// ErrNoUpload tells that a body could not go ahead to its target. Nothing of its request can have run.
-var ErrUploadFailed = errors.New("no connection for the body")
+// ErrUploadFailed means that a body could not be sent to its target. Its request cannot have run.
+var ErrUploadFailed = errors.New("upload to the target failed")
 
-// Upload is a connection on which a body goes to its target ahead of the decision on its request. The target begins a
-// request at its last byte, so the last piece stays here until the attempt is made; up to then nothing has run, and closing
-// it undoes all.
+// Upload sends a body to its target before the policy decides on its request. A target starts a request at its last byte, so the
+// last piece is held back until the attempt; until then nothing has run, and closing the connection cancels the request. The mutex
+// guards state.
 type Upload struct {
-	msg    *Request
-	length int64 // -1: in chunks
-	wait   time.Duration
-	ctx    context.Context
-	ready  chan struct{}
-	t      *target
-
-	mu    sync.Mutex
-	conn  *conn
-	state uploadState
-	tail  []byte // framed
+	request       *Request
+	length        int64           // -1: unknown, sent in chunks
+	answerTimeout time.Duration   // sent to the target
+	ctx           context.Context // bounds the dial
+	ready         chan struct{}   // closed when conn is set or the upload has failed
+	target        *target
+
+	mu        sync.Mutex
+	conn      *conn // set before ready is closed; nil: failed
+	state     uploadState
+	lastPiece []byte // with its framing
 }
 
 type uploadState int
 
 const (
-	uploading uploadState = iota
-	attempted             // an attempt has its connection
-	dropped
+	uploadOpen     uploadState = iota
+	uploadAttached             // an attempt owns its connection
+	uploadClosed
 )
 
-// Messages of a target's actor about uploads.
+// Messages to a target's actor about uploads. An uploadEndedMsg is about one that ends without an attempt.
 type (
-	ahead    struct{ up *Upload }
-	unloaded struct {
+	uploadMsg      struct{ upload *Upload }
+	uploadEndedMsg struct {
 		conn   *conn
 		reason string
 	}
 )
 
-// Ahead has a body's request opened at a target. Length is -1 where it is not known; wait is how long the target is told
-// that an answer will be waited for.
-func (g *Registry) StartUpload(ctx context.Context, node string, m *Request, length int64, wait time.Duration) (*Upload, error) {
-	u := &Upload{msg: m, length: length, wait: wait, ctx: ctx, ready: make(chan struct{})}
+// StartUpload opens a connection to a target and sends the head of a request. Length is -1 if it is unknown; answerTimeout is the
+// Request-Timeout-Ms of the head.
+func (g *Registry) StartUpload(ctx context.Context, targetID string, req *Request, length int64, answerTimeout time.Duration) (*Upload, error) {
+	u := &Upload{request: req, length: length, answerTimeout: answerTimeout, ctx: ctx, ready: make(chan struct{})}
 	g.mu.Lock()
-	if u.t = g.targets[node]; u.t != nil {
-		g.tell(u.t, ahead{u})
+	if u.target = g.targets[targetID]; u.target != nil {
+		g.post(u.target, uploadMsg{u})
 	}
 	g.mu.Unlock()
-	if u.t == nil {
+	if u.target == nil {
 		return nil, ErrUploadFailed
 	}
-	<-u.ready // a connection comes up within the dial's time, or not
+	<-u.ready // bounded by the dial timeout and uploadWriteTimeout
 	if u.conn == nil {
 		return nil, ErrUploadFailed
 	}
 	return u, nil
 }
 
-// begin gives an upload a connection; it is counted until it has ended.
-func (t *target) begin(u *Upload) {
-	if !open(&t.state) {
+// startUpload gives an upload a connection and sends the head. The upload counts in uploads until its attempt starts or it ends.
+func (t *target) startUpload(u *Upload) {
+	if !acceptsNew(&t.state) {
 		close(u.ready)
 		return
 	}
-	c, ok := t.take()
+	c, ok := t.acquireConn()
 	if !ok {
 		close(u.ready)
 		return
@@ -83,45 +83,45 @@
 		defer close(u.ready)
 		if c == nil {
 			if c = t.dial(u.ctx); c == nil {
-				t.box.Put(unloaded{nil, "CONNECT_FAILED"})
+				t.inbox.Put(uploadEndedMsg{nil, "CONNECT_FAILED"})
 				return
 			}
 		}
-		s, can := c.Session.(*httpSession)
-		// News may have come while the connection was being made; the first byte is what counts.
+		s, isHTTP := c.Session.(*httpSession)
+		// Check again before the first byte: the client may have left or the target's state changed during the dial.
 		switch {
 		case u.ctx.Err() != nil:
-			t.box.Put(unloaded{c, "CANCELLED"})
+			t.inbox.Put(uploadEndedMsg{c, "CANCELLED"})
 			return
-		case !can || !open(&t.state):
-			t.box.Put(unloaded{c, "TARGET_LEAVES"})
+		case !isHTTP || !acceptsNew(&t.state):
+			t.inbox.Put(uploadEndedMsg{c, "TARGET_LEAVES"})
 			return
 		}
-		c.used++
-		if !u.put(s, appendHead(nil, u.msg, s.host, u.wait.Milliseconds(), u.length)) {
-			t.box.Put(unloaded{c, "WRITE_FAILED"})
+		c.requests++
+		if !u.writeTo(s, appendHead(nil, u.request, s.host, u.answerTimeout.Milliseconds(), u.length)) {
+			t.inbox.Put(uploadEndedMsg{c, "WRITE_FAILED"})
 			return
 		}
 		u.conn = c
 	}()
 }
 
-// put writes to the target.
-func (u *Upload) put(s *httpSession, b []byte) bool {
-	s.SetWriteDeadline(time.Now().Add(uploadWithin))
+// writeTo writes b to the target within uploadWriteTimeout.
+func (u *Upload) writeTo(s *httpSession, b []byte) bool {
+	s.SetWriteDeadline(time.Now().Add(uploadWriteTimeout))
 	_, err := s.Write(b)
 	return err == nil
 }
 
-// Write sends a piece that is not the last.
+// Write sends a piece of the body that is not its last.
 func (u *Upload) Write(piece []byte) (int, error) {
-	if !u.put(u.conn.Session.(*httpSession), u.frame(piece)) {
+	if !u.writeTo(u.conn.Session.(*httpSession), u.frame(piece)) {
 		return 0, ErrUploadFailed
 	}
 	return len(piece), nil
 }
 
-// frame is a piece as it is written.
+// frame returns a piece with chunk framing, if the body is chunked.
 func (u *Upload) frame(piece []byte) []byte {
 	if u.length >= 0 {
 		return piece
@@ -131,29 +131,29 @@
 	return b
 }
 
-// Last keeps the last piece, which is not empty, until the attempt.
+// HoldLastPiece keeps the last piece, which is not empty, until the attempt.
 func (u *Upload) HoldLastPiece(piece []byte) {
-	u.tail = append([]byte(nil), u.frame(piece)...)
+	u.lastPiece = append([]byte(nil), u.frame(piece)...)
 	if u.length < 0 {
-		u.tail = append(u.tail, "0\r\n\r\n"...)
+		u.lastPiece = append(u.lastPiece, "0\r\n\r\n"...)
 	}
 }
 
-// Node is the target that has it.
-func (u *Upload) TargetID() string { return u.t.id }
+// TargetID returns the target's ID.
+func (u *Upload) TargetID() string { return u.target.id }
 
-// Close ends it, unless an attempt has taken it over.
+// Close ends the upload and closes its connection, unless an attempt owns it.
 func (u *Upload) Close() {
-	if u.move(dropped) {
-		u.t.box.Put(unloaded{u.conn, "CANCELLED"})
+	if u.transition(uploadClosed) {
+		u.target.inbox.Put(uploadEndedMsg{u.conn, "CANCELLED"})
 	}
 }
 
-// move tells whether it was still uploading.
-func (u *Upload) move(to uploadState) bool {
+// transition changes the state from uploadOpen. It returns false if the upload is in another state.
+func (u *Upload) transition(to uploadState) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.state != uploading {
+	if u.state != uploadOpen {
 		return false
 	}
 	u.state = to
