--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -20,7 +20,7 @@
 	"spindlehitch/internal/testbed/virtualtime"
 )
 
-// wakings is about how often goroutines were run so far.
+// goroutineWakeups returns about how many times goroutines have been scheduled so far.
 func goroutineWakeups() (n uint64) {
 	s := []metrics.Sample{{Name: "/sched/latencies:seconds"}}
 	metrics.Read(s)
@@ -30,7 +30,7 @@
 	return n
 }
 
-// TestIdleTargetsCostNothing has an initiator send nothing to many targets for an hour: none of their actors wakes up meanwhile.
+// TestIdleTargetsDoNotWake checks that the actors of many idle targets do not wake up for an hour.
 func TestIdleTargetsDoNotWake(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
 		g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Second, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
@@ -40,7 +40,7 @@
 		}
 		g.Apply(list, true)
 		defer g.Shutdown()
-		for _, x := range list { // their actors run
+		for _, x := range list { // start their actors
 			g.mu.Lock()
 			g.post(g.targets[x.ID], pruneMsg{})
 			g.mu.Unlock()
@@ -53,7 +53,7 @@
 	})
 }
 
-// TestIdleConnectionEnds has nothing happen after an answer: its connection is closed once it has been idle for its time, and not before.
+// TestIdleConnectionEnds checks that an unused connection is closed after the idle timeout, and not before.
 func TestIdleConnectionEnds(t *testing.T) {
 	const idle = 200 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -79,7 +79,8 @@
 	require.Eventually(t, func() bool { return g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// TestUnusedTargetsHaveNoActor lists many targets, of which one is used, and has them drain, move and go: only that one has an actor, which ends when it is gone.
+// TestUnusedTargetsHaveNoActor lists many targets and drains, moves and removes some: only a used one has an actor, which ends when the
+// target is removed.
 func TestUnusedTargetsHaveNoActor(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "") })
 	var list []Target
@@ -112,7 +113,7 @@
 	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// BenchmarkChange applies a change of one entry to lists of several lengths.
+// BenchmarkApplyChange applies a change of one entry to lists of several lengths.
 func BenchmarkApplyChange(b *testing.B) {
 	for _, n := range []int{200, 2000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestTimesChange has a connection rest for a time that becomes a shorter one: it is closed by that, and the next has another time to come up.
+// TestTimeoutsChange lowers the timeouts in service: an idle connection is closed by the new idle timeout, and the next dial has the new
+// dial timeout.
 func TestTimeoutsChange(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -161,5 +163,5 @@
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	send()
-	require.Equal(t, policy.NotConnected, (<-results).Code, "no connection comes up within a nanosecond")
+	require.Equal(t, policy.NotConnected, (<-results).Code, "no dial succeeds within a nanosecond")
 }
--- a/internal/datapath/upstream/races_test.go
+++ b/internal/datapath/upstream/races_test.go
@@ -23,14 +23,14 @@
 	"spindlehitch/internal/policy"
 )
 
-// held is a wire whose connections come up when the test says so, however long ago they were given up, and which keeps the last one.
+// blockingDialer is a dialer whose dials wait for the test, even if their context has ended, and which keeps the last connection.
 type blockingDialer struct {
 	Dialer
 	dials chan pendingDial
 	last  atomic.Pointer[httpSession]
 }
 
-// dialling is a connection that is to come up once up is closed; ctx is its attempt's.
+// pendingDial is a dial that goes on once proceed is closed; ctx is the one that it was called with.
 type pendingDial struct {
 	ctx     context.Context
 	proceed chan bool
@@ -47,18 +47,18 @@
 	return s, err
 }
 
-// next is the connection that is asked for next.
+// nextDial waits for the next dial.
 func (h *blockingDialer) nextDial(t *testing.T) pendingDial {
 	select {
 	case d := <-h.dials:
 		return d
 	case <-time.After(10 * time.Second):
-		t.Fatal("no connection is asked for")
+		t.Fatal("no dial")
 		return pendingDial{}
 	}
 }
 
-// newHeld is a bench whose connections come up one by one.
+// newBlockingHarness returns a harness with a blockingDialer.
 func newBlockingHarness(addr string, opt Options) (*harness, *blockingDialer) {
 	b := newHarnessWith(addr, opt)
 	h := &blockingDialer{Dialer: b.opt.Dialer, dials: make(chan pendingDial, 8)}
@@ -68,17 +68,17 @@
 	return b, h
 }
 
-// moment is a permit that has something happen just before the first byte, between the pool's look at a connection and the write.
+// permitFunc is a permit that runs a function just before the first byte, after the pool has checked the connection.
 type permitFunc func()
 
 func (m permitFunc) Valid() bool { m(); return true }
 
-// spoken waits until there is something to read on the wire's last connection.
+// waitReadable waits until there is data to read on the last connection.
 func (h *blockingDialer) waitReadable(t *testing.T) {
-	require.Eventually(t, func() bool { _, says := probeIdle(h.last.Load().Conn); return says }, 10*time.Second, 100*time.Microsecond)
+	require.Eventually(t, func() bool { _, readable := probeIdle(h.last.Load().Conn); return readable }, 10*time.Second, 100*time.Microsecond)
 }
 
-// narrow listens where little is taken that nobody reads.
+// listenSmallBuffer returns a listener whose connections have a small receive buffer.
 func listenSmallBuffer(t *testing.T) net.Listener {
 	small := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) { _ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2<<10) })
@@ -89,14 +89,14 @@
 	return l
 }
 
-// TestSecondAnswerInTheGap has a target answer twice for the first time, the second time in the two gaps in which the next request is on
-// its way: after the pool has looked at the connection, and after the write and before the target has all of it. Neither is taken for an
-// answer to that. In the first gap it is not even written, and goes out on a connection of its own.
+// TestDuplicateAnswerDuringSend lets the target's first duplicate answer arrive while the next request is being sent: after the pool has
+// checked the connection, and after the write but before the target has the whole request. It must not be taken for the answer to that
+// request. In the first case the request is not written on that connection but on a new one.
 func TestDuplicateAnswerDuringSend(t *testing.T) {
-	twice, sent := make(chan bool), make(chan bool, 4)
+	duplicate, sent := make(chan bool), make(chan bool, 4)
 	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		if n == 1 {
-			go func() { <-twice; respond(c, "200 OK", "1") }()
+			go func() { <-duplicate; respond(c, "200 OK", "1") }()
 		}
 		return respond(c, "200 OK", fmt.Sprint(n))
 	})
@@ -107,7 +107,7 @@
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	var once sync.Once
 	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"},
-		Permit: permitFunc(func() { once.Do(func() { close(twice); h.waitReadable(t) }) })}
+		Permit: permitFunc(func() { once.Do(func() { close(duplicate); h.waitReadable(t) }) })}
 	b.Send(next)
 	close(h.nextDial(t).proceed)
 	r := b.result(t)
@@ -115,14 +115,14 @@
 	require.Equal(t, "2", string(r.Payload.([]byte)))
 	require.EqualValues(t, 2, s.accepted.Load())
 
-	// A target that reads no more than the first request: most of the next one stays with whoever wrote it.
+	// A target that reads only the first request: most of the next one stays in the sender's buffer.
 	l := listenSmallBuffer(t)
-	twice = make(chan bool)
+	duplicate = make(chan bool)
 	go func() {
 		c, _ := l.Accept()
 		_, _ = http.ReadRequest(bufio.NewReaderSize(c, 16))
 		respond(c, "200 OK", "1")
-		<-twice
+		<-duplicate
 		respond(c, "200 OK", "1")
 	}()
 	for len(sent) > 0 {
@@ -137,14 +137,14 @@
 	next.Permit, next.Payload = nil, &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, MaxBufferedBody)}
 	b.Send(next)
 	<-sent
-	close(twice)
+	close(duplicate)
 	r = b.result(t)
 	require.Equal(t, policy.ConnectionReset, r.Code)
 	require.Nil(t, r.Payload)
 }
 
-// TestSecondAnswerComesFirst has a target that has the next request already answer the one before once more, ahead of its own answer: the
-// first time that it is heard to. Where all answers are alike none is a second one, and they are waited for behind one of them alone.
+// TestDuplicateAnswerBeforeOwn lets a target that already has the next request send its first duplicate ahead of that request's answer.
+// Where all answers are equal, none is a duplicate, and only once an attempt waits for another answer behind it.
 func TestDuplicateAnswerBeforeOwn(t *testing.T) {
 	b := newHarnessWith(newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		return (n != 2 || respond(c, "200 OK", "1")) && respond(c, "200 OK", fmt.Sprint(n))
@@ -157,25 +157,25 @@
 		return n < 20 && respond(c, "200 OK", "alike") || n >= 20 && respond(c, "200 OK", "1") && (n < 21 || respond(c, "200 OK", "2"))
 	})
 	b = newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, ReuseDelay: time.Hour})
-	var waited time.Duration
+	var total time.Duration
 	for range 19 {
 		begun := time.Now()
 		b.send(10 * time.Second)
 		require.Equal(t, policy.Served, b.result(t).Code)
-		waited += time.Since(begun)
+		total += time.Since(begun)
 	}
-	require.Less(t, waited, 5*stallTimeout)
+	require.Less(t, total, 5*stallTimeout)
 	require.EqualValues(t, 1, s.accepted.Load())
-	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset} { // another answer twice, all the same
+	for _, want := range []policy.OutcomeCode{policy.Served, policy.ConnectionReset} { // a duplicate of another answer is still detected
 		b.send(10 * time.Second)
 		require.Equal(t, want, b.result(t).Code)
 	}
 }
 
-// TestLateDial has a connection come up after its attempt is over, called off, of no use any more or at a target that drains by now: it is
-// closed, not a byte was written on it, and nothing is counted any more. One that comes up in time goes on.
+// TestLateDial completes a dial after its attempt has expired, was cancelled or is useless, or its target drains or is removed: the
+// connection is closed without a byte written, and nothing stays counted. A connection that comes up in time is used.
 func TestLateDial(t *testing.T) {
-	heard := make(chan string, 8)
+	received := make(chan string, 8)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -190,78 +190,78 @@
 				all := make([]byte, 1<<10)
 				n, _ := c.Read(all)
 				respond(c, "200 OK", "")
-				heard <- string(all[:n])
+				received <- string(all[:n])
 			}()
 		}
 	}()
 	addr := l.Addr().String()
 	for _, x := range []struct {
-		name      string
-		meanwhile func(b *harness, a *core.Attempt, given <-chan struct{})
-		want      policy.OutcomeCode
+		name       string
+		duringDial func(b *harness, a *core.Attempt, dialEnded <-chan struct{})
+		want       policy.OutcomeCode
 	}{
 		{"in time", func(*harness, *core.Attempt, <-chan struct{}) {}, policy.Served},
-		{"its time is over", func(_ *harness, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.NotSent},
-		{"called off", func(b *harness, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NotConnected},
-		{"called off at a target that is gone", func(b *harness, a *core.Attempt, given <-chan struct{}) {
+		{"past its deadline", func(_ *harness, _ *core.Attempt, dialEnded <-chan struct{}) { <-dialEnded }, policy.NotSent},
+		{"cancelled", func(b *harness, a *core.Attempt, dialEnded <-chan struct{}) { b.Cancel("n", a.Request); <-dialEnded }, policy.NotConnected},
+		{"cancelled at a removed target", func(b *harness, a *core.Attempt, dialEnded <-chan struct{}) {
 			b.Apply(nil, true)
-			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // and is back under its name
+			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // another target with its ID
 			b.Cancel("n", a.Request)
-			<-given
+			<-dialEnded
 		}, policy.NotConnected},
-		{"its client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
+		{"the client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
 		{"the target drains", func(b *harness, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
 		}, policy.NotSent},
-		{"the target is gone", func(b *harness, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
-		{"past its window", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
+		{"the target is removed", func(b *harness, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
+		{"past its send window", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var sent atomic.Int32
-			stock := &fakeQuota{}
-			stock.limit.Store(4)
-			b, h := newBlockingHarness(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: stock, OnSent: func() { sent.Add(1) }})
+			quota := &fakeQuota{}
+			quota.limit.Store(4)
+			b, h := newBlockingHarness(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: quota, OnSent: func() { sent.Add(1) }})
 			a := core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Left: new(atomic.Bool), Before: time.Now().Add(10 * time.Second),
 				Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
-			case "its time is over":
+			case "past its deadline":
 				a.Until = time.Now().Add(200 * time.Millisecond)
-			case "past its window":
+			case "past its send window":
 				a.Before = time.Now().Add(50 * time.Millisecond)
 			}
 			b.Send(a)
 			d := h.nextDial(t)
-			x.meanwhile(b, &a, d.ctx.Done())
+			x.duringDial(b, &a, d.ctx.Done())
 			close(d.proceed)
 			r := b.result(t)
 			require.Equal(t, x.want, r.Code)
 			if x.want == policy.Served {
-				require.NotEmpty(t, <-heard)
+				require.NotEmpty(t, <-received)
 				require.EqualValues(t, 1, sent.Load())
 				return
 			}
-			require.Empty(t, <-heard, "a byte was written")
+			require.Empty(t, <-received, "a byte was written")
 			require.Zero(t, sent.Load())
 			require.Zero(t, r.Began)
-			require.Eventually(t, func() bool { return b.limits.open.Load() == 0 && stock.open.Load() == 0 }, 10*time.Second, time.Millisecond)
+			require.Eventually(t, func() bool { return b.limits.open.Load() == 0 && quota.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
 }
 
-// TestCutAnywhere resets connections, and ends them, at every place of an answer in each framing: none passes for whole but the one that
-// is whole by its own word, and the same once its first bytes have been passed on.
+// TestAnswerCutAtEveryByte resets or closes the connection after each byte of an answer in each framing: only an answer that is complete by
+// its own framing is accepted. The same holds when its first bytes have already been streamed.
 func TestAnswerCutAtEveryByte(t *testing.T) {
-	const none = "HTTP/1.1 200 OK\r\nServer-Load: concurrent=1\r\n\r\nwhole"
-	type answer struct {
-		says  string
+	const unsized = "HTTP/1.1 200 OK\r\nServer-Load: concurrent=1\r\n\r\nwhole"
+	type cutAnswer struct {
+		text  string
 		reset bool
 	}
-	next, passed, closed := make(chan answer, 1), make(chan bool), make(chan bool, 8)
+	next, streamed, closed := make(chan cutAnswer, 1), make(chan bool), make(chan bool, 8)
 	s := newFakeTarget(t, func(_ int32, req *http.Request, c net.Conn) bool {
 		x := <-next
-		_, _ = io.WriteString(c, x.says)
+		_, _ = io.WriteString(c, x.text)
 		if req.Method == http.MethodGet {
-			<-passed
+			<-streamed
 		}
 		if x.reset {
 			c.(*net.TCPConn).SetLinger(0)
@@ -271,44 +271,44 @@
 		return false
 	})
 	b := newHarness(s.Addr().String())
-	for _, whole := range []string{none, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
+	for _, complete := range []string{unsized, "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n"} {
-		for cut := range len(whole) + 1 {
+		for cut := range len(complete) + 1 {
 			for _, reset := range []bool{true, false} {
-				if !reset && whole == none && cut >= strings.Index(none, "whole") {
-					continue // that is its end
+				if !reset && complete == unsized && cut >= strings.Index(unsized, "whole") {
+					continue // closing the connection is its regular end
 				}
-				next <- answer{whole[:cut], reset}
+				next <- cutAnswer{complete[:cut], reset}
 				b.send(10 * time.Second)
 				r := b.result(t)
-				<-closed // the next must not go out on a connection whose end is still to come
-				if cut == len(whole) && whole != none {
+				<-closed // the next request must not use a connection that is about to end
+				if cut == len(complete) && complete != unsized {
 					require.Equal(t, policy.Served, r.Code)
 					require.Equal(t, "whole", string(r.Payload.([]byte)))
 					continue
 				}
-				require.Equal(t, policy.ConnectionReset, r.Code, "%q, reset %v", whole[:cut], reset)
+				require.Equal(t, policy.ConnectionReset, r.Code, "%q, reset %v", complete[:cut], reset)
 			}
 		}
 	}
 	for _, head := range []string{"", "Content-Length: 99999\r\n", "Transfer-Encoding: chunked\r\n"} {
-		next <- answer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", bufferSize), true}
+		next <- cutAnswer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", bufferSize), true}
 		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		st := b.result(t).Payload.(*Stream)
 		_, _ = io.ReadFull(st, make([]byte, 100))
-		passed <- true
+		streamed <- true
 		_, err := io.Copy(io.Discard, st)
 		require.Error(t, err)
 	}
 	require.Eventually(t, func() bool { return b.limits.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// TestUploadEnds has bodies that went ahead end at the wrong moment: their client leaves while the connection is made, their target is gone and
-// another has its name, they are dropped just before the attempt, or are answered before their last piece. The attempt is theirs or nobody's, it
-// has one result, and nothing stays counted.
+// TestUploadEnds ends uploads at inconvenient moments: their client leaves during the dial, their target is removed and another one has its
+// ID, they are closed just before the attempt, or are answered before their last piece. The attempt uses the upload's connection or none, has
+// exactly one result, and nothing stays counted.
 func TestUploadEnds(t *testing.T) {
 	early := make(chan bool)
-	heard := make(chan string, 8)
+	received := make(chan string, 8)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -322,20 +322,20 @@
 				defer c.Close()
 				go func() { <-early; respond(c, "200 OK", "early") }()
 				all, _ := io.ReadAll(c)
-				heard <- string(all)
+				received <- string(all)
 			}()
 		}
 	}()
 	b, h := newBlockingHarness(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	ctx, leave := context.WithCancel(context.Background())
-	begin := func() (*Upload, error) {
+	startUpload := func() (*Upload, error) {
 		return b.StartUpload(ctx, "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
-	attempt := func(u *Upload) policy.OutcomeCode {
+	sendAttempt := func(u *Upload) policy.OutcomeCode {
 		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		return b.result(t).Code
 	}
-	settled := func() {
+	requireSettled := func() {
 		t.Helper()
 		require.Eventually(t, func() bool {
 			b.mu.Lock()
@@ -343,14 +343,14 @@
 			return b.limits.open.Load() == 0 && len(b.removed) == 0
 		}, 10*time.Second, time.Millisecond)
 	}
-	whole := func() *Upload {
+	completeUpload := func() *Upload {
 		go func() { close((<-h.dials).proceed) }()
-		u, err := begin()
+		u, err := startUpload()
 		require.NoError(t, err)
 		u.HoldLastPiece([]byte("body"))
 		return u
 	}
-	another := func() {
+	replaceTarget := func() {
 		b.Apply(nil, true)
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, false)
 	}
@@ -360,33 +360,33 @@
 		leave()
 		close(d.proceed)
 	}()
-	_, err = begin()
+	_, err = startUpload()
 	require.ErrorIs(t, err, ErrUploadFailed)
-	require.Empty(t, <-heard, "a byte was written for a client that had left")
-	settled()
+	require.Empty(t, <-received, "a byte was written although the client had left")
+	requireSettled()
 
 	ctx = context.Background()
-	u := whole()
-	another()
+	u := completeUpload()
+	replaceTarget()
 	u.Close()
-	settled()
-	require.Equal(t, policy.NotSent, attempt(u))
-	require.NotContains(t, <-heard, "body")
+	requireSettled()
+	require.Equal(t, policy.NotSent, sendAttempt(u))
+	require.NotContains(t, <-received, "body")
 
-	u = whole()
+	u = completeUpload()
 	u.Close()
-	require.Equal(t, policy.NotConnected, attempt(u))
-	require.NotContains(t, <-heard, "body")
+	require.Equal(t, policy.NotConnected, sendAttempt(u))
+	require.NotContains(t, <-received, "body")
 
-	u = whole()
+	u = completeUpload()
 	close(early)
 	h.waitReadable(t)
-	require.Equal(t, policy.NotConnected, attempt(u))
-	require.NotContains(t, <-heard, "body")
-	settled()
+	require.Equal(t, policy.NotConnected, sendAttempt(u))
+	require.NotContains(t, <-received, "body")
+	requireSettled()
 }
 
-// TestUploadGoesToItsTarget has a body go ahead to a target that leaves the list and whose name another takes: its attempt ends on its own connection.
+// TestUploadGoesToItsTarget removes the target of an upload and lists another one with its ID: the attempt still uses the upload's connection.
 func TestUploadGoesToItsTarget(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "its own") })
 	b := newHarness(s.Addr().String())
@@ -404,8 +404,8 @@
 	}, 10*time.Second, time.Millisecond)
 }
 
-// TestCalledOffOnItsWay calls attempts off, or ends their time, that are half written, or written whole to a target that does not read: by the
-// time the outcome is told the connection is closed, and what was on its way then never arrives.
+// TestCancelWhileSending cancels attempts that are partly written, or completely written to a target that does not read: the connection is
+// closed before the outcome is reported, and the rest of the request never arrives.
 func TestCancelWhileSending(t *testing.T) {
 	for _, x := range []struct {
 		name   string
@@ -414,13 +414,13 @@
 	}{{"half written", 4 << 10, policy.NotConnected}, {"written whole", 1 << 20, policy.Cancelled}} {
 		t.Run(x.name, func(t *testing.T) {
 			l := listenSmallBuffer(t)
-			asked, over, arrived := make(chan bool), make(chan bool), make(chan int, 1)
+			received, ended, arrived := make(chan bool), make(chan bool), make(chan int, 1)
 			go func() {
 				c, _ := l.Accept()
 				defer c.Close()
 				_, _ = c.Read(make([]byte, 1))
-				asked <- true
-				<-over
+				received <- true
+				<-ended
 				n, _ := io.Copy(io.Discard, c)
 				arrived <- int(n) + 1
 			}()
@@ -437,20 +437,21 @@
 				Permit:  permitFunc(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
 				Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxBufferedBody)}})
 			close(h.nextDial(t).proceed)
-			<-asked
+			<-received
 			if x.want == policy.Cancelled {
 				<-sent
 			}
 			b.Cancel("n", "x")
 			require.Equal(t, x.want, b.result(t).Code)
 			require.ErrorIs(t, <-closed, net.ErrClosed)
-			close(over)
+			close(ended)
 			require.Less(t, <-arrived, 2*MaxBufferedBody)
 		})
 	}
 }
 
-// TestOldConnectionIsNotTaken has a connection be too old that the last look at idle ones left: the target may close it any moment.
+// TestExpiredConnectionIsNotReused checks that an idle connection which expired since the last pruning is closed, not reused: the target
+// may close it at any moment.
 func TestExpiredConnectionIsNotReused(t *testing.T) {
 	s := newFakeTarget(t, func(int32, *http.Request, net.Conn) bool { return true })
 	b := newHarness(s.Addr().String())
@@ -467,11 +468,11 @@
 	require.EqualValues(t, 1, b.limits.open.Load())
 }
 
-// TestOddReportsAreLoggedOnce has a target report what cannot be in each answer: it counts as not told, and each connection has one line.
+// TestInvalidReportsAreLoggedOnce lets a target send an impossible load report with each answer: it is ignored and logged once per connection.
 func TestInvalidReportsAreLoggedOnce(t *testing.T) {
-	for _, odd := range []string{"Server-Load: concurrent=NaN", "Server-Load: depth=-1,tps=3", "Volume-Load: 99999999999999999999", "Volume-Load: -1",
+	for _, header := range []string{"Server-Load: concurrent=NaN", "Server-Load: depth=-1,tps=3", "Volume-Load: 99999999999999999999", "Volume-Load: -1",
 		"Volume-Load: 1e3", "Server-Load: inflight=" + strings.Repeat("9", 400) + "\r\nOther-Hosts: NaN"} {
-		s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK\r\n"+odd, "") })
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK\r\n"+header, "") })
 		var lines bytes.Buffer
 		b := newHarness(s.Addr().String())
 		b.opt.Log = slog.New(slog.NewTextHandler(&lines, nil))
@@ -485,13 +486,13 @@
 			require.Zero(t, r.Used)
 		}
 		require.EqualValues(t, 1, s.accepted.Load())
-		require.Equal(t, 1, strings.Count(lines.String(), "BAD_REPORT"), "%s: %s", odd, lines.String())
+		require.Equal(t, 1, strings.Count(lines.String(), "BAD_REPORT"), "%s: %s", header, lines.String())
 	}
 }
 
-// TestEachSendHasOneResult sends, with bodies ahead and without, and calls off while targets come, drain, go, come back under their names and
-// break connections: each send has its one result, and in the end nothing is counted.
-func TestEachSendHasOneResult(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestEachSendHasOneResult sends attempts, with and without uploads, and cancels some, while targets are added, drained, removed and added
+// again and break connections: each send has exactly one result, and in the end nothing stays counted.
+func TestEachSendHasOneResult(t *testing.T) { //nolint:gocognit // one scenario, step by step
 	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 		switch n % 7 {
 		case 0:
@@ -532,30 +533,30 @@
 			}
 		})
 	}
-	listed := make(chan bool)
-	over := make(chan bool)
+	listDone := make(chan bool)
+	stop := make(chan bool)
 	go func() {
-		defer close(listed)
+		defer close(listDone)
 		rng := rand.New(rand.NewPCG(9, 9))
 		for {
 			select {
-			case <-over:
+			case <-stop:
 				return
 			default:
 				b.Apply([]Target{{ID: names[rng.IntN(3)], Addr: s.Addr().String(), State: policy.EndpointState(rng.IntN(3))}}, rng.IntN(5) == 0)
 			}
 		}
 	}()
-	ended := map[string]bool{}
+	seen := map[string]bool{}
 	for range 4 * each {
 		r := b.result(t)
-		require.False(t, ended[r.Request], "%s has two results", r.Request)
-		ended[r.Request] = true
+		require.False(t, seen[r.Request], "%s has two results", r.Request)
+		seen[r.Request] = true
 		core.Answer{Payload: r.Payload}.Discard()
 	}
 	sends.Wait()
-	close(over)
-	<-listed
+	close(stop)
+	<-listDone
 	b.Shutdown()
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
@@ -565,8 +566,8 @@
 	require.Empty(t, b.results)
 }
 
-// TestConnectionsThatComeUpLate has a target whose machine takes no connection until it has room: an attempt whose time is over and one that is
-// called off end at once, and nothing of them is there when the machine takes connections again. One that waits gets its own a second later.
+// TestFullAcceptQueue dials a target whose accept queue is full: an expired and a cancelled attempt end at once, and nothing of them arrives
+// when the queue has room again. An attempt that still waits gets its connection a second later.
 func TestFullAcceptQueue(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -575,21 +576,21 @@
 	require.NoError(t, err)
 	require.NoError(t, raw.Control(func(fd uintptr) { err = syscall.Listen(int(fd), 0) }))
 	require.NoError(t, err)
-	for full := false; !full; { // nobody takes what has come up
+	for full := false; !full; { // fill the queue; nothing accepts from it
 		c, err := net.DialTimeout("tcp", l.Addr().String(), 100*time.Millisecond)
 		if full = err != nil; !full {
 			defer c.Close()
 		}
 	}
-	var asked atomic.Int32
+	var requests atomic.Int32
 	b := newHarness(l.Addr().String())
 	send := func(name string, wait time.Duration) {
 		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Request{Method: "GET", URI: "/r/1", ID: name}})
 	}
-	send("over", 100*time.Millisecond)
-	send("called off", time.Minute)
+	send("expires", 100*time.Millisecond)
+	send("cancelled", time.Minute)
 	send("waits", time.Minute)
-	b.Cancel("n", "called off")
+	b.Cancel("n", "cancelled")
 	for range 2 {
 		r := b.result(t)
 		require.NotEqual(t, "waits", r.Request)
@@ -605,7 +606,7 @@
 			go func() {
 				defer c.Close()
 				if req, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					asked.Add(1)
+					requests.Add(1)
 					respond(c, "200 OK", req.Header.Get("Request-Id"))
 				}
 			}()
@@ -614,5 +615,5 @@
 	r := b.result(t)
 	require.Equal(t, policy.Served, r.Code)
 	require.Equal(t, "waits", string(r.Payload.([]byte)))
-	require.EqualValues(t, 1, asked.Load())
+	require.EqualValues(t, 1, requests.Load())
 }
--- a/internal/datapath/upstream/requirements_test.go
+++ b/internal/datapath/upstream/requirements_test.go
@@ -17,20 +17,19 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestLateSecondAnswer has a target answer twice, the second time some milliseconds late, while the connection is idle or has just been
-// taken for another request: once it has been heard to do so, the second is never taken for an answer to what comes next. Its first time
-// comes while the connection is idle.
+// TestLateDuplicateAnswer lets a target send each answer again some milliseconds later, when the connection is idle or has just been taken
+// for another request. After the first duplicate, which arrives while the connection is idle, none is taken for the next request's answer.
 func TestLateDuplicateAnswer(t *testing.T) {
-	for _, late := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
-		t.Run(fmt.Sprint(late), func(t *testing.T) {
+	for _, delay := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
+		t.Run(fmt.Sprint(delay), func(t *testing.T) {
 			s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 				body := fmt.Sprint("answer ", n)
 				respond(c, "200 OK", body)
 				go func() {
-					time.Sleep(late)
+					time.Sleep(delay)
 					respond(c, "200 OK", body)
 				}()
-				time.Sleep(2 * time.Millisecond) // a request takes its time
+				time.Sleep(2 * time.Millisecond) // the processing time of a request
 				return true
 			})
 			b := newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: 60 * time.Millisecond})
@@ -40,15 +39,15 @@
 				require.Equal(t, policy.Served, r.Code)
 				require.Equal(t, fmt.Sprint("answer ", s.requests.Load()), string(r.Payload.([]byte)))
 				if i == 0 {
-					time.Sleep(2 * late)
+					time.Sleep(2 * delay)
 				}
-				time.Sleep(time.Duration(i%3) * late / 4)
+				time.Sleep(time.Duration(i%3) * delay / 4)
 			}
 		})
 	}
 }
 
-// TestNoRest has a target that answers once: its connection is used again at once, however long connections would rest elsewhere.
+// TestReuseWithoutDelay checks that a target without duplicate answers has its connection reused at once, whatever ReuseDelay is.
 func TestReuseWithoutDelay(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "once") })
 	b := newHarnessWith(s.Addr().String(), Options{MaxConnsPerTarget: 40, MaxConnsTotal: 40, ReuseDelay: time.Hour})
@@ -59,14 +58,14 @@
 	require.EqualValues(t, 1, s.accepted.Load())
 }
 
-// TestResetIsNoEnd resets a connection under an answer that has no length: however much of it came, it is not whole, neither where it is
-// held until its end nor where it is passed on.
+// TestResetIsNotEndOfBody resets the connection during an answer without a length: however much of it has arrived, it does not count as
+// complete, neither buffered nor streamed.
 func TestResetIsNotEndOfBody(t *testing.T) {
-	for _, came := range []int{0, 1, 200, bufferSize - 1, 3 * bufferSize} {
-		t.Run(fmt.Sprint(came), func(t *testing.T) {
+	for _, size := range []int{0, 1, 200, bufferSize - 1, 3 * bufferSize} {
+		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool {
-				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", came))
-				c.(*net.TCPConn).SetLinger(0) // what was written before the reset is read before it
+				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n"+strings.Repeat("x", size))
+				c.(*net.TCPConn).SetLinger(0) // written data is read before the reset
 				return false
 			})
 			b := newHarness(s.Addr().String())
@@ -82,12 +81,12 @@
 	}
 }
 
-// TestKeyPassesOn has targets see a request's key as its client wrote it, where the body goes with the head and where it goes ahead.
+// TestIdempotencyKeyIsForwarded checks that targets get a request's key as its client wrote it, with and without an upload.
 func TestIdempotencyKeyIsForwarded(t *testing.T) {
 	for _, key := range []string{"", `a 7="x"`} {
-		seen := make(chan []string, 1)
+		received := make(chan []string, 1)
 		s := newFakeTarget(t, func(_ int32, r *http.Request, c net.Conn) bool {
-			seen <- r.Header.Values("Idempotency-Key")
+			received <- r.Header.Values("Idempotency-Key")
 			return respond(c, "200 OK", "done")
 		})
 		b := newHarness(s.Addr().String())
@@ -98,7 +97,7 @@
 		for i, m := range []*Request{m, {Upload: u}} {
 			b.Send(core.Attempt{Request: fmt.Sprint(i), Node: "n", Until: time.Now().Add(10 * time.Second), Payload: m})
 			require.Equal(t, policy.Served, b.result(t).Code)
-			if got := <-seen; key == "" {
+			if got := <-received; key == "" {
 				require.Empty(t, got)
 			} else {
 				require.Equal(t, []string{key}, got)
@@ -107,9 +106,9 @@
 	}
 }
 
-// TestKilledBehindAccept has a target be killed while the machine still takes connections for it that nobody there accepts, and while one that
-// it has accepted brings a request. What was written whole may have run and ends as a reset, at once; what was not cannot have. Each attempt has
-// one result, no connection stays counted, and its successor at the same address is reached by a new one.
+// TestTargetKilledBeforeAccept kills a target whose machine has completed connections that it has not accepted, and while an accepted one
+// carries a request. A completely written request may have run and ends as a reset at once; a later one, which cannot connect, cannot have
+// run. Each attempt has one result, no connection stays counted, and a new process at the same address is reached by a new connection.
 func TestTargetKilledBeforeAccept(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -121,11 +120,11 @@
 	b.Apply([]Target{{ID: "n", Addr: addr}}, true)
 	for range 4 {
 		b.send(20 * time.Second)
-		<-sent // the machine has it
+		<-sent // the target's machine has received it
 	}
 	c, err := l.Accept()
 	require.NoError(t, err)
-	_, err = c.Read(make([]byte, 10)) // with the rest unread its close is a reset
+	_, err = c.Read(make([]byte, 10)) // closing with unread data sends a reset
 	require.NoError(t, err)
 	began := time.Now()
 	l.Close()
@@ -133,7 +132,7 @@
 	for range 4 {
 		require.Equal(t, policy.ConnectionReset, b.result(t).Code)
 	}
-	require.Less(t, time.Since(began), 10*time.Second, "waited for until its time was over")
+	require.Less(t, time.Since(began), 10*time.Second, "waited until the deadline")
 	b.send(20 * time.Second)
 	require.Equal(t, policy.NotConnected, b.result(t).Code)
 	require.Eventually(t, func() bool { return b.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
@@ -150,13 +149,13 @@
 	require.Empty(t, b.results)
 }
 
-// TestToldTime has connections come up late under first and further attempts: the time that a target is told is what is left of the attempt's
-// then, not what there was as it was decided.
+// TestRequestTimeoutHeader delays the dial of first and further attempts: Request-Timeout-Ms is the time left at the write, not at the
+// decision to send.
 func TestRequestTimeoutHeader(t *testing.T) {
-	told := make(chan string, 1)
+	timeouts := make(chan string, 1)
 	s := newFakeTarget(t, func(_ int32, r *http.Request, c net.Conn) bool {
-		told <- r.Header.Get("Request-Timeout-Ms")
-		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n") // each attempt has a connection of its own
+		timeouts <- r.Header.Get("Request-Timeout-Ms")
+		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n") // so that each attempt dials
 		return false
 	})
 	b, h := newBlockingHarness(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
@@ -167,7 +166,7 @@
 		time.Sleep(30 * time.Millisecond)
 		up := time.Now()
 		close(d.proceed)
-		ms, err := strconv.Atoi(<-told)
+		ms, err := strconv.Atoi(<-timeouts)
 		require.NoError(t, err)
 		require.LessOrEqual(t, time.Duration(ms)*time.Millisecond, until.Sub(up))
 		require.Positive(t, ms)
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -23,9 +23,8 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestLargeAnswers has answers pass through that are too large to hold, in each framing: the result comes with their first
-// bytes, the rest as the target writes it, and the connection is used again only after the last of it. One cut short ends
-// with an error that no whole one has.
+// TestLargeAnswers checks that answers too large to buffer are streamed, in each framing: the result comes with the first bytes, the
+// rest as the target writes it, and the connection is reused only after the last byte. A truncated answer ends with an error.
 func TestLargeAnswers(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 20<<10)
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -34,40 +33,40 @@
 	}
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for _, c := range []struct {
-		name, says string
-		cut        int // bytes that never come
+		name, text string
+		cut        int // bytes missing at the end
 		length     int64
 		conns      int32 // for two attempts
 	}{
 		{"length", sized, 0, int64(len(body)), 1},
 		{"chunks", chunked + "0\r\nA: b\r\n\r\n", 0, -1, 1},
-		{"until the end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, 0, -1, 2},
+		{"until the close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, 0, -1, 2},
 		{"length, cut", sized, 5, int64(len(body)), 2},
 		{"chunks, cut", chunked + "0\r\n\r\n", 5, -1, 2},
 	} {
-		rest := make(chan bool)
+		proceed := make(chan bool)
 		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
-			half := len(c.says) / 2
-			_, _ = io.WriteString(conn, c.says[:half])
-			<-rest
-			_, _ = io.WriteString(conn, c.says[half:len(c.says)-c.cut])
-			return c.cut == 0 && c.name != "until the end"
+			half := len(c.text) / 2
+			_, _ = io.WriteString(conn, c.text[:half])
+			<-proceed
+			_, _ = io.WriteString(conn, c.text[half:len(c.text)-c.cut])
+			return c.cut == 0 && c.name != "until the close"
 		})
 		b := newHarness(s.Addr().String())
 		for range 2 {
 			b.send(20 * time.Second)
-			r := b.result(t) // while the target holds half of it back
+			r := b.result(t) // the target has sent only half of the answer
 			st, ok := r.Payload.(*Stream)
 			if r.Code != policy.Served || !ok || st.Length != c.length {
 				t.Fatalf("%s: %+v, want a stream of length %d", c.name, r, c.length)
 			}
-			rest <- true
+			proceed <- true
 			got, err := io.ReadAll(st)
-			if whole := c.cut == 0; (err == nil) != whole || whole && string(got) != body {
+			if complete := c.cut == 0; (err == nil) != complete || complete && string(got) != body {
 				t.Errorf("%s: %d bytes, %v", c.name, len(got), err)
 			}
 			st.Discard()
-			time.Sleep(5 * time.Millisecond) // for the pool to have the connection
+			time.Sleep(5 * time.Millisecond) // for the connection to get back to the pool
 		}
 		if got := s.accepted.Load(); got != c.conns {
 			t.Errorf("%s: %d connections for two attempts, want %d", c.name, got, c.conns)
@@ -75,28 +74,27 @@
 	}
 }
 
-// TestSmallAnswersAreHeld checks that small answers of unknown length are whole before anything of them is passed on: cut
-// short, they can be asked for again.
+// TestSmallAnswersAreBuffered checks that small answers of unknown length are complete before anything of them is forwarded: if one is
+// truncated, the request can be retried.
 func TestSmallAnswersAreBuffered(t *testing.T) {
-	for says, want := range map[string]policy.OutcomeCode{
+	for text, want := range map[string]policy.OutcomeCode{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": policy.Served,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":           policy.Served,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n":          policy.ConnectionReset,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n":         policy.ConnectionReset,
 		"HTTP/1.1 200 OK\r\n\r\nx": policy.Served,
 	} {
-		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, says); return false })
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, text); return false })
 		b := newHarness(s.Addr().String())
 		b.send(10 * time.Second)
 		r := b.result(t)
 		if _, held := r.Payload.([]byte); r.Code != want || !held && want == policy.Served {
-			t.Errorf("%q: %+v, want it held, code %v", says, r, want)
+			t.Errorf("%q: %+v, want it buffered, code %v", text, r, want)
 		}
 	}
 }
 
-// TestEndlessAnswer guards against an answer without a length that never ends: it costs no more than the largest there may
-// be, and does not pass for whole.
+// TestEndlessAnswer checks that an answer without a length that never ends is cut off at the largest body and ends with an error.
 func TestEndlessAnswer(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n")
@@ -114,9 +112,9 @@
 	}
 }
 
-// TestUpload sends a body ahead in pieces: the target has all but the last one before the attempt, begins with it, and one
-// attempt is all there is. Where it is closed instead, or the target leaves first, nothing can have run.
-func TestUpload(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestUpload uploads a body in pieces: the target gets all but the last one before the attempt and starts the request with that one, and
+// a second attempt has no connection. If the upload is closed, or the target drains before it, nothing can have run.
+func TestUpload(t *testing.T) { //nolint:gocognit // one scenario, step by step
 	for _, length := range []int64{5 * 1000, -1} {
 		bodies := make(chan string, 1)
 		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { return false })
@@ -135,7 +133,7 @@
 		})
 		go func() { _ = http.Serve(l, answer) }()
 		b := newHarness(l.Addr().String())
-		up := func() *Upload {
+		newUpload := func() *Upload {
 			u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
 			if err != nil {
 				t.Fatal(err)
@@ -148,12 +146,12 @@
 			u.HoldLastPiece(make([]byte, 1000))
 			return u
 		}
-		u := up()
+		u := newUpload()
 		time.Sleep(20 * time.Millisecond)
 		if len(bodies) > 0 {
 			t.Error("the target has the request before any attempt")
 		}
-		// It drains meanwhile, and the list has another one: the first byte was before.
+		// The target drains meanwhile, but the request's first byte was written before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
 		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
 			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
@@ -165,23 +163,23 @@
 			t.Errorf("the target had %q, want %q", got, want)
 		}
 		if _, err := b.StartUpload(context.Background(), "n", u.request, length, time.Second); err == nil {
-			t.Error("a body goes ahead to a target that drains")
+			t.Error("an upload starts at a draining target")
 		}
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
-		u = up()
+		u = newUpload()
 		u.Close()
 		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		if r := b.result(t); r.Code != policy.NotConnected {
-			t.Errorf("after it was closed: code %v", r.Code)
+			t.Errorf("attempt after the upload was closed: code %v", r.Code)
 		}
 		require.Eventually(t, func() bool { return b.limits.open.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
 		if len(bodies) > 0 {
-			t.Errorf("the target took what was closed: %q", <-bodies)
+			t.Errorf("the target got the request of a closed upload: %q", <-bodies)
 		}
 	}
 }
 
-// TestSlowChunks guards the first bytes of a slow answer in chunks: what is there goes on, whether its chunk is whole or not.
+// TestSlowChunks checks that the first bytes of a slow chunked answer are forwarded before their chunk is complete.
 func TestSlowChunks(t *testing.T) {
 	stop := make(chan bool)
 	defer close(stop)
@@ -204,8 +202,8 @@
 	st.Discard()
 }
 
-// TestChunkCuts reads bodies in chunks through readers of any size, cuts them, and feeds garbage: a whole one comes as it
-// was written and leaves what follows it, and no cut passes for whole.
+// TestTruncatedChunks reads chunked bodies, complete, truncated and of random bytes: a complete body is read as it was written without
+// the data that follows it, and no truncated one is accepted.
 func TestTruncatedChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var raw bytes.Buffer
@@ -224,11 +222,11 @@
 			return got, string(rest), err
 		}
 		if got, rest, err := read(append(raw.Bytes(), "next"...)); err != nil || !bytes.Equal(got, body) || rest != "next" {
-			t.Fatalf("whole: %q, %q left, %v; want %q", got, rest, err, body)
+			t.Fatalf("complete: %q, %q left, %v; want %q", got, rest, err, body)
 		}
 		cut := rapid.IntRange(0, raw.Len()-1).Draw(t, "cut")
 		if got, _, err := read(raw.Bytes()[:cut]); err == nil {
-			t.Fatalf("cut at %d passed for whole: %q", cut, got)
+			t.Fatalf("body cut at %d accepted: %q", cut, got)
 		}
 		_, _, _ = read(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// standIn is a target that answers with what serve writes; accepted counts its connections.
+// fakeTarget is a target that answers with what serve writes. It counts its connections and requests.
 type fakeTarget struct {
 	net.Listener
 	accepted atomic.Int32
@@ -65,7 +65,7 @@
 	return s
 }
 
-// bench is a registry with one target "n" and its results.
+// harness is a registry with one target "n" and the results of its attempts.
 type harness struct {
 	*Registry
 	results chan core.Result
@@ -107,7 +107,7 @@
 	return err == nil
 }
 
-// deadlineConn remembers the deadline set last.
+// deadlineConn keeps the deadline that was set last.
 type deadlineConn struct {
 	net.Conn
 	deadline time.Time
@@ -118,8 +118,8 @@
 	return c.Conn.SetDeadline(t)
 }
 
-// TestConnectionOutlivesAttempt guards the pool against an attempt's deadline: left on the connection, it made
-// the look at the idle connection fail, and nearly every request paid for a handshake.
+// TestAttemptDeadlineIsCleared guards against an attempt's deadline that stays on the connection: the check of the idle
+// connection then failed, and nearly every request needed a new connection.
 func TestAttemptDeadlineIsCleared(t *testing.T) {
 	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(core.Result) {})
 	tg.setState("a:1", policy.Up)
@@ -130,14 +130,14 @@
 	}()
 	c := &deadlineConn{Conn: near}
 	var r core.Result
-	y := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
-	if again, reason := tg.exchange(y, &conn{Session: &httpSession{Conn: c, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again == nil || !c.deadline.IsZero() {
-		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.deadline)
+	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	if again, reason := tg.exchange(active, &conn{Session: &httpSession{Conn: c, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again == nil || !c.deadline.IsZero() {
+		t.Errorf("kept %v (%s), deadline %v; want it kept without a deadline", again, reason, c.deadline)
 	}
 }
 
-// TestOutcomes checks what each ending is taken for; above all, that Not-Started counts only with 503 and 504
-// and that what ends after the last byte may have run.
+// TestOutcomes checks the outcome of each kind of answer, in particular that Not-Started counts only with 503 and 504
+// and that a request may have run once its last byte is written.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
@@ -145,11 +145,11 @@
 	}{
 		{"served", "200 OK", policy.Served},
 		{"error", "500 Internal Server Error", policy.AnsweredError},
-		{"error that claims not to have run", "500 Internal Server Error\r\nNot-Started: 1", policy.AnsweredError},
-		{"turned away", "503 Service Unavailable\r\nNot-Started: 1", policy.TurnedAway},
-		{"over already", "504 Gateway Timeout\r\nNot-Started: 1", policy.TurnedAway},
-		{"unavailable, no word", "503 Service Unavailable", policy.AnsweredError},
-		{"broken off", "", policy.ConnectionReset},
+		{"error with Not-Started", "500 Internal Server Error\r\nNot-Started: 1", policy.AnsweredError},
+		{"rejected", "503 Service Unavailable\r\nNot-Started: 1", policy.TurnedAway},
+		{"already expired", "504 Gateway Timeout\r\nNot-Started: 1", policy.TurnedAway},
+		{"unavailable without Not-Started", "503 Service Unavailable", policy.AnsweredError},
+		{"connection closed", "", policy.ConnectionReset},
 	} {
 		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			return c.head != "" && respond(conn, c.head, "")
@@ -162,39 +162,39 @@
 	}
 }
 
-// TestSpoiltAnswers has targets answer what cannot be used: it may have run, nothing of it is served, the connection is
-// not used again, and what stops midway is not waited for. What is only more than was due costs the connection alone.
+// TestInvalidAnswers checks answers that cannot be used: the request may have run, nothing of the answer is served, the connection is
+// not reused, and an answer that stops midway is given up early. Data beyond a valid answer costs only the connection.
 func TestInvalidAnswers(t *testing.T) {
-	const ok, spoilt = policy.Served, policy.ConnectionReset
+	const ok, reset = policy.Served, policy.ConnectionReset
 	good := "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx"
 	for _, c := range []struct {
-		name, says string
+		name, text string
 		want       policy.OutcomeCode
 		conns      int32 // for two attempts
 	}{
-		{"whole", good, ok, 1},
-		{"noise", "\x00\xffnoise\r\n\r\n", spoilt, 2},
-		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy", spoilt, 2},
-		{"length below none", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nx", spoilt, 2},
-		{"stops in its head", "HTTP/1.1 200 OK\r\nConte", spoilt, 2},
-		{"stops in its body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", spoilt, 2},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 5<<20), spoilt, 2},
-		{"claims 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", spoilt, 2},
-		{"1xx in front", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational) + good, ok, 1},
-		{"1xx without end", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational+1) + good, spoilt, 2},
-		{"a second copy", good + good, ok, 2},
+		{"valid", good, ok, 1},
+		{"garbage", "\x00\xffnoise\r\n\r\n", reset, 2},
+		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxy", reset, 2},
+		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nx", reset, 2},
+		{"stops in its head", "HTTP/1.1 200 OK\r\nConte", reset, 2},
+		{"stops in its body", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx", reset, 2},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("A: b\r\n", 5<<20), reset, 2},
+		{"claims 3 GB", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", reset, 2},
+		{"1xx answers first", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational) + good, ok, 1},
+		{"too many 1xx answers", strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", maxInformational+1) + good, reset, 2},
+		{"duplicate", good + good, ok, 2},
 		{"more than its length", good + "y", ok, 2},
-		{"less than its length, ended", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nx", spoilt, 2},
+		{"less than its length, closed", "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nx", reset, 2},
 		{"another protocol", "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", policy.AnsweredError, 2},
-		{"noise for a size of a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\x00\r\nx\r\n0\r\n\r\n", spoilt, 2},
-		{"reports that cannot be read", strings.Replace(good, "Cont", "Server-Load: concurrent=x,depth=1e99\r\nVolume-Load: -7\r\nCont", 1), ok, 1},
+		{"invalid chunk size", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\x00\r\nx\r\n0\r\n\r\n", reset, 2},
+		{"invalid load reports", strings.Replace(good, "Cont", "Server-Load: concurrent=x,depth=1e99\r\nVolume-Load: -7\r\nCont", 1), ok, 1},
 	} {
-		var said atomic.Int64
+		var written atomic.Int64
 		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 			_ = conn.(*net.TCPConn).SetWriteBuffer(4 << 10)
-			for part := range slices.Chunk([]byte(c.says), 4<<10) {
+			for part := range slices.Chunk([]byte(c.text), 4<<10) {
 				n, _ := conn.Write(part)
-				said.Add(int64(n))
+				written.Add(int64(n))
 			}
 			return true
 		})
@@ -207,12 +207,12 @@
 				t.Errorf("%s: %+v, want code %v", c.name, r, c.want)
 			}
 			if took := time.Since(begun); took > 5*time.Second {
-				t.Errorf("%s: waited for %v", c.name, took)
+				t.Errorf("%s: waited %v for the outcome", c.name, took)
 			}
-			time.Sleep(5 * time.Millisecond) // for what comes after the answer
+			time.Sleep(5 * time.Millisecond) // for data after the answer
 		}
-		if n := said.Load(); n > 20<<20 {
-			t.Errorf("%s: %d bytes were taken for two attempts", c.name, n)
+		if n := written.Load(); n > 20<<20 {
+			t.Errorf("%s: %d bytes were accepted in two attempts", c.name, n)
 		}
 		if got := s.accepted.Load(); got != c.conns {
 			t.Errorf("%s: %d connections for two attempts, want %d", c.name, got, c.conns)
@@ -220,7 +220,7 @@
 	}
 }
 
-// TestStaleConnection checks that a connection which the target closed while idle is not written to.
+// TestStaleConnection checks that nothing is written on a connection that the target closed while it was idle.
 func TestStaleConnection(t *testing.T) {
 	closed := make(chan bool)
 	s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
@@ -237,44 +237,44 @@
 	time.Sleep(20 * time.Millisecond)
 	b.send(10 * time.Second)
 	if r := b.result(t); r.Code != policy.Served || s.requests.Load() != 2 {
-		t.Errorf("code %v after %d requests, want it served by the second", r.Code, s.requests.Load())
+		t.Errorf("code %v after %d requests, want the second one served", r.Code, s.requests.Load())
 	}
 }
 
-// TestTimeOutClosesFirst checks that the target sees the connection end before the outcome is told.
-func TestConnectionClosesBeforeOutcome(t *testing.T) {
-	for _, way := range []string{"time-out", "cancel"} {
-		ended, asked := make(chan bool, 1), make(chan bool, 1)
+// TestConnectionClosesOnTimeoutAndCancel checks that the target sees the connection closed, which happens before the outcome is reported.
+func TestConnectionClosesOnTimeoutAndCancel(t *testing.T) {
+	for _, ending := range []string{"timeout", "cancel"} {
+		ended, received := make(chan bool, 1), make(chan bool, 1)
 		s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool {
-			asked <- true
+			received <- true
 			_, _ = c.Read(make([]byte, 1))
 			ended <- true
 			return false
 		})
 		b := newHarness(s.Addr().String())
 		want := policy.TimedOut
-		if way == "cancel" {
+		if ending == "cancel" {
 			want = policy.Cancelled
 			b.send(time.Minute)
-			<-asked
+			<-received
 			b.Cancel("n", "1")
 		} else {
 			b.send(2 * time.Second)
 		}
 		r := b.result(t)
 		if r.Code != want {
-			t.Errorf("%s: code %v, want %v", way, r.Code, want)
+			t.Errorf("%s: code %v, want %v", ending, r.Code, want)
 		}
 		select {
 		case <-ended:
 		case <-time.After(20 * time.Second):
-			t.Errorf("%s: the connection stayed open", way)
+			t.Errorf("%s: the connection stayed open", ending)
 		}
 	}
 }
 
-// TestDrainingGetsNoFirstByte guards the moment of the first byte: a send decided before the news came, and
-// one that waits for its connection while it comes, must not start at a target that leaves.
+// TestNoRequestStartsAtDrainingTarget checks the target's state at the first byte: a request that was decided on before
+// the target drained, or that has its connection already, must not start there.
 func TestNoRequestStartsAtDrainingTarget(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "") })
 	b := newHarness(s.Addr().String())
@@ -285,37 +285,37 @@
 	if r := b.result(t); r.Code != policy.NotSent || s.requests.Load() != 1 {
 		t.Errorf("draining: code %v, %d requests reached the target; want none after the first", r.Code, s.requests.Load())
 	}
-	// One whose first byte is out goes on to its end.
-	asked, drains := make(chan bool), make(chan bool)
+	// A request whose first byte is written goes on.
+	received, drained := make(chan bool), make(chan bool)
 	s = newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool {
-		close(asked)
-		<-drains
+		close(received)
+		<-drained
 		return respond(c, "200 OK", "")
 	})
 	b = newHarness(s.Addr().String())
 	b.send(10 * time.Second)
-	<-asked
+	<-received
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String(), State: policy.Draining}}, false)
-	close(drains)
+	close(drained)
 	if r := b.result(t); r.Code != policy.Served {
-		t.Errorf("draining with the first byte out: code %v", r.Code)
+		t.Errorf("draining after the first byte: code %v", r.Code)
 	}
-	// The same at the last look, with the connection in hand.
+	// The check just before the first byte, with an open connection.
 	tg := newTarget("n", b.opt, &b.limits, b.report)
 	tg.setState(s.Addr().String(), policy.Draining)
 	near, far := net.Pipe()
 	defer far.Close()
 	var r core.Result
-	y := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotSent {
-		t.Errorf("first byte: code %v, want it not sent", r.Code)
+	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	if again, _ := tg.exchange(active, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotSent {
+		t.Errorf("draining before the first byte: code %v, want it not sent", r.Code)
 	}
 }
 
-// TestConnectionsAreBounded checks both bounds: connections to one target, and to all of them together.
+// TestConnectionsAreBounded checks both limits: on the connections to one target, and to all targets together.
 func TestConnectionsAreBounded(t *testing.T) {
-	wait := make(chan bool)
-	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { <-wait; return respond(c, "200 OK", "") })
+	proceed := make(chan bool)
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { <-proceed; return respond(c, "200 OK", "") })
 	b := newHarness(s.Addr().String())
 	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, false)
 	for i := range 10 {
@@ -323,34 +323,34 @@
 		b.Send(core.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
 			Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
-	for range 4 { // the fifth at n, and all past two at m
+	for range 4 { // the fifth at n, and all but two at m
 		if r := b.result(t); r.Code != policy.NotConnected {
-			t.Errorf("past the bounds: code %v, want no connection", r.Code)
+			t.Errorf("beyond the limits: code %v, want no connection", r.Code)
 		}
 	}
-	close(wait)
+	close(proceed)
 	for range 6 {
 		if r := b.result(t); r.Code != policy.Served {
-			t.Errorf("within the bounds: code %v, want it served", r.Code)
+			t.Errorf("within the limits: code %v, want it served", r.Code)
 		}
 	}
 }
 
-// TestPartWritten checks that an attempt which ends short of its last byte cannot have run.
+// TestPartialWrite checks that an attempt whose last byte was not written cannot have run.
 func TestPartialWrite(t *testing.T) {
 	tg := newTarget("n", Options{Log: slog.New(slog.DiscardHandler)}, nil, func(core.Result) {})
 	tg.setState("a:1", policy.Up)
 	near, far := net.Pipe()
 	go func() { _, _ = io.ReadFull(far, make([]byte, 20)); far.Close() }()
 	var r core.Result
-	y := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "PUT", URI: "/",
+	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
-	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotConnected {
+	if again, _ := tg.exchange(active, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotConnected {
 		t.Errorf("code %v, want no connection", r.Code)
 	}
 }
 
-// TestLoadNames guards against reports that are missed without a sign: their fields go by the names in the settings.
+// TestLoadReportFields checks the field names of load reports, since a report under other names is ignored without notice.
 func TestLoadReportFields(t *testing.T) {
 	for report, want := range map[string]policy.Load{
 		"concurrent=5.249":                 {InFlight: 5.249, Queued: -1},
@@ -358,34 +358,34 @@
 		"inflight=7, queue=2, util=0.61":   {InFlight: 7, Queued: 2},
 		"concurrent=none,depth=2,depths=9": {InFlight: -1, Queued: 2},
 	} {
-		if l, odd := parseLoad(report); l == nil || *l != want || odd != strings.Contains(report, "none") {
-			t.Errorf("%s: %+v, odd %v, want %+v", report, l, odd, want)
+		if l, invalid := parseLoad(report); l == nil || *l != want || invalid != strings.Contains(report, "none") {
+			t.Errorf("%s: %+v, invalid %v, want %+v", report, l, invalid, want)
 		}
 	}
-	if l, odd := parseLoad("tps=80,err_ps=0,=,,tps=NaN"); l != nil || odd {
-		t.Errorf("no load told: %+v, odd %v", l, odd)
+	if l, invalid := parseLoad("tps=80,err_ps=0,=,,tps=NaN"); l != nil || invalid {
+		t.Errorf("report without a load: %+v, invalid %v", l, invalid)
 	}
 	for _, x := range []string{"NaN", "-1", "-0.1", "Inf", "-Inf", "1e400", "1e99", "100000", "0x", "", "1 2"} {
-		if l, odd := parseLoad("concurrent=" + x + ",depth=" + x); l != nil || !odd {
-			t.Errorf("%q: %+v, odd %v", x, l, odd)
+		if l, invalid := parseLoad("concurrent=" + x + ",depth=" + x); l != nil || !invalid {
+			t.Errorf("%q: %+v, invalid %v", x, l, invalid)
 		}
 	}
 }
 
-// TestAnswerCuts cuts valid answers anywhere and feeds garbage: no cut of an answer with a length passes for
-// a whole one, and nothing makes the parser fail otherwise than by an error.
+// TestTruncatedAnswers checks that no truncated answer with a length is accepted, and that on random bytes the
+// parser fails only with an error.
 func TestTruncatedAnswers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		body := rapid.StringN(0, 200, 300).Draw(t, "body")
-		whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Load: inflight=3\r\nVolume-Load: 85\r\nContent-Length: %d\r\n\r\n%s",
+		complete := fmt.Sprintf("HTTP/1.1 200 OK\r\nServer-Load: inflight=3\r\nVolume-Load: 85\r\nContent-Length: %d\r\n\r\n%s",
 			len(body), body)
-		a, err := readAnswer(bufio.NewReader(strings.NewReader(whole)), "GET", NewHTTPDialer(budget.New(1<<20)).memory, func(bool) error { return nil }, func(time.Time) {})
+		a, err := readAnswer(bufio.NewReader(strings.NewReader(complete)), "GET", NewHTTPDialer(budget.New(1<<20)).memory, func(bool) error { return nil }, func(time.Time) {})
 		if err != nil || string(a.body) != body || a.volumeLoad != 86 || a.load.InFlight != 3 {
-			t.Fatalf("whole answer: %+v, %v", a, err)
+			t.Fatalf("complete answer: %+v, %v", a, err)
 		}
-		cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut")
-		if a, err := readAnswer(bufio.NewReader(strings.NewReader(whole[:cut])), "GET", NewHTTPDialer(budget.New(1<<20)).memory, func(bool) error { return nil }, func(time.Time) {}); err == nil {
-			t.Fatalf("cut at %d passed for whole: %+v", cut, a)
+		cut := rapid.IntRange(0, len(complete)-1).Draw(t, "cut")
+		if a, err := readAnswer(bufio.NewReader(strings.NewReader(complete[:cut])), "GET", NewHTTPDialer(budget.New(1<<20)).memory, func(bool) error { return nil }, func(time.Time) {}); err == nil {
+			t.Fatalf("answer cut at %d accepted: %+v", cut, a)
 		}
 		garbage := rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")
 		_, _ = readAnswer(bufio.NewReader(strings.NewReader(string(garbage))), "GET", NewHTTPDialer(budget.New(1<<20)).memory, func(bool) error { return nil }, func(time.Time) {})
@@ -393,12 +393,12 @@
 	})
 }
 
-// lapsed is a permit that has ended.
+// expiredPermit is a permit that is no longer valid.
 type expiredPermit struct{}
 
 func (expiredPermit) Valid() bool { return false }
 
-// few is a stock of connections.
+// fakeQuota is a quota on connections with a limit that tests change.
 type fakeQuota struct{ limit, open atomic.Int64 }
 
 func (f *fakeQuota) Open(string) bool {
@@ -411,15 +411,15 @@
 func (f *fakeQuota) Close(string)      { f.open.Add(-1) }
 func (f *fakeQuota) Excess(string) int { return int(max(0, f.open.Load()-f.limit.Load())) }
 
-// TestRationed has an attempt whose permit has ended, which sends nothing, and a stock of connections that bounds them, is told of
-// each that ends, and has idle ones closed when it shrinks.
+// TestPermitAndQuota checks that an attempt whose permit has expired sends nothing, and that a connection quota limits connections, is
+// notified of each that ends, and has idle ones closed when it shrinks.
 func TestPermitAndQuota(t *testing.T) {
 	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "") })
-	stock := &fakeQuota{}
-	stock.limit.Store(1)
+	quota := &fakeQuota{}
+	quota.limit.Store(1)
 	b := &harness{results: make(chan core.Result, 64)}
 	b.Registry = NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConnsTotal: 6,
-		Quota: stock, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
+		Quota: quota, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
 	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: expiredPermit{}, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	if r := b.result(t); r.Code != policy.NotSent || s.requests.Load() != 0 {
@@ -427,13 +427,13 @@
 	}
 	b.send(time.Minute)
 	if r := b.result(t); r.Code != policy.Served {
-		t.Errorf("within the stock: code %v", r.Code)
+		t.Errorf("within the quota: code %v", r.Code)
 	}
-	stock.limit.Store(0)
+	quota.limit.Store(0)
 	b.PruneIdle()
-	require.Eventually(t, func() bool { return stock.open.Load() == 0 }, time.Minute, time.Millisecond, "an idle connection past the stock stays open")
+	require.Eventually(t, func() bool { return quota.open.Load() == 0 }, time.Minute, time.Millisecond, "an idle connection beyond the quota stays open")
 	b.send(time.Minute)
 	if r := b.result(t); r.Code != policy.NotConnected {
-		t.Errorf("without a stock: code %v", r.Code)
+		t.Errorf("beyond the quota: code %v", r.Code)
 	}
 }
