--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -149,7 +149,7 @@
 	}()
 	<-w.came
 	leave()
-	time.Sleep(core.LeaveWithin(time.Minute).Answer + 300*time.Millisecond) // its client waits for longer than that
+	time.Sleep(core.NewShutdownSchedule(time.Minute).RespondWithin + 300*time.Millisecond) // its client waits for longer than that
 	close(w.release)
 	if got := <-open; got != "200 from the target" {
 		t.Errorf("the request that was open: %s", got)
--- a/internal/datapath/core/adopt_test.go
+++ b/internal/datapath/core/adopt_test.go
@@ -17,9 +17,9 @@
 		Classes: []policy.Class{{Name: "new", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}}}
 	h := newHand(t)
-	var before, after, gone []Answer
+	var before, after, gone []Response
 	require.True(t, h.Submit(job("get", h.now, &before)))
-	done := h.Adopt(set, 3, time.Second)
+	done := h.ApplySettings(set, 3, time.Second)
 	require.True(t, h.Submit(job("new", h.now, &after)))
 	require.True(t, h.Submit(job("get", h.now, &gone)))
 	require.False(t, h.Submit(job("new", h.now, &after)), "three are open")
@@ -30,15 +30,15 @@
 	}
 	h.step(h.now, h.box.Take(nil))
 	<-done
-	require.Equal(t, []string{"1", "2"}, []string{h.up.sent[0].Request, h.up.sent[1].Request})
+	require.Equal(t, []string{"1", "2"}, []string{h.up.sent[0].RequestID, h.up.sent[1].RequestID})
 	require.Empty(t, before)
 	require.Empty(t, after)
 	require.Len(t, gone, 1, "its class is no more")
-	require.Equal(t, Refused, gone[0].Ending)
-	require.Equal(t, namesFor, h.opt.NamesFor)
-	h.Adopt(set, 100, 2*namesFor)
+	require.Equal(t, Rejected, gone[0].Status)
+	require.Equal(t, namesFor, h.opt.RequestIDTTL)
+	h.ApplySettings(set, 100, 2*namesFor)
 	h.step(h.now, h.box.Take(nil))
-	require.Equal(t, 2*namesFor, h.opt.NamesFor)
+	require.Equal(t, 2*namesFor, h.opt.RequestIDTTL)
 	require.True(t, h.Submit(job("new", h.now, &after)))
 }
 
@@ -49,7 +49,7 @@
 	stop()
 	h.Run(ctx)
 	select {
-	case <-h.Adopt(policy.Settings{}, 1, 0):
+	case <-h.ApplySettings(policy.Settings{}, 1, 0):
 		t.Fatal("taken by a core that has ended")
 	case <-time.After(20 * time.Millisecond):
 	}
--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -14,13 +14,13 @@
 )
 
 // Ending says how a request ended.
-type Ending int
+type Status int
 
 const (
 	// Served carries the target's answer.
-	Served Ending = iota
+	Served Status = iota
 	// Refused tells the client that trying again is harmless.
-	Refused
+	Rejected
 	// Failed makes no promise about the effect.
 	Failed
 	// Conflict tells that a request of the same name is open, or was sent not long ago and may have run.
@@ -31,43 +31,43 @@
 type Discarder interface{ Discard() }
 
 // Discard lets go of an answer that nobody takes.
-func (a Answer) Discard() {
+func (a Response) Discard() {
 	if d, ok := a.Payload.(Discarder); ok {
 		d.Discard()
 	}
 }
 
 // Answer is the one final answer of a request.
-type Answer struct {
-	Ending     Ending
-	Payload    any                // of a served request: what the upstream brought
-	RetryAfter time.Duration      // of a refusal: when the client should come back; 0: no advice
-	Last       policy.OutcomeCode // how the last attempt ended, if there was one
-	Written    func()             // to be called once it is with the client; nil: nobody asks
+type Response struct {
+	Status      Status
+	Payload     any                // of a served request: what the upstream brought
+	RetryAfter  time.Duration      // of a refusal: when the client should come back; 0: no advice
+	LastOutcome policy.OutcomeCode // how the last attempt ended, if there was one
+	OnWritten   func()             // to be called once it is with the client; nil: nobody asks
 }
 
 // TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
-var TooMany = Answer{Ending: Refused, RetryAfter: time.Second}
+var Overloaded = Response{Status: Rejected, RetryAfter: time.Second}
 
 // Leave is how a front leaves, from SIGTERM on.
-type Leave struct {
-	Linger time.Duration // new connections are taken: one that the machine has accepted but nobody has read from would be lost
-	Serve  time.Duration // it goes on with what comes on connections that it has: their clients know no other way
-	Answer time.Duration // what was taken after Linger has its answer, so that the successor need not wait
-	Handed bool          // a successor takes clients at the same socket: none of the above is needed, but for the answers
+type ShutdownSchedule struct {
+	AcceptFor     time.Duration // new connections are taken: one that the machine has accepted but nobody has read from would be lost
+	ServeFor      time.Duration // it goes on with what comes on connections that it has: their clients know no other way
+	RespondWithin time.Duration // what was taken after Linger has its answer, so that the successor need not wait
+	HandedOver    bool          // a successor takes clients at the same socket: none of the above is needed, but for the answers
 }
 
 // LeaveWithin is how to leave where a client waits so long at most. Clients come for 0.4 s. The process is killed once that
 // long and 0.7 s are over, or 3.7 s; the successor is up then at the earliest, and without these connections clients would
 // go without until then.
-func LeaveWithin(longest time.Duration) Leave {
+func NewShutdownSchedule(longest time.Duration) ShutdownSchedule {
 	const linger = 450 * time.Millisecond
 	killed := min(longest, 3*time.Second) + 700*time.Millisecond
-	return Leave{Linger: linger, Serve: max(killed-400*time.Millisecond, linger), Answer: killed - 100*time.Millisecond}
+	return ShutdownSchedule{AcceptFor: linger, ServeFor: max(killed-400*time.Millisecond, linger), RespondWithin: killed - 100*time.Millisecond}
 }
 
 // Pause waits until then, or until the context ends.
-func Pause(ctx context.Context, until time.Time) {
+func SleepUntil(ctx context.Context, until time.Time) {
 	select {
 	case <-time.After(time.Until(until)):
 	case <-ctx.Done():
@@ -76,56 +76,56 @@
 
 // Cut shortens a patience so that the answer is there in time, for a request taken after Linger; left is the moment of
 // SIGTERM, nil before it.
-func (l Leave) Cut(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
+func (l ShutdownSchedule) LimitTimeout(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
 	if left == nil {
 		return patience
 	}
 	since := arrived.Sub(*left)
-	if since <= l.Linger {
+	if since <= l.AcceptFor {
 		return patience
 	}
-	return max(min(patience, l.Answer-since), 0)
+	return max(min(patience, l.RespondWithin-since), 0)
 }
 
 // Job is a request as a front hands it over. ID and Budget are the core's to fill.
 type Job struct {
 	policy.Request
-	Name     string        // the client's own for it, one of a kind; may be empty
-	Arrived  time.Time     // when its last byte was here
-	Patience time.Duration // how long the client waits from then on
-	Payload  any           // for the upstream
-	Done     func(Answer)  // called once, from the core's goroutine: must not wait
-	left     atomic.Bool   // its client is gone: known at once, whatever the core has to do before it hears of it
+	ClientRequestID string         // the client's own for it, one of a kind; may be empty
+	Arrived         time.Time      // when its last byte was here
+	Timeout         time.Duration  // how long the client waits from then on
+	Payload         any            // for the upstream
+	Done            func(Response) // called once, from the core's goroutine: must not wait
+	left            atomic.Bool    // its client is gone: known at once, whatever the core has to do before it hears of it
 }
 
 // Attempt is one try of a request at a target.
 type Attempt struct {
-	Request string
-	Number  int
-	Node    string
-	Until   time.Time // given up then
-	Payload any
-	OnSent  func() // nil: nobody asks
-	Permit  policy.Permit
-	Before  time.Time    // its bytes may leave until then; zero: until it is given up
-	Left    *atomic.Bool // its client has left; nil: nobody would know
+	RequestID  string
+	Number     int
+	Target     string
+	Deadline   time.Time // given up then
+	Payload    any
+	OnSent     func() // nil: nobody asks
+	Permit     policy.Permit
+	SendBefore time.Time    // its bytes may leave until then; zero: until it is given up
+	ClientGone *atomic.Bool // its client has left; nil: nobody would know
 }
 
 // Allowed tells, just before the first byte, whether the attempt may still be made: however long it waited for its connection.
-func (a *Attempt) Allowed() bool {
-	return (a.Left == nil || !a.Left.Load()) && time.Now().Before(a.WriteBy()) && (a.Permit == nil || a.Permit.Valid())
+func (a *Attempt) MaySend() bool {
+	return (a.ClientGone == nil || !a.ClientGone.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
 }
 
 // WriteBy is until when its bytes may leave.
-func (a *Attempt) WriteBy() time.Time {
-	if !a.Before.IsZero() && a.Before.Before(a.Until) {
-		return a.Before
+func (a *Attempt) WriteDeadline() time.Time {
+	if !a.SendBefore.IsZero() && a.SendBefore.Before(a.Deadline) {
+		return a.SendBefore
 	}
-	return a.Until
+	return a.Deadline
 }
 
 // Sent is to be called by whoever carries the attempt out, once its last byte is written: from then on it may run.
-func (a *Attempt) Sent() {
+func (a *Attempt) NotifySent() {
 	if a.OnSent != nil {
 		a.OnSent()
 	}
@@ -133,14 +133,14 @@
 
 // Result ends an attempt. By the time it is handed over, nothing of the attempt may be on its way any more.
 type Result struct {
-	Request string
-	Number  int
-	Node    string
-	Code    policy.OutcomeCode
-	Load    *policy.Load
-	Used    int
-	Began   time.Time // when the attempt's first byte was written; zero: never
-	Payload any
+	RequestID   string
+	Number      int
+	Target      string
+	Code        policy.OutcomeCode
+	Load        *policy.Load
+	VolumeUsage int
+	SendStarted time.Time // when the attempt's first byte was written; zero: never
+	Payload     any
 }
 
 // Observer is told what becomes of requests, from the core's goroutine and in order of time but for Begin, which is told
@@ -175,12 +175,12 @@
 
 // Options are the core's bounds.
 type Options struct {
-	MostHeld int            // requests open at a time, at first
-	Margin   time.Duration  // an answer must be written this long before the client leaves
-	NamesFor time.Duration  // how long, at least, and at first, the name of a request that may have run stays taken
-	Observer Observer       // nil: none
-	Avoided  func(int)      // told now and then how many listed targets the module avoids; nil: nobody asks
-	Avoids   func([]string) // told with it which those are that are listed as up; nil: nobody asks
+	MaxOpen          int            // requests open at a time, at first
+	Margin           time.Duration  // an answer must be written this long before the client leaves
+	RequestIDTTL     time.Duration  // how long, at least, and at first, the name of a request that may have run stays taken
+	Observer         Observer       // nil: none
+	OnEjectedCount   func(int)      // told now and then how many listed targets the module avoids; nil: nobody asks
+	OnEjectedTargets func([]string) // told with it which those are that are listed as up; nil: nobody asks
 }
 
 // Core is the module's actor.
@@ -251,7 +251,7 @@
 func New(m *policy.Scheduler, up Upstream, clock Clock, opt Options) *Core {
 	c := &Core{module: m, up: up, clock: clock, opt: opt, box: mailbox.New[any](), open: map[string]*entry{},
 		named: map[string]bool{}, ran: [2]map[string]bool{{}, {}}}
-	c.mostHeld.Store(int64(opt.MostHeld))
+	c.mostHeld.Store(int64(opt.MaxOpen))
 	return c
 }
 
@@ -266,7 +266,7 @@
 }
 
 // Depart tells that the job's client is gone. Its Done may still be called, if the answer came first.
-func (c *Core) Depart(j *Job) {
+func (c *Core) Cancel(j *Job) {
 	j.left.Store(true)
 	c.box.Put(j)
 }
@@ -286,21 +286,21 @@
 func (c *Core) discard() {
 	for _, m := range c.box.Take(nil) {
 		if r, ok := m.(Result); ok {
-			Answer{Payload: r.Payload}.Discard()
+			Response{Payload: r.Payload}.Discard()
 		}
 	}
 }
 
 // List hands over news of the targets.
-func (c *Core) List(l policy.EndpointList) { c.box.Put(l) }
+func (c *Core) UpdateTargets(l policy.EndpointList) { c.box.Put(l) }
 
 // Share tells the module how many processes act for this initiator.
-func (c *Core) Share(parts int) { c.box.Put(policy.ProcessCount{Processes: parts}) }
+func (c *Core) SetProcessCount(parts int) { c.box.Put(policy.ProcessCount{Processes: parts}) }
 
 // Adopt has the module take over other settings, in turn with what is submitted before and after. MostHeld holds at once; names are kept for
 // the longest time that was ever asked for, since they were promised by it. Done is closed once the module goes by the settings; a core that has
 // ended closes it no more.
-func (c *Core) Adopt(set policy.Settings, mostHeld int, namesFor time.Duration) (done <-chan struct{}) {
+func (c *Core) ApplySettings(set policy.Settings, mostHeld int, namesFor time.Duration) (done <-chan struct{}) {
 	c.mostHeld.Store(int64(mostHeld))
 	in := make(chan struct{})
 	c.box.Put(adopt{set, namesFor, in})
@@ -308,16 +308,16 @@
 }
 
 // Rationed tells the module that its part of the fleet's wholes has changed.
-func (c *Core) Rationed() { c.box.Put(policy.QuotaChanged{}) }
+func (c *Core) NotifyQuotaChanged() { c.box.Put(policy.QuotaChanged{}) }
 
 // Watched tells the module what another member of the fleet found out about a node.
-func (c *Core) Watched(w policy.ProbeResult) { c.box.Put(w) }
+func (c *Core) ReportProbe(w policy.ProbeResult) { c.box.Put(w) }
 
 // Inspect has f called from the core's goroutine, between two steps.
 func (c *Core) Inspect(f func()) { c.box.Put(f) }
 
 // Open tells how many requests are not finished with.
-func (c *Core) Open() int { return int(c.held.Load()) }
+func (c *Core) OpenCount() int { return int(c.held.Load()) }
 
 // Run steps the module until the context ends. It is the only goroutine that touches it.
 func (c *Core) Run(ctx context.Context) {
@@ -366,11 +366,11 @@
 	for _, a := range c.module.Step(c.lastStep, events) {
 		c.act(now, a)
 	}
-	if c.opt.Avoided != nil && now.Sub(c.toldAt) >= tellEvery {
+	if c.opt.OnEjectedCount != nil && now.Sub(c.toldAt) >= tellEvery {
 		c.toldAt = now
-		c.opt.Avoided(c.module.EjectedCount())
-		if c.opt.Avoids != nil {
-			c.opt.Avoids(c.module.EjectedEndpoints())
+		c.opt.OnEjectedCount(c.module.EjectedCount())
+		if c.opt.OnEjectedTargets != nil {
+			c.opt.OnEjectedTargets(c.module.EjectedEndpoints())
 		}
 	}
 }
@@ -392,7 +392,7 @@
 			c.events = append(c.events, m.(policy.Event))
 		case adopt:
 			c.events = append(c.events, m.set)
-			c.opt.NamesFor = max(c.opt.NamesFor, m.namesFor)
+			c.opt.RequestIDTTL = max(c.opt.RequestIDTTL, m.namesFor)
 			c.adopted = append(c.adopted, m.done)
 		case routed:
 			c.routes = append(c.routes, m)
@@ -411,20 +411,20 @@
 }
 
 func (c *Core) take(now time.Time, j *Job) {
-	if j.Name != "" {
+	if j.ClientRequestID != "" {
 		// Targets know requests by these names: one sent under the name of another that is open would be its second
 		// copy. An honest repeat, of a request that was never read here, meets neither.
-		if c.named[j.Name] || c.ran[0][j.Name] || c.ran[1][j.Name] {
+		if c.named[j.ClientRequestID] || c.ran[0][j.ClientRequestID] || c.ran[1][j.ClientRequestID] {
 			c.held.Add(-1)
-			j.Done(Answer{Ending: Conflict})
+			j.Done(Response{Status: Conflict})
 			return
 		}
-		c.named[j.Name] = true
+		c.named[j.ClientRequestID] = true
 	}
 	c.seq++
 	j.ID = strconv.FormatUint(c.seq, 10)
 	// The client's time runs from the arrival, and the answer has to be out before it ends.
-	j.TimeLeft = j.Patience - now.Sub(j.Arrived) - c.opt.Margin
+	j.TimeLeft = j.Timeout - now.Sub(j.Arrived) - c.opt.Margin
 	c.open[j.ID] = &entry{job: j}
 	if o := c.opt.Observer; o != nil {
 		o.Arrive(c.observed(now), j.Request)
@@ -453,29 +453,29 @@
 }
 
 func (c *Core) result(now time.Time, r Result) {
-	e := c.open[r.Request]
+	e := c.open[r.RequestID]
 	if e == nil || !e.out || r.Number != e.attempts-1 {
-		Answer{Payload: r.Payload}.Discard()
+		Response{Payload: r.Payload}.Discard()
 		return
 	}
 	if o := c.opt.Observer; o != nil {
-		if !r.Began.IsZero() {
-			o.Begin(c.clock.At(r.Began), r.Request) // it lies back, among what others were told of since
+		if !r.SendStarted.IsZero() {
+			o.Begin(c.clock.At(r.SendStarted), r.RequestID) // it lies back, among what others were told of since
 		}
-		o.Answer(c.observed(now), r.Request, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
+		o.Answer(c.observed(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
 	}
 	e.out, e.last = false, r.Code
 	e.mayRun = e.mayRun || r.Code.MayHaveRun()
 	if r.Code == policy.Served {
 		if o := c.opt.Observer; o != nil && !e.answered {
-			o.Served(r.Request)
+			o.Served(r.RequestID)
 		}
-		c.answer(e, Answer{Ending: Served, Payload: r.Payload})
+		c.answer(e, Response{Status: Served, Payload: r.Payload})
 	}
-	c.events = append(c.events, policy.Outcome{ID: r.Request, Attempt: r.Number, Endpoint: r.Node, Code: r.Code,
-		Latency: now.Sub(e.sentAt), Final: e.answered, Load: r.Load, VolumeUsage: r.Used})
-	c.tidy(r.Request, e)
-	if now.Sub(c.ranAt) > c.opt.NamesFor || len(c.ran[0]) >= mostNames {
+	c.events = append(c.events, policy.Outcome{ID: r.RequestID, Attempt: r.Number, Endpoint: r.Target, Code: r.Code,
+		Latency: now.Sub(e.sentAt), Final: e.answered, Load: r.Load, VolumeUsage: r.VolumeUsage})
+	c.tidy(r.RequestID, e)
+	if now.Sub(c.ranAt) > c.opt.RequestIDTTL || len(c.ran[0]) >= mostNames {
 		c.ran[0], c.ran[1], c.ranAt = map[string]bool{}, c.ran[0], now
 	}
 }
@@ -501,32 +501,32 @@
 	case policy.Send:
 		e.out, e.node, e.sentAt = true, a.Endpoint, now
 		e.attempts++
-		next := Attempt{Request: a.Request, Number: e.attempts - 1, Node: a.Endpoint,
-			Until: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, Left: &e.job.left}
+		next := Attempt{RequestID: a.Request, Number: e.attempts - 1, Target: a.Endpoint,
+			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientGone: &e.job.left}
 		if a.SendWithin > 0 {
-			next.Before = now.Add(a.SendWithin)
+			next.SendBefore = now.Add(a.SendWithin)
 		}
 		c.up.Send(next)
 	case policy.Reject:
-		c.answer(e, Answer{Ending: Refused, RetryAfter: a.Wait})
+		c.answer(e, Response{Status: Rejected, RetryAfter: a.Wait})
 		c.tidy(a.Request, e)
 	case policy.Fail:
-		c.answer(e, Answer{Ending: Failed})
+		c.answer(e, Response{Status: Failed})
 		c.tidy(a.Request, e)
 	}
 }
 
 // answer gives the final answer, once.
-func (c *Core) answer(e *entry, a Answer) {
+func (c *Core) answer(e *entry, a Response) {
 	if e.answered {
 		a.Discard()
 		return
 	}
 	e.answered = true
-	a.Last = e.last
+	a.LastOutcome = e.last
 	if c.opt.Observer != nil {
 		id := e.job.ID
-		a.Written = func() { c.box.Put(written{id, time.Now()}) }
+		a.OnWritten = func() { c.box.Put(written{id, time.Now()}) }
 	}
 	e.job.Done(a)
 }
@@ -535,10 +535,10 @@
 	if e.answered && !e.out {
 		delete(c.open, id)
 		c.held.Add(-1)
-		if e.job.Name != "" {
-			delete(c.named, e.job.Name)
+		if e.job.ClientRequestID != "" {
+			delete(c.named, e.job.ClientRequestID)
 			if e.mayRun {
-				c.ran[0][e.job.Name] = true
+				c.ran[0][e.job.ClientRequestID] = true
 			}
 		}
 	}
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -45,14 +45,14 @@
 
 func newHand(t *testing.T) *hand {
 	h := &hand{up: &fake{}, now: time.Now()}
-	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Margin: 10 * time.Millisecond, NamesFor: namesFor})
+	h.Core = New(module(t), h.up, NewClock(), Options{MaxOpen: 100, Margin: 10 * time.Millisecond, RequestIDTTL: namesFor})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	return h
 }
 
-func job(class string, arrived time.Time, answers *[]Answer) *Job {
+func job(class string, arrived time.Time, answers *[]Response) *Job {
 	return &Job{Request: policy.Request{Class: class, Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1},
-		Arrived: arrived, Patience: 2 * time.Second, Done: func(a Answer) { *answers = append(*answers, a) }}
+		Arrived: arrived, Timeout: 2 * time.Second, Done: func(a Response) { *answers = append(*answers, a) }}
 }
 
 // later steps the core at timers until the time has passed.
@@ -66,17 +66,17 @@
 // TestOneFinalAnswer plays outcomes twice, late and of attempts that never were: one answer is given.
 func TestOneFinalAnswer(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	r := Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Served, Payload: "body"}
+	r := Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Served, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
 	h.step(h.now, []any{r})
-	if len(answers) != 1 || answers[0].Ending != Served || answers[0].Payload != "body" {
+	if len(answers) != 1 || answers[0].Status != Served || answers[0].Payload != "body" {
 		t.Fatalf("answers %+v, want one", answers)
 	}
 	if len(h.open) != 0 {
@@ -88,10 +88,10 @@
 // with an attempt out, or that has run. A name whose request was never sent may come again.
 func TestNameOnce(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	submit := func(name, class string) *Job {
 		j := job(class, h.now, &answers)
-		j.Name = name
+		j.ClientRequestID = name
 		if !h.Submit(j) {
 			t.Fatal("not taken")
 		}
@@ -101,7 +101,7 @@
 	conflict := func(when string) {
 		t.Helper()
 		submit("a", "put")
-		if len(answers) == 0 || answers[len(answers)-1].Ending != Conflict {
+		if len(answers) == 0 || answers[len(answers)-1].Status != Conflict {
 			t.Errorf("%s: answers %+v, want a conflict", when, answers)
 		}
 	}
@@ -109,7 +109,7 @@
 	conflict("open")
 	h.step(h.now, []any{first})
 	conflict("its client gone, its attempt out")
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Cancelled}})
+	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
 	conflict("may have run")
 	served := func(name string) {
 		t.Helper()
@@ -122,17 +122,17 @@
 	}
 	conflict("may have run, a while ago")
 	h.up.sent = h.up.sent[:1]
-	if len(h.up.sent) != 1 || h.Open() != 0 {
-		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.Open())
+	if len(h.up.sent) != 1 || h.OpenCount() != 0 {
+		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.OpenCount())
 	}
 	for range 3 {
 		h.now = h.now.Add(namesFor + time.Second)
 		submit("b", "put")
 		last := h.up.sent[len(h.up.sent)-1]
-		h.step(h.now, []any{Result{Request: last.Request, Number: last.Number, Node: "n", Code: policy.NotSent}})
+		h.step(h.now, []any{Result{RequestID: last.RequestID, Number: last.Number, Target: "n", Code: policy.NotSent}})
 		h.step(h.now, []any{policy.EndpointList{Full: true}})
 		h.later(2 * time.Second)
-		if got := answers[len(answers)-1]; got.Ending != Refused {
+		if got := answers[len(answers)-1]; got.Status != Rejected {
 			t.Errorf("never sent: %+v, want it refused", got)
 		}
 		h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
@@ -153,12 +153,12 @@
 // TestDeadlineRunsFromArrival guards against counting a request's time from when a busy process got to it.
 func TestDeadlineRunsFromArrival(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	h.step(h.now, []any{submitted{job("get", h.now.Add(-1500*time.Millisecond), &answers)}})
 	if len(h.up.sent) != 1 {
 		t.Fatalf("%d attempts, want 1", len(h.up.sent))
 	}
-	if left := h.up.sent[0].Until.Sub(h.now); left > 490*time.Millisecond {
+	if left := h.up.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
 		t.Errorf("attempt may last %v, but its client leaves in 500ms", left)
 	}
 }
@@ -167,11 +167,11 @@
 func TestUnsafeIsNotRepeated(t *testing.T) {
 	for _, code := range []policy.OutcomeCode{policy.ConnectionReset, policy.TimedOut, policy.AnsweredError, policy.Cancelled} {
 		h := newHand(t)
-		var answers []Answer
+		var answers []Response
 		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
-		h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: code}})
+		h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: code}})
 		h.later(3 * time.Second)
-		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Ending != Failed || answers[0].Last != code {
+		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Status != Failed || answers[0].LastOutcome != code {
 			t.Errorf("code %v: %d attempts, answers %+v", code, len(h.up.sent), answers)
 		}
 	}
@@ -181,9 +181,9 @@
 // reaches the module before them, and nothing is sent to the target that drains.
 func TestListComesFirst(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	msgs := func() []any {
-		return []any{submitted{job("get", h.now, &answers)}, Result{Request: "none"},
+		return []any{submitted{job("get", h.now, &answers)}, Result{RequestID: "none"},
 			policy.EndpointList{Endpoints: []policy.Endpoint{{ID: "n", State: policy.Draining}}}}
 	}
 	if _, first := h.gather(h.now, msgs())[0].(policy.EndpointList); !first {
@@ -198,14 +198,14 @@
 // TestDepartedIsCalledOff checks that an attempt nobody waits for is called off, and no answer is given.
 func TestDepartedIsCalledOff(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	j := job("get", h.now, &answers)
 	h.step(h.now, []any{submitted{j}})
 	h.step(h.now, []any{j})
 	if len(h.up.cancelled) != 1 || len(h.open) != 1 {
 		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.open))
 	}
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Cancelled}})
+	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
 	h.later(3 * time.Second)
 	if len(answers) != 0 || len(h.open) != 0 {
 		t.Errorf("answers %v, %d kept", answers, len(h.open))
@@ -239,9 +239,9 @@
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			h := newHand(t)
-			var answers []Answer
+			var answers []Response
 			j := job("get", h.now, &answers)
-			j.Name = "a"
+			j.ClientRequestID = "a"
 			h.held.Add(1) // as Submit does
 			x.before(h, j)
 			h.step(h.now, x.batch(h, j))
@@ -257,8 +257,8 @@
 			if len(h.up.sent) != x.sent || len(answers) != x.answers {
 				t.Errorf("%d attempts, %d answers; want %d, %d", len(h.up.sent), len(answers), x.sent, x.answers)
 			}
-			if len(h.open)+len(h.named)+h.Open() != 0 {
-				t.Errorf("kept: %d requests, %d names, %d open", len(h.open), len(h.named), h.Open())
+			if len(h.open)+len(h.named)+h.OpenCount() != 0 {
+				t.Errorf("kept: %d requests, %d names, %d open", len(h.open), len(h.named), h.OpenCount())
 			}
 			h.step(h.now, []any{submitted{job("get", h.now, &answers)}, submitted{job("get", h.now, &answers)}})
 			if n := len(h.up.sent) - x.sent; n != 2 {
@@ -271,31 +271,31 @@
 // ends is the end of the attempt that was sent last.
 func (h *hand) ends(code policy.OutcomeCode) Result {
 	a := h.up.sent[len(h.up.sent)-1]
-	return Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: code}
+	return Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: code}
 }
 
 // TestAttemptKnowsItsEnds checks what an attempt can tell at its first byte without the core's goroutine: that its client has left, before
 // the core has come to hear of it, and that the window for a keyed repeat is over.
 func TestAttemptKnowsItsEnds(t *testing.T) {
 	h := newHand(t)
-	var answers []Answer
+	var answers []Response
 	j := job("keyed", h.now, &answers)
 	h.step(h.now, []any{submitted{j}})
 	first := h.up.sent[0]
-	h.step(h.now, []any{Result{Request: first.Request, Node: "n", Code: policy.ConnectionReset}})
+	h.step(h.now, []any{Result{RequestID: first.RequestID, Target: "n", Code: policy.ConnectionReset}})
 	h.later(200 * time.Millisecond)
 	if len(h.up.sent) != 2 {
 		t.Fatalf("%d attempts, want 2", len(h.up.sent))
 	}
 	again := h.up.sent[1]
-	if !first.Before.IsZero() || again.Before.IsZero() || !again.Before.Before(first.Until.Add(-time.Second)) || again.WriteBy() != again.Before {
-		t.Errorf("the first may leave until %v, a repeat until %v; want it within the window", first.Before, again.Before)
+	if !first.SendBefore.IsZero() || again.SendBefore.IsZero() || !again.SendBefore.Before(first.Deadline.Add(-time.Second)) || again.WriteDeadline() != again.SendBefore {
+		t.Errorf("the first may leave until %v, a repeat until %v; want it within the window", first.SendBefore, again.SendBefore)
 	}
-	if !again.Allowed() {
+	if !again.MaySend() {
 		t.Error("within its window, its client there: not allowed")
 	}
-	h.Depart(j)
-	if again.Allowed() {
+	h.Cancel(j)
+	if again.MaySend() {
 		t.Error("its client has left: allowed")
 	}
 }
@@ -313,7 +313,7 @@
 		h := newHand(t)
 		for _, end := range []func(){func() { h.Run(ctx) }, func() {}} {
 			a := make(answered)
-			h.Report(Result{Request: "x", Payload: a})
+			h.Report(Result{RequestID: "x", Payload: a})
 			end()
 			select {
 			case <-a:
@@ -328,7 +328,7 @@
 func TestClockNeverGoesBack(t *testing.T) {
 	h := newHand(t)
 	before := h.lastStep
-	var answers []Answer
+	var answers []Response
 	h.step(h.now.Add(-time.Second), []any{submitted{job("get", h.now, &answers)}})
 	if h.lastStep < before {
 		t.Errorf("clock went from %v to %v", before, h.lastStep)
@@ -339,7 +339,7 @@
 type echo struct{ core *Core }
 
 func (e *echo) Send(a Attempt) {
-	go e.core.Report(Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Served})
+	go e.core.Report(Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.Served})
 }
 func (e *echo) Cancel(string, string) {}
 
@@ -347,12 +347,12 @@
 // taken one has exactly one answer, and what is not taken is said so.
 func TestNothingIsLostUnderLoad(t *testing.T) {
 	up := &echo{}
-	c := New(module(t), up, NewClock(), Options{MostHeld: 500})
+	c := New(module(t), up, NewClock(), Options{MaxOpen: 500})
 	up.core = c
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
-	c.List(policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}})
+	c.UpdateTargets(policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}})
 	var mu sync.Mutex
 	answers := map[string]int{}
 	var open, turned sync.WaitGroup
@@ -364,8 +364,8 @@
 			for i := range 100 {
 				name := fmt.Sprint(g, "/", i)
 				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: name, Units: 1, VolumeInitiators: 1},
-					Arrived: time.Now(), Patience: 2 * time.Second}
-				j.Done = func(Answer) {
+					Arrived: time.Now(), Timeout: 2 * time.Second}
+				j.Done = func(Response) {
 					mu.Lock()
 					answers[name]++
 					mu.Unlock()
@@ -399,15 +399,15 @@
 func TestObserver(t *testing.T) {
 	h := &hand{up: &fake{}, now: time.Now()}
 	book := accounts.New(accounts.Options{Volumes: 10, Pairs: 10, Open: 10})
-	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Observer: book})
+	h.Core = New(module(t), h.up, NewClock(), Options{MaxOpen: 100, Observer: book})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
-	var answers []Answer
+	var answers []Response
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
 	began := h.now.Add(3 * time.Millisecond)
 	h.now = h.now.Add(40 * time.Millisecond)
-	h.step(h.now, []any{Result{Request: h.up.sent[0].Request, Node: "n", Code: policy.Served, Began: began}})
-	h.step(h.now, []any{written{h.up.sent[0].Request, h.now.Add(2 * time.Millisecond)}})
-	if answers[0].Written == nil {
+	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Served, SendStarted: began}})
+	h.step(h.now, []any{written{h.up.sent[0].RequestID, h.now.Add(2 * time.Millisecond)}})
+	if answers[0].OnWritten == nil {
 		t.Fatal("nobody would hear that the answer was written")
 	}
 	a := book.Volume("v")
@@ -422,10 +422,10 @@
 	h.step(h.now, []any{policy.EndpointList{Full: true}})
 	h.step(h.now, []any{submitted{job("get", h.now, &answers)}}) // no node any more: held, and refused
 	h.later(2 * time.Second)
-	if n := len(answers); n != 2 || answers[1].Ending != Refused {
+	if n := len(answers); n != 2 || answers[1].Status != Rejected {
 		t.Fatalf("answers %+v", answers)
 	}
-	answers[1].Written()
+	answers[1].OnWritten()
 	h.step(h.now, h.box.Take(nil))
 	if a.Requests != 3 || a.Times[accounts.Bound] < 100*time.Millisecond {
 		t.Errorf("%+v: the third was held", a)
@@ -442,19 +442,19 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			h := &hand{up: &fake{}, now: time.Now()}
-			h.Core = New(module(b), h.up, NewClock(), Options{MostHeld: 100, Observer: observer})
+			h.Core = New(module(b), h.up, NewClock(), Options{MaxOpen: 100, Observer: observer})
 			h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 			for i := range b.N {
 				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: fmt.Sprint("v", i%100), Units: 1, VolumeInitiators: 1},
-					Arrived: h.now, Patience: 2 * time.Second, Done: func(a Answer) {
-						if a.Written != nil {
-							a.Written()
+					Arrived: h.now, Timeout: 2 * time.Second, Done: func(a Response) {
+						if a.OnWritten != nil {
+							a.OnWritten()
 						}
 					}}
 				h.step(h.now, []any{submitted{j}})
 				h.now = h.now.Add(20 * time.Millisecond)
 				for _, a := range h.up.sent {
-					h.step(h.now, []any{Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.Served, Began: h.now}})
+					h.step(h.now, []any{Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.Served, SendStarted: h.now}})
 				}
 				h.up.sent = h.up.sent[:0]
 				h.step(h.now, h.box.Take(nil))
@@ -469,14 +469,14 @@
 	for _, code := range []policy.OutcomeCode{policy.TurnedAway, policy.NotConnected, policy.ConnectionReset, policy.NotSent} {
 		for _, behind := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond} {
 			h := newHand(t)
-			var answers []Answer
+			var answers []Response
 			arrived := h.now
 			h.now = h.now.Add(behind)
 			h.step(h.now, []any{submitted{job("get", arrived, &answers)}})
 			for tries := 1; len(answers) == 0; {
 				a := h.up.sent[len(h.up.sent)-1]
-				if until := arrived.Add(2*time.Second - 10*time.Millisecond); a.Until.After(until) {
-					t.Fatalf("code %v, %v behind: attempt %d may last %v too long", code, behind, tries, a.Until.Sub(until))
+				if until := arrived.Add(2*time.Second - 10*time.Millisecond); a.Deadline.After(until) {
+					t.Fatalf("code %v, %v behind: attempt %d may last %v too long", code, behind, tries, a.Deadline.Sub(until))
 				}
 				h.later(20 * time.Millisecond)
 				h.now = h.now.Add(behind)
--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -56,7 +56,7 @@
 // receive takes the body: held, where it is small, or on its way to its target but for the last of it. A request that
 // could not be taken in for want of room or of a target is refused; nothing of it can have run. Held bytes are given back
 // by what it returns last.
-func (s *Server) receive(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message) (*fault, *core.Answer, func()) {
+func (s *Server) receive(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message) (*fault, *core.Response, func()) {
 	free := func() {}
 	if r.ContentLength == 0 {
 		return nil, nil, free
@@ -70,10 +70,10 @@
 	if hold < 0 {
 		hold = upstream.MaxHeld
 	}
-	if !s.opt.Room.Take(hold) {
-		return nil, &core.TooMany, free
+	if !s.opt.BufferBudget.Take(hold) {
+		return nil, &core.Overloaded, free
 	}
-	free = func() { s.opt.Room.Give(hold) }
+	free = func() { s.opt.BufferBudget.Give(hold) }
 	held, whole, err := readHeld(body, r.ContentLength)
 	switch {
 	case err != nil:
@@ -83,7 +83,7 @@
 		return f, a, free
 	}
 	if left := hold - int64(len(held)); left > 0 {
-		s.opt.Room.Give(left)
+		s.opt.BufferBudget.Give(left)
 		hold -= left
 	}
 	m.Body = held
@@ -102,23 +102,23 @@
 }
 
 // forward has the body go ahead to the target that the module names, a piece at a time, all but the last one.
-func (s *Server) forward(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *paced, held []byte) (*fault, *core.Answer) {
+func (s *Server) forward(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *paced, held []byte) (*fault, *core.Response) {
 	conn.claim() // it brings what it claimed to: it does not make room for others any more
 	a, done := upstream.Piece()
 	defer done()
 	b, doneToo := upstream.Piece()
 	defer doneToo()
-	if room := int64(len(a) + len(b)); !s.opt.Room.Take(room) {
-		return nil, &core.TooMany
+	if room := int64(len(a) + len(b)); !s.opt.BufferBudget.Take(room) {
+		return nil, &core.Overloaded
 	} else {
-		defer s.opt.Room.Give(room)
+		defer s.opt.BufferBudget.Give(room)
 	}
 	ctx, leave := context.WithCancel(r.Context())
 	defer leave()
 	defer conn.mind(leave)()
 	node := make(chan string, 1)
 	s.core.Route(j.Shard, func(n string) { node <- n })
-	up, err := s.opt.Ahead(ctx, <-node, m, r.ContentLength, j.Patience)
+	up, err := s.opt.OpenUpload(ctx, <-node, m, r.ContentLength, j.Timeout)
 	if err != nil {
 		return nil, &noTarget
 	}
@@ -136,7 +136,7 @@
 }
 
 // noTarget refuses a request whose body found no target, or lost it.
-var noTarget = core.Answer{Ending: core.Refused}
+var noTarget = core.Response{Status: core.Rejected}
 
 // feed passes a body on and keeps its last piece back. What goes wrong on the client's side is a fault, on the target's an
 // error.
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -26,7 +26,7 @@
 	_, b, addr := newFront(t, 64)
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: j.Payload.(*upstream.Message).Body})
+			j.Done(core.Response{Payload: j.Payload.(*upstream.Message).Body})
 		}
 	}()
 	defer close(b.jobs)
@@ -82,7 +82,7 @@
 // TestContinue has a client wait for the word to go on before it sends its body.
 func TestContinue(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	resp, _, c := ask(t, addr, goodHead+"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	if resp.StatusCode != 100 {
 		t.Fatalf("before the body: %d", resp.StatusCode)
@@ -95,7 +95,7 @@
 // TestSlowBody guards against a limit on a body's whole time: it may take as long as its bytes keep coming, and no longer.
 func TestSlowBody(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 					require.Equal(t, "body", string(m.Body))
 					require.Equal(t, "PUT /put/x/7f3a9c21e0b4d655?q=1 id1", m.Method+" "+m.URI+" "+m.ID)
 					require.Equal(t, "00000003b4d60021 2 5 3 std put", fmt.Sprint(strings.ToLower(j.Volume), " ", j.Units, j.Shard, j.VolumeInitiators, " ", j.Plan, " ", j.Class))
-					j.Done(core.Answer{Payload: []byte("x")})
+					j.Done(core.Response{Payload: []byte("x")})
 				case <-time.After(10 * time.Second):
 					t.Error("it was not taken")
 				}
--- a/internal/datapath/front/ends_test.go
+++ b/internal/datapath/front/ends_test.go
@@ -104,7 +104,7 @@
 func TestLeftAfterMore(t *testing.T) {
 	var log lines
 	s, b, addr := newFront(t, 64, log.edit)
-	room := s.opt.Room.Left()
+	room := s.opt.BufferBudget.Left()
 	ways := map[string]func(*net.TCPConn){"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}
 	for name, leave := range ways {
@@ -124,7 +124,7 @@
 	}
 	empty(t, s)
 	require.Empty(t, b.jobs)
-	require.Equal(t, room, s.opt.Room.Left())
+	require.Equal(t, room, s.opt.BufferBudget.Left())
 	log.ended(t, 18)
 	require.Contains(t, log.String(), "CLIENT_FLOOD")
 }
@@ -147,7 +147,7 @@
 		j := <-b.jobs
 		_, _ = io.WriteString(c, second[:cut])
 		require.Eventually(t, func() bool { return kept() == cut }, 20*time.Second, time.Millisecond)
-		j.Done(core.Answer{Payload: []byte("first")})
+		j.Done(core.Response{Payload: []byte("first")})
 		_, _ = io.WriteString(c, second[cut:])
 		require.Equal(t, "abc", string((j2(t, b)).Body))
 		for _, want := range []string{"first", "second"} {
@@ -164,15 +164,15 @@
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, good)
 	j := <-b.jobs
-	left := s.opt.Room.Left()
-	s.opt.Room.Give(-left)
+	left := s.opt.BufferBudget.Left()
+	s.opt.BufferBudget.Give(-left)
 	cc := s.conns.the()
 	_, _ = io.WriteString(c, strings.Replace(strings.Replace(goodHead, "PUT", "GET", 1), "/put/", "/get/", 1)+"\r\n")
 	require.Eventually(t, func() bool { return cc.flood.Load() || !upstream.Quiet(cc.Conn) }, 20*time.Second, time.Millisecond)
 	require.False(t, cc.gone(true))
-	j.Done(core.Answer{Payload: []byte("first")})
+	j.Done(core.Response{Payload: []byte("first")})
 	j2(t, b)
-	s.opt.Room.Give(left)
+	s.opt.BufferBudget.Give(left)
 	c.Close()
 	empty(t, s)
 	c = dial(t, addr)
@@ -180,7 +180,7 @@
 	j = <-b.jobs
 	_, _ = io.WriteString(c, strings.Repeat("x", 2*aheadMost))
 	require.Eventually(t, func() bool { return kept() > aheadMost }, 20*time.Second, time.Millisecond)
-	j.Done(core.Answer{Payload: []byte("last")})
+	j.Done(core.Response{Payload: []byte("last")})
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
 	require.True(t, resp.Close)
@@ -193,7 +193,7 @@
 func j2(t *testing.T, b *back) *upstream.Message {
 	select {
 	case j := <-b.jobs:
-		j.Done(core.Answer{Payload: []byte("second")})
+		j.Done(core.Response{Payload: []byte("second")})
 		return j.Payload.(*upstream.Message)
 	case <-time.After(20 * time.Second):
 		t.Fatal("the second request was not taken")
@@ -224,7 +224,7 @@
 func TestLeftWhileBodyWaits(t *testing.T) {
 	opening, given := make(chan bool), make(chan error, 1)
 	_, b, addr := newFront(t, 64, func(s *Server) {
-		s.opt.Ahead = func(ctx context.Context, _ string, _ *upstream.Message, _ int64, _ time.Duration) (*upstream.Upload, error) {
+		s.opt.OpenUpload = func(ctx context.Context, _ string, _ *upstream.Message, _ int64, _ time.Duration) (*upstream.Upload, error) {
 			opening <- true
 			<-ctx.Done()
 			given <- ctx.Err()
@@ -267,7 +267,7 @@
 			j := <-b.jobs
 			cc := s.conns.the()
 			require.Eventually(t, func() bool { return cc.flood.Load() }, 20*time.Second, time.Millisecond, name)
-			j.Done(core.Answer{Payload: []byte("answer")})
+			j.Done(core.Response{Payload: []byte("answer")})
 		}
 		require.Eventually(t, func() bool { open, _ := s.conns.count(); return open == 0 }, 20*time.Second, time.Millisecond, name)
 		all, err := io.ReadAll(c)
@@ -285,7 +285,7 @@
 		"leaving": func(s *Server) { s.conns.endAll(false) },
 		"handed":  func(s *Server) { s.conns.endAsked() },
 		"room": func(s *Server) {
-			s.Bound(1, 1)
+			s.SetConnLimits(1, 1)
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
 			go func() { _, _ = net.Dial("tcp", l.Addr().String()) }()
 			c, _ := l.Accept()
@@ -296,7 +296,7 @@
 		s, b, addr := newFront(t, 64)
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, good)
-		(<-b.jobs).Done(core.Answer{Payload: []byte("answer")})
+		(<-b.jobs).Done(core.Response{Payload: []byte("answer")})
 		cc := s.conns.the()
 		require.Eventually(t, func() bool { return cc.phase.Load() == quiet }, 20*time.Second, time.Millisecond)
 		end(s)
@@ -317,8 +317,8 @@
 	reached, free := make(chan bool), make(chan bool)
 	s, b, addr = newFront(t, 64, func(s *Server) {
 		a := admitted
-		a.Leave = core.Leave{Answer: 5 * time.Second}
-		s.Admit(a)
+		a.Shutdown = core.ShutdownSchedule{RespondWithin: 5 * time.Second}
+		s.SetAdmission(a)
 		s.http.ConnState = func(c net.Conn, st http.ConnState) {
 			s.conns.state(c, st)
 			if st == at {
@@ -339,7 +339,7 @@
 		in := bufio.NewReader(c)
 		_, _ = io.WriteString(c, good)
 		if at == http.StateIdle {
-			(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+			(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 			resp, err := http.ReadResponse(in, nil)
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, resp.Body)
@@ -364,7 +364,7 @@
 		}
 		select {
 		case j := <-b.jobs:
-			j.Done(core.Answer{Payload: []byte("owed")})
+			j.Done(core.Response{Payload: []byte("owed")})
 		case <-time.After(5 * time.Second):
 			t.Fatalf("%s: it was dropped", name)
 		}
@@ -394,7 +394,7 @@
 func TestTakesWhatWaits(t *testing.T) {
 	other, b, _ := newFront(t, 64)
 	opt := other.opt
-	opt.Admits.Leave = core.Leave{Answer: 5 * time.Second}
+	opt.Admission.Shutdown = core.ShutdownSchedule{RespondWithin: 5 * time.Second}
 	s := New(b, opt)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -409,7 +409,7 @@
 	time.AfterFunc(takeWithin/4, func() { close(late.on) })
 	select {
 	case j := <-b.jobs:
-		j.Done(core.Answer{Payload: []byte("x")})
+		j.Done(core.Response{Payload: []byte("x")})
 	case <-time.After(5 * time.Second):
 		t.Fatal("it was not taken")
 	}
@@ -436,7 +436,7 @@
 			s.conns.endAll(hurry)
 			_, _ = io.WriteString(c, good[cut:])
 			if !hurry {
-				(<-b.jobs).Done(core.Answer{Payload: []byte("whole")})
+				(<-b.jobs).Done(core.Response{Payload: []byte("whole")})
 			}
 			all, err := io.ReadAll(c)
 			require.NoError(t, err, name)
@@ -463,7 +463,7 @@
 		_, _ = io.WriteString(c, good)
 		select {
 		case j := <-b.jobs:
-			j.Done(core.Answer{Ending: core.Conflict}) // which ends the connection
+			j.Done(core.Response{Status: core.Conflict}) // which ends the connection
 		case <-time.After(20 * time.Second):
 			t.Fatal("not taken")
 		}
@@ -489,7 +489,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 1, on)
 	}))
-	j.Done(core.Answer{})
+	j.Done(core.Response{})
 }
 
 // TestGarbageAndCuts sends requests that were cut, doubled, or spoilt anywhere, many at a time, with fixed seeds: each is answered or its
@@ -498,11 +498,11 @@
 func TestGarbageAndCuts(t *testing.T) {
 	var log lines
 	s, b, addr := newFront(t, 400, log.edit, func(s *Server) {
-		s.opt.Ahead = func(context.Context, string, *upstream.Message, int64, time.Duration) (*upstream.Upload, error) {
+		s.opt.OpenUpload = func(context.Context, string, *upstream.Message, int64, time.Duration) (*upstream.Upload, error) {
 			return nil, upstream.ErrNoUpload
 		}
 	})
-	room := s.opt.Room.Left()
+	room := s.opt.BufferBudget.Left()
 	spoilt := rapid.Custom(func(t *rapid.T) string {
 		raw := []byte(rapid.SampledFrom([]string{good, good + good, goodHead + "\r\n", codedHead + "\r\n3\r\nabc\r\n0\r\n\r\n",
 			strings.Replace(good, "Content-Length: 4", "Content-Length: 70000", 1) + strings.Repeat("b", 70000)}).Draw(t, "whole"))
@@ -526,7 +526,7 @@
 		for j := range b.jobs {
 			m := j.Payload.(*upstream.Message)
 			assert.True(t, isHex16(j.Extent) && isHex16(j.Volume) && j.Plan == "std" && len(m.Body) <= upstream.MaxHeld, "%+v", j)
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(core.Response{Payload: []byte("x")})
 		}
 	}()
 	const clients = 300
@@ -549,7 +549,7 @@
 	empty(t, s)
 	log.ended(t, clients)
 	require.Equal(t, clients, strings.Count(log.String(), "reason="))
-	require.Equal(t, room, s.opt.Room.Left())
+	require.Equal(t, room, s.opt.BufferBudget.Left())
 	resp, _, _ := ask(t, addr, good)
 	require.Equal(t, 200, resp.StatusCode)
 }
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -45,29 +45,29 @@
 
 // Options set up the front.
 type Options struct {
-	Admits    Admits      // at first
-	MostConn  int         // clients' connections at a time
-	EasyConn  int         // of these, how many may be without a request
-	Ready     func() bool // whether requests can be sent on; nil: from the start
-	ReadyOnly bool        // requests come in by another front
-	Figures   *figures.Book
-	Room      *budget.Bytes // for bodies and pieces of them
+	Admission    Admission   // at first
+	MaxConns     int         // clients' connections at a time
+	SoftMaxConns int         // of these, how many may be without a request
+	Ready        func() bool // whether requests can be sent on; nil: from the start
+	ReadyOnly    bool        // requests come in by another front
+	Figures      *figures.Book
+	BufferBudget *budget.Bytes // for bodies and pieces of them
 	// Ahead opens a large body's way to a target.
-	Ahead func(ctx context.Context, node string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
-	Log   *slog.Logger
+	OpenUpload func(ctx context.Context, node string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
+	Log        *slog.Logger
 }
 
 // Admits is what requests may name, and how the front leaves for the longest that their clients wait. It isn't changed once it is given.
-type Admits struct {
-	Classes map[string]bool
-	Plans   map[string]bool
-	Leave   core.Leave
+type Admission struct {
+	Classes  map[string]bool
+	Plans    map[string]bool
+	Shutdown core.ShutdownSchedule
 }
 
 // Core is what the front needs of the core.
 type Core interface {
 	Submit(*core.Job) bool
-	Depart(*core.Job)
+	Cancel(*core.Job)
 	Route(shard int, reply func(node string))
 }
 
@@ -81,20 +81,20 @@
 	left     atomic.Pointer[time.Time] // when Stop was called
 	handed   atomic.Bool
 	idle     time.Duration // idleFor
-	admits   atomic.Pointer[Admits]
+	admits   atomic.Pointer[Admission]
 }
 
 // New returns a front for the core.
 func New(c Core, opt Options) *Server {
-	s := &Server{opt: opt, core: c, idle: idleFor, conns: newConnTable(opt.MostConn, opt.EasyConn, opt.Room, opt.Log)}
-	s.http = http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: core.LeaveWithin(math.MaxInt64).Answer + idleFor, MaxHeaderBytes: maxHead,
+	s := &Server{opt: opt, core: c, idle: idleFor, conns: newConnTable(opt.MaxConns, opt.SoftMaxConns, opt.BufferBudget, opt.Log)}
+	s.http = http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: core.NewShutdownSchedule(math.MaxInt64).RespondWithin + idleFor, MaxHeaderBytes: maxHead,
 		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}
-	s.Admit(opt.Admits)
+	s.SetAdmission(opt.Admission)
 	return s
 }
 
 // Admit says what requests may name from now on. What was taken before is not asked again.
-func (s *Server) Admit(a Admits) { s.admits.Store(&a) }
+func (s *Server) SetAdmission(a Admission) { s.admits.Store(&a) }
 
 // Serve accepts until Stop.
 func (s *Server) Serve(l net.Listener) error {
@@ -124,7 +124,7 @@
 func (s *Server) HandOver() { s.handed.Store(true) }
 
 // Bound sets how many connections of clients there may be, and how many without a request, from now on.
-func (s *Server) Bound(most, easy int) { s.conns.bound(most, easy) }
+func (s *Server) SetConnLimits(most, easy int) { s.conns.bound(most, easy) }
 
 // Stop leaves ready at once, keeps accepting while clients may still come, serves them for a while on the connections
 // they have, and then finishes what was taken until the context ends.
@@ -132,33 +132,33 @@
 	now := time.Now()
 	s.left.Store(&now)
 	s.conns.leave()
-	how := s.admits.Load().Leave
+	how := s.admits.Load().Shutdown
 	if s.handed.Load() {
-		how.Linger, how.Serve = 0, 0
+		how.AcceptFor, how.ServeFor = 0, 0
 	}
-	core.Pause(ctx, now.Add(how.Linger))
+	core.SleepUntil(ctx, now.Add(how.AcceptFor))
 	if l := s.listener.Load(); l != nil {
 		// What the machine has accepted and nobody has taken would be reset. At a successor's socket it is the successor's.
 		for until := time.Now().Add(takeWithin); !s.handed.Load() && listen.Waiting(*l) && ctx.Err() == nil && time.Now().Before(until); {
-			core.Pause(ctx, time.Now().Add(time.Millisecond))
+			core.SleepUntil(ctx, time.Now().Add(time.Millisecond))
 		}
 		(*l).Close()
 	}
 	// Clients of a successor go to it by themselves: each connection ends with its answer, and those that have just been
 	// made, and have brought no request yet, have their time for one.
 	for until := now.Add(headWithin); s.handed.Load() && s.conns.endAsked() > 0 && ctx.Err() == nil && time.Now().Before(until); {
-		core.Pause(ctx, time.Now().Add(10*time.Millisecond))
+		core.SleepUntil(ctx, time.Now().Add(10*time.Millisecond))
 	}
-	core.Pause(ctx, now.Add(how.Serve))
+	core.SleepUntil(ctx, now.Add(how.ServeFor))
 	// net/http drops what it has read once it shuts down, and closes an idle connection in whose request it is just reading. So
 	// that comes last, when there is none left but for those whose clients do not close them.
-	hurry, over := now.Add(how.Serve+lastBytes), now.Add(how.Answer)
+	hurry, over := now.Add(how.ServeFor+lastBytes), now.Add(how.RespondWithin)
 	for ctx.Err() == nil {
 		left, waiting := s.conns.endAll(time.Now().After(hurry))
 		if left == 0 || left == waiting && time.Now().After(over) {
 			break
 		}
-		core.Pause(ctx, time.Now().Add(5*time.Millisecond))
+		core.SleepUntil(ctx, time.Now().Add(5*time.Millisecond))
 	}
 	return s.http.Shutdown(ctx)
 }
@@ -180,13 +180,13 @@
 			http.NotFound(w, r)
 		default:
 			w.Header().Set("Connection", "close")
-			s.write(w, core.TooMany)
+			s.write(w, core.Overloaded)
 			s.opt.Figures.Ended(classOf(r), figures.Overload)
 		}
 		return
 	}
 	j, m, f := s.parse(r)
-	var early *core.Answer
+	var early *core.Response
 	free := func() {}
 	if f == nil {
 		f, early, free = s.receive(w, r, conn, j, m)
@@ -216,9 +216,9 @@
 	if r.ContentLength != 0 && http.NewResponseController(w).SetReadDeadline(time.Time{}) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	j.Patience = s.admits.Load().Leave.Cut(j.Patience, arrived, s.left.Load())
+	j.Timeout = s.admits.Load().Shutdown.LimitTimeout(j.Timeout, arrived, s.left.Load())
 	// The core's goroutine must not wait for a client: the answer has a place of its own.
-	final := &handOver{answer: make(chan core.Answer, 1)}
+	final := &handOver{answer: make(chan core.Response, 1)}
 	j.Arrived, j.Payload, j.Done = arrived, m, final.put
 	conn.next()
 	if conn.gone(true) { // while the process was behind
@@ -229,7 +229,7 @@
 		if conn.ends() {
 			w.Header().Set("Connection", "close")
 		}
-		s.write(w, core.TooMany)
+		s.write(w, core.Overloaded)
 		seen.End(figures.Overload)
 		return
 	}
@@ -245,12 +245,12 @@
 			panic(http.ErrAbortHandler) // the client must see that it is not whole
 		}
 		seen.End(endingOf(a))
-		if a.Written != nil {
+		if a.OnWritten != nil {
 			http.NewResponseController(w).Flush()
-			a.Written()
+			a.OnWritten()
 		}
 	case <-r.Context().Done():
-		s.core.Depart(j)
+		s.core.Cancel(j)
 		final.leave()
 		// A plain return would be answered with an empty 200, which no target made.
 		panic(http.ErrAbortHandler)
@@ -283,10 +283,10 @@
 type handOver struct {
 	mu     sync.Mutex
 	left   bool
-	answer chan core.Answer
+	answer chan core.Response
 }
 
-func (h *handOver) put(a core.Answer) {
+func (h *handOver) put(a core.Response) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.left {
@@ -331,11 +331,11 @@
 }
 
 // endingOf is the number that an answer counts under.
-func endingOf(a core.Answer) figures.Ending {
-	switch a.Ending {
+func endingOf(a core.Response) figures.Ending {
+	switch a.Status {
 	case core.Served:
 		return figures.Success
-	case core.Refused:
+	case core.Rejected:
 		return figures.Overload
 	}
 	return figures.Failure
@@ -349,9 +349,9 @@
 
 // write gives the one final answer. Its length is told ahead, or it comes in chunks, so that a cut one shows. It tells
 // whether all of it was written, as far as is known.
-func (s *Server) write(w http.ResponseWriter, a core.Answer) bool {
+func (s *Server) write(w http.ResponseWriter, a core.Response) bool {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin)) // that of an answer before may be over
-	switch a.Ending {
+	switch a.Status {
 	case core.Served:
 		if st, ok := a.Payload.(*upstream.Stream); ok {
 			return s.pass(w, st)
@@ -362,7 +362,7 @@
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(http.StatusOK)
 		_, _ = w.Write(body)
-	case core.Refused:
+	case core.Rejected:
 		retryAfter(w, a.RetryAfter)
 		http.Error(w, refusedText, http.StatusServiceUnavailable)
 	case core.Conflict:
@@ -385,8 +385,8 @@
 	}
 	piece, done := upstream.Piece()
 	defer done()
-	if room := int64(len(piece)); s.opt.Room.Take(room) {
-		defer s.opt.Room.Give(room)
+	if room := int64(len(piece)); s.opt.BufferBudget.Take(room) {
+		defer s.opt.BufferBudget.Give(room)
 	} else {
 		piece = make([]byte, 2<<10) // it goes on, more slowly
 	}
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -32,7 +32,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var usual = core.LeaveWithin(2 * time.Second)
+var usual = core.NewShutdownSchedule(2 * time.Second)
 
 // back is the stand-in core: it hands jobs to the test and notes departures.
 type back struct {
@@ -48,11 +48,11 @@
 	b.jobs <- j
 	return true
 }
-func (b *back) Depart(j *core.Job)                  { b.gone <- j }
+func (b *back) Cancel(j *core.Job)                  { b.gone <- j }
 func (b *back) Route(shard int, reply func(string)) { reply("n") }
 
 // admitted is what a front under test admits.
-var admitted = Admits{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, Leave: usual}
+var admitted = Admission{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, Shutdown: usual}
 
 // testRoom is the budget of bytes of a front under test.
 const testRoom = 1 << 20
@@ -60,8 +60,8 @@
 func newFront(t *testing.T, most int, edit ...func(*Server)) (*Server, *back, string) {
 	t.Helper()
 	b := &back{jobs: make(chan *core.Job, 64), gone: make(chan *core.Job, 64)}
-	s := New(b, Options{Admits: admitted, MostConn: most, EasyConn: most,
-		Figures: figures.New([]string{"get", "put"}), Room: budget.New(testRoom),
+	s := New(b, Options{Admission: admitted, MaxConns: most, SoftMaxConns: most,
+		Figures: figures.New([]string{"get", "put"}), BufferBudget: budget.New(testRoom),
 		Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,16 +107,16 @@
 func TestAnswers(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for _, c := range []struct {
-		answer core.Answer
+		answer core.Response
 		status int
 		after  string
 		body   string
 	}{
-		{core.Answer{Payload: []byte("data")}, 200, "", "data"},
-		{core.Answer{Ending: core.Refused, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
-		{core.Answer{Ending: core.Refused}, 503, "", "refused: trying again is harmless\n"},
-		{core.Answer{Ending: core.Conflict}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
-		{core.Answer{Ending: core.Failed}, 502, "", "failed: it may have run\n"},
+		{core.Response{Payload: []byte("data")}, 200, "", "data"},
+		{core.Response{Status: core.Rejected, RetryAfter: 250 * time.Millisecond}, 503, "0.250", "refused: trying again is harmless\n"},
+		{core.Response{Status: core.Rejected}, 503, "", "refused: trying again is harmless\n"},
+		{core.Response{Status: core.Conflict}, 409, "", "Request-Id: a request of that id is open or may have run\n"},
+		{core.Response{Status: core.Failed}, 502, "", "failed: it may have run\n"},
 	} {
 		go func() { (<-b.jobs).Done(c.answer) }()
 		resp, body, _ := ask(t, addr, good)
@@ -127,8 +127,8 @@
 	go func() {
 		j := <-b.jobs
 		m := j.Payload.(*upstream.Message)
-		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.VolumeInitiators, j.Patience, m.Method, m.URI, m.ID, string(m.Body))
-		j.Done(core.Answer{Payload: []byte(text)})
+		text := fmt.Sprint(j.Class, j.Plan, j.Volume, j.Extent, j.Units, j.Shard, j.VolumeInitiators, j.Timeout, m.Method, m.URI, m.ID, string(m.Body))
+		j.Done(core.Response{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
 	if _, body, _ := ask(t, addr, good); body != want {
@@ -137,7 +137,7 @@
 	for head, key := range map[string]string{"": "", "Idempotency-Key:  a 7=\"x\" \r\n": `a 7="x"`, "Idempotency-Key: \r\n": ""} {
 		go func() {
 			j := <-b.jobs
-			j.Done(core.Answer{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Message).Key)})
+			j.Done(core.Response{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Message).Key)})
 		}()
 		_, body, _ := ask(t, addr, goodHead+head+"Content-Length: 4\r\n\r\nbody")
 		require.Equal(t, fmt.Sprint(key == "", key), body)
@@ -213,12 +213,12 @@
 // request, and the core refuses it.
 func TestNoTimeLeft(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(core.Answer{Ending: core.Refused}) }()
+	go func() { (<-b.jobs).Done(core.Response{Status: core.Rejected}) }()
 	resp, _, c := ask(t, addr, strings.Replace(good, "480", "0", 1))
 	if resp.StatusCode != 503 || resp.Close {
 		t.Errorf("status %d, closes %v; want it refused on a connection that lives", resp.StatusCode, resp.Close)
 	}
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	if resp, _, _ := say(t, c, good); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
@@ -290,7 +290,7 @@
 			}
 		})
 	}
-	(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+	(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 	wait.Go(func() {
 		if resp, _, _ := ask(t, addr, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 {
 			t.Errorf("open for long: status %d", resp.StatusCode)
@@ -298,7 +298,7 @@
 	})
 	j := <-b.jobs
 	time.Sleep(headWithin + 200*time.Millisecond)
-	j.Done(core.Answer{Payload: []byte("x")})
+	j.Done(core.Response{Payload: []byte("x")})
 	wait.Wait()
 	if len(b.jobs)+len(b.gone) > 0 {
 		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.gone))
@@ -359,7 +359,7 @@
 		time.Sleep(stalledFor + silentFor)
 		go func() {
 			for range 7 {
-				(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+				(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 			}
 		}()
 		for range 7 {
@@ -367,7 +367,7 @@
 				t.Errorf("%s: a usual client got status %d", name, resp.StatusCode)
 			}
 		}
-		j.Done(core.Answer{Payload: []byte("late")})
+		j.Done(core.Response{Payload: []byte("late")})
 		open.SetDeadline(time.Now().Add(20 * time.Second))
 		if resp, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: the request that was open: %+v, %v", name, resp, err)
@@ -384,7 +384,7 @@
 	s.conns.mu.Unlock()
 	go func() {
 		for range 6 {
-			(<-b.jobs).Done(core.Answer{Payload: []byte("x")})
+			(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 		}
 	}()
 	for range 6 {
@@ -432,7 +432,7 @@
 	s, b, addr := newFront(t, 2, func(s *Server) { s.idle = time.Hour }) // none ends by itself, however long the machine stands still
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(core.Response{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -466,7 +466,7 @@
 	if resp.StatusCode != 503 || !resp.Close || len(b.jobs) != 0 {
 		t.Errorf("status %d, closes %v, %d jobs; want a refusal that reaches no core", resp.StatusCode, resp.Close, len(b.jobs))
 	}
-	open.Done(core.Answer{Payload: []byte("x")})
+	open.Done(core.Response{Payload: []byte("x")})
 }
 
 // TestLeaving checks the order of an end: not ready at once, new connections served meanwhile, and what was
@@ -495,7 +495,7 @@
 	if resp.StatusCode != 503 {
 		t.Errorf("ready while leaving: %d", resp.StatusCode)
 	}
-	time.Sleep(usual.Linger + 100*time.Millisecond)
+	time.Sleep(usual.AcceptFor + 100*time.Millisecond)
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
 		t.Error("still accepting after the linger")
@@ -504,21 +504,21 @@
 	served := make(chan time.Duration, 1)
 	go func() {
 		j := <-b.jobs
-		served <- j.Patience
-		j.Done(core.Answer{Payload: []byte("kept")})
+		served <- j.Timeout
+		j.Done(core.Response{Payload: []byte("kept")})
 	}()
 	if resp, body, _ := say(t, kept, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
 		t.Errorf("on a connection from before: %d, %q", resp.StatusCode, body)
 	}
-	if p := <-served; p > usual.Answer-usual.Linger {
+	if p := <-served; p > usual.RespondWithin-usual.AcceptFor {
 		t.Errorf("it may take %v, past the end", p)
 	}
 	select {
 	case <-stopped: //nolint:errcheck // that it has not returned is what is tested
 		t.Error("ended with a request open")
-	case <-time.After(usual.Serve):
+	case <-time.After(usual.ServeFor):
 	}
-	j.Done(core.Answer{Payload: []byte("late")})
+	j.Done(core.Response{Payload: []byte("late")})
 	wait.Wait()
 	if err := <-stopped; err != nil {
 		t.Error(err)
@@ -566,7 +566,7 @@
 	_, b, addr := newFront(t, 8)
 	go func() {
 		for j := range b.jobs {
-			j.Done(core.Answer{Payload: []byte("x")})
+			j.Done(core.Response{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
@@ -606,7 +606,7 @@
 // closed without a reset, one with a request open ends with its answer, and one that was just made has its request served.
 func TestHandOver(t *testing.T) {
 	s, b, addr := newFront(t, 64)
-	go func() { (<-b.jobs).Done(core.Answer{Payload: []byte("x")}) }()
+	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	_, _, idle := ask(t, addr, good)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", addr)
@@ -639,7 +639,7 @@
 		t.Error("it still accepts")
 	}
 	for c, j := range map[net.Conn]func() *core.Job{busy: func() *core.Job { return open }, fresh: func() *core.Job { _, _ = io.WriteString(fresh, good); return <-b.jobs }} {
-		j().Done(core.Answer{Payload: []byte("x")})
+		j().Done(core.Response{Payload: []byte("x")})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("a request at the time: %+v, %v; want it served on a connection that ends", resp, err)
 		}
@@ -653,8 +653,8 @@
 // what it is or for want of room, and left by its client.
 func TestNumbers(t *testing.T) {
 	s, b, addr := newFront(t, 64)
-	for _, ending := range []core.Ending{core.Served, core.Refused, core.Failed, core.Conflict} {
-		go func() { (<-b.jobs).Done(core.Answer{Ending: ending, Payload: []byte("x")}) }()
+	for _, ending := range []core.Status{core.Served, core.Rejected, core.Failed, core.Conflict} {
+		go func() { (<-b.jobs).Done(core.Response{Status: ending, Payload: []byte("x")}) }()
 		ask(t, addr, good)
 	}
 	ask(t, addr, strings.Replace(good, "std", "odd", 1))
@@ -670,7 +670,7 @@
 	}
 	left.Close()
 	<-b.gone
-	s.opt.Room.Give(-testRoom) // also what the request that was left still holds: its body comes back after its departure is known
+	s.opt.BufferBudget.Give(-testRoom) // also what the request that was left still holds: its body comes back after its departure is known
 	if resp, _, _ := ask(t, addr, good); resp.StatusCode != 503 {
 		t.Errorf("without room: %d", resp.StatusCode)
 	}
@@ -687,10 +687,10 @@
 // process would be killed: each request is answered whole, in good time, or the connection had ended in order before it was written.
 func TestSendsUntilKilled(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	s, b, addr := newFront(t, 64)
-	killed := usual.Answer + 100*time.Millisecond
+	killed := usual.RespondWithin + 100*time.Millisecond
 	go func() {
 		for j := range b.jobs {
-			time.AfterFunc(5*time.Millisecond, func() { j.Done(core.Answer{Payload: []byte("ok")}) })
+			time.AfterFunc(5*time.Millisecond, func() { j.Done(core.Response{Payload: []byte("ok")}) })
 		}
 	}()
 	var clients sync.WaitGroup
@@ -722,7 +722,7 @@
 				if err != nil {
 					// A request may cross the end of its connection: clients send it once more elsewhere.
 					crossed.Add(1)
-					if at := left.Load(); at == nil || time.Since(*at) < usual.Serve {
+					if at := left.Load(); at == nil || time.Since(*at) < usual.ServeFor {
 						early.Add(1)
 					}
 					return
--- a/internal/datapath/front/request.go
+++ b/internal/datapath/front/request.go
@@ -72,7 +72,7 @@
 	if f != nil {
 		return nil, nil, f
 	}
-	j := &core.Job{Request: q, Name: id, Patience: time.Duration(ms) * time.Millisecond}
+	j := &core.Job{Request: q, ClientRequestID: id, Timeout: time.Duration(ms) * time.Millisecond}
 	j.Class, j.Plan, j.Extent = class, r.Header.Get("Tier"), key
 	m := &upstream.Message{Method: r.Method, URI: r.RequestURI, ID: id, Key: strings.Join(keys, "")}
 	j.MissingKey = m.Key == ""
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -102,17 +102,17 @@
 
 // statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
 // what may have run has DNR set, so that no host sends it again by itself.
-func statusOf(a core.Answer, delays bool) status {
-	switch a.Ending {
+func statusOf(a core.Response, delays bool) status {
+	switch a.Status {
 	case core.Served:
 		return stOK
-	case core.Refused:
+	case core.Rejected:
 		if delays {
 			return stNSNotReady.withDelay(delayIndex(a.RetryAfter))
 		}
 		return stNSNotReady
 	}
-	if a.Last == policy.TimedOut || a.Last == policy.ConnectionReset {
+	if a.LastOutcome == policy.TimedOut || a.LastOutcome == policy.ConnectionReset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
--- a/internal/datapath/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -316,24 +316,24 @@
 
 // TestGather holds the status of a command in parts against what of it has run or may have.
 func TestGather(t *testing.T) {
-	served := core.Answer{Ending: core.Served}
-	refused := core.Answer{Ending: core.Refused, RetryAfter: 250 * time.Millisecond}
-	failed := core.Answer{Ending: core.Failed, Last: policy.AnsweredError}
-	doubt := core.Answer{Ending: core.Failed, Last: policy.TimedOut}
+	served := core.Response{Status: core.Served}
+	refused := core.Response{Status: core.Rejected, RetryAfter: 250 * time.Millisecond}
+	failed := core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}
+	doubt := core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}
 	for _, c := range []struct {
 		name        string
 		write       bool
-		ends        []core.Answer
+		ends        []core.Response
 		want        status
 		wantRetried bool
 	}{
-		{"all served", true, []core.Answer{served, served}, stOK, false},
-		{"all refused", true, []core.Answer{refused, core.TooMany}, stNSNotReady, true},
-		{"a write half served", true, []core.Answer{served, refused}, stInternal | dnr, false},
-		{"a read half served", false, []core.Answer{served, refused}, stNSNotReady, true},
-		{"one failed", true, []core.Answer{refused, failed}, stInternal | dnr, false},
-		{"one in doubt", true, []core.Answer{doubt, refused}, stTransient | dnr, false},
-		{"doubt outweighs an error", true, []core.Answer{failed, doubt, served}, stTransient | dnr, false},
+		{"all served", true, []core.Response{served, served}, stOK, false},
+		{"all refused", true, []core.Response{refused, core.Overloaded}, stNSNotReady, true},
+		{"a write half served", true, []core.Response{served, refused}, stInternal | dnr, false},
+		{"a read half served", false, []core.Response{served, refused}, stNSNotReady, true},
+		{"one failed", true, []core.Response{refused, failed}, stInternal | dnr, false},
+		{"one in doubt", true, []core.Response{doubt, refused}, stTransient | dnr, false},
+		{"doubt outweighs an error", true, []core.Response{failed, doubt, served}, stTransient | dnr, false},
 	} {
 		jobs := make([]*core.Job, len(c.ends))
 		for i := range jobs {
@@ -345,11 +345,11 @@
 		}
 	}
 	jobs := []*core.Job{{Payload: &IO{Bytes: 1}}, {Payload: &IO{Bytes: 2}}}
-	st, body := gather(&IO{}, jobs, []core.Answer{{Payload: []byte("a")}, {Payload: []byte("bc")}}, false)
+	st, body := gather(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("bc")}}, false)
 	if st != stOK || string(body) != "abc" {
 		t.Errorf("read in parts: %#x, %q", uint16(st), body)
 	}
-	if st, _ = gather(&IO{}, jobs, []core.Answer{{Payload: []byte("a")}, {Payload: []byte("b")}}, false); st != stInternal|dnr {
+	if st, _ = gather(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("b")}}, false); st != stInternal|dnr {
 		t.Errorf("a part that is short: %#x", uint16(st))
 	}
 }
@@ -445,7 +445,7 @@
 	}()
 	s := &session{wire: &wire{Conn: here, in: bufio.NewReader(here), most: minH2CData}, bears: can,
 		from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, _, reason := s.Do(core.Attempt{Until: time.Now().Add(patient), Payload: x}, func() bool { return true })
+	r, _, reason := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: x}, func() bool { return true })
 	return r, reason
 }
 
@@ -687,6 +687,6 @@
 		c.admin.Close()
 	}
 	require.Eventually(t, func() bool {
-		return r.core.Open() == 0 && r.server.bytes.Load() == 0 && r.server.open.Load() == 0
+		return r.core.OpenCount() == 0 && r.server.bytes.Load() == 0 && r.server.open.Load() == 0
 	}, patient, time.Millisecond, "requests, bytes or commands are kept")
 }
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -31,14 +31,14 @@
 	Keys       *keys.Keys               // TLS, where there are any
 	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
 	Figures    *figures.Book            // nil: none are kept
-	Leave      core.Leave
+	Leave      core.ShutdownSchedule
 	Log        *slog.Logger
 }
 
 // Core is what the front needs of the core.
 type Core interface {
 	Submit(*core.Job) bool
-	Depart(*core.Job)
+	Cancel(*core.Job)
 }
 
 const (
@@ -133,7 +133,7 @@
 	wait *time.Timer // for the host's data
 	jobs []*core.Job // the parts of it in the core
 	left int         // of them without an answer
-	ends []core.Answer
+	ends []core.Response
 	seen *figures.Request
 }
 
@@ -253,13 +253,13 @@
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
 	s.left.Store(&now)
-	core.Pause(ctx, now.Add(s.opt.Leave.Linger))
+	core.SleepUntil(ctx, now.Add(s.opt.Leave.AcceptFor))
 	s.mu.Lock()
 	if s.listener != nil {
 		s.listener.Close()
 	}
 	s.mu.Unlock()
-	core.Pause(ctx, now.Add(s.opt.Leave.Serve))
+	core.SleepUntil(ctx, now.Add(s.opt.Leave.ServeFor))
 	s.leaving.Store(true)
 	for s.open.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
@@ -341,7 +341,7 @@
 // depart tells the core that nobody waits for the command's parts any more.
 func (q *queue) depart(p *pending) {
 	for _, j := range p.jobs {
-		q.server.core.Depart(j)
+		q.server.core.Cancel(j)
 	}
 }
 
@@ -546,7 +546,7 @@
 		q.complete(p, stInvalidField|dnr, 0, nil)
 	case s.leaving.Load(), q.retired.Load(), s.bytes.Load()+int64(length) > s.opt.MostBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
-		q.complete(p, statusOf(core.TooMany, q.ctrl.wantsDelays()), 0, nil)
+		q.complete(p, statusOf(core.Overloaded, q.ctrl.wantsDelays()), 0, nil)
 	default:
 		x.Bytes = length
 		// A connection that ended meanwhile has let go of the command: what it would hold now, nobody gave back.
@@ -631,8 +631,8 @@
 	now := time.Now()
 	for i, x := range parts {
 		j := &core.Job{Request: p.ns.request(x), Arrived: now, Payload: x}
-		j.Patience = q.server.opt.Leave.Cut(q.server.opt.Patience[j.Class], now, q.server.left.Load())
-		j.Done = func(a core.Answer) { q.part(p, i, a) }
+		j.Timeout = q.server.opt.Leave.LimitTimeout(q.server.opt.Patience[j.Class], now, q.server.left.Load())
+		j.Done = func(a core.Response) { q.part(p, i, a) }
 		jobs[i] = j
 	}
 	// Under the lock, so that an Abort finds the command either not handed over or wholly so. Submit does
@@ -645,7 +645,7 @@
 	if f := q.server.opt.Figures; f != nil {
 		p.seen = f.Take(jobs[0].Class)
 	}
-	p.jobs, p.left, p.ends = jobs, len(jobs), make([]core.Answer, len(jobs))
+	p.jobs, p.left, p.ends = jobs, len(jobs), make([]core.Response, len(jobs))
 	q.server.open.Add(1)
 	// Stop looks for open commands once it has turned away new ones: one that it has not seen must not be sent on.
 	left := q.server.leaving.Load()
@@ -657,12 +657,12 @@
 	}
 	q.mu.Unlock()
 	for _, i := range turned {
-		q.part(p, i, core.TooMany)
+		q.part(p, i, core.Overloaded)
 	}
 }
 
 // part takes the end of a part; the last one completes the command.
-func (q *queue) part(p *pending, i int, a core.Answer) {
+func (q *queue) part(p *pending, i int, a core.Response) {
 	q.mu.Lock()
 	p.ends[i] = a
 	p.left--
@@ -683,8 +683,8 @@
 	}
 	q.complete(p, st, 0, body)
 	for _, a := range p.ends {
-		if a.Written != nil {
-			a.Written()
+		if a.OnWritten != nil {
+			a.OnWritten()
 		}
 	}
 }
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -504,8 +504,8 @@
 		data = x.Data
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
-	s.SetDeadline(a.Until)
-	s.SetWriteDeadline(a.WriteBy())
+	s.SetDeadline(a.Deadline)
+	s.SetWriteDeadline(a.WriteDeadline())
 	if !first() {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
@@ -516,12 +516,12 @@
 	}
 	written := !x.Write || inside
 	if written {
-		a.Sent()
+		a.NotifySent()
 	}
 	st, body, err := s.finish(c, x, a, &written)
 	if err != nil {
 		switch {
-		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Until):
+		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Deadline):
 			s.from.abort(s.qid, c.cid())
 			r.Code = policy.ConnectionReset
 			return r, false, "READ_STALLED"
@@ -548,7 +548,7 @@
 // finish takes part in the command's transfers until its completion.
 func (s *session) finish(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
-	until := a.Until
+	until := a.Deadline
 	for {
 		s.SetReadDeadline(until)
 		if len(body) == 0 {
@@ -572,7 +572,7 @@
 			if length == 0 || offset+length > int64(len(x.Data)) {
 				return 0, nil, errors.New("R2T out of range")
 			}
-			if !time.Now().Before(a.WriteBy()) {
+			if !time.Now().Before(a.WriteDeadline()) {
 				// The deadline of writes is kept by a timer, which a busy machine may fire late: what must not leave any more must not hang on it.
 				return 0, nil, os.ErrDeadlineExceeded
 			}
@@ -580,7 +580,7 @@
 				return 0, nil, err
 			}
 			if *written = offset+length == int64(len(x.Data)); *written {
-				a.Sent()
+				a.NotifySent()
 			}
 		case typeC2HData:
 			if x.Write || p.u16(8) != c.cid() || int64(p.u32(12)) != int64(len(body)) ||
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-		MostBytes: 8 << 20, Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Leave: core.LeaveWithin(2 * time.Second),
+		MostBytes: 8 << 20, Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Leave: core.NewShutdownSchedule(2 * time.Second),
 		Figures: figures.New([]string{"position-read", "event-write"}), Log: quiet})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
@@ -65,14 +65,14 @@
 	reads  int
 	still  chan struct{} // not nil: commands wait until it is closed
 	came   chan *IO
-	answer core.Answer // instead of serving, where its Ending is not Served
+	answer core.Response // instead of serving, where its Status is not Served
 }
 
 func newStore() *store {
 	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IO, 64)}
 }
 
-func (s *store) Depart(*core.Job) {}
+func (s *store) Cancel(*core.Job) {}
 
 func (s *store) Submit(j *core.Job) bool {
 	x := j.Payload.(*IO)
@@ -84,7 +84,7 @@
 		if still != nil {
 			<-still
 		}
-		if answer.Ending != core.Served {
+		if answer.Status != core.Served {
 			j.Done(answer)
 			return
 		}
@@ -104,7 +104,7 @@
 			body = append(body, append(b, make([]byte, blockSize-len(b))...)...)
 		}
 		s.mu.Unlock()
-		j.Done(core.Answer{Payload: body})
+		j.Done(core.Response{Payload: body})
 	}()
 	return true
 }
@@ -153,7 +153,7 @@
 
 func (r *rig) listAt(id, addr string, shard int, state policy.EndpointState) {
 	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
-	r.core.List(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
+	r.core.UpdateTargets(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
@@ -306,11 +306,11 @@
 		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, bears: bears{inside: inCapsule}}
 		always := func() bool { return true }
 		until := time.Now().Add(patient)
-		got, _, reason := queue.Do(core.Attempt{Until: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
+		got, _, reason := queue.Do(core.Attempt{Deadline: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
 		if got.Code != policy.Served {
 			t.Fatalf("large write: %+v, %s", got, reason)
 		}
-		got, _, reason = queue.Do(core.Attempt{Until: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
+		got, _, reason = queue.Do(core.Attempt{Deadline: until, Payload: &IO{NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large)}}, always)
 		if body, _ := got.Payload.([]byte); got.Code != policy.Served || !bytes.Equal(body, large) {
 			t.Fatalf("large read: %v, %d bytes, %s", got.Code, len(body), reason)
 		}
@@ -401,7 +401,7 @@
 		bytesSent <- len(b)
 	}()
 	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.Do(core.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	r, reuse, _ := queue.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
 	if n := <-bytesSent; r.Code != policy.NotSent || reuse || n != 0 {
@@ -418,7 +418,7 @@
 	}
 	start := func(l net.Listener) *Server {
 		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-			MostBytes: 8 << 20, Patience: map[string]time.Duration{"event-write": patient, "position-read": patient}, Leave: core.LeaveWithin(2 * time.Second), Log: quiet})
+			MostBytes: 8 << 20, Patience: map[string]time.Duration{"event-write": patient, "position-read": patient}, Leave: core.NewShutdownSchedule(2 * time.Second), Log: quiet})
 		go func() { _ = s.Serve(l) }()
 		return s
 	}
@@ -448,23 +448,23 @@
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		answer core.Answer
+		answer core.Response
 		delays bool
 		want   status
 	}{
-		{"served", core.Answer{}, true, stOK},
-		{"refused", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", core.Answer{Ending: core.Refused, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
-		{"refused for longer than can be told", core.Answer{Ending: core.Refused, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
-		{"timed out", core.Answer{Ending: core.Failed, Last: policy.TimedOut}, true, stTransient | dnr},
-		{"error", core.Answer{Ending: core.Failed, Last: policy.AnsweredError}, true, stInternal | dnr},
+		{"served", core.Response{}, true, stOK},
+		{"refused", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
+		{"refused, told how long", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
+		{"refused for longer than can be told", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
+		{"timed out", core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}, true, stTransient | dnr},
+		{"error", core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}, true, stInternal | dnr},
 	} {
 		if got := statusOf(c.answer, c.delays); got != c.want {
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
 		}
 	}
 	back := newStore()
-	back.answer = core.Answer{Ending: core.Refused, RetryAfter: 100 * time.Millisecond}
+	back.answer = core.Response{Status: core.Rejected, RetryAfter: 100 * time.Millisecond}
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(0, 1)
@@ -726,7 +726,7 @@
 	<-back.came
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	time.Sleep(core.LeaveWithin(2*time.Second).Linger + 100*time.Millisecond)
+	time.Sleep(core.NewShutdownSchedule(2*time.Second).AcceptFor + 100*time.Millisecond)
 	meanwhile := c.read(3, 1)
 	if x := <-back.came; x.SLBA != 3 {
 		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
@@ -779,7 +779,7 @@
 	c.read(1, 1)
 	c.next()
 	back.mu.Lock()
-	back.answer = core.Answer{Ending: core.Refused}
+	back.answer = core.Response{Status: core.Rejected}
 	back.mu.Unlock()
 	c.read(2, 1)
 	c.next()
@@ -864,7 +864,7 @@
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		q := &session{wire: &wire{Conn: tardy{c}, in: bufio.NewReader(c), most: blockSize}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-		r, reuse, _ := q.Do(core.Attempt{Until: time.Now().Add(patient), Before: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
+		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(patient), SendBefore: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
 			Data: make([]byte, blockSize)}}, func() bool { return true })
 		q.Close()
 		require.Equal(t, want, r.Code)
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -43,15 +43,15 @@
 
 // gather makes one status of the parts' ends, and a read's data of theirs. Retryable is only a command of which nothing
 // that must not run twice has run or may have run.
-func gather(x *IO, jobs []*core.Job, ends []core.Answer, delays bool) (status, []byte) {
+func gather(x *IO, jobs []*core.Job, ends []core.Response, delays bool) (status, []byte) {
 	var body []byte
 	served := 0
-	refused := core.Answer{Ending: core.Refused}
-	var failed, doubt *core.Answer
+	refused := core.Response{Status: core.Rejected}
+	var failed, doubt *core.Response
 	for i := range ends {
 		a := &ends[i]
 		switch {
-		case a.Ending == core.Served:
+		case a.Status == core.Served:
 			served++
 			if x.Write {
 				continue
@@ -64,9 +64,9 @@
 				return stOK, data
 			}
 			body = append(body, data...)
-		case a.Ending == core.Refused:
+		case a.Status == core.Rejected:
 			refused.RetryAfter = max(refused.RetryAfter, a.RetryAfter)
-		case a.Last == policy.TimedOut || a.Last == policy.ConnectionReset:
+		case a.LastOutcome == policy.TimedOut || a.LastOutcome == policy.ConnectionReset:
 			doubt = a
 		default:
 			failed = a
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 	}
-	r, reuse, _ := s.Do(core.Attempt{Until: time.Now().Add(patient), Payload: x}, func() bool { return true })
+	r, reuse, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: x}, func() bool { return true })
 	*idle = s
 	if !reuse {
 		s.Close()
@@ -150,7 +150,7 @@
 	back.mu.Unlock()
 	ended := make(chan core.Result, 1)
 	go func() {
-		r, _, _ := s.Do(core.Attempt{Until: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
+		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
 		ended <- r
 	}()
 	<-back.came
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -114,19 +114,19 @@
 // one the target cannot have begun, after it the attempt may have run. Write, head and body are all bounded
 // by the attempt's time.
 func (c *httpSession) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) { //nolint:gocognit // to be split with its package, see docs/left.md
-	c.SetDeadline(a.Until)
-	c.SetWriteDeadline(a.WriteBy())
+	c.SetDeadline(a.Deadline)
+	c.SetWriteDeadline(a.WriteDeadline())
 	m := a.Payload.(*Message)
 	var raw []byte
 	if m.Upload != nil {
 		raw = m.Upload.tail
 	} else {
-		wait := max(time.Until(a.Until).Milliseconds(), 1)
+		wait := max(time.Until(a.Deadline).Milliseconds(), 1)
 		raw = append(appendHead(make([]byte, 0, 256+len(m.Body)), m, c.host, wait, int64(len(m.Body))), m.Body...)
 	}
 	// The last look before the first byte: news may have come while the connection was being made. The first byte of a
 	// body that went ahead is long written, but nothing of it has begun: without a permit it does not.
-	if !first() && (m.Upload == nil || !a.Allowed()) {
+	if !first() && (m.Upload == nil || !a.MaySend()) {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
@@ -141,8 +141,8 @@
 		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + Cause(err)
 	}
-	a.Sent()
-	parts := &stallReader{Conn: c.Conn, until: a.Until, stall: stallAfter}
+	a.NotifySent()
+	parts := &stallReader{Conn: c.Conn, until: a.Deadline, stall: stallAfter}
 	limit := &io.LimitedReader{R: parts}
 	in := bufio.NewReaderSize(limit, 4096)
 	ans, err := readAnswer(in, m.Method, c.room, func(head bool) error {
@@ -152,7 +152,7 @@
 		}
 		// A head without end must cost no more than a head.
 		limit.N, parts.begun = maxHead, false
-		if err := c.SetReadDeadline(a.Until); err != nil {
+		if err := c.SetReadDeadline(a.Deadline); err != nil {
 			return err
 		}
 		_, err := in.Peek(1)
@@ -164,7 +164,7 @@
 	if err != nil {
 		r.Code = policy.ConnectionReset
 		switch late := errors.Is(err, os.ErrDeadlineExceeded); {
-		case late && parts.begun && time.Now().Before(a.Until):
+		case late && parts.begun && time.Now().Before(a.Deadline):
 			return r, false, "READ_STALLED"
 		case late:
 			r.Code = policy.TimedOut
@@ -186,20 +186,20 @@
 		alike = &c.alike[1]
 	}
 	if again && soon && !ans.close && ans.stream == nil && c.last == before && c.last != *alike {
-		if at := heardAt.Add(secondWithin); ans.status != http.StatusOK && at.Before(a.Until) {
+		if at := heardAt.Add(secondWithin); ans.status != http.StatusOK && at.Before(a.Deadline) {
 			parts.until = at // turned away, most of all: there is little to tell such answers apart, and they come in rows
 		}
 		if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.talked = err == nil
 			r.Code = policy.ConnectionReset
 			return r, false, "ANSWER_TWICE"
-		} else if !time.Now().Before(a.Until) {
+		} else if !time.Now().Before(a.Deadline) {
 			r.Code = policy.TimedOut
 			return r, false, "READ_TIMEOUT"
 		}
 		*alike = c.last
 	}
-	r.Code, r.Load, r.Used, r.Payload = ans.code(), ans.load, ans.used, ans.body
+	r.Code, r.Load, r.VolumeUsage, r.Payload = ans.code(), ans.load, ans.used, ans.body
 	if s := ans.stream; s != nil {
 		s.conn = c
 		r.Payload = s
--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -63,7 +63,7 @@
 	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: idle, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
-	g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+	g.Send(core.Attempt{RequestID: "r", Target: "n", Deadline: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	c, err := l.Accept()
 	require.NoError(t, err)
 	defer c.Close()
@@ -97,7 +97,7 @@
 	require.Equal(t, 999, g.Apply([]Target{{ID: "10", State: policy.Removed}, {ID: "none", State: policy.Removed}}, false))
 	require.LessOrEqual(t, runtime.NumGoroutine(), before)
 	send := func(node string) policy.OutcomeCode {
-		g.Send(core.Attempt{Request: "r", Node: node, Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{RequestID: "r", Target: node, Deadline: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 		return (<-results).Code
 	}
 	require.Equal(t, policy.NotSent, send("8"))
@@ -146,7 +146,7 @@
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
 	send := func() {
-		g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{RequestID: "r", Target: "n", Deadline: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	}
 	send()
 	c, err := l.Accept()
--- a/internal/datapath/upstream/moments_test.go
+++ b/internal/datapath/upstream/moments_test.go
@@ -106,7 +106,7 @@
 	close(h.next(t).up)
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	var once sync.Once
-	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"},
+	next := core.Attempt{RequestID: "next", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"},
 		Permit: moment(func() { once.Do(func() { close(twice); h.spoken(t) }) })}
 	b.Send(next)
 	close(h.next(t).up)
@@ -202,32 +202,32 @@
 	}{
 		{"in time", func(*bench, *core.Attempt, <-chan struct{}) {}, policy.Served},
 		{"its time is over", func(_ *bench, _ *core.Attempt, given <-chan struct{}) { <-given }, policy.NotSent},
-		{"called off", func(b *bench, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.Request); <-given }, policy.NotConnected},
+		{"called off", func(b *bench, a *core.Attempt, given <-chan struct{}) { b.Cancel("n", a.RequestID); <-given }, policy.NotConnected},
 		{"called off at a target that is gone", func(b *bench, a *core.Attempt, given <-chan struct{}) {
 			b.Apply(nil, true)
 			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // and is back under its name
-			b.Cancel("n", a.Request)
+			b.Cancel("n", a.RequestID)
 			<-given
 		}, policy.NotConnected},
-		{"its client has left", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
+		{"its client has left", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { a.ClientGone.Store(true) }, policy.NotSent},
 		{"the target drains", func(b *bench, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
 		}, policy.NotSent},
 		{"the target is gone", func(b *bench, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
-		{"past its window", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
+		{"past its window", func(_ *bench, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.SendBefore)) }, policy.NotSent},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var sent atomic.Int32
 			stock := &few{}
 			stock.most.Store(4)
 			b, h := newHeld(addr, Options{MostConn: 4, MostAll: 4, Stock: stock, Sent: func() { sent.Add(1) }})
-			a := core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Left: new(atomic.Bool), Before: time.Now().Add(10 * time.Second),
+			a := core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), ClientGone: new(atomic.Bool), SendBefore: time.Now().Add(10 * time.Second),
 				Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
 			case "its time is over":
-				a.Until = time.Now().Add(200 * time.Millisecond)
+				a.Deadline = time.Now().Add(200 * time.Millisecond)
 			case "past its window":
-				a.Before = time.Now().Add(50 * time.Millisecond)
+				a.SendBefore = time.Now().Add(50 * time.Millisecond)
 			}
 			b.Send(a)
 			d := h.next(t)
@@ -242,7 +242,7 @@
 			}
 			require.Empty(t, <-heard, "a byte was written")
 			require.Zero(t, sent.Load())
-			require.Zero(t, r.Began)
+			require.Zero(t, r.SendStarted)
 			require.Eventually(t, func() bool { return b.pool.conns.Load() == 0 && stock.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
@@ -293,7 +293,7 @@
 	}
 	for _, head := range []string{"", "Content-Length: 99999\r\n", "Transfer-Encoding: chunked\r\n"} {
 		next <- answer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", pieceSize), true}
-		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{RequestID: head, Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 		st := b.result(t).Payload.(*Stream)
 		_, _ = io.ReadFull(st, make([]byte, 100))
 		passed <- true
@@ -332,7 +332,7 @@
 		return b.Ahead(ctx, "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
 	attempt := func(u *Upload) policy.OutcomeCode {
-		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 		return b.result(t).Code
 	}
 	settled := func() {
@@ -395,7 +395,7 @@
 	u.Last([]byte("body"))
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: "127.0.0.1:1"}}, false)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+	b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
@@ -433,7 +433,7 @@
 				b.results <- r
 			}
 			b.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, false)
-			b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute),
+			b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(time.Minute),
 				Permit:  moment(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
 				Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxHeld)}})
 			close(h.next(t).up)
@@ -482,7 +482,7 @@
 			r := b.result(t)
 			require.Equal(t, policy.Served, r.Code)
 			require.Nil(t, r.Load)
-			require.Zero(t, r.Used)
+			require.Zero(t, r.VolumeUsage)
 		}
 		require.EqualValues(t, 1, s.accepted.Load())
 		require.Equal(t, 1, strings.Count(lines.String(), "BAD_REPORT"), "%s: %s", odd, lines.String())
@@ -514,10 +514,10 @@
 		sends.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(g), 1))
 			for i := range each {
-				a := core.Attempt{Request: fmt.Sprint(g, "/", i), Node: names[rng.IntN(3)], Until: time.Now().Add(time.Duration(rng.IntN(100)) * time.Millisecond),
+				a := core.Attempt{RequestID: fmt.Sprint(g, "/", i), Target: names[rng.IntN(3)], Deadline: time.Now().Add(time.Duration(rng.IntN(100)) * time.Millisecond),
 					Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("x")}}
 				if rng.IntN(4) == 0 {
-					if u, err := b.Ahead(context.Background(), a.Node, &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
+					if u, err := b.Ahead(context.Background(), a.Target, &Message{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
 						u.Last([]byte("x"))
 						a.Payload = &Message{Method: "PUT", Upload: u}
 						if rng.IntN(2) == 0 {
@@ -527,7 +527,7 @@
 				}
 				b.Send(a)
 				if rng.IntN(3) == 0 {
-					b.Cancel(a.Node, a.Request)
+					b.Cancel(a.Target, a.RequestID)
 				}
 			}
 		})
@@ -549,9 +549,9 @@
 	ended := map[string]bool{}
 	for range 4 * each {
 		r := b.result(t)
-		require.False(t, ended[r.Request], "%s has two results", r.Request)
-		ended[r.Request] = true
-		core.Answer{Payload: r.Payload}.Discard()
+		require.False(t, ended[r.RequestID], "%s has two results", r.RequestID)
+		ended[r.RequestID] = true
+		core.Response{Payload: r.Payload}.Discard()
 	}
 	sends.Wait()
 	close(over)
@@ -584,7 +584,7 @@
 	var asked atomic.Int32
 	b := newBench(l.Addr().String())
 	send := func(name string, wait time.Duration) {
-		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Message{Method: "GET", URI: "/r/1", ID: name}})
+		b.Send(core.Attempt{RequestID: name, Target: "n", Deadline: time.Now().Add(wait), Payload: &Message{Method: "GET", URI: "/r/1", ID: name}})
 	}
 	send("over", 100*time.Millisecond)
 	send("called off", time.Minute)
@@ -592,7 +592,7 @@
 	b.Cancel("n", "called off")
 	for range 2 {
 		r := b.result(t)
-		require.NotEqual(t, "waits", r.Request)
+		require.NotEqual(t, "waits", r.RequestID)
 		require.Equal(t, policy.NotConnected, r.Code)
 	}
 	require.Eventually(t, func() bool { return b.pool.conns.Load() == 1 }, 10*time.Second, time.Millisecond)
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -141,7 +141,7 @@
 // Send starts an attempt; one result follows.
 func (g *Registry) Send(a core.Attempt) {
 	g.mu.Lock()
-	t := g.targets[a.Node]
+	t := g.targets[a.Target]
 	if u := uploadOf(a); u != nil { // whatever has the target's name by now
 		if t = u.t; g.targets[t.id] != t && !g.leaving[t] {
 			t = nil
@@ -158,7 +158,7 @@
 
 // moot ends an attempt that was not sent: its target left the list between the decision and now.
 func (g *Registry) moot(a core.Attempt) {
-	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.NotSent})
+	g.report(core.Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.NotSent})
 }
 
 // ended forgets a target whose actor has ended. What came to it at the last moment is owed a result all the same.
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -156,7 +156,7 @@
 		// It drains meanwhile, and the list has another one: the first byte was before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
 		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
-			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+			b.Send(core.Attempt{RequestID: "1", Number: i, Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 			if r := b.result(t); r.Code != want {
 				t.Errorf("attempt %d: code %v, want %v", i, r.Code, want)
 			}
@@ -170,7 +170,7 @@
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
 		u = up()
 		u.Close()
-		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{RequestID: "2", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
 		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("after it was closed: code %v", r.Code)
 		}
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -154,7 +154,7 @@
 
 // start gives the attempt a connection, an idle one that is still whole or a new one.
 func (t *target) start(a core.Attempt) {
-	r := core.Result{Request: a.Request, Number: a.Number, Node: t.id}
+	r := core.Result{RequestID: a.RequestID, Number: a.Number, Target: t.id}
 	var c *conn
 	if u := uploadOf(a); u != nil {
 		if !u.move(attempted) {
@@ -176,10 +176,10 @@
 			return
 		}
 	}
-	ctx, stop := context.WithDeadline(context.Background(), a.Until)
+	ctx, stop := context.WithDeadline(context.Background(), a.Deadline)
 	a.OnSent = t.opt.Sent
 	y := &try{Attempt: a, ctx: ctx, stop: stop}
-	t.busy[a.Request] = y
+	t.busy[a.RequestID] = y
 	go t.attempt(y, c)
 }
 
@@ -242,8 +242,8 @@
 	m.try.stop()
 	t.talks = t.talks || m.talks
 	// A later attempt of the same request may have begun here since; its entry is not this one's.
-	if t.busy[m.try.Request] == m.try {
-		delete(t.busy, m.try.Request)
+	if t.busy[m.try.RequestID] == m.try {
+		delete(t.busy, m.try.RequestID)
 	}
 	if m.conn == nil {
 		t.count(-1)
@@ -352,7 +352,7 @@
 		t.logEnd(c.used-1, reason)
 		c = nil
 	}
-	r.Request, r.Number, r.Node = y.Request, y.Number, t.id
+	r.RequestID, r.Number, r.Target = y.RequestID, y.Number, t.id
 	ended := func(again *conn, reason string) {
 		if again == nil {
 			if c != nil {
@@ -398,13 +398,13 @@
 	var reason string
 	var began time.Time
 	*r, reuse, reason = c.Do(y.Attempt, func() bool {
-		if !open(&t.state) || !y.Allowed() {
+		if !open(&t.state) || !y.MaySend() {
 			return false
 		}
 		began = time.Now()
 		return true
 	})
-	r.Began = began
+	r.SendStarted = began
 	if y.calledOff() {
 		switch r.Code {
 		case policy.Served, policy.NotSent, policy.NotConnected:
--- a/internal/datapath/upstream/terms_test.go
+++ b/internal/datapath/upstream/terms_test.go
@@ -96,7 +96,7 @@
 		require.NoError(t, err)
 		u.Last([]byte("body"))
 		for i, m := range []*Message{m, {Upload: u}} {
-			b.Send(core.Attempt{Request: fmt.Sprint(i), Node: "n", Until: time.Now().Add(10 * time.Second), Payload: m})
+			b.Send(core.Attempt{RequestID: fmt.Sprint(i), Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: m})
 			require.Equal(t, policy.Served, b.result(t).Code)
 			if got := <-seen; key == "" {
 				require.Empty(t, got)
@@ -162,7 +162,7 @@
 	b, h := newHeld(s.Addr().String(), Options{MostConn: 4, MostAll: 4})
 	for number := range 3 {
 		until := time.Now().Add(10 * time.Second)
-		b.Send(core.Attempt{Request: "r", Number: number, Node: "n", Until: until, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{RequestID: "r", Number: number, Target: "n", Deadline: until, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 		d := h.next(t)
 		time.Sleep(30 * time.Millisecond)
 		up := time.Now()
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -85,7 +85,7 @@
 func (b *bench) send(wait time.Duration) {
 	b.tries++
 	now := time.Now()
-	b.Send(core.Attempt{Request: fmt.Sprint(b.tries), Node: "n", Until: now.Add(wait),
+	b.Send(core.Attempt{RequestID: fmt.Sprint(b.tries), Target: "n", Deadline: now.Add(wait),
 		Payload: &Message{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
 }
 
@@ -128,7 +128,7 @@
 	}()
 	c := &deadlineConn{Conn: near}
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
+	y := &try{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
 	if again, reason := tg.exchange(y, &conn{Session: &httpSession{Conn: c, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again == nil || !c.at.IsZero() {
 		t.Errorf("kept %v (%s), deadline left %v; want it kept with none", again, reason, c.at)
 	}
@@ -201,7 +201,7 @@
 			begun := time.Now()
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if r.Code != c.want || r.Code == ok && string(r.Payload.([]byte)) != "x" || r.Load != nil || r.Used != 0 {
+			if r.Code != c.want || r.Code == ok && string(r.Payload.([]byte)) != "x" || r.Load != nil || r.VolumeUsage != 0 {
 				t.Errorf("%s: %+v, want code %v", c.name, r, c.want)
 			}
 			if took := time.Since(begun); took > 5*time.Second {
@@ -304,7 +304,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
+	y := &try{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Message{Method: "GET", URI: "/"}}}
 	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotSent {
 		t.Errorf("first byte: code %v, want it not sent", r.Code)
 	}
@@ -318,7 +318,7 @@
 	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, false)
 	for i := range 10 {
 		now := time.Now()
-		b.Send(core.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
+		b.Send(core.Attempt{RequestID: fmt.Sprint("r", i), Target: []string{"n", "m"}[i/5], Deadline: now.Add(time.Minute),
 			Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all past two at m
@@ -341,7 +341,7 @@
 	near, far := net.Pipe()
 	go func() { _, _ = io.ReadFull(far, make([]byte, 20)); far.Close() }()
 	var r core.Result
-	y := &try{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
+	y := &try{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Message{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
 	if again, _ := tg.exchange(y, &conn{Session: &httpSession{Conn: near, host: "", room: NewHTTP(budget.New(1 << 20)).room}}, &r); again != nil || r.Code != policy.NotConnected {
 		t.Errorf("code %v, want no connection", r.Code)
@@ -419,7 +419,7 @@
 	b.Registry = NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 6,
 		Stock: stock, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: lapsed{}, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
+	b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(time.Minute), Permit: lapsed{}, Payload: &Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	if r := b.result(t); r.Code != policy.NotSent || s.asked.Load() != 0 {
 		t.Errorf("without a permit: code %v, %d requests reached the target", r.Code, s.asked.Load())
 	}
--- a/internal/process/instance/adopt.go
+++ b/internal/process/instance/adopt.go
@@ -43,10 +43,10 @@
 		a.in.core.Inspect(func() { a.book.book.Values(worth(cfg)) })
 	}
 	select {
-	case <-a.in.core.Adopt(cfg.Module, cfg.MostHeld, namesFor(cfg)):
+	case <-a.in.core.ApplySettings(cfg.Module, cfg.MostHeld, namesFor(cfg)):
 	case <-a.module.ended: // nothing is decided any more
 	}
-	a.clients.Admit(admits(cfg))
+	a.clients.SetAdmission(admits(cfg))
 	was := a.in.patience()
 	a.in.cfg.Store(cfg)
 	a.in.before.Store(&earlier{was, time.Now().Add(was)})
@@ -54,8 +54,8 @@
 }
 
 // admits is what clients may name, and how they are left.
-func admits(cfg *config.Config) front.Admits {
-	return front.Admits{Classes: cfg.Classes(), Plans: cfg.Plans(), Leave: core.LeaveWithin(longest(cfg))}
+func admits(cfg *config.Config) front.Admission {
+	return front.Admission{Classes: cfg.Classes(), Plans: cfg.Plans(), Shutdown: core.NewShutdownSchedule(longest(cfg))}
 }
 
 // threads is how many threads run Go code at a time.
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -42,7 +42,7 @@
 func (d *duty) tells(c *core.Core) {
 	d.runner.OnResults(func(news []lease.ProbeResult, way time.Duration) {
 		for _, x := range news {
-			c.Watched(policy.ProbeResult{Endpoint: x.Target, Healthy: x.Healthy, Age: time.Duration(x.AgeMs)*time.Millisecond + way, NextProbe: d.runner.OperationPeriod(x.Task)})
+			c.ReportProbe(policy.ProbeResult{Endpoint: x.Target, Healthy: x.Healthy, Age: time.Duration(x.AgeMs)*time.Millisecond + way, NextProbe: d.runner.OperationPeriod(x.Task)})
 		}
 	})
 }
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -82,11 +82,11 @@
 	case <-in.crew.gone():
 		reason = "SUCCEEDED"
 	}
-	opt.Log.Info("leaving", slog.String("reason", reason), slog.Int("open", in.core.Open()), slog.Duration("within", core.LeaveWithin(longest(in.cfg.Load())).Answer))
+	opt.Log.Info("leaving", slog.String("reason", reason), slog.Int("open", in.core.OpenCount()), slog.Duration("within", core.NewShutdownSchedule(longest(in.cfg.Load())).RespondWithin))
 	bound, done := context.WithTimeout(context.Background(), leaveWithin(in.patience()))
 	defer done()
 	err = errors.Join(failed, in.parts.stop(bound))
-	opt.Log.Info("left", slog.Int("open", in.core.Open()))
+	opt.Log.Info("left", slog.Int("open", in.core.OpenCount()))
 	return err
 }
 
@@ -178,9 +178,9 @@
 		out.Stock = part
 	}
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
-	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
+	bounds := core.Options{MaxOpen: cfg.MostHeld, Margin: answerMargin, RequestIDTTL: namesFor(cfg), OnEjectedCount: numbers.Avoided}
 	if duties != nil {
-		bounds.Avoids = duties.runner.SetEjected
+		bounds.OnEjectedTargets = duties.runner.SetEjected
 	}
 	var book *ledger
 	if op.Accounts != nil {
@@ -189,8 +189,8 @@
 	}
 	in.core = core.New(scheduler, up, core.NewClock(), bounds)
 	var listed atomic.Bool
-	clients := front.New(in.core, front.Options{Admits: admits(cfg), Ready: listed.Load,
-		ReadyOnly: op.NVMe != nil, Figures: numbers, Room: room, Ahead: up.Ahead, Log: log})
+	clients := front.New(in.core, front.Options{Admission: admits(cfg), Ready: listed.Load,
+		ReadyOnly: op.NVMe != nil, Figures: numbers, BufferBudget: room, OpenUpload: up.Ahead, Log: log})
 	// What there may be of connections and bytes is set here alone, now and whenever the processes become more or fewer.
 	limits := &shares{limits: granted(cfg.Limits), room: room, up: up, clients: clients, core: in.core}
 	limits.divide(1)
@@ -239,7 +239,7 @@
 	// With NVMe the platform's front stays for its ready page alone: a target speaks one wire.
 	in.enter(&entrance{door: clients, addr: cfg.Listen, inherited: cfg.Inherited, shared: shared})
 	if op.NVMe != nil {
-		controller := nvme.New(in.core, about(op.NVMe, cfg, certs, numbers, core.LeaveWithin(longest(cfg)), log))
+		controller := nvme.New(in.core, about(op.NVMe, cfg, certs, numbers, core.NewShutdownSchedule(longest(cfg)), log))
 		in.parts = append(in.parts, spaces{front: controller})
 		in.enter(&entrance{door: controller, addr: op.NVMe.Listen, shared: shared})
 	}
@@ -346,7 +346,7 @@
 		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Endpoints[i].State}
 	}
 	d.numbers.Listed(d.up.Apply(targets, l.Full))
-	d.core.List(nodes)
+	d.core.UpdateTargets(nodes)
 }
 
 // Stop implements Part. The process may go on, with another configuration: the targets' actors and connections end with this one.
@@ -368,7 +368,7 @@
 
 func newSeat(part *quotasession.Session, c *core.Core, up *upstream.Registry) *seat {
 	part.OnChange(func() {
-		c.Rationed()
+		c.NotifyQuotaChanged()
 		up.Review()
 	})
 	return &seat{loop{run: part.Run}, part, up}
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -271,7 +271,7 @@
 	d := &decisions{loop: loop{run: func(ctx context.Context) { <-ctx.Done() }}, up: up}
 	require.NoError(t, d.Start(context.Background()))
 	up.Apply([]upstream.Target{{ID: "n", Addr: s.Listener.Addr().String()}}, true)
-	up.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Payload: &upstream.Message{Method: "GET", URI: "/r/1", ID: "id"}})
+	up.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(time.Minute), Payload: &upstream.Message{Method: "GET", URI: "/r/1", ID: "id"}})
 	require.Equal(t, policy.Served, (<-results).Code)
 	require.NoError(t, d.Stop(context.Background()))
 	select {
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -102,6 +102,6 @@
 	s.room.Give(part.held() - s.given)
 	s.given = part.held()
 	s.up.Bound(part.target(), part.allTargets())
-	s.clients.Bound(part.clients(), part.easy())
-	s.core.Share(s.parts)
+	s.clients.SetConnLimits(part.clients(), part.easy())
+	s.core.SetProcessCount(s.parts)
 }
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -38,7 +38,7 @@
 }
 
 // loadOf is what an instance bears: its open requests.
-func loadOf(c *core.Core) uint16 { return uint16(min(c.Open(), math.MaxUint16)) }
+func loadOf(c *core.Core) uint16 { return uint16(min(c.OpenCount(), math.MaxUint16)) }
 
 // endedNames are those whom a member holds dead or gone, for whoever plans.
 func endedNames(p *transport.Runner) []string {
