--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -1,6 +1,6 @@
-// Package core drives the decision module on a real clock. It owns every request from the moment a front
-// hands it over until its one final answer, and it knows no wire: fronts and upstreams meet it through Job,
-// Answer, Attempt and Result, whose payloads it passes on unread.
+// Package core drives the policy scheduler on a real clock. It owns every request from the moment a front
+// submits it until its single final response, and it is independent of any wire protocol: fronts and upstreams
+// use Job, Response, Attempt and Result, whose payloads the core passes on without looking at them.
 package core
 
 import (
@@ -13,60 +13,60 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// Ending says how a request ended.
+// Status is how a request ended.
 type Status int
 
 const (
-	// Served carries the target's answer.
+	// Served: the response carries the target's reply.
 	Served Status = iota
-	// Refused tells the client that trying again is harmless.
+	// Rejected: a retry by the client is harmless.
 	Rejected
-	// Failed makes no promise about the effect.
+	// Failed: the request may or may not have taken effect.
 	Failed
-	// Conflict tells that a request of the same name is open, or was sent not long ago and may have run.
+	// Conflict: a request with the same client request ID is open, or was sent recently and may have run.
 	Conflict
 )
 
-// Discarder is a payload of a served request that holds something until it is read or discarded.
+// Discarder is a payload of a served request that holds resources until it is read to its end or discarded.
 type Discarder interface{ Discard() }
 
-// Discard lets go of an answer that nobody takes.
-func (a Response) Discard() {
-	if d, ok := a.Payload.(Discarder); ok {
+// Discard releases the payload of a response that is not delivered.
+func (r Response) Discard() {
+	if d, ok := r.Payload.(Discarder); ok {
 		d.Discard()
 	}
 }
 
-// Answer is the one final answer of a request.
+// Response is the single final response to a request.
 type Response struct {
 	Status      Status
-	Payload     any                // of a served request: what the upstream brought
-	RetryAfter  time.Duration      // of a refusal: when the client should come back; 0: no advice
+	Payload     any                // of a served request: the payload of its Result
+	RetryAfter  time.Duration      // of a rejection: when the client should retry; 0: not stated
 	LastOutcome policy.OutcomeCode // how the last attempt ended, if there was one
-	OnWritten   func()             // to be called once it is with the client; nil: nobody asks
+	OnWritten   func()             // to be called once the response is written to the client; nil: not needed
 }
 
-// TooMany refuses what a front cannot take in for want of room: nothing of it has reached the module.
+// Overloaded rejects a request that a front has no capacity for; the scheduler has not seen it.
 var Overloaded = Response{Status: Rejected, RetryAfter: time.Second}
 
-// Leave is how a front leaves, from SIGTERM on.
+// ShutdownSchedule is how long a front goes on after SIGTERM. All durations count from SIGTERM.
 type ShutdownSchedule struct {
-	AcceptFor     time.Duration // new connections are taken: one that the machine has accepted but nobody has read from would be lost
-	ServeFor      time.Duration // it goes on with what comes on connections that it has: their clients know no other way
-	RespondWithin time.Duration // what was taken after Linger has its answer, so that the successor need not wait
-	HandedOver    bool          // a successor takes clients at the same socket: none of the above is needed, but for the answers
+	AcceptFor     time.Duration // new connections are accepted: one that the kernel has accepted and the process has not would be lost
+	ServeFor      time.Duration // requests on existing connections are served: their clients have no other connection to use
+	RespondWithin time.Duration // requests that arrive after AcceptFor have their response, so that the successor need not wait
+	HandedOver    bool          // a successor accepts on the same socket: of the above only RespondWithin is needed
 }
 
-// LeaveWithin is how to leave where a client waits so long at most. Clients come for 0.4 s. The process is killed once that
-// long and 0.7 s are over, or 3.7 s; the successor is up then at the earliest, and without these connections clients would
-// go without until then.
-func NewShutdownSchedule(longest time.Duration) ShutdownSchedule {
-	const linger = 450 * time.Millisecond
-	killed := min(longest, 3*time.Second) + 700*time.Millisecond
-	return ShutdownSchedule{AcceptFor: linger, ServeFor: max(killed-400*time.Millisecond, linger), RespondWithin: killed - 100*time.Millisecond}
+// NewShutdownSchedule returns the schedule for clients that wait at most longestTimeout. New clients arrive for 0.4 s after
+// SIGTERM. The process is killed 0.7 s after longestTimeout, or after 3.7 s if that is earlier. The successor starts then at
+// the earliest, so existing connections stay open until shortly before: without them clients would have no service until then.
+func NewShutdownSchedule(longestTimeout time.Duration) ShutdownSchedule {
+	const acceptFor = 450 * time.Millisecond
+	killAfter := min(longestTimeout, 3*time.Second) + 700*time.Millisecond
+	return ShutdownSchedule{AcceptFor: acceptFor, ServeFor: max(killAfter-400*time.Millisecond, acceptFor), RespondWithin: killAfter - 100*time.Millisecond}
 }
 
-// Pause waits until then, or until the context ends.
+// SleepUntil blocks until the given time, or until the context ends.
 func SleepUntil(ctx context.Context, until time.Time) {
 	select {
 	case <-time.After(time.Until(until)):
@@ -74,28 +74,28 @@
 	}
 }
 
-// Cut shortens a patience so that the answer is there in time, for a request taken after Linger; left is the moment of
-// SIGTERM, nil before it.
-func (l ShutdownSchedule) LimitTimeout(patience time.Duration, arrived time.Time, left *time.Time) time.Duration {
-	if left == nil {
-		return patience
+// LimitTimeout shortens the timeout of a request that arrives after AcceptFor, so that its response is ready within
+// RespondWithin. stoppedAt is the time of SIGTERM, nil before it.
+func (s ShutdownSchedule) LimitTimeout(timeout time.Duration, arrived time.Time, stoppedAt *time.Time) time.Duration {
+	if stoppedAt == nil {
+		return timeout
 	}
-	since := arrived.Sub(*left)
-	if since <= l.AcceptFor {
-		return patience
+	elapsed := arrived.Sub(*stoppedAt)
+	if elapsed <= s.AcceptFor {
+		return timeout
 	}
-	return max(min(patience, l.RespondWithin-since), 0)
+	return max(min(timeout, s.RespondWithin-elapsed), 0)
 }
 
-// Job is a request as a front hands it over. ID and Budget are the core's to fill.
+// Job is a request as submitted by a front. The core sets ID and TimeLeft.
 type Job struct {
 	policy.Request
-	ClientRequestID string         // the client's own for it, one of a kind; may be empty
-	Arrived         time.Time      // when its last byte was here
-	Timeout         time.Duration  // how long the client waits from then on
+	ClientRequestID string         // the ID that the client gave it, unique to this request; may be empty
+	Arrived         time.Time      // when its last byte was received
+	Timeout         time.Duration  // how long the client waits, from Arrived
 	Payload         any            // for the upstream
-	Done            func(Response) // called once, from the core's goroutine: must not wait
-	left            atomic.Bool    // its client is gone: known at once, whatever the core has to do before it hears of it
+	Done            func(Response) // called at most once, from the core's goroutine; must not block
+	clientGone      atomic.Bool    // set by Cancel at once, while the core's goroutine may still have to process the cancellation
 }
 
 // Attempt is one try of a request at a target.
@@ -103,20 +103,21 @@
 	RequestID  string
 	Number     int
 	Target     string
-	Deadline   time.Time // given up then
+	Deadline   time.Time // abandoned at this time
 	Payload    any
-	OnSent     func() // nil: nobody asks
+	OnSent     func() // called by NotifySent; nil: not needed
 	Permit     policy.Permit
-	SendBefore time.Time    // its bytes may leave until then; zero: until it is given up
-	ClientGone *atomic.Bool // its client has left; nil: nobody would know
+	SendBefore time.Time    // its bytes may be written until then; zero: until Deadline
+	ClientGone *atomic.Bool // set once the client has disconnected; nil: not tracked
 }
 
-// Allowed tells, just before the first byte, whether the attempt may still be made: however long it waited for its connection.
+// MaySend reports whether the attempt may still be made. It is checked just before the first byte is written, since the
+// attempt may have waited for its connection for any length of time.
 func (a *Attempt) MaySend() bool {
 	return (a.ClientGone == nil || !a.ClientGone.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
 }
 
-// WriteBy is until when its bytes may leave.
+// WriteDeadline returns the time until which the attempt's bytes may be written.
 func (a *Attempt) WriteDeadline() time.Time {
 	if !a.SendBefore.IsZero() && a.SendBefore.Before(a.Deadline) {
 		return a.SendBefore
@@ -124,14 +125,14 @@
 	return a.Deadline
 }
 
-// Sent is to be called by whoever carries the attempt out, once its last byte is written: from then on it may run.
+// NotifySent must be called by the upstream once the attempt's last byte is written: from then on the target may run it.
 func (a *Attempt) NotifySent() {
 	if a.OnSent != nil {
 		a.OnSent()
 	}
 }
 
-// Result ends an attempt. By the time it is handed over, nothing of the attempt may be on its way any more.
+// Result is how an attempt ended. When it is reported, no data of the attempt may still be in transit.
 type Result struct {
 	RequestID   string
 	Number      int
@@ -143,183 +144,185 @@
 	Payload     any
 }
 
-// Observer is told what becomes of requests, from the core's goroutine and in order of time but for Begin, which is told
-// with the answer. Served is told with a request's final answer, if a target made it. It decides nothing.
+// Observer is notified of each step of a request and has no influence on it. Its methods are called from the core's goroutine
+// and in order of time, except Begin (the first byte of an attempt was written), which is called just before Answer (the attempt
+// ended; responded: by a reply from the target). Served is called with the final response, if a target produced it.
 type Observer interface {
 	Arrive(at time.Duration, r policy.Request)
-	Release(at time.Duration, id, node string, ahead time.Duration, sent bool)
+	Release(at time.Duration, id, target string, tagLead time.Duration, sent bool)
 	Begin(at time.Duration, id string)
-	Answer(at time.Duration, id string, alive bool)
+	Answer(at time.Duration, id string, responded bool)
 	Served(id string)
 	End(at time.Duration, id string)
 }
 
-// Upstream carries attempts out. Neither call may wait. Exactly one Result follows each Send, also after a
+// Upstream carries out attempts. Neither method may block. Exactly one Result follows each Send, also after a
 // Cancel, which may come too late to change it.
 type Upstream interface {
 	Send(Attempt)
-	Cancel(node, request string)
+	Cancel(target, requestID string)
 }
 
-// Clock maps the process's monotone clock onto the module's: Unix time as read once at the start, since
-// the list tells starts of targets in Unix time, and steps of the wall clock must not move deadlines.
+// Clock maps the process's monotonic clock to the scheduler's time, which is Unix time based on a single reading at
+// startup: the target list gives targets' start times in Unix time, and steps of the wall clock must not move deadlines.
 type Clock struct{ base time.Time }
 
-// NewClock reads the wall clock, for the only time.
+// NewClock reads the wall clock; the Clock does not read it again.
 func NewClock() Clock { return Clock{time.Now()} }
 
-// At returns the module's time for t.
+// At returns the scheduler's time for t.
 func (c Clock) At(t time.Time) time.Duration {
 	return time.Duration(c.base.UnixNano()) + t.Sub(c.base)
 }
 
-// Options are the core's bounds.
+// Options are the core's limits and callbacks.
 type Options struct {
-	MaxOpen          int            // requests open at a time, at first
-	Margin           time.Duration  // an answer must be written this long before the client leaves
-	RequestIDTTL     time.Duration  // how long, at least, and at first, the name of a request that may have run stays taken
+	MaxOpen          int            // open requests at a time, until ApplySettings
+	Margin           time.Duration  // a response must be written this long before the client's timeout
+	RequestIDTTL     time.Duration  // how long at least the ID of a request that may have run is kept; ApplySettings may raise it
 	Observer         Observer       // nil: none
-	OnEjectedCount   func(int)      // told now and then how many listed targets the module avoids; nil: nobody asks
-	OnEjectedTargets func([]string) // told with it which those are that are listed as up; nil: nobody asks
+	OnEjectedCount   func(int)      // called at intervals with how many listed targets are ejected; nil: none
+	OnEjectedTargets func([]string) // called with it, with the ejected targets that are listed as up; nil: none
 }
 
-// Core is the module's actor.
+// Core is the actor that runs the scheduler. Any goroutine puts messages into the mailbox. Run's goroutine takes them out until
+// it stops, and is the only one that uses the remaining fields, except the atomic ones.
 type Core struct {
-	module   *policy.Scheduler
-	up       Upstream
-	clock    Clock
-	opt      Options
-	box      *mailbox.Box[any]
-	open     map[string]*entry
-	held     atomic.Int64
-	mostHeld atomic.Int64
-	ended    atomic.Bool // nobody reads the box any more
-	seq      uint64
-	routes   []routed
-	adopted  []chan<- struct{}
-	timerAt  time.Time          // zero: none
-	named    map[string]bool    // of open requests
-	ran      [2]map[string]bool // of finished ones that may have run, lately and before
-	ranAt    time.Time
-	events   []policy.Event
-	lists    []policy.Event
-	lastStep time.Duration
-	lastSeen time.Duration
-	toldAt   time.Time // when Avoided was last called
-}
-
-// entry is one request's record; it goes when it is answered and nothing of it is out.
-type entry struct {
-	job      *Job
-	attempts int
-	out      bool
-	node     string
-	sentAt   time.Time
-	last     policy.OutcomeCode
-	answered bool
-	mayRun   bool
-}
-
-// tellEvery is how often, at most, the module is asked which targets it avoids.
-const tellEvery = 100 * time.Millisecond
-
-// mostNames bounds the names of requests that may have run, of which twice as many are kept: past it the oldest are let go early.
-const mostNames = 1 << 16
+	scheduler         *policy.Scheduler
+	upstream          Upstream
+	clock             Clock
+	opt               Options
+	mailbox           *mailbox.Box[any]
+	open              map[string]*openRequest
+	openCount         atomic.Int64 // submitted and not finished, including those in the mailbox
+	maxOpen           atomic.Int64
+	stopped           atomic.Bool // Run is about to return: the mailbox is no longer read
+	seq               uint64
+	routeQueries      []routeQuery
+	appliedChans      []chan<- struct{}
+	timerAt           time.Time          // when the scheduler's timer fires; zero: not set
+	openIDs           map[string]bool    // client request IDs of open requests
+	executedIDs       [2]map[string]bool // those of finished requests that may have run: current and previous generation
+	rotatedAt         time.Time          // when a new generation of executedIDs was last started
+	events            []policy.Event
+	listEvents        []policy.Event
+	lastStep          time.Duration
+	lastObserved      time.Duration
+	ejectedReportedAt time.Time // when OnEjectedCount was last called
+}
+
+// openRequest is the record of one request. It is removed once the request has its response and no attempt is in flight.
+type openRequest struct {
+	job         *Job
+	attempts    int
+	inFlight    bool
+	target      string
+	sentAt      time.Time
+	lastOutcome policy.OutcomeCode
+	responded   bool // has its response, or was cancelled
+	mayHaveRun  bool
+}
+
+// ejectedReportInterval is the minimum interval between calls of OnEjectedCount.
+const ejectedReportInterval = 100 * time.Millisecond
+
+// maxExecutedIDs bounds one of the two generations of executedIDs. When it is reached the older one is dropped early.
+const maxExecutedIDs = 1 << 16
 
 type submitted struct{ job *Job }
 
-// routed asks where a body may go ahead of its request.
-type routed struct {
+// routeQuery asks for the target to which a body may be sent ahead of its request.
+type routeQuery struct {
 	shard int
-	reply func(node string)
+	reply func(target string)
 }
 
-// adopt hands over other settings.
-type adopt struct {
-	set      policy.Settings
-	namesFor time.Duration
-	done     chan<- struct{}
+// settingsUpdate carries new settings. The core closes applied once they are in force.
+type settingsUpdate struct {
+	settings     policy.Settings
+	requestIDTTL time.Duration
+	applied      chan<- struct{}
 }
 
-// written tells that a request's answer is with its client.
-type written struct {
+// responseWritten reports that a request's response has been written to its client.
+type responseWritten struct {
 	id string
 	at time.Time
 }
 
 // New returns a core; Run starts it.
-func New(m *policy.Scheduler, up Upstream, clock Clock, opt Options) *Core {
-	c := &Core{module: m, up: up, clock: clock, opt: opt, box: mailbox.New[any](), open: map[string]*entry{},
-		named: map[string]bool{}, ran: [2]map[string]bool{{}, {}}}
-	c.mostHeld.Store(int64(opt.MaxOpen))
+func New(sched *policy.Scheduler, up Upstream, clock Clock, opt Options) *Core {
+	c := &Core{scheduler: sched, upstream: up, clock: clock, opt: opt, mailbox: mailbox.New[any](), open: map[string]*openRequest{},
+		openIDs: map[string]bool{}, executedIDs: [2]map[string]bool{{}, {}}}
+	c.maxOpen.Store(int64(opt.MaxOpen))
 	return c
 }
 
-// Submit hands a request over. It returns false when too many are open; then Done is not called.
+// Submit passes a request to the core. It returns false if too many are open; then Done is not called.
 func (c *Core) Submit(j *Job) bool {
-	if n, most := c.held.Add(1), c.mostHeld.Load(); most > 0 && n > most {
-		c.held.Add(-1)
+	if n, limit := c.openCount.Add(1), c.maxOpen.Load(); limit > 0 && n > limit {
+		c.openCount.Add(-1)
 		return false
 	}
-	c.box.Put(submitted{j})
+	c.mailbox.Put(submitted{j})
 	return true
 }
 
-// Depart tells that the job's client is gone. Its Done may still be called, if the answer came first.
+// Cancel reports that the job's client has disconnected. Its Done may still be called, if the response came first.
 func (c *Core) Cancel(j *Job) {
-	j.left.Store(true)
-	c.box.Put(j)
+	j.clientGone.Store(true)
+	c.mailbox.Put(j)
 }
 
-// Route asks the module which node a request for the shard would go to now, so that a body that cannot be held here may
-// go there ahead of it. The reply, empty where there is none, comes from the core's goroutine and must not wait.
-func (c *Core) Route(shard int, reply func(node string)) { c.box.Put(routed{shard, reply}) }
+// Route asks the scheduler to which target a request for the shard would go now, so that a body too large to be buffered here
+// can be sent there ahead of it. reply is called from the core's goroutine, with an empty name if there is none; it must not block.
+func (c *Core) Route(shard int, reply func(target string)) { c.mailbox.Put(routeQuery{shard, reply}) }
 
-// Report hands over the end of an attempt.
+// Report passes the result of an attempt to the core.
 func (c *Core) Report(r Result) {
-	if c.box.Put(r); c.ended.Load() {
-		c.discard()
+	if c.mailbox.Put(r); c.stopped.Load() {
+		c.discardResults()
 	}
 }
 
-// discard lets go of answers that came at the end or after it, which nobody takes any more.
-func (c *Core) discard() {
-	for _, m := range c.box.Take(nil) {
+// discardResults discards the payloads of results that arrive while the core stops or later, when they are no longer processed.
+func (c *Core) discardResults() {
+	for _, m := range c.mailbox.Take(nil) {
 		if r, ok := m.(Result); ok {
 			Response{Payload: r.Payload}.Discard()
 		}
 	}
 }
 
-// List hands over news of the targets.
-func (c *Core) UpdateTargets(l policy.EndpointList) { c.box.Put(l) }
+// UpdateTargets passes a full or partial list of the targets to the scheduler.
+func (c *Core) UpdateTargets(l policy.EndpointList) { c.mailbox.Put(l) }
 
-// Share tells the module how many processes act for this initiator.
-func (c *Core) SetProcessCount(parts int) { c.box.Put(policy.ProcessCount{Processes: parts}) }
+// SetProcessCount tells the scheduler how many processes act as this initiator.
+func (c *Core) SetProcessCount(n int) { c.mailbox.Put(policy.ProcessCount{Processes: n}) }
 
-// Adopt has the module take over other settings, in turn with what is submitted before and after. MostHeld holds at once; names are kept for
-// the longest time that was ever asked for, since they were promised by it. Done is closed once the module goes by the settings; a core that has
-// ended closes it no more.
-func (c *Core) ApplySettings(set policy.Settings, mostHeld int, namesFor time.Duration) (done <-chan struct{}) {
-	c.mostHeld.Store(int64(mostHeld))
-	in := make(chan struct{})
-	c.box.Put(adopt{set, namesFor, in})
-	return in
+// ApplySettings has the scheduler change to other settings, in order with the requests submitted before and after. maxOpenRequests takes effect at
+// once. Request IDs are kept for the longest requestIDTTL ever given, since earlier requests were accepted under it. applied is closed once the
+// settings are in force; a core that has stopped never closes it.
+func (c *Core) ApplySettings(settings policy.Settings, maxOpenRequests int, requestIDTTL time.Duration) (applied <-chan struct{}) {
+	c.maxOpen.Store(int64(maxOpenRequests))
+	ch := make(chan struct{})
+	c.mailbox.Put(settingsUpdate{settings, requestIDTTL, ch})
+	return ch
 }
 
-// Rationed tells the module that its part of the fleet's wholes has changed.
-func (c *Core) NotifyQuotaChanged() { c.box.Put(policy.QuotaChanged{}) }
+// NotifyQuotaChanged tells the scheduler that this initiator's part of the fleet-wide quotas has changed.
+func (c *Core) NotifyQuotaChanged() { c.mailbox.Put(policy.QuotaChanged{}) }
 
-// Watched tells the module what another member of the fleet found out about a node.
-func (c *Core) ReportProbe(w policy.ProbeResult) { c.box.Put(w) }
+// ReportProbe passes to the scheduler the result of another fleet member's probe of a target.
+func (c *Core) ReportProbe(r policy.ProbeResult) { c.mailbox.Put(r) }
 
-// Inspect has f called from the core's goroutine, between two steps.
-func (c *Core) Inspect(f func()) { c.box.Put(f) }
+// Inspect has f called from the core's goroutine.
+func (c *Core) Inspect(f func()) { c.mailbox.Put(f) }
 
-// Open tells how many requests are not finished with.
-func (c *Core) OpenCount() int { return int(c.held.Load()) }
+// OpenCount returns the number of requests that are not finished.
+func (c *Core) OpenCount() int { return int(c.openCount.Load()) }
 
-// Run steps the module until the context ends. It is the only goroutine that touches it.
+// Run steps the scheduler until the context ends. Its goroutine is the only one that uses the scheduler.
 func (c *Core) Run(ctx context.Context) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -327,13 +330,13 @@
 	for {
 		select {
 		case <-ctx.Done():
-			c.ended.Store(true)
-			c.discard()
+			c.stopped.Store(true)
+			c.discardResults()
 			return
-		case <-c.box.Wake():
+		case <-c.mailbox.Wake():
 		case <-timer.C:
 		}
-		msgs := c.box.Take(spare)
+		msgs := c.mailbox.Take(spare)
 		c.step(time.Now(), msgs)
 		spare = msgs
 		if !c.timerAt.IsZero() {
@@ -342,145 +345,145 @@
 	}
 }
 
-// step gives the module what has come in and carries out what it decides.
+// step passes the messages to the scheduler and carries out its decisions.
 func (c *Core) step(now time.Time, msgs []any) {
-	events := c.gather(now, msgs)
+	events := c.collectEvents(now, msgs)
 	if len(events) > 0 {
-		c.decide(now, events)
+		c.runScheduler(now, events)
 	}
-	for _, done := range c.adopted {
+	for _, done := range c.appliedChans {
 		close(done)
 	}
-	clear(c.adopted)
-	c.adopted = c.adopted[:0]
-	for _, r := range c.routes { // once news of the list has been heard
-		r.reply(c.module.EndpointFor(r.shard))
+	clear(c.appliedChans)
+	c.appliedChans = c.appliedChans[:0]
+	for _, r := range c.routeQueries { // after any target list of this batch has been applied
+		r.reply(c.scheduler.EndpointFor(r.shard))
 	}
-	clear(c.routes)
-	c.routes = c.routes[:0]
+	clear(c.routeQueries)
+	c.routeQueries = c.routeQueries[:0]
 }
 
-func (c *Core) decide(now time.Time, events []policy.Event) {
-	// The module's clock never goes back, whatever the platform's does.
+func (c *Core) runScheduler(now time.Time, events []policy.Event) {
+	// The scheduler's time never goes back, whatever the platform's clock does.
 	c.lastStep = max(c.lastStep, c.clock.At(now))
-	for _, a := range c.module.Step(c.lastStep, events) {
-		c.act(now, a)
+	for _, a := range c.scheduler.Step(c.lastStep, events) {
+		c.execute(now, a)
 	}
-	if c.opt.OnEjectedCount != nil && now.Sub(c.toldAt) >= tellEvery {
-		c.toldAt = now
-		c.opt.OnEjectedCount(c.module.EjectedCount())
+	if c.opt.OnEjectedCount != nil && now.Sub(c.ejectedReportedAt) >= ejectedReportInterval {
+		c.ejectedReportedAt = now
+		c.opt.OnEjectedCount(c.scheduler.EjectedCount())
 		if c.opt.OnEjectedTargets != nil {
-			c.opt.OnEjectedTargets(c.module.EjectedEndpoints())
+			c.opt.OnEjectedTargets(c.scheduler.EjectedEndpoints())
 		}
 	}
 }
 
-// gather turns what has come in into one batch of events, news of the list ahead of all else.
-func (c *Core) gather(now time.Time, msgs []any) []policy.Event {
-	c.events, c.lists = c.events[:0], c.lists[:0]
+// collectEvents turns the messages into one batch of events, with target lists before all others.
+func (c *Core) collectEvents(now time.Time, msgs []any) []policy.Event {
+	c.events, c.listEvents = c.events[:0], c.listEvents[:0]
 	for _, m := range msgs {
 		switch m := m.(type) {
 		case submitted:
-			c.take(now, m.job)
+			c.admit(now, m.job)
 		case *Job:
-			c.depart(now, m)
+			c.cancel(now, m)
 		case Result:
-			c.result(now, m)
-		case written:
-			c.opt.Observer.End(c.observed(m.at), m.id)
+			c.handleResult(now, m)
+		case responseWritten:
+			c.opt.Observer.End(c.observerTime(m.at), m.id)
 		case policy.ProcessCount, policy.QuotaChanged, policy.ProbeResult:
 			c.events = append(c.events, m.(policy.Event))
-		case adopt:
-			c.events = append(c.events, m.set)
-			c.opt.RequestIDTTL = max(c.opt.RequestIDTTL, m.namesFor)
-			c.adopted = append(c.adopted, m.done)
-		case routed:
-			c.routes = append(c.routes, m)
+		case settingsUpdate:
+			c.events = append(c.events, m.settings)
+			c.opt.RequestIDTTL = max(c.opt.RequestIDTTL, m.requestIDTTL)
+			c.appliedChans = append(c.appliedChans, m.applied)
+		case routeQuery:
+			c.routeQueries = append(c.routeQueries, m)
 		case func():
 			m()
 		case policy.EndpointList:
-			// Ahead of all else in the batch: no send is decided on a list older than the one at hand.
-			c.lists = append(c.lists, m)
+			// First in the batch, so that no send is decided on an outdated list.
+			c.listEvents = append(c.listEvents, m)
 		}
 	}
 	if !c.timerAt.IsZero() && !now.Before(c.timerAt) {
 		c.timerAt = time.Time{}
 		c.events = append(c.events, policy.TimerFired{})
 	}
-	return append(c.lists, c.events...)
+	return append(c.listEvents, c.events...)
 }
 
-func (c *Core) take(now time.Time, j *Job) {
+func (c *Core) admit(now time.Time, j *Job) {
 	if j.ClientRequestID != "" {
-		// Targets know requests by these names: one sent under the name of another that is open would be its second
-		// copy. An honest repeat, of a request that was never read here, meets neither.
-		if c.named[j.ClientRequestID] || c.ran[0][j.ClientRequestID] || c.ran[1][j.ClientRequestID] {
-			c.held.Add(-1)
+		// Targets identify requests by this ID: one sent under the ID of an open request would be a second copy of it. A
+		// legitimate retry, of a request that was never read here, is in none of these sets.
+		if c.openIDs[j.ClientRequestID] || c.executedIDs[0][j.ClientRequestID] || c.executedIDs[1][j.ClientRequestID] {
+			c.openCount.Add(-1)
 			j.Done(Response{Status: Conflict})
 			return
 		}
-		c.named[j.ClientRequestID] = true
+		c.openIDs[j.ClientRequestID] = true
 	}
 	c.seq++
 	j.ID = strconv.FormatUint(c.seq, 10)
-	// The client's time runs from the arrival, and the answer has to be out before it ends.
+	// The client's timeout runs from the arrival, and the response has to be written before it expires.
 	j.TimeLeft = j.Timeout - now.Sub(j.Arrived) - c.opt.Margin
-	c.open[j.ID] = &entry{job: j}
+	c.open[j.ID] = &openRequest{job: j}
 	if o := c.opt.Observer; o != nil {
-		o.Arrive(c.observed(now), j.Request)
+		o.Arrive(c.observerTime(now), j.Request)
 	}
 	c.events = append(c.events, j.Request)
 }
 
-func (c *Core) depart(now time.Time, j *Job) {
-	if e := c.open[j.ID]; e != nil && e.job == j && !e.answered {
-		e.answered = true
-		if e.out {
-			c.up.Cancel(e.node, j.ID) // no one is left to answer
+func (c *Core) cancel(now time.Time, j *Job) {
+	if e := c.open[j.ID]; e != nil && e.job == j && !e.responded {
+		e.responded = true
+		if e.inFlight {
+			c.upstream.Cancel(e.target, j.ID) // no client is waiting for the response
 		}
 		c.events = append(c.events, policy.ClientGone{ID: j.ID})
-		c.tidy(j.ID, e)
+		c.removeIfDone(j.ID, e)
 	}
 	if o := c.opt.Observer; o != nil {
-		o.End(c.observed(now), j.ID) // also where an answer was given that nobody took
+		o.End(c.observerTime(now), j.ID) // also if there is a response that the client did not read
 	}
 }
 
-// observed is the time told to the observer: in the order in which it is told, whatever the threads' clocks say.
-func (c *Core) observed(t time.Time) time.Duration {
-	c.lastSeen = max(c.lastSeen, c.clock.At(t))
-	return c.lastSeen
+// observerTime returns t as reported to the observer: never earlier than the last one, also for times taken by other goroutines.
+func (c *Core) observerTime(t time.Time) time.Duration {
+	c.lastObserved = max(c.lastObserved, c.clock.At(t))
+	return c.lastObserved
 }
 
-func (c *Core) result(now time.Time, r Result) {
+func (c *Core) handleResult(now time.Time, r Result) {
 	e := c.open[r.RequestID]
-	if e == nil || !e.out || r.Number != e.attempts-1 {
+	if e == nil || !e.inFlight || r.Number != e.attempts-1 {
 		Response{Payload: r.Payload}.Discard()
 		return
 	}
 	if o := c.opt.Observer; o != nil {
 		if !r.SendStarted.IsZero() {
-			o.Begin(c.clock.At(r.SendStarted), r.RequestID) // it lies back, among what others were told of since
+			o.Begin(c.clock.At(r.SendStarted), r.RequestID) // earlier than observerTime: events of other requests may have been reported since
 		}
-		o.Answer(c.observed(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
+		o.Answer(c.observerTime(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.TurnedAway)
 	}
-	e.out, e.last = false, r.Code
-	e.mayRun = e.mayRun || r.Code.MayHaveRun()
+	e.inFlight, e.lastOutcome = false, r.Code
+	e.mayHaveRun = e.mayHaveRun || r.Code.MayHaveRun()
 	if r.Code == policy.Served {
-		if o := c.opt.Observer; o != nil && !e.answered {
+		if o := c.opt.Observer; o != nil && !e.responded {
 			o.Served(r.RequestID)
 		}
-		c.answer(e, Response{Status: Served, Payload: r.Payload})
+		c.respond(e, Response{Status: Served, Payload: r.Payload})
 	}
 	c.events = append(c.events, policy.Outcome{ID: r.RequestID, Attempt: r.Number, Endpoint: r.Target, Code: r.Code,
-		Latency: now.Sub(e.sentAt), Final: e.answered, Load: r.Load, VolumeUsage: r.VolumeUsage})
-	c.tidy(r.RequestID, e)
-	if now.Sub(c.ranAt) > c.opt.RequestIDTTL || len(c.ran[0]) >= mostNames {
-		c.ran[0], c.ran[1], c.ranAt = map[string]bool{}, c.ran[0], now
+		Latency: now.Sub(e.sentAt), Final: e.responded, Load: r.Load, VolumeUsage: r.VolumeUsage})
+	c.removeIfDone(r.RequestID, e)
+	if now.Sub(c.rotatedAt) > c.opt.RequestIDTTL || len(c.executedIDs[0]) >= maxExecutedIDs {
+		c.executedIDs[0], c.executedIDs[1], c.rotatedAt = map[string]bool{}, c.executedIDs[0], now
 	}
 }
 
-func (c *Core) act(now time.Time, a policy.Action) {
+func (c *Core) execute(now time.Time, a policy.Action) {
 	e := c.open[a.Request]
 	switch a.Kind {
 	case policy.SetTimer:
@@ -489,56 +492,56 @@
 		}
 		return
 	case policy.Subscribe, policy.Log:
-		return // the list is always watched
+		return // the target list is always watched, and the scheduler's log text is not used
 	}
-	if e == nil || e.answered || e.out {
+	if e == nil || e.responded || e.inFlight {
 		return
 	}
 	if o := c.opt.Observer; o != nil {
-		o.Release(c.observed(now), a.Request, a.Endpoint, a.TagLead, a.Kind == policy.Send)
+		o.Release(c.observerTime(now), a.Request, a.Endpoint, a.TagLead, a.Kind == policy.Send)
 	}
 	switch a.Kind {
 	case policy.Send:
-		e.out, e.node, e.sentAt = true, a.Endpoint, now
+		e.inFlight, e.target, e.sentAt = true, a.Endpoint, now
 		e.attempts++
 		next := Attempt{RequestID: a.Request, Number: e.attempts - 1, Target: a.Endpoint,
-			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientGone: &e.job.left}
+			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientGone: &e.job.clientGone}
 		if a.SendWithin > 0 {
 			next.SendBefore = now.Add(a.SendWithin)
 		}
-		c.up.Send(next)
+		c.upstream.Send(next)
 	case policy.Reject:
-		c.answer(e, Response{Status: Rejected, RetryAfter: a.Wait})
-		c.tidy(a.Request, e)
+		c.respond(e, Response{Status: Rejected, RetryAfter: a.Wait})
+		c.removeIfDone(a.Request, e)
 	case policy.Fail:
-		c.answer(e, Response{Status: Failed})
-		c.tidy(a.Request, e)
+		c.respond(e, Response{Status: Failed})
+		c.removeIfDone(a.Request, e)
 	}
 }
 
-// answer gives the final answer, once.
-func (c *Core) answer(e *entry, a Response) {
-	if e.answered {
-		a.Discard()
+// respond passes the final response to the front, once.
+func (c *Core) respond(e *openRequest, resp Response) {
+	if e.responded {
+		resp.Discard()
 		return
 	}
-	e.answered = true
-	a.LastOutcome = e.last
+	e.responded = true
+	resp.LastOutcome = e.lastOutcome
 	if c.opt.Observer != nil {
 		id := e.job.ID
-		a.OnWritten = func() { c.box.Put(written{id, time.Now()}) }
+		resp.OnWritten = func() { c.mailbox.Put(responseWritten{id, time.Now()}) }
 	}
-	e.job.Done(a)
+	e.job.Done(resp)
 }
 
-func (c *Core) tidy(id string, e *entry) {
-	if e.answered && !e.out {
+func (c *Core) removeIfDone(id string, e *openRequest) {
+	if e.responded && !e.inFlight {
 		delete(c.open, id)
-		c.held.Add(-1)
+		c.openCount.Add(-1)
 		if e.job.ClientRequestID != "" {
-			delete(c.named, e.job.ClientRequestID)
-			if e.mayRun {
-				c.ran[0][e.job.ClientRequestID] = true
+			delete(c.openIDs, e.job.ClientRequestID)
+			if e.mayHaveRun {
+				c.executedIDs[0][e.job.ClientRequestID] = true
 			}
 		}
 	}
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -11,18 +11,20 @@
 	"spindlehitch/internal/policy"
 )
 
-// fake is an upstream that notes what it is told.
-type fake struct {
+// fakeUpstream records the calls it receives.
+type fakeUpstream struct {
 	sent      []Attempt
 	cancelled []string
 }
 
-func (f *fake) Send(a Attempt)              { f.sent = append(f.sent, a) }
-func (f *fake) Cancel(node, request string) { f.cancelled = append(f.cancelled, node+"/"+request) }
+func (f *fakeUpstream) Send(a Attempt) { f.sent = append(f.sent, a) }
+func (f *fakeUpstream) Cancel(target, requestID string) {
+	f.cancelled = append(f.cancelled, target+"/"+requestID)
+}
 
-func module(t testing.TB) *policy.Scheduler {
+func newScheduler(t testing.TB) *policy.Scheduler {
 	t.Helper()
-	m, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
+	s, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 1,
 		Classes: []policy.Class{{Name: "get", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1},
 			{Name: "put", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Effect: policy.NonIdempotent},
 			{Name: "keyed", LatencyObjective: 400 * time.Millisecond, Deadline: 2 * time.Second, PriorityWeight: 1, Effect: policy.IdempotentWithKey, DedupWindow: 500 * time.Millisecond}},
@@ -30,295 +32,296 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return m
+	return s
 }
 
-// namesFor is far from any constant.
-const namesFor = 17 * time.Second
+// testRequestIDTTL differs widely from every other duration used here.
+const testRequestIDTTL = 17 * time.Second
 
-// hand is a core stepped by hand.
-type hand struct {
+// steppedCore is a core that the test steps itself, at a time of its own.
+type steppedCore struct {
 	*Core
-	up  *fake
-	now time.Time
+	fake *fakeUpstream
+	now  time.Time
 }
 
-func newHand(t *testing.T) *hand {
-	h := &hand{up: &fake{}, now: time.Now()}
-	h.Core = New(module(t), h.up, NewClock(), Options{MaxOpen: 100, Margin: 10 * time.Millisecond, RequestIDTTL: namesFor})
+func newSteppedCore(t *testing.T) *steppedCore {
+	h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
+	h.Core = New(newScheduler(t), h.fake, NewClock(), Options{MaxOpen: 100, Margin: 10 * time.Millisecond, RequestIDTTL: testRequestIDTTL})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	return h
 }
 
-func job(class string, arrived time.Time, answers *[]Response) *Job {
+func newJob(class string, arrived time.Time, responses *[]Response) *Job {
 	return &Job{Request: policy.Request{Class: class, Plan: "std", Volume: "v", Units: 1, VolumeInitiators: 1},
-		Arrived: arrived, Timeout: 2 * time.Second, Done: func(a Response) { *answers = append(*answers, a) }}
+		Arrived: arrived, Timeout: 2 * time.Second, Done: func(a Response) { *responses = append(*responses, a) }}
 }
 
-// later steps the core at timers until the time has passed.
-func (h *hand) later(d time.Duration) {
+// advance moves the time on by d, with a step every 5 ms so that timers fire.
+func (h *steppedCore) advance(d time.Duration) {
 	for end := h.now.Add(d); h.now.Before(end); {
 		h.now = h.now.Add(5 * time.Millisecond)
 		h.step(h.now, nil)
 	}
 }
 
-// TestOneFinalAnswer plays outcomes twice, late and of attempts that never were: one answer is given.
-func TestOneFinalAnswer(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
-	if len(h.up.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(h.up.sent))
-	}
-	r := Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Served, Payload: "body"}
+// TestSingleFinalResponse delivers results twice, late and for attempts that were never made: there is one response.
+func TestSingleFinalResponse(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
+	h.step(h.now, []any{submitted{newJob("get", h.now, &responses)}})
+	if len(h.fake.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.fake.sent))
+	}
+	r := Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: policy.Served, Payload: "body"}
 	wrong := r
 	wrong.Number = 3
 	h.step(h.now, []any{wrong, r, r})
 	h.step(h.now, []any{r})
-	if len(answers) != 1 || answers[0].Status != Served || answers[0].Payload != "body" {
-		t.Fatalf("answers %+v, want one", answers)
+	if len(responses) != 1 || responses[0].Status != Served || responses[0].Payload != "body" {
+		t.Fatalf("responses %+v, want one", responses)
 	}
 	if len(h.open) != 0 {
-		t.Errorf("%d requests kept", len(h.open))
+		t.Errorf("%d requests still recorded, want none", len(h.open))
 	}
 }
 
-// TestNameOnce guards against a second copy at a target under the name of a request that is open, whose client has left
-// with an attempt out, or that has run. A name whose request was never sent may come again.
-func TestNameOnce(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	submit := func(name, class string) *Job {
-		j := job(class, h.now, &answers)
-		j.ClientRequestID = name
+// TestDuplicateClientRequestID guards against a second copy at a target under the ID of a request that is open, that was
+// cancelled with an attempt in flight, or that has run. The ID of a request that was never sent may be used again.
+func TestDuplicateClientRequestID(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
+	submit := func(id, class string) *Job {
+		j := newJob(class, h.now, &responses)
+		j.ClientRequestID = id
 		if !h.Submit(j) {
-			t.Fatal("not taken")
+			t.Fatal("request not accepted")
 		}
-		h.step(h.now, h.box.Take(nil))
+		h.step(h.now, h.mailbox.Take(nil))
 		return j
 	}
 	conflict := func(when string) {
 		t.Helper()
 		submit("a", "put")
-		if len(answers) == 0 || answers[len(answers)-1].Status != Conflict {
-			t.Errorf("%s: answers %+v, want a conflict", when, answers)
+		if len(responses) == 0 || responses[len(responses)-1].Status != Conflict {
+			t.Errorf("%s: responses %+v, want a conflict", when, responses)
 		}
 	}
 	first := submit("a", "put")
 	conflict("open")
 	h.step(h.now, []any{first})
-	conflict("its client gone, its attempt out")
-	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
+	conflict("cancelled with its attempt in flight")
+	h.step(h.now, []any{Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
 	conflict("may have run")
-	served := func(name string) {
+	served := func(id string) {
 		t.Helper()
-		submit(name, "get")
-		h.step(h.now, []any{h.ends(policy.Served)})
+		submit(id, "get")
+		h.step(h.now, []any{h.lastResult(policy.Served)})
 	}
-	for i := range 2 { // names are let go as others end
-		h.now = h.now.Add(namesFor/2 - time.Second)
+	for i := range 2 { // IDs expire when other requests end
+		h.now = h.now.Add(testRequestIDTTL/2 - time.Second)
 		served(fmt.Sprint("other", i))
 	}
 	conflict("may have run, a while ago")
-	h.up.sent = h.up.sent[:1]
-	if len(h.up.sent) != 1 || h.OpenCount() != 0 {
-		t.Errorf("%d attempts, %d open; want one, none", len(h.up.sent), h.OpenCount())
+	h.fake.sent = h.fake.sent[:1]
+	if len(h.fake.sent) != 1 || h.OpenCount() != 0 {
+		t.Errorf("%d attempts, %d open; want one, none", len(h.fake.sent), h.OpenCount())
 	}
 	for range 3 {
-		h.now = h.now.Add(namesFor + time.Second)
+		h.now = h.now.Add(testRequestIDTTL + time.Second)
 		submit("b", "put")
-		last := h.up.sent[len(h.up.sent)-1]
+		last := h.fake.sent[len(h.fake.sent)-1]
 		h.step(h.now, []any{Result{RequestID: last.RequestID, Number: last.Number, Target: "n", Code: policy.NotSent}})
 		h.step(h.now, []any{policy.EndpointList{Full: true}})
-		h.later(2 * time.Second)
-		if got := answers[len(answers)-1]; got.Status != Rejected {
-			t.Errorf("never sent: %+v, want it refused", got)
+		h.advance(2 * time.Second)
+		if got := responses[len(responses)-1]; got.Status != Rejected {
+			t.Errorf("never sent: %+v, want it rejected", got)
 		}
 		h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	}
 	served("c")
-	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n != 1 {
-		t.Errorf("%d names are kept, want the last alone", n)
+	if n := len(h.openIDs) + len(h.executedIDs[0]) + len(h.executedIDs[1]); n != 1 {
+		t.Errorf("%d IDs are kept, want only the last", n)
 	}
-	for i := range 2*mostNames + 10 {
-		h.now, h.up.sent = h.now.Add(time.Millisecond/10), nil
+	for i := range 2*maxExecutedIDs + 10 {
+		h.now, h.fake.sent = h.now.Add(time.Millisecond/10), nil
 		served(fmt.Sprint("many", i))
 	}
-	if n := len(h.named) + len(h.ran[0]) + len(h.ran[1]); n > 2*mostNames || n < mostNames {
-		t.Errorf("%d names are kept of a flood", n)
+	if n := len(h.openIDs) + len(h.executedIDs[0]) + len(h.executedIDs[1]); n > 2*maxExecutedIDs || n < maxExecutedIDs {
+		t.Errorf("%d IDs are kept after many requests, want %d to %d", n, maxExecutedIDs, 2*maxExecutedIDs)
 	}
 }
 
-// TestDeadlineRunsFromArrival guards against counting a request's time from when a busy process got to it.
-func TestDeadlineRunsFromArrival(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	h.step(h.now, []any{submitted{job("get", h.now.Add(-1500*time.Millisecond), &answers)}})
-	if len(h.up.sent) != 1 {
-		t.Fatalf("%d attempts, want 1", len(h.up.sent))
+// TestTimeoutRunsFromArrival guards against counting a request's timeout from when a busy process starts to handle it.
+func TestTimeoutRunsFromArrival(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
+	h.step(h.now, []any{submitted{newJob("get", h.now.Add(-1500*time.Millisecond), &responses)}})
+	if len(h.fake.sent) != 1 {
+		t.Fatalf("%d attempts, want 1", len(h.fake.sent))
 	}
-	if left := h.up.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
-		t.Errorf("attempt may last %v, but its client leaves in 500ms", left)
+	if left := h.fake.sent[0].Deadline.Sub(h.now); left > 490*time.Millisecond {
+		t.Errorf("attempt may last %v, but its client times out in 500ms", left)
 	}
 }
 
-// TestUnsafeIsNotRepeated ends a write in doubt: one failure, no second attempt, no word that a repeat is harmless.
-func TestUnsafeIsNotRepeated(t *testing.T) {
+// TestUncertainWriteIsNotRetried ends the attempt of a write that may have run: there is one failure, no second attempt, and the
+// response does not call a retry harmless.
+func TestUncertainWriteIsNotRetried(t *testing.T) {
 	for _, code := range []policy.OutcomeCode{policy.ConnectionReset, policy.TimedOut, policy.AnsweredError, policy.Cancelled} {
-		h := newHand(t)
-		var answers []Response
-		h.step(h.now, []any{submitted{job("put", h.now, &answers)}})
-		h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: code}})
-		h.later(3 * time.Second)
-		if len(h.up.sent) != 1 || len(answers) != 1 || answers[0].Status != Failed || answers[0].LastOutcome != code {
-			t.Errorf("code %v: %d attempts, answers %+v", code, len(h.up.sent), answers)
+		h := newSteppedCore(t)
+		var responses []Response
+		h.step(h.now, []any{submitted{newJob("put", h.now, &responses)}})
+		h.step(h.now, []any{Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: code}})
+		h.advance(3 * time.Second)
+		if len(h.fake.sent) != 1 || len(responses) != 1 || responses[0].Status != Failed || responses[0].LastOutcome != code {
+			t.Errorf("code %v: %d attempts, responses %+v", code, len(h.fake.sent), responses)
 		}
 	}
 }
 
-// TestListComesFirst guards the order within a batch: a drain notice that waits behind a request and an outcome
-// reaches the module before them, and nothing is sent to the target that drains.
-func TestListComesFirst(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
+// TestTargetListIsAppliedFirst checks the order within a batch: a list that marks a target as draining, queued behind a request
+// and a result, reaches the scheduler before them, and nothing is sent to that target.
+func TestTargetListIsAppliedFirst(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
 	msgs := func() []any {
-		return []any{submitted{job("get", h.now, &answers)}, Result{RequestID: "none"},
+		return []any{submitted{newJob("get", h.now, &responses)}, Result{RequestID: "none"},
 			policy.EndpointList{Endpoints: []policy.Endpoint{{ID: "n", State: policy.Draining}}}}
 	}
-	if _, first := h.gather(h.now, msgs())[0].(policy.EndpointList); !first {
-		t.Error("the notice came behind the request")
+	if _, first := h.collectEvents(h.now, msgs())[0].(policy.EndpointList); !first {
+		t.Error("the target list is not the first event")
 	}
 	h.step(h.now, msgs())
-	if len(h.up.sent) != 0 {
-		t.Errorf("sent to a target known to drain: %+v", h.up.sent)
+	if len(h.fake.sent) != 0 {
+		t.Errorf("sent to a draining target: %+v", h.fake.sent)
 	}
 }
 
-// TestDepartedIsCalledOff checks that an attempt nobody waits for is called off, and no answer is given.
-func TestDepartedIsCalledOff(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	j := job("get", h.now, &answers)
+// TestCancelledJobCancelsAttempt checks that the attempt of a cancelled job is cancelled, and that no response is given.
+func TestCancelledJobCancelsAttempt(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
+	j := newJob("get", h.now, &responses)
 	h.step(h.now, []any{submitted{j}})
 	h.step(h.now, []any{j})
-	if len(h.up.cancelled) != 1 || len(h.open) != 1 {
-		t.Fatalf("cancelled %v, %d kept; want it called off and kept until its outcome", h.up.cancelled, len(h.open))
+	if len(h.fake.cancelled) != 1 || len(h.open) != 1 {
+		t.Fatalf("cancelled %v, %d requests recorded; want the attempt cancelled and the request recorded until its result", h.fake.cancelled, len(h.open))
 	}
-	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
-	h.later(3 * time.Second)
-	if len(answers) != 0 || len(h.open) != 0 {
-		t.Errorf("answers %v, %d kept", answers, len(h.open))
+	h.step(h.now, []any{Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: policy.Cancelled}})
+	h.advance(3 * time.Second)
+	if len(responses) != 0 || len(h.open) != 0 {
+		t.Errorf("responses %v, %d requests recorded; want none", responses, len(h.open))
 	}
 }
 
-// TestDepartAnywhere has a client leave in every state of its request, also in one batch with what came just before or comes just after: no
-// attempt begins from then on, one that is out is called off, at most the one answer is given that was there first, and nothing is kept.
-func TestDepartAnywhere(t *testing.T) {
-	gone, back := policy.EndpointList{Full: true}, policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}
+// TestCancelInEachState cancels a job in every state of its request, also in one batch with the message just before or just after: no attempt
+// starts from then on, one in flight is cancelled, only a response that came first is given, and no record of the request remains.
+func TestCancelInEachState(t *testing.T) {
+	noTargets, oneTarget := policy.EndpointList{Full: true}, policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}
 	for _, x := range []struct {
-		name    string
-		before  func(h *hand, j *Job)
-		batch   func(h *hand, j *Job) []any // with the departure
-		sent    int
-		answers int
+		name      string
+		before    func(h *steppedCore, j *Job)
+		batch     func(h *steppedCore, j *Job) []any // with the cancellation
+		sent      int
+		responses int
 	}{
-		{"as it comes", func(*hand, *Job) {}, func(_ *hand, j *Job) []any { return []any{submitted{j}, j} }, 0, 0},
-		{"as it comes, with the list", func(h *hand, _ *Job) { h.step(h.now, []any{gone}) }, func(_ *hand, j *Job) []any { return []any{submitted{j}, back, j} }, 0, 0},
-		{"held", func(h *hand, j *Job) { h.step(h.now, []any{gone}); h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{j} }, 0, 0},
-		{"held, with the list", func(h *hand, j *Job) { h.step(h.now, []any{gone}); h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{back, j} }, 0, 0},
-		{"out", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(_ *hand, j *Job) []any { return []any{j} }, 1, 0},
-		{"as its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.ConnectionReset), j} }, 1, 0},
-		{"just before its attempt ends", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.NotConnected)} }, 1, 0},
-		{"as it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{h.ends(policy.Served), j} }, 1, 1},
-		{"just before it is served", func(h *hand, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *hand, j *Job) []any { return []any{j, h.ends(policy.Served)} }, 1, 0},
-		{"between attempts", func(h *hand, j *Job) {
+		{"with the submission", func(*steppedCore, *Job) {}, func(_ *steppedCore, j *Job) []any { return []any{submitted{j}, j} }, 0, 0},
+		{"with the submission and the list", func(h *steppedCore, _ *Job) { h.step(h.now, []any{noTargets}) }, func(_ *steppedCore, j *Job) []any { return []any{submitted{j}, oneTarget, j} }, 0, 0},
+		{"queued", func(h *steppedCore, j *Job) { h.step(h.now, []any{noTargets}); h.step(h.now, []any{submitted{j}}) }, func(_ *steppedCore, j *Job) []any { return []any{j} }, 0, 0},
+		{"queued, with the list", func(h *steppedCore, j *Job) { h.step(h.now, []any{noTargets}); h.step(h.now, []any{submitted{j}}) }, func(_ *steppedCore, j *Job) []any { return []any{oneTarget, j} }, 0, 0},
+		{"attempt in flight", func(h *steppedCore, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(_ *steppedCore, j *Job) []any { return []any{j} }, 1, 0},
+		{"just after its attempt ends", func(h *steppedCore, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *steppedCore, j *Job) []any { return []any{h.lastResult(policy.ConnectionReset), j} }, 1, 0},
+		{"just before its attempt ends", func(h *steppedCore, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *steppedCore, j *Job) []any { return []any{j, h.lastResult(policy.NotConnected)} }, 1, 0},
+		{"just after it is served", func(h *steppedCore, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *steppedCore, j *Job) []any { return []any{h.lastResult(policy.Served), j} }, 1, 1},
+		{"just before it is served", func(h *steppedCore, j *Job) { h.step(h.now, []any{submitted{j}}) }, func(h *steppedCore, j *Job) []any { return []any{j, h.lastResult(policy.Served)} }, 1, 0},
+		{"between attempts", func(h *steppedCore, j *Job) {
 			h.step(h.now, []any{submitted{j}})
-			h.step(h.now, []any{h.ends(policy.ConnectionReset)})
-		}, func(_ *hand, j *Job) []any { return []any{j} }, 1, 0},
+			h.step(h.now, []any{h.lastResult(policy.ConnectionReset)})
+		}, func(_ *steppedCore, j *Job) []any { return []any{j} }, 1, 0},
 	} {
 		t.Run(x.name, func(t *testing.T) {
-			h := newHand(t)
-			var answers []Response
-			j := job("get", h.now, &answers)
+			h := newSteppedCore(t)
+			var responses []Response
+			j := newJob("get", h.now, &responses)
 			j.ClientRequestID = "a"
-			h.held.Add(1) // as Submit does
+			h.openCount.Add(1) // as Submit does
 			x.before(h, j)
 			h.step(h.now, x.batch(h, j))
-			h.step(h.now, []any{back})
-			h.later(200 * time.Millisecond)
-			if e := h.open[j.ID]; e != nil && e.out {
-				if len(h.up.cancelled) != 1 {
-					t.Errorf("called off: %v", h.up.cancelled)
+			h.step(h.now, []any{oneTarget})
+			h.advance(200 * time.Millisecond)
+			if e := h.open[j.ID]; e != nil && e.inFlight {
+				if len(h.fake.cancelled) != 1 {
+					t.Errorf("attempts cancelled: %v, want one", h.fake.cancelled)
 				}
-				h.step(h.now, []any{h.ends(policy.Cancelled)})
+				h.step(h.now, []any{h.lastResult(policy.Cancelled)})
 			}
-			h.later(3 * time.Second)
-			if len(h.up.sent) != x.sent || len(answers) != x.answers {
-				t.Errorf("%d attempts, %d answers; want %d, %d", len(h.up.sent), len(answers), x.sent, x.answers)
+			h.advance(3 * time.Second)
+			if len(h.fake.sent) != x.sent || len(responses) != x.responses {
+				t.Errorf("%d attempts, %d responses; want %d, %d", len(h.fake.sent), len(responses), x.sent, x.responses)
 			}
-			if len(h.open)+len(h.named)+h.OpenCount() != 0 {
-				t.Errorf("kept: %d requests, %d names, %d open", len(h.open), len(h.named), h.OpenCount())
+			if len(h.open)+len(h.openIDs)+h.OpenCount() != 0 {
+				t.Errorf("remaining: %d records, %d IDs, %d open; want none", len(h.open), len(h.openIDs), h.OpenCount())
 			}
-			h.step(h.now, []any{submitted{job("get", h.now, &answers)}, submitted{job("get", h.now, &answers)}})
-			if n := len(h.up.sent) - x.sent; n != 2 {
-				t.Errorf("%d of the next two are sent: the module holds on to one that left", n)
+			h.step(h.now, []any{submitted{newJob("get", h.now, &responses)}, submitted{newJob("get", h.now, &responses)}})
+			if n := len(h.fake.sent) - x.sent; n != 2 {
+				t.Errorf("%d of the next two are sent, want 2: the scheduler still counts the cancelled request", n)
 			}
 		})
 	}
 }
 
-// ends is the end of the attempt that was sent last.
-func (h *hand) ends(code policy.OutcomeCode) Result {
-	a := h.up.sent[len(h.up.sent)-1]
+// lastResult returns a result with the given code for the attempt that was sent last.
+func (h *steppedCore) lastResult(code policy.OutcomeCode) Result {
+	a := h.fake.sent[len(h.fake.sent)-1]
 	return Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: code}
 }
 
-// TestAttemptKnowsItsEnds checks what an attempt can tell at its first byte without the core's goroutine: that its client has left, before
-// the core has come to hear of it, and that the window for a keyed repeat is over.
-func TestAttemptKnowsItsEnds(t *testing.T) {
-	h := newHand(t)
-	var answers []Response
-	j := job("keyed", h.now, &answers)
+// TestAttemptMaySend checks what an attempt itself knows just before its first byte: whether its client has disconnected, even if the
+// core has not processed the cancellation, and until when a retry with an idempotency key may be sent.
+func TestAttemptMaySend(t *testing.T) {
+	h := newSteppedCore(t)
+	var responses []Response
+	j := newJob("keyed", h.now, &responses)
 	h.step(h.now, []any{submitted{j}})
-	first := h.up.sent[0]
+	first := h.fake.sent[0]
 	h.step(h.now, []any{Result{RequestID: first.RequestID, Target: "n", Code: policy.ConnectionReset}})
-	h.later(200 * time.Millisecond)
-	if len(h.up.sent) != 2 {
-		t.Fatalf("%d attempts, want 2", len(h.up.sent))
+	h.advance(200 * time.Millisecond)
+	if len(h.fake.sent) != 2 {
+		t.Fatalf("%d attempts, want 2", len(h.fake.sent))
 	}
-	again := h.up.sent[1]
-	if !first.SendBefore.IsZero() || again.SendBefore.IsZero() || !again.SendBefore.Before(first.Deadline.Add(-time.Second)) || again.WriteDeadline() != again.SendBefore {
-		t.Errorf("the first may leave until %v, a repeat until %v; want it within the window", first.SendBefore, again.SendBefore)
+	retry := h.fake.sent[1]
+	if !first.SendBefore.IsZero() || retry.SendBefore.IsZero() || !retry.SendBefore.Before(first.Deadline.Add(-time.Second)) || retry.WriteDeadline() != retry.SendBefore {
+		t.Errorf("the first attempt may be sent until %v, the retry until %v; want the retry limited to the window", first.SendBefore, retry.SendBefore)
 	}
-	if !again.MaySend() {
-		t.Error("within its window, its client there: not allowed")
+	if !retry.MaySend() {
+		t.Error("within its window and with its client connected, it may not be sent")
 	}
 	h.Cancel(j)
-	if again.MaySend() {
-		t.Error("its client has left: allowed")
+	if retry.MaySend() {
+		t.Error("after its client has disconnected, it may be sent")
 	}
 }
 
-// answered is a payload that tells when it is let go.
-type answered chan bool
+// notifyingPayload is a payload that is closed when it is discarded.
+type notifyingPayload chan bool
 
-func (a answered) Discard() { close(a) }
+func (a notifyingPayload) Discard() { close(a) }
 
-// TestResultsAtTheEnd has answers that hold something come just before the core ends and after it: they are let go.
-func TestResultsAtTheEnd(t *testing.T) {
+// TestResultsAfterStopAreDiscarded reports results that hold resources just before the core stops and after it: they are discarded.
+func TestResultsAfterStopAreDiscarded(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
-	for range 20 { // a core that is to end may still take a batch
-		h := newHand(t)
+	for range 20 { // Run may still take a batch although its context has ended
+		h := newSteppedCore(t)
 		for _, end := range []func(){func() { h.Run(ctx) }, func() {}} {
-			a := make(answered)
+			a := make(notifyingPayload)
 			h.Report(Result{RequestID: "x", Payload: a})
 			end()
 			select {
 			case <-a:
 			case <-time.After(10 * time.Second):
-				t.Fatal("an answer is held for ever")
+				t.Fatal("the payload was not discarded")
 			}
 		}
 	}
@@ -326,123 +329,123 @@
 
 // TestClockNeverGoesBack steps the core with times out of order.
 func TestClockNeverGoesBack(t *testing.T) {
-	h := newHand(t)
+	h := newSteppedCore(t)
 	before := h.lastStep
-	var answers []Response
-	h.step(h.now.Add(-time.Second), []any{submitted{job("get", h.now, &answers)}})
+	var responses []Response
+	h.step(h.now.Add(-time.Second), []any{submitted{newJob("get", h.now, &responses)}})
 	if h.lastStep < before {
 		t.Errorf("clock went from %v to %v", before, h.lastStep)
 	}
 }
 
-// echo answers each attempt from many goroutines at once.
-type echo struct{ core *Core }
+// echoUpstream reports each attempt as served, from a goroutine of its own.
+type echoUpstream struct{ core *Core }
 
-func (e *echo) Send(a Attempt) {
+func (e *echoUpstream) Send(a Attempt) {
 	go e.core.Report(Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.Served})
 }
-func (e *echo) Cancel(string, string) {}
+func (e *echoUpstream) Cancel(string, string) {}
 
-// TestNothingIsLostUnderLoad has many goroutines hand over requests at once, more than the core may hold: each
-// taken one has exactly one answer, and what is not taken is said so.
-func TestNothingIsLostUnderLoad(t *testing.T) {
-	up := &echo{}
-	c := New(module(t), up, NewClock(), Options{MaxOpen: 500})
+// TestOneResponsePerRequestUnderLoad submits requests from many goroutines at once, more than may be open: each accepted
+// request has exactly one response, and Submit returns false for the others.
+func TestOneResponsePerRequestUnderLoad(t *testing.T) {
+	up := &echoUpstream{}
+	c := New(newScheduler(t), up, NewClock(), Options{MaxOpen: 500})
 	up.core = c
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go c.Run(ctx)
 	c.UpdateTargets(policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}})
 	var mu sync.Mutex
-	answers := map[string]int{}
-	var open, turned sync.WaitGroup
-	taken := 0
+	responses := map[string]int{}
+	var pending, submitters sync.WaitGroup
+	accepted := 0
 	for g := range 20 {
-		turned.Add(1)
+		submitters.Add(1)
 		go func() {
-			defer turned.Done()
+			defer submitters.Done()
 			for i := range 100 {
 				name := fmt.Sprint(g, "/", i)
 				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: name, Units: 1, VolumeInitiators: 1},
 					Arrived: time.Now(), Timeout: 2 * time.Second}
 				j.Done = func(Response) {
 					mu.Lock()
-					answers[name]++
+					responses[name]++
 					mu.Unlock()
-					open.Done()
+					pending.Done()
 				}
-				open.Add(1)
+				pending.Add(1)
 				if !c.Submit(j) {
-					open.Done()
+					pending.Done()
 					continue
 				}
 				mu.Lock()
-				taken++
+				accepted++
 				mu.Unlock()
 			}
 		}()
 	}
-	turned.Wait()
-	open.Wait()
-	if len(answers) != taken {
-		t.Errorf("%d requests taken, %d answered", taken, len(answers))
+	submitters.Wait()
+	pending.Wait()
+	if len(responses) != accepted {
+		t.Errorf("%d requests accepted, %d responses", accepted, len(responses))
 	}
-	for name, n := range answers {
+	for name, n := range responses {
 		if n != 1 {
-			t.Errorf("%s: %d answers", name, n)
+			t.Errorf("%s: %d responses", name, n)
 		}
 	}
 }
 
-// TestObserver feeds the accounts: a request that is served, one whose client goes, and one that is refused have their time
-// accounted for in full, each in the part where it went, and none stays open.
+// TestObserver connects the core to the accounts: the whole time of a request that is served, of one that is cancelled and of one
+// that is rejected is accounted for, each under the part where it was spent, and none stays open.
 func TestObserver(t *testing.T) {
-	h := &hand{up: &fake{}, now: time.Now()}
+	h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
 	book := accounts.New(accounts.Options{Volumes: 10, Pairs: 10, Open: 10})
-	h.Core = New(module(t), h.up, NewClock(), Options{MaxOpen: 100, Observer: book})
+	h.Core = New(newScheduler(t), h.fake, NewClock(), Options{MaxOpen: 100, Observer: book})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
-	var answers []Response
-	h.step(h.now, []any{submitted{job("get", h.now, &answers)}})
-	began := h.now.Add(3 * time.Millisecond)
+	var responses []Response
+	h.step(h.now, []any{submitted{newJob("get", h.now, &responses)}})
+	sendStarted := h.now.Add(3 * time.Millisecond)
 	h.now = h.now.Add(40 * time.Millisecond)
-	h.step(h.now, []any{Result{RequestID: h.up.sent[0].RequestID, Target: "n", Code: policy.Served, SendStarted: began}})
-	h.step(h.now, []any{written{h.up.sent[0].RequestID, h.now.Add(2 * time.Millisecond)}})
-	if answers[0].OnWritten == nil {
-		t.Fatal("nobody would hear that the answer was written")
+	h.step(h.now, []any{Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: policy.Served, SendStarted: sendStarted}})
+	h.step(h.now, []any{responseWritten{h.fake.sent[0].RequestID, h.now.Add(2 * time.Millisecond)}})
+	if responses[0].OnWritten == nil {
+		t.Fatal("OnWritten is not set: the observer would not learn that the response was written")
 	}
 	a := book.Volume("v")
 	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.Node: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
 	if a == nil || a.Requests != 1 || a.Times != want {
 		t.Fatalf("%+v, want %v", a, want)
 	}
-	goes := job("get", h.now, &answers)
-	h.step(h.now, []any{submitted{goes}})
+	cancelledJob := newJob("get", h.now, &responses)
+	h.step(h.now, []any{submitted{cancelledJob}})
 	h.now = h.now.Add(10 * time.Millisecond)
-	h.step(h.now, []any{goes})
+	h.step(h.now, []any{cancelledJob})
 	h.step(h.now, []any{policy.EndpointList{Full: true}})
-	h.step(h.now, []any{submitted{job("get", h.now, &answers)}}) // no node any more: held, and refused
-	h.later(2 * time.Second)
-	if n := len(answers); n != 2 || answers[1].Status != Rejected {
-		t.Fatalf("answers %+v", answers)
+	h.step(h.now, []any{submitted{newJob("get", h.now, &responses)}}) // there is no target: queued, then rejected
+	h.advance(2 * time.Second)
+	if n := len(responses); n != 2 || responses[1].Status != Rejected {
+		t.Fatalf("responses %+v", responses)
 	}
-	answers[1].OnWritten()
-	h.step(h.now, h.box.Take(nil))
+	responses[1].OnWritten()
+	h.step(h.now, h.mailbox.Take(nil))
 	if a.Requests != 3 || a.Times[accounts.Bound] < 100*time.Millisecond {
-		t.Errorf("%+v: the third was held", a)
+		t.Errorf("%+v: want 3 requests, the third with its time in the queue", a)
 	}
 	if n := book.Open(); n != 0 {
 		t.Errorf("%d requests stay open", n)
 	}
 }
 
-// BenchmarkRequests steps the core by hand through requests of 100 volumes, each served, without accounts and with them.
+// BenchmarkRequests steps the core through requests of 100 volumes, each served, without accounts and with them.
 func BenchmarkRequests(b *testing.B) {
 	for name, observer := range map[string]Observer{"accounts=off": nil,
 		"accounts=on": accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 8192})} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
-			h := &hand{up: &fake{}, now: time.Now()}
-			h.Core = New(module(b), h.up, NewClock(), Options{MaxOpen: 100, Observer: observer})
+			h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
+			h.Core = New(newScheduler(b), h.fake, NewClock(), Options{MaxOpen: 100, Observer: observer})
 			h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 			for i := range b.N {
 				j := &Job{Request: policy.Request{Class: "get", Plan: "std", Volume: fmt.Sprint("v", i%100), Units: 1, VolumeInitiators: 1},
@@ -453,43 +456,43 @@
 					}}
 				h.step(h.now, []any{submitted{j}})
 				h.now = h.now.Add(20 * time.Millisecond)
-				for _, a := range h.up.sent {
+				for _, a := range h.fake.sent {
 					h.step(h.now, []any{Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.Served, SendStarted: h.now}})
 				}
-				h.up.sent = h.up.sent[:0]
-				h.step(h.now, h.box.Take(nil))
+				h.fake.sent = h.fake.sent[:0]
+				h.step(h.now, h.mailbox.Take(nil))
 			}
 		})
 	}
 }
 
-// TestAttemptsLastWithinWhatIsLeft has attempt after attempt of a request end, however late the core hears of it: each next one may last no longer
-// than its client still waits, less the margin for the answer.
-func TestAttemptsLastWithinWhatIsLeft(t *testing.T) {
+// TestAttemptDeadlinesWithinTimeout ends one attempt of a request after another, with the core behind by various times: each next attempt may
+// last no longer than the rest of the client's timeout, less the margin for the response.
+func TestAttemptDeadlinesWithinTimeout(t *testing.T) {
 	for _, code := range []policy.OutcomeCode{policy.TurnedAway, policy.NotConnected, policy.ConnectionReset, policy.NotSent} {
-		for _, behind := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond} {
-			h := newHand(t)
-			var answers []Response
+		for _, delay := range []time.Duration{0, 20 * time.Millisecond, 100 * time.Millisecond} {
+			h := newSteppedCore(t)
+			var responses []Response
 			arrived := h.now
-			h.now = h.now.Add(behind)
-			h.step(h.now, []any{submitted{job("get", arrived, &answers)}})
-			for tries := 1; len(answers) == 0; {
-				a := h.up.sent[len(h.up.sent)-1]
+			h.now = h.now.Add(delay)
+			h.step(h.now, []any{submitted{newJob("get", arrived, &responses)}})
+			for tries := 1; len(responses) == 0; {
+				a := h.fake.sent[len(h.fake.sent)-1]
 				if until := arrived.Add(2*time.Second - 10*time.Millisecond); a.Deadline.After(until) {
-					t.Fatalf("code %v, %v behind: attempt %d may last %v too long", code, behind, tries, a.Deadline.Sub(until))
+					t.Fatalf("code %v, %v behind: attempt %d may last %v too long", code, delay, tries, a.Deadline.Sub(until))
 				}
-				h.later(20 * time.Millisecond)
-				h.now = h.now.Add(behind)
-				h.step(h.now, []any{h.ends(code)})
-				for tries == len(h.up.sent) && len(answers) == 0 {
-					h.later(5 * time.Millisecond)
+				h.advance(20 * time.Millisecond)
+				h.now = h.now.Add(delay)
+				h.step(h.now, []any{h.lastResult(code)})
+				for tries == len(h.fake.sent) && len(responses) == 0 {
+					h.advance(5 * time.Millisecond)
 				}
-				if tries = len(h.up.sent); tries > 100 {
-					t.Fatal("it is tried without end")
+				if tries = len(h.fake.sent); tries > 100 {
+					t.Fatal("more than 100 attempts")
 				}
 			}
-			if len(h.up.sent) < 2 {
-				t.Errorf("code %v, %v behind: no further attempt", code, behind)
+			if len(h.fake.sent) < 2 {
+				t.Errorf("code %v, %v behind: no further attempt", code, delay)
 			}
 		}
 	}
