--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -14,139 +14,140 @@
 )
 
 const (
-	// bodyWithin is how long a body may take to come, and bodyRate how many bytes a second it must bring beyond that. True
-	// clients write 64 kB a second.
-	bodyWithin = headWithin
-	bodyRate   = 32 << 10
+	// bodyTimeout is how long a body may take to arrive, plus one second for each minBodyRate bytes received. Real clients send
+	// 64 kB a second.
+	bodyTimeout = headerTimeout
+	minBodyRate = 32 << 10
 )
 
-// paced reads a body for as long as it keeps coming.
-type paced struct {
-	body  io.Reader
-	rc    *http.ResponseController
-	since time.Time
-	got   int64
+// pacedReader reads a body with a deadline that moves on as bytes arrive.
+type pacedReader struct {
+	body     io.Reader
+	rc       *http.ResponseController
+	start    time.Time
+	received int64
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	at := p.since.Add(bodyWithin + time.Duration(p.got)*time.Second/bodyRate)
-	if err := p.rc.SetReadDeadline(at); err != nil && !errors.Is(err, http.ErrNotSupported) {
+func (p *pacedReader) Read(b []byte) (int, error) {
+	deadline := p.start.Add(bodyTimeout + time.Duration(p.received)*time.Second/minBodyRate)
+	if err := p.rc.SetReadDeadline(deadline); err != nil && !errors.Is(err, http.ErrNotSupported) {
 		return 0, err
 	}
 	n, err := p.body.Read(b)
-	p.got += int64(n)
+	p.received += int64(n)
 	return n, err
 }
 
-// broken is what a client is told whose body did not come whole.
-func broken(err error) *fault {
+// bodyError returns the response to a request whose body could not be read.
+func bodyError(err error) *requestError {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return bad(http.StatusRequestTimeout, "body: did not come whole")
-	case errors.Is(err, net.ErrClosed): // it made room, or the program leaves: nothing of it was taken
-		return &fault{status: http.StatusServiceUnavailable, text: refusedText}
-	case errors.Is(err, errLong):
-		return bad(http.StatusRequestEntityTooLarge, "body: over %d bytes", upstream.MaxBody)
+		return newRequestError(http.StatusRequestTimeout, "body: did not come whole")
+	case errors.Is(err, net.ErrClosed): // evicted, or stopped by a shutdown: the request has not run
+		return &requestError{status: http.StatusServiceUnavailable, text: rejectedText}
+	case errors.Is(err, errBodyTooLong):
+		return newRequestError(http.StatusRequestEntityTooLarge, "body: over %d bytes", upstream.MaxBody)
 	}
-	return bad(http.StatusBadRequest, "body: cannot be read")
+	return newRequestError(http.StatusBadRequest, "body: cannot be read")
 }
 
-var errLong = errors.New("body is too long")
+var errBodyTooLong = errors.New("body is too long")
 
-// receive takes the body: held, where it is small, or on its way to its target but for the last of it. A request that
-// could not be taken in for want of room or of a target is refused; nothing of it can have run. Held bytes are given back
-// by what it returns last.
-func (s *Server) receive(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message) (*fault, *core.Response, func()) {
-	free := func() {}
+// receiveBody reads the body: a small one is buffered, of a large one all but the last piece is sent to a target. A request is
+// rejected if there is no budget or no target for its body; it cannot have run. The returned function releases the budget of a
+// buffered body.
+func (s *Server) receiveBody(w http.ResponseWriter, r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message) (*requestError, *core.Response, func()) {
+	release := func() {}
 	if r.ContentLength == 0 {
-		return nil, nil, free
+		return nil, nil, release
 	}
-	body := &paced{body: r.Body, rc: http.NewResponseController(w), since: conn.arrival()}
+	body := &pacedReader{body: r.Body, rc: http.NewResponseController(w), start: conn.lastArrival()}
 	if r.ContentLength > upstream.MaxHeld {
-		f, a := s.forward(r, conn, j, m, body, nil)
-		return f, a, free
+		reqErr, resp := s.forwardBody(r, conn, j, m, body, nil)
+		return reqErr, resp, release
 	}
-	hold := r.ContentLength
-	if hold < 0 {
-		hold = upstream.MaxHeld
+	size := r.ContentLength
+	if size < 0 {
+		size = upstream.MaxHeld
 	}
-	if !s.opt.BufferBudget.Take(hold) {
-		return nil, &core.Overloaded, free
+	if !s.opt.BufferBudget.Take(size) {
+		return nil, &core.Overloaded, release
 	}
-	free = func() { s.opt.BufferBudget.Give(hold) }
-	held, whole, err := readHeld(body, r.ContentLength)
+	release = func() { s.opt.BufferBudget.Give(size) }
+	buffered, complete, err := readBuffered(body, r.ContentLength)
 	switch {
 	case err != nil:
-		return broken(err), nil, free
-	case !whole:
-		f, a := s.forward(r, conn, j, m, body, held)
-		return f, a, free
+		return bodyError(err), nil, release
+	case !complete:
+		reqErr, resp := s.forwardBody(r, conn, j, m, body, buffered)
+		return reqErr, resp, release
 	}
-	if left := hold - int64(len(held)); left > 0 {
-		s.opt.BufferBudget.Give(left)
-		hold -= left
+	if unused := size - int64(len(buffered)); unused > 0 {
+		s.opt.BufferBudget.Give(unused)
+		size -= unused
 	}
-	m.Body = held
-	return nil, nil, free
+	m.Body = buffered
+	return nil, nil, release
 }
 
-// readHeld reads a body of a known length, or one of an unknown length (-1) as far as may be held.
-func readHeld(body io.Reader, length int64) (held []byte, whole bool, err error) {
+// readBuffered reads a body of a known length, or one of an unknown length (-1) up to upstream.MaxHeld bytes.
+func readBuffered(body io.Reader, length int64) (buf []byte, complete bool, err error) {
 	if length >= 0 {
-		held = make([]byte, length)
-		_, err = io.ReadFull(body, held)
-		return held, true, err
+		buf = make([]byte, length)
+		_, err = io.ReadFull(body, buf)
+		return buf, true, err
 	}
-	held, err = io.ReadAll(io.LimitReader(body, upstream.MaxHeld))
-	return held, len(held) < upstream.MaxHeld, err
+	buf, err = io.ReadAll(io.LimitReader(body, upstream.MaxHeld))
+	return buf, len(buf) < upstream.MaxHeld, err
 }
 
-// forward has the body go ahead to the target that the module names, a piece at a time, all but the last one.
-func (s *Server) forward(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *paced, held []byte) (*fault, *core.Response) {
-	conn.claim() // it brings what it claimed to: it does not make room for others any more
-	a, done := upstream.Piece()
-	defer done()
-	b, doneToo := upstream.Piece()
-	defer doneToo()
-	if room := int64(len(a) + len(b)); !s.opt.BufferBudget.Take(room) {
+// forwardBody sends the body to the target that the scheduler names, one piece at a time and without the last piece, which the
+// attempt sends.
+func (s *Server) forwardBody(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *pacedReader, buffered []byte) (*requestError, *core.Response) {
+	conn.claimRequest() // a client that is sending its body: its connection must not be evicted any more
+	buf1, done1 := upstream.Piece()
+	defer done1()
+	buf2, done2 := upstream.Piece()
+	defer done2()
+	if size := int64(len(buf1) + len(buf2)); !s.opt.BufferBudget.Take(size) {
 		return nil, &core.Overloaded
 	} else {
-		defer s.opt.BufferBudget.Give(room)
-	}
-	ctx, leave := context.WithCancel(r.Context())
-	defer leave()
-	defer conn.mind(leave)()
-	node := make(chan string, 1)
-	s.core.Route(j.Shard, func(n string) { node <- n })
-	up, err := s.opt.OpenUpload(ctx, <-node, m, r.ContentLength, j.Timeout)
+		defer s.opt.BufferBudget.Give(size)
+	}
+	ctx, cancel := context.WithCancel(r.Context())
+	defer cancel()
+	defer conn.watchDisconnect(cancel)()
+	target := make(chan string, 1)
+	s.core.Route(j.Shard, func(n string) { target <- n })
+	up, err := s.opt.OpenUpload(ctx, <-target, m, r.ContentLength, j.Timeout)
 	if err != nil {
-		return nil, &noTarget
+		return nil, &noTargetResponse
 	}
-	defer context.AfterFunc(ctx, up.Close)() // a write to a target that does not read ends with it
-	f, err := feed(up, body, held, a, b)
-	if f != nil || err != nil {
+	defer context.AfterFunc(ctx, up.Close)() // ends a write that blocks on a target that does not read
+	reqErr, err := forwardPieces(up, body, buffered, buf1, buf2)
+	if reqErr != nil || err != nil {
 		up.Close()
-		if f != nil {
-			return f, nil
+		if reqErr != nil {
+			return reqErr, nil
 		}
-		return nil, &noTarget
+		return nil, &noTargetResponse
 	}
 	m.Upload, j.BoundEndpoint = up, up.Node()
 	return nil, nil
 }
 
-// noTarget refuses a request whose body found no target, or lost it.
-var noTarget = core.Response{Status: core.Rejected}
+// noTargetResponse rejects a request if there is no target for its body, or if the upload failed.
+var noTargetResponse = core.Response{Status: core.Rejected}
 
-// feed passes a body on and keeps its last piece back. What goes wrong on the client's side is a fault, on the target's an
-// error.
-func feed(up *upstream.Upload, body *paced, held, next, spare []byte) (*fault, error) {
-	last := held
-	var total = int64(len(held))
+// forwardPieces writes a body to the upload, except for the last piece, which it passes to Upload.Last. It returns a requestError for a
+// failure on the client's side, an error for one on the target's.
+func forwardPieces(up *upstream.Upload, body *pacedReader, buffered, next, spare []byte) (*requestError, error) {
+	last := buffered
+	var total = int64(len(buffered))
 	for {
-		n, err := fill(body, next)
+		n, err := readSome(body, next)
 		if total += int64(n); total > upstream.MaxBody {
-			return broken(errLong), nil
+			return bodyError(errBodyTooLong), nil
 		}
 		if n > 0 {
 			if len(last) > 0 {
@@ -162,70 +163,70 @@
 			up.Last(last)
 			return nil, nil
 		case err != nil:
-			return broken(err), nil
+			return bodyError(err), nil
 		}
 	}
 }
 
-// fill reads what there is, at least a byte.
-func fill(body io.Reader, b []byte) (n int, err error) {
+// readSome reads what is available, at least one byte.
+func readSome(body io.Reader, b []byte) (n int, err error) {
 	for n == 0 && err == nil {
 		n, err = body.Read(b)
 	}
 	return n, err
 }
 
-// headScan looks at a request's head as it comes in, for what net/http does not tell of it. It is fed by whoever reads the
-// connection and asked by the handler.
+// headScan scans a request's head as it arrives, for a Content-Length that net/http removes. The goroutine that reads the
+// connection writes to it and the handler queries it; clientConn.mu guards it.
 type headScan struct {
-	line   []byte // the request line, as far as it fits
-	field  []byte // the start of the line under way
-	lines  int
-	length bool // a Content-Length was there
-	done   bool
+	requestLine []byte // the request line, up to maxRequestLine bytes
+	fieldStart  []byte // the start of the current line, in lower case
+	lineCount   int
+	hasLength   bool // there is a Content-Length
+	done        bool
 }
 
 const (
-	maxLine     = 4 << 10
-	lengthField = "content-length:"
+	maxRequestLine = 4 << 10
+	lengthField    = "content-length:"
 )
 
-// feed takes bytes in.
-func (h *headScan) feed(b []byte) {
+// write scans the next bytes of the head.
+func (h *headScan) write(b []byte) {
 	for _, c := range b {
 		switch {
 		case h.done:
 			return
 		case c != '\n':
-			if h.lines == 0 && len(h.line) < maxLine {
-				h.line = append(h.line, c)
+			if h.lineCount == 0 && len(h.requestLine) < maxRequestLine {
+				h.requestLine = append(h.requestLine, c)
 			}
-			if len(h.field) < len(lengthField) && c != '\r' {
-				h.field = append(h.field, c|0x20) // a colon stays what it is
+			if len(h.fieldStart) < len(lengthField) && c != '\r' {
+				h.fieldStart = append(h.fieldStart, c|0x20) // lower case; a colon stays a colon
 			}
 			continue
-		case len(h.field) == 0:
-			if h.lines > 0 { // empty lines in front of a request are none of it
+		case len(h.fieldStart) == 0:
+			if h.lineCount > 0 { // empty lines before a request are not part of it
 				h.done = true
 			}
 		default:
-			h.length = h.length || string(h.field) == lengthField
-			h.lines++
+			h.hasLength = h.hasLength || string(h.fieldStart) == lengthField
+			h.lineCount++
 		}
-		h.field = h.field[:0]
+		h.fieldStart = h.fieldStart[:0]
 	}
 }
 
-// fresh has it look for the next head.
-func (h *headScan) fresh() {
-	*h = headScan{line: h.line[:0], field: h.field[:0]}
+// reset starts the scan of the next head.
+func (h *headScan) reset() {
+	*h = headScan{requestLine: h.requestLine[:0], fieldStart: h.fieldStart[:0]}
 }
 
-// codedAlone tells whether the request's head was seen whole, from its first line on, and has no Content-Length.
-func (h *headScan) codedAlone(r *http.Request) bool {
-	line := h.line
+// verifiedNoLength reports whether the request's head was scanned whole, from its request line on, and has no Content-Length.
+func (h *headScan) verifiedNoLength(r *http.Request) bool {
+	line := h.requestLine
 	if n := len(line); n > 0 && line[n-1] == '\r' {
 		line = line[:n-1]
 	}
-	return h.done && !h.length && string(line) == r.Method+" "+r.RequestURI+" "+r.Proto
+	return h.done && !h.hasLength && string(line) == r.Method+" "+r.RequestURI+" "+r.Proto
 }
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -18,7 +18,7 @@
 	"spindlehitch/internal/datapath/upstream"
 )
 
-const codedHead = goodHead + "Transfer-Encoding: chunked\r\n"
+const chunkedHead = validHead + "Transfer-Encoding: chunked\r\n"
 
 // TestChunkedBodies takes a body in chunks, with a trailer, cut anywhere, and several on one connection; it refuses what is
 // no body, what has a length as well, and what was read ahead of its turn so that nobody can tell.
@@ -30,7 +30,7 @@
 		}
 	}()
 	defer close(b.jobs)
-	coded := codedHead + "\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nA: b\r\n\r\n"
+	coded := chunkedHead + "\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nA: b\r\n\r\n"
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 		if cut%7 == 0 {
 			_, _ = io.WriteString(c, coded[:cut])
 			time.Sleep(2 * time.Millisecond)
-			if resp, body, _ := say(t, c, coded[cut:]); resp.StatusCode != 200 || body != "abcde" {
+			if resp, body, _ := roundTrip(t, c, coded[cut:]); resp.StatusCode != 200 || body != "abcde" {
 				t.Fatalf("cut at %d: %d, %q", cut, resp.StatusCode, body)
 			}
 		}
@@ -48,13 +48,13 @@
 	for name, raw := range map[string]string{
 		"a length in front":  strings.Replace(coded, "Tier:", "Content-Length: 4\r\nTier:", 1),
 		"a length behind":    strings.Replace(coded, "chunked\r\n", "chunked\r\nCONTENT-length: 0\r\n", 1),
-		"no number":          codedHead + "\r\nzz\r\nabc\r\n0\r\n\r\n",
-		"a number below 0":   codedHead + "\r\n-3\r\nabc\r\n0\r\n\r\n",
-		"a number past all":  codedHead + "\r\nfffffffffffffffff\r\nabc\r\n0\r\n\r\n",
-		"more than it tells": codedHead + "\r\n2\r\nabc\r\n0\r\n\r\n",
-		"an endless trailer": codedHead + "\r\n0\r\n" + strings.Repeat("A: b\r\n", 10<<10),
+		"no number":          chunkedHead + "\r\nzz\r\nabc\r\n0\r\n\r\n",
+		"a number below 0":   chunkedHead + "\r\n-3\r\nabc\r\n0\r\n\r\n",
+		"a number past all":  chunkedHead + "\r\nfffffffffffffffff\r\nabc\r\n0\r\n\r\n",
+		"more than it tells": chunkedHead + "\r\n2\r\nabc\r\n0\r\n\r\n",
+		"an endless trailer": chunkedHead + "\r\n0\r\n" + strings.Repeat("A: b\r\n", 10<<10),
 	} {
-		if resp, _, _ := ask(t, addr, raw); resp.StatusCode != 400 || !resp.Close {
+		if resp, _, _ := sendRequest(t, addr, raw); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%s: status %d, closes %v", name, resp.StatusCode, resp.Close)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	defer both.Close()
 	both.SetDeadline(time.Now().Add(20 * time.Second))
-	_, _ = io.WriteString(both, good+strings.Replace(coded, "id1", "id2", 1))
+	_, _ = io.WriteString(both, validRequest+strings.Replace(coded, "id1", "id2", 1))
 	in := bufio.NewReader(both)
 	for _, want := range []int{200, 400} {
 		resp, err := http.ReadResponse(in, nil)
@@ -80,14 +80,14 @@
 }
 
 // TestContinue has a client wait for the word to go on before it sends its body.
-func TestContinue(t *testing.T) {
+func TestExpectContinue(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
-	resp, _, c := ask(t, addr, goodHead+"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
+	resp, _, c := sendRequest(t, addr, validHead+"Expect: 100-continue\r\nContent-Length: 4\r\n\r\n")
 	if resp.StatusCode != 100 {
 		t.Fatalf("before the body: %d", resp.StatusCode)
 	}
-	if resp, _, _ := say(t, c, "body"); resp.StatusCode != 200 {
+	if resp, _, _ := roundTrip(t, c, "body"); resp.StatusCode != 200 {
 		t.Errorf("after the body: %d", resp.StatusCode)
 	}
 }
@@ -101,12 +101,12 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", goodHead, 60<<10)
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", validHead, 60<<10)
 	for range 15 {
 		_, _ = c.Write(make([]byte, 4<<10))
-		time.Sleep(bodyWithin / 12)
+		time.Sleep(bodyTimeout / 12)
 	}
-	if resp, _, _ := say(t, c, ""); resp.StatusCode != 200 {
+	if resp, _, _ := roundTrip(t, c, ""); resp.StatusCode != 200 {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
@@ -121,44 +121,44 @@
 		}
 		raw := []byte(head + "Transfer-Encoding: chunked\r\n\r\nContent-Length: 9\r\n\r\n")
 		var h headScan
-		h.feed([]byte("GET / HTTP/1.1\r\n"))
-		h.fresh()
+		h.write([]byte("GET / HTTP/1.1\r\n"))
+		h.reset()
 		for len(raw) > 0 {
 			n := rapid.IntRange(1, len(raw)).Draw(t, "cut")
-			h.feed(raw[:n])
+			h.write(raw[:n])
 			raw = raw[n:]
 		}
 		r := &http.Request{Method: "PUT", RequestURI: "/put/x", Proto: "HTTP/1.1"}
-		if h.codedAlone(r) == length {
+		if h.verifiedNoLength(r) == length {
 			t.Fatalf("a length %v, seen alone %v", length, !length)
 		}
-		h.fresh()
-		h.feed(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
-		if h.codedAlone(r) {
+		h.reset()
+		h.write(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
+		if h.verifiedNoLength(r) {
 			t.Fatal("garbage passed")
 		}
 	})
 }
 
 // forms are one request in forms that HTTP/1.1 has for it.
-var forms = map[string]string{
-	"as usual":            good,
-	"names in capitals":   strings.NewReplacer("Request-Id", "REQUEST-ID", "Tier", "tIER", "IO-Info", "io-info", "Content-Length", "content-length").Replace(good),
-	"no space, and tabs":  strings.NewReplacer("Host: ", "Host:", "Tier: std", "Tier:\t std \t", "Content-Length: 4", "Content-Length:4  ").Replace(good),
-	"lines end bare":      strings.ReplaceAll(good, "\r\n", "\n"),
-	"more fields":         strings.Replace(good, "Tier:", "X: "+strings.Repeat("x", 5000)+"\r\nAccept: */*\r\nTier:", 1),
-	"kept alive":          strings.Replace(good, "Tier:", "Connection: keep-alive\r\nTier:", 1),
-	"in chunks":           codedHead + "\r\n4\r\nbody\r\n0\r\n\r\n",
-	"a chunk a byte":      codedHead + "\r\n1\r\nb\r\n001\r\no\r\n1\r\nd\r\n1\r\ny\r\n000\r\n\r\n",
-	"chunks with more":    codedHead + "\r\n2;a=b\r\nbo\r\n2;c=\"d\"\r\ndy\r\n0;e\r\nX-Y: z\r\n\r\n",
-	"chunked in capitals": goodHead + "TRANSFER-ENCODING: Chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
-	"IO-Info in order":    strings.Replace(good, "volume=00000003b4d60021,units=2,shard=5,hosts=3", "hosts=3, shard=5,units=2.0 , volume=00000003B4D60021,new=1", 1),
+var requestForms = map[string]string{
+	"as usual":            validRequest,
+	"names in capitals":   strings.NewReplacer("Request-Id", "REQUEST-ID", "Tier", "tIER", "IO-Info", "io-info", "Content-Length", "content-length").Replace(validRequest),
+	"no space, and tabs":  strings.NewReplacer("Host: ", "Host:", "Tier: std", "Tier:\t std \t", "Content-Length: 4", "Content-Length:4  ").Replace(validRequest),
+	"lines end bare":      strings.ReplaceAll(validRequest, "\r\n", "\n"),
+	"more fields":         strings.Replace(validRequest, "Tier:", "X: "+strings.Repeat("x", 5000)+"\r\nAccept: */*\r\nTier:", 1),
+	"kept alive":          strings.Replace(validRequest, "Tier:", "Connection: keep-alive\r\nTier:", 1),
+	"in chunks":           chunkedHead + "\r\n4\r\nbody\r\n0\r\n\r\n",
+	"a chunk a byte":      chunkedHead + "\r\n1\r\nb\r\n001\r\no\r\n1\r\nd\r\n1\r\ny\r\n000\r\n\r\n",
+	"chunks with more":    chunkedHead + "\r\n2;a=b\r\nbo\r\n2;c=\"d\"\r\ndy\r\n0;e\r\nX-Y: z\r\n\r\n",
+	"chunked in capitals": validHead + "TRANSFER-ENCODING: Chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
+	"IO-Info in order":    strings.Replace(validRequest, "volume=00000003b4d60021,units=2,shard=5,hosts=3", "hosts=3, shard=5,units=2.0 , volume=00000003B4D60021,new=1", 1),
 }
 
 // TestInPieces has requests come in all forms that net/http takes, cut anywhere, one after another on a connection: each is taken as what it is, however it came.
-func TestInPieces(t *testing.T) {
+func TestRequestsInPieces(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	for name, raw := range forms {
+	for name, raw := range requestForms {
 		t.Run(name, func(t *testing.T) {
 			c := dial(t, addr)
 			in := bufio.NewReader(c)
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -19,138 +19,141 @@
 	"spindlehitch/internal/process/listen"
 )
 
-// A connection's phases. Whoever moves it on does so by a compare-and-swap, so that a connection is never closed to
-// make room once a request on it has been taken.
+// A connection's phases. Each change is a compare-and-swap, so that a connection is never evicted once a handler has claimed
+// a request on it.
 const (
-	quiet   int32 = iota // between requests, or nothing asked yet: no byte of a request has been read
-	reading              // part of a request has been read
-	active               // a request is open
-	spent                // a request was refused, and what is left of it is read away; no other follows
-	evicted              // ended between requests; nothing that comes on it counts any more
+	phaseIdle     int32 = iota // between requests or before the first: no byte of the next request has been read
+	phaseReading               // part of a request has been read
+	phaseActive                // a request is open
+	phaseDraining              // a request was rejected, and the rest of its body is read and discarded; no other request follows
+	phaseEvicted               // ended between requests; whatever arrives on it is ignored
 )
 
 const (
-	// aheadMost is how much is kept of what a client sends while its request is open: about a head and a body.
-	aheadMost = maxHead + upstream.MaxHeld
-	// aheadPieces is how many pieces of it are read at a time.
-	aheadPieces = 16
-	// mindEvery is how often a client is looked after whose body waits for its target.
-	mindEvery = 20 * time.Millisecond
+	// maxReadAhead is how many bytes are buffered that a client sends while its request is open: about a head and a body.
+	maxReadAhead = maxHeaderBytes + upstream.MaxHeld
+	// maxReadAheadPieces is how many pieces of it are read at a time.
+	maxReadAheadPieces = 16
+	// disconnectPollInterval is how often a connection is checked for a disconnect while its body waits for the target.
+	disconnectPollInterval = 20 * time.Millisecond
 )
 
-// errCut is what a read gives once no more is read from a connection. net/http answers nothing to it.
-var errCut error = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
+// errReadStopped is returned by reads after stopReads. net/http sends no response when a read fails with it.
+var errReadStopped error = &net.OpError{Op: "read", Net: "tcp", Err: net.ErrClosed}
 
-// clientConn notes when a client's bytes came and why its connection ended.
+// clientConn is a client's connection. It records when bytes arrive and why the connection ends.
 //
-// Reading from the socket and ending the connection exclude one another by its lock. So who ends it knows what has been read: a
-// request of which a byte was read is never dropped, and what comes after the end is never sent on.
+// The mutex makes reading from the socket and ending the connection exclude each other, so that it is known at the end what has
+// been read: a request of which a byte was read is never dropped, and what arrives after the end is never forwarded.
 //
-// net/http looks for a client's departure by a read of one byte, and is blind from then on. Here that read goes on, and keeps
-// what comes, for as long as the request is open.
+// net/http detects a client's disconnect by a background read of one byte, and cannot detect it any more once a byte has come.
+// Here that read continues and buffers what arrives, for as long as the request is open.
 type clientConn struct {
 	net.Conn
-	tcp    *net.TCPConn
-	raw    syscall.RawConn
-	table  *connTable
-	at     atomic.Pointer[time.Time] // of the last read that brought bytes
-	asked  atomic.Int64              // requests of which a head has come
-	taken  atomic.Bool               // a handler has the head of the request at hand
-	used   atomic.Bool               // a request has been answered on it
-	reason atomic.Pointer[string]
-	phase  atomic.Int32
-	since  time.Time // when it became quiet; under the table's lock
-	extra  bool      // past the cap, with none to make room
-	flood  atomic.Bool
-	failed atomic.Bool // a write did
-
-	mu      sync.Mutex
-	scan    headScan
-	into    []byte // of the read under way
-	got     int
-	gotErr  error
-	inRead  bool
-	watch   bool // the read under way is net/http's for a departure
-	more    bool // the reader's alone: there is more to read
-	endless bool // reads have no deadline
-	ahead   []byte
-	aheadAt time.Time
-	dropped int
-	lost    error // the client's end, once seen
-	cut     bool  // no more is read
-	closed  bool
-}
-
-// Read implements net.Conn. Only net/http's read for a departure is of one byte and has no deadline.
+	tcp         *net.TCPConn
+	raw         syscall.RawConn
+	table       *connTable
+	lastReadAt  atomic.Pointer[time.Time] // time of the last read that returned bytes
+	requests    atomic.Int64              // how many requests had their head received
+	inHandler   atomic.Bool               // a handler has been called for the current request
+	served      atomic.Bool               // at least one response has been sent on it
+	endReason   atomic.Pointer[string]
+	phase       atomic.Int32
+	idleSince   time.Time   // when it was accepted, or last became idle or failed to be evicted; guarded by the table's mutex
+	overCap     bool        // accepted over the cap, when no other could be evicted
+	overflowed  atomic.Bool // more than maxReadAhead came while a request was open: no later request is served
+	writeFailed atomic.Bool
+
+	// mu guards all fields below.
+	mu             sync.Mutex
+	scan           headScan
+	readBuf        []byte // the caller's buffer in the pending Read
+	readN          int    // and its results
+	readErr        error
+	readPending    bool
+	backgroundRead bool // the pending Read is net/http's, to detect a disconnect
+	moreToRead     bool // readAhead stopped before it had read everything; used by the reading goroutine only
+	noReadDeadline bool
+	aheadBuf       []byte    // bytes that arrived while a request was open
+	aheadAt        time.Time // when the last of them did
+	dropped        int       // how many were discarded after an overflow
+	closeErr       error     // io.EOF or the read error, once the client has closed or reset the connection
+	readStopped    bool      // nothing more is read from the socket for net/http
+	closed         bool
+}
+
+// Read implements net.Conn. net/http's read to detect a disconnect is recognised by its one-byte buffer and the absence of a deadline.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	c.into, c.got, c.gotErr, c.inRead, c.watch = b, 0, nil, true, len(b) == 1 && c.endless
+	c.readBuf, c.readN, c.readErr, c.readPending, c.backgroundRead = b, 0, nil, true, len(b) == 1 && c.noReadDeadline
 	c.mu.Unlock()
 	more, err := true, error(nil)
 	for more && err == nil {
-		c.more = false
-		err = c.raw.Read(c.pull)
-		more = c.more // its deadline may have been moved meanwhile
+		c.moreToRead = false
+		err = c.raw.Read(c.readOnce)
+		more = c.moreToRead // read on by another call, which checks the deadline: it may have been changed meanwhile
 	}
 	c.mu.Lock()
-	n, cut := c.got, c.cut && !c.watch
+	n, stopped := c.readN, c.readStopped && !c.backgroundRead
 	if err == nil {
-		err = c.gotErr
+		err = c.readErr
 	}
-	c.into, c.inRead = nil, false
+	c.readBuf, c.readPending = nil, false
 	c.mu.Unlock()
 	switch {
 	case n > 0:
 		return n, nil
-	case cut:
-		return 0, errCut
+	case stopped:
+		return 0, errReadStopped
 	case err != nil:
-		c.end(c.readCause(err))
+		c.setEndReason(c.readEndReason(err))
 	}
 	return 0, err
 }
 
-// pull reads once, and tells whether there was anything. The machine calls it again when more comes.
-func (c *clientConn) pull(fd uintptr) bool {
+// readOnce reads once for the pending Read and reports whether that is finished. If not, the runtime calls it again when the
+// socket is readable.
+func (c *clientConn) readOnce(fd uintptr) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.watch:
-		c.more = c.readAhead(int(fd), true)
-		c.gotErr = c.lost
-		return c.more || c.lost != nil
-	case len(c.ahead) > 0:
-		c.got = copy(c.into, c.ahead)
-		c.table.room.Give(int64(c.got))
-		if c.ahead = c.ahead[c.got:]; len(c.ahead) == 0 {
-			c.ahead = nil
+	case c.backgroundRead:
+		c.moreToRead = c.readAhead(int(fd), true)
+		c.readErr = c.closeErr
+		return c.moreToRead || c.closeErr != nil
+	case len(c.aheadBuf) > 0:
+		c.readN = copy(c.readBuf, c.aheadBuf)
+		c.table.bufferBudget.Give(int64(c.readN))
+		if c.aheadBuf = c.aheadBuf[c.readN:]; len(c.aheadBuf) == 0 {
+			c.aheadBuf = nil
 		}
 		at := c.aheadAt
-		c.at.Store(&at)
-	case c.cut || c.flood.Load():
-		c.gotErr = errCut
+		c.lastReadAt.Store(&at)
+	case c.readStopped || c.overflowed.Load():
+		c.readErr = errReadStopped
 		return true
-	case c.lost != nil:
-		c.gotErr = c.lost
+	case c.closeErr != nil:
+		c.readErr = c.closeErr
 		return true
 	default:
-		n, again := c.receive(int(fd), c.into)
-		if again {
+		n, wouldBlock := c.readSocket(int(fd), c.readBuf)
+		if wouldBlock {
 			return false
 		}
-		if c.got, c.gotErr = n, c.lost; n == 0 {
+		if c.readN, c.readErr = n, c.closeErr; n == 0 {
 			return true
 		}
 		now := time.Now()
-		c.at.Store(&now)
+		c.lastReadAt.Store(&now)
 	}
-	c.scan.feed(c.into[:c.got])
-	c.phase.CompareAndSwap(quiet, reading)
+	c.scan.write(c.readBuf[:c.readN])
+	c.phase.CompareAndSwap(phaseIdle, phaseReading)
 	return true
 }
 
-// receive reads from the socket and notes the client's end. It tells whether there was nothing yet. The connection is locked.
-func (c *clientConn) receive(fd int, b []byte) (n int, again bool) {
+// readSocket reads from the socket and records that the client has closed it. wouldBlock means that there was nothing to read.
+// The caller holds mu.
+func (c *clientConn) readSocket(fd int, b []byte) (n int, wouldBlock bool) {
 	for {
 		n, err := syscall.Read(fd, b)
 		switch {
@@ -159,48 +162,49 @@
 		case err == syscall.EAGAIN:
 			return 0, true
 		case err != nil:
-			c.lost = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", err)}
+			c.closeErr = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", err)}
 		case n == 0:
-			c.lost = io.EOF
+			c.closeErr = io.EOF
 		}
 		return max(n, 0), false
 	}
 }
 
-// readAhead takes what has come before its turn, as far as it may be kept. Past that it is dropped, and so is all else: what
-// would be left is no request. While a body is still read nothing may be dropped: what does not fit stays with the machine.
-// It tells whether it stopped before all was read, as it does after a while. The connection is locked.
-func (c *clientConn) readAhead(fd int, whole bool) (more bool) {
-	var one [1]byte
-	b, done := one[:], func() {}
+// readAhead buffers what has arrived while a request is open, up to maxReadAhead. Beyond that, everything is discarded, also what was
+// buffered and what comes later, since the rest would not be a valid request. While the request's body is still being read nothing may be
+// discarded: what does not fit stays in the kernel's buffer. It reports whether it stopped, after maxReadAheadPieces, before all was
+// read. The caller holds mu.
+func (c *clientConn) readAhead(fd int, bodyRead bool) (more bool) {
+	var oneByte [1]byte
+	b, done := oneByte[:], func() {}
 	defer func() { done() }()
-	for range aheadPieces {
-		if c.lost != nil || c.dropped >= drainMost {
+	for range maxReadAheadPieces {
+		if c.closeErr != nil || c.dropped >= maxDrainBytes {
 			return false
 		}
-		if !whole {
-			b = b[:min(len(b), aheadMost-len(c.ahead))]
+		if !bodyRead {
+			b = b[:min(len(b), maxReadAhead-len(c.aheadBuf))]
 		}
-		room, flooded := int64(len(b)), c.flood.Load()
-		if room == 0 || !flooded && !c.table.room.Take(room) {
-			return false // for want of room a request must not be lost: it stays with the machine
+		size, discarding := int64(len(b)), c.overflowed.Load()
+		if size == 0 || !discarding && !c.table.bufferBudget.Take(size) {
+			return false // a request must not be lost for lack of budget: it stays in the kernel's buffer
 		}
-		n, again := c.receive(fd, b)
-		kept := !flooded && len(c.ahead)+n <= aheadMost
+		n, wouldBlock := c.readSocket(fd, b)
+		keep := !discarding && len(c.aheadBuf)+n <= maxReadAhead
 		switch {
-		case kept:
-			c.table.room.Give(room - int64(n))
-			c.ahead = append(c.ahead, b[:n]...)
-		case !flooded:
-			c.table.room.Give(room)
-			c.flood.Store(true)
-			c.end("CLIENT_FLOOD")
-			c.forget()
+		case keep:
+			c.table.bufferBudget.Give(size - int64(n))
+			c.aheadBuf = append(c.aheadBuf, b[:n]...)
+		case !discarding:
+			c.table.bufferBudget.Give(size)
+			c.overflowed.Store(true)
+			c.setEndReason("CLIENT_FLOOD")
+			c.dropReadAhead()
 		}
 		switch {
-		case again:
+		case wouldBlock:
 			return false
-		case kept:
+		case keep:
 			c.aheadAt = time.Now()
 		default:
 			c.dropped += n
@@ -212,184 +216,189 @@
 	return true
 }
 
-// forget gives back what came ahead of its turn. The connection is locked.
-func (c *clientConn) forget() {
-	c.table.room.Give(int64(len(c.ahead)))
-	c.ahead = nil
+// dropReadAhead discards the bytes read ahead and returns them to the budget. The caller holds mu.
+func (c *clientConn) dropReadAhead() {
+	c.table.bufferBudget.Give(int64(len(c.aheadBuf)))
+	c.aheadBuf = nil
 }
 
-// gone tells whether the client has closed or reset the connection, as far as the machine knows. Its request is here whole, or
-// its body still comes.
-func (c *clientConn) gone(whole bool) bool {
+// clientClosed reports whether the client has closed or reset the connection, as far as the kernel knows. bodyRead says whether the
+// current request has been read to the end of its body.
+func (c *clientConn) clientClosed(bodyRead bool) bool {
 	if c.raw == nil {
 		return false
 	}
 	err := c.raw.Control(func(fd uintptr) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		c.readAhead(int(fd), whole)
+		c.readAhead(int(fd), bodyRead)
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.lost != nil {
-		c.end(c.readCause(c.lost))
+	if c.closeErr != nil {
+		c.setEndReason(c.readEndReason(c.closeErr))
 	}
-	return err != nil || c.lost != nil
+	return err != nil || c.closeErr != nil
 }
 
-// mind calls left once the client is gone, while nobody reads from it. It is to be stopped.
-func (c *clientConn) mind(left func()) (stop func()) {
-	ended := make(chan struct{})
+// watchDisconnect calls onDisconnect once the client has closed the connection, while no other goroutine reads from it. The caller must
+// call stop, which ends the goroutine.
+func (c *clientConn) watchDisconnect(onDisconnect func()) (stop func()) {
+	done := make(chan struct{})
 	go func() {
-		tick := time.NewTicker(mindEvery)
+		tick := time.NewTicker(disconnectPollInterval)
 		defer tick.Stop()
 		for {
 			select {
-			case <-ended:
+			case <-done:
 				return
 			case <-tick.C:
-				if c.gone(false) {
-					left()
+				if c.clientClosed(false) {
+					onDisconnect()
 					return
 				}
 			}
 		}
 	}()
-	return sync.OnceFunc(func() { close(ended) })
+	return sync.OnceFunc(func() { close(done) })
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.endless = t.IsZero()
+	c.noReadDeadline = t.IsZero()
 	return c.Conn.SetReadDeadline(t)
 }
 
-// Write implements net.Conn. net/http takes a line that was cut for a bad one, and would say so: what did not come whole is owed
-// no word.
+// Write implements net.Conn. If reads were stopped within a request's head, net/http takes the partial head for a malformed request
+// and would write an error response; that write fails, since an incomplete request gets no response.
 func (c *clientConn) Write(b []byte) (int, error) {
-	if !c.taken.Load() && c.stopped() {
-		return 0, errCut
+	if !c.inHandler.Load() && c.readsStopped() {
+		return 0, errReadStopped
 	}
 	n, err := c.Conn.Write(b)
 	if err != nil {
-		c.failed.Store(true)
-		c.end("CLIENT_WRITE_FAILED")
+		c.writeFailed.Store(true)
+		c.setEndReason("CLIENT_WRITE_FAILED")
 	}
 	return n, err
 }
 
-// stop has no more read from the connection. The connection is locked.
-func (c *clientConn) stop() {
-	c.cut = true
-	if c.inRead && !c.watch {
+// stopReads stops all reads for net/http, also the pending one. The caller holds mu.
+func (c *clientConn) stopReads() {
+	c.readStopped = true
+	if c.readPending && !c.backgroundRead {
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-func (c *clientConn) stopped() bool {
+func (c *clientConn) readsStopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.readStopped
 }
 
-// shut ends the connection if it is in the phase still, with nothing unread that may be a request: then it is asking just now.
-// One that is quiet is ended at once. Of one whose request has begun no more is read: what has come whole is answered, the rest
-// is none.
-func (c *clientConn) shut(phase int32) bool {
+// shutIfInPhase ends the connection if it is still in the phase and has no unread bytes, which may be a request that is just arriving.
+// An idle connection is half-closed at once. If a request has begun, only reading stops: a request that was received whole is answered,
+// a partial one is dropped.
+func (c *clientConn) shutIfInPhase(phase int32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.cut || len(c.ahead) > 0 || phase != spent && !upstream.Quiet(c.Conn) {
+	if c.readStopped || len(c.aheadBuf) > 0 || phase != phaseDraining && !upstream.Quiet(c.Conn) {
 		return false
 	}
-	to := phase
-	if phase == quiet {
-		to = evicted
+	next := phase
+	if phase == phaseIdle {
+		next = phaseEvicted
 	}
-	if !c.phase.CompareAndSwap(phase, to) {
+	if !c.phase.CompareAndSwap(phase, next) {
 		return false
 	}
-	c.stop()
-	if phase == quiet {
+	c.stopReads()
+	if phase == phaseIdle {
 		_ = c.tcp.CloseWrite()
 	}
 	return true
 }
 
-// Close implements net.Conn. A close over unread bytes would reset the connection, and take an answer with it that its client has not
-// read yet. So it is shut, and read until the client's end is seen, for a while; of what comes nothing is sent on.
+// Close implements net.Conn. Closing a socket with unread bytes would reset the connection, and the client would lose a response that it
+// has not read yet. So the connection is half-closed and read until the client closes it, for a limited time; what is read is discarded.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	again, over := c.closed, c.lost != nil || c.failed.Load()
+	alreadyClosed, peerClosed := c.closed, c.closeErr != nil || c.writeFailed.Load()
 	c.closed = true
-	c.stop()
-	c.forget()
+	c.stopReads()
+	c.dropReadAhead()
 	c.mu.Unlock()
 	switch {
-	case again:
+	case alreadyClosed:
 		return nil
-	case over || c.tcp.CloseWrite() != nil:
-		defer c.table.gone(c)
+	case peerClosed || c.tcp.CloseWrite() != nil:
+		defer c.table.remove(c)
 		return c.Conn.Close()
 	}
-	c.table.linger(c)
+	c.table.addLingering(c)
 	go func() {
-		defer c.table.gone(c)
+		defer c.table.remove(c)
 		_ = listen.Linger(c.Conn)
 	}()
 	return nil
 }
 
-// CloseWrite lets net/http half-close, so that an answer is not lost to a reset by bytes it never read.
+// CloseWrite lets net/http half-close the connection, so that a response is not lost to a reset caused by unread bytes.
 func (c *clientConn) CloseWrite() error {
 	return c.tcp.CloseWrite()
 }
 
-// rest has the connection wait for its next request, of which something may have come already.
-func (c *clientConn) rest() {
+// markIdle makes the connection wait for its next request, part of which may already be buffered.
+func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	to := quiet
-	if len(c.ahead) > 0 {
-		to = reading
+	next := phaseIdle
+	if len(c.aheadBuf) > 0 {
+		next = phaseReading
 	}
-	c.phase.CompareAndSwap(active, to)
+	c.phase.CompareAndSwap(phaseActive, next)
 }
 
-// ends tells whether the answer that is about to be written is the connection's last.
-func (c *clientConn) ends() bool { return c.flood.Load() || c.table != nil && c.table.last.Load() }
+// closesAfterResponse reports whether the connection is closed after the response that is about to be written.
+func (c *clientConn) closesAfterResponse() bool {
+	return c.overflowed.Load() || c.table != nil && c.table.closeAfterResponse.Load()
+}
 
-// claim takes the request that has been read. It ends the handler where the connection was closed meanwhile to make room.
-func (c *clientConn) claim() {
-	if !c.phase.CompareAndSwap(reading, active) &&
-		!c.phase.CompareAndSwap(quiet, active) { // all of it was read ahead, with the one before
+// claimRequest marks the request that has been read as active. It aborts the handler if the connection has been evicted meanwhile.
+func (c *clientConn) claimRequest() {
+	if !c.phase.CompareAndSwap(phaseReading, phaseActive) &&
+		!c.phase.CompareAndSwap(phaseIdle, phaseActive) { // all of it was read together with the previous request
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// codedAlone tells whether the request at hand has a transfer coding and, seen for certain, no length beside it.
-func (c *clientConn) codedAlone(r *http.Request) bool {
+// verifiedNoLength reports whether the head of the current request is known to have no Content-Length.
+func (c *clientConn) verifiedNoLength(r *http.Request) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.scan.codedAlone(r)
+	return c.scan.verifiedNoLength(r)
 }
 
-// next has the next head looked at. It is called before the answer goes out: no client that waits for it has sent more.
-func (c *clientConn) next() {
+// resetHeadScan starts the scan for the next request's head. It is called before the response is written: a client that waits for the
+// response has not sent its next request yet.
+func (c *clientConn) resetHeadScan() {
 	c.mu.Lock()
-	c.scan.fresh()
+	c.scan.reset()
 	c.mu.Unlock()
 }
 
-// end notes the first reason that is one.
-func (c *clientConn) end(reason string) {
+// setEndReason records why the connection ends. Only the first reason that is not empty counts.
+func (c *clientConn) setEndReason(reason string) {
 	if reason != "" {
-		c.reason.CompareAndSwap(nil, &reason)
+		c.endReason.CompareAndSwap(nil, &reason)
 	}
 }
 
-func (c *clientConn) readCause(err error) string {
+// readEndReason returns the reason code for a failed read, empty if the failure does not end the connection.
+func (c *clientConn) readEndReason(err error) string {
 	switch {
 	case errors.Is(err, io.EOF):
 		return "CLIENT_CLOSED"
@@ -399,13 +408,13 @@
 		return "CLIENT_READ_FAILED"
 	}
 	switch phase := c.phase.Load(); {
-	case phase == reading:
+	case phase == phaseReading:
 		return "REQUEST_LATE"
-	case phase == quiet && !c.used.Load():
+	case phase == phaseIdle && !c.served.Load():
 		return "SILENT"
 	}
-	// net/http ends its own background read by a deadline in the past, which is no one's end; and only while the
-	// program leaves is a connection kept so long that it ends an idle one.
+	// net/http stops its own background read by a deadline in the past, which does not end the connection. net/http's own idle timeout
+	// is so long that it expires only during shutdown.
 	return ""
 }
 
@@ -415,79 +424,81 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf is the connection that a request came on; a blank one in tests that have none.
-func connOf(ctx context.Context) *clientConn {
+// connFromContext returns the connection that a request came on, or an empty one in tests that have none.
+func connFromContext(ctx context.Context) *clientConn {
 	if c, ok := ctx.Value(connKey{}).(*clientConn); ok {
 		return c
 	}
 	return &clientConn{}
 }
 
-// arrival is when the last byte of the request so far was read, which may be well before a busy process
-// gets to run its handler: the client's time runs from there.
-func (c *clientConn) arrival() time.Time {
-	if at := c.at.Load(); at != nil {
+// lastArrival returns when the last byte of the request so far was read. In a busy process that may be well before its handler
+// runs; the client's timeout starts then.
+func (c *clientConn) lastArrival() time.Time {
+	if at := c.lastReadAt.Load(); at != nil {
 		return *at
 	}
 	return time.Now()
 }
 
 const (
-	// silentFor is how long a new connection may bring nothing before it makes room ahead of idle ones, where there is no
-	// room at all: usual clients connect to ask at once. Six times that while there is some.
-	silentFor = 50 * time.Millisecond
-	// stalledFor is how long a request that has begun may bring nothing before its connection makes room, where there is none
-	// otherwise; twice that while there is some. True ones may take 2 s, in a dozen pieces with gaps of 0.1 to 0.5 s, few of
-	// them longer. Clients count those that stall among the connections that they may hold.
-	stalledFor = 7 * silentFor
-	// unusedFor is how long an answered connection must have been without a request to make room while there is some.
-	// At ten times that, a crowd of connections that asked once shut usual clients out.
-	unusedFor = 25 * time.Millisecond
-	// slack is how many connections past the cap are taken, each to have one request refused.
-	slack = 8
-	// mostTries is how many connections a new one looks at for room.
-	mostTries = 8
+	// silentTimeout is how long a new connection may send nothing before it is evicted ahead of idle ones, if the cap is
+	// reached: normal clients connect in order to send a request at once. Below the cap it is six times as long.
+	silentTimeout = 50 * time.Millisecond
+	// stalledTimeout is how long a request that has begun may send nothing before its connection is evicted, if the cap is
+	// reached; below the cap it is twice as long. Real clients may take 2 s for a request, in a dozen pieces with gaps of 0.1 to
+	// 0.5 s, few of them longer. Stalled connections count against the number that clients may hold.
+	stalledTimeout = 7 * silentTimeout
+	// minUnusedTime is how long a connection must have been idle since its last response to be evicted below the cap.
+	// At ten times that, a crowd of connections that were used once kept normal clients from connecting.
+	minUnusedTime = 25 * time.Millisecond
+	// maxConnsOverCap is how many connections over the cap are accepted, each to have one request rejected.
+	maxConnsOverCap = 8
+	// maxEvictTries is how many evictions are tried for a new connection.
+	maxEvictTries = 8
 )
 
-// connTable caps clients' connections. A new one past the cap is still taken, since the machine has accepted
-// it and a request on it would be lost: one without a request makes room. Where there is none, the new one's
-// request is refused at once, and the connection closed.
+// connTable limits clients' connections. A new one over the cap is still accepted, since the kernel has accepted it
+// already and a request on it would be lost: one without a request is evicted instead. If there is none, the new
+// connection's request is rejected at once, and the connection closed.
 //
-// Past easy connections, the cap is for those with a request open alone. Clients hold so many and no more, those that
-// asked once and stay included: where these take all, usual ones cannot even connect, and no cap here would be met.
+// Above softMaxConns, connections without an open request are evicted too. Clients together hold a limited number of connections,
+// which includes those that were used once and stay open: if these take up that number, other clients cannot even connect, although
+// maxConns is not reached here.
 type connTable struct {
-	most int
-	easy int
-	log  *slog.Logger
-	room *budget.Bytes // for what comes ahead of its turn
-	last atomic.Bool   // each connection ends with its answer
-	mu   sync.Mutex
-	open map[*clientConn]bool
-	// shut are those that were ended here and wait for their clients' ends, the longest first. They have descriptors still.
-	shut []*clientConn
-	left bool
-}
-
-func newConnTable(most, easy int, room *budget.Bytes, log *slog.Logger) *connTable {
-	t := &connTable{log: log, room: room, open: map[*clientConn]bool{}}
-	t.bound(most, easy)
+	maxConns           int
+	softMaxConns       int
+	log                *slog.Logger
+	bufferBudget       *budget.Bytes // for bytes that are read ahead
+	closeAfterResponse atomic.Bool   // each connection is closed after its next response
+	mu                 sync.Mutex    // guards the limits, all fields below, and the connections' idleSince
+	open               map[*clientConn]bool
+	// lingering are the connections that were ended here and wait for their clients to close them, oldest first. They still have
+	// a descriptor.
+	lingering []*clientConn
+	stopping  bool // Server.Stop has been called
+}
+
+func newConnTable(maxConns, softMaxConns int, bytes *budget.Bytes, log *slog.Logger) *connTable {
+	t := &connTable{log: log, bufferBudget: bytes, open: map[*clientConn]bool{}}
+	t.setLimits(maxConns, softMaxConns)
 	return t
 }
 
-// bound sets the caps from now on; what is past them goes as others come.
-func (t *connTable) bound(most, easy int) {
+// setLimits changes the limits. Connections over them are evicted when new ones are accepted.
+func (t *connTable) setLimits(limit, softLimit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.most, t.easy = most, min(easy, most)
+	t.maxConns, t.softMaxConns = limit, min(softLimit, limit)
 }
 
-// listener wraps accepted connections.
-type listener struct {
+// trackingListener wraps accepted connections in clientConn and adds them to the table.
+type trackingListener struct {
 	net.Listener
 	table *connTable
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -495,187 +506,188 @@
 	return l.table.add(c), nil
 }
 
+// add adds an accepted connection, and evicts another if there are too many.
 func (t *connTable) add(c net.Conn) *clientConn {
-	cc := &clientConn{Conn: c, table: t, since: time.Now()}
-	cc.tcp = c.(*net.TCPConn) // as all listeners here give
+	cc := &clientConn{Conn: c, table: t, idleSince: time.Now()}
+	cc.tcp = c.(*net.TCPConn) // all listeners used here accept TCP connections
 	cc.raw, _ = cc.tcp.SyscallConn()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.open[cc] = true
-	full := len(t.open)+len(t.shut) > t.most
-	if full && len(t.shut) > 0 {
-		t.shut[0].Conn.Close()
-		t.shut = t.shut[1:]
-		full = len(t.open)+len(t.shut) > t.most
+	full := len(t.open)+len(t.lingering) > t.maxConns
+	if full && len(t.lingering) > 0 {
+		t.lingering[0].Conn.Close()
+		t.lingering = t.lingering[1:]
+		full = len(t.open)+len(t.lingering) > t.maxConns
 	}
-	if !full && len(t.open) <= t.easy {
+	if !full && len(t.open) <= t.softMaxConns {
 		return cc
 	}
-	for range mostTries {
-		o, phase := t.leastNeeded(cc, full)
-		if o == nil {
+	for range maxEvictTries {
+		candidate, phase := t.evictionCandidate(cc, full)
+		if candidate == nil {
 			break
 		}
-		if t.evict(o, phase, "CAP") {
-			return cc // one for one: what is idle serves its clients while the program leaves
+		if t.evict(candidate, phase, "CAP") {
+			return cc // not more than one each: idle connections are needed by their clients during shutdown
 		}
-		o.since = time.Now() // it is asking just now
+		candidate.idleSince = time.Now() // a request is just arriving on it
 	}
 	if full {
-		cc.extra = true
-		cc.end("CAP")
-		if len(t.open)+len(t.shut) > t.most+slack {
-			cc.phase.Store(evicted)
+		cc.overCap = true
+		cc.setEndReason("CAP")
+		if len(t.open)+len(t.lingering) > t.maxConns+maxConnsOverCap {
+			cc.phase.Store(phaseEvicted)
 			cc.Conn.Close()
 		}
 	}
 	return cc
 }
 
-// endIdle closes the connections that have been without a request for so long, unless the program leaves: what clients
-// have is then all they can use.
-func (t *connTable) endIdle(d time.Duration) {
+// closeIdle closes the connections that have been idle for d, except during shutdown, when clients have no other
+// connections to use.
+func (t *connTable) closeIdle(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.left {
+	if t.stopping {
 		return
 	}
 	for c := range t.open {
-		if c.used.Load() && time.Since(c.since) >= d && c.phase.Load() == quiet {
-			t.evict(c, quiet, "IDLE")
+		if c.served.Load() && time.Since(c.idleSince) >= d && c.phase.Load() == phaseIdle {
+			t.evict(c, phaseIdle, "IDLE")
 		}
 	}
 }
 
-// evict ends a connection that is still in the phase, which is any but active. The table is locked.
+// evict ends a connection if it is still in the phase, which must not be phaseActive. The caller holds t.mu.
 func (t *connTable) evict(c *clientConn, phase int32, reason string) bool {
-	if !c.shut(phase) {
+	if !c.shutIfInPhase(phase) {
 		return false
 	}
-	c.end(reason)
+	c.setEndReason(reason)
 	delete(t.open, c)
-	t.shut = append(t.shut, c)
+	t.lingering = append(t.lingering, c)
 	return true
 }
 
-// linger notes a connection that waits for its client's end.
-func (t *connTable) linger(c *clientConn) {
+// addLingering records that a connection waits for its client to close it.
+func (t *connTable) addLingering(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, c)
-	if !slices.Contains(t.shut, c) {
-		t.shut = append(t.shut, c)
+	if !slices.Contains(t.lingering, c) {
+		t.lingering = append(t.lingering, c)
 	}
 }
 
-// gone notes that a connection has no descriptor any more.
-func (t *connTable) gone(c *clientConn) {
+// remove records that a connection's descriptor has been closed.
+func (t *connTable) remove(c *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.open, c)
-	if i := slices.Index(t.shut, c); i >= 0 {
-		t.shut = slices.Delete(t.shut, i, i+1)
+	if i := slices.Index(t.lingering, c); i >= 0 {
+		t.lingering = slices.Delete(t.lingering, i, i+1)
 	}
 }
 
-// leastNeeded is the connection to close for a new one: one that has been refused; otherwise one that has said nothing
-// for a while, the oldest first; otherwise the one unused longest; otherwise one whose request has begun and stalled, the
-// longest stalled first. Where the table is full also one that is new and silent. Never one with a request open, nor one
-// whose request keeps coming, however slowly. With it comes the phase it was seen in.
-func (t *connTable) leastNeeded(but *clientConn, full bool) (best *clientConn, seen int32) {
+// evictionCandidate returns the connection to evict for a new one, and the phase it was seen in: one whose request was rejected;
+// otherwise a new one that has sent nothing for a while, the oldest first; otherwise the one idle longest; otherwise one whose request
+// has begun and stalled, the longest stalled first. If the table is full, also one that is new and has sent nothing yet. It is never
+// one with an open request, nor one whose request keeps arriving, however slowly.
+func (t *connTable) evictionCandidate(except *clientConn, full bool) (candidate *clientConn, candidatePhase int32) {
 	now := time.Now()
 	rank := func(c *clientConn, phase int32) (int, time.Time) {
-		first, silent := !c.used.Load(), now.Sub(c.since)
-		stalled := min(silent, now.Sub(c.arrival()))
+		unserved, quietFor := !c.served.Load(), now.Sub(c.idleSince)
+		stalledFor := min(quietFor, now.Sub(c.lastArrival()))
 		switch {
-		case phase == spent:
-			return 5, c.since
-		case phase == quiet && first && (silent > 6*silentFor || full && silent > silentFor):
-			return 4, c.since
-		case phase == quiet && !first && (full || silent > unusedFor):
-			return 3, c.since
-		case phase == reading && (full && stalled > stalledFor || stalled > 2*stalledFor):
-			return 2, now.Add(-stalled)
-		case phase == quiet && first && full:
-			return 1, c.since
+		case phase == phaseDraining:
+			return 5, c.idleSince
+		case phase == phaseIdle && unserved && (quietFor > 6*silentTimeout || full && quietFor > silentTimeout):
+			return 4, c.idleSince
+		case phase == phaseIdle && !unserved && (full || quietFor > minUnusedTime):
+			return 3, c.idleSince
+		case phase == phaseReading && (full && stalledFor > stalledTimeout || stalledFor > 2*stalledTimeout):
+			return 2, now.Add(-stalledFor)
+		case phase == phaseIdle && unserved && full:
+			return 1, c.idleSince
 		}
 		return 0, now
 	}
-	most, oldest := 0, now
+	bestRank, bestTime := 0, now
 	for c := range t.open {
 		phase := c.phase.Load()
-		if r, at := rank(c, phase); c != but && r > 0 && (r > most || r == most && at.Before(oldest)) {
-			best, seen, most, oldest = c, phase, r, at
+		if r, at := rank(c, phase); c != except && r > 0 && (r > bestRank || r == bestRank && at.Before(bestTime)) {
+			candidate, candidatePhase, bestRank, bestTime = c, phase, r, at
 		}
 	}
-	return best, seen
+	return candidate, candidatePhase
 }
 
-// state follows net/http's states, and logs one line when a connection ends.
-func (t *connTable) state(c net.Conn, st http.ConnState) {
+// connState follows net/http's connection states, and logs one line when a connection ends.
+func (t *connTable) connState(c net.Conn, st http.ConnState) {
 	cc, ok := c.(*clientConn)
 	if !ok {
 		return
 	}
 	switch st {
 	case http.StateActive:
-		cc.asked.Add(1)
+		cc.requests.Add(1)
 	case http.StateIdle:
 		t.mu.Lock()
-		cc.since = time.Now()
+		cc.idleSince = time.Now()
 		t.mu.Unlock()
-		cc.used.Store(true)
-		cc.taken.Store(false)
-		cc.rest()
+		cc.served.Store(true)
+		cc.inHandler.Store(false)
+		cc.markIdle()
 	case http.StateClosed, http.StateHijacked:
 		t.mu.Lock()
 		delete(t.open, cc)
-		left := t.left
+		shuttingDown := t.stopping
 		t.mu.Unlock()
-		reason := "CLOSED_BY_US" // after an answer that says so, or bytes that are no request
-		if left {
+		reason := "CLOSED_BY_US" // after a response with Connection: close, or bytes that are not a request
+		if shuttingDown {
 			reason = "LEAVING"
 		}
-		if p := cc.reason.Load(); p != nil && *p != "CLIENT_READ_FAILED" {
+		if p := cc.endReason.Load(); p != nil && *p != "CLIENT_READ_FAILED" {
 			reason = *p
 		}
 		t.log.Info("connection ended", slog.String("side", "client"), slog.String("peer", c.RemoteAddr().String()),
-			slog.String("reason", reason), slog.Int64("requests", cc.asked.Load()))
+			slog.String("reason", reason), slog.Int64("requests", cc.requests.Load()))
 	}
 }
 
-// leave marks that connections end from now on because the program does.
-func (t *connTable) leave() {
+// markStopping records that the server is shutting down, as the reason for connections that end from now on.
+func (t *connTable) markStopping() {
 	t.mu.Lock()
-	t.left = true
+	t.stopping = true
 	t.mu.Unlock()
 }
 
-// endAsked closes the connections that have had an answer and have no request, and tells how many are left of those that
-// may still bring one.
-func (t *connTable) endAsked() (left int) {
+// closeServed closes the idle connections that have had a response, and returns how many of the others have or may still
+// send a request.
+func (t *connTable) closeServed() (remaining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.open {
 		switch phase := c.phase.Load(); {
-		case phase == quiet && c.used.Load() && t.evict(c, quiet, "LEAVING"):
-		case phase != spent:
-			left++
+		case phase == phaseIdle && c.served.Load() && t.evict(c, phaseIdle, "LEAVING"):
+		case phase != phaseDraining:
+			remaining++
 		}
 	}
-	return left
+	return remaining
 }
 
-// endAll ends what has no request open, and has all others end with their answers. A request that has begun may come whole
-// until hurry. It tells how many connections are left, and how many of them only wait for their clients' ends.
-func (t *connTable) endAll(hurry bool) (left, waiting int) {
-	t.last.Store(true)
+// closeForShutdown closes idle connections, and has all others closed after their responses. Partial requests may still be completed,
+// unless dropPartial is set. It returns how many connections remain, and how many of these only wait for their clients to close them.
+func (t *connTable) closeForShutdown(dropPartial bool) (remaining, onlyLingering int) {
+	t.closeAfterResponse.Store(true)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.open {
-		if phase := c.phase.Load(); phase == quiet || phase != active && hurry {
+		if phase := c.phase.Load(); phase == phaseIdle || phase != phaseActive && dropPartial {
 			t.evict(c, phase, "LEAVING")
 		}
 	}
-	return len(t.open) + len(t.shut), len(t.shut)
+	return len(t.open) + len(t.lingering), len(t.lingering)
 }
--- a/internal/datapath/front/ends_test.go
+++ b/internal/datapath/front/disconnect_test.go
@@ -25,24 +25,24 @@
 )
 
 // lines keeps what a front logs.
-type lines struct {
-	mu sync.Mutex
-	b  bytes.Buffer
+type logBuffer struct {
+	mu  sync.Mutex
+	buf bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.Write(p)
+	return l.buf.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.b.String()
+	return l.buf.String()
 }
 
-func (l *lines) edit(s *Server) {
+func (l *logBuffer) attach(s *Server) {
 	s.opt.Log = slog.New(slog.NewTextHandler(l, nil))
 	s.conns.log = s.opt.Log
 }
@@ -57,20 +57,20 @@
 }
 
 // count is how many connections there are, and how many wait for their clients' ends.
-func (t *connTable) count() (open, shut int) {
+func (t *connTable) counts() (open, shut int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return len(t.open), len(t.shut)
+	return len(t.open), len(t.lingering)
 }
 
 // empty waits until no connection is left.
-func empty(t *testing.T, s *Server) {
+func waitNoConns(t *testing.T, s *Server) {
 	t.Helper()
-	require.Eventually(t, func() bool { open, shut := s.conns.count(); return open+shut == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { open, shut := s.conns.counts(); return open+shut == 0 }, 20*time.Second, time.Millisecond)
 }
 
 // ended holds that so many connections have their line. It may come a moment after the connection is gone.
-func (l *lines) ended(t *testing.T, want int) {
+func (l *logBuffer) requireEnded(t *testing.T, want int) {
 	t.Helper()
 	count := func() int { return strings.Count(l.String(), "connection ended") }
 	require.Eventually(t, func() bool { return count() >= want }, 20*time.Second, time.Millisecond)
@@ -78,7 +78,7 @@
 }
 
 // the is the one connection there is.
-func (t *connTable) the() (only *clientConn) {
+func (t *connTable) onlyConn() (only *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for c := range t.open {
@@ -88,7 +88,7 @@
 }
 
 // unbroken holds that no reset has come.
-func unbroken(t *testing.T, c *net.TCPConn) {
+func requireNoReset(t *testing.T, c *net.TCPConn) {
 	t.Helper()
 	raw, err := c.SyscallConn()
 	require.NoError(t, err)
@@ -101,55 +101,55 @@
 
 // TestLeftAfterMore has clients send more while their request is open, from a byte to a flood, and go in each way there is: the
 // core is told, no second request is taken, and what was kept is given back. net/http alone stops looking after one byte.
-func TestLeftAfterMore(t *testing.T) {
-	var log lines
-	s, b, addr := newFront(t, 64, log.edit)
+func TestDisconnectAfterPipelinedBytes(t *testing.T) {
+	var log logBuffer
+	s, b, addr := newFront(t, 64, log.attach)
 	room := s.opt.BufferBudget.Left()
 	ways := map[string]func(*net.TCPConn){"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}
 	for name, leave := range ways {
-		for _, more := range []string{"", "G", good, good + good, strings.Repeat("x", 3*aheadMost), strings.Repeat("x", 3<<20)} {
+		for _, more := range []string{"", "G", validRequest, validRequest + validRequest, strings.Repeat("x", 3*maxReadAhead), strings.Repeat("x", 3<<20)} {
 			c := dial(t, addr)
-			_, _ = io.WriteString(c, good)
+			_, _ = io.WriteString(c, validRequest)
 			j := <-b.jobs
 			_, _ = io.WriteString(c, more)
 			leave(c)
 			select {
-			case g := <-b.gone:
+			case g := <-b.cancelled:
 				require.Same(t, j, g)
 			case <-time.After(5 * time.Second):
 				t.Fatalf("%s after %d bytes more: the core was not told", name, len(more))
 			}
 		}
 	}
-	empty(t, s)
+	waitNoConns(t, s)
 	require.Empty(t, b.jobs)
 	require.Equal(t, room, s.opt.BufferBudget.Left())
-	log.ended(t, 18)
+	log.requireEnded(t, 18)
 	require.Contains(t, log.String(), "CLIENT_FLOOD")
 }
 
 // TestMoreIsKept has a second request come while the first is open, cut anywhere: it is served after it, in chunks too, where it was
 // not in the first one's packet. Past what is kept a connection ends with its answer, which its client can read.
-func TestMoreIsKept(t *testing.T) {
+func TestPipelinedRequestIsServed(t *testing.T) {
 	s, b, addr := newFront(t, 64)
-	second := codedHead + "\r\n3\r\nabc\r\n0\r\n\r\n"
+	second := chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n"
 	kept := func() int {
-		c := s.conns.the()
+		c := s.conns.onlyConn()
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return len(c.ahead) + c.dropped
+		return len(c.aheadBuf) + c.dropped
 	}
-	for _, cut := range []int{1, 2, len(goodHead), len(second)} {
+	for _, cut := range []int{1, 2, len(validHead), len(second)} {
 		c := dial(t, addr)
 		in := bufio.NewReader(c)
-		_, _ = io.WriteString(c, good)
+		_, _ = io.WriteString(c, validRequest)
 		j := <-b.jobs
 		_, _ = io.WriteString(c, second[:cut])
 		require.Eventually(t, func() bool { return kept() == cut }, 20*time.Second, time.Millisecond)
 		j.Done(core.Response{Payload: []byte("first")})
 		_, _ = io.WriteString(c, second[cut:])
-		require.Equal(t, "abc", string((j2(t, b)).Body))
+		require.Equal(t, "abc", string((serveSecond(t, b)).Body))
 		for _, want := range []string{"first", "second"} {
 			resp, err := http.ReadResponse(in, nil)
 			require.NoError(t, err)
@@ -158,28 +158,28 @@
 			require.Equal(t, want, string(body))
 		}
 		c.Close()
-		empty(t, s)
+		waitNoConns(t, s)
 	}
 	// Where there is no room for it, it waits with the machine.
 	c := dial(t, addr)
-	_, _ = io.WriteString(c, good)
+	_, _ = io.WriteString(c, validRequest)
 	j := <-b.jobs
 	left := s.opt.BufferBudget.Left()
 	s.opt.BufferBudget.Give(-left)
-	cc := s.conns.the()
-	_, _ = io.WriteString(c, strings.Replace(strings.Replace(goodHead, "PUT", "GET", 1), "/put/", "/get/", 1)+"\r\n")
-	require.Eventually(t, func() bool { return cc.flood.Load() || !upstream.Quiet(cc.Conn) }, 20*time.Second, time.Millisecond)
-	require.False(t, cc.gone(true))
+	cc := s.conns.onlyConn()
+	_, _ = io.WriteString(c, strings.Replace(strings.Replace(validHead, "PUT", "GET", 1), "/put/", "/get/", 1)+"\r\n")
+	require.Eventually(t, func() bool { return cc.overflowed.Load() || !upstream.Quiet(cc.Conn) }, 20*time.Second, time.Millisecond)
+	require.False(t, cc.clientClosed(true))
 	j.Done(core.Response{Payload: []byte("first")})
-	j2(t, b)
+	serveSecond(t, b)
 	s.opt.BufferBudget.Give(left)
 	c.Close()
-	empty(t, s)
+	waitNoConns(t, s)
 	c = dial(t, addr)
-	_, _ = io.WriteString(c, good)
+	_, _ = io.WriteString(c, validRequest)
 	j = <-b.jobs
-	_, _ = io.WriteString(c, strings.Repeat("x", 2*aheadMost))
-	require.Eventually(t, func() bool { return kept() > aheadMost }, 20*time.Second, time.Millisecond)
+	_, _ = io.WriteString(c, strings.Repeat("x", 2*maxReadAhead))
+	require.Eventually(t, func() bool { return kept() > maxReadAhead }, 20*time.Second, time.Millisecond)
 	j.Done(core.Response{Payload: []byte("last")})
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -190,7 +190,7 @@
 }
 
 // j2 takes the next request and serves it as the second.
-func j2(t *testing.T, b *back) *upstream.Message {
+func serveSecond(t *testing.T, b *fakeCore) *upstream.Message {
 	select {
 	case j := <-b.jobs:
 		j.Done(core.Response{Payload: []byte("second")})
@@ -202,16 +202,16 @@
 }
 
 // TestLeftBeforeTaken has a client write its request and go before the process comes to read it: it never reaches the core.
-func TestLeftBeforeTaken(t *testing.T) {
-	for name, raw := range map[string]string{"write": good, "read": strings.Replace(strings.Replace(goodHead, "PUT", "GET", 1), "/put/", "/get/", 1) + "\r\n",
-		"chunks": codedHead + "\r\n3\r\nabc\r\n0\r\n\r\n", "pipeline": good + "GET"} {
+func TestDisconnectBeforeAccept(t *testing.T) {
+	for name, raw := range map[string]string{"write": validRequest, "read": strings.Replace(strings.Replace(validHead, "PUT", "GET", 1), "/put/", "/get/", 1) + "\r\n",
+		"chunks": chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n", "pipeline": validRequest + "GET"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		c := dial(t, l.Addr().String())
 		_, _ = io.WriteString(c, raw)
 		c.Close()
-		var log lines
-		s, b, _ := newFront(t, 64, log.edit)
+		var log logBuffer
+		s, b, _ := newFront(t, 64, log.attach)
 		go func() { _ = s.Serve(l) }() // only now is it accepted
 		require.Eventually(t, func() bool { return strings.Contains(log.String(), "connection ended") }, 20*time.Second, time.Millisecond)
 		require.Empty(t, b.jobs, name)
@@ -221,7 +221,7 @@
 
 // TestLeftWhileBodyWaits has a client of a large body go while its way to the target is being opened, with bytes of the body
 // unread: the way is given up, and nothing reaches the core.
-func TestLeftWhileBodyWaits(t *testing.T) {
+func TestDisconnectWhileUploadOpens(t *testing.T) {
 	opening, given := make(chan bool), make(chan error, 1)
 	_, b, addr := newFront(t, 64, func(s *Server) {
 		s.opt.OpenUpload = func(ctx context.Context, _ string, _ *upstream.Message, _ int64, _ time.Duration) (*upstream.Upload, error) {
@@ -232,7 +232,7 @@
 		}
 	})
 	c := dial(t, addr)
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", goodHead, 10*upstream.MaxHeld, strings.Repeat("x", upstream.MaxHeld/2))
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", validHead, 10*upstream.MaxHeld, strings.Repeat("x", upstream.MaxHeld/2))
 	<-opening
 	c.Close()
 	select {
@@ -245,31 +245,31 @@
 
 // TestCloseKeepsAnswer has clients send more than is read of them, and read their answer only once the connection was closed: it is
 // there whole, and no reset took it.
-func TestCloseKeepsAnswer(t *testing.T) {
+func TestCloseKeepsResponse(t *testing.T) {
 	more := strings.Repeat("x", 100<<10)
 	for name, x := range map[string]struct {
 		raw  string
 		want int
 	}{
 		"garbage":       {"nonsense\r\n\r\n" + more, 400},
-		"odd coding":    {goodHead + "Transfer-Encoding: gzip\r\n\r\n" + more, 501},
+		"odd coding":    {validHead + "Transfer-Encoding: gzip\r\n\r\n" + more, 501},
 		"long head":     {"GET / HTTP/1.1\r\nX: " + more + "\r\n\r\n", 431},
-		"expects":       {goodHead + "Expect: tea\r\nContent-Length: 102400\r\n\r\n" + more, 417},
-		"bad head":      {strings.Replace(good, "std", "odd", 1) + more, 422},
-		"bad with body": {strings.Replace(goodHead, "std", "odd", 1) + "Content-Length: 102400\r\n\r\n" + more, 422},
-		"asks to close": {strings.Replace(good, "Tier:", "Connection: close\r\nTier:", 1) + more, 200},
-		"floods":        {good + more, 200},
+		"expects":       {validHead + "Expect: tea\r\nContent-Length: 102400\r\n\r\n" + more, 417},
+		"bad head":      {strings.Replace(validRequest, "std", "odd", 1) + more, 422},
+		"bad with body": {strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 102400\r\n\r\n" + more, 422},
+		"asks to close": {strings.Replace(validRequest, "Tier:", "Connection: close\r\nTier:", 1) + more, 200},
+		"floods":        {validRequest + more, 200},
 	} {
 		s, b, addr := newFront(t, 64)
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, x.raw)
 		if x.want == 200 {
 			j := <-b.jobs
-			cc := s.conns.the()
-			require.Eventually(t, func() bool { return cc.flood.Load() }, 20*time.Second, time.Millisecond, name)
+			cc := s.conns.onlyConn()
+			require.Eventually(t, func() bool { return cc.overflowed.Load() }, 20*time.Second, time.Millisecond, name)
 			j.Done(core.Response{Payload: []byte("answer")})
 		}
-		require.Eventually(t, func() bool { open, _ := s.conns.count(); return open == 0 }, 20*time.Second, time.Millisecond, name)
+		require.Eventually(t, func() bool { open, _ := s.conns.counts(); return open == 0 }, 20*time.Second, time.Millisecond, name)
 		all, err := io.ReadAll(c)
 		require.NoError(t, err, name)
 		require.Contains(t, string(all), fmt.Sprintf("HTTP/1.1 %d ", x.want), name)
@@ -279,11 +279,11 @@
 
 // TestEndMeetsRequest ends a resting connection, in each way there is, whose client has not read its last answer and then asks again:
 // the answer is there, the end is clean, and the request that crossed it goes nowhere.
-func TestEndMeetsRequest(t *testing.T) {
+func TestRequestCrossingClose(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"idle":    func(s *Server) { s.conns.endIdle(0) },
-		"leaving": func(s *Server) { s.conns.endAll(false) },
-		"handed":  func(s *Server) { s.conns.endAsked() },
+		"idle":    func(s *Server) { s.conns.closeIdle(0) },
+		"leaving": func(s *Server) { s.conns.closeForShutdown(false) },
+		"handed":  func(s *Server) { s.conns.closeServed() },
 		"room": func(s *Server) {
 			s.SetConnLimits(1, 1)
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
@@ -295,15 +295,15 @@
 	} {
 		s, b, addr := newFront(t, 64)
 		c := dial(t, addr)
-		_, _ = io.WriteString(c, good)
+		_, _ = io.WriteString(c, validRequest)
 		(<-b.jobs).Done(core.Response{Payload: []byte("answer")})
-		cc := s.conns.the()
-		require.Eventually(t, func() bool { return cc.phase.Load() == quiet }, 20*time.Second, time.Millisecond)
+		cc := s.conns.onlyConn()
+		require.Eventually(t, func() bool { return cc.phase.Load() == phaseIdle }, 20*time.Second, time.Millisecond)
 		end(s)
-		require.Equal(t, evicted, cc.phase.Load(), name)
-		_, err := io.WriteString(c, good)
+		require.Equal(t, phaseEvicted, cc.phase.Load(), name)
+		_, err := io.WriteString(c, validRequest)
 		require.NoError(t, err, name)
-		unbroken(t, c)
+		requireNoReset(t, c)
 		require.Eventually(t, func() bool { cc.mu.Lock(); defer cc.mu.Unlock(); return cc.closed }, 20*time.Second, time.Millisecond)
 		all, err := io.ReadAll(c)
 		require.NoError(t, err, name)
@@ -313,14 +313,14 @@
 }
 
 // paused is a front whose connections stop at a state until they are let go on.
-func paused(t *testing.T, at http.ConnState) (s *Server, b *back, addr string, reached chan bool, release func()) {
+func newPausedFront(t *testing.T, at http.ConnState) (s *Server, b *fakeCore, addr string, reached chan bool, release func()) {
 	reached, free := make(chan bool), make(chan bool)
 	s, b, addr = newFront(t, 64, func(s *Server) {
-		a := admitted
+		a := testAdmission
 		a.Shutdown = core.ShutdownSchedule{RespondWithin: 5 * time.Second}
 		s.SetAdmission(a)
 		s.http.ConnState = func(c net.Conn, st http.ConnState) {
-			s.conns.state(c, st)
+			s.conns.connState(c, st)
 			if st == at {
 				reached <- true
 				<-free
@@ -332,24 +332,24 @@
 
 // TestReadAsItEnds stops the process right after it has read a request, or with one unread on a resting connection, and has it leave
 // in that instant: the request is answered, on a connection that ends with it.
-func TestReadAsItEnds(t *testing.T) {
+func TestRequestReadDuringShutdown(t *testing.T) {
 	for name, at := range map[string]http.ConnState{"read": http.StateActive, "unread": http.StateIdle} {
-		s, b, addr, reached, release := paused(t, at)
+		s, b, addr, reached, release := newPausedFront(t, at)
 		c := dial(t, addr)
 		in := bufio.NewReader(c)
-		_, _ = io.WriteString(c, good)
+		_, _ = io.WriteString(c, validRequest)
 		if at == http.StateIdle {
 			(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 			resp, err := http.ReadResponse(in, nil)
 			require.NoError(t, err)
 			_, _ = io.Copy(io.Discard, resp.Body)
 			<-reached
-			_, _ = io.WriteString(c, good)
-			require.Eventually(t, func() bool { return !upstream.Quiet(s.conns.the().Conn) }, 20*time.Second, time.Millisecond)
+			_, _ = io.WriteString(c, validRequest)
+			require.Eventually(t, func() bool { return !upstream.Quiet(s.conns.onlyConn().Conn) }, 20*time.Second, time.Millisecond)
 		} else {
 			<-reached
 		}
-		s.conns.endAll(true)
+		s.conns.closeForShutdown(true)
 		stopped, drops := make(chan error, 1), make(chan bool)
 		s.http.RegisterOnShutdown(func() { close(drops) })
 		go func() { stopped <- s.Stop(context.Background()) }()
@@ -380,33 +380,33 @@
 }
 
 // behind is a listener of a process that is slow to accept.
-type behind struct {
+type slowListener struct {
 	*net.TCPListener
-	on chan bool
+	mayAccept chan bool
 }
 
-func (b behind) Accept() (net.Conn, error) {
-	<-b.on
+func (b slowListener) Accept() (net.Conn, error) {
+	<-b.mayAccept
 	return b.TCPListener.Accept()
 }
 
 // TestTakesWhatWaits has the process leave while it has not come to accept a connection with a request on it: it is served.
-func TestTakesWhatWaits(t *testing.T) {
+func TestShutdownAcceptsBacklog(t *testing.T) {
 	other, b, _ := newFront(t, 64)
 	opt := other.opt
 	opt.Admission.Shutdown = core.ShutdownSchedule{RespondWithin: 5 * time.Second}
 	s := New(b, opt)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	late := behind{l.(*net.TCPListener), make(chan bool)}
+	late := slowListener{l.(*net.TCPListener), make(chan bool)}
 	go func() { _ = s.Serve(late) }()
 	c := dial(t, l.Addr().String())
-	_, _ = io.WriteString(c, good)
+	_, _ = io.WriteString(c, validRequest)
 	require.Eventually(t, func() bool { return s.listener.Load() != nil }, 20*time.Second, time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	require.Eventually(t, func() bool { return s.left.Load() != nil }, 20*time.Second, time.Millisecond)
-	time.AfterFunc(takeWithin/4, func() { close(late.on) })
+	require.Eventually(t, func() bool { return s.stoppedAt.Load() != nil }, 20*time.Second, time.Millisecond)
+	time.AfterFunc(backlogTimeout/4, func() { close(late.mayAccept) })
 	select {
 	case j := <-b.jobs:
 		j.Done(core.Response{Payload: []byte("x")})
@@ -422,19 +422,19 @@
 
 // TestPartReadAsItEnds has the process leave while part of a request has come: its end may still come for a while; after that it is
 // refused or dropped, never sent on.
-func TestPartReadAsItEnds(t *testing.T) {
-	for name, cut := range map[string]int{"head": len(goodHead) / 2, "body": len(good) - 2} {
+func TestPartialRequestDuringShutdown(t *testing.T) {
+	for name, cut := range map[string]int{"head": len(validHead) / 2, "body": len(validRequest) - 2} {
 		for _, hurry := range []bool{false, true} {
 			s, b, addr := newFront(t, 64)
 			c := dial(t, addr)
-			_, _ = io.WriteString(c, good[:cut])
+			_, _ = io.WriteString(c, validRequest[:cut])
 			var cc *clientConn
 			require.Eventually(t, func() bool {
-				cc = s.conns.the()
-				return cc != nil && cc.phase.Load() == reading
+				cc = s.conns.onlyConn()
+				return cc != nil && cc.phase.Load() == phaseReading
 			}, 20*time.Second, time.Millisecond)
-			s.conns.endAll(hurry)
-			_, _ = io.WriteString(c, good[cut:])
+			s.conns.closeForShutdown(hurry)
+			_, _ = io.WriteString(c, validRequest[cut:])
 			if !hurry {
 				(<-b.jobs).Done(core.Response{Payload: []byte("whole")})
 			}
@@ -455,12 +455,12 @@
 
 // TestEndsAreBounded has clients that never close what was ended: they wait for a while, at most as many as there is room for, and
 // make room before all others do.
-func TestEndsAreBounded(t *testing.T) {
+func TestLingeringConnsAreBounded(t *testing.T) {
 	const most = 6
 	s, b, addr := newFront(t, most)
 	for range 4 * most {
 		c := dial(t, addr)
-		_, _ = io.WriteString(c, good)
+		_, _ = io.WriteString(c, validRequest)
 		select {
 		case j := <-b.jobs:
 			j.Done(core.Response{Status: core.Conflict}) // which ends the connection
@@ -470,21 +470,21 @@
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		require.Equal(t, 409, resp.StatusCode)
-		open, shut := s.conns.count()
+		open, shut := s.conns.counts()
 		require.LessOrEqual(t, open+shut, most+1)
 	}
-	_, shut := s.conns.count()
+	_, shut := s.conns.counts()
 	require.NotZero(t, shut, "they were not waited for")
-	empty(t, s)
+	waitNoConns(t, s)
 }
 
 // TestNothingHeldBack looks at the option by which the system would hold small writes back: they would go with a reset.
-func TestNothingHeldBack(t *testing.T) {
+func TestNoDelayIsSet(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	c := dial(t, addr)
-	_, _ = io.WriteString(c, good)
+	_, _ = io.WriteString(c, validRequest)
 	j := <-b.jobs
-	require.NoError(t, s.conns.the().raw.Control(func(fd uintptr) {
+	require.NoError(t, s.conns.onlyConn().raw.Control(func(fd uintptr) {
 		on, err := unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NODELAY)
 		require.NoError(t, err)
 		require.Equal(t, 1, on)
@@ -495,17 +495,17 @@
 // TestGarbageAndCuts sends requests that were cut, doubled, or spoilt anywhere, many at a time, with fixed seeds: each is answered or its
 // connection ended in time, what reaches the core is a whole request, one line tells of each connection, nothing stays held, and the
 // next client is served.
-func TestGarbageAndCuts(t *testing.T) {
-	var log lines
-	s, b, addr := newFront(t, 400, log.edit, func(s *Server) {
+func TestDamagedRequests(t *testing.T) {
+	var log logBuffer
+	s, b, addr := newFront(t, 400, log.attach, func(s *Server) {
 		s.opt.OpenUpload = func(context.Context, string, *upstream.Message, int64, time.Duration) (*upstream.Upload, error) {
 			return nil, upstream.ErrNoUpload
 		}
 	})
 	room := s.opt.BufferBudget.Left()
 	spoilt := rapid.Custom(func(t *rapid.T) string {
-		raw := []byte(rapid.SampledFrom([]string{good, good + good, goodHead + "\r\n", codedHead + "\r\n3\r\nabc\r\n0\r\n\r\n",
-			strings.Replace(good, "Content-Length: 4", "Content-Length: 70000", 1) + strings.Repeat("b", 70000)}).Draw(t, "whole"))
+		raw := []byte(rapid.SampledFrom([]string{validRequest, validRequest + validRequest, validHead + "\r\n", chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n",
+			strings.Replace(validRequest, "Content-Length: 4", "Content-Length: 70000", 1) + strings.Repeat("b", 70000)}).Draw(t, "whole"))
 		for range rapid.IntRange(1, 3).Draw(t, "times") {
 			from := rapid.IntRange(0, min(len(raw), 400)).Draw(t, "from")
 			to := min(from+rapid.IntRange(0, 40).Draw(t, "length"), len(raw))
@@ -539,17 +539,17 @@
 				return
 			}
 			defer c.Close()
-			c.SetDeadline(time.Now().Add(2 * (headWithin + drainFor)))
+			c.SetDeadline(time.Now().Add(2 * (headerTimeout + drainTimeout)))
 			_, _ = io.WriteString(c, raw)
 			_, err = io.ReadAll(c)
 			assert.NoError(t, err, "%.1000q", raw)
 		})
 	}
 	wait.Wait()
-	empty(t, s)
-	log.ended(t, clients)
+	waitNoConns(t, s)
+	log.requireEnded(t, clients)
 	require.Equal(t, clients, strings.Count(log.String(), "reason="))
 	require.Equal(t, room, s.opt.BufferBudget.Left())
-	resp, _, _ := ask(t, addr, good)
+	resp, _, _ := sendRequest(t, addr, validRequest)
 	require.Equal(t, 200, resp.StatusCode)
 }
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -1,4 +1,5 @@
-// Package front is the platform's HTTP/1.1 side: it accepts, parses and answers, and decides nothing.
+// Package front is the HTTP/1.1 server for the platform's clients. It accepts connections, parses requests and writes
+// responses; the core makes all decisions.
 package front
 
 import (
@@ -23,139 +24,140 @@
 )
 
 const (
-	maxTimeoutMs = 10 * 60 * 1000
-	maxHead      = 16 << 10
-	// headWithin is how long a head may take to come: from its first byte, or from the connection's start. True clients
-	// take up to 2 s. One that is slower, or says nothing, is owed an end within 3 s.
-	headWithin = 2500 * time.Millisecond
-	// idleFor is how long a connection is kept for a next request, but while the program leaves. Clients count it among
-	// the few they may hold.
-	idleFor = 2 * time.Second
-	// drainFor and drainMost bound what is read of a refused body, to be thrown away: the client must be able to
-	// read its answer before a reset takes it.
-	drainFor  = 3 * time.Second
-	drainMost = 64 << 20
-	// takeWithin is how long a process that is behind may still take connections that came before it stopped to listen.
-	takeWithin = 200 * time.Millisecond
-	// lastBytes is how long a request may still take to come whole once connections are ended because the program leaves.
-	lastBytes = 150 * time.Millisecond
-	// writeWithin is how long a client may take to read a piece of its answer.
-	writeWithin = 10 * time.Second
+	maxTimeoutMs   = 10 * 60 * 1000
+	maxHeaderBytes = 16 << 10
+	// headerTimeout is how long a request's head may take to arrive, from its first byte or from the start of the connection.
+	// Real clients take up to 2 s. A connection whose client is slower, or sends nothing, must be ended within 3 s.
+	headerTimeout = 2500 * time.Millisecond
+	// defaultIdleTimeout is how long a connection is kept open for another request, except during shutdown. An idle connection
+	// counts against the few that clients may hold.
+	defaultIdleTimeout = 2 * time.Second
+	// drainTimeout and maxDrainBytes bound how much of a rejected body is read and discarded: the client must be able to
+	// read its response before the connection is reset.
+	drainTimeout  = 3 * time.Second
+	maxDrainBytes = 64 << 20
+	// backlogTimeout is how long a busy process may still accept the connections in the backlog before it closes the listener.
+	backlogTimeout = 200 * time.Millisecond
+	// partialRequestGrace is how long a request that has begun may still take to arrive once shutdown closes connections.
+	partialRequestGrace = 150 * time.Millisecond
+	// writeTimeout is how long a client may take to read a piece of its response.
+	writeTimeout = 10 * time.Second
 )
 
-// Options set up the front.
+// Options configure the front.
 type Options struct {
-	Admission    Admission   // at first
+	Admission    Admission   // until SetAdmission
 	MaxConns     int         // clients' connections at a time
-	SoftMaxConns int         // of these, how many may be without a request
-	Ready        func() bool // whether requests can be sent on; nil: from the start
-	ReadyOnly    bool        // requests come in by another front
+	SoftMaxConns int         // above this number, those without a request are evicted
+	Ready        func() bool // whether requests can be forwarded; nil: always
+	ReadyOnly    bool        // serve /-/ready only: requests come in through another front
 	Figures      *figures.Book
 	BufferBudget *budget.Bytes // for bodies and pieces of them
-	// Ahead opens a large body's way to a target.
-	OpenUpload func(ctx context.Context, node string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
+	// OpenUpload opens an upload to a target, for a body that is too large to be buffered.
+	OpenUpload func(ctx context.Context, target string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
 	Log        *slog.Logger
 }
 
-// Admits is what requests may name, and how the front leaves for the longest that their clients wait. It isn't changed once it is given.
+// Admission holds the classes and plans that requests may name, and the shutdown schedule for the longest timeout of their clients.
+// It must not be changed once it has been passed to the front.
 type Admission struct {
 	Classes  map[string]bool
 	Plans    map[string]bool
 	Shutdown core.ShutdownSchedule
 }
 
-// Core is what the front needs of the core.
+// Core is the part of core.Core that the front uses.
 type Core interface {
 	Submit(*core.Job) bool
 	Cancel(*core.Job)
-	Route(shard int, reply func(node string))
+	Route(shard int, reply func(target string))
 }
 
-// Server is the front.
+// Server is the front's HTTP server. Serve runs it, Stop ends it.
 type Server struct {
-	opt      Options
-	core     Core
-	http     http.Server
-	listener atomic.Pointer[net.Listener]
-	conns    *connTable
-	left     atomic.Pointer[time.Time] // when Stop was called
-	handed   atomic.Bool
-	idle     time.Duration // idleFor
-	admits   atomic.Pointer[Admission]
+	opt         Options
+	core        Core
+	http        http.Server
+	listener    atomic.Pointer[net.Listener]
+	conns       *connTable
+	stoppedAt   atomic.Pointer[time.Time] // when Stop was called
+	handedOver  atomic.Bool               // HandOver was called
+	idleTimeout time.Duration             // defaultIdleTimeout, except in tests
+	admission   atomic.Pointer[Admission]
 }
 
 // New returns a front for the core.
 func New(c Core, opt Options) *Server {
-	s := &Server{opt: opt, core: c, idle: idleFor, conns: newConnTable(opt.MaxConns, opt.SoftMaxConns, opt.BufferBudget, opt.Log)}
-	s.http = http.Server{Handler: s, ReadHeaderTimeout: headWithin, IdleTimeout: core.NewShutdownSchedule(math.MaxInt64).RespondWithin + idleFor, MaxHeaderBytes: maxHead,
-		ConnState: s.conns.state, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}
+	s := &Server{opt: opt, core: c, idleTimeout: defaultIdleTimeout, conns: newConnTable(opt.MaxConns, opt.SoftMaxConns, opt.BufferBudget, opt.Log)}
+	s.http = http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, IdleTimeout: core.NewShutdownSchedule(math.MaxInt64).RespondWithin + defaultIdleTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: s.conns.connState, ConnContext: withConn, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}
 	s.SetAdmission(opt.Admission)
 	return s
 }
 
-// Admit says what requests may name from now on. What was taken before is not asked again.
-func (s *Server) SetAdmission(a Admission) { s.admits.Store(&a) }
+// SetAdmission changes what requests may name. Requests that were parsed before are not checked again.
+func (s *Server) SetAdmission(a Admission) { s.admission.Store(&a) }
 
-// Serve accepts until Stop.
+// Serve accepts and serves connections on l until Stop.
 func (s *Server) Serve(l net.Listener) error {
 	s.listener.Store(&l)
 	ended := make(chan struct{})
 	defer close(ended)
 	go func() {
-		tick := time.NewTicker(s.idle / 8)
+		tick := time.NewTicker(s.idleTimeout / 8)
 		defer tick.Stop()
 		for {
 			select {
 			case <-ended:
 				return
 			case <-tick.C:
-				s.conns.endIdle(s.idle)
+				s.conns.closeIdle(s.idleTimeout)
 			}
 		}
 	}()
-	err := s.http.Serve(listener{l, s.conns})
-	if errors.Is(err, http.ErrServerClosed) || s.left.Load() != nil {
+	err := s.http.Serve(trackingListener{l, s.conns})
+	if errors.Is(err, http.ErrServerClosed) || s.stoppedAt.Load() != nil {
 		return nil
 	}
 	return err
 }
 
-// HandOver tells that a successor takes clients at the same socket: Stop need not wait for any.
-func (s *Server) HandOver() { s.handed.Store(true) }
+// HandOver records that a successor accepts on the same socket: Stop need not wait for new clients.
+func (s *Server) HandOver() { s.handedOver.Store(true) }
 
-// Bound sets how many connections of clients there may be, and how many without a request, from now on.
-func (s *Server) SetConnLimits(most, easy int) { s.conns.bound(most, easy) }
+// SetConnLimits changes how many client connections there may be, and above which number those without a request are evicted.
+func (s *Server) SetConnLimits(maxConns, softMaxConns int) { s.conns.setLimits(maxConns, softMaxConns) }
 
-// Stop leaves ready at once, keeps accepting while clients may still come, serves them for a while on the connections
-// they have, and then finishes what was taken until the context ends.
+// Stop shuts the front down. It is not ready from then on. It accepts connections while new clients may still arrive, serves
+// requests on existing connections for a while, and then waits for open requests to finish, until the context ends.
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
-	s.left.Store(&now)
-	s.conns.leave()
-	how := s.admits.Load().Shutdown
-	if s.handed.Load() {
-		how.AcceptFor, how.ServeFor = 0, 0
+	s.stoppedAt.Store(&now)
+	s.conns.markStopping()
+	schedule := s.admission.Load().Shutdown
+	if s.handedOver.Load() {
+		schedule.AcceptFor, schedule.ServeFor = 0, 0
 	}
-	core.SleepUntil(ctx, now.Add(how.AcceptFor))
+	core.SleepUntil(ctx, now.Add(schedule.AcceptFor))
 	if l := s.listener.Load(); l != nil {
-		// What the machine has accepted and nobody has taken would be reset. At a successor's socket it is the successor's.
-		for until := time.Now().Add(takeWithin); !s.handed.Load() && listen.Waiting(*l) && ctx.Err() == nil && time.Now().Before(until); {
+		// Connections left in the kernel's backlog would be reset when the listener is closed. After a handover the successor accepts them.
+		for until := time.Now().Add(backlogTimeout); !s.handedOver.Load() && listen.Waiting(*l) && ctx.Err() == nil && time.Now().Before(until); {
 			core.SleepUntil(ctx, time.Now().Add(time.Millisecond))
 		}
 		(*l).Close()
 	}
-	// Clients of a successor go to it by themselves: each connection ends with its answer, and those that have just been
-	// made, and have brought no request yet, have their time for one.
-	for until := now.Add(headWithin); s.handed.Load() && s.conns.endAsked() > 0 && ctx.Err() == nil && time.Now().Before(until); {
+	// After a handover clients connect to the successor: each connection is closed after its response, and new ones that have
+	// sent no request yet have headerTimeout to send one.
+	for until := now.Add(headerTimeout); s.handedOver.Load() && s.conns.closeServed() > 0 && ctx.Err() == nil && time.Now().Before(until); {
 		core.SleepUntil(ctx, time.Now().Add(10*time.Millisecond))
 	}
-	core.SleepUntil(ctx, now.Add(how.ServeFor))
-	// net/http drops what it has read once it shuts down, and closes an idle connection in whose request it is just reading. So
-	// that comes last, when there is none left but for those whose clients do not close them.
-	hurry, over := now.Add(how.ServeFor+lastBytes), now.Add(how.RespondWithin)
+	core.SleepUntil(ctx, now.Add(schedule.ServeFor))
+	// http.Server.Shutdown drops requests that have been read but not started, and closes connections that it considers idle although
+	// a request is being read. So it is called last, when only connections remain that their clients do not close.
+	partialDeadline, responseDeadline := now.Add(schedule.ServeFor+partialRequestGrace), now.Add(schedule.RespondWithin)
 	for ctx.Err() == nil {
-		left, waiting := s.conns.endAll(time.Now().After(hurry))
-		if left == 0 || left == waiting && time.Now().After(over) {
+		remaining, lingering := s.conns.closeForShutdown(time.Now().After(partialDeadline))
+		if remaining == 0 || remaining == lingering && time.Now().After(responseDeadline) {
 			break
 		}
 		core.SleepUntil(ctx, time.Now().Add(5*time.Millisecond))
@@ -164,106 +166,106 @@
 }
 
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := connOf(r.Context())
-	conn.taken.Store(true)
-	arrived := conn.arrival()
-	if ready := r.URL.Path == "/-/ready"; ready || s.opt.ReadyOnly || conn.extra {
-		conn.claim()
-		conn.next()
-		if conn.ends() {
+	conn := connFromContext(r.Context())
+	conn.inHandler.Store(true)
+	arrived := conn.lastArrival()
+	if ready := r.URL.Path == "/-/ready"; ready || s.opt.ReadyOnly || conn.overCap {
+		conn.claimRequest()
+		conn.resetHeadScan()
+		if conn.closesAfterResponse() {
 			w.Header().Set("Connection", "close")
 		}
 		switch {
 		case ready:
-			s.ready(w)
+			s.serveReady(w)
 		case s.opt.ReadyOnly:
 			http.NotFound(w, r)
 		default:
 			w.Header().Set("Connection", "close")
-			s.write(w, core.Overloaded)
+			s.writeResponse(w, core.Overloaded)
 			s.opt.Figures.Ended(classOf(r), figures.Overload)
 		}
 		return
 	}
-	j, m, f := s.parse(r)
-	var early *core.Response
-	free := func() {}
-	if f == nil {
-		f, early, free = s.receive(w, r, conn, j, m)
+	j, m, reqErr := s.parseHead(r)
+	var rejection *core.Response
+	release := func() {}
+	if reqErr == nil {
+		reqErr, rejection, release = s.receiveBody(w, r, conn, j, m)
 	}
-	defer func() { free() }()
+	defer func() { release() }()
 	switch {
-	case f != nil:
+	case reqErr != nil:
 		s.opt.Figures.Ended(classOf(r), figures.Failure)
-		refuseBad(w, r, conn, f)
+		rejectAndDrain(w, r, conn, reqErr)
 		return
-	case early != nil:
+	case rejection != nil:
 		s.opt.Figures.Ended(j.Class, figures.Overload)
-		refuseBad(w, r, conn, &fault{after: early.RetryAfter, status: http.StatusServiceUnavailable, text: refusedText})
+		rejectAndDrain(w, r, conn, &requestError{retryAfter: rejection.RetryAfter, status: http.StatusServiceUnavailable, text: rejectedText})
 		return
 	}
 	if m.Upload != nil {
-		defer m.Upload.Close() // where no attempt has taken it over
+		defer m.Upload.Close() // no effect once an attempt uses it
 	} else {
-		conn.claim()
+		conn.claimRequest()
 	}
 	if r.ContentLength != 0 {
-		arrived = conn.arrival()
+		arrived = conn.lastArrival()
 	}
-	seen := s.opt.Figures.Take(j.Class)
-	defer seen.End(figures.Failure) // where nothing else is known by then
-	// The time for the request to come must not run out on it while it is open.
+	counted := s.opt.Figures.Take(j.Class)
+	defer counted.End(figures.Failure) // unless another ending has been counted by then
+	// The read deadline for the body must not expire while the request is open.
 	if r.ContentLength != 0 && http.NewResponseController(w).SetReadDeadline(time.Time{}) != nil {
 		panic(http.ErrAbortHandler)
 	}
-	j.Timeout = s.admits.Load().Shutdown.LimitTimeout(j.Timeout, arrived, s.left.Load())
-	// The core's goroutine must not wait for a client: the answer has a place of its own.
-	final := &handOver{answer: make(chan core.Response, 1)}
-	j.Arrived, j.Payload, j.Done = arrived, m, final.put
-	conn.next()
-	if conn.gone(true) { // while the process was behind
+	j.Timeout = s.admission.Load().Shutdown.LimitTimeout(j.Timeout, arrived, s.stoppedAt.Load())
+	// The core's goroutine must not wait for a client: the channel has room for the response.
+	slot := &responseSlot{ch: make(chan core.Response, 1)}
+	j.Arrived, j.Payload, j.Done = arrived, m, slot.put
+	conn.resetHeadScan()
+	if conn.clientClosed(true) { // before this busy process got here
 		panic(http.ErrAbortHandler)
 	}
 	if !s.core.Submit(j) {
-		// Nothing of it was taken or sent: a repeat is harmless.
-		if conn.ends() {
+		// Nothing was sent to a target: a retry is harmless.
+		if conn.closesAfterResponse() {
 			w.Header().Set("Connection", "close")
 		}
-		s.write(w, core.Overloaded)
-		seen.End(figures.Overload)
+		s.writeResponse(w, core.Overloaded)
+		counted.End(figures.Overload)
 		return
 	}
 	select {
-	case a := <-final.answer:
-		if conn.ends() || s.handed.Load() && s.left.Load() != nil {
+	case resp := <-slot.ch:
+		if conn.closesAfterResponse() || s.handedOver.Load() && s.stoppedAt.Load() != nil {
 			w.Header().Set("Connection", "close")
 		}
-		if d, ok := a.Payload.(core.Discarder); ok { // its target may stand still when the client leaves
+		if d, ok := resp.Payload.(core.Discarder); ok { // ends a read from a stalled target when the client disconnects
 			defer context.AfterFunc(r.Context(), d.Discard)()
 		}
-		if !s.write(w, a) {
-			panic(http.ErrAbortHandler) // the client must see that it is not whole
+		if !s.writeResponse(w, resp) {
+			panic(http.ErrAbortHandler) // shows the client that the response is incomplete
 		}
-		seen.End(endingOf(a))
-		if a.OnWritten != nil {
+		counted.End(figuresEnding(resp))
+		if resp.OnWritten != nil {
 			http.NewResponseController(w).Flush()
-			a.OnWritten()
+			resp.OnWritten()
 		}
 	case <-r.Context().Done():
 		s.core.Cancel(j)
-		final.leave()
-		// A plain return would be answered with an empty 200, which no target made.
+		slot.abandon()
+		// After a plain return net/http would send an empty 200 response, which no target produced.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Ready tells whether clients are invited.
-func (s *Server) Ready() bool { return s.unready() == "" }
+// Ready reports whether clients should send requests here.
+func (s *Server) Ready() bool { return s.notReadyReason() == "" }
 
-// unready is why clients are not invited; empty: they are.
-func (s *Server) unready() string {
+// notReadyReason returns why the front is not ready, empty if it is.
+func (s *Server) notReadyReason() string {
 	switch {
-	case s.left.Load() != nil:
+	case s.stoppedAt.Load() != nil:
 		return "leaving"
 	case s.opt.Ready != nil && !s.opt.Ready():
 		return "no list of targets yet"
@@ -271,68 +273,68 @@
 	return ""
 }
 
-func (s *Server) ready(w http.ResponseWriter) {
-	if why := s.unready(); why != "" {
-		http.Error(w, why, http.StatusServiceUnavailable)
+func (s *Server) serveReady(w http.ResponseWriter) {
+	if reason := s.notReadyReason(); reason != "" {
+		http.Error(w, reason, http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// handOver is how a final answer gets from the core's goroutine, which must not wait, to a handler, which may have left.
-type handOver struct {
-	mu     sync.Mutex
-	left   bool
-	answer chan core.Response
+// responseSlot passes the final response from the core's goroutine, which must not block, to a handler, which may have returned.
+type responseSlot struct {
+	mu        sync.Mutex // guards abandoned, and ch against a response that is put while it is abandoned
+	abandoned bool
+	ch        chan core.Response // holds one response; never closed
 }
 
-func (h *handOver) put(a core.Response) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.left {
-		a.Discard()
+func (s *responseSlot) put(resp core.Response) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.abandoned {
+		resp.Discard()
 		return
 	}
-	h.answer <- a
+	s.ch <- resp
 }
 
-// leave tells that nobody takes an answer any more.
-func (h *handOver) leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.left = true
+// abandon discards the response, also one that comes later: the handler returns without it.
+func (s *responseSlot) abandon() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.abandoned = true
 	select {
-	case a := <-h.answer:
-		a.Discard()
+	case resp := <-s.ch:
+		resp.Discard()
 	default:
 	}
 }
 
-// refusedText goes with each refusal.
-const refusedText = "refused: trying again is harmless"
+// rejectedText is the body of the response to a rejected request.
+const rejectedText = "refused: trying again is harmless"
 
-// refuseBad answers what could not be taken, before what is left of its body, and then reads that away for a while. A 503
-// is for want of room; with all others a repeat would fare no better.
-func refuseBad(w http.ResponseWriter, r *http.Request, conn *clientConn, f *fault) {
+// rejectAndDrain responds to a request that was not accepted before the rest of its body has arrived, and then reads and discards
+// that within limits. Status 503 means lack of capacity or of a target; with any other status a retry would fail again.
+func rejectAndDrain(w http.ResponseWriter, r *http.Request, conn *clientConn, reqErr *requestError) {
 	rc := http.NewResponseController(w)
-	// Without it net/http would first wait for the body, which may never come.
+	// Without full duplex net/http would read the body before it responds, and the body may never arrive.
 	_ = rc.EnableFullDuplex()
-	_ = rc.SetWriteDeadline(time.Now().Add(writeWithin))
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	w.Header().Set("Connection", "close")
-	retryAfter(w, f.after)
-	http.Error(w, f.text, f.status)
+	setRetryAfter(w, reqErr.retryAfter)
+	http.Error(w, reqErr.text, reqErr.status)
 	flushed := rc.Flush() == nil
-	if !conn.phase.CompareAndSwap(reading, spent) {
-		conn.phase.CompareAndSwap(active, spent)
+	if !conn.phase.CompareAndSwap(phaseReading, phaseDraining) {
+		conn.phase.CompareAndSwap(phaseActive, phaseDraining)
 	}
-	if flushed && f.status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(drainFor)) == nil {
-		_, _ = io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, drainMost), make([]byte, 16<<10))
+	if flushed && reqErr.status != http.StatusRequestTimeout && rc.SetReadDeadline(time.Now().Add(drainTimeout)) == nil {
+		_, _ = io.CopyBuffer(struct{ io.Writer }{io.Discard}, io.LimitReader(r.Body, maxDrainBytes), make([]byte, 16<<10))
 	}
 }
 
-// endingOf is the number that an answer counts under.
-func endingOf(a core.Response) figures.Ending {
-	switch a.Status {
+// figuresEnding returns the ending that a response is counted under.
+func figuresEnding(resp core.Response) figures.Ending {
+	switch resp.Status {
 	case core.Served:
 		return figures.Success
 	case core.Rejected:
@@ -341,30 +343,30 @@
 	return figures.Failure
 }
 
-func retryAfter(w http.ResponseWriter, wait time.Duration) {
+func setRetryAfter(w http.ResponseWriter, wait time.Duration) {
 	if wait > 0 {
 		w.Header().Set("Retry-After", fmt.Sprintf("%.3f", wait.Seconds()))
 	}
 }
 
-// write gives the one final answer. Its length is told ahead, or it comes in chunks, so that a cut one shows. It tells
-// whether all of it was written, as far as is known.
-func (s *Server) write(w http.ResponseWriter, a core.Response) bool {
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeWithin)) // that of an answer before may be over
-	switch a.Status {
+// writeResponse writes the final response, with a Content-Length or in chunks, so that the client can detect a truncated
+// one. It reports whether all of it was written, as far as is known.
+func (s *Server) writeResponse(w http.ResponseWriter, resp core.Response) bool {
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)) // the previous response's deadline may have passed
+	switch resp.Status {
 	case core.Served:
-		if st, ok := a.Payload.(*upstream.Stream); ok {
-			return s.pass(w, st)
+		if st, ok := resp.Payload.(*upstream.Stream); ok {
+			return s.writeStream(w, st)
 		}
-		body, _ := a.Payload.([]byte)
+		body, _ := resp.Payload.([]byte)
 		h := w.Header()
 		h.Set("Content-Type", "application/octet-stream")
 		h.Set("Content-Length", strconv.Itoa(len(body)))
 		w.WriteHeader(http.StatusOK)
 		_, _ = w.Write(body)
 	case core.Rejected:
-		retryAfter(w, a.RetryAfter)
-		http.Error(w, refusedText, http.StatusServiceUnavailable)
+		setRetryAfter(w, resp.RetryAfter)
+		http.Error(w, rejectedText, http.StatusServiceUnavailable)
 	case core.Conflict:
 		w.Header().Set("Connection", "close")
 		http.Error(w, "Request-Id: a request of that id is open or may have run", http.StatusConflict)
@@ -374,9 +376,9 @@
 	return true
 }
 
-// pass writes an answer as it comes, each piece at once.
-func (s *Server) pass(w http.ResponseWriter, st *upstream.Stream) bool {
-	defer st.Discard() // if it has not ended by itself
+// writeStream forwards a response as it arrives, and flushes each piece.
+func (s *Server) writeStream(w http.ResponseWriter, st *upstream.Stream) bool {
+	defer st.Discard() // if it was not read to its end
 	rc := http.NewResponseController(w)
 	h := w.Header()
 	h.Set("Content-Type", "application/octet-stream")
@@ -385,15 +387,15 @@
 	}
 	piece, done := upstream.Piece()
 	defer done()
-	if room := int64(len(piece)); s.opt.BufferBudget.Take(room) {
-		defer s.opt.BufferBudget.Give(room)
+	if size := int64(len(piece)); s.opt.BufferBudget.Take(size) {
+		defer s.opt.BufferBudget.Give(size)
 	} else {
-		piece = make([]byte, 2<<10) // it goes on, more slowly
+		piece = make([]byte, 2<<10) // without budget it continues with a smaller buffer
 	}
 	for {
 		n, err := st.Read(piece)
 		if n > 0 {
-			_ = rc.SetWriteDeadline(time.Now().Add(writeWithin))
+			_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if _, err := w.Write(piece[:n]); err != nil || rc.Flush() != nil {
 				return false
 			}
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -32,36 +32,36 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-var usual = core.NewShutdownSchedule(2 * time.Second)
+var testSchedule = core.NewShutdownSchedule(2 * time.Second)
 
 // back is the stand-in core: it hands jobs to the test and notes departures.
-type back struct {
-	jobs chan *core.Job
-	gone chan *core.Job
-	full bool
+type fakeCore struct {
+	jobs      chan *core.Job
+	cancelled chan *core.Job
+	full      bool
 }
 
-func (b *back) Submit(j *core.Job) bool {
+func (b *fakeCore) Submit(j *core.Job) bool {
 	if b.full {
 		return false
 	}
 	b.jobs <- j
 	return true
 }
-func (b *back) Cancel(j *core.Job)                  { b.gone <- j }
-func (b *back) Route(shard int, reply func(string)) { reply("n") }
+func (b *fakeCore) Cancel(j *core.Job)                  { b.cancelled <- j }
+func (b *fakeCore) Route(shard int, reply func(string)) { reply("n") }
 
 // admitted is what a front under test admits.
-var admitted = Admission{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, Shutdown: usual}
+var testAdmission = Admission{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, Shutdown: testSchedule}
 
 // testRoom is the budget of bytes of a front under test.
-const testRoom = 1 << 20
+const testBufferBudget = 1 << 20
 
-func newFront(t *testing.T, most int, edit ...func(*Server)) (*Server, *back, string) {
+func newFront(t *testing.T, most int, edit ...func(*Server)) (*Server, *fakeCore, string) {
 	t.Helper()
-	b := &back{jobs: make(chan *core.Job, 64), gone: make(chan *core.Job, 64)}
-	s := New(b, Options{Admission: admitted, MaxConns: most, SoftMaxConns: most,
-		Figures: figures.New([]string{"get", "put"}), BufferBudget: budget.New(testRoom),
+	b := &fakeCore{jobs: make(chan *core.Job, 64), cancelled: make(chan *core.Job, 64)}
+	s := New(b, Options{Admission: testAdmission, MaxConns: most, SoftMaxConns: most,
+		Figures: figures.New([]string{"get", "put"}), BufferBudget: budget.New(testBufferBudget),
 		Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -75,23 +75,23 @@
 	return s, b, l.Addr().String()
 }
 
-const goodHead = "PUT /put/x/7f3a9c21e0b4d655?q=1 HTTP/1.1\r\nHost: a\r\nRequest-Id: id1\r\nTier: std\r\n" +
+const validHead = "PUT /put/x/7f3a9c21e0b4d655?q=1 HTTP/1.1\r\nHost: a\r\nRequest-Id: id1\r\nTier: std\r\n" +
 	"Request-Timeout-Ms: 480\r\nIO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n"
 
-const good = goodHead + "Content-Length: 4\r\n\r\nbody"
+const validRequest = validHead + "Content-Length: 4\r\n\r\nbody"
 
 // ask writes raw bytes on a connection of its own and reads one answer.
-func ask(t *testing.T, addr, raw string) (*http.Response, string, net.Conn) {
+func sendRequest(t *testing.T, addr, raw string) (*http.Response, string, net.Conn) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	return say(t, c, raw)
+	return roundTrip(t, c, raw)
 }
 
-func say(t *testing.T, c net.Conn, raw string) (*http.Response, string, net.Conn) {
+func roundTrip(t *testing.T, c net.Conn, raw string) (*http.Response, string, net.Conn) {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, _ = io.WriteString(c, raw)
@@ -104,7 +104,7 @@
 }
 
 // TestAnswers passes a request whole to the core and each ending back to the client.
-func TestAnswers(t *testing.T) {
+func TestResponses(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for _, c := range []struct {
 		answer core.Response
@@ -119,7 +119,7 @@
 		{core.Response{Status: core.Failed}, 502, "", "failed: it may have run\n"},
 	} {
 		go func() { (<-b.jobs).Done(c.answer) }()
-		resp, body, _ := ask(t, addr, good)
+		resp, body, _ := sendRequest(t, addr, validRequest)
 		if resp.StatusCode != c.status || body != c.body || resp.Header.Get("Retry-After") != c.after {
 			t.Errorf("%+v: status %d, after %q, body %q", c.answer, resp.StatusCode, resp.Header.Get("Retry-After"), body)
 		}
@@ -131,7 +131,7 @@
 		j.Done(core.Response{Payload: []byte(text)})
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
-	if _, body, _ := ask(t, addr, good); body != want {
+	if _, body, _ := sendRequest(t, addr, validRequest); body != want {
 		t.Errorf("taken as %q, want %q", body, want)
 	}
 	for head, key := range map[string]string{"": "", "Idempotency-Key:  a 7=\"x\" \r\n": `a 7="x"`, "Idempotency-Key: \r\n": ""} {
@@ -139,17 +139,17 @@
 			j := <-b.jobs
 			j.Done(core.Response{Payload: fmt.Append(nil, j.MissingKey, j.Payload.(*upstream.Message).Key)})
 		}()
-		_, body, _ := ask(t, addr, goodHead+head+"Content-Length: 4\r\n\r\nbody")
+		_, body, _ := sendRequest(t, addr, validHead+head+"Content-Length: 4\r\n\r\nbody")
 		require.Equal(t, fmt.Sprint(key == "", key), body)
 	}
-	resp, _, _ := ask(t, addr, goodHead+"Idempotency-Key: a\r\nIdempotency-Key: a\r\nContent-Length: 4\r\n\r\nbody")
+	resp, _, _ := sendRequest(t, addr, validHead+"Idempotency-Key: a\r\nIdempotency-Key: a\r\nContent-Length: 4\r\n\r\nbody")
 	require.Equal(t, http.StatusBadRequest, resp.StatusCode)
 }
 
 // TestBadInput checks that what cannot be taken is told so, by a code that does not invite a repeat.
 func TestBadInput(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	swap := func(old, by string) string { return strings.Replace(good, old, by, 1) }
+	swap := func(old, by string) string { return strings.Replace(validRequest, old, by, 1) }
 	for _, c := range []struct {
 		name, raw string
 		want      int
@@ -163,7 +163,7 @@
 		{"two lengths", swap("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
 		{"length below none", swap("Content-Length: 4", "Content-Length: -4"), 400},
 		{"length past all", swap("Content-Length: 4", "Content-Length: 99999999999999999999"), 400},
-		{"length and coding", swap("Content-Length: 4\r\n\r\nbody", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+good), 400},
+		{"length and coding", swap("Content-Length: 4\r\n\r\nbody", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+validRequest), 400},
 		{"length and coding of old", strings.Replace(swap("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"read with a body", strings.Replace(swap("PUT", "GET"), "/put/", "/get/", 1), 400},
 		{"no host", swap("Host: a\r\n", ""), 400},
@@ -191,7 +191,7 @@
 		{"long head", swap("Host: a", "Host: a\r\nX: "+strings.Repeat("x", 40<<10)), 431},
 		{"long body", swap("Content-Length: 4\r\n\r\nbody", "Content-Length: 60000000\r\n\r\n"+strings.Repeat("x", 65537)), 413},
 	} {
-		resp, body, conn := ask(t, addr, c.raw)
+		resp, body, conn := sendRequest(t, addr, c.raw)
 		if resp.StatusCode != c.want || !resp.Close {
 			t.Errorf("%s: status %d (%q), closes %v, want %d and a close", c.name, resp.StatusCode, body, resp.Close, c.want)
 		}
@@ -204,7 +204,7 @@
 		t.Errorf("%d of them reached the core", len(b.jobs))
 	}
 	b.full = true
-	if resp, _, _ := ask(t, addr, good); resp.StatusCode != 503 {
+	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 503 {
 		t.Errorf("too many held: status %d, want 503", resp.StatusCode)
 	}
 }
@@ -214,19 +214,19 @@
 func TestNoTimeLeft(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Status: core.Rejected}) }()
-	resp, _, c := ask(t, addr, strings.Replace(good, "480", "0", 1))
+	resp, _, c := sendRequest(t, addr, strings.Replace(validRequest, "480", "0", 1))
 	if resp.StatusCode != 503 || resp.Close {
 		t.Errorf("status %d, closes %v; want it refused on a connection that lives", resp.StatusCode, resp.Close)
 	}
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
-	if resp, _, _ := say(t, c, good); resp.StatusCode != 200 {
+	if resp, _, _ := roundTrip(t, c, validRequest); resp.StatusCode != 200 {
 		t.Errorf("the next request: status %d", resp.StatusCode)
 	}
 }
 
 // TestAbandonedIsNeverServed guards against net/http's implicit empty 200: a handler that returns without an
 // answer would serve something that no target made.
-func TestAbandonedIsNeverServed(t *testing.T) {
+func TestAbortedHandlerSendsNoResponse(t *testing.T) {
 	s, b, _ := newFront(t, 64)
 	ctx, leave := context.WithCancel(context.Background())
 	req := httptest.NewRequest("GET", "/get/7f3a9c21e0b4d655", nil).WithContext(ctx)
@@ -244,17 +244,17 @@
 }
 
 // TestDeparture tells the core when a client goes away.
-func TestDeparture(t *testing.T) {
+func TestDisconnectCancelsJob(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(c, good)
+	_, _ = io.WriteString(c, validRequest)
 	j := <-b.jobs
 	c.Close()
 	select {
-	case g := <-b.gone:
+	case g := <-b.cancelled:
 		if g != j {
 			t.Error("another job departed")
 		}
@@ -267,10 +267,10 @@
 // within 3 s, one of them after a first request too. A request that is open for longer is none of them.
 func TestSlowClients(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	half := goodHead + "Content-Length: 9\r\n\r\nbo"
+	half := validHead + "Content-Length: 9\r\n\r\nbo"
 	var wait sync.WaitGroup
-	for name, raw := range map[string]string{"silent": "", "half a head": goodHead, "half a body": half,
-		"a bad head with half a body": strings.Replace(half, "std", "odd", 1), "idle": good} {
+	for name, raw := range map[string]string{"silent": "", "half a head": validHead, "half a body": half,
+		"a bad head with half a body": strings.Replace(half, "std", "odd", 1), "idle": validRequest} {
 		wait.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -292,22 +292,22 @@
 	}
 	(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 	wait.Go(func() {
-		if resp, _, _ := ask(t, addr, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 {
+		if resp, _, _ := sendRequest(t, addr, strings.Replace(validRequest, "480", "9999", 1)); resp.StatusCode != 200 {
 			t.Errorf("open for long: status %d", resp.StatusCode)
 		}
 	})
 	j := <-b.jobs
-	time.Sleep(headWithin + 200*time.Millisecond)
+	time.Sleep(headerTimeout + 200*time.Millisecond)
 	j.Done(core.Response{Payload: []byte("x")})
 	wait.Wait()
-	if len(b.jobs)+len(b.gone) > 0 {
-		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.gone))
+	if len(b.jobs)+len(b.cancelled) > 0 {
+		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.cancelled))
 	}
 }
 
 // TestHugeBody guards against an answer that a reset takes from a client which is still sending, and against holding
 // what is refused.
-func TestHugeBody(t *testing.T) {
+func TestTooLargeBody(t *testing.T) {
 	_, _, addr := newFront(t, 64)
 	const size = 60 << 20
 	c, err := net.Dial("tcp", addr)
@@ -318,7 +318,7 @@
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", goodHead, size)
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n", validHead, size)
 	part := make([]byte, 64<<10)
 	for sent := 0; sent < size; sent += len(part) {
 		if _, err := c.Write(part); err != nil {
@@ -336,17 +336,17 @@
 
 // TestUselessMakeRoom fills the clients' connections with ones that say nothing, stop in a head or a body, or have been
 // refused and never end their body: they make room for usual clients, and one with a request open does not go.
-func TestUselessMakeRoom(t *testing.T) {
-	for name, raw := range map[string]string{"silent": "", "half a head": goodHead,
-		"half a body": goodHead + "Content-Length: 9\r\n\r\nbo",
-		"refused":     strings.Replace(goodHead, "std", "odd", 1) + "Content-Length: 9\r\n\r\nbo"} {
+func TestUnproductiveConnsAreEvicted(t *testing.T) {
+	for name, raw := range map[string]string{"silent": "", "half a head": validHead,
+		"half a body": validHead + "Content-Length: 9\r\n\r\nbo",
+		"refused":     strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 9\r\n\r\nbo"} {
 		_, b, addr := newFront(t, 8)
 		open, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer open.Close()
-		_, _ = io.WriteString(open, good)
+		_, _ = io.WriteString(open, validRequest)
 		j := <-b.jobs
 		for range 7 {
 			c, err := net.Dial("tcp", addr)
@@ -356,14 +356,14 @@
 			defer c.Close()
 			_, _ = io.WriteString(c, raw)
 		}
-		time.Sleep(stalledFor + silentFor)
+		time.Sleep(stalledTimeout + silentTimeout)
 		go func() {
 			for range 7 {
 				(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 			}
 		}()
 		for range 7 {
-			if resp, _, _ := ask(t, addr, good); resp.StatusCode != 200 {
+			if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 {
 				t.Errorf("%s: a usual client got status %d", name, resp.StatusCode)
 			}
 		}
@@ -377,10 +377,10 @@
 
 // TestIdleMakeRoomEarly guards against connections that asked once and stay: they go well before the cap, which clients
 // that count them among their own would never meet. Those with a request may use all of it.
-func TestIdleMakeRoomEarly(t *testing.T) {
+func TestIdleConnsAreEvictedAboveSoftMax(t *testing.T) {
 	s, b, addr := newFront(t, 8)
 	s.conns.mu.Lock()
-	s.conns.easy = 3
+	s.conns.softMaxConns = 3
 	s.conns.mu.Unlock()
 	go func() {
 		for range 6 {
@@ -388,8 +388,8 @@
 		}
 	}()
 	for range 6 {
-		ask(t, addr, good)
-		time.Sleep(2 * unusedFor)
+		sendRequest(t, addr, validRequest)
+		time.Sleep(2 * minUnusedTime)
 	}
 	s.conns.mu.Lock()
 	if n := len(s.conns.open); n > 3 {
@@ -402,7 +402,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_, _ = io.WriteString(c, good)
+		_, _ = io.WriteString(c, validRequest)
 		select {
 		case <-b.jobs:
 		case <-time.After(20 * time.Second):
@@ -412,14 +412,14 @@
 }
 
 // resting waits until so many connections have had their answers, and rest.
-func resting(t *testing.T, s *Server, n int) {
+func waitIdle(t *testing.T, s *Server, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
 		quiets := 0
 		for c := range s.conns.open {
-			if c.phase.Load() == quiet && c.used.Load() {
+			if c.phase.Load() == phaseIdle && c.served.Load() {
 				quiets++
 			}
 		}
@@ -428,41 +428,41 @@
 }
 
 // TestCapMakesRoom fills the clients' connections: a new one is taken all the same, and the one idle longest goes.
-func TestCapMakesRoom(t *testing.T) {
-	s, b, addr := newFront(t, 2, func(s *Server) { s.idle = time.Hour }) // none ends by itself, however long the machine stands still
+func TestIdleConnIsEvictedAtCap(t *testing.T) {
+	s, b, addr := newFront(t, 2, func(s *Server) { s.idleTimeout = time.Hour }) // none ends by itself, however long the machine stands still
 	go func() {
 		for j := range b.jobs {
 			j.Done(core.Response{Payload: []byte("x")})
 		}
 	}()
 	defer close(b.jobs)
-	_, _, first := ask(t, addr, good)
-	resting(t, s, 1) // a client may have its answer before its connection rests: of two that rest the order would be by chance
-	_, _, second := ask(t, addr, good)
-	resting(t, s, 2)
-	if resp, _, _ := ask(t, addr, good); resp.StatusCode != 200 {
+	_, _, first := sendRequest(t, addr, validRequest)
+	waitIdle(t, s, 1) // a client may have its answer before its connection rests: of two that rest the order would be by chance
+	_, _, second := sendRequest(t, addr, validRequest)
+	waitIdle(t, s, 2)
+	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 {
 		t.Errorf("past the cap: status %d", resp.StatusCode)
 	}
 	first.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection idle longest: %v, want it closed", err)
 	}
-	if resp, _, _ := say(t, second, good); resp.StatusCode != 200 {
+	if resp, _, _ := roundTrip(t, second, validRequest); resp.StatusCode != 200 {
 		t.Errorf("the one used later: status %d", resp.StatusCode)
 	}
 }
 
 // TestCapRefuses fills the cap with requests that are open: one more is refused at once, on a connection that ends.
-func TestCapRefuses(t *testing.T) {
+func TestRequestOverCapIsRejected(t *testing.T) {
 	_, b, addr := newFront(t, 1)
 	first, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	_, _ = io.WriteString(first, good)
+	_, _ = io.WriteString(first, validRequest)
 	open := <-b.jobs
-	resp, _, _ := ask(t, addr, good)
+	resp, _, _ := sendRequest(t, addr, validRequest)
 	if resp.StatusCode != 503 || !resp.Close || len(b.jobs) != 0 {
 		t.Errorf("status %d, closes %v, %d jobs; want a refusal that reaches no core", resp.StatusCode, resp.Close, len(b.jobs))
 	}
@@ -471,31 +471,31 @@
 
 // TestLeaving checks the order of an end: not ready at once, new connections served meanwhile, and what was
 // taken finished before Stop returns.
-func TestLeaving(t *testing.T) {
+func TestShutdownOrder(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	ready := "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
-	if resp, _, _ := ask(t, addr, ready); resp.StatusCode != 200 {
+	if resp, _, _ := sendRequest(t, addr, ready); resp.StatusCode != 200 {
 		t.Fatalf("ready: %d", resp.StatusCode)
 	}
 	var wait sync.WaitGroup
 	wait.Add(1)
 	go func() {
 		defer wait.Done()
-		if resp, body, _ := ask(t, addr, good); resp.StatusCode != 200 || body != "late" {
+		if resp, body, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 || body != "late" {
 			t.Errorf("taken before the end: %d, %q", resp.StatusCode, body)
 		}
 	}()
 	j := <-b.jobs
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
-	for s.left.Load() == nil {
+	for s.stoppedAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	resp, _, kept := ask(t, addr, ready)
+	resp, _, kept := sendRequest(t, addr, ready)
 	if resp.StatusCode != 503 {
 		t.Errorf("ready while leaving: %d", resp.StatusCode)
 	}
-	time.Sleep(usual.AcceptFor + 100*time.Millisecond)
+	time.Sleep(testSchedule.AcceptFor + 100*time.Millisecond)
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
 		t.Error("still accepting after the linger")
@@ -507,16 +507,16 @@
 		served <- j.Timeout
 		j.Done(core.Response{Payload: []byte("kept")})
 	}()
-	if resp, body, _ := say(t, kept, strings.Replace(good, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
+	if resp, body, _ := roundTrip(t, kept, strings.Replace(validRequest, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
 		t.Errorf("on a connection from before: %d, %q", resp.StatusCode, body)
 	}
-	if p := <-served; p > usual.RespondWithin-usual.AcceptFor {
+	if p := <-served; p > testSchedule.RespondWithin-testSchedule.AcceptFor {
 		t.Errorf("it may take %v, past the end", p)
 	}
 	select {
 	case <-stopped: //nolint:errcheck // that it has not returned is what is tested
 		t.Error("ended with a request open")
-	case <-time.After(usual.ServeFor):
+	case <-time.After(testSchedule.ServeFor):
 	}
 	j.Done(core.Response{Payload: []byte("late")})
 	wait.Wait()
@@ -526,7 +526,7 @@
 }
 
 // TestReadyNeedsAList checks that no client is invited before there is anywhere to send to.
-func TestReadyNeedsAList(t *testing.T) {
+func TestNotReadyWithoutTargetList(t *testing.T) {
 	s, _, _ := newFront(t, 64)
 	listed := false
 	s.opt.Ready = func() bool { return listed }
@@ -541,20 +541,20 @@
 }
 
 // TestInfoCuts cuts a valid IO-Info and feeds garbage: whatever passes has all four fields in range.
-func TestInfoCuts(t *testing.T) {
+func TestTruncatedIOInfo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "v"),
 			rapid.IntRange(1, 8).Draw(t, "u"), rapid.IntRange(-1, 9).Draw(t, "s"), rapid.IntRange(1, 9).Draw(t, "h"))
-		if _, err := parseInfo(whole); err != nil {
+		if _, err := parseIOInfo(whole); err != nil {
 			t.Fatalf("%q: %v", whole, err)
 		}
 		if cut := rapid.IntRange(0, len(whole)-1).Draw(t, "cut"); cut < strings.LastIndexByte(whole, '=') {
-			if q, err := parseInfo(whole[:cut]); err == nil {
+			if q, err := parseIOInfo(whole[:cut]); err == nil {
 				t.Fatalf("%q passed as %+v", whole[:cut], q)
 			}
 		}
 		garbage := rapid.StringMatching(`[a-z=,0-9.\-]{0,60}`).Draw(t, "garbage")
-		if q, err := parseInfo(garbage); err == nil && (len(q.Volume) != 16 || q.Units < 0 || q.Shard < -1) {
+		if q, err := parseIOInfo(garbage); err == nil && (len(q.Volume) != 16 || q.Units < 0 || q.Shard < -1) {
 			t.Fatalf("%q passed as %+v", garbage, q)
 		}
 	})
@@ -562,7 +562,7 @@
 
 // TestSlowRequestsStay guards true clients that take 2 s to write their request, in a crowd that begins one and stops: as
 // long as theirs keeps coming, others make room.
-func TestSlowRequestsStay(t *testing.T) {
+func TestSlowRequestsAreNotEvicted(t *testing.T) {
 	_, b, addr := newFront(t, 8)
 	go func() {
 		for j := range b.jobs {
@@ -580,24 +580,24 @@
 			}
 			defer c.Close()
 			c.SetDeadline(time.Now().Add(20 * time.Second))
-			for part := range slices.Chunk([]byte(good), len(good)/9) {
+			for part := range slices.Chunk([]byte(validRequest), len(validRequest)/9) {
 				_, _ = c.Write(part)
-				time.Sleep(stalledFor / 6)
+				time.Sleep(stalledTimeout / 6)
 			}
 			if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 {
 				t.Errorf("written slowly: %+v, %v", resp, err)
 			}
 		})
 	}
-	time.Sleep(stalledFor / 2) // they have begun
+	time.Sleep(stalledTimeout / 2) // they have begun
 	for range 40 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		_, _ = io.WriteString(c, goodHead)
-		time.Sleep(stalledFor / 24)
+		_, _ = io.WriteString(c, validHead)
+		time.Sleep(stalledTimeout / 24)
 	}
 	wait.Wait()
 }
@@ -607,7 +607,7 @@
 func TestHandOver(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
-	_, _, idle := ask(t, addr, good)
+	_, _, idle := sendRequest(t, addr, validRequest)
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -618,7 +618,7 @@
 		return c
 	}
 	busy, fresh := dial(), dial()
-	_, _ = io.WriteString(busy, good)
+	_, _ = io.WriteString(busy, validRequest)
 	open := <-b.jobs
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.conns.mu.Lock()
@@ -638,7 +638,7 @@
 		c.Close()
 		t.Error("it still accepts")
 	}
-	for c, j := range map[net.Conn]func() *core.Job{busy: func() *core.Job { return open }, fresh: func() *core.Job { _, _ = io.WriteString(fresh, good); return <-b.jobs }} {
+	for c, j := range map[net.Conn]func() *core.Job{busy: func() *core.Job { return open }, fresh: func() *core.Job { _, _ = io.WriteString(fresh, validRequest); return <-b.jobs }} {
 		j().Done(core.Response{Payload: []byte("x")})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("a request at the time: %+v, %v; want it served on a connection that ends", resp, err)
@@ -651,27 +651,27 @@
 
 // TestNumbers counts each request once, however it ends, and none as open afterwards: served, refused, failed, turned away for
 // what it is or for want of room, and left by its client.
-func TestNumbers(t *testing.T) {
+func TestFiguresCountEachRequest(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	for _, ending := range []core.Status{core.Served, core.Rejected, core.Failed, core.Conflict} {
 		go func() { (<-b.jobs).Done(core.Response{Status: ending, Payload: []byte("x")}) }()
-		ask(t, addr, good)
+		sendRequest(t, addr, validRequest)
 	}
-	ask(t, addr, strings.Replace(good, "std", "odd", 1))
-	ask(t, addr, strings.Replace(good, "/put/", "/odd/", 1))
+	sendRequest(t, addr, strings.Replace(validRequest, "std", "odd", 1))
+	sendRequest(t, addr, strings.Replace(validRequest, "/put/", "/odd/", 1))
 	left, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(left, good)
+	_, _ = io.WriteString(left, validRequest)
 	<-b.jobs
 	if got := string(figures.Page(s.opt.Figures.Tell)); !strings.Contains(got, "concurrent:1|") {
 		t.Errorf("with one open:\n%s", got)
 	}
 	left.Close()
-	<-b.gone
-	s.opt.BufferBudget.Give(-testRoom) // also what the request that was left still holds: its body comes back after its departure is known
-	if resp, _, _ := ask(t, addr, good); resp.StatusCode != 503 {
+	<-b.cancelled
+	s.opt.BufferBudget.Give(-testBufferBudget) // also what the request that was left still holds: its body comes back after its departure is known
+	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 503 {
 		t.Errorf("without room: %d", resp.StatusCode)
 	}
 	want := []string{"put.success:1|", "put.overload:2|", "put.error:4|", "get.error:0|", "concurrent:0|"}
@@ -685,9 +685,9 @@
 
 // TestSendsUntilKilled has clients go on with request after request on every connection that stays open, from SIGTERM until the
 // process would be killed: each request is answered whole, in good time, or the connection had ended in order before it was written.
-func TestSendsUntilKilled(t *testing.T) { //nolint:gocognit // one scenario, told in order
+func TestRequestsUntilKilled(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	s, b, addr := newFront(t, 64)
-	killed := usual.RespondWithin + 100*time.Millisecond
+	killed := testSchedule.RespondWithin + 100*time.Millisecond
 	go func() {
 		for j := range b.jobs {
 			time.AfterFunc(5*time.Millisecond, func() { j.Done(core.Response{Payload: []byte("ok")}) })
@@ -712,7 +712,7 @@
 					begun <- true
 				}
 				time.Sleep(time.Duration(i) * time.Millisecond)
-				if _, err := io.WriteString(c, good); err != nil {
+				if _, err := io.WriteString(c, validRequest); err != nil {
 					return // it had ended
 				}
 				resp, err := http.ReadResponse(in, nil)
@@ -722,7 +722,7 @@
 				if err != nil {
 					// A request may cross the end of its connection: clients send it once more elsewhere.
 					crossed.Add(1)
-					if at := left.Load(); at == nil || time.Since(*at) < usual.ServeFor {
+					if at := left.Load(); at == nil || time.Since(*at) < testSchedule.ServeFor {
 						early.Add(1)
 					}
 					return
