--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -148,7 +148,7 @@
 		served(fmt.Sprint("many", i))
 	}
 	if n := len(h.openIDs) + len(h.executedIDs[0]) + len(h.executedIDs[1]); n > 2*maxExecutedIDs || n < maxExecutedIDs {
-		t.Errorf("%d IDs are kept after many requests, want %d to %d", n, maxExecutedIDs, 2*maxExecutedIDs)
+		t.Errorf("%d IDs are kept after many requests, which is out of bounds", n)
 	}
 }
 
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -20,8 +20,8 @@
 
 const chunkedHead = validHead + "Transfer-Encoding: chunked\r\n"
 
-// TestChunkedBodies takes a body in chunks, with a trailer, cut anywhere, and several on one connection; it refuses what is
-// no body, what has a length as well, and what was read ahead of its turn so that nobody can tell.
+// TestChunkedBodies sends chunked bodies with a trailer, split anywhere, several on one connection. Invalid ones are rejected, also
+// those with a Content-Length, and those read together with the previous request, whose heads cannot be verified.
 func TestChunkedBodies(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() {
@@ -30,43 +30,43 @@
 		}
 	}()
 	defer close(b.jobs)
-	coded := chunkedHead + "\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nA: b\r\n\r\n"
+	chunked := chunkedHead + "\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nA: b\r\n\r\n"
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for cut := range len(coded) {
+	for cut := range len(chunked) {
 		if cut%7 == 0 {
-			_, _ = io.WriteString(c, coded[:cut])
+			_, _ = io.WriteString(c, chunked[:cut])
 			time.Sleep(2 * time.Millisecond)
-			if resp, body, _ := roundTrip(t, c, coded[cut:]); resp.StatusCode != 200 || body != "abcde" {
+			if resp, body, _ := roundTrip(t, c, chunked[cut:]); resp.StatusCode != 200 || body != "abcde" {
 				t.Fatalf("cut at %d: %d, %q", cut, resp.StatusCode, body)
 			}
 		}
 	}
 	for name, raw := range map[string]string{
-		"a length in front":  strings.Replace(coded, "Tier:", "Content-Length: 4\r\nTier:", 1),
-		"a length behind":    strings.Replace(coded, "chunked\r\n", "chunked\r\nCONTENT-length: 0\r\n", 1),
-		"no number":          chunkedHead + "\r\nzz\r\nabc\r\n0\r\n\r\n",
-		"a number below 0":   chunkedHead + "\r\n-3\r\nabc\r\n0\r\n\r\n",
-		"a number past all":  chunkedHead + "\r\nfffffffffffffffff\r\nabc\r\n0\r\n\r\n",
-		"more than it tells": chunkedHead + "\r\n2\r\nabc\r\n0\r\n\r\n",
-		"an endless trailer": chunkedHead + "\r\n0\r\n" + strings.Repeat("A: b\r\n", 10<<10),
+		"length before":           strings.Replace(chunked, "Tier:", "Content-Length: 4\r\nTier:", 1),
+		"length after":            strings.Replace(chunked, "chunked\r\n", "chunked\r\nCONTENT-length: 0\r\n", 1),
+		"invalid chunk size":      chunkedHead + "\r\nzz\r\nabc\r\n0\r\n\r\n",
+		"negative chunk size":     chunkedHead + "\r\n-3\r\nabc\r\n0\r\n\r\n",
+		"chunk size out of range": chunkedHead + "\r\nfffffffffffffffff\r\nabc\r\n0\r\n\r\n",
+		"chunk too long":          chunkedHead + "\r\n2\r\nabc\r\n0\r\n\r\n",
+		"trailer too long":        chunkedHead + "\r\n0\r\n" + strings.Repeat("A: b\r\n", 10<<10),
 	} {
 		if resp, _, _ := sendRequest(t, addr, raw); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%s: status %d, closes %v", name, resp.StatusCode, resp.Close)
 		}
 	}
-	// A second request in the first one's packet: its head cannot be vouched for.
-	both, err := net.Dial("tcp", addr)
+	// The second request is in the first one's packet: its head cannot be verified to have no Content-Length.
+	pipelined, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer both.Close()
-	both.SetDeadline(time.Now().Add(20 * time.Second))
-	_, _ = io.WriteString(both, validRequest+strings.Replace(coded, "id1", "id2", 1))
-	in := bufio.NewReader(both)
+	defer pipelined.Close()
+	pipelined.SetDeadline(time.Now().Add(20 * time.Second))
+	_, _ = io.WriteString(pipelined, validRequest+strings.Replace(chunked, "id1", "id2", 1))
+	in := bufio.NewReader(pipelined)
 	for _, want := range []int{200, 400} {
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -79,7 +79,7 @@
 	}
 }
 
-// TestContinue has a client wait for the word to go on before it sends its body.
+// TestExpectContinue has a client wait for 100 Continue before it sends its body.
 func TestExpectContinue(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestSlowBody guards against a limit on a body's whole time: it may take as long as its bytes keep coming, and no longer.
+// TestSlowBody guards against a fixed limit on the time of a body: it may take longer, as long as its bytes keep arriving.
 func TestSlowBody(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
@@ -111,12 +111,12 @@
 	}
 }
 
-// TestHeadScan cuts heads anywhere: what is asked of them is seen all the same, and nothing is seen in garbage.
+// TestHeadScan splits heads anywhere: a Content-Length is still detected, and garbage is never verified.
 func TestHeadScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		length := rapid.Bool().Draw(t, "length")
+		hasLength := rapid.Bool().Draw(t, "length")
 		head := "PUT /put/x HTTP/1.1\r\nHost: a\r\nX-Content-Length: 1\r\n"
-		if length {
+		if hasLength {
 			head += rapid.SampledFrom([]string{"Content-Length", "content-length", "CONTENT-LENGTH"}).Draw(t, "as") + ": 4\r\n"
 		}
 		raw := []byte(head + "Transfer-Encoding: chunked\r\n\r\nContent-Length: 9\r\n\r\n")
@@ -129,33 +129,33 @@
 			raw = raw[n:]
 		}
 		r := &http.Request{Method: "PUT", RequestURI: "/put/x", Proto: "HTTP/1.1"}
-		if h.verifiedNoLength(r) == length {
-			t.Fatalf("a length %v, seen alone %v", length, !length)
+		if h.verifiedNoLength(r) == hasLength {
+			t.Fatalf("with a Content-Length: %v, want it verified without one: %v", hasLength, !hasLength)
 		}
 		h.reset()
 		h.write(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 		if h.verifiedNoLength(r) {
-			t.Fatal("garbage passed")
+			t.Fatal("garbage was verified")
 		}
 	})
 }
 
-// forms are one request in forms that HTTP/1.1 has for it.
+// requestForms are different valid HTTP/1.1 encodings of the same request.
 var requestForms = map[string]string{
-	"as usual":            validRequest,
+	"plain":               validRequest,
 	"names in capitals":   strings.NewReplacer("Request-Id", "REQUEST-ID", "Tier", "tIER", "IO-Info", "io-info", "Content-Length", "content-length").Replace(validRequest),
 	"no space, and tabs":  strings.NewReplacer("Host: ", "Host:", "Tier: std", "Tier:\t std \t", "Content-Length: 4", "Content-Length:4  ").Replace(validRequest),
-	"lines end bare":      strings.ReplaceAll(validRequest, "\r\n", "\n"),
+	"bare line feeds":     strings.ReplaceAll(validRequest, "\r\n", "\n"),
 	"more fields":         strings.Replace(validRequest, "Tier:", "X: "+strings.Repeat("x", 5000)+"\r\nAccept: */*\r\nTier:", 1),
-	"kept alive":          strings.Replace(validRequest, "Tier:", "Connection: keep-alive\r\nTier:", 1),
-	"in chunks":           chunkedHead + "\r\n4\r\nbody\r\n0\r\n\r\n",
-	"a chunk a byte":      chunkedHead + "\r\n1\r\nb\r\n001\r\no\r\n1\r\nd\r\n1\r\ny\r\n000\r\n\r\n",
-	"chunks with more":    chunkedHead + "\r\n2;a=b\r\nbo\r\n2;c=\"d\"\r\ndy\r\n0;e\r\nX-Y: z\r\n\r\n",
+	"keep-alive":          strings.Replace(validRequest, "Tier:", "Connection: keep-alive\r\nTier:", 1),
+	"chunked":             chunkedHead + "\r\n4\r\nbody\r\n0\r\n\r\n",
+	"one byte per chunk":  chunkedHead + "\r\n1\r\nb\r\n001\r\no\r\n1\r\nd\r\n1\r\ny\r\n000\r\n\r\n",
+	"chunk extensions":    chunkedHead + "\r\n2;a=b\r\nbo\r\n2;c=\"d\"\r\ndy\r\n0;e\r\nX-Y: z\r\n\r\n",
 	"chunked in capitals": validHead + "TRANSFER-ENCODING: Chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n",
-	"IO-Info in order":    strings.Replace(validRequest, "volume=00000003b4d60021,units=2,shard=5,hosts=3", "hosts=3, shard=5,units=2.0 , volume=00000003B4D60021,new=1", 1),
+	"IO-Info reordered":   strings.Replace(validRequest, "volume=00000003b4d60021,units=2,shard=5,hosts=3", "hosts=3, shard=5,units=2.0 , volume=00000003B4D60021,new=1", 1),
 }
 
-// TestInPieces has requests come in all forms that net/http takes, cut anywhere, one after another on a connection: each is taken as what it is, however it came.
+// TestRequestsInPieces sends each of requestForms split anywhere, one after another on a connection: each is parsed as the same request.
 func TestRequestsInPieces(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for name, raw := range requestForms {
@@ -179,7 +179,7 @@
 					require.Equal(t, "00000003b4d60021 2 5 3 std put", fmt.Sprint(strings.ToLower(j.Volume), " ", j.Units, j.Shard, j.VolumeInitiators, " ", j.Plan, " ", j.Class))
 					j.Done(core.Response{Payload: []byte("x")})
 				case <-time.After(10 * time.Second):
-					t.Error("it was not taken")
+					t.Error("the request did not reach the core")
 				}
 				resp, err := http.ReadResponse(in, nil)
 				require.NoError(t, err)
--- a/internal/datapath/front/disconnect_test.go
+++ b/internal/datapath/front/disconnect_test.go
@@ -24,7 +24,7 @@
 	"spindlehitch/internal/datapath/upstream"
 )
 
-// lines keeps what a front logs.
+// logBuffer collects the log lines of a front.
 type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -56,20 +56,20 @@
 	return c.(*net.TCPConn)
 }
 
-// count is how many connections there are, and how many wait for their clients' ends.
-func (t *connTable) counts() (open, shut int) {
+// counts returns how many connections are open, and how many wait for their clients to close them.
+func (t *connTable) counts() (openCount, lingerCount int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.open), len(t.lingering)
 }
 
-// empty waits until no connection is left.
+// waitNoConns waits until no connection is left.
 func waitNoConns(t *testing.T, s *Server) {
 	t.Helper()
-	require.Eventually(t, func() bool { open, shut := s.conns.counts(); return open+shut == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { open, lingering := s.conns.counts(); return open+lingering == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// ended holds that so many connections have their line. It may come a moment after the connection is gone.
+// requireEnded checks that the end of exactly want connections is logged. A line may come a moment after its connection has ended.
 func (l *logBuffer) requireEnded(t *testing.T, want int) {
 	t.Helper()
 	count := func() int { return strings.Count(l.String(), "connection ended") }
@@ -77,7 +77,7 @@
 	require.Equal(t, want, count())
 }
 
-// the is the one connection there is.
+// onlyConn returns the only open connection, nil if there is none.
 func (t *connTable) onlyConn() (only *clientConn) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -87,7 +87,7 @@
 	return only
 }
 
-// unbroken holds that no reset has come.
+// requireNoReset checks that the connection has not been reset.
 func requireNoReset(t *testing.T, c *net.TCPConn) {
 	t.Helper()
 	raw, err := c.SyscallConn()
@@ -99,38 +99,40 @@
 	}))
 }
 
-// TestLeftAfterMore has clients send more while their request is open, from a byte to a flood, and go in each way there is: the
-// core is told, no second request is taken, and what was kept is given back. net/http alone stops looking after one byte.
+// TestDisconnectAfterPipelinedBytes has clients send more while their request is open, from nothing to 3 MB, and then disconnect in
+// different ways: the job is cancelled, no second request is accepted, and the buffered bytes are returned to the budget. net/http
+// by itself does not detect a disconnect after one more byte.
 func TestDisconnectAfterPipelinedBytes(t *testing.T) {
 	var log logBuffer
 	s, b, addr := newFront(t, 64, log.attach)
-	room := s.opt.BufferBudget.Left()
+	budgetLeft := s.opt.BufferBudget.Left()
 	ways := map[string]func(*net.TCPConn){"closes": func(c *net.TCPConn) { c.Close() }, "half-closes": func(c *net.TCPConn) { _ = c.CloseWrite() },
 		"resets": func(c *net.TCPConn) { c.SetLinger(0); c.Close() }}
-	for name, leave := range ways {
+	for name, disconnect := range ways {
 		for _, more := range []string{"", "G", validRequest, validRequest + validRequest, strings.Repeat("x", 3*maxReadAhead), strings.Repeat("x", 3<<20)} {
 			c := dial(t, addr)
 			_, _ = io.WriteString(c, validRequest)
 			j := <-b.jobs
 			_, _ = io.WriteString(c, more)
-			leave(c)
+			disconnect(c)
 			select {
 			case g := <-b.cancelled:
 				require.Same(t, j, g)
 			case <-time.After(5 * time.Second):
-				t.Fatalf("%s after %d bytes more: the core was not told", name, len(more))
+				t.Fatalf("%s after %d more bytes: the job was not cancelled", name, len(more))
 			}
 		}
 	}
 	waitNoConns(t, s)
 	require.Empty(t, b.jobs)
-	require.Equal(t, room, s.opt.BufferBudget.Left())
+	require.Equal(t, budgetLeft, s.opt.BufferBudget.Left())
 	log.requireEnded(t, 18)
 	require.Contains(t, log.String(), "CLIENT_FLOOD")
 }
 
-// TestMoreIsKept has a second request come while the first is open, cut anywhere: it is served after it, in chunks too, where it was
-// not in the first one's packet. Past what is kept a connection ends with its answer, which its client can read.
+// TestPipelinedRequestIsServed sends part of a second request while the first is open: it is served after the first, also with a chunked
+// body if it was not in the first one's packet. If more is sent than is buffered, the connection is closed after its response, which
+// the client can read.
 func TestPipelinedRequestIsServed(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	second := chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n"
@@ -160,19 +162,19 @@
 		c.Close()
 		waitNoConns(t, s)
 	}
-	// Where there is no room for it, it waits with the machine.
+	// Without buffer budget it stays in the kernel's buffer.
 	c := dial(t, addr)
 	_, _ = io.WriteString(c, validRequest)
 	j := <-b.jobs
-	left := s.opt.BufferBudget.Left()
-	s.opt.BufferBudget.Give(-left)
+	budgetLeft := s.opt.BufferBudget.Left()
+	s.opt.BufferBudget.Give(-budgetLeft)
 	cc := s.conns.onlyConn()
 	_, _ = io.WriteString(c, strings.Replace(strings.Replace(validHead, "PUT", "GET", 1), "/put/", "/get/", 1)+"\r\n")
 	require.Eventually(t, func() bool { return cc.overflowed.Load() || !upstream.Quiet(cc.Conn) }, 20*time.Second, time.Millisecond)
 	require.False(t, cc.clientClosed(true))
 	j.Done(core.Response{Payload: []byte("first")})
 	serveSecond(t, b)
-	s.opt.BufferBudget.Give(left)
+	s.opt.BufferBudget.Give(budgetLeft)
 	c.Close()
 	waitNoConns(t, s)
 	c = dial(t, addr)
@@ -189,19 +191,19 @@
 	require.Equal(t, "last", string(body))
 }
 
-// j2 takes the next request and serves it as the second.
+// serveSecond accepts the next request and serves it with the body "second".
 func serveSecond(t *testing.T, b *fakeCore) *upstream.Message {
 	select {
 	case j := <-b.jobs:
 		j.Done(core.Response{Payload: []byte("second")})
 		return j.Payload.(*upstream.Message)
 	case <-time.After(20 * time.Second):
-		t.Fatal("the second request was not taken")
+		t.Fatal("the second request did not reach the core")
 	}
 	return nil
 }
 
-// TestLeftBeforeTaken has a client write its request and go before the process comes to read it: it never reaches the core.
+// TestDisconnectBeforeAccept has a client send its request and disconnect before the connection is accepted: it does not reach the core.
 func TestDisconnectBeforeAccept(t *testing.T) {
 	for name, raw := range map[string]string{"write": validRequest, "read": strings.Replace(strings.Replace(validHead, "PUT", "GET", 1), "/put/", "/get/", 1) + "\r\n",
 		"chunks": chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n", "pipeline": validRequest + "GET"} {
@@ -212,22 +214,22 @@
 		c.Close()
 		var log logBuffer
 		s, b, _ := newFront(t, 64, log.attach)
-		go func() { _ = s.Serve(l) }() // only now is it accepted
+		go func() { _ = s.Serve(l) }() // the connection is accepted only now
 		require.Eventually(t, func() bool { return strings.Contains(log.String(), "connection ended") }, 20*time.Second, time.Millisecond)
 		require.Empty(t, b.jobs, name)
 		require.Contains(t, log.String(), "CLIENT_CLOSED", name)
 	}
 }
 
-// TestLeftWhileBodyWaits has a client of a large body go while its way to the target is being opened, with bytes of the body
-// unread: the way is given up, and nothing reaches the core.
+// TestDisconnectWhileUploadOpens has a client disconnect while the upload of its large body is being opened, with bytes of the body
+// unread: the call is cancelled, and the request does not reach the core.
 func TestDisconnectWhileUploadOpens(t *testing.T) {
-	opening, given := make(chan bool), make(chan error, 1)
+	opening, uploadErr := make(chan bool), make(chan error, 1)
 	_, b, addr := newFront(t, 64, func(s *Server) {
 		s.opt.OpenUpload = func(ctx context.Context, _ string, _ *upstream.Message, _ int64, _ time.Duration) (*upstream.Upload, error) {
 			opening <- true
 			<-ctx.Done()
-			given <- ctx.Err()
+			uploadErr <- ctx.Err()
 			return nil, ctx.Err()
 		}
 	})
@@ -236,29 +238,29 @@
 	<-opening
 	c.Close()
 	select {
-	case <-given: //nolint:errcheck // that the call has returned is what is tested
+	case <-uploadErr: //nolint:errcheck // that the call has returned is what is tested
 	case <-time.After(5 * time.Second):
-		t.Fatal("its way is still being opened")
+		t.Fatal("OpenUpload was not cancelled")
 	}
 	require.Empty(t, b.jobs)
 }
 
-// TestCloseKeepsAnswer has clients send more than is read of them, and read their answer only once the connection was closed: it is
-// there whole, and no reset took it.
+// TestCloseKeepsResponse has clients send more than the front reads, and read the response only after the connection was closed: it is
+// complete, and not lost to a reset.
 func TestCloseKeepsResponse(t *testing.T) {
 	more := strings.Repeat("x", 100<<10)
 	for name, x := range map[string]struct {
 		raw  string
 		want int
 	}{
-		"garbage":       {"nonsense\r\n\r\n" + more, 400},
-		"odd coding":    {validHead + "Transfer-Encoding: gzip\r\n\r\n" + more, 501},
-		"long head":     {"GET / HTTP/1.1\r\nX: " + more + "\r\n\r\n", 431},
-		"expects":       {validHead + "Expect: tea\r\nContent-Length: 102400\r\n\r\n" + more, 417},
-		"bad head":      {strings.Replace(validRequest, "std", "odd", 1) + more, 422},
-		"bad with body": {strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 102400\r\n\r\n" + more, 422},
-		"asks to close": {strings.Replace(validRequest, "Tier:", "Connection: close\r\nTier:", 1) + more, 200},
-		"floods":        {validRequest + more, 200},
+		"garbage":        {"nonsense\r\n\r\n" + more, 400},
+		"bad coding":     {validHead + "Transfer-Encoding: gzip\r\n\r\n" + more, 501},
+		"long head":      {"GET / HTTP/1.1\r\nX: " + more + "\r\n\r\n", 431},
+		"bad expect":     {validHead + "Expect: tea\r\nContent-Length: 102400\r\n\r\n" + more, 417},
+		"bad head":       {strings.Replace(validRequest, "std", "odd", 1) + more, 422},
+		"bad with body":  {strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 102400\r\n\r\n" + more, 422},
+		"asks to close":  {strings.Replace(validRequest, "Tier:", "Connection: close\r\nTier:", 1) + more, 200},
+		"sends too much": {validRequest + more, 200},
 	} {
 		s, b, addr := newFront(t, 64)
 		c := dial(t, addr)
@@ -277,14 +279,14 @@
 	}
 }
 
-// TestEndMeetsRequest ends a resting connection, in each way there is, whose client has not read its last answer and then asks again:
-// the answer is there, the end is clean, and the request that crossed it goes nowhere.
+// TestRequestCrossingClose closes an idle connection, for each reason there is, whose client has not read its last response and then sends
+// another request: the response can be read, there is no reset, and the request does not reach the core.
 func TestRequestCrossingClose(t *testing.T) {
-	for name, end := range map[string]func(*Server){
-		"idle":    func(s *Server) { s.conns.closeIdle(0) },
-		"leaving": func(s *Server) { s.conns.closeForShutdown(false) },
-		"handed":  func(s *Server) { s.conns.closeServed() },
-		"room": func(s *Server) {
+	for name, closeConns := range map[string]func(*Server){
+		"idle":     func(s *Server) { s.conns.closeIdle(0) },
+		"shutdown": func(s *Server) { s.conns.closeForShutdown(false) },
+		"handover": func(s *Server) { s.conns.closeServed() },
+		"cap": func(s *Server) {
 			s.SetConnLimits(1, 1)
 			l, _ := net.Listen("tcp", "127.0.0.1:0")
 			go func() { _, _ = net.Dial("tcp", l.Addr().String()) }()
@@ -299,7 +301,7 @@
 		(<-b.jobs).Done(core.Response{Payload: []byte("answer")})
 		cc := s.conns.onlyConn()
 		require.Eventually(t, func() bool { return cc.phase.Load() == phaseIdle }, 20*time.Second, time.Millisecond)
-		end(s)
+		closeConns(s)
 		require.Equal(t, phaseEvicted, cc.phase.Load(), name)
 		_, err := io.WriteString(c, validRequest)
 		require.NoError(t, err, name)
@@ -312,9 +314,9 @@
 	}
 }
 
-// paused is a front whose connections stop at a state until they are let go on.
+// newPausedFront returns a front whose connections block on entering the state, which they announce on reached, until release is called.
 func newPausedFront(t *testing.T, at http.ConnState) (s *Server, b *fakeCore, addr string, reached chan bool, release func()) {
-	reached, free := make(chan bool), make(chan bool)
+	reached, proceed := make(chan bool), make(chan bool)
 	s, b, addr = newFront(t, 64, func(s *Server) {
 		a := testAdmission
 		a.Shutdown = core.ShutdownSchedule{RespondWithin: 5 * time.Second}
@@ -323,15 +325,15 @@
 			s.conns.connState(c, st)
 			if st == at {
 				reached <- true
-				<-free
+				<-proceed
 			}
 		}
 	})
-	return s, b, addr, reached, func() { close(free) }
+	return s, b, addr, reached, func() { close(proceed) }
 }
 
-// TestReadAsItEnds stops the process right after it has read a request, or with one unread on a resting connection, and has it leave
-// in that instant: the request is answered, on a connection that ends with it.
+// TestRequestReadDuringShutdown starts a shutdown right after a request was read, or with one unread on an idle connection: the request
+// is answered, and its connection is closed after the response.
 func TestRequestReadDuringShutdown(t *testing.T) {
 	for name, at := range map[string]http.ConnState{"read": http.StateActive, "unread": http.StateIdle} {
 		s, b, addr, reached, release := newPausedFront(t, at)
@@ -350,12 +352,12 @@
 			<-reached
 		}
 		s.conns.closeForShutdown(true)
-		stopped, drops := make(chan error, 1), make(chan bool)
-		s.http.RegisterOnShutdown(func() { close(drops) })
+		stopped, shutdownCalled := make(chan error, 1), make(chan bool)
+		s.http.RegisterOnShutdown(func() { close(shutdownCalled) })
 		go func() { stopped <- s.Stop(context.Background()) }()
 		select {
-		case <-drops:
-			t.Fatalf("%s: net/http drops from now on what it has read", name)
+		case <-shutdownCalled:
+			t.Fatalf("%s: http.Server.Shutdown was called, which drops requests that have been read", name)
 		case <-time.After(50 * time.Millisecond):
 		}
 		release()
@@ -366,7 +368,7 @@
 		case j := <-b.jobs:
 			j.Done(core.Response{Payload: []byte("owed")})
 		case <-time.After(5 * time.Second):
-			t.Fatalf("%s: it was dropped", name)
+			t.Fatalf("%s: the request was dropped", name)
 		}
 		resp, err := http.ReadResponse(in, nil)
 		require.NoError(t, err, name)
@@ -379,18 +381,18 @@
 	}
 }
 
-// behind is a listener of a process that is slow to accept.
+// slowListener accepts only once mayAccept is closed, as in a busy process.
 type slowListener struct {
 	*net.TCPListener
 	mayAccept chan bool
 }
 
-func (b slowListener) Accept() (net.Conn, error) {
-	<-b.mayAccept
-	return b.TCPListener.Accept()
+func (l slowListener) Accept() (net.Conn, error) {
+	<-l.mayAccept
+	return l.TCPListener.Accept()
 }
 
-// TestTakesWhatWaits has the process leave while it has not come to accept a connection with a request on it: it is served.
+// TestShutdownAcceptsBacklog starts a shutdown while a connection with a request on it is in the backlog: it is served.
 func TestShutdownAcceptsBacklog(t *testing.T) {
 	other, b, _ := newFront(t, 64)
 	opt := other.opt
@@ -398,20 +400,20 @@
 	s := New(b, opt)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	late := slowListener{l.(*net.TCPListener), make(chan bool)}
-	go func() { _ = s.Serve(late) }()
+	slow := slowListener{l.(*net.TCPListener), make(chan bool)}
+	go func() { _ = s.Serve(slow) }()
 	c := dial(t, l.Addr().String())
 	_, _ = io.WriteString(c, validRequest)
 	require.Eventually(t, func() bool { return s.listener.Load() != nil }, 20*time.Second, time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	require.Eventually(t, func() bool { return s.stoppedAt.Load() != nil }, 20*time.Second, time.Millisecond)
-	time.AfterFunc(backlogTimeout/4, func() { close(late.mayAccept) })
+	time.AfterFunc(backlogTimeout/4, func() { close(slow.mayAccept) })
 	select {
 	case j := <-b.jobs:
 		j.Done(core.Response{Payload: []byte("x")})
 	case <-time.After(5 * time.Second):
-		t.Fatal("it was not taken")
+		t.Fatal("the request did not reach the core")
 	}
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	require.NoError(t, err)
@@ -420,11 +422,11 @@
 	require.NoError(t, <-stopped)
 }
 
-// TestPartReadAsItEnds has the process leave while part of a request has come: its end may still come for a while; after that it is
-// refused or dropped, never sent on.
+// TestPartialRequestDuringShutdown starts a shutdown while part of a request has arrived: the rest may still arrive for a while; after
+// that the request is rejected or dropped, and never forwarded.
 func TestPartialRequestDuringShutdown(t *testing.T) {
 	for name, cut := range map[string]int{"head": len(validHead) / 2, "body": len(validRequest) - 2} {
-		for _, hurry := range []bool{false, true} {
+		for _, dropPartial := range []bool{false, true} {
 			s, b, addr := newFront(t, 64)
 			c := dial(t, addr)
 			_, _ = io.WriteString(c, validRequest[:cut])
@@ -433,15 +435,15 @@
 				cc = s.conns.onlyConn()
 				return cc != nil && cc.phase.Load() == phaseReading
 			}, 20*time.Second, time.Millisecond)
-			s.conns.closeForShutdown(hurry)
+			s.conns.closeForShutdown(dropPartial)
 			_, _ = io.WriteString(c, validRequest[cut:])
-			if !hurry {
+			if !dropPartial {
 				(<-b.jobs).Done(core.Response{Payload: []byte("whole")})
 			}
 			all, err := io.ReadAll(c)
 			require.NoError(t, err, name)
 			switch {
-			case !hurry:
+			case !dropPartial:
 				require.Contains(t, string(all), "whole", name)
 			case name == "body":
 				require.Contains(t, string(all), "HTTP/1.1 503 ")
@@ -453,32 +455,32 @@
 	}
 }
 
-// TestEndsAreBounded has clients that never close what was ended: they wait for a while, at most as many as there is room for, and
-// make room before all others do.
+// TestLingeringConnsAreBounded has clients that never close connections that the front has ended: these linger for a while, within the
+// connection limit, and are closed first when there are too many connections.
 func TestLingeringConnsAreBounded(t *testing.T) {
-	const most = 6
-	s, b, addr := newFront(t, most)
-	for range 4 * most {
+	const maxConns = 6
+	s, b, addr := newFront(t, maxConns)
+	for range 4 * maxConns {
 		c := dial(t, addr)
 		_, _ = io.WriteString(c, validRequest)
 		select {
 		case j := <-b.jobs:
-			j.Done(core.Response{Status: core.Conflict}) // which ends the connection
+			j.Done(core.Response{Status: core.Conflict}) // the connection is closed after this response
 		case <-time.After(20 * time.Second):
-			t.Fatal("not taken")
+			t.Fatal("the request did not reach the core")
 		}
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		require.Equal(t, 409, resp.StatusCode)
-		open, shut := s.conns.counts()
-		require.LessOrEqual(t, open+shut, most+1)
+		open, lingering := s.conns.counts()
+		require.LessOrEqual(t, open+lingering, maxConns+1)
 	}
-	_, shut := s.conns.counts()
-	require.NotZero(t, shut, "they were not waited for")
+	_, lingering := s.conns.counts()
+	require.NotZero(t, lingering, "no connection lingers")
 	waitNoConns(t, s)
 }
 
-// TestNothingHeldBack looks at the option by which the system would hold small writes back: they would go with a reset.
+// TestNoDelayIsSet checks that the kernel does not delay small writes: they would be lost in a reset.
 func TestNoDelayIsSet(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	c := dial(t, addr)
@@ -492,9 +494,9 @@
 	j.Done(core.Response{})
 }
 
-// TestGarbageAndCuts sends requests that were cut, doubled, or spoilt anywhere, many at a time, with fixed seeds: each is answered or its
-// connection ended in time, what reaches the core is a whole request, one line tells of each connection, nothing stays held, and the
-// next client is served.
+// TestDamagedRequests sends requests with parts cut, repeated or overwritten anywhere, many at a time, with fixed seeds: each is answered or
+// its connection ended in time, what reaches the core is a valid request, one line is logged for each connection, no buffer budget stays
+// taken, and the next client is served.
 func TestDamagedRequests(t *testing.T) {
 	var log logBuffer
 	s, b, addr := newFront(t, 400, log.attach, func(s *Server) {
@@ -502,8 +504,8 @@
 			return nil, upstream.ErrNoUpload
 		}
 	})
-	room := s.opt.BufferBudget.Left()
-	spoilt := rapid.Custom(func(t *rapid.T) string {
+	budgetLeft := s.opt.BufferBudget.Left()
+	damaged := rapid.Custom(func(t *rapid.T) string {
 		raw := []byte(rapid.SampledFrom([]string{validRequest, validRequest + validRequest, validHead + "\r\n", chunkedHead + "\r\n3\r\nabc\r\n0\r\n\r\n",
 			strings.Replace(validRequest, "Content-Length: 4", "Content-Length: 70000", 1) + strings.Repeat("b", 70000)}).Draw(t, "whole"))
 		for range rapid.IntRange(1, 3).Draw(t, "times") {
@@ -532,7 +534,7 @@
 	const clients = 300
 	var wait sync.WaitGroup
 	for i := range clients {
-		raw := spoilt.Example(i)
+		raw := damaged.Example(i)
 		wait.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if !assert.NoError(t, err) {
@@ -549,7 +551,7 @@
 	waitNoConns(t, s)
 	log.requireEnded(t, clients)
 	require.Equal(t, clients, strings.Count(log.String(), "reason="))
-	require.Equal(t, room, s.opt.BufferBudget.Left())
+	require.Equal(t, budgetLeft, s.opt.BufferBudget.Left())
 	resp, _, _ := sendRequest(t, addr, validRequest)
 	require.Equal(t, 200, resp.StatusCode)
 }
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -34,7 +34,7 @@
 
 var testSchedule = core.NewShutdownSchedule(2 * time.Second)
 
-// back is the stand-in core: it hands jobs to the test and notes departures.
+// fakeCore passes submitted and cancelled jobs to the test, and rejects all jobs if it is full.
 type fakeCore struct {
 	jobs      chan *core.Job
 	cancelled chan *core.Job
@@ -51,23 +51,23 @@
 func (b *fakeCore) Cancel(j *core.Job)                  { b.cancelled <- j }
 func (b *fakeCore) Route(shard int, reply func(string)) { reply("n") }
 
-// admitted is what a front under test admits.
+// testAdmission is the admission of a front under test.
 var testAdmission = Admission{Classes: map[string]bool{"get": true, "put": true}, Plans: map[string]bool{"std": true}, Shutdown: testSchedule}
 
-// testRoom is the budget of bytes of a front under test.
+// testBufferBudget is the buffer budget of a front under test, in bytes.
 const testBufferBudget = 1 << 20
 
-func newFront(t *testing.T, most int, edit ...func(*Server)) (*Server, *fakeCore, string) {
+func newFront(t *testing.T, maxConns int, options ...func(*Server)) (*Server, *fakeCore, string) {
 	t.Helper()
 	b := &fakeCore{jobs: make(chan *core.Job, 64), cancelled: make(chan *core.Job, 64)}
-	s := New(b, Options{Admission: testAdmission, MaxConns: most, SoftMaxConns: most,
+	s := New(b, Options{Admission: testAdmission, MaxConns: maxConns, SoftMaxConns: maxConns,
 		Figures: figures.New([]string{"get", "put"}), BufferBudget: budget.New(testBufferBudget),
 		Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range edit {
+	for _, e := range options {
 		e(s)
 	}
 	go func() { _ = s.Serve(l) }()
@@ -80,7 +80,7 @@
 
 const validRequest = validHead + "Content-Length: 4\r\n\r\nbody"
 
-// ask writes raw bytes on a connection of its own and reads one answer.
+// sendRequest writes raw bytes on a new connection and reads one response.
 func sendRequest(t *testing.T, addr, raw string) (*http.Response, string, net.Conn) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -103,7 +103,7 @@
 	return resp, string(body), c
 }
 
-// TestAnswers passes a request whole to the core and each ending back to the client.
+// TestResponses checks that a request reaches the core with all its fields, and how the client sees each status.
 func TestResponses(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	for _, c := range []struct {
@@ -132,7 +132,7 @@
 	}()
 	want := fmt.Sprint("put", "std", "00000003b4d60021", "7f3a9c21e0b4d655", 2.0, 5, 3, 480*time.Millisecond, "PUT", "/put/x/7f3a9c21e0b4d655?q=1", "id1", "body")
 	if _, body, _ := sendRequest(t, addr, validRequest); body != want {
-		t.Errorf("taken as %q, want %q", body, want)
+		t.Errorf("the core received %q, want %q", body, want)
 	}
 	for head, key := range map[string]string{"": "", "Idempotency-Key:  a 7=\"x\" \r\n": `a 7="x"`, "Idempotency-Key: \r\n": ""} {
 		go func() {
@@ -146,7 +146,7 @@
 	require.Equal(t, http.StatusBadRequest, resp.StatusCode)
 }
 
-// TestBadInput checks that what cannot be taken is told so, by a code that does not invite a repeat.
+// TestBadInput checks that invalid requests are rejected, with a status that does not invite a retry.
 func TestBadInput(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	swap := func(old, by string) string { return strings.Replace(validRequest, old, by, 1) }
@@ -161,32 +161,32 @@
 		{"class", swap("/put/", "/odd/"), 404},
 		{"plan", swap("Tier: std", "Tier: odd"), 422},
 		{"two lengths", swap("Content-Length: 4", "Content-Length: 4\r\nContent-Length: 5"), 400},
-		{"length below none", swap("Content-Length: 4", "Content-Length: -4"), 400},
-		{"length past all", swap("Content-Length: 4", "Content-Length: 99999999999999999999"), 400},
+		{"negative length", swap("Content-Length: 4", "Content-Length: -4"), 400},
+		{"length out of range", swap("Content-Length: 4", "Content-Length: 99999999999999999999"), 400},
 		{"length and coding", swap("Content-Length: 4\r\n\r\nbody", "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"+validRequest), 400},
-		{"length and coding of old", strings.Replace(swap("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "HTTP/1.1", "HTTP/1.0", 1), 505},
+		{"length and coding in HTTP/1.0", strings.Replace(swap("Content-Length: 4", "Content-Length: 4\r\nTransfer-Encoding: chunked"), "HTTP/1.1", "HTTP/1.0", 1), 505},
 		{"read with a body", strings.Replace(swap("PUT", "GET"), "/put/", "/get/", 1), 400},
 		{"no host", swap("Host: a\r\n", ""), 400},
 		{"no plan", swap("Tier: std\r\n", ""), 400},
 		{"no info", swap("IO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n", ""), 400},
 		{"empty id", swap("Request-Id: id1", "Request-Id:"), 400},
-		{"odd key", swap("7f3a9c21e0b4d655", "7f3a9c21e0b4d65g"), 400},
+		{"invalid key", swap("7f3a9c21e0b4d655", "7f3a9c21e0b4d65g"), 400},
 		{"two ids", swap("Tier:", "Request-Id: id2\r\nTier:"), 400},
 		{"two plans", swap("Tier: std", "Tier: std\r\nTier: std"), 400},
 		{"two infos", swap("IO-Info:", "IO-Info: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\nIO-Info:"), 400},
-		{"two times", swap("Request-Timeout-Ms: 480", "Request-Timeout-Ms: 480\r\nRequest-Timeout-Ms: 480"), 400},
-		{"time with a sign", swap("480", "+480"), 400},
-		{"time past all", swap("480", "99999999999999999999"), 400},
+		{"two timeouts", swap("Request-Timeout-Ms: 480", "Request-Timeout-Ms: 480\r\nRequest-Timeout-Ms: 480"), 400},
+		{"timeout with a sign", swap("480", "+480"), 400},
+		{"timeout out of range", swap("480", "99999999999999999999"), 400},
 		{"no id", swap("Request-Id: id1\r\n", ""), 400},
 		{"id with a blank", swap("id1", "i d"), 400},
-		{"no time", swap("Request-Timeout-Ms: 480\r\n", ""), 400},
-		{"time below none", swap("480", "-1"), 400},
-		{"odd time", swap("480", "1e9"), 400},
+		{"no timeout", swap("Request-Timeout-Ms: 480\r\n", ""), 400},
+		{"negative timeout", swap("480", "-1"), 400},
+		{"invalid timeout", swap("480", "1e9"), 400},
 		{"no volume", swap("volume=00000003b4d60021,", ""), 400},
-		{"odd volume", swap("00000003b4d60021", "xyz"), 400},
-		{"odd units", swap("units=2", "units=NaN"), 400},
+		{"invalid volume", swap("00000003b4d60021", "xyz"), 400},
+		{"invalid units", swap("units=2", "units=NaN"), 400},
 		{"shard twice", swap("shard=5", "shard=5,shard=6"), 400},
-		{"odd shard", swap("shard=5", "shard=-2"), 400},
+		{"invalid shard", swap("shard=5", "shard=-2"), 400},
 		{"no hosts", swap(",hosts=3", ""), 400},
 		{"long head", swap("Host: a", "Host: a\r\nX: "+strings.Repeat("x", 40<<10)), 431},
 		{"long body", swap("Content-Length: 4\r\n\r\nbody", "Content-Length: 60000000\r\n\r\n"+strings.Repeat("x", 65537)), 413},
@@ -197,7 +197,7 @@
 		}
 		_ = conn.(*net.TCPConn).CloseWrite()
 		if rest, _ := io.ReadAll(conn); len(rest) > 0 {
-			t.Errorf("%s: more was answered: %q", c.name, rest)
+			t.Errorf("%s: more than one response: %q", c.name, rest)
 		}
 	}
 	if len(b.jobs) != 0 {
@@ -205,18 +205,18 @@
 	}
 	b.full = true
 	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 503 {
-		t.Errorf("too many held: status %d, want 503", resp.StatusCode)
+		t.Errorf("core at its limit: status %d, want 503", resp.StatusCode)
 	}
 }
 
-// TestNoTimeLeft guards against closing on a late retry that has no whole millisecond left: it is no malformed
-// request, and the core refuses it.
+// TestNoTimeLeft guards against closing the connection of a late retry that has less than a millisecond left: its request is
+// not malformed, and the core rejects it.
 func TestNoTimeLeft(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Status: core.Rejected}) }()
 	resp, _, c := sendRequest(t, addr, strings.Replace(validRequest, "480", "0", 1))
 	if resp.StatusCode != 503 || resp.Close {
-		t.Errorf("status %d, closes %v; want it refused on a connection that lives", resp.StatusCode, resp.Close)
+		t.Errorf("status %d, closes %v; want 503 on a connection that stays open", resp.StatusCode, resp.Close)
 	}
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	if resp, _, _ := roundTrip(t, c, validRequest); resp.StatusCode != 200 {
@@ -224,26 +224,26 @@
 	}
 }
 
-// TestAbandonedIsNeverServed guards against net/http's implicit empty 200: a handler that returns without an
-// answer would serve something that no target made.
+// TestAbortedHandlerSendsNoResponse guards against net/http's implicit empty 200: a handler that returns without a
+// response would send one that no target produced.
 func TestAbortedHandlerSendsNoResponse(t *testing.T) {
 	s, b, _ := newFront(t, 64)
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	req := httptest.NewRequest("GET", "/get/7f3a9c21e0b4d655", nil).WithContext(ctx)
 	for k, v := range map[string]string{"Request-Id": "i", "Tier": "std", "Request-Timeout-Ms": "480",
 		"IO-Info": "volume=00000003b4d60021,units=2,shard=5,hosts=3"} {
 		req.Header.Set(k, v)
 	}
-	go func() { <-b.jobs; leave() }()
+	go func() { <-b.jobs; cancel() }()
 	defer func() {
 		if p := recover(); p != any(http.ErrAbortHandler) {
-			t.Errorf("the handler ended with %v, want it to abort the connection", p)
+			t.Errorf("the handler ended with panic value %v, want http.ErrAbortHandler", p)
 		}
 	}()
 	s.ServeHTTP(httptest.NewRecorder(), req)
 }
 
-// TestDeparture tells the core when a client goes away.
+// TestDisconnectCancelsJob checks that the job is cancelled when its client disconnects.
 func TestDisconnectCancelsJob(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	c, err := net.Dial("tcp", addr)
@@ -256,21 +256,21 @@
 	select {
 	case g := <-b.cancelled:
 		if g != j {
-			t.Error("another job departed")
+			t.Error("another job was cancelled")
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the core was not told")
+		t.Error("the job was not cancelled")
 	}
 }
 
-// TestSlowClients guards against clients that say nothing, too little or too slowly: each is told an error or closed
-// within 3 s, one of them after a first request too. A request that is open for longer is none of them.
+// TestSlowClients guards against clients that send nothing, too little or too slowly: each gets an error response or its connection is
+// closed within 3 s, also if it is idle after a first request. A request that is open for longer is not affected.
 func TestSlowClients(t *testing.T) {
 	_, b, addr := newFront(t, 64)
-	half := validHead + "Content-Length: 9\r\n\r\nbo"
+	partialBody := validHead + "Content-Length: 9\r\n\r\nbo"
 	var wait sync.WaitGroup
-	for name, raw := range map[string]string{"silent": "", "half a head": validHead, "half a body": half,
-		"a bad head with half a body": strings.Replace(half, "std", "odd", 1), "idle": validRequest} {
+	for name, raw := range map[string]string{"silent": "", "half a head": validHead, "half a body": partialBody,
+		"a bad head with half a body": strings.Replace(partialBody, "std", "odd", 1), "idle": validRequest} {
 		wait.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -278,22 +278,22 @@
 				return
 			}
 			defer c.Close()
-			begun := time.Now()
-			c.SetDeadline(begun.Add(20 * time.Second))
+			start := time.Now()
+			c.SetDeadline(start.Add(20 * time.Second))
 			_, _ = io.WriteString(c, raw)
 			got, err := io.ReadAll(c)
-			if took := time.Since(begun); err != nil || took > 3*time.Second && name != "a bad head with half a body" {
+			if took := time.Since(start); err != nil || took > 3*time.Second && name != "a bad head with half a body" {
 				t.Errorf("%s: ended after %v: %v", name, took, err)
 			}
 			if want := map[string]string{"half a body": " 408 ", "a bad head with half a body": " 422 ", "idle": " 200 "}[name]; !strings.Contains(string(got), want) {
-				t.Errorf("%s: told %q, want %s", name, got, want)
+				t.Errorf("%s: received %q, want %s", name, got, want)
 			}
 		})
 	}
 	(<-b.jobs).Done(core.Response{Payload: []byte("x")})
 	wait.Go(func() {
 		if resp, _, _ := sendRequest(t, addr, strings.Replace(validRequest, "480", "9999", 1)); resp.StatusCode != 200 {
-			t.Errorf("open for long: status %d", resp.StatusCode)
+			t.Errorf("request open for longer: status %d", resp.StatusCode)
 		}
 	})
 	j := <-b.jobs
@@ -301,12 +301,12 @@
 	j.Done(core.Response{Payload: []byte("x")})
 	wait.Wait()
 	if len(b.jobs)+len(b.cancelled) > 0 {
-		t.Errorf("%d more reached the core, %d departed", len(b.jobs), len(b.cancelled))
+		t.Errorf("%d more requests reached the core, %d were cancelled", len(b.jobs), len(b.cancelled))
 	}
 }
 
-// TestHugeBody guards against an answer that a reset takes from a client which is still sending, and against holding
-// what is refused.
+// TestTooLargeBody guards against a reset that destroys the response to a client which is still sending, and against buffering
+// a rejected body.
 func TestTooLargeBody(t *testing.T) {
 	_, _, addr := newFront(t, 64)
 	const size = 60 << 20
@@ -327,26 +327,26 @@
 	}
 	runtime.ReadMemStats(&after)
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 413 {
-		t.Errorf("answered with %+v, %v", resp, err)
+		t.Errorf("response %+v, %v; want status 413", resp, err)
 	}
-	if held := after.TotalAlloc - before.TotalAlloc; held > 8<<20 {
-		t.Errorf("%d bytes were taken in memory", held)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 8<<20 {
+		t.Errorf("%d bytes were allocated, want at most 8 MB", allocated)
 	}
 }
 
-// TestUselessMakeRoom fills the clients' connections with ones that say nothing, stop in a head or a body, or have been
-// refused and never end their body: they make room for usual clients, and one with a request open does not go.
+// TestUnproductiveConnsAreEvicted uses up the connections by clients that send nothing, stop within a head or a body, or have had their
+// request rejected and do not finish its body: they are evicted for normal clients, and one with an open request is not.
 func TestUnproductiveConnsAreEvicted(t *testing.T) {
 	for name, raw := range map[string]string{"silent": "", "half a head": validHead,
 		"half a body": validHead + "Content-Length: 9\r\n\r\nbo",
-		"refused":     strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 9\r\n\r\nbo"} {
+		"rejected":    strings.Replace(validHead, "std", "odd", 1) + "Content-Length: 9\r\n\r\nbo"} {
 		_, b, addr := newFront(t, 8)
-		open, err := net.Dial("tcp", addr)
+		openConn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer open.Close()
-		_, _ = io.WriteString(open, validRequest)
+		defer openConn.Close()
+		_, _ = io.WriteString(openConn, validRequest)
 		j := <-b.jobs
 		for range 7 {
 			c, err := net.Dial("tcp", addr)
@@ -364,19 +364,19 @@
 		}()
 		for range 7 {
 			if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 {
-				t.Errorf("%s: a usual client got status %d", name, resp.StatusCode)
+				t.Errorf("%s: a normal client got status %d", name, resp.StatusCode)
 			}
 		}
 		j.Done(core.Response{Payload: []byte("late")})
-		open.SetDeadline(time.Now().Add(20 * time.Second))
-		if resp, err := http.ReadResponse(bufio.NewReader(open), nil); err != nil || resp.StatusCode != 200 {
+		openConn.SetDeadline(time.Now().Add(20 * time.Second))
+		if resp, err := http.ReadResponse(bufio.NewReader(openConn), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%s: the request that was open: %+v, %v", name, resp, err)
 		}
 	}
 }
 
-// TestIdleMakeRoomEarly guards against connections that asked once and stay: they go well before the cap, which clients
-// that count them among their own would never meet. Those with a request may use all of it.
+// TestIdleConnsAreEvictedAboveSoftMax guards against connections that were used once and stay open: they are evicted well below the
+// cap, which clients that count them against a limit of their own would never reach. Connections with a request may use the whole cap.
 func TestIdleConnsAreEvictedAboveSoftMax(t *testing.T) {
 	s, b, addr := newFront(t, 8)
 	s.conns.mu.Lock()
@@ -406,30 +406,30 @@
 		select {
 		case <-b.jobs:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("request %d on a connection of its own was not taken", i)
+			t.Fatalf("request %d on a connection of its own did not reach the core", i)
 		}
 	}
 }
 
-// resting waits until so many connections have had their answers, and rest.
+// waitIdle waits until n connections are idle after a response.
 func waitIdle(t *testing.T, s *Server, n int) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
-		quiets := 0
+		idle := 0
 		for c := range s.conns.open {
 			if c.phase.Load() == phaseIdle && c.served.Load() {
-				quiets++
+				idle++
 			}
 		}
-		return quiets == n
+		return idle == n
 	}, 20*time.Second, time.Millisecond)
 }
 
-// TestCapMakesRoom fills the clients' connections: a new one is taken all the same, and the one idle longest goes.
+// TestIdleConnIsEvictedAtCap uses up the connections: a new one is still accepted, and the one that was idle longest is closed.
 func TestIdleConnIsEvictedAtCap(t *testing.T) {
-	s, b, addr := newFront(t, 2, func(s *Server) { s.idleTimeout = time.Hour }) // none ends by itself, however long the machine stands still
+	s, b, addr := newFront(t, 2, func(s *Server) { s.idleTimeout = time.Hour }) // none is closed by the idle timeout, even if the machine stalls
 	go func() {
 		for j := range b.jobs {
 			j.Done(core.Response{Payload: []byte("x")})
@@ -437,22 +437,22 @@
 	}()
 	defer close(b.jobs)
 	_, _, first := sendRequest(t, addr, validRequest)
-	waitIdle(t, s, 1) // a client may have its answer before its connection rests: of two that rest the order would be by chance
+	waitIdle(t, s, 1) // a client may have its response before its connection is idle: without the wait the order of the two would vary
 	_, _, second := sendRequest(t, addr, validRequest)
 	waitIdle(t, s, 2)
 	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 {
-		t.Errorf("past the cap: status %d", resp.StatusCode)
+		t.Errorf("over the cap: status %d", resp.StatusCode)
 	}
 	first.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if _, err := first.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection idle longest: %v, want it closed", err)
 	}
 	if resp, _, _ := roundTrip(t, second, validRequest); resp.StatusCode != 200 {
-		t.Errorf("the one used later: status %d", resp.StatusCode)
+		t.Errorf("the connection used later: status %d", resp.StatusCode)
 	}
 }
 
-// TestCapRefuses fills the cap with requests that are open: one more is refused at once, on a connection that ends.
+// TestRequestOverCapIsRejected uses up the connections by open requests: one more is rejected at once, and its connection closed.
 func TestRequestOverCapIsRejected(t *testing.T) {
 	_, b, addr := newFront(t, 1)
 	first, err := net.Dial("tcp", addr)
@@ -461,16 +461,16 @@
 	}
 	defer first.Close()
 	_, _ = io.WriteString(first, validRequest)
-	open := <-b.jobs
+	openJob := <-b.jobs
 	resp, _, _ := sendRequest(t, addr, validRequest)
 	if resp.StatusCode != 503 || !resp.Close || len(b.jobs) != 0 {
-		t.Errorf("status %d, closes %v, %d jobs; want a refusal that reaches no core", resp.StatusCode, resp.Close, len(b.jobs))
+		t.Errorf("status %d, closes %v, %d jobs; want 503, a close and no job", resp.StatusCode, resp.Close, len(b.jobs))
 	}
-	open.Done(core.Response{Payload: []byte("x")})
+	openJob.Done(core.Response{Payload: []byte("x")})
 }
 
-// TestLeaving checks the order of an end: not ready at once, new connections served meanwhile, and what was
-// taken finished before Stop returns.
+// TestShutdownOrder checks the order of a shutdown: it is not ready at once, new connections are served for a while, and requests
+// accepted before are finished before Stop returns.
 func TestShutdownOrder(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	ready := "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
@@ -482,7 +482,7 @@
 	go func() {
 		defer wait.Done()
 		if resp, body, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 200 || body != "late" {
-			t.Errorf("taken before the end: %d, %q", resp.StatusCode, body)
+			t.Errorf("accepted before the shutdown: %d, %q", resp.StatusCode, body)
 		}
 	}()
 	j := <-b.jobs
@@ -491,31 +491,31 @@
 	for s.stoppedAt.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	resp, _, kept := sendRequest(t, addr, ready)
+	resp, _, keptConn := sendRequest(t, addr, ready)
 	if resp.StatusCode != 503 {
-		t.Errorf("ready while leaving: %d", resp.StatusCode)
+		t.Errorf("ready during the shutdown: %d", resp.StatusCode)
 	}
 	time.Sleep(testSchedule.AcceptFor + 100*time.Millisecond)
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("still accepting after the linger")
+		t.Error("still accepting after AcceptFor")
 	}
-	// A client that has a connection is served on it, within the time that is left.
+	// A client that has a connection is served on it, with the timeout limited to the time that is left.
 	served := make(chan time.Duration, 1)
 	go func() {
 		j := <-b.jobs
 		served <- j.Timeout
 		j.Done(core.Response{Payload: []byte("kept")})
 	}()
-	if resp, body, _ := roundTrip(t, kept, strings.Replace(validRequest, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
-		t.Errorf("on a connection from before: %d, %q", resp.StatusCode, body)
+	if resp, body, _ := roundTrip(t, keptConn, strings.Replace(validRequest, "480", "9999", 1)); resp.StatusCode != 200 || body != "kept" {
+		t.Errorf("on an existing connection: %d, %q", resp.StatusCode, body)
 	}
 	if p := <-served; p > testSchedule.RespondWithin-testSchedule.AcceptFor {
-		t.Errorf("it may take %v, past the end", p)
+		t.Errorf("its timeout is %v, beyond the shutdown", p)
 	}
 	select {
 	case <-stopped: //nolint:errcheck // that it has not returned is what is tested
-		t.Error("ended with a request open")
+		t.Error("Stop returned with a request open")
 	case <-time.After(testSchedule.ServeFor):
 	}
 	j.Done(core.Response{Payload: []byte("late")})
@@ -525,7 +525,7 @@
 	}
 }
 
-// TestReadyNeedsAList checks that no client is invited before there is anywhere to send to.
+// TestNotReadyWithoutTargetList checks that the front is not ready before there is a list of targets.
 func TestNotReadyWithoutTargetList(t *testing.T) {
 	s, _, _ := newFront(t, 64)
 	listed := false
@@ -540,7 +540,7 @@
 	}
 }
 
-// TestInfoCuts cuts a valid IO-Info and feeds garbage: whatever passes has all four fields in range.
+// TestTruncatedIOInfo parses truncated IO-Info headers and garbage: whatever is accepted has all four fields in range.
 func TestTruncatedIOInfo(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		whole := fmt.Sprintf("volume=%016x,units=%d,shard=%d,hosts=%d", rapid.Uint64().Draw(t, "v"),
@@ -560,8 +560,8 @@
 	})
 }
 
-// TestSlowRequestsStay guards true clients that take 2 s to write their request, in a crowd that begins one and stops: as
-// long as theirs keeps coming, others make room.
+// TestSlowRequestsAreNotEvicted guards real clients that take 2 s to write their request, among many that begin one and stop: as
+// long as bytes of their requests keep arriving, the others are evicted.
 func TestSlowRequestsAreNotEvicted(t *testing.T) {
 	_, b, addr := newFront(t, 8)
 	go func() {
@@ -589,7 +589,7 @@
 			}
 		})
 	}
-	time.Sleep(stalledTimeout / 2) // they have begun
+	time.Sleep(stalledTimeout / 2) // the slow requests have begun
 	for range 40 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -602,13 +602,13 @@
 	wait.Wait()
 }
 
-// TestHandOver leaves while a successor takes clients at the same socket: nothing more is accepted, an idle connection is
-// closed without a reset, one with a request open ends with its answer, and one that was just made has its request served.
+// TestHandOver shuts down after a handover to a successor on the same socket: nothing more is accepted, an idle connection is
+// closed without a reset, one with an open request is closed after its response, and a new one has its request served.
 func TestHandOver(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
 	_, _, idle := sendRequest(t, addr, validRequest)
-	dial := func() net.Conn {
+	connect := func() net.Conn {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -617,9 +617,9 @@
 		c.SetDeadline(time.Now().Add(20 * time.Second))
 		return c
 	}
-	busy, fresh := dial(), dial()
+	busy, fresh := connect(), connect()
 	_, _ = io.WriteString(busy, validRequest)
-	open := <-b.jobs
+	openJob := <-b.jobs
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		s.conns.mu.Lock()
 		n := len(s.conns.open)
@@ -636,12 +636,12 @@
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("it still accepts")
+		t.Error("still accepting after the handover")
 	}
-	for c, j := range map[net.Conn]func() *core.Job{busy: func() *core.Job { return open }, fresh: func() *core.Job { _, _ = io.WriteString(fresh, validRequest); return <-b.jobs }} {
+	for c, j := range map[net.Conn]func() *core.Job{busy: func() *core.Job { return openJob }, fresh: func() *core.Job { _, _ = io.WriteString(fresh, validRequest); return <-b.jobs }} {
 		j().Done(core.Response{Payload: []byte("x")})
 		if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("a request at the time: %+v, %v; want it served on a connection that ends", resp, err)
+			t.Errorf("a request during the handover: %+v, %v; want it served, and the connection closed", resp, err)
 		}
 	}
 	if err := <-stopped; err != nil {
@@ -649,30 +649,30 @@
 	}
 }
 
-// TestNumbers counts each request once, however it ends, and none as open afterwards: served, refused, failed, turned away for
-// what it is or for want of room, and left by its client.
+// TestFiguresCountEachRequest checks that each request is counted once, however it ends, and none as open afterwards: served,
+// rejected, failed, invalid, without buffer budget, and cancelled by its client.
 func TestFiguresCountEachRequest(t *testing.T) {
 	s, b, addr := newFront(t, 64)
-	for _, ending := range []core.Status{core.Served, core.Rejected, core.Failed, core.Conflict} {
-		go func() { (<-b.jobs).Done(core.Response{Status: ending, Payload: []byte("x")}) }()
+	for _, status := range []core.Status{core.Served, core.Rejected, core.Failed, core.Conflict} {
+		go func() { (<-b.jobs).Done(core.Response{Status: status, Payload: []byte("x")}) }()
 		sendRequest(t, addr, validRequest)
 	}
 	sendRequest(t, addr, strings.Replace(validRequest, "std", "odd", 1))
 	sendRequest(t, addr, strings.Replace(validRequest, "/put/", "/odd/", 1))
-	left, err := net.Dial("tcp", addr)
+	closedConn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _ = io.WriteString(left, validRequest)
+	_, _ = io.WriteString(closedConn, validRequest)
 	<-b.jobs
 	if got := string(figures.Page(s.opt.Figures.Tell)); !strings.Contains(got, "concurrent:1|") {
 		t.Errorf("with one open:\n%s", got)
 	}
-	left.Close()
+	closedConn.Close()
 	<-b.cancelled
-	s.opt.BufferBudget.Give(-testBufferBudget) // also what the request that was left still holds: its body comes back after its departure is known
+	s.opt.BufferBudget.Give(-testBufferBudget) // also what the cancelled request still holds: that is returned only after its cancellation
 	if resp, _, _ := sendRequest(t, addr, validRequest); resp.StatusCode != 503 {
-		t.Errorf("without room: %d", resp.StatusCode)
+		t.Errorf("without buffer budget: %d", resp.StatusCode)
 	}
 	want := []string{"put.success:1|", "put.overload:2|", "put.error:4|", "get.error:0|", "concurrent:0|"}
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
@@ -683,21 +683,22 @@
 	}, 20*time.Second, time.Millisecond)
 }
 
-// TestSendsUntilKilled has clients go on with request after request on every connection that stays open, from SIGTERM until the
-// process would be killed: each request is answered whole, in good time, or the connection had ended in order before it was written.
-func TestRequestsUntilKilled(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestRequestsUntilKilled has clients send one request after another on every connection that stays open, from SIGTERM until the process
+// would be killed: each request has a complete response in time, or its connection was closed without a reset before the request
+// was written.
+func TestRequestsUntilKilled(t *testing.T) { //nolint:gocognit // one scenario in sequence
 	s, b, addr := newFront(t, 64)
-	killed := testSchedule.RespondWithin + 100*time.Millisecond
+	killAfter := testSchedule.RespondWithin + 100*time.Millisecond
 	go func() {
 		for j := range b.jobs {
 			time.AfterFunc(5*time.Millisecond, func() { j.Done(core.Response{Payload: []byte("ok")}) })
 		}
 	}()
 	var clients sync.WaitGroup
-	var lost, answered, crossed, early, reset atomic.Int64
-	var left atomic.Pointer[time.Time]
-	begun := make(chan bool, 12)
-	for i := range cap(begun) {
+	var truncated, answered, crossed, early, reset atomic.Int64
+	var stoppedAt atomic.Pointer[time.Time]
+	started := make(chan bool, 12)
+	for i := range cap(started) {
 		clients.Go(func() {
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -709,26 +710,26 @@
 			in := bufio.NewReader(c)
 			for n := 0; ; n++ {
 				if n == 1 {
-					begun <- true
+					started <- true
 				}
 				time.Sleep(time.Duration(i) * time.Millisecond)
 				if _, err := io.WriteString(c, validRequest); err != nil {
-					return // it had ended
+					return // the connection was closed before
 				}
 				resp, err := http.ReadResponse(in, nil)
 				if errors.Is(err, syscall.ECONNRESET) {
 					reset.Add(1)
 				}
 				if err != nil {
-					// A request may cross the end of its connection: clients send it once more elsewhere.
+					// A request may cross the close of its connection: clients retry it elsewhere.
 					crossed.Add(1)
-					if at := left.Load(); at == nil || time.Since(*at) < testSchedule.ServeFor {
+					if at := stoppedAt.Load(); at == nil || time.Since(*at) < testSchedule.ServeFor {
 						early.Add(1)
 					}
 					return
 				}
 				if body, err := io.ReadAll(resp.Body); err != nil || string(body) != "ok" {
-					lost.Add(1)
+					truncated.Add(1)
 					return
 				}
 				answered.Add(1)
@@ -738,21 +739,21 @@
 			}
 		})
 	}
-	for range cap(begun) {
-		<-begun
+	for range cap(started) {
+		<-started
 	}
 	now := time.Now()
-	left.Store(&now)
+	stoppedAt.Store(&now)
 	if err := s.Stop(context.Background()); err != nil {
 		t.Error(err)
 	}
-	if took := time.Since(now); took > killed {
-		t.Errorf("it ends %v after SIGTERM, and may be killed after %v", took, killed)
+	if took := time.Since(now); took > killAfter {
+		t.Errorf("Stop returned %v after SIGTERM, but the process may be killed after %v", took, killAfter)
 	}
 	clients.Wait()
-	t.Logf("%d answered, %d crossed the end of their connection", answered.Load(), crossed.Load())
-	require.Zero(t, reset.Load(), "connections ended by a reset")
-	if lost.Load() > 0 || early.Load() > 0 || answered.Load() < 100 {
-		t.Errorf("%d answers cut, %d connections ended early, %d answers whole", lost.Load(), early.Load(), answered.Load())
+	t.Logf("%d answered, %d crossed the close of their connection", answered.Load(), crossed.Load())
+	require.Zero(t, reset.Load(), "connections reset")
+	if truncated.Load() > 0 || early.Load() > 0 || answered.Load() < 100 {
+		t.Errorf("%d responses truncated, %d connections closed early, %d responses complete", truncated.Load(), early.Load(), answered.Load())
 	}
 }
