--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -17,13 +17,13 @@
 type Status int
 
 const (
-	// Served: the response carries the target's reply.
+	// Served means that the response carries the target's reply.
 	Served Status = iota
-	// Rejected: a retry by the client is harmless.
+	// Rejected means that a retry by the client is harmless.
 	Rejected
-	// Failed: the request may or may not have taken effect.
+	// Failed means that the request may or may not have taken effect.
 	Failed
-	// Conflict: a request with the same client request ID is open, or was sent recently and may have run.
+	// Conflict means that a request with the same client request ID is open, or was sent recently and may have run.
 	Conflict
 )
 
@@ -492,7 +492,7 @@
 		}
 		return
 	case policy.Subscribe, policy.Log:
-		return // the target list is always watched, and the scheduler's log text is not used
+		return // the target list is always watched; the text of a Log is not used
 	}
 	if e == nil || e.responded || e.inFlight {
 		return
--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -104,7 +104,7 @@
 // forwardBody sends the body to the target that the scheduler names, one piece at a time and without the last piece, which the
 // attempt sends.
 func (s *Server) forwardBody(r *http.Request, conn *clientConn, j *core.Job, m *upstream.Message, body *pacedReader, buffered []byte) (*requestError, *core.Response) {
-	conn.claimRequest() // a client that is sending its body: its connection must not be evicted any more
+	conn.claimRequest() // its client is sending the body: the connection must not be evicted any more
 	buf1, done1 := upstream.Piece()
 	defer done1()
 	buf2, done2 := upstream.Piece()
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -82,7 +82,7 @@
 	closed         bool
 }
 
-// Read implements net.Conn. net/http's read to detect a disconnect is recognised by its one-byte buffer and the absence of a deadline.
+// Read implements net.Conn. Only net/http's read to detect a disconnect has a one-byte buffer and no deadline.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.readBuf, c.readN, c.readErr, c.readPending, c.backgroundRead = b, 0, nil, true, len(b) == 1 && c.noReadDeadline
@@ -241,8 +241,8 @@
 	return err != nil || c.closeErr != nil
 }
 
-// watchDisconnect calls onDisconnect once the client has closed the connection, while no other goroutine reads from it. The caller must
-// call stop, which ends the goroutine.
+// watchDisconnect calls onDisconnect once the client has closed the connection, also while no goroutine reads from it. The caller must
+// call stop, which ends the polling goroutine.
 func (c *clientConn) watchDisconnect(onDisconnect func()) (stop func()) {
 	done := make(chan struct{})
 	go func() {
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -101,7 +101,7 @@
 // Serve accepts and serves connections on l until Stop.
 func (s *Server) Serve(l net.Listener) error {
 	s.listener.Store(&l)
-	ended := make(chan struct{})
+	ended := make(chan struct{}) // closed on return; ends the goroutine that closes idle connections
 	defer close(ended)
 	go func() {
 		tick := time.NewTicker(s.idleTimeout / 8)
@@ -283,7 +283,7 @@
 
 // responseSlot passes the final response from the core's goroutine, which must not block, to a handler, which may have returned.
 type responseSlot struct {
-	mu        sync.Mutex // guards abandoned, and ch against a response that is put while it is abandoned
+	mu        sync.Mutex // guards abandoned, and makes put and abandon exclude each other
 	abandoned bool
 	ch        chan core.Response // holds one response; never closed
 }
