--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -18,9 +18,7 @@
 }
 
 func (f *fakeUpstream) Send(a Attempt) { f.sent = append(f.sent, a) }
-func (f *fakeUpstream) Cancel(target, requestID string) {
-	f.cancelled = append(f.cancelled, target+"/"+requestID)
-}
+func (f *fakeUpstream) Cancel(target, id string) { f.cancelled = append(f.cancelled, target+"/"+id) }
 
 func newScheduler(t testing.TB) *policy.Scheduler {
 	t.Helper()
