--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -17,7 +17,7 @@
 	cancelled []string
 }
 
-func (f *fakeUpstream) Send(a Attempt) { f.sent = append(f.sent, a) }
+func (f *fakeUpstream) Send(a Attempt)           { f.sent = append(f.sent, a) }
 func (f *fakeUpstream) Cancel(target, id string) { f.cancelled = append(f.cancelled, target+"/"+id) }
 
 func newScheduler(t testing.TB) *policy.Scheduler {
--- a/internal/datapath/front/body_test.go
+++ b/internal/datapath/front/body_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-// TestSlowBody guards against a fixed limit on the time of a body: it may take longer, as long as its bytes keep arriving.
+// TestSlowBody guards against a fixed limit on the time of a body: it may take as long as its bytes keep arriving, and no longer.
 func TestSlowBody(t *testing.T) {
 	_, b, addr := newFront(t, 64)
 	go func() { (<-b.jobs).Done(core.Response{Payload: []byte("x")}) }()
