--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -115,19 +115,19 @@
 // written the target cannot have started the request, after that it may have run. Writing and reading are bounded by the attempt's
 // deadline.
 func (c *httpSession) Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string) { //nolint:gocognit // to be split with its package, see docs/left.md
-	c.SetDeadline(a.Until)
-	c.SetWriteDeadline(a.WriteBy())
+	c.SetDeadline(a.Deadline)
+	c.SetWriteDeadline(a.WriteDeadline())
 	req := a.Payload.(*Request)
 	var raw []byte
 	if req.Upload != nil {
 		raw = req.Upload.lastPiece
 	} else {
-		wait := max(time.Until(a.Until).Milliseconds(), 1)
+		wait := max(time.Until(a.Deadline).Milliseconds(), 1)
 		raw = append(appendHead(make([]byte, 0, 256+len(req.Body)), req, c.host, wait, int64(len(req.Body))), req.Body...)
 	}
 	// Check once more before the first byte: the target's state may have changed during the dial. An upload's first byte is already
 	// written, but the target has not started the request: only the permit counts then.
-	if !mayStart() && (req.Upload == nil || !a.Allowed()) {
+	if !mayStart() && (req.Upload == nil || !a.MaySend()) {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
@@ -142,8 +142,8 @@
 		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + ReasonCode(err)
 	}
-	a.Sent()
-	reader := &stallReader{Conn: c.Conn, deadline: a.Until, maxGap: stallTimeout}
+	a.NotifySent()
+	reader := &stallReader{Conn: c.Conn, deadline: a.Deadline, maxGap: stallTimeout}
 	limited := &io.LimitedReader{R: reader}
 	in := bufio.NewReaderSize(limited, 4096)
 	ans, err := readAnswer(in, req.Method, c.memory, func(head bool) error {
@@ -153,7 +153,7 @@
 		}
 		// Bounds the bytes read for a head that does not end.
 		limited.N, reader.started = maxHeadBytes, false
-		if err := c.SetReadDeadline(a.Until); err != nil {
+		if err := c.SetReadDeadline(a.Deadline); err != nil {
 			return err
 		}
 		_, err := in.Peek(1)
@@ -165,7 +165,7 @@
 	if err != nil {
 		r.Code = policy.ConnectionReset
 		switch timedOut := errors.Is(err, os.ErrDeadlineExceeded); {
-		case timedOut && reader.started && time.Now().Before(a.Until):
+		case timedOut && reader.started && time.Now().Before(a.Deadline):
 			return r, false, "READ_STALLED"
 		case timedOut:
 			r.Code = policy.TimedOut
@@ -188,20 +188,20 @@
 		repeated = &c.repeatedSums[1]
 	}
 	if hadRequest && recent && !ans.closes && ans.stream == nil && c.lastSum == previousSum && c.lastSum != *repeated {
-		if at := previousAt.Add(duplicateWindow); ans.status != http.StatusOK && at.Before(a.Until) {
+		if at := previousAt.Add(duplicateWindow); ans.status != http.StatusOK && at.Before(a.Deadline) {
 			reader.deadline = at // rejections mostly: many in a row are equal, so the wait is shorter
 		}
 		if _, err := in.Peek(1); !errors.Is(err, os.ErrDeadlineExceeded) {
 			c.unsolicited = err == nil
 			r.Code = policy.ConnectionReset
 			return r, false, "ANSWER_TWICE"
-		} else if !time.Now().Before(a.Until) {
+		} else if !time.Now().Before(a.Deadline) {
 			r.Code = policy.TimedOut
 			return r, false, "READ_TIMEOUT"
 		}
 		*repeated = c.lastSum
 	}
-	r.Code, r.Load, r.Used, r.Payload = ans.code(), ans.load, ans.volumeLoad, ans.body
+	r.Code, r.Load, r.VolumeUsage, r.Payload = ans.code(), ans.load, ans.volumeLoad, ans.body
 	if s := ans.stream; s != nil {
 		s.conn = c
 		r.Payload = s
--- a/internal/datapath/upstream/races_test.go
+++ b/internal/datapath/upstream/races_test.go
@@ -106,7 +106,7 @@
 	close(h.nextDial(t).proceed)
 	require.Equal(t, "1", string(b.result(t).Payload.([]byte)))
 	var once sync.Once
-	next := core.Attempt{Request: "next", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"},
+	next := core.Attempt{RequestID: "next", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"},
 		Permit: permitFunc(func() { once.Do(func() { close(duplicate); h.waitReadable(t) }) })}
 	b.Send(next)
 	close(h.nextDial(t).proceed)
@@ -202,32 +202,32 @@
 	}{
 		{"in time", func(*harness, *core.Attempt, <-chan struct{}) {}, policy.Served},
 		{"past its deadline", func(_ *harness, _ *core.Attempt, dialEnded <-chan struct{}) { <-dialEnded }, policy.NotSent},
-		{"cancelled", func(b *harness, a *core.Attempt, dialEnded <-chan struct{}) { b.Cancel("n", a.Request); <-dialEnded }, policy.NotConnected},
+		{"cancelled", func(b *harness, a *core.Attempt, dialEnded <-chan struct{}) { b.Cancel("n", a.RequestID); <-dialEnded }, policy.NotConnected},
 		{"cancelled at a removed target", func(b *harness, a *core.Attempt, dialEnded <-chan struct{}) {
 			b.Apply(nil, true)
 			b.Apply([]Target{{ID: "n", Addr: addr}}, false) // another target with its ID
-			b.Cancel("n", a.Request)
+			b.Cancel("n", a.RequestID)
 			<-dialEnded
 		}, policy.NotConnected},
-		{"the client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.Left.Store(true) }, policy.NotSent},
+		{"the client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.ClientGone.Store(true) }, policy.NotSent},
 		{"the target drains", func(b *harness, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
 		}, policy.NotSent},
 		{"the target is removed", func(b *harness, _ *core.Attempt, _ <-chan struct{}) { b.Apply(nil, true) }, policy.NotSent},
-		{"past its send window", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.Before)) }, policy.NotSent},
+		{"past its send window", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { time.Sleep(time.Until(a.SendBefore)) }, policy.NotSent},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			var sent atomic.Int32
 			quota := &fakeQuota{}
 			quota.limit.Store(4)
 			b, h := newBlockingHarness(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: quota, OnSent: func() { sent.Add(1) }})
-			a := core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Left: new(atomic.Bool), Before: time.Now().Add(10 * time.Second),
+			a := core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), ClientGone: new(atomic.Bool), SendBefore: time.Now().Add(10 * time.Second),
 				Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
 			case "past its deadline":
-				a.Until = time.Now().Add(200 * time.Millisecond)
+				a.Deadline = time.Now().Add(200 * time.Millisecond)
 			case "past its send window":
-				a.Before = time.Now().Add(50 * time.Millisecond)
+				a.SendBefore = time.Now().Add(50 * time.Millisecond)
 			}
 			b.Send(a)
 			d := h.nextDial(t)
@@ -242,7 +242,7 @@
 			}
 			require.Empty(t, <-received, "a byte was written")
 			require.Zero(t, sent.Load())
-			require.Zero(t, r.Began)
+			require.Zero(t, r.SendStarted)
 			require.Eventually(t, func() bool { return b.limits.open.Load() == 0 && quota.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 		})
 	}
@@ -293,7 +293,7 @@
 	}
 	for _, head := range []string{"", "Content-Length: 99999\r\n", "Transfer-Encoding: chunked\r\n"} {
 		next <- cutAnswer{"HTTP/1.1 200 OK\r\n" + head + "\r\n" + "fff0\r\n" + strings.Repeat("x", bufferSize), true}
-		b.Send(core.Attempt{Request: head, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{RequestID: head, Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		st := b.result(t).Payload.(*Stream)
 		_, _ = io.ReadFull(st, make([]byte, 100))
 		streamed <- true
@@ -332,7 +332,7 @@
 		return b.StartUpload(ctx, "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
 	sendAttempt := func(u *Upload) policy.OutcomeCode {
-		b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		return b.result(t).Code
 	}
 	requireSettled := func() {
@@ -395,7 +395,7 @@
 	u.HoldLastPiece([]byte("body"))
 	b.Apply(nil, true)
 	b.Apply([]Target{{ID: "n", Addr: "127.0.0.1:1"}}, false)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
+	b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 	require.Equal(t, policy.Served, b.result(t).Code)
 	require.Eventually(t, func() bool {
 		b.mu.Lock()
@@ -433,7 +433,7 @@
 				b.results <- r
 			}
 			b.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, false)
-			b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute),
+			b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(time.Minute),
 				Permit:  permitFunc(func() { _ = h.last.Load().Conn.(*net.TCPConn).SetWriteBuffer(x.buffer) }),
 				Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: make([]byte, 2*MaxBufferedBody)}})
 			close(h.nextDial(t).proceed)
@@ -483,7 +483,7 @@
 			r := b.result(t)
 			require.Equal(t, policy.Served, r.Code)
 			require.Nil(t, r.Load)
-			require.Zero(t, r.Used)
+			require.Zero(t, r.VolumeUsage)
 		}
 		require.EqualValues(t, 1, s.accepted.Load())
 		require.Equal(t, 1, strings.Count(lines.String(), "BAD_REPORT"), "%s: %s", header, lines.String())
@@ -515,10 +515,10 @@
 		sends.Go(func() {
 			rng := rand.New(rand.NewPCG(uint64(g), 1))
 			for i := range each {
-				a := core.Attempt{Request: fmt.Sprint(g, "/", i), Node: names[rng.IntN(3)], Until: time.Now().Add(time.Duration(rng.IntN(100)) * time.Millisecond),
+				a := core.Attempt{RequestID: fmt.Sprint(g, "/", i), Target: names[rng.IntN(3)], Deadline: time.Now().Add(time.Duration(rng.IntN(100)) * time.Millisecond),
 					Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("x")}}
 				if rng.IntN(4) == 0 {
-					if u, err := b.StartUpload(context.Background(), a.Node, &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
+					if u, err := b.StartUpload(context.Background(), a.Target, &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 1, time.Second); err == nil {
 						u.HoldLastPiece([]byte("x"))
 						a.Payload = &Request{Method: "PUT", Upload: u}
 						if rng.IntN(2) == 0 {
@@ -528,7 +528,7 @@
 				}
 				b.Send(a)
 				if rng.IntN(3) == 0 {
-					b.Cancel(a.Node, a.Request)
+					b.Cancel(a.Target, a.RequestID)
 				}
 			}
 		})
@@ -550,9 +550,9 @@
 	seen := map[string]bool{}
 	for range 4 * each {
 		r := b.result(t)
-		require.False(t, seen[r.Request], "%s has two results", r.Request)
-		seen[r.Request] = true
-		core.Answer{Payload: r.Payload}.Discard()
+		require.False(t, seen[r.RequestID], "%s has two results", r.RequestID)
+		seen[r.RequestID] = true
+		core.Response{Payload: r.Payload}.Discard()
 	}
 	sends.Wait()
 	close(stop)
@@ -585,7 +585,7 @@
 	var requests atomic.Int32
 	b := newHarness(l.Addr().String())
 	send := func(name string, wait time.Duration) {
-		b.Send(core.Attempt{Request: name, Node: "n", Until: time.Now().Add(wait), Payload: &Request{Method: "GET", URI: "/r/1", ID: name}})
+		b.Send(core.Attempt{RequestID: name, Target: "n", Deadline: time.Now().Add(wait), Payload: &Request{Method: "GET", URI: "/r/1", ID: name}})
 	}
 	send("expires", 100*time.Millisecond)
 	send("cancelled", time.Minute)
@@ -593,7 +593,7 @@
 	b.Cancel("n", "cancelled")
 	for range 2 {
 		r := b.result(t)
-		require.NotEqual(t, "waits", r.Request)
+		require.NotEqual(t, "waits", r.RequestID)
 		require.Equal(t, policy.NotConnected, r.Code)
 	}
 	require.Eventually(t, func() bool { return b.limits.open.Load() == 1 }, 10*time.Second, time.Millisecond)
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -142,7 +142,7 @@
 // Send starts an attempt. Exactly one result follows.
 func (g *Registry) Send(a core.Attempt) {
 	g.mu.Lock()
-	t := g.targets[a.Node]
+	t := g.targets[a.Target]
 	if u := uploadOf(a); u != nil { // it goes to the upload's target, even if another target has that ID now
 		if t = u.target; g.targets[t.id] != t && !g.removed[t] {
 			t = nil
@@ -159,7 +159,7 @@
 
 // reportNotSent reports an attempt as not sent: its target was removed after the decision to send.
 func (g *Registry) reportNotSent(a core.Attempt) {
-	g.report(core.Result{Request: a.Request, Number: a.Number, Node: a.Node, Code: policy.NotSent})
+	g.report(core.Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: policy.NotSent})
 }
 
 // forget drops a target whose actor has ended. Attempts that were posted to it after its end still get their result.
--- a/internal/datapath/upstream/requirements_test.go
+++ b/internal/datapath/upstream/requirements_test.go
@@ -95,7 +95,7 @@
 		require.NoError(t, err)
 		u.HoldLastPiece([]byte("body"))
 		for i, m := range []*Request{m, {Upload: u}} {
-			b.Send(core.Attempt{Request: fmt.Sprint(i), Node: "n", Until: time.Now().Add(10 * time.Second), Payload: m})
+			b.Send(core.Attempt{RequestID: fmt.Sprint(i), Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: m})
 			require.Equal(t, policy.Served, b.result(t).Code)
 			if got := <-received; key == "" {
 				require.Empty(t, got)
@@ -161,7 +161,7 @@
 	b, h := newBlockingHarness(s.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
 	for number := range 3 {
 		until := time.Now().Add(10 * time.Second)
-		b.Send(core.Attempt{Request: "r", Number: number, Node: "n", Until: until, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
+		b.Send(core.Attempt{RequestID: "r", Number: number, Target: "n", Deadline: until, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 		d := h.nextDial(t)
 		time.Sleep(30 * time.Millisecond)
 		up := time.Now()
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -154,7 +154,7 @@
 		// The target drains meanwhile, but the request's first byte was written before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
 		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
-			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
+			b.Send(core.Attempt{RequestID: "1", Number: i, Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 			if r := b.result(t); r.Code != want {
 				t.Errorf("attempt %d: code %v, want %v", i, r.Code, want)
 			}
@@ -168,7 +168,7 @@
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
 		u = newUpload()
 		u.Close()
-		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{RequestID: "2", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		if r := b.result(t); r.Code != policy.NotConnected {
 			t.Errorf("attempt after the upload was closed: code %v", r.Code)
 		}
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -157,7 +157,7 @@
 
 // startAttempt starts an attempt on its upload's connection, on an idle one, or on a new one that the attempt's goroutine dials.
 func (t *target) startAttempt(a core.Attempt) {
-	r := core.Result{Request: a.Request, Number: a.Number, Node: t.id}
+	r := core.Result{RequestID: a.RequestID, Number: a.Number, Target: t.id}
 	var c *conn
 	if u := uploadOf(a); u != nil {
 		if !u.transition(uploadAttached) {
@@ -179,10 +179,10 @@
 			return
 		}
 	}
-	ctx, stop := context.WithDeadline(context.Background(), a.Until)
+	ctx, stop := context.WithDeadline(context.Background(), a.Deadline)
 	a.OnSent = t.opt.OnSent
 	active := &activeAttempt{Attempt: a, ctx: ctx, stop: stop}
-	t.attempts[a.Request] = active
+	t.attempts[a.RequestID] = active
 	go t.runAttempt(active, c)
 }
 
@@ -246,8 +246,8 @@
 	m.attempt.stop()
 	t.unsolicited = t.unsolicited || m.unsolicited
 	// The entry may already be that of a later attempt of the same request.
-	if t.attempts[m.attempt.Request] == m.attempt {
-		delete(t.attempts, m.attempt.Request)
+	if t.attempts[m.attempt.RequestID] == m.attempt {
+		delete(t.attempts, m.attempt.RequestID)
 	}
 	if m.conn == nil {
 		t.addConns(-1)
@@ -360,7 +360,7 @@
 		t.logConnEnd(c.requests-1, reason)
 		c = nil
 	}
-	r.Request, r.Number, r.Node = active.Request, active.Number, t.id
+	r.RequestID, r.Number, r.Target = active.RequestID, active.Number, t.id
 	endConn := func(again *conn, reason string) {
 		if again == nil {
 			if c != nil {
@@ -407,13 +407,13 @@
 	var reason string
 	var began time.Time
 	*r, reuse, reason = c.Do(active.Attempt, func() bool {
-		if !acceptsNew(&t.state) || !active.Allowed() {
+		if !acceptsNew(&t.state) || !active.MaySend() {
 			return false
 		}
 		began = time.Now()
 		return true
 	})
-	r.Began = began
+	r.SendStarted = began
 	if active.isCancelled() {
 		switch r.Code {
 		case policy.Served, policy.NotSent, policy.NotConnected:
--- a/internal/datapath/upstream/upstream_test.go
+++ b/internal/datapath/upstream/upstream_test.go
@@ -87,7 +87,7 @@
 func (b *harness) send(wait time.Duration) {
 	b.sent++
 	now := time.Now()
-	b.Send(core.Attempt{Request: fmt.Sprint(b.sent), Node: "n", Until: now.Add(wait),
+	b.Send(core.Attempt{RequestID: fmt.Sprint(b.sent), Target: "n", Deadline: now.Add(wait),
 		Payload: &Request{Method: "PUT", URI: "/w/1", ID: "id", Body: []byte("body")}})
 }
 
@@ -130,7 +130,7 @@
 	}()
 	c := &deadlineConn{Conn: near}
 	var r core.Result
-	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	active := &activeAttempt{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
 	if again, reason := tg.exchange(active, &conn{Session: &httpSession{Conn: c, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again == nil || !c.deadline.IsZero() {
 		t.Errorf("kept %v (%s), deadline %v; want it kept without a deadline", again, reason, c.deadline)
 	}
@@ -203,7 +203,7 @@
 			begun := time.Now()
 			b.send(10 * time.Second)
 			r := b.result(t)
-			if r.Code != c.want || r.Code == ok && string(r.Payload.([]byte)) != "x" || r.Load != nil || r.Used != 0 {
+			if r.Code != c.want || r.Code == ok && string(r.Payload.([]byte)) != "x" || r.Load != nil || r.VolumeUsage != 0 {
 				t.Errorf("%s: %+v, want code %v", c.name, r, c.want)
 			}
 			if took := time.Since(begun); took > 5*time.Second {
@@ -306,7 +306,7 @@
 	near, far := net.Pipe()
 	defer far.Close()
 	var r core.Result
-	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
+	active := &activeAttempt{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Request{Method: "GET", URI: "/"}}}
 	if again, _ := tg.exchange(active, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotSent {
 		t.Errorf("draining before the first byte: code %v, want it not sent", r.Code)
 	}
@@ -320,7 +320,7 @@
 	b.Apply([]Target{{ID: "m", Addr: s.Addr().String()}}, false)
 	for i := range 10 {
 		now := time.Now()
-		b.Send(core.Attempt{Request: fmt.Sprint("r", i), Node: []string{"n", "m"}[i/5], Until: now.Add(time.Minute),
+		b.Send(core.Attempt{RequestID: fmt.Sprint("r", i), Target: []string{"n", "m"}[i/5], Deadline: now.Add(time.Minute),
 			Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	}
 	for range 4 { // the fifth at n, and all but two at m
@@ -343,7 +343,7 @@
 	near, far := net.Pipe()
 	go func() { _, _ = io.ReadFull(far, make([]byte, 20)); far.Close() }()
 	var r core.Result
-	active := &activeAttempt{Attempt: core.Attempt{Until: time.Now().Add(time.Minute), Payload: &Request{Method: "PUT", URI: "/",
+	active := &activeAttempt{Attempt: core.Attempt{Deadline: time.Now().Add(time.Minute), Payload: &Request{Method: "PUT", URI: "/",
 		Body: make([]byte, 1000)}}}
 	if again, _ := tg.exchange(active, &conn{Session: &httpSession{Conn: near, host: "", memory: NewHTTPDialer(budget.New(1 << 20)).memory}}, &r); again != nil || r.Code != policy.NotConnected {
 		t.Errorf("code %v, want no connection", r.Code)
@@ -421,7 +421,7 @@
 	b.Registry = NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConnsTotal: 6,
 		Quota: quota, Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { b.results <- r })
 	b.Apply([]Target{{ID: "n", Addr: s.Addr().String()}}, true)
-	b.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Permit: expiredPermit{}, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
+	b.Send(core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(time.Minute), Permit: expiredPermit{}, Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}})
 	if r := b.result(t); r.Code != policy.NotSent || s.requests.Load() != 0 {
 		t.Errorf("without a permit: code %v, %d requests reached the target", r.Code, s.requests.Load())
 	}
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -102,6 +102,6 @@
 	s.room.Release(part.held() - s.given)
 	s.given = part.held()
 	s.up.SetConnLimits(part.target(), part.allTargets())
-	s.clients.Bound(part.clients(), part.easy())
-	s.core.Share(s.parts)
+	s.clients.SetConnLimits(part.clients(), part.easy())
+	s.core.SetProcessCount(s.parts)
 }
