--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -17,28 +17,28 @@
 
 // event is any wire event; a nil field was absent or null.
 type event struct {
-	Type        *string         `json:"type"`
-	InitiatorID *string         `json:"initiatorId"`
-	InitSeed    *json.Number    `json:"initSeed"`
-	Options     *config.Options `json:"options"`
-	Mode        *string         `json:"mode"`
-	Records     []record        `json:"records"`
-	Rid         *string         `json:"rid"`
-	Tier        *string         `json:"tier"`
-	Writers     *float64        `json:"writers"`
-	Chunk       *string         `json:"chunk"`
-	Vol         *string         `json:"vol"`
-	BudgetUs    *int64          `json:"budgetUs"`
-	Weight      *float64        `json:"weight"`
-	Grade       *string         `json:"grade"`
-	GroupNo     *int            `json:"groupNo"`
-	Leg         *int            `json:"leg"`
-	Target      *string         `json:"target"`
-	StateCode   *string         `json:"stateCode"`
-	SpentUs     *int64          `json:"spentUs"`
-	Complete    *bool           `json:"complete"`
-	Used        *int            `json:"used"`
-	ServerStats *stats          `json:"serverStats"`
+	Type        *string                  `json:"type"`
+	InitiatorID *string                  `json:"initiatorId"`
+	InitSeed    *json.Number             `json:"initSeed"`
+	Options     *config.PlatformSettings `json:"options"`
+	Mode        *string                  `json:"mode"`
+	Records     []record                 `json:"records"`
+	Rid         *string                  `json:"rid"`
+	Tier        *string                  `json:"tier"`
+	Writers     *float64                 `json:"writers"`
+	Chunk       *string                  `json:"chunk"`
+	Vol         *string                  `json:"vol"`
+	BudgetUs    *int64                   `json:"budgetUs"`
+	Weight      *float64                 `json:"weight"`
+	Grade       *string                  `json:"grade"`
+	GroupNo     *int                     `json:"groupNo"`
+	Leg         *int                     `json:"leg"`
+	Target      *string                  `json:"target"`
+	StateCode   *string                  `json:"stateCode"`
+	SpentUs     *int64                   `json:"spentUs"`
+	Complete    *bool                    `json:"complete"`
+	Used        *int                     `json:"used"`
+	ServerStats *stats                   `json:"serverStats"`
 }
 
 // stats is a load report; a nil field was absent.
@@ -73,9 +73,9 @@
 	Outbox []action `json:"outbox"`
 }
 
-func missing(field string) error { return config.Missing(field) }
+func missing(field string) error { return config.MissingField(field) }
 
-func us(n int64) time.Duration { return config.Us(n) }
+func us(n int64) time.Duration { return config.Microseconds(n) }
 
 // link hosts the instances of one process. They share nothing but the line they are spoken to on.
 type link struct {
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		set, err := e.Options.Module()
+		set, err := e.Options.PolicySettings()
 		if err != nil {
 			return err
 		}
--- a/cmd/spindlehitch/bench_test.go
+++ b/cmd/spindlehitch/bench_test.go
@@ -26,7 +26,7 @@
 	}
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, &config.Operator{}, instance.Options{Log: quiet}) }()
+	go func() { ended <- instance.Serve(stop, cfg, &config.OperatorFile{}, instance.Options{Log: quiet}) }()
 	var c net.Conn
 	require.Eventually(b, func() bool { status, _ := w.ask(); return status == 200 }, 20*time.Second, 10*time.Millisecond, "never served")
 	if c, err = net.Dial("tcp", w.listen); err != nil {
--- a/cmd/spindlehitch/check.go
+++ b/cmd/spindlehitch/check.go
@@ -31,7 +31,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d classes, %d plans, listens at %s\n",
-				cfg.Name, len(cfg.Module.Classes), len(cfg.Module.Plans), cfg.Listen)
+				cfg.Name, len(cfg.Policy.Classes), len(cfg.Policy.Plans), cfg.Listen)
 			if op.NVMe != nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "NVMe over TCP: %d namespaces, listens at %s\n",
 					len(op.NVMe.Namespaces), op.NVMe.Listen)
--- a/cmd/spindlehitch/drains_test.go
+++ b/cmd/spindlehitch/drains_test.go
@@ -182,7 +182,7 @@
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Changes: instance.Reloads(hup, getenv, cfg.Discovery, "", quiet)})
+		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Changes: instance.ReloadOnSignal(hup, getenv, cfg.Discovery, "", quiet)})
 	}()
 	ready(t, "http://"+w.listen+"/-/ready")
 
--- a/cmd/spindlehitch/large_test.go
+++ b/cmd/spindlehitch/large_test.go
@@ -29,7 +29,7 @@
 	}
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, &config.Operator{}, instance.Options{Log: quiet}) }()
+	go func() { ended <- instance.Serve(stop, cfg, &config.OperatorFile{}, instance.Options{Log: quiet}) }()
 	t.Cleanup(func() {
 		leave()
 		if err := <-ended; err != nil {
--- a/cmd/spindlehitch/serve.go
+++ b/cmd/spindlehitch/serve.go
@@ -35,16 +35,16 @@
 				}()
 			}
 			if layers {
-				return instance.FollowFeed(stop, os.Getenv, operator, log)
+				return instance.ServeFromFeed(stop, os.Getenv, operator, log)
 			}
 			if len(agents) > 0 {
-				return instance.Follow(stop, agents, os.Getenv, operator, log)
+				return instance.ServeFromAgents(stop, agents, os.Getenv, operator, log)
 			}
 			cfg, op, err := instance.Load(os.Getenv, operator)
 			if err != nil {
 				return err
 			}
-			changes := instance.Reloads(hup, os.Getenv, cfg.Discovery, operator, log)
+			changes := instance.ReloadOnSignal(hup, os.Getenv, cfg.Discovery, operator, log)
 			return instance.Serve(stop, cfg, op, instance.Options{Log: log, Changes: changes})
 		},
 	}
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -188,7 +188,7 @@
 	stop, leave := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() {
-		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Changes: instance.Reloads(hup, getenv, cfg.Discovery, "", quiet)})
+		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Changes: instance.ReloadOnSignal(hup, getenv, cfg.Discovery, "", quiet)})
 	}()
 	w.until(t)
 	signalled := func() {
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	go func() {
-		ended <- instance.Follow(stop, client.Addrs, func(name string) string { return map[string]string{"PROXY_NAME": "n1"}[name] }, "", quiet)
+		ended <- instance.ServeFromAgents(stop, client.Addrs, func(name string) string { return map[string]string{"PROXY_NAME": "n1"}[name] }, "", quiet)
 	}()
 	w.until(t)
 	if err := put(`{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
@@ -298,7 +298,7 @@
 	stop, leave := context.WithCancel(context.Background())
 	up, ended, changes := make(chan struct{}), make(chan error, 1), make(chan instance.Change)
 	go func() {
-		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Listening: func() { close(up) }, Changes: changes})
+		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, OnListening: func() { close(up) }, Changes: changes})
 	}()
 	<-up
 	if status, _ := w.ask(); status != 404 {
@@ -329,7 +329,7 @@
 	}
 	spaces := slices.Clone(op.NVMe.Namespaces)
 	spaces[0].ID = 5
-	changes <- instance.Change{Spaces: spaces}
+	changes <- instance.Change{Namespaces: spaces}
 	changes <- instance.Change{} // the first has been taken over by now
 	if out, err := conform("5"); err != nil {
 		t.Errorf("conform after the reload: %v\n%s", err, out)
--- a/cmd/spindlehitch/upgrade_test.go
+++ b/cmd/spindlehitch/upgrade_test.go
@@ -47,14 +47,14 @@
 		}
 		p := process{control: freeAddr(t), ended: make(chan error, 1)}
 		cfg, err := config.Parse([]byte(w.config()), func(name string) string {
-			return map[string]string{config.SocketFD: strconv.Itoa(fd), "PROXY_CONTROL": p.control}[name]
+			return map[string]string{config.SocketFDEnv: strconv.Itoa(fd), "PROXY_CONTROL": p.control}[name]
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		var stop context.Context
 		stop, p.leave = context.WithCancel(context.Background())
-		go func() { p.ended <- instance.Serve(stop, cfg, &config.Operator{}, instance.Options{Log: quiet}) }()
+		go func() { p.ended <- instance.Serve(stop, cfg, &config.OperatorFile{}, instance.Options{Log: quiet}) }()
 		ready(t, "http://"+p.control+"/v1/readyz")
 		return p
 	}
@@ -114,12 +114,12 @@
 	defer f.Close()
 	t.Setenv("TMPDIR", t.TempDir())
 	cfg, err := config.Parse([]byte(w.config()), func(name string) string {
-		return map[string]string{config.SocketFD: fmt.Sprint(f.Fd())}[name]
+		return map[string]string{config.SocketFDEnv: fmt.Sprint(f.Fd())}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := instance.Serve(context.Background(), cfg, &config.Operator{}, instance.Options{Log: quiet}); err == nil || !strings.HasPrefix(err.Error(), config.SocketFD) {
+	if err := instance.Serve(context.Background(), cfg, &config.OperatorFile{}, instance.Options{Log: quiet}); err == nil || !strings.HasPrefix(err.Error(), config.SocketFDEnv) {
 		t.Errorf("started with %v", err)
 	}
 }
--- a/internal/controlplane/lease/leasework/metrics.go
+++ b/internal/controlplane/lease/leasework/metrics.go
@@ -6,8 +6,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Tell writes the metrics of the tasks.
-func (r *Runner) Tell(to statsd.ExtendedStatSender) {
+// EmitMetrics writes the metrics of the tasks.
+func (r *Runner) EmitMetrics(to statsd.ExtendedStatSender) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := monotone.Now()
--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -8,8 +8,8 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// Tell writes the metrics of the membership.
-func (r *Runner) Tell(to statsd.ExtendedStatSender) {
+// EmitMetrics writes the metrics of the membership.
+func (r *Runner) EmitMetrics(to statsd.ExtendedStatSender) {
 	r.onLoop(func(now time.Duration) {
 		v := r.node.View(now)
 		count := map[membership.State]int64{}
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -6,8 +6,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Tell writes the metrics of the quotas.
-func (s *Session) Tell(to statsd.ExtendedStatSender) {
+// EmitMetrics writes the metrics of the quotas.
+func (s *Session) EmitMetrics(to statsd.ExtendedStatSender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -336,7 +336,7 @@
 	c.table.linger(c)
 	go func() {
 		defer c.table.gone(c)
-		_ = listen.Linger(c.Conn)
+		_ = listen.DrainAndClose(c.Conn)
 	}()
 	return nil
 }
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -139,7 +139,7 @@
 	core.Pause(ctx, now.Add(how.Linger))
 	if l := s.listener.Load(); l != nil {
 		// What the machine has accepted and nobody has taken would be reset. At a successor's socket it is the successor's.
-		for until := time.Now().Add(takeWithin); !s.handed.Load() && listen.Waiting(*l) && ctx.Err() == nil && time.Now().Before(until); {
+		for until := time.Now().Add(takeWithin); !s.handed.Load() && listen.HasPending(*l) && ctx.Err() == nil && time.Now().Before(until); {
 			core.Pause(ctx, time.Now().Add(time.Millisecond))
 		}
 		(*l).Close()
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -313,7 +313,7 @@
 // close ends the connection and everything that hung on it: commands whose host is gone, and with the admin
 // queue the whole association. What the host still sends is read away, so that no reset takes the last word to it.
 func (q *queue) close() {
-	_ = listen.Shut(q.net)
+	_ = listen.CloseWrite(q.net)
 	q.mu.Lock()
 	left, ctrl := q.cmds, q.ctrl
 	q.cmds = nil
@@ -325,7 +325,7 @@
 		ctrl.leave(q)
 	}
 	q.server.log(q, q.reason)
-	_ = listen.Linger(q.net)
+	_ = listen.DrainAndClose(q.net)
 	q.server.mu.Lock()
 	delete(q.server.queues, q) // it has had a descriptor until now
 	q.server.mu.Unlock()
--- a/internal/observability/figures/figures.go
+++ b/internal/observability/figures/figures.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Tell tells the numbers: counters from 0 at the start of the process, gauges as they are now.
-func (b *Book) Tell(to statsd.ExtendedStatSender) {
+// EmitMetrics writes the numbers: counters from 0 at the start of the process, gauges as they are now.
+func (b *Book) EmitMetrics(to statsd.ExtendedStatSender) {
 	classes := *b.classes.Load()
 	for _, c := range slices.Sorted(maps.Keys(classes)) {
 		for e := range endings {
--- a/internal/process/config/change.go
+++ b/internal/process/config/change.go
@@ -133,7 +133,7 @@
 	case e.ID != p.Key:
 		return fmt.Errorf("value.id: %q is not the key %q", e.ID, p.Key)
 	case e.Cell == nil:
-		return fmt.Errorf("value.cell: %w", ErrMissing)
+		return fmt.Errorf("value.cell: %w", ErrMissingField)
 	case e.State != "SERVING" && e.State != "DRAINING":
 		return fmt.Errorf("value.state: %q is neither SERVING nor DRAINING; a target is taken away by gone = true", e.State)
 	}
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -21,35 +21,35 @@
 
 // Config is everything the program is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Inherited string // the number of the descriptor that listens there already; empty: none
-	Control   string // the second address; empty: none
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *listing.List // the list as last had; nil: none
-	Module    policy.Settings
-	MostHeld  int
-	ConnIdle  time.Duration
-	Dial      time.Duration
-	Probes    bool // targets may be asked for their health
+	Name             string
+	Listen           string
+	InheritedFD      string // the number of the descriptor that listens there already; empty: none
+	Control          string // the second address; empty: none
+	Discovery        string
+	Seed             uint64
+	Limits           Limits
+	LastKnownTargets *listing.List // the list as last had; nil: none
+	Policy           policy.Settings
+	MaxOpenRequests  int
+	ConnIdleTimeout  time.Duration
+	DialTimeout      time.Duration
+	HealthProbes     bool // targets may be asked for their health
 }
 
 // file is the platform's JSON.
 type file struct {
-	Name      string        `json:"name" validate:"required"`
-	Listen    string        `json:"listen" validate:"required,addr"`
-	Control   string        `json:"control" validate:"omitempty,addr"`
-	Discovery string        `json:"discovery" validate:"required,addr"`
-	Seed      string        `json:"seed" validate:"omitempty,hex64"`
-	Limits    Limits        `json:"limits"`
-	Known     *listing.List `json:"known" validate:"-"` // which has the check of every list
-	Settings  *Options      `json:"settings" validate:"required"`
+	Name      string            `json:"name" validate:"required"`
+	Listen    string            `json:"listen" validate:"required,addr"`
+	Control   string            `json:"control" validate:"omitempty,addr"`
+	Discovery string            `json:"discovery" validate:"required,addr"`
+	Seed      string            `json:"seed" validate:"omitempty,hex64"`
+	Limits    Limits            `json:"limits"`
+	Known     *listing.List     `json:"known" validate:"-"` // which has the check of every list
+	Settings  *PlatformSettings `json:"settings" validate:"required"`
 }
 
 // SocketFD names the descriptor of the clients' listening socket, where the platform holds it.
-const SocketFD = "PROXY_SOCKET_FD"
+const SocketFDEnv = "PROXY_SOCKET_FD"
 
 const (
 	// mostHeld bounds open requests also where the settings name more: each may hold a body.
@@ -62,7 +62,7 @@
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
-		return nil, Missing("PROXY_CONFIG")
+		return nil, MissingField("PROXY_CONFIG")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -99,9 +99,9 @@
 	if err := check(&f, nil); err != nil {
 		return nil, err
 	}
-	c := &Config{Name: f.Name, Listen: f.Listen, Control: f.Control, Inherited: getenv(SocketFD), Discovery: f.Discovery, Limits: f.Limits, Known: f.Known}
-	if c.Known != nil {
-		if err := c.Known.Check(); err != nil {
+	c := &Config{Name: f.Name, Listen: f.Listen, Control: f.Control, InheritedFD: getenv(SocketFDEnv), Discovery: f.Discovery, Limits: f.Limits, LastKnownTargets: f.Known}
+	if c.LastKnownTargets != nil {
+		if err := c.LastKnownTargets.Check(); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -109,17 +109,17 @@
 		c.Seed, _ = strconv.ParseUint(f.Seed, 16, 64)
 	}
 	var err error
-	if c.Module, err = f.Settings.Module(); err != nil {
+	if c.Policy, err = f.Settings.PolicySettings(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	if err = c.Module.Validate(); err != nil {
+	if err = c.Policy.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
-	c.MostHeld = atMost(l.MostHeld, mostHeld)
-	c.Dial = orElse(Us(l.DialTimeoutUs), usualDial)
-	c.ConnIdle = orElse(Us(l.ConnIdleUs), 30*time.Second)
-	c.Probes = f.Settings.Limits.Probes
+	c.MaxOpenRequests = atMost(l.MostHeld, mostHeld)
+	c.DialTimeout = orElse(Microseconds(l.DialTimeoutUs), usualDial)
+	c.ConnIdleTimeout = orElse(Microseconds(l.ConnIdleUs), 30*time.Second)
+	c.HealthProbes = f.Settings.Limits.Probes
 	return c, nil
 }
 
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Listen != "127.0.0.2:8081" || c.Control != "127.0.0.2:9091" || c.Seed != 0x8c1f30d27a5be964 || c.Dial != 250*time.Millisecond ||
-		c.MostHeld != mostHeld || len(c.Module.Classes) != 3 || c.Module.ConnectCost != 0.08 || c.Module.InitiatorIndex != 2 || *c.Known.Version != 41 {
+	if c.Listen != "127.0.0.2:8081" || c.Control != "127.0.0.2:9091" || c.Seed != 0x8c1f30d27a5be964 || c.DialTimeout != 250*time.Millisecond ||
+		c.MaxOpenRequests != mostHeld || len(c.Policy.Classes) != 3 || c.Policy.ConnectCost != 0.08 || c.Policy.InitiatorIndex != 2 || *c.LastKnownTargets.Version != 41 {
 		t.Errorf("read as %+v", c)
 	}
 }
@@ -84,18 +84,18 @@
 		old, new string
 		holds    func(*Config) bool
 	}{
-		{`"handshake":0.08`, `"handshake":0`, func(c *Config) bool { return c.Module.ConnectCost == 0 }},
-		{`"pays":0.9`, `"pays":0`, func(c *Config) bool { return c.Module.Plans[0].PriorityFactor == 0 }},
-		{`"reservation":13,`, "", func(c *Config) bool { return c.Module.Plans[0].ReservedRate == 0 }},
-		{`"usualRate":13,`, "", func(c *Config) bool { return c.Module.Plans[0].Rate == 0 }},
+		{`"handshake":0.08`, `"handshake":0`, func(c *Config) bool { return c.Policy.ConnectCost == 0 }},
+		{`"pays":0.9`, `"pays":0`, func(c *Config) bool { return c.Policy.Plans[0].PriorityFactor == 0 }},
+		{`"reservation":13,`, "", func(c *Config) bool { return c.Policy.Plans[0].ReservedRate == 0 }},
+		{`"usualRate":13,`, "", func(c *Config) bool { return c.Policy.Plans[0].Rate == 0 }},
 		{`"side_effect"`, `"token","windowUs":700000`, func(c *Config) bool {
-			return c.Module.Classes[1].DedupScope == policy.DedupFleet && c.Module.Classes[1].DedupWindow == 700*time.Millisecond
+			return c.Policy.Classes[1].DedupScope == policy.DedupFleet && c.Policy.Classes[1].DedupWindow == 700*time.Millisecond
 		}},
-		{`,{"name":"event-write"`, `],"kinds":[{"name":"event-write"`, func(c *Config) bool { return len(c.Module.Classes) == 1 }},
-		{`"connIdleUs":30000000`, `"connIdleUs":1`, func(c *Config) bool { return c.ConnIdle == time.Microsecond }},
-		{`"dialTimeoutUs":250000`, `"dialTimeoutUs":900000`, func(c *Config) bool { return c.Dial == 900*time.Millisecond }},
-		{`"dialTimeoutUs":250000`, `"dialTimeout":1`, func(c *Config) bool { return c.Dial == usualDial }},
-		{`"sendCap":3`, `"parallelTries":false`, func(c *Config) bool { return c.Module.MaxAttempts == 0 }},
+		{`,{"name":"event-write"`, `],"kinds":[{"name":"event-write"`, func(c *Config) bool { return len(c.Policy.Classes) == 1 }},
+		{`"connIdleUs":30000000`, `"connIdleUs":1`, func(c *Config) bool { return c.ConnIdleTimeout == time.Microsecond }},
+		{`"dialTimeoutUs":250000`, `"dialTimeoutUs":900000`, func(c *Config) bool { return c.DialTimeout == 900*time.Millisecond }},
+		{`"dialTimeoutUs":250000`, `"dialTimeout":1`, func(c *Config) bool { return c.DialTimeout == usualDial }},
+		{`"sendCap":3`, `"parallelTries":false`, func(c *Config) bool { return c.Policy.MaxAttempts == 0 }},
 		{`"tickUs":2000`, `"tickUs":2000,"newFigure":{"deep":[1]}`, func(*Config) bool { return true }},
 	} {
 		cfg, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
@@ -129,12 +129,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	read := func(text string) (*Operator, error) {
+	read := func(text string) (*OperatorFile, error) {
 		path := filepath.Join(t.TempDir(), "operator.toml")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		return ReadOperator(path, c)
+		return ReadOperatorFile(path, c)
 	}
 	o, err := read(string(raw))
 	if err != nil {
@@ -198,7 +198,7 @@
 		}
 		cfg := &Config{}
 		if c.file != "budgets.toml" {
-			_, err = ReadOperator(path, cfg)
+			_, err = ReadOperatorFile(path, cfg)
 		} else {
 			_, err = ReadBudgets(path, cfg)
 		}
--- a/internal/process/config/feed.go
+++ b/internal/process/config/feed.go
@@ -79,24 +79,24 @@
 
 // ReadRelay reads the part of an operator's file that sets up a relay.
 func ReadRelay(path string) (*Relay, error) {
-	o, err := ReadOperator(path, nil)
+	o, err := ReadOperatorFile(path, nil)
 	switch {
 	case err != nil:
 		return nil, err
 	case o.Relay == nil:
-		return nil, fmt.Errorf("operator's file: %w", Missing("relay"))
+		return nil, fmt.Errorf("operator's file: %w", MissingField("relay"))
 	}
 	return o.Relay, nil
 }
 
 // ReadFeed reads the part of an operator's file that has an initiator take the feed.
 func ReadFeed(path string) (*Feed, error) {
-	o, err := ReadOperator(path, nil)
+	o, err := ReadOperatorFile(path, nil)
 	switch {
 	case err != nil:
 		return nil, err
 	case o.Feed == nil:
-		return nil, fmt.Errorf("operator's file: %w", Missing("feed"))
+		return nil, fmt.Errorf("operator's file: %w", MissingField("feed"))
 	}
 	return o.Feed, nil
 }
--- a/internal/process/config/feed_test.go
+++ b/internal/process/config/feed_test.go
@@ -39,7 +39,7 @@
 		require.Contains(t, string(raw), c.old)
 		path := filepath.Join(t.TempDir(), c.file)
 		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(raw), c.old, c.wrong, 1)), 0o600))
-		_, err = ReadOperator(path, nil)
+		_, err = ReadOperatorFile(path, nil)
 		if c.want == "" {
 			require.NoError(t, err, c.file)
 			continue
--- a/internal/process/config/operator.go
+++ b/internal/process/config/operator.go
@@ -12,7 +12,7 @@
 
 // Operator is what an operator's file may set up beside the platform's configuration. All of it is off
 // where there is no such file.
-type Operator struct {
+type OperatorFile struct {
 	NVMe     *NVMe     `toml:"nvme"`
 	Agent    *Agent    `toml:"agent"`
 	Accounts *Accounts `toml:"accounts"`
@@ -23,15 +23,15 @@
 
 // Fleet has an instance keep to its part of fleet-wide budgets.
 type Fleet struct {
-	Agents  []string         `toml:"agents" validate:"required_without=Members,dive,addr"`
-	Weight  float64          `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
-	Uses    []quota.Resource `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
-	Tasks   []string         `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
-	Members *Members         `toml:"members"`
+	Agents            []string         `toml:"agents" validate:"required_without=Members,dive,addr"`
+	Weight            float64          `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
+	GovernedResources []quota.Resource `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
+	Tasks             []string         `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
+	Members           *Membership      `toml:"members"`
 }
 
 // Members has instances know each other without the agents.
-type Members struct {
+type Membership struct {
 	Bind      string   `toml:"bind" validate:"required,addr"`       // datagrams and streams alike
 	Advertise string   `toml:"advertise" validate:"omitempty,addr"` // where others reach it; as bound where it is not told
 	Seeds     []string `toml:"seeds" validate:"max=16,dive,addr"`   // some of the others
@@ -46,8 +46,8 @@
 
 // SetDefaults implements defaults.Setter.
 func (f *Fleet) SetDefaults() {
-	if f.Uses == nil {
-		f.Uses = slices.Clone(quota.Resources)
+	if f.GovernedResources == nil {
+		f.GovernedResources = slices.Clone(quota.Resources)
 	}
 }
 
@@ -73,7 +73,7 @@
 		if err := d.Validate(); err != nil || c == nil {
 			return err
 		}
-		return d.ValidateNames(c.Plans(), c.Classes())
+		return d.ValidateNames(c.PlanNames(), c.ClassNames())
 	})
 }
 
@@ -150,8 +150,8 @@
 
 // ReadOperator reads an operator's file and checks it against the platform's settings. A field that is not
 // known stops the start as well: it is a spelling mistake that would silently change nothing. All that is wrong is told at once.
-func ReadOperator(path string, c *Config) (*Operator, error) {
-	o := &Operator{}
+func ReadOperatorFile(path string, c *Config) (*OperatorFile, error) {
+	o := &OperatorFile{}
 	meta, err := toml.DecodeFile(path, o)
 	if err == nil && len(meta.Undecoded()) > 0 {
 		err = fmt.Errorf("%s: unknown field", meta.Undecoded()[0])
@@ -167,12 +167,12 @@
 
 // ReadAgent reads the part of an operator's file that sets up an agent.
 func ReadAgent(path string) (*Agent, error) {
-	o, err := ReadOperator(path, nil)
+	o, err := ReadOperatorFile(path, nil)
 	switch {
 	case err != nil:
 		return nil, err
 	case o.Agent == nil:
-		return nil, fmt.Errorf("operator's file: %w", Missing("agent"))
+		return nil, fmt.Errorf("operator's file: %w", MissingField("agent"))
 	}
 	return o.Agent, nil
 }
@@ -188,18 +188,18 @@
 }
 
 // Classes are the names of the classes served.
-func (c *Config) Classes() map[string]bool {
+func (c *Config) ClassNames() map[string]bool {
 	m := map[string]bool{}
-	for _, k := range c.Module.Classes {
+	for _, k := range c.Policy.Classes {
 		m[k.Name] = true
 	}
 	return m
 }
 
 // Plans are the names of the plans known.
-func (c *Config) Plans() map[string]bool {
+func (c *Config) PlanNames() map[string]bool {
 	m := map[string]bool{}
-	for _, p := range c.Module.Plans {
+	for _, p := range c.Policy.Plans {
 		m[p.Name] = true
 	}
 	return m
--- a/internal/process/config/rules.go
+++ b/internal/process/config/rules.go
@@ -34,7 +34,7 @@
 	} {
 		must(v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return good(f.Field().String()) }))
 	}
-	for tag, known := range map[string]func(*Config) map[string]bool{"class": (*Config).Classes, "plan": (*Config).Plans} {
+	for tag, known := range map[string]func(*Config) map[string]bool{"class": (*Config).ClassNames, "plan": (*Config).PlanNames} {
 		must(v.RegisterValidationCtx(tag, func(ctx context.Context, f validator.FieldLevel) bool {
 			c, _ := ctx.Value(settings{}).(*Config)
 			return c == nil || known(c)[f.Field().String()]
@@ -101,7 +101,7 @@
 		_, path, _ := strings.Cut(b.Namespace(), ".")
 		switch b.Tag() {
 		case "required", "required_without":
-			found[i] = Missing(path)
+			found[i] = MissingField(path)
 		case "addr":
 			found[i] = fmt.Errorf("%s: %w", path, badAddr(b.Value().(string)))
 		default:
--- a/internal/process/config/settings.go
+++ b/internal/process/config/settings.go
@@ -12,7 +12,7 @@
 
 // Options is the settings object as the platform writes it, in the simulator's first message and in the
 // configuration alike. Unknown fields are skipped.
-type Options struct {
+type PlatformSettings struct {
 	PeersTotal *int `json:"peersTotal" validate:"required,gte=1"`
 	Index      *int `json:"index"`
 	Classes    []struct {
@@ -67,38 +67,38 @@
 }
 
 // ErrMissing is wrapped by the errors about absent fields.
-var ErrMissing = errors.New("required field is missing")
+var ErrMissingField = errors.New("required field is missing")
 
 // Missing names an absent field.
-func Missing(field string) error { return fmt.Errorf("%s: %w", field, ErrMissing) }
+func MissingField(field string) error { return fmt.Errorf("%s: %w", field, ErrMissingField) }
 
 // Us turns the platform's microseconds into a duration.
-func Us(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
 // Module turns the options into the module's settings.
-func (o *Options) Module() (policy.Settings, error) {
+func (o *PlatformSettings) PolicySettings() (policy.Settings, error) {
 	if o.PeersTotal == nil {
-		return policy.Settings{}, Missing("options.peersTotal")
+		return policy.Settings{}, MissingField("options.peersTotal")
 	}
 	s := policy.Settings{
 		Initiators:         *o.PeersTotal,
-		MinStep:            Us(o.TickUs),
+		MinStep:            Microseconds(o.TickUs),
 		MeanUnits:          o.Extra.MeanUnits,
 		FairSharePriority:  o.Extra.FairWorth,
 		ExcessPriority:     o.Extra.IdleWorth,
 		MaxUnits:           o.Extra.Largest,
 		ColdUnitsPerWindow: o.Extra.ColdBears,
 		ConnectCost:        o.Prices.Handshake,
-		UsagePeriod:        Us(o.Extra.MeteringUs),
+		UsagePeriod:        Microseconds(o.Extra.MeteringUs),
 		SubscribeToList:    o.RegistryMode == "on_request",
 		Rules: policy.Rules{
 			ColdCapacityFraction: o.Rules.ColdShare,
-			WarmUpTime:           Us(o.Rules.WarmWithinUs),
-			OverloadWindow:       Us(o.Rules.FallUs),
+			WarmUpTime:           Microseconds(o.Rules.WarmWithinUs),
+			OverloadWindow:       Microseconds(o.Rules.FallUs),
 			OverloadFactor:       o.Rules.TipMultiple,
-			OrderedQuietTime:     Us(o.Rules.SettleAfterDoubtUs),
+			OrderedQuietTime:     Microseconds(o.Rules.SettleAfterDoubtUs),
 			RetryBudgetFree:      o.Rules.ExtraFree,
-			RetryBudgetWindow:    Us(o.Rules.ResendSpanUs),
+			RetryBudgetWindow:    Microseconds(o.Rules.ResendSpanUs),
 		},
 	}
 	if o.Limits.SendCap != nil {
@@ -111,8 +111,8 @@
 		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
 	}
 	for i, c := range o.Classes {
-		k := policy.Class{Name: c.Name, LatencyObjective: Us(c.PromiseUs), Deadline: Us(c.DeadlineUs),
-			DedupWindow: Us(c.WindowUs), Ordered: c.Serial, PriorityWeight: c.Worth}
+		k := policy.Class{Name: c.Name, LatencyObjective: Microseconds(c.PromiseUs), Deadline: Microseconds(c.DeadlineUs),
+			DedupWindow: Microseconds(c.WindowUs), Ordered: c.Serial, PriorityWeight: c.Worth}
 		switch c.Effect {
 		case "pure":
 			k.Effect = policy.Idempotent
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -117,7 +117,7 @@
 // Start implements Part: it tells the accounts of the window that is under way, and writes those that are over.
 func (l *ledger) Start(stop context.Context) error {
 	if l.opt.Listen != "" {
-		at, err := listen.Bound(stop, l.opt.Listen, l.shared)
+		at, err := listen.Bind(stop, l.opt.Listen, l.shared)
 		if err != nil {
 			return fmt.Errorf("operator's file: accounts.listen: %w", err)
 		}
@@ -165,7 +165,7 @@
 }
 
 // Listed drops what is known of targets that a whole list does not have.
-func (l *ledger) Listed(list *listing.List) {
+func (l *ledger) OnTargetList(list *listing.List) {
 	if !list.Full {
 		return
 	}
--- a/internal/process/instance/adopt.go
+++ b/internal/process/instance/adopt.go
@@ -36,14 +36,14 @@
 		runtime.GOMAXPROCS(threads(cfg))
 	}
 	a.limits.grant(granted(cfg.Limits))
-	a.module.up.Times(cfg.Dial, cfg.ConnIdle*4/5)
-	a.module.numbers.Know(slices.Collect(maps.Keys(cfg.Classes())))
+	a.module.up.Times(cfg.DialTimeout, cfg.ConnIdleTimeout*4/5)
+	a.module.numbers.Know(slices.Collect(maps.Keys(cfg.ClassNames())))
 	a.list.list.Crowd(crowd(cfg))
 	if a.book != nil {
 		a.in.core.Inspect(func() { a.book.book.Values(worth(cfg)) })
 	}
 	select {
-	case <-a.in.core.Adopt(cfg.Module, cfg.MostHeld, namesFor(cfg)):
+	case <-a.in.core.Adopt(cfg.Policy, cfg.MaxOpenRequests, namesFor(cfg)):
 	case <-a.module.ended: // nothing is decided any more
 	}
 	a.clients.Admit(admits(cfg))
@@ -55,7 +55,7 @@
 
 // admits is what clients may name, and how they are left.
 func admits(cfg *config.Config) front.Admits {
-	return front.Admits{Classes: cfg.Classes(), Plans: cfg.Plans(), Leave: core.LeaveWithin(longest(cfg))}
+	return front.Admits{Classes: cfg.ClassNames(), Plans: cfg.PlanNames(), Leave: core.LeaveWithin(longest(cfg))}
 }
 
 // threads is how many threads run Go code at a time.
@@ -63,7 +63,7 @@
 
 // needsStart names what of another configuration a running instance can't take over; empty: all of it can be. The list as last known and the
 // seed are for a start alone, and no reason for one.
-func needsStart(cfg, next *config.Config, op, nextOp *config.Operator) string {
+func needsStart(cfg, next *config.Config, op, nextOp *config.OperatorFile) string {
 	tasks := op.Fleet != nil && len(op.Fleet.Tasks) > 0
 	for _, c := range []struct {
 		field string
@@ -72,8 +72,8 @@
 		{"name", cfg.Name != next.Name},
 		{"listen", cfg.Listen != next.Listen},
 		{"control", cfg.Control != next.Control},
-		{"settings.limits.probes", tasks && cfg.Probes != next.Probes},
-		{"settings.limits.dialTimeoutUs", tasks && cfg.Dial != next.Dial},
+		{"settings.limits.probes", tasks && cfg.HealthProbes != next.HealthProbes},
+		{"settings.limits.dialTimeoutUs", tasks && cfg.DialTimeout != next.DialTimeout},
 		{"operator's file", !reflect.DeepEqual(op, nextOp)},
 		{"operator's file: nvme", op.NVMe != nil}, // its front and its host are made of the settings
 	} {
--- a/internal/process/instance/deployments_test.go
+++ b/internal/process/instance/deployments_test.go
@@ -138,12 +138,12 @@
 	cfg, err := config.Parse(fmt.Appendf(nil, `{"name":"%s-n","listen":%q,"control":%q,"discovery":%q,"limits":%s,"settings":%s}`, mark,
 		d.addrs["listen"], d.addrs["control"], list.Listener.Addr(), limits, settings), func(string) string { return "" })
 	require.NoError(t, err)
-	op := &config.Operator{Accounts: &config.Accounts{Listen: d.addrs["accounts"], WindowS: 3600, Keep: 1, Volumes: 16, Pairs: 16, Open: 16, Log: true}}
+	op := &config.OperatorFile{Accounts: &config.Accounts{Listen: d.addrs["accounts"], WindowS: 3600, Keep: 1, Volumes: 16, Pairs: 16, Open: 16, Log: true}}
 	stop, leave := context.WithCancel(context.Background())
 	defer leave()
 	up, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
-		ended <- Serve(stop, cfg, op, Options{Log: slog.New(slog.NewTextHandler(&d.said, nil)), Listening: func() { close(up) }})
+		ended <- Serve(stop, cfg, op, Options{Log: slog.New(slog.NewTextHandler(&d.said, nil)), OnListening: func() { close(up) }})
 	}()
 	select {
 	case <-up:
--- a/internal/process/instance/doors.go
+++ b/internal/process/instance/doors.go
@@ -33,8 +33,8 @@
 // Start implements Part.
 func (e *entrance) Start(stop context.Context) (err error) {
 	if e.inherited != "" {
-		e.at, err = listen.Inherited(e.inherited)
-	} else if e.at, err = listen.Bound(stop, e.addr, e.shared); err != nil {
+		e.at, err = listen.FromDescriptor(e.inherited)
+	} else if e.at, err = listen.Bind(stop, e.addr, e.shared); err != nil {
 		err = fmt.Errorf("listen: %w", err)
 	}
 	return err
@@ -101,7 +101,7 @@
 
 // Start implements Part.
 func (p *pages) Start(stop context.Context) error {
-	at, err := listen.Bound(stop, p.addr, p.shared)
+	at, err := listen.Bind(stop, p.addr, p.shared)
 	if err != nil {
 		return fmt.Errorf("control: %w", err)
 	}
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -25,11 +25,11 @@
 // probeWithin is how long a target that is tried may take to answer.
 const probeWithin = 400 * time.Millisecond
 
-func newDuty(cfg *config.Config, op *config.Operator, log *slog.Logger, hurry func(), load func() uint16, ended func() []string) *duty {
-	d := &duty{probe: &leasework.EndpointProbe{DialTimeout: cfg.Dial, AnswerTimeout: probeWithin}}
+func newDuty(cfg *config.Config, op *config.OperatorFile, log *slog.Logger, hurry func(), load func() uint16, ended func() []string) *duty {
+	d := &duty{probe: &leasework.EndpointProbe{DialTimeout: cfg.DialTimeout, AnswerTimeout: probeWithin}}
 	jobs := map[lease.Kind]leasework.Job{lease.Drill: &leasework.Drill{Name: cfg.Name},
 		lease.FleetReport: &leasework.FleetReport{Name: cfg.Name, Agents: &agent.Client{Addrs: op.Fleet.Agents}}}
-	if cfg.Probes && op.NVMe == nil {
+	if cfg.HealthProbes && op.NVMe == nil {
 		jobs[lease.EndpointProbe] = d.probe // else such a task fails here, and goes to another member
 	}
 	d.runner = leasework.New(leasework.Options{Tasks: op.Fleet.Tasks, Jobs: jobs, RenewNow: hurry, OpenRequests: load, DeadInstances: ended, Log: log})
@@ -48,10 +48,10 @@
 }
 
 // Tell implements teller.
-func (d *duty) Tell(to statsd.ExtendedStatSender) { d.runner.Tell(to) }
+func (d *duty) EmitMetrics(to statsd.ExtendedStatSender) { d.runner.EmitMetrics(to) }
 
 // Listed implements listener.
-func (d *duty) Listed(l *listing.List) {
+func (d *duty) OnTargetList(l *listing.List) {
 	addrs := make(map[string]string, len(l.Servers))
 	for _, e := range l.Servers {
 		addrs[e.ID] = e.Addr
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -235,7 +235,7 @@
 }
 
 // Tell implements teller.
-func (s *stream) Tell(to statsd.ExtendedStatSender) {
+func (s *stream) EmitMetrics(to statsd.ExtendedStatSender) {
 	at := s.follower.State()
 	to.Gauge("feed.position.targets", int64(at.Position.Targets), 1)
 	to.Gauge("feed.position.config", int64(at.Position.Config), 1)
@@ -307,4 +307,4 @@
 }
 
 // Tell implements teller.
-func (p *feeding) Tell(to statsd.ExtendedStatSender) { p.stream.Tell(to) }
+func (p *feeding) EmitMetrics(to statsd.ExtendedStatSender) { p.stream.EmitMetrics(to) }
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -210,7 +210,7 @@
 	for _, c := range []struct{ name, operator, want string }{
 		{"", "../../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", none, "feed"}, {"n1", "../../../deploy/nowhere.toml", "nowhere.toml"},
 	} {
-		err := FollowFeed(t.Context(), func(string) string { return c.name }, c.operator, quiet)
+		err := ServeFromFeed(t.Context(), func(string) string { return c.name }, c.operator, quiet)
 		require.ErrorContains(t, err, c.want)
 		require.NotContains(t, err.Error(), "\n")
 	}
--- a/internal/process/instance/follow.go
+++ b/internal/process/instance/follow.go
@@ -13,10 +13,10 @@
 // Follow serves what the agents say of this instance. A new configuration is checked, then taken over by what runs. Where it names what needs a
 // new start, a successor listens at the same addresses, and the predecessor leaves once that one is up, as at SIGTERM, so that nothing taken is
 // lost. One that cannot be served changes nothing.
-func Follow(stop context.Context, agents []string, getenv func(string) string, operator string, log *slog.Logger) error {
+func ServeFromAgents(stop context.Context, agents []string, getenv func(string) string, operator string, log *slog.Logger) error {
 	name := getenv("PROXY_NAME")
 	if name == "" {
-		return config.Missing("PROXY_NAME")
+		return config.MissingField("PROXY_NAME")
 	}
 	return succession(stop, operator, log, nil, func(watch context.Context, offers chan<- offer) {
 		client := &agent.Client{Addrs: agents}
@@ -96,14 +96,14 @@
 // generation is a running initiator, and the configuration that it has in force.
 type generation struct {
 	cfg     *config.Config
-	op      *config.Operator
+	op      *config.OperatorFile
 	changes chan Change
 	leave   context.CancelFunc
 	ended   chan error
 }
 
 // accept checks a configuration, and the operator's file beside it.
-func accept(e agent.Entry, getenv func(string) string, operator string) (*config.Config, *config.Operator, error) {
+func accept(e agent.Entry, getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
 	cfg, err := config.Parse(e.Config, getenv)
 	if err != nil {
 		return nil, nil, err
@@ -111,9 +111,9 @@
 	if cfg.Name != e.Name {
 		return nil, nil, errors.New("name: it is another instance's")
 	}
-	op := &config.Operator{}
+	op := &config.OperatorFile{}
 	if operator != "" {
-		if op, err = config.ReadOperator(operator, cfg); err != nil {
+		if op, err = config.ReadOperatorFile(operator, cfg); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -141,12 +141,12 @@
 }
 
 // begin starts a generation and waits until it listens.
-func begin(stop context.Context, cfg *config.Config, op *config.Operator, log *slog.Logger, of *stream) (*generation, error) {
+func begin(stop context.Context, cfg *config.Config, op *config.OperatorFile, log *slog.Logger, of *stream) (*generation, error) {
 	ctx, leave := context.WithCancel(stop)
 	g := &generation{cfg, op, make(chan Change), leave, make(chan error, 1)}
 	up := make(chan struct{})
 	go func() {
-		g.ended <- Serve(ctx, cfg, op, Options{Log: log, Listening: func() { close(up) }, Changes: g.changes, feed: of})
+		g.ended <- Serve(ctx, cfg, op, Options{Log: log, OnListening: func() { close(up) }, Changes: g.changes, feed: of})
 	}()
 	select {
 	case <-up:
--- a/internal/process/instance/followfeed.go
+++ b/internal/process/instance/followfeed.go
@@ -27,13 +27,13 @@
 // FollowFeed serves what the feed says of this instance: what is shared, then its region's, its zone's and its own, each over the ones before
 // (RFC 7396). A configuration that cannot be served is turned down, which the feed's tally hears, and the last one in force stays: also over
 // a restart, since it is kept in the feed's folder.
-func FollowFeed(stop context.Context, getenv func(string) string, operator string, log *slog.Logger) error {
+func ServeFromFeed(stop context.Context, getenv func(string) string, operator string, log *slog.Logger) error {
 	name := getenv("PROXY_NAME")
 	if name == "" {
-		return config.Missing("PROXY_NAME")
+		return config.MissingField("PROXY_NAME")
 	}
 	if operator == "" {
-		return config.Missing("--operator")
+		return config.MissingField("--operator")
 	}
 	f, err := config.ReadFeed(operator)
 	if err != nil {
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -43,14 +43,14 @@
 	Log *slog.Logger
 	// Listening is called once all addresses are listened at, which a predecessor that is about to leave may still be listening
 	// at. Nil: there is none.
-	Listening func()
-	Changes   <-chan Change // taken over also while the instance leaves; nil: none come
-	feed      *stream       // the process's; nil: the instance has one of its own, where its operator's file asks for it
+	OnListening func()
+	Changes     <-chan Change // taken over also while the instance leaves; nil: none come
+	feed        *stream       // the process's; nil: the instance has one of its own, where its operator's file asks for it
 }
 
 // Serve runs an instance until stop ends, and then until everything taken is answered. One that is stopped while it starts has
 // undone what it had begun.
-func Serve(stop context.Context, cfg *config.Config, op *config.Operator, opt Options) error {
+func Serve(stop context.Context, cfg *config.Config, op *config.OperatorFile, opt Options) error {
 	runtime.GOMAXPROCS(threads(cfg))
 	in, err := assemble(cfg, op, opt)
 	if err != nil {
@@ -70,8 +70,8 @@
 	ended := make(chan struct{})
 	defer close(ended)
 	go in.follow(opt.Changes, ended)
-	if opt.Listening != nil {
-		opt.Listening()
+	if opt.OnListening != nil {
+		opt.OnListening()
 	}
 	var failed error
 	reason := "STOPPED"
@@ -142,17 +142,17 @@
 }
 
 // assemble makes all parts and ties them together. It starts nothing and listens nowhere.
-func assemble(cfg *config.Config, op *config.Operator, opt Options) (*instance, error) {
+func assemble(cfg *config.Config, op *config.OperatorFile, opt Options) (*instance, error) {
 	log := opt.Log
 	in := &instance{log: log}
 	in.cfg.Store(cfg)
-	shared := opt.Listening != nil || cfg.Inherited != "" // all addresses but the clients': a predecessor may still listen at each
+	shared := opt.OnListening != nil || cfg.InheritedFD != "" // all addresses but the clients': a predecessor may still listen at each
 	known, err := newPeers(cfg, op, shared, log)
 	if err != nil {
 		return nil, err
 	}
 	part, duties := fleetParts(cfg, op, known, func() uint16 { return loadOf(in.core) }, log)
-	settings := cfg.Module
+	settings := cfg.Policy
 	if part != nil {
 		settings.Quota = part
 	}
@@ -172,13 +172,13 @@
 		}
 		wire, rest = nvme.NewHost(host(op.NVMe, certs)), 0 // its answers name their commands
 	}
-	numbers := figures.New(slices.Collect(maps.Keys(cfg.Classes())))
-	out := upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5, Rest: rest, Sent: numbers.Dispatched, Log: log}
+	numbers := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
+	out := upstream.Options{Wire: wire, Dial: cfg.DialTimeout, Idle: cfg.ConnIdleTimeout * 4 / 5, Rest: rest, Sent: numbers.Dispatched, Log: log}
 	if part != nil {
 		out.Stock = part
 	}
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
-	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
+	bounds := core.Options{MostHeld: cfg.MaxOpenRequests, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
 	if duties != nil {
 		bounds.Avoids = duties.runner.SetEjected
 	}
@@ -232,12 +232,12 @@
 	list := newWatch(cfg, log, tell)
 	in.parts = append(in.parts, list)
 	in.parts = append(in.parts, &adoption{in: in, module: module, clients: clients, limits: limits, book: book, list: list})
-	if cfg.Inherited != "" {
+	if cfg.InheritedFD != "" {
 		in.crew = newCrew(cfg.Name, log, limits.divide)
 		in.parts = append(in.parts, in.crew)
 	}
 	// With NVMe the platform's front stays for its ready page alone: a target speaks one wire.
-	in.enter(&entrance{door: clients, addr: cfg.Listen, inherited: cfg.Inherited, shared: shared})
+	in.enter(&entrance{door: clients, addr: cfg.Listen, inherited: cfg.InheritedFD, shared: shared})
 	if op.NVMe != nil {
 		controller := nvme.New(in.core, about(op.NVMe, cfg, certs, numbers, core.LeaveWithin(longest(cfg)), log))
 		in.parts = append(in.parts, spaces{front: controller})
@@ -258,7 +258,7 @@
 	}
 	in.fronts.crew, in.fronts.leave = in.crew, func() {
 		in.crew.enter(handover.Leaving)
-		if cfg.Inherited != "" {
+		if cfg.InheritedFD != "" {
 			clients.HandOver() // the socket stays, and whoever has it takes what comes
 		}
 	}
@@ -272,11 +272,11 @@
 }
 
 // fleetParts are an instance's part of fleet-wide budgets and what it does for the fleet; nil where an operator's file has none.
-func fleetParts(cfg *config.Config, op *config.Operator, known *transport.Runner, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
+func fleetParts(cfg *config.Config, op *config.OperatorFile, known *transport.Runner, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
 	}
-	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Governed: op.Fleet.Uses, Log: log}
+	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Governed: op.Fleet.GovernedResources, Log: log}
 	if op.Accounts != nil {
 		about.AccountsAddr = op.Accounts.Listen
 	}
@@ -301,10 +301,10 @@
 // worth is what a request earns when it is served within its plan's reserve, as the module counts it.
 func worth(cfg *config.Config) func(policy.Request) float64 {
 	classes, plans := map[string]float64{}, map[string]float64{}
-	for _, c := range cfg.Module.Classes {
+	for _, c := range cfg.Policy.Classes {
 		classes[c.Name] = c.PriorityWeight
 	}
-	for _, p := range cfg.Module.Plans {
+	for _, p := range cfg.Policy.Plans {
 		plans[p.Name] = p.PriorityFactor
 	}
 	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
@@ -313,7 +313,7 @@
 // namesFor is how long a name may not come again: no attempt lasts longer than its client, and repeats are remembered for a window.
 func namesFor(cfg *config.Config) time.Duration {
 	d := longest(cfg)
-	for _, c := range cfg.Module.Classes {
+	for _, c := range cfg.Policy.Classes {
 		if c.Effect == policy.IdempotentWithKey {
 			d = max(d, c.DedupWindow)
 		}
@@ -323,7 +323,7 @@
 
 // longest is the longest any client waits.
 func longest(cfg *config.Config) (d time.Duration) {
-	for _, c := range cfg.Module.Classes {
+	for _, c := range cfg.Policy.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
@@ -338,7 +338,7 @@
 }
 
 // Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
-func (d *decisions) Listed(l *listing.List) {
+func (d *decisions) OnTargetList(l *listing.List) {
 	targets := make([]upstream.Target, len(l.Servers))
 	nodes := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Servers))}
 	for i, e := range l.Servers {
@@ -357,7 +357,7 @@
 }
 
 // Tell implements teller.
-func (d *decisions) Tell(to statsd.ExtendedStatSender) { d.numbers.Tell(to) }
+func (d *decisions) EmitMetrics(to statsd.ExtendedStatSender) { d.numbers.EmitMetrics(to) }
 
 // seat is the instance's seat in the fleet, given back once nothing is served any more.
 type seat struct {
@@ -383,7 +383,7 @@
 }
 
 // Tell implements teller.
-func (s *seat) Tell(to statsd.ExtendedStatSender) { s.part.Tell(to) }
+func (s *seat) EmitMetrics(to statsd.ExtendedStatSender) { s.part.EmitMetrics(to) }
 
 // watch is the list of targets, as discovery tells it.
 type watch struct {
@@ -392,14 +392,14 @@
 }
 
 func newWatch(cfg *config.Config, log *slog.Logger, tell func(*listing.List)) *watch {
-	list := discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.Known, Crowd: crowd(cfg), Seed: cfg.Seed, Log: log}, tell)
+	list := discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.LastKnownTargets, Crowd: crowd(cfg), Seed: cfg.Seed, Log: log}, tell)
 	return &watch{loop{run: list.Run}, list}
 }
 
 // crowd is how many share one discovery service; 0: each has its own, or is pushed to.
 func crowd(cfg *config.Config) int {
-	if cfg.Module.SubscribeToList {
-		return cfg.Module.Initiators
+	if cfg.Policy.SubscribeToList {
+		return cfg.Policy.Initiators
 	}
 	return 0
 }
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -49,10 +49,10 @@
 	}
 	return p.fails
 }
-func (p *played) Stop(context.Context) error        { p.note("stop"); return p.unwell }
-func (p *played) Listed(*listing.List)              { p.note("list") }
-func (p *played) Reload(Change) error               { p.note("reload"); return p.refuses }
-func (p *played) Tell(to statsd.ExtendedStatSender) { to.Inc(p.name, 1, 1) }
+func (p *played) Stop(context.Context) error               { p.note("stop"); return p.unwell }
+func (p *played) OnTargetList(*listing.List)               { p.note("list") }
+func (p *played) Reload(Change) error                      { p.note("reload"); return p.refuses }
+func (p *played) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(p.name, 1, 1) }
 
 // TestParts plays starts and stops of three parts: what has started is stopped in reverse, and nothing else is.
 func TestParts(t *testing.T) {
@@ -135,16 +135,16 @@
 }
 
 // read is an instance's files: all its parts on this one machine, but those that need agents.
-func (s *site) read(operator string) (*config.Config, *config.Operator) {
+func (s *site) read(operator string) (*config.Config, *config.OperatorFile) {
 	cfg, err := config.Parse(fmt.Appendf(nil, `{"name":"n1","listen":%q,"control":%q,"discovery":%q,"settings":%s}`, s.addrs["listen"],
 		s.addrs["control"], strings.TrimPrefix(s.list.URL, "http://"), settings), func(string) string { return "" })
 	require.NoError(s.t, err)
 	if operator == "" {
-		return cfg, &config.Operator{}
+		return cfg, &config.OperatorFile{}
 	}
 	path := filepath.Join(s.t.TempDir(), "operator.toml")
 	require.NoError(s.t, os.WriteFile(path, []byte(operator), 0o600))
-	op, err := config.ReadOperator(path, cfg)
+	op, err := config.ReadOperatorFile(path, cfg)
 	require.NoError(s.t, err)
 	return cfg, op
 }
@@ -248,7 +248,7 @@
 func TestNamesAreKeptForTheSettings(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
-	cfg.Module.Classes = classes
+	cfg.Policy.Classes = classes
 	require.Equal(t, 2*time.Second, namesFor(cfg))
 	classes[1].DedupWindow = 9 * time.Second
 	require.Equal(t, 9*time.Second, namesFor(cfg))
--- a/internal/process/instance/load.go
+++ b/internal/process/instance/load.go
@@ -8,22 +8,22 @@
 )
 
 // Load reads the platform's configuration and, where one is named, the operator's file.
-func Load(getenv func(string) string, operator string) (*config.Config, *config.Operator, error) {
+func Load(getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
 	return read(config.Load, getenv, operator)
 }
 
-func read(load func(func(string) string) (*config.Config, error), getenv func(string) string, operator string) (*config.Config, *config.Operator, error) {
+func read(load func(func(string) string) (*config.Config, error), getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
 	cfg, err := load(getenv)
 	if err != nil || operator == "" {
-		return cfg, &config.Operator{}, err
+		return cfg, &config.OperatorFile{}, err
 	}
-	op, err := config.ReadOperator(operator, cfg)
+	op, err := config.ReadOperatorFile(operator, cfg)
 	return cfg, op, err
 }
 
 // Reloads reads the configuration and the operator's file again at each SIGHUP and passes on where discovery is and which
 // namespaces there are from then on; the rest of them waits for the next start. What cannot be served changes nothing.
-func Reloads(hup <-chan os.Signal, getenv func(string) string, discovery, operator string, log *slog.Logger) <-chan Change {
+func ReloadOnSignal(hup <-chan os.Signal, getenv func(string) string, discovery, operator string, log *slog.Logger) <-chan Change {
 	changes := make(chan Change)
 	go func() {
 		for range hup {
@@ -39,9 +39,9 @@
 				c.Discovery = discovery
 			}
 			if op.NVMe != nil {
-				c.Spaces = op.NVMe.Namespaces
+				c.Namespaces = op.NVMe.Namespaces
 			}
-			if c.Discovery != "" || c.Spaces != nil {
+			if c.Discovery != "" || c.Namespaces != nil {
 				changes <- c
 			}
 		}
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -13,7 +13,7 @@
 )
 
 // newPeers is this instance among those that know each other; nil where the operator's file has none of it.
-func newPeers(cfg *config.Config, op *config.Operator, shared bool, log *slog.Logger) (*transport.Runner, error) {
+func newPeers(cfg *config.Config, op *config.OperatorFile, shared bool, log *slog.Logger) (*transport.Runner, error) {
 	if op.Fleet == nil || op.Fleet.Members == nil {
 		return nil, nil
 	}
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -30,7 +30,7 @@
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: namespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MostConn: own.clients(), MostBytes: own.held(), Patience: map[string]time.Duration{},
 		Log: log, Keys: certs, Figures: numbers, Leave: leave}
-	for _, k := range c.Module.Classes {
+	for _, k := range c.Policy.Classes {
 		o.Patience[k.Name] = k.Deadline
 	}
 	return o
@@ -61,8 +61,8 @@
 
 // Reload implements reloader.
 func (s spaces) Reload(c Change) error {
-	if c.Spaces != nil {
-		s.front.Update(namespaces(c.Spaces))
+	if c.Namespaces != nil {
+		s.front.Update(namespaces(c.Namespaces))
 	}
 	return nil
 }
--- a/internal/process/instance/part.go
+++ b/internal/process/instance/part.go
@@ -14,7 +14,7 @@
 )
 
 // Part is one thing that an instance does. Parts are started in order and stopped in reverse.
-type Part interface {
+type Component interface {
 	// Start returns once it does it. A part that fails has undone what it had begun; Stop is not called.
 	Start(stop context.Context) error
 	// Stop ends it in order, until within ends.
@@ -23,26 +23,26 @@
 
 // What a part may want besides: lists as they come, in the order of the parts; what a reload changes; a place among the numbers.
 type (
-	listener interface{ Listed(*listing.List) }
+	listener interface{ OnTargetList(*listing.List) }
 	reloader interface{ Reload(Change) error }
 	teller   interface {
-		Tell(statsd.ExtendedStatSender)
+		EmitMetrics(statsd.ExtendedStatSender)
 	}
 )
 
 // Change is what a reload takes over.
 type Change struct {
-	Discovery string             // where it is now; empty: where it was
-	Spaces    []config.Namespace // in place of those there are; nil: as they were
-	Config    *config.Config     // in place of the one in force, taken over whole; nil: as it was
-	taken     chan<- error       // told once it is in force, or why it isn't; nil: nobody waits
+	Discovery  string             // where it is now; empty: where it was
+	Namespaces []config.Namespace // in place of those there are; nil: as they were
+	Config     *config.Config     // in place of the one in force, taken over whole; nil: as it was
+	taken      chan<- error       // told once it is in force, or why it isn't; nil: nobody waits
 }
 
 // errStopped ends a start that is not wanted any more.
 var errStopped = errors.New("stopped while it started")
 
 // parts is an instance's parts in the order of their start.
-type parts []Part
+type parts []Component
 
 // start starts all, or none: where one fails, or stop ends meanwhile, those before it are stopped again until within ends.
 func (p parts) start(stop, within context.Context) error {
@@ -71,7 +71,7 @@
 func (p parts) listed(l *listing.List) {
 	for _, x := range p {
 		if x, ok := x.(listener); ok {
-			x.Listed(l)
+			x.OnTargetList(l)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 func (p parts) tell(to statsd.ExtendedStatSender) {
 	for _, x := range p {
 		if x, ok := x.(teller); ok {
-			x.Tell(to)
+			x.EmitMetrics(to)
 		}
 	}
 }
--- a/internal/process/listen/linger.go
+++ b/internal/process/listen/linger.go
@@ -14,7 +14,7 @@
 )
 
 // Shut ends a connection's sending side: what was written before reaches the peer, and then its end does.
-func Shut(c net.Conn) error {
+func CloseWrite(c net.Conn) error {
 	if t, ok := c.(*tls.Conn); ok {
 		_ = t.CloseWrite()
 		c = t.NetConn()
@@ -27,7 +27,7 @@
 
 // Linger closes a connection that was shut, once the peer's end is seen or it has had its time. A close over unread bytes would reset
 // it, and take from the peer what it has not read yet. Nobody else may go by what is read.
-func Linger(c net.Conn) error {
+func DrainAndClose(c net.Conn) error {
 	if t, ok := c.(*tls.Conn); ok {
 		c = t.NetConn()
 	}
--- a/internal/process/listen/listen.go
+++ b/internal/process/listen/listen.go
@@ -16,31 +16,31 @@
 
 // Inherited is the listener at the descriptor of that number. The descriptor itself is closed: the listener has one of its
 // own.
-func Inherited(number string) (net.Listener, error) {
+func FromDescriptor(number string) (net.Listener, error) {
 	fd, err := strconv.ParseUint(number, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %q is not a number of a descriptor", config.SocketFD, number)
+		return nil, fmt.Errorf("%s: %q is not a number of a descriptor", config.SocketFDEnv, number)
 	}
 	if on, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d is no socket: %w", config.SocketFD, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d is no socket: %w", config.SocketFDEnv, fd, err)
 	} else if on == 0 {
-		return nil, fmt.Errorf("%s: descriptor %d is a socket that does not listen", config.SocketFD, fd)
+		return nil, fmt.Errorf("%s: descriptor %d is a socket that does not listen", config.SocketFDEnv, fd)
 	}
-	f := os.NewFile(uintptr(fd), config.SocketFD)
+	f := os.NewFile(uintptr(fd), config.SocketFDEnv)
 	defer f.Close()
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d: %w", config.SocketFD, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d: %w", config.SocketFDEnv, fd, err)
 	}
 	if _, ok := l.(*net.TCPListener); !ok {
 		l.Close()
-		return nil, fmt.Errorf("%s: descriptor %d listens for %s, not for TCP", config.SocketFD, fd, l.Addr().Network())
+		return nil, fmt.Errorf("%s: descriptor %d listens for %s, not for TCP", config.SocketFDEnv, fd, l.Addr().Network())
 	}
 	return l, nil
 }
 
 // Bound listens at an address. Where it is shared, a predecessor may still listen there, and a successor may come.
-func Bound(ctx context.Context, addr string, shared bool) (net.Listener, error) {
+func Bind(ctx context.Context, addr string, shared bool) (net.Listener, error) {
 	var lc net.ListenConfig
 	if shared {
 		lc.Control = share
@@ -59,7 +59,7 @@
 }
 
 // Waiting tells whether connections wait to be accepted.
-func Waiting(l net.Listener) bool {
+func HasPending(l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/process/listen/listen_test.go
+++ b/internal/process/listen/listen_test.go
@@ -38,7 +38,7 @@
 	mine, others := dup(t, first.(*net.TCPListener)), dup(t, first.(*net.TCPListener))
 	first.Close()
 	for _, number := range []string{mine, others} {
-		l, err := Inherited(number)
+		l, err := FromDescriptor(number)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,7 +83,7 @@
 	defer u.Close()
 	for number, want := range map[string]string{"x": "is not a number", "-1": "is not a number", "60001": "is no socket",
 		strconv.Itoa(int(file.Fd())): "is no socket", dup(t, c.(*net.TCPConn)): "does not listen", dup(t, u.(*net.UnixListener)): "not for TCP"} {
-		if l, err := Inherited(number); err == nil || !strings.HasPrefix(err.Error(), config.SocketFD+": ") || !strings.Contains(err.Error(), want) {
+		if l, err := FromDescriptor(number); err == nil || !strings.HasPrefix(err.Error(), config.SocketFDEnv+": ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, %v; want %q", number, l, err, want)
 		}
 	}
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -28,10 +28,10 @@
 // set is the least that a module takes.
 func set(t *testing.T) policy.Settings {
 	t.Helper()
-	var o config.Options
+	var o config.PlatformSettings
 	require.NoError(t, json.Unmarshal([]byte(`{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,"effect":"pure","worth":3}],
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`), &o))
-	s, err := o.Module()
+	s, err := o.PolicySettings()
 	require.NoError(t, err)
 	return s
 }
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -209,12 +209,12 @@
 func (h *host) add(o *order) error {
 	if o.Ways != nil {
 		h.ways, h.crowd, h.known, h.dir, h.fleet = o.Ways, o.Crowd, o.Known, o.Dir, o.Fleet
-		var f config.Options
+		var f config.PlatformSettings
 		if err := format.Unmarshal(fmt.Appendf(nil, settings, max(1, o.Crowd)), &f); err != nil {
 			return err
 		}
 		var err error
-		if h.module, err = f.Module(); err != nil {
+		if h.module, err = f.PolicySettings(); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configured.go
@@ -105,7 +105,7 @@
 	serve, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- serving.Follow(serve, []string{agents}, func(key string) string {
+		ended <- serving.ServeFromAgents(serve, []string{agents}, func(key string) string {
 			if key == "PROXY_NAME" {
 				return name
 			}
