--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -20,47 +20,48 @@
 	"spindlehitch/internal/process/listen"
 )
 
-// ledger is a running instance's accounts: the book, which the core's goroutine alone touches, and what is done with it.
-type ledger struct {
-	book   *accounts.Book
-	opt    config.Accounts
-	name   string
-	log    *slog.Logger
-	core   *core.Core
-	from   time.Time
-	kept   int  // windows for the fleet's account; 0: none is kept
-	shared bool // a predecessor may still listen at the address
-	server http.Server
+// accountsRecorder keeps a running instance's latency accounts, and writes, logs and serves them window by window. Only the
+// core's goroutine touches book and since.
+type accountsRecorder struct {
+	book            *accounts.Book
+	opt             config.Accounts
+	name            string
+	log             *slog.Logger
+	core            *core.Core
+	since           time.Time
+	retainedWindows int  // closed windows kept in memory for the fleet report; 0: none
+	reusePort       bool // a predecessor may still listen at the address
+	server          http.Server
 	loop
 
-	mu      sync.Mutex
-	windows []keptWindow
+	mu      sync.Mutex // guards windows
+	windows []accountsWindow
 }
 
-// keptWindow is a window that is over, of the same beginning at every instance: a whole number of windows since 1970.
-type keptWindow struct {
-	start time.Time
-	s     accounts.Snapshot
+// accountsWindow is a closed window. Its start is the same at every instance: a whole number of windows since 1970.
+type accountsWindow struct {
+	start    time.Time
+	snapshot accounts.Snapshot
 }
 
-func newLedger(opt config.Accounts, name string, worth func(policy.Request) float64, log *slog.Logger) *ledger {
-	l := &ledger{book: accounts.New(accounts.Options{Volumes: opt.Volumes, Pairs: opt.Pairs, Open: opt.Open, Worth: worth}), opt: opt, name: name,
-		log: log, from: time.Now()}
-	l.run = l.write
-	return l
+func newAccountsRecorder(opt config.Accounts, name string, priority func(policy.Request) float64, log *slog.Logger) *accountsRecorder {
+	a := &accountsRecorder{book: accounts.New(accounts.Options{Volumes: opt.Volumes, Pairs: opt.Pairs, Open: opt.Open, Worth: priority}), opt: opt, name: name,
+		log: log, since: time.Now()}
+	a.run = a.writeWindows
+	return a
 }
 
-// take has the core's goroutine make a snapshot, and start the next stretch where cut is true.
-func (l *ledger) take(ctx context.Context, cut bool) (s accounts.Snapshot, ok bool) {
+// takeSnapshot has the core's goroutine take a snapshot, which ends the current window if cut is true.
+func (a *accountsRecorder) takeSnapshot(ctx context.Context, cut bool) (s accounts.Snapshot, ok bool) {
 	done := make(chan accounts.Snapshot, 1)
-	l.core.Inspect(func() {
+	a.core.Inspect(func() {
 		now := time.Now()
 		if !cut {
-			done <- l.book.Look(l.name, l.from, now)
+			done <- a.book.Look(a.name, a.since, now)
 			return
 		}
-		done <- l.book.Cut(l.name, l.from, now)
-		l.from = now
+		done <- a.book.Cut(a.name, a.since, now)
+		a.since = now
 	})
 	select {
 	case s = <-done:
@@ -70,13 +71,13 @@
 	}
 }
 
-// write writes each window's accounts, and keeps them for the fleet's, until the context ends; Stop saves the last.
-func (l *ledger) write(ctx context.Context) {
-	if l.opt.Dir == "" && l.kept == 0 && !l.opt.Log {
+// writeWindows closes each window at its end, until the context ends; Stop closes the last one.
+func (a *accountsRecorder) writeWindows(ctx context.Context) {
+	if a.opt.Dir == "" && a.retainedWindows == 0 && !a.opt.Log {
 		return
 	}
 	for {
-		end := time.Now().Truncate(l.window()).Add(l.window())
+		end := time.Now().Truncate(a.windowLength()).Add(a.windowLength())
 		for time.Now().Before(end) {
 			select {
 			case <-ctx.Done():
@@ -84,88 +85,91 @@
 			case <-time.After(time.Until(end)):
 			}
 		}
-		l.save(ctx, end.Add(-l.window()))
+		a.closeWindow(ctx, end.Add(-a.windowLength()))
 	}
 }
 
-func (l *ledger) window() time.Duration { return time.Duration(l.opt.WindowS) * time.Second }
+func (a *accountsRecorder) windowLength() time.Duration {
+	return time.Duration(a.opt.WindowS) * time.Second
+}
 
-// save ends the window that began at start.
-func (l *ledger) save(ctx context.Context, start time.Time) {
-	s, ok := l.take(ctx, true)
+// closeWindow ends the window that began at start: it is kept for the fleet report, logged and written to the folder, as
+// configured.
+func (a *accountsRecorder) closeWindow(ctx context.Context, start time.Time) {
+	snapshot, ok := a.takeSnapshot(ctx, true)
 	if !ok {
 		return
 	}
-	if l.kept > 0 {
-		l.mu.Lock()
-		l.windows = append(l.windows, keptWindow{start, s})
-		l.windows = l.windows[max(0, len(l.windows)-l.kept):]
-		l.mu.Unlock()
+	if a.retainedWindows > 0 {
+		a.mu.Lock()
+		a.windows = append(a.windows, accountsWindow{start, snapshot})
+		a.windows = a.windows[max(0, len(a.windows)-a.retainedWindows):]
+		a.mu.Unlock()
 	}
-	if l.opt.Log {
-		served, _ := s.Shares(0)
-		l.log.Info(accounts.SharesLine, slog.String("name", l.name), slog.Any("shares", accounts.LoggedShares(served)))
+	if a.opt.Log {
+		served, _ := snapshot.Shares(0)
+		a.log.Info(accounts.SharesLine, slog.String("name", a.name), slog.Any("shares", accounts.LoggedShares(served)))
 	}
-	if l.opt.Dir == "" {
+	if a.opt.Dir == "" {
 		return
 	}
-	if err := disk.Write(l.opt.Dir, s, l.opt.Keep); err != nil {
-		l.log.Error("accounts not written", slog.String("reason", "ACCOUNTS_FAILED"), slog.Any("error", err))
+	if err := disk.Write(a.opt.Dir, snapshot, a.opt.Keep); err != nil {
+		a.log.Error("accounts not written", slog.String("reason", "ACCOUNTS_FAILED"), slog.Any("error", err))
 	}
 }
 
-// Start implements Part: it tells the accounts of the window that is under way, and writes those that are over.
-func (l *ledger) Start(stop context.Context) error {
-	if l.opt.Listen != "" {
-		at, err := listen.Bind(stop, l.opt.Listen, l.shared)
+// Start implements Component: it serves the accounts of the current window and of closed ones, and starts writeWindows.
+func (a *accountsRecorder) Start(ctx context.Context) error {
+	if a.opt.Listen != "" {
+		ln, err := listen.Bind(ctx, a.opt.Listen, a.reusePort)
 		if err != nil {
 			return fmt.Errorf("operator's file: accounts.listen: %w", err)
 		}
 		mux := http.NewServeMux()
 		mux.HandleFunc("GET /accounts", func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Query().Has("window") {
-				l.past(w, r)
+				a.serveWindow(w, r)
 				return
 			}
-			if s, ok := l.take(r.Context(), false); ok {
+			if s, ok := a.takeSnapshot(r.Context(), false); ok {
 				w.Header().Set("Content-Type", "application/json")
 				_ = json.NewEncoder(w).Encode(s)
 			}
 		})
-		l.server = http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second}
-		go func() { _ = l.server.Serve(at) }()
+		a.server = http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 10 * time.Second}
+		go func() { _ = a.server.Serve(ln) }()
 	}
-	return l.loop.Start(stop)
+	return a.loop.Start(ctx)
 }
 
-// Stop implements Part: the window under way is cut short and kept.
-func (l *ledger) Stop(within context.Context) error {
-	err := l.loop.Stop(within)
-	l.save(within, time.Now().Truncate(l.window()))
-	return errors.Join(err, l.server.Close())
+// Stop implements Component: the current window is closed early.
+func (a *accountsRecorder) Stop(ctx context.Context) error {
+	err := a.loop.Stop(ctx)
+	a.closeWindow(ctx, time.Now().Truncate(a.windowLength()))
+	return errors.Join(err, a.server.Close())
 }
 
-// past tells one window that is over.
-func (l *ledger) past(w http.ResponseWriter, r *http.Request) {
-	q := r.URL.Query()
-	if q.Get("window_s") != strconv.Itoa(l.opt.WindowS) {
-		http.Error(w, fmt.Sprintf("windows of %d s here", l.opt.WindowS), http.StatusConflict)
+// serveWindow answers with the closed window that the query names.
+func (a *accountsRecorder) serveWindow(w http.ResponseWriter, r *http.Request) {
+	query := r.URL.Query()
+	if query.Get("window_s") != strconv.Itoa(a.opt.WindowS) {
+		http.Error(w, fmt.Sprintf("windows of %d s here", a.opt.WindowS), http.StatusConflict)
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for i := len(l.windows) - 1; i >= 0; i-- {
-		if k := l.windows[i]; strconv.FormatInt(k.start.Unix(), 10) == q.Get("window") {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	for i := len(a.windows) - 1; i >= 0; i-- {
+		if k := a.windows[i]; strconv.FormatInt(k.start.Unix(), 10) == query.Get("window") {
 			w.Header().Set("Content-Type", "application/json")
-			_ = json.NewEncoder(w).Encode(k.s)
+			_ = json.NewEncoder(w).Encode(k.snapshot)
 			return
 		}
 	}
 	http.Error(w, "no such window is kept here", http.StatusNotFound)
 }
 
-// Listed drops what is known of targets that a whole list does not have.
-func (l *ledger) OnTargetList(list *listing.List) {
+// OnTargetList implements targetListener: a full list drops what the book knows of targets that it doesn't have.
+func (a *accountsRecorder) OnTargetList(list *listing.List) {
 	if !list.Full {
 		return
 	}
@@ -173,5 +177,5 @@
 	for _, e := range list.Servers {
 		listed[e.ID] = true
 	}
-	l.core.Inspect(func() { l.book.Forget(func(id string) bool { return listed[id] }) })
+	a.core.Inspect(func() { a.book.Forget(func(id string) bool { return listed[id] }) })
 }
--- a/internal/process/instance/deployments_test.go
+++ b/internal/process/instance/deployments_test.go
@@ -23,18 +23,18 @@
 )
 
 // heard keeps all that is said somewhere.
-type heard struct {
+type textBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (h *heard) Write(b []byte) (int, error) {
+func (h *textBuffer) Write(b []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.text.Write(b)
 }
 
-func (h *heard) String() string {
+func (h *textBuffer) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.text.String()
@@ -42,45 +42,45 @@
 
 // deployment is one customer's: a target of its own that keeps what it is sent, and all that the instance says there.
 type deployment struct {
-	t          *testing.T
-	mark       string // in all that is this customer's alone
-	addrs      map[string]string
-	said, sent heard // by the instance to clients, staff and its log; to the target
-	tries      sync.Map
-	open       atomic.Int64 // connections at the target
-	came, held chan struct{}
-	release    func() // what is held
-	client     http.Client
+	t                 *testing.T
+	mark              string // in all that is this customer's alone
+	addrs             map[string]string
+	output, targetLog textBuffer // by the instance to clients, staff and its log; to the target
+	attempts          sync.Map
+	openConns         atomic.Int64 // connections at the target
+	arrived, unblock  chan struct{}
+	releaseHeld       func() // what is held
+	client            http.Client
 }
 
 // keys that the target does something odd at.
 const (
-	failsOnce = "00000000000000e0"
-	waits     = "00000000000000b0"
+	failsOnceExtent = "00000000000000e0"
+	blockedExtent   = "00000000000000b0"
 )
 
 // ServeHTTP is the target: it answers with its customer's mark and what it was sent.
 func (d *deployment) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	fmt.Fprintf(&d.sent, "%s %s\n%s\n%v\n", r.Method, r.RequestURI, body, r.Header)
-	n, _ := d.tries.LoadOrStore(r.Header.Get("Request-Id"), new(atomic.Int64))
+	fmt.Fprintf(&d.targetLog, "%s %s\n%s\n%v\n", r.Method, r.RequestURI, body, r.Header)
+	n, _ := d.attempts.LoadOrStore(r.Header.Get("Request-Id"), new(atomic.Int64))
 	switch again := n.(*atomic.Int64).Add(1); {
-	case strings.HasSuffix(r.URL.Path, failsOnce) && again == 1:
+	case strings.HasSuffix(r.URL.Path, failsOnceExtent) && again == 1:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case strings.HasSuffix(r.URL.Path, waits):
-		close(d.came)
-		<-d.held
+	case strings.HasSuffix(r.URL.Path, blockedExtent):
+		close(d.arrived)
+		<-d.unblock
 	}
 	fmt.Fprintf(w, "%s:%s", d.mark, body)
 }
 
 // ask sends a request and tells how it was answered.
-func (d *deployment) ask(method, path, plan, id, body string) (int, string) {
+func (d *deployment) request(method, path, plan, id, body string) (int, string) {
 	req, err := http.NewRequest(method, "http://"+d.addrs["listen"]+path, strings.NewReader(body))
 	require.NoError(d.t, err)
 	req.Header = http.Header{"Request-Id": {id}, "Idempotency-Key": {d.mark + "-" + id}, "Tier": {plan}, "Request-Timeout-Ms": {"1500"},
-		"Io-Info": {"volume=" + volume(d.mark) + ",units=1,shard=0,hosts=1"}}
+		"Io-Info": {"volume=" + volumeID(d.mark) + ",units=1,shard=0,hosts=1"}}
 	resp, err := d.client.Do(req)
 	require.NoError(d.t, err)
 	defer resp.Body.Close()
@@ -90,43 +90,43 @@
 }
 
 // served asks for what has to be served, as this customer's target answers it.
-func (d *deployment) served(method, path, id, body string) {
-	status, answer := d.ask(method, path, "shared", id, body)
-	fmt.Fprintln(&d.said, answer)
+func (d *deployment) requireServed(method, path, id, body string) {
+	status, answer := d.request(method, path, "shared", id, body)
+	fmt.Fprintln(&d.output, answer)
 	require.Equal(d.t, http.StatusOK, status, answer)
 	require.True(d.t, answer == d.mark+":"+body, "%s answered with %.60q", path, answer)
 }
 
 // page keeps what a page for staff says.
-func (d *deployment) page(url string) string {
+func (d *deployment) fetchPage(url string) string {
 	resp, err := http.Get("http://" + url)
 	require.NoError(d.t, err)
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	require.NoError(d.t, err)
-	_, _ = d.said.Write(text)
+	_, _ = d.output.Write(text)
 	return string(text)
 }
 
-func volume(mark string) string { return fmt.Sprintf("%016x", mark) }
+func volumeID(mark string) string { return fmt.Sprintf("%016x", mark) }
 
 // deploy runs an instance for one customer while play lasts, and until it has left.
-func deploy(t *testing.T, mark, limits, settings string, play func(*deployment)) *deployment {
-	d := &deployment{t: t, mark: mark, addrs: newSite(t).addrs, came: make(chan struct{}), held: make(chan struct{}),
+func runDeployment(t *testing.T, mark, limits, settings string, play func(*deployment)) *deployment {
+	d := &deployment{t: t, mark: mark, addrs: newTestSite(t).addrs, arrived: make(chan struct{}), unblock: make(chan struct{}),
 		client: http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	d.release = sync.OnceFunc(func() { close(d.held) })
+	d.releaseHeld = sync.OnceFunc(func() { close(d.unblock) })
 	target := httptest.NewUnstartedServer(d)
 	target.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 		switch s {
 		case http.StateNew:
-			d.open.Add(1)
+			d.openConns.Add(1)
 		case http.StateClosed:
-			d.open.Add(-1)
+			d.openConns.Add(-1)
 		}
 	}
 	target.Start()
 	t.Cleanup(target.Close)
-	t.Cleanup(d.release)
+	t.Cleanup(d.releaseHeld)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done()
@@ -143,7 +143,7 @@
 	defer leave()
 	up, ended := make(chan struct{}), make(chan error, 1)
 	go func() {
-		ended <- Serve(stop, cfg, op, Options{Log: slog.New(slog.NewTextHandler(&d.said, nil)), OnListening: func() { close(up) }})
+		ended <- Serve(stop, cfg, op, Options{Log: slog.New(slog.NewTextHandler(&d.output, nil)), OnListening: func() { close(up) }})
 	}()
 	select {
 	case <-up:
@@ -176,63 +176,63 @@
 	// Larger than what is held whole, so that they pass through the buffers that all share; the second one ends in the middle of one.
 	large := func(mark string, n int) string { return strings.Repeat(mark+" ", n/len(mark))[:n] }
 
-	first := deploy(t, "firstcus", `{"cores":3,"memory_mb":256,"sockets":1024}`, classes("pure", "firstcus-class")+"100}}", func(d *deployment) {
-		d.served("PUT", "/item/0000000000000001", "one", "firstcus body")
-		d.served("PUT", "/firstcus-class/0000000000000002", "two", large(d.mark, 200<<10))
-		d.served("GET", "/item/"+failsOnce, "same", "") // again, as its class may be
-		require.Contains(t, d.page(d.addrs["control"]+"/v1/metrics"), "replies.firstcus-class.success:1|c")
-		require.Contains(t, d.page(d.addrs["accounts"]+"/accounts"), volume("firstcus"))
+	first := runDeployment(t, "firstcus", `{"cores":3,"memory_mb":256,"sockets":1024}`, classes("pure", "firstcus-class")+"100}}", func(d *deployment) {
+		d.requireServed("PUT", "/item/0000000000000001", "one", "firstcus body")
+		d.requireServed("PUT", "/firstcus-class/0000000000000002", "two", large(d.mark, 200<<10))
+		d.requireServed("GET", "/item/"+failsOnceExtent, "same", "") // again, as its class may be
+		require.Contains(t, d.fetchPage(d.addrs["control"]+"/v1/metrics"), "replies.firstcus-class.success:1|c")
+		require.Contains(t, d.fetchPage(d.addrs["accounts"]+"/accounts"), volumeID("firstcus"))
 		require.Equal(t, 3, runtime.GOMAXPROCS(0))
 	})
-	require.Contains(t, first.said.String()+first.sent.String(), "firstcus")
+	require.Contains(t, first.output.String()+first.targetLog.String(), "firstcus")
 
-	second := deploy(t, "nextcust", `{"cores":1,"memory_mb":96,"sockets":512}`, classes("side_effect", "nextcust-class")+"1}}", func(d *deployment) {
+	second := runDeployment(t, "nextcust", `{"cores":1,"memory_mb":96,"sockets":512}`, classes("side_effect", "nextcust-class")+"1}}", func(d *deployment) {
 		require.Equal(t, 1, runtime.GOMAXPROCS(0))
 		require.EqualValues(t, 96<<20*7/10, debug.SetMemoryLimit(-1))
-		d.served("PUT", "/item/0000000000000001", "one", "nextcust body") // a name that may have run at the first
-		d.served("PUT", "/nextcust-class/0000000000000002", "two", large(d.mark, 100<<10+77))
-		status, answer := d.ask("GET", "/item/"+failsOnce, "shared", "same", "")
+		d.requireServed("PUT", "/item/0000000000000001", "one", "nextcust body") // a name that may have run at the first
+		d.requireServed("PUT", "/nextcust-class/0000000000000002", "two", large(d.mark, 100<<10+77))
+		status, answer := d.request("GET", "/item/"+failsOnceExtent, "shared", "same", "")
 		require.Equal(t, http.StatusBadGateway, status, "a class that may not run twice")
-		fmt.Fprintln(&d.said, answer)
-		status, _ = d.ask("GET", "/firstcus-class/0000000000000003", "shared", "three", "")
+		fmt.Fprintln(&d.output, answer)
+		status, _ = d.request("GET", "/firstcus-class/0000000000000003", "shared", "three", "")
 		require.Equal(t, http.StatusNotFound, status, "a class of the other's")
-		status, _ = d.ask("GET", "/item/0000000000000003", "firstcus-class-plan", "four", "")
+		status, _ = d.request("GET", "/item/0000000000000003", "firstcus-class-plan", "four", "")
 		require.Equal(t, http.StatusUnprocessableEntity, status, "a plan of the other's")
 		held := make(chan int)
 		go func() {
-			status, _ := d.ask("GET", "/item/"+waits, "shared", "five", "")
+			status, _ := d.request("GET", "/item/"+blockedExtent, "shared", "five", "")
 			held <- status
 		}()
-		<-d.came
-		status, _ = d.ask("GET", "/item/0000000000000004", "shared", "six", "")
+		<-d.arrived
+		status, _ = d.request("GET", "/item/0000000000000004", "shared", "six", "")
 		require.Equal(t, http.StatusServiceUnavailable, status, "more than this one may hold")
-		d.release()
+		d.releaseHeld()
 		require.Equal(t, http.StatusOK, <-held)
-		n, _ := d.tries.Load("same")
+		n, _ := d.attempts.Load("same")
 		require.EqualValues(t, 1, n.(*atomic.Int64).Load())
-		require.Contains(t, d.page(d.addrs["control"]+"/v1/metrics"), "replies.nextcust-class.success:1|c")
-		require.Contains(t, d.page(d.addrs["accounts"]+"/accounts"), volume("nextcust"))
+		require.Contains(t, d.fetchPage(d.addrs["control"]+"/v1/metrics"), "replies.nextcust-class.success:1|c")
+		require.Contains(t, d.fetchPage(d.addrs["accounts"]+"/accounts"), volumeID("nextcust"))
 	})
-	for _, all := range []string{second.said.String(), second.sent.String()} {
+	for _, all := range []string{second.output.String(), second.targetLog.String()} {
 		require.Contains(t, all, "nextcust")
 		require.NotContains(t, all, "firstcus")
-		require.NotContains(t, all, volume("firstcus"))
+		require.NotContains(t, all, volumeID("firstcus"))
 	}
-	require.NotContains(t, first.sent.String(), "nextcust")
-	require.Eventually(t, func() bool { return first.open.Load()+second.open.Load() == 0 }, 20*time.Second, 5*time.Millisecond,
+	require.NotContains(t, first.targetLog.String(), "nextcust")
+	require.Eventually(t, func() bool { return first.openConns.Load()+second.openConns.Load() == 0 }, 20*time.Second, 5*time.Millisecond,
 		"connections stay open at the target of an instance that has left")
 	for _, id := range []string{"one", "two", "same"} { // held, gone ahead of its request, without a body
-		require.Contains(t, second.sent.String(), "Idempotency-Key:[nextcust-"+id+"]")
+		require.Contains(t, second.targetLog.String(), "Idempotency-Key:[nextcust-"+id+"]")
 	}
 }
 
 // TestOddSettingsAreServed starts with settings that are odd and allowed: one class, keyed without a group, plans that are owed nothing
 // and pay nothing, no prices, no bounds, connections that may not rest, and figures that nobody knows.
-func TestOddSettingsAreServed(t *testing.T) {
-	deploy(t, "oddcusto", `{}`, `{"peersTotal":1,"prices":{"handshake":0,"newPrice":2},"newFigure":[{}],"classes":[{"name":"item","promiseUs":1500000,
+func TestUnusualSettingsAreServed(t *testing.T) {
+	runDeployment(t, "oddcusto", `{}`, `{"peersTotal":1,"prices":{"handshake":0,"newPrice":2},"newFigure":[{}],"classes":[{"name":"item","promiseUs":1500000,
 "deadlineUs":1500000,"effect":"token","windowUs":1,"worth":0,"aimStretch":1.5}],"contracts":[{"name":"shared"}],"limits":{"connIdleUs":1}}`, func(d *deployment) {
 		for i := range 20 {
-			d.served("PUT", "/item/0000000000000001", fmt.Sprint("id", i), "oddcusto body")
+			d.requireServed("PUT", "/item/0000000000000001", fmt.Sprint("id", i), "oddcusto body")
 		}
 	})
 }
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -18,117 +18,121 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// news is what a source tells of the targets.
-type news struct {
-	from  targetmerge.Source
-	list  *listing.List
-	early bool          // a piece, of a source that has not told a whole list yet
-	heard chan struct{} // closed once all who listen have heard it; nil: nobody waits for that
+// targetUpdate is a list of targets from one source.
+type targetUpdate struct {
+	source  targetmerge.Source
+	list    *listing.List
+	partial bool          // from a source that has not sent a full list yet
+	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: nobody waits
 }
 
-// joint is where what discovery and the feed tell becomes one list. It has a goroutine of its own, so that those who listen to the list hear
-// in order and from one goroutine, whoever told.
-type joint struct {
+// targetMerger merges the lists of discovery and of the feed into one. It has a goroutine of its own, so that listeners get lists in order and
+// from a single goroutine, whichever source an update came from. Only that goroutine uses the fields below box.
+type targetMerger struct {
 	loop
-	box  *mailbox.Box[news]
-	view *targetmerge.View
-	tell func(*listing.List)
-	held []*listing.List // the feed's pieces, while nobody has told a whole list: it is none by itself, and nobody is ready by it
-	told bool
+	box          *mailbox.Box[targetUpdate]
+	view         *targetmerge.View
+	publish      func(*listing.List)
+	heldPartials []*listing.List // partial lists of the feed before the first full list: they alone don't make the instance ready
+	published    bool            // a full list has been published
 }
 
-func newJoint(tell func(*listing.List)) *joint {
-	j := &joint{box: mailbox.New[news](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), tell: tell}
-	j.run = j.join
-	return j
+func newTargetMerger(publish func(*listing.List)) *targetMerger {
+	m := &targetMerger{box: mailbox.New[targetUpdate](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), publish: publish}
+	m.run = m.mergeUpdates
+	return m
 }
 
-// discovered takes discovery's word.
-func (j *joint) discovered(l *listing.List) { j.box.Put(news{from: targetmerge.Discovery, list: l}) }
+// putDiscovery queues a list of discovery.
+func (m *targetMerger) putDiscovery(l *listing.List) {
+	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: l})
+}
 
-func (j *joint) join(ctx context.Context) {
-	var spare []news
+// mergeUpdates merges the queued updates until the context ends.
+func (m *targetMerger) mergeUpdates(ctx context.Context) {
+	var spare []targetUpdate
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-j.box.Wake():
+		case <-m.box.Wake():
 		}
-		all := j.box.Take(spare)
-		for _, n := range all {
-			j.take(n)
-			if n.heard != nil {
-				close(n.heard)
+		all := m.box.Take(spare)
+		for _, u := range all {
+			m.merge(u)
+			if u.applied != nil {
+				close(u.applied)
 			}
 		}
 		spare = all
 	}
 }
 
-func (j *joint) take(n news) {
-	if n.early && !j.told {
-		j.held = append(j.held, n.list)
+// merge merges an update and publishes what changed, or at first the full list.
+func (m *targetMerger) merge(u targetUpdate) {
+	if u.partial && !m.published {
+		m.heldPartials = append(m.heldPartials, u.list)
 		return
 	}
-	l := j.view.Merge(n.from, n.list)
-	if !j.told {
-		if n.from == targetmerge.Discovery { // a whole list of the feed's has its pieces in it
-			for _, l := range j.held {
-				j.view.Merge(targetmerge.Feed, l)
+	merged := m.view.Merge(u.source, u.list)
+	if !m.published {
+		if u.source == targetmerge.Discovery { // a full list of the feed includes its partial ones
+			for _, partial := range m.heldPartials {
+				m.view.Merge(targetmerge.Feed, partial)
 			}
 		}
-		j.told, j.held, l = true, nil, j.view.Full()
+		m.published, m.heldPartials, merged = true, nil, m.view.Full()
 	}
-	if l != nil {
-		j.tell(l)
+	if merged != nil {
+		m.publish(merged)
 	}
 }
 
-// hear takes the feed's word, and returns once those who listen have heard it: what was told to drain gets no first byte any more. One that
-// has stopped has nothing that could still be sent.
-func (j *joint) hear(l *listing.List, early bool) {
-	n := news{targetmerge.Feed, l, early, make(chan struct{})}
-	j.box.Put(n)
+// applyFeed queues a list of the feed and returns once all listeners have applied it, so that no new request is sent to a target that the
+// list has draining. It also returns if the merger has stopped, since then no request can be sent.
+func (m *targetMerger) applyFeed(l *listing.List, isPartial bool) {
+	u := targetUpdate{targetmerge.Feed, l, isPartial, make(chan struct{})}
+	m.box.Put(u)
 	select {
-	case <-n.heard:
-	case <-j.ended:
+	case <-u.applied:
+	case <-m.done:
 	}
 }
 
-// stream is the feed of changes as this process takes it, once for all its instances: those of two configurations, one of which leaves, are
-// one reader and no two.
-type stream struct {
-	follower  *edge.Follower
-	log       *slog.Logger
-	configure func([]watchstream.Record, uint64) error // nil: the configuration comes from elsewhere
+// feedStream follows the feed of changes for all generations of this process: while a generation replaces another, the two count as one
+// reader at the relays.
+type feedStream struct {
+	follower    *edge.Follower
+	log         *slog.Logger
+	applyConfig func([]watchstream.Record, uint64) error // nil: the configuration comes from another source
 
-	mu     sync.Mutex // held while a change is passed on
-	joints []*joint
-	list   map[string]listing.Entry // what the feed has of targets
-	known  bool                     // whether that is all of them
-	doubts int64                    // entries that could not be read
+	mu         sync.Mutex               // guards the fields below; also held while an update is passed to the mergers
+	mergers    []*targetMerger          // subscribed
+	targets    map[string]listing.Entry // the feed's current entries
+	complete   bool                     // targets has all entries of the feed
+	badTargets int64                    // entries that could not be decoded
 }
 
-// newStream returns a feed that is not followed before run.
-func newStream(f *config.Feed, name string, log *slog.Logger, configure func([]watchstream.Record, uint64) error) (*stream, error) {
-	s := &stream{log: log, configure: configure, list: map[string]listing.Entry{}}
+// newFeedStream returns a stream that receives nothing before its follower runs.
+func newFeedStream(f *config.Feed, name string, log *slog.Logger, applyConfig func([]watchstream.Record, uint64) error) (*feedStream, error) {
+	s := &feedStream{log: log, applyConfig: applyConfig, targets: map[string]listing.Entry{}}
 	relays := make([]watchstream.Relay, len(f.Relays))
 	for i, r := range f.Relays {
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
-	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.changed})
+	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.onUpdate})
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: feed: %w", err)
 	}
 	return s, nil
 }
 
-// changed passes on what is new, targets first. Once it returns that is in force, but for a configuration that it returns an error for.
-func (s *stream) changed(c edge.Update) error {
+// onUpdate passes an update on, targets first. When it returns, the update is in force, except for the configuration if it returns an error.
+func (s *feedStream) onUpdate(update edge.Update) error {
 	var configs []watchstream.Record
-	l := &listing.List{Full: c.Full}
-	for _, r := range c.Records {
+	l := &listing.List{Full: update.Full}
+	for _, r := range update.Records {
 		if r.Kind == watchstream.Config {
 			configs = append(configs, r)
 			continue
@@ -137,8 +141,8 @@
 		if !r.Deleted {
 			var err error
 			if e, err = listing.DecodeEntry(r.Value); err != nil || e.ID != r.Key {
-				s.doubt(r, err)
-				if known, had := s.had(r.Key); c.Full && had {
+				s.rejectTarget(r, err)
+				if known, found := s.target(r.Key); update.Full && found {
 					l.Servers = append(l.Servers, known)
 				}
 				continue
@@ -146,25 +150,25 @@
 		}
 		l.Servers = append(l.Servers, e)
 	}
-	s.pass(l, c.Position)
-	if s.configure == nil || len(configs) == 0 {
+	s.applyTargets(l, update.Position)
+	if s.applyConfig == nil || len(configs) == 0 {
 		return nil
 	}
-	// A layer that did not change is not among those that did.
-	if !c.Full {
+	// An update has only the layers that changed; applyConfig needs all of them.
+	if !update.Full {
 		configs = s.follower.Records(watchstream.Config)
 	}
-	return s.configure(configs, c.Position.Config)
+	return s.applyConfig(configs, update.Position.Config)
 }
 
-// doubt notes an entry that no list could have: what was known of its target stays.
-func (s *stream) doubt(r watchstream.Record, err error) {
+// rejectTarget counts an entry that can't be used, and logs the first one. The previous entry of its target stays in force.
+func (s *feedStream) rejectTarget(r watchstream.Record, err error) {
 	if err == nil {
-		err = fmt.Errorf("%s: its id is another target's", r.Key)
+		err = fmt.Errorf("%s: its id names another target", r.Key)
 	}
 	s.mu.Lock()
-	s.doubts++
-	first := s.doubts == 1
+	s.badTargets++
+	first := s.badTargets == 1
 	s.mu.Unlock()
 	if first {
 		s.log.Warn("target in the feed not usable", slog.String("reason", "FEED_BAD_TARGET"), slog.String("target", r.Key), slog.Uint64("version", r.Version),
@@ -172,139 +176,139 @@
 	}
 }
 
-func (s *stream) had(id string) (listing.Entry, bool) {
+func (s *feedStream) target(id string) (listing.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, had := s.list[id]
-	return e, had
+	e, found := s.targets[id]
+	return e, found
 }
 
-// pass has all instances hear of targets. Until the feed has all of them it tells pieces.
-func (s *stream) pass(l *listing.List, at watchstream.Position) {
+// applyTargets passes a list to all mergers. Until the feed has all targets, the lists are partial.
+func (s *feedStream) applyTargets(l *listing.List, at watchstream.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Full {
-		clear(s.list)
+		clear(s.targets)
 	}
 	for _, e := range l.Servers {
-		if s.list[e.ID] = e; e.State == "DELETED" && e.Started == 0 {
-			delete(s.list, e.ID)
+		if s.targets[e.ID] = e; e.State == "DELETED" && e.Started == 0 {
+			delete(s.targets, e.ID)
 		}
 	}
-	was := s.known
-	if s.known = s.known || at.Targets > 0; s.known && !was {
-		l = s.all()
+	wasComplete := s.complete
+	if s.complete = s.complete || at.Targets > 0; s.complete && !wasComplete {
+		l = s.fullList()
 	}
-	if !l.Full && len(l.Servers) == 0 || !s.known && len(s.list) == 0 {
+	if !l.Full && len(l.Servers) == 0 || !s.complete && len(s.targets) == 0 {
 		return
 	}
-	if !s.known {
+	if !s.complete {
 		l.Full = false
 	}
-	for _, j := range s.joints {
-		j.hear(l, !s.known)
+	for _, m := range s.mergers {
+		m.applyFeed(l, !s.complete)
 	}
 }
 
-// all is what the feed has of targets; its caller holds mu.
-func (s *stream) all() *listing.List {
+// fullList lists the feed's current entries. The caller holds mu.
+func (s *feedStream) fullList() *listing.List {
 	l := &listing.List{Full: true}
-	for _, e := range s.list {
+	for _, e := range s.targets {
 		l.Servers = append(l.Servers, e)
 	}
 	slices.SortFunc(l.Servers, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
-// join has an instance hear of targets from now on, first of all that are known.
-func (s *stream) join(j *joint) {
+// subscribe has a merger receive lists from now on, first the current one.
+func (s *feedStream) subscribe(m *targetMerger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joints = append(s.joints, j)
-	if l := s.all(); s.known || len(l.Servers) > 0 {
-		l.Full = s.known
-		j.hear(l, !s.known)
+	s.mergers = append(s.mergers, m)
+	if l := s.fullList(); s.complete || len(l.Servers) > 0 {
+		l.Full = s.complete
+		m.applyFeed(l, !s.complete)
 	}
 }
 
-// leave ends join.
-func (s *stream) leave(j *joint) {
+// unsubscribe ends subscribe.
+func (s *feedStream) unsubscribe(m *targetMerger) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.joints = slices.DeleteFunc(s.joints, func(x *joint) bool { return x == j })
+	s.mergers = slices.DeleteFunc(s.mergers, func(other *targetMerger) bool { return other == m })
 }
 
-// Tell implements teller.
-func (s *stream) EmitMetrics(to statsd.ExtendedStatSender) {
-	at := s.follower.State()
-	to.Gauge("feed.position.targets", int64(at.Position.Targets), 1)
-	to.Gauge("feed.position.config", int64(at.Position.Config), 1)
-	to.Gauge("feed.in_force.targets", int64(at.Applied.Targets), 1)
-	to.Gauge("feed.in_force.config", int64(at.Applied.Config), 1)
-	down := int64(0)
-	if at.Rejection != nil {
-		down = int64(at.Rejection.Version)
+// EmitMetrics implements metricsEmitter.
+func (s *feedStream) EmitMetrics(to statsd.ExtendedStatSender) {
+	state := s.follower.State()
+	to.Gauge("feed.position.targets", int64(state.Position.Targets), 1)
+	to.Gauge("feed.position.config", int64(state.Position.Config), 1)
+	to.Gauge("feed.in_force.targets", int64(state.Applied.Targets), 1)
+	to.Gauge("feed.in_force.config", int64(state.Applied.Config), 1)
+	rejectedVersion := int64(0)
+	if state.Rejection != nil {
+		rejectedVersion = int64(state.Rejection.Version)
 	}
-	to.Gauge("feed.turned_down", down, 1)
-	to.Gauge("feed.age_ms", at.AgeMs, 1)
-	to.Inc("feed.moves", int64(at.Switches), 1)
-	to.Inc("feed.deltas", int64(at.Deltas), 1)
-	to.Inc("feed.records", int64(at.Records), 1)
-	to.Inc("feed.failed", int64(at.Failed), 1)
-	to.Inc("feed.busy", int64(at.Busy), 1)
-	to.Inc("feed.bytes.in", int64(at.BytesIn), 1)
-	to.Inc("feed.bytes.out", int64(at.BytesOut), 1)
-	for reason, n := range at.Rejected {
+	to.Gauge("feed.turned_down", rejectedVersion, 1)
+	to.Gauge("feed.age_ms", state.AgeMs, 1)
+	to.Inc("feed.moves", int64(state.Switches), 1)
+	to.Inc("feed.deltas", int64(state.Deltas), 1)
+	to.Inc("feed.records", int64(state.Records), 1)
+	to.Inc("feed.failed", int64(state.Failed), 1)
+	to.Inc("feed.busy", int64(state.Busy), 1)
+	to.Inc("feed.bytes.in", int64(state.BytesIn), 1)
+	to.Inc("feed.bytes.out", int64(state.BytesOut), 1)
+	for reason, n := range state.Rejected {
 		to.Inc("feed.refused."+reason, int64(n), 1)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	to.Gauge("feed.targets", int64(len(s.list)), 1)
-	to.Inc("feed.bad_targets", s.doubts, 1)
+	to.Gauge("feed.targets", int64(len(s.targets)), 1)
+	to.Inc("feed.bad_targets", s.badTargets, 1)
 }
 
-// feeding is an instance's part of the feed: its list is joined of discovery's and of the feed's.
-type feeding struct {
-	*joint
-	stream *stream
-	follow *loop // of the stream, where it is this instance's alone; nil: it is the process's
+// feedComponent merges discovery's list with the feed's for one instance.
+type feedComponent struct {
+	*targetMerger
+	stream      *feedStream
+	ownFollower *loop // runs the stream's follower if the stream is this instance's own; nil: the stream is the process's
 }
 
-// newFeeding returns the part; of is the process's feed, nil: the instance has one of its own.
-func newFeeding(f *config.Feed, of *stream, name string, log *slog.Logger, tell func(*listing.List)) (*feeding, error) {
-	p := &feeding{joint: newJoint(tell), stream: of}
-	if of == nil {
+// newFeedComponent returns the component. ProcessFeed is the process's stream; nil: the instance gets its own.
+func newFeedComponent(f *config.Feed, processFeed *feedStream, name string, log *slog.Logger, publish func(*listing.List)) (*feedComponent, error) {
+	c := &feedComponent{targetMerger: newTargetMerger(publish), stream: processFeed}
+	if processFeed == nil {
 		var err error
-		if p.stream, err = newStream(f, name, log, nil); err != nil {
+		if c.stream, err = newFeedStream(f, name, log, nil); err != nil {
 			return nil, err
 		}
-		p.follow = &loop{run: p.stream.follower.Run}
+		c.ownFollower = &loop{run: c.stream.follower.Run}
 	}
-	return p, nil
+	return c, nil
 }
 
-// Start implements Part.
-func (p *feeding) Start(stop context.Context) error {
-	if err := p.joint.Start(stop); err != nil {
+// Start implements Component.
+func (c *feedComponent) Start(ctx context.Context) error {
+	if err := c.targetMerger.Start(ctx); err != nil {
 		return err
 	}
-	p.stream.join(p.joint)
-	if p.follow == nil {
+	c.stream.subscribe(c.targetMerger)
+	if c.ownFollower == nil {
 		return nil
 	}
-	return p.follow.Start(stop)
+	return c.ownFollower.Start(ctx)
 }
 
-// Stop implements Part.
-func (p *feeding) Stop(within context.Context) error {
-	p.stream.leave(p.joint)
-	if p.follow != nil {
-		if err := p.follow.Stop(within); err != nil {
+// Stop implements Component.
+func (c *feedComponent) Stop(ctx context.Context) error {
+	c.stream.unsubscribe(c.targetMerger)
+	if c.ownFollower != nil {
+		if err := c.ownFollower.Stop(ctx); err != nil {
 			return err
 		}
 	}
-	return p.joint.Stop(within)
+	return c.targetMerger.Stop(ctx)
 }
 
-// Tell implements teller.
-func (p *feeding) EmitMetrics(to statsd.ExtendedStatSender) { p.stream.EmitMetrics(to) }
+// EmitMetrics implements metricsEmitter.
+func (c *feedComponent) EmitMetrics(to statsd.ExtendedStatSender) { c.stream.EmitMetrics(to) }
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -31,8 +31,8 @@
 }
 
 // started is a joint that runs until the test ends, and what is told of it.
-func started(t *testing.T, tell func(*listing.List)) *joint {
-	j := newJoint(tell)
+func startMerger(t *testing.T, tell func(*listing.List)) *targetMerger {
+	j := newTargetMerger(tell)
 	require.NoError(t, j.Start(t.Context()))
 	t.Cleanup(func() { require.NoError(t, j.Stop(context.Background())) })
 	return j
@@ -40,11 +40,11 @@
 
 // TestJoint has both sources tell at once: those who listen hear one list after the other, first a whole one, and the feed's word has been
 // heard by all when hear returns.
-func TestJoint(t *testing.T) {
+func TestTargetMerger(t *testing.T) {
 	view := map[string]listing.Entry{} // with no lock: it is one goroutine's
 	told := 0
 	var mu sync.Mutex // for the looks of this test
-	j := started(t, func(l *listing.List) {
+	j := startMerger(t, func(l *listing.List) {
 		if l.Full != (told == 0) {
 			t.Errorf("list %d: full is %v", told, l.Full)
 		}
@@ -58,13 +58,13 @@
 	var both sync.WaitGroup
 	both.Go(func() {
 		for i := range 200 {
-			j.discovered(&listing.List{Servers: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
+			j.putDiscovery(&listing.List{Servers: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
 		}
 	})
 	both.Go(func() {
 		for i := range 200 {
 			id := fmt.Sprint("t", i)
-			j.hear(&listing.List{Servers: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
+			j.applyFeed(&listing.List{Servers: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
 			mu.Lock()
 			if view[id].State != "DRAINING" {
 				t.Errorf("%s drains by the feed, and is %q where it is listened to", id, view[id].State)
@@ -73,7 +73,7 @@
 		}
 	})
 	both.Wait()
-	j.hear(&listing.List{}, false) // all before it is heard
+	j.applyFeed(&listing.List{}, false) // all before it is heard
 	for id, e := range view {
 		require.Equal(t, "DRAINING", e.State, id)
 	}
@@ -81,8 +81,8 @@
 }
 
 // TestStream has a process's feed tell two instances, one of which comes later.
-func TestStream(t *testing.T) {
-	s := &stream{log: quiet, list: map[string]listing.Entry{}}
+func TestFeedStream(t *testing.T) {
+	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
 	type heardBy map[string]string
 	one, two := heardBy{}, heardBy{}
 	note := func(by heardBy) func(*listing.List) {
@@ -93,46 +93,46 @@
 			}
 		}
 	}
-	a, b := started(t, note(one)), started(t, note(two))
-	s.join(a)
-	require.NoError(t, s.changed(edge.Update{Full: true}))
+	a, b := startMerger(t, note(one)), startMerger(t, note(two))
+	s.subscribe(a)
+	require.NoError(t, s.onUpdate(edge.Update{Full: true}))
 	require.Empty(t, one, "a feed that knows nothing has told no list")
-	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
 	require.Equal(t, heardBy{"": ".", "a": "SERVING", "b": "SERVING"}, one)
 	bad := recordOf(4, "b", "SLEEPING", 6)
-	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
 	require.Equal(t, heardBy{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
-	s.join(b)
+	s.subscribe(b)
 	require.Equal(t, heardBy{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
-	s.leave(a)
-	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
+	s.unsubscribe(a)
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
 	require.Equal(t, "DRAINING", one["a"])
 	require.Equal(t, "DELETED", two["a"])
 	// A whole with an entry that can't be read: what was known of that target stays.
-	require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{bad}}))
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{bad}}))
 	require.Equal(t, "SERVING", two["b"])
-	require.EqualValues(t, 2, s.doubts)
+	require.EqualValues(t, 2, s.badTargets)
 }
 
 // TestPieces has a feed bring up an instance that has nothing, in pieces: they are no list before all of them are there, but what they say of
 // targets that discovery lists goes at once.
-func TestPieces(t *testing.T) {
+func TestPartialLists(t *testing.T) {
 	for _, discovered := range []bool{false, true} {
-		s := &stream{log: quiet, list: map[string]listing.Entry{}}
+		s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
 		var told []string
 		var first *listing.List
-		j := started(t, func(l *listing.List) {
+		j := startMerger(t, func(l *listing.List) {
 			if told = append(told, fmt.Sprint(l.Full, len(l.Servers))); first == nil {
 				first = l
 			}
 		})
-		s.join(j)
-		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
+		s.subscribe(j)
+		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if discovered {
-			j.box.Put(news{from: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
+			j.box.Put(targetUpdate{source: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
-		require.NoError(t, s.changed(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
-		require.NoError(t, s.changed(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
+		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
+		require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
 		if discovered {
 			require.Equal(t, []string{"true 1", "false 1", "false 1"}, told)
 			require.Equal(t, "DRAINING", first.Servers[0].State, "it drains by the feed from the first")
@@ -144,10 +144,10 @@
 
 // TestLayered offers configurations of layers: one that can be served is kept, the same again is not offered, one that can't be served leaves
 // what was; the next start begins with the last in force.
-func TestLayered(t *testing.T) {
+func TestLayeredConfig(t *testing.T) {
 	dir := t.TempDir()
-	begin := func(name string, refuses func(json.RawMessage) error) (*layered, *[]string) {
-		offers, ends := make(chan offer), make(chan struct{})
+	begin := func(name string, refuses func(json.RawMessage) error) (*layeredConfig, *[]string) {
+		offers, ends := make(chan configOffer), make(chan struct{})
 		ctx, stop := context.WithCancel(t.Context())
 		offered := &[]string{}
 		go func() {
@@ -158,12 +158,12 @@
 					return
 				case o := <-offers:
 					*offered = append(*offered, fmt.Sprint(o.Version, " ", string(o.Config)))
-					o.answer <- refuses(o.Config)
+					o.result <- refuses(o.Config)
 				}
 			}
 		}()
 		t.Cleanup(func() { stop(); <-ends })
-		return &layered{name: name, fleet: "campus", dir: dir, log: quiet, watch: ctx, offers: offers}, offered
+		return &layeredConfig{name: name, fleet: "campus", dir: dir, log: discardLog, sourceCtx: ctx, offers: offers}, offered
 	}
 	layer := func(key, value string) watchstream.Record {
 		return watchstream.Record{Kind: watchstream.Config, Key: key, Version: 1, Value: json.RawMessage(value)}
@@ -177,52 +177,52 @@
 		return nil
 	}
 	l, offered := begin("n1", refuses)
-	l.last()
+	l.restoreLast()
 	require.Empty(t, *offered, "nothing is kept yet")
-	require.NoError(t, l.take([]watchstream.Record{layer("instance/n1", `{"listen":"here"}`), layer("shared", `{"peers":3,"listen":"there"}`)}, 7))
-	require.NoError(t, l.take([]watchstream.Record{layer("shared", `{"peers":3,"listen":"there"}`), layer("instance/n1", `{"listen":"here"}`)}, 8))
+	require.NoError(t, l.applyLayers([]watchstream.Record{layer("instance/n1", `{"listen":"here"}`), layer("shared", `{"peers":3,"listen":"there"}`)}, 7))
+	require.NoError(t, l.applyLayers([]watchstream.Record{layer("shared", `{"peers":3,"listen":"there"}`), layer("instance/n1", `{"listen":"here"}`)}, 8))
 	require.Len(t, *offered, 1)
 	require.Contains(t, (*offered)[0], "7 ")
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
-	require.ErrorIs(t, l.take([]watchstream.Record{layer("shared", `{"peers":0}`)}, 9), bad)
-	require.Error(t, l.take(nil, 10), "no layer is left")
+	require.ErrorIs(t, l.applyLayers([]watchstream.Record{layer("shared", `{"peers":0}`)}, 9), bad)
+	require.Error(t, l.applyLayers(nil, 10), "no layer is left")
 
 	again, offered := begin("n1", refuses)
-	again.last()
+	again.restoreLast()
 	require.Len(t, *offered, 1)
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
-	require.NoError(t, again.take([]watchstream.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
+	require.NoError(t, again.applyLayers([]watchstream.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
 	require.Len(t, *offered, 1, "that is what it serves")
 
 	other, offered := begin("n2", refuses)
-	other.last()
+	other.restoreLast()
 	require.Empty(t, *offered, "it is another's")
-	require.NoError(t, os.WriteFile(filepath.Join(dir, lastName), []byte(`{"name":"n1"`), 0o600))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, lastConfigFile), []byte(`{"name":"n1"`), 0o600))
 	torn, offered := begin("n1", refuses)
-	torn.last()
+	torn.restoreLast()
 	require.Empty(t, *offered)
 }
 
 // TestFollowFeedRefused starts with what cannot be followed: one message that names it, and nothing runs.
-func TestFollowFeedRefused(t *testing.T) {
+func TestServeFromFeedErrors(t *testing.T) {
 	none := filepath.Join(t.TempDir(), "none.toml")
 	require.NoError(t, os.WriteFile(none, nil, 0o600))
 	for _, c := range []struct{ name, operator, want string }{
 		{"", "../../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", none, "feed"}, {"n1", "../../../deploy/nowhere.toml", "nowhere.toml"},
 	} {
-		err := ServeFromFeed(t.Context(), func(string) string { return c.name }, c.operator, quiet)
+		err := ServeFromFeed(t.Context(), func(string) string { return c.name }, c.operator, discardLog)
 		require.ErrorContains(t, err, c.want)
 		require.NotContains(t, err.Error(), "\n")
 	}
 }
 
 // TestFeedFallsBack has an instance whose relays are nowhere: it goes by discovery, as without the feed, and says how far the feed is.
-func TestFeedFallsBack(t *testing.T) {
-	s := newSite(t)
-	cfg, op := s.read(fmt.Sprintf("[feed]\nfleet = \"campus\"\nregion = \"north\"\ndir = %q\n[[feed.relay]]\nid = \"r\"\nregion = \"north\"\naddr = \"127.0.0.1:1\"\n", t.TempDir()))
+func TestFeedFallsBackToDiscovery(t *testing.T) {
+	s := newTestSite(t)
+	cfg, op := s.loadConfig(fmt.Sprintf("[feed]\nfleet = \"campus\"\nregion = \"north\"\ndir = %q\n[[feed.relay]]\nid = \"r\"\nregion = \"north\"\naddr = \"127.0.0.1:1\"\n", t.TempDir()))
 	stop, leave := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- Serve(stop, cfg, op, Options{Log: quiet}) }()
+	go func() { ended <- Serve(stop, cfg, op, Options{Log: discardLog}) }()
 	get := func(addr, path string) (int, string) {
 		resp, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -241,19 +241,19 @@
 }
 
 // TestBothTell holds the whole way against a small history: discovery that lags and the feed.
-func TestBothTell(t *testing.T) {
-	s := &stream{log: quiet, list: map[string]listing.Entry{}}
+func TestMergeDiscoveryAndFeed(t *testing.T) {
+	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
 	state := map[string]string{}
-	j := started(t, func(l *listing.List) {
+	j := startMerger(t, func(l *listing.List) {
 		for _, e := range l.Servers {
 			state[e.ID] = fmt.Sprint(e.State, e.Started)
 		}
 	})
-	s.join(j)
+	s.subscribe(j)
 	old := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
-	j.box.Put(news{from: targetmerge.Discovery, list: old})
-	_ = s.changed(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
-	j.box.Put(news{from: targetmerge.Discovery, list: old})
-	j.hear(&listing.List{}, false)
+	j.box.Put(targetUpdate{source: targetmerge.Discovery, list: old})
+	_ = s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
+	j.box.Put(targetUpdate{source: targetmerge.Discovery, list: old})
+	j.applyFeed(&listing.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
 }
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -31,35 +31,35 @@
 	"spindlehitch/internal/process/handover"
 )
 
-// answerMargin is how long before its client leaves a request's answer must be decided.
+// answerMargin is how long before the client's deadline a request's answer must be decided.
 const answerMargin = 12 * time.Millisecond
 
-// connRest is how long a connection rests after an HTTP answer at a target that has said more than it was asked: an answer that it gives
-// twice names no request.
-const connRest = 50 * time.Millisecond
+// connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more than it was asked for: HTTP answers
+// name no request, so a duplicate would be taken for the answer to the next request.
+const connReuseDelay = 50 * time.Millisecond
 
-// Options are what an instance gets beside its files.
+// Options are the parameters of an instance beside its configuration files.
 type Options struct {
 	Log *slog.Logger
-	// Listening is called once all addresses are listened at, which a predecessor that is about to leave may still be listening
-	// at. Nil: there is none.
+	// OnListening is called once the instance listens at all addresses. If it is set, a predecessor that is about to stop may
+	// still be listening at them. Nil: there is no predecessor.
 	OnListening func()
-	Changes     <-chan Change // taken over also while the instance leaves; nil: none come
-	feed        *stream       // the process's; nil: the instance has one of its own, where its operator's file asks for it
+	Changes     <-chan Change // applied even while the instance stops; nil: none
+	feed        *feedStream   // shared by the process; nil: the instance has its own, if its operator's file has a feed
 }
 
-// Serve runs an instance until stop ends, and then until everything taken is answered. One that is stopped while it starts has
-// undone what it had begun.
-func Serve(stop context.Context, cfg *config.Config, op *config.OperatorFile, opt Options) error {
-	runtime.GOMAXPROCS(threads(cfg))
+// Serve runs an instance until ctx ends, and then until all accepted requests are answered. If ctx ends during the start, what
+// has started is stopped again.
+func Serve(ctx context.Context, cfg *config.Config, op *config.OperatorFile, opt Options) error {
+	runtime.GOMAXPROCS(maxThreads(cfg))
 	in, err := assemble(cfg, op, opt)
 	if err != nil {
 		return err
 	}
-	// What was taken meanwhile is answered as at any stop; parts that only have to be undone take no time.
-	undo, undone := context.WithTimeout(context.Background(), leaveWithin(longest(cfg)))
-	err = in.parts.start(stop, undo)
-	undone()
+	// Requests accepted before a failed start are answered as at any stop; components without requests stop at once.
+	undoCtx, cancelUndo := context.WithTimeout(context.Background(), stopTimeout(maxDeadline(cfg)))
+	err = in.components.start(ctx, undoCtx)
+	cancelUndo()
 	if err != nil {
 		if errors.Is(err, errStopped) {
 			opt.Log.Info("left", slog.String("reason", "STOPPED"), slog.Bool("started", false))
@@ -67,9 +67,9 @@
 		}
 		return err
 	}
-	ended := make(chan struct{})
-	defer close(ended)
-	go in.follow(opt.Changes, ended)
+	stopped := make(chan struct{})
+	defer close(stopped)
+	go in.applyChanges(opt.Changes, stopped)
 	if opt.OnListening != nil {
 		opt.OnListening()
 	}
@@ -78,228 +78,229 @@
 	select {
 	case failed = <-in.fronts.failed:
 		reason = "FAILED"
-	case <-stop.Done():
-	case <-in.crew.gone():
+	case <-ctx.Done():
+	case <-in.group.supersededChan():
 		reason = "SUCCEEDED"
 	}
-	opt.Log.Info("leaving", slog.String("reason", reason), slog.Int("open", in.core.Open()), slog.Duration("within", core.LeaveWithin(longest(in.cfg.Load())).Answer))
-	bound, done := context.WithTimeout(context.Background(), leaveWithin(in.patience()))
-	defer done()
-	err = errors.Join(failed, in.parts.stop(bound))
+	opt.Log.Info("leaving", slog.String("reason", reason), slog.Int("open", in.core.Open()), slog.Duration("within", core.LeaveWithin(maxDeadline(in.cfg.Load())).Answer))
+	stopCtx, cancelStop := context.WithTimeout(context.Background(), stopTimeout(in.longestClientWait()))
+	defer cancelStop()
+	err = errors.Join(failed, in.components.stop(stopCtx))
 	opt.Log.Info("left", slog.Int("open", in.core.Open()))
 	return err
 }
 
-// instance is one initiator, put together.
+// instance is one assembled initiator.
 type instance struct {
-	parts  parts
-	core   *core.Core
-	crew   *crew // nil: the process is alone
-	fronts *fronts
-	cfg    atomic.Pointer[config.Config] // in force
-	before atomic.Pointer[earlier]       // nil: none was in force before that one
-	log    *slog.Logger
+	components components
+	core       *core.Core
+	group      *processGroup // nil: the process is alone
+	fronts     *fronts
+	cfg        atomic.Pointer[config.Config]  // in force
+	previous   atomic.Pointer[previousConfig] // nil: cfg is the first one
+	log        *slog.Logger
 }
 
-// earlier is how long a client may wait whose request came under a configuration that is not in force any more, and until when there may be one.
-type earlier struct {
-	longest time.Duration
-	until   time.Time
+// previousConfig is what longestClientWait needs of configurations that were replaced.
+type previousConfig struct {
+	longest time.Duration // the longest wait of a client whose request was accepted under them
+	until   time.Time     // when the last such request ends at the latest
 }
 
-// patience is the longest that any client with a request here may wait.
-func (in *instance) patience() time.Duration {
-	d := longest(in.cfg.Load())
-	if b := in.before.Load(); b != nil && time.Now().Before(b.until) {
+// longestClientWait is the longest that the client of any open request may wait.
+func (in *instance) longestClientWait() time.Duration {
+	d := maxDeadline(in.cfg.Load())
+	if b := in.previous.Load(); b != nil && time.Now().Before(b.until) {
 		d = max(d, b.longest)
 	}
 	return d
 }
 
-// follow passes changes on.
-func (in *instance) follow(changes <-chan Change, ended <-chan struct{}) {
+// applyChanges applies changes one after the other until stopped is closed.
+func (in *instance) applyChanges(changes <-chan Change, stopped <-chan struct{}) {
 	for {
 		select {
-		case <-ended:
+		case <-stopped:
 			return
 		case c := <-changes:
-			err := in.parts.reload(c)
-			if c.taken != nil {
-				c.taken <- err
+			err := in.components.applyChange(c)
+			if c.applied != nil {
+				c.applied <- err
 			} else if err != nil {
-				notTaken(in.log, slog.Any("error", err))
+				logRejected(in.log, slog.Any("error", err))
 			}
 		}
 	}
 }
 
-// gone is closed once a younger process serves; nil where there can be none.
-func (c *crew) gone() <-chan struct{} {
-	if c == nil {
+// supersededChan is closed once a younger process serves; nil if there can be none.
+func (g *processGroup) supersededChan() <-chan struct{} {
+	if g == nil {
 		return nil
 	}
-	return c.succeeded
+	return g.superseded
 }
 
-// assemble makes all parts and ties them together. It starts nothing and listens nowhere.
+// assemble creates and connects all components. It starts nothing and binds no address.
 func assemble(cfg *config.Config, op *config.OperatorFile, opt Options) (*instance, error) {
 	log := opt.Log
 	in := &instance{log: log}
 	in.cfg.Store(cfg)
-	shared := opt.OnListening != nil || cfg.InheritedFD != "" // all addresses but the clients': a predecessor may still listen at each
-	known, err := newPeers(cfg, op, shared, log)
+	reusePort := opt.OnListening != nil || cfg.InheritedFD != "" // for all addresses but the clients': a predecessor may still listen at them
+	members, err := newMembership(cfg, op, reusePort, log)
 	if err != nil {
 		return nil, err
 	}
-	part, duties := fleetParts(cfg, op, known, func() uint16 { return loadOf(in.core) }, log)
+	session, tasks := newFleetComponents(cfg, op, members, func() uint16 { return openRequests(in.core) }, log)
 	settings := cfg.Policy
-	if part != nil {
-		settings.Quota = part
+	if session != nil {
+		settings.Quota = session
 	}
 	scheduler, err := policy.New(settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	room := budget.New(0) // until it is shared out
+	byteBudget := budget.New(0) // divider gives it its bytes
 	var certs *keys.Keys
-	var wire upstream.Wire = upstream.NewHTTP(room)
-	rest := connRest
+	var wire upstream.Wire = upstream.NewHTTP(byteBudget)
+	reuseDelay := connReuseDelay
 	if op.NVMe != nil {
 		if op.NVMe.TLS != nil {
 			if certs, err = keys.Load(*op.NVMe.TLS); err != nil {
 				return nil, fmt.Errorf("operator's file: nvme.tls.%w", err)
 			}
 		}
-		wire, rest = nvme.NewHost(host(op.NVMe, certs)), 0 // its answers name their commands
+		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certs)), 0 // NVMe answers name their commands
 	}
-	numbers := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
-	out := upstream.Options{Wire: wire, Dial: cfg.DialTimeout, Idle: cfg.ConnIdleTimeout * 4 / 5, Rest: rest, Sent: numbers.Dispatched, Log: log}
-	if part != nil {
-		out.Stock = part
+	metrics := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
+	upstreamOptions := upstream.Options{Wire: wire, Dial: cfg.DialTimeout, Idle: cfg.ConnIdleTimeout * 4 / 5, Rest: reuseDelay, Sent: metrics.Dispatched, Log: log}
+	if session != nil {
+		upstreamOptions.Stock = session
 	}
-	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
-	bounds := core.Options{MostHeld: cfg.MaxOpenRequests, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
-	if duties != nil {
-		bounds.Avoids = duties.runner.SetEjected
+	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
+	coreOptions := core.Options{MostHeld: cfg.MaxOpenRequests, Margin: answerMargin, NamesFor: requestNameRetention(cfg), Avoided: metrics.Avoided}
+	if tasks != nil {
+		coreOptions.Avoids = tasks.runner.SetEjected
 	}
-	var book *ledger
+	var recorder *accountsRecorder
 	if op.Accounts != nil {
-		book = newLedger(*op.Accounts, cfg.Name, worth(cfg), log)
-		bounds.Observer = book.book
-	}
-	in.core = core.New(scheduler, up, core.NewClock(), bounds)
-	var listed atomic.Bool
-	clients := front.New(in.core, front.Options{Admits: admits(cfg), Ready: listed.Load,
-		ReadyOnly: op.NVMe != nil, Figures: numbers, Room: room, Ahead: up.Ahead, Log: log})
-	// What there may be of connections and bytes is set here alone, now and whenever the processes become more or fewer.
-	limits := &shares{limits: granted(cfg.Limits), room: room, up: up, clients: clients, core: in.core}
-	limits.divide(1)
-	in.fronts = &fronts{name: cfg.Name, log: log, known: make(chan struct{})}
+		recorder = newAccountsRecorder(*op.Accounts, cfg.Name, requestPriority(cfg), log)
+		coreOptions.Observer = recorder.book
+	}
+	in.core = core.New(scheduler, up, core.NewClock(), coreOptions)
+	var hasList atomic.Bool
+	httpFront := front.New(in.core, front.Options{Admits: frontAdmission(cfg), Ready: hasList.Load,
+		ReadyOnly: op.NVMe != nil, Figures: metrics, Room: byteBudget, Ahead: up.Ahead, Log: log})
+	// Only the divider sets bounds on connections and bytes: now, and whenever the limits or the number of processes change.
+	divider := &limitDivider{limits: effectiveLimits(cfg.Limits), byteBudget: byteBudget, up: up, front: httpFront, core: in.core}
+	divider.setProcesses(1)
+	in.fronts = &fronts{name: cfg.Name, log: log, listKnown: make(chan struct{})}
 
-	module := &decisions{loop: loop{run: in.core.Run}, core: in.core, up: up, numbers: numbers}
-	in.parts = parts{module}
-	if known != nil {
-		known.OnLocalState(tellsOf(in.core, part))
-		in.parts = append(in.parts, known)
-	}
-	if part != nil {
-		in.parts = append(in.parts, newSeat(part, in.core, up))
-	}
-	if duties != nil {
-		duties.tells(in.core)
-		in.parts = append(in.parts, duties)
-	}
-	if book != nil {
-		book.core, book.shared = in.core, shared
-		if duties != nil {
-			book.kept = leasework.KeptWindows
+	dp := &dataPath{loop: loop{run: in.core.Run}, core: in.core, up: up, metrics: metrics}
+	in.components = components{dp}
+	if members != nil {
+		members.OnLocalState(localState(in.core, session))
+		in.components = append(in.components, members)
+	}
+	if session != nil {
+		in.components = append(in.components, newQuotaComponent(session, in.core, up))
+	}
+	if tasks != nil {
+		tasks.forwardProbeResults(in.core)
+		in.components = append(in.components, tasks)
+	}
+	if recorder != nil {
+		recorder.core, recorder.reusePort = in.core, reusePort
+		if tasks != nil {
+			recorder.retainedWindows = leasework.KeptWindows
 		}
-		in.parts = append(in.parts, book)
+		in.components = append(in.components, recorder)
 	}
-	tell := func(l *listing.List) {
-		in.parts.listed(l)
-		listed.Store(true)
-		in.fronts.once.Do(func() { close(in.fronts.known) })
+	onList := func(l *listing.List) {
+		in.components.onTargetList(l)
+		hasList.Store(true)
+		in.fronts.listKnownOnce.Do(func() { close(in.fronts.listKnown) })
 	}
 	if op.Feed != nil {
-		fed, err := newFeeding(op.Feed, opt.feed, cfg.Name, log, tell)
+		feedComp, err := newFeedComponent(op.Feed, opt.feed, cfg.Name, log, onList)
 		if err != nil {
 			return nil, err
 		}
-		tell = fed.discovered
-		in.parts = append(in.parts, fed) // before discovery, which finds it running
+		onList = feedComp.putDiscovery
+		in.components = append(in.components, feedComp) // before discovery, which needs it running
 	}
-	list := newWatch(cfg, log, tell)
-	in.parts = append(in.parts, list)
-	in.parts = append(in.parts, &adoption{in: in, module: module, clients: clients, limits: limits, book: book, list: list})
+	discoveryComp := newDiscoveryWatch(cfg, log, onList)
+	in.components = append(in.components, discoveryComp)
+	in.components = append(in.components, &configApplier{instance: in, dataPath: dp, front: httpFront, limits: divider, accounts: recorder, discovery: discoveryComp})
 	if cfg.InheritedFD != "" {
-		in.crew = newCrew(cfg.Name, log, limits.divide)
-		in.parts = append(in.parts, in.crew)
+		in.group = newProcessGroup(cfg.Name, log, divider.setProcesses)
+		in.components = append(in.components, in.group)
 	}
-	// With NVMe the platform's front stays for its ready page alone: a target speaks one wire.
-	in.enter(&entrance{door: clients, addr: cfg.Listen, inherited: cfg.InheritedFD, shared: shared})
+	// With NVMe, the HTTP front only serves the readiness page, since a target speaks only one protocol.
+	in.addFront(&boundFront{frontServer: httpFront, addr: cfg.Listen, inheritedFD: cfg.InheritedFD, reusePort: reusePort})
 	if op.NVMe != nil {
-		controller := nvme.New(in.core, about(op.NVMe, cfg, certs, numbers, core.LeaveWithin(longest(cfg)), log))
-		in.parts = append(in.parts, spaces{front: controller})
-		in.enter(&entrance{door: controller, addr: op.NVMe.Listen, shared: shared})
+		controller := nvme.New(in.core, nvmeControllerOptions(op.NVMe, cfg, certs, metrics, core.LeaveWithin(maxDeadline(cfg)), log))
+		in.components = append(in.components, namespaceUpdater{front: controller})
+		in.addFront(&boundFront{frontServer: controller, addr: op.NVMe.Listen, reusePort: reusePort})
 	}
 	if certs != nil {
-		in.parts = append(in.parts, certificates{keys: certs})
+		in.components = append(in.components, certificateReloader{keys: certs})
 	}
 	if cfg.Control != "" {
-		about := control.Options{Ready: clients.Ready, Figures: func() []byte { return figures.Page(in.parts.tell) }, Log: log}
-		if known != nil {
-			about.Members = func() any {
-				v, _ := known.View()
+		controlOptions := control.Options{Ready: httpFront.Ready, Figures: func() []byte { return figures.Page(in.components.emitMetrics) }, Log: log}
+		if members != nil {
+			controlOptions.Members = func() any {
+				v, _ := members.View()
 				return v
 			}
 		}
-		in.parts = append(in.parts, &pages{control.New(about), cfg.Control, shared, cfg.Name, log})
+		in.components = append(in.components, &controlPages{control.New(controlOptions), cfg.Control, reusePort, cfg.Name, log})
 	}
-	in.fronts.crew, in.fronts.leave = in.crew, func() {
-		in.crew.enter(handover.Leaving)
+	in.fronts.group, in.fronts.beforeStop = in.group, func() {
+		in.group.enterPhase(handover.Leaving)
 		if cfg.InheritedFD != "" {
-			clients.HandOver() // the socket stays, and whoever has it takes what comes
+			httpFront.HandOver() // the socket stays open, and whichever process holds it accepts new connections
 		}
 	}
-	in.parts = append(in.parts, in.fronts)
+	in.components = append(in.components, in.fronts)
 	return in, nil
 }
 
-func (in *instance) enter(e *entrance) {
-	in.parts = append(in.parts, e)
-	in.fronts.all = append(in.fronts.all, e)
+// addFront adds a front's listener to the components, and the front to those that fronts serves.
+func (in *instance) addFront(e *boundFront) {
+	in.components = append(in.components, e)
+	in.fronts.bound = append(in.fronts.bound, e)
 }
 
-// fleetParts are an instance's part of fleet-wide budgets and what it does for the fleet; nil where an operator's file has none.
-func fleetParts(cfg *config.Config, op *config.OperatorFile, known *transport.Runner, load func() uint16, log *slog.Logger) (part *quotasession.Session, duties *duty) {
+// newFleetComponents returns the instance's session for fleet-wide budgets and its fleet-wide tasks; nil if the operator's file has none.
+func newFleetComponents(cfg *config.Config, op *config.OperatorFile, members *transport.Runner, openCount func() uint16, log *slog.Logger) (session *quotasession.Session, tasks *fleetTasks) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
 	}
-	about := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Governed: op.Fleet.GovernedResources, Log: log}
+	options := quotasession.Options{Name: cfg.Name, Addr: cfg.Listen, Agents: op.Fleet.Agents, Weight: op.Fleet.Weight, Governed: op.Fleet.GovernedResources, Log: log}
 	if op.Accounts != nil {
-		about.AccountsAddr = op.Accounts.Listen
+		options.AccountsAddr = op.Accounts.Listen
 	}
 	if len(op.Fleet.Tasks) > 0 {
-		var ended func() []string
-		if known != nil {
-			ended = func() []string { return endedNames(known) }
+		var deadInstances func() []string
+		if members != nil {
+			deadInstances = func() []string { return endedInstances(members) }
 		}
-		duties = newDuty(cfg, op, log, func() { part.RenewNow() }, load, ended)
-		about.LeaseWorker = duties.runner
+		tasks = newFleetTasks(cfg, op, log, func() { session.RenewNow() }, openCount, deadInstances)
+		options.LeaseWorker = tasks.runner
 	}
-	if known != nil {
-		about.FallbackAgents = known.Agents
+	if members != nil {
+		options.FallbackAgents = members.Agents
 	}
-	part = quotasession.New(about)
-	if duties != nil {
-		duties.probe.Connections = part
+	session = quotasession.New(options)
+	if tasks != nil {
+		tasks.probe.Connections = session
 	}
-	return part, duties
+	return session, tasks
 }
 
-// worth is what a request earns when it is served within its plan's reserve, as the module counts it.
-func worth(cfg *config.Config) func(policy.Request) float64 {
+// requestPriority returns the priority of a request that is served within its plan's reservation, as the scheduler computes it.
+func requestPriority(cfg *config.Config) func(policy.Request) float64 {
 	classes, plans := map[string]float64{}, map[string]float64{}
 	for _, c := range cfg.Policy.Classes {
 		classes[c.Name] = c.PriorityWeight
@@ -310,9 +311,10 @@
 	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
 }
 
-// namesFor is how long a name may not come again: no attempt lasts longer than its client, and repeats are remembered for a window.
-func namesFor(cfg *config.Config) time.Duration {
-	d := longest(cfg)
+// requestNameRetention is how long a request's name stays taken, so that it isn't used again: an attempt lasts no longer than its client
+// waits, and targets remember keyed requests for the deduplication window.
+func requestNameRetention(cfg *config.Config) time.Duration {
+	d := maxDeadline(cfg)
 	for _, c := range cfg.Policy.Classes {
 		if c.Effect == policy.IdempotentWithKey {
 			d = max(d, c.DedupWindow)
@@ -321,93 +323,94 @@
 	return d
 }
 
-// longest is the longest any client waits.
-func longest(cfg *config.Config) (d time.Duration) {
+// maxDeadline is the longest deadline of all classes.
+func maxDeadline(cfg *config.Config) (d time.Duration) {
 	for _, c := range cfg.Policy.Classes {
 		d = max(d, c.Deadline)
 	}
 	return d
 }
 
-// decisions is the module on its goroutine, and the targets' actors that carry out what it decides.
-type decisions struct {
+// dataPath is the core, which runs the scheduler on its goroutine, and the targets' connection pools, which carry out its decisions.
+type dataPath struct {
 	loop
 	core    *core.Core
 	up      *upstream.Registry
-	numbers *figures.Book
+	metrics *figures.Book
 }
 
-// Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
-func (d *decisions) OnTargetList(l *listing.List) {
+// OnTargetList implements targetListener. The connection pools get the list before the scheduler, so that an attempt that was decided on the
+// older list is checked against the newer one.
+func (d *dataPath) OnTargetList(l *listing.List) {
 	targets := make([]upstream.Target, len(l.Servers))
-	nodes := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Servers))}
+	endpoints := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Servers))}
 	for i, e := range l.Servers {
-		nodes.Endpoints[i] = e.Node()
-		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Endpoints[i].State}
+		endpoints.Endpoints[i] = e.Node()
+		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: endpoints.Endpoints[i].State}
 	}
-	d.numbers.Listed(d.up.Apply(targets, l.Full))
-	d.core.List(nodes)
+	d.metrics.Listed(d.up.Apply(targets, l.Full))
+	d.core.List(endpoints)
 }
 
-// Stop implements Part. The process may go on, with another configuration: the targets' actors and connections end with this one.
-func (d *decisions) Stop(within context.Context) error {
-	err := d.loop.Stop(within)
+// Stop implements Component. The process may go on with another generation, so the targets' connections are closed here.
+func (d *dataPath) Stop(ctx context.Context) error {
+	err := d.loop.Stop(ctx)
 	d.up.Retire()
 	return err
 }
 
-// Tell implements teller.
-func (d *decisions) EmitMetrics(to statsd.ExtendedStatSender) { d.numbers.EmitMetrics(to) }
+// EmitMetrics implements metricsEmitter.
+func (d *dataPath) EmitMetrics(to statsd.ExtendedStatSender) { d.metrics.EmitMetrics(to) }
 
-// seat is the instance's seat in the fleet, given back once nothing is served any more.
-type seat struct {
+// quotaComponent is the instance's quota session at the agents, released once no request is served any more.
+type quotaComponent struct {
 	loop
-	part *quotasession.Session
-	up   *upstream.Registry
+	session *quotasession.Session
+	up      *upstream.Registry
 }
 
-func newSeat(part *quotasession.Session, c *core.Core, up *upstream.Registry) *seat {
-	part.OnChange(func() {
+func newQuotaComponent(session *quotasession.Session, c *core.Core, up *upstream.Registry) *quotaComponent {
+	session.OnChange(func() {
 		c.Rationed()
 		up.Review()
 	})
-	return &seat{loop{run: part.Run}, part, up}
+	return &quotaComponent{loop{run: session.Run}, session, up}
 }
 
-// Stop implements Part.
-func (s *seat) Stop(within context.Context) error {
-	err := s.loop.Stop(within)
-	s.up.Retire()
-	s.part.Leave(within)
+// Stop implements Component.
+func (q *quotaComponent) Stop(ctx context.Context) error {
+	err := q.loop.Stop(ctx)
+	q.up.Retire()
+	q.session.Leave(ctx)
 	return err
 }
 
-// Tell implements teller.
-func (s *seat) EmitMetrics(to statsd.ExtendedStatSender) { s.part.EmitMetrics(to) }
+// EmitMetrics implements metricsEmitter.
+func (q *quotaComponent) EmitMetrics(to statsd.ExtendedStatSender) { q.session.EmitMetrics(to) }
 
-// watch is the list of targets, as discovery tells it.
-type watch struct {
+// discoveryWatch follows discovery's list of targets.
+type discoveryWatch struct {
 	loop
-	list *discovery.Watcher
+	watcher *discovery.Watcher
 }
 
-func newWatch(cfg *config.Config, log *slog.Logger, tell func(*listing.List)) *watch {
-	list := discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.LastKnownTargets, Crowd: crowd(cfg), Seed: cfg.Seed, Log: log}, tell)
-	return &watch{loop{run: list.Run}, list}
+func newDiscoveryWatch(cfg *config.Config, log *slog.Logger, onList func(*listing.List)) *discoveryWatch {
+	watcher := discovery.New(discovery.Options{Addr: cfg.Discovery, Known: cfg.LastKnownTargets, Crowd: discoverySharers(cfg), Seed: cfg.Seed, Log: log}, onList)
+	return &discoveryWatch{loop{run: watcher.Run}, watcher}
 }
 
-// crowd is how many share one discovery service; 0: each has its own, or is pushed to.
-func crowd(cfg *config.Config) int {
+// discoverySharers is how many initiators poll the same discovery service; 0: the list is pushed, or each has its own service.
+func discoverySharers(cfg *config.Config) int {
 	if cfg.Policy.SubscribeToList {
 		return cfg.Policy.Initiators
 	}
 	return 0
 }
 
-// Reload implements reloader.
-func (w *watch) Reload(c Change) error {
+// ApplyChange implements changeApplier.
+func (w *discoveryWatch) ApplyChange(c Change) error {
 	if c.Discovery != "" {
-		w.list.Move(c.Discovery)
+		w.watcher.Move(c.Discovery)
 	}
 	return nil
 }
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -29,33 +29,33 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // played is a part that writes down what is asked of it.
-type played struct {
-	name    string
-	log     *[]string
-	fails   error
-	unwell  error // of its stop
-	starts  func()
-	refuses error // of its reload
+type fakeComponent struct {
+	name     string
+	calls    *[]string
+	startErr error
+	stopErr  error // of its stop
+	onStart  func()
+	applyErr error // of its reload
 }
 
-func (p *played) note(what string) { *p.log = append(*p.log, what+" "+p.name) }
-func (p *played) Start(context.Context) error {
-	p.note("start")
-	if p.starts != nil {
-		p.starts()
+func (p *fakeComponent) record(what string) { *p.calls = append(*p.calls, what+" "+p.name) }
+func (p *fakeComponent) Start(context.Context) error {
+	p.record("start")
+	if p.onStart != nil {
+		p.onStart()
 	}
-	return p.fails
+	return p.startErr
 }
-func (p *played) Stop(context.Context) error               { p.note("stop"); return p.unwell }
-func (p *played) OnTargetList(*listing.List)               { p.note("list") }
-func (p *played) Reload(Change) error                      { p.note("reload"); return p.refuses }
-func (p *played) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(p.name, 1, 1) }
+func (p *fakeComponent) Stop(context.Context) error               { p.record("stop"); return p.stopErr }
+func (p *fakeComponent) OnTargetList(*listing.List)               { p.record("list") }
+func (p *fakeComponent) ApplyChange(Change) error                 { p.record("reload"); return p.applyErr }
+func (p *fakeComponent) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(p.name, 1, 1) }
 
 // TestParts plays starts and stops of three parts: what has started is stopped in reverse, and nothing else is.
-func TestParts(t *testing.T) {
+func TestComponentsStartAndStop(t *testing.T) {
 	bad := errors.New("bad")
 	for _, c := range []struct {
 		name          string
@@ -78,11 +78,11 @@
 			var log []string
 			stop, leave := context.WithCancel(context.Background())
 			defer leave()
-			var p parts
+			var p components
 			for i, name := range []string{"a", "b", "c"} {
-				x := &played{name: name, log: &log, fails: c.fails[i], unwell: c.unwell[i]}
+				x := &fakeComponent{name: name, calls: &log, startErr: c.fails[i], stopErr: c.unwell[i]}
 				if i == c.stopAt {
-					x.starts = leave
+					x.onStart = leave
 				}
 				p = append(p, x)
 			}
@@ -95,13 +95,13 @@
 		})
 	}
 	var log []string
-	bent := &played{name: "a", log: &log, refuses: bad}
-	p := parts{bent, certificates{}, &played{name: "b", log: &log}}[:1]
-	p = append(p, passive{}, &played{name: "b", log: &log})
-	p.listed(&listing.List{})
-	require.ErrorIs(t, p.reload(Change{}), bad)
+	bent := &fakeComponent{name: "a", calls: &log, applyErr: bad}
+	p := components{bent, certificateReloader{}, &fakeComponent{name: "b", calls: &log}}[:1]
+	p = append(p, passive{}, &fakeComponent{name: "b", calls: &log})
+	p.onTargetList(&listing.List{})
+	require.ErrorIs(t, p.applyChange(Change{}), bad)
 	require.Equal(t, "list a list b reload a reload b", strings.Join(log, " "))
-	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Page(p.tell)))
+	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Page(p.emitMetrics)))
 }
 
 const settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":500000,
@@ -109,22 +109,22 @@
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 
 // site is a discovery that knows one target, and free addresses by name.
-type site struct {
-	t     testing.TB
-	addrs map[string]string
-	list  *httptest.Server
+type testSite struct {
+	t         testing.TB
+	addrs     map[string]string
+	discovery *httptest.Server
 }
 
-func newSite(t testing.TB) *site {
-	s := &site{t: t, addrs: map[string]string{}}
-	s.list = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func newTestSite(t testing.TB) *testSite {
+	s := &testSite{t: t, addrs: map[string]string{}}
+	s.discovery = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done()
 			return
 		}
 		fmt.Fprint(w, `{"version":1,"full":true,"servers":[{"id":"t","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]}`)
 	}))
-	t.Cleanup(s.list.Close)
+	t.Cleanup(s.discovery.Close)
 	names := []string{"listen", "control", "accounts", "nvme"}
 	addrs, err := ports.Free(len(names))
 	require.NoError(t, err)
@@ -135,9 +135,9 @@
 }
 
 // read is an instance's files: all its parts on this one machine, but those that need agents.
-func (s *site) read(operator string) (*config.Config, *config.OperatorFile) {
+func (s *testSite) loadConfig(operator string) (*config.Config, *config.OperatorFile) {
 	cfg, err := config.Parse(fmt.Appendf(nil, `{"name":"n1","listen":%q,"control":%q,"discovery":%q,"settings":%s}`, s.addrs["listen"],
-		s.addrs["control"], strings.TrimPrefix(s.list.URL, "http://"), settings), func(string) string { return "" })
+		s.addrs["control"], strings.TrimPrefix(s.discovery.URL, "http://"), settings), func(string) string { return "" })
 	require.NoError(s.t, err)
 	if operator == "" {
 		return cfg, &config.OperatorFile{}
@@ -149,7 +149,7 @@
 	return cfg, op
 }
 
-func (s *site) operator() string {
+func (s *testSite) operatorText() string {
 	return fmt.Sprintf(`[accounts]
 listen = %q
 [nvme]
@@ -174,7 +174,7 @@
 }
 
 // free fails where anything listens.
-func (s *site) free() {
+func (s *testSite) requireFree() {
 	s.t.Helper()
 	for name, addr := range s.addrs {
 		l, err := net.Listen("tcp", addr)
@@ -185,35 +185,35 @@
 
 // TestEachPartFails takes each address of an instance in turn: the start fails with its field, all others are free again at
 // once, and no goroutine stays.
-func TestEachPartFails(t *testing.T) {
+func TestStartFailsIfAddressInUse(t *testing.T) {
 	for _, c := range []struct{ part, want string }{
 		{"listen", "listen: "}, {"nvme", "listen: "}, {"control", "control: "}, {"accounts", "operator's file: accounts.listen: "},
 	} {
 		t.Run(c.part, func(t *testing.T) {
-			s := newSite(t)
-			cfg, op := s.read(s.operator())
+			s := newTestSite(t)
+			cfg, op := s.loadConfig(s.operatorText())
 			before := runtime.NumGoroutine()
 			l, err := net.Listen("tcp", s.addrs[c.part])
 			require.NoError(t, err)
-			err = Serve(context.Background(), cfg, op, Options{Log: quiet})
+			err = Serve(context.Background(), cfg, op, Options{Log: discardLog})
 			require.ErrorContains(t, err, c.want)
 			l.Close()
-			s.free()
+			s.requireFree()
 			require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+1 }, 20*time.Second, 10*time.Millisecond,
 				"goroutines stay beside the one that counts them after a start that failed")
 		})
 	}
-	s := newSite(t)
-	cfg, op := s.read(strings.Replace(s.operator(), "[nvme]", "[nvme]\ntls = { cert = \"none\", key = \"none\", ca = \"none\" }", 1))
-	require.ErrorContains(t, Serve(context.Background(), cfg, op, Options{Log: quiet}), "operator's file: nvme.tls.cert")
-	s.free()
+	s := newTestSite(t)
+	cfg, op := s.loadConfig(strings.Replace(s.operatorText(), "[nvme]", "[nvme]\ntls = { cert = \"none\", key = \"none\", ca = \"none\" }", 1))
+	require.ErrorContains(t, Serve(context.Background(), cfg, op, Options{Log: discardLog}), "operator's file: nvme.tls.cert")
+	s.requireFree()
 }
 
 // TestStopAtAnyMoment ends an instance before, in the middle of and after its start: it leaves in order, and nothing listens any
 // more.
-func TestStopAtAnyMoment(t *testing.T) {
-	s := newSite(t)
-	cfg, op := s.read(s.operator())
+func TestStopDuringStart(t *testing.T) {
+	s := newTestSite(t)
+	cfg, op := s.loadConfig(s.operatorText())
 	for i := range 12 {
 		stop, leave := context.WithCancel(context.Background())
 		if i == 0 {
@@ -221,41 +221,41 @@
 		} else {
 			time.AfterFunc(time.Duration(i*i)*100*time.Microsecond, leave)
 		}
-		require.NoError(t, Serve(stop, cfg, op, Options{Log: quiet}))
+		require.NoError(t, Serve(stop, cfg, op, Options{Log: discardLog}))
 		leave()
-		s.free()
+		s.requireFree()
 	}
 }
 
 // TestLimitsFit holds what the parts may have together against the descriptors there are, a few connections that are just being
 // turned away included, whatever share of them one process has.
-func TestLimitsFit(t *testing.T) {
+func TestLimitsFitDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 96, 128, 256, 512, 1024, 4096} {
 		for _, parts := range []int{1, 2} {
 			if sockets/parts < 64 {
 				continue // fewer than any configuration may have
 			}
-			l := limits{Cores: 1, MemoryMB: 192, Sockets: sockets}.of(parts)
-			total := l.clients() + l.allTargets() + spareFiles + control.MostFiles
+			l := resourceLimits{Cores: 1, MemoryMB: 192, Sockets: sockets}.forProcesses(parts)
+			total := l.clientConns() + l.targetConns() + reservedFiles + control.MostFiles
 			require.LessOrEqual(t, total, l.Sockets, "%d sockets in %d parts", sockets, parts)
-			require.LessOrEqual(t, l.target(), l.allTargets())
-			require.Less(t, l.easy(), l.Sockets/4)
+			require.LessOrEqual(t, l.connsPerTarget(), l.targetConns())
+			require.Less(t, l.idleClientConns(), l.Sockets/4)
 		}
 	}
 }
 
 // TestNamesAreKeptForTheSettings checks that a name stays taken for as long as the settings' deadlines and windows of keyed classes tell.
-func TestNamesAreKeptForTheSettings(t *testing.T) {
+func TestRequestNameRetention(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
 	cfg.Policy.Classes = classes
-	require.Equal(t, 2*time.Second, namesFor(cfg))
+	require.Equal(t, 2*time.Second, requestNameRetention(cfg))
 	classes[1].DedupWindow = 9 * time.Second
-	require.Equal(t, 9*time.Second, namesFor(cfg))
+	require.Equal(t, 9*time.Second, requestNameRetention(cfg))
 }
 
 // TestTargetsEndWithTheirInstance has an instance leave in a process that goes on: its connections to targets end with it.
-func TestTargetsEndWithTheirInstance(t *testing.T) {
+func TestTargetConnectionsCloseWithInstance(t *testing.T) {
 	ended := make(chan bool)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, at http.ConnState) {
@@ -268,7 +268,7 @@
 	results := make(chan core.Result, 1)
 	up := upstream.NewRegistry(upstream.Options{Wire: upstream.NewHTTP(budget.New(1 << 20)), Dial: time.Minute, Idle: time.Hour, MostConn: 1, MostAll: 1,
 		Log: slog.New(slog.DiscardHandler)}, func(r core.Result) { results <- r })
-	d := &decisions{loop: loop{run: func(ctx context.Context) { <-ctx.Done() }}, up: up}
+	d := &dataPath{loop: loop{run: func(ctx context.Context) { <-ctx.Done() }}, up: up}
 	require.NoError(t, d.Start(context.Background()))
 	up.Apply([]upstream.Target{{ID: "n", Addr: s.Listener.Addr().String()}}, true)
 	up.Send(core.Attempt{Request: "x", Node: "n", Until: time.Now().Add(time.Minute), Payload: &upstream.Message{Method: "GET", URI: "/r/1", ID: "id"}})
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -14,94 +14,96 @@
 	"spindlehitch/internal/process/config"
 )
 
-// spareFiles are descriptors kept for discovery, the listener, logs and the runtime, some dozen, and for connections past
-// the clients' cap.
-const spareFiles = 28
+// reservedFiles are descriptors kept for discovery, the listener, logs and the runtime, a dozen or so, and for connections
+// beyond the cap on client connections.
+const reservedFiles = 28
 
-// fewClients and fewTargets are what connections there are of each at least, however few descriptors.
-const fewClients, fewTargets = 8, 4
+// minClientConns and minTargetConns are the least number of connections to clients and to targets, however few descriptors
+// there are.
+const minClientConns, minTargetConns = 8, 4
 
-// clientBytes is about what a client's connection takes: buffers, a goroutine's stack, a request.
-const clientBytes = 24 << 10
+// clientConnBytes is the approximate memory of a client connection: buffers, a goroutine's stack, a request.
+const clientConnBytes = 24 << 10
 
-// limits is what the machine grants, by what it is for.
-type limits config.Limits
+// resourceLimits divides what the machine grants the process among client connections, target connections and held bytes.
+type resourceLimits config.Limits
 
-// granted is what the settings say, or less: a machine may grant the process fewer descriptors than that.
-func granted(l config.Limits) limits {
+// effectiveLimits returns the configured limits, with the descriptors lowered to RLIMIT_NOFILE where that is less.
+func effectiveLimits(l config.Limits) resourceLimits {
 	var files unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &files) == nil {
 		l.Sockets = int(min(uint64(l.Sockets), files.Cur))
 	}
-	return limits(l)
+	return resourceLimits(l)
 }
 
-// of is what one of so many processes, which share the limits, may have.
-func (l limits) of(parts int) limits {
-	l.Sockets, l.MemoryMB = l.Sockets/max(parts, 1), l.MemoryMB/max(parts, 1)
+// forProcesses returns the limits of one process where so many processes share them equally.
+func (l resourceLimits) forProcesses(processes int) resourceLimits {
+	l.Sockets, l.MemoryMB = l.Sockets/max(processes, 1), l.MemoryMB/max(processes, 1)
 	return l
 }
 
-// clients is how many connections clients may hold, beside the targets' and the spare descriptors, and in a third of
-// the memory.
-func (l limits) clients() int {
-	n := min(l.Sockets-l.allTargets()-spareFiles-control.MostFiles, l.MemoryMB<<20/3/clientBytes)
-	return max(n, fewClients)
+// clientConns is the limit on client connections: the descriptors left by target connections and the reserve, and no more
+// than fit into a third of the memory.
+func (l resourceLimits) clientConns() int {
+	n := min(l.Sockets-l.targetConns()-reservedFiles-control.MostFiles, l.MemoryMB<<20/3/clientConnBytes)
+	return max(n, minClientConns)
 }
 
-// easy is how many connections of clients may be without a request: half of the third of all descriptors that
+// idleClientConns is the limit on client connections without a request: half of the third of all descriptors that
 // clients hold at most.
-func (l limits) easy() int { return l.Sockets / 6 }
+func (l resourceLimits) idleClientConns() int { return l.Sockets / 6 }
 
-// target is how many connections one target's pool may hold: more than the module ever has out there,
-// overdue attempts and answers that pass through slowly included, where the descriptors allow it.
-func (l limits) target() int { return min(160, l.allTargets()) }
+// connsPerTarget is the limit on one target's connection pool. Where the descriptors allow it, that is more than the
+// scheduler ever has outstanding at a target, including overdue attempts and responses that are streamed slowly.
+func (l resourceLimits) connsPerTarget() int { return min(160, l.targetConns()) }
 
-// allTargets is how many connections all targets' pools may hold together.
-func (l limits) allTargets() int {
-	return max(min(l.Sockets*3/10, l.Sockets-spareFiles-control.MostFiles-fewClients), fewTargets)
+// targetConns is the limit on the connection pools of all targets together.
+func (l resourceLimits) targetConns() int {
+	return max(min(l.Sockets*3/10, l.Sockets-reservedFiles-control.MostFiles-minClientConns), minTargetConns)
 }
 
-// held is how many bytes may be held at a time.
-func (l limits) held() int64 { return int64(l.MemoryMB) << 20 / 4 }
+// heldBytes is the limit on the bytes of bodies that are buffered at a time: a quarter of the memory.
+func (l resourceLimits) heldBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
 
-// shares bounds everything that the limits are for.
-type shares struct {
-	limits  limits
-	room    *budget.Bytes
-	up      *upstream.Registry
-	clients *front.Server
-	core    *core.Core
+// limitDivider applies the limits to everything that they bound. Processes of one process group share the limits equally.
+type limitDivider struct {
+	limits     resourceLimits
+	byteBudget *budget.Bytes
+	up         *upstream.Registry
+	front      *front.Server
+	core       *core.Core
 
-	mu    sync.Mutex
-	parts int
-	given int64 // of room
+	mu         sync.Mutex // guards limits and the fields below, and orders the calls of apply
+	processes  int        // live processes that share the limits
+	givenBytes int64      // added to byteBudget so far
 }
 
-// divide has this process keep to its part, where so many share the limits.
-func (s *shares) divide(parts int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.parts = parts
-	s.share()
+// setProcesses limits this process to its share where n processes share the limits.
+func (d *limitDivider) setProcesses(n int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.processes = n
+	d.apply()
 }
 
-// grant has the processes share other limits.
-func (s *shares) grant(l limits) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if l != s.limits {
-		s.limits = l
-		s.share()
+// setLimits replaces the limits that the processes share.
+func (d *limitDivider) setLimits(l resourceLimits) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if l != d.limits {
+		d.limits = l
+		d.apply()
 	}
 }
 
-func (s *shares) share() {
-	part := s.limits.of(s.parts)
-	debug.SetMemoryLimit(int64(part.MemoryMB) << 20 * 7 / 10)
-	s.room.Give(part.held() - s.given)
-	s.given = part.held()
-	s.up.Bound(part.target(), part.allTargets())
-	s.clients.Bound(part.clients(), part.easy())
-	s.core.Share(s.parts)
+// apply sets the bounds of this process's share. The caller holds mu.
+func (d *limitDivider) apply() {
+	own := d.limits.forProcesses(d.processes)
+	debug.SetMemoryLimit(int64(own.MemoryMB) << 20 * 7 / 10)
+	d.byteBudget.Give(own.heldBytes() - d.givenBytes)
+	d.givenBytes = own.heldBytes()
+	d.up.Bound(own.connsPerTarget(), own.targetConns())
+	d.front.Bound(own.clientConns(), own.idleClientConns())
+	d.core.Share(d.processes)
 }
--- a/internal/process/instance/load.go
+++ b/internal/process/instance/load.go
@@ -7,12 +7,13 @@
 	"spindlehitch/internal/process/config"
 )
 
-// Load reads the platform's configuration and, where one is named, the operator's file.
+// Load reads the platform's configuration and, if operator is the path of one, the operator's file.
 func Load(getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
-	return read(config.Load, getenv, operator)
+	return loadFiles(config.Load, getenv, operator)
 }
 
-func read(load func(func(string) string) (*config.Config, error), getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
+// loadFiles reads the configuration with load, and the operator's file.
+func loadFiles(load func(func(string) string) (*config.Config, error), getenv func(string) string, operator string) (*config.Config, *config.OperatorFile, error) {
 	cfg, err := load(getenv)
 	if err != nil || operator == "" {
 		return cfg, &config.OperatorFile{}, err
@@ -21,15 +22,17 @@
 	return cfg, op, err
 }
 
-// Reloads reads the configuration and the operator's file again at each SIGHUP and passes on where discovery is and which
-// namespaces there are from then on; the rest of them waits for the next start. What cannot be served changes nothing.
+// ReloadOnSignal reads the configuration and the operator's file again at each signal (SIGHUP) and sends the address of
+// discovery and the namespaces on the returned channel; everything else in the files takes effect at the next start. An
+// invalid configuration is logged and changes nothing. The goroutine ends when hup is closed; the returned channel is
+// never closed.
 func ReloadOnSignal(hup <-chan os.Signal, getenv func(string) string, discovery, operator string, log *slog.Logger) <-chan Change {
 	changes := make(chan Change)
 	go func() {
 		for range hup {
-			cfg, op, err := read(config.Reload, getenv, operator)
+			cfg, op, err := loadFiles(config.Reload, getenv, operator)
 			if err != nil {
-				notTaken(log, slog.Any("error", err))
+				logRejected(log, slog.Any("error", err))
 				continue
 			}
 			log.Info("configuration taken", slog.String("discovery", cfg.Discovery))
@@ -49,7 +52,7 @@
 	return changes
 }
 
-// notTaken logs a configuration that cannot be served and changes nothing.
-func notTaken(log *slog.Logger, about ...any) {
-	log.Error("configuration not taken", append([]any{slog.String("reason", "BAD_CONFIG")}, about...)...)
+// logRejected logs a configuration that was rejected.
+func logRejected(log *slog.Logger, attrs ...any) {
+	log.Error("configuration not taken", append([]any{slog.String("reason", "BAD_CONFIG")}, attrs...)...)
 }
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -12,38 +12,39 @@
 	"spindlehitch/internal/process/config"
 )
 
-// newPeers is this instance among those that know each other; nil where the operator's file has none of it.
-func newPeers(cfg *config.Config, op *config.OperatorFile, shared bool, log *slog.Logger) (*transport.Runner, error) {
+// newMembership returns this instance's member of the membership group, or nil if the operator's file configures none.
+func newMembership(cfg *config.Config, op *config.OperatorFile, reusePort bool, log *slog.Logger) (*transport.Runner, error) {
 	if op.Fleet == nil || op.Fleet.Members == nil {
 		return nil, nil
 	}
-	o := op.Fleet.Members
-	set := membership.DefaultConfig
+	opt := op.Fleet.Members
+	timing := membership.DefaultConfig
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	set.ProbeInterval, set.ProbeTimeout, set.PauseThreshold, set.SyncInterval = ms(o.ProbeMs), ms(o.TimeoutMs), ms(o.PauseMs), ms(o.CompareMs)
-	set.TombstoneTTL = time.Duration(o.ForgetS) * time.Second
-	return transport.New(transport.Options{Name: cfg.Name, Bind: o.Bind, Advertise: o.Advertise, Zone: o.Zone, FleetKey: o.Key, Seeds: o.Seeds,
-		Config: set, AllowOtherPort: shared, Log: log})
+	timing.ProbeInterval, timing.ProbeTimeout, timing.PauseThreshold, timing.SyncInterval = ms(opt.ProbeMs), ms(opt.TimeoutMs), ms(opt.PauseMs), ms(opt.CompareMs)
+	timing.TombstoneTTL = time.Duration(opt.ForgetS) * time.Second
+	return transport.New(transport.Options{Name: cfg.Name, Bind: opt.Bind, Advertise: opt.Advertise, Zone: opt.Zone, FleetKey: opt.Key, Seeds: opt.Seeds,
+		Config: timing, AllowOtherPort: reusePort, Log: log})
 }
 
-// tellsOf is what a member tells others of itself: how many requests are open, and an agent that has answered it.
-func tellsOf(c *core.Core, part *quotasession.Session) func() (uint16, string) {
+// localState returns the function that supplies the state a member gossips about itself: the number of its open requests,
+// and an agent that answered it recently.
+func localState(c *core.Core, session *quotasession.Session) func() (uint16, string) {
 	return func() (uint16, string) {
 		agent := ""
-		if part != nil {
-			agent = part.ReachableAgent()
+		if session != nil {
+			agent = session.ReachableAgent()
 		}
-		return loadOf(c), agent
+		return openRequests(c), agent
 	}
 }
 
-// loadOf is what an instance bears: its open requests.
-func loadOf(c *core.Core) uint16 { return uint16(min(c.Open(), math.MaxUint16)) }
+// openRequests is an instance's load: the number of its open requests.
+func openRequests(c *core.Core) uint16 { return uint16(min(c.Open(), math.MaxUint16)) }
 
-// endedNames are those whom a member holds dead or gone, for whoever plans.
-func endedNames(p *transport.Runner) []string {
+// endedInstances are the names of the instances that the membership considers dead or gone, for the lease planner.
+func endedInstances(members *transport.Runner) []string {
 	var names []string
-	for _, v := range p.EndedInstances() {
+	for _, v := range members.EndedInstances() {
 		names = append(names, v.Name)
 	}
 	return names
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -14,8 +14,8 @@
 	"spindlehitch/internal/process/config"
 )
 
-// host is this initiator as a host of its targets.
-func host(n *config.NVMe, certs *keys.Keys) nvme.HostOptions {
+// nvmeHostOptions configures this initiator as an NVMe host of its targets.
+func nvmeHostOptions(n *config.NVMe, certs *keys.Keys) nvme.HostOptions {
 	h := nvme.HostOptions{Subsystem: n.TargetSubsystem, HostNQN: n.HostNQN, Digests: n.Digests,
 		KeepAlive: time.Duration(n.KeepAliveMs) * time.Millisecond, Keys: certs}
 	id, _ := hex.DecodeString(n.HostID)
@@ -23,20 +23,20 @@
 	return h
 }
 
-// about is this initiator as its hosts' controller. Connections and data held have their part of the
-// process's limits.
-func about(n *config.NVMe, c *config.Config, certs *keys.Keys, numbers *figures.Book, leave core.Leave, log *slog.Logger) nvme.Options {
-	own := limits(c.Limits)
-	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: namespaces(n.Namespaces), QueueDepth: n.QueueDepth,
-		MostConn: own.clients(), MostBytes: own.held(), Patience: map[string]time.Duration{},
-		Log: log, Keys: certs, Figures: numbers, Leave: leave}
+// nvmeControllerOptions configures this initiator as the NVMe controller that hosts connect to. The bounds on connections
+// and on held data derive from the process's limits.
+func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Keys, metrics *figures.Book, leave core.Leave, log *slog.Logger) nvme.Options {
+	limits := resourceLimits(c.Limits)
+	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
+		MostConn: limits.clientConns(), MostBytes: limits.heldBytes(), Patience: map[string]time.Duration{},
+		Log: log, Keys: certs, Figures: metrics, Leave: leave}
 	for _, k := range c.Policy.Classes {
 		o.Patience[k.Name] = k.Deadline
 	}
 	return o
 }
 
-func namespaces(list []config.Namespace) []nvme.Namespace {
+func nvmeNamespaces(list []config.Namespace) []nvme.Namespace {
 	out := make([]nvme.Namespace, len(list))
 	for i, n := range list {
 		out[i] = nvme.Namespace(n)
@@ -44,38 +44,38 @@
 	return out
 }
 
-// passive is a part that only wants to hear of changes.
+// passive is the Start and Stop of a component that only applies configuration changes.
 type passive struct{}
 
-// Start implements Part.
+// Start implements Component.
 func (passive) Start(context.Context) error { return nil }
 
-// Stop implements Part.
+// Stop implements Component.
 func (passive) Stop(context.Context) error { return nil }
 
-// spaces has a front's namespaces follow the operator's file.
-type spaces struct {
+// namespaceUpdater replaces the NVMe controller's namespaces with those of a reloaded operator's file.
+type namespaceUpdater struct {
 	passive
 	front *nvme.Server
 }
 
-// Reload implements reloader.
-func (s spaces) Reload(c Change) error {
+// ApplyChange implements changeApplier.
+func (u namespaceUpdater) ApplyChange(c Change) error {
 	if c.Namespaces != nil {
-		s.front.Update(namespaces(c.Namespaces))
+		u.front.Update(nvmeNamespaces(c.Namespaces))
 	}
 	return nil
 }
 
-// certificates are read again at each reload.
-type certificates struct {
+// certificateReloader reads the certificate files again at each configuration change.
+type certificateReloader struct {
 	passive
 	keys *keys.Keys
 }
 
-// Reload implements reloader.
-func (c certificates) Reload(Change) error {
-	if err := c.keys.Reload(); err != nil {
+// ApplyChange implements changeApplier.
+func (r certificateReloader) ApplyChange(Change) error {
+	if err := r.keys.Reload(); err != nil {
 		return fmt.Errorf("nvme.tls.%w", err)
 	}
 	return nil
--- /dev/null
+++ b/internal/process/instance/process_group.go
@@ -0,0 +1,75 @@
+package instance
+
+import (
+	"context"
+	"log/slog"
+	"os"
+	"sync"
+
+	"spindlehitch/internal/process/handover"
+)
+
+// processGroup is this process's membership in the process group of its initiator: during an upgrade the processes share the
+// initiator's limits, and an older process learns that a younger one serves. There can only be several processes if they
+// inherit the clients' listening socket. If the group's folder can't be used, the process runs as if it were alone.
+type processGroup struct {
+	name           string
+	log            *slog.Logger
+	onProcessCount func(processes int)
+	superseded     chan struct{} // closed by watchGroup once a younger process serves
+	supersededOnce sync.Once
+	group          *handover.Group // nil: not joined
+	loop
+}
+
+func newProcessGroup(name string, log *slog.Logger, onProcessCount func(int)) *processGroup {
+	g := &processGroup{name: name, log: log, onProcessCount: onProcessCount, superseded: make(chan struct{})}
+	g.run = g.watchGroup
+	return g
+}
+
+// Start implements Component.
+func (g *processGroup) Start(ctx context.Context) error {
+	joined, err := handover.Join(os.TempDir(), g.name, g.log)
+	if err != nil {
+		g.logFailure(err)
+		return nil
+	}
+	g.group = joined
+	return g.loop.Start(ctx)
+}
+
+// Stop implements Component.
+func (g *processGroup) Stop(ctx context.Context) error {
+	if g.group == nil {
+		return nil
+	}
+	defer g.group.Close()
+	return g.loop.Stop(ctx)
+}
+
+// logFailure logs that the other processes don't see this process's state.
+func (g *processGroup) logFailure(err error) {
+	g.log.Warn("handover not told", slog.String("reason", "HANDOVER_FAILED"), slog.Any("error", err))
+}
+
+// watchGroup follows the other processes' states until the context ends.
+func (g *processGroup) watchGroup(ctx context.Context) {
+	g.group.Watch(ctx, func(v handover.View) {
+		g.log.Info("processes", slog.Int("alive", v.Parts), slog.Bool("succeeded", v.Leave))
+		g.onProcessCount(v.Parts)
+		if v.Leave {
+			g.supersededOnce.Do(func() { close(g.superseded) })
+		}
+	})
+}
+
+// enterPhase publishes this process's phase to the others; on a nil group it does nothing.
+func (g *processGroup) enterPhase(p handover.Phase) {
+	if g == nil || g.group == nil {
+		return
+	}
+	if err := g.group.Enter(p); err != nil {
+		g.logFailure(err)
+	}
+}
