--- a/internal/process/handover/decide.go
+++ b/internal/process/handover/decide.go
@@ -1,38 +1,39 @@
-// Package handover lets the processes of one initiator share its limits and hand its clients over during an upgrade. They
-// agree by files in a folder that all of them see, or not at all.
+// Package handover lets the processes of one initiator share its limits and hand clients over to a successor during an
+// upgrade. Each process publishes its state in a file of a folder that all of them can read; there is no other channel
+// between them.
 package handover
 
-// Phase is how far a process has come.
+// Phase is a step in the life of a process.
 type Phase int
 
 // The phases of a process, in order.
 const (
 	Starting Phase = iota
-	Serving        // it takes clients
-	Leaving        // it takes no more
+	Serving        // accepts clients
+	Leaving        // no longer accepts clients
 )
 
-// Member is what is seen of one live process.
+// Member is the state of one live process.
 type Member struct {
-	Started int64 // Unix time in nanoseconds; 0: its file tells nothing that can be used
-	PID     int
-	Phase   Phase
+	StartedAt int64 // Unix time in nanoseconds; 0: its state file can't be read
+	PID       int
+	Phase     Phase
 }
 
-// View is what follows from what is seen.
+// View is what a process concludes from the states of all live processes.
 type View struct {
-	Parts int  // live processes that the limits are for
-	Leave bool // a younger one serves
+	Processes  int  // live processes that share the limits, including this one
+	Superseded bool // a younger process serves
 }
 
-// decide says what a process does that sees these others alive. One whose file cannot be read counts for the limits and for
-// nothing else.
-func decide(me Member, others []Member) View {
-	v := View{Parts: 1}
+// viewOf returns the view of a process with these other live processes. One whose state file can't be read counts towards
+// Processes only.
+func viewOf(self Member, others []Member) View {
+	v := View{Processes: 1}
 	for _, o := range others {
-		v.Parts++
-		younger := o.Started > me.Started || o.Started == me.Started && o.PID > me.PID
-		v.Leave = v.Leave || o.Started > 0 && o.Phase == Serving && younger
+		v.Processes++
+		younger := o.StartedAt > self.StartedAt || o.StartedAt == self.StartedAt && o.PID > self.PID
+		v.Superseded = v.Superseded || o.StartedAt > 0 && o.Phase == Serving && younger
 	}
 	return v
 }
--- a/internal/process/handover/handover.go
+++ b/internal/process/handover/handover.go
@@ -19,28 +19,28 @@
 
 const (
 	version = 1
-	// lookEvery is how often a process looks at the others. Theirs are a few calls on files of some dozen bytes.
-	lookEvery = 100 * time.Millisecond
-	// mostFile bounds what is read of a file, and mostMembers how many are looked at.
-	mostFile    = 256
-	mostMembers = 64
+	// pollInterval is how often a process reads the others' state: a few system calls on files of a few dozen bytes.
+	pollInterval = 100 * time.Millisecond
+	// maxFileBytes bounds what is read of a state file, and maxMembers how many other processes are observed.
+	maxFileBytes = 256
+	maxMembers   = 64
 )
 
-// Group is one process's part in the processes of an initiator.
+// Group is one process's membership in the group of an initiator's processes.
 type Group struct {
-	dir  string
-	name string
-	log  *slog.Logger
-	mu   sync.Mutex
-	me   Member
-	lock *os.File
+	dir    string
+	prefix string // of the names of the group's files
+	log    *slog.Logger
+	mu     sync.Mutex // guards self and the writes of its state file
+	self   Member
+	lock   *os.File // locked by flock while the process lives
 }
 
-// Join has this process take part: its lock is held until Close, or its end. The folder has to be there.
+// Join adds this process to the group. It holds its lock until Close or until the process ends. The folder must exist.
 func Join(dir, name string, log *slog.Logger) (*Group, error) {
-	g := &Group{dir: dir, name: "handover-" + url.PathEscape(name) + "-", log: log,
-		me: Member{Started: time.Now().UnixNano(), PID: os.Getpid()}}
-	f, err := os.OpenFile(g.path(g.me.PID, lockEnd), os.O_RDWR|os.O_CREATE, 0o600)
+	g := &Group{dir: dir, prefix: "handover-" + url.PathEscape(name) + "-", log: log,
+		self: Member{StartedAt: time.Now().UnixNano(), PID: os.Getpid()}}
+	f, err := os.OpenFile(g.path(g.self.PID, lockSuffix), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -49,57 +49,57 @@
 		return nil, fmt.Errorf("lock: %w", err)
 	}
 	g.lock = f
-	return g, g.write()
+	return g, g.writeState()
 }
 
 const (
-	lockEnd  = ".lock"
-	stateEnd = ".state"
+	lockSuffix  = ".lock"
+	stateSuffix = ".state"
 )
 
-func (g *Group) path(pid int, end string) string {
-	return filepath.Join(g.dir, g.name+strconv.Itoa(pid)+end)
+func (g *Group) path(pid int, suffix string) string {
+	return filepath.Join(g.dir, g.prefix+strconv.Itoa(pid)+suffix)
 }
 
-// Enter tells the others that this process has come to a phase.
-func (g *Group) Enter(p Phase) error {
+// SetPhase publishes this process's phase to the others.
+func (g *Group) SetPhase(p Phase) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if p <= g.me.Phase {
-		return nil // it does not go back
+	if p <= g.self.Phase {
+		return nil // phases only advance
 	}
-	g.me.Phase = p
-	return g.write()
+	g.self.Phase = p
+	return g.writeState()
 }
 
-// write replaces the state's file as a whole, so that nobody reads half of one.
-func (g *Group) write() error {
-	body := fmt.Sprintf("%d %d %d %d", version, g.me.Started, g.me.PID, g.me.Phase)
-	next := g.path(g.me.PID, ".next")
+// writeState replaces the state file atomically, so that no process reads a partial one.
+func (g *Group) writeState() error {
+	body := fmt.Sprintf("%d %d %d %d", version, g.self.StartedAt, g.self.PID, g.self.Phase)
+	next := g.path(g.self.PID, ".next")
 	if err := os.WriteFile(next, fmt.Appendf(nil, "%s %08x\n", body, crc32.ChecksumIEEE([]byte(body))), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, g.path(g.me.PID, stateEnd))
+	return os.Rename(next, g.path(g.self.PID, stateSuffix))
 }
 
-// parse reads a state; what is of another version, cut or changed is none.
-func parse(b []byte) (m Member, err error) {
-	line, whole := strings.CutSuffix(string(b), "\n")
+// parseState parses a state file. It rejects one of another version, and one that is truncated or altered.
+func parseState(b []byte) (m Member, err error) {
+	line, complete := strings.CutSuffix(string(b), "\n")
 	at := strings.LastIndexByte(line, ' ')
-	if !whole || at < 0 || line[at+1:] != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(line[:at]))) {
-		return m, errors.New("cut or garbled")
+	if !complete || at < 0 || line[at+1:] != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(line[:at]))) {
+		return m, errors.New("truncated or corrupt")
 	}
 	v := 0
-	if n, err := fmt.Sscanf(line[:at], "%d %d %d %d", &v, &m.Started, &m.PID, &m.Phase); v != version || n != 4 || err != nil {
-		return Member{}, fmt.Errorf("version %d is not known here", v)
+	if n, err := fmt.Sscanf(line[:at], "%d %d %d %d", &v, &m.StartedAt, &m.PID, &m.Phase); v != version || n != 4 || err != nil {
+		return Member{}, fmt.Errorf("unknown version %d", v)
 	}
 	return m, nil
 }
 
-// Look tells what follows from the others as they are now.
-func (g *Group) Look() (View, error) {
+// Observe reads the states of the other processes and returns the resulting view.
+func (g *Group) Observe() (View, error) {
 	g.mu.Lock()
-	me := g.me
+	me := g.self
 	g.mu.Unlock()
 	entries, err := os.ReadDir(g.dir)
 	if err != nil {
@@ -107,29 +107,29 @@
 	}
 	var others []Member
 	for _, e := range entries {
-		id, ours := strings.CutPrefix(e.Name(), g.name)
-		id, isLock := strings.CutSuffix(id, lockEnd)
+		id, isOurs := strings.CutPrefix(e.Name(), g.prefix)
+		id, isLock := strings.CutSuffix(id, lockSuffix)
 		pid, err := strconv.Atoi(id)
-		if !ours || !isLock || err != nil || pid == me.PID || len(others) == mostMembers {
+		if !isOurs || !isLock || err != nil || pid == me.PID || len(others) == maxMembers {
 			continue
 		}
-		if g.ended(pid) {
+		if g.removeIfEnded(pid) {
 			continue
 		}
 		m := Member{PID: pid}
-		if b, err := readSome(g.path(pid, stateEnd)); err == nil {
-			if told, err := parse(b); err == nil && told.PID == pid {
-				m = told
+		if b, err := readLimited(g.path(pid, stateSuffix)); err == nil {
+			if state, err := parseState(b); err == nil && state.PID == pid {
+				m = state
 			}
 		}
 		others = append(others, m)
 	}
-	return decide(me, others), nil
+	return viewOf(me, others), nil
 }
 
-// ended tells whether nobody holds the lock of that process, and takes its files away then.
-func (g *Group) ended(pid int) bool {
-	f, err := os.OpenFile(g.path(pid, lockEnd), os.O_RDWR, 0)
+// removeIfEnded reports whether a process has ended, which is so if its lock is free, and then removes its files.
+func (g *Group) removeIfEnded(pid int) bool {
+	f, err := os.OpenFile(g.path(pid, lockSuffix), os.O_RDWR, 0)
 	if err != nil {
 		return errors.Is(err, os.ErrNotExist)
 	}
@@ -137,39 +137,41 @@
 	if unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB) != nil {
 		return false
 	}
-	for _, end := range []string{stateEnd, ".next", lockEnd} {
-		os.Remove(g.path(pid, end))
+	for _, suffix := range []string{stateSuffix, ".next", lockSuffix} {
+		os.Remove(g.path(pid, suffix))
 	}
 	return true
 }
 
-func readSome(path string) ([]byte, error) {
+// readLimited reads up to maxFileBytes of a file.
+func readLimited(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b := make([]byte, mostFile)
+	b := make([]byte, maxFileBytes)
 	n, err := f.Read(b)
 	return b[:n], err
 }
 
-// Watch tells each view that differs from the one before, the first from a single process's, until the context ends.
-func (g *Group) Watch(ctx context.Context, tell func(View)) {
-	tick := time.NewTicker(lookEvery)
+// Watch calls onChange with each view that differs from the one before, until the context ends. The view before the first is
+// that of a single process.
+func (g *Group) Watch(ctx context.Context, onChange func(View)) {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	last, deaf := View{Parts: 1}, false // deaf: a look has failed, and that was logged
+	last, failureLogged := View{Processes: 1}, false // only the first failure is logged
 	for {
-		v, err := g.Look()
+		v, err := g.Observe()
 		switch {
 		case err != nil:
-			if !deaf {
-				deaf = true
+			if !failureLogged {
+				failureLogged = true
 				g.log.Warn("handover not seen", slog.String("reason", "HANDOVER_FAILED"), slog.Any("error", err))
 			}
 		case v != last:
 			last = v
-			tell(v)
+			onChange(v)
 		}
 		select {
 		case <-ctx.Done():
@@ -179,9 +181,9 @@
 	}
 }
 
-// Close takes this process out of the group.
+// Close removes this process from the group.
 func (g *Group) Close() {
-	os.Remove(g.path(g.me.PID, stateEnd))
-	os.Remove(g.path(g.me.PID, lockEnd))
+	os.Remove(g.path(g.self.PID, stateSuffix))
+	os.Remove(g.path(g.self.PID, lockSuffix))
 	g.lock.Close()
 }
--- a/internal/process/handover/handover_test.go
+++ b/internal/process/handover/handover_test.go
@@ -15,7 +15,8 @@
 	"spindlehitch/internal/testbed/seeded"
 )
 
-// TestMain is also the other process: it joins, says so, and stays until it is killed.
+// TestMain is also the main function of the processes that startProcess starts: such a process joins the group, prints "joined"
+// and stays until it is killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("HANDOVER_TEST_DIR"); dir != "" {
 		g, err := Join(dir, "n1", slog.New(slog.DiscardHandler))
@@ -23,15 +24,15 @@
 			os.Exit(3)
 		}
 		phase, _ := strconv.Atoi(os.Getenv("HANDOVER_TEST_PHASE"))
-		_ = g.Enter(Phase(phase))
+		_ = g.SetPhase(Phase(phase))
 		os.Stdout.WriteString("joined\n")
 		time.Sleep(time.Minute)
 	}
 	seeded.Main(m)
 }
 
-// other starts a process that is in the phase.
-func other(t *testing.T, dir string, p Phase) *exec.Cmd {
+// startProcess starts another process and waits until it has joined in the phase.
+func startProcess(t *testing.T, dir string, p Phase) *exec.Cmd {
 	t.Helper()
 	c := exec.Command(os.Args[0])
 	c.Env = append(os.Environ(), "HANDOVER_TEST_DIR="+dir, "HANDOVER_TEST_PHASE="+strconv.Itoa(int(p)))
@@ -49,82 +50,82 @@
 	return c
 }
 
-func look(t *testing.T, g *Group, want View) {
+func requireView(t *testing.T, g *Group, want View) {
 	t.Helper()
-	if got, err := g.Look(); err != nil || got != want {
-		t.Errorf("seen %+v, %v; want %+v", got, err, want)
+	if got, err := g.Observe(); err != nil || got != want {
+		t.Errorf("observed %+v, %v; want %+v", got, err, want)
 	}
 }
 
-// TestProcesses is two upgrades in a row, with real processes: they count while they live, in whatever way they end, and
-// the older leaves for a younger one that serves, not for one that never gets there.
-func TestProcesses(t *testing.T) {
+// TestTwoUpgrades runs two upgrades with real processes: a process counts while it lives, however it ends, and an older one is
+// superseded by a younger one that serves, but not by one that never gets to serve.
+func TestTwoUpgrades(t *testing.T) {
 	dir := t.TempDir()
 	g, err := Join(dir, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = g.Enter(Serving)
-	look(t, g, View{Parts: 1})
-	stuck := other(t, dir, Starting)
-	look(t, g, View{Parts: 2})
-	next := other(t, dir, Serving)
-	look(t, g, View{Parts: 3, Leave: true})
-	if got := decide(Member{Started: time.Now().UnixNano()}, []Member{{Started: g.me.Started, Phase: Serving}}); got.Leave {
-		t.Error("the younger one leaves for the older")
+	_ = g.SetPhase(Serving)
+	requireView(t, g, View{Processes: 1})
+	stuck := startProcess(t, dir, Starting)
+	requireView(t, g, View{Processes: 2})
+	next := startProcess(t, dir, Serving)
+	requireView(t, g, View{Processes: 3, Superseded: true})
+	if got := viewOf(Member{StartedAt: time.Now().UnixNano()}, []Member{{StartedAt: g.self.StartedAt, Phase: Serving}}); got.Superseded {
+		t.Error("the younger process is superseded by the older one")
 	}
 	_ = next.Process.Kill()
 	_ = next.Wait()
-	look(t, g, View{Parts: 2})
+	requireView(t, g, View{Processes: 2})
 	_ = stuck.Process.Kill()
 	_ = stuck.Wait()
-	look(t, g, View{Parts: 1})
-	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 2 {
-		t.Errorf("files left: %q, want this process's two", left)
+	requireView(t, g, View{Processes: 1})
+	if files, _ := filepath.Glob(filepath.Join(dir, "*")); len(files) != 2 {
+		t.Errorf("files left: %q; want only the two of this process", files)
 	}
 	g.Close()
-	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) != 0 {
-		t.Errorf("files left at the end: %q", left)
+	if files, _ := filepath.Glob(filepath.Join(dir, "*")); len(files) != 0 {
+		t.Errorf("files left after Close: %q", files)
 	}
 }
 
-// TestBrokenFiles is about a live process whose file is missing, cut, garbled or of another version: it counts for the limits
-// and is no successor.
-func TestBrokenFiles(t *testing.T) {
+// TestUnreadableState has a live process whose state file is missing, truncated, corrupt or of another version: it counts
+// towards the processes that share the limits, and is no successor.
+func TestUnreadableState(t *testing.T) {
 	dir := t.TempDir()
 	g, err := Join(dir, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Close()
-	c := other(t, dir, Serving)
-	path := g.path(c.Process.Pid, stateEnd)
-	whole, err := os.ReadFile(path)
+	c := startProcess(t, dir, Serving)
+	path := g.path(c.Process.Pid, stateSuffix)
+	state, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, text := range []string{"", string(whole[:len(whole)-2]), "2" + string(whole[1:]), "x" + string(whole), string(whole) + string(whole)} {
+	for _, text := range []string{"", string(state[:len(state)-2]), "2" + string(state[1:]), "x" + string(state), string(state) + string(state)} {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		look(t, g, View{Parts: 2})
+		requireView(t, g, View{Processes: 2})
 	}
 	os.Remove(path)
-	look(t, g, View{Parts: 2})
-	// Names that are nobody's.
-	_ = os.WriteFile(filepath.Join(dir, g.name+"x"+lockEnd), nil, 0o600)
-	_ = os.WriteFile(filepath.Join(dir, "handover-other-1"+lockEnd), nil, 0o600)
-	look(t, g, View{Parts: 2})
+	requireView(t, g, View{Processes: 2})
+	// Names that belong to no process of the group.
+	_ = os.WriteFile(filepath.Join(dir, g.prefix+"x"+lockSuffix), nil, 0o600)
+	_ = os.WriteFile(filepath.Join(dir, "handover-other-1"+lockSuffix), nil, 0o600)
+	requireView(t, g, View{Processes: 2})
 }
 
-// TestNoFolder checks that a process without a folder is told so at once.
-func TestNoFolder(t *testing.T) {
+// TestJoinMissingFolder checks that Join fails if the folder is missing.
+func TestJoinMissingFolder(t *testing.T) {
 	if _, err := Join(filepath.Join(t.TempDir(), "none"), "n1", slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("joined in a folder that is not there")
+		t.Error("joined in a missing folder")
 	}
 }
 
-// TestWatch tells a view once for each change.
+// TestWatch checks that Watch reports a view once for each change.
 func TestWatch(t *testing.T) {
 	dir := t.TempDir()
 	g, err := Join(dir, "n1", slog.New(slog.DiscardHandler))
@@ -136,42 +137,42 @@
 	defer stop()
 	views := make(chan View, 16)
 	go g.Watch(ctx, func(v View) { views <- v })
-	c := other(t, dir, Starting)
-	if got := <-views; got != (View{Parts: 2}) {
-		t.Errorf("told %+v", got)
+	c := startProcess(t, dir, Starting)
+	if got := <-views; got != (View{Processes: 2}) {
+		t.Errorf("reported %+v", got)
 	}
 	_ = c.Process.Kill()
 	_ = c.Wait()
-	if got := <-views; got != (View{Parts: 1}) {
-		t.Errorf("told %+v", got)
+	if got := <-views; got != (View{Processes: 1}) {
+		t.Errorf("reported %+v", got)
 	}
 }
 
-// TestStateCuts cuts and changes a state anywhere, and feeds garbage: nothing but the whole of it passes.
-func TestStateCuts(t *testing.T) {
+// TestCorruptState truncates and alters a state anywhere, and parses random bytes: only the unaltered state is accepted.
+func TestCorruptState(t *testing.T) {
 	dir := t.TempDir()
 	g, err := Join(dir, "n1", slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer g.Close()
-	whole, err := os.ReadFile(g.path(g.me.PID, stateEnd))
+	whole, err := os.ReadFile(g.path(g.self.PID, stateSuffix))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, err := parse(whole); err != nil || m != g.me {
+	if m, err := parseState(whole); err != nil || m != g.self {
 		t.Fatalf("%q read as %+v, %v", whole, m, err)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		if m, err := parse(whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]); err == nil {
-			t.Fatalf("a cut passed as %+v", m)
+		if m, err := parseState(whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]); err == nil {
+			t.Fatalf("a truncated state was parsed as %+v", m)
 		}
 		changed := append([]byte(nil), whole...)
 		at := rapid.IntRange(0, len(whole)-1).Draw(t, "at")
 		changed[at] ^= rapid.ByteRange(1, 255).Draw(t, "by")
-		if m, err := parse(changed); err == nil && m != g.me {
-			t.Fatalf("%q passed as %+v", changed, m)
+		if m, err := parseState(changed); err == nil && m != g.self {
+			t.Fatalf("%q was parsed as %+v", changed, m)
 		}
-		_, _ = parse(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
+		_, _ = parseState(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 }
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -30,185 +30,185 @@
 	return watchstream.Record{Kind: watchstream.Targets, Key: id, Version: version, Value: fmt.Appendf(nil, `{"id":%q,"addr":"127.0.0.1:1","cell":0,"state":%q,"started_ms":%d}`, id, state, started)}
 }
 
-// started is a joint that runs until the test ends, and what is told of it.
-func startMerger(t *testing.T, tell func(*listing.List)) *targetMerger {
-	j := newTargetMerger(tell)
-	require.NoError(t, j.Start(t.Context()))
-	t.Cleanup(func() { require.NoError(t, j.Stop(context.Background())) })
-	return j
+// startMerger starts a merger that runs until the test ends.
+func startMerger(t *testing.T, publish func(*listing.List)) *targetMerger {
+	m := newTargetMerger(publish)
+	require.NoError(t, m.Start(t.Context()))
+	t.Cleanup(func() { require.NoError(t, m.Stop(context.Background())) })
+	return m
 }
 
-// TestJoint has both sources tell at once: those who listen hear one list after the other, first a whole one, and the feed's word has been
-// heard by all when hear returns.
+// TestTargetMerger has both sources send lists at the same time: the listener gets one list after the other, first a full one, and has applied
+// a list of the feed when applyFeed returns.
 func TestTargetMerger(t *testing.T) {
-	view := map[string]listing.Entry{} // with no lock: it is one goroutine's
-	told := 0
-	var mu sync.Mutex // for the looks of this test
-	j := startMerger(t, func(l *listing.List) {
-		if l.Full != (told == 0) {
-			t.Errorf("list %d: full is %v", told, l.Full)
+	view := map[string]listing.Entry{}
+	lists := 0        // without a lock: only the merger's goroutine calls publish
+	var mu sync.Mutex // guards view, which this test reads too
+	m := startMerger(t, func(l *listing.List) {
+		if l.Full != (lists == 0) {
+			t.Errorf("list %d: full is %v", lists, l.Full)
 		}
-		told++
+		lists++
 		mu.Lock()
 		defer mu.Unlock()
 		for _, e := range l.Servers {
 			view[e.ID] = e
 		}
 	})
-	var both sync.WaitGroup
-	both.Go(func() {
+	var sources sync.WaitGroup
+	sources.Go(func() {
 		for i := range 200 {
-			j.putDiscovery(&listing.List{Servers: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
+			m.putDiscovery(&listing.List{Servers: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
 		}
 	})
-	both.Go(func() {
+	sources.Go(func() {
 		for i := range 200 {
 			id := fmt.Sprint("t", i)
-			j.applyFeed(&listing.List{Servers: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
+			m.applyFeed(&listing.List{Servers: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
 			mu.Lock()
 			if view[id].State != "DRAINING" {
-				t.Errorf("%s drains by the feed, and is %q where it is listened to", id, view[id].State)
+				t.Errorf("%s is draining in the feed, but %q at the listener", id, view[id].State)
 			}
 			mu.Unlock()
 		}
 	})
-	both.Wait()
-	j.applyFeed(&listing.List{}, false) // all before it is heard
+	sources.Wait()
+	m.applyFeed(&listing.List{}, false) // when it returns, all earlier updates have been applied
 	for id, e := range view {
 		require.Equal(t, "DRAINING", e.State, id)
 	}
 	require.Len(t, view, 200)
 }
 
-// TestStream has a process's feed tell two instances, one of which comes later.
+// TestFeedStream passes a process's feed to two instances, one of which subscribes later.
 func TestFeedStream(t *testing.T) {
 	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
-	type heardBy map[string]string
-	one, two := heardBy{}, heardBy{}
-	note := func(by heardBy) func(*listing.List) {
+	type received map[string]string
+	one, two := received{}, received{}
+	recordInto := func(into received) func(*listing.List) {
 		return func(l *listing.List) {
-			by[""] += "."
+			into[""] += "."
 			for _, e := range l.Servers {
-				by[e.ID] = e.State
+				into[e.ID] = e.State
 			}
 		}
 	}
-	a, b := startMerger(t, note(one)), startMerger(t, note(two))
+	a, b := startMerger(t, recordInto(one)), startMerger(t, recordInto(two))
 	s.subscribe(a)
 	require.NoError(t, s.onUpdate(edge.Update{Full: true}))
-	require.Empty(t, one, "a feed that knows nothing has told no list")
+	require.Empty(t, one, "an empty feed published a list")
 	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
-	require.Equal(t, heardBy{"": ".", "a": "SERVING", "b": "SERVING"}, one)
-	bad := recordOf(4, "b", "SLEEPING", 6)
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), bad}}))
-	require.Equal(t, heardBy{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
+	require.Equal(t, received{"": ".", "a": "SERVING", "b": "SERVING"}, one)
+	invalid := recordOf(4, "b", "SLEEPING", 6)
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), invalid}}))
+	require.Equal(t, received{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
 	s.subscribe(b)
-	require.Equal(t, heardBy{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
+	require.Equal(t, received{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
 	s.unsubscribe(a)
 	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
 	require.Equal(t, "DRAINING", one["a"])
 	require.Equal(t, "DELETED", two["a"])
-	// A whole with an entry that can't be read: what was known of that target stays.
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{bad}}))
+	// A full update with an invalid entry: the previous entry of that target stays.
+	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{invalid}}))
 	require.Equal(t, "SERVING", two["b"])
 	require.EqualValues(t, 2, s.badTargets)
 }
 
-// TestPieces has a feed bring up an instance that has nothing, in pieces: they are no list before all of them are there, but what they say of
-// targets that discovery lists goes at once.
+// TestPartialLists starts an instance from a feed that arrives in parts: no list is published before the feed is complete, but its entries for
+// targets that discovery lists take effect at once.
 func TestPartialLists(t *testing.T) {
-	for _, discovered := range []bool{false, true} {
+	for _, withDiscovery := range []bool{false, true} {
 		s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
-		var told []string
+		var lists []string
 		var first *listing.List
-		j := startMerger(t, func(l *listing.List) {
-			if told = append(told, fmt.Sprint(l.Full, len(l.Servers))); first == nil {
+		m := startMerger(t, func(l *listing.List) {
+			if lists = append(lists, fmt.Sprint(l.Full, len(l.Servers))); first == nil {
 				first = l
 			}
 		})
-		s.subscribe(j)
+		s.subscribe(m)
 		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
-		if discovered {
-			j.box.Put(targetUpdate{source: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
+		if withDiscovery {
+			m.box.Put(targetUpdate{source: targetmerge.Discovery, list: &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
 		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
 		require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
-		if discovered {
-			require.Equal(t, []string{"true 1", "false 1", "false 1"}, told)
-			require.Equal(t, "DRAINING", first.Servers[0].State, "it drains by the feed from the first")
+		if withDiscovery {
+			require.Equal(t, []string{"true 1", "false 1", "false 1"}, lists)
+			require.Equal(t, "DRAINING", first.Servers[0].State, "the first list already has the feed's state")
 		} else {
-			require.Equal(t, []string{"true 3"}, told)
+			require.Equal(t, []string{"true 3"}, lists)
 		}
 	}
 }
 
-// TestLayered offers configurations of layers: one that can be served is kept, the same again is not offered, one that can't be served leaves
-// what was; the next start begins with the last in force.
+// TestLayeredConfig offers configurations merged from layers: a valid one is stored, the same one isn't offered again, an invalid one changes
+// nothing, and the next start begins with the last one in force.
 func TestLayeredConfig(t *testing.T) {
 	dir := t.TempDir()
-	begin := func(name string, refuses func(json.RawMessage) error) (*layeredConfig, *[]string) {
-		offers, ends := make(chan configOffer), make(chan struct{})
+	newLayered := func(name string, validate func(json.RawMessage) error) (*layeredConfig, *[]string) {
+		offers, done := make(chan configOffer), make(chan struct{})
 		ctx, stop := context.WithCancel(t.Context())
 		offered := &[]string{}
 		go func() {
-			defer close(ends)
+			defer close(done)
 			for {
 				select {
 				case <-ctx.Done():
 					return
 				case o := <-offers:
 					*offered = append(*offered, fmt.Sprint(o.Version, " ", string(o.Config)))
-					o.result <- refuses(o.Config)
+					o.result <- validate(o.Config)
 				}
 			}
 		}()
-		t.Cleanup(func() { stop(); <-ends })
+		t.Cleanup(func() { stop(); <-done })
 		return &layeredConfig{name: name, fleet: "campus", dir: dir, log: discardLog, sourceCtx: ctx, offers: offers}, offered
 	}
 	layer := func(key, value string) watchstream.Record {
 		return watchstream.Record{Kind: watchstream.Config, Key: key, Version: 1, Value: json.RawMessage(value)}
 	}
 	bad := errors.New("settings.peersTotal: required")
-	refuses := func(c json.RawMessage) error {
+	requirePeers := func(c json.RawMessage) error {
 		var x struct{ Peers int }
 		if _ = json.Unmarshal(c, &x); x.Peers == 0 {
 			return bad
 		}
 		return nil
 	}
-	l, offered := begin("n1", refuses)
+	l, offered := newLayered("n1", requirePeers)
 	l.restoreLast()
-	require.Empty(t, *offered, "nothing is kept yet")
+	require.Empty(t, *offered, "nothing is stored yet")
 	require.NoError(t, l.applyLayers([]watchstream.Record{layer("instance/n1", `{"listen":"here"}`), layer("shared", `{"peers":3,"listen":"there"}`)}, 7))
 	require.NoError(t, l.applyLayers([]watchstream.Record{layer("shared", `{"peers":3,"listen":"there"}`), layer("instance/n1", `{"listen":"here"}`)}, 8))
 	require.Len(t, *offered, 1)
 	require.Contains(t, (*offered)[0], "7 ")
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
 	require.ErrorIs(t, l.applyLayers([]watchstream.Record{layer("shared", `{"peers":0}`)}, 9), bad)
-	require.Error(t, l.applyLayers(nil, 10), "no layer is left")
+	require.Error(t, l.applyLayers(nil, 10), "no layers")
 
-	again, offered := begin("n1", refuses)
-	again.restoreLast()
+	restarted, offered := newLayered("n1", requirePeers)
+	restarted.restoreLast()
 	require.Len(t, *offered, 1)
 	require.JSONEq(t, `{"name":"n1","peers":3,"listen":"here"}`, (*offered)[0][2:])
-	require.NoError(t, again.applyLayers([]watchstream.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
-	require.Len(t, *offered, 1, "that is what it serves")
+	require.NoError(t, restarted.applyLayers([]watchstream.Record{layer("shared", `{"peers":3,"listen":"here"}`)}, 11))
+	require.Len(t, *offered, 1, "the same configuration was offered again")
 
-	other, offered := begin("n2", refuses)
+	other, offered := newLayered("n2", requirePeers)
 	other.restoreLast()
-	require.Empty(t, *offered, "it is another's")
+	require.Empty(t, *offered, "the stored configuration belongs to another instance")
 	require.NoError(t, os.WriteFile(filepath.Join(dir, lastConfigFile), []byte(`{"name":"n1"`), 0o600))
-	torn, offered := begin("n1", refuses)
-	torn.restoreLast()
+	corrupt, offered := newLayered("n1", requirePeers)
+	corrupt.restoreLast()
 	require.Empty(t, *offered)
 }
 
-// TestFollowFeedRefused starts with what cannot be followed: one message that names it, and nothing runs.
+// TestServeFromFeedErrors starts without a name or a usable operator's file: a one-line error names what is missing.
 func TestServeFromFeedErrors(t *testing.T) {
-	none := filepath.Join(t.TempDir(), "none.toml")
-	require.NoError(t, os.WriteFile(none, nil, 0o600))
+	empty := filepath.Join(t.TempDir(), "none.toml")
+	require.NoError(t, os.WriteFile(empty, nil, 0o600))
 	for _, c := range []struct{ name, operator, want string }{
-		{"", "../../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", none, "feed"}, {"n1", "../../../deploy/nowhere.toml", "nowhere.toml"},
+		{"", "../../../deploy/feed.toml", "PROXY_NAME"}, {"n1", "", "--operator"}, {"n1", empty, "feed"}, {"n1", "../../../deploy/nowhere.toml", "nowhere.toml"},
 	} {
 		err := ServeFromFeed(t.Context(), func(string) string { return c.name }, c.operator, discardLog)
 		require.ErrorContains(t, err, c.want)
@@ -216,13 +216,14 @@
 	}
 }
 
-// TestFeedFallsBack has an instance whose relays are nowhere: it goes by discovery, as without the feed, and says how far the feed is.
+// TestFeedFallsBackToDiscovery runs an instance whose relays can't be reached: it serves with discovery's list, as without a feed, and its
+// metrics show the feed's position.
 func TestFeedFallsBackToDiscovery(t *testing.T) {
 	s := newTestSite(t)
 	cfg, op := s.loadConfig(fmt.Sprintf("[feed]\nfleet = \"campus\"\nregion = \"north\"\ndir = %q\n[[feed.relay]]\nid = \"r\"\nregion = \"north\"\naddr = \"127.0.0.1:1\"\n", t.TempDir()))
-	stop, leave := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- Serve(stop, cfg, op, Options{Log: discardLog}) }()
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- Serve(ctx, cfg, op, Options{Log: discardLog}) }()
 	get := func(addr, path string) (int, string) {
 		resp, err := http.Get("http://" + addr + path)
 		if err != nil {
@@ -236,24 +237,24 @@
 	_, page := get(cfg.Control, "/v1/metrics")
 	require.Contains(t, page, "edge_proxy.feed.in_force.targets:0|g\n")
 	require.Contains(t, page, "edge_proxy.feed.targets:0|g\n")
-	leave()
-	require.NoError(t, <-ended)
+	cancel()
+	require.NoError(t, <-done)
 }
 
-// TestBothTell holds the whole way against a small history: discovery that lags and the feed.
+// TestMergeDiscoveryAndFeed merges a short history of the feed with a discovery service that lags behind.
 func TestMergeDiscoveryAndFeed(t *testing.T) {
 	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
 	state := map[string]string{}
-	j := startMerger(t, func(l *listing.List) {
+	m := startMerger(t, func(l *listing.List) {
 		for _, e := range l.Servers {
 			state[e.ID] = fmt.Sprint(e.State, e.Started)
 		}
 	})
-	s.subscribe(j)
-	old := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
-	j.box.Put(targetUpdate{source: targetmerge.Discovery, list: old})
+	s.subscribe(m)
+	oldList := &listing.List{Full: true, Servers: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
+	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
 	_ = s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
-	j.box.Put(targetUpdate{source: targetmerge.Discovery, list: old})
-	j.applyFeed(&listing.List{}, false)
+	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
+	m.applyFeed(&listing.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
 }
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -31,76 +31,77 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// played is a part that writes down what is asked of it.
+// fakeComponent records the calls that it gets, and returns the given errors.
 type fakeComponent struct {
 	name     string
 	calls    *[]string
 	startErr error
-	stopErr  error // of its stop
+	stopErr  error
 	onStart  func()
-	applyErr error // of its reload
+	applyErr error
 }
 
-func (p *fakeComponent) record(what string) { *p.calls = append(*p.calls, what+" "+p.name) }
-func (p *fakeComponent) Start(context.Context) error {
-	p.record("start")
-	if p.onStart != nil {
-		p.onStart()
+func (c *fakeComponent) record(what string) { *c.calls = append(*c.calls, what+" "+c.name) }
+func (c *fakeComponent) Start(context.Context) error {
+	c.record("start")
+	if c.onStart != nil {
+		c.onStart()
 	}
-	return p.startErr
+	return c.startErr
 }
-func (p *fakeComponent) Stop(context.Context) error               { p.record("stop"); return p.stopErr }
-func (p *fakeComponent) OnTargetList(*listing.List)               { p.record("list") }
-func (p *fakeComponent) ApplyChange(Change) error                 { p.record("reload"); return p.applyErr }
-func (p *fakeComponent) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(p.name, 1, 1) }
+func (c *fakeComponent) Stop(context.Context) error               { c.record("stop"); return c.stopErr }
+func (c *fakeComponent) OnTargetList(*listing.List)               { c.record("list") }
+func (c *fakeComponent) ApplyChange(Change) error                 { c.record("reload"); return c.applyErr }
+func (c *fakeComponent) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(c.name, 1, 1) }
 
-// TestParts plays starts and stops of three parts: what has started is stopped in reverse, and nothing else is.
+// TestComponentsStartAndStop starts and stops three components: those that have started are stopped in reverse order, and no
+// others are. Optional interfaces are called in order, and an error of one component doesn't keep the others from the call.
 func TestComponentsStartAndStop(t *testing.T) {
 	bad := errors.New("bad")
 	for _, c := range []struct {
-		name          string
-		fails, unwell [3]error
-		stopAt        int // the part that the stop comes in the middle of; -1: none does
-		want          string
-		err           error
+		name                string
+		startErrs, stopErrs [3]error
+		stopAt              int // index of the component during whose start the context ends; -1: none
+		want                string
+		err                 error
 	}{
-		{"all", [3]error{}, [3]error{}, -1, "start a start b start c stop c stop b stop a", nil},
+		{"all start and stop", [3]error{}, [3]error{}, -1, "start a start b start c stop c stop b stop a", nil},
 		{"the first fails", [3]error{bad}, [3]error{}, -1, "start a", bad},
 		{"the second fails", [3]error{1: bad}, [3]error{}, -1, "start a start b stop a", bad},
 		{"the last fails", [3]error{2: bad}, [3]error{}, -1, "start a start b start c stop b stop a", bad},
-		{"one fails and another does not stop", [3]error{2: bad}, [3]error{1: context.DeadlineExceeded}, -1, "start a start b start c stop b stop a", context.DeadlineExceeded},
-		{"one does not stop", [3]error{}, [3]error{1: bad}, -1, "start a start b start c stop c stop b stop a", bad},
-		{"stopped in the first", [3]error{}, [3]error{}, 0, "start a stop a", errStopped},
-		{"stopped in the second", [3]error{}, [3]error{}, 1, "start a start b stop b stop a", errStopped},
-		{"stopped in the last", [3]error{}, [3]error{}, 2, "start a start b start c stop c stop b stop a", nil},
+		{"one fails to start and another to stop", [3]error{2: bad}, [3]error{1: context.DeadlineExceeded}, -1, "start a start b start c stop b stop a", context.DeadlineExceeded},
+		{"one fails to stop", [3]error{}, [3]error{1: bad}, -1, "start a start b start c stop c stop b stop a", bad},
+		{"cancelled during the first", [3]error{}, [3]error{}, 0, "start a stop a", errStopped},
+		{"cancelled during the second", [3]error{}, [3]error{}, 1, "start a start b stop b stop a", errStopped},
+		{"cancelled during the last", [3]error{}, [3]error{}, 2, "start a start b start c stop c stop b stop a", nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var log []string
-			stop, leave := context.WithCancel(context.Background())
-			defer leave()
+			var calls []string
+			ctx, cancel := context.WithCancel(context.Background())
+			defer cancel()
 			var p components
 			for i, name := range []string{"a", "b", "c"} {
-				x := &fakeComponent{name: name, calls: &log, startErr: c.fails[i], stopErr: c.unwell[i]}
+				x := &fakeComponent{name: name, calls: &calls, startErr: c.startErrs[i], stopErr: c.stopErrs[i]}
 				if i == c.stopAt {
-					x.onStart = leave
+					x.onStart = cancel
 				}
 				p = append(p, x)
 			}
-			err := p.start(stop, context.Background())
+			err := p.start(ctx, context.Background())
 			if err == nil {
 				err = p.stop(context.Background())
 			}
 			require.ErrorIs(t, err, c.err)
-			require.Equal(t, c.want, strings.Join(log, " "))
+			require.Equal(t, c.want, strings.Join(calls, " "))
 		})
 	}
-	var log []string
-	bent := &fakeComponent{name: "a", calls: &log, applyErr: bad}
-	p := components{bent, certificateReloader{}, &fakeComponent{name: "b", calls: &log}}[:1]
-	p = append(p, passive{}, &fakeComponent{name: "b", calls: &log})
+	var calls []string
+	failing := &fakeComponent{name: "a", calls: &calls, applyErr: bad}
+	p := components{failing, certificateReloader{}, &fakeComponent{name: "b", calls: &calls}}[:1]
+	p = append(p, passive{}, &fakeComponent{name: "b", calls: &calls})
 	p.onTargetList(&listing.List{})
 	require.ErrorIs(t, p.applyChange(Change{}), bad)
-	require.Equal(t, "list a list b reload a reload b", strings.Join(log, " "))
+	require.Equal(t, "list a list b reload a reload b", strings.Join(calls, " "))
 	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Page(p.emitMetrics)))
 }
 
@@ -108,7 +109,7 @@
  "effect":"pure","worth":3}],"contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 
-// site is a discovery that knows one target, and free addresses by name.
+// testSite is a discovery service that lists one target, and free addresses by name.
 type testSite struct {
 	t         testing.TB
 	addrs     map[string]string
@@ -134,7 +135,7 @@
 	return s
 }
 
-// read is an instance's files: all its parts on this one machine, but those that need agents.
+// loadConfig returns an instance's configuration and the given operator's file, with all addresses on this machine.
 func (s *testSite) loadConfig(operator string) (*config.Config, *config.OperatorFile) {
 	cfg, err := config.Parse(fmt.Appendf(nil, `{"name":"n1","listen":%q,"control":%q,"discovery":%q,"settings":%s}`, s.addrs["listen"],
 		s.addrs["control"], strings.TrimPrefix(s.discovery.URL, "http://"), settings), func(string) string { return "" })
@@ -149,6 +150,7 @@
 	return cfg, op
 }
 
+// operatorText is an operator's file with every component that works without agents.
 func (s *testSite) operatorText() string {
 	return fmt.Sprintf(`[accounts]
 listen = %q
@@ -173,7 +175,7 @@
 `, s.addrs["accounts"], s.addrs["nvme"])
 }
 
-// free fails where anything listens.
+// requireFree fails the test if anything listens at one of the site's addresses.
 func (s *testSite) requireFree() {
 	s.t.Helper()
 	for name, addr := range s.addrs {
@@ -183,24 +185,24 @@
 	}
 }
 
-// TestEachPartFails takes each address of an instance in turn: the start fails with its field, all others are free again at
-// once, and no goroutine stays.
+// TestStartFailsIfAddressInUse occupies each address of an instance in turn: the start fails with an error that names the
+// field, all other addresses are free again at once, and no goroutine is left.
 func TestStartFailsIfAddressInUse(t *testing.T) {
-	for _, c := range []struct{ part, want string }{
+	for _, c := range []struct{ addr, want string }{
 		{"listen", "listen: "}, {"nvme", "listen: "}, {"control", "control: "}, {"accounts", "operator's file: accounts.listen: "},
 	} {
-		t.Run(c.part, func(t *testing.T) {
+		t.Run(c.addr, func(t *testing.T) {
 			s := newTestSite(t)
 			cfg, op := s.loadConfig(s.operatorText())
 			before := runtime.NumGoroutine()
-			l, err := net.Listen("tcp", s.addrs[c.part])
+			l, err := net.Listen("tcp", s.addrs[c.addr])
 			require.NoError(t, err)
 			err = Serve(context.Background(), cfg, op, Options{Log: discardLog})
 			require.ErrorContains(t, err, c.want)
 			l.Close()
 			s.requireFree()
 			require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before+1 }, 20*time.Second, 10*time.Millisecond,
-				"goroutines stay beside the one that counts them after a start that failed")
+				"goroutines left after a failed start, besides the one that counts them")
 		})
 	}
 	s := newTestSite(t)
@@ -209,42 +211,42 @@
 	s.requireFree()
 }
 
-// TestStopAtAnyMoment ends an instance before, in the middle of and after its start: it leaves in order, and nothing listens any
-// more.
+// TestStopDuringStart ends an instance's context before, during and after its start: it stops without an error, and nothing
+// listens any more.
 func TestStopDuringStart(t *testing.T) {
 	s := newTestSite(t)
 	cfg, op := s.loadConfig(s.operatorText())
 	for i := range 12 {
-		stop, leave := context.WithCancel(context.Background())
+		ctx, cancel := context.WithCancel(context.Background())
 		if i == 0 {
-			leave()
+			cancel()
 		} else {
-			time.AfterFunc(time.Duration(i*i)*100*time.Microsecond, leave)
+			time.AfterFunc(time.Duration(i*i)*100*time.Microsecond, cancel)
 		}
-		require.NoError(t, Serve(stop, cfg, op, Options{Log: discardLog}))
-		leave()
+		require.NoError(t, Serve(ctx, cfg, op, Options{Log: discardLog}))
+		cancel()
 		s.requireFree()
 	}
 }
 
-// TestLimitsFit holds what the parts may have together against the descriptors there are, a few connections that are just being
-// turned away included, whatever share of them one process has.
+// TestLimitsFitDescriptors checks that all connections that the limits allow fit into a process's share of the descriptors,
+// including the reserve for connections that are just being rejected.
 func TestLimitsFitDescriptors(t *testing.T) {
 	for _, sockets := range []int{64, 96, 128, 256, 512, 1024, 4096} {
-		for _, parts := range []int{1, 2} {
-			if sockets/parts < 64 {
-				continue // fewer than any configuration may have
+		for _, processes := range []int{1, 2} {
+			if sockets/processes < 64 {
+				continue // less than the minimum of a configuration
 			}
-			l := resourceLimits{Cores: 1, MemoryMB: 192, Sockets: sockets}.forProcesses(parts)
+			l := resourceLimits{Cores: 1, MemoryMB: 192, Sockets: sockets}.forProcesses(processes)
 			total := l.clientConns() + l.targetConns() + reservedFiles + control.MostFiles
-			require.LessOrEqual(t, total, l.Sockets, "%d sockets in %d parts", sockets, parts)
+			require.LessOrEqual(t, total, l.Sockets, "%d sockets for %d processes", sockets, processes)
 			require.LessOrEqual(t, l.connsPerTarget(), l.targetConns())
 			require.Less(t, l.idleClientConns(), l.Sockets/4)
 		}
 	}
 }
 
-// TestNamesAreKeptForTheSettings checks that a name stays taken for as long as the settings' deadlines and windows of keyed classes tell.
+// TestRequestNameRetention checks that a request's name stays taken for the longest deadline or deduplication window of a keyed class.
 func TestRequestNameRetention(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
@@ -254,13 +256,13 @@
 	require.Equal(t, 9*time.Second, requestNameRetention(cfg))
 }
 
-// TestTargetsEndWithTheirInstance has an instance leave in a process that goes on: its connections to targets end with it.
+// TestTargetConnectionsCloseWithInstance stops an instance in a process that goes on: its connections to targets are closed.
 func TestTargetConnectionsCloseWithInstance(t *testing.T) {
-	ended := make(chan bool)
+	closed := make(chan bool)
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	s.Config.ConnState = func(_ net.Conn, at http.ConnState) {
 		if at == http.StateClosed {
-			close(ended)
+			close(closed)
 		}
 	}
 	s.Start()
@@ -275,8 +277,8 @@
 	require.Equal(t, policy.Served, (<-results).Code)
 	require.NoError(t, d.Stop(context.Background()))
 	select {
-	case <-ended:
+	case <-closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the connection stays")
+		t.Fatal("the connection to the target stays open")
 	}
 }
--- a/internal/process/instance/process_group.go
+++ b/internal/process/instance/process_group.go
@@ -56,9 +56,9 @@
 // watchGroup follows the other processes' states until the context ends.
 func (g *processGroup) watchGroup(ctx context.Context) {
 	g.group.Watch(ctx, func(v handover.View) {
-		g.log.Info("processes", slog.Int("alive", v.Parts), slog.Bool("succeeded", v.Leave))
-		g.onProcessCount(v.Parts)
-		if v.Leave {
+		g.log.Info("processes", slog.Int("alive", v.Processes), slog.Bool("succeeded", v.Superseded))
+		g.onProcessCount(v.Processes)
+		if v.Superseded {
 			g.supersededOnce.Do(func() { close(g.superseded) })
 		}
 	})
@@ -69,7 +69,7 @@
 	if g == nil || g.group == nil {
 		return
 	}
-	if err := g.group.Enter(p); err != nil {
+	if err := g.group.SetPhase(p); err != nil {
 		g.logFailure(err)
 	}
 }
