--- a/internal/process/config/change_test.go
+++ b/internal/process/config/change_test.go
@@ -16,7 +16,7 @@
  {"kind":"target","key":"t-1","value":{"id":"t-1","addr":"127.0.0.1:9001","zone":"z","cell":0,"state":"SERVING","started_ms":0,"more":[1]}},
  {"kind":"target","key":"t-2","gone":true}]}`
 
-// TestChangeFiles reads the file of changes under deploy/ and one in JSON, and spoils them field by field.
+// TestChangeFiles reads the change file under deploy/ and one in JSON, and makes one field after the other invalid.
 func TestChangeFiles(t *testing.T) {
 	raw, err := os.ReadFile("../../../deploy/change.toml")
 	require.NoError(t, err)
@@ -42,13 +42,13 @@
 		{"change.toml", `gone = true`, `gone = false`, "puts[3].value: "},
 		{"change.toml", `gone = true`, `gone = true` + "\nvalue = { a = 1 }", "puts[3].value: "},
 		{"change.toml", `tickUs = 2000`, `tickUs = inf`, "puts[0].value: "},
-		{"change.toml", `[[puts]]`, `[[putts]]`, "puts"}, // and so the others have no place
+		{"change.toml", `[[puts]]`, `[[putts]]`, "puts"}, // [puts.value] then makes puts a table, and the next [[puts]] is an error
 		{"change.json", `"puts"`, `"put"`, "put"},
 		{"change.json", `{"a":{"b":1.50,"c":null}}`, `[1]`, "puts[0].value: "},
 		{"change.json", `"kind":"config"`, `"kind":7`, "kind"},
 		{"change.json", `"if":41`, `"if":-1`, "if"},
-		{"change.json", changeJSON, changeJSON + "{}", "more after its end"},
-		{"change.json", changeJSON, strings.Repeat(" ", mostChangeFile+1), "at most"},
+		{"change.json", changeJSON, changeJSON + "{}", "data after the end"},
+		{"change.json", changeJSON, strings.Repeat(" ", maxChangeFileBytes+1), "at most"},
 		{"change.json", changeJSON, `{"fleet":"campus","puts":[]}`, "puts: "},
 	} {
 		text := string(raw)
@@ -66,21 +66,21 @@
 		}
 		require.ErrorContains(t, err, c.want, "%s with %.60q", c.file, c.wrong)
 		require.ErrorContains(t, err, c.file)
-		require.NotContains(t, err.Error(), "\n", "one thing is wrong, one is told")
+		require.NotContains(t, err.Error(), "\n", "more than one error for one invalid field")
 	}
 	path := filepath.Join(t.TempDir(), "change.json")
 	require.NoError(t, os.WriteFile(path, []byte(changeJSON), 0o600))
 	c, err := ReadChange(path, nil)
 	require.NoError(t, err)
 	require.Equal(t, uint64(41), *c.IfVersion)
-	require.Equal(t, `{"a":{"b":1.50,"c":null}}`, string(c.Puts[0].Value), "as it was written")
+	require.Equal(t, `{"a":{"b":1.50,"c":null}}`, string(c.Puts[0].Value), "the value is not kept as written")
 	require.True(t, c.Puts[2].Deleted)
 	_, err = ReadChange(filepath.Join(t.TempDir(), "absent.toml"), nil)
 	require.ErrorContains(t, err, "absent.toml")
 }
 
-// TestChangeFileCuts cuts a file of changes anywhere: no part passes for the whole.
-func TestChangeFileCuts(t *testing.T) {
+// TestCorruptChangeFile truncates a change file anywhere, and reads random bytes: all are rejected.
+func TestCorruptChangeFile(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(rt *rapid.T) {
 		path := filepath.Join(dir, "cut.json")
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -12,53 +12,54 @@
 	"spindlehitch/internal/policy"
 )
 
-// Limits are what the machine grants the process.
+// Limits are the resources that the machine grants the process.
 type Limits struct {
 	Cores    float64 `json:"cores" default:"1" validate:"gte=0"`
 	MemoryMB int     `json:"memory_mb" default:"192" validate:"gte=0"`
 	Sockets  int     `json:"sockets" default:"1024" validate:"gte=64"`
 }
 
-// Config is everything the program is told.
+// Config is the program's configuration.
 type Config struct {
 	Name             string
 	Listen           string
-	InheritedFD      string // the number of the descriptor that listens there already; empty: none
-	Control          string // the second address; empty: none
+	InheritedFD      string // number of the inherited descriptor that listens at Listen; empty: none
+	Control          string // address of health, metrics and membership pages; empty: none
 	Discovery        string
 	Seed             uint64
 	Limits           Limits
-	LastKnownTargets *listing.List // the list as last had; nil: none
+	LastKnownTargets *listing.List // the target list to start with; nil: none
 	Policy           policy.Settings
 	MaxOpenRequests  int
 	ConnIdleTimeout  time.Duration
 	DialTimeout      time.Duration
-	HealthProbes     bool // targets may be asked for their health
+	HealthProbes     bool // targets may be probed for their health
 }
 
-// file is the platform's JSON.
-type file struct {
+// platformFile is the JSON file that the platform writes.
+type platformFile struct {
 	Name      string            `json:"name" validate:"required"`
 	Listen    string            `json:"listen" validate:"required,addr"`
 	Control   string            `json:"control" validate:"omitempty,addr"`
 	Discovery string            `json:"discovery" validate:"required,addr"`
 	Seed      string            `json:"seed" validate:"omitempty,hex64"`
 	Limits    Limits            `json:"limits"`
-	Known     *listing.List     `json:"known" validate:"-"` // which has the check of every list
+	Known     *listing.List     `json:"known" validate:"-"` // checked by List.Check
 	Settings  *PlatformSettings `json:"settings" validate:"required"`
 }
 
-// SocketFD names the descriptor of the clients' listening socket, where the platform holds it.
+// SocketFDEnv is the environment variable with the number of the descriptor of the clients' listening socket, if the platform
+// opened it.
 const SocketFDEnv = "PROXY_SOCKET_FD"
 
 const (
-	// mostHeld bounds open requests also where the settings name more: each may hold a body.
-	mostHeld = 4000
-	// usualDial is how long a connection to a target may take to come up where the settings do not say.
-	usualDial = 250 * time.Millisecond
+	// maxOpenRequests bounds open requests even if the settings allow more, since each may hold a body in memory.
+	maxOpenRequests = 4000
+	// defaultDialTimeout is how long connecting to a target may take if the settings don't set a timeout.
+	defaultDialTimeout = 250 * time.Millisecond
 )
 
-// Load reads the environment and the JSON file that it names. The environment's words, where given, win.
+// Load reads the environment and the JSON file that it names. Values set in the environment take precedence.
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
@@ -71,8 +72,8 @@
 	return Parse(raw, getenv)
 }
 
-// Reload reads the file again. Its word on discovery wins over the environment's, which the process has had since its
-// start: it is the file that was replaced.
+// Reload reads the file again. The file's address of discovery takes precedence over the environment's, which is from the start
+// of the process, while the file may have been replaced since.
 func Reload(getenv func(string) string) (*Config, error) {
 	return Load(func(name string) string {
 		if name == "PROXY_DISCOVERY" {
@@ -82,9 +83,9 @@
 	})
 }
 
-// Parse checks the JSON of a configuration and turns it into typed values. Errors name the field.
+// Parse checks the JSON of a configuration and converts it to typed values. Errors name the field.
 func Parse(raw []byte, getenv func(string) string) (*Config, error) {
-	var f file
+	var f platformFile
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.Unmarshal(raw, &f); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
 	}
@@ -96,7 +97,7 @@
 			*v.into = s
 		}
 	}
-	if err := check(&f, nil); err != nil {
+	if err := validate(&f, nil); err != nil {
 		return nil, err
 	}
 	c := &Config{Name: f.Name, Listen: f.Listen, Control: f.Control, InheritedFD: getenv(SocketFDEnv), Discovery: f.Discovery, Limits: f.Limits, LastKnownTargets: f.Known}
@@ -116,23 +117,25 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
-	c.MaxOpenRequests = atMost(l.MostHeld, mostHeld)
-	c.DialTimeout = orElse(Microseconds(l.DialTimeoutUs), usualDial)
-	c.ConnIdleTimeout = orElse(Microseconds(l.ConnIdleUs), 30*time.Second)
+	c.MaxOpenRequests = capAt(l.MostHeld, maxOpenRequests)
+	c.DialTimeout = orDefault(Microseconds(l.DialTimeoutUs), defaultDialTimeout)
+	c.ConnIdleTimeout = orDefault(Microseconds(l.ConnIdleUs), 30*time.Second)
 	c.HealthProbes = f.Settings.Limits.Probes
 	return c, nil
 }
 
-func atMost(n, most int) int {
+// capAt returns n, at most limit; an n of 0 or less is unset and gives the limit.
+func capAt(n, limit int) int {
 	if n <= 0 {
-		return most
+		return limit
 	}
-	return min(n, most)
+	return min(n, limit)
 }
 
-func orElse(d, other time.Duration) time.Duration {
+// orDefault returns d; a d of 0 or less is unset and gives the fallback.
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d <= 0 {
-		return other
+		return fallback
 	}
 	return d
 }
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-const good = `{"name":"n3","listen":"127.0.0.1:8080","control":"127.0.0.1:9090","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8080","control":"127.0.0.1:9090","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"surprise":1,
  "known":{"version":41,"full":true,"servers":[{"id":"a","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]},
  "settings":{"peersTotal":3,"index":1,"tickUs":2000,"prices":{"handshake":0.08},"classes":[{"name":"position-read","promiseUs":150000,"deadlineUs":750000,
@@ -24,25 +24,25 @@
  "contracts":[{"name":"standard","usualRate":13,"reservation":13,"parts":3,"pays":0.9}],
  "limits":{"sendCap":3,"mostHeld":20000,"connIdleUs":30000000,"dialTimeoutUs":250000}}}`
 
-func none(string) string { return "" }
+func noEnv(string) string { return "" }
 
-func TestGood(t *testing.T) {
-	c, err := Parse([]byte(good), func(name string) string {
+func TestParse(t *testing.T) {
+	c, err := Parse([]byte(validConfig), func(name string) string {
 		return map[string]string{"PROXY_LISTEN": "127.0.0.2:8081", "PROXY_CONTROL": "127.0.0.2:9091"}[name]
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Listen != "127.0.0.2:8081" || c.Control != "127.0.0.2:9091" || c.Seed != 0x8c1f30d27a5be964 || c.DialTimeout != 250*time.Millisecond ||
-		c.MaxOpenRequests != mostHeld || len(c.Policy.Classes) != 3 || c.Policy.ConnectCost != 0.08 || c.Policy.InitiatorIndex != 2 || *c.LastKnownTargets.Version != 41 {
+		c.MaxOpenRequests != maxOpenRequests || len(c.Policy.Classes) != 3 || c.Policy.ConnectCost != 0.08 || c.Policy.InitiatorIndex != 2 || *c.LastKnownTargets.Version != 41 {
 		t.Errorf("read as %+v", c)
 	}
 }
 
-// TestBadNamesTheField checks that what cannot be served stops the start with the field's name.
-func TestBadNamesTheField(t *testing.T) {
+// TestInvalidConfigNamesField checks that invalid configurations are rejected, and that the only error names the field.
+func TestInvalidConfigNamesField(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{good, "nonsense", "configuration:"},
+		{validConfig, "nonsense", "configuration:"},
 		{`"name":"n3",`, "", "name: required"},
 		{`"listen":"127.0.0.1:8080",`, "", "listen: required"},
 		{"127.0.0.1:8080", "127.0.0.1", "listen:"},
@@ -62,11 +62,11 @@
 		{`"deadlineUs":1200000,`, "", "settings.classes[1].deadlineUs: 0 is not over 0"},
 		{`"peersTotal":3`, `"peersTotal":0`, "settings.peersTotal: 0 is under 1"},
 		{`"sendCap":3`, `"sendCap":0`, "settings.limits.sendCap: 0 is under 1"},
-		{`"event-write"`, `"position-read"`, "settings.classes: name there twice"},
+		{`"event-write"`, `"position-read"`, "settings.classes: name is not unique"},
 		{`"classes":[`, `"classes":[],"others":[`, "settings.classes: at least 1"},
 		{`"contracts":[`, `"others":[`, "settings.contracts: required"},
 	} {
-		_, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
+		_, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), noEnv)
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\nsettings.") {
 			t.Errorf("%.30s: %v, want %q alone", c.new, err, c.want)
 		}
@@ -78,8 +78,8 @@
 	}
 }
 
-// TestOddIsServed reads settings that are odd and allowed, and takes figures over as they are.
-func TestOddIsServed(t *testing.T) {
+// TestUnusualSettings parses settings that are unusual but valid, and checks that values are used as they are.
+func TestUnusualSettings(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
 		holds    func(*Config) bool
@@ -94,34 +94,35 @@
 		{`,{"name":"event-write"`, `],"kinds":[{"name":"event-write"`, func(c *Config) bool { return len(c.Policy.Classes) == 1 }},
 		{`"connIdleUs":30000000`, `"connIdleUs":1`, func(c *Config) bool { return c.ConnIdleTimeout == time.Microsecond }},
 		{`"dialTimeoutUs":250000`, `"dialTimeoutUs":900000`, func(c *Config) bool { return c.DialTimeout == 900*time.Millisecond }},
-		{`"dialTimeoutUs":250000`, `"dialTimeout":1`, func(c *Config) bool { return c.DialTimeout == usualDial }},
+		{`"dialTimeoutUs":250000`, `"dialTimeout":1`, func(c *Config) bool { return c.DialTimeout == defaultDialTimeout }},
 		{`"sendCap":3`, `"parallelTries":false`, func(c *Config) bool { return c.Policy.MaxAttempts == 0 }},
 		{`"tickUs":2000`, `"tickUs":2000,"newFigure":{"deep":[1]}`, func(*Config) bool { return true }},
 	} {
-		cfg, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)), none)
+		cfg, err := Parse([]byte(strings.Replace(validConfig, c.old, c.new, 1)), noEnv)
 		if err != nil || !c.holds(cfg) {
 			t.Errorf("%s: %v, read as %+v", c.new, err, cfg)
 		}
 	}
 }
 
-// TestCuts cuts a valid configuration anywhere and feeds garbage: no part passes for the whole.
-func TestCuts(t *testing.T) {
+// TestCorruptConfig truncates a valid configuration anywhere, which must be rejected, and parses altered and random bytes, which
+// must not panic.
+func TestCorruptConfig(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cut := good[:rapid.IntRange(0, len(good)-1).Draw(t, "cut")]
-		if c, err := Parse([]byte(cut), none); err == nil {
-			t.Fatalf("%q passed as %+v", cut, c)
+		cut := validConfig[:rapid.IntRange(0, len(validConfig)-1).Draw(t, "cut")]
+		if c, err := Parse([]byte(cut), noEnv); err == nil {
+			t.Fatalf("%q was parsed as %+v", cut, c)
 		}
-		bent := []byte(good)
-		bent[rapid.IntRange(0, len(bent)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
-		_, _ = Parse(bent, none) // whatever comes of it, it must come
-		_, _ = Parse(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), none)
+		altered := []byte(validConfig)
+		altered[rapid.IntRange(0, len(altered)-1).Draw(t, "at")] = rapid.Byte().Draw(t, "byte")
+		_, _ = Parse(altered, noEnv) // may or may not be valid, but must not panic
+		_, _ = Parse(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"), noEnv)
 	})
 }
 
-// TestOperatorFile reads the file under deploy/ and spoils it field by field.
+// TestOperatorFile reads the NVMe file under deploy/ and makes one field after the other invalid.
 func TestOperatorFile(t *testing.T) {
-	c, err := Parse([]byte(good), none)
+	c, err := Parse([]byte(validConfig), noEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -162,8 +163,8 @@
 		{"[nvme]", "[accounts]\nlisten = \"x:0\"\n[nvme]", "accounts.listen: port"},
 		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"b\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.id: \"a\" is none of the peers"},
 		{"[nvme]", "[agent]\nid = \"a\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h\"}]\n[nvme]", "agent.peer[0].api: "},
-		{"[nvme]", "[agent]\nid = \"a\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h\"}]\n[nvme]", "agent.dir: required"}, // with the one above
-		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h:2\"},{id=\"a\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.peer: id there twice"},
+		{"[nvme]", "[agent]\nid = \"a\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h\"}]\n[nvme]", "agent.dir: required"}, // besides the error of the case above
+		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h:2\"},{id=\"a\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.peer: id is not unique"},
 	} {
 		if _, err := read(strings.Replace(string(raw), x.old, x.new, 1)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v, want %q", x.new, err, x.want)
@@ -171,7 +172,7 @@
 	}
 }
 
-// TestFleetFiles reads the fleet's files under deploy/ and spoils them field by field.
+// TestFleetFiles reads the fleet's files under deploy/ and makes one field after the other invalid.
 func TestFleetFiles(t *testing.T) {
 	for _, c := range []struct{ file, old, wrong, want string }{
 		{"fleet.toml", "", "", ""}, {"budgets.toml", "", "", ""},
@@ -182,7 +183,7 @@
 		{"members.toml", "timeout_ms = 300", "timeout_ms = 1000", "fleet.members.timeout_ms: 1000 is not under probe_ms"},
 		{"members.toml", "pause_ms = 2000", "pause_ms = 500", "fleet.members.pause_ms: 500 is not over probe_ms"},
 		{"members.toml", "\"127.0.0.1:7802\"", "\"7802\"", "fleet.members.seeds[0]: "}, {"members.toml", "zone", "zones", "fleet.members.zones: unknown field"},
-		{"members.toml", "timeout_ms = 300", "timeout_ms = 1000\ncompare_ms = 1", "fleet.members.compare_ms: 1 is not over probe_ms"}, // with the one above
+		{"members.toml", "timeout_ms = 300", "timeout_ms = 1000\ncompare_ms = 1", "fleet.members.compare_ms: 1 is not over probe_ms"}, // besides the error of the case above
 		{"fleet.toml", "weight = 1", "weight = -1", "fleet.weight:"}, {"fleet.toml", "weight", "wait", "wait"},
 		{"budgets.toml", "per = \"target\"", "per = \"class\"\nonly = [\"none\"]", "budget[1].only: unknown class"},
 		{"budgets.toml", "name = \"cold\"", "name = \"repeats\"", "budget[1].name:"},
--- a/internal/process/config/feed_test.go
+++ b/internal/process/config/feed_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFeedOperatorFiles reads the files of the feed under deploy/ and spoils them field by field.
+// TestFeedOperatorFiles reads the feed's files under deploy/ and makes one field after the other invalid.
 func TestFeedOperatorFiles(t *testing.T) {
 	for _, c := range []struct{ file, old, wrong, want string }{
 		{"relay.toml", "", "", ""}, {"feed.toml", "", "", ""},
@@ -26,13 +26,13 @@
 		{"feed.toml", `region = "north"`, `region = "North"`, `feed.region: "North" is none of the regions`},
 		{"feed.toml", `zone = "north-a"`, `zone = "south-a"`, `feed.zone: "south-a" is none of the zones of north`},
 		{"feed.toml", `zone = "north-a"`, `zone = "west"`, `feed.zone: "west" is none of the zones of north`},
-		{"feed.toml", `name = "south"`, `name = "north"`, "feed.regions: name there twice"},
+		{"feed.toml", `name = "south"`, `name = "north"`, "feed.regions: name is not unique"},
 		{"feed.toml", `["south-a"]`, `["north-b"]`, `feed.regions[1].zones[0]: "north-b" is a zone of north as well`},
 		{"feed.toml", `["south-a"]`, `["south-a", "south-a"]`, "feed.regions[1].zones: "},
-		{"feed.toml", `id = "relay-3"`, `id = "relay-1"`, "feed.relay: id there twice"},
+		{"feed.toml", `id = "relay-3"`, `id = "relay-1"`, "feed.relay: id is not unique"},
 		{"feed.toml", "region = \"south\"\naddr", "region = \"east\"\naddr", `feed.relay[2].region: "east" is none of the regions`},
 		{"feed.toml", "127.0.0.1:7712", "127.0.0.1", "feed.relay[1].addr: "},
-		{"feed.toml", "zone = \"north-a\"", "rate = 0", "feed.rate: unknown field"}, // it is the relay's to bound
+		{"feed.toml", "zone = \"north-a\"", "rate = 0", "feed.rate: unknown field"}, // a field of relays only
 	} {
 		raw, err := os.ReadFile("../../../deploy/" + c.file)
 		require.NoError(t, err)
@@ -45,7 +45,7 @@
 			continue
 		}
 		require.ErrorContains(t, err, c.want, "%s with %q", c.file, c.wrong)
-		require.NotContains(t, err.Error(), "\n", "one thing is wrong, one is told")
+		require.NotContains(t, err.Error(), "\n", "more than one error for one invalid field")
 	}
 	_, err := ReadRelay("../../../deploy/feed.toml")
 	require.ErrorContains(t, err, "relay")
--- a/internal/process/config/operator.go
+++ b/internal/process/config/operator.go
@@ -10,8 +10,8 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Operator is what an operator's file may set up beside the platform's configuration. All of it is off
-// where there is no such file.
+// OperatorFile is what an operator may configure beside the platform's configuration. Without such a file, all of it is
+// off.
 type OperatorFile struct {
 	NVMe     *NVMe     `toml:"nvme"`
 	Agent    *Agent    `toml:"agent"`
@@ -21,25 +21,25 @@
 	Feed     *Feed     `toml:"feed"`
 }
 
-// Fleet has an instance keep to its part of fleet-wide budgets.
+// Fleet configures an instance's part in fleet-wide budgets and tasks.
 type Fleet struct {
 	Agents            []string         `toml:"agents" validate:"required_without=Members,dive,addr"`
-	Weight            float64          `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // in divisions
-	GovernedResources []quota.Resource `toml:"uses" validate:"dive,use"`                    // nothing of these is used before the budgets are known; all where it is not told
-	Tasks             []string         `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet, that this instance can do; none where it is not told
+	Weight            float64          `toml:"weight" default:"1" validate:"gt=0,lte=1000"` // when budgets are divided among instances
+	GovernedResources []quota.Resource `toml:"uses" validate:"dive,use"`                    // not used before the budgets are known; missing: all resources
+	Tasks             []string         `toml:"tasks" validate:"max=64,unique,dive,name"`    // of the fleet that this instance can run; missing: none
 	Members           *Membership      `toml:"members"`
 }
 
-// Members has instances know each other without the agents.
+// Membership configures the membership group, in which instances detect each other's failures without the agents.
 type Membership struct {
-	Bind      string   `toml:"bind" validate:"required,addr"`       // datagrams and streams alike
-	Advertise string   `toml:"advertise" validate:"omitempty,addr"` // where others reach it; as bound where it is not told
-	Seeds     []string `toml:"seeds" validate:"max=16,dive,addr"`   // some of the others
+	Bind      string   `toml:"bind" validate:"required,addr"`       // for UDP and TCP
+	Advertise string   `toml:"advertise" validate:"omitempty,addr"` // the address that others use; empty: Bind
+	Seeds     []string `toml:"seeds" validate:"max=16,dive,addr"`   // addresses of some other members
 	Zone      string   `toml:"zone" validate:"max=64"`
-	Key       string   `toml:"key" validate:"required,max=64"` // of the fleet: members of another are not heard
+	Key       string   `toml:"key" validate:"required,max=64"` // of the fleet; messages with another key are ignored
 	ProbeMs   int      `toml:"probe_ms" default:"1000" validate:"gte=50,lte=60000"`
 	TimeoutMs int      `toml:"timeout_ms" default:"300" validate:"gte=5,ltfield=ProbeMs"`
-	PauseMs   int      `toml:"pause_ms" default:"2000" validate:"gtfield=ProbeMs"` // past that a stretch between two looks at the clock was one
+	PauseMs   int      `toml:"pause_ms" default:"2000" validate:"gtfield=ProbeMs"` // a longer gap between two reads of the clock counts as a pause of the process
 	CompareMs int      `toml:"compare_ms" default:"10000" validate:"gtfield=ProbeMs"`
 	ForgetS   int      `toml:"forget_s" default:"3600" validate:"gte=60"`
 }
@@ -51,8 +51,8 @@
 	}
 }
 
-// readFile reads a file of its own, and has it checked; errors name file and field.
-func readFile[D any](path string, check func(*D) error) (d D, err error) {
+// readTOML reads a TOML file and checks it; errors name the file and the field.
+func readTOML[D any](path string, check func(*D) error) (d D, err error) {
 	meta, err := toml.DecodeFile(path, &d)
 	switch {
 	case err != nil:
@@ -67,9 +67,9 @@
 	return d, nil
 }
 
-// ReadBudgets reads a set of budgets and checks it, against an instance's configuration where one is given.
+// ReadBudgets reads a set of budgets and checks it; with an instance's configuration, also the names of plans and classes.
 func ReadBudgets(path string, c *Config) (quota.Config, error) {
-	return readFile(path, func(d *quota.Config) error {
+	return readTOML(path, func(d *quota.Config) error {
 		if err := d.Validate(); err != nil || c == nil {
 			return err
 		}
@@ -77,52 +77,52 @@
 	})
 }
 
-// ReadTasks reads a set of tasks and checks it, against the fleet's renewals and seats where they are given.
+// ReadTasks reads a set of tasks and checks it; with the budgets, also against the renewals and sessions of the fleet.
 func ReadTasks(path string, f *quota.Config) (lease.Config, error) {
-	return readFile(path, func(d *lease.Config) error { return d.Validate(f) })
+	return readTOML(path, func(d *lease.Config) error { return d.Validate(f) })
 }
 
-// Accounts has latency accounts kept by volume.
+// Accounts configures latency accounts by volume.
 type Accounts struct {
-	Listen  string `toml:"listen" validate:"omitempty,addr"`       // where they are told; empty: nowhere
-	Dir     string `toml:"dir"`                                    // where each window's are kept; empty: not
+	Listen  string `toml:"listen" validate:"omitempty,addr"`       // address that serves the accounts; empty: they aren't served
+	Dir     string `toml:"dir"`                                    // folder of each window's file; empty: no files
 	WindowS int    `toml:"window_s" default:"60" validate:"gt=0"`  // seconds
 	Keep    int    `toml:"keep" default:"1440" validate:"gt=0"`    // files
-	Volumes int    `toml:"volumes" default:"4096" validate:"gt=0"` // accounts at a time
-	Pairs   int    `toml:"pairs" default:"4096" validate:"gt=0"`   // of volume and cause
-	Open    int    `toml:"open" default:"8192" validate:"gt=0"`    // requests at a time
-	Log     bool   `toml:"log"`                                    // a line with the served shares at the end of each window
+	Volumes int    `toml:"volumes" default:"4096" validate:"gt=0"` // accounts kept at a time
+	Pairs   int    `toml:"pairs" default:"4096" validate:"gt=0"`   // of volume and cause, kept at a time
+	Open    int    `toml:"open" default:"8192" validate:"gt=0"`    // open requests tracked at a time
+	Log     bool   `toml:"log"`                                    // log the served shares at the end of each window
 }
 
-// Agent sets up one of the few agents that keep the instances' configurations.
+// Agent configures one of the few agents that replicate the control state by Raft, which has the instances' configurations.
 type Agent struct {
 	ID    string `toml:"id" validate:"required"`
 	Dir   string `toml:"dir" validate:"required"`
 	Peers []Peer `toml:"peer" validate:"required,min=1,unique=ID,dive"`
 }
 
-// Peer is one agent as all agents know it.
+// Peer is an agent's addresses, which all agents have in their files.
 type Peer struct {
 	ID   string `toml:"id" validate:"required"`
-	Raft string `toml:"raft" validate:"addr"` // where it speaks Raft
-	API  string `toml:"api" validate:"addr"`  // where commands and instances reach it
+	Raft string `toml:"raft" validate:"addr"` // address of the Raft transport
+	API  string `toml:"api" validate:"addr"`  // address for commands and instances
 }
 
-// NVMe sets up NVMe over TCP in place of the platform's wire, towards hosts and targets alike.
+// NVMe configures NVMe over TCP in place of the platform's HTTP, towards hosts and targets alike.
 type NVMe struct {
 	Listen          string      `toml:"listen" validate:"addr"`
-	Subsystem       string      `toml:"subsystem" validate:"nqn"`        // the name hosts connect to
-	TargetSubsystem string      `toml:"target_subsystem" validate:"nqn"` // the name targets go by
-	HostNQN         string      `toml:"host_nqn" validate:"nqn"`         // this initiator's name towards targets
+	Subsystem       string      `toml:"subsystem" validate:"nqn"`        // NQN that hosts connect to
+	TargetSubsystem string      `toml:"target_subsystem" validate:"nqn"` // NQN of the targets' subsystems
+	HostNQN         string      `toml:"host_nqn" validate:"nqn"`         // NQN of this initiator as a host of its targets
 	HostID          string      `toml:"host_id" validate:"hexadecimal,len=32"`
 	QueueDepth      int         `toml:"queue_depth" default:"64" validate:"gte=2,lte=1024"`
 	KeepAliveMs     int         `toml:"keep_alive_ms" default:"5000" validate:"gte=200"`
-	Digests         bool        `toml:"digests"` // asked of targets; hosts choose for themselves
+	Digests         bool        `toml:"digests"` // requested from targets; hosts choose for themselves
 	TLS             *TLS        `toml:"tls"`
 	Namespaces      []Namespace `toml:"namespace" validate:"required,min=1,unique=ID,dive"`
 }
 
-// TLS says where the certificates are and how long those before are good after a change.
+// TLS names the certificate files, and how long the previous certificates stay valid after a change.
 type TLS struct {
 	Cert      string `toml:"cert" validate:"required"`
 	Key       string `toml:"key" validate:"required"`
@@ -130,26 +130,26 @@
 	OverlapMs int    `toml:"overlap_ms" validate:"gte=0"`
 }
 
-// Namespace says how reads and writes of one namespace become requests: whose volume it is, on which plan,
-// where its blocks lie, and which class a command belongs to.
+// Namespace defines how reads and writes of one namespace become requests: its volume and plan, where its blocks are
+// stored, and the class of each command.
 type Namespace struct {
 	ID           uint32 `toml:"id" validate:"gte=1,lt=4294967295"`
 	Volume       string `toml:"volume" validate:"hexadecimal,len=16"` // also the namespace's EUI-64
 	Plan         string `toml:"plan" validate:"plan"`
-	Hosts        int    `toml:"hosts" validate:"gte=1"` // initiators that carry this volume
+	Hosts        int    `toml:"hosts" validate:"gte=1"` // number of initiators that serve this volume
 	BlockBytes   int    `toml:"block_bytes" validate:"oneof=512 1024 2048 4096"`
 	Blocks       uint64 `toml:"blocks" validate:"gte=1,lte=281474976710656"`
-	StripeBlocks uint64 `toml:"stripe_blocks" validate:"gte=1"` // a piece of data; stripes lie on the shards in turn
+	StripeBlocks uint64 `toml:"stripe_blocks" validate:"gte=1"` // size of a stripe; stripes are placed on the shards in turn
 	Shards       []int  `toml:"shards" validate:"required,min=1,dive,gte=0"`
 	UnitBlocks   uint32 `toml:"unit_blocks" validate:"gte=1"`              // blocks that count as one unit
 	Read         string `toml:"read" validate:"class"`                     // class of reads
 	Write        string `toml:"write" validate:"class"`                    // class of writes
-	Bulk         string `toml:"bulk" validate:"omitempty,class"`           // class of large reads; may be empty
-	BulkBlocks   uint32 `toml:"bulk_blocks" validate:"required_with=Bulk"` // from so many blocks on
+	Bulk         string `toml:"bulk" validate:"omitempty,class"`           // class of large reads; empty: that of reads
+	BulkBlocks   uint32 `toml:"bulk_blocks" validate:"required_with=Bulk"` // least number of blocks of a large read
 }
 
-// ReadOperator reads an operator's file and checks it against the platform's settings. A field that is not
-// known stops the start as well: it is a spelling mistake that would silently change nothing. All that is wrong is told at once.
+// ReadOperatorFile reads an operator's file and checks it, with c also against the platform's settings. Unknown fields are
+// rejected, since a misspelled one would silently have no effect. The error lists all invalid fields.
 func ReadOperatorFile(path string, c *Config) (*OperatorFile, error) {
 	o := &OperatorFile{}
 	meta, err := toml.DecodeFile(path, o)
@@ -157,7 +157,7 @@
 		err = fmt.Errorf("%s: unknown field", meta.Undecoded()[0])
 	}
 	if err == nil {
-		err = check(o, c)
+		err = validate(o, c)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
@@ -165,7 +165,7 @@
 	return o, nil
 }
 
-// ReadAgent reads the part of an operator's file that sets up an agent.
+// ReadAgent reads the section of an operator's file that configures an agent.
 func ReadAgent(path string) (*Agent, error) {
 	o, err := ReadOperatorFile(path, nil)
 	switch {
@@ -177,7 +177,7 @@
 	return o.Agent, nil
 }
 
-// API is where this agent answers.
+// API returns the address for commands and instances of this agent; empty if it is none of the peers.
 func (a *Agent) API() string {
 	for _, p := range a.Peers {
 		if p.ID == a.ID {
@@ -187,7 +187,7 @@
 	return ""
 }
 
-// Classes are the names of the classes served.
+// ClassNames returns the names of all classes.
 func (c *Config) ClassNames() map[string]bool {
 	m := map[string]bool{}
 	for _, k := range c.Policy.Classes {
@@ -196,7 +196,7 @@
 	return m
 }
 
-// Plans are the names of the plans known.
+// PlanNames returns the names of all plans.
 func (c *Config) PlanNames() map[string]bool {
 	m := map[string]bool{}
 	for _, p := range c.Policy.Plans {
--- a/internal/process/config/rules.go
+++ b/internal/process/config/rules.go
@@ -17,27 +17,27 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// rules are the library's and these of our own, which stand beside the fields they are for. They are made once, with the
-// first file.
-var rules = sync.OnceValue(func() *validator.Validate {
+// structValidator has the library's validation rules and those defined here; struct tags name the rules of each field. It is
+// built once, at the first use.
+var structValidator = sync.OnceValue(func() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("toml")+f.Tag.Get("json"), ",")
 		return name
 	})
-	for tag, good := range map[string]func(string) bool{
-		"addr":  func(s string) bool { return badAddr(s) == nil },
+	for tag, valid := range map[string]func(string) bool{
+		"addr":  func(s string) bool { return addrError(s) == nil },
 		"nqn":   func(s string) bool { return s != "" && len(s) <= 223 },
 		"name":  func(s string) bool { return s != "" && len(s) <= quota.MaxNameBytes },
 		"use":   func(s string) bool { return slices.Contains(quota.Resources, quota.Resource(s)) },
 		"hex64": func(s string) bool { _, err := strconv.ParseUint(s, 16, 64); return err == nil },
 	} {
-		must(v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return good(f.Field().String()) }))
+		must(v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return valid(f.Field().String()) }))
 	}
-	for tag, known := range map[string]func(*Config) map[string]bool{"class": (*Config).ClassNames, "plan": (*Config).PlanNames} {
+	for tag, names := range map[string]func(*Config) map[string]bool{"class": (*Config).ClassNames, "plan": (*Config).PlanNames} {
 		must(v.RegisterValidationCtx(tag, func(ctx context.Context, f validator.FieldLevel) bool {
-			c, _ := ctx.Value(settings{}).(*Config)
-			return c == nil || known(c)[f.Field().String()]
+			c, _ := ctx.Value(configKey{}).(*Config)
+			return c == nil || names(c)[f.Field().String()]
 		}))
 	}
 	v.RegisterStructValidation(func(s validator.StructLevel) {
@@ -45,7 +45,7 @@
 			s.ReportError(a.ID, "id", "ID", "peer", "")
 		}
 	}, Agent{})
-	v.RegisterStructValidation(checkFeed, Feed{})
+	v.RegisterStructValidation(validateFeed, Feed{})
 	return v
 })
 
@@ -55,72 +55,72 @@
 	}
 }
 
-// settings is the key of the settings that names in an operator's file are checked against.
-type settings struct{}
+// configKey is the context key of the configuration that names in an operator's file are checked against.
+type configKey struct{}
 
-// says is what a broken rule is called, with the value and the rule's bound.
-var says = map[string]string{
-	"nqn":           "wanted 1 to 223 bytes",
-	"name":          "wanted 1 to " + strconv.Itoa(quota.MaxNameBytes) + " bytes",
-	"use":           "unknown use {value}",
+// ruleMessages are the error texts of the rules, with placeholders for the value and the rule's parameter.
+var ruleMessages = map[string]string{
+	"nqn":           "must have 1 to 223 bytes",
+	"name":          "must have 1 to " + strconv.Itoa(quota.MaxNameBytes) + " bytes",
+	"use":           "unknown resource {value}",
 	"hex64":         "{value} is not a hexadecimal number of 64 bits",
 	"class":         "class {value} is not in the settings",
 	"plan":          "plan {value} is not in the settings",
 	"peer":          "{value} is none of the peers",
 	"hexadecimal":   "{value} is not in hexadecimal digits",
-	"len":           "wanted {bound} digits",
+	"len":           "must have {bound} digits",
 	"oneof":         "unknown: {value} is none of {bound}",
-	"unique":        "{bound} there twice",
+	"unique":        "{bound} is not unique",
 	"ltfield":       "{value} is not under probe_ms",
 	"gtfield":       "{value} is not over probe_ms",
 	"no_region":     "{value} is none of the regions",
 	"no_zone":       "{value} is none of the zones of {bound}",
 	"two_regions":   "{value} is a zone of {bound} as well",
-	"required_with": "required where {bound} is set",
+	"required_with": "required if {bound} is set",
 	"gt":            "{value} is not over {bound}",
 	"gte":           "{value} is under {bound}",
 	"lt":            "{value} is not under {bound}",
 	"lte":           "{value} is over {bound}",
-	"min":           "at least {bound}",
-	"max":           "too many or too long, {bound} at most",
+	"min":           "at least {bound} required",
+	"max":           "too many or too long, at most {bound}",
 }
 
-// check fills in what is not told, and names every field of a file that cannot be served, and why. Names of classes and plans
-// are checked where the settings are given.
-func check(file any, against *Config) error {
+// validate sets the defaults of missing fields, and returns an error for each invalid field. Names of classes and plans are only
+// checked if cfg is given.
+func validate(file any, cfg *Config) error {
 	if err := defaults.Set(file); err != nil {
 		return err
 	}
-	err := rules().StructCtx(context.WithValue(context.Background(), settings{}, against), file)
-	var broken validator.ValidationErrors
-	if !errors.As(err, &broken) {
+	err := structValidator().StructCtx(context.WithValue(context.Background(), configKey{}, cfg), file)
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) {
 		return err
 	}
-	found := make([]error, len(broken))
-	for i, b := range broken {
-		_, path, _ := strings.Cut(b.Namespace(), ".")
-		switch b.Tag() {
+	errs := make([]error, len(violations))
+	for i, v := range violations {
+		_, path, _ := strings.Cut(v.Namespace(), ".")
+		switch v.Tag() {
 		case "required", "required_without":
-			found[i] = MissingField(path)
+			errs[i] = MissingField(path)
 		case "addr":
-			found[i] = fmt.Errorf("%s: %w", path, badAddr(b.Value().(string)))
+			errs[i] = fmt.Errorf("%s: %w", path, addrError(v.Value().(string)))
 		default:
-			value := fmt.Sprint(b.Value())
-			if b.Kind() == reflect.String {
+			value := fmt.Sprint(v.Value())
+			if v.Kind() == reflect.String {
 				value = strconv.Quote(value)
 			}
-			bound := b.Param()
-			if b.Tag() == "unique" || b.Tag() == "required_with" {
-				bound = strings.ToLower(bound) // a field of ours, not a word of the file's
+			bound := v.Param()
+			if v.Tag() == "unique" || v.Tag() == "required_with" {
+				bound = strings.ToLower(bound) // the name of a Go field; the file's is in lower case
 			}
-			found[i] = fmt.Errorf("%s: %s", path, strings.NewReplacer("{value}", value, "{bound}", bound).Replace(says[b.Tag()]))
+			errs[i] = fmt.Errorf("%s: %s", path, strings.NewReplacer("{value}", value, "{bound}", bound).Replace(ruleMessages[v.Tag()]))
 		}
 	}
-	return errors.Join(found...)
+	return errors.Join(errs...)
 }
 
-// badAddr is why an address cannot be used; nil: it can.
-func badAddr(addr string) error {
+// addrError returns why an address is invalid, or nil.
+func addrError(addr string) error {
 	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
 		return err
--- a/internal/process/config/settings.go
+++ b/internal/process/config/settings.go
@@ -1,5 +1,5 @@
-// Package config reads what the program is told (environment, JSON, the operator's file) once, at the
-// start, into the typed values that the rest uses, and refuses what cannot be served, naming the field.
+// Package config reads the program's configuration (environment, JSON, the operator's file) into typed
+// values, and rejects invalid values with errors that name the field.
 package config
 
 import (
@@ -10,8 +10,8 @@
 	"spindlehitch/internal/policy"
 )
 
-// Options is the settings object as the platform writes it, in the simulator's first message and in the
-// configuration alike. Unknown fields are skipped.
+// PlatformSettings is the settings object that the platform writes, in the simulator's first message and in the
+// configuration alike. Unknown fields are ignored.
 type PlatformSettings struct {
 	PeersTotal *int `json:"peersTotal" validate:"required,gte=1"`
 	Index      *int `json:"index"`
@@ -66,16 +66,16 @@
 	TickUs int64 `json:"tickUs"`
 }
 
-// ErrMissing is wrapped by the errors about absent fields.
+// ErrMissingField is wrapped by the errors about missing fields.
 var ErrMissingField = errors.New("required field is missing")
 
-// Missing names an absent field.
+// MissingField returns an ErrMissingField that names the field.
 func MissingField(field string) error { return fmt.Errorf("%s: %w", field, ErrMissingField) }
 
-// Us turns the platform's microseconds into a duration.
+// Microseconds converts the platform's microseconds to a duration.
 func Microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
 
-// Module turns the options into the module's settings.
+// PolicySettings converts the settings to those of the scheduler.
 func (o *PlatformSettings) PolicySettings() (policy.Settings, error) {
 	if o.PeersTotal == nil {
 		return policy.Settings{}, MissingField("options.peersTotal")
--- a/internal/process/failpoint/off.go
+++ b/internal/process/failpoint/off.go
@@ -1,7 +1,7 @@
 //go:build !faults
 
-// Package failpoint lets fault runs stop a process at a named step, aimed and not left to luck. A program that is built without the tag
-// faults has none of it.
+// Package failpoint lets fault runs stop a process deterministically at a named step. In a program that is built without the
+// tag faults it does nothing.
 package failpoint
 
 // Hit does nothing.
--- a/internal/process/failpoint/on.go
+++ b/internal/process/failpoint/on.go
@@ -1,7 +1,7 @@
 //go:build faults
 
-// Package failpoint lets fault runs stop a process at a named step, aimed and not left to luck. A program that is built without the tag
-// faults has none of it.
+// Package failpoint lets fault runs stop a process deterministically at a named step. In a program that is built without the
+// tag faults it does nothing.
 package failpoint
 
 import (
@@ -12,14 +12,15 @@
 	"golang.org/x/sys/unix"
 )
 
+// dir is the folder with the files that arm failpoints; empty: none is armed.
 var dir = os.Getenv("SPINDLEHITCH_FAILPOINTS")
 
-// waitInterval is the time between two looks at whether a caller that waits is released.
+// waitInterval is the time between two checks whether a waiting caller is released.
 const waitInterval = 2 * time.Millisecond
 
-// Hit does what a file of that name in the folder SPINDLEHITCH_FAILPOINTS says, and removes it: stop (the process, until SIGCONT),
-// kill, hang (the caller, until the process ends), or wait (the caller, until the file with the ending .hit is removed). What
-// happened is noted in a file with the ending .hit.
+// Hit performs the action in the file of that name in the folder SPINDLEHITCH_FAILPOINTS, and removes the file. The actions are
+// stop (the process, until SIGCONT), kill, hang (the caller, until the process ends), and wait (the caller, until the file with
+// the suffix .hit is removed). The action performed is recorded in a file with the suffix .hit.
 func Hit(name string) {
 	if dir == "" {
 		return
@@ -27,13 +28,13 @@
 	path := filepath.Join(dir, name)
 	b, err := os.ReadFile(path)
 	if err != nil || os.Remove(path) != nil {
-		return // not armed, or another got there first
+		return // not armed, or another caller has removed the file first
 	}
 	os.WriteFile(path+".hit", b, 0o600)
 	switch string(b) {
 	case "stop":
 		unix.Kill(os.Getpid(), unix.SIGSTOP)
-		// The signal is the process's: this thread may run on for a moment until it is taken.
+		// The signal goes to the process: this thread may run on for a moment before it is stopped.
 		time.Sleep(20 * time.Millisecond)
 	case "kill":
 		unix.Kill(os.Getpid(), unix.SIGKILL)
--- a/internal/process/listen/listen.go
+++ b/internal/process/listen/listen.go
@@ -1,4 +1,5 @@
-// Package listen opens the listeners of the program: bound here, or inherited from whoever started it.
+// Package listen opens the program's listeners, bound by itself or inherited from the process that started it, and closes
+// connections without losing what was written to them.
 package listen
 
 import (
@@ -14,16 +15,16 @@
 	"spindlehitch/internal/process/config"
 )
 
-// Inherited is the listener at the descriptor of that number. The descriptor itself is closed: the listener has one of its
-// own.
+// FromDescriptor returns a listener for the inherited descriptor with that number. The descriptor itself is closed: the
+// listener has a duplicate.
 func FromDescriptor(number string) (net.Listener, error) {
 	fd, err := strconv.ParseUint(number, 10, 16)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %q is not a number of a descriptor", config.SocketFDEnv, number)
+		return nil, fmt.Errorf("%s: %q is not a descriptor number", config.SocketFDEnv, number)
 	}
-	if on, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
+	if listening, err := unix.GetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_ACCEPTCONN); err != nil {
 		return nil, fmt.Errorf("%s: descriptor %d is no socket: %w", config.SocketFDEnv, fd, err)
-	} else if on == 0 {
+	} else if listening == 0 {
 		return nil, fmt.Errorf("%s: descriptor %d is a socket that does not listen", config.SocketFDEnv, fd)
 	}
 	f := os.NewFile(uintptr(fd), config.SocketFDEnv)
@@ -39,26 +40,27 @@
 	return l, nil
 }
 
-// Bound listens at an address. Where it is shared, a predecessor may still listen there, and a successor may come.
-func Bind(ctx context.Context, addr string, shared bool) (net.Listener, error) {
+// Bind listens at a TCP address. With reusePort, a predecessor may still listen there, and a successor may bind it later.
+func Bind(ctx context.Context, addr string, reusePort bool) (net.Listener, error) {
 	var lc net.ListenConfig
-	if shared {
-		lc.Control = share
+	if reusePort {
+		lc.Control = setReusePort
 	}
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-func share(_, _ string, c syscall.RawConn) error {
+// setReusePort sets SO_REUSEPORT before the socket is bound.
+func setReusePort(_, _ string, c syscall.RawConn) error {
 	var err error
-	if e := c.Control(func(fd uintptr) {
+	if controlErr := c.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-	}); e != nil {
-		return e
+	}); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// Waiting tells whether connections wait to be accepted.
+// HasPending reports whether connections wait to be accepted.
 func HasPending(l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	if !ok {
--- a/internal/process/listen/listen_test.go
+++ b/internal/process/listen/listen_test.go
@@ -12,8 +12,8 @@
 	"spindlehitch/internal/process/config"
 )
 
-// dup gives a socket's descriptor a copy that is not closed with it, as an inherited one is.
-func dup(t *testing.T, s interface{ File() (*os.File, error) }) string {
+// dupDescriptor duplicates a socket's descriptor, so that it stays open like an inherited one when the socket is closed.
+func dupDescriptor(t *testing.T, s interface{ File() (*os.File, error) }) string {
 	t.Helper()
 	f, err := s.File()
 	if err != nil {
@@ -27,17 +27,17 @@
 	return strconv.Itoa(fd)
 }
 
-// TestInherited takes over a socket that its first owner has left, and serves who waited there; the descriptor that was
-// named is closed. A second process's copy of it goes on when this one's listener is closed.
-func TestInherited(t *testing.T) {
+// TestFromDescriptor accepts connections at a socket that its first owner has closed; the descriptor that was passed is closed.
+// A second duplicate, as another process would have, still accepts after the first listener is closed.
+func TestFromDescriptor(t *testing.T) {
 	first, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := first.Addr().String()
-	mine, others := dup(t, first.(*net.TCPListener)), dup(t, first.(*net.TCPListener))
+	ours, others := dupDescriptor(t, first.(*net.TCPListener)), dupDescriptor(t, first.(*net.TCPListener))
 	first.Close()
-	for _, number := range []string{mine, others} {
+	for _, number := range []string{ours, others} {
 		l, err := FromDescriptor(number)
 		if err != nil {
 			t.Fatal(err)
@@ -59,8 +59,8 @@
 	}
 }
 
-// TestNotInherited is about descriptors that cannot be listened at: each is told by the variable's name.
-func TestNotInherited(t *testing.T) {
+// TestFromDescriptorErrors passes descriptors that are no TCP listeners: each error names the environment variable.
+func TestFromDescriptorErrors(t *testing.T) {
 	file, err := os.Create(t.TempDir() + "/file")
 	if err != nil {
 		t.Fatal(err)
@@ -81,8 +81,8 @@
 		t.Fatal(err)
 	}
 	defer u.Close()
-	for number, want := range map[string]string{"x": "is not a number", "-1": "is not a number", "60001": "is no socket",
-		strconv.Itoa(int(file.Fd())): "is no socket", dup(t, c.(*net.TCPConn)): "does not listen", dup(t, u.(*net.UnixListener)): "not for TCP"} {
+	for number, want := range map[string]string{"x": "is not a descriptor number", "-1": "is not a descriptor number", "60001": "is no socket",
+		strconv.Itoa(int(file.Fd())): "is no socket", dupDescriptor(t, c.(*net.TCPConn)): "does not listen", dupDescriptor(t, u.(*net.UnixListener)): "not for TCP"} {
 		if l, err := FromDescriptor(number); err == nil || !strings.HasPrefix(err.Error(), config.SocketFDEnv+": ") || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, %v; want %q", number, l, err, want)
 		}
--- a/internal/process/mailbox/mailbox.go
+++ b/internal/process/mailbox/mailbox.go
@@ -1,21 +1,22 @@
-// Package mailbox is how the actors of this program hear from one another.
+// Package mailbox passes messages between the goroutines of this program.
 package mailbox
 
 import "sync"
 
-// Box takes messages from any goroutine for the one that owns it. It has no bound of its own, so Put never
-// waits and never drops: two actors that write to each other cannot lock up, and no outcome is lost. What
-// may pile up is bounded where work is let in (the front's cap on connections, the core's on requests).
+// Box is an unbounded queue: any goroutine may put messages, and the goroutine that owns it takes them. Put
+// never blocks and never drops a message, so two goroutines that send to each other can't deadlock, and no
+// result is lost. Its length is bounded where work is admitted (the front's limit on connections, the core's
+// on requests).
 type Box[T any] struct {
-	mu    sync.Mutex
+	mu    sync.Mutex // guards items
 	items []T
-	wake  chan struct{}
+	wake  chan struct{} // of capacity 1; never closed
 }
 
 // New returns an empty mailbox.
 func New[T any]() *Box[T] { return &Box[T]{wake: make(chan struct{}, 1)} }
 
-// Put leaves a message.
+// Put appends a message and wakes the owner.
 func (b *Box[T]) Put(m T) {
 	b.mu.Lock()
 	b.items = append(b.items, m)
@@ -26,10 +27,11 @@
 	}
 }
 
-// Wake is readable when there may be messages to take.
+// Wake returns a channel that is readable when there may be messages to take.
 func (b *Box[T]) Wake() <-chan struct{} { return b.wake }
 
-// Take returns all messages in the order they were left. The slice passed in is used for what comes next.
+// Take returns all messages in the order in which they were put. It clears the spare slice and queues the next
+// messages in it.
 func (b *Box[T]) Take(spare []T) []T {
 	clear(spare)
 	b.mu.Lock()
--- a/internal/process/monotone/monotone.go
+++ b/internal/process/monotone/monotone.go
@@ -1,5 +1,5 @@
-// Package monotone reads the one clock that ends of fleet-wide parts are reckoned by: it never steps, and it goes on while
-// the machine sleeps (CLOCK_BOOTTIME of clock_gettime(2)). Two machines' readings have nothing in common but their rate.
+// Package monotone reads the clock that the expiry of allocations and leases is measured by: it never steps, and it goes on
+// while the machine is suspended (CLOCK_BOOTTIME of clock_gettime(2)). Readings of two machines share nothing but their rate.
 package monotone
 
 import (
@@ -8,12 +8,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the time since the machine started, its sleep included.
+// Now returns the time since the machine was booted, including the time it was suspended.
 func Now() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Without it nothing may be promised of when a part ends. Linux has had it since 2.6.39.
-		panic("monotone: no CLOCK_BOOTTIME: " + err.Error())
+		// Without this clock the expiry of allocations can't be guaranteed. Linux has had it since 2.6.39.
+		panic("monotone: CLOCK_BOOTTIME is not available: " + err.Error())
 	}
-	return skew(time.Duration(ts.Nano()))
+	return scaleClock(time.Duration(ts.Nano()))
 }
