--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -16,7 +16,7 @@
 type Limits struct {
 	Cores    float64 `json:"cores" default:"1" validate:"gte=0"`
 	MemoryMB int     `json:"memory_mb" default:"192" validate:"gte=0"`
-	Sockets  int     `json:"sockets" default:"1024" validate:"gte=64"`
+	Sockets  int     `json:"sockets" default:"1024" validate:"gte=64"` // file descriptors
 }
 
 // Config is the program's configuration.
@@ -117,7 +117,7 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	l := f.Settings.Limits
-	c.MaxOpenRequests = capAt(l.MostHeld, maxOpenRequests)
+	c.MaxOpenRequests = capAt(l.MaxOpenRequests, maxOpenRequests)
 	c.DialTimeout = orDefault(Microseconds(l.DialTimeoutUs), defaultDialTimeout)
 	c.ConnIdleTimeout = orDefault(Microseconds(l.ConnIdleUs), 30*time.Second)
 	c.HealthProbes = f.Settings.Limits.Probes
--- a/internal/process/config/operator.go
+++ b/internal/process/config/operator.go
@@ -32,16 +32,16 @@
 
 // Membership configures the membership group, in which instances detect each other's failures without the agents.
 type Membership struct {
-	Bind      string   `toml:"bind" validate:"required,addr"`       // for UDP and TCP
-	Advertise string   `toml:"advertise" validate:"omitempty,addr"` // the address that others use; empty: Bind
-	Seeds     []string `toml:"seeds" validate:"max=16,dive,addr"`   // addresses of some other members
-	Zone      string   `toml:"zone" validate:"max=64"`
-	Key       string   `toml:"key" validate:"required,max=64"` // of the fleet; messages with another key are ignored
-	ProbeMs   int      `toml:"probe_ms" default:"1000" validate:"gte=50,lte=60000"`
-	TimeoutMs int      `toml:"timeout_ms" default:"300" validate:"gte=5,ltfield=ProbeMs"`
-	PauseMs   int      `toml:"pause_ms" default:"2000" validate:"gtfield=ProbeMs"` // a longer gap between two reads of the clock counts as a pause of the process
-	CompareMs int      `toml:"compare_ms" default:"10000" validate:"gtfield=ProbeMs"`
-	ForgetS   int      `toml:"forget_s" default:"3600" validate:"gte=60"`
+	Bind             string   `toml:"bind" validate:"required,addr"`       // for UDP and TCP
+	Advertise        string   `toml:"advertise" validate:"omitempty,addr"` // the address that others use; empty: Bind
+	Seeds            []string `toml:"seeds" validate:"max=16,dive,addr"`   // addresses of some other members
+	Zone             string   `toml:"zone" validate:"max=64"`
+	Key              string   `toml:"key" validate:"required,max=64"` // of the fleet; messages with another key are ignored
+	ProbeMs          int      `toml:"probe_ms" default:"1000" validate:"gte=50,lte=60000"`
+	ProbeTimeoutMs   int      `toml:"timeout_ms" default:"300" validate:"gte=5,ltfield=ProbeMs"`
+	PauseThresholdMs int      `toml:"pause_ms" default:"2000" validate:"gtfield=ProbeMs"` // a longer gap between two reads of the clock counts as a pause of the process
+	SyncIntervalMs   int      `toml:"compare_ms" default:"10000" validate:"gtfield=ProbeMs"`
+	TombstoneTTLS    int      `toml:"forget_s" default:"3600" validate:"gte=60"`
 }
 
 // SetDefaults implements defaults.Setter.
@@ -68,18 +68,18 @@
 }
 
 // ReadBudgets reads a set of budgets and checks it; with an instance's configuration, also the names of plans and classes.
-func ReadBudgets(path string, c *Config) (quota.Config, error) {
+func ReadBudgets(path string, cfg *Config) (quota.Config, error) {
 	return readTOML(path, func(d *quota.Config) error {
-		if err := d.Validate(); err != nil || c == nil {
+		if err := d.Validate(); err != nil || cfg == nil {
 			return err
 		}
-		return d.ValidateNames(c.PlanNames(), c.ClassNames())
+		return d.ValidateNames(cfg.PlanNames(), cfg.ClassNames())
 	})
 }
 
 // ReadTasks reads a set of tasks and checks it; with the budgets, also against the renewals and sessions of the fleet.
-func ReadTasks(path string, f *quota.Config) (lease.Config, error) {
-	return readTOML(path, func(d *lease.Config) error { return d.Validate(f) })
+func ReadTasks(path string, budgets *quota.Config) (lease.Config, error) {
+	return readTOML(path, func(d *lease.Config) error { return d.Validate(budgets) })
 }
 
 // Accounts configures latency accounts by volume.
@@ -148,16 +148,16 @@
 	BulkBlocks   uint32 `toml:"bulk_blocks" validate:"required_with=Bulk"` // least number of blocks of a large read
 }
 
-// ReadOperatorFile reads an operator's file and checks it, with c also against the platform's settings. Unknown fields are
+// ReadOperatorFile reads an operator's file and checks it, with cfg also against the platform's settings. Unknown fields are
 // rejected, since a misspelled one would silently have no effect. The error lists all invalid fields.
-func ReadOperatorFile(path string, c *Config) (*OperatorFile, error) {
+func ReadOperatorFile(path string, cfg *Config) (*OperatorFile, error) {
 	o := &OperatorFile{}
 	meta, err := toml.DecodeFile(path, o)
 	if err == nil && len(meta.Undecoded()) > 0 {
 		err = fmt.Errorf("%s: unknown field", meta.Undecoded()[0])
 	}
 	if err == nil {
-		err = validate(o, c)
+		err = validate(o, cfg)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
--- a/internal/process/config/settings.go
+++ b/internal/process/config/settings.go
@@ -11,59 +11,60 @@
 )
 
 // PlatformSettings is the settings object that the platform writes, in the simulator's first message and in the
-// configuration alike. Unknown fields are ignored.
+// configuration alike. Its fields are named after those of policy.Settings, the tags are the platform's names. Unknown
+// fields are ignored.
 type PlatformSettings struct {
-	PeersTotal *int `json:"peersTotal" validate:"required,gte=1"`
-	Index      *int `json:"index"`
-	Classes    []struct {
-		Name       string  `json:"name"`
-		PromiseUs  int64   `json:"promiseUs" validate:"gt=0"`
-		DeadlineUs int64   `json:"deadlineUs" validate:"gt=0"`
-		Effect     string  `json:"effect" validate:"oneof=pure token side_effect"`
-		Group      string  `json:"group" validate:"omitempty,oneof=all zone cell"`
-		WindowUs   int64   `json:"windowUs"`
-		Serial     bool    `json:"serialByKey"`
-		Worth      float64 `json:"worth"`
+	InitiatorCount *int `json:"peersTotal" validate:"required,gte=1"`
+	InitiatorIndex *int `json:"index"`
+	Classes        []struct {
+		Name               string  `json:"name"`
+		LatencyObjectiveUs int64   `json:"promiseUs" validate:"gt=0"`
+		DeadlineUs         int64   `json:"deadlineUs" validate:"gt=0"`
+		Effect             string  `json:"effect" validate:"oneof=pure token side_effect"`
+		DedupScope         string  `json:"group" validate:"omitempty,oneof=all zone cell"`
+		DedupWindowUs      int64   `json:"windowUs"`
+		Ordered            bool    `json:"serialByKey"`
+		PriorityWeight     float64 `json:"worth"`
 	} `json:"classes" validate:"required,min=1,unique=Name,dive"`
-	Contracts []struct {
-		Name        string  `json:"name"`
-		UsualRate   float64 `json:"usualRate"`
-		Reservation float64 `json:"reservation"`
-		Parts       float64 `json:"parts"`
-		Pays        float64 `json:"pays"`
-		CeilingRate float64 `json:"ceilingRate"`
-		LimitBurst  float64 `json:"limitBurst"`
+	Plans []struct {
+		Name           string  `json:"name"`
+		Rate           float64 `json:"usualRate"`
+		ReservedRate   float64 `json:"reservation"`
+		Weight         float64 `json:"parts"`
+		PriorityFactor float64 `json:"pays"`
+		RateLimit      float64 `json:"ceilingRate"`
+		RateLimitBurst float64 `json:"limitBurst"`
 	} `json:"contracts" validate:"required,min=1,unique=Name"`
 	Extra struct {
-		ColdBears  float64 `json:"coldBears"`
-		Largest    float64 `json:"largest"`
-		MeanUnits  float64 `json:"meanUnits"`
-		FairWorth  float64 `json:"fairWorth"`
-		IdleWorth  float64 `json:"idleWorth"`
-		MeteringUs int64   `json:"meteringUs"`
+		ColdUnitsPerWindow float64 `json:"coldBears"`
+		MaxUnits           float64 `json:"largest"`
+		MeanUnits          float64 `json:"meanUnits"`
+		FairSharePriority  float64 `json:"fairWorth"`
+		ExcessPriority     float64 `json:"idleWorth"`
+		UsagePeriodUs      int64   `json:"meteringUs"`
 	} `json:"extra"`
 	Limits struct {
-		SendCap       *int  `json:"sendCap" validate:"omitempty,gte=1"` // nil: no bound
-		MostHeld      int   `json:"mostHeld"`
-		ConnIdleUs    int64 `json:"connIdleUs"`
-		DialTimeoutUs int64 `json:"dialTimeoutUs"`
-		Probes        bool  `json:"probes"`
+		MaxAttempts     *int  `json:"sendCap" validate:"omitempty,gte=1"` // nil: no bound
+		MaxOpenRequests int   `json:"mostHeld"`
+		ConnIdleUs      int64 `json:"connIdleUs"`
+		DialTimeoutUs   int64 `json:"dialTimeoutUs"`
+		Probes          bool  `json:"probes"`
 	} `json:"limits"`
 	Prices struct {
-		Handshake float64 `json:"handshake"`
+		ConnectCost float64 `json:"handshake"`
 	} `json:"prices"`
-	RegistryMode string `json:"registryMode"`
-	Rules        struct {
-		ColdShare          float64  `json:"coldShare"`
-		WarmWithinUs       int64    `json:"warmWithinUs"`
-		FallUs             int64    `json:"fallUs"`
-		TipMultiple        float64  `json:"tipMultiple"`
-		SettleAfterDoubtUs int64    `json:"settleAfterDoubtUs"`
-		ResendRatio        *float64 `json:"resendRatio"`
-		ExtraFree          float64  `json:"extraFree"`
-		ResendSpanUs       int64    `json:"resendSpanUs"`
+	DiscoveryMode string `json:"registryMode"`
+	Rules         struct {
+		ColdCapacityFraction float64  `json:"coldShare"`
+		WarmUpTimeUs         int64    `json:"warmWithinUs"`
+		OverloadWindowUs     int64    `json:"fallUs"`
+		OverloadFactor       float64  `json:"tipMultiple"`
+		OrderedQuietTimeUs   int64    `json:"settleAfterDoubtUs"`
+		RetryBudgetRatio     *float64 `json:"resendRatio"`
+		RetryBudgetFree      float64  `json:"extraFree"`
+		RetryBudgetWindowUs  int64    `json:"resendSpanUs"`
 	} `json:"rules"`
-	TickUs int64 `json:"tickUs"`
+	MinStepUs int64 `json:"tickUs"`
 }
 
 // ErrMissingField is wrapped by the errors about missing fields.
@@ -77,42 +78,42 @@
 
 // PolicySettings converts the settings to those of the scheduler.
 func (o *PlatformSettings) PolicySettings() (policy.Settings, error) {
-	if o.PeersTotal == nil {
+	if o.InitiatorCount == nil {
 		return policy.Settings{}, MissingField("options.peersTotal")
 	}
 	s := policy.Settings{
-		Initiators:         *o.PeersTotal,
-		MinStep:            Microseconds(o.TickUs),
+		Initiators:         *o.InitiatorCount,
+		MinStep:            Microseconds(o.MinStepUs),
 		MeanUnits:          o.Extra.MeanUnits,
-		FairSharePriority:  o.Extra.FairWorth,
-		ExcessPriority:     o.Extra.IdleWorth,
-		MaxUnits:           o.Extra.Largest,
-		ColdUnitsPerWindow: o.Extra.ColdBears,
-		ConnectCost:        o.Prices.Handshake,
-		UsagePeriod:        Microseconds(o.Extra.MeteringUs),
-		SubscribeToList:    o.RegistryMode == "on_request",
+		FairSharePriority:  o.Extra.FairSharePriority,
+		ExcessPriority:     o.Extra.ExcessPriority,
+		MaxUnits:           o.Extra.MaxUnits,
+		ColdUnitsPerWindow: o.Extra.ColdUnitsPerWindow,
+		ConnectCost:        o.Prices.ConnectCost,
+		UsagePeriod:        Microseconds(o.Extra.UsagePeriodUs),
+		SubscribeToList:    o.DiscoveryMode == "on_request",
 		Rules: policy.Rules{
-			ColdCapacityFraction: o.Rules.ColdShare,
-			WarmUpTime:           Microseconds(o.Rules.WarmWithinUs),
-			OverloadWindow:       Microseconds(o.Rules.FallUs),
-			OverloadFactor:       o.Rules.TipMultiple,
-			OrderedQuietTime:     Microseconds(o.Rules.SettleAfterDoubtUs),
-			RetryBudgetFree:      o.Rules.ExtraFree,
-			RetryBudgetWindow:    Microseconds(o.Rules.ResendSpanUs),
+			ColdCapacityFraction: o.Rules.ColdCapacityFraction,
+			WarmUpTime:           Microseconds(o.Rules.WarmUpTimeUs),
+			OverloadWindow:       Microseconds(o.Rules.OverloadWindowUs),
+			OverloadFactor:       o.Rules.OverloadFactor,
+			OrderedQuietTime:     Microseconds(o.Rules.OrderedQuietTimeUs),
+			RetryBudgetFree:      o.Rules.RetryBudgetFree,
+			RetryBudgetWindow:    Microseconds(o.Rules.RetryBudgetWindowUs),
 		},
 	}
-	if o.Limits.SendCap != nil {
-		s.MaxAttempts = *o.Limits.SendCap
+	if o.Limits.MaxAttempts != nil {
+		s.MaxAttempts = *o.Limits.MaxAttempts
 	}
-	if o.Index != nil && *o.Index >= 0 {
-		s.InitiatorIndex = *o.Index + 1
+	if o.InitiatorIndex != nil && *o.InitiatorIndex >= 0 {
+		s.InitiatorIndex = *o.InitiatorIndex + 1
 	}
-	if o.Rules.ResendRatio != nil {
-		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.ResendRatio
+	if o.Rules.RetryBudgetRatio != nil {
+		s.Rules.RetryBudget, s.Rules.RetryBudgetRatio = true, *o.Rules.RetryBudgetRatio
 	}
 	for i, c := range o.Classes {
-		k := policy.Class{Name: c.Name, LatencyObjective: Microseconds(c.PromiseUs), Deadline: Microseconds(c.DeadlineUs),
-			DedupWindow: Microseconds(c.WindowUs), Ordered: c.Serial, PriorityWeight: c.Worth}
+		k := policy.Class{Name: c.Name, LatencyObjective: Microseconds(c.LatencyObjectiveUs), Deadline: Microseconds(c.DeadlineUs),
+			DedupWindow: Microseconds(c.DedupWindowUs), Ordered: c.Ordered, PriorityWeight: c.PriorityWeight}
 		switch c.Effect {
 		case "pure":
 			k.Effect = policy.Idempotent
@@ -123,7 +124,7 @@
 		default:
 			return s, fmt.Errorf("options.classes[%d].effect: unknown effect %q", i, c.Effect)
 		}
-		switch c.Group {
+		switch c.DedupScope {
 		case "", "all":
 			k.DedupScope = policy.DedupFleet
 		case "zone":
@@ -131,13 +132,13 @@
 		case "cell":
 			k.DedupScope = policy.DedupShard
 		default:
-			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.Group)
+			return s, fmt.Errorf("options.classes[%d].group: unknown group %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
-	for _, p := range o.Contracts {
-		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.UsualRate, ReservedRate: p.Reservation,
-			Weight: p.Parts, PriorityFactor: p.Pays, RateLimit: p.CeilingRate, RateLimitBurst: p.LimitBurst})
+	for _, p := range o.Plans {
+		s.Plans = append(s.Plans, policy.Plan{Name: p.Name, Rate: p.Rate, ReservedRate: p.ReservedRate,
+			Weight: p.Weight, PriorityFactor: p.PriorityFactor, RateLimit: p.RateLimit, RateLimitBurst: p.RateLimitBurst})
 	}
 	return s, nil
 }
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -20,8 +20,8 @@
 	opt := op.Fleet.Members
 	timing := membership.DefaultConfig
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	timing.ProbeInterval, timing.ProbeTimeout, timing.PauseThreshold, timing.SyncInterval = ms(opt.ProbeMs), ms(opt.TimeoutMs), ms(opt.PauseMs), ms(opt.CompareMs)
-	timing.TombstoneTTL = time.Duration(opt.ForgetS) * time.Second
+	timing.ProbeInterval, timing.ProbeTimeout, timing.PauseThreshold, timing.SyncInterval = ms(opt.ProbeMs), ms(opt.ProbeTimeoutMs), ms(opt.PauseThresholdMs), ms(opt.SyncIntervalMs)
+	timing.TombstoneTTL = time.Duration(opt.TombstoneTTLS) * time.Second
 	return transport.New(transport.Options{Name: cfg.Name, Bind: opt.Bind, Advertise: opt.Advertise, Zone: opt.Zone, FleetKey: opt.Key, Seeds: opt.Seeds,
 		Config: timing, AllowOtherPort: reusePort, Log: log})
 }
