--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -6,8 +6,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// WriteMetrics writes the metrics of the session and its allocations.
-func (s *Session) WriteMetrics(to statsd.ExtendedStatSender) {
+// EmitMetrics writes the metrics of the session and its allocations.
+func (s *Session) EmitMetrics(to statsd.ExtendedStatSender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -341,7 +341,7 @@
 	c.table.addLingering(c)
 	go func() {
 		defer c.table.remove(c)
-		_ = listen.Linger(c.Conn)
+		_ = listen.DrainAndClose(c.Conn)
 	}()
 	return nil
 }
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -141,7 +141,7 @@
 	core.SleepUntil(ctx, now.Add(schedule.AcceptFor))
 	if l := s.listener.Load(); l != nil {
 		// Connections left in the kernel's backlog would be reset when the listener is closed. After a handover the successor accepts them.
-		for until := time.Now().Add(backlogTimeout); !s.handedOver.Load() && listen.Waiting(*l) && ctx.Err() == nil && time.Now().Before(until); {
+		for until := time.Now().Add(backlogTimeout); !s.handedOver.Load() && listen.HasPending(*l) && ctx.Err() == nil && time.Now().Before(until); {
 			core.SleepUntil(ctx, time.Now().Add(time.Millisecond))
 		}
 		(*l).Close()
