--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -82,7 +82,7 @@
 	}
 	get := &cobra.Command{Use: "get NAME", Short: "Print an instance's configuration", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			e, err := client.Get(cmd.Context(), args[0])
+			e, err := client.GetConfig(cmd.Context(), args[0])
 			if err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 		}}
 	list := &cobra.Command{Use: "list", Short: "List the instances and the versions of their configurations", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := client.List(cmd.Context())
+			all, err := client.ListConfigs(cmd.Context())
 			if err != nil {
 				return err
 			}
@@ -110,7 +110,7 @@
 		if over >= 0 {
 			condition = strconv.FormatInt(over, 10)
 		}
-		e, err := client.Put(cmd.Context(), name, text, condition)
+		e, err := client.PutConfig(cmd.Context(), name, text, condition)
 		if err != nil {
 			return err
 		}
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -67,7 +67,7 @@
 	require.Zero(t, code)
 	require.Contains(t, out, "4 puts for fleet campus")
 	require.Eventually(t, func() bool { // a leader
-		_, err := (&agent.Client{Addrs: []string{api}}).List(ctx)
+		_, err := (&agent.Client{Addrs: []string{api}}).ListConfigs(ctx)
 		return err == nil
 	}, time.Minute, 50*time.Millisecond)
 	out, _, err = run("change", "put", "../../deploy/change.toml", "--if-version", "0")
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -237,7 +237,7 @@
 	client := &agent.Client{Addrs: []string{set.API()}}
 	put := func(text string) (err error) {
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			if _, err = client.Put(stop, "n1", []byte(text), ""); err == nil || !strings.Contains(err.Error(), "leader") &&
+			if _, err = client.PutConfig(stop, "n1", []byte(text), ""); err == nil || !strings.Contains(err.Error(), "leader") &&
 				!strings.Contains(err.Error(), "refused") {
 				return err
 			}
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -118,7 +118,7 @@
 	var e Entry
 	g.until("put of "+name, func() bool {
 		var err error
-		e, err = g.Put(context.Background(), name, []byte(text), ifVersion)
+		e, err = g.PutConfig(context.Background(), name, []byte(text), ifVersion)
 		return err == nil
 	})
 	return e
@@ -132,7 +132,7 @@
 	defer stop()
 	told := make(chan Entry, 16)
 	follower := &Client{Addrs: g.Addrs}
-	go follower.Follow(ctx, "n1", quiet, func(e Entry) { told <- e })
+	go follower.FollowConfig(ctx, "n1", quiet, func(e Entry) { told <- e })
 	first := g.put("n1", `{"a":1}`, "")
 	g.put("n2", `{"b":1}`, "")
 	lost := g.leader()
@@ -141,7 +141,7 @@
 	if second.Version <= first.Version {
 		t.Errorf("version went from %d to %d", first.Version, second.Version)
 	}
-	e, err := g.Get(ctx, "n1")
+	e, err := g.GetConfig(ctx, "n1")
 	if err != nil || string(e.Config) != `{"a":2}` || e.Version != second.Version {
 		t.Errorf("after the leader was lost: %+v, %v", e, err)
 	}
@@ -150,7 +150,7 @@
 		e, found, _ := g.agents[lost].store.get("n1")
 		return found && string(e.Config) == `{"a":2}`
 	})
-	if all, err := g.List(ctx); err != nil || len(all) != 2 {
+	if all, err := g.ListConfigs(ctx); err != nil || len(all) != 2 {
 		t.Errorf("instances %v, %v", all, err)
 	}
 	for _, want := range []string{`{"a":1}`, `{"a":2}`} {
@@ -176,17 +176,17 @@
 	g := newThree(t)
 	ctx := context.Background()
 	e := g.put("n1", `{"a":1}`, "0")
-	if _, err := g.Put(ctx, "n1", []byte(`{"a":2}`), "0"); err == nil || !strings.Contains(err.Error(), "another version") {
+	if _, err := g.PutConfig(ctx, "n1", []byte(`{"a":2}`), "0"); err == nil || !strings.Contains(err.Error(), "another version") {
 		t.Errorf("second first write: %v", err)
 	}
-	if _, err := g.Put(ctx, "n1", []byte("nonsense"), ""); err == nil || !strings.Contains(err.Error(), "required field") {
+	if _, err := g.PutConfig(ctx, "n1", []byte("nonsense"), ""); err == nil || !strings.Contains(err.Error(), "required field") {
 		t.Errorf("bad configuration: %v", err)
 	}
 	g.put("n1", `{"a":3}`, fmt.Sprint(e.Version))
-	if _, err := g.Put(ctx, "n1", nil, ""); err != nil {
+	if _, err := g.PutConfig(ctx, "n1", nil, ""); err != nil {
 		t.Errorf("taking away: %v", err)
 	}
-	if _, err := g.Get(ctx, "n1"); !errors.Is(err, ErrNotFound) {
+	if _, err := g.GetConfig(ctx, "n1"); !errors.Is(err, ErrNotFound) {
 		t.Errorf("after it was taken away: %v", err)
 	}
 }
@@ -203,7 +203,7 @@
 	}
 	ctx, done := context.WithTimeout(context.Background(), 3*time.Second)
 	defer done()
-	if e, err := g.Put(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
+	if e, err := g.PutConfig(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
 		t.Errorf("a lone agent took %+v", e)
 	}
 }
@@ -305,17 +305,17 @@
 func TestOthersAgents(t *testing.T) {
 	g := newThree(t)
 	g.until("a leader", func() bool { return g.leader() >= 0 })
-	_, err := g.Put(context.Background(), "n1", []byte("{}"), "")
+	_, err := g.PutConfig(context.Background(), "n1", []byte("{}"), "")
 	require.NoError(t, err)
 	asked := 0
 	gone := &Client{Addrs: freeAddrs(t, 2), FallbackAddrs: func() []string { asked++; return g.Addrs }}
-	e, err := gone.Get(context.Background(), "n1")
+	e, err := gone.GetConfig(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, "n1", e.Name)
-	require.Contains(t, g.Addrs, gone.LastAnswered(time.Minute))
-	require.Empty(t, gone.LastAnswered(0))
+	require.Contains(t, g.Addrs, gone.LastResponder(time.Minute))
+	require.Empty(t, gone.LastResponder(0))
 	named := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("asked for others"); return nil }}
-	_, err = named.Get(context.Background(), "n1")
+	_, err = named.GetConfig(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, 1, asked)
 }
--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -50,8 +50,8 @@
 	at   time.Time
 }
 
-// LastAnswered is the agent that answered last, if that was within the given time; empty: none did.
-func (c *Client) LastAnswered(within time.Duration) string {
+// LastResponder returns the address of the agent that answered last, if that was within the given time; empty: none did.
+func (c *Client) LastResponder(within time.Duration) string {
 	if a := c.lastAnswer.Load(); a != nil && time.Since(a.at) < within {
 		return a.addr
 	}
--- a/internal/controlplane/agent/client_configs.go
+++ b/internal/controlplane/agent/client_configs.go
@@ -14,19 +14,19 @@
 func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
 
 // Get returns the latest configuration of an instance.
-func (c *Client) Get(ctx context.Context, name string) (Entry, error) {
+func (c *Client) GetConfig(ctx context.Context, name string) (Entry, error) {
 	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
 }
 
 // List returns the names and versions of all configurations.
-func (c *Client) List(ctx context.Context) (map[string]uint64, error) {
+func (c *Client) ListConfigs(ctx context.Context) (map[string]uint64, error) {
 	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
 }
 
 // Put writes a configuration; nil deletes it. If ifVersion is set, only that version is replaced. The
 // change is made once, even if an agent that committed it fails before it answers and the next agent
 // is called.
-func (c *Client) Put(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
+func (c *Client) PutConfig(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
 	method := http.MethodPut
 	if config == nil {
 		method = http.MethodDelete
@@ -52,7 +52,7 @@
 // until ctx ends. It asks any agent for what that one has, so that an instance starts and keeps
 // running while there is no leader. An agent that lags behind cannot set the configuration back. A
 // silent agent is detected within watchWait and one attempt.
-func (c *Client) Follow(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
+func (c *Client) FollowConfig(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
 	var has uint64
 	waits := newBackoff()
 	for turn := 0; ctx.Err() == nil; {
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -12,16 +12,16 @@
 // StreamStatus is where a version is applied, as an agent sees it.
 type StreamStatus struct {
 	watchstream.Status
-	Agent        string `json:"agent"`
-	Leads        bool   `json:"leads"`   // a majority has just confirmed it; else nothing is known of readers
-	AgeMs        int64  `json:"old_ms"`  // how old the state may be; -1: it has never heard of a leader
-	Head         uint64 `json:"head"`    // newest version
-	Fleet        string `json:"fleet"`   // whose stream it is
-	Floor        uint64 `json:"floor"`   // readers behind it resync by digests
-	Targets      int    `json:"targets"` // live
-	ConfigLayers int    `json:"configuration"`
-	Tombstones   int    `json:"tombstones"`
-	Bytes        int    `json:"bytes"` // of keys and values
+	Agent          string `json:"agent"`
+	Leads          bool   `json:"leads"`   // a majority has just confirmed it; else nothing is known of readers
+	AgeMs          int64  `json:"old_ms"`  // how old the state may be; -1: it has never heard of a leader
+	Head           uint64 `json:"head"`    // newest version
+	Fleet          string `json:"fleet"`   // whose stream it is
+	TombstoneFloor uint64 `json:"floor"`   // readers behind it resync by digests
+	Targets        int    `json:"targets"` // live
+	ConfigLayers   int    `json:"configuration"`
+	Tombstones     int    `json:"tombstones"`
+	Bytes          int    `json:"bytes"` // of keys and values
 }
 
 // logStatus is what the log says, without the readers; false: there was no change yet.
@@ -36,7 +36,7 @@
 		return status, false
 	}
 	status.Status = watchstream.Status{Epoch: changes.Epoch(), Version: changes.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
-	status.Fleet, status.Head, status.Floor = changes.Fleet(), changes.Head(), changes.TombstoneFloor()
+	status.Fleet, status.Head, status.TombstoneFloor = changes.Fleet(), changes.Head(), changes.TombstoneFloor()
 	status.Targets, status.ConfigLayers, status.Tombstones = changes.Count(watchstream.Targets), changes.Count(watchstream.Config), changes.Tombstones(watchstream.Targets)
 	status.Bytes = changes.Bytes(watchstream.Targets) + changes.Bytes(watchstream.Config)
 	return status, true
--- a/internal/controlplane/quota/quotasession/session.go
+++ b/internal/controlplane/quota/quotasession/session.go
@@ -57,7 +57,7 @@
 }
 
 // ReachableAgent is an agent that answered recently; empty: none did.
-func (s *Session) ReachableAgent() string { return s.agents.LastAnswered(agentFreshness) }
+func (s *Session) ReachableAgent() string { return s.agents.LastResponder(agentFreshness) }
 
 // OnChange sets what is called when allocations have changed. It must be called before Run.
 func (s *Session) OnChange(f func()) { s.onChange = f }
--- a/internal/process/instance/follow.go
+++ b/internal/process/instance/follow.go
@@ -20,7 +20,7 @@
 	}
 	return succession(stop, operator, log, nil, func(watch context.Context, offers chan<- offer) {
 		client := &agent.Client{Addrs: agents}
-		client.Follow(watch, name, log, func(e agent.Entry) {
+		client.FollowConfig(watch, name, log, func(e agent.Entry) {
 			select {
 			case offers <- offer{Entry: e}:
 			case <-watch.Done():
--- a/internal/testbed/faults/reads_test.go
+++ b/internal/testbed/faults/reads_test.go
@@ -29,9 +29,9 @@
 func writeEverything(t *testing.T, client *agent.Client, number int) {
 	t.Helper()
 	ctx := t.Context()
-	_, err := client.Put(ctx, fmt.Sprint("n", number), instanceConfig(fmt.Sprint("n", number), number), "")
+	_, err := client.PutConfig(ctx, fmt.Sprint("n", number), instanceConfig(fmt.Sprint("n", number), number), "")
 	require.NoError(t, err)
-	_, err = client.Put(ctx, "latest", instanceConfig("latest", number), "")
+	_, err = client.PutConfig(ctx, "latest", instanceConfig("latest", number), "")
 	require.NoError(t, err)
 	budget := quota.Budget{Name: "work", Resource: "work", Kind: "rate", Capacity: float64(200 + number), Burst: 100, FloorRate: 1, FloorBurst: 1}
 	_, err = client.SetQuotaConfig(ctx, quota.Config{MaxSessions: 16, RenewIntervalMs: 300, AllocationTTLMs: 1500, SessionTTLS: 30, ClockPPM: 1000, Budgets: []quota.Budget{budget}})
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -103,7 +103,7 @@
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
 		in.all.Go(func() {
-			c.Follow(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotone.Now()) })
+			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotone.Now()) })
 		})
 	}
 	return nil
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -204,7 +204,7 @@
 		all.Go(func() {
 			defer func() { <-room }()
 			name := nameOf(i)
-			e, err := f.client.Put(ctx, name, f.configOf(name, turn), "")
+			e, err := f.client.PutConfig(ctx, name, f.configOf(name, turn), "")
 			mu.Lock()
 			defer mu.Unlock()
 			if m.By[name] = e.Version; err != nil {
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -133,7 +133,7 @@
 			var told atomic.Int64
 			for i := range size {
 				c := agent.Client{Addrs: g.Addrs}
-				all.Go(func() { c.Follow(watch, instance(i), quiet, func(agent.Entry) { told.Add(1) }) })
+				all.Go(func() { c.FollowConfig(watch, instance(i), quiet, func(agent.Entry) { told.Add(1) }) })
 			}
 			if err := until(ctx, "a configuration known to all", func() bool { return told.Load() >= int64(size) }); err != nil {
 				return nil, err
@@ -158,7 +158,7 @@
 			const changes = 60
 			began = time.Now()
 			for range changes {
-				if _, err := g.Put(ctx, "another", configuration("another", usual), ""); err != nil {
+				if _, err := g.PutConfig(ctx, "another", configuration("another", usual), ""); err != nil {
 					return nil, err
 				}
 			}
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -224,7 +224,7 @@
 // put writes so many instances' configurations of so many bytes.
 func (g *group) put(ctx context.Context, n, bytes, most int) error {
 	return atOnce(n, most, func(i int) error {
-		_, err := g.Put(ctx, instance(i), configuration(instance(i), bytes), "")
+		_, err := g.PutConfig(ctx, instance(i), configuration(instance(i), bytes), "")
 		return err
 	})
 }
