--- a/internal/controlplane/agent/age.go
+++ b/internal/controlplane/agent/age.go
@@ -13,9 +13,9 @@
 
 // appliedState is when this agent's state machine had everything that the agent knew to be committed.
 type appliedState struct {
-	mu       sync.Mutex
-	verified uint64        // index of the log up to which everything is applied
-	freshAt  time.Duration // when the leader was heard that had committed no more; 0: never
+	mu            sync.Mutex
+	verifiedIndex uint64        // index of the log up to which everything is applied
+	freshAt       time.Duration // when the leader was heard that had committed no more; 0: never
 }
 
 // stateAge is how long ago this agent's state had everything that the leader had committed, as far as
@@ -23,11 +23,11 @@
 // service's.
 func (a *Agent) stateAge() (age, now time.Duration) {
 	now = monotone.Now()
-	heardAt := a.leaderHeardAt(now) // before the commit index is read: it only grows
+	contactAt := a.lastLeaderContact(now) // before the commit index is read: it only grows
 	a.applied.mu.Lock()
 	defer a.applied.mu.Unlock()
-	if heardAt > a.applied.freshAt && a.hasAppliedAll() {
-		a.applied.freshAt = heardAt
+	if contactAt > a.applied.freshAt && a.hasAppliedCommitted() {
+		a.applied.freshAt = contactAt
 	}
 	if a.applied.freshAt == 0 {
 		return -1, now
@@ -44,12 +44,12 @@
 }
 
 // leaderHeardAt is when this agent led or last heard of the leader; 0: never.
-func (a *Agent) leaderHeardAt(now time.Duration) time.Duration {
-	if a.leader.hasBegun() {
+func (a *Agent) lastLeaderContact(now time.Duration) time.Duration {
+	if a.leader.termBegun() {
 		return now
 	}
-	if heard := a.raft.LastContact(); !heard.IsZero() {
-		return now - max(0, time.Since(heard))
+	if contact := a.raft.LastContact(); !contact.IsZero() {
+		return now - max(0, time.Since(contact))
 	}
 	return 0
 }
@@ -57,13 +57,13 @@
 // hasAppliedAll reports whether the state machine has applied all commands up to the commit index. Raft's own AppliedIndex counts what
 // was handed to the state machine. The state machine is not told of entries without a command, so those at the end of the log
 // are looked at, once. The caller holds applied.mu.
-func (a *Agent) hasAppliedAll() bool {
+func (a *Agent) hasAppliedCommitted() bool {
 	commit := a.raft.CommitIndex()
 	applied := a.store.lastApplied()
 	if applied == 0 {
 		applied = a.lastSnapshotIndex()
 	}
-	for index := commit; index > max(applied, a.applied.verified); index-- {
+	for index := commit; index > max(applied, a.applied.verifiedIndex); index-- {
 		var entry raft.Log
 		err := a.bolt.GetLog(index, &entry)
 		if errors.Is(err, raft.ErrLogNotFound) {
@@ -73,7 +73,7 @@
 			return false
 		}
 	}
-	a.applied.verified = max(a.applied.verified, commit)
+	a.applied.verifiedIndex = max(a.applied.verifiedIndex, commit)
 	return true
 }
 
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -22,9 +22,9 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func check(_ string, b []byte) error {
+func validateJSON(_ string, b []byte) error {
 	if !json.Valid(b) {
 		return errors.New("name: required field is missing")
 	}
@@ -42,7 +42,7 @@
 }
 
 // three is a group of three agents on the loopback, each with a folder that outlives it.
-type three struct {
+type testGroup struct {
 	t      *testing.T
 	peers  []config.Peer
 	dirs   []string
@@ -50,9 +50,9 @@
 	Client
 }
 
-func newThree(t *testing.T) *three {
+func newTestGroup(t *testing.T) *testGroup {
 	t.Helper()
-	g := &three{t: t, agents: make([]*Agent, 3)}
+	g := &testGroup{t: t, agents: make([]*Agent, 3)}
 	addrs := freeAddrs(t, 6)
 	for i := range 3 {
 		g.peers = append(g.peers, config.Peer{ID: fmt.Sprint("agent-", i), Raft: addrs[i], API: addrs[3+i]})
@@ -72,9 +72,9 @@
 	return g
 }
 
-func (g *three) start(i int) {
+func (g *testGroup) start(i int) {
 	g.t.Helper()
-	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, ValidateConfig: check, Log: quiet, ElectionTimeout: 500 * time.Millisecond})
+	a, err := Start(Options{ID: g.peers[i].ID, Dir: g.dirs[i], Peers: g.peers, ValidateConfig: validateJSON, Log: discardLog, ElectionTimeout: 500 * time.Millisecond})
 	if err != nil {
 		g.t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 	g.agents[i] = a
 }
 
-func (g *three) stop(i int) {
+func (g *testGroup) stop(i int) {
 	g.t.Helper()
 	if err := g.agents[i].Stop(); err != nil {
 		g.t.Error(err)
@@ -95,28 +95,28 @@
 }
 
 // until waits for something that takes a while, such as an election.
-func (g *three) until(what string, done func() bool) {
+func (g *testGroup) eventually(what string, done func() bool) {
 	g.t.Helper()
 	require.Eventually(g.t, done, time.Minute, 20*time.Millisecond, what)
 }
 
-func (g *three) leader() int {
-	at := -1
-	g.until("a leader", func() bool {
+func (g *testGroup) leader() int {
+	index := -1
+	g.eventually("a leader", func() bool {
 		for i, a := range g.agents {
 			if a != nil && a.raft.State() == raft.Leader {
-				at = i
+				index = i
 			}
 		}
-		return at >= 0
+		return index >= 0
 	})
-	return at
+	return index
 }
 
-func (g *three) put(name, text, ifVersion string) Entry {
+func (g *testGroup) putConfig(name, text, ifVersion string) Entry {
 	g.t.Helper()
 	var e Entry
-	g.until("put of "+name, func() bool {
+	g.eventually("put of "+name, func() bool {
 		var err error
 		e, err = g.PutConfig(context.Background(), name, []byte(text), ifVersion)
 		return err == nil
@@ -126,18 +126,18 @@
 
 // TestLeaderLost writes through any agent, loses the leader, writes on with the two that are left, and has the
 // lost one catch up from its durable store. An instance that follows sees each configuration once, in order.
-func TestLeaderLost(t *testing.T) {
-	g := newThree(t)
+func TestLeaderFailover(t *testing.T) {
+	g := newTestGroup(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	told := make(chan Entry, 16)
+	received := make(chan Entry, 16)
 	follower := &Client{Addrs: g.Addrs}
-	go follower.FollowConfig(ctx, "n1", quiet, func(e Entry) { told <- e })
-	first := g.put("n1", `{"a":1}`, "")
-	g.put("n2", `{"b":1}`, "")
+	go follower.FollowConfig(ctx, "n1", discardLog, func(e Entry) { received <- e })
+	first := g.putConfig("n1", `{"a":1}`, "")
+	g.putConfig("n2", `{"b":1}`, "")
 	lost := g.leader()
 	g.stop(lost)
-	second := g.put("n1", `{"a":2}`, "")
+	second := g.putConfig("n1", `{"a":2}`, "")
 	if second.Version <= first.Version {
 		t.Errorf("version went from %d to %d", first.Version, second.Version)
 	}
@@ -146,7 +146,7 @@
 		t.Errorf("after the leader was lost: %+v, %v", e, err)
 	}
 	g.start(lost)
-	g.until("the lost agent has caught up", func() bool {
+	g.eventually("the lost agent has caught up", func() bool {
 		e, found, _ := g.agents[lost].store.get("n1")
 		return found && string(e.Config) == `{"a":2}`
 	})
@@ -155,7 +155,7 @@
 	}
 	for _, want := range []string{`{"a":1}`, `{"a":2}`} {
 		select {
-		case e := <-told:
+		case e := <-received:
 			if string(e.Config) != want {
 				t.Errorf("instance was told %s, want %s", e.Config, want)
 			}
@@ -172,17 +172,17 @@
 
 // TestConditions checks what is refused: a configuration that no instance could start from, and a write over
 // another version than the writer has seen.
-func TestConditions(t *testing.T) {
-	g := newThree(t)
+func TestRejectedWrites(t *testing.T) {
+	g := newTestGroup(t)
 	ctx := context.Background()
-	e := g.put("n1", `{"a":1}`, "0")
+	e := g.putConfig("n1", `{"a":1}`, "0")
 	if _, err := g.PutConfig(ctx, "n1", []byte(`{"a":2}`), "0"); err == nil || !strings.Contains(err.Error(), "another version") {
 		t.Errorf("second first write: %v", err)
 	}
 	if _, err := g.PutConfig(ctx, "n1", []byte("nonsense"), ""); err == nil || !strings.Contains(err.Error(), "required field") {
 		t.Errorf("bad configuration: %v", err)
 	}
-	g.put("n1", `{"a":3}`, fmt.Sprint(e.Version))
+	g.putConfig("n1", `{"a":3}`, fmt.Sprint(e.Version))
 	if _, err := g.PutConfig(ctx, "n1", nil, ""); err != nil {
 		t.Errorf("taking away: %v", err)
 	}
@@ -193,11 +193,11 @@
 
 // TestNoMajority checks that one agent of three takes no write: nothing may be promised that can be lost.
 func TestNoMajority(t *testing.T) {
-	g := newThree(t)
-	g.put("n1", `{"a":1}`, "")
-	at := g.leader()
+	g := newTestGroup(t)
+	g.putConfig("n1", `{"a":1}`, "")
+	lead := g.leader()
 	for i := range 3 {
-		if i != at {
+		if i != lead {
 			g.stop(i)
 		}
 	}
@@ -210,28 +210,28 @@
 
 // TestWaitingReadEndsWithTerm guards against a read that waits at a leader and goes on waiting once that one leads no more.
 func TestWaitingReadEndsWithTerm(t *testing.T) {
-	g := newThree(t)
-	entry := g.put("n1", `{"a":1}`, "")
-	at := g.leader()
-	ended := make(chan int, 1)
+	g := newTestGroup(t)
+	entry := g.putConfig("n1", `{"a":1}`, "")
+	lead := g.leader()
+	statusCode := make(chan int, 1)
 	go func() {
-		path := fmt.Sprintf("http://%s%s?after=%d&wait_ms=50000", g.peers[at].API, instancePath("n1"), entry.Version)
+		path := fmt.Sprintf("http://%s%s?after=%d&wait_ms=50000", g.peers[lead].API, instancePath("n1"), entry.Version)
 		resp, err := http.DefaultTransport.RoundTrip(httptest.NewRequest(http.MethodGet, path, nil))
 		if err != nil {
-			ended <- 0
+			statusCode <- 0
 			return
 		}
 		resp.Body.Close()
-		ended <- resp.StatusCode
+		statusCode <- resp.StatusCode
 	}()
 	time.Sleep(300 * time.Millisecond) // it waits
 	for i := range g.agents {
-		if i != at {
+		if i != lead {
 			g.stop(i)
 		}
 	}
 	select {
-	case status := <-ended:
+	case status := <-statusCode:
 		require.Equal(t, http.StatusServiceUnavailable, status)
 	case <-time.After(30 * time.Second):
 		t.Fatal("it waits although the agent leads no more")
@@ -239,11 +239,11 @@
 }
 
 // sink is a raft.SnapshotSink in memory.
-type sink struct{ bytes.Buffer }
+type memorySink struct{ bytes.Buffer }
 
-func (*sink) ID() string    { return "s" }
-func (*sink) Cancel() error { return nil }
-func (*sink) Close() error  { return nil }
+func (*memorySink) ID() string    { return "s" }
+func (*memorySink) Cancel() error { return nil }
+func (*memorySink) Close() error  { return nil }
 
 // TestSnapshot restores what was persisted.
 func TestSnapshot(t *testing.T) {
@@ -260,36 +260,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var k sink
-	if err := snap.Persist(&k); err != nil {
+	var snapshotData memorySink
+	if err := snap.Persist(&snapshotData); err != nil {
 		t.Fatal(err)
 	}
-	other := newStore()
-	if err := other.Restore(io.NopCloser(&k)); err != nil {
+	restoredStore := newStore()
+	if err := restoredStore.Restore(io.NopCloser(&snapshotData)); err != nil {
 		t.Fatal(err)
 	}
-	if r, _ := other.registry(); r.LastToken != 71 || len(r.Leases) != 2 || r.Leases[1].Token != 71 || r.Leases[1].Holder != "m" || r.LeaseConfig.Task("t").Shards != 2 {
+	if r, _ := restoredStore.registry(); r.LastToken != 71 || len(r.Leases) != 2 || r.Leases[1].Token != 71 || r.Leases[1].Holder != "m" || r.LeaseConfig.Task("t").Shards != 2 {
 		t.Errorf("restored %+v of the leases", r)
 	}
-	if e, found, _ := other.get("n1"); !found || e.Version != 4 || string(e.Config) != `{"a":1}` {
+	if e, found, _ := restoredStore.get("n1"); !found || e.Version != 4 || string(e.Config) != `{"a":1}` {
 		t.Errorf("restored %+v", e)
 	}
 	// From before snapshots had a format; an instance may have any name.
 	for _, name := range []string{"n1", "format", "entries", "fleet"} {
-		if err := other.Restore(io.NopCloser(strings.NewReader(`{"` + name + `":{"name":"` + name + `","version":7,"config":{"a":2}}}`))); err != nil {
+		if err := restoredStore.Restore(io.NopCloser(strings.NewReader(`{"` + name + `":{"name":"` + name + `","version":7,"config":{"a":2}}}`))); err != nil {
 			t.Fatal(err)
 		}
-		if e, found, _ := other.get(name); !found || e.Version != 7 {
+		if e, found, _ := restoredStore.get(name); !found || e.Version != 7 {
 			t.Errorf("restored %+v of the older form", e)
 		}
 	}
-	if err := other.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"format":%d}`, snapshotFormat+1)))); err == nil {
+	if err := restoredStore.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"format":%d}`, snapshotFormat+1)))); err == nil {
 		t.Error("a newer format was restored")
 	}
 }
 
 // TestMadeOnce has a change come twice, as when its first answer is lost: it is made once, also under a condition.
-func TestMadeOnce(t *testing.T) {
+func TestRepeatedChangeAppliedOnce(t *testing.T) {
 	s := newStore()
 	for i, text := range []string{`{"name":"n1","config":{"a":1},"if":0,"id":"x"}`, `{"name":"n1","config":{"a":1},"if":0,"id":"x"}`} {
 		if e, ok := s.Apply(&raft.Log{Index: uint64(4 + i), Data: []byte(text)}).(Entry); !ok || e.Version != 4 {
@@ -302,20 +302,20 @@
 }
 
 // TestOthersAgents has a client whose named agents are all gone: those that others have heard are asked, and only then.
-func TestOthersAgents(t *testing.T) {
-	g := newThree(t)
-	g.until("a leader", func() bool { return g.leader() >= 0 })
+func TestFallbackAgents(t *testing.T) {
+	g := newTestGroup(t)
+	g.eventually("a leader", func() bool { return g.leader() >= 0 })
 	_, err := g.PutConfig(context.Background(), "n1", []byte("{}"), "")
 	require.NoError(t, err)
-	asked := 0
-	gone := &Client{Addrs: freeAddrs(t, 2), FallbackAddrs: func() []string { asked++; return g.Addrs }}
-	e, err := gone.GetConfig(context.Background(), "n1")
+	fallbackCalls := 0
+	withFallback := &Client{Addrs: freeAddrs(t, 2), FallbackAddrs: func() []string { fallbackCalls++; return g.Addrs }}
+	e, err := withFallback.GetConfig(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, "n1", e.Name)
-	require.Contains(t, g.Addrs, gone.LastResponder(time.Minute))
-	require.Empty(t, gone.LastResponder(0))
-	named := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("asked for others"); return nil }}
-	_, err = named.GetConfig(context.Background(), "n1")
+	require.Contains(t, g.Addrs, withFallback.LastResponder(time.Minute))
+	require.Empty(t, withFallback.LastResponder(0))
+	reachable := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("asked for others"); return nil }}
+	_, err = reachable.GetConfig(context.Background(), "n1")
 	require.NoError(t, err)
-	require.Equal(t, 1, asked)
+	require.Equal(t, 1, fallbackCalls)
 }
--- a/internal/controlplane/agent/bootstrap.go
+++ b/internal/controlplane/agent/bootstrap.go
@@ -62,13 +62,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
 	}
-	addr, err := net.ResolveTCPAddr("tcp", a.self.Raft)
+	advertiseAddr, err := net.ResolveTCPAddr("tcp", a.self.Raft)
 	if err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
 	// Addresses come from this agent's own file, not from the log or a snapshot.
 	transport := &raft.NetworkTransportConfig{ServerAddressProvider: a.opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
-	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, addr, transport); err != nil {
+	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, advertiseAddr, transport); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
 	return snapshots, nil
@@ -81,11 +81,11 @@
 	timeout := cmp.Or(a.opt.ElectionTimeout, defaultElectionTimeout)
 	cfg.HeartbeatTimeout, cfg.ElectionTimeout = timeout, timeout
 	cfg.LeaderLeaseTimeout = min(cfg.LeaderLeaseTimeout, timeout*2/3) // a leader without a majority steps down before another is elected
-	known, err := raft.HasExistingState(a.bolt, a.bolt, snapshots)
+	hasState, err := raft.HasExistingState(a.bolt, a.bolt, snapshots)
 	if err != nil {
 		return err
 	}
-	if !known {
+	if !hasState {
 		if err := a.waitForPeers(); err != nil {
 			return err
 		}
@@ -123,30 +123,30 @@
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	for told := false; ; {
+	for warned := false; ; {
 		c := Client{}
 		for _, p := range a.opt.Peers {
 			if p.ID != a.opt.ID {
 				c.Addrs = append(c.Addrs, p.API)
 			}
 		}
-		began := false
+		othersHaveLog := false
 		leaders := map[string]bool{}
-		var least, most uint64
+		var minApplied, maxApplied uint64
 		for i, s := range c.Status(ctx) {
-			began = began || s.Applied > 0
+			othersHaveLog = othersHaveLog || s.Applied > 0
 			leaders[s.Leader] = true
 			if i == 0 {
-				least = s.Applied
+				minApplied = s.Applied
 			}
-			least, most = min(least, s.Applied), max(most, s.Applied)
+			minApplied, maxApplied = min(minApplied, s.Applied), max(maxApplied, s.Applied)
 		}
-		level := len(leaders) == 1 && !leaders[""] && !leaders[a.opt.ID] && least == most
-		if !began || level {
+		inSync := len(leaders) == 1 && !leaders[""] && !leaders[a.opt.ID] && minApplied == maxApplied
+		if !othersHaveLog || inSync {
 			return nil
 		}
-		if !told {
-			told = true
+		if !warned {
+			warned = true
 			a.opt.Log.Warn("the data folder is empty and the group is not new: waiting until all other agents are up and have applied the same entries", slog.String("reason", "AGENT_EMPTY"))
 		}
 		select {
--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -26,7 +26,7 @@
 	FallbackAddrs func() []string
 	http          http.Client
 	preferred     atomic.Int64 // index of the address that answered last
-	lastAnswer    atomic.Pointer[agentAnswer]
+	lastResponder atomic.Pointer[responder]
 }
 
 // Times of calls.
@@ -45,14 +45,14 @@
 )
 
 // agentAnswer is an agent that answered, and when.
-type agentAnswer struct {
+type responder struct {
 	addr string
 	at   time.Time
 }
 
 // LastResponder returns the address of the agent that answered last, if that was within the given time; empty: none did.
 func (c *Client) LastResponder(within time.Duration) string {
-	if a := c.lastAnswer.Load(); a != nil && time.Since(a.at) < within {
+	if a := c.lastResponder.Load(); a != nil && time.Since(a.at) < within {
 		return a.addr
 	}
 	return ""
@@ -81,20 +81,20 @@
 // do calls the agents in turn until one answers, starting with the one that answered last. The
 // caller's time is for the whole call; a silent agent costs one attempt. While there is no leader it
 // starts over until ctx ends; the error then has each agent's last one.
-func (c *Client) do(ctx context.Context, call call) ([]byte, error) {
+func (c *Client) callAny(ctx context.Context, call call) ([]byte, error) {
 	if len(c.Addrs) == 0 {
 		return nil, errors.New("no agents are named")
 	}
 	failures := make([]error, len(c.Addrs)+1) // the last of each agent, and of the fallbacks
-	within := attemptTimeout
-	answer, err := backoff.Retry(ctx, func() ([]byte, error) {
-		defer func() { within = min(2*within, maxAttemptTimeout) }()
-		return c.tryAll(ctx, call, within, failures)
+	timeout := attemptTimeout
+	respBody, err := backoff.Retry(ctx, func() ([]byte, error) {
+		defer func() { timeout = min(2*timeout, maxAttemptTimeout) }()
+		return c.callEach(ctx, call, timeout, failures)
 	}, backoff.WithBackOff(newBackoff()), backoff.WithMaxElapsedTime(0))
-	if ctx.Err() != nil && !isAnswer(err) {
+	if ctx.Err() != nil && !isConclusive(err) {
 		err = errors.Join(failures...)
 	}
-	return answer, err
+	return respBody, err
 }
 
 // newBackoff returns the waits between rounds. They are random, so that instances that lost their
@@ -104,29 +104,29 @@
 }
 
 // isAnswer reports whether an agent has answered, if only with a rejection.
-func isAnswer(err error) bool {
+func isConclusive(err error) bool {
 	var rejected *RejectedError
 	return err == nil || errors.Is(err, ErrNotFound) || errors.As(err, &rejected)
 }
 
 // tryAll calls each agent once until one has answered, and records the failures of the others.
-func (c *Client) tryAll(ctx context.Context, call call, within time.Duration, failures []error) ([]byte, error) {
-	from := int(c.preferred.Load())
+func (c *Client) callEach(ctx context.Context, call call, timeout time.Duration, failures []error) ([]byte, error) {
+	first := int(c.preferred.Load())
 	for i := range c.Addrs {
-		at := (from + i) % len(c.Addrs)
-		try := within
-		if end, ok := ctx.Deadline(); ok {
-			try = max(min(try, time.Until(end)/2), minAttemptTimeout) // leaves time for the next agent
+		index := (first + i) % len(c.Addrs)
+		attempt := timeout
+		if deadline, ok := ctx.Deadline(); ok {
+			attempt = max(min(attempt, time.Until(deadline)/2), minAttemptTimeout) // leaves time for the next agent
 		}
-		_, answer, err := c.callAgent(ctx, c.Addrs[at], call, try)
-		if isAnswer(err) {
-			c.preferred.Store(int64(at))
-			return answer, c.settle(c.Addrs[at], err)
+		_, respBody, err := c.callAgent(ctx, c.Addrs[index], call, attempt)
+		if isConclusive(err) {
+			c.preferred.Store(int64(index))
+			return respBody, c.recordResponder(c.Addrs[index], err)
 		}
-		if ctx.Err() == nil || failures[at] == nil {
-			failures[at] = err
+		if ctx.Err() == nil || failures[index] == nil {
+			failures[index] = err
 		}
-		c.preferred.CompareAndSwap(int64(at), int64((at+1)%len(c.Addrs))) // the next call starts elsewhere
+		c.preferred.CompareAndSwap(int64(index), int64((index+1)%len(c.Addrs))) // the next call starts elsewhere
 		if ctx.Err() != nil {
 			break
 		}
@@ -138,9 +138,9 @@
 		if slices.Contains(c.Addrs, addr) || ctx.Err() != nil {
 			continue
 		}
-		_, answer, err := c.callAgent(ctx, addr, call, within)
-		if isAnswer(err) {
-			return answer, c.settle(addr, err)
+		_, respBody, err := c.callAgent(ctx, addr, call, timeout)
+		if isConclusive(err) {
+			return respBody, c.recordResponder(addr, err)
 		}
 		failures[len(c.Addrs)] = err
 	}
@@ -148,8 +148,8 @@
 }
 
 // settle records who answered. A rejection ends the call: other agents are not asked.
-func (c *Client) settle(addr string, err error) error {
-	c.lastAnswer.Store(&agentAnswer{addr, time.Now()})
+func (c *Client) recordResponder(addr string, err error) error {
+	c.lastResponder.Store(&responder{addr, time.Now()})
 	if err != nil {
 		return backoff.Permanent(err)
 	}
@@ -158,25 +158,25 @@
 
 // callAgent calls one agent, and the leader if that agent names it; each has the given time to answer.
 // Errors name the agent that they are about.
-func (c *Client) callAgent(ctx context.Context, addr string, call call, within time.Duration) (int, []byte, error) {
-	status, answer, leader, err := c.roundTrip(ctx, addr, call, within)
+func (c *Client) callAgent(ctx context.Context, addr string, call call, timeout time.Duration) (int, []byte, error) {
+	status, respBody, leader, err := c.roundTrip(ctx, addr, call, timeout)
 	if leader != "" && leader != addr {
-		status, answer, leader, err = c.roundTrip(ctx, leader, call, within)
+		status, respBody, leader, err = c.roundTrip(ctx, leader, call, timeout)
 	}
 	if leader != "" {
 		err = fmt.Errorf("agent %s: the leader is changing", addr)
 	}
-	return status, answer, err
+	return status, respBody, err
 }
 
 // roundTrip makes one HTTP request to an agent; leader is set if the agent redirects to it.
-func (c *Client) roundTrip(ctx context.Context, addr string, call call, within time.Duration) (status int, answer []byte, leader string, err error) {
-	ctx, done := context.WithTimeoutCause(ctx, within, fmt.Errorf("no answer within %v", within))
+func (c *Client) roundTrip(ctx context.Context, addr string, call call, timeout time.Duration) (status int, respBody []byte, leader string, err error) {
+	ctx, done := context.WithTimeoutCause(ctx, timeout, fmt.Errorf("no answer within %v", timeout))
 	defer done()
 	defer func() {
-		if !isAnswer(err) {
-			if why := context.Cause(ctx); why != nil {
-				err = why
+		if !isConclusive(err) {
+			if cause := context.Cause(ctx); cause != nil {
+				err = cause
 			}
 			err = fmt.Errorf("agent %s: %w", addr, err)
 		}
@@ -192,22 +192,22 @@
 		req.Header.Set("Change-Id", call.id)
 	}
 	// The transport alone: following a redirect is another attempt with a timeout of its own.
-	resp, err := c.transport().RoundTrip(req)
+	resp, err := c.roundTripper().RoundTrip(req)
 	if err != nil {
 		return 0, nil, "", err
 	}
 	defer resp.Body.Close()
-	answer, err = io.ReadAll(io.LimitReader(resp.Body, 2*maxConfigBytes))
-	text := strings.TrimSpace(string(answer))
+	respBody, err = io.ReadAll(io.LimitReader(resp.Body, 2*maxConfigBytes))
+	text := strings.TrimSpace(string(respBody))
 	switch {
 	case err != nil:
 		return 0, nil, "", err
 	case resp.StatusCode == http.StatusTemporaryRedirect:
-		at, err := url.Parse(resp.Header.Get("Location"))
-		if err != nil || at.Host == "" {
+		location, err := url.Parse(resp.Header.Get("Location"))
+		if err != nil || location.Host == "" {
 			return 0, nil, "", errors.New("it names a leader that cannot be read")
 		}
-		return resp.StatusCode, nil, at.Host, nil
+		return resp.StatusCode, nil, location.Host, nil
 	case resp.StatusCode == http.StatusNotFound:
 		return resp.StatusCode, nil, "", ErrNotFound
 	case resp.StatusCode == http.StatusServiceUnavailable:
@@ -215,11 +215,11 @@
 	case resp.StatusCode >= 300:
 		return resp.StatusCode, nil, "", &RejectedError{resp.StatusCode, text}
 	}
-	return resp.StatusCode, answer, "", nil
+	return resp.StatusCode, respBody, "", nil
 }
 
 // transport is the HTTP transport in use.
-func (c *Client) transport() http.RoundTripper {
+func (c *Client) roundTripper() http.RoundTripper {
 	if c.http.Transport != nil {
 		return c.http.Transport
 	}
@@ -235,16 +235,16 @@
 func fetch[T any](ctx context.Context, c *Client, call call) (v T, _ error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
-	answer, err := c.do(ctx, call)
-	return decode[T](answer, err)
+	respBody, err := c.callAny(ctx, call)
+	return decode[T](respBody, err)
 }
 
 // decode decodes an agent's answer.
-func decode[T any](answer []byte, err error) (v T, _ error) {
+func decode[T any](respBody []byte, err error) (v T, _ error) {
 	if err != nil {
 		return v, err
 	}
-	if err := json.Unmarshal(answer, &v); err != nil {
+	if err := json.Unmarshal(respBody, &v); err != nil {
 		return v, fmt.Errorf("agent's answer: %w", err)
 	}
 	return v, nil
@@ -257,7 +257,7 @@
 	if err != nil {
 		return v, err
 	}
-	v, err = decode[T](c.do(ctx, call{method: method, path: path, body: text}))
+	v, err = decode[T](c.callAny(ctx, call{method: method, path: path, body: text}))
 	var rejected *RejectedError
 	if errors.As(err, &rejected) && rejected.Status == http.StatusConflict {
 		err = quota.RejectionError(rejected.Text)
--- a/internal/controlplane/agent/client_configs.go
+++ b/internal/controlplane/agent/client_configs.go
@@ -38,8 +38,8 @@
 func (c *Client) Status(ctx context.Context) []Status {
 	var all []Status
 	for _, addr := range c.Addrs {
-		_, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
-		s, err := decode[Status](answer, err)
+		_, respBody, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
+		s, err := decode[Status](respBody, err)
 		if err != nil {
 			s = Status{ID: addr, State: err.Error()}
 		}
@@ -52,36 +52,36 @@
 // until ctx ends. It asks any agent for what that one has, so that an instance starts and keeps
 // running while there is no leader. An agent that lags behind cannot set the configuration back. A
 // silent agent is detected within watchWait and one attempt.
-func (c *Client) FollowConfig(ctx context.Context, name string, log *slog.Logger, tell func(Entry)) {
-	var has uint64
-	waits := newBackoff()
-	for turn := 0; ctx.Err() == nil; {
-		addr := c.Addrs[turn%len(c.Addrs)]
-		at := instancePath(name) + "?stale&wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) +
-			"&after=" + strconv.FormatUint(has, 10)
-		status, answer, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
+func (c *Client) FollowConfig(ctx context.Context, name string, log *slog.Logger, onChange func(Entry)) {
+	var version uint64
+	delays := newBackoff()
+	for next := 0; ctx.Err() == nil; {
+		addr := c.Addrs[next%len(c.Addrs)]
+		pollPath := instancePath(name) + "?stale&wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) +
+			"&after=" + strconv.FormatUint(version, 10)
+		status, respBody, err := c.callAgent(ctx, addr, call{method: http.MethodGet, path: pollPath}, watchWait+attemptTimeout)
 		var e Entry
 		if err == nil && status == http.StatusOK {
-			e, err = decode[Entry](answer, nil)
+			e, err = decode[Entry](respBody, nil)
 		}
 		switch {
 		case ctx.Err() != nil:
 			return
-		case err == nil && e.Version > has:
-			has = e.Version
-			waits.Reset()
-			tell(e)
+		case err == nil && e.Version > version:
+			version = e.Version
+			delays.Reset()
+			onChange(e)
 			continue
 		case err == nil && status == http.StatusNoContent:
-			waits.Reset()
+			delays.Reset()
 			continue
 		case err != nil:
 			log.Warn("agent call failed", slog.String("reason", "AGENT_FAILED"), slog.String("agent", addr), slog.Any("error", err))
 		}
-		turn++
+		next++
 		select {
 		case <-ctx.Done():
-		case <-time.After(waits.NextBackOff()):
+		case <-time.After(delays.NextBackOff()):
 		}
 	}
 }
--- a/internal/controlplane/agent/client_fleet.go
+++ b/internal/controlplane/agent/client_fleet.go
@@ -12,24 +12,24 @@
 
 // Join registers a session. A quota.RejectionError says why there is none.
 func (c *Client) Join(ctx context.Context, m quota.Member) (quota.Member, quota.Config, error) {
-	j, err := sendJSON[joinResponse](ctx, c, http.MethodPost, "/v1/fleet/members", m)
-	return j.Member, j.QuotaConfig, err
+	joined, err := sendJSON[joinResponse](ctx, c, http.MethodPost, "/v1/fleet/members", m)
+	return joined.Member, joined.QuotaConfig, err
 }
 
 // Renew renews a session, with its leases if the member runs tasks. The lease answer is nil if there
 // is none.
-func (c *Client) Renew(ctx context.Context, req quota.RenewalRequest, claim *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
-	resp, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{req, claim})
+func (c *Client) Renew(ctx context.Context, req quota.RenewalRequest, leases *lease.RenewalRequest) (quota.RenewalResponse, *lease.RenewalResponse, error) {
+	resp, err := sendJSON[renewalResponse](ctx, c, http.MethodPost, "/v1/fleet/renew", renewalRequest{req, leases})
 	return resp.RenewalResponse, resp.Leases, err
 }
 
 // WaitLeaseChange waits until a lease of the member is changed after the given log index and returns
 // the index of the change; or until the wait is over, or no agent answers.
 func (c *Client) WaitLeaseChange(ctx context.Context, id string, after uint64) (uint64, error) {
-	at := "/v1/leases/changed/" + url.PathEscape(id) + "?wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) + "&after=" + strconv.FormatUint(after, 10)
-	turn := int(c.preferred.Load())
-	_, answer, err := c.callAgent(ctx, c.Addrs[turn%len(c.Addrs)], call{method: http.MethodGet, path: at}, watchWait+attemptTimeout)
-	return decode[uint64](answer, err)
+	pollPath := "/v1/leases/changed/" + url.PathEscape(id) + "?wait_ms=" + strconv.FormatInt(watchWait.Milliseconds(), 10) + "&after=" + strconv.FormatUint(after, 10)
+	preferred := int(c.preferred.Load())
+	_, respBody, err := c.callAgent(ctx, c.Addrs[preferred%len(c.Addrs)], call{method: http.MethodGet, path: pollPath}, watchWait+attemptTimeout)
+	return decode[uint64](respBody, err)
 }
 
 // SetLeaseConfig replaces the fleet's tasks.
@@ -64,13 +64,13 @@
 // Fleet returns the fleet as its leader sees it. Without a confirmed leader it is what some agent's
 // log says: Leads is false then, and AgeMs is how old it may be.
 func (c *Client) Fleet(ctx context.Context) (FleetView, error) {
-	fresh, done := context.WithTimeout(ctx, callTimeout/2)
-	v, err := decode[FleetView](c.do(fresh, call{method: http.MethodGet, path: "/v1/fleet"}))
-	done()
+	leaderCtx, cancel := context.WithTimeout(ctx, callTimeout/2)
+	v, err := decode[FleetView](c.callAny(leaderCtx, call{method: http.MethodGet, path: "/v1/fleet"}))
+	cancel()
 	if err == nil {
 		return v, nil
 	}
-	ctx, done = context.WithTimeout(ctx, callTimeout/2)
-	defer done()
-	return decode[FleetView](c.do(ctx, call{method: http.MethodGet, path: "/v1/fleet?stale"}))
+	ctx, cancel = context.WithTimeout(ctx, callTimeout/2)
+	defer cancel()
+	return decode[FleetView](c.callAny(ctx, call{method: http.MethodGet, path: "/v1/fleet?stale"}))
 }
--- a/internal/controlplane/agent/command.go
+++ b/internal/controlplane/agent/command.go
@@ -53,53 +53,53 @@
 	defer s.mu.Unlock()
 	s.applied = l.Index
 	if c.RequestID != "" {
-		for _, made := range s.recentChanges {
-			if made.RequestID == c.RequestID {
-				return made // a repeated request, whose first answer was lost
+		for _, result := range s.recentResults {
+			if result.RequestID == c.RequestID {
+				return result // a repeated request, whose first answer was lost
 			}
 		}
 	}
 	switch {
-	case c.StreamChange != nil && !c.isFleet():
+	case c.StreamChange != nil && !c.changesRegistry():
 		return s.applyStreamChange(l, c)
-	case c.isFleet():
+	case c.changesRegistry():
 		defer s.notifyWatchers()
-		return s.applyFleet(l.Index, c)
+		return s.applyToRegistry(l.Index, c)
 	}
 	return s.applyConfig(l.Index, c)
 }
 
 // isFleet reports whether the command changes the registry.
-func (c *command) isFleet() bool {
+func (c *command) changesRegistry() bool {
 	return c.QuotaConfig != nil || c.Join != nil || len(c.Leave) > 0 || c.LeaseConfig != nil || len(c.LeaseEvents) > 0 || c.HighestToken > 0
 }
 
 // applyFleet changes the registry. The caller holds mu.
-func (s *store) applyFleet(index uint64, c command) any {
+func (s *store) applyToRegistry(index uint64, c command) any {
 	switch {
 	case c.QuotaConfig != nil:
-		if err := s.fleet.SetQuotaConfig(index, *c.QuotaConfig); err != nil {
+		if err := s.registryState.SetQuotaConfig(index, *c.QuotaConfig); err != nil {
 			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
 		}
-		return s.fleet.QuotaConfig
+		return s.registryState.QuotaConfig
 	case c.Join != nil:
-		m, err := s.fleet.Join(index, *c.Join)
+		m, err := s.registryState.Join(index, *c.Join)
 		if err != nil {
 			return err
 		}
-		return joinResponse{m, s.fleet.QuotaConfig}
+		return joinResponse{m, s.registryState.QuotaConfig}
 	case len(c.Leave) > 0:
-		s.fleet.Leave(c.Leave...)
+		s.registryState.Leave(c.Leave...)
 		return struct{}{}
 	case c.LeaseConfig != nil:
-		if err := s.fleet.SetLeaseConfig(index, *c.LeaseConfig); errors.Is(err, quota.ErrNoBudgets) {
+		if err := s.registryState.SetLeaseConfig(index, *c.LeaseConfig); errors.Is(err, quota.ErrNoBudgets) {
 			return err
 		} else if err != nil {
 			return &RejectedError{http.StatusUnprocessableEntity, err.Error()}
 		}
-		return s.fleet.LeaseConfig
+		return s.registryState.LeaseConfig
 	}
-	return s.fleet.ApplyEvents(index, c.HighestToken, c.LeaseEvents)
+	return s.registryState.ApplyEvents(index, c.HighestToken, c.LeaseEvents)
 }
 
 // applyStreamChange applies a change of targets or shared configuration. The caller holds mu.
@@ -109,15 +109,15 @@
 		return err
 	}
 	e := Entry{Version: v, RequestID: c.RequestID}
-	s.rememberChange(e)
+	s.recordResult(e)
 	s.notifyWatchers()
 	return e
 }
 
 // applyConfig sets or deletes one instance's configuration. The caller holds mu.
 func (s *store) applyConfig(index uint64, c command) any {
-	if had := s.entries[c.Name]; c.IfVersion != nil && had.Version != *c.IfVersion {
-		return fmt.Errorf("%s: %w: %d", c.Name, errConflict, had.Version)
+	if current := s.entries[c.Name]; c.IfVersion != nil && current.Version != *c.IfVersion {
+		return fmt.Errorf("%s: %w: %d", c.Name, errConflict, current.Version)
 	}
 	e := Entry{Name: c.Name, Version: index, Config: c.Config, RequestID: c.RequestID}
 	if len(c.Config) == 0 {
@@ -125,19 +125,19 @@
 	} else {
 		s.entries[c.Name] = e
 	}
-	s.rememberChange(e)
+	s.recordResult(e)
 	s.notifyWatchers()
 	return e
 }
 
 // rememberChange records the result of a change with a request id. The caller holds mu.
-func (s *store) rememberChange(made Entry) {
-	if made.RequestID == "" {
+func (s *store) recordResult(result Entry) {
+	if result.RequestID == "" {
 		return
 	}
-	made.Config = nil
-	s.recentChanges = append(s.recentChanges, made)
-	s.recentChanges = s.recentChanges[max(0, len(s.recentChanges)-maxRecentChanges):]
+	result.Config = nil
+	s.recentResults = append(s.recentResults, result)
+	s.recentResults = s.recentResults[max(0, len(s.recentResults)-maxRecentChanges):]
 }
 
 // notifyWatchers wakes everybody who waits for a change. The caller holds mu.
--- a/internal/controlplane/agent/compat_test.go
+++ b/internal/controlplane/agent/compat_test.go
@@ -19,20 +19,20 @@
 // The folders under testdata/62b6efc were written by an agent of that commit: three configurations of which one was deleted, quotas, two
 // sessions, leases of which one is on its way to another member, and two changes of the watch stream. The JSON file beside each is the
 // state that this older agent had when it stopped.
-const olderVersion = "testdata/62b6efc"
+const olderVersionDir = "testdata/62b6efc"
 
 // stateText is a state machine as text, in the form of the files beside the folders.
-func stateText(t *testing.T, s *store) string {
+func stateJSON(t *testing.T, s *store) string {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"entries": s.entries, "recent": s.recentChanges, "fleet": s.fleet, "feed": s.stream.snapshot()})
+	text, err := json.Marshal(map[string]any{"entries": s.entries, "recent": s.recentResults, "fleet": s.registryState, "feed": s.stream.snapshot()})
 	require.NoError(t, err)
 	return string(text)
 }
 
 // restoreOlder brings a state machine up from a snapshot, if the folder has one, and the log entries after it.
-func restoreOlder(t *testing.T, dir string) *store {
+func replayDir(t *testing.T, dir string) *store {
 	t.Helper()
 	s := newStore()
 	after := uint64(0)
@@ -65,31 +65,31 @@
 
 // TestStateOfOlderVersion reads the log, and a snapshot with the log after it, that an agent of an earlier version left behind: the names
 // in the code have changed since, and what is stored under the old ones must come out the same.
-func TestStateOfOlderVersion(t *testing.T) {
+func TestReplayOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(olderVersion, name))))
-			want, err := os.ReadFile(filepath.Join(olderVersion, name+".json"))
+			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(olderVersionDir, name))))
+			want, err := os.ReadFile(filepath.Join(olderVersionDir, name+".json"))
 			require.NoError(t, err)
-			require.JSONEq(t, string(want), stateText(t, restoreOlder(t, dir)))
+			require.JSONEq(t, string(want), stateJSON(t, replayDir(t, dir)))
 		})
 	}
 }
 
 // TestStartInFolderOfOlderVersion starts an agent in such a folder and asks it over its API.
-func TestStartInFolderOfOlderVersion(t *testing.T) {
+func TestStartFromOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			addrs := freeAddrs(t, 2)
-			g := &three{t: t, agents: make([]*Agent, 1), dirs: []string{t.TempDir()}, peers: []config.Peer{{ID: "agent-0", Raft: addrs[0], API: addrs[1]}}}
+			g := &testGroup{t: t, agents: make([]*Agent, 1), dirs: []string{t.TempDir()}, peers: []config.Peer{{ID: "agent-0", Raft: addrs[0], API: addrs[1]}}}
 			g.Addrs = addrs[1:]
-			require.NoError(t, os.CopyFS(g.dirs[0], os.DirFS(filepath.Join(olderVersion, name))))
+			require.NoError(t, os.CopyFS(g.dirs[0], os.DirFS(filepath.Join(olderVersionDir, name))))
 			g.start(0)
 			defer g.stop(0)
 			ctx, done := context.WithTimeout(context.Background(), time.Minute)
 			defer done()
-			g.until("a leader", func() bool { _, err := g.ListConfigs(ctx); return err == nil })
+			g.eventually("a leader", func() bool { _, err := g.ListConfigs(ctx); return err == nil })
 			versions, err := g.ListConfigs(ctx)
 			require.NoError(t, err)
 			require.Len(t, versions, 2)
--- a/internal/controlplane/agent/configs.go
+++ b/internal/controlplane/agent/configs.go
@@ -10,7 +10,7 @@
 
 // handleList answers GET /v1/instances with the names and versions of all configurations.
 func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
-	if a.mayAnswer(w, r) {
+	if a.allowRead(w, r) {
 		writeJSON(w, a.store.versions())
 	}
 }
@@ -25,9 +25,9 @@
 			return
 		}
 	}
-	after, wait := pollParameters(r)
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	after, wait := parsePoll(r)
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		e, found, changed := a.store.get(r.PathValue("name"))
 		if found && e.Version != after {
@@ -42,7 +42,7 @@
 			return
 		case <-r.Context().Done():
 			return
-		case <-end.C:
+		case <-timer.C:
 		}
 		if found {
 			w.WriteHeader(http.StatusNoContent)
@@ -56,7 +56,7 @@
 // handlePut writes or deletes an instance's configuration through the log. One that the instance could
 // not start with is rejected before.
 func (a *Agent) handlePut(w http.ResponseWriter, r *http.Request) {
-	if a.redirectUnlessLeader(w, r) {
+	if a.redirectIfNotLeader(w, r) {
 		return
 	}
 	c := command{Name: r.PathValue("name"), RequestID: r.Header.Get("Change-Id")}
--- a/internal/controlplane/agent/confirm.go
+++ b/internal/controlplane/agent/confirm.go
@@ -11,7 +11,7 @@
 )
 
 // confirmLoop asks the other agents for their terms, one round at a time, while answers wait for it.
-func (s *leaderService) confirmLoop() {
+func (s *leaderService) runConfirmationRounds() {
 	for {
 		select {
 		case <-s.ctx.Done():
@@ -21,20 +21,20 @@
 		for {
 			s.mu.Lock()
 			term := s.term
-			round, due := s.awaitingConfirmation.StartRound(term)
+			round, due := s.confirmations.StartRound(term)
 			s.mu.Unlock()
 			if !due {
 				break
 			}
-			agreed := term != 0 && s.queryMajority(term)
+			majority := term != 0 && s.queryMajority(term)
 			s.mu.Lock()
-			done, void := s.awaitingConfirmation.FinishRound(round)
+			decided, void := s.confirmations.FinishRound(round)
 			s.mu.Unlock()
-			for _, k := range done {
-				k <- agreed
+			for _, confirmation := range decided {
+				confirmation <- majority
 			}
-			for _, k := range void {
-				k <- false
+			for _, confirmation := range void {
+				confirmation <- false
 			}
 		}
 	}
@@ -47,32 +47,32 @@
 	}
 	ctx, done := context.WithTimeout(s.ctx, termQueryTimeout)
 	defer done()
-	agents := len(s.agent.opt.Peers)
-	told := make(chan uint64, agents)
-	out := 0
+	groupSize := len(s.agent.opt.Peers)
+	replies := make(chan uint64, groupSize)
+	queried := 0
 	for _, p := range s.agent.opt.Peers {
 		if p.ID == s.agent.opt.ID {
 			continue
 		}
-		out++
+		queried++
 		go func() {
 			t, err := s.fetchTerm(ctx, p)
 			if err != nil {
 				t = 0
 			}
-			told <- t
+			replies <- t
 		}()
 	}
 	var terms []uint64
-	for range out {
-		if readindex.MajorityAgrees(term, terms, agents) {
+	for range queried {
+		if readindex.MajorityAgrees(term, terms, groupSize) {
 			break
 		}
-		if t := <-told; t > 0 {
-			terms = append(terms, t)
+		if reply := <-replies; reply > 0 {
+			terms = append(terms, reply)
 		}
 	}
-	return readindex.MajorityAgrees(term, terms, agents)
+	return readindex.MajorityAgrees(term, terms, groupSize)
 }
 
 // fetchTerm asks another agent for its term.
@@ -102,15 +102,15 @@
 // confirmLeadership waits until a majority has confirmed, after this call, that no later term has
 // begun. It must be called with mu held, which it releases.
 func (s *leaderService) confirmLeadership(ctx context.Context) bool {
-	agreed := make(chan bool, 1)
-	s.awaitingConfirmation.Add(s.term, agreed)
+	result := make(chan bool, 1)
+	s.confirmations.Add(s.term, result)
 	s.mu.Unlock()
 	select {
 	case s.confirmRequested <- struct{}{}:
 	default:
 	}
 	select {
-	case ok := <-agreed:
+	case ok := <-result:
 		return ok
 	case <-ctx.Done():
 	case <-s.ctx.Done():
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -34,7 +34,7 @@
 func (s *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
 	var leads bool
 	if allowsStale(r) {
-		leads = s.confirmIfBegun(r.Context())
+		leads = s.isConfirmedLeader(r.Context())
 	} else if _, leads = s.agent.beginRead(w, r); !leads {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // confirmIfBegun reports whether this agent leads, as a majority has just confirmed. It does not wait
 // for its term to begin.
-func (s *leaderService) confirmIfBegun(ctx context.Context) bool {
+func (s *leaderService) isConfirmedLeader(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.term == 0 {
 		s.mu.Unlock()
--- a/internal/controlplane/agent/http.go
+++ b/internal/controlplane/agent/http.go
@@ -20,7 +20,7 @@
 // redirectUnlessLeader redirects a caller that wants to write to the leader, and returns false if this
 // agent takes itself for the leader. Whether the write is made is decided by the log; for a read that
 // is not enough (beginRead).
-func (a *Agent) redirectUnlessLeader(w http.ResponseWriter, r *http.Request) bool {
+func (a *Agent) redirectIfNotLeader(w http.ResponseWriter, r *http.Request) bool {
 	if a.raft.State() == raft.Leader && a.raft.VerifyLeader().Error() == nil {
 		return false
 	}
@@ -60,10 +60,10 @@
 // writeError answers with an error: conflicts and rejections keep their status, everything else is
 // 503, so that the caller retries elsewhere.
 func writeError(w http.ResponseWriter, err error) {
-	var code quota.RejectionError
+	var conflict quota.RejectionError
 	var rejected *RejectedError
 	switch {
-	case errors.As(err, &code):
+	case errors.As(err, &conflict):
 		http.Error(w, err.Error(), http.StatusConflict)
 	case errors.As(err, &rejected):
 		http.Error(w, err.Error(), rejected.Status)
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -40,13 +40,13 @@
 	confirmRequested chan struct{} // an answer waits for confirmation
 	lessorWake       chan struct{} // leases may be granted
 
-	mu                   sync.Mutex
-	term                 uint64               // of the allocator; 0: this agent does not lead, or has not applied what earlier terms committed
-	termChanged          chan struct{}        // closed and replaced when term changes, and at times while this agent does not lead
-	allocator            *allocator.Allocator // nil: this agent does not lead
-	lessor               *lessor.Lessor       // as long as there is an allocator
-	board                *outlierboard.Board
-	awaitingConfirmation readindex.Queue[chan<- bool]
+	mu            sync.Mutex
+	term          uint64               // of the allocator; 0: this agent does not lead, or has not applied what earlier terms committed
+	termChanged   chan struct{}        // closed and replaced when term changes, and at times while this agent does not lead
+	allocator     *allocator.Allocator // nil: this agent does not lead
+	lessor        *lessor.Lessor       // as long as there is an allocator
+	board         *outlierboard.Board
+	confirmations readindex.Queue[chan<- bool]
 }
 
 // newLeaderService returns the service, which does nothing until start.
@@ -60,7 +60,7 @@
 // start starts the goroutines.
 func (s *leaderService) start() {
 	s.loops.Go(s.run)
-	s.loops.Go(s.confirmLoop)
+	s.loops.Go(s.runConfirmationRounds)
 }
 
 // stop ends the goroutines and waits for them.
@@ -108,23 +108,23 @@
 // applyPendingEvents proposes the lessor's events, and reports whether that succeeded.
 func (s *leaderService) applyPendingEvents() bool {
 	s.mu.Lock()
-	var orders []lease.Event
-	var seen uint64
+	var events []lease.Event
+	var highestToken uint64
 	if s.lessor != nil {
-		orders, seen = s.lessor.PendingEvents(monotone.Now())
+		events, highestToken = s.lessor.PendingEvents(monotone.Now())
 	}
 	s.mu.Unlock()
-	if len(orders) == 0 && seen == 0 {
+	if len(events) == 0 && highestToken == 0 {
 		return false
 	}
 	failpoint.Hit("agent.orders")
-	v, err := s.agent.propose(command{LeaseEvents: orders, HighestToken: seen})
+	v, err := s.agent.propose(command{LeaseEvents: events, HighestToken: highestToken})
 	failpoint.Hit("agent.ordered")
 	if err != nil {
 		return false // it is unknown whether they are in the log: the lessor returns them again
 	}
-	done, _ := v.([]lease.Event)
-	for _, e := range done {
+	applied, _ := v.([]lease.Event)
+	for _, e := range applied {
 		s.agent.opt.Log.Info("lease changed", slog.String("reason", "LEASE_"+strings.ToUpper(string(e.Kind))), slog.String("lease", e.String()),
 			slog.String("member", e.Member), slog.Uint64("over", e.ExpectedToken))
 	}
@@ -140,7 +140,7 @@
 		s.endTerm()
 	}
 	if !leads {
-		s.notifyTerm() // a read that waits for the term to begin looks again
+		s.notifyTermWaiters() // a read that waits for the term to begin looks again
 	}
 	begun := s.term != 0
 	s.mu.Unlock()
@@ -161,11 +161,11 @@
 		s.mu.Unlock()
 		return
 	}
-	gone := s.allocator.Expire(now)
+	expired := s.allocator.Expire(now)
 	s.mu.Unlock()
-	if len(gone) > 0 {
-		if _, err := s.agent.propose(command{Leave: gone}); err == nil {
-			s.agent.opt.Log.Info("sessions expired", slog.String("reason", "FLEET_GONE"), slog.Any("members", gone))
+	if len(expired) > 0 {
+		if _, err := s.agent.propose(command{Leave: expired}); err == nil {
+			s.agent.opt.Log.Info("sessions expired", slog.String("reason", "FLEET_GONE"), slog.Any("members", expired))
 		}
 	}
 }
@@ -180,25 +180,25 @@
 func (s *leaderService) beginTerm(now time.Duration, term uint64, reg *registry.Registry) {
 	s.allocator, s.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
 	s.lessor, s.board = lessor.New(now, reg), &outlierboard.Board{}
-	s.notifyTerm()
+	s.notifyTermWaiters()
 	s.agent.opt.Log.Info("allocator started", slog.String("reason", "FLEET_GIVER"), slog.Uint64("term", term), slog.Int("members", len(reg.Members)))
 }
 
 // endTerm drops the allocator and the lessor. The caller holds mu.
 func (s *leaderService) endTerm() {
 	s.term, s.allocator, s.lessor, s.board = 0, nil, nil, nil
-	s.notifyTerm()
+	s.notifyTermWaiters()
 }
 
 // hasBegun reports whether this agent leads in a term that has begun.
-func (s *leaderService) hasBegun() bool {
+func (s *leaderService) termBegun() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term != 0
 }
 
 // notifyTerm wakes everybody who waits for a term to begin or to end. The caller holds mu.
-func (s *leaderService) notifyTerm() {
+func (s *leaderService) notifyTermWaiters() {
 	close(s.termChanged)
 	s.termChanged = make(chan struct{})
 }
@@ -238,11 +238,11 @@
 
 // redirectUnlessLeading redirects the caller to the leader, and returns false if this agent has an
 // allocator.
-func (s *leaderService) redirectUnlessLeading(w http.ResponseWriter, r *http.Request) bool {
+func (s *leaderService) redirectIfNoAllocator(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
-	here := s.allocator != nil
+	hasAllocator := s.allocator != nil
 	s.mu.Unlock()
-	if here {
+	if hasAllocator {
 		return false
 	}
 	s.agent.redirectToLeader(w, r)
--- a/internal/controlplane/agent/leases.go
+++ b/internal/controlplane/agent/leases.go
@@ -15,10 +15,10 @@
 	if err != nil {
 		return nil
 	}
-	tasks := s.lessor.Config()
+	config := s.lessor.Config()
 	s.board.SetEjected(id, req.Ejected)
-	for i := range tasks.Tasks {
-		t := &tasks.Tasks[i]
+	for i := range config.Tasks {
+		t := &config.Tasks[i]
 		if t.Kind != lease.EndpointProbe {
 			continue
 		}
@@ -27,13 +27,13 @@
 				s.board.AddResult(now, r)
 			}
 		}
-		mine := map[int]bool{}
+		heldShards := map[int]bool{}
 		for _, ref := range resp.Leases {
 			if ref.Task == t.Name {
-				mine[ref.Shard] = true
+				heldShards[ref.Shard] = true
 			}
 		}
-		resp.ProbeTargets = append(resp.ProbeTargets, s.board.ProbeTargets(func(target string) bool { return mine[t.ShardOf(target)] })...)
+		resp.ProbeTargets = append(resp.ProbeTargets, s.board.ProbeTargets(func(target string) bool { return heldShards[t.ShardOf(target)] })...)
 	}
 	resp.ProbeResults = s.board.ResultsFor(now, id)
 	if len(req.Released) > 0 || len(req.Held) == 0 {
@@ -47,23 +47,23 @@
 
 // handleSetTasks answers PUT /v1/leases.
 func (s *leaderService) handleSetTasks(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
-	doc, ok := readBody[lease.Config](w, r)
+	newConfig, ok := readBody[lease.Config](w, r)
 	if !ok {
 		return
 	}
-	s.proposeAndReply(w, command{LeaseConfig: &doc})
+	s.proposeAndReply(w, command{LeaseConfig: &newConfig})
 }
 
 // handleMigrateLease answers POST /v1/leases/move. The plan goes through the log; the holder then
 // releases the lease.
 func (s *leaderService) handleMigrateLease(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
-	m, ok := readBody[migrateRequest](w, r)
+	migration, ok := readBody[migrateRequest](w, r)
 	if !ok {
 		return
 	}
@@ -71,7 +71,7 @@
 	var e lease.Event
 	err := errNotLeading
 	if s.lessor != nil {
-		e, err = s.lessor.Migrate(monotone.Now(), m.Key, m.Member)
+		e, err = s.lessor.Migrate(monotone.Now(), migration.Key, migration.Member)
 	}
 	s.mu.Unlock()
 	var rejected lease.RejectionError
@@ -89,9 +89,9 @@
 // the index that it knows, or the wait is over. Any agent may be asked: the answer is only a hint to
 // renew.
 func (s *leaderService) handleLeaseChanges(w http.ResponseWriter, r *http.Request) {
-	after, wait := pollParameters(r)
-	end := time.NewTimer(wait)
-	defer end.Stop()
+	after, wait := parsePoll(r)
+	timer := time.NewTimer(wait)
+	defer timer.Stop()
 	for {
 		index, changed := s.agent.store.lastLeaseChange(r.PathValue("id"))
 		if index <= after {
@@ -101,7 +101,7 @@
 			case <-r.Context().Done():
 				return
 			case <-s.ctx.Done():
-			case <-end.C:
+			case <-timer.C:
 			}
 		}
 		writeJSON(w, index)
--- a/internal/controlplane/agent/read.go
+++ b/internal/controlplane/agent/read.go
@@ -30,7 +30,7 @@
 
 // mayAnswer reports whether this agent may answer the read from its state: a linearizable one once beginRead allows it, a stale one
 // at once. If not, the caller has been answered.
-func (a *Agent) mayAnswer(w http.ResponseWriter, r *http.Request) bool {
+func (a *Agent) allowRead(w http.ResponseWriter, r *http.Request) bool {
 	if allowsStale(r) {
 		return true
 	}
@@ -42,7 +42,7 @@
 func allowsStale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
 // pollParameters returns the version that a waiting read has, and how long it waits at most.
-func pollParameters(r *http.Request) (after uint64, wait time.Duration) {
+func parsePoll(r *http.Request) (after uint64, wait time.Duration) {
 	query := r.URL.Query()
 	after, _ = strconv.ParseUint(query.Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(query.Get("wait_ms"))
--- a/internal/controlplane/agent/sessions.go
+++ b/internal/controlplane/agent/sessions.go
@@ -12,10 +12,10 @@
 
 // handleRenew answers POST /v1/fleet/renew.
 func (s *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
-	ren, ok := readBody[renewalRequest](w, r)
+	renewal, ok := readBody[renewalRequest](w, r)
 	if !ok {
 		return
 	}
@@ -26,10 +26,10 @@
 		return
 	}
 	now := monotone.Now()
-	resp, err := s.allocator.Renew(now, ren.RenewalRequest)
-	answer := renewalResponse{RenewalResponse: resp}
-	if err == nil && ren.Leases != nil {
-		answer.Leases = s.renewLeases(now, ren.ID, ren.Leases)
+	resp, err := s.allocator.Renew(now, renewal.RenewalRequest)
+	combined := renewalResponse{RenewalResponse: resp}
+	if err == nil && renewal.Leases != nil {
+		combined.Leases = s.renewLeases(now, renewal.ID, renewal.Leases)
 	}
 	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
 		// Only a confirmed leader may tell a member that its session is gone.
@@ -45,12 +45,12 @@
 		return
 	}
 	failpoint.Hit("agent.awarded")
-	writeJSON(w, answer)
+	writeJSON(w, combined)
 }
 
 // handleJoin answers POST /v1/fleet/members.
 func (s *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
 	m, ok := readBody[quota.Member](w, r)
@@ -78,7 +78,7 @@
 
 // handleLeave answers DELETE /v1/fleet/members/{id}.
 func (s *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
 	s.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
@@ -87,8 +87,8 @@
 // proposeAndReply makes a change of the fleet through the log, and answers with its result.
 func (s *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
 	v, err := s.agent.propose(c)
-	if no, refused := v.(error); refused && err == nil {
-		err = no
+	if rejection, isError := v.(error); isError && err == nil {
+		err = rejection
 	}
 	if err != nil {
 		writeError(w, err)
@@ -100,18 +100,18 @@
 
 // handleSetQuotas answers PUT /v1/fleet.
 func (s *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
-	if s.redirectUnlessLeading(w, r) {
+	if s.redirectIfNoAllocator(w, r) {
 		return
 	}
-	doc, ok := readBody[quota.Config](w, r)
+	newConfig, ok := readBody[quota.Config](w, r)
 	if !ok {
 		return
 	}
-	if err := doc.Validate(); err != nil {
+	if err := newConfig.Validate(); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 		return
 	}
-	s.proposeAndReply(w, command{QuotaConfig: &doc})
+	s.proposeAndReply(w, command{QuotaConfig: &newConfig})
 }
 
 // renewalRequest is a session renewal with the lease renewal of a member that runs tasks.
--- a/internal/controlplane/agent/snapshot.go
+++ b/internal/controlplane/agent/snapshot.go
@@ -35,7 +35,7 @@
 func (s *store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return snapshot{snapshotFormat, maps.Clone(s.entries), slices.Clone(s.recentChanges), s.fleet.Clone(), s.stream.snapshot(), s.applied}, nil
+	return snapshot{snapshotFormat, maps.Clone(s.entries), slices.Clone(s.recentResults), s.registryState.Clone(), s.stream.snapshot(), s.applied}, nil
 }
 
 // Persist implements raft.FSMSnapshot.
@@ -51,10 +51,10 @@
 func (snapshot) Release() {}
 
 // Restore implements raft.FSM.
-func (s *store) Restore(in io.ReadCloser) error {
-	defer in.Close()
+func (s *store) Restore(source io.ReadCloser) error {
+	defer source.Close()
 	var text json.RawMessage
-	if err := json.NewDecoder(in).Decode(&text); err != nil {
+	if err := json.NewDecoder(source).Decode(&text); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	var saved snapshot
@@ -77,7 +77,7 @@
 	if err := s.stream.restore(saved.Stream); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	s.entries, s.recentChanges, s.fleet, s.applied = saved.Entries, saved.Recent, saved.Fleet, saved.Applied
+	s.entries, s.recentResults, s.registryState, s.applied = saved.Entries, saved.Recent, saved.Fleet, saved.Applied
 	s.notifyWatchers()
 	return nil
 }
--- a/internal/controlplane/agent/store.go
+++ b/internal/controlplane/agent/store.go
@@ -29,8 +29,8 @@
 	mu            sync.Mutex
 	entries       map[string]Entry
 	applied       uint64  // index of the last command; 0: none yet, or unknown
-	recentChanges []Entry // results of the last changes with a request id
-	fleet         registry.Registry
+	recentResults []Entry // results of the last changes with a request id
+	registryState registry.Registry
 	stream        streamState
 	changed       chan struct{} // closed and replaced at each change
 }
@@ -71,7 +71,7 @@
 func (s *store) registry() (registry.Registry, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.Clone(), s.changed
+	return s.registryState.Clone(), s.changed
 }
 
 // lastLeaseChange returns the log index of the last change of a lease that the member holds, and a
@@ -79,5 +79,5 @@
 func (s *store) lastLeaseChange(id string) (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.fleet.LastChangeFor(id), s.changed
+	return s.registryState.LastChangeFor(id), s.changed
 }
--- a/internal/controlplane/agent/stream_client.go
+++ b/internal/controlplane/agent/stream_client.go
@@ -14,8 +14,8 @@
 
 // PutChange makes a change of the stream exactly once and returns its version. A *RejectedError says
 // that it was not made.
-func (c *Client) PutChange(ctx context.Context, ch watchstream.Change) (uint64, error) {
-	text, err := json.Marshal(ch)
+func (c *Client) PutChange(ctx context.Context, change watchstream.Change) (uint64, error) {
+	text, err := json.Marshal(change)
 	if err != nil {
 		return 0, err
 	}
@@ -31,19 +31,19 @@
 // StreamStatus returns where a version is applied; 0: the newest. Without a leader it is how far some
 // agent's log goes, and Leads is false.
 func (c *Client) StreamStatus(ctx context.Context, version uint64) (StreamStatus, error) {
-	at := "/v1/feed/versions/" + latestVersion
+	versionPath := "/v1/feed/versions/" + latestVersion
 	if version > 0 {
-		at = "/v1/feed/versions/" + strconv.FormatUint(version, 10)
+		versionPath = "/v1/feed/versions/" + strconv.FormatUint(version, 10)
 	}
-	fresh, done := context.WithTimeout(ctx, callTimeout/2)
-	s, err := decode[StreamStatus](c.do(fresh, call{method: http.MethodGet, path: at}))
-	done()
-	if isAnswer(err) {
+	leaderCtx, cancel := context.WithTimeout(ctx, callTimeout/2)
+	s, err := decode[StreamStatus](c.callAny(leaderCtx, call{method: http.MethodGet, path: versionPath}))
+	cancel()
+	if isConclusive(err) {
 		return s, err
 	}
-	ctx, done = context.WithTimeout(ctx, callTimeout/2)
-	defer done()
-	return decode[StreamStatus](c.do(ctx, call{method: http.MethodGet, path: at + "?stale"}))
+	ctx, cancel = context.WithTimeout(ctx, callTimeout/2)
+	defer cancel()
+	return decode[StreamStatus](c.callAny(ctx, call{method: http.MethodGet, path: versionPath + "?stale"}))
 }
 
 // Records returns the live records of a kind, or the one with that key, from the leader, in order of
@@ -53,16 +53,16 @@
 	defer done()
 	after := uint64(0)
 	for {
-		at := "/v1/feed/records?kind=" + k.String() + "&key=" + url.QueryEscape(key) + "&after=" + strconv.FormatUint(after, 10)
-		page, err := decode[[]watchstream.Record](c.do(ctx, call{method: http.MethodGet, path: at}))
+		pagePath := "/v1/feed/records?kind=" + k.String() + "&key=" + url.QueryEscape(key) + "&after=" + strconv.FormatUint(after, 10)
+		page, err := decode[[]watchstream.Record](c.callAny(ctx, call{method: http.MethodGet, path: pagePath}))
 		if err != nil {
 			return nil, err
 		}
-		again := make(map[string]bool, len(page))
+		changed := make(map[string]bool, len(page))
 		for i := range page {
-			again[page[i].Key] = true
+			changed[page[i].Key] = true
 		}
-		all = append(slices.DeleteFunc(all, func(r watchstream.Record) bool { return again[r.Key] }), page...)
+		all = append(slices.DeleteFunc(all, func(r watchstream.Record) bool { return changed[r.Key] }), page...)
 		if len(page) < maxPageRecords {
 			return all, nil
 		}
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -36,8 +36,8 @@
 
 	mu             sync.Mutex
 	term           uint64 // of acks
-	acks           *watchstream.AckTracker
-	epoch          string // of the last commit that acks knows
+	tracker        *watchstream.AckTracker
+	countedEpoch   string // of the last commit that acks knows
 	countedVersion uint64 // of it
 }
 
@@ -69,7 +69,7 @@
 }
 
 // WithSource implements distribution.Origin with the log's state, as far as this agent has applied it.
-func (s *streamService) WithSource(do func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
+func (s *streamService) WithSource(use func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := s.agent.stateAge()
 	st := s.agent.store
 	st.mu.Lock()
@@ -80,7 +80,7 @@
 	if age >= 0 {
 		st.stream.source.MarkFresh(now - age)
 	}
-	do(now, st.stream.source)
+	use(now, st.stream.source)
 	return st.changed, true
 }
 
@@ -105,16 +105,16 @@
 		return
 	}
 	v, err := s.agent.propose(command{StreamChange: &c, RequestID: r.Header.Get("Change-Id")})
-	if no, is := v.(error); is && err == nil {
-		err = no
+	if rejection, isError := v.(error); isError && err == nil {
+		err = rejection
 	}
-	var clash *watchstream.ConflictError
+	var conflict *watchstream.ConflictError
 	var foreign *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch e, _ := v.(Entry); {
 	case err == nil:
 		writeJSON(w, ChangeResponse{Version: e.Version})
-	case errors.As(err, &clash), errors.As(err, &foreign):
+	case errors.As(err, &conflict), errors.As(err, &foreign):
 		writeError(w, &RejectedError{http.StatusConflict, err.Error()})
 	case errors.As(err, &field):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -130,9 +130,9 @@
 func (s *streamService) checkSnapshotFormats(ctx context.Context) error {
 	st := s.agent.store
 	st.mu.Lock()
-	begun := st.stream.store != nil
+	hasChanges := st.stream.store != nil
 	st.mu.Unlock()
-	if begun {
+	if hasChanges {
 		return nil
 	}
 	c := &Client{}
@@ -171,27 +171,27 @@
 	if st.stream.store != nil {
 		fleet, epoch = st.stream.store.Fleet(), st.stream.store.Epoch()
 	}
-	if fleet != "" && (s.acks == nil || s.term != term) {
-		s.term, s.acks, s.epoch, s.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
+	if fleet != "" && (s.tracker == nil || s.term != term) {
+		s.term, s.tracker, s.countedEpoch, s.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
 		s.agent.opt.Log.Info("acknowledgement tracking started", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
-	commits := st.stream.commitsSince(s.epoch, s.countedVersion)
+	commits := st.stream.commitsSince(s.countedEpoch, s.countedVersion)
 	st.mu.Unlock()
 	if fleet == "" {
 		s.mu.Unlock()
 		return nil
 	}
 	for _, c := range commits {
-		s.acks.NoteCommit(c.at, c.epoch, c.version)
-		s.epoch, s.countedVersion = c.epoch, c.version
+		s.tracker.NoteCommit(c.at, c.epoch, c.version)
+		s.countedEpoch, s.countedVersion = c.epoch, c.version
 	}
-	s.acks.SetEpoch(epoch) // a snapshot has no commits
-	return s.acks
+	s.tracker.SetEpoch(epoch) // a snapshot has no commits
+	return s.tracker
 }
 
 // handleReport answers POST /v1/feed/report.
 func (s *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
-	if s.agent.redirectUnlessLeader(w, r) {
+	if s.agent.redirectIfNotLeader(w, r) {
 		return
 	}
 	rep, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
@@ -234,7 +234,7 @@
 	for _, p := range s.agent.opt.Peers {
 		c.Addrs = append(c.Addrs, p.API)
 	}
-	ever := false
+	hadReaders := false
 	for {
 		select {
 		case <-s.ctx.Done():
@@ -245,7 +245,7 @@
 		s.WithSource(func(now time.Duration, source *watchstream.Source) {
 			rep = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
 		})
-		if ever = ever || len(rep.Readers) > 0; !ever {
+		if hadReaders = hadReaders || len(rep.Readers) > 0; !hadReaders {
 			continue
 		}
 		answer, err := s.addReport(rep)
--- a/internal/controlplane/agent/stream_state.go
+++ b/internal/controlplane/agent/stream_state.go
@@ -39,11 +39,11 @@
 	if s.store == nil {
 		s.startSource(store)
 	}
-	at := monotone.Now()
+	committedAt := monotone.Now()
 	if !l.AppendedAt.IsZero() { // an agent that starts replays older entries
-		at -= max(0, time.Since(l.AppendedAt))
+		committedAt -= max(0, time.Since(l.AppendedAt))
 	}
-	s.commits = append(s.commits, commit{store.Epoch(), v, at})
+	s.commits = append(s.commits, commit{store.Epoch(), v, committedAt})
 	if len(s.commits) >= 2*maxCommitTimes {
 		s.commits = append([]commit(nil), s.commits[maxCommitTimes:]...)
 	}
@@ -52,11 +52,11 @@
 
 // commitsSince returns the commits after a version, in order.
 func (s *streamState) commitsSince(epoch string, version uint64) []commit {
-	at := len(s.commits)
-	for at > 0 && (s.commits[at-1].epoch != epoch || s.commits[at-1].version > version) {
-		at--
+	first := len(s.commits)
+	for first > 0 && (s.commits[first-1].epoch != epoch || s.commits[first-1].version > version) {
+		first--
 	}
-	return append([]commit(nil), s.commits[at:]...)
+	return append([]commit(nil), s.commits[first:]...)
 }
 
 // startSource has readers served from a store. The source's incarnation grows over restarts, so that
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -25,20 +25,20 @@
 }
 
 // logStatus is what the log says, without the readers; false: there was no change yet.
-func (s *streamService) logStatus() (status StreamStatus, ok bool) {
+func (s *streamService) replicaStatus() (status StreamStatus, ok bool) {
 	age, _ := s.agent.stateAge()
 	status = StreamStatus{Agent: s.agent.opt.ID, AgeMs: ageMs(age)}
 	st := s.agent.store
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	changes := st.stream.store
-	if changes == nil {
+	streamStore := st.stream.store
+	if streamStore == nil {
 		return status, false
 	}
-	status.Status = watchstream.Status{Epoch: changes.Epoch(), Version: changes.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
-	status.Fleet, status.Head, status.TombstoneFloor = changes.Fleet(), changes.Head(), changes.TombstoneFloor()
-	status.Targets, status.ConfigLayers, status.Tombstones = changes.Count(watchstream.Targets), changes.Count(watchstream.Config), changes.Tombstones(watchstream.Targets)
-	status.Bytes = changes.Bytes(watchstream.Targets) + changes.Bytes(watchstream.Config)
+	status.Status = watchstream.Status{Epoch: streamStore.Epoch(), Version: streamStore.Head(), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
+	status.Fleet, status.Head, status.TombstoneFloor = streamStore.Fleet(), streamStore.Head(), streamStore.TombstoneFloor()
+	status.Targets, status.ConfigLayers, status.Tombstones = streamStore.Count(watchstream.Targets), streamStore.Count(watchstream.Config), streamStore.Tombstones(watchstream.Targets)
+	status.Bytes = streamStore.Bytes(watchstream.Targets) + streamStore.Bytes(watchstream.Config)
 	return status, true
 }
 
@@ -48,11 +48,11 @@
 // handleVersions answers GET /v1/feed/versions/{version}: where a version is applied, or with stale
 // only how far this agent's log goes.
 func (s *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
-	old := allowsStale(r)
-	if !s.agent.mayAnswer(w, r) {
+	stale := allowsStale(r)
+	if !s.agent.allowRead(w, r) {
 		return
 	}
-	status, ok := s.logStatus()
+	status, ok := s.replicaStatus()
 	if !ok {
 		writeError(w, errNoChanges)
 		return
@@ -65,7 +65,7 @@
 		}
 		status.Version = n
 	}
-	if !old {
+	if !stale {
 		t := s.lockTracker()
 		if t == nil {
 			writeError(w, errNotTracking)
@@ -83,10 +83,10 @@
 
 // handleShow answers GET /v1/feed.
 func (s *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
-	if !s.agent.mayAnswer(w, r) {
+	if !s.agent.allowRead(w, r) {
 		return
 	}
-	status, ok := s.logStatus()
+	status, ok := s.replicaStatus()
 	if !ok {
 		writeError(w, errNoChanges)
 		return
@@ -98,36 +98,36 @@
 // handleRecords answers GET /v1/feed/records with a page of the live records of a kind, in order of
 // version and in whole versions: a key that changes between two pages is returned again.
 func (s *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
-	if !s.agent.mayAnswer(w, r) {
+	if !s.agent.allowRead(w, r) {
 		return
 	}
 	q := r.URL.Query()
-	var k watchstream.Kind
-	if err := k.UnmarshalText([]byte(q.Get("kind"))); err != nil {
+	var kind watchstream.Kind
+	if err := kind.UnmarshalText([]byte(q.Get("kind"))); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, "kind: " + err.Error()})
 		return
 	}
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
-	writeJSON(w, s.recordsPage(k, q.Get("key"), after))
+	writeJSON(w, s.recordsPage(kind, q.Get("key"), after))
 }
 
 // recordsPage returns one key's record, or the records after a version.
-func (s *streamService) recordsPage(k watchstream.Kind, key string, after uint64) []watchstream.Record {
+func (s *streamService) recordsPage(kind watchstream.Kind, key string, after uint64) []watchstream.Record {
 	page := []watchstream.Record{}
 	st := s.agent.store
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	changes := st.stream.store
-	if changes == nil {
+	streamStore := st.stream.store
+	if streamStore == nil {
 		return page
 	}
 	if key != "" {
-		if one, found := changes.Get(k, key); found && !one.Deleted {
-			page = append(page, one)
+		if record, found := streamStore.Get(kind, key); found && !record.Deleted {
+			page = append(page, record)
 		}
 		return page
 	}
-	for _, r := range changes.Records(k) {
+	for _, r := range streamStore.Records(kind) {
 		switch {
 		case r.Version <= after:
 		case len(page) >= maxPageRecords && r.Version != page[len(page)-1].Version:
