--- a/internal/controlplane/agent/age.go
+++ b/internal/controlplane/agent/age.go
@@ -11,19 +11,19 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// appliedState is when this agent's state machine had everything that the agent knew to be committed.
+// appliedState records when this agent's state machine last contained everything that the leader had committed.
 type appliedState struct {
-	mu            sync.Mutex
-	verifiedIndex uint64        // index of the log up to which everything is applied
-	freshAt       time.Duration // when the leader was heard that had committed no more; 0: never
+	mu            sync.Mutex    // guards the other fields
+	verifiedIndex uint64        // log index up to which all commands are known to be applied
+	freshAt       time.Duration // last leader contact at which all entries committed by then were applied; 0: none
 }
 
-// stateAge is how long ago this agent's state had everything that the leader had committed, as far as
-// the agent was told; negative: never. The caller holds neither the store's lock nor the leader
-// service's.
+// stateAge returns how long ago this agent's state last contained everything that the leader had
+// committed, by the commit index that the leader had sent; negative: never. The caller must hold
+// neither the store's lock nor the leader service's.
 func (a *Agent) stateAge() (age, now time.Duration) {
 	now = monotone.Now()
-	contactAt := a.lastLeaderContact(now) // before the commit index is read: it only grows
+	contactAt := a.lastLeaderContact(now) // read before the commit index, which only grows
 	a.applied.mu.Lock()
 	defer a.applied.mu.Unlock()
 	if contactAt > a.applied.freshAt && a.hasAppliedCommitted() {
@@ -35,7 +35,7 @@
 	return now - a.applied.freshAt, now
 }
 
-// ageMs is a state's age in milliseconds, as it is told; -1: unknown.
+// ageMs converts a state's age to the milliseconds of a response; -1: unknown.
 func ageMs(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -43,7 +43,7 @@
 	return age.Milliseconds()
 }
 
-// leaderHeardAt is when this agent led or last heard of the leader; 0: never.
+// lastLeaderContact returns now if this agent leads, else the time of its last contact with the leader; 0: never.
 func (a *Agent) lastLeaderContact(now time.Duration) time.Duration {
 	if a.leader.termBegun() {
 		return now
@@ -54,9 +54,9 @@
 	return 0
 }
 
-// hasAppliedAll reports whether the state machine has applied all commands up to the commit index. Raft's own AppliedIndex counts what
-// was handed to the state machine. The state machine is not told of entries without a command, so those at the end of the log
-// are looked at, once. The caller holds applied.mu.
+// hasAppliedCommitted reports whether the state machine has applied all commands up to the commit index. Raft's AppliedIndex also counts
+// entries that were handed to the state machine and are not applied yet. The state machine does not receive entries without a command, so
+// the types of the entries after its last command are read from the log, each once. The caller holds applied.mu.
 func (a *Agent) hasAppliedCommitted() bool {
 	commit := a.raft.CommitIndex()
 	applied := a.store.lastApplied()
@@ -67,7 +67,7 @@
 		var entry raft.Log
 		err := a.bolt.GetLog(index, &entry)
 		if errors.Is(err, raft.ErrLogNotFound) {
-			break // a snapshot has it
+			break // compacted: a snapshot contains it
 		}
 		if err != nil || entry.Type == raft.LogCommand {
 			return false
@@ -77,7 +77,7 @@
 	return true
 }
 
-// lastSnapshotIndex is the index of the log up to which the last snapshot goes; 0: there is none.
+// lastSnapshotIndex returns the last log index that the newest snapshot contains; 0: there is no snapshot.
 func (a *Agent) lastSnapshotIndex() uint64 {
 	index, err := strconv.ParseUint(a.raft.Stats()["last_snapshot_index"], 10, 64)
 	if err != nil {
--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -20,11 +20,12 @@
 	applyTimeout   = 5 * time.Second
 	maxConfigBytes = 4 << 20
 	maxPollWait    = time.Minute
-	// defaultElectionTimeout is the shortest silence of a leader after which a follower asks for votes; it waits up to twice as long.
+	// defaultElectionTimeout is the shortest time without contact with the leader after which a follower starts an election. Raft
+	// randomizes it up to twice this value.
 	defaultElectionTimeout = 750 * time.Millisecond
 )
 
-// Peers is all agents of a group.
+// Peers lists all agents of a group.
 type Peers []config.Peer
 
 // ServerAddr implements raft.ServerAddressProvider.
@@ -34,21 +35,22 @@
 			return raft.ServerAddress(x.Raft), nil
 		}
 	}
-	return "", fmt.Errorf("agent.peer: %q is none of the peers", id)
+	return "", fmt.Errorf("agent.peer: %q is not one of the configured peers", id)
 }
 
 // Options configure an agent.
 type Options struct {
 	ID              string
-	Dir             string                                 // of its log, votes and snapshots
+	Dir             string                                 // holds its log, votes and snapshots
 	Peers           Peers                                  // all agents, including this one
-	ValidateConfig  func(name string, config []byte) error // whether an instance could start with the configuration
+	ValidateConfig  func(name string, config []byte) error // returns an error if the instance could not start with the configuration
 	Log             *slog.Logger
-	ElectionTimeout time.Duration   // of heartbeats and elections; 0: defaultElectionTimeout
-	StartContext    context.Context // ends the wait of Start; nil: never
+	ElectionTimeout time.Duration   // timeout of heartbeats and elections; 0: defaultElectionTimeout
+	StartContext    context.Context // its end makes a waiting Start fail; nil: Start waits without limit
 }
 
-// Agent is one of the few processes that replicate the log.
+// Agent is one of the few processes that replicate the control state. Start creates it; Stop ends its
+// goroutines and closes its storage.
 type Agent struct {
 	opt       Options
 	self      config.Peer
@@ -70,13 +72,14 @@
 	return nil
 }
 
-// Stop leaves the group in order and closes the storage.
+// Stop ends the streams, requests and loops, shuts Raft down and closes the storage. The agent stays a
+// member of the Raft group.
 func (a *Agent) Stop() error {
 	a.stream.server.Stop()
 	ctx, done := context.WithTimeout(context.Background(), time.Second)
 	defer done()
 	if a.http.Shutdown(ctx) != nil {
-		a.http.Close() // ends polls that still wait
+		a.http.Close() // ends long polls that are still waiting
 	}
 	a.stream.stop()
 	a.leader.stop()
@@ -85,24 +88,24 @@
 	return err
 }
 
-// Status is what an agent tells of itself.
+// Status is an agent's report of its Raft state.
 type Status struct {
 	ID             string `json:"id"`
 	State          string `json:"state"`
 	Leader         string `json:"leader"`
 	Applied        uint64 `json:"applied"`
-	SnapshotFormat int    `json:"format"` // newest that it knows; 0: it does not tell
+	SnapshotFormat int    `json:"format"` // newest snapshot format that it reads; 0: an older program that does not report it
 }
 
-// handleStatus answers GET /v1/status.
+// handleStatus serves GET /v1/status.
 func (a *Agent) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	_, leader := a.raft.LeaderWithID()
 	writeJSON(w, Status{ID: a.opt.ID, State: a.raft.State().String(), Leader: string(leader), Applied: a.raft.AppliedIndex(), SnapshotFormat: snapshotFormat})
 }
 
-// propose makes a change through the log and returns the state machine's answer. After an error it is
-// unknown whether the change was made: the caller has to look, or propose it again with the same
-// request id.
+// propose appends a command to the log and returns the state machine's result. After an error it is
+// unknown whether the command was committed: the caller has to read the state, or propose the command
+// again with the same request id.
 func (a *Agent) propose(c command) (any, error) {
 	data, err := json.Marshal(c)
 	if err != nil {
--- a/internal/controlplane/agent/bootstrap.go
+++ b/internal/controlplane/agent/bootstrap.go
@@ -16,8 +16,8 @@
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
 )
 
-// Start opens the storage and joins the other agents. An agent without state starts with the
-// configured peers; one with state continues from its log.
+// Start opens the storage, joins the Raft group and starts the services. An agent without state
+// bootstraps with the configured peers; one with state continues from its log and snapshots.
 func Start(opt Options) (_ *Agent, err error) {
 	a := &Agent{opt: opt, store: newStore()}
 	for _, p := range opt.Peers {
@@ -26,7 +26,7 @@
 		}
 	}
 	if a.self.ID == "" {
-		return nil, fmt.Errorf("agent.id: %q is none of the peers", opt.ID)
+		return nil, fmt.Errorf("agent.id: %q is not one of the configured peers", opt.ID)
 	}
 	defer func() {
 		if err != nil {
@@ -43,13 +43,14 @@
 	}
 	a.leader = newLeaderService(a)
 	a.stream = newStreamService(a)
-	a.leader.start() // its loops use both services
+	a.leader.start() // started after both services are created, since the loops use both
 	a.stream.start()
 	a.http = http.Server{Handler: a.routes(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second}
 	return a, nil
 }
 
-// openStorage opens the log, the snapshots and the transport.
+// openStorage opens the log, the snapshot store and the transport. closeStorage closes them, also after
+// an error.
 func (a *Agent) openStorage(log hclog.Logger) (raft.SnapshotStore, error) {
 	if err := os.MkdirAll(a.opt.Dir, 0o700); err != nil {
 		return nil, fmt.Errorf("agent.dir: %w", err)
@@ -66,7 +67,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
 	}
-	// Addresses come from this agent's own file, not from the log or a snapshot.
+	// Peer addresses come from this agent's configuration file, not from the log or a snapshot.
 	transport := &raft.NetworkTransportConfig{ServerAddressProvider: a.opt.Peers, MaxPool: 3, Timeout: applyTimeout, Logger: log}
 	if a.transport, err = raft.NewTCPTransportWithConfig(a.self.Raft, advertiseAddr, transport); err != nil {
 		return nil, fmt.Errorf("agent.peers raft: %w", err)
@@ -74,13 +75,13 @@
 	return snapshots, nil
 }
 
-// startRaft starts Raft, with the configured peers if there is no state yet.
+// startRaft starts Raft. Without existing state it waits for the peers and bootstraps the group first.
 func (a *Agent) startRaft(snapshots raft.SnapshotStore, log hclog.Logger) error {
 	cfg := raft.DefaultConfig()
 	cfg.LocalID, cfg.Logger = raft.ServerID(a.opt.ID), log
 	timeout := cmp.Or(a.opt.ElectionTimeout, defaultElectionTimeout)
 	cfg.HeartbeatTimeout, cfg.ElectionTimeout = timeout, timeout
-	cfg.LeaderLeaseTimeout = min(cfg.LeaderLeaseTimeout, timeout*2/3) // a leader without a majority steps down before another is elected
+	cfg.LeaderLeaseTimeout = min(cfg.LeaderLeaseTimeout, timeout*2/3) // a leader that lost its majority steps down before another is elected
 	hasState, err := raft.HasExistingState(a.bolt, a.bolt, snapshots)
 	if err != nil {
 		return err
@@ -101,7 +102,7 @@
 	return err
 }
 
-// routes registers the routes of the agent and of its services.
+// routes returns the mux with the routes of the agent and of its services.
 func (a *Agent) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	a.leader.routes(mux)
@@ -114,10 +115,10 @@
 	return mux
 }
 
-// waitForPeers returns once an agent without a log may take part. If the other agents have a log, this
-// one may have voted before it lost its own, and could vote twice in one term. It waits until all
-// others are up, follow one leader and have applied the same entries: then any agent that could be
-// elected has everything that was ever committed. If no agent has a log, the group is new.
+// waitForPeers returns once an agent without a log may join the group. If the other agents have a log,
+// this agent may have voted before it lost its own log, and could vote twice in one term. It therefore
+// waits until all others are up, follow the same leader and have applied the same entries: from then
+// on every agent that can be elected has all committed entries. If no agent has a log, the group is new.
 func (a *Agent) waitForPeers() error {
 	ctx := a.opt.StartContext
 	if ctx == nil {
@@ -151,13 +152,13 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("agent.dir: empty, and the others were never all up and level: %w", ctx.Err())
+			return fmt.Errorf("agent.dir: the folder is empty and the other agents did not all reach the same applied index: %w", ctx.Err())
 		case <-time.After(200 * time.Millisecond):
 		}
 	}
 }
 
-// logWriter passes the Raft library's log lines on.
+// logWriter writes the Raft library's log lines to the agent's logger.
 type logWriter struct{ log *slog.Logger }
 
 // Write implements io.Writer.
@@ -166,7 +167,7 @@
 	return len(b), nil
 }
 
-// closeStorage closes the transport and the log.
+// closeStorage closes the transport and the log, as far as they are open.
 func (a *Agent) closeStorage() {
 	if a.transport != nil {
 		a.transport.Close()
--- a/internal/controlplane/agent/client_configs.go
+++ b/internal/controlplane/agent/client_configs.go
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// instancePath is the path of an instance's configuration.
+// instancePath returns the URL path of an instance's configuration.
 func instancePath(name string) string { return "/v1/instances/" + url.PathEscape(name) }
 
-// Get returns the latest configuration of an instance.
+// GetConfig returns the latest configuration of an instance.
 func (c *Client) GetConfig(ctx context.Context, name string) (Entry, error) {
 	return fetch[Entry](ctx, c, call{method: http.MethodGet, path: instancePath(name)})
 }
 
-// List returns the names and versions of all configurations.
+// ListConfigs returns the names and versions of all configurations.
 func (c *Client) ListConfigs(ctx context.Context) (map[string]uint64, error) {
 	return fetch[map[string]uint64](ctx, c, call{method: http.MethodGet, path: "/v1/instances"})
 }
 
-// Put writes a configuration; nil deletes it. If ifVersion is set, only that version is replaced. The
-// change is made once, even if an agent that committed it fails before it answers and the next agent
-// is called.
+// PutConfig writes a configuration; nil deletes it. If ifVersion is set, only that version is replaced. The
+// request id makes the change idempotent: it is applied once, even if an agent that committed it fails
+// before it responds and the next agent is called.
 func (c *Client) PutConfig(ctx context.Context, name string, config []byte, ifVersion string) (Entry, error) {
 	method := http.MethodPut
 	if config == nil {
@@ -34,7 +34,7 @@
 	return fetch[Entry](ctx, c, call{method: method, path: instancePath(name), ifVersion: ifVersion, id: rand.Text(), body: config})
 }
 
-// Status asks each agent for its status. An agent that does not answer has the error as its state.
+// Status requests the status of each agent. For an agent that does not respond, State is the error.
 func (c *Client) Status(ctx context.Context) []Status {
 	var all []Status
 	for _, addr := range c.Addrs {
@@ -48,10 +48,10 @@
 	return all
 }
 
-// Follow calls tell with an instance's configuration, first as it is and then whenever it changes,
-// until ctx ends. It asks any agent for what that one has, so that an instance starts and keeps
-// running while there is no leader. An agent that lags behind cannot set the configuration back. A
-// silent agent is detected within watchWait and one attempt.
+// FollowConfig calls onChange with an instance's current configuration and then with each newer version,
+// until ctx ends. It accepts stale reads from any agent, so that an instance can start and keep running
+// while there is no leader. An older version, as from an agent that lags behind, is ignored. An agent
+// that does not respond is detected after watchWait and one attempt timeout; the next agent is polled then.
 func (c *Client) FollowConfig(ctx context.Context, name string, log *slog.Logger, onChange func(Entry)) {
 	var version uint64
 	delays := newBackoff()
--- a/internal/controlplane/agent/command.go
+++ b/internal/controlplane/agent/command.go
@@ -14,35 +14,35 @@
 	"spindlehitch/internal/process/failpoint"
 )
 
-// command is an entry of the log. It concerns one instance's configuration unless one of the later
-// fields is set.
+// command is the content of a log entry. It changes one instance's configuration unless one of the fields
+// from QuotaConfig on is set.
 type command struct {
 	Name         string              `json:"name,omitempty"`
-	Config       json.RawMessage     `json:"config,omitempty"` // empty: delete it
-	IfVersion    *uint64             `json:"if,omitempty"`     // only if the entry has this version; 0: if there is none
-	RequestID    string              `json:"id,omitempty"`     // drawn by the caller: a change that arrives twice is made once
+	Config       json.RawMessage     `json:"config,omitempty"` // empty: delete the entry
+	IfVersion    *uint64             `json:"if,omitempty"`     // apply only if the entry has this version; 0: only if there is no entry
+	RequestID    string              `json:"id,omitempty"`     // chosen at random by the caller: a change that arrives twice is applied once
 	QuotaConfig  *quota.Config       `json:"set,omitempty"`    // replace the fleet's budgets
 	Join         *quota.Member       `json:"join,omitempty"`   // add a session
 	Leave        []string            `json:"leave,omitempty"`  // remove sessions
 	LeaseConfig  *lease.Config       `json:"tasks,omitempty"`  // replace the fleet's tasks
 	LeaseEvents  []lease.Event       `json:"orders,omitempty"` // change leases
-	HighestToken uint64              `json:"seen,omitempty"`   // with events or alone: a token that a guarded resource was shown
+	HighestToken uint64              `json:"seen,omitempty"`   // with events or alone: highest token that a guarded resource has seen
 	StreamChange *watchstream.Change `json:"feed,omitempty"`   // change targets and shared configuration
 }
 
-// maxRecentChanges bounds the changes that are recognized by their request ids.
-const maxRecentChanges = 256
+// maxRecentResults bounds the results that are kept to recognize repeated request ids.
+const maxRecentResults = 256
 
-// joinResponse answers a join.
+// joinResponse is the response to a join.
 type joinResponse struct {
 	Member      quota.Member `json:"member"`
 	QuotaConfig quota.Config `json:"doc"`
 }
 
-// errConflict answers a change whose condition does not hold.
+// errConflict rejects a change whose IfVersion is not the entry's version.
 var errConflict = errors.New("the entry has another version")
 
-// Apply implements raft.FSM. It returns the command's result, or an error.
+// Apply implements raft.FSM. It applies a command and returns its result, or an error.
 func (s *store) Apply(l *raft.Log) any {
 	failpoint.Hit("agent.apply")
 	var c command
@@ -55,7 +55,7 @@
 	if c.RequestID != "" {
 		for _, result := range s.recentResults {
 			if result.RequestID == c.RequestID {
-				return result // a repeated request, whose first answer was lost
+				return result // the caller retried because the first response was lost
 			}
 		}
 	}
@@ -69,12 +69,12 @@
 	return s.applyConfig(l.Index, c)
 }
 
-// isFleet reports whether the command changes the registry.
+// changesRegistry reports whether the command changes the registry.
 func (c *command) changesRegistry() bool {
 	return c.QuotaConfig != nil || c.Join != nil || len(c.Leave) > 0 || c.LeaseConfig != nil || len(c.LeaseEvents) > 0 || c.HighestToken > 0
 }
 
-// applyFleet changes the registry. The caller holds mu.
+// applyToRegistry applies a command that changes the registry. The caller holds mu.
 func (s *store) applyToRegistry(index uint64, c command) any {
 	switch {
 	case c.QuotaConfig != nil:
@@ -102,7 +102,8 @@
 	return s.registryState.ApplyEvents(index, c.HighestToken, c.LeaseEvents)
 }
 
-// applyStreamChange applies a change of targets or shared configuration. The caller holds mu.
+// applyStreamChange applies a change of the watch stream's targets or shared configuration. The caller
+// holds mu.
 func (s *store) applyStreamChange(l *raft.Log, c command) any {
 	v, err := s.stream.apply(l, *c.StreamChange)
 	if err != nil {
@@ -130,17 +131,17 @@
 	return e
 }
 
-// rememberChange records the result of a change with a request id. The caller holds mu.
+// recordResult keeps the result of a change with a request id for its repetitions. The caller holds mu.
 func (s *store) recordResult(result Entry) {
 	if result.RequestID == "" {
 		return
 	}
 	result.Config = nil
 	s.recentResults = append(s.recentResults, result)
-	s.recentResults = s.recentResults[max(0, len(s.recentResults)-maxRecentChanges):]
+	s.recentResults = s.recentResults[max(0, len(s.recentResults)-maxRecentResults):]
 }
 
-// notifyWatchers wakes everybody who waits for a change. The caller holds mu.
+// notifyWatchers wakes all goroutines that wait for a change. The caller holds mu.
 func (s *store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
--- a/internal/controlplane/agent/configs.go
+++ b/internal/controlplane/agent/configs.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// handleList answers GET /v1/instances with the names and versions of all configurations.
+// handleList serves GET /v1/instances with the names and versions of all configurations.
 func (a *Agent) handleList(w http.ResponseWriter, r *http.Request) {
 	if a.allowRead(w, r) {
 		writeJSON(w, a.store.versions())
 	}
 }
 
-// handleGet answers with an instance's configuration: the leader's, or with stale this agent's,
-// waiting until its version is not after any more. A wait at the leader ends with its term.
+// handleGet serves GET /v1/instances/{name}, a long poll: it waits until the instance's configuration has
+// another version than the after parameter. The read is linearizable at the leader, and with the stale
+// parameter from this agent's state. A wait at the leader ends with its term.
 func (a *Agent) handleGet(w http.ResponseWriter, r *http.Request) {
-	var termEnded <-chan struct{} // nil, and never ready, for a stale read
+	var termEnded <-chan struct{} // nil for a stale read, so that it is never ready
 	if !allowsStale(r) {
 		var ok bool
 		if termEnded, ok = a.beginRead(w, r); !ok {
@@ -53,8 +54,8 @@
 	}
 }
 
-// handlePut writes or deletes an instance's configuration through the log. One that the instance could
-// not start with is rejected before.
+// handlePut serves PUT and DELETE /v1/instances/{name}: it writes or deletes an instance's configuration
+// through the log. A configuration that the instance could not start with is rejected before that.
 func (a *Agent) handlePut(w http.ResponseWriter, r *http.Request) {
 	if a.redirectIfNotLeader(w, r) {
 		return
--- a/internal/controlplane/agent/confirm.go
+++ b/internal/controlplane/agent/confirm.go
@@ -10,7 +10,8 @@
 	"spindlehitch/internal/process/config"
 )
 
-// confirmLoop asks the other agents for their terms, one round at a time, while answers wait for it.
+// runConfirmationRounds requests the other agents' terms, one round at a time, while responses wait for
+// confirmation. It returns when the service stops.
 func (s *leaderService) runConfirmationRounds() {
 	for {
 		select {
@@ -40,15 +41,16 @@
 	}
 }
 
-// queryMajority asks all other agents at once and returns as soon as enough of them agree.
+// queryMajority requests the terms of all other agents concurrently, and reports whether a majority,
+// including this agent, has no later term. It returns as soon as the majority is reached, or after termQueryTimeout.
 func (s *leaderService) queryMajority(term uint64) bool {
 	if s.agent.raft.CurrentTerm() != term {
-		return false // this agent knows of a later term, or has voted in it
+		return false // this agent has seen a later term, and may have voted in it
 	}
 	ctx, done := context.WithTimeout(s.ctx, termQueryTimeout)
 	defer done()
 	groupSize := len(s.agent.opt.Peers)
-	replies := make(chan uint64, groupSize)
+	replies := make(chan uint64, groupSize) // buffered, so that a late reply does not block its goroutine
 	queried := 0
 	for _, p := range s.agent.opt.Peers {
 		if p.ID == s.agent.opt.ID {
@@ -75,7 +77,7 @@
 	return readindex.MajorityAgrees(term, terms, groupSize)
 }
 
-// fetchTerm asks another agent for its term.
+// fetchTerm requests another agent's current term.
 func (s *leaderService) fetchTerm(ctx context.Context, p config.Peer) (uint64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.API+"/v1/term", nil)
 	if err != nil {
@@ -93,14 +95,14 @@
 	return strconv.ParseUint(string(b), 10, 64)
 }
 
-// handleTerm answers GET /v1/term. An agent raises its term before it votes, so one that tells a term
-// has not voted in a later one.
+// handleTerm serves GET /v1/term. An agent raises its term before it votes, so an agent that
+// returns a term has not voted in a later one.
 func (s *leaderService) handleTerm(w http.ResponseWriter, _ *http.Request) {
 	_, _ = io.WriteString(w, strconv.FormatUint(s.agent.raft.CurrentTerm(), 10))
 }
 
-// confirmLeadership waits until a majority has confirmed, after this call, that no later term has
-// begun. It must be called with mu held, which it releases.
+// confirmLeadership waits for a confirmation round that starts after this call, and reports whether a
+// majority agreed in it that no later term has begun. It must be called with mu held, and unlocks it.
 func (s *leaderService) confirmLeadership(ctx context.Context) bool {
 	result := make(chan bool, 1)
 	s.confirmations.Add(s.term, result)
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -12,25 +12,25 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// FleetView is the fleet as an agent sees it.
+// FleetView is the response to GET /v1/fleet: the fleet's state at one agent.
 type FleetView struct {
 	Agent          string                   `json:"agent"`
-	Leads          bool                     `json:"leads"`  // a majority has just confirmed it
-	AgeMs          int64                    `json:"age_ms"` // how old the view may be; -1: it has never heard of a leader
+	Leads          bool                     `json:"leads"`  // the agent is the leader, as a majority has just confirmed
+	AgeMs          int64                    `json:"age_ms"` // how old the view may be; -1: the agent had no contact with a leader yet
 	QuotaConfig    quota.Config             `json:"doc"`
 	Members        []allocator.MemberStatus `json:"members"`
-	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // of the leader only
-	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new term may allocate anything new
+	Ledger         []allocator.LedgerLine   `json:"lines,omitempty"` // only from the leader
+	RecoveryWaitMs int64                    `json:"wait_ms"`         // until a new term may allocate more of every budget
 	LeaseConfig    lease.Config             `json:"tasks"`
 	Leases         []lessor.LeaseStatus     `json:"leases,omitempty"`
-	Board          []outlierboard.Entry     `json:"board,omitempty"` // of the leader only
+	Board          []outlierboard.Entry     `json:"board,omitempty"` // only from the leader
 }
 
-// livenessUnknown is the state of members at an agent that does not lead.
+// livenessUnknown is the state of members and leases in the view of an agent that does not lead.
 const livenessUnknown allocator.Liveness = "unknown"
 
-// handleShowFleet answers GET /v1/fleet: the leader's view, or with stale this agent's, as far as its
-// log goes.
+// handleShowFleet serves GET /v1/fleet: the leader's view, or with the stale parameter this agent's
+// view of the state that it has applied.
 func (s *leaderService) handleShowFleet(w http.ResponseWriter, r *http.Request) {
 	var leads bool
 	if allowsStale(r) {
@@ -49,8 +49,8 @@
 	writeJSON(w, view)
 }
 
-// confirmIfBegun reports whether this agent leads, as a majority has just confirmed. It does not wait
-// for its term to begin.
+// isConfirmedLeader reports whether this agent leads in a term that has begun, as a majority has just
+// confirmed. It does not wait for a term to begin.
 func (s *leaderService) isConfirmedLeader(ctx context.Context) bool {
 	s.mu.Lock()
 	if s.term == 0 {
@@ -60,7 +60,8 @@
 	return s.confirmLeadership(ctx)
 }
 
-// fleetView returns the leader's view, or that of any agent; false: the term of the leader has ended.
+// fleetView returns the leader's view, or if leads is false that of any agent. ok is false if the
+// leader's term has ended meanwhile.
 func (s *leaderService) fleetView(leads bool) (v FleetView, ok bool) {
 	age, _ := s.agent.stateAge()
 	s.mu.Lock()
@@ -84,7 +85,8 @@
 	return v, true
 }
 
-// addLeaderState adds what only the leader knows. The caller holds mu.
+// addLeaderState adds the state of the allocator, the lessor and the probe results, which only the
+// leader has. The caller holds mu.
 func (s *leaderService) addLeaderState(v *FleetView) {
 	now := monotone.Now()
 	v.Members, v.Ledger = s.allocator.Members(now), s.allocator.Ledger(now, "")
--- a/internal/controlplane/agent/http.go
+++ b/internal/controlplane/agent/http.go
@@ -11,15 +11,15 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// writeJSON answers with a value.
+// writeJSON writes a value as the JSON response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// redirectUnlessLeader redirects a caller that wants to write to the leader, and returns false if this
-// agent takes itself for the leader. Whether the write is made is decided by the log; for a read that
-// is not enough (beginRead).
+// redirectIfNotLeader redirects a write to the leader, and returns false if a majority has just
+// confirmed this agent as the leader. Whether the write is committed is decided by the log. A read
+// needs the stronger conditions of beginRead.
 func (a *Agent) redirectIfNotLeader(w http.ResponseWriter, r *http.Request) bool {
 	if a.raft.State() == raft.Leader && a.raft.VerifyLeader().Error() == nil {
 		return false
@@ -28,7 +28,8 @@
 	return true
 }
 
-// redirectToLeader redirects the caller to the leader, if this agent knows it.
+// redirectToLeader redirects the caller to the leader, or responds with 503 if this agent knows no other
+// leader.
 func (a *Agent) redirectToLeader(w http.ResponseWriter, r *http.Request) {
 	_, id := a.raft.LeaderWithID()
 	for _, p := range a.opt.Peers {
@@ -40,12 +41,13 @@
 	http.Error(w, "no leader at the moment", http.StatusServiceUnavailable)
 }
 
-// readBody decodes a request body.
+// readBody decodes a JSON request body of at most maxRequestBytes. If ok is false, it has responded
+// with 400.
 func readBody[T any](w http.ResponseWriter, r *http.Request) (v T, ok bool) {
 	return readBodyUpTo[T](w, r, maxRequestBytes)
 }
 
-// readBodyUpTo decodes a request body of at most so many bytes.
+// readBodyUpTo is readBody with another limit.
 func readBodyUpTo[T any](w http.ResponseWriter, r *http.Request, maxBytes int64) (v T, ok bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err == nil {
@@ -57,8 +59,8 @@
 	return v, err == nil
 }
 
-// writeError answers with an error: conflicts and rejections keep their status, everything else is
-// 503, so that the caller retries elsewhere.
+// writeError responds with an error: 409 for a conflict, the status of a RejectedError, and 503 for all
+// other errors, so that the caller retries at another agent.
 func writeError(w http.ResponseWriter, err error) {
 	var conflict quota.RejectionError
 	var rejected *RejectedError
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -21,35 +21,35 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Times of the leader's service.
+// Timeouts and intervals of the leader's service.
 const (
-	termQueryTimeout = 500 * time.Millisecond // for another agent to tell its term
+	termQueryTimeout = 500 * time.Millisecond // for another agent to return its term
 	expiryInterval   = 250 * time.Millisecond // between checks for expired sessions and leases
-	probeResultTTL   = 10 * time.Minute       // for which a probe result is kept
+	probeResultTTL   = 10 * time.Minute       // how long a probe result is kept
 )
 
-// leaderService runs the allocator and the lessor while this agent leads: it starts them for each
-// term, passes them renewals, and sends their answers once a majority of the agents has confirmed that
-// no later term has begun.
+// leaderService runs the allocator and the lessor while this agent leads: it creates them for each
+// term, passes renewals to them, and sends their responses once a majority of the agents has confirmed
+// that no later term has begun.
 type leaderService struct {
 	agent            *Agent
 	client           http.Client
-	ctx              context.Context
+	ctx              context.Context // cancelled by stop; ends the loops
 	cancel           context.CancelFunc
 	loops            sync.WaitGroup
-	confirmRequested chan struct{} // an answer waits for confirmation
-	lessorWake       chan struct{} // leases may be granted
-
-	mu            sync.Mutex
-	term          uint64               // of the allocator; 0: this agent does not lead, or has not applied what earlier terms committed
-	termChanged   chan struct{}        // closed and replaced when term changes, and at times while this agent does not lead
-	allocator     *allocator.Allocator // nil: this agent does not lead
-	lessor        *lessor.Lessor       // as long as there is an allocator
-	board         *outlierboard.Board
-	confirmations readindex.Queue[chan<- bool]
+	confirmRequested chan struct{} // a response waits for confirmation; holds one signal, never closed
+	lessorWake       chan struct{} // the lessor may have new events; holds one signal, never closed
+
+	mu            sync.Mutex                   // guards the fields below
+	term          uint64                       // the allocator's term; 0: this agent does not lead, or has not applied all entries that earlier terms committed
+	termChanged   chan struct{}                // closed and replaced when term changes, and by each syncWithTerm while this agent does not lead
+	allocator     *allocator.Allocator         // nil if term is 0
+	lessor        *lessor.Lessor               // nil if term is 0
+	board         *outlierboard.Board          // nil if term is 0
+	confirmations readindex.Queue[chan<- bool] // responses that wait for confirmation; each channel gets one result and is not closed
 }
 
-// newLeaderService returns the service, which does nothing until start.
+// newLeaderService returns the service. Its loops do not run until start.
 func newLeaderService(a *Agent) *leaderService {
 	s := &leaderService{agent: a, confirmRequested: make(chan struct{}, 1), lessorWake: make(chan struct{}, 1), termChanged: make(chan struct{})}
 	s.client.Transport = &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 30 * time.Second}
@@ -57,13 +57,13 @@
 	return s
 }
 
-// start starts the goroutines.
+// start starts the loops; stop ends them.
 func (s *leaderService) start() {
 	s.loops.Go(s.run)
 	s.loops.Go(s.runConfirmationRounds)
 }
 
-// stop ends the goroutines and waits for them.
+// stop ends the loops and waits for them.
 func (s *leaderService) stop() {
 	s.cancel()
 	s.loops.Wait()
@@ -83,16 +83,17 @@
 	mux.HandleFunc("GET /v1/leases/changed/{id}", s.handleLeaseChanges)
 }
 
-// run keeps the service in step with the term and the log.
+// run synchronizes the service with Raft's term and the log after each change of either, and at least
+// every expiryInterval, until the service stops.
 func (s *leaderService) run() {
 	tick := time.NewTicker(expiryInterval)
 	defer tick.Stop()
 	for {
 		_, changed := s.agent.store.registry()
 		s.syncWithTerm()
-		s.agent.stateAge() // notes that the state is new, whether or not anybody asks
+		s.agent.stateAge() // records how recent the state is, even while no request needs its age
 		if s.applyPendingEvents() {
-			continue // take over the change before anything else
+			continue // pass the applied events to the lessor before waiting
 		}
 		select {
 		case <-s.ctx.Done():
@@ -105,7 +106,8 @@
 	}
 }
 
-// applyPendingEvents proposes the lessor's events, and reports whether that succeeded.
+// applyPendingEvents proposes the lessor's pending events and its highest token. It reports whether they
+// were committed; false if there are none.
 func (s *leaderService) applyPendingEvents() bool {
 	s.mu.Lock()
 	var events []lease.Event
@@ -121,7 +123,7 @@
 	v, err := s.agent.propose(command{LeaseEvents: events, HighestToken: highestToken})
 	failpoint.Hit("agent.ordered")
 	if err != nil {
-		return false // it is unknown whether they are in the log: the lessor returns them again
+		return false // it is unknown whether they are committed: the lessor returns them again
 	}
 	applied, _ := v.([]lease.Event)
 	for _, e := range applied {
@@ -131,8 +133,9 @@
 	return true
 }
 
-// syncWithTerm starts the allocator and the lessor once this agent leads, drops them once it does not,
-// passes them the registry's state, and removes expired sessions.
+// syncWithTerm creates the allocator and the lessor when this agent has become the leader, drops them
+// when its term has ended, passes them the registry's state, and removes expired sessions. It may be
+// called concurrently.
 func (s *leaderService) syncWithTerm() {
 	leads, term := s.agent.raft.State() == raft.Leader, s.agent.raft.CurrentTerm()
 	s.mu.Lock()
@@ -140,7 +143,7 @@
 		s.endTerm()
 	}
 	if !leads {
-		s.notifyTermWaiters() // a read that waits for the term to begin looks again
+		s.notifyTermWaiters() // a read that waits for the term to begin checks the leadership again
 	}
 	begun := s.term != 0
 	s.mu.Unlock()
@@ -148,7 +151,7 @@
 		return
 	}
 	s.mu.Lock()
-	reg, _ := s.agent.store.registry() // with mu held, so that two calls cannot pass older state after newer
+	reg, _ := s.agent.store.registry() // read with mu held, so that concurrent calls cannot pass older state after newer
 	now := monotone.Now()
 	switch {
 	case s.term == term:
@@ -157,7 +160,7 @@
 		s.board.Prune(now, probeResultTTL, s.lessor.IsMember)
 	case s.term == 0 && !begun:
 		s.beginTerm(now, term, &reg)
-	default: // another call has seen the term end
+	default: // a concurrent call has ended the term or begun another
 		s.mu.Unlock()
 		return
 	}
@@ -170,13 +173,13 @@
 	}
 }
 
-// applyEarlierTerms waits until everything that earlier terms have committed is applied, and reports
-// whether this agent still leads in the term.
+// applyEarlierTerms waits until all entries that earlier terms have committed are applied, and reports
+// whether this agent still leads in the given term.
 func (s *leaderService) applyEarlierTerms(term uint64) bool {
 	return s.agent.raft.Barrier(applyTimeout).Error() == nil && s.agent.raft.CurrentTerm() == term
 }
 
-// beginTerm starts the allocator and the lessor. The caller holds mu.
+// beginTerm creates the allocator and the lessor. The caller holds mu.
 func (s *leaderService) beginTerm(now time.Duration, term uint64, reg *registry.Registry) {
 	s.allocator, s.term = allocator.New(now, reg.QuotaConfig, reg.Members), term
 	s.lessor, s.board = lessor.New(now, reg), &outlierboard.Board{}
@@ -190,22 +193,22 @@
 	s.notifyTermWaiters()
 }
 
-// hasBegun reports whether this agent leads in a term that has begun.
+// termBegun reports whether this agent leads in a term that has begun.
 func (s *leaderService) termBegun() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.term != 0
 }
 
-// notifyTerm wakes everybody who waits for a term to begin or to end. The caller holds mu.
+// notifyTermWaiters wakes all goroutines that wait for a term to begin or to end. The caller holds mu.
 func (s *leaderService) notifyTermWaiters() {
 	close(s.termChanged)
 	s.termChanged = make(chan struct{})
 }
 
 // confirmTerm waits until this agent leads in a term that has begun (see applyEarlierTerms) and a
-// majority has confirmed, after this call, that no later term has. The channel is closed once the term
-// has ended.
+// majority has confirmed, after this call, that no later term has begun. The returned channel is closed
+// when the term ends.
 func (s *leaderService) confirmTerm(ctx context.Context) (ended <-chan struct{}, err error) {
 	for {
 		s.mu.Lock()
@@ -230,14 +233,15 @@
 	}
 }
 
-// errNotApplied says that the leader cannot answer reads yet; the caller retries.
+// errNotApplied rejects a read at a leader that has not applied all entries of earlier terms; the caller
+// retries.
 var errNotApplied = errors.New("this agent leads and has not applied its log yet: try again, or read what it has with ?stale")
 
-// errNotLeading says that there is no leader to answer; the caller retries.
+// errNotLeading rejects a request that only the leader can handle; the caller retries.
 var errNotLeading = errors.New("this agent does not lead at the moment")
 
-// redirectUnlessLeading redirects the caller to the leader, and returns false if this agent has an
-// allocator.
+// redirectIfNoAllocator redirects the caller to the leader, and returns false if this agent has an
+// allocator, so that it leads in a term that has begun.
 func (s *leaderService) redirectIfNoAllocator(w http.ResponseWriter, r *http.Request) bool {
 	s.mu.Lock()
 	hasAllocator := s.allocator != nil
--- a/internal/controlplane/agent/leases.go
+++ b/internal/controlplane/agent/leases.go
@@ -9,7 +9,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// renewLeases answers a lease renewal; nil if it is older than the last one. The caller holds mu.
+// renewLeases handles a lease renewal: it renews the member's leases at the lessor and exchanges probe
+// targets and results. It returns nil if the renewal is older than the last one. The caller holds mu.
 func (s *leaderService) renewLeases(now time.Duration, id string, req *lease.RenewalRequest) *lease.RenewalResponse {
 	resp, err := s.lessor.Renew(now, id, *req)
 	if err != nil {
@@ -45,7 +46,7 @@
 	return &resp
 }
 
-// handleSetTasks answers PUT /v1/leases.
+// handleSetTasks serves PUT /v1/leases.
 func (s *leaderService) handleSetTasks(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -57,8 +58,8 @@
 	s.proposeAndReply(w, command{LeaseConfig: &newConfig})
 }
 
-// handleMigrateLease answers POST /v1/leases/move. The plan goes through the log; the holder then
-// releases the lease.
+// handleMigrateLease serves POST /v1/leases/move. The planned migration goes through the log;
+// the holder then releases the lease.
 func (s *leaderService) handleMigrateLease(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -85,9 +86,9 @@
 	}
 }
 
-// handleLeaseChanges answers GET /v1/leases/changed/{id} once a lease of the member was changed after
-// the index that it knows, or the wait is over. Any agent may be asked: the answer is only a hint to
-// renew.
+// handleLeaseChanges serves GET /v1/leases/changed/{id}, a long poll: it responds with the log index of
+// the last change of a lease of the member, once that is greater than the after parameter or the wait
+// is over. Any agent serves it, since the response is only a hint to renew.
 func (s *leaderService) handleLeaseChanges(w http.ResponseWriter, r *http.Request) {
 	after, wait := parsePoll(r)
 	timer := time.NewTimer(wait)
@@ -109,7 +110,7 @@
 	}
 }
 
-// migrateRequest asks for the migration of a lease.
+// migrateRequest is the body of POST /v1/leases/move.
 type migrateRequest struct {
 	lease.Key
 	Member string `json:"to"`
--- a/internal/controlplane/agent/read.go
+++ b/internal/controlplane/agent/read.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// readTimeout bounds how long a linearizable read waits until this agent may answer it.
+// readTimeout bounds how long a linearizable read waits until this agent may serve it.
 const readTimeout = 5 * time.Second
 
-// beginRead waits until this agent may answer a linearizable read from its state: it leads, it has applied everything that earlier
-// terms have committed, and a majority has confirmed, after the read arrived, that no later term has begun. Every write of the term
-// that was acknowledged is applied here before its answer is sent. The channel is closed once the term has ended. If ok is false,
-// the caller has been answered: redirected to the leader, or told to retry.
+// beginRead waits until this agent may serve a linearizable read from its state: it leads, it has applied all entries that earlier
+// terms have committed, and a majority has confirmed, after the read arrived, that no later term has begun. Every write of its own
+// term is applied here before it is acknowledged, so the state has all acknowledged writes. termEnded is closed when the term ends.
+// If ok is false, beginRead has responded: with a redirect to the leader, or with 503 so that the caller retries.
 func (a *Agent) beginRead(w http.ResponseWriter, r *http.Request) (termEnded <-chan struct{}, ok bool) {
 	ctx, done := context.WithTimeout(r.Context(), readTimeout)
 	defer done()
@@ -28,8 +28,8 @@
 	return termEnded, err == nil
 }
 
-// mayAnswer reports whether this agent may answer the read from its state: a linearizable one once beginRead allows it, a stale one
-// at once. If not, the caller has been answered.
+// allowRead reports whether this agent may serve the read from its state: a stale read at once, a linearizable one after beginRead
+// has allowed it. If not, beginRead has responded.
 func (a *Agent) allowRead(w http.ResponseWriter, r *http.Request) bool {
 	if allowsStale(r) {
 		return true
@@ -38,10 +38,11 @@
 	return ok
 }
 
-// allowsStale reports whether the caller accepts this agent's state, however old it is.
+// allowsStale reports whether the caller accepts this agent's state at any age.
 func allowsStale(r *http.Request) bool { return r.URL.Query().Has("stale") }
 
-// pollParameters returns the version that a waiting read has, and how long it waits at most.
+// parsePoll returns the parameters of a long poll: the version or index that the caller already has, and the maximum wait, which
+// maxPollWait bounds.
 func parsePoll(r *http.Request) (after uint64, wait time.Duration) {
 	query := r.URL.Query()
 	after, _ = strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/controlplane/agent/sessions.go
+++ b/internal/controlplane/agent/sessions.go
@@ -10,7 +10,7 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// handleRenew answers POST /v1/fleet/renew.
+// handleRenew serves POST /v1/fleet/renew.
 func (s *leaderService) handleRenew(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -32,7 +32,7 @@
 		combined.Leases = s.renewLeases(now, renewal.ID, renewal.Leases)
 	}
 	if errors.Is(err, quota.ErrUnknownMember) || err == nil {
-		// Only a confirmed leader may tell a member that its session is gone.
+		// Only a confirmed leader may grant allocations, or reject a member as unknown.
 		if !s.confirmLeadership(r.Context()) {
 			writeError(w, errNotLeading)
 			return
@@ -48,7 +48,7 @@
 	writeJSON(w, combined)
 }
 
-// handleJoin answers POST /v1/fleet/members.
+// handleJoin serves POST /v1/fleet/members.
 func (s *leaderService) handleJoin(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -76,7 +76,7 @@
 	s.proposeAndReply(w, command{Join: &m})
 }
 
-// handleLeave answers DELETE /v1/fleet/members/{id}.
+// handleLeave serves DELETE /v1/fleet/members/{id}.
 func (s *leaderService) handleLeave(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -84,7 +84,7 @@
 	s.proposeAndReply(w, command{Leave: []string{r.PathValue("id")}})
 }
 
-// proposeAndReply makes a change of the fleet through the log, and answers with its result.
+// proposeAndReply makes a change of the registry through the log, and responds with its result.
 func (s *leaderService) proposeAndReply(w http.ResponseWriter, c command) {
 	v, err := s.agent.propose(c)
 	if rejection, isError := v.(error); isError && err == nil {
@@ -94,11 +94,11 @@
 		writeError(w, err)
 		return
 	}
-	s.syncWithTerm() // the allocator must know the change before the caller does
+	s.syncWithTerm() // passes the change to the allocator before the caller gets the response
 	writeJSON(w, v)
 }
 
-// handleSetQuotas answers PUT /v1/fleet.
+// handleSetQuotas serves PUT /v1/fleet.
 func (s *leaderService) handleSetQuotas(w http.ResponseWriter, r *http.Request) {
 	if s.redirectIfNoAllocator(w, r) {
 		return
@@ -114,13 +114,14 @@
 	s.proposeAndReply(w, command{QuotaConfig: &newConfig})
 }
 
-// renewalRequest is a session renewal with the lease renewal of a member that runs tasks.
+// renewalRequest is the body of POST /v1/fleet/renew: a session renewal, with a lease renewal if the
+// member runs tasks.
 type renewalRequest struct {
 	quota.RenewalRequest
 	Leases *lease.RenewalRequest `json:"claim,omitempty"`
 }
 
-// renewalResponse answers both.
+// renewalResponse is the response to both renewals.
 type renewalResponse struct {
 	quota.RenewalResponse
 	Leases *lease.RenewalResponse `json:"award,omitempty"`
--- a/internal/controlplane/agent/snapshot.go
+++ b/internal/controlplane/agent/snapshot.go
@@ -13,25 +13,25 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// snapshot is the state machine at one moment. Snapshots from before there were formats are the
-// entries alone.
+// snapshot is a copy of the state machine's state. The first snapshots, which have no format number,
+// consist of the entries alone.
 type snapshot struct {
-	Format  int                   `json:"format"`
-	Entries map[string]Entry      `json:"entries"`
-	Recent  []Entry               `json:"recent,omitempty"`
-	Fleet   registry.Registry     `json:"fleet"`
-	Stream  *watchstream.Snapshot `json:"feed,omitempty"`    // nil: there was no change of it yet
-	Applied uint64                `json:"applied,omitempty"` // index of the last command; 0: older programs do not tell
+	Format        int                   `json:"format"`
+	Entries       map[string]Entry      `json:"entries"`
+	RecentResults []Entry               `json:"recent,omitempty"`
+	Fleet         registry.Registry     `json:"fleet"`
+	Stream        *watchstream.Snapshot `json:"feed,omitempty"`    // nil: the watch stream has no change yet
+	Applied       uint64                `json:"applied,omitempty"` // log index of the last command; 0: written by an older program without this field
 }
 
-// Formats of snapshots. An agent does not read a newer format, since it would lose what it does not
-// know.
+// Formats of snapshots. An agent rejects a newer format, since it would lose the state that it cannot
+// decode.
 const (
-	snapshotFormat       = 4 // format 2 had no leases, format 3 no watch stream
-	streamSnapshotFormat = 4
+	snapshotFormat       = 4 // written by this program; format 2 has no leases, format 3 no watch stream
+	streamSnapshotFormat = 4 // first format with the watch stream
 )
 
-// Snapshot implements raft.FSM.
+// Snapshot implements raft.FSM. The copy shares no state that a later command changes.
 func (s *store) Snapshot() (raft.FSMSnapshot, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -50,7 +50,7 @@
 // Release implements raft.FSMSnapshot.
 func (snapshot) Release() {}
 
-// Restore implements raft.FSM.
+// Restore implements raft.FSM. An error leaves the state unchanged.
 func (s *store) Restore(source io.ReadCloser) error {
 	defer source.Close()
 	var text json.RawMessage
@@ -59,8 +59,8 @@
 	}
 	var saved snapshot
 	if json.Unmarshal(text, &saved) != nil || saved.Format == 0 {
-		// Without a format: the whole text is the entries. An instance may be named like a field of snapshot, which
-		// then has another type.
+		// Without a format number, the whole text is the entries. Decoding fails if an instance is named like a field of
+		// snapshot, since its entry has another type.
 		saved = snapshot{}
 		if err := json.Unmarshal(text, &saved.Entries); err != nil {
 			return fmt.Errorf("snapshot: %w", err)
@@ -77,7 +77,7 @@
 	if err := s.stream.restore(saved.Stream); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
-	s.entries, s.recentResults, s.registryState, s.applied = saved.Entries, saved.Recent, saved.Fleet, saved.Applied
+	s.entries, s.recentResults, s.registryState, s.applied = saved.Entries, saved.RecentResults, saved.Fleet, saved.Applied
 	s.notifyWatchers()
 	return nil
 }
--- a/internal/controlplane/agent/stream_client.go
+++ b/internal/controlplane/agent/stream_client.go
@@ -12,8 +12,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// PutChange makes a change of the stream exactly once and returns its version. A *RejectedError says
-// that it was not made.
+// PutChange makes a change of the watch stream and returns its version. Retries apply it once, by its request
+// id. A *RejectedError means that it was not made; after other errors this is unknown.
 func (c *Client) PutChange(ctx context.Context, change watchstream.Change) (uint64, error) {
 	text, err := json.Marshal(change)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return sendJSON[watchstream.ReportResponse](ctx, c, http.MethodPost, "/v1/feed/report", rep)
 }
 
-// StreamStatus returns where a version is applied; 0: the newest. Without a leader it is how far some
-// agent's log goes, and Leads is false.
+// StreamStatus returns which readers have applied a version; 0: the newest. Without a leader it returns
+// the state that some agent has applied, without readers, and Leads is false.
 func (c *Client) StreamStatus(ctx context.Context, version uint64) (StreamStatus, error) {
 	versionPath := "/v1/feed/versions/" + latestVersion
 	if version > 0 {
@@ -46,8 +46,8 @@
 	return decode[StreamStatus](c.callAny(ctx, call{method: http.MethodGet, path: versionPath + "?stale"}))
 }
 
-// Records returns the live records of a kind, or the one with that key, from the leader, in order of
-// version.
+// Records returns the live records of a kind from the leader, in order of version, or if key is not empty
+// the record with that key. A key that changes between two pages is returned with its later record.
 func (c *Client) Records(ctx context.Context, k watchstream.Kind, key string) (all []watchstream.Record, err error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -17,31 +17,32 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Bounds and times of the stream service.
+// Limits and intervals of the stream service.
 const (
-	reportInterval = time.Second
-	maxPageRecords = 1000     // of an answer with records
-	maxReportBytes = 4 << 20  // the maximum of readers with long names
-	latestVersion  = "latest" // path element for the newest version
+	reportInterval = time.Second // between reports about this agent's own readers
+	maxPageRecords = 1000        // records in one response, exceeded only to complete a version
+	maxReportBytes = 4 << 20     // enough for the maximum number of readers with long names
+	latestVersion  = "latest"    // path element that selects the newest version
 )
 
 // streamService serves the watch stream at an agent: changes go through the log, readers are served
-// from the log's state, and while this agent leads it tracks which versions are applied where.
+// from the state that this agent has applied, and while this agent leads it tracks which readers have
+// applied which versions.
 type streamService struct {
 	agent  *Agent
 	server *edge.Server
-	ctx    context.Context
+	ctx    context.Context // cancelled by stop; ends the loop
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 
-	mu             sync.Mutex
-	term           uint64 // of acks
+	mu             sync.Mutex // guards the fields below; locked before the store's lock
+	term           uint64     // the tracker's term
 	tracker        *watchstream.AckTracker
-	countedEpoch   string // of the last commit that acks knows
-	countedVersion uint64 // of it
+	countedEpoch   string // epoch of the last commit that was passed to the tracker
+	countedVersion uint64 // version of that commit
 }
 
-// newStreamService returns the service, whose loop does not run until start.
+// newStreamService returns the service. Its loop does not run until start.
 func newStreamService(a *Agent) *streamService {
 	s := &streamService{agent: a}
 	s.server = edge.NewServer(s, 0)
@@ -49,10 +50,10 @@
 	return s
 }
 
-// start starts the goroutine.
+// start starts the loop; stop ends it.
 func (s *streamService) start() { s.loops.Go(s.reportLoop) }
 
-// stop ends the goroutine and waits for it.
+// stop ends the loop and waits for it.
 func (s *streamService) stop() {
 	s.cancel()
 	s.loops.Wait()
@@ -68,7 +69,7 @@
 	mux.HandleFunc("GET /v1/feed", s.handleShow)
 }
 
-// WithSource implements distribution.Origin with the log's state, as far as this agent has applied it.
+// WithSource implements distribution.Origin with the state that this agent has applied.
 func (s *streamService) WithSource(use func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := s.agent.stateAge()
 	st := s.agent.store
@@ -84,9 +85,9 @@
 	return st.changed, true
 }
 
-// handleChange answers POST /v1/feed/changes.
+// handleChange serves POST /v1/feed/changes.
 func (s *streamService) handleChange(w http.ResponseWriter, r *http.Request) {
-	if _, ok := s.agent.beginRead(w, r); !ok { // checkSnapshotFormats reads the state
+	if _, ok := s.agent.beginRead(w, r); !ok { // a linearizable read, since checkSnapshotFormats reads the state
 		return
 	}
 	c, ok := readBody[watchstream.Change](w, r)
@@ -94,7 +95,7 @@
 		return
 	}
 	if c.Epoch == "" {
-		c.Epoch = rand.Text() // used by the very first change only
+		c.Epoch = rand.Text() // used only if this is the stream's first change
 	}
 	if err := c.Validate(); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -123,10 +124,10 @@
 	}
 }
 
-// checkSnapshotFormats returns an error if a change may not go into the log. An agent from before the
-// stream would ignore its entries and lose them with its next snapshot, so the very first change waits
-// until every agent has told that it knows them; from then on the snapshot format keeps older programs
-// out.
+// checkSnapshotFormats returns an error if the stream's first change may not be proposed yet. An agent with
+// an older program would ignore the stream's log entries and lose them with its next snapshot. The first
+// change is therefore rejected until every agent has reported a snapshot format with the stream; after it,
+// the snapshot format keeps older programs out of the group.
 func (s *streamService) checkSnapshotFormats(ctx context.Context) error {
 	st := s.agent.store
 	st.mu.Lock()
@@ -152,13 +153,13 @@
 	return nil
 }
 
-// ChangeResponse answers a change.
+// ChangeResponse is the response to POST /v1/feed/changes.
 type ChangeResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// lockTracker returns the tracker with the newest commits, and mu held; nil, with mu not held, if this
-// agent does not lead.
+// lockTracker returns the tracker, with the newest commits passed to it, and leaves mu locked: the caller
+// unlocks it. It returns nil with mu unlocked if this agent does not lead or the stream has no change yet.
 func (s *streamService) lockTracker() *watchstream.AckTracker {
 	if s.agent.raft.State() != raft.Leader {
 		return nil
@@ -185,11 +186,11 @@
 		s.tracker.NoteCommit(c.at, c.epoch, c.version)
 		s.countedEpoch, s.countedVersion = c.epoch, c.version
 	}
-	s.tracker.SetEpoch(epoch) // a snapshot has no commits
+	s.tracker.SetEpoch(epoch) // a state restored from a snapshot has an epoch and no commits
 	return s.tracker
 }
 
-// handleReport answers POST /v1/feed/report.
+// handleReport serves POST /v1/feed/report.
 func (s *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
 	if s.agent.redirectIfNotLeader(w, r) {
 		return
@@ -213,7 +214,7 @@
 	}
 }
 
-// errNotTracking says that this agent does not lead; the caller retries.
+// errNotTracking rejects a request that only the leader can handle; the caller retries.
 var errNotTracking = errors.New("this agent does not track acknowledgements at the moment")
 
 // addReport passes a report to the tracker.
@@ -226,7 +227,8 @@
 	return t.AddReport(monotone.Now(), rep)
 }
 
-// reportLoop reports the initiators that follow this agent directly, as in groups without relays.
+// reportLoop reports the state of the readers that follow this agent directly, as in groups without
+// relays, to the leader every reportInterval. It returns when the service stops.
 func (s *streamService) reportLoop() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -9,22 +9,24 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// StreamStatus is where a version is applied, as an agent sees it.
+// StreamStatus is the response to GET /v1/feed and GET /v1/feed/versions/{version}: the stream's state at
+// one agent, and at the leader which readers have applied a version.
 type StreamStatus struct {
 	watchstream.Status
 	Agent          string `json:"agent"`
-	Leads          bool   `json:"leads"`   // a majority has just confirmed it; else nothing is known of readers
-	AgeMs          int64  `json:"old_ms"`  // how old the state may be; -1: it has never heard of a leader
+	Leads          bool   `json:"leads"`   // the agent is the leader, as a majority has just confirmed; if false, the readers are unknown
+	AgeMs          int64  `json:"old_ms"`  // how old the state may be; -1: the agent had no contact with a leader yet
 	Head           uint64 `json:"head"`    // newest version
-	Fleet          string `json:"fleet"`   // whose stream it is
-	TombstoneFloor uint64 `json:"floor"`   // readers behind it resync by digests
-	Targets        int    `json:"targets"` // live
+	Fleet          string `json:"fleet"`   // the fleet that the stream belongs to
+	TombstoneFloor uint64 `json:"floor"`   // readers behind it synchronize by digests
+	Targets        int    `json:"targets"` // number of live records
 	ConfigLayers   int    `json:"configuration"`
 	Tombstones     int    `json:"tombstones"`
-	Bytes          int    `json:"bytes"` // of keys and values
+	Bytes          int    `json:"bytes"` // size of keys and values
 }
 
-// logStatus is what the log says, without the readers; false: there was no change yet.
+// replicaStatus returns the status from the state that this agent has applied, without the readers. ok is
+// false if the stream has no change yet.
 func (s *streamService) replicaStatus() (status StreamStatus, ok bool) {
 	age, _ := s.agent.stateAge()
 	status = StreamStatus{Agent: s.agent.opt.ID, AgeMs: ageMs(age)}
@@ -42,11 +44,11 @@
 	return status, true
 }
 
-// errNoChanges answers operators before the first change.
+// errNoChanges rejects status requests before the stream's first change.
 var errNoChanges = &RejectedError{http.StatusNotFound, "no change has come yet"}
 
-// handleVersions answers GET /v1/feed/versions/{version}: where a version is applied, or with stale
-// only how far this agent's log goes.
+// handleVersions serves GET /v1/feed/versions/{version}: which readers have applied a version, or with the
+// stale parameter only the state that this agent has applied.
 func (s *streamService) handleVersions(w http.ResponseWriter, r *http.Request) {
 	stale := allowsStale(r)
 	if !s.agent.allowRead(w, r) {
@@ -81,7 +83,7 @@
 	writeJSON(w, status)
 }
 
-// handleShow answers GET /v1/feed.
+// handleShow serves GET /v1/feed.
 func (s *streamService) handleShow(w http.ResponseWriter, r *http.Request) {
 	if !s.agent.allowRead(w, r) {
 		return
@@ -95,7 +97,7 @@
 	writeJSON(w, status)
 }
 
-// handleRecords answers GET /v1/feed/records with a page of the live records of a kind, in order of
+// handleRecords serves GET /v1/feed/records with a page of the live records of a kind, in order of
 // version and in whole versions: a key that changes between two pages is returned again.
 func (s *streamService) handleRecords(w http.ResponseWriter, r *http.Request) {
 	if !s.agent.allowRead(w, r) {
@@ -111,7 +113,8 @@
 	writeJSON(w, s.recordsPage(kind, q.Get("key"), after))
 }
 
-// recordsPage returns one key's record, or the records after a version.
+// recordsPage returns the live record of the key, or if it is empty a page of the live records after a
+// version. A page ends only between versions.
 func (s *streamService) recordsPage(kind watchstream.Kind, key string, after uint64) []watchstream.Record {
 	page := []watchstream.Record{}
 	st := s.agent.store
