--- a/internal/controlplane/agent/agent.go
+++ b/internal/controlplane/agent/agent.go
@@ -30,9 +30,9 @@
 
 // ServerAddr implements raft.ServerAddressProvider.
 func (p Peers) ServerAddr(id raft.ServerID) (raft.ServerAddress, error) {
-	for _, x := range p {
-		if x.ID == string(id) {
-			return raft.ServerAddress(x.Raft), nil
+	for _, peer := range p {
+		if peer.ID == string(id) {
+			return raft.ServerAddress(peer.Raft), nil
 		}
 	}
 	return "", fmt.Errorf("agent.peer: %q is not one of the configured peers", id)
--- a/internal/controlplane/agent/agent_test.go
+++ b/internal/controlplane/agent/agent_test.go
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// freeAddrs finds ports of the loopback that nobody listens on.
+// freeAddrs returns loopback addresses with unused ports.
 func freeAddrs(t *testing.T, n int) []string {
 	t.Helper()
 	addrs, err := ports.Free(n)
@@ -41,7 +41,8 @@
 	return addrs
 }
 
-// three is a group of three agents on the loopback, each with a folder that outlives it.
+// testGroup is a group of agents on the loopback, usually three, and a client of them. Each agent keeps its folder when it is stopped
+// and started again.
 type testGroup struct {
 	t      *testing.T
 	peers  []config.Peer
@@ -94,10 +95,10 @@
 	g.agents[i] = nil
 }
 
-// until waits for something that takes a while, such as an election.
-func (g *testGroup) eventually(what string, done func() bool) {
+// eventually waits until a condition holds, for instance until an election has ended.
+func (g *testGroup) eventually(condition string, done func() bool) {
 	g.t.Helper()
-	require.Eventually(g.t, done, time.Minute, 20*time.Millisecond, what)
+	require.Eventually(g.t, done, time.Minute, 20*time.Millisecond, condition)
 }
 
 func (g *testGroup) leader() int {
@@ -124,8 +125,9 @@
 	return e
 }
 
-// TestLeaderLost writes through any agent, loses the leader, writes on with the two that are left, and has the
-// lost one catch up from its durable store. An instance that follows sees each configuration once, in order.
+// TestLeaderFailover writes, stops the leader, writes through the other two agents, and checks that the stopped
+// agent catches up from its folder after a restart. An instance that follows its configuration must receive each
+// version once, in order.
 func TestLeaderFailover(t *testing.T) {
 	g := newTestGroup(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -135,19 +137,19 @@
 	go follower.FollowConfig(ctx, "n1", discardLog, func(e Entry) { received <- e })
 	first := g.putConfig("n1", `{"a":1}`, "")
 	g.putConfig("n2", `{"b":1}`, "")
-	lost := g.leader()
-	g.stop(lost)
+	stoppedLeader := g.leader()
+	g.stop(stoppedLeader)
 	second := g.putConfig("n1", `{"a":2}`, "")
 	if second.Version <= first.Version {
 		t.Errorf("version went from %d to %d", first.Version, second.Version)
 	}
 	e, err := g.GetConfig(ctx, "n1")
 	if err != nil || string(e.Config) != `{"a":2}` || e.Version != second.Version {
-		t.Errorf("after the leader was lost: %+v, %v", e, err)
+		t.Errorf("after the leader was stopped: got %+v, %v", e, err)
 	}
-	g.start(lost)
-	g.eventually("the lost agent has caught up", func() bool {
-		e, found, _ := g.agents[lost].store.get("n1")
+	g.start(stoppedLeader)
+	g.eventually("the restarted agent catches up", func() bool {
+		e, found, _ := g.agents[stoppedLeader].store.get("n1")
 		return found && string(e.Config) == `{"a":2}`
 	})
 	if all, err := g.ListConfigs(ctx); err != nil || len(all) != 2 {
@@ -157,10 +159,10 @@
 		select {
 		case e := <-received:
 			if string(e.Config) != want {
-				t.Errorf("instance was told %s, want %s", e.Config, want)
+				t.Errorf("instance received %s, want %s", e.Config, want)
 			}
 		case <-time.After(time.Minute):
-			t.Fatalf("instance was not told %s", want)
+			t.Fatalf("instance did not receive %s", want)
 		}
 	}
 	for _, s := range g.Status(ctx) {
@@ -170,28 +172,28 @@
 	}
 }
 
-// TestConditions checks what is refused: a configuration that no instance could start from, and a write over
-// another version than the writer has seen.
+// TestRejectedWrites checks that two kinds of writes are rejected: a configuration that no instance could start
+// with, and a write whose version condition does not hold.
 func TestRejectedWrites(t *testing.T) {
 	g := newTestGroup(t)
 	ctx := context.Background()
 	e := g.putConfig("n1", `{"a":1}`, "0")
 	if _, err := g.PutConfig(ctx, "n1", []byte(`{"a":2}`), "0"); err == nil || !strings.Contains(err.Error(), "another version") {
-		t.Errorf("second first write: %v", err)
+		t.Errorf("second write on condition that there is no entry: %v", err)
 	}
 	if _, err := g.PutConfig(ctx, "n1", []byte("nonsense"), ""); err == nil || !strings.Contains(err.Error(), "required field") {
-		t.Errorf("bad configuration: %v", err)
+		t.Errorf("invalid configuration: %v", err)
 	}
 	g.putConfig("n1", `{"a":3}`, fmt.Sprint(e.Version))
 	if _, err := g.PutConfig(ctx, "n1", nil, ""); err != nil {
-		t.Errorf("taking away: %v", err)
+		t.Errorf("delete: %v", err)
 	}
 	if _, err := g.GetConfig(ctx, "n1"); !errors.Is(err, ErrNotFound) {
-		t.Errorf("after it was taken away: %v", err)
+		t.Errorf("get after the delete: %v", err)
 	}
 }
 
-// TestNoMajority checks that one agent of three takes no write: nothing may be promised that can be lost.
+// TestNoMajority checks that one agent of three acknowledges no write: without a majority the write could be lost.
 func TestNoMajority(t *testing.T) {
 	g := newTestGroup(t)
 	g.putConfig("n1", `{"a":1}`, "")
@@ -204,11 +206,12 @@
 	ctx, done := context.WithTimeout(context.Background(), 3*time.Second)
 	defer done()
 	if e, err := g.PutConfig(ctx, "n1", []byte(`{"a":2}`), ""); err == nil {
-		t.Errorf("a lone agent took %+v", e)
+		t.Errorf("one agent without a majority acknowledged %+v", e)
 	}
 }
 
-// TestWaitingReadEndsWithTerm guards against a read that waits at a leader and goes on waiting once that one leads no more.
+// TestWaitingReadEndsWithTerm guards against a long poll at the leader that continues after the leader has lost its
+// leadership. It must end with 503.
 func TestWaitingReadEndsWithTerm(t *testing.T) {
 	g := newTestGroup(t)
 	entry := g.putConfig("n1", `{"a":1}`, "")
@@ -224,7 +227,7 @@
 		resp.Body.Close()
 		statusCode <- resp.StatusCode
 	}()
-	time.Sleep(300 * time.Millisecond) // it waits
+	time.Sleep(300 * time.Millisecond) // until the read waits at the leader
 	for i := range g.agents {
 		if i != lead {
 			g.stop(i)
@@ -234,18 +237,19 @@
 	case status := <-statusCode:
 		require.Equal(t, http.StatusServiceUnavailable, status)
 	case <-time.After(30 * time.Second):
-		t.Fatal("it waits although the agent leads no more")
+		t.Fatal("the read still waits after the agent has lost its leadership")
 	}
 }
 
-// sink is a raft.SnapshotSink in memory.
+// memorySink is a raft.SnapshotSink in memory.
 type memorySink struct{ bytes.Buffer }
 
 func (*memorySink) ID() string    { return "s" }
 func (*memorySink) Cancel() error { return nil }
 func (*memorySink) Close() error  { return nil }
 
-// TestSnapshot restores what was persisted.
+// TestSnapshot checks that a restored store has the persisted configurations and leases, that snapshots without a
+// format number are restored, and that a newer format is rejected.
 func TestSnapshot(t *testing.T) {
 	s := newStore()
 	s.Apply(&raft.Log{Index: 4, Data: []byte(`{"name":"n1","config":{"a":1}}`)})
@@ -269,39 +273,41 @@
 		t.Fatal(err)
 	}
 	if r, _ := restoredStore.registry(); r.LastToken != 71 || len(r.Leases) != 2 || r.Leases[1].Token != 71 || r.Leases[1].Holder != "m" || r.LeaseConfig.Task("t").Shards != 2 {
-		t.Errorf("restored %+v of the leases", r)
+		t.Errorf("restored registry: %+v", r)
 	}
 	if e, found, _ := restoredStore.get("n1"); !found || e.Version != 4 || string(e.Config) != `{"a":1}` {
-		t.Errorf("restored %+v", e)
+		t.Errorf("restored entry: %+v", e)
 	}
-	// From before snapshots had a format; an instance may have any name.
+	// Snapshots of older programs have no format number. An instance may be named like a field of snapshot.
 	for _, name := range []string{"n1", "format", "entries", "fleet"} {
 		if err := restoredStore.Restore(io.NopCloser(strings.NewReader(`{"` + name + `":{"name":"` + name + `","version":7,"config":{"a":2}}}`))); err != nil {
 			t.Fatal(err)
 		}
 		if e, found, _ := restoredStore.get(name); !found || e.Version != 7 {
-			t.Errorf("restored %+v of the older form", e)
+			t.Errorf("restored entry from a snapshot without a format: %+v", e)
 		}
 	}
 	if err := restoredStore.Restore(io.NopCloser(strings.NewReader(fmt.Sprintf(`{"format":%d}`, snapshotFormat+1)))); err == nil {
-		t.Error("a newer format was restored")
+		t.Error("a snapshot with a newer format was restored")
 	}
 }
 
-// TestMadeOnce has a change come twice, as when its first answer is lost: it is made once, also under a condition.
+// TestRepeatedChangeAppliedOnce applies a conditional change twice with one request id, as when the client retries
+// because the first response was lost. Both times the result must be that of the first.
 func TestRepeatedChangeAppliedOnce(t *testing.T) {
 	s := newStore()
 	for i, text := range []string{`{"name":"n1","config":{"a":1},"if":0,"id":"x"}`, `{"name":"n1","config":{"a":1},"if":0,"id":"x"}`} {
 		if e, ok := s.Apply(&raft.Log{Index: uint64(4 + i), Data: []byte(text)}).(Entry); !ok || e.Version != 4 {
-			t.Errorf("time %d: %+v", i, e)
+			t.Errorf("repetition %d: got %+v", i, e)
 		}
 	}
 	if e, _, _ := s.get("n1"); e.Version != 4 {
-		t.Errorf("made twice: %+v", e)
+		t.Errorf("the change was applied twice: %+v", e)
 	}
 }
 
-// TestOthersAgents has a client whose named agents are all gone: those that others have heard are asked, and only then.
+// TestFallbackAgents checks that a client calls its fallback agents if none of its configured agents responds, and
+// only then.
 func TestFallbackAgents(t *testing.T) {
 	g := newTestGroup(t)
 	g.eventually("a leader", func() bool { return g.leader() >= 0 })
@@ -314,7 +320,7 @@
 	require.Equal(t, "n1", e.Name)
 	require.Contains(t, g.Addrs, withFallback.LastResponder(time.Minute))
 	require.Empty(t, withFallback.LastResponder(0))
-	reachable := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("asked for others"); return nil }}
+	reachable := &Client{Addrs: g.Addrs, FallbackAddrs: func() []string { t.Error("fallback agents were requested"); return nil }}
 	_, err = reachable.GetConfig(context.Background(), "n1")
 	require.NoError(t, err)
 	require.Equal(t, 1, fallbackCalls)
--- a/internal/controlplane/agent/client_configs.go
+++ b/internal/controlplane/agent/client_configs.go
@@ -51,7 +51,7 @@
 // FollowConfig calls onChange with an instance's current configuration and then with each newer version,
 // until ctx ends. It accepts stale reads from any agent, so that an instance can start and keep running
 // while there is no leader. An older version, as from an agent that lags behind, is ignored. An agent
-// that does not respond is detected after watchWait and one attempt timeout; the next agent is polled then.
+// that does not respond is detected within watchWait and one attempt timeout; the next agent is polled then.
 func (c *Client) FollowConfig(ctx context.Context, name string, log *slog.Logger, onChange func(Entry)) {
 	var version uint64
 	delays := newBackoff()
--- a/internal/controlplane/agent/compat_test.go
+++ b/internal/controlplane/agent/compat_test.go
@@ -16,12 +16,12 @@
 	"spindlehitch/internal/process/config"
 )
 
-// The folders under testdata/62b6efc were written by an agent of that commit: three configurations of which one was deleted, quotas, two
-// sessions, leases of which one is on its way to another member, and two changes of the watch stream. The JSON file beside each is the
-// state that this older agent had when it stopped.
+// The folders under testdata/62b6efc were written by an agent built from that commit. They hold three configurations of which one was
+// deleted, quotas, two sessions, leases of which one is migrating to another member, and two changes of the watch stream. The JSON file
+// beside each folder is the state that the agent had when it stopped.
 const olderVersionDir = "testdata/62b6efc"
 
-// stateText is a state machine as text, in the form of the files beside the folders.
+// stateJSON encodes a state machine's state in the form of the JSON files beside the folders.
 func stateJSON(t *testing.T, s *store) string {
 	t.Helper()
 	s.mu.Lock()
@@ -31,7 +31,7 @@
 	return string(text)
 }
 
-// restoreOlder brings a state machine up from a snapshot, if the folder has one, and the log entries after it.
+// replayDir returns a state machine restored from the folder's snapshot, if there is one, and the log entries after it.
 func replayDir(t *testing.T, dir string) *store {
 	t.Helper()
 	s := newStore()
@@ -63,8 +63,8 @@
 	return s
 }
 
-// TestStateOfOlderVersion reads the log, and a snapshot with the log after it, that an agent of an earlier version left behind: the names
-// in the code have changed since, and what is stored under the old ones must come out the same.
+// TestReplayOlderVersion replays a log, and a snapshot with the log after it, that an agent of an earlier version has written. Fields have
+// been renamed in the code since; this guards against renames that change the stored names, so that the state cannot be read.
 func TestReplayOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestStartInFolderOfOlderVersion starts an agent in such a folder and asks it over its API.
+// TestStartFromOlderVersion starts an agent in each of these folders and reads the state through its API.
 func TestStartFromOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
@@ -109,7 +109,7 @@
 			require.NoError(t, err)
 			require.Len(t, targets, 1)
 			require.Equal(t, "t-2", targets[0].Key)
-			// What is written from now on goes on from there.
+			// Versions of new writes continue after the stored ones.
 			next, err := g.PutConfig(ctx, "n1", []byte(`{"name":"n1","x":2}`), "")
 			require.NoError(t, err)
 			require.Greater(t, next.Version, entry.Version)
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -41,12 +41,12 @@
 	lessorWake       chan struct{} // the lessor may have new events; holds one signal, never closed
 
 	mu            sync.Mutex                   // guards the fields below
-	term          uint64                       // the allocator's term; 0: this agent does not lead, or has not applied all entries that earlier terms committed
+	term          uint64                       // the allocator's term; 0: this agent does not lead, or has not applied the entries of earlier terms
 	termChanged   chan struct{}                // closed and replaced when term changes, and by each syncWithTerm while this agent does not lead
 	allocator     *allocator.Allocator         // nil if term is 0
 	lessor        *lessor.Lessor               // nil if term is 0
 	board         *outlierboard.Board          // nil if term is 0
-	confirmations readindex.Queue[chan<- bool] // responses that wait for confirmation; each channel gets one result and is not closed
+	confirmations readindex.Queue[chan<- bool] // one channel per response that waits; gets at most one result, never closed
 }
 
 // newLeaderService returns the service. Its loops do not run until start.
--- a/internal/controlplane/agent/stream_client.go
+++ b/internal/controlplane/agent/stream_client.go
@@ -24,8 +24,8 @@
 }
 
 // SendReport sends a relay's report to the leader.
-func (c *Client) SendReport(ctx context.Context, rep watchstream.Report) (watchstream.ReportResponse, error) {
-	return sendJSON[watchstream.ReportResponse](ctx, c, http.MethodPost, "/v1/feed/report", rep)
+func (c *Client) SendReport(ctx context.Context, report watchstream.Report) (watchstream.ReportResponse, error) {
+	return sendJSON[watchstream.ReportResponse](ctx, c, http.MethodPost, "/v1/feed/report", report)
 }
 
 // StreamStatus returns which readers have applied a version; 0: the newest. Without a leader it returns
@@ -48,12 +48,12 @@
 
 // Records returns the live records of a kind from the leader, in order of version, or if key is not empty
 // the record with that key. A key that changes between two pages is returned with its later record.
-func (c *Client) Records(ctx context.Context, k watchstream.Kind, key string) (all []watchstream.Record, err error) {
+func (c *Client) Records(ctx context.Context, kind watchstream.Kind, key string) (all []watchstream.Record, err error) {
 	ctx, done := withCallTimeout(ctx)
 	defer done()
 	after := uint64(0)
 	for {
-		pagePath := "/v1/feed/records?kind=" + k.String() + "&key=" + url.QueryEscape(key) + "&after=" + strconv.FormatUint(after, 10)
+		pagePath := "/v1/feed/records?kind=" + kind.String() + "&key=" + url.QueryEscape(key) + "&after=" + strconv.FormatUint(after, 10)
 		page, err := decode[[]watchstream.Record](c.callAny(ctx, call{method: http.MethodGet, path: pagePath}))
 		if err != nil {
 			return nil, err
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -70,7 +70,7 @@
 }
 
 // WithSource implements distribution.Origin with the state that this agent has applied.
-func (s *streamService) WithSource(use func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
+func (s *streamService) WithSource(use func(now time.Duration, src *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := s.agent.stateAge()
 	st := s.agent.store
 	st.mu.Lock()
@@ -141,8 +141,8 @@
 		if p.ID == s.agent.opt.ID {
 			continue
 		}
-		_, answer, err := c.callAgent(ctx, p.API, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
-		status, err := decode[Status](answer, err)
+		_, respBody, err := c.callAgent(ctx, p.API, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
+		status, err := decode[Status](respBody, err)
 		if err != nil {
 			return fmt.Errorf("the first change of the feed waits until all agents are up: %s: %w", p.ID, err)
 		}
@@ -195,16 +195,16 @@
 	if s.agent.redirectIfNotLeader(w, r) {
 		return
 	}
-	rep, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
+	report, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
 	if !ok {
 		return
 	}
-	answer, err := s.addReport(rep)
+	resp, err := s.addReport(report)
 	var rejected *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch {
 	case err == nil:
-		writeJSON(w, answer)
+		writeJSON(w, resp)
 	case errors.As(err, &rejected):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 	case errors.As(err, &field):
@@ -214,17 +214,17 @@
 	}
 }
 
-// errNotTracking rejects a request that only the leader can handle; the caller retries.
+// errNotTracking rejects a request that needs the tracker, which only the leader has; the caller retries.
 var errNotTracking = errors.New("this agent does not track acknowledgements at the moment")
 
 // addReport passes a report to the tracker.
-func (s *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
+func (s *streamService) addReport(report watchstream.Report) (watchstream.ReportResponse, error) {
 	t := s.lockTracker()
 	if t == nil {
 		return watchstream.ReportResponse{}, errNotTracking
 	}
 	defer s.mu.Unlock()
-	return t.AddReport(monotone.Now(), rep)
+	return t.AddReport(monotone.Now(), report)
 }
 
 // reportLoop reports the state of the readers that follow this agent directly, as in groups without
@@ -243,21 +243,21 @@
 			return
 		case <-tick.C:
 		}
-		var rep watchstream.Report
+		var report watchstream.Report
 		s.WithSource(func(now time.Duration, source *watchstream.Source) {
-			rep = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
+			report = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
 		})
-		if hadReaders = hadReaders || len(rep.Readers) > 0; !hadReaders {
+		if hadReaders = hadReaders || len(report.Readers) > 0; !hadReaders {
 			continue
 		}
-		answer, err := s.addReport(rep)
+		resp, err := s.addReport(report)
 		if errors.Is(err, errNotTracking) {
 			ctx, done := context.WithTimeout(s.ctx, 2*reportInterval)
-			answer, err = c.SendReport(ctx, rep)
+			resp, err = c.SendReport(ctx, report)
 			done()
 		}
 		if err == nil {
-			s.WithSource(func(_ time.Duration, source *watchstream.Source) { source.ReportAcked(answer) })
+			s.WithSource(func(_ time.Duration, source *watchstream.Source) { source.ReportAcked(resp) })
 		}
 	}
 }
--- a/internal/controlplane/agent/stream_service_test.go
+++ b/internal/controlplane/agent/stream_service_test.go
@@ -35,10 +35,10 @@
 	return watchstream.Change{Fleet: testFleet, Puts: puts}
 }
 
-// putChange has a change made, as soon as there is a leader for it.
+// putChange makes a change of the stream, and retries until there is a leader.
 func (g *testGroup) putChange(c watchstream.Change) (v uint64) {
 	g.t.Helper()
-	g.eventually("a change is made", func() bool {
+	g.eventually("a change is acknowledged", func() bool {
 		var err error
 		v, err = g.PutChange(context.Background(), c)
 		var rejected *RejectedError
@@ -48,7 +48,7 @@
 	return v
 }
 
-// relay runs a relay until the test ends.
+// startRelay runs a relay until the test ends, and returns its address.
 func (g *testGroup) startRelay(id string, agents ...string) string {
 	g.t.Helper()
 	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: testFleet, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).SendReport,
@@ -61,7 +61,7 @@
 	return l.Addr().String()
 }
 
-// background runs something until the test ends, and waits for its end.
+// runInBackground runs a function until the test ends, then cancels its context and waits for its return.
 func (g *testGroup) runInBackground(run func(context.Context)) {
 	ctx, end := context.WithCancel(context.Background())
 	var work sync.WaitGroup
@@ -81,8 +81,8 @@
 	return f
 }
 
-// TestFeedToAll carries changes from the log over relays to followers, and has the leader lost in the midst: each change is in force at all,
-// and known to be; nobody is counted twice, before, during and after.
+// TestStreamReachesAllFollowers sends changes from the log through relays to followers, and stops the leader in between. Every follower must
+// apply each change and be counted for it; none may be counted twice, before, during and after the election.
 func TestStreamReachesAllFollowers(t *testing.T) {
 	const followers = 6
 	g := newTestGroup(t)
@@ -96,9 +96,9 @@
 	inForce := func(v uint64) (s StreamStatus) {
 		t.Helper()
 		for _, f := range readers {
-			g.eventually("it has the version", func() bool { return f.State().Applied.Min() >= v })
+			g.eventually("the follower has applied the version", func() bool { return f.State().Applied.Min() >= v })
 		}
-		g.eventually("it is known", func() bool {
+		g.eventually("all followers are counted", func() bool {
 			var err error
 			s, err = g.StreamStatus(context.Background(), v)
 			if err != nil || !s.Leads {
@@ -124,24 +124,24 @@
 	g.start(restarted)
 	v = g.putChange(changeOf(targetAt(1, 2)))
 	inForce(v)
-	// The agent that was away has the stream from its log, and serves it: an agent is a source like a relay is.
+	// The restarted agent has the stream from its log and serves followers directly, as a relay does.
 	direct := g.startFollower("direct", g.Addrs[restarted])
-	g.eventually("from the agent itself", func() bool { return direct.State().Applied.Min() == v })
-	g.eventually("counted with the others", func() bool {
+	g.eventually("the follower has applied the version from the agent", func() bool { return direct.State().Applied.Min() == v })
+	g.eventually("the direct follower is counted too", func() bool {
 		s, err := g.StreamStatus(context.Background(), 0)
 		return err == nil && s.Applied == followers+1 && s.Readers == followers+1
 	})
 }
 
-// TestStatusAfterSnapshot guards against a leader that has restarted from a snapshot, does not know the epoch of the stream, and takes every
-// reader for one of another history until the next change is made.
+// TestStatusAfterSnapshot guards against a leader that has restarted from a snapshot and does not know the stream's epoch: it would treat
+// every reader as one of another epoch until the next change.
 func TestStatusAfterSnapshot(t *testing.T) {
 	g := newTestGroup(t)
 	v := g.putChange(changeOf(targetAt(0, 1)))
 	f := g.startFollower("i0", g.startRelay("relay-0", g.Addrs...))
-	g.eventually("it has the version", func() bool { return f.State().Applied.Min() >= v })
+	g.eventually("the follower has applied the version", func() bool { return f.State().Applied.Min() >= v })
 	for i, a := range g.agents {
-		g.eventually("all have the change", func() bool { _, ok := a.stream.replicaStatus(); return ok })
+		g.eventually("the agent has applied the change", func() bool { _, ok := a.stream.replicaStatus(); return ok })
 		require.NoError(t, a.raft.Snapshot().Error())
 		g.stop(i)
 	}
@@ -149,20 +149,21 @@
 		g.start(i)
 	}
 	var s StreamStatus
-	g.eventually("the reader is known to have the version", func() bool {
+	g.eventually("the reader is counted for the version", func() bool {
 		var err error
 		s, err = g.StreamStatus(context.Background(), v)
 		return err == nil && s.Leads && s.Applied == 1
 	})
 	require.NotEmpty(t, s.Epoch)
-	require.Equal(t, int64(-1), s.SinceMs, "when the version was committed is not known any more")
+	require.Equal(t, int64(-1), s.SinceMs, "the commit time is unknown after a restart from a snapshot")
 }
 
-// TestFeedChanges checks what is refused of a change, and that what is refused changes nothing.
+// TestRejectedStreamChanges checks which changes, status requests and reports are rejected, and that a rejected change leaves the stream
+// unchanged.
 func TestRejectedStreamChanges(t *testing.T) {
 	g := newTestGroup(t)
 	ctx := context.Background()
-	g.eventually("nothing is there", func() bool {
+	g.eventually("the stream has no change", func() bool {
 		_, err := g.StreamStatus(ctx, 0)
 		return errors.Is(err, ErrNotFound)
 	})
@@ -207,7 +208,7 @@
 	require.Zero(t, s.Readers)
 }
 
-// TestFeedRecords reads records page by page.
+// TestStreamRecordPages reads more records than fit into two pages, a single record, and a kind without records.
 func TestStreamRecordPages(t *testing.T) {
 	g := newTestGroup(t)
 	ctx := context.Background()
@@ -230,7 +231,7 @@
 	require.Empty(t, none)
 }
 
-// TestFeedNoLeader asks where there is no leader: an agent says how far its log goes, and that nothing is known of initiators.
+// TestStreamStatusWithoutLeader checks the status without a leader: an agent returns its newest version, and no readers.
 func TestStreamStatusWithoutLeader(t *testing.T) {
 	g := newTestGroup(t)
 	v := g.putChange(changeOf(sharedConfig(`{"a":1}`)))
@@ -248,8 +249,8 @@
 	require.Equal(t, int64(-1), s.SinceMs)
 }
 
-// TestFeedMadeOnce has a change come twice, as when its first answer is lost: it is made once, also under a condition, and also where a
-// snapshot lies between.
+// TestRepeatedStreamChangeAppliedOnce applies a conditional change repeatedly with one request id, as when the client retries because the
+// first response was lost: it must be applied once, also if a snapshot is restored in between.
 func TestRepeatedStreamChangeAppliedOnce(t *testing.T) {
 	text := []byte(`{"id":"x","feed":{"fleet":"campus","epoch":"e","if":0,"puts":[{"kind":"config","key":"shared","value":{"a":1}}]}}`)
 	s := newStore()
@@ -264,7 +265,7 @@
 	require.True(t, ok)
 	require.Equal(t, uint64(1), e.Version)
 	require.Equal(t, uint64(1), other.stream.store.Head())
-	require.Len(t, other.entries, 0, "a change of the feed is no instance's configuration")
+	require.Len(t, other.entries, 0, "a stream change must not write an instance's configuration")
 }
 
 func restoreFromSnapshot(t *testing.T, s *store) *store {
@@ -278,7 +279,8 @@
 	return copied
 }
 
-// TestFeedSnapshot restores the feed from a snapshot, and takes one of format 3, which has none.
+// TestStreamSnapshot restores the stream from a snapshot, and restores one of format 3, which has no stream. A snapshot with an invalid
+// stream must leave the state unchanged.
 func TestStreamSnapshot(t *testing.T) {
 	s := newStore()
 	for i, puts := range [][]watchstream.Put{{targetAt(0, 1), targetAt(1, 1), sharedConfig(`{"a":1}`)}, {{Kind: watchstream.Targets, Key: "t-1", Deleted: true}}, {sharedConfig(`{"a":2}`)}} {
@@ -293,7 +295,7 @@
 	require.Len(t, s.stream.commitsSince("e", 2), 1)
 	other := restoreFromSnapshot(t, s)
 	require.Equal(t, s.stream.store.Snapshot(), other.stream.store.Snapshot())
-	require.Empty(t, other.stream.commitsSince("", 0), "when earlier versions came is not known")
+	require.Empty(t, other.stream.commitsSince("", 0), "commit times are not part of a snapshot")
 	again := restoreFromSnapshot(t, other)
 	require.Equal(t, s.stream.store.Snapshot(), again.stream.store.Snapshot())
 	c := changeOf(sharedConfig(`{"a":3}`))
@@ -311,11 +313,11 @@
 	invalid := `{"format":4,"entries":{},"fleet":{},"feed":{"fleet":"campus","epoch":"","have":{"targets":1,"config":1},"seen":{"targets":1,"config":1}}}`
 	require.Error(t, other.Restore(io.NopCloser(strings.NewReader(invalid))))
 	_, found, _ = other.get("n1")
-	require.True(t, found, "a snapshot that can't be restored changes nothing")
+	require.True(t, found, "a rejected snapshot must leave the state unchanged")
 }
 
-// TestFeedBegins has a group in which one agent is down, or of before the feed: no first change goes into the log until all know it. Later ones
-// need a majority.
+// TestFirstStreamChangeNeedsAllAgents checks that the stream's first change is rejected while an agent is down, or runs a program without the
+// stream, which would lose the change with its next snapshot. Later changes need a majority only.
 func TestFirstStreamChangeNeedsAllAgents(t *testing.T) {
 	g := newTestGroup(t)
 	g.leader()
@@ -330,7 +332,7 @@
 		_, err := c.PutChange(ctx, first)
 		return err
 	}
-	g.eventually("it waits", func() bool {
+	g.eventually("the change is rejected while an agent is down", func() bool {
 		err := tryChange()
 		require.Error(t, err)
 		return strings.Contains(err.Error(), "until all agents are up")
@@ -341,7 +343,7 @@
 		_, _ = io.WriteString(w, `{"id":"agent-x","state":"Follower","leader":"","applied":7}`)
 	})}
 	go func() { _ = olderAgent.Serve(l) }()
-	g.eventually("it is refused", func() bool {
+	g.eventually("the change is rejected because of the older agent", func() bool {
 		err := tryChange()
 		require.Error(t, err)
 		var rejected *RejectedError
