--- a/internal/controlplane/agent/snapshot.go
+++ b/internal/controlplane/agent/snapshot.go
@@ -21,7 +21,7 @@
 	RecentResults []Entry               `json:"recent,omitempty"`
 	Fleet         registry.Registry     `json:"fleet"`
 	Stream        *watchstream.Snapshot `json:"feed,omitempty"`    // nil: the watch stream has no change yet
-	Applied       uint64                `json:"applied,omitempty"` // log index of the last command; 0: written by an older program without this field
+	Applied       uint64                `json:"applied,omitempty"` // log index of the last command; 0: none yet, or written by an older program without this field
 }
 
 // Formats of snapshots. An agent rejects a newer format, since it would lose the state that it cannot
