--- a/internal/controlplane/agent/age.go
+++ b/internal/controlplane/agent/age.go
@@ -11,23 +11,23 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// appliedState is when this agent's state machine had everything that the agent knew to be committed.
+// appliedState records when this agent's state machine last contained everything that the leader had committed.
 type appliedState struct {
-	mu       sync.Mutex
-	verified uint64        // index of the log up to which everything is applied
-	freshAt  time.Duration // when the leader was heard that had committed no more; 0: never
+	mu            sync.Mutex    // guards the other fields
+	verifiedIndex uint64        // log index up to which all commands are known to be applied
+	freshAt       time.Duration // last leader contact at which all entries committed by then were applied; 0: none
 }
 
-// stateAge is how long ago this agent's state had everything that the leader had committed, as far as
-// the agent was told; negative: never. The caller holds neither the store's lock nor the leader
-// service's.
+// stateAge returns how long ago this agent's state last contained everything that the leader had
+// committed, by the commit index that the leader had sent; negative: never. The caller must hold
+// neither the store's lock nor the leader service's.
 func (a *Agent) stateAge() (age, now time.Duration) {
 	now = monotone.Now()
-	heardAt := a.leaderHeardAt(now) // before the commit index is read: it only grows
+	contactAt := a.lastLeaderContact(now) // read before the commit index, which only grows
 	a.applied.mu.Lock()
 	defer a.applied.mu.Unlock()
-	if heardAt > a.applied.freshAt && a.hasAppliedAll() {
-		a.applied.freshAt = heardAt
+	if contactAt > a.applied.freshAt && a.hasAppliedCommitted() {
+		a.applied.freshAt = contactAt
 	}
 	if a.applied.freshAt == 0 {
 		return -1, now
@@ -35,7 +35,7 @@
 	return now - a.applied.freshAt, now
 }
 
-// ageMs is a state's age in milliseconds, as it is told; -1: unknown.
+// ageMs converts a state's age to the milliseconds of a response; -1: unknown.
 func ageMs(age time.Duration) int64 {
 	if age < 0 {
 		return -1
@@ -43,41 +43,41 @@
 	return age.Milliseconds()
 }
 
-// leaderHeardAt is when this agent led or last heard of the leader; 0: never.
-func (a *Agent) leaderHeardAt(now time.Duration) time.Duration {
-	if a.leader.hasBegun() {
+// lastLeaderContact returns now if this agent leads, else the time of its last contact with the leader; 0: never.
+func (a *Agent) lastLeaderContact(now time.Duration) time.Duration {
+	if a.leader.termBegun() {
 		return now
 	}
-	if heard := a.raft.LastContact(); !heard.IsZero() {
-		return now - max(0, time.Since(heard))
+	if contact := a.raft.LastContact(); !contact.IsZero() {
+		return now - max(0, time.Since(contact))
 	}
 	return 0
 }
 
-// hasAppliedAll reports whether the state machine has applied all commands up to the commit index. Raft's own AppliedIndex counts what
-// was handed to the state machine. The state machine is not told of entries without a command, so those at the end of the log
-// are looked at, once. The caller holds applied.mu.
-func (a *Agent) hasAppliedAll() bool {
+// hasAppliedCommitted reports whether the state machine has applied all commands up to the commit index. Raft's AppliedIndex also counts
+// entries that were handed to the state machine and are not applied yet. The state machine does not receive entries without a command, so
+// the types of the entries after its last command are read from the log, each once. The caller holds applied.mu.
+func (a *Agent) hasAppliedCommitted() bool {
 	commit := a.raft.CommitIndex()
 	applied := a.store.lastApplied()
 	if applied == 0 {
 		applied = a.lastSnapshotIndex()
 	}
-	for index := commit; index > max(applied, a.applied.verified); index-- {
+	for index := commit; index > max(applied, a.applied.verifiedIndex); index-- {
 		var entry raft.Log
 		err := a.bolt.GetLog(index, &entry)
 		if errors.Is(err, raft.ErrLogNotFound) {
-			break // a snapshot has it
+			break // compacted: a snapshot contains it
 		}
 		if err != nil || entry.Type == raft.LogCommand {
 			return false
 		}
 	}
-	a.applied.verified = max(a.applied.verified, commit)
+	a.applied.verifiedIndex = max(a.applied.verifiedIndex, commit)
 	return true
 }
 
-// lastSnapshotIndex is the index of the log up to which the last snapshot goes; 0: there is none.
+// lastSnapshotIndex returns the last log index that the newest snapshot contains; 0: there is no snapshot.
 func (a *Agent) lastSnapshotIndex() uint64 {
 	index, err := strconv.ParseUint(a.raft.Stats()["last_snapshot_index"], 10, 64)
 	if err != nil {
--- a/internal/controlplane/agent/compat_test.go
+++ b/internal/controlplane/agent/compat_test.go
@@ -16,23 +16,23 @@
 	"spindlehitch/internal/process/config"
 )
 
-// The folders under testdata/62b6efc were written by an agent of that commit: three configurations of which one was deleted, quotas, two
-// sessions, leases of which one is on its way to another member, and two changes of the watch stream. The JSON file beside each is the
-// state that this older agent had when it stopped.
-const olderVersion = "testdata/62b6efc"
+// The folders under testdata/62b6efc were written by an agent built from that commit. They hold three configurations of which one was
+// deleted, quotas, two sessions, leases of which one is migrating to another member, and two changes of the watch stream. The JSON file
+// beside each folder is the state that the agent had when it stopped.
+const olderVersionDir = "testdata/62b6efc"
 
-// stateText is a state machine as text, in the form of the files beside the folders.
-func stateText(t *testing.T, s *store) string {
+// stateJSON encodes a state machine's state in the form of the JSON files beside the folders.
+func stateJSON(t *testing.T, s *store) string {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	text, err := json.Marshal(map[string]any{"entries": s.entries, "recent": s.recentChanges, "fleet": s.fleet, "feed": s.stream.snapshot()})
+	text, err := json.Marshal(map[string]any{"entries": s.entries, "recent": s.recentResults, "fleet": s.registryState, "feed": s.stream.snapshot()})
 	require.NoError(t, err)
 	return string(text)
 }
 
-// restoreOlder brings a state machine up from a snapshot, if the folder has one, and the log entries after it.
-func restoreOlder(t *testing.T, dir string) *store {
+// replayDir returns a state machine restored from the folder's snapshot, if there is one, and the log entries after it.
+func replayDir(t *testing.T, dir string) *store {
 	t.Helper()
 	s := newStore()
 	after := uint64(0)
@@ -63,37 +63,37 @@
 	return s
 }
 
-// TestStateOfOlderVersion reads the log, and a snapshot with the log after it, that an agent of an earlier version left behind: the names
-// in the code have changed since, and what is stored under the old ones must come out the same.
-func TestStateOfOlderVersion(t *testing.T) {
+// TestReplayOlderVersion replays a log, and a snapshot with the log after it, that an agent of an earlier version has written. Fields have
+// been renamed in the code since; this guards against renames that change the stored names, so that the state cannot be read.
+func TestReplayOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(olderVersion, name))))
-			want, err := os.ReadFile(filepath.Join(olderVersion, name+".json"))
+			require.NoError(t, os.CopyFS(dir, os.DirFS(filepath.Join(olderVersionDir, name))))
+			want, err := os.ReadFile(filepath.Join(olderVersionDir, name+".json"))
 			require.NoError(t, err)
-			require.JSONEq(t, string(want), stateText(t, restoreOlder(t, dir)))
+			require.JSONEq(t, string(want), stateJSON(t, replayDir(t, dir)))
 		})
 	}
 }
 
-// TestStartInFolderOfOlderVersion starts an agent in such a folder and asks it over its API.
-func TestStartInFolderOfOlderVersion(t *testing.T) {
+// TestStartFromOlderVersion starts an agent in each of these folders and reads the state through its API.
+func TestStartFromOlderVersion(t *testing.T) {
 	for _, name := range []string{"log", "snapshot"} {
 		t.Run(name, func(t *testing.T) {
 			addrs := freeAddrs(t, 2)
-			g := &three{t: t, agents: make([]*Agent, 1), dirs: []string{t.TempDir()}, peers: []config.Peer{{ID: "agent-0", Raft: addrs[0], API: addrs[1]}}}
+			g := &testGroup{t: t, agents: make([]*Agent, 1), dirs: []string{t.TempDir()}, peers: []config.Peer{{ID: "agent-0", Raft: addrs[0], API: addrs[1]}}}
 			g.Addrs = addrs[1:]
-			require.NoError(t, os.CopyFS(g.dirs[0], os.DirFS(filepath.Join(olderVersion, name))))
+			require.NoError(t, os.CopyFS(g.dirs[0], os.DirFS(filepath.Join(olderVersionDir, name))))
 			g.start(0)
 			defer g.stop(0)
 			ctx, done := context.WithTimeout(context.Background(), time.Minute)
 			defer done()
-			g.until("a leader", func() bool { _, err := g.List(ctx); return err == nil })
-			versions, err := g.List(ctx)
+			g.eventually("a leader", func() bool { _, err := g.ListConfigs(ctx); return err == nil })
+			versions, err := g.ListConfigs(ctx)
 			require.NoError(t, err)
 			require.Len(t, versions, 2)
-			entry, err := g.Get(ctx, "n1")
+			entry, err := g.GetConfig(ctx, "n1")
 			require.NoError(t, err)
 			require.JSONEq(t, `{"name":"n1","x":1}`, string(entry.Config))
 			view, err := g.Fleet(ctx)
@@ -109,8 +109,8 @@
 			require.NoError(t, err)
 			require.Len(t, targets, 1)
 			require.Equal(t, "t-2", targets[0].Key)
-			// What is written from now on goes on from there.
-			next, err := g.Put(ctx, "n1", []byte(`{"name":"n1","x":2}`), "")
+			// Versions of new writes continue after the stored ones.
+			next, err := g.PutConfig(ctx, "n1", []byte(`{"name":"n1","x":2}`), "")
 			require.NoError(t, err)
 			require.Greater(t, next.Version, entry.Version)
 		})
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -17,31 +17,32 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Bounds and times of the stream service.
+// Limits and intervals of the stream service.
 const (
-	reportInterval = time.Second
-	maxPageRecords = 1000     // of an answer with records
-	maxReportBytes = 4 << 20  // the maximum of readers with long names
-	latestVersion  = "latest" // path element for the newest version
+	reportInterval = time.Second // between reports about this agent's own readers
+	maxPageRecords = 1000        // records in one response, exceeded only to complete a version
+	maxReportBytes = 4 << 20     // enough for the maximum number of readers with long names
+	latestVersion  = "latest"    // path element that selects the newest version
 )
 
 // streamService serves the watch stream at an agent: changes go through the log, readers are served
-// from the log's state, and while this agent leads it tracks which versions are applied where.
+// from the state that this agent has applied, and while this agent leads it tracks which readers have
+// applied which versions.
 type streamService struct {
 	agent  *Agent
 	server *edge.Server
-	ctx    context.Context
+	ctx    context.Context // cancelled by stop; ends the loop
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
 
-	mu             sync.Mutex
-	term           uint64 // of acks
-	acks           *watchstream.AckTracker
-	epoch          string // of the last commit that acks knows
-	countedVersion uint64 // of it
+	mu             sync.Mutex // guards the fields below; locked before the store's lock
+	term           uint64     // the tracker's term
+	tracker        *watchstream.AckTracker
+	countedEpoch   string // epoch of the last commit that was passed to the tracker
+	countedVersion uint64 // version of that commit
 }
 
-// newStreamService returns the service, whose loop does not run until start.
+// newStreamService returns the service. Its loop does not run until start.
 func newStreamService(a *Agent) *streamService {
 	s := &streamService{agent: a}
 	s.server = edge.NewServer(s, 0)
@@ -49,10 +50,10 @@
 	return s
 }
 
-// start starts the goroutine.
+// start starts the loop; stop ends it.
 func (s *streamService) start() { s.loops.Go(s.reportLoop) }
 
-// stop ends the goroutine and waits for it.
+// stop ends the loop and waits for it.
 func (s *streamService) stop() {
 	s.cancel()
 	s.loops.Wait()
@@ -68,8 +69,8 @@
 	mux.HandleFunc("GET /v1/feed", s.handleShow)
 }
 
-// WithSource implements distribution.Origin with the log's state, as far as this agent has applied it.
-func (s *streamService) WithSource(do func(now time.Duration, st *watchstream.Source)) (<-chan struct{}, bool) {
+// WithSource implements distribution.Origin with the state that this agent has applied.
+func (s *streamService) WithSource(use func(now time.Duration, src *watchstream.Source)) (<-chan struct{}, bool) {
 	age, now := s.agent.stateAge()
 	st := s.agent.store
 	st.mu.Lock()
@@ -80,13 +81,13 @@
 	if age >= 0 {
 		st.stream.source.MarkFresh(now - age)
 	}
-	do(now, st.stream.source)
+	use(now, st.stream.source)
 	return st.changed, true
 }
 
-// handleChange answers POST /v1/feed/changes.
+// handleChange serves POST /v1/feed/changes.
 func (s *streamService) handleChange(w http.ResponseWriter, r *http.Request) {
-	if _, ok := s.agent.beginRead(w, r); !ok { // checkSnapshotFormats reads the state
+	if _, ok := s.agent.beginRead(w, r); !ok { // a linearizable read, since checkSnapshotFormats reads the state
 		return
 	}
 	c, ok := readBody[watchstream.Change](w, r)
@@ -94,7 +95,7 @@
 		return
 	}
 	if c.Epoch == "" {
-		c.Epoch = rand.Text() // used by the very first change only
+		c.Epoch = rand.Text() // used only if this is the stream's first change
 	}
 	if err := c.Validate(); err != nil {
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -105,16 +106,16 @@
 		return
 	}
 	v, err := s.agent.propose(command{StreamChange: &c, RequestID: r.Header.Get("Change-Id")})
-	if no, is := v.(error); is && err == nil {
-		err = no
+	if rejection, isError := v.(error); isError && err == nil {
+		err = rejection
 	}
-	var clash *watchstream.ConflictError
+	var conflict *watchstream.ConflictError
 	var foreign *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch e, _ := v.(Entry); {
 	case err == nil:
 		writeJSON(w, ChangeResponse{Version: e.Version})
-	case errors.As(err, &clash), errors.As(err, &foreign):
+	case errors.As(err, &conflict), errors.As(err, &foreign):
 		writeError(w, &RejectedError{http.StatusConflict, err.Error()})
 	case errors.As(err, &field):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
@@ -123,16 +124,16 @@
 	}
 }
 
-// checkSnapshotFormats returns an error if a change may not go into the log. An agent from before the
-// stream would ignore its entries and lose them with its next snapshot, so the very first change waits
-// until every agent has told that it knows them; from then on the snapshot format keeps older programs
-// out.
+// checkSnapshotFormats returns an error if the stream's first change may not be proposed yet. An agent with
+// an older program would ignore the stream's log entries and lose them with its next snapshot. The first
+// change is therefore rejected until every agent has reported a snapshot format with the stream; after it,
+// the snapshot format keeps older programs out of the group.
 func (s *streamService) checkSnapshotFormats(ctx context.Context) error {
 	st := s.agent.store
 	st.mu.Lock()
-	begun := st.stream.store != nil
+	hasChanges := st.stream.store != nil
 	st.mu.Unlock()
-	if begun {
+	if hasChanges {
 		return nil
 	}
 	c := &Client{}
@@ -140,8 +141,8 @@
 		if p.ID == s.agent.opt.ID {
 			continue
 		}
-		_, answer, err := c.callAgent(ctx, p.API, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
-		status, err := decode[Status](answer, err)
+		_, respBody, err := c.callAgent(ctx, p.API, call{method: http.MethodGet, path: "/v1/status"}, statusTimeout)
+		status, err := decode[Status](respBody, err)
 		if err != nil {
 			return fmt.Errorf("the first change of the feed waits until all agents are up: %s: %w", p.ID, err)
 		}
@@ -152,13 +153,13 @@
 	return nil
 }
 
-// ChangeResponse answers a change.
+// ChangeResponse is the response to POST /v1/feed/changes.
 type ChangeResponse struct {
 	Version uint64 `json:"version"`
 }
 
-// lockTracker returns the tracker with the newest commits, and mu held; nil, with mu not held, if this
-// agent does not lead.
+// lockTracker returns the tracker, with the newest commits passed to it, and leaves mu locked: the caller
+// unlocks it. It returns nil with mu unlocked if this agent does not lead or the stream has no change yet.
 func (s *streamService) lockTracker() *watchstream.AckTracker {
 	if s.agent.raft.State() != raft.Leader {
 		return nil
@@ -171,39 +172,39 @@
 	if st.stream.store != nil {
 		fleet, epoch = st.stream.store.Fleet(), st.stream.store.Epoch()
 	}
-	if fleet != "" && (s.acks == nil || s.term != term) {
-		s.term, s.acks, s.epoch, s.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
+	if fleet != "" && (s.tracker == nil || s.term != term) {
+		s.term, s.tracker, s.countedEpoch, s.countedVersion = term, watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{}), "", 0
 		s.agent.opt.Log.Info("acknowledgement tracking started", slog.String("reason", "FEED_TALLY"), slog.Uint64("term", term))
 	}
-	commits := st.stream.commitsSince(s.epoch, s.countedVersion)
+	commits := st.stream.commitsSince(s.countedEpoch, s.countedVersion)
 	st.mu.Unlock()
 	if fleet == "" {
 		s.mu.Unlock()
 		return nil
 	}
 	for _, c := range commits {
-		s.acks.NoteCommit(c.at, c.epoch, c.version)
-		s.epoch, s.countedVersion = c.epoch, c.version
+		s.tracker.NoteCommit(c.at, c.epoch, c.version)
+		s.countedEpoch, s.countedVersion = c.epoch, c.version
 	}
-	s.acks.SetEpoch(epoch) // a snapshot has no commits
-	return s.acks
+	s.tracker.SetEpoch(epoch) // a state restored from a snapshot has an epoch and no commits
+	return s.tracker
 }
 
-// handleReport answers POST /v1/feed/report.
+// handleReport serves POST /v1/feed/report.
 func (s *streamService) handleReport(w http.ResponseWriter, r *http.Request) {
-	if s.agent.redirectUnlessLeader(w, r) {
+	if s.agent.redirectIfNotLeader(w, r) {
 		return
 	}
-	rep, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
+	report, ok := readBodyUpTo[watchstream.Report](w, r, maxReportBytes)
 	if !ok {
 		return
 	}
-	answer, err := s.addReport(rep)
+	resp, err := s.addReport(report)
 	var rejected *watchstream.RejectedError
 	var field *watchstream.FieldError
 	switch {
 	case err == nil:
-		writeJSON(w, answer)
+		writeJSON(w, resp)
 	case errors.As(err, &rejected):
 		writeError(w, &RejectedError{http.StatusUnprocessableEntity, err.Error()})
 	case errors.As(err, &field):
@@ -213,20 +214,21 @@
 	}
 }
 
-// errNotTracking says that this agent does not lead; the caller retries.
+// errNotTracking rejects a request that needs the tracker, which only the leader has; the caller retries.
 var errNotTracking = errors.New("this agent does not track acknowledgements at the moment")
 
 // addReport passes a report to the tracker.
-func (s *streamService) addReport(rep watchstream.Report) (watchstream.ReportResponse, error) {
+func (s *streamService) addReport(report watchstream.Report) (watchstream.ReportResponse, error) {
 	t := s.lockTracker()
 	if t == nil {
 		return watchstream.ReportResponse{}, errNotTracking
 	}
 	defer s.mu.Unlock()
-	return t.AddReport(monotone.Now(), rep)
+	return t.AddReport(monotone.Now(), report)
 }
 
-// reportLoop reports the initiators that follow this agent directly, as in groups without relays.
+// reportLoop reports the state of the readers that follow this agent directly, as in groups without
+// relays, to the leader every reportInterval. It returns when the service stops.
 func (s *streamService) reportLoop() {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -234,28 +236,28 @@
 	for _, p := range s.agent.opt.Peers {
 		c.Addrs = append(c.Addrs, p.API)
 	}
-	ever := false
+	hadReaders := false
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
 		case <-tick.C:
 		}
-		var rep watchstream.Report
+		var report watchstream.Report
 		s.WithSource(func(now time.Duration, source *watchstream.Source) {
-			rep = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
+			report = source.BuildReport(now, "agent/"+s.agent.opt.ID, "")
 		})
-		if ever = ever || len(rep.Readers) > 0; !ever {
+		if hadReaders = hadReaders || len(report.Readers) > 0; !hadReaders {
 			continue
 		}
-		answer, err := s.addReport(rep)
+		resp, err := s.addReport(report)
 		if errors.Is(err, errNotTracking) {
 			ctx, done := context.WithTimeout(s.ctx, 2*reportInterval)
-			answer, err = c.SendReport(ctx, rep)
+			resp, err = c.SendReport(ctx, report)
 			done()
 		}
 		if err == nil {
-			s.WithSource(func(_ time.Duration, source *watchstream.Source) { source.ReportAcked(answer) })
+			s.WithSource(func(_ time.Duration, source *watchstream.Source) { source.ReportAcked(resp) })
 		}
 	}
 }
--- a/internal/process/instance/generation.go
+++ b/internal/process/instance/generation.go
@@ -21,7 +21,7 @@
 	}
 	return serveGenerations(ctx, operator, log, nil, func(sourceCtx context.Context, offers chan<- configOffer) {
 		client := &agent.Client{Addrs: agents}
-		client.Follow(sourceCtx, name, log, func(e agent.Entry) {
+		client.FollowConfig(sourceCtx, name, log, func(e agent.Entry) {
 			select {
 			case offers <- configOffer{Entry: e}:
 			case <-sourceCtx.Done():
