--- a/cmd/spindlehitch/conform.go
+++ b/cmd/spindlehitch/conform.go
@@ -11,13 +11,13 @@
 )
 
 func conformCommand() *cobra.Command {
-	var opt nvme.ConformOptions
+	var opt nvme.ConformanceOptions
 	cmd := &cobra.Command{
 		Use:   "conform",
 		Short: "Hold an NVMe over TCP controller on this machine against the conformance suite",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			results, err := nvme.Conform(opt)
+			results, err := nvme.RunConformance(opt)
 			if err != nil {
 				return err
 			}
@@ -31,9 +31,9 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d passed, %d failed, %d outside the subset and refused, %d skipped\n",
-				seen[nvme.Pass], seen[nvme.Miss], seen[nvme.Outside], seen[nvme.Skipped])
-			if seen[nvme.Miss] > 0 {
-				return fmt.Errorf("conform: %d clauses failed", seen[nvme.Miss])
+				seen[nvme.Pass], seen[nvme.Fail], seen[nvme.Unsupported], seen[nvme.Skipped])
+			if seen[nvme.Fail] > 0 {
+				return fmt.Errorf("conform: %d clauses failed", seen[nvme.Fail])
 			}
 			return nil
 		},
@@ -41,8 +41,8 @@
 	cmd.Flags().StringVar(&opt.Addr, "addr", "127.0.0.1:4420", "the controller, at a loopback address")
 	cmd.Flags().StringVar(&opt.Subsystem, "subsystem", "", "the name it is connected to by")
 	cmd.Flags().Uint32Var(&opt.NSID, "namespace", 1, "the namespace that commands go to")
-	cmd.Flags().BoolVar(&opt.Write, "write", false, "run the clauses that overwrite the namespace's first 256 blocks")
-	cmd.Flags().DurationVar(&opt.Within, "within", 5*time.Second, "how long a connection is waited for in all")
+	cmd.Flags().BoolVar(&opt.AllowWrites, "write", false, "run the clauses that overwrite the namespace's first 256 blocks")
+	cmd.Flags().DurationVar(&opt.Timeout, "within", 5*time.Second, "how long a connection is waited for in all")
 	_ = cmd.MarkFlagRequired("subsystem")
 	return cmd
 }
--- a/internal/datapath/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -152,7 +152,7 @@
 	}
 	second := space()
 	second.ID = 2
-	s.Update([]Namespace{space(), second}) // the host has not asked for such events: nothing is out, but it is kept
+	s.UpdateNamespaces([]Namespace{space(), second}) // the host has not asked for such events: nothing is out, but it is kept
 	want := newCommand(opSetFeatures, c.admin.nextCID(), 0, false)
 	want.set32(40, featAsyncEvents)
 	want.set32(44, 0xFFFF)
@@ -171,7 +171,7 @@
 	if done := told(); done.cid != over || done.status != stAsyncLimit|dnr {
 		t.Errorf("one too many: %+v", done)
 	}
-	s.Update([]Namespace{space()}) // masked: the page has not been read
+	s.UpdateNamespaces([]Namespace{space()}) // masked: the page has not been read
 	abort := newCommand(opAbort, c.admin.nextCID(), 0, false)
 	abort.set32(40, uint32(waiting[0])<<16)
 	c.send(c.admin, abort, nil)
@@ -186,14 +186,14 @@
 	}
 	third := space()
 	third.ID = 3
-	s.Update([]Namespace{third})
+	s.UpdateNamespaces([]Namespace{third})
 	if done := told(); done.cid != waiting[1] || done.result != namespaceNotice {
 		t.Errorf("event after the page was read: %+v", done)
 	}
 	if page, err = c.logPage(logNamespaces, 0, 4096, true); err != nil || binary.LittleEndian.Uint32(page) != 1 || binary.LittleEndian.Uint32(page[4:]) != 3 {
 		t.Errorf("changed namespaces, retained: %v", err)
 	}
-	s.Update([]Namespace{third}) // the same again is no change
+	s.UpdateNamespaces([]Namespace{third}) // the same again is no change
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stInvalidNS|dnr {
 		t.Errorf("read of a namespace that is gone: %+v", done)
@@ -370,7 +370,7 @@
 	}
 	n := space()
 	n.StripeBlocks, n.Shards = 4, []int{0, 1}
-	r.server.Update([]Namespace{n})
+	r.server.UpdateNamespaces([]Namespace{n})
 	c := newClient(t, r.addr, true)
 	data := bytes.Repeat([]byte("0123456789abcdef"), 10*blockSize/16)
 	for i := range 10 {
@@ -517,7 +517,7 @@
 	if l, err = net.Listen("tcp", addr); err != nil {
 		t.Skipf("the address was taken meanwhile: %v", err)
 	}
-	s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 8, MostBytes: 1 << 20, Log: quiet})
+	s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20, Log: quiet})
 	go func() { _ = s.Serve(l) }()
 	defer l.Close()
 	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
@@ -537,26 +537,26 @@
 func TestConformance(t *testing.T) {
 	_, target := newServer(t, newStore(), targetNQN)
 	r := newRig(t, true, time.Second, target)
-	for name, opt := range map[string]ConformOptions{
-		"through the core": {Addr: r.addr, Subsystem: poolNQN, NSID: 1, Write: true},
-		"a target alone":   {Addr: target, Subsystem: targetNQN, NSID: 1, Write: true},
+	for name, opt := range map[string]ConformanceOptions{
+		"through the core": {Addr: r.addr, Subsystem: poolNQN, NSID: 1, AllowWrites: true},
+		"a target alone":   {Addr: target, Subsystem: targetNQN, NSID: 1, AllowWrites: true},
 	} {
-		results, err := Conform(opt)
+		results, err := RunConformance(opt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		seen := map[Verdict]int{}
 		for _, x := range results {
 			seen[x.Verdict]++
-			if x.Verdict == Miss {
+			if x.Verdict == Fail {
 				t.Errorf("%s: %s %s: %s", name, x.Section, x.Clause, x.Detail)
 			}
 		}
-		if seen[Pass] < 40 || seen[Outside] < 5 || seen[Skipped] > 0 {
+		if seen[Pass] < 40 || seen[Unsupported] < 5 || seen[Skipped] > 0 {
 			t.Errorf("%s: %v", name, seen)
 		}
 	}
-	if _, err := Conform(ConformOptions{Addr: "192.0.2.1:4420"}); err == nil {
+	if _, err := RunConformance(ConformanceOptions{Addr: "192.0.2.1:4420"}); err == nil {
 		t.Error("the suite would leave this machine")
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -573,12 +573,12 @@
 			go func() { _, _ = io.Copy(io.Discard, c) }()
 		}
 	}()
-	results, err := Conform(ConformOptions{Addr: l.Addr().String(), Subsystem: poolNQN, NSID: 1, Within: 20 * time.Millisecond})
+	results, err := RunConformance(ConformanceOptions{Addr: l.Addr().String(), Subsystem: poolNQN, NSID: 1, Timeout: 20 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, x := range results {
-		if x.Verdict != Miss && x.Verdict != Skipped {
+		if x.Verdict != Fail && x.Verdict != Skipped {
 			t.Errorf("a silent controller: %s %s: %s", x.Section, x.Clause, x.Verdict)
 		}
 	}
@@ -593,8 +593,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(back, Options{Subsystem: poolNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 8, MostBytes: 1 << 20,
-		Patience: map[string]time.Duration{"event-write": 100 * time.Millisecond}, Log: quiet})
+	s := New(back, Options{Subsystem: poolNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20,
+		Timeouts: map[string]time.Duration{"event-write": 100 * time.Millisecond}, Log: quiet})
 	go func() { _ = s.Serve(l) }()
 	c := newClient(t, l.Addr().String(), false)
 	c.send(c.io, c.rw(opWrite, 0, 32, false), nil)
--- a/internal/datapath/nvme/conformance.go
+++ b/internal/datapath/nvme/conformance.go
@@ -20,9 +20,9 @@
 	// Pass means that the controller does what the clause asks.
 	Pass Verdict = "pass"
 	// Miss means that it does not; the detail says what came instead.
-	Miss Verdict = "fail"
+	Fail Verdict = "fail"
 	// Outside means that the clause is outside the subset; the controller refuses it with a status, as the clause asks then.
-	Outside Verdict = "outside"
+	Unsupported Verdict = "outside"
 	// Skipped means that it writes, and writing was not allowed.
 	Skipped Verdict = "skipped"
 )
@@ -36,12 +36,12 @@
 }
 
 // ConformOptions say which controller the suite is pointed at.
-type ConformOptions struct {
-	Addr      string
-	Subsystem string
-	NSID      uint32
-	Write     bool // blocks 0 to 255 of the namespace may be overwritten
-	Within    time.Duration
+type ConformanceOptions struct {
+	Addr        string
+	Subsystem   string
+	NSID        uint32
+	AllowWrites bool // blocks 0 to 255 of the namespace may be overwritten
+	Timeout     time.Duration
 }
 
 // clause is one requirement and its check. Sections are those of the TCP transport specification 1.0 (TCP), the base
@@ -53,7 +53,7 @@
 }
 
 // Conform holds a controller against each clause, each on connections of its own.
-func Conform(opt ConformOptions) ([]Result, error) {
+func RunConformance(opt ConformanceOptions) ([]Result, error) {
 	host, _, err := net.SplitHostPort(opt.Addr)
 	if err != nil {
 		return nil, fmt.Errorf("address: %w", err)
@@ -61,14 +61,14 @@
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 		return nil, fmt.Errorf("address: %q is not a loopback address", host)
 	}
-	if opt.Within <= 0 {
-		opt.Within = 5 * time.Second
+	if opt.Timeout <= 0 {
+		opt.Timeout = 5 * time.Second
 	}
 	var results []Result
 	for _, c := range clauses {
 		r := Result{Section: c.section, Clause: c.text, Verdict: Pass}
 		switch {
-		case c.writes && !opt.Write:
+		case c.writes && !opt.AllowWrites:
 			r.Verdict = Skipped
 		default:
 			p := &probe{opt: opt}
@@ -76,9 +76,9 @@
 			p.close()
 			switch {
 			case err != nil:
-				r.Verdict, r.Detail = Miss, err.Error()
+				r.Verdict, r.Detail = Fail, err.Error()
 			case c.beside:
-				r.Verdict = Outside
+				r.Verdict = Unsupported
 			}
 		}
 		results = append(results, r)
@@ -88,7 +88,7 @@
 
 // probe is a clause's own host: connections that it opened, and what the controller told of itself.
 type probe struct {
-	opt     ConformOptions
+	opt     ConformanceOptions
 	open    []*wire
 	cntlid  uint16
 	block   int // bytes of a block
@@ -114,7 +114,7 @@
 
 // connect opens a connection, bounded in all it does, with framing agreed.
 func (p *probe) connect() (*wire, error) {
-	ctx, stop := context.WithTimeout(context.Background(), p.opt.Within)
+	ctx, stop := context.WithTimeout(context.Background(), p.opt.Timeout)
 	defer stop()
 	w, err := p.host().open(ctx, p.opt.Addr)
 	if err == nil {
@@ -125,11 +125,11 @@
 
 // raw opens a connection on which nothing has been said yet.
 func (p *probe) raw() (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", p.opt.Addr, p.opt.Within)
+	c, err := net.DialTimeout("tcp", p.opt.Addr, p.opt.Timeout)
 	if err != nil {
 		return nil, err
 	}
-	c.SetDeadline(time.Now().Add(p.opt.Within))
+	c.SetDeadline(time.Now().Add(p.opt.Timeout))
 	p.open = append(p.open, &wire{Conn: c})
 	return c, nil
 }
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), p.opt.Within)
+	ctx, stop := context.WithTimeout(context.Background(), p.opt.Timeout)
 	defer stop()
 	p.cntlid, _, err = p.host().enable(ctx, w)
 	return w, err
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -23,16 +23,16 @@
 
 // Options set up the controller side.
 type Options struct {
-	Subsystem  string
-	Namespaces []Namespace
-	QueueDepth int
-	MostConn   int                      // hosts' connections at a time
-	MostBytes  int64                    // data of commands held at a time
-	Keys       *keys.Store              // TLS, where there are any
-	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
-	Figures    *figures.Book            // nil: none are kept
-	Leave      core.ShutdownSchedule
-	Log        *slog.Logger
+	Subsystem        string
+	Namespaces       []Namespace
+	QueueDepth       int
+	MaxConns         int                      // hosts' connections at a time
+	MaxBufferedBytes int64                    // data of commands held at a time
+	Keys             *keys.Store              // TLS, where there are any
+	Timeouts         map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
+	Figures          *figures.Book            // nil: none are kept
+	Shutdown         core.ShutdownSchedule
+	Log              *slog.Logger
 }
 
 // Core is what the front needs of the core.
@@ -162,7 +162,7 @@
 		q := &queue{server: s, net: c, box: mailbox.New[[]byte](), ended: make(chan struct{}),
 			cmds: map[uint16]*pending{}, since: time.Now()}
 		s.mu.Lock()
-		full := len(s.queues) >= s.opt.MostConn && !s.makeRoom()
+		full := len(s.queues) >= s.opt.MaxConns && !s.makeRoom()
 		if !full {
 			s.queues[q] = true
 		}
@@ -253,13 +253,13 @@
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
 	s.left.Store(&now)
-	core.SleepUntil(ctx, now.Add(s.opt.Leave.AcceptFor))
+	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.AcceptFor))
 	s.mu.Lock()
 	if s.listener != nil {
 		s.listener.Close()
 	}
 	s.mu.Unlock()
-	core.SleepUntil(ctx, now.Add(s.opt.Leave.ServeFor))
+	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.ServeFor))
 	s.leaving.Store(true)
 	for s.open.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
@@ -544,7 +544,7 @@
 	case length > maxTransfer, !moved, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
 		inside && (!takes || len(data) != length || length > inCapsule), !inside && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
-	case s.leaving.Load(), q.retired.Load(), s.bytes.Load()+int64(length) > s.opt.MostBytes:
+	case s.leaving.Load(), q.retired.Load(), s.bytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
 		q.complete(p, statusOf(core.Overloaded, q.ctrl.wantsDelays()), 0, nil)
 	default:
@@ -585,7 +585,7 @@
 	p.io.Data = make([]byte, p.io.Bytes)
 	q.serial++
 	p.tag = q.serial
-	p.wait = time.AfterFunc(q.server.opt.Patience[p.ns.Write], func() { q.end("HOST_DATA_LATE") })
+	p.wait = time.AfterFunc(q.server.opt.Timeouts[p.ns.Write], func() { q.end("HOST_DATA_LATE") })
 	q.put(typeR2T, 0, dataHead(p.cmd.cid(), p.tag, 0, uint32(p.io.Bytes)), nil)
 }
 
@@ -631,7 +631,7 @@
 	now := time.Now()
 	for i, x := range parts {
 		j := &core.Job{Request: p.ns.request(x), Arrived: now, Payload: x}
-		j.Timeout = q.server.opt.Leave.LimitTimeout(q.server.opt.Patience[j.Class], now, q.server.left.Load())
+		j.Timeout = q.server.opt.Shutdown.LimitTimeout(q.server.opt.Timeouts[j.Class], now, q.server.left.Load())
 		j.Done = func(a core.Response) { q.part(p, i, a) }
 		jobs[i] = j
 	}
--- a/internal/datapath/nvme/events.go
+++ b/internal/datapath/nvme/events.go
@@ -87,7 +87,7 @@
 
 // Update takes other namespaces into use and tells every host which have changed. Commands already with the core end as
 // they would have.
-func (s *Server) Update(list []Namespace) {
+func (s *Server) UpdateNamespaces(list []Namespace) {
 	next := byID(list)
 	was := *s.spaces.Swap(next)
 	var changed []uint32
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -49,8 +49,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-		MostBytes: 8 << 20, Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Leave: core.NewShutdownSchedule(2 * time.Second),
+	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
+		MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"position-read": patient, "event-write": patient}, Shutdown: core.NewShutdownSchedule(2 * time.Second),
 		Figures: figures.New([]string{"position-read", "event-write"}), Log: quiet})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
@@ -417,8 +417,8 @@
 		t.Fatal(err)
 	}
 	start := func(l net.Listener) *Server {
-		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-			MostBytes: 8 << 20, Patience: map[string]time.Duration{"event-write": patient, "position-read": patient}, Leave: core.NewShutdownSchedule(2 * time.Second), Log: quiet})
+		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
+			MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"event-write": patient, "position-read": patient}, Shutdown: core.NewShutdownSchedule(2 * time.Second), Log: quiet})
 		go func() { _ = s.Serve(l) }()
 		return s
 	}
@@ -687,7 +687,7 @@
 func TestSilentHostsMakeRoom(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	s.mu.Lock()
-	s.opt.MostConn = 4
+	s.opt.MaxConns = 4
 	s.mu.Unlock()
 	first := newClient(t, addr, false)
 	for range 50 {
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -27,8 +27,8 @@
 		t.Fatal(err)
 	}
 	back := newStore()
-	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64, MostBytes: 8 << 20,
-		Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Keys: k, Log: quiet})
+	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
+		Timeouts: map[string]time.Duration{"position-read": patient, "event-write": patient}, Keys: k, Log: quiet})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
 	return k, back, s, l.Addr().String()
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -28,10 +28,10 @@
 func about(n *config.NVMe, c *config.Config, certs *keys.Store, numbers *figures.Book, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	own := limits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: namespaces(n.Namespaces), QueueDepth: n.QueueDepth,
-		MostConn: own.clients(), MostBytes: own.held(), Patience: map[string]time.Duration{},
-		Log: log, Keys: certs, Figures: numbers, Leave: leave}
+		MaxConns: own.clients(), MaxBufferedBytes: own.held(), Timeouts: map[string]time.Duration{},
+		Log: log, Keys: certs, Figures: numbers, Shutdown: leave}
 	for _, k := range c.Module.Classes {
-		o.Patience[k.Name] = k.Deadline
+		o.Timeouts[k.Name] = k.Deadline
 	}
 	return o
 }
@@ -62,7 +62,7 @@
 // Reload implements reloader.
 func (s spaces) Reload(c Change) error {
 	if c.Spaces != nil {
-		s.front.Update(namespaces(c.Spaces))
+		s.front.UpdateNamespaces(namespaces(c.Spaces))
 	}
 	return nil
 }
