--- a/internal/datapath/nvme/admin.go
+++ b/internal/datapath/nvme/admin.go
@@ -11,17 +11,17 @@
 	capBase = 1<<16 | 10<<24 | 1<<37
 	version = 0x00010400 // 1.4
 
-	ccEnable     = 1 << 0
-	ccShutdown   = 3 << 14
-	cstsReady    = 1 << 0
-	cstsShutdown = 2 << 2
-	staticID     = 0xFFFF
+	ccEnable      = 1 << 0
+	ccShutdown    = 3 << 14
+	cstsReady     = 1 << 0
+	cstsShutdown  = 2 << 2
+	dynamicCntlID = 0xFFFF
 
 	hostBehaviorLen = 512
 )
 
 // connect takes the first command of a connection: it makes the association, or joins an I/O queue to it.
-func (q *queue) connect(p *pending, data []byte) {
+func (q *queue) handleConnect(p *pending, data []byte) {
 	c, s := &p.cmd, q.server
 	if c.op() != opFabrics || c.fctype() != fctConnect {
 		q.complete(p, stSequence|dnr, 0, nil)
@@ -37,7 +37,7 @@
 	}
 	qid, size := uint16(c.dw(10)>>16), c.dw(11)&0xFFFF+1
 	cntlid := binary.LittleEndian.Uint16(data[16:])
-	subnqn, host := nqn(data[256:512]), nqn(data[512:768])
+	subnqn, host := parseNQN(data[256:512]), parseNQN(data[512:768])
 	finder := subnqn == discoveryNQN
 	if subnqn != s.opt.Subsystem && (!finder || qid > 0) || host == "" || size < 2 || int(size) > max(s.opt.QueueDepth, 32) || qid > 0 && int(size) > s.opt.QueueDepth {
 		q.complete(p, stBadConnect|dnr, 0, nil)
@@ -46,9 +46,9 @@
 	st := stOK
 	var ctrl *controller
 	if qid == 0 {
-		if cntlid != staticID {
+		if cntlid != dynamicCntlID {
 			st = stBadConnect | dnr
-		} else if ctrl = s.associate(q, host, time.Duration(c.dw(12))*time.Millisecond, finder); ctrl == nil {
+		} else if ctrl = s.newController(q, host, time.Duration(c.dw(12))*time.Millisecond, finder); ctrl == nil {
 			st = stControllerBusy
 		}
 	} else {
@@ -56,9 +56,9 @@
 		ctrl = s.controllers[cntlid]
 		s.mu.Unlock()
 		switch {
-		case ctrl == nil || ctrl.host != host || ctrl.finder || qid > mostQueues:
+		case ctrl == nil || ctrl.host != host || ctrl.isDiscovery || qid > maxIOQueues:
 			st = stBadConnect | dnr
-		case !ctrl.join(q, qid):
+		case !ctrl.addQueue(q, qid):
 			st = stSequence | dnr // not enabled, or the queue is there already
 		}
 	}
@@ -71,20 +71,20 @@
 	gone := q.cmds == nil
 	q.mu.Unlock()
 	if gone {
-		ctrl.leave(q) // the connection has ended meanwhile, without a controller to leave
+		ctrl.removeQueue(q) // the connection has ended meanwhile, without a controller to leave
 		return
 	}
-	q.joined.Store(true)
+	q.connected.Store(true)
 	q.complete(p, stOK, uint64(ctrl.id), nil)
 }
 
-func nqn(b []byte) string {
+func parseNQN(b []byte) string {
 	s, _, _ := bytes.Cut(b, []byte{0})
 	return string(s)
 }
 
 // associate makes a controller for a host's admin queue; nil when all ids are in use.
-func (s *Server) associate(q *queue, host string, kato time.Duration, finder bool) *controller {
+func (s *Server) newController(q *queue, host string, kato time.Duration, finder bool) *controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range 0xFF00 {
@@ -92,9 +92,9 @@
 		if s.controllers[s.nextID] != nil {
 			continue
 		}
-		c := &controller{id: s.nextID, server: s, host: host, queues: map[uint16]*queue{0: q}, kato: kato, finder: finder}
+		c := &controller{id: s.nextID, server: s, host: host, queues: map[uint16]*queue{0: q}, kato: kato, isDiscovery: finder}
 		if kato > 0 {
-			c.alive = time.AfterFunc(kato, func() { c.endAll("KEEP_ALIVE_LATE") })
+			c.keepAliveTimer = time.AfterFunc(kato, func() { c.closeAllQueues("KEEP_ALIVE_LATE") })
 		}
 		s.controllers[c.id] = c
 		return c
@@ -103,7 +103,7 @@
 }
 
 // join adds an I/O queue.
-func (c *controller) join(q *queue, qid uint16) bool {
+func (c *controller) addQueue(q *queue, qid uint16) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.csts&cstsReady == 0 || c.queues[qid] != nil || c.queues[0] == nil {
@@ -114,7 +114,7 @@
 }
 
 // leave takes a queue that has ended out; with the admin queue the association ends.
-func (c *controller) leave(q *queue) {
+func (c *controller) removeQueue(q *queue) {
 	c.mu.Lock()
 	if c.queues[q.qid] == q {
 		delete(c.queues, q.qid)
@@ -126,33 +126,33 @@
 	c.server.mu.Lock()
 	delete(c.server.controllers, c.id)
 	c.server.mu.Unlock()
-	c.endAll("ASSOCIATION_ENDED")
+	c.closeAllQueues("ASSOCIATION_ENDED")
 }
 
-func (c *controller) endAll(reason string) { c.endQueues(reason, 0) }
+func (c *controller) closeAllQueues(reason string) { c.closeQueues(reason, 0) }
 
 // endQueues ends the connections of all queues from the given id on.
-func (c *controller) endQueues(reason string, from uint16) {
+func (c *controller) closeQueues(reason string, from uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.alive != nil && from == 0 {
-		c.alive.Stop()
+	if c.keepAliveTimer != nil && from == 0 {
+		c.keepAliveTimer.Stop()
 	}
 	for id, q := range c.queues {
 		if id >= from {
-			q.end(reason)
+			q.closeAfterWrites(reason)
 		}
 	}
 }
 
-func (c *controller) wantsDelays() bool {
+func (c *controller) retryDelaysEnabled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.delays
+	return c.acre
 }
 
 // fabrics takes Property Get and Set, and Disconnect on an I/O queue; what else there is lies outside the subset.
-func (q *queue) fabrics(p *pending) {
+func (q *queue) handleFabrics(p *pending) {
 	c := &p.cmd
 	if c.fctype() == fctConnect {
 		q.complete(p, stSequence|dnr, 0, nil)
@@ -164,7 +164,7 @@
 			return
 		}
 		q.complete(p, stOK, 0, nil)
-		q.end("HOST_DISCONNECTED") // what is still open on it goes with it, as the host asked
+		q.closeAfterWrites("HOST_DISCONNECTED") // what is still open on it goes with it, as the host asked
 		return
 	}
 	if q.qid != 0 || c.fctype() != fctPropertyGet && c.fctype() != fctPropertySet {
@@ -209,17 +209,17 @@
 	}
 	c.mu.Unlock()
 	if was&ccEnable != 0 && cc&ccEnable == 0 {
-		c.endQueues("CONTROLLER_RESET", 1)
+		c.closeQueues("CONTROLLER_RESET", 1)
 	}
 }
 
 // admin takes the admin commands of the subset.
-func (q *queue) admin(p *pending, data []byte) {
+func (q *queue) handleAdmin(p *pending, data []byte) {
 	c := &p.cmd
 	switch c.op() {
 	case opKeepAlive:
-		if q.ctrl.alive != nil {
-			q.ctrl.alive.Reset(q.ctrl.kato)
+		if q.ctrl.keepAliveTimer != nil {
+			q.ctrl.keepAliveTimer.Reset(q.ctrl.kato)
 		}
 		q.complete(p, stOK, 0, nil)
 	case opAbort:
@@ -239,11 +239,11 @@
 		}
 		q.complete(p, stOK, 0, page)
 	case opSetFeatures, opGetFeatures:
-		q.feature(p, data)
+		q.handleFeature(p, data)
 	case opAsyncEvent:
-		q.awaitEvent(p)
+		q.handleAsyncEvent(p)
 	case opGetLogPage:
-		q.logPage(p)
+		q.handleGetLogPage(p)
 	default:
 		q.complete(p, stInvalidOpcode|dnr, 0, nil)
 	}
@@ -251,7 +251,7 @@
 
 // feature knows what hosts set at their start: how many queues there are, which events they want told, the keep-alive
 // time, and whether they want retry delays. None can be saved.
-func (q *queue) feature(p *pending, data []byte) {
+func (q *queue) handleFeature(p *pending, data []byte) {
 	c, ctrl := &p.cmd, q.ctrl
 	set, fid, value := c.op() == opSetFeatures, c.dw(10)&0xFF, c.dw(11)
 	const save, selectBits, capabilities = 1 << 31, 7 << 8, 3 << 8
@@ -276,11 +276,11 @@
 	result, page, st := uint64(0), []byte(nil), stOK
 	switch {
 	case fid == featQueues:
-		result = (mostQueues-1)<<16 | (mostQueues - 1)
+		result = (maxIOQueues-1)<<16 | (maxIOQueues - 1)
 	case fid == featAsyncEvents && set:
-		ctrl.events.wanted = value & eventsKnown
+		ctrl.events.enabled = value & supportedEvents
 	case fid == featAsyncEvents:
-		result = uint64(ctrl.events.wanted)
+		result = uint64(ctrl.events.enabled)
 	case fid == featKeepAlive && set:
 		st = stNotChangeable | dnr // it is given with Connect
 	case fid == featKeepAlive:
@@ -288,10 +288,10 @@
 	case set && len(data) != hostBehaviorLen:
 		st = stInvalidField | dnr
 	case set:
-		ctrl.delays = data[0] == 1
+		ctrl.acre = data[0] == 1
 	default:
 		page = make([]byte, hostBehaviorLen)
-		if ctrl.delays {
+		if ctrl.acre {
 			page[0] = 1
 		}
 	}
@@ -303,8 +303,8 @@
 func (q *queue) identify(c *command) []byte {
 	page := make([]byte, identifyLen)
 	s := q.server
-	ns := s.space(c.nsid())
-	if q.ctrl.finder && c.dw(10)&0xFF != 1 {
+	ns := s.namespace(c.nsid())
+	if q.ctrl.isDiscovery && c.dw(10)&0xFF != 1 {
 		return nil
 	}
 	switch c.dw(10) & 0xFF {
@@ -327,40 +327,40 @@
 		binary.LittleEndian.PutUint16(page[78:], q.ctrl.id)
 		binary.LittleEndian.PutUint32(page[80:], version)
 		page[111] = 1 // an I/O controller
-		if q.ctrl.finder {
+		if q.ctrl.isDiscovery {
 			page[111] = 2
 		}
-		binary.LittleEndian.PutUint32(page[92:], eventsKnown) // OAES
+		binary.LittleEndian.PutUint32(page[92:], supportedEvents) // OAES
 		for i, d := range retryDelays {
 			binary.LittleEndian.PutUint16(page[128+2*i:], d)
 		}
 		page[258] = 3                                   // four aborts at a time
-		page[259] = mostEvents - 1                      // and as many event requests
+		page[259] = maxEventRequests - 1                // and as many event requests
 		page[261] = 1<<1 | 1<<2                         // commands and their effects, log pages with an offset
 		page[262] = errorEntries - 1                    // kept
 		binary.LittleEndian.PutUint16(page[320:], 1)    // keep-alive granularity of 100 ms
 		page[512], page[513] = 0x66, 0x44               // entry sizes
 		binary.LittleEndian.PutUint16(page[514:], 1024) // most commands
-		binary.LittleEndian.PutUint32(page[516:], s.topNSID())
+		binary.LittleEndian.PutUint32(page[516:], s.maxNSID())
 		binary.LittleEndian.PutUint16(page[520:], 1|1<<2|1<<3) // Compare, Dataset Management, Write Zeroes
 		binary.LittleEndian.PutUint32(page[536:], 1|1<<20)     // SGLs, with offsets in the capsule
 		copy(page[768:1024], s.opt.Subsystem)
-		if q.ctrl.finder {
+		if q.ctrl.isDiscovery {
 			copy(page[768:1024], discoveryNQN+"\x00")
 		}
-		binary.LittleEndian.PutUint32(page[1792:], (64+inCapsule)/16)
+		binary.LittleEndian.PutUint32(page[1792:], (64+maxInCapsuleData)/16)
 		binary.LittleEndian.PutUint32(page[1796:], 1)
 		page[1803] = 1
 		binary.LittleEndian.PutUint16(page[1804:], 1) // Disconnect
 	case 6: // the NVM command set's controller page
 		page[1] = 5 // Write Zeroes takes as much as a transfer, WZSL
 	case 2, 0x10: // active or allocated namespaces, from the one after the given
-		if c.nsid() >= everyNS-1 {
+		if c.nsid() >= allNamespaces-1 {
 			return nil
 		}
 		at := 0
-		for id := c.nsid() + 1; id != 0 && id <= s.topNSID() && at < identifyLen; id++ {
-			if s.space(id) != nil {
+		for id := c.nsid() + 1; id != 0 && id <= s.maxNSID() && at < identifyLen; id++ {
+			if s.namespace(id) != nil {
 				binary.LittleEndian.PutUint32(page[at:], id)
 				at += 4
 			}
@@ -370,16 +370,16 @@
 			return nil
 		}
 		page[0], page[1] = 1, 8 // EUI-64
-		copy(page[4:], euiOf(ns))
+		copy(page[4:], eui64Of(ns))
 	default:
 		return nil
 	}
 	return page
 }
 
-func (s *Server) topNSID() uint32 {
+func (s *Server) maxNSID() uint32 {
 	top := uint32(0)
-	for id := range *s.spaces.Load() {
+	for id := range *s.namespaces.Load() {
 		top = max(top, id)
 	}
 	return top
--- a/internal/datapath/nvme/bench_test.go
+++ b/internal/datapath/nvme/bench_test.go
@@ -11,11 +11,11 @@
 	b.ReportAllocs()
 	back := newStore()
 	go func() {
-		for range back.came {
+		for range back.received {
 		}
 	}()
 	_, target := newServer(b, back, targetNQN)
-	r := newRig(b, false, time.Second, target)
+	r := newInitiator(b, false, time.Second, target)
 	c := newClient(b, r.addr, false)
 	sent := map[uint16]time.Time{}
 	took := make([]time.Duration, 0, b.N)
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -11,24 +11,24 @@
 
 // Opcodes of the subset.
 const (
-	opFlush        = 0x00
-	opWrite        = 0x01
-	opRead         = 0x02
-	opCompare      = 0x05
-	opWriteZeroes  = 0x08
-	opDataset      = 0x09
-	opFabrics      = 0x7F
-	opGetLogPage   = 0x02
-	opIdentify     = 0x06
-	opAbort        = 0x08
-	opSetFeatures  = 0x09
-	opGetFeatures  = 0x0A
-	opAsyncEvent   = 0x0C
-	opKeepAlive    = 0x18
-	fctPropertySet = 0x00
-	fctConnect     = 0x01
-	fctPropertyGet = 0x04
-	fctDisconnect  = 0x08
+	opFlush             = 0x00
+	opWrite             = 0x01
+	opRead              = 0x02
+	opCompare           = 0x05
+	opWriteZeroes       = 0x08
+	opDatasetManagement = 0x09
+	opFabrics           = 0x7F
+	opGetLogPage        = 0x02
+	opIdentify          = 0x06
+	opAbort             = 0x08
+	opSetFeatures       = 0x09
+	opGetFeatures       = 0x0A
+	opAsyncEvent        = 0x0C
+	opKeepAlive         = 0x18
+	fctPropertySet      = 0x00
+	fctConnect          = 0x01
+	fctPropertyGet      = 0x04
+	fctDisconnect       = 0x08
 
 	featQueues       = 0x07
 	featAsyncEvents  = 0x0B
@@ -54,41 +54,41 @@
 
 const dnr status = 1 << 14
 
-func sct(kind, code status) status { return kind<<8 | code }
+func newStatus(kind, code status) status { return kind<<8 | code }
 
 // Status values of the subset.
 var (
 	stOK             status = 0
-	stInvalidOpcode         = sct(0, 0x01)
-	stInvalidField          = sct(0, 0x02)
-	stCIDConflict           = sct(0, 0x03)
-	stInternal              = sct(0, 0x06)
-	stAborted               = sct(0, 0x07)
-	stInvalidNS             = sct(0, 0x0B)
-	stSequence              = sct(0, 0x0C)
-	stTransient             = sct(0, 0x22)
-	stLBARange              = sct(0, 0x80)
-	stNSNotReady            = sct(0, 0x82)
-	stAsyncLimit            = sct(1, 0x05)
-	stInvalidLogPage        = sct(1, 0x09)
-	stNotChangeable         = sct(1, 0x0E)
-	stBadFormat             = sct(1, 0x80)
-	stControllerBusy        = sct(1, 0x81)
-	stBadConnect            = sct(1, 0x82)
-	stCompareFailure        = sct(2, 0x85)
+	stInvalidOpcode         = newStatus(0, 0x01)
+	stInvalidField          = newStatus(0, 0x02)
+	stCIDConflict           = newStatus(0, 0x03)
+	stInternal              = newStatus(0, 0x06)
+	stAborted               = newStatus(0, 0x07)
+	stInvalidNS             = newStatus(0, 0x0B)
+	stSequence              = newStatus(0, 0x0C)
+	stTransient             = newStatus(0, 0x22)
+	stLBARange              = newStatus(0, 0x80)
+	stNSNotReady            = newStatus(0, 0x82)
+	stAsyncLimit            = newStatus(1, 0x05)
+	stInvalidLogPage        = newStatus(1, 0x09)
+	stNotChangeable         = newStatus(1, 0x0E)
+	stBadFormat             = newStatus(1, 0x80)
+	stControllerBusy        = newStatus(1, 0x81)
+	stBadConnect            = newStatus(1, 0x82)
+	stCompareFailure        = newStatus(2, 0x85)
 )
 
 // code is the status without its CRD, More and DNR bits.
 func (s status) code() status { return s & 0x7FF }
 
-func (s status) withDelay(index int) status { return s | status(index&3)<<11 }
+func (s status) withRetryDelay(index int) status { return s | status(index&3)<<11 }
 
 // retryDelays are the controller's CRDT1 to CRDT3, in units of 100 ms: how long a host that has asked to be
 // told (Host Behavior Support, ACRE) stays away. The last is the longest a client of this project honours.
 var retryDelays = [3]uint16{1, 3, 10}
 
 // delayIndex is the CRD that first covers the wait; 0: none.
-func delayIndex(wait time.Duration) int {
+func retryDelayIndex(wait time.Duration) int {
 	if wait <= 0 {
 		return 0
 	}
@@ -108,7 +108,7 @@
 		return stOK
 	case core.Rejected:
 		if delays {
-			return stNSNotReady.withDelay(delayIndex(a.RetryAfter))
+			return stNSNotReady.withRetryDelay(retryDelayIndex(a.RetryAfter))
 		}
 		return stNSNotReady
 	}
--- a/internal/datapath/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -21,7 +21,7 @@
 )
 
 // TestCommandsMadeHere plays the commands that targets need not know, each to its end and with what is wrong of it.
-func TestCommandsMadeHere(t *testing.T) {
+func TestCommandsHandledByFront(t *testing.T) {
 	back := newStore()
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, true)
@@ -56,14 +56,14 @@
 	end("more zeroes than a transfer", zeroes, nil, stInvalidField|dnr)
 
 	flush := newCommand(opFlush, c.io.nextCID(), 0, false)
-	flush.set32(4, everyNS)
+	flush.set32(4, allNamespaces)
 	end("flush of all", flush, nil, stOK)
 	flush.set16(2, c.io.nextCID())
 	flush.set32(4, 9)
 	end("flush of none", flush, nil, stInvalidNS|dnr)
 
 	dataset := func(blocks uint32) (*command, []byte) {
-		cmd, r := newCommand(opDataset, c.io.nextCID(), 16, true), make([]byte, 16)
+		cmd, r := newCommand(opDatasetManagement, c.io.nextCID(), 16, true), make([]byte, 16)
 		cmd.set32(4, 1)
 		cmd.set32(44, 1<<2) // deallocate
 		binary.LittleEndian.PutUint32(r[4:], blocks)
@@ -91,7 +91,7 @@
 	}
 	cmd.set32(44, dwords>>16)
 	cmd.set64(48, offset)
-	_, page, err := c.admin.ask(cmd, nil)
+	_, page, err := c.admin.execute(cmd, nil)
 	return page, err
 }
 
@@ -143,20 +143,20 @@
 	}
 	told := func() completion {
 		t.Helper()
-		c.admin.SetReadDeadline(time.Now().Add(patient))
+		c.admin.SetReadDeadline(time.Now().Add(testTimeout))
 		p, err := c.admin.receive()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return parseCompletion(p)
 	}
-	second := space()
+	second := testNamespace()
 	second.ID = 2
-	s.UpdateNamespaces([]Namespace{space(), second}) // the host has not asked for such events: nothing is out, but it is kept
+	s.UpdateNamespaces([]Namespace{testNamespace(), second}) // the host has not asked for such events: nothing is out, but it is kept
 	want := newCommand(opSetFeatures, c.admin.nextCID(), 0, false)
 	want.set32(40, featAsyncEvents)
 	want.set32(44, 0xFFFF)
-	if _, _, err := c.admin.ask(want, nil); err != nil {
+	if _, _, err := c.admin.execute(want, nil); err != nil {
 		t.Fatal(err)
 	}
 	first := await()
@@ -164,14 +164,14 @@
 		t.Fatalf("event %+v", done)
 	}
 	var waiting []uint16
-	for range mostEvents {
+	for range maxEventRequests {
 		waiting = append(waiting, await())
 	}
 	over := await()
 	if done := told(); done.cid != over || done.status != stAsyncLimit|dnr {
 		t.Errorf("one too many: %+v", done)
 	}
-	s.UpdateNamespaces([]Namespace{space()}) // masked: the page has not been read
+	s.UpdateNamespaces([]Namespace{testNamespace()}) // masked: the page has not been read
 	abort := newCommand(opAbort, c.admin.nextCID(), 0, false)
 	abort.set32(40, uint32(waiting[0])<<16)
 	c.send(c.admin, abort, nil)
@@ -184,7 +184,7 @@
 	if err != nil || binary.LittleEndian.Uint32(page) != 2 || binary.LittleEndian.Uint32(page[4:]) != 0 {
 		t.Errorf("changed namespaces: %v, %x", err, page[:min(len(page), 8)])
 	}
-	third := space()
+	third := testNamespace()
 	third.ID = 3
 	s.UpdateNamespaces([]Namespace{third})
 	if done := told(); done.cid != waiting[1] || done.result != namespaceNotice {
@@ -204,9 +204,9 @@
 func TestDiscovery(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: discoveryNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute})
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	w, err := h.open(ctx, addr)
+	w, err := h.openConn(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,13 +222,13 @@
 	}
 	e := page[discoveryLen:]
 	found := strings.TrimSpace(string(e[512:768])) + ":" + strings.TrimSpace(string(e[32:64]))
-	if found != addr || nqn(e[256:512]) != poolNQN || e[0] != 3 || e[2] != 2 {
-		t.Errorf("entry %q %q", found, nqn(e[256:512]))
+	if found != addr || parseNQN(e[256:512]) != poolNQN || e[0] != 3 || e[2] != 2 {
+		t.Errorf("entry %q %q", found, parseNQN(e[256:512]))
 	}
 	if _, err := c.logPage(logHealth, 0, 512, false); err == nil {
 		t.Error("a discovery controller told of its health")
 	}
-	io, err := h.open(ctx, addr)
+	io, err := h.openConn(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,13 +243,13 @@
 func TestDisconnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
-	if _, _, err := c.io.ask(fabricsCommand(c.io, fctDisconnect, 0), nil); err != nil {
+	if _, _, err := c.io.execute(fabricsCommand(c.io, fctDisconnect, 0), nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := c.io.receive(); err == nil {
 		t.Error("the queue's connection is still open")
 	}
-	if _, _, err := c.admin.ask(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
+	if _, _, err := c.admin.execute(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
 		t.Errorf("keep-alive after it: %v", err)
 	}
 }
@@ -262,7 +262,7 @@
 		cmd := newCommand(op, c.admin.nextCID(), 0, false)
 		cmd.set32(40, dw10)
 		cmd.set32(44, dw11)
-		done, _, err := c.admin.ask(cmd, nil)
+		done, _, err := c.admin.execute(cmd, nil)
 		return done, err
 	}
 	for _, x := range []struct {
@@ -272,9 +272,9 @@
 		result     uint64
 		want       status
 	}{
-		{"queues", opSetFeatures, featQueues, 3<<16 | 3, (mostQueues-1)<<16 | (mostQueues - 1), stOK},
+		{"queues", opSetFeatures, featQueues, 3<<16 | 3, (maxIOQueues-1)<<16 | (maxIOQueues - 1), stOK},
 		{"events", opSetFeatures, featAsyncEvents, 0xFFFFFFFF, 0, stOK},
-		{"events as set", opGetFeatures, featAsyncEvents, 0, eventsKnown, stOK},
+		{"events as set", opGetFeatures, featAsyncEvents, 0, supportedEvents, stOK},
 		{"whether events can be changed", opGetFeatures, featAsyncEvents | 3<<8, 0, 4, stOK},
 		{"keep-alive", opGetFeatures, featKeepAlive, 0, 60000, stOK},
 		{"keep-alive, to be set", opSetFeatures, featKeepAlive, 5, 0, stNotChangeable | dnr},
@@ -290,7 +290,7 @@
 
 // TestSplit cuts commands where the shard changes, and nowhere else.
 func TestSplit(t *testing.T) {
-	n := space()
+	n := testNamespace()
 	n.StripeBlocks, n.Shards = 4, []int{0, 0, 1}
 	x := &IO{Write: true, NSID: 1, SLBA: 2, Blocks: 16, Bytes: 16 * blockSize, Data: make([]byte, 16*blockSize)}
 	for i := range x.Data {
@@ -298,7 +298,7 @@
 	}
 	next, data := x.SLBA, []byte(nil)
 	var shards []int
-	for _, p := range n.split(x) {
+	for _, p := range n.splitByShard(x) {
 		if p.SLBA != next || p.Bytes != len(p.Data) || p.Bytes != int(p.Blocks)*blockSize {
 			t.Errorf("part %+v does not follow", p)
 		}
@@ -309,13 +309,13 @@
 		t.Errorf("shards %v, up to block %d", shards, next)
 	}
 	whole := &IO{NSID: 1, SLBA: 1, Blocks: 7, Bytes: 7 * blockSize}
-	if parts := n.split(whole); len(parts) != 1 || parts[0] != whole {
+	if parts := n.splitByShard(whole); len(parts) != 1 || parts[0] != whole {
 		t.Errorf("%d parts of what lies on one shard", len(parts))
 	}
 }
 
 // TestGather holds the status of a command in parts against what of it has run or may have.
-func TestGather(t *testing.T) {
+func TestMergeResponses(t *testing.T) {
 	served := core.Response{Status: core.Served}
 	refused := core.Response{Status: core.Rejected, RetryAfter: 250 * time.Millisecond}
 	failed := core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}
@@ -339,24 +339,24 @@
 		for i := range jobs {
 			jobs[i] = &core.Job{Payload: &IO{Write: c.write}}
 		}
-		st, _ := gather(&IO{Write: c.write}, jobs, c.ends, false)
+		st, _ := mergeResponses(&IO{Write: c.write}, jobs, c.ends, false)
 		if st != c.want || (st&dnr == 0 && st != stOK) != c.wantRetried {
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(st), uint16(c.want))
 		}
 	}
 	jobs := []*core.Job{{Payload: &IO{Bytes: 1}}, {Payload: &IO{Bytes: 2}}}
-	st, body := gather(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("bc")}}, false)
+	st, body := mergeResponses(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("bc")}}, false)
 	if st != stOK || string(body) != "abc" {
 		t.Errorf("read in parts: %#x, %q", uint16(st), body)
 	}
-	if st, _ = gather(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("b")}}, false); st != stInternal|dnr {
+	if st, _ = mergeResponses(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("b")}}, false); st != stInternal|dnr {
 		t.Errorf("a part that is short: %#x", uint16(st))
 	}
 }
 
 // TestOverTwoShards sends commands that lie on two targets end to end: data in order, nothing written twice, and one
 // completion where one of the two is gone.
-func TestOverTwoShards(t *testing.T) {
+func TestCommandSpansTwoShards(t *testing.T) {
 	var stores []*store
 	var addrs []string
 	for range 2 {
@@ -364,11 +364,11 @@
 		_, addr := newServer(t, back, targetNQN)
 		stores, addrs = append(stores, back), append(addrs, addr)
 	}
-	r := newRig(t, true, time.Second)
+	r := newInitiator(t, true, time.Second)
 	for i, addr := range addrs {
-		r.listAt(string(rune('a'+i)), addr, i, policy.Up)
+		r.setShardTarget(string(rune('a'+i)), addr, i, policy.Up)
 	}
-	n := space()
+	n := testNamespace()
 	n.StripeBlocks, n.Shards = 4, []int{0, 1}
 	r.server.UpdateNamespaces([]Namespace{n})
 	c := newClient(t, r.addr, true)
@@ -384,7 +384,7 @@
 	if done, got := c.next(); done.status != stOK || !bytes.Equal(got, data) {
 		t.Errorf("read %+v, %d bytes, the same: %v", done, len(got), bytes.Equal(got, data))
 	}
-	if len(stores[0].came) == 0 || len(stores[1].came) == 0 {
+	if len(stores[0].received) == 0 || len(stores[1].received) == 0 {
 		t.Error("one of the targets got nothing")
 	}
 	for i, s := range stores {
@@ -394,7 +394,7 @@
 			}
 		}
 	}
-	r.listAt("b", addrs[1], 1, policy.Draining)
+	r.setShardTarget("b", addrs[1], 1, policy.Draining)
 	c.send(c.io, c.rw(opWrite, 2, 10, true), data)
 	if done, _ := c.next(); done.status != stInternal|dnr {
 		t.Errorf("write of which half has run: %+v", done)
@@ -415,25 +415,25 @@
 		cmd := fabricsCommand(c.admin, fctPropertySet, 0)
 		cmd.set32(44, propCC)
 		cmd.set64(48, cc)
-		if _, _, err := c.admin.ask(cmd, nil); err != nil {
+		if _, _, err := c.admin.execute(cmd, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	set(4<<20 | 6<<16 | 1<<14 | ccEnable)
-	if v, err := c.admin.property(propCSTS); err != nil || v&(3<<2) != cstsShutdown {
+	if v, err := c.admin.readProperty(propCSTS); err != nil || v&(3<<2) != cstsShutdown {
 		t.Errorf("status after a shutdown: %#x, %v", v, err)
 	}
 	set(0)
 	if _, err := c.io.receive(); err == nil || errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("an I/O queue outlived the reset: %v", err)
 	}
-	if v, err := c.admin.property(propCSTS); err != nil || v != 0 {
+	if v, err := c.admin.readProperty(propCSTS); err != nil || v != 0 {
 		t.Errorf("status after a reset: %#x, %v", v, err)
 	}
 }
 
 // scripted is a target's I/O queue played by hand: it gives the command it got to the script, which writes what it likes.
-func scripted(t *testing.T, can bears, x *IO, script func(net.Conn, *pdu)) (core.Result, string) {
+func runScripted(t *testing.T, can capabilities, x *IO, script func(net.Conn, *pdu)) (core.Result, string) {
 	t.Helper()
 	here, there := net.Pipe()
 	defer here.Close()
@@ -443,14 +443,14 @@
 			script(there, p)
 		}
 	}()
-	s := &session{wire: &wire{Conn: here, in: bufio.NewReader(here), most: minH2CData}, bears: can,
-		from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, _, reason := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: x}, func() bool { return true })
+	s := &session{hostConn: &hostConn{Conn: here, in: bufio.NewReader(here), maxDataPDU: minH2CData}, capabilities: can,
+		assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
+	r, _, reason := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: x}, func() bool { return true })
 	return r, reason
 }
 
 // TestAnswerStopsMidway bounds an answer that has begun, as on HTTP: it is not waited for until its time is over.
-func TestAnswerStopsMidway(t *testing.T) {
+func TestStalledResponse(t *testing.T) {
 	x := &IO{NSID: 1, Blocks: 2, Bytes: 2 * blockSize}
 	part := func(p *pdu, at, length int) []byte {
 		return appendPDU(nil, framing{}, typeC2HData, 0, dataHead(p.u16(10), 0, uint32(at), uint32(length)), make([]byte, length))
@@ -460,8 +460,8 @@
 		"between two":  func(c net.Conn, p *pdu) { _, _ = c.Write(part(p, 0, blockSize)) },
 	} {
 		began := time.Now()
-		r, reason := scripted(t, bears{}, x, script)
-		if r.Code != policy.ConnectionReset || reason != "READ_STALLED" || time.Since(began) > patient/2 {
+		r, reason := runScripted(t, capabilities{}, x, script)
+		if r.Code != policy.ConnectionReset || reason != "READ_STALLED" || time.Since(began) > testTimeout/2 {
 			t.Errorf("%s: %v %s after %v", name, r.Code, reason, time.Since(began))
 		}
 	}
@@ -469,11 +469,11 @@
 
 // TestWritesReachTheMedium asks a target with a volatile write cache to have a write on its medium before it says so:
 // hosts are told that there is no such cache, and that Flush has nothing to do.
-func TestWritesReachTheMedium(t *testing.T) {
+func TestForceUnitAccess(t *testing.T) {
 	for _, cache := range []bool{false, true} {
 		asked := uint32(0)
 		x := &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: make([]byte, blockSize)}
-		r, reason := scripted(t, bears{inside: inCapsule, cache: cache}, x, func(c net.Conn, p *pdu) {
+		r, reason := runScripted(t, capabilities{inCapsuleSize: maxInCapsuleData, writeCache: cache}, x, func(c net.Conn, p *pdu) {
 			var cmd command
 			copy(cmd[:], p.head[commonLen:])
 			asked = cmd.dw(12)
@@ -486,10 +486,10 @@
 }
 
 // TestRests bounds the rests after associations that failed, spreads them, and has none while they work.
-func TestRests(t *testing.T) {
-	rests, seen := newRests(), map[time.Duration]bool{}
+func TestAssociationBackoff(t *testing.T) {
+	rests, seen := newRetryBackoff(), map[time.Duration]bool{}
 	for failed := range 100 {
-		due := min(restLeast<<min(failed, 16), restMost)
+		due := min(minRetryDelay<<min(failed, 16), maxRetryDelay)
 		rest := rests.NextBackOff()
 		if rest < due/2 || rest > due*3/2 {
 			t.Errorf("after %d: %v, about %v is due", failed, rest, due)
@@ -506,21 +506,21 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	if _, err := h.Dial(ctx, addr); err == nil || errors.Is(err, errRests) {
+	if _, err := h.Dial(ctx, addr); err == nil || errors.Is(err, errBackingOff) {
 		t.Errorf("first attempt at nobody: %v", err)
 	}
-	if _, err := h.Dial(ctx, addr); !errors.Is(err, errRests) {
+	if _, err := h.Dial(ctx, addr); !errors.Is(err, errBackingOff) {
 		t.Errorf("attempt during the rest: %v", err)
 	}
 	if l, err = net.Listen("tcp", addr); err != nil {
 		t.Skipf("the address was taken meanwhile: %v", err)
 	}
-	s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20, Log: quiet})
+	s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	defer l.Close()
-	for end := time.Now().Add(patient); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(5 * time.Millisecond) {
 		w, err := h.Dial(ctx, addr)
 		if err == nil {
 			w.Close()
@@ -536,7 +536,7 @@
 // and holds the suite itself against a controller that breaks clauses.
 func TestConformance(t *testing.T) {
 	_, target := newServer(t, newStore(), targetNQN)
-	r := newRig(t, true, time.Second, target)
+	r := newInitiator(t, true, time.Second, target)
 	for name, opt := range map[string]ConformanceOptions{
 		"through the core": {Addr: r.addr, Subsystem: poolNQN, NSID: 1, AllowWrites: true},
 		"a target alone":   {Addr: target, Subsystem: targetNQN, NSID: 1, AllowWrites: true},
@@ -586,30 +586,30 @@
 
 // TestDataNeverComes has a host ask to write and send none of the data that it was asked for: its connection ends when the
 // command's time is over, nothing is kept, and nothing was written.
-func TestDataNeverComes(t *testing.T) {
+func TestWriteDataTimeout(t *testing.T) {
 	back := newStore()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(back, Options{Subsystem: poolNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20,
-		Timeouts: map[string]time.Duration{"event-write": 100 * time.Millisecond}, Log: quiet})
+	s := New(back, Options{Subsystem: poolNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20,
+		Timeouts: map[string]time.Duration{"event-write": 100 * time.Millisecond}, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	c := newClient(t, l.Addr().String(), false)
 	c.send(c.io, c.rw(opWrite, 0, 32, false), nil)
 	if p, err := c.io.receive(); err != nil || p.kind != typeR2T {
 		t.Fatalf("no R2T: %v", err)
 	}
-	if held := s.bytes.Load(); held != 32*blockSize {
+	if held := s.bufferedBytes.Load(); held != 32*blockSize {
 		t.Errorf("%d bytes held", held)
 	}
-	c.io.SetReadDeadline(time.Now().Add(patient))
+	c.io.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.io.receive(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection lives on: %v", err)
 	}
-	require.Eventually(t, func() bool { return s.bytes.Load() == 0 && s.open.Load() == 0 }, patient, time.Millisecond, "bytes or commands are kept")
-	if len(back.came) > 0 {
+	require.Eventually(t, func() bool { return s.bufferedBytes.Load() == 0 && s.openCommands.Load() == 0 }, testTimeout, time.Millisecond, "bytes or commands are kept")
+	if len(back.received) > 0 {
 		t.Error("a write without its data was run")
 	}
 }
@@ -622,11 +622,11 @@
 	c := newClient(t, addr, false)
 	aborted := 0
 	for i := range 300 {
-		drain(back)
+		drainReceived(back)
 		cid := c.write(uint64(i), fmt.Sprint("w", i))
 		abort := newCommand(opAbort, c.admin.nextCID(), 0, false)
 		abort.set32(40, 1|uint32(cid)<<16)
-		done, _, err := c.admin.ask(abort, nil)
+		done, _, err := c.admin.execute(abort, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -649,9 +649,9 @@
 }
 
 // drain makes room in the store's record of what came.
-func drain(s *store) {
-	for len(s.came) > 0 {
-		<-s.came
+func drainReceived(s *store) {
+	for len(s.received) > 0 {
+		<-s.received
 	}
 }
 
@@ -659,26 +659,26 @@
 // a termination request, and another queue goes on.
 func TestQueueFull(t *testing.T) {
 	back := newStore()
-	back.still = make(chan struct{})
-	defer close(back.still)
+	back.hold = make(chan struct{})
+	defer close(back.hold)
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	for range 9 {
 		c.read(0, 1)
 	}
-	if err := terminated(c.io.in, fesSequence, -1); err != nil {
+	if err := expectTermination(c.io.in, fesSequence, -1); err != nil {
 		t.Error(err)
 	}
-	if _, _, err := c.admin.ask(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
+	if _, _, err := c.admin.execute(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
 		t.Errorf("the admin queue: %v", err)
 	}
 }
 
 // TestHostGoesAmidCommands has hosts end their connections with commands out, over and over: the core hears of each, and
 // nothing is kept.
-func TestHostGoesAmidCommands(t *testing.T) {
+func TestHostDisconnectsWithOpenCommands(t *testing.T) {
 	_, target := newServer(t, newStore(), targetNQN)
-	r := newRig(t, false, time.Second, target)
+	r := newInitiator(t, false, time.Second, target)
 	for i := range 20 {
 		c := newClient(t, r.addr, false)
 		c.write(uint64(i), "half")
@@ -687,6 +687,6 @@
 		c.admin.Close()
 	}
 	require.Eventually(t, func() bool {
-		return r.core.OpenCount() == 0 && r.server.bytes.Load() == 0 && r.server.open.Load() == 0
-	}, patient, time.Millisecond, "requests, bytes or commands are kept")
+		return r.core.OpenCount() == 0 && r.server.bufferedBytes.Load() == 0 && r.server.openCommands.Load() == 0
+	}, testTimeout, time.Millisecond, "requests, bytes or commands are kept")
 }
--- a/internal/datapath/nvme/conformance.go
+++ b/internal/datapath/nvme/conformance.go
@@ -47,9 +47,9 @@
 // clause is one requirement and its check. Sections are those of the TCP transport specification 1.0 (TCP), the base
 // specification 2.0 (base) and the NVM command set specification 1.0 (NVM).
 type clause struct {
-	section, text  string
-	writes, beside bool // beside: outside the subset
-	check          func(*probe) error
+	section, text       string
+	writes, unsupported bool // beside: outside the subset
+	check               func(*probe) error
 }
 
 // Conform holds a controller against each clause, each on connections of its own.
@@ -77,7 +77,7 @@
 			switch {
 			case err != nil:
 				r.Verdict, r.Detail = Fail, err.Error()
-			case c.beside:
+			case c.unsupported:
 				r.Verdict = Unsupported
 			}
 		}
@@ -88,17 +88,17 @@
 
 // probe is a clause's own host: connections that it opened, and what the controller told of itself.
 type probe struct {
-	opt     ConformanceOptions
-	open    []*wire
-	cntlid  uint16
-	block   int // bytes of a block
-	blocks  uint64
-	digests bool
-	kato    time.Duration
+	opt        ConformanceOptions
+	conns      []*hostConn
+	cntlid     uint16
+	blockBytes int // bytes of a block
+	blocks     uint64
+	digests    bool
+	kato       time.Duration
 }
 
 func (p *probe) close() {
-	for _, w := range p.open {
+	for _, w := range p.conns {
 		w.Close()
 	}
 }
@@ -113,29 +113,29 @@
 }
 
 // connect opens a connection, bounded in all it does, with framing agreed.
-func (p *probe) connect() (*wire, error) {
+func (p *probe) connect() (*hostConn, error) {
 	ctx, stop := context.WithTimeout(context.Background(), p.opt.Timeout)
 	defer stop()
-	w, err := p.host().open(ctx, p.opt.Addr)
+	w, err := p.host().openConn(ctx, p.opt.Addr)
 	if err == nil {
-		p.open = append(p.open, w)
+		p.conns = append(p.conns, w)
 	}
 	return w, err
 }
 
 // raw opens a connection on which nothing has been said yet.
-func (p *probe) raw() (net.Conn, error) {
+func (p *probe) dialRaw() (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", p.opt.Addr, p.opt.Timeout)
 	if err != nil {
 		return nil, err
 	}
 	c.SetDeadline(time.Now().Add(p.opt.Timeout))
-	p.open = append(p.open, &wire{Conn: c})
+	p.conns = append(p.conns, &hostConn{Conn: c})
 	return c, nil
 }
 
 // admin connects and enables an admin queue.
-func (p *probe) admin() (*wire, error) {
+func (p *probe) admin() (*hostConn, error) {
 	w, err := p.connect()
 	if err != nil {
 		return nil, err
@@ -147,30 +147,30 @@
 }
 
 // queue connects an admin queue and an I/O queue of 8 entries, and reads the namespace's size.
-func (p *probe) queue() (*wire, error) {
+func (p *probe) queue() (*hostConn, error) {
 	a, err := p.admin()
 	if err != nil {
 		return nil, err
 	}
 	id := newCommand(opIdentify, a.nextCID(), identifyLen, false)
 	id.set32(4, p.opt.NSID)
-	_, page, err := a.ask(id, nil)
+	_, page, err := a.execute(id, nil)
 	if err != nil {
 		return nil, fmt.Errorf("identify namespace: %w", err)
 	}
-	p.blocks, p.block = binary.LittleEndian.Uint64(page), 1<<page[130]
+	p.blocks, p.blockBytes = binary.LittleEndian.Uint64(page), 1<<page[130]
 	w, err := p.connect()
 	if err != nil {
 		return nil, err
 	}
-	return w, p.join(w, 1, 8)
+	return w, p.connectQueue(w, 1, 8)
 }
 
-func (p *probe) join(w *wire, qid, size uint16) error {
+func (p *probe) connectQueue(w *hostConn, qid, size uint16) error {
 	c := fabricsCommand(w, fctConnect, connectLen)
 	c.set16(42, qid)
 	c.set16(44, size-1)
-	_, _, err := w.ask(c, p.connectData(p.opt.Subsystem))
+	_, _, err := w.execute(c, p.connectData(p.opt.Subsystem))
 	return err
 }
 
@@ -183,8 +183,8 @@
 }
 
 // rw is a read or a write (or what resembles them) of some blocks.
-func (p *probe) rw(w *wire, op byte, lba uint64, blocks int, inside bool) *command {
-	c := newCommand(op, w.nextCID(), blocks*p.block, inside)
+func (p *probe) rw(w *hostConn, op byte, lba uint64, blocks int, inside bool) *command {
+	c := newCommand(op, w.nextCID(), blocks*p.blockBytes, inside)
 	c.set32(4, p.opt.NSID)
 	c.set64(40, lba)
 	c.set16(48, uint16(blocks-1))
@@ -192,8 +192,8 @@
 }
 
 // ends carries a command out and holds its status against the one wanted.
-func (p *probe) ends(w *wire, c *command, data []byte, want status) error {
-	done, _, err := w.ask(c, data)
+func (p *probe) expectStatus(w *hostConn, c *command, data []byte, want status) error {
+	done, _, err := w.execute(c, data)
 	if done.status == want && (err == nil || want != stOK) {
 		return nil
 	}
@@ -204,7 +204,7 @@
 }
 
 // terminated waits for a termination request with this status and field (negative: any).
-func terminated(in io.Reader, fes uint16, fei int64) error {
+func expectTermination(in io.Reader, fes uint16, fei int64) error {
 	for {
 		pd, err := readPDU(in, framing{})
 		if err != nil {
@@ -224,21 +224,21 @@
 }
 
 // says sends bytes on a fresh connection and waits for the termination request.
-func says(text []byte, fes uint16, fei int64) func(*probe) error {
+func terminatedAfterBytes(text []byte, fes uint16, fei int64) func(*probe) error {
 	return func(p *probe) error {
-		c, err := p.raw()
+		c, err := p.dialRaw()
 		if err != nil {
 			return err
 		}
 		if _, err := c.Write(text); err != nil {
 			return err
 		}
-		return terminated(c, fes, fei)
+		return expectTermination(c, fes, fei)
 	}
 }
 
 // onQueue runs a check on an I/O queue.
-func onQueue(check func(*probe, *wire) error) func(*probe) error {
+func onQueue(check func(*probe, *hostConn) error) func(*probe) error {
 	return func(p *probe) error {
 		w, err := p.queue()
 		if err != nil {
@@ -249,7 +249,7 @@
 }
 
 // onAdmin runs a check on an enabled admin queue.
-func onAdmin(check func(*probe, *wire) error) func(*probe) error {
+func onAdmin(check func(*probe, *hostConn) error) func(*probe) error {
 	return func(p *probe) error {
 		w, err := p.admin()
 		if err != nil {
@@ -260,26 +260,26 @@
 }
 
 // adminEnds sends one admin command with these dwords and checks its status.
-func adminEnds(op byte, length int, dw10, dw11 uint32, want status) func(*probe) error {
-	return onAdmin(func(p *probe, w *wire) error {
+func adminStatus(op byte, length int, dw10, dw11 uint32, want status) func(*probe) error {
+	return onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(op, w.nextCID(), length, false)
 		c.set32(40, dw10)
 		c.set32(44, dw11)
-		return p.ends(w, c, nil, want)
+		return p.expectStatus(w, c, nil, want)
 	})
 }
 
 // ioEnds sends one command on an I/O queue, as spoilt, and checks its status.
-func ioEnds(op byte, blocks int, want status, spoil func(*probe, *command)) func(*probe) error {
-	return onQueue(func(p *probe, w *wire) error {
+func ioStatus(op byte, blocks int, want status, spoil func(*probe, *command)) func(*probe) error {
+	return onQueue(func(p *probe, w *hostConn) error {
 		c := p.rw(w, op, 0, blocks, false)
 		spoil(p, c)
-		return p.ends(w, c, nil, want)
+		return p.expectStatus(w, c, nil, want)
 	})
 }
 
 // r2t begins a write that does not fit the capsule and returns the tag under which its data is asked for.
-func (p *probe) r2t(w *wire, blocks int) (c *command, tag uint16, err error) {
+func (p *probe) startWrite(w *hostConn, blocks int) (c *command, tag uint16, err error) {
 	c = p.rw(w, opWrite, 0, blocks, false)
 	if _, err = w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil)); err != nil {
 		return
@@ -295,15 +295,15 @@
 }
 
 // badData begins a write of 32 blocks and sends one part of its data that is wrong.
-func badData(fes uint16, fei int64, spoil func(p *probe, cid, tag uint16) (cidOut, tagOut uint16, offset, length, body int)) func(*probe) error {
-	return onQueue(func(p *probe, w *wire) error {
-		c, tag, err := p.r2t(w, 32)
+func terminatedAfterData(fes uint16, fei int64, spoil func(p *probe, cid, tag uint16) (cidOut, tagOut uint16, offset, length, body int)) func(*probe) error {
+	return onQueue(func(p *probe, w *hostConn) error {
+		c, tag, err := p.startWrite(w, 32)
 		if err != nil {
 			return err
 		}
 		cid, tag, offset, length, body := spoil(p, c.cid(), tag)
 		_, _ = w.Write(appendPDU(nil, w.framing, typeH2CData, 0, dataHead(cid, tag, uint32(offset), uint32(length)), make([]byte, body)))
-		return terminated(w.in, fes, fei)
+		return expectTermination(w.in, fes, fei)
 	})
 }
 
@@ -315,16 +315,16 @@
 }
 
 // text fills blocks with something that is not the same anywhere.
-func (p *probe) text(blocks, seed int) []byte {
-	b := make([]byte, blocks*p.block)
+func (p *probe) pattern(blocks, seed int) []byte {
+	b := make([]byte, blocks*p.blockBytes)
 	for i := range b {
-		b[i] = byte(i*7 + i/p.block + seed)
+		b[i] = byte(i*7 + i/p.blockBytes + seed)
 	}
 	return b
 }
 
 // data reads one command's data and its end.
-func (p *probe) data(w *wire, c *command) ([]byte, status, error) {
+func (p *probe) readData(w *hostConn, c *command) ([]byte, status, error) {
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil)); err != nil {
 		return nil, 0, err
 	}
@@ -346,23 +346,23 @@
 }
 
 // wrote writes and reads back.
-func wrote(blocks int, inside, digests bool) func(*probe) error { //nolint:gocognit // to be split with its package, see docs/left.md
+func writeAndReadBack(blocks int, inside, digests bool) func(*probe) error { //nolint:gocognit // to be split with its package, see docs/left.md
 	return func(p *probe) error {
 		p.digests = digests
-		return onQueue(func(p *probe, w *wire) error {
-			text := p.text(blocks, blocks)
+		return onQueue(func(p *probe, w *hostConn) error {
+			text := p.pattern(blocks, blocks)
 			c := p.rw(w, opWrite, 0, blocks, inside)
 			if inside {
-				if err := p.ends(w, c, text, stOK); err != nil {
+				if err := p.expectStatus(w, c, text, stOK); err != nil {
 					return err
 				}
 			} else {
 				var tag uint16
 				var err error
-				if c, tag, err = p.r2t(w, blocks); err != nil {
+				if c, tag, err = p.startWrite(w, blocks); err != nil {
 					return err
 				}
-				if err = (&session{wire: w}).sendData(c.cid(), tag, text, 0, len(text)); err != nil {
+				if err = (&session{hostConn: w}).sendData(c.cid(), tag, text, 0, len(text)); err != nil {
 					return err
 				}
 				pd, err := w.receive()
@@ -373,7 +373,7 @@
 					return fmt.Errorf("write ended with %+v", done)
 				}
 			}
-			body, st, err := p.data(w, p.rw(w, opRead, 0, blocks, false))
+			body, st, err := p.readData(w, p.rw(w, opRead, 0, blocks, false))
 			if err != nil {
 				return err
 			}
@@ -386,7 +386,7 @@
 }
 
 // ended waits for the connection's end.
-func ended(w *wire) error {
+func expectClose(w *hostConn) error {
 	for {
 		if _, err := w.receive(); errors.Is(err, os.ErrDeadlineExceeded) {
 			return errors.New("the connection is still open")
@@ -397,23 +397,23 @@
 }
 
 // setCC writes the controller's configuration.
-func setCC(w *wire, cc uint64) error {
+func writeCC(w *hostConn, cc uint64) error {
 	c := fabricsCommand(w, fctPropertySet, 0)
 	c.set32(44, propCC)
 	c.set64(48, cc)
-	_, _, err := w.ask(c, nil)
+	_, _, err := w.execute(c, nil)
 	return err
 }
 
 // page reads an identify page and checks it.
-func page(cns uint32, check func(*probe, []byte) bool) func(*probe) error {
-	return onAdmin(func(p *probe, w *wire) error {
+func identifyPage(cns uint32, check func(*probe, []byte) bool) func(*probe) error {
+	return onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(opIdentify, w.nextCID(), identifyLen, false)
 		if cns == 0 || cns == 3 {
 			c.set32(4, p.opt.NSID)
 		}
 		c.set32(40, cns)
-		_, b, err := w.ask(c, nil)
+		_, b, err := w.execute(c, nil)
 		switch {
 		case err != nil:
 			return err
@@ -425,11 +425,11 @@
 }
 
 // everyCut sends a part of a command on a connection each, and asks whether the controller still serves.
-func everyCut(p *probe) error {
-	c := fabricsCommand(&wire{}, fctConnect, connectLen)
+func truncatedConnects(p *probe) error {
+	c := fabricsCommand(&hostConn{}, fctConnect, connectLen)
 	whole := append(icReq(func([]byte) {}), appendPDU(nil, framing{}, typeCmd, 0, c[:], p.connectData(p.opt.Subsystem))...)
 	for cut := 0; cut < len(whole); cut += 1 + cut/16 {
-		n, err := p.raw()
+		n, err := p.dialRaw()
 		if err != nil {
 			return err
 		}
@@ -442,19 +442,19 @@
 
 var clauses = slices.Concat([]clause{
 	{section: "TCP 3.6.2.2", text: "a connection that does not begin with ICReq is terminated (sequence error)",
-		check: says(appendPDU(nil, framing{}, typeCmd, 0, make([]byte, cmdLen-commonLen), nil), fesSequence, -1)},
+		check: terminatedAfterBytes(appendPDU(nil, framing{}, typeCmd, 0, make([]byte, cmdLen-commonLen), nil), fesSequence, -1)},
 	{section: "TCP 3.6.2.2", text: "a PDU format version that is not supported is terminated, with its field",
-		check: says(icReq(func(b []byte) { b[8] = 9 }), fesUnsupported, 8)},
+		check: terminatedAfterBytes(icReq(func(b []byte) { b[8] = 9 }), fesUnsupported, 8)},
 	{section: "TCP 3.6.2.3", text: "ICResp grants no digest that was not asked for; MAXH2CDATA is 4,096 at least",
 		check: func(p *probe) error { _, err := p.connect(); return err }},
 	{section: "TCP 3.6.1", text: "a PDU type that does not exist is terminated (invalid header, field 0)",
-		check: says([]byte{0x0F, 0, 128, 0, 128, 0, 0, 0}, fesInvalidHeader, 0)},
+		check: terminatedAfterBytes([]byte{0x0F, 0, 128, 0, 128, 0, 0, 0}, fesInvalidHeader, 0)},
 	{section: "TCP 3.6.1", text: "a header length that does not fit the type is terminated (field 2)",
-		check: says([]byte{typeICReq, 0, 64, 0, 64, 0, 0, 0}, fesInvalidHeader, 2)},
+		check: terminatedAfterBytes([]byte{typeICReq, 0, 64, 0, 64, 0, 0, 0}, fesInvalidHeader, 2)},
 	{section: "TCP 3.6.1", text: "a PDU length under its header's is terminated (field 4)",
-		check: says([]byte{typeICReq, 0, 128, 0, 8, 0, 0, 0}, fesInvalidHeader, 4)},
+		check: terminatedAfterBytes([]byte{typeICReq, 0, 128, 0, 8, 0, 0, 0}, fesInvalidHeader, 4)},
 	{section: "TCP 3.6.1", text: "a PDU length without bound is terminated (field 4)",
-		check: says([]byte{typeCmd, 0, 72, 72, 255, 255, 255, 255}, fesInvalidHeader, 4)},
+		check: terminatedAfterBytes([]byte{typeCmd, 0, 72, 72, 255, 255, 255, 255}, fesInvalidHeader, 4)},
 	{section: "TCP 3.3.2.1", text: "a header digest that is wrong is terminated (header digest error)",
 		check: func(p *probe) error {
 			p.digests = true
@@ -465,14 +465,14 @@
 			b := appendPDU(nil, w.framing, typeCmd, 0, make([]byte, cmdLen-commonLen), nil)
 			b[len(b)-1] ^= 1
 			_, _ = w.Write(b)
-			return terminated(w.in, fesHeaderDigest, -1)
+			return expectTermination(w.in, fesHeaderDigest, -1)
 		}},
 	{section: "TCP 3.3.2.1", text: "a data digest that is wrong fails its command (transient), the connection goes on",
 		check: func(p *probe) error {
 			p.digests = true
-			return onQueue(func(p *probe, w *wire) error {
+			return onQueue(func(p *probe, w *hostConn) error {
 				c := p.rw(w, opCompare, 0, 1, true)
-				b := appendPDU(nil, w.framing, typeCmd, 0, c[:], p.text(1, 1))
+				b := appendPDU(nil, w.framing, typeCmd, 0, c[:], p.pattern(1, 1))
 				b[len(b)-1] ^= 1
 				if _, err := w.Write(b); err != nil {
 					return err
@@ -484,54 +484,54 @@
 				if st := parseCompletion(pd).status; st.code() != stTransient {
 					return fmt.Errorf("status %#x", uint16(st))
 				}
-				return p.ends(w, p.rw(w, opFlush, 0, 1, false), nil, stOK)
+				return p.expectStatus(w, p.rw(w, opFlush, 0, 1, false), nil, stOK)
 			})(p)
 		}},
-	{section: "TCP 3.6", text: "a connection cut at any byte harms no other", check: everyCut},
+	{section: "TCP 3.6", text: "a connection cut at any byte harms no other", check: truncatedConnects},
 	{section: "TCP 3.6.2.4", text: "a host's termination request ends the connection", check: func(p *probe) error {
 		w, err := p.connect()
 		if err != nil {
 			return err
 		}
-		_, _ = w.Write(termPDU(typeH2CTerm, &fatal{fes: fesSequence}))
-		return ended(w)
+		_, _ = w.Write(termPDU(typeH2CTerm, &fatalError{fes: fesSequence}))
+		return expectClose(w)
 	}},
 	{section: "TCP 3.6.2.8", text: "data for a command that asked for none is terminated (field 8)", writes: true,
-		check: badData(fesInvalidHeader, 8, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
-			return cid + 1, tag, 0, p.block, p.block
+		check: terminatedAfterData(fesInvalidHeader, 8, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
+			return cid + 1, tag, 0, p.blockBytes, p.blockBytes
 		})},
 	{section: "TCP 3.6.2.8", text: "data under another transfer tag is terminated (field 10)", writes: true,
-		check: badData(fesInvalidHeader, 10, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
-			return cid, tag + 1, 0, p.block, p.block
+		check: terminatedAfterData(fesInvalidHeader, 10, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
+			return cid, tag + 1, 0, p.blockBytes, p.blockBytes
 		})},
 	{section: "TCP 3.6.2.8", text: "data out of order is terminated (out of range)", writes: true,
-		check: badData(fesOutOfRange, -1, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
-			return cid, tag, p.block, p.block, p.block
+		check: terminatedAfterData(fesOutOfRange, -1, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
+			return cid, tag, p.blockBytes, p.blockBytes, p.blockBytes
 		})},
 	{section: "TCP 3.6.2.8", text: "data beyond the command's length is terminated", writes: true,
-		check: badData(fesOutOfRange, -1, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
-			return cid, tag, 0, 33 * p.block, 33 * p.block
+		check: terminatedAfterData(fesOutOfRange, -1, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
+			return cid, tag, 0, 33 * p.blockBytes, 33 * p.blockBytes
 		})},
 	{section: "TCP 3.6.2.8", text: "a data length that is not the data's is terminated (field 16)", writes: true,
-		check: badData(fesInvalidHeader, 16, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
-			return cid, tag, 0, 2 * p.block, p.block
+		check: terminatedAfterData(fesInvalidHeader, 16, func(p *probe, cid, tag uint16) (uint16, uint16, int, int, int) {
+			return cid, tag, 0, 2 * p.blockBytes, p.blockBytes
 		})},
 	{section: "TCP 3.6.2.8", text: "data that overlaps what came is terminated (out of range)", writes: true,
-		check: onQueue(func(p *probe, w *wire) error {
-			c, tag, err := p.r2t(w, 32)
+		check: onQueue(func(p *probe, w *hostConn) error {
+			c, tag, err := p.startWrite(w, 32)
 			if err != nil {
 				return err
 			}
 			for range 2 {
-				_, _ = w.Write(appendPDU(nil, w.framing, typeH2CData, 0, dataHead(c.cid(), tag, 0, uint32(p.block)), make([]byte, p.block)))
+				_, _ = w.Write(appendPDU(nil, w.framing, typeH2CData, 0, dataHead(c.cid(), tag, 0, uint32(p.blockBytes)), make([]byte, p.blockBytes)))
 			}
-			return terminated(w.in, fesOutOfRange, -1)
+			return expectTermination(w.in, fesOutOfRange, -1)
 		})},
-	{section: "TCP 3.6.2.9", text: "read back what was written, data in the capsule", writes: true, check: wrote(4, true, false)},
-	{section: "TCP 3.6.2.10", text: "read back what was written, data asked for by R2T, both digests", writes: true, check: wrote(200, false, true)},
+	{section: "TCP 3.6.2.9", text: "read back what was written, data in the capsule", writes: true, check: writeAndReadBack(4, true, false)},
+	{section: "TCP 3.6.2.10", text: "read back what was written, data asked for by R2T, both digests", writes: true, check: writeAndReadBack(200, false, true)},
 	{section: "TCP 3.6.2.8", text: "a host that goes amid a write's data harms no other", writes: true,
-		check: onQueue(func(p *probe, w *wire) error {
-			if _, _, err := p.r2t(w, 32); err != nil {
+		check: onQueue(func(p *probe, w *hostConn) error {
+			if _, _, err := p.startWrite(w, 32); err != nil {
 				return err
 			}
 			w.Close()
@@ -544,17 +544,17 @@
 		if err != nil {
 			return err
 		}
-		p.cntlid = staticID
+		p.cntlid = dynamicCntlID
 		c := fabricsCommand(w, fctConnect, connectLen)
 		c.set16(44, 31)
-		return p.ends(w, c, p.connectData("nqn.2026-12.example:nobody"), stBadConnect|dnr)
+		return p.expectStatus(w, c, p.connectData("nqn.2026-12.example:nobody"), stBadConnect|dnr)
 	}},
 	{section: "base 6.3", text: "another command before Connect: Command Sequence Error", check: func(p *probe) error {
 		w, err := p.connect()
 		if err != nil {
 			return err
 		}
-		return p.ends(w, newCommand(opKeepAlive, w.nextCID(), 0, false), nil, stSequence|dnr)
+		return p.expectStatus(w, newCommand(opKeepAlive, w.nextCID(), 0, false), nil, stSequence|dnr)
 	}},
 	{section: "base 6.3", text: "an I/O queue of a controller that is not there: Connect Invalid Parameters", check: func(p *probe) error {
 		w, err := p.connect()
@@ -565,9 +565,9 @@
 		c := fabricsCommand(w, fctConnect, connectLen)
 		c.set16(42, 1)
 		c.set16(44, 7)
-		return p.ends(w, c, p.connectData(p.opt.Subsystem), stBadConnect|dnr)
+		return p.expectStatus(w, c, p.connectData(p.opt.Subsystem), stBadConnect|dnr)
 	}},
-	{section: "base 6.3", text: "an I/O queue that is there already: Command Sequence Error", check: onQueue(func(p *probe, _ *wire) error {
+	{section: "base 6.3", text: "an I/O queue that is there already: Command Sequence Error", check: onQueue(func(p *probe, _ *hostConn) error {
 		w, err := p.connect()
 		if err != nil {
 			return err
@@ -575,51 +575,51 @@
 		c := fabricsCommand(w, fctConnect, connectLen)
 		c.set16(42, 1)
 		c.set16(44, 7)
-		return p.ends(w, c, p.connectData(p.opt.Subsystem), stSequence|dnr)
+		return p.expectStatus(w, c, p.connectData(p.opt.Subsystem), stSequence|dnr)
 	})},
-	{section: "base 6.4", text: "Disconnect deletes the queue", check: onQueue(func(p *probe, w *wire) error {
-		if _, _, err := w.ask(fabricsCommand(w, fctDisconnect, 0), nil); err != nil {
+	{section: "base 6.4", text: "Disconnect deletes the queue", check: onQueue(func(p *probe, w *hostConn) error {
+		if _, _, err := w.execute(fabricsCommand(w, fctDisconnect, 0), nil); err != nil {
 			return err
 		}
-		return ended(w)
+		return expectClose(w)
 	})},
-	{section: "base 6.5", text: "Property Get: version 1.4 or later, ready once enabled", check: onAdmin(func(p *probe, w *wire) error {
-		v, err := w.property(propVS)
+	{section: "base 6.5", text: "Property Get: version 1.4 or later, ready once enabled", check: onAdmin(func(p *probe, w *hostConn) error {
+		v, err := w.readProperty(propVS)
 		if err == nil && v < version {
 			err = fmt.Errorf("version %#x", v)
 		}
 		if err != nil {
 			return err
 		}
-		if v, err = w.property(propCSTS); err == nil && v&cstsReady == 0 {
+		if v, err = w.readProperty(propCSTS); err == nil && v&cstsReady == 0 {
 			err = fmt.Errorf("status %#x", v)
 		}
 		return err
 	})},
-	{section: "base 6.5", text: "Property Get of what there is not: Invalid Field", check: onAdmin(func(p *probe, w *wire) error {
+	{section: "base 6.5", text: "Property Get of what there is not: Invalid Field", check: onAdmin(func(p *probe, w *hostConn) error {
 		c := fabricsCommand(w, fctPropertyGet, 0)
 		c.set32(44, 0x44)
-		return p.ends(w, c, nil, stInvalidField|dnr)
+		return p.expectStatus(w, c, nil, stInvalidField|dnr)
 	})},
-	{section: "base 3.6.1", text: "CC.SHN: shutdown is told as complete", check: onAdmin(func(p *probe, w *wire) error {
-		if err := setCC(w, 4<<20|6<<16|1<<14|ccEnable); err != nil {
+	{section: "base 3.6.1", text: "CC.SHN: shutdown is told as complete", check: onAdmin(func(p *probe, w *hostConn) error {
+		if err := writeCC(w, 4<<20|6<<16|1<<14|ccEnable); err != nil {
 			return err
 		}
-		v, err := w.property(propCSTS)
+		v, err := w.readProperty(propCSTS)
 		if err == nil && v&(3<<2) != cstsShutdown {
 			err = fmt.Errorf("status %#x", v)
 		}
 		return err
 	})},
-	{section: "base 3.7.2", text: "a controller reset ends I/O queues and keeps the admin queue", check: onQueue(func(p *probe, w *wire) error {
-		a := p.open[0]
-		if err := setCC(a, 0); err != nil {
+	{section: "base 3.7.2", text: "a controller reset ends I/O queues and keeps the admin queue", check: onQueue(func(p *probe, w *hostConn) error {
+		a := p.conns[0]
+		if err := writeCC(a, 0); err != nil {
 			return err
 		}
-		if err := ended(w); err != nil {
+		if err := expectClose(w); err != nil {
 			return err
 		}
-		_, err := a.property(propCSTS)
+		_, err := a.readProperty(propCSTS)
 		return err
 	})},
 	{section: "base 3.9", text: "a host without keep-alives past its time-out loses its association", check: func(p *probe) error {
@@ -628,7 +628,7 @@
 		if err != nil {
 			return err
 		}
-		return ended(w)
+		return expectClose(w)
 	}},
 	{section: "base 5.18", text: "keep-alives keep the association past its time-out", check: func(p *probe) error {
 		p.kato = 400 * time.Millisecond
@@ -638,18 +638,18 @@
 				return err
 			}
 			time.Sleep(100 * time.Millisecond)
-			_, _, err = w.ask(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
+			_, _, err = w.execute(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
 		}
 		return err
 	}},
 	{section: "base 5.17.2.1", text: "Identify namespace: a size, blocks of 512 bytes at least",
-		check: page(0, func(_ *probe, b []byte) bool { return binary.LittleEndian.Uint64(b) > 0 && b[130] >= 9 })},
+		check: identifyPage(0, func(_ *probe, b []byte) bool { return binary.LittleEndian.Uint64(b) > 0 && b[130] >= 9 })},
 	{section: "base 5.17.2.2", text: "Identify controller: the subsystem's name, entry sizes, a keep-alive granularity",
-		check: page(1, func(p *probe, b []byte) bool {
-			return nqn(b[768:1024]) == p.opt.Subsystem && b[512]&15 == 6 && b[513]&15 == 4 && binary.LittleEndian.Uint16(b[320:]) > 0
+		check: identifyPage(1, func(p *probe, b []byte) bool {
+			return parseNQN(b[768:1024]) == p.opt.Subsystem && b[512]&15 == 6 && b[513]&15 == 4 && binary.LittleEndian.Uint16(b[320:]) > 0
 		})},
 	{section: "base 5.17.2.3", text: "Identify active namespaces: the namespace is there, ids ascend",
-		check: page(2, func(p *probe, b []byte) bool {
+		check: identifyPage(2, func(p *probe, b []byte) bool {
 			there, last := false, uint32(0)
 			for at := 0; at < len(b); at += 4 {
 				id := binary.LittleEndian.Uint32(b[at:])
@@ -664,33 +664,33 @@
 			return there
 		})},
 	{section: "base 5.17.2.4", text: "Identify namespace identification: one descriptor at least",
-		check: page(3, func(_ *probe, b []byte) bool { return b[0] > 0 && b[1] > 0 })},
-	{section: "base 5.17", text: "Identify of a CNS there is not: Invalid Field", check: adminEnds(opIdentify, identifyLen, 0xC0, 0, stInvalidField|dnr)},
-	{section: "base 5.16.1.2", text: "Get Log Page: error information", check: adminEnds(opGetLogPage, 64, logErrors|15<<16, 0, stOK)},
-	{section: "base 5.16.1.3", text: "Get Log Page: health", check: adminEnds(opGetLogPage, 512, logHealth|127<<16, 0, stOK)},
-	{section: "base 5.16.1.4", text: "Get Log Page: firmware slot", check: adminEnds(opGetLogPage, 512, logFirmware|127<<16, 0, stOK)},
-	{section: "base 5.16.1.5", text: "Get Log Page: changed namespaces", check: adminEnds(opGetLogPage, 4096, logNamespaces|1023<<16, 0, stOK)},
-	{section: "base 5.16.1.6", text: "Get Log Page: commands and their effects", check: adminEnds(opGetLogPage, 4096, logEffects|1023<<16, 0, stOK)},
-	{section: "base 5.16", text: "Get Log Page of a page there is not: Invalid Log Page", check: adminEnds(opGetLogPage, 512, 0xDF|127<<16, 0, stInvalidLogPage|dnr)},
-	{section: "base 5.27.1.5", text: "Set Features: number of queues", check: onAdmin(func(p *probe, w *wire) error {
+		check: identifyPage(3, func(_ *probe, b []byte) bool { return b[0] > 0 && b[1] > 0 })},
+	{section: "base 5.17", text: "Identify of a CNS there is not: Invalid Field", check: adminStatus(opIdentify, identifyLen, 0xC0, 0, stInvalidField|dnr)},
+	{section: "base 5.16.1.2", text: "Get Log Page: error information", check: adminStatus(opGetLogPage, 64, logErrors|15<<16, 0, stOK)},
+	{section: "base 5.16.1.3", text: "Get Log Page: health", check: adminStatus(opGetLogPage, 512, logHealth|127<<16, 0, stOK)},
+	{section: "base 5.16.1.4", text: "Get Log Page: firmware slot", check: adminStatus(opGetLogPage, 512, logFirmware|127<<16, 0, stOK)},
+	{section: "base 5.16.1.5", text: "Get Log Page: changed namespaces", check: adminStatus(opGetLogPage, 4096, logNamespaces|1023<<16, 0, stOK)},
+	{section: "base 5.16.1.6", text: "Get Log Page: commands and their effects", check: adminStatus(opGetLogPage, 4096, logEffects|1023<<16, 0, stOK)},
+	{section: "base 5.16", text: "Get Log Page of a page there is not: Invalid Log Page", check: adminStatus(opGetLogPage, 512, 0xDF|127<<16, 0, stInvalidLogPage|dnr)},
+	{section: "base 5.27.1.5", text: "Set Features: number of queues", check: onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(opSetFeatures, w.nextCID(), 0, false)
 		c.set32(40, featQueues)
 		c.set32(44, 3<<16|3)
-		_, _, err := w.ask(c, nil)
+		_, _, err := w.execute(c, nil)
 		return err
 	})},
-	{section: "base 5.27.1.9", text: "Set Features: asynchronous event configuration", check: adminEnds(opSetFeatures, 0, featAsyncEvents, eventsKnown, stOK)},
-	{section: "base 5.27", text: "Set Features of a feature there is not: Invalid Field", check: adminEnds(opSetFeatures, 0, 0xCF, 0, stInvalidField|dnr)},
-	{section: "base 5.1", text: "Abort of a command that is not there: completed, told as not aborted", check: onAdmin(func(p *probe, w *wire) error {
+	{section: "base 5.27.1.9", text: "Set Features: asynchronous event configuration", check: adminStatus(opSetFeatures, 0, featAsyncEvents, supportedEvents, stOK)},
+	{section: "base 5.27", text: "Set Features of a feature there is not: Invalid Field", check: adminStatus(opSetFeatures, 0, 0xCF, 0, stInvalidField|dnr)},
+	{section: "base 5.1", text: "Abort of a command that is not there: completed, told as not aborted", check: onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(opAbort, w.nextCID(), 0, false)
 		c.set32(40, 1|0x7777<<16)
-		done, _, err := w.ask(c, nil)
+		done, _, err := w.execute(c, nil)
 		if err == nil && done.result&1 == 0 {
 			err = errors.New("told as aborted")
 		}
 		return err
 	})},
-	{section: "base 5.2", text: "event requests wait; past the limit: Asynchronous Event Request Limit Exceeded", check: onAdmin(func(p *probe, w *wire) error {
+	{section: "base 5.2", text: "event requests wait; past the limit: Asynchronous Event Request Limit Exceeded", check: onAdmin(func(p *probe, w *hostConn) error {
 		for range 17 {
 			c := newCommand(opAsyncEvent, w.nextCID(), 0, false)
 			_, _ = w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil))
@@ -704,11 +704,11 @@
 		}
 		return nil
 	})},
-	{section: "base 3.3.3", text: "a command id that is in use: Command ID Conflict", check: onAdmin(func(p *probe, w *wire) error {
+	{section: "base 3.3.3", text: "a command id that is in use: Command ID Conflict", check: onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(opAsyncEvent, w.nextCID(), 0, false)
 		_, _ = w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil))
 		again := newCommand(opKeepAlive, c.cid(), 0, false)
-		return p.ends(w, again, nil, stCIDConflict|dnr)
+		return p.expectStatus(w, again, nil, stCIDConflict|dnr)
 	})},
 	{section: "base 5.16.1.23", text: "discovery: the subsystem is found by the well-known name", check: func(p *probe) error {
 		named := p.opt.Subsystem
@@ -720,63 +720,63 @@
 		}
 		c := newCommand(opGetLogPage, w.nextCID(), 2*discoveryLen, false)
 		c.set32(40, logDiscovery|(2*discoveryLen/4-1)<<16)
-		_, b, err := w.ask(c, nil)
-		if err == nil && nqn(b[discoveryLen+256:discoveryLen+512]) != named {
-			err = fmt.Errorf("the first entry is %q", nqn(b[discoveryLen+256:discoveryLen+512]))
+		_, b, err := w.execute(c, nil)
+		if err == nil && parseNQN(b[discoveryLen+256:discoveryLen+512]) != named {
+			err = fmt.Errorf("the first entry is %q", parseNQN(b[discoveryLen+256:discoveryLen+512]))
 		}
 		return err
 	}},
-	{section: "base 7.1", text: "Flush of a namespace", check: ioEnds(opFlush, 1, stOK, func(*probe, *command) {})},
-	{section: "base 3.1.2", text: "an opcode that does not exist: Invalid Opcode", check: ioEnds(0x7E, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
-	{section: "base 3.2.1", text: "a namespace that is not there: Invalid Namespace", check: ioEnds(opRead, 1, stInvalidNS|dnr, func(_ *probe, c *command) { c.set32(4, 0xABCDE) })},
-	{section: "NVM 3.2.4", text: "Read past the namespace's end: LBA Out of Range", check: ioEnds(opRead, 2, stLBARange|dnr, func(p *probe, c *command) { c.set64(40, p.blocks-1) })},
-	{section: "NVM 3.2.4", text: "Read from an address near the largest: LBA Out of Range", check: ioEnds(opRead, 2, stLBARange|dnr, func(_ *probe, c *command) { c.set64(40, 1<<64-1) })},
-	{section: "NVM 3.2.4", text: "Read with a length that is not its blocks': Invalid Field", check: ioEnds(opRead, 2, stInvalidField|dnr, func(p *probe, c *command) { c.set32(32, uint32(p.block)) })},
-	{section: "NVM 3.2.1", text: "Compare: success, and Compare Failure", writes: true, check: onQueue(func(p *probe, w *wire) error {
-		text := p.text(2, 5)
-		if err := p.ends(w, p.rw(w, opWrite, 8, 2, true), text, stOK); err != nil {
+	{section: "base 7.1", text: "Flush of a namespace", check: ioStatus(opFlush, 1, stOK, func(*probe, *command) {})},
+	{section: "base 3.1.2", text: "an opcode that does not exist: Invalid Opcode", check: ioStatus(0x7E, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
+	{section: "base 3.2.1", text: "a namespace that is not there: Invalid Namespace", check: ioStatus(opRead, 1, stInvalidNS|dnr, func(_ *probe, c *command) { c.set32(4, 0xABCDE) })},
+	{section: "NVM 3.2.4", text: "Read past the namespace's end: LBA Out of Range", check: ioStatus(opRead, 2, stLBARange|dnr, func(p *probe, c *command) { c.set64(40, p.blocks-1) })},
+	{section: "NVM 3.2.4", text: "Read from an address near the largest: LBA Out of Range", check: ioStatus(opRead, 2, stLBARange|dnr, func(_ *probe, c *command) { c.set64(40, 1<<64-1) })},
+	{section: "NVM 3.2.4", text: "Read with a length that is not its blocks': Invalid Field", check: ioStatus(opRead, 2, stInvalidField|dnr, func(p *probe, c *command) { c.set32(32, uint32(p.blockBytes)) })},
+	{section: "NVM 3.2.1", text: "Compare: success, and Compare Failure", writes: true, check: onQueue(func(p *probe, w *hostConn) error {
+		text := p.pattern(2, 5)
+		if err := p.expectStatus(w, p.rw(w, opWrite, 8, 2, true), text, stOK); err != nil {
 			return err
 		}
-		if err := p.ends(w, p.rw(w, opCompare, 8, 2, true), text, stOK); err != nil {
+		if err := p.expectStatus(w, p.rw(w, opCompare, 8, 2, true), text, stOK); err != nil {
 			return err
 		}
-		return p.ends(w, p.rw(w, opCompare, 8, 2, true), p.text(2, 6), stCompareFailure)
+		return p.expectStatus(w, p.rw(w, opCompare, 8, 2, true), p.pattern(2, 6), stCompareFailure)
 	})},
-	{section: "NVM 3.2.8", text: "Write Zeroes: the blocks read as zeroes", writes: true, check: onQueue(func(p *probe, w *wire) error {
-		if err := p.ends(w, p.rw(w, opWrite, 8, 2, true), p.text(2, 5), stOK); err != nil {
+	{section: "NVM 3.2.8", text: "Write Zeroes: the blocks read as zeroes", writes: true, check: onQueue(func(p *probe, w *hostConn) error {
+		if err := p.expectStatus(w, p.rw(w, opWrite, 8, 2, true), p.pattern(2, 5), stOK); err != nil {
 			return err
 		}
 		c := p.rw(w, opWriteZeroes, 8, 2, false)
 		c.set32(32, 0)
 		c[39] = 0
-		if err := p.ends(w, c, nil, stOK); err != nil {
+		if err := p.expectStatus(w, c, nil, stOK); err != nil {
 			return err
 		}
-		body, st, err := p.data(w, p.rw(w, opRead, 8, 2, false))
-		if err == nil && (st != stOK || !bytes.Equal(body, make([]byte, 2*p.block))) {
+		body, st, err := p.readData(w, p.rw(w, opRead, 8, 2, false))
+		if err == nil && (st != stOK || !bytes.Equal(body, make([]byte, 2*p.blockBytes))) {
 			err = fmt.Errorf("status %#x, %d bytes that are not all zeroes", uint16(st), len(body))
 		}
 		return err
 	})},
-	{section: "NVM 3.2.3", text: "Dataset Management: a range past the end: LBA Out of Range", check: onQueue(func(p *probe, w *wire) error {
+	{section: "NVM 3.2.3", text: "Dataset Management: a range past the end: LBA Out of Range", check: onQueue(func(p *probe, w *hostConn) error {
 		r := make([]byte, 16)
 		binary.LittleEndian.PutUint32(r[4:], 2)
 		binary.LittleEndian.PutUint64(r[8:], p.blocks-1)
-		c := newCommand(opDataset, w.nextCID(), len(r), true)
+		c := newCommand(opDatasetManagement, w.nextCID(), len(r), true)
 		c.set32(4, p.opt.NSID)
 		c.set32(44, 1<<2)
-		return p.ends(w, c, r, stLBARange|dnr)
+		return p.expectStatus(w, c, r, stLBARange|dnr)
 	})},
 }, []clause{
-	{section: "base 3.3.1", text: "fused commands", beside: true, check: ioEnds(opRead, 1, stInvalidField|dnr, func(_ *probe, c *command) { c[1] |= 1 })},
-	{section: "base 4.1.1", text: "PRPs", beside: true, check: ioEnds(opRead, 1, stInvalidField|dnr, func(_ *probe, c *command) { c[1] = 0 })},
-	{section: "base 7.5", text: "reservations", beside: true, check: ioEnds(0x0D, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
-	{section: "NVM 3.2.7", text: "Write Uncorrectable", beside: true, check: ioEnds(0x04, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
-	{section: "NVM 3.2.5", text: "Verify", beside: true, check: ioEnds(0x0C, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
-	{section: "NVM 3.2.2", text: "Copy", beside: true, check: ioEnds(0x19, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
-	{section: "base 5.14", text: "Format NVM", beside: true, check: adminEnds(0x80, 0, 0, 0, stInvalidOpcode|dnr)},
-	{section: "base 5.24", text: "Namespace Management", beside: true, check: adminEnds(0x0D, 0, 0, 0, stInvalidOpcode|dnr)},
-	{section: "base 6.2", text: "in-band authentication", beside: true, check: onAdmin(func(p *probe, w *wire) error {
-		return p.ends(w, fabricsCommand(w, 0x05, 0), nil, stInvalidOpcode|dnr)
+	{section: "base 3.3.1", text: "fused commands", unsupported: true, check: ioStatus(opRead, 1, stInvalidField|dnr, func(_ *probe, c *command) { c[1] |= 1 })},
+	{section: "base 4.1.1", text: "PRPs", unsupported: true, check: ioStatus(opRead, 1, stInvalidField|dnr, func(_ *probe, c *command) { c[1] = 0 })},
+	{section: "base 7.5", text: "reservations", unsupported: true, check: ioStatus(0x0D, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
+	{section: "NVM 3.2.7", text: "Write Uncorrectable", unsupported: true, check: ioStatus(0x04, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
+	{section: "NVM 3.2.5", text: "Verify", unsupported: true, check: ioStatus(0x0C, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
+	{section: "NVM 3.2.2", text: "Copy", unsupported: true, check: ioStatus(0x19, 1, stInvalidOpcode|dnr, func(*probe, *command) {})},
+	{section: "base 5.14", text: "Format NVM", unsupported: true, check: adminStatus(0x80, 0, 0, 0, stInvalidOpcode|dnr)},
+	{section: "base 5.24", text: "Namespace Management", unsupported: true, check: adminStatus(0x0D, 0, 0, 0, stInvalidOpcode|dnr)},
+	{section: "base 6.2", text: "in-band authentication", unsupported: true, check: onAdmin(func(p *probe, w *hostConn) error {
+		return p.expectStatus(w, fabricsCommand(w, 0x05, 0), nil, stInvalidOpcode|dnr)
 	})},
 })
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -42,21 +42,21 @@
 }
 
 const (
-	handshakeWithin = 2 * time.Second
-	writeWithin     = 5 * time.Second
-	mostQueues      = 16 // I/O queues of one controller
+	handshakeTimeout = 2 * time.Second
+	writeTimeout     = 5 * time.Second
+	maxIOQueues      = 16 // I/O queues of one controller
 )
 
 // Server is the NVMe over TCP front.
 type Server struct {
-	opt     Options
-	core    Core
-	spaces  atomic.Pointer[map[uint32]*Namespace]
-	bytes   atomic.Int64
-	health  health
-	open    atomic.Int64              // commands in the core
-	left    atomic.Pointer[time.Time] // when Stop was called
-	leaving atomic.Bool               // new commands are turned away
+	opt           Options
+	core          Core
+	namespaces    atomic.Pointer[map[uint32]*Namespace]
+	bufferedBytes atomic.Int64
+	health        healthCounters
+	openCommands  atomic.Int64              // commands in the core
+	stopTime      atomic.Pointer[time.Time] // when Stop was called
+	rejectNew     atomic.Bool               // new commands are turned away
 
 	mu          sync.Mutex
 	controllers map[uint16]*controller
@@ -68,11 +68,11 @@
 // New returns a front for the core.
 func New(c Core, opt Options) *Server {
 	s := &Server{opt: opt, core: c, controllers: map[uint16]*controller{}, queues: map[*queue]bool{}}
-	s.spaces.Store(byID(opt.Namespaces))
+	s.namespaces.Store(namespacesByID(opt.Namespaces))
 	return s
 }
 
-func byID(list []Namespace) *map[uint32]*Namespace {
+func namespacesByID(list []Namespace) *map[uint32]*Namespace {
 	m := make(map[uint32]*Namespace, len(list))
 	for i := range list {
 		m[list[i].ID] = &list[i]
@@ -80,61 +80,61 @@
 	return &m
 }
 
-func (s *Server) space(id uint32) *Namespace { return (*s.spaces.Load())[id] }
+func (s *Server) namespace(id uint32) *Namespace { return (*s.namespaces.Load())[id] }
 
 // controller is one association: an admin queue and its I/O queues.
 type controller struct {
-	id     uint16
-	server *Server
-	host   string
-	mu     sync.Mutex
-	queues map[uint16]*queue
-	cc     uint32
-	csts   uint32
-	delays bool // the host wants to be told how long to stay away (ACRE)
-	finder bool // a discovery controller
-	events events
-	errors errorLog
-	kato   time.Duration
-	alive  *time.Timer
+	id             uint16
+	server         *Server
+	host           string
+	mu             sync.Mutex
+	queues         map[uint16]*queue
+	cc             uint32
+	csts           uint32
+	acre           bool // the host wants to be told how long to stay away (ACRE)
+	isDiscovery    bool // a discovery controller
+	events         asyncEvents
+	errors         errorLog
+	kato           time.Duration
+	keepAliveTimer *time.Timer
 }
 
 // queue is one connection: its reader's goroutine handles what comes, its writer's owns what goes.
 type queue struct {
-	server *Server
-	net    net.Conn
-	box    *mailbox.Box[[]byte]
-	ended  chan struct{}
-	once   sync.Once
-	reason string
-
-	retired atomic.Bool // its host's key is good no more: new commands are turned away
-	since   time.Time
-	joined  atomic.Bool // ctrl is set: the host has connected as NVMe knows it
-	framing framing
-	ctrl    *controller // set by Connect
-	qid     uint16
-	size    uint16
-
-	mu     sync.Mutex
-	sqhd   uint16
-	asked  int
-	cmds   map[uint16]*pending
-	serial uint16
+	server      *Server
+	conn        net.Conn
+	outgoing    *mailbox.Box[[]byte]
+	closed      chan struct{}
+	closeOnce   sync.Once
+	closeReason string
+
+	keyRetired atomic.Bool // its host's key is good no more: new commands are turned away
+	acceptedAt time.Time
+	connected  atomic.Bool // ctrl is set: the host has connected as NVMe knows it
+	framing    framing
+	ctrl       *controller // set by Connect
+	qid        uint16
+	size       uint16
+
+	mu           sync.Mutex
+	sqhd         uint16
+	commandCount int
+	cmds         map[uint16]*pending
+	lastTag      uint16
 }
 
 // pending is a command without its completion.
 type pending struct {
-	cmd  command
-	io   *IO
-	ns   *Namespace // as it was when the command came
-	got  int
-	tag  uint16
-	wait *time.Timer // for the host's data
-	jobs []*core.Job // the parts of it in the core
-	left int         // of them without an answer
-	ends []core.Response
-	seen *figures.Request
+	cmd         command
+	io          *IO
+	ns          *Namespace // as it was when the command came
+	received    int
+	transferTag uint16
+	dataTimer   *time.Timer // for the host's data
+	jobs        []*core.Job // the parts of it in the core
+	unanswered  int         // of them without an answer
+	responses   []core.Response
+	stats       *figures.Request
 }
 
 // Serve accepts until Stop.
@@ -145,7 +145,7 @@
 	if s.opt.Keys != nil {
 		over := make(chan struct{})
 		defer close(over)
-		go s.watchKeys(over)
+		go s.retireOldKeys(over)
 	}
 	for {
 		c, err := l.Accept()
@@ -159,10 +159,10 @@
 		if s.opt.Keys != nil {
 			c = tls.Server(c, s.opt.Keys.ServerConfig())
 		}
-		q := &queue{server: s, net: c, box: mailbox.New[[]byte](), ended: make(chan struct{}),
-			cmds: map[uint16]*pending{}, since: time.Now()}
+		q := &queue{server: s, conn: c, outgoing: mailbox.New[[]byte](), closed: make(chan struct{}),
+			cmds: map[uint16]*pending{}, acceptedAt: time.Now()}
 		s.mu.Lock()
-		full := len(s.queues) >= s.opt.MaxConns && !s.makeRoom()
+		full := len(s.queues) >= s.opt.MaxConns && !s.evictUnconnected()
 		if !full {
 			s.queues[q] = true
 		}
@@ -170,21 +170,21 @@
 		if full {
 			// Nothing was taken on it yet.
 			c.Close()
-			s.log(q, "CAP")
+			s.logClosed(q, "CAP")
 			continue
 		}
-		go q.write()
-		go q.read()
+		go q.writeLoop()
+		go q.readLoop()
 	}
 }
 
 // keysEvery is how often connections are held against the keys that are good.
-const keysEvery = 100 * time.Millisecond
+const keyCheckInterval = 100 * time.Millisecond
 
 // watchKeys retires the connections of hosts whose keys are good no more, until the server stops accepting: their commands
 // are finished, new ones are turned away as retryable, and then they end.
-func (s *Server) watchKeys(over <-chan struct{}) {
-	tick := time.NewTicker(keysEvery)
+func (s *Server) retireOldKeys(over <-chan struct{}) {
+	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -194,11 +194,11 @@
 		}
 		s.mu.Lock()
 		for q := range s.queues {
-			if c := q.net.(*tls.Conn); !q.retired.Load() && q.joined.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
-				q.retired.Store(true)
+			if c := q.conn.(*tls.Conn); !q.keyRetired.Load() && q.connected.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
+				q.keyRetired.Store(true)
 			}
-			if q.retired.Load() && q.unused() {
-				q.end("KEY_RETIRED")
+			if q.keyRetired.Load() && q.idle() {
+				q.closeAfterWrites("KEY_RETIRED")
 			}
 		}
 		s.mu.Unlock()
@@ -206,7 +206,7 @@
 }
 
 // unused tells whether nothing with data is open on the queue and, for an admin queue, none of its I/O queues is left.
-func (q *queue) unused() bool {
+func (q *queue) idle() bool {
 	q.mu.Lock()
 	for _, p := range q.cmds {
 		if p.io != nil {
@@ -226,10 +226,10 @@
 
 // makeRoom ends the connection that has been longest without a Connect, so that silent ones do not shut out hosts; the
 // server is locked. One that has joined is never ended for another.
-func (s *Server) makeRoom() bool {
+func (s *Server) evictUnconnected() bool {
 	var oldest *queue
 	for q := range s.queues {
-		if !q.joined.Load() && (oldest == nil || q.since.Before(oldest.since)) {
+		if !q.connected.Load() && (oldest == nil || q.acceptedAt.Before(oldest.acceptedAt)) {
 			oldest = q
 		}
 	}
@@ -237,22 +237,22 @@
 		return false
 	}
 	delete(s.queues, oldest)
-	oldest.end("CAP")
+	oldest.closeAfterWrites("CAP")
 	return true
 }
 
-func (s *Server) log(q *queue, reason string) {
+func (s *Server) logClosed(q *queue, reason string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s.opt.Log.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.net.RemoteAddr().String()),
-		slog.String("reason", reason), slog.Int("requests", q.asked), slog.Int("queue", int(q.qid)))
+	s.opt.Log.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.conn.RemoteAddr().String()),
+		slog.String("reason", reason), slog.Int("requests", q.commandCount), slog.Int("queue", int(q.qid)))
 }
 
 // Stop keeps accepting while hosts may still come, goes on for a while with commands on the connections there are, then
 // turns new ones away, finishes those taken and ends all connections.
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
-	s.left.Store(&now)
+	s.stopTime.Store(&now)
 	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.AcceptFor))
 	s.mu.Lock()
 	if s.listener != nil {
@@ -260,8 +260,8 @@
 	}
 	s.mu.Unlock()
 	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.ServeFor))
-	s.leaving.Store(true)
-	for s.open.Load() > 0 && ctx.Err() == nil {
+	s.rejectNew.Store(true)
+	for s.openCommands.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
 	}
 	err := ctx.Err()
@@ -272,36 +272,36 @@
 	}
 	s.mu.Unlock()
 	for _, q := range all {
-		q.end("LEAVING")
+		q.closeAfterWrites("LEAVING")
 	}
 	for _, q := range all {
-		<-q.ended
+		<-q.closed
 	}
 	return err
 }
 
 // end closes the connection, for the first reason given, once what was put before has been written.
-func (q *queue) end(reason string) {
-	q.once.Do(func() {
-		q.reason = reason
-		q.box.Put(nil)
+func (q *queue) closeAfterWrites(reason string) {
+	q.closeOnce.Do(func() {
+		q.closeReason = reason
+		q.outgoing.Put(nil)
 	})
 }
 
 // write is the writer: it sends what the mailbox holds, and ends the connection at a nil.
-func (q *queue) write() {
+func (q *queue) writeLoop() {
 	var spare [][]byte
 	for {
-		<-q.box.Wake()
-		batch := q.box.Take(spare)
+		<-q.outgoing.Wake()
+		batch := q.outgoing.Take(spare)
 		for _, b := range batch {
 			if b == nil {
 				q.close()
 				return
 			}
-			q.net.SetWriteDeadline(time.Now().Add(writeWithin))
-			if _, err := q.net.Write(b); err != nil {
-				q.end("HOST_WRITE_FAILED")
+			q.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := q.conn.Write(b); err != nil {
+				q.closeAfterWrites("HOST_WRITE_FAILED")
 				q.close()
 				return
 			}
@@ -313,7 +313,7 @@
 // close ends the connection and everything that hung on it: commands whose host is gone, and with the admin
 // queue the whole association. What the host still sends is read away, so that no reset takes the last word to it.
 func (q *queue) close() {
-	_ = listen.Shut(q.net)
+	_ = listen.Shut(q.conn)
 	q.mu.Lock()
 	left, ctrl := q.cmds, q.ctrl
 	q.cmds = nil
@@ -322,24 +322,24 @@
 		q.drop(p)
 	}
 	if ctrl != nil {
-		ctrl.leave(q)
+		ctrl.removeQueue(q)
 	}
-	q.server.log(q, q.reason)
-	_ = listen.Linger(q.net)
+	q.server.logClosed(q, q.closeReason)
+	_ = listen.Linger(q.conn)
 	q.server.mu.Lock()
 	delete(q.server.queues, q) // it has had a descriptor until now
 	q.server.mu.Unlock()
-	close(q.ended)
+	close(q.closed)
 }
 
 // drop lets go of a command that will not be answered any more.
 func (q *queue) drop(p *pending) {
 	q.release(p)
-	q.depart(p)
+	q.cancelJobs(p)
 }
 
 // depart tells the core that nobody waits for the command's parts any more.
-func (q *queue) depart(p *pending) {
+func (q *queue) cancelJobs(p *pending) {
 	for _, j := range p.jobs {
 		q.server.core.Cancel(j)
 	}
@@ -347,28 +347,28 @@
 
 // release gives back what an open command holds.
 func (q *queue) release(p *pending) {
-	p.seen.End(figures.Failure) // its host is gone, where it has no status yet
-	if p.wait != nil {
-		p.wait.Stop()
+	p.stats.End(figures.Failure) // its host is gone, where it has no status yet
+	if p.dataTimer != nil {
+		p.dataTimer.Stop()
 	}
 	if p.io != nil {
-		q.server.bytes.Add(-int64(p.io.Bytes))
+		q.server.bufferedBytes.Add(-int64(p.io.Bytes))
 	}
 	if p.jobs != nil {
-		q.server.open.Add(-1)
+		q.server.openCommands.Add(-1)
 	}
 }
 
 // read is the reader. What ends it is told to the host where the protocol has a word for it.
-func (q *queue) read() {
-	err := q.serve()
-	var f *fatal
+func (q *queue) readLoop() {
+	err := q.servePDUs()
+	var f *fatalError
 	var timeout net.Error
 	var noTLS tls.RecordHeaderError
 	reason := "HOST_CLOSED"
 	switch {
 	case errors.As(err, &f):
-		q.box.Put(termPDU(typeC2HTerm, f))
+		q.outgoing.Put(termPDU(typeC2HTerm, f))
 		reason = "PROTOCOL_ERROR"
 		q.server.opt.Log.Warn("host broke the protocol", slog.String("error", f.Error()))
 	case errors.Is(err, errHostTerminated):
@@ -380,30 +380,30 @@
 	case err != nil && err.Error() != "EOF":
 		reason = "HOST_RESET"
 	}
-	q.end(reason)
+	q.closeAfterWrites(reason)
 }
 
 var errHostTerminated = errors.New("host sent a termination request")
 
-func (q *queue) serve() error {
-	in := bufio.NewReaderSize(q.net, 16<<10)
-	q.net.SetDeadline(time.Now().Add(handshakeWithin)) // TLS writes too, in its handshake
+func (q *queue) servePDUs() error {
+	in := bufio.NewReaderSize(q.conn, 16<<10)
+	q.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // TLS writes too, in its handshake
 	p, err := readPDU(in, framing{})
 	if err != nil {
 		return err
 	}
 	if p.kind != typeICReq {
-		return &fatal{fes: fesSequence, cause: "connection must begin with ICReq", head: p.head}
+		return &fatalError{fes: fesSequence, cause: "connection must begin with ICReq", head: p.head}
 	}
 	switch {
 	case p.u16(8) != 0:
-		return &fatal{fes: fesUnsupported, fei: 8, cause: "PDU format version", head: p.head}
+		return &fatalError{fes: fesUnsupported, fei: 8, cause: "PDU format version", head: p.head}
 	case p.head[10] > maxPDA:
-		return &fatal{fes: fesInvalidHeader, fei: 10, cause: "data alignment", head: p.head}
+		return &fatalError{fes: fesInvalidHeader, fei: 10, cause: "data alignment", head: p.head}
 	}
 	digests := p.head[11] & (digestHeader | digestData)
 	q.framing = framing{hdigest: digests&digestHeader != 0, ddigest: digests&digestData != 0, pda: int(p.head[10])}
-	q.box.Put(appendPDU(nil, framing{}, typeICResp, 0, icHead(digests, maxH2CData), nil))
+	q.outgoing.Put(appendPDU(nil, framing{}, typeICResp, 0, icHead(digests, maxH2CData), nil))
 	first := true
 	for {
 		p, err := readPDU(in, framing{hdigest: q.framing.hdigest, ddigest: q.framing.ddigest})
@@ -412,28 +412,28 @@
 		}
 		switch p.kind {
 		case typeCmd:
-			if err := q.command(p); err != nil {
+			if err := q.handleCommand(p); err != nil {
 				return err
 			}
 			if first && q.ctrl != nil {
 				first = false
-				q.net.SetReadDeadline(time.Time{})
+				q.conn.SetReadDeadline(time.Time{})
 			}
 		case typeH2CData:
-			if err := q.data(p); err != nil {
+			if err := q.handleData(p); err != nil {
 				return err
 			}
 		case typeH2CTerm:
 			return errHostTerminated
 		default:
-			return &fatal{fes: fesSequence, cause: "PDU type not for a controller", head: p.head}
+			return &fatalError{fes: fesSequence, cause: "PDU type not for a controller", head: p.head}
 		}
 	}
 }
 
 // put sends a PDU of the agreed framing.
-func (q *queue) put(kind, flags byte, head, data []byte) {
-	q.box.Put(appendPDU(nil, q.framing, kind, flags, head, data))
+func (q *queue) send(kind, flags byte, head, data []byte) {
+	q.outgoing.Put(appendPDU(nil, q.framing, kind, flags, head, data))
 }
 
 // complete gives a command its one completion, with its data before it; later ones are ignored.
@@ -454,22 +454,22 @@
 		if at+len(part) == len(data) {
 			flags = flagLast
 		}
-		q.put(typeC2HData, flags, dataHead(cid, 0, uint32(at), uint32(len(part))), part)
+		q.send(typeC2HData, flags, dataHead(cid, 0, uint32(at), uint32(len(part))), part)
 	}
-	q.put(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
-	p.seen.End(endingOf(st))
+	q.send(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
+	p.stats.End(endingOf(st))
 	q.release(p) // after the answer is in the writer's mailbox: Stop ends connections once nothing is open
 	q.mu.Unlock()
 	return true
 }
 
 // command takes a submission queue entry.
-func (q *queue) command(pd *pdu) error {
+func (q *queue) handleCommand(pd *pdu) error {
 	p := &pending{}
 	copy(p.cmd[:], pd.head[commonLen:])
 	cid := p.cmd.cid()
 	q.mu.Lock()
-	q.asked++
+	q.commandCount++
 	if q.size > 0 {
 		q.sqhd = (q.sqhd + 1) % q.size
 	}
@@ -479,10 +479,10 @@
 	}
 	if q.size > 0 && len(q.cmds) >= int(q.size) {
 		q.mu.Unlock()
-		return &fatal{fes: fesSequence, cause: "more commands than the queue holds", head: pd.head}
+		return &fatalError{fes: fesSequence, cause: "more commands than the queue holds", head: pd.head}
 	}
 	if q.cmds[cid] != nil {
-		q.put(typeResp, 0, completion{sqhd: q.sqhd, sqid: q.qid, cid: cid, status: stCIDConflict | dnr}.head(), nil)
+		q.send(typeResp, 0, completion{sqhd: q.sqhd, sqid: q.qid, cid: cid, status: stCIDConflict | dnr}.head(), nil)
 		q.mu.Unlock()
 		return nil
 	}
@@ -494,31 +494,31 @@
 	case pd.dataError:
 		q.complete(p, stTransient, 0, nil) // nothing was begun: a repeat is harmless
 	case q.ctrl == nil:
-		q.connect(p, pd.data)
+		q.handleConnect(p, pd.data)
 	case p.cmd.op() == opFabrics:
-		q.fabrics(p)
+		q.handleFabrics(p)
 	case q.qid == 0:
-		q.admin(p, pd.data)
+		q.handleAdmin(p, pd.data)
 	default:
-		return q.io(p, pd.data)
+		return q.handleIO(p, pd.data)
 	}
 	return nil
 }
 
 // io takes a command of the NVM command set. Data towards here is in the capsule, or asked for.
-func (q *queue) io(p *pending, data []byte) error {
+func (q *queue) handleIO(p *pending, data []byte) error {
 	s, c := q.server, &p.cmd
-	ns := s.space(c.nsid())
+	ns := s.namespace(c.nsid())
 	switch c.op() {
 	case opFlush:
 		// There is no volatile write cache: what was completed is kept (see HostOptions on targets that have one).
-		if ns == nil && c.nsid() != everyNS {
+		if ns == nil && c.nsid() != allNamespaces {
 			q.complete(p, stInvalidNS|dnr, 0, nil)
 		} else {
 			q.complete(p, stOK, 0, nil)
 		}
 		return nil
-	case opRead, opWrite, opCompare, opWriteZeroes, opDataset:
+	case opRead, opWrite, opCompare, opWriteZeroes, opDatasetManagement:
 	default:
 		q.complete(p, stInvalidOpcode|dnr, 0, nil)
 		return nil
@@ -527,8 +527,8 @@
 		q.complete(p, stInvalidNS|dnr, 0, nil)
 		return nil
 	}
-	if c.op() == opDataset {
-		q.complete(p, ns.dataset(c, data), 0, nil)
+	if c.op() == opDatasetManagement {
+		q.complete(p, ns.checkDatasetManagement(c, data), 0, nil)
 		return nil
 	}
 	x := &IO{Write: c.op() == opWrite || c.op() == opWriteZeroes, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
@@ -542,11 +542,11 @@
 	case x.SLBA >= ns.Blocks || uint64(x.Blocks) > ns.Blocks-x.SLBA:
 		q.complete(p, stLBARange|dnr, 0, nil)
 	case length > maxTransfer, !moved, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
-		inside && (!takes || len(data) != length || length > inCapsule), !inside && len(data) > 0:
+		inside && (!takes || len(data) != length || length > maxInCapsuleData), !inside && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
-	case s.leaving.Load(), q.retired.Load(), s.bytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
+	case s.rejectNew.Load(), q.keyRetired.Load(), s.bufferedBytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
-		q.complete(p, statusOf(core.Overloaded, q.ctrl.wantsDelays()), 0, nil)
+		q.complete(p, statusOf(core.Overloaded, q.ctrl.retryDelaysEnabled()), 0, nil)
 	default:
 		x.Bytes = length
 		// A connection that ended meanwhile has let go of the command: what it would hold now, nobody gave back.
@@ -554,7 +554,7 @@
 		gone := q.cmds[c.cid()] != p
 		if !gone {
 			p.io, p.ns = x, ns
-			s.bytes.Add(int64(length))
+			s.bufferedBytes.Add(int64(length))
 		}
 		q.mu.Unlock()
 		switch {
@@ -568,7 +568,7 @@
 			x.Data = data
 			q.submit(p)
 		default:
-			q.ask(p)
+			q.requestData(p)
 		}
 	}
 	return nil
@@ -576,31 +576,31 @@
 
 // ask has the host send a write's data. One R2T is out for a command at a time, which any host bears. The
 // host has as long for it as the command may take.
-func (q *queue) ask(p *pending) {
+func (q *queue) requestData(p *pending) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.cmds[p.cmd.cid()] != p {
 		return
 	}
 	p.io.Data = make([]byte, p.io.Bytes)
-	q.serial++
-	p.tag = q.serial
-	p.wait = time.AfterFunc(q.server.opt.Timeouts[p.ns.Write], func() { q.end("HOST_DATA_LATE") })
-	q.put(typeR2T, 0, dataHead(p.cmd.cid(), p.tag, 0, uint32(p.io.Bytes)), nil)
+	q.lastTag++
+	p.transferTag = q.lastTag
+	p.dataTimer = time.AfterFunc(q.server.opt.Timeouts[p.ns.Write], func() { q.closeAfterWrites("HOST_DATA_LATE") })
+	q.send(typeR2T, 0, dataHead(p.cmd.cid(), p.transferTag, 0, uint32(p.io.Bytes)), nil)
 }
 
 // data takes a part of a write's data, which must come in order and within what was asked for.
-func (q *queue) data(pd *pdu) error {
+func (q *queue) handleData(pd *pdu) error {
 	q.mu.Lock()
 	p := q.cmds[pd.u16(8)]
 	q.mu.Unlock()
 	wrong := func(fes uint16, at uint32, cause string) error {
-		return &fatal{fes: fes, fei: at, cause: cause, head: pd.head}
+		return &fatalError{fes: fes, fei: at, cause: cause, head: pd.head}
 	}
 	switch {
-	case p == nil || p.tag == 0 || p.wait == nil:
+	case p == nil || p.transferTag == 0 || p.dataTimer == nil:
 		return wrong(fesInvalidHeader, 8, "data for no command that waits for some")
-	case pd.u16(10) != p.tag:
+	case pd.u16(10) != p.transferTag:
 		return wrong(fesInvalidHeader, 10, "data for another transfer tag")
 	}
 	offset, length := int64(pd.u32(12)), int64(pd.u32(16))
@@ -608,7 +608,7 @@
 	switch {
 	case length != int64(len(pd.data)) || length > maxH2CData || length == 0:
 		return wrong(fesInvalidHeader, 16, "data length")
-	case offset != int64(p.got) || offset+length > int64(p.io.Bytes):
+	case offset != int64(p.received) || offset+length > int64(p.io.Bytes):
 		return wrong(fesOutOfRange, 12, "data out of order or range")
 	case whole != (pd.flags&flagLast != 0):
 		return wrong(fesInvalidHeader, 1, "last-PDU flag")
@@ -617,8 +617,8 @@
 		return nil
 	}
 	copy(p.io.Data[offset:], pd.data)
-	if p.got += int(length); whole {
-		p.wait.Stop()
+	if p.received += int(length); whole {
+		p.dataTimer.Stop()
 		q.submit(p)
 	}
 	return nil
@@ -626,13 +626,13 @@
 
 // submit hands the command to the core, in parts where it lies on several shards; the core owns its end from here on.
 func (q *queue) submit(p *pending) {
-	parts := p.ns.split(p.io)
+	parts := p.ns.splitByShard(p.io)
 	jobs := make([]*core.Job, len(parts))
 	now := time.Now()
 	for i, x := range parts {
 		j := &core.Job{Request: p.ns.request(x), Arrived: now, Payload: x}
-		j.Timeout = q.server.opt.Shutdown.LimitTimeout(q.server.opt.Timeouts[j.Class], now, q.server.left.Load())
-		j.Done = func(a core.Response) { q.part(p, i, a) }
+		j.Timeout = q.server.opt.Shutdown.LimitTimeout(q.server.opt.Timeouts[j.Class], now, q.server.stopTime.Load())
+		j.Done = func(a core.Response) { q.completePart(p, i, a) }
 		jobs[i] = j
 	}
 	// Under the lock, so that an Abort finds the command either not handed over or wholly so. Submit does
@@ -643,12 +643,12 @@
 		return
 	}
 	if f := q.server.opt.Figures; f != nil {
-		p.seen = f.Take(jobs[0].Class)
+		p.stats = f.Take(jobs[0].Class)
 	}
-	p.jobs, p.left, p.ends = jobs, len(jobs), make([]core.Response, len(jobs))
-	q.server.open.Add(1)
+	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
+	q.server.openCommands.Add(1)
 	// Stop looks for open commands once it has turned away new ones: one that it has not seen must not be sent on.
-	left := q.server.leaving.Load()
+	left := q.server.rejectNew.Load()
 	var turned []int
 	for i, j := range jobs {
 		if left || !q.server.core.Submit(j) {
@@ -657,21 +657,21 @@
 	}
 	q.mu.Unlock()
 	for _, i := range turned {
-		q.part(p, i, core.Overloaded)
+		q.completePart(p, i, core.Overloaded)
 	}
 }
 
 // part takes the end of a part; the last one completes the command.
-func (q *queue) part(p *pending, i int, a core.Response) {
+func (q *queue) completePart(p *pending, i int, a core.Response) {
 	q.mu.Lock()
-	p.ends[i] = a
-	p.left--
-	last := p.left == 0
+	p.responses[i] = a
+	p.unanswered--
+	last := p.unanswered == 0
 	q.mu.Unlock()
 	if !last {
 		return
 	}
-	st, body := gather(p.io, p.jobs, p.ends, q.ctrl.wantsDelays())
+	st, body := mergeResponses(p.io, p.jobs, p.responses, q.ctrl.retryDelaysEnabled())
 	switch {
 	case st == stOK && p.cmd.op() == opCompare:
 		if !bytes.Equal(body, p.io.Data) {
@@ -679,10 +679,10 @@
 		}
 		body = nil
 	case st == stOK:
-		q.server.health.served(p.io)
+		q.server.health.count(p.io)
 	}
 	q.complete(p, st, 0, body)
-	for _, a := range p.ends {
+	for _, a := range p.responses {
 		if a.OnWritten != nil {
 			a.OnWritten()
 		}
@@ -697,11 +697,11 @@
 	if p == nil || !q.complete(p, stAborted|dnr, 0, nil) {
 		return false
 	}
-	q.depart(p)
+	q.cancelJobs(p)
 	return true
 }
 
-func euiOf(ns *Namespace) []byte {
+func eui64Of(ns *Namespace) []byte {
 	n, _ := strconv.ParseUint(ns.Volume, 16, 64)
 	return binary.BigEndian.AppendUint64(nil, n)
 }
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -33,7 +33,7 @@
 }
 
 // serial tells which keys connections are made with now.
-func (o *HostOptions) serial() int {
+func (o *HostOptions) keyGeneration() int {
 	if o.Keys == nil {
 		return 0
 	}
@@ -43,97 +43,97 @@
 // peer is a target's address with the keys it is met with: after a change of keys a new association is made beside the
 // old one, whose commands end on it.
 type peer struct {
-	addr   string
-	serial int
+	addr          string
+	keyGeneration int
 }
 
 // Host is the upstream wire: an association with each target, and under it one I/O queue for each command
 // that is out. A queue of its own for each is what lets an attempt be given up by closing its connection,
 // without a word to, or for, any other.
 type Host struct {
-	opt HostOptions
-	mu  sync.Mutex
-	all map[peer]*association
+	opt          HostOptions
+	mu           sync.Mutex
+	associations map[peer]*association
 }
 
 // NewHost returns a host.
-func NewHost(opt HostOptions) *Host { return &Host{opt: opt, all: map[peer]*association{}} }
+func NewHost(opt HostOptions) *Host { return &Host{opt: opt, associations: map[peer]*association{}} }
 
 // association is the admin queue with one target, made when first needed.
 type association struct {
 	host *Host
 	peer
-	talk chan struct{} // held by whoever speaks on the admin queue; waiting for it can be given up
+	adminSem chan struct{} // held by whoever speaks on the admin queue; waiting for it can be given up
 
-	mu      sync.Mutex
-	admin   *wire // nil: none
-	cntlid  uint16
-	inUse   map[uint16]bool
-	bears   bears
-	usedAt  time.Time
-	aborted int                        // Aborts whose completions nobody has read yet
-	rests   backoff.ExponentialBackOff // after attempts in a row that came to no association
-	restAt  time.Time
+	mu           sync.Mutex
+	admin        *hostConn // nil: none
+	cntlid       uint16
+	inUse        map[uint16]bool
+	capabilities capabilities
+	lastUsed     time.Time
+	unreadAborts int                        // Aborts whose completions nobody has read yet
+	retryBackoff backoff.ExponentialBackOff // after attempts in a row that came to no association
+	retryAt      time.Time
 }
 
 // bears is what a target's controller tells of itself.
-type bears struct {
-	inside int  // bytes of data that a capsule may hold
-	cache  bool // it has a volatile write cache: a write is asked to be on its medium before it is completed
+type capabilities struct {
+	inCapsuleSize int  // bytes of data that a capsule may hold
+	writeCache    bool // it has a volatile write cache: a write is asked to be on its medium before it is completed
 }
 
 // wire is one connection, of either kind.
-type wire struct {
+type hostConn struct {
 	net.Conn
-	in      *bufio.Reader
-	framing framing // for what the controller wants
-	most    uint32  // data of one H2CData
-	cid     uint16
+	in         *bufio.Reader
+	framing    framing // for what the controller wants
+	maxDataPDU uint32  // data of one H2CData
+	lastCID    uint16
 }
 
 // Dial opens an I/O queue at the target, and the association before it if there is none.
 func (h *Host) Dial(ctx context.Context, addr string) (upstream.Session, error) {
 	h.mu.Lock()
-	who := peer{addr, h.opt.serial()}
-	a := h.all[who]
+	who := peer{addr, h.opt.keyGeneration()}
+	a := h.associations[who]
 	if a == nil {
-		maps.DeleteFunc(h.all, func(_ peer, old *association) bool { return old.forgotten() }) // targets come and go
-		a = &association{host: h, peer: who, inUse: map[uint16]bool{}, talk: make(chan struct{}, 1), rests: newRests(), usedAt: time.Now()}
-		h.all[who] = a
+		maps.DeleteFunc(h.associations, func(_ peer, old *association) bool { return old.removable() }) // targets come and go
+		a = &association{host: h, peer: who, inUse: map[uint16]bool{}, adminSem: make(chan struct{}, 1), retryBackoff: newRetryBackoff(), lastUsed: time.Now()}
+		h.associations[who] = a
 	}
 	h.mu.Unlock()
-	admin, cntlid, qid, can, err := a.enter(ctx)
+	admin, cntlid, qid, can, err := a.acquireQID(ctx)
 	if err != nil {
 		return nil, err
 	}
-	w, err := h.open(ctx, addr)
+	w, err := h.openConn(ctx, addr)
 	if err == nil {
 		if _, err = w.connect(h.opt, qid, cntlid); err != nil {
 			w.Close()
 		}
 	}
 	if err != nil {
-		a.free(qid)
+		a.releaseQID(qid)
 		// A target that turns the queue away has been started anew and knows nothing of the association: it
 		// must not count until the next keep-alive finds out. One that only is slow may still have it.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
-			a.lose(admin)
+			a.dropAdmin(admin)
 		}
 		return nil, err
 	}
 	w.SetDeadline(time.Time{})
-	return &session{wire: w, from: a, qid: qid, bears: can}, nil
+	return &session{hostConn: w, assoc: a, qid: qid, capabilities: can}, nil
 }
 
 // forgotten tells whether nothing is left of it that anybody could want.
-func (a *association) forgotten() bool {
+func (a *association) removable() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.admin == nil && len(a.inUse) == 0 && time.Since(a.usedAt) > unusedFor && time.Since(a.restAt) > unusedFor
+	return a.admin == nil && len(a.inUse) == 0 && time.Since(a.lastUsed) > maxUnusedTime && time.Since(a.retryAt) > maxUnusedTime
 }
 
 // lose ends the association of an admin queue, if it is still this one's.
-func (a *association) lose(w *wire) {
+func (a *association) dropAdmin(w *hostConn) {
 	a.mu.Lock()
 	if a.admin == w {
 		a.admin = nil
@@ -143,7 +143,7 @@
 }
 
 // open makes a connection and agrees on its framing.
-func (h *Host) open(ctx context.Context, addr string) (*wire, error) {
+func (h *Host) openConn(ctx context.Context, addr string) (*hostConn, error) {
 	c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 		}
 		c = secure
 	}
-	w := &wire{Conn: c, in: bufio.NewReaderSize(c, 16<<10)}
+	w := &hostConn{Conn: c, in: bufio.NewReaderSize(c, 16<<10)}
 	if until, ok := ctx.Deadline(); ok {
 		c.SetDeadline(until)
 	}
@@ -166,7 +166,7 @@
 		digests = digestHeader | digestData
 	}
 	if _, err = c.Write(appendPDU(nil, framing{}, typeICReq, 0, icHead(digests, 0), nil)); err == nil {
-		err = w.agree(digests)
+		err = w.readICResp(digests)
 	}
 	if err != nil {
 		c.Close()
@@ -175,7 +175,7 @@
 	return w, nil
 }
 
-func (w *wire) agree(asked byte) error {
+func (w *hostConn) readICResp(asked byte) error {
 	p, err := readPDU(w.in, framing{})
 	switch {
 	case err != nil:
@@ -184,27 +184,27 @@
 		return errors.New("controller's ICResp is not usable")
 	}
 	w.framing = framing{hdigest: p.head[11]&digestHeader != 0, ddigest: p.head[11]&digestData != 0, pda: int(p.head[10])}
-	w.most = p.u32(12)
+	w.maxDataPDU = p.u32(12)
 	return nil
 }
 
 // receive reads a PDU; the host asked for no alignment of its own.
-func (w *wire) receive() (*pdu, error) {
+func (w *hostConn) receive() (*pdu, error) {
 	p, err := readPDU(w.in, framing{hdigest: w.framing.hdigest, ddigest: w.framing.ddigest})
-	var f *fatal
+	var f *fatalError
 	if errors.As(err, &f) {
 		_, _ = w.Write(termPDU(typeH2CTerm, f))
 	}
 	return p, err
 }
 
-func (w *wire) nextCID() uint16 {
-	w.cid++
-	return w.cid
+func (w *hostConn) nextCID() uint16 {
+	w.lastCID++
+	return w.lastCID
 }
 
 // ask carries out a command outside the data path: data in the capsule, a page or nothing back.
-func (w *wire) ask(c *command, data []byte) (completion, []byte, error) {
+func (w *hostConn) execute(c *command, data []byte) (completion, []byte, error) {
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], data)); err != nil {
 		return completion{}, nil, err
 	}
@@ -235,14 +235,14 @@
 	}
 }
 
-func fabricsCommand(w *wire, fctype byte, length int) *command {
+func fabricsCommand(w *hostConn, fctype byte, length int) *command {
 	c := newCommand(opFabrics, w.nextCID(), length, length > 0)
 	c[4] = fctype
 	return c
 }
 
 // connect sends Connect; the answer is the controller's id.
-func (w *wire) connect(opt HostOptions, qid, cntlid uint16) (uint16, error) {
+func (w *hostConn) connect(opt HostOptions, qid, cntlid uint16) (uint16, error) {
 	c := fabricsCommand(w, fctConnect, connectLen)
 	c.set16(42, qid)
 	c.set16(44, 31)
@@ -256,49 +256,49 @@
 	binary.LittleEndian.PutUint16(data[16:], cntlid)
 	copy(data[256:511], opt.Subsystem)
 	copy(data[512:767], opt.HostNQN)
-	done, _, err := w.ask(c, data)
+	done, _, err := w.execute(c, data)
 	return uint16(done.result), err
 }
 
 // property reads a property of four bytes.
-func (w *wire) property(offset uint32) (uint64, error) {
+func (w *hostConn) readProperty(offset uint32) (uint64, error) {
 	c := fabricsCommand(w, fctPropertyGet, 0)
 	c.set32(44, offset)
-	done, _, err := w.ask(c, nil)
+	done, _, err := w.execute(c, nil)
 	return done.result, err
 }
 
 // enter makes sure of the association and takes a queue id in it. Neither a target that stands still nor
 // whoever waits for it holds this up for longer than ctx allows.
-func (a *association) enter(ctx context.Context) (admin *wire, cntlid, qid uint16, can bears, err error) {
+func (a *association) acquireQID(ctx context.Context) (admin *hostConn, cntlid, qid uint16, can capabilities, err error) {
 	for {
 		a.mu.Lock()
 		if a.admin != nil {
 			defer a.mu.Unlock()
-			for id := uint16(1); id <= mostQueues; id++ {
+			for id := uint16(1); id <= maxIOQueues; id++ {
 				if !a.inUse[id] {
 					a.inUse[id] = true
-					a.usedAt = time.Now()
-					return a.admin, a.cntlid, id, a.bears, nil
+					a.lastUsed = time.Now()
+					return a.admin, a.cntlid, id, a.capabilities, nil
 				}
 			}
 			return nil, 0, 0, can, errors.New("all I/O queues are in use")
 		}
 		a.mu.Unlock()
 		select {
-		case a.talk <- struct{}{}:
+		case a.adminSem <- struct{}{}:
 		case <-ctx.Done():
 			return nil, 0, 0, can, ctx.Err()
 		}
 		err := a.establish(ctx)
-		<-a.talk
+		<-a.adminSem
 		if err != nil {
 			return nil, 0, 0, can, err
 		}
 	}
 }
 
-func (a *association) free(qid uint16) {
+func (a *association) releaseQID(qid uint16) {
 	a.mu.Lock()
 	delete(a.inUse, qid)
 	a.mu.Unlock()
@@ -307,17 +307,17 @@
 // establish connects the admin queue, enables the controller and reads what it bears. Its caller holds talk.
 func (a *association) establish(ctx context.Context) error {
 	a.mu.Lock()
-	there, rests := a.admin != nil, time.Now().Before(a.restAt)
+	there, rests := a.admin != nil, time.Now().Before(a.retryAt)
 	a.mu.Unlock()
 	switch {
 	case there:
 		return nil
 	case rests:
-		return errRests
+		return errBackingOff
 	}
-	w, err := a.host.open(ctx, a.addr)
+	w, err := a.host.openConn(ctx, a.addr)
 	var cntlid uint16
-	var can bears
+	var can capabilities
 	if err == nil {
 		if cntlid, can, err = a.host.enable(ctx, w); err != nil {
 			w.Close()
@@ -326,44 +326,44 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.restAt = time.Now().Add(a.rests.NextBackOff())
+		a.retryAt = time.Now().Add(a.retryBackoff.NextBackOff())
 		return err
 	}
 	w.SetDeadline(time.Time{})
-	a.admin, a.cntlid, a.bears, a.aborted, a.usedAt = w, cntlid, can, 0, time.Now()
-	a.rests.Reset()
-	go a.keep(w)
+	a.admin, a.cntlid, a.capabilities, a.unreadAborts, a.lastUsed = w, cntlid, can, 0, time.Now()
+	a.retryBackoff.Reset()
+	go a.sendKeepAlives(w)
 	return nil
 }
 
-var errRests = errors.New("an association failed just now")
+var errBackingOff = errors.New("an association failed just now")
 
 const (
-	restLeast = 20 * time.Millisecond
-	restMost  = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
 // newRests are how long a target is let be after attempts at an association that failed in a row. What is asked of it
 // meanwhile fails at once, and the module decides what becomes of it.
-func newRests() backoff.ExponentialBackOff {
-	b := backoff.ExponentialBackOff{InitialInterval: restLeast, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: restMost}
+func newRetryBackoff() backoff.ExponentialBackOff {
+	b := backoff.ExponentialBackOff{InitialInterval: minRetryDelay, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: maxRetryDelay}
 	b.Reset()
 	return b
 }
 
-func (h *Host) enable(ctx context.Context, w *wire) (cntlid uint16, can bears, err error) {
-	if cntlid, err = w.connect(h.opt, 0, staticID); err != nil {
+func (h *Host) enable(ctx context.Context, w *hostConn) (cntlid uint16, can capabilities, err error) {
+	if cntlid, err = w.connect(h.opt, 0, dynamicCntlID); err != nil {
 		return
 	}
 	c := fabricsCommand(w, fctPropertySet, 0)
 	c.set32(44, propCC)
 	c.set64(48, 4<<20|6<<16|ccEnable) // entry sizes, enabled
-	if _, _, err = w.ask(c, nil); err != nil {
+	if _, _, err = w.execute(c, nil); err != nil {
 		return
 	}
 	for ready := false; !ready; {
 		var v uint64
-		if v, err = w.property(propCSTS); err != nil {
+		if v, err = w.readProperty(propCSTS); err != nil {
 			return
 		}
 		if ready = v&cstsReady != 0; !ready {
@@ -376,70 +376,70 @@
 	}
 	id := newCommand(opIdentify, w.nextCID(), identifyLen, false)
 	id.set32(40, 1)
-	_, page, err := w.ask(id, nil)
+	_, page, err := w.execute(id, nil)
 	if err == nil && len(page) != identifyLen {
 		err = errors.New("controller's identify page is not whole")
 	}
 	if err != nil {
 		return
 	}
-	return cntlid, bears{inside: max(0, int(binary.LittleEndian.Uint32(page[1792:]))*16-64), cache: page[525]&1 != 0}, nil
+	return cntlid, capabilities{inCapsuleSize: max(0, int(binary.LittleEndian.Uint32(page[1792:]))*16-64), writeCache: page[525]&1 != 0}, nil
 }
 
 // unusedFor is how long an association without I/O queues is kept, so that none outlives its target's place
 // in the list for long.
-const unusedFor = 30 * time.Second
+const maxUnusedTime = 30 * time.Second
 
 // keep sends keep-alives until the admin queue fails or nothing needs it; the association has ended then.
-func (a *association) keep(w *wire) {
+func (a *association) sendKeepAlives(w *hostConn) {
 	every := a.host.opt.KeepAlive / 2
 	for {
 		time.Sleep(every)
 		a.mu.Lock()
-		old := a.serial != a.host.opt.serial()
-		over := a.admin != w || len(a.inUse) == 0 && (old || time.Since(a.usedAt) > unusedFor)
+		old := a.keyGeneration != a.host.opt.keyGeneration()
+		over := a.admin != w || len(a.inUse) == 0 && (old || time.Since(a.lastUsed) > maxUnusedTime)
 		a.mu.Unlock()
 		if over {
-			a.lose(w)
+			a.dropAdmin(w)
 			if old { // nothing new comes to it
 				a.host.mu.Lock()
-				delete(a.host.all, a.peer)
+				delete(a.host.associations, a.peer)
 				a.host.mu.Unlock()
 			}
 			return
 		}
-		a.talk <- struct{}{}
+		a.adminSem <- struct{}{}
 		w.SetDeadline(time.Now().Add(every))
-		_, _, err := w.ask(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
+		_, _, err := w.execute(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
 		w.SetDeadline(time.Time{})
 		a.mu.Lock()
-		a.aborted = 0 // their completions came before this one's
+		a.unreadAborts = 0 // their completions came before this one's
 		a.mu.Unlock()
-		<-a.talk
+		<-a.adminSem
 		if err != nil {
-			a.lose(w)
+			a.dropAdmin(w)
 			return
 		}
 	}
 }
 
 // mostAborts bounds the Aborts of which no completion was read; the admin queue holds 32 entries.
-const mostAborts = 3
+const maxUnreadAborts = 3
 
 // abort tells the controller that a command is not waited for any more. It is a courtesy: what counts is
 // that the command's connection closes. So it waits for nothing, least of all for a target that stands
 // still; its completion is passed over when the next keep-alive reads the queue.
 func (a *association) abort(qid, cid uint16) {
 	select {
-	case a.talk <- struct{}{}:
-		defer func() { <-a.talk }()
+	case a.adminSem <- struct{}{}:
+		defer func() { <-a.adminSem }()
 	default:
 		return
 	}
 	a.mu.Lock()
 	w := a.admin
-	ok := w != nil && a.aborted < mostAborts
-	a.aborted++
+	ok := w != nil && a.unreadAborts < maxUnreadAborts
+	a.unreadAborts++
 	a.mu.Unlock()
 	if !ok {
 		return
@@ -453,11 +453,11 @@
 
 // session is one I/O queue.
 type session struct {
-	*wire
-	bears
-	from *association
-	qid  uint16
-	once sync.Once
+	*hostConn
+	capabilities
+	assoc       *association
+	qid         uint16
+	releaseOnce sync.Once
 }
 
 // Close ends the queue.
@@ -467,7 +467,7 @@
 		c = secure.NetConn()
 	}
 	err := upstream.CloseOrReset(c)
-	s.once.Do(func() { s.from.free(s.qid) })
+	s.releaseOnce.Do(func() { s.assoc.releaseQID(s.qid) })
 	return err
 }
 
@@ -480,7 +480,7 @@
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.OpenAndIdle(c)
+	return s.in.Buffered() == 0 && s.assoc.keyGeneration == s.assoc.host.opt.keyGeneration() && upstream.OpenAndIdle(c)
 }
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
@@ -491,12 +491,12 @@
 	if x.Write {
 		op = opWrite
 	}
-	inside := x.Write && len(x.Data) <= s.inside
+	inside := x.Write && len(x.Data) <= s.inCapsuleSize
 	c := newCommand(op, s.nextCID(), x.Bytes, inside)
 	c.set32(4, x.NSID)
 	c.set64(40, x.SLBA)
 	c.set16(48, uint16(x.Blocks-1))
-	if x.Write && s.cache {
+	if x.Write && s.writeCache {
 		c.set32(48, c.dw(12)|fua)
 	}
 	var data []byte
@@ -518,11 +518,11 @@
 	if written {
 		a.NotifySent()
 	}
-	st, body, err := s.finish(c, x, a, &written)
+	st, body, err := s.transfer(c, x, a, &written)
 	if err != nil {
 		switch {
 		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Deadline):
-			s.from.abort(s.qid, c.cid())
+			s.assoc.abort(s.qid, c.cid())
 			r.Code = policy.ConnectionReset
 			return r, false, "READ_STALLED"
 		case !written:
@@ -533,7 +533,7 @@
 			r.Code = policy.ConnectionReset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
-			s.from.abort(s.qid, c.cid())
+			s.assoc.abort(s.qid, c.cid())
 		}
 		return r, false, "READ_" + upstream.ReasonCode(err)
 	}
@@ -543,10 +543,10 @@
 
 // stallAfter is how long an answer that has begun may bring nothing, as on HTTP: one that stops midway is not waited for
 // until the attempt's time is over.
-const stallAfter = 250 * time.Millisecond
+const stallTimeout = 250 * time.Millisecond
 
 // finish takes part in the command's transfers until its completion.
-func (s *session) finish(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+func (s *session) transfer(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
 	until := a.Deadline
 	for {
@@ -556,7 +556,7 @@
 				return 0, nil, err
 			}
 		}
-		if at := time.Now().Add(stallAfter); at.Before(until) {
+		if at := time.Now().Add(stallTimeout); at.Before(until) {
 			s.SetReadDeadline(at)
 		}
 		p, err := s.receive()
@@ -589,14 +589,14 @@
 			}
 			body = append(body, p.data...)
 			if p.flags&flagSuccess != 0 && p.flags&flagLast != 0 {
-				return s.whole(stOK, x, body)
+				return s.checkLength(stOK, x, body)
 			}
 		case typeResp:
 			done := parseCompletion(p)
 			if done.cid != c.cid() {
 				return 0, nil, errors.New("completion of another command")
 			}
-			return s.whole(done.status, x, body)
+			return s.checkLength(done.status, x, body)
 		case typeC2HTerm:
 			return 0, nil, io.ErrUnexpectedEOF
 		default:
@@ -606,7 +606,7 @@
 }
 
 // whole takes no read for served whose data is not all there.
-func (s *session) whole(st status, x *IO, body []byte) (status, []byte, error) {
+func (s *session) checkLength(st status, x *IO, body []byte) (status, []byte, error) {
 	if st == stOK && !x.Write && len(body) != x.Bytes {
 		return 0, nil, errors.New("data is not whole")
 	}
@@ -615,7 +615,7 @@
 
 func (s *session) sendData(cid, tag uint16, data []byte, from, to int) error {
 	for from < to {
-		n := min(to-from, int(s.most))
+		n := min(to-from, int(s.maxDataPDU))
 		flags := byte(0)
 		if from+n == to {
 			flags = flagLast
--- a/internal/datapath/nvme/logs.go
+++ b/internal/datapath/nvme/logs.go
@@ -23,9 +23,9 @@
 )
 
 // health counts what the health page tells.
-type health struct{ reads, writes, readBlocks, writeBlocks atomic.Uint64 }
+type healthCounters struct{ reads, writes, readBlocks, writeBlocks atomic.Uint64 }
 
-func (h *health) served(x *IO) {
+func (h *healthCounters) count(x *IO) {
 	const unit = 512
 	if x.Write {
 		h.writes.Add(1)
@@ -38,15 +38,15 @@
 
 // errorLog keeps a controller's last commands that ended with an error.
 type errorLog struct {
-	mu    sync.Mutex
-	count uint64
-	last  [errorEntries][errorEntryLen]byte
+	mu      sync.Mutex
+	count   uint64
+	entries [errorEntries][errorEntryLen]byte
 }
 
 func (l *errorLog) add(qid uint16, c *command, st status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := &l.last[l.count%errorEntries]
+	e := &l.entries[l.count%errorEntries]
 	l.count++
 	*e = [errorEntryLen]byte{}
 	binary.LittleEndian.PutUint64(e[0:], l.count)
@@ -68,13 +68,13 @@
 	defer l.mu.Unlock()
 	b := make([]byte, 0, errorEntries*errorEntryLen)
 	for i := uint64(0); i < min(l.count, errorEntries); i++ {
-		b = append(b, l.last[(l.count-1-i)%errorEntries][:]...)
+		b = append(b, l.entries[(l.count-1-i)%errorEntries][:]...)
 	}
 	return b[:cap(b)]
 }
 
 // logPage takes Get Log Page: any part of a page, in dwords, past its end zeroes as the specification leaves it.
-func (q *queue) logPage(p *pending) {
+func (q *queue) handleGetLogPage(p *pending) {
 	c := &p.cmd
 	length := (int64(c.dw(10)>>16) | int64(c.dw(11)&0xFFFF)<<16) + 1
 	length *= 4
@@ -84,7 +84,7 @@
 		return
 	}
 	const retain = 1 << 15
-	page := q.logBytes(byte(c.dw(10)), c.dw(10)&retain != 0)
+	page := q.logPageData(byte(c.dw(10)), c.dw(10)&retain != 0)
 	switch {
 	case page == nil:
 		q.complete(p, stInvalidLogPage|dnr, 0, nil)
@@ -98,11 +98,11 @@
 }
 
 // logBytes is a whole page; nil where there is none of that kind.
-func (q *queue) logBytes(lid byte, retain bool) []byte {
+func (q *queue) logPageData(lid byte, retain bool) []byte {
 	s := q.server
-	if q.ctrl.finder {
+	if q.ctrl.isDiscovery {
 		if lid == logDiscovery {
-			return s.discovery(q.net.LocalAddr())
+			return s.discoveryPage(q.conn.LocalAddr())
 		}
 		return nil
 	}
@@ -125,13 +125,13 @@
 		page[0] = 1 // the slot in use
 		copy(page[8:], "1       ")
 	case logNamespaces:
-		return q.ctrl.changed(retain)
+		return q.ctrl.changedNamespacesPage(retain)
 	case logEffects:
 		page = make([]byte, 4096)
 		for _, op := range []int{opGetLogPage, opIdentify, opAbort, opSetFeatures, opGetFeatures, opAsyncEvent, opKeepAlive} {
 			page[4*op] = 1
 		}
-		for _, op := range []int{opFlush, opRead, opCompare, opDataset} {
+		for _, op := range []int{opFlush, opRead, opCompare, opDatasetManagement} {
 			page[1024+4*op] = 1
 		}
 		for _, op := range []int{opWrite, opWriteZeroes} {
@@ -144,7 +144,7 @@
 }
 
 // discovery is the discovery page: one entry, this subsystem at the address that the host came to.
-func (s *Server) discovery(at net.Addr) []byte {
+func (s *Server) discoveryPage(at net.Addr) []byte {
 	page := make([]byte, 2*discoveryLen)
 	binary.LittleEndian.PutUint64(page[0:], 1) // generation
 	binary.LittleEndian.PutUint64(page[8:], 1) // entries
@@ -155,7 +155,7 @@
 	if ip := net.ParseIP(host); ip != nil && ip.To4() == nil {
 		e[1] = ipv6
 	}
-	binary.LittleEndian.PutUint16(e[6:], staticID)
+	binary.LittleEndian.PutUint16(e[6:], dynamicCntlID)
 	binary.LittleEndian.PutUint16(e[8:], uint16(max(s.opt.QueueDepth, 32)))
 	pad := func(b []byte, text string) {
 		for i := range b {
--- a/internal/datapath/nvme/namespace.go
+++ b/internal/datapath/nvme/namespace.go
@@ -11,14 +11,14 @@
 type Namespace config.Namespace
 
 // shard is where a stripe lies.
-func (n *Namespace) shard(stripe uint64) int { return n.Shards[stripe%uint64(len(n.Shards))] }
+func (n *Namespace) shardOf(stripe uint64) int { return n.Shards[stripe%uint64(len(n.Shards))] }
 
 // request is what the module is told of a command, or of a part of one: all of it lies on one shard.
 func (n *Namespace) request(io *IO) policy.Request {
 	stripe := io.SLBA / n.StripeBlocks
 	q := policy.Request{Class: n.Read, Plan: n.Plan, Volume: n.Volume, VolumeInitiators: n.Hosts, MissingKey: true, // commands carry none
 		Extent: fmt.Sprintf("%s/%x", n.Volume, stripe),
-		Shard:  n.shard(stripe),
+		Shard:  n.shardOf(stripe),
 		Units:  float64((io.Blocks + n.UnitBlocks - 1) / n.UnitBlocks)}
 	switch {
 	case io.Write:
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -30,15 +30,15 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 const (
-	targetNQN = "nqn.2026-12.example.test:target"
-	poolNQN   = "nqn.2026-12.example.test:pool"
-	blockSize = 512
-	patient   = 20 * time.Second
+	targetNQN   = "nqn.2026-12.example.test:target"
+	poolNQN     = "nqn.2026-12.example.test:pool"
+	blockSize   = 512
+	testTimeout = 20 * time.Second
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func space() Namespace {
+func testNamespace() Namespace {
 	return Namespace{ID: 1, Volume: "00000003b4d60021", Plan: "std", Hosts: 1, BlockBytes: blockSize, Blocks: 1 << 20,
 		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, Read: "position-read", Write: "event-write"}
 }
@@ -49,9 +49,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
-		MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"position-read": patient, "event-write": patient}, Shutdown: core.NewShutdownSchedule(2 * time.Second),
-		Figures: figures.New([]string{"position-read", "event-write"}), Log: quiet})
+	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64,
+		MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Shutdown: core.NewShutdownSchedule(2 * time.Second),
+		Figures: figures.New([]string{"position-read", "event-write"}), Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
 	return s, l.Addr().String()
@@ -59,17 +59,17 @@
 
 // store is the stand-in target's back: it keeps blocks, counts what it runs, and can stand still.
 type store struct {
-	mu     sync.Mutex
-	blocks map[uint64][]byte
-	writes map[string]int // how often each text was written
-	reads  int
-	still  chan struct{} // not nil: commands wait until it is closed
-	came   chan *IO
-	answer core.Response // instead of serving, where its Status is not Served
+	mu       sync.Mutex
+	blocks   map[uint64][]byte
+	writes   map[string]int // how often each text was written
+	reads    int
+	hold     chan struct{} // not nil: commands wait until it is closed
+	received chan *IO
+	answer   core.Response // instead of serving, where its Status is not Served
 }
 
 func newStore() *store {
-	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IO, 64)}
+	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, received: make(chan *IO, 64)}
 }
 
 func (s *store) Cancel(*core.Job) {}
@@ -77,9 +77,9 @@
 func (s *store) Submit(j *core.Job) bool {
 	x := j.Payload.(*IO)
 	s.mu.Lock()
-	still, answer := s.still, s.answer
+	still, answer := s.hold, s.answer
 	s.mu.Unlock()
-	s.came <- x
+	s.received <- x
 	go func() {
 		if still != nil {
 			<-still
@@ -116,68 +116,70 @@
 }
 
 // rig is an initiator: front, core, module, and targets reached over NVMe.
-type rig struct {
-	addr   string
-	up     *upstream.Registry
-	core   *core.Core
-	server *Server
+type testInitiator struct {
+	addr     string
+	registry *upstream.Registry
+	core     *core.Core
+	server   *Server
 }
 
-func newRig(t testing.TB, digests bool, aim time.Duration, targets ...string) *rig {
+func newInitiator(t testing.TB, digests bool, aim time.Duration, targets ...string) *testInitiator {
 	t.Helper()
 	module, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
 		MaxAttempts: 3, Plans: []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}},
 		Classes: []policy.Class{
-			{Name: "position-read", LatencyObjective: aim, Deadline: patient, PriorityWeight: 3},
-			{Name: "event-write", LatencyObjective: aim, Deadline: patient, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
+			{Name: "position-read", LatencyObjective: aim, Deadline: testTimeout, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: aim, Deadline: testTimeout, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{}
+	r := &testInitiator{}
 	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAlive: time.Minute, Digests: digests})
-	r.up = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: patient, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConnsTotal: 64, Log: quiet},
+	r.registry = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: testTimeout, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConnsTotal: 64, Log: discardLog},
 		func(x core.Result) { r.core.Report(x) })
-	r.core = core.New(module, r.up, core.NewClock(), core.Options{})
+	r.core = core.New(module, r.registry, core.NewClock(), core.Options{})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go r.core.Run(ctx)
 	for i, addr := range targets {
-		r.list(fmt.Sprint("t", i), addr, policy.Up)
+		r.setTarget(fmt.Sprint("t", i), addr, policy.Up)
 	}
 	r.server, r.addr = newServer(t, r.core, poolNQN)
 	return r
 }
 
 // list tells of one target, as the list's actor does: the registry first.
-func (r *rig) list(id, addr string, state policy.EndpointState) { r.listAt(id, addr, 0, state) }
+func (r *testInitiator) setTarget(id, addr string, state policy.EndpointState) {
+	r.setShardTarget(id, addr, 0, state)
+}
 
-func (r *rig) listAt(id, addr string, shard int, state policy.EndpointState) {
-	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
+func (r *testInitiator) setShardTarget(id, addr string, shard int, state policy.EndpointState) {
+	r.registry.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
 	r.core.UpdateTargets(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
 }
 
 // client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
 type client struct {
 	t     testing.TB
-	admin *wire
-	io    *wire
+	admin *hostConn
+	io    *hostConn
 }
 
 func newClient(t testing.TB, addr string, digests bool) *client {
 	t.Helper()
 	h := NewHost(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute, Digests: digests})
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	c := &client{t: t}
 	var err error
-	if c.admin, err = h.open(ctx, addr); err != nil {
+	if c.admin, err = h.openConn(ctx, addr); err != nil {
 		t.Fatal(err)
 	}
 	cntlid, _, err := h.enable(ctx, c.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.io, err = h.open(ctx, addr); err != nil {
+	if c.io, err = h.openConn(ctx, addr); err != nil {
 		t.Fatal(err)
 	}
 	cmd := fabricsCommand(c.io, fctConnect, connectLen)
@@ -187,14 +189,14 @@
 	binary.LittleEndian.PutUint16(data[16:], cntlid)
 	copy(data[256:], poolNQN)
 	copy(data[512:], "nqn.2026-12.example.test:client")
-	if _, _, err = c.io.ask(cmd, data); err != nil {
+	if _, _, err = c.io.execute(cmd, data); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.io.Close(); c.admin.Close() })
 	return c
 }
 
-func (c *client) send(w *wire, cmd *command, data []byte) uint16 {
+func (c *client) send(w *hostConn, cmd *command, data []byte) uint16 {
 	c.t.Helper()
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, cmd[:], data)); err != nil {
 		c.t.Fatal(err)
@@ -223,7 +225,7 @@
 // next reads PDUs up to the next completion, with the data that came for it.
 func (c *client) next() (completion, []byte) {
 	c.t.Helper()
-	c.io.SetReadDeadline(time.Now().Add(patient))
+	c.io.SetReadDeadline(time.Now().Add(testTimeout))
 	var body []byte
 	for {
 		p, err := c.io.receive()
@@ -249,7 +251,7 @@
 			"090018001800000002010403001000000020000000000000"},
 		{"data with both digests", appendPDU(nil, framing{hdigest: true, ddigest: true}, typeC2HData, flagLast,
 			dataHead(1, 0, 0, 4), []byte("1234"))[:8], "0707181c24000000"},
-		{"completion, not ready, delay 2", completion{sqhd: 5, sqid: 1, cid: 9, status: stNSNotReady.withDelay(2)}.head(),
+		{"completion, not ready, delay 2", completion{sqhd: 5, sqid: 1, cid: 9, status: stNSNotReady.withRetryDelay(2)}.head(),
 			"00000000000000000500010009000421"},
 		{"completion, may have run", completion{cid: 9, status: stTransient | dnr}.head(), "00000000000000000000000009004480"},
 	} {
@@ -261,7 +263,7 @@
 
 // TestPDUCuts cuts and damages valid PDUs and feeds garbage: a cut is never whole, a damaged PDU under
 // digests is never taken for the one sent.
-func TestPDUCuts(t *testing.T) {
+func TestTruncatedAndDamagedPDUs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := framing{hdigest: rapid.Bool().Draw(t, "hd"), ddigest: rapid.Bool().Draw(t, "dd"), pda: rapid.IntRange(0, maxPDA).Draw(t, "pda")}
 		data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
@@ -292,7 +294,7 @@
 func TestEndToEnd(t *testing.T) {
 	for _, digests := range []bool{false, true} {
 		_, target := newServer(t, newStore(), targetNQN)
-		r := newRig(t, digests, 5*time.Second, target)
+		r := newInitiator(t, digests, 5*time.Second, target)
 		c := newClient(t, r.addr, digests)
 		cid := c.write(7, "small")
 		if done, _ := c.next(); done.cid != cid || done.status != stOK {
@@ -303,9 +305,9 @@
 			t.Fatalf("read: %+v, %q", done, body)
 		}
 		large := bytes.Repeat([]byte("0123456789abcdef"), 200*blockSize/16)
-		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, bears: bears{inside: inCapsule}}
+		queue := &session{hostConn: c.io, assoc: &association{adminSem: make(chan struct{}, 1)}, capabilities: capabilities{inCapsuleSize: maxInCapsuleData}}
 		always := func() bool { return true }
-		until := time.Now().Add(patient)
+		until := time.Now().Add(testTimeout)
 		got, _, reason := queue.Do(core.Attempt{Deadline: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
 		if got.Code != policy.Served {
 			t.Fatalf("large write: %+v, %s", got, reason)
@@ -320,16 +322,16 @@
 // TestQueueDepth has several commands out at once, by their ids, and each gets its one completion.
 func TestQueueDepth(t *testing.T) {
 	back := newStore()
-	back.still = make(chan struct{})
+	back.hold = make(chan struct{})
 	_, target := newServer(t, back, targetNQN)
-	r := newRig(t, false, 5*time.Second, target)
+	r := newInitiator(t, false, 5*time.Second, target)
 	c := newClient(t, r.addr, false)
 	want := map[uint16]bool{}
 	for i := range 6 {
 		want[c.write(uint64(i), fmt.Sprint("text ", i))] = true
 	}
-	<-back.came
-	close(back.still)
+	<-back.received
+	close(back.hold)
 	for range 6 {
 		done, _ := c.next()
 		if !want[done.cid] || done.status != stOK {
@@ -347,17 +349,17 @@
 // TestStandStillAndDrain is the case the operators fear: a target stands still with a write in its hands, and
 // a drain notice for it arrives. The write gets one completion, which tells the host not to send it again; it
 // is not sent anywhere else; what comes later goes to the target's successor and to nowhere else.
-func TestStandStillAndDrain(t *testing.T) {
+func TestTargetHangsThenDrains(t *testing.T) {
 	stuck, next := newStore(), newStore()
-	stuck.still = make(chan struct{})
+	stuck.hold = make(chan struct{})
 	_, a := newServer(t, stuck, targetNQN)
 	_, b := newServer(t, next, targetNQN)
-	r := newRig(t, false, 300*time.Millisecond, a)
+	r := newInitiator(t, false, 300*time.Millisecond, a)
 	c := newClient(t, r.addr, false)
 	first := c.write(1, "event")
-	<-stuck.came
-	r.list("t0", a, policy.Draining)
-	r.list("t1", b, policy.Up)
+	<-stuck.received
+	r.setTarget("t0", a, policy.Draining)
+	r.setTarget("t1", b, policy.Up)
 	second := c.write(2, "later")
 	third := c.read(3, 1)
 	ends := map[uint16]status{}
@@ -374,12 +376,12 @@
 	if ends[second] != stOK || ends[third] != stOK {
 		t.Errorf("later commands ended with %#x and %#x", uint16(ends[second]), uint16(ends[third]))
 	}
-	close(stuck.still) // it wakes, and runs what it had
+	close(stuck.hold) // it wakes, and runs what it had
 	c.write(4, "last")
 	if done, _ := c.next(); done.status != stOK {
 		t.Errorf("after it woke: %+v", done)
 	}
-	if len(stuck.came) != 0 {
+	if len(stuck.received) != 0 {
 		t.Errorf("the draining target was sent something new")
 	}
 	for text, want := range map[string]int{"event": 0, "later": 1, "last": 1} {
@@ -393,15 +395,15 @@
 }
 
 // TestNoFirstByteToALeavingTarget has the last look, with the queue in hand, say no: not a byte is sent.
-func TestNoFirstByteToALeavingTarget(t *testing.T) {
+func TestNothingSentWhenStartRefused(t *testing.T) {
 	near, far := net.Pipe()
 	bytesSent := make(chan int, 1)
 	go func() {
 		b, _ := io.ReadAll(far)
 		bytesSent <- len(b)
 	}()
-	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	queue := &session{hostConn: &hostConn{Conn: near}, assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
+	r, reuse, _ := queue.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
 	if n := <-bytesSent; r.Code != policy.NotSent || reuse || n != 0 {
@@ -411,19 +413,19 @@
 
 // TestTargetStartsAnew loses a target and finds it again at its address: the association that it no longer
 // knows must not stand in the way until a keep-alive, a minute off here, finds out.
-func TestTargetStartsAnew(t *testing.T) {
+func TestTargetRestart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func(l net.Listener) *Server {
-		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64,
-			MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"event-write": patient, "position-read": patient}, Shutdown: core.NewShutdownSchedule(2 * time.Second), Log: quiet})
+		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64,
+			MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"event-write": testTimeout, "position-read": testTimeout}, Shutdown: core.NewShutdownSchedule(2 * time.Second), Log: discardLog})
 		go func() { _ = s.Serve(l) }()
 		return s
 	}
 	first := start(l)
-	r := newRig(t, false, 5*time.Second, l.Addr().String())
+	r := newInitiator(t, false, 5*time.Second, l.Addr().String())
 	c := newClient(t, r.addr, false)
 	c.read(1, 1)
 	if done, _ := c.next(); done.status != stOK {
@@ -454,8 +456,8 @@
 	}{
 		{"served", core.Response{}, true, stOK},
 		{"refused", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
-		{"refused for longer than can be told", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
+		{"refused, told how long", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withRetryDelay(2)},
+		{"refused for longer than can be told", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withRetryDelay(3)},
 		{"timed out", core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}, true, stTransient | dnr},
 		{"error", core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}, true, stInternal | dnr},
 	} {
@@ -473,17 +475,17 @@
 	}
 	set := newCommand(opSetFeatures, c.admin.nextCID(), 512, true)
 	set.set32(40, featHostBehavior)
-	if _, _, err := c.admin.ask(set, append([]byte{1}, make([]byte, 511)...)); err != nil {
+	if _, _, err := c.admin.execute(set, append([]byte{1}, make([]byte, 511)...)); err != nil {
 		t.Fatal(err)
 	}
 	c.read(0, 1)
-	if done, _ := c.next(); done.status != stNSNotReady.withDelay(1) || done.status&dnr != 0 {
+	if done, _ := c.next(); done.status != stNSNotReady.withRetryDelay(1) || done.status&dnr != 0 {
 		t.Errorf("after: %#x", uint16(done.status))
 	}
 }
 
 // TestOutsideTheSubset checks that what is not served gets its status, and the connection goes on.
-func TestOutsideTheSubset(t *testing.T) {
+func TestUnsupportedCommands(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
 	for _, x := range []struct {
@@ -508,10 +510,10 @@
 		}
 	}
 	format := newCommand(0x80, c.admin.nextCID(), 0, false)
-	if done, _, err := c.admin.ask(format, nil); err == nil || done.status != stInvalidOpcode|dnr {
+	if done, _, err := c.admin.execute(format, nil); err == nil || done.status != stInvalidOpcode|dnr {
 		t.Errorf("format: %+v, %v", done, err)
 	}
-	if _, _, err := c.admin.ask(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
+	if _, _, err := c.admin.execute(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
 		t.Errorf("keep alive: %v", err)
 	}
 	c.read(0, 1)
@@ -523,16 +525,16 @@
 // TestAbort ends a command by its queue and id, once.
 func TestAbort(t *testing.T) {
 	back := newStore()
-	back.still = make(chan struct{})
+	back.hold = make(chan struct{})
 	_, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	cid := c.write(1, "x")
-	<-back.came
+	<-back.received
 	abort := func(want uint64) {
 		t.Helper()
 		cmd := newCommand(opAbort, c.admin.nextCID(), 0, false)
 		cmd.set32(40, 1|uint32(cid)<<16)
-		if done, _, err := c.admin.ask(cmd, nil); err != nil || done.result != want {
+		if done, _, err := c.admin.execute(cmd, nil); err != nil || done.result != want {
 			t.Errorf("abort: result %d, %v; want %d", done.result, err, want)
 		}
 	}
@@ -541,7 +543,7 @@
 		t.Errorf("aborted command: %+v", done)
 	}
 	abort(1)
-	close(back.still)
+	close(back.hold)
 	other := c.read(5, 1)
 	if done, _ := c.next(); done.cid != other {
 		t.Errorf("completion of %d, want none but of %d", done.cid, other)
@@ -556,10 +558,12 @@
 		send func(*client) error
 		fes  uint16
 	}{
-		{"unknown type", func(c *client) error { return raw(c, []byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
-		{"a controller's PDU", func(c *client) error { return raw(c, appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 1, 0, 1), nil)) }, fesSequence},
+		{"unknown type", func(c *client) error { return writeRaw(c, []byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
+		{"a controller's PDU", func(c *client) error {
+			return writeRaw(c, appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 1, 0, 1), nil))
+		}, fesSequence},
 		{"data nobody asked for", func(c *client) error {
-			return raw(c, appendPDU(nil, framing{}, typeH2CData, flagLast, dataHead(9, 9, 0, 1), []byte("x")))
+			return writeRaw(c, appendPDU(nil, framing{}, typeH2CData, flagLast, dataHead(9, 9, 0, 1), []byte("x")))
 		}, fesInvalidHeader},
 		{"data out of range", func(c *client) error {
 			cid := c.send(c.io, c.rw(opWrite, 0, 32, false), nil)
@@ -567,7 +571,7 @@
 			if err != nil || p.kind != typeR2T || p.u32(16) != 32*blockSize {
 				return errors.Join(errors.New("no R2T"), err)
 			}
-			return raw(c, appendPDU(nil, framing{}, typeH2CData, 0, dataHead(cid, p.u16(10), 512, 512), make([]byte, 512)))
+			return writeRaw(c, appendPDU(nil, framing{}, typeH2CData, 0, dataHead(cid, p.u16(10), 512, 512), make([]byte, 512)))
 		}, fesOutOfRange},
 	} {
 		h := newClient(t, addr, false)
@@ -575,7 +579,7 @@
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		h.io.SetReadDeadline(time.Now().Add(patient))
+		h.io.SetReadDeadline(time.Now().Add(testTimeout))
 		p, err := h.io.receive()
 		if err != nil || p.kind != typeC2HTerm || p.u16(8) != c.fes {
 			t.Errorf("%s: %+v, %v; want a termination request with %#x", c.name, p, err, c.fes)
@@ -585,13 +589,13 @@
 
 // TestLastWordArrives has a host break the protocol, send on, and read only once its connection has ended: the termination request is
 // there, and no reset took it.
-func TestLastWordArrives(t *testing.T) {
+func TestTerminationRequestReachesHost(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	h := newClient(t, addr, false)
 	open := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queues) }
 	require.Equal(t, 2, open())
-	require.NoError(t, raw(h, append([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}, make([]byte, 100<<10)...)))
-	require.Eventually(t, func() bool { return open() < 2 }, patient, time.Millisecond)
+	require.NoError(t, writeRaw(h, append([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}, make([]byte, 100<<10)...)))
+	require.Eventually(t, func() bool { return open() < 2 }, testTimeout, time.Millisecond)
 	p, err := h.io.receive()
 	require.NoError(t, err)
 	require.EqualValues(t, typeC2HTerm, p.kind)
@@ -601,7 +605,7 @@
 
 // TestDataAsItEnds has the data of a write come in the instant in which the program has begun to turn commands away: it is turned away
 // as one that may come again, and never written; what is sent on then might find its connection ended.
-func TestDataAsItEnds(t *testing.T) {
+func TestWriteDataDuringShutdown(t *testing.T) {
 	back := newStore()
 	s, addr := newServer(t, back, poolNQN)
 	h := newClient(t, addr, false)
@@ -609,13 +613,13 @@
 	p, err := h.io.receive()
 	require.NoError(t, err)
 	require.EqualValues(t, typeR2T, p.kind)
-	s.leaving.Store(true)
+	s.rejectNew.Store(true)
 	for at := 0; at < 32*blockSize; at += maxH2CData {
 		flags, n := byte(0), min(maxH2CData, 32*blockSize-at)
 		if at+n == 32*blockSize {
 			flags = flagLast
 		}
-		require.NoError(t, raw(h, appendPDU(nil, framing{}, typeH2CData, flags, dataHead(cid, p.u16(10), uint32(at), uint32(n)), make([]byte, n))))
+		require.NoError(t, writeRaw(h, appendPDU(nil, framing{}, typeH2CData, flags, dataHead(cid, p.u16(10), uint32(at), uint32(n)), make([]byte, n))))
 	}
 	done, _ := h.next()
 	require.Equal(t, stNSNotReady, done.status.code())
@@ -625,14 +629,14 @@
 	require.Empty(t, back.writes)
 }
 
-func raw(c *client, b []byte) error {
+func writeRaw(c *client, b []byte) error {
 	_, err := c.io.Write(b)
 	return err
 }
 
 // TestControllerCuts sends a live controller damaged, cut and made-up PDUs after a valid start, connection after
 // connection: each ends or is answered, and a good host is served as before.
-func TestControllerCuts(t *testing.T) {
+func TestControllerSurvivesMalformedPDUs(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	good := newClient(t, addr, false)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -641,7 +645,7 @@
 			rt.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patient))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		out := appendPDU(nil, framing{}, typeICReq, 0, icHead(0, 0), nil)
 		for range rapid.IntRange(1, 4).Draw(rt, "pdus") {
 			kind := rapid.SampledFrom([]byte{typeICReq, typeCmd, typeH2CData, typeH2CTerm, typeR2T, 0x55}).Draw(rt, "kind")
@@ -667,14 +671,14 @@
 func TestBadConnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAlive: time.Minute})
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	w, err := h.open(ctx, addr)
+	w, err := h.openConn(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	if _, err := w.connect(h.opt, 0, staticID); err == nil {
+	if _, err := w.connect(h.opt, 0, dynamicCntlID); err == nil {
 		t.Error("a subsystem that is not here was connected to")
 	}
 	if _, err := w.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77); err == nil {
@@ -684,7 +688,7 @@
 
 // TestSilentHostsMakeRoom fills the hosts' connections with silent ones: a host still gets in, what has joined stays, and
 // nobody is let in once all have joined.
-func TestSilentHostsMakeRoom(t *testing.T) {
+func TestUnconnectedHostsAreEvicted(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	s.mu.Lock()
 	s.opt.MaxConns = 4
@@ -703,7 +707,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("a fifth connection beside four that have joined: %v, want it closed", err)
 	}
@@ -717,28 +721,28 @@
 
 // TestStopFinishes checks that a command taken before the end is completed, that hosts are served for a while after it on
 // what they have, within the time that is left, and turned away then.
-func TestStopFinishes(t *testing.T) {
+func TestStopCompletesOpenCommands(t *testing.T) {
 	back := newStore()
-	back.still = make(chan struct{})
+	back.hold = make(chan struct{})
 	s, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
 	taken := c.read(1, 1)
-	<-back.came
+	<-back.received
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	time.Sleep(core.NewShutdownSchedule(2*time.Second).AcceptFor + 100*time.Millisecond)
 	meanwhile := c.read(3, 1)
-	if x := <-back.came; x.SLBA != 3 {
+	if x := <-back.received; x.SLBA != 3 {
 		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
 	}
-	for !s.leaving.Load() {
+	for !s.rejectNew.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	late := c.read(2, 1)
 	if done, _ := c.next(); done.cid != late || done.status.code() != stNSNotReady || done.status&dnr != 0 {
 		t.Errorf("late command: %+v, want it turned away", done)
 	}
-	close(back.still)
+	close(back.hold)
 	for range 2 {
 		if done, _ := c.next(); done.cid != taken && done.cid != meanwhile || done.status != stOK {
 			t.Errorf("commands taken before: %+v", done)
@@ -757,14 +761,14 @@
 		0: func(p []byte) bool { return binary.LittleEndian.Uint64(p) == 1<<20 && p[130] == 9 },
 		1: func(p []byte) bool { return bytes.HasPrefix(p[768:], []byte(poolNQN)) && p[512] == 0x66 },
 		2: func(p []byte) bool { return binary.LittleEndian.Uint32(p) == 1 && p[4] == 0 },
-		3: func(p []byte) bool { return p[0] == 1 && hex.EncodeToString(p[4:12]) == space().Volume },
+		3: func(p []byte) bool { return p[0] == 1 && hex.EncodeToString(p[4:12]) == testNamespace().Volume },
 	} {
 		cmd := newCommand(opIdentify, c.admin.nextCID(), identifyLen, false)
 		if cns != 2 {
 			cmd.set32(4, 1)
 		}
 		cmd.set32(40, cns)
-		_, page, err := c.admin.ask(cmd, nil)
+		_, page, err := c.admin.execute(cmd, nil)
 		if err != nil || len(page) != identifyLen || !check(page) {
 			t.Errorf("CNS %d: %d bytes, %v", cns, len(page), err)
 		}
@@ -772,7 +776,7 @@
 }
 
 // TestNumbers counts each command once, by its status, and none as open once its connection has ended under it.
-func TestNumbers(t *testing.T) {
+func TestFigures(t *testing.T) {
 	back := newStore()
 	s, addr := newServer(t, back, poolNQN)
 	c := newClient(t, addr, false)
@@ -786,13 +790,13 @@
 	still := make(chan struct{})
 	defer close(still)
 	back.mu.Lock()
-	back.still = still
+	back.hold = still
 	back.mu.Unlock()
 	for range 3 {
 		c.read(3, 1)
 	}
 	for range 5 {
-		<-back.came
+		<-back.received
 	}
 	numbers := func(want ...string) {
 		t.Helper()
@@ -809,7 +813,7 @@
 }
 
 // TestTargetsThatAreGoneAreForgotten has a host meet targets that come and go: of one that nobody has asked for in a while nothing is kept.
-func TestTargetsThatAreGoneAreForgotten(t *testing.T) {
+func TestUnusedAssociationsAreRemoved(t *testing.T) {
 	h := NewHost(HostOptions{KeepAlive: time.Second})
 	meet := func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -820,25 +824,25 @@
 	}
 	meet()
 	meet()
-	require.Len(t, h.all, 2) // their rests hold
-	for _, a := range h.all {
-		a.usedAt, a.restAt = time.Now().Add(-2*unusedFor), time.Now().Add(-2*unusedFor)
+	require.Len(t, h.associations, 2) // their rests hold
+	for _, a := range h.associations {
+		a.lastUsed, a.retryAt = time.Now().Add(-2*maxUnusedTime), time.Now().Add(-2*maxUnusedTime)
 	}
 	meet()
-	require.Len(t, h.all, 1)
+	require.Len(t, h.associations, 1)
 }
 
 // tardy is a connection on a machine that is too busy to fire the timer of its writes' deadline.
-type tardy struct{ net.Conn }
+type noWriteDeadlineConn struct{ net.Conn }
 
-func (tardy) SetWriteDeadline(time.Time) error { return nil }
+func (noWriteDeadlineConn) SetWriteDeadline(time.Time) error { return nil }
 
-func (c tardy) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
+func (c noWriteDeadlineConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
 // TestDataPastItsWindow has a target ask for a write's data just inside the window that the repeat may leave in, and after it: then no byte of
 // the data goes out, and the write cannot have begun. A completion of another command is not taken for its.
-func TestDataPastItsWindow(t *testing.T) {
-	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: patient, policy.NotConnected: 50 * time.Millisecond} {
+func TestNoDataAfterWriteDeadline(t *testing.T) {
+	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: testTimeout, policy.NotConnected: 50 * time.Millisecond} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
@@ -863,8 +867,8 @@
 		}()
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		q := &session{wire: &wire{Conn: tardy{c}, in: bufio.NewReader(c), most: blockSize}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(patient), SendBefore: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
+		q := &session{hostConn: &hostConn{Conn: noWriteDeadlineConn{c}, in: bufio.NewReader(c), maxDataPDU: blockSize}, assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
+		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), SendBefore: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
 			Data: make([]byte, blockSize)}}, func() bool { return true })
 		q.Close()
 		require.Equal(t, want, r.Code)
--- a/internal/datapath/nvme/pdu.go
+++ b/internal/datapath/nvme/pdu.go
@@ -50,7 +50,7 @@
 	maxH2CData        = 64 << 10  // told to hosts
 	minH2CData        = 4096
 	maxTransfer       = 128 << 10 // of one command; a power of two of pages, see identify
-	inCapsule         = 8192
+	maxInCapsuleData  = 8192
 	defaultQueueDepth = 64
 )
 
@@ -70,14 +70,16 @@
 func (p *pdu) u32(at int) uint32 { return binary.LittleEndian.Uint32(p.head[at:]) }
 
 // fatal is an error that ends the connection with a termination request.
-type fatal struct {
+type fatalError struct {
 	fes   uint16
 	fei   uint32
 	cause string
 	head  []byte
 }
 
-func (f *fatal) Error() string { return fmt.Sprintf("%s (FES %#x, FEI %#x)", f.cause, f.fes, f.fei) }
+func (f *fatalError) Error() string {
+	return fmt.Sprintf("%s (FES %#x, FEI %#x)", f.cause, f.fes, f.fei)
+}
 
 // headLen is the length of each type's header; 0: not a type.
 func headLen(kind byte) int {
@@ -107,7 +109,7 @@
 	kind, flags, hlen, pdo := ch[0], ch[1], int(ch[2]), int(ch[3])
 	plen := int64(binary.LittleEndian.Uint32(ch[4:]))
 	bad := func(at uint32, cause string) error {
-		return &fatal{fes: fesInvalidHeader, fei: at, cause: cause, head: ch[:]}
+		return &fatalError{fes: fesInvalidHeader, fei: at, cause: cause, head: ch[:]}
 	}
 	want := headLen(kind)
 	switch {
@@ -131,15 +133,15 @@
 	p := &pdu{kind: kind, flags: flags, head: make([]byte, hlen)}
 	copy(p.head, ch[:])
 	if _, err := io.ReadFull(in, p.head[commonLen:]); err != nil {
-		return nil, short(err)
+		return nil, unexpectedEOF(err)
 	}
 	if hd {
 		var d [digestLen]byte
 		if _, err := io.ReadFull(in, d[:]); err != nil {
-			return nil, short(err)
+			return nil, unexpectedEOF(err)
 		}
 		if got := crc32.Checksum(p.head, castagnoli); got != binary.LittleEndian.Uint32(d[:]) {
-			return nil, &fatal{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest", head: p.head}
+			return nil, &fatalError{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest", head: p.head}
 		}
 	}
 	rest := int(plen) - used
@@ -160,7 +162,7 @@
 		return nil, bad(3, "data offset out of range")
 	}
 	if _, err := io.CopyN(io.Discard, in, int64(pad)); err != nil {
-		return nil, short(err)
+		return nil, unexpectedEOF(err)
 	}
 	rest -= pad
 	dd := digests && flags&flagDDigest != 0
@@ -174,12 +176,12 @@
 	}
 	p.data = make([]byte, rest)
 	if _, err := io.ReadFull(in, p.data); err != nil {
-		return nil, short(err)
+		return nil, unexpectedEOF(err)
 	}
 	if dd {
 		var d [digestLen]byte
 		if _, err := io.ReadFull(in, d[:]); err != nil {
-			return nil, short(err)
+			return nil, unexpectedEOF(err)
 		}
 		p.dataError = crc32.Checksum(p.data, castagnoli) != binary.LittleEndian.Uint32(d[:])
 	}
@@ -187,7 +189,7 @@
 }
 
 // short makes an end within a PDU tell itself from one between two.
-func short(err error) error {
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
@@ -244,7 +246,7 @@
 	return h
 }
 
-func termPDU(kind byte, f *fatal) []byte {
+func termPDU(kind byte, f *fatalError) []byte {
 	h := make([]byte, dataLen-commonLen)
 	binary.LittleEndian.PutUint16(h, f.fes)
 	binary.LittleEndian.PutUint32(h[2:], f.fei)
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -10,16 +10,16 @@
 // What becomes of commands that lie on several shards, and what a range of blocks may be. Nothing here does I/O.
 
 // everyNS names all namespaces of a controller.
-const everyNS = 0xFFFFFFFF
+const allNamespaces = 0xFFFFFFFF
 
 // split cuts a command where the shard changes: a target holds the blocks of its own shard only.
-func (n *Namespace) split(x *IO) []*IO {
+func (n *Namespace) splitByShard(x *IO) []*IO {
 	var parts []*IO
 	at, left := x.SLBA, uint64(x.Blocks)
 	for left > 0 {
 		stripe := at / n.StripeBlocks
 		blocks := min(left, (stripe+1)*n.StripeBlocks-at)
-		if last := len(parts) - 1; last >= 0 && n.shard(stripe) == n.shard(stripe-1) {
+		if last := len(parts) - 1; last >= 0 && n.shardOf(stripe) == n.shardOf(stripe-1) {
 			parts[last].Blocks += uint32(blocks)
 		} else {
 			parts = append(parts, &IO{Write: x.Write, NSID: x.NSID, SLBA: at, Blocks: uint32(blocks)})
@@ -43,7 +43,7 @@
 
 // gather makes one status of the parts' ends, and a read's data of theirs. Retryable is only a command of which nothing
 // that must not run twice has run or may have run.
-func gather(x *IO, jobs []*core.Job, ends []core.Response, delays bool) (status, []byte) {
+func mergeResponses(x *IO, jobs []*core.Job, ends []core.Response, delays bool) (status, []byte) {
 	var body []byte
 	served := 0
 	refused := core.Response{Status: core.Rejected}
@@ -86,7 +86,7 @@
 }
 
 // dataset checks a Dataset Management command. Its attributes are hints, none of which is taken up.
-func (n *Namespace) dataset(c *command, data []byte) status {
+func (n *Namespace) checkDatasetManagement(c *command, data []byte) status {
 	const rangeLen = 16
 	ranges := int(c.dw(10)&0xFF) + 1
 	if c.sglType() != sglOffset || len(data) != ranges*rangeLen {
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -14,7 +14,7 @@
 )
 
 // secured is a stand-in target over TLS, and the keys of host and target, which change together.
-func secured(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
+func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
@@ -27,22 +27,22 @@
 		t.Fatal(err)
 	}
 	back := newStore()
-	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
-		Timeouts: map[string]time.Duration{"position-read": patient, "event-write": patient}, Keys: k, Log: quiet})
+	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
+		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: k, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
 	return k, back, s, l.Addr().String()
 }
 
 // secureHost is a host of such a target with keys of its own.
-func secureHost(k *keys.Store) *Host {
+func newTLSHost(k *keys.Store) *Host {
 	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Keys: k})
 }
 
 // do carries one write out on a session that is dialled or used again, as a target's pool does.
 func do(t *testing.T, h *Host, addr string, idle *upstream.Session, x *IO) core.Result {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	s := *idle
 	if s == nil || !s.Alive() {
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 	}
-	r, reuse, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: x}, func() bool { return true })
+	r, reuse, _ := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: x}, func() bool { return true })
 	*idle = s
 	if !reuse {
 		s.Close()
@@ -65,16 +65,16 @@
 
 // TestKeysChangeInService changes the keys again and again while a host writes: no command is lost or run twice, and
 // after the overlap none of the old connections is left.
-func TestKeysChangeInService(t *testing.T) {
+func TestKeyRotationDuringWrites(t *testing.T) {
 	dir := t.TempDir()
-	k, back, server, addr := secured(t, dir, 400*time.Millisecond)
-	h := secureHost(k)
+	k, back, server, addr := newTLSTarget(t, dir, 400*time.Millisecond)
+	h := newTLSHost(k)
 	var idle upstream.Session
 	text := make([]byte, blockSize)
 	began := time.Now()
 	last, n := began, 0
 	for ; time.Since(began) < 2*time.Second; n++ {
-		drain(back)
+		drainReceived(back)
 		text[0], text[1], text[2] = byte(n), byte(n>>8), 1
 		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), text...)}); r.Code != 0 {
 			t.Fatalf("write %d: %v", n, r.Code)
@@ -100,11 +100,11 @@
 		}
 	}
 	back.mu.Unlock()
-	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		server.mu.Lock()
 		old := 0
 		for q := range server.queues {
-			if q.retired.Load() {
+			if q.keyRetired.Load() {
 				old++
 			}
 		}
@@ -121,17 +121,17 @@
 
 // TestOldKeysAreRefused keeps a host with its old keys: its open command is finished past the overlap, new commands and
 // connections are refused.
-func TestOldKeysAreRefused(t *testing.T) {
+func TestOldKeysAreRejected(t *testing.T) {
 	dir := t.TempDir()
-	k, back, _, addr := secured(t, dir, 200*time.Millisecond)
+	k, back, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
 	f := issue.Into(t, t.TempDir(), time.Hour) // another authority altogether
 	stranger, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	if _, err := secureHost(stranger).Dial(ctx, addr); err == nil {
+	if _, err := newTLSHost(stranger).Dial(ctx, addr); err == nil {
 		t.Error("a stranger's key was taken")
 	}
 	if _, err := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute}).Dial(ctx, addr); err == nil {
@@ -141,34 +141,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := secureHost(old).Dial(ctx, addr)
+	s, err := newTLSHost(old).Dial(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	back.mu.Lock()
-	back.still = make(chan struct{})
+	back.hold = make(chan struct{})
 	back.mu.Unlock()
 	ended := make(chan core.Result, 1)
 	go func() {
-		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
+		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
 		ended <- r
 	}()
-	<-back.came
+	<-back.received
 	issue.Into(t, dir, time.Hour)
 	if err := k.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200*time.Millisecond + 3*keysEvery)
-	close(back.still)
+	time.Sleep(200*time.Millisecond + 3*keyCheckInterval)
+	close(back.hold)
 	if r := <-ended; r.Code != 0 {
 		t.Errorf("the command that was open: %v", r.Code)
 	}
-	w := s.(*session).wire
-	w.SetReadDeadline(time.Now().Add(patient))
+	w := s.(*session).hostConn
+	w.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := w.in.Peek(1); err == nil {
 		t.Error("the old connection goes on")
 	}
-	if _, err := secureHost(old).Dial(ctx, addr); err == nil {
+	if _, err := newTLSHost(old).Dial(ctx, addr); err == nil {
 		t.Error("an old key was taken past its time")
 	}
 }
