--- a/internal/datapath/nvme/admin.go
+++ b/internal/datapath/nvme/admin.go
@@ -38,8 +38,8 @@
 	qid, size := uint16(c.dw(10)>>16), c.dw(11)&0xFFFF+1
 	cntlid := binary.LittleEndian.Uint16(data[16:])
 	subnqn, host := parseNQN(data[256:512]), parseNQN(data[512:768])
-	finder := subnqn == discoveryNQN
-	if subnqn != s.opt.Subsystem && (!finder || qid > 0) || host == "" || size < 2 || int(size) > max(s.opt.QueueDepth, 32) || qid > 0 && int(size) > s.opt.QueueDepth {
+	isDiscovery := subnqn == discoveryNQN
+	if subnqn != s.opt.Subsystem && (!isDiscovery || qid > 0) || host == "" || size < 2 || int(size) > max(s.opt.QueueDepth, 32) || qid > 0 && int(size) > s.opt.QueueDepth {
 		q.complete(p, stBadConnect|dnr, 0, nil)
 		return
 	}
@@ -48,7 +48,7 @@
 	if qid == 0 {
 		if cntlid != dynamicCntlID {
 			st = stBadConnect | dnr
-		} else if ctrl = s.newController(q, host, time.Duration(c.dw(12))*time.Millisecond, finder); ctrl == nil {
+		} else if ctrl = s.newController(q, host, time.Duration(c.dw(12))*time.Millisecond, isDiscovery); ctrl == nil {
 			st = stControllerBusy
 		}
 	} else {
@@ -68,9 +68,9 @@
 	}
 	q.mu.Lock()
 	q.ctrl, q.qid, q.size, q.sqhd = ctrl, qid, uint16(size), 1
-	gone := q.cmds == nil
+	connClosed := q.cmds == nil
 	q.mu.Unlock()
-	if gone {
+	if connClosed {
 		ctrl.removeQueue(q) // the connection has ended meanwhile, without a controller to leave
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // associate makes a controller for a host's admin queue; nil when all ids are in use.
-func (s *Server) newController(q *queue, host string, kato time.Duration, finder bool) *controller {
+func (s *Server) newController(q *queue, host string, kato time.Duration, isDiscovery bool) *controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range 0xFF00 {
@@ -92,7 +92,7 @@
 		if s.controllers[s.nextID] != nil {
 			continue
 		}
-		c := &controller{id: s.nextID, server: s, host: host, queues: map[uint16]*queue{0: q}, kato: kato, isDiscovery: finder}
+		c := &controller{id: s.nextID, server: s, host: host, queues: map[uint16]*queue{0: q}, kato: kato, isDiscovery: isDiscovery}
 		if kato > 0 {
 			c.keepAliveTimer = time.AfterFunc(kato, func() { c.closeAllQueues("KEEP_ALIVE_LATE") })
 		}
@@ -171,9 +171,9 @@
 		q.complete(p, stInvalidOpcode|dnr, 0, nil)
 		return
 	}
-	wide, offset := c.dw(10)&7 == 1, c.dw(11)
+	eightBytes, offset := c.dw(10)&7 == 1, c.dw(11)
 	if c.fctype() == fctPropertySet {
-		if offset != propCC || wide {
+		if offset != propCC || eightBytes {
 			q.complete(p, stInvalidField|dnr, 0, nil)
 			return
 		}
@@ -186,7 +186,7 @@
 	values := map[uint32]uint64{propCAP: capBase | uint64(q.server.opt.QueueDepth-1), propVS: version, propCC: uint64(ctrl.cc), propCSTS: uint64(ctrl.csts)}
 	ctrl.mu.Unlock()
 	v, known := values[offset]
-	if !known || wide != (offset == propCAP) {
+	if !known || eightBytes != (offset == propCAP) {
 		q.complete(p, stInvalidField|dnr, 0, nil)
 		return
 	}
@@ -196,7 +196,7 @@
 // setCC enables, resets or shuts down the controller. A reset ends its I/O queues.
 func (c *controller) setCC(cc uint32) {
 	c.mu.Lock()
-	was := c.cc
+	oldCC := c.cc
 	c.cc = cc
 	switch {
 	case cc&ccEnable == 0:
@@ -208,7 +208,7 @@
 		c.csts = cstsReady
 	}
 	c.mu.Unlock()
-	if was&ccEnable != 0 && cc&ccEnable == 0 {
+	if oldCC&ccEnable != 0 && cc&ccEnable == 0 {
 		c.closeQueues("CONTROLLER_RESET", 1)
 	}
 }
@@ -226,11 +226,11 @@
 		q.ctrl.mu.Lock()
 		at := q.ctrl.queues[uint16(c.dw(10))]
 		q.ctrl.mu.Unlock()
-		missed := uint64(1)
+		notAborted := uint64(1)
 		if at != nil && at.abort(uint16(c.dw(10)>>16)) {
-			missed = 0
+			notAborted = 0
 		}
-		q.complete(p, stOK, missed, nil)
+		q.complete(p, stOK, notAborted, nil)
 	case opIdentify:
 		page := q.identify(c)
 		if page == nil || c.sglType() != sglTransport || c.sglLen() != identifyLen {
@@ -319,10 +319,10 @@
 			page[130]++
 		}
 	case 1: // controller
-		text := func(at, n int, s string) { copy(page[at:at+n], append([]byte(s), bytes.Repeat([]byte(" "), n)...)) }
-		text(4, 20, s.opt.Subsystem[max(0, len(s.opt.Subsystem)-20):])
-		text(24, 40, "spindlehitch")
-		text(64, 8, "1")
+		putText := func(at, n int, s string) { copy(page[at:at+n], append([]byte(s), bytes.Repeat([]byte(" "), n)...)) }
+		putText(4, 20, s.opt.Subsystem[max(0, len(s.opt.Subsystem)-20):])
+		putText(24, 40, "spindlehitch")
+		putText(64, 8, "1")
 		page[77] = 5 // largest transfer: 2^5 pages of 4 KiB
 		binary.LittleEndian.PutUint16(page[78:], q.ctrl.id)
 		binary.LittleEndian.PutUint32(page[80:], version)
--- a/internal/datapath/nvme/bench_test.go
+++ b/internal/datapath/nvme/bench_test.go
@@ -9,20 +9,20 @@
 // BenchmarkReads has a host keep four reads out through the front, the core and a target, all on this machine.
 func BenchmarkReads(b *testing.B) {
 	b.ReportAllocs()
-	back := newStore()
+	backend := newStore()
 	go func() {
-		for range back.received {
+		for range backend.received {
 		}
 	}()
-	_, target := newServer(b, back, targetNQN)
+	_, target := newServer(b, backend, targetNQN)
 	r := newInitiator(b, false, time.Second, target)
 	c := newClient(b, r.addr, false)
 	sent := map[uint16]time.Time{}
 	took := make([]time.Duration, 0, b.N)
-	ask := func() { sent[c.read(1, 8)] = time.Now() }
+	read := func() { sent[c.read(1, 8)] = time.Now() }
 	b.ResetTimer()
 	for range min(4, b.N) {
-		ask()
+		read()
 	}
 	for i := range b.N {
 		done, _ := c.next()
@@ -31,7 +31,7 @@
 		}
 		took = append(took, time.Since(sent[done.cid]))
 		if i+4 < b.N {
-			ask()
+			read()
 		}
 	}
 	b.StopTimer()
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -81,7 +81,7 @@
 // code is the status without its CRD, More and DNR bits.
 func (s status) code() status { return s & 0x7FF }
 
-func (s status) withRetryDelay(index int) status { return s | status(index&3)<<11 }
+func (s status) withRetryDelay(crd int) status { return s | status(crd&3)<<11 }
 
 // retryDelays are the controller's CRDT1 to CRDT3, in units of 100 ms: how long a host that has asked to be
 // told (Host Behavior Support, ACRE) stays away. The last is the longest a client of this project honours.
@@ -102,17 +102,17 @@
 
 // statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
 // what may have run has DNR set, so that no host sends it again by itself.
-func statusOf(a core.Response, delays bool) status {
-	switch a.Status {
+func statusOf(r core.Response, sendDelay bool) status {
+	switch r.Status {
 	case core.Served:
 		return stOK
 	case core.Rejected:
-		if delays {
-			return stNSNotReady.withRetryDelay(retryDelayIndex(a.RetryAfter))
+		if sendDelay {
+			return stNSNotReady.withRetryDelay(retryDelayIndex(r.RetryAfter))
 		}
 		return stNSNotReady
 	}
-	if a.LastOutcome == policy.TimedOut || a.LastOutcome == policy.ConnectionReset {
+	if r.LastOutcome == policy.TimedOut || r.LastOutcome == policy.ConnectionReset {
 		return stTransient | dnr
 	}
 	return stInternal | dnr
@@ -158,12 +158,12 @@
 func (c *command) set64(at int, v uint64) { binary.LittleEndian.PutUint64(c[at:], v) }
 
 // newCommand returns an entry whose data, if any, goes in the capsule or is moved by the transport.
-func newCommand(op byte, cid uint16, length int, inside bool) *command {
+func newCommand(op byte, cid uint16, length int, inCapsule bool) *command {
 	c := &command{op, 0x40} // SGLs are used for the transfer
 	c.set16(2, cid)
 	c.set32(32, uint32(length))
 	c[39] = sglTransport
-	if inside {
+	if inCapsule {
 		c[39] = sglOffset
 	}
 	return c
--- a/internal/datapath/nvme/conformance.go
+++ b/internal/datapath/nvme/conformance.go
@@ -148,13 +148,13 @@
 
 // queue connects an admin queue and an I/O queue of 8 entries, and reads the namespace's size.
 func (p *probe) queue() (*hostConn, error) {
-	a, err := p.admin()
+	admin, err := p.admin()
 	if err != nil {
 		return nil, err
 	}
-	id := newCommand(opIdentify, a.nextCID(), identifyLen, false)
+	id := newCommand(opIdentify, admin.nextCID(), identifyLen, false)
 	id.set32(4, p.opt.NSID)
-	_, page, err := a.execute(id, nil)
+	_, page, err := admin.execute(id, nil)
 	if err != nil {
 		return nil, fmt.Errorf("identify namespace: %w", err)
 	}
@@ -183,8 +183,8 @@
 }
 
 // rw is a read or a write (or what resembles them) of some blocks.
-func (p *probe) rw(w *hostConn, op byte, lba uint64, blocks int, inside bool) *command {
-	c := newCommand(op, w.nextCID(), blocks*p.blockBytes, inside)
+func (p *probe) rw(w *hostConn, op byte, lba uint64, blocks int, inCapsule bool) *command {
+	c := newCommand(op, w.nextCID(), blocks*p.blockBytes, inCapsule)
 	c.set32(4, p.opt.NSID)
 	c.set64(40, lba)
 	c.set16(48, uint16(blocks-1))
@@ -224,13 +224,13 @@
 }
 
 // says sends bytes on a fresh connection and waits for the termination request.
-func terminatedAfterBytes(text []byte, fes uint16, fei int64) func(*probe) error {
+func terminatedAfterBytes(b []byte, fes uint16, fei int64) func(*probe) error {
 	return func(p *probe) error {
 		c, err := p.dialRaw()
 		if err != nil {
 			return err
 		}
-		if _, err := c.Write(text); err != nil {
+		if _, err := c.Write(b); err != nil {
 			return err
 		}
 		return expectTermination(c, fes, fei)
@@ -270,10 +270,10 @@
 }
 
 // ioEnds sends one command on an I/O queue, as spoilt, and checks its status.
-func ioStatus(op byte, blocks int, want status, spoil func(*probe, *command)) func(*probe) error {
+func ioStatus(op byte, blocks int, want status, modify func(*probe, *command)) func(*probe) error {
 	return onQueue(func(p *probe, w *hostConn) error {
 		c := p.rw(w, op, 0, blocks, false)
-		spoil(p, c)
+		modify(p, c)
 		return p.expectStatus(w, c, nil, want)
 	})
 }
@@ -295,22 +295,22 @@
 }
 
 // badData begins a write of 32 blocks and sends one part of its data that is wrong.
-func terminatedAfterData(fes uint16, fei int64, spoil func(p *probe, cid, tag uint16) (cidOut, tagOut uint16, offset, length, body int)) func(*probe) error {
+func terminatedAfterData(fes uint16, fei int64, modify func(p *probe, cid, tag uint16) (cidOut, tagOut uint16, offset, length, body int)) func(*probe) error {
 	return onQueue(func(p *probe, w *hostConn) error {
 		c, tag, err := p.startWrite(w, 32)
 		if err != nil {
 			return err
 		}
-		cid, tag, offset, length, body := spoil(p, c.cid(), tag)
+		cid, tag, offset, length, body := modify(p, c.cid(), tag)
 		_, _ = w.Write(appendPDU(nil, w.framing, typeH2CData, 0, dataHead(cid, tag, uint32(offset), uint32(length)), make([]byte, body)))
 		return expectTermination(w.in, fes, fei)
 	})
 }
 
 // icReq is a whole ICReq.
-func icReq(spoil func([]byte)) []byte {
+func icReq(modify func([]byte)) []byte {
 	b := appendPDU(nil, framing{}, typeICReq, 0, icHead(0, 0), nil)
-	spoil(b)
+	modify(b)
 	return b
 }
 
@@ -346,14 +346,14 @@
 }
 
 // wrote writes and reads back.
-func writeAndReadBack(blocks int, inside, digests bool) func(*probe) error { //nolint:gocognit // to be split with its package, see docs/left.md
+func writeAndReadBack(blocks int, inCapsule, digests bool) func(*probe) error { //nolint:gocognit // to be split with its package, see docs/left.md
 	return func(p *probe) error {
 		p.digests = digests
 		return onQueue(func(p *probe, w *hostConn) error {
-			text := p.pattern(blocks, blocks)
-			c := p.rw(w, opWrite, 0, blocks, inside)
-			if inside {
-				if err := p.expectStatus(w, c, text, stOK); err != nil {
+			data := p.pattern(blocks, blocks)
+			c := p.rw(w, opWrite, 0, blocks, inCapsule)
+			if inCapsule {
+				if err := p.expectStatus(w, c, data, stOK); err != nil {
 					return err
 				}
 			} else {
@@ -362,7 +362,7 @@
 				if c, tag, err = p.startWrite(w, blocks); err != nil {
 					return err
 				}
-				if err = (&session{hostConn: w}).sendData(c.cid(), tag, text, 0, len(text)); err != nil {
+				if err = (&session{hostConn: w}).sendData(c.cid(), tag, data, 0, len(data)); err != nil {
 					return err
 				}
 				pd, err := w.receive()
@@ -377,7 +377,7 @@
 			if err != nil {
 				return err
 			}
-			if st != stOK || !bytes.Equal(body, text) {
+			if st != stOK || !bytes.Equal(body, data) {
 				return fmt.Errorf("read back: status %#x, %d bytes, not what was written", uint16(st), len(body))
 			}
 			return nil
@@ -612,14 +612,14 @@
 		return err
 	})},
 	{section: "base 3.7.2", text: "a controller reset ends I/O queues and keeps the admin queue", check: onQueue(func(p *probe, w *hostConn) error {
-		a := p.conns[0]
-		if err := writeCC(a, 0); err != nil {
+		admin := p.conns[0]
+		if err := writeCC(admin, 0); err != nil {
 			return err
 		}
 		if err := expectClose(w); err != nil {
 			return err
 		}
-		_, err := a.readProperty(propCSTS)
+		_, err := admin.readProperty(propCSTS)
 		return err
 	})},
 	{section: "base 3.9", text: "a host without keep-alives past its time-out loses its association", check: func(p *probe) error {
@@ -650,7 +650,7 @@
 		})},
 	{section: "base 5.17.2.3", text: "Identify active namespaces: the namespace is there, ids ascend",
 		check: identifyPage(2, func(p *probe, b []byte) bool {
-			there, last := false, uint32(0)
+			found, last := false, uint32(0)
 			for at := 0; at < len(b); at += 4 {
 				id := binary.LittleEndian.Uint32(b[at:])
 				if id == 0 {
@@ -659,9 +659,9 @@
 				if id <= last {
 					return false
 				}
-				there, last = there || id == p.opt.NSID, id
+				found, last = found || id == p.opt.NSID, id
 			}
-			return there
+			return found
 		})},
 	{section: "base 5.17.2.4", text: "Identify namespace identification: one descriptor at least",
 		check: identifyPage(3, func(_ *probe, b []byte) bool { return b[0] > 0 && b[1] > 0 })},
@@ -711,9 +711,9 @@
 		return p.expectStatus(w, again, nil, stCIDConflict|dnr)
 	})},
 	{section: "base 5.16.1.23", text: "discovery: the subsystem is found by the well-known name", check: func(p *probe) error {
-		named := p.opt.Subsystem
+		subsystem := p.opt.Subsystem
 		p.opt.Subsystem = discoveryNQN
-		defer func() { p.opt.Subsystem = named }()
+		defer func() { p.opt.Subsystem = subsystem }()
 		w, err := p.admin()
 		if err != nil {
 			return err
@@ -721,7 +721,7 @@
 		c := newCommand(opGetLogPage, w.nextCID(), 2*discoveryLen, false)
 		c.set32(40, logDiscovery|(2*discoveryLen/4-1)<<16)
 		_, b, err := w.execute(c, nil)
-		if err == nil && parseNQN(b[discoveryLen+256:discoveryLen+512]) != named {
+		if err == nil && parseNQN(b[discoveryLen+256:discoveryLen+512]) != subsystem {
 			err = fmt.Errorf("the first entry is %q", parseNQN(b[discoveryLen+256:discoveryLen+512]))
 		}
 		return err
@@ -733,11 +733,11 @@
 	{section: "NVM 3.2.4", text: "Read from an address near the largest: LBA Out of Range", check: ioStatus(opRead, 2, stLBARange|dnr, func(_ *probe, c *command) { c.set64(40, 1<<64-1) })},
 	{section: "NVM 3.2.4", text: "Read with a length that is not its blocks': Invalid Field", check: ioStatus(opRead, 2, stInvalidField|dnr, func(p *probe, c *command) { c.set32(32, uint32(p.blockBytes)) })},
 	{section: "NVM 3.2.1", text: "Compare: success, and Compare Failure", writes: true, check: onQueue(func(p *probe, w *hostConn) error {
-		text := p.pattern(2, 5)
-		if err := p.expectStatus(w, p.rw(w, opWrite, 8, 2, true), text, stOK); err != nil {
+		data := p.pattern(2, 5)
+		if err := p.expectStatus(w, p.rw(w, opWrite, 8, 2, true), data, stOK); err != nil {
 			return err
 		}
-		if err := p.expectStatus(w, p.rw(w, opCompare, 8, 2, true), text, stOK); err != nil {
+		if err := p.expectStatus(w, p.rw(w, opCompare, 8, 2, true), data, stOK); err != nil {
 			return err
 		}
 		return p.expectStatus(w, p.rw(w, opCompare, 8, 2, true), p.pattern(2, 6), stCompareFailure)
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -143,9 +143,9 @@
 	s.listener = l
 	s.mu.Unlock()
 	if s.opt.Keys != nil {
-		over := make(chan struct{})
-		defer close(over)
-		go s.retireOldKeys(over)
+		stopped := make(chan struct{})
+		defer close(stopped)
+		go s.retireOldKeys(stopped)
 	}
 	for {
 		c, err := l.Accept()
@@ -183,12 +183,12 @@
 
 // watchKeys retires the connections of hosts whose keys are good no more, until the server stops accepting: their commands
 // are finished, new ones are turned away as retryable, and then they end.
-func (s *Server) retireOldKeys(over <-chan struct{}) {
+func (s *Server) retireOldKeys(stopped <-chan struct{}) {
 	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-over:
+		case <-stopped:
 			return
 		case <-tick.C:
 		}
@@ -315,10 +315,10 @@
 func (q *queue) close() {
 	_ = listen.Shut(q.conn)
 	q.mu.Lock()
-	left, ctrl := q.cmds, q.ctrl
+	open, ctrl := q.cmds, q.ctrl
 	q.cmds = nil
 	q.mu.Unlock()
-	for _, p := range left {
+	for _, p := range open {
 		q.drop(p)
 	}
 	if ctrl != nil {
@@ -364,7 +364,7 @@
 	err := q.servePDUs()
 	var f *fatalError
 	var timeout net.Error
-	var noTLS tls.RecordHeaderError
+	var notTLS tls.RecordHeaderError
 	reason := "HOST_CLOSED"
 	switch {
 	case errors.As(err, &f):
@@ -375,7 +375,7 @@
 		reason = "HOST_TERMINATED"
 	case errors.As(err, &timeout) && timeout.Timeout():
 		reason = "HANDSHAKE_SLOW"
-	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &noTLS):
+	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &notTLS):
 		reason = "TLS_REFUSED"
 	case err != nil && err.Error() != "EOF":
 		reason = "HOST_RESET"
@@ -533,16 +533,16 @@
 	}
 	x := &IO{Write: c.op() == opWrite || c.op() == opWriteZeroes, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
 	length := int(x.Blocks) * ns.BlockBytes
-	takes := c.op() == opWrite || c.op() == opCompare // data of the host's
-	inside, moved := c.sglType() == sglOffset, int(c.sglLen()) == length
+	needsHostData := c.op() == opWrite || c.op() == opCompare // data of the host's
+	inCapsule, lengthMatches := c.sglType() == sglOffset, int(c.sglLen()) == length
 	if c.op() == opWriteZeroes {
-		inside, moved = false, len(data) == 0 // no data pointer
+		inCapsule, lengthMatches = false, len(data) == 0 // no data pointer
 	}
 	switch {
 	case x.SLBA >= ns.Blocks || uint64(x.Blocks) > ns.Blocks-x.SLBA:
 		q.complete(p, stLBARange|dnr, 0, nil)
-	case length > maxTransfer, !moved, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
-		inside && (!takes || len(data) != length || length > maxInCapsuleData), !inside && len(data) > 0:
+	case length > maxTransfer, !lengthMatches, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
+		inCapsule && (!needsHostData || len(data) != length || length > maxInCapsuleData), !inCapsule && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
 	case s.rejectNew.Load(), q.keyRetired.Load(), s.bufferedBytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
 		// Nothing of it was begun; the host may come back, or go elsewhere.
@@ -551,20 +551,20 @@
 		x.Bytes = length
 		// A connection that ended meanwhile has let go of the command: what it would hold now, nobody gave back.
 		q.mu.Lock()
-		gone := q.cmds[c.cid()] != p
-		if !gone {
+		dropped := q.cmds[c.cid()] != p
+		if !dropped {
 			p.io, p.ns = x, ns
 			s.bufferedBytes.Add(int64(length))
 		}
 		q.mu.Unlock()
 		switch {
-		case gone:
+		case dropped:
 		case c.op() == opWriteZeroes:
 			x.Data = make([]byte, length)
 			q.submit(p)
-		case !takes:
+		case !needsHostData:
 			q.submit(p)
-		case inside:
+		case inCapsule:
 			x.Data = data
 			q.submit(p)
 		default:
@@ -594,30 +594,30 @@
 	q.mu.Lock()
 	p := q.cmds[pd.u16(8)]
 	q.mu.Unlock()
-	wrong := func(fes uint16, at uint32, cause string) error {
+	dataError := func(fes uint16, at uint32, cause string) error {
 		return &fatalError{fes: fes, fei: at, cause: cause, head: pd.head}
 	}
 	switch {
 	case p == nil || p.transferTag == 0 || p.dataTimer == nil:
-		return wrong(fesInvalidHeader, 8, "data for no command that waits for some")
+		return dataError(fesInvalidHeader, 8, "data for no command that waits for some")
 	case pd.u16(10) != p.transferTag:
-		return wrong(fesInvalidHeader, 10, "data for another transfer tag")
+		return dataError(fesInvalidHeader, 10, "data for another transfer tag")
 	}
 	offset, length := int64(pd.u32(12)), int64(pd.u32(16))
-	whole := offset+length == int64(p.io.Bytes)
+	last := offset+length == int64(p.io.Bytes)
 	switch {
 	case length != int64(len(pd.data)) || length > maxH2CData || length == 0:
-		return wrong(fesInvalidHeader, 16, "data length")
+		return dataError(fesInvalidHeader, 16, "data length")
 	case offset != int64(p.received) || offset+length > int64(p.io.Bytes):
-		return wrong(fesOutOfRange, 12, "data out of order or range")
-	case whole != (pd.flags&flagLast != 0):
-		return wrong(fesInvalidHeader, 1, "last-PDU flag")
+		return dataError(fesOutOfRange, 12, "data out of order or range")
+	case last != (pd.flags&flagLast != 0):
+		return dataError(fesInvalidHeader, 1, "last-PDU flag")
 	case pd.dataError:
 		q.complete(p, stTransient, 0, nil)
 		return nil
 	}
 	copy(p.io.Data[offset:], pd.data)
-	if p.received += int(length); whole {
+	if p.received += int(length); last {
 		p.dataTimer.Stop()
 		q.submit(p)
 	}
@@ -632,7 +632,7 @@
 	for i, x := range parts {
 		j := &core.Job{Request: p.ns.request(x), Arrived: now, Payload: x}
 		j.Timeout = q.server.opt.Shutdown.LimitTimeout(q.server.opt.Timeouts[j.Class], now, q.server.stopTime.Load())
-		j.Done = func(a core.Response) { q.completePart(p, i, a) }
+		j.Done = func(r core.Response) { q.completePart(p, i, r) }
 		jobs[i] = j
 	}
 	// Under the lock, so that an Abort finds the command either not handed over or wholly so. Submit does
@@ -648,15 +648,15 @@
 	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
 	q.server.openCommands.Add(1)
 	// Stop looks for open commands once it has turned away new ones: one that it has not seen must not be sent on.
-	left := q.server.rejectNew.Load()
-	var turned []int
+	rejectAll := q.server.rejectNew.Load()
+	var rejected []int
 	for i, j := range jobs {
-		if left || !q.server.core.Submit(j) {
-			turned = append(turned, i)
+		if rejectAll || !q.server.core.Submit(j) {
+			rejected = append(rejected, i)
 		}
 	}
 	q.mu.Unlock()
-	for _, i := range turned {
+	for _, i := range rejected {
 		q.completePart(p, i, core.Overloaded)
 	}
 }
@@ -682,9 +682,9 @@
 		q.server.health.count(p.io)
 	}
 	q.complete(p, st, 0, body)
-	for _, a := range p.responses {
-		if a.OnWritten != nil {
-			a.OnWritten()
+	for _, r := range p.responses {
+		if r.OnWritten != nil {
+			r.OnWritten()
 		}
 	}
 }
--- a/internal/datapath/nvme/events.go
+++ b/internal/datapath/nvme/events.go
@@ -34,12 +34,12 @@
 		defer q.mu.Unlock()
 		return q.cmds[w.cmd.cid()] != w
 	})
-	full := len(c.events.requests) >= maxEventRequests
-	if !full {
+	limitReached := len(c.events.requests) >= maxEventRequests
+	if !limitReached {
 		c.events.requests = append(c.events.requests, p)
 	}
 	c.mu.Unlock()
-	if full {
+	if limitReached {
 		q.complete(p, stAsyncLimit|dnr, 0, nil)
 		return
 	}
@@ -88,16 +88,16 @@
 // Update takes other namespaces into use and tells every host which have changed. Commands already with the core end as
 // they would have.
 func (s *Server) UpdateNamespaces(list []Namespace) {
-	next := namespacesByID(list)
-	was := *s.namespaces.Swap(next)
+	current := namespacesByID(list)
+	old := *s.namespaces.Swap(current)
 	var changed []uint32
-	for id, n := range was {
-		if now := (*next)[id]; now == nil || !reflect.DeepEqual(n, now) {
+	for id, n := range old {
+		if now := (*current)[id]; now == nil || !reflect.DeepEqual(n, now) {
 			changed = append(changed, id)
 		}
 	}
-	for id := range *next {
-		if was[id] == nil {
+	for id := range *current {
+		if old[id] == nil {
 			changed = append(changed, id)
 		}
 	}
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -94,15 +94,15 @@
 // Dial opens an I/O queue at the target, and the association before it if there is none.
 func (h *Host) Dial(ctx context.Context, addr string) (upstream.Session, error) {
 	h.mu.Lock()
-	who := peer{addr, h.opt.keyGeneration()}
-	a := h.associations[who]
+	key := peer{addr, h.opt.keyGeneration()}
+	a := h.associations[key]
 	if a == nil {
 		maps.DeleteFunc(h.associations, func(_ peer, old *association) bool { return old.removable() }) // targets come and go
-		a = &association{host: h, peer: who, inUse: map[uint16]bool{}, adminSem: make(chan struct{}, 1), retryBackoff: newRetryBackoff(), lastUsed: time.Now()}
-		h.associations[who] = a
+		a = &association{host: h, peer: key, inUse: map[uint16]bool{}, adminSem: make(chan struct{}, 1), retryBackoff: newRetryBackoff(), lastUsed: time.Now()}
+		h.associations[key] = a
 	}
 	h.mu.Unlock()
-	admin, cntlid, qid, can, err := a.acquireQID(ctx)
+	admin, cntlid, qid, caps, err := a.acquireQID(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -122,7 +122,7 @@
 		return nil, err
 	}
 	w.SetDeadline(time.Time{})
-	return &session{hostConn: w, assoc: a, qid: qid, capabilities: can}, nil
+	return &session{hostConn: w, assoc: a, qid: qid, capabilities: caps}, nil
 }
 
 // forgotten tells whether nothing is left of it that anybody could want.
@@ -150,16 +150,16 @@
 	}
 	if h.opt.Keys != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		secure := tls.Client(c, h.opt.Keys.ClientConfig(host))
-		if err := secure.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(c, h.opt.Keys.ClientConfig(host))
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return nil, err
 		}
-		c = secure
+		c = tlsConn
 	}
 	w := &hostConn{Conn: c, in: bufio.NewReaderSize(c, 16<<10)}
-	if until, ok := ctx.Deadline(); ok {
-		c.SetDeadline(until)
+	if deadline, ok := ctx.Deadline(); ok {
+		c.SetDeadline(deadline)
 	}
 	var digests byte
 	if h.opt.Digests {
@@ -175,12 +175,12 @@
 	return w, nil
 }
 
-func (w *hostConn) readICResp(asked byte) error {
+func (w *hostConn) readICResp(requested byte) error {
 	p, err := readPDU(w.in, framing{})
 	switch {
 	case err != nil:
 		return err
-	case p.kind != typeICResp || p.u16(8) != 0 || p.head[10] > maxPDA || p.head[11]&^asked != 0 || p.u32(12) < minH2CData:
+	case p.kind != typeICResp || p.u16(8) != 0 || p.head[10] > maxPDA || p.head[11]&^requested != 0 || p.u32(12) < minH2CData:
 		return errors.New("controller's ICResp is not usable")
 	}
 	w.framing = framing{hdigest: p.head[11]&digestHeader != 0, ddigest: p.head[11]&digestData != 0, pda: int(p.head[10])}
@@ -270,7 +270,7 @@
 
 // enter makes sure of the association and takes a queue id in it. Neither a target that stands still nor
 // whoever waits for it holds this up for longer than ctx allows.
-func (a *association) acquireQID(ctx context.Context) (admin *hostConn, cntlid, qid uint16, can capabilities, err error) {
+func (a *association) acquireQID(ctx context.Context) (admin *hostConn, cntlid, qid uint16, caps capabilities, err error) {
 	for {
 		a.mu.Lock()
 		if a.admin != nil {
@@ -282,18 +282,18 @@
 					return a.admin, a.cntlid, id, a.capabilities, nil
 				}
 			}
-			return nil, 0, 0, can, errors.New("all I/O queues are in use")
+			return nil, 0, 0, caps, errors.New("all I/O queues are in use")
 		}
 		a.mu.Unlock()
 		select {
 		case a.adminSem <- struct{}{}:
 		case <-ctx.Done():
-			return nil, 0, 0, can, ctx.Err()
+			return nil, 0, 0, caps, ctx.Err()
 		}
 		err := a.establish(ctx)
 		<-a.adminSem
 		if err != nil {
-			return nil, 0, 0, can, err
+			return nil, 0, 0, caps, err
 		}
 	}
 }
@@ -307,19 +307,19 @@
 // establish connects the admin queue, enables the controller and reads what it bears. Its caller holds talk.
 func (a *association) establish(ctx context.Context) error {
 	a.mu.Lock()
-	there, rests := a.admin != nil, time.Now().Before(a.retryAt)
+	connected, backingOff := a.admin != nil, time.Now().Before(a.retryAt)
 	a.mu.Unlock()
 	switch {
-	case there:
+	case connected:
 		return nil
-	case rests:
+	case backingOff:
 		return errBackingOff
 	}
 	w, err := a.host.openConn(ctx, a.addr)
 	var cntlid uint16
-	var can capabilities
+	var caps capabilities
 	if err == nil {
-		if cntlid, can, err = a.host.enable(ctx, w); err != nil {
+		if cntlid, caps, err = a.host.enable(ctx, w); err != nil {
 			w.Close()
 		}
 	}
@@ -330,7 +330,7 @@
 		return err
 	}
 	w.SetDeadline(time.Time{})
-	a.admin, a.cntlid, a.capabilities, a.unreadAborts, a.lastUsed = w, cntlid, can, 0, time.Now()
+	a.admin, a.cntlid, a.capabilities, a.unreadAborts, a.lastUsed = w, cntlid, caps, 0, time.Now()
 	a.retryBackoff.Reset()
 	go a.sendKeepAlives(w)
 	return nil
@@ -351,7 +351,7 @@
 	return b
 }
 
-func (h *Host) enable(ctx context.Context, w *hostConn) (cntlid uint16, can capabilities, err error) {
+func (h *Host) enable(ctx context.Context, w *hostConn) (cntlid uint16, caps capabilities, err error) {
 	if cntlid, err = w.connect(h.opt, 0, dynamicCntlID); err != nil {
 		return
 	}
@@ -369,7 +369,7 @@
 		if ready = v&cstsReady != 0; !ready {
 			select {
 			case <-ctx.Done():
-				return 0, can, ctx.Err()
+				return 0, caps, ctx.Err()
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
@@ -392,16 +392,16 @@
 
 // keep sends keep-alives until the admin queue fails or nothing needs it; the association has ended then.
 func (a *association) sendKeepAlives(w *hostConn) {
-	every := a.host.opt.KeepAlive / 2
+	interval := a.host.opt.KeepAlive / 2
 	for {
-		time.Sleep(every)
+		time.Sleep(interval)
 		a.mu.Lock()
-		old := a.keyGeneration != a.host.opt.keyGeneration()
-		over := a.admin != w || len(a.inUse) == 0 && (old || time.Since(a.lastUsed) > maxUnusedTime)
+		keysChanged := a.keyGeneration != a.host.opt.keyGeneration()
+		unused := a.admin != w || len(a.inUse) == 0 && (keysChanged || time.Since(a.lastUsed) > maxUnusedTime)
 		a.mu.Unlock()
-		if over {
+		if unused {
 			a.dropAdmin(w)
-			if old { // nothing new comes to it
+			if keysChanged { // nothing new comes to it
 				a.host.mu.Lock()
 				delete(a.host.associations, a.peer)
 				a.host.mu.Unlock()
@@ -409,7 +409,7 @@
 			return
 		}
 		a.adminSem <- struct{}{}
-		w.SetDeadline(time.Now().Add(every))
+		w.SetDeadline(time.Now().Add(interval))
 		_, _, err := w.execute(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
 		w.SetDeadline(time.Time{})
 		a.mu.Lock()
@@ -463,8 +463,8 @@
 // Close ends the queue.
 func (s *session) Close() error {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(secure.NetConn()) { // its word of the end would wait for that
-		c = secure.NetConn()
+	if tlsConn, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(tlsConn.NetConn()) { // its word of the end would wait for that
+		c = tlsConn.NetConn()
 	}
 	err := upstream.CloseOrReset(c)
 	s.releaseOnce.Do(func() { s.assoc.releaseQID(s.qid) })
@@ -477,22 +477,22 @@
 // command written at that moment would be in doubt.
 func (s *session) Alive() bool {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok {
-		c = secure.NetConn()
+	if tlsConn, ok := c.(*tls.Conn); ok {
+		c = tlsConn.NetConn()
 	}
 	return s.in.Buffered() == 0 && s.assoc.keyGeneration == s.assoc.host.opt.keyGeneration() && upstream.OpenAndIdle(c)
 }
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
 // controller asks; until the last byte of it is written, it cannot have begun.
-func (s *session) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) {
+func (s *session) Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string) {
 	x := a.Payload.(*IO)
 	op := byte(opRead)
 	if x.Write {
 		op = opWrite
 	}
-	inside := x.Write && len(x.Data) <= s.inCapsuleSize
-	c := newCommand(op, s.nextCID(), x.Bytes, inside)
+	inCapsule := x.Write && len(x.Data) <= s.inCapsuleSize
+	c := newCommand(op, s.nextCID(), x.Bytes, inCapsule)
 	c.set32(4, x.NSID)
 	c.set64(40, x.SLBA)
 	c.set16(48, uint16(x.Blocks-1))
@@ -500,13 +500,13 @@
 		c.set32(48, c.dw(12)|fua)
 	}
 	var data []byte
-	if inside {
+	if inCapsule {
 		data = x.Data
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
 	s.SetDeadline(a.Deadline)
 	s.SetWriteDeadline(a.WriteDeadline())
-	if !first() {
+	if !mayStart() {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
@@ -514,7 +514,7 @@
 		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + upstream.ReasonCode(err)
 	}
-	written := !x.Write || inside
+	written := !x.Write || inCapsule
 	if written {
 		a.NotifySent()
 	}
@@ -548,15 +548,15 @@
 // finish takes part in the command's transfers until its completion.
 func (s *session) transfer(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
-	until := a.Deadline
+	deadline := a.Deadline
 	for {
-		s.SetReadDeadline(until)
+		s.SetReadDeadline(deadline)
 		if len(body) == 0 {
 			if _, err := s.in.Peek(1); err != nil {
 				return 0, nil, err
 			}
 		}
-		if at := time.Now().Add(stallTimeout); at.Before(until) {
+		if at := time.Now().Add(stallTimeout); at.Before(deadline) {
 			s.SetReadDeadline(at)
 		}
 		p, err := s.receive()
--- a/internal/datapath/nvme/logs.go
+++ b/internal/datapath/nvme/logs.go
@@ -144,13 +144,13 @@
 }
 
 // discovery is the discovery page: one entry, this subsystem at the address that the host came to.
-func (s *Server) discoveryPage(at net.Addr) []byte {
+func (s *Server) discoveryPage(local net.Addr) []byte {
 	page := make([]byte, 2*discoveryLen)
 	binary.LittleEndian.PutUint64(page[0:], 1) // generation
 	binary.LittleEndian.PutUint64(page[8:], 1) // entries
 	e := page[discoveryLen:]
 	const tcp, ipv4, ipv6, nvm = 3, 1, 2, 2
-	host, port, _ := net.SplitHostPort(at.String())
+	host, port, _ := net.SplitHostPort(local.String())
 	e[0], e[1], e[2] = tcp, ipv4, nvm
 	if ip := net.ParseIP(host); ip != nil && ip.To4() == nil {
 		e[1] = ipv6
--- a/internal/datapath/nvme/pdu.go
+++ b/internal/datapath/nvme/pdu.go
@@ -66,8 +66,8 @@
 	dataError bool
 }
 
-func (p *pdu) u16(at int) uint16 { return binary.LittleEndian.Uint16(p.head[at:]) }
-func (p *pdu) u32(at int) uint32 { return binary.LittleEndian.Uint32(p.head[at:]) }
+func (p *pdu) u16(offset int) uint16 { return binary.LittleEndian.Uint16(p.head[offset:]) }
+func (p *pdu) u32(offset int) uint32 { return binary.LittleEndian.Uint32(p.head[offset:]) }
 
 // fatal is an error that ends the connection with a termination request.
 type fatalError struct {
@@ -108,27 +108,27 @@
 	}
 	kind, flags, hlen, pdo := ch[0], ch[1], int(ch[2]), int(ch[3])
 	plen := int64(binary.LittleEndian.Uint32(ch[4:]))
-	bad := func(at uint32, cause string) error {
-		return &fatalError{fes: fesInvalidHeader, fei: at, cause: cause, head: ch[:]}
+	headerError := func(field uint32, cause string) error {
+		return &fatalError{fes: fesInvalidHeader, fei: field, cause: cause, head: ch[:]}
 	}
-	want := headLen(kind)
+	wantLen := headLen(kind)
 	switch {
-	case want == 0:
-		return nil, bad(0, "unknown PDU type")
-	case hlen != want:
-		return nil, bad(2, "header length does not fit the type")
+	case wantLen == 0:
+		return nil, headerError(0, "unknown PDU type")
+	case hlen != wantLen:
+		return nil, headerError(2, "header length does not fit the type")
 	}
 	digests := kind >= typeCmd
 	hd := digests && f.hdigest
 	if digests && (flags&flagHDigest != 0) != f.hdigest {
-		return nil, bad(1, "header digest flag is not what was agreed")
+		return nil, headerError(1, "header digest flag is not what was agreed")
 	}
 	used := hlen
 	if hd {
 		used += digestLen
 	}
 	if plen < int64(used) || plen > int64(used+4*(maxPDA+1)+maxPDUData+digestLen) {
-		return nil, bad(4, "PDU length out of range")
+		return nil, headerError(4, "PDU length out of range")
 	}
 	p := &pdu{kind: kind, flags: flags, head: make([]byte, hlen)}
 	copy(p.head, ch[:])
@@ -144,37 +144,37 @@
 			return nil, &fatalError{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest", head: p.head}
 		}
 	}
-	rest := int(plen) - used
-	if rest == 0 {
+	remaining := int(plen) - used
+	if remaining == 0 {
 		return p, nil
 	}
 	switch kind {
 	case typeICReq, typeICResp, typeResp, typeR2T:
-		return nil, bad(4, "data where the type has none")
+		return nil, headerError(4, "data where the type has none")
 	case typeH2CTerm, typeC2HTerm:
-		if rest > maxTermData {
-			return nil, bad(4, "termination request too long")
+		if remaining > maxTermData {
+			return nil, headerError(4, "termination request too long")
 		}
 		pdo = used
 	}
 	pad := pdo - used
-	if pad < 0 || pad > rest {
-		return nil, bad(3, "data offset out of range")
+	if pad < 0 || pad > remaining {
+		return nil, headerError(3, "data offset out of range")
 	}
 	if _, err := io.CopyN(io.Discard, in, int64(pad)); err != nil {
 		return nil, unexpectedEOF(err)
 	}
-	rest -= pad
+	remaining -= pad
 	dd := digests && flags&flagDDigest != 0
-	if dd != (digests && f.ddigest && rest > 0) {
-		return nil, bad(1, "data digest flag is not what was agreed")
+	if dd != (digests && f.ddigest && remaining > 0) {
+		return nil, headerError(1, "data digest flag is not what was agreed")
 	}
 	if dd {
-		if rest -= digestLen; rest < 0 {
-			return nil, bad(4, "no room for the data digest")
+		if remaining -= digestLen; remaining < 0 {
+			return nil, headerError(4, "no room for the data digest")
 		}
 	}
-	p.data = make([]byte, rest)
+	p.data = make([]byte, remaining)
 	if _, err := io.ReadFull(in, p.data); err != nil {
 		return nil, unexpectedEOF(err)
 	}
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -15,16 +15,16 @@
 // split cuts a command where the shard changes: a target holds the blocks of its own shard only.
 func (n *Namespace) splitByShard(x *IO) []*IO {
 	var parts []*IO
-	at, left := x.SLBA, uint64(x.Blocks)
-	for left > 0 {
-		stripe := at / n.StripeBlocks
-		blocks := min(left, (stripe+1)*n.StripeBlocks-at)
+	lba, remaining := x.SLBA, uint64(x.Blocks)
+	for remaining > 0 {
+		stripe := lba / n.StripeBlocks
+		blocks := min(remaining, (stripe+1)*n.StripeBlocks-lba)
 		if last := len(parts) - 1; last >= 0 && n.shardOf(stripe) == n.shardOf(stripe-1) {
 			parts[last].Blocks += uint32(blocks)
 		} else {
-			parts = append(parts, &IO{Write: x.Write, NSID: x.NSID, SLBA: at, Blocks: uint32(blocks)})
+			parts = append(parts, &IO{Write: x.Write, NSID: x.NSID, SLBA: lba, Blocks: uint32(blocks)})
 		}
-		at, left = at+blocks, left-blocks
+		lba, remaining = lba+blocks, remaining-blocks
 	}
 	if len(parts) == 1 {
 		parts[0] = x
@@ -43,46 +43,46 @@
 
 // gather makes one status of the parts' ends, and a read's data of theirs. Retryable is only a command of which nothing
 // that must not run twice has run or may have run.
-func mergeResponses(x *IO, jobs []*core.Job, ends []core.Response, delays bool) (status, []byte) {
+func mergeResponses(x *IO, jobs []*core.Job, responses []core.Response, sendDelay bool) (status, []byte) {
 	var body []byte
 	served := 0
-	refused := core.Response{Status: core.Rejected}
-	var failed, doubt *core.Response
-	for i := range ends {
-		a := &ends[i]
+	rejected := core.Response{Status: core.Rejected}
+	var failed, uncertain *core.Response
+	for i := range responses {
+		r := &responses[i]
 		switch {
-		case a.Status == core.Served:
+		case r.Status == core.Served:
 			served++
 			if x.Write {
 				continue
 			}
-			data, _ := a.Payload.([]byte)
+			data, _ := r.Payload.([]byte)
 			if len(data) != jobs[i].Payload.(*IO).Bytes {
 				return stInternal | dnr, nil // no target's whole answer: never passed off as one
 			}
-			if len(ends) == 1 {
+			if len(responses) == 1 {
 				return stOK, data
 			}
 			body = append(body, data...)
-		case a.Status == core.Rejected:
-			refused.RetryAfter = max(refused.RetryAfter, a.RetryAfter)
-		case a.LastOutcome == policy.TimedOut || a.LastOutcome == policy.ConnectionReset:
-			doubt = a
+		case r.Status == core.Rejected:
+			rejected.RetryAfter = max(rejected.RetryAfter, r.RetryAfter)
+		case r.LastOutcome == policy.TimedOut || r.LastOutcome == policy.ConnectionReset:
+			uncertain = r
 		default:
-			failed = a
+			failed = r
 		}
 	}
 	switch {
-	case served == len(ends):
+	case served == len(responses):
 		return stOK, body
-	case doubt != nil:
-		return statusOf(*doubt, delays), nil
+	case uncertain != nil:
+		return statusOf(*uncertain, sendDelay), nil
 	case failed != nil:
-		return statusOf(*failed, delays), nil
+		return statusOf(*failed, sendDelay), nil
 	case x.Write && served > 0:
 		return stInternal | dnr, nil // a repeat would run again what has run
 	}
-	return statusOf(refused, delays), nil
+	return statusOf(rejected, sendDelay), nil
 }
 
 // dataset checks a Dataset Management command. Its attributes are hints, none of which is taken up.
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
-	k, err := keys.Load(f)
+	hostKeys, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,10 +28,10 @@
 	}
 	back := newStore()
 	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
-		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: k, Log: discardLog})
+		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: hostKeys, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
-	return k, back, s, l.Addr().String()
+	return hostKeys, back, s, l.Addr().String()
 }
 
 // secureHost is a host of such a target with keys of its own.
@@ -70,13 +70,13 @@
 	k, back, server, addr := newTLSTarget(t, dir, 400*time.Millisecond)
 	h := newTLSHost(k)
 	var idle upstream.Session
-	text := make([]byte, blockSize)
+	data := make([]byte, blockSize)
 	began := time.Now()
 	last, n := began, 0
 	for ; time.Since(began) < 2*time.Second; n++ {
 		drainReceived(back)
-		text[0], text[1], text[2] = byte(n), byte(n>>8), 1
-		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), text...)}); r.Code != 0 {
+		data[0], data[1], data[2] = byte(n), byte(n>>8), 1
+		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), data...)}); r.Code != 0 {
 			t.Fatalf("write %d: %v", n, r.Code)
 		}
 		if time.Since(last) > 500*time.Millisecond {
