--- a/internal/datapath/nvme/admin.go
+++ b/internal/datapath/nvme/admin.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// CAP beside the queue size: queues are contiguous, ready within ten times 500 ms, NVM command set.
+	// capBase is CAP without the queue size: contiguous queues required, ready within ten times 500 ms, NVM command set.
 	capBase = 1<<16 | 10<<24 | 1<<37
 	version = 0x00010400 // 1.4
 
 	ccEnable      = 1 << 0
 	ccShutdown    = 3 << 14
 	cstsReady     = 1 << 0
-	cstsShutdown  = 2 << 2
+	cstsShutdown  = 2 << 2 // shutdown complete
 	dynamicCntlID = 0xFFFF
 
 	hostBehaviorLen = 512
 )
 
-// connect takes the first command of a connection: it makes the association, or joins an I/O queue to it.
+// handleConnect carries out a connection's first command, which must be Connect. An admin queue gets a new controller, an
+// I/O queue is added to the controller of its association.
 func (q *queue) handleConnect(p *pending, data []byte) {
 	c, s := &p.cmd, q.server
 	if c.op() != opFabrics || c.fctype() != fctConnect {
@@ -59,7 +60,7 @@
 		case ctrl == nil || ctrl.host != host || ctrl.isDiscovery || qid > maxIOQueues:
 			st = stBadConnect | dnr
 		case !ctrl.addQueue(q, qid):
-			st = stSequence | dnr // not enabled, or the queue is there already
+			st = stSequence | dnr // the controller is not enabled, or it already has this queue
 		}
 	}
 	if st != stOK {
@@ -71,19 +72,20 @@
 	connClosed := q.cmds == nil
 	q.mu.Unlock()
 	if connClosed {
-		ctrl.removeQueue(q) // the connection has ended meanwhile, without a controller to leave
+		ctrl.removeQueue(q) // closed meanwhile: closing did not remove it, as it had no controller yet
 		return
 	}
 	q.connected.Store(true)
 	q.complete(p, stOK, uint64(ctrl.id), nil)
 }
 
+// parseNQN returns the null-terminated name in a field.
 func parseNQN(b []byte) string {
 	s, _, _ := bytes.Cut(b, []byte{0})
 	return string(s)
 }
 
-// associate makes a controller for a host's admin queue; nil when all ids are in use.
+// newController returns a controller for a host's admin queue, or nil if all controller ids are in use.
 func (s *Server) newController(q *queue, host string, kato time.Duration, isDiscovery bool) *controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,7 +104,7 @@
 	return nil
 }
 
-// join adds an I/O queue.
+// addQueue adds an I/O queue. It returns false if the controller is not enabled, has no admin queue or already has this one.
 func (c *controller) addQueue(q *queue, qid uint16) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -113,7 +115,7 @@
 	return true
 }
 
-// leave takes a queue that has ended out; with the admin queue the association ends.
+// removeQueue removes a queue whose connection has closed. Without its admin queue, the association ends.
 func (c *controller) removeQueue(q *queue) {
 	c.mu.Lock()
 	if c.queues[q.qid] == q {
@@ -131,7 +133,7 @@
 
 func (c *controller) closeAllQueues(reason string) { c.closeQueues(reason, 0) }
 
-// endQueues ends the connections of all queues from the given id on.
+// closeQueues closes the connections of all queues with this id or a higher one.
 func (c *controller) closeQueues(reason string, from uint16) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,7 +153,8 @@
 	return c.acre
 }
 
-// fabrics takes Property Get and Set, and Disconnect on an I/O queue; what else there is lies outside the subset.
+// handleFabrics carries out Property Get and Property Set, and Disconnect on an I/O queue. Other fabrics commands are
+// outside the subset.
 func (q *queue) handleFabrics(p *pending) {
 	c := &p.cmd
 	if c.fctype() == fctConnect {
@@ -164,7 +167,7 @@
 			return
 		}
 		q.complete(p, stOK, 0, nil)
-		q.closeAfterWrites("HOST_DISCONNECTED") // what is still open on it goes with it, as the host asked
+		q.closeAfterWrites("HOST_DISCONNECTED") // open commands end with the queue, as the host asked
 		return
 	}
 	if q.qid != 0 || c.fctype() != fctPropertyGet && c.fctype() != fctPropertySet {
@@ -193,7 +196,7 @@
 	q.complete(p, stOK, v, nil)
 }
 
-// setCC enables, resets or shuts down the controller. A reset ends its I/O queues.
+// setCC enables, resets or shuts down the controller. A reset closes its I/O queues.
 func (c *controller) setCC(cc uint32) {
 	c.mu.Lock()
 	oldCC := c.cc
@@ -213,7 +216,7 @@
 	}
 }
 
-// admin takes the admin commands of the subset.
+// handleAdmin carries out the admin commands of the subset.
 func (q *queue) handleAdmin(p *pending, data []byte) {
 	c := &p.cmd
 	switch c.op() {
@@ -249,8 +252,8 @@
 	}
 }
 
-// feature knows what hosts set at their start: how many queues there are, which events they want told, the keep-alive
-// time, and whether they want retry delays. None can be saved.
+// handleFeature carries out Set Features and Get Features for what hosts set when they start: the number of queues, the
+// enabled events, the keep-alive timeout and retry delays. None of them can be saved.
 func (q *queue) handleFeature(p *pending, data []byte) {
 	c, ctrl := &p.cmd, q.ctrl
 	set, fid, value := c.op() == opSetFeatures, c.dw(10)&0xFF, c.dw(11)
@@ -282,7 +285,7 @@
 	case fid == featAsyncEvents:
 		result = uint64(ctrl.events.enabled)
 	case fid == featKeepAlive && set:
-		st = stNotChangeable | dnr // it is given with Connect
+		st = stNotChangeable | dnr // it is set by Connect
 	case fid == featKeepAlive:
 		result = uint64(ctrl.kato.Milliseconds())
 	case set && len(data) != hostBehaviorLen:
@@ -299,7 +302,7 @@
 	q.complete(p, st, result, page)
 }
 
-// identify fills the page asked for; nil where the subset has none.
+// identify returns the requested page, or nil if the subset does not have it.
 func (q *queue) identify(c *command) []byte {
 	page := make([]byte, identifyLen)
 	s := q.server
@@ -308,7 +311,7 @@
 		return nil
 	}
 	switch c.dw(10) & 0xFF {
-	case 0, 0x11: // namespace, active or allocated: here they are the same
+	case 0, 0x11: // namespace, active or allocated: here all allocated ones are active
 		if ns == nil {
 			return nil
 		}
@@ -323,7 +326,7 @@
 		putText(4, 20, s.opt.Subsystem[max(0, len(s.opt.Subsystem)-20):])
 		putText(24, 40, "spindlehitch")
 		putText(64, 8, "1")
-		page[77] = 5 // largest transfer: 2^5 pages of 4 KiB
+		page[77] = 5 // MDTS: 2^5 pages of 4 KiB, see maxTransfer
 		binary.LittleEndian.PutUint16(page[78:], q.ctrl.id)
 		binary.LittleEndian.PutUint32(page[80:], version)
 		page[111] = 1 // an I/O controller
@@ -334,13 +337,13 @@
 		for i, d := range retryDelays {
 			binary.LittleEndian.PutUint16(page[128+2*i:], d)
 		}
-		page[258] = 3                                   // four aborts at a time
-		page[259] = maxEventRequests - 1                // and as many event requests
-		page[261] = 1<<1 | 1<<2                         // commands and their effects, log pages with an offset
-		page[262] = errorEntries - 1                    // kept
+		page[258] = 3                                   // ACL: four Aborts at a time
+		page[259] = maxEventRequests - 1                // AERL, zero-based
+		page[261] = 1<<1 | 1<<2                         // Commands Supported and Effects page, log pages with an offset
+		page[262] = errorEntries - 1                    // error log entries, zero-based
 		binary.LittleEndian.PutUint16(page[320:], 1)    // keep-alive granularity of 100 ms
-		page[512], page[513] = 0x66, 0x44               // entry sizes
-		binary.LittleEndian.PutUint16(page[514:], 1024) // most commands
+		page[512], page[513] = 0x66, 0x44               // sizes of queue entries
+		binary.LittleEndian.PutUint16(page[514:], 1024) // MAXCMD: most outstanding commands of a queue
 		binary.LittleEndian.PutUint32(page[516:], s.maxNSID())
 		binary.LittleEndian.PutUint16(page[520:], 1|1<<2|1<<3) // Compare, Dataset Management, Write Zeroes
 		binary.LittleEndian.PutUint32(page[536:], 1|1<<20)     // SGLs, with offsets in the capsule
@@ -353,8 +356,8 @@
 		page[1803] = 1
 		binary.LittleEndian.PutUint16(page[1804:], 1) // Disconnect
 	case 6: // the NVM command set's controller page
-		page[1] = 5 // Write Zeroes takes as much as a transfer, WZSL
-	case 2, 0x10: // active or allocated namespaces, from the one after the given
+		page[1] = 5 // WZSL: the limit of Write Zeroes is that of a transfer
+	case 2, 0x10: // list of active or allocated namespaces with a higher id than the given one
 		if c.nsid() >= allNamespaces-1 {
 			return nil
 		}
@@ -365,7 +368,7 @@
 				at += 4
 			}
 		}
-	case 3: // namespace identification
+	case 3: // namespace identification descriptors
 		if ns == nil {
 			return nil
 		}
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -35,7 +35,7 @@
 	featKeepAlive    = 0x0F
 	featHostBehavior = 0x16
 
-	// fua has a write completed only once it is on the medium.
+	// fua is Force Unit Access, in dword 12: the write is completed only once its data is on the medium.
 	fua = 1 << 30
 
 	propCAP  = 0x00
@@ -43,8 +43,8 @@
 	propCC   = 0x14
 	propCSTS = 0x1C
 
-	sglOffset    = 0x01 // data block, in the capsule
-	sglTransport = 0x5A // data block, moved by the transport
+	sglOffset    = 0x01 // data block with an offset: the data is in the capsule
+	sglTransport = 0x5A // transport data block: the data is sent in data PDUs
 	connectLen   = 1024
 	identifyLen  = 4096
 )
@@ -52,8 +52,10 @@
 // status is a completion's status field without the phase bit.
 type status uint16
 
+// dnr is Do Not Retry.
 const dnr status = 1 << 14
 
+// newStatus makes a status of its status code type and its status code.
 func newStatus(kind, code status) status { return kind<<8 | code }
 
 // Status values of the subset.
@@ -78,16 +80,17 @@
 	stCompareFailure        = newStatus(2, 0x85)
 )
 
-// code is the status without its CRD, More and DNR bits.
+// code returns the status without its CRD, More and DNR bits.
 func (s status) code() status { return s & 0x7FF }
 
+// withRetryDelay sets CRD, the index of the retry delay: 1 to 3 for CRDT1 to CRDT3, 0 for none.
 func (s status) withRetryDelay(crd int) status { return s | status(crd&3)<<11 }
 
-// retryDelays are the controller's CRDT1 to CRDT3, in units of 100 ms: how long a host that has asked to be
-// told (Host Behavior Support, ACRE) stays away. The last is the longest a client of this project honours.
+// retryDelays are the controller's CRDT1 to CRDT3, in units of 100 ms: the delay before a retry by a host that has enabled
+// it (Host Behavior Support, ACRE). The last is the longest delay that a client of this project honours.
 var retryDelays = [3]uint16{1, 3, 10}
 
-// delayIndex is the CRD that first covers the wait; 0: none.
+// retryDelayIndex returns the CRD of the shortest delay that covers the wait, or of the longest if none does; 0: no delay.
 func retryDelayIndex(wait time.Duration) int {
 	if wait <= 0 {
 		return 0
@@ -100,8 +103,8 @@
 	return len(retryDelays)
 }
 
-// statusOf maps the core's final answer. Retryable exactly where the module says that a repeat is harmless;
-// what may have run has DNR set, so that no host sends it again by itself.
+// statusOf maps the core's final response to a status. It is retryable exactly if the policy module rejected the command,
+// when a retry is harmless. A command that may have been executed has DNR set, so that no host retries it on its own.
 func statusOf(r core.Response, sendDelay bool) status {
 	switch r.Status {
 	case core.Served:
@@ -118,7 +121,7 @@
 	return stInternal | dnr
 }
 
-// endingOf is the number that a command's status counts under.
+// endingOf returns the figure under which a command with this status is counted.
 func endingOf(st status) figures.Ending {
 	switch {
 	case st == stOK, st.code() == stCompareFailure:
@@ -129,7 +132,7 @@
 	return figures.Failure
 }
 
-// outcomeOf maps a target's status. Only what says that the command was not begun proves it.
+// outcomeOf maps a target's status to an outcome. Only Namespace Not Ready without DNR proves that the command was not started.
 func outcomeOf(s status) policy.OutcomeCode {
 	switch {
 	case s == stOK:
@@ -157,9 +160,9 @@
 func (c *command) set32(at int, v uint32) { binary.LittleEndian.PutUint32(c[at:], v) }
 func (c *command) set64(at int, v uint64) { binary.LittleEndian.PutUint64(c[at:], v) }
 
-// newCommand returns an entry whose data, if any, goes in the capsule or is moved by the transport.
+// newCommand returns an entry whose data, if any, is in the capsule or is sent in data PDUs.
 func newCommand(op byte, cid uint16, length int, inCapsule bool) *command {
-	c := &command{op, 0x40} // SGLs are used for the transfer
+	c := &command{op, 0x40} // PSDT: SGLs are used for the transfer
 	c.set16(2, cid)
 	c.set32(32, uint32(length))
 	c[39] = sglTransport
@@ -178,6 +181,7 @@
 	status status
 }
 
+// head returns the fields of a response PDU after the common header.
 func (c completion) head() []byte {
 	h := make([]byte, respLen-commonLen)
 	binary.LittleEndian.PutUint64(h, c.result)
@@ -195,12 +199,12 @@
 		status: status(binary.LittleEndian.Uint16(h[14:]) >> 1)}
 }
 
-// IO is the payload of a job on this wire: one read or write.
+// IO is the payload of a core.Job of this package: one read or write, or a part of one.
 type IO struct {
 	Write  bool
 	NSID   uint32
 	SLBA   uint64
 	Blocks uint32
-	Bytes  int    // of the whole transfer
+	Bytes  int    // length of the data
 	Data   []byte // of a write
 }
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -21,21 +21,21 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// Options set up the controller side.
+// Options are the options of a Server.
 type Options struct {
 	Subsystem        string
 	Namespaces       []Namespace
 	QueueDepth       int
 	MaxConns         int                      // hosts' connections at a time
-	MaxBufferedBytes int64                    // data of commands held at a time
-	Keys             *keys.Store              // TLS, where there are any
-	Timeouts         map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
-	Figures          *figures.Book            // nil: none are kept
+	MaxBufferedBytes int64                    // data of all open commands
+	Keys             *keys.Store              // TLS certificates; nil: no TLS
+	Timeouts         map[string]time.Duration // of the commands of each class, as NVMe commands carry no deadline of their own
+	Figures          *figures.Book            // nil: commands are not counted
 	Shutdown         core.ShutdownSchedule
 	Log              *slog.Logger
 }
 
-// Core is what the front needs of the core.
+// Core is the part of core.Core that the Server uses.
 type Core interface {
 	Submit(*core.Job) bool
 	Cancel(*core.Job)
@@ -47,31 +47,32 @@
 	maxIOQueues      = 16 // I/O queues of one controller
 )
 
-// Server is the NVMe over TCP front.
+// Server is the NVMe over TCP front: it accepts hosts' connections, and submits their reads and writes to the core.
 type Server struct {
 	opt           Options
 	core          Core
 	namespaces    atomic.Pointer[map[uint32]*Namespace]
-	bufferedBytes atomic.Int64
+	bufferedBytes atomic.Int64 // data of the open commands
 	health        healthCounters
-	openCommands  atomic.Int64              // commands in the core
-	stopTime      atomic.Pointer[time.Time] // when Stop was called
-	rejectNew     atomic.Bool               // new commands are turned away
+	openCommands  atomic.Int64              // commands submitted to the core and not completed
+	stopTime      atomic.Pointer[time.Time] // when Stop was called; nil before
+	rejectNew     atomic.Bool               // new commands are rejected as retryable
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	controllers map[uint16]*controller
 	queues      map[*queue]bool
 	nextID      uint16
 	listener    net.Listener
 }
 
-// New returns a front for the core.
+// New returns a Server for the core.
 func New(c Core, opt Options) *Server {
 	s := &Server{opt: opt, core: c, controllers: map[uint16]*controller{}, queues: map[*queue]bool{}}
 	s.namespaces.Store(namespacesByID(opt.Namespaces))
 	return s
 }
 
+// namespacesByID returns the namespaces by NSID.
 func namespacesByID(list []Namespace) *map[uint32]*Namespace {
 	m := make(map[uint32]*Namespace, len(list))
 	for i := range list {
@@ -80,64 +81,67 @@
 	return &m
 }
 
+// namespace returns the namespace with this NSID, or nil if there is none.
 func (s *Server) namespace(id uint32) *Namespace { return (*s.namespaces.Load())[id] }
 
-// controller is one association: an admin queue and its I/O queues.
+// controller is the controller of one association: an admin queue and its I/O queues. The association ends with the admin queue.
 type controller struct {
 	id             uint16
 	server         *Server
-	host           string
-	mu             sync.Mutex
+	host           string     // the host's NQN
+	mu             sync.Mutex // guards queues, cc, csts, acre and events
 	queues         map[uint16]*queue
 	cc             uint32
 	csts           uint32
-	acre           bool // the host wants to be told how long to stay away (ACRE)
-	isDiscovery    bool // a discovery controller
+	acre           bool // the host enabled retry delays (ACRE)
+	isDiscovery    bool
 	events         asyncEvents
 	errors         errorLog
-	kato           time.Duration
-	keepAliveTimer *time.Timer
+	kato           time.Duration // keep-alive timeout; 0: none
+	keepAliveTimer *time.Timer   // closes all queues unless a Keep Alive resets it; nil: no timeout
 }
 
-// queue is one connection: its reader's goroutine handles what comes, its writer's owns what goes.
+// queue is one connection of a host. readLoop handles the received PDUs and ends when the connection fails or is closed.
+// writeLoop writes the PDUs in outgoing, ends at a nil or a failed write, and closes the connection.
 type queue struct {
 	server      *Server
 	conn        net.Conn
 	outgoing    *mailbox.Box[[]byte]
-	closed      chan struct{}
-	closeOnce   sync.Once
+	closed      chan struct{} // closed by close, at its end
+	closeOnce   sync.Once     // for closeReason and the nil in outgoing
 	closeReason string
 
-	keyRetired atomic.Bool // its host's key is good no more: new commands are turned away
+	keyRetired atomic.Bool // the host's certificate is no longer accepted: new commands are rejected
 	acceptedAt time.Time
-	connected  atomic.Bool // ctrl is set: the host has connected as NVMe knows it
-	framing    framing
-	ctrl       *controller // set by Connect
+	connected  atomic.Bool // Connect has succeeded, and ctrl is set
+	framing    framing     // set before the first command
+	ctrl       *controller // this and the next two fields are set by Connect, under mu
 	qid        uint16
 	size       uint16
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards the fields below
 	sqhd         uint16
 	commandCount int
-	cmds         map[uint16]*pending
+	cmds         map[uint16]*pending // open commands by command id; nil once the connection is closed
 	lastTag      uint16
 }
 
-// pending is a command without its completion.
+// pending is a command that has not been completed. Its fields are written by readLoop, under queue.mu where other goroutines
+// use them, except for unanswered and responses, which completePart writes under queue.mu.
 type pending struct {
 	cmd         command
 	io          *IO
-	ns          *Namespace // as it was when the command came
-	received    int
-	transferTag uint16
-	dataTimer   *time.Timer // for the host's data
-	jobs        []*core.Job // the parts of it in the core
-	unanswered  int         // of them without an answer
-	responses   []core.Response
-	stats       *figures.Request
+	ns          *Namespace       // as it was when the command was received
+	received    int              // bytes of the host's data
+	transferTag uint16           // of the R2T; 0: none was sent
+	dataTimer   *time.Timer      // closes the connection if the host's data is late
+	jobs        []*core.Job      // the command's parts, once they are submitted to the core
+	unanswered  int              // jobs without a response
+	responses   []core.Response  // to jobs, in their order
+	stats       *figures.Request // nil: not counted
 }
 
-// Serve accepts until Stop.
+// Serve accepts connections until Stop closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
@@ -153,7 +157,7 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors, say: what is open goes on
+			time.Sleep(10 * time.Millisecond) // for example out of descriptors: open connections are still served
 			continue
 		}
 		if s.opt.Keys != nil {
@@ -168,7 +172,7 @@
 		}
 		s.mu.Unlock()
 		if full {
-			// Nothing was taken on it yet.
+			// No command has been received on it.
 			c.Close()
 			s.logClosed(q, "CAP")
 			continue
@@ -178,11 +182,11 @@
 	}
 }
 
-// keysEvery is how often connections are held against the keys that are good.
+// keyCheckInterval is how often the hosts' certificates are checked against those that are accepted.
 const keyCheckInterval = 100 * time.Millisecond
 
-// watchKeys retires the connections of hosts whose keys are good no more, until the server stops accepting: their commands
-// are finished, new ones are turned away as retryable, and then they end.
+// retireOldKeys retires the connections of hosts whose certificates are no longer accepted: their open commands are
+// completed, new ones are rejected as retryable, and then the connections are closed. It returns when Serve does.
 func (s *Server) retireOldKeys(stopped <-chan struct{}) {
 	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
@@ -205,7 +209,7 @@
 	}
 }
 
-// unused tells whether nothing with data is open on the queue and, for an admin queue, none of its I/O queues is left.
+// idle reports whether no read or write is open on the queue and, for an admin queue, whether it has no I/O queues left.
 func (q *queue) idle() bool {
 	q.mu.Lock()
 	for _, p := range q.cmds {
@@ -224,8 +228,8 @@
 	return len(ctrl.queues) <= 1
 }
 
-// makeRoom ends the connection that has been longest without a Connect, so that silent ones do not shut out hosts; the
-// server is locked. One that has joined is never ended for another.
+// evictUnconnected closes the connection that has been open longest without a Connect, so that silent connections do not
+// lock out hosts. A connection whose Connect succeeded is never evicted. The caller holds s.mu.
 func (s *Server) evictUnconnected() bool {
 	var oldest *queue
 	for q := range s.queues {
@@ -248,8 +252,9 @@
 		slog.String("reason", reason), slog.Int("requests", q.commandCount), slog.Int("queue", int(q.qid)))
 }
 
-// Stop keeps accepting while hosts may still come, goes on for a while with commands on the connections there are, then
-// turns new ones away, finishes those taken and ends all connections.
+// Stop accepts connections for Shutdown.AcceptFor, and serves commands on those that are open until Shutdown.ServeFor. Then
+// it rejects new commands, waits for the open ones and closes all connections. If ctx ends first, it no longer waits for the
+// open commands and returns the context's error.
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
 	s.stopTime.Store(&now)
@@ -280,7 +285,8 @@
 	return err
 }
 
-// end closes the connection, for the first reason given, once what was put before has been written.
+// closeAfterWrites closes the connection once the PDUs sent before have been written. Only the first call has an effect; its
+// reason is logged.
 func (q *queue) closeAfterWrites(reason string) {
 	q.closeOnce.Do(func() {
 		q.closeReason = reason
@@ -288,7 +294,7 @@
 	})
 }
 
-// write is the writer: it sends what the mailbox holds, and ends the connection at a nil.
+// writeLoop writes the PDUs in the mailbox. It closes the connection and returns at a nil, or when a write fails.
 func (q *queue) writeLoop() {
 	var spare [][]byte
 	for {
@@ -310,8 +316,9 @@
 	}
 }
 
-// close ends the connection and everything that hung on it: commands whose host is gone, and with the admin
-// queue the whole association. What the host still sends is read away, so that no reset takes the last word to it.
+// close closes the connection, drops its open commands and, if it is the admin queue, ends the association. What the host
+// still sends is read and discarded: a reset could discard the last PDU, such as a termination request, before the host
+// has read it.
 func (q *queue) close() {
 	_ = listen.Shut(q.conn)
 	q.mu.Lock()
@@ -327,27 +334,27 @@
 	q.server.logClosed(q, q.closeReason)
 	_ = listen.Linger(q.conn)
 	q.server.mu.Lock()
-	delete(q.server.queues, q) // it has had a descriptor until now
+	delete(q.server.queues, q) // only now, as MaxConns bounds descriptors, and the connection had one until here
 	q.server.mu.Unlock()
 	close(q.closed)
 }
 
-// drop lets go of a command that will not be answered any more.
+// drop releases and cancels a command that will not be completed, as its connection is closed.
 func (q *queue) drop(p *pending) {
 	q.release(p)
 	q.cancelJobs(p)
 }
 
-// depart tells the core that nobody waits for the command's parts any more.
+// cancelJobs cancels the command's parts in the core.
 func (q *queue) cancelJobs(p *pending) {
 	for _, j := range p.jobs {
 		q.server.core.Cancel(j)
 	}
 }
 
-// release gives back what an open command holds.
+// release returns what an open command holds: its timer, its bytes and its place among the open commands.
 func (q *queue) release(p *pending) {
-	p.stats.End(figures.Failure) // its host is gone, where it has no status yet
+	p.stats.End(figures.Failure) // no effect if complete has counted it: otherwise its connection was closed
 	if p.dataTimer != nil {
 		p.dataTimer.Stop()
 	}
@@ -359,7 +366,8 @@
 	}
 }
 
-// read is the reader. What ends it is told to the host where the protocol has a word for it.
+// readLoop handles PDUs until the connection fails, and then has it closed. A protocol error is answered with a termination
+// request.
 func (q *queue) readLoop() {
 	err := q.servePDUs()
 	var f *fatalError
@@ -397,9 +405,9 @@
 	}
 	switch {
 	case p.u16(8) != 0:
-		return &fatalError{fes: fesUnsupported, fei: 8, cause: "PDU format version", head: p.head}
+		return &fatalError{fes: fesUnsupported, fei: 8, cause: "unsupported PDU format version", head: p.head}
 	case p.head[10] > maxPDA:
-		return &fatalError{fes: fesInvalidHeader, fei: 10, cause: "data alignment", head: p.head}
+		return &fatalError{fes: fesInvalidHeader, fei: 10, cause: "data alignment out of range", head: p.head}
 	}
 	digests := p.head[11] & (digestHeader | digestData)
 	q.framing = framing{hdigest: digests&digestHeader != 0, ddigest: digests&digestData != 0, pda: int(p.head[10])}
@@ -426,17 +434,18 @@
 		case typeH2CTerm:
 			return errHostTerminated
 		default:
-			return &fatalError{fes: fesSequence, cause: "PDU type not for a controller", head: p.head}
+			return &fatalError{fes: fesSequence, cause: "PDU type is not valid from a host", head: p.head}
 		}
 	}
 }
 
-// put sends a PDU of the agreed framing.
+// send puts a PDU, in the negotiated framing, into the mailbox of writeLoop.
 func (q *queue) send(kind, flags byte, head, data []byte) {
 	q.outgoing.Put(appendPDU(nil, q.framing, kind, flags, head, data))
 }
 
-// complete gives a command its one completion, with its data before it; later ones are ignored.
+// complete completes a command, with its data sent first. It returns false, and does nothing, if the command was completed or
+// dropped before.
 func (q *queue) complete(p *pending, st status, result uint64, data []byte) bool {
 	cid := p.cmd.cid()
 	q.mu.Lock()
@@ -458,12 +467,12 @@
 	}
 	q.send(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
 	p.stats.End(endingOf(st))
-	q.release(p) // after the answer is in the writer's mailbox: Stop ends connections once nothing is open
+	q.release(p) // once the completion is in the mailbox: Stop closes connections as soon as no command is open
 	q.mu.Unlock()
 	return true
 }
 
-// command takes a submission queue entry.
+// handleCommand handles a command capsule.
 func (q *queue) handleCommand(pd *pdu) error {
 	p := &pending{}
 	copy(p.cmd[:], pd.head[commonLen:])
@@ -475,11 +484,11 @@
 	}
 	if q.cmds == nil {
 		q.mu.Unlock()
-		return nil // ending
+		return nil // the connection is being closed
 	}
 	if q.size > 0 && len(q.cmds) >= int(q.size) {
 		q.mu.Unlock()
-		return &fatalError{fes: fesSequence, cause: "more commands than the queue holds", head: pd.head}
+		return &fatalError{fes: fesSequence, cause: "more open commands than the queue has entries", head: pd.head}
 	}
 	if q.cmds[cid] != nil {
 		q.send(typeResp, 0, completion{sqhd: q.sqhd, sqid: q.qid, cid: cid, status: stCIDConflict | dnr}.head(), nil)
@@ -490,9 +499,9 @@
 	q.mu.Unlock()
 	switch {
 	case p.cmd[1]&0xC0 != 0x40 || p.cmd[1]&3 != 0:
-		q.complete(p, stInvalidField|dnr, 0, nil) // SGLs are a must on fabrics; no fused commands here
+		q.complete(p, stInvalidField|dnr, 0, nil) // fabrics require SGLs, and fused commands are not supported
 	case pd.dataError:
-		q.complete(p, stTransient, 0, nil) // nothing was begun: a repeat is harmless
+		q.complete(p, stTransient, 0, nil) // the command was not started: a retry is harmless
 	case q.ctrl == nil:
 		q.handleConnect(p, pd.data)
 	case p.cmd.op() == opFabrics:
@@ -505,13 +514,14 @@
 	return nil
 }
 
-// io takes a command of the NVM command set. Data towards here is in the capsule, or asked for.
+// handleIO handles a command of the NVM command set. Data from the host is in the capsule, or is requested with R2T.
 func (q *queue) handleIO(p *pending, data []byte) error {
 	s, c := q.server, &p.cmd
 	ns := s.namespace(c.nsid())
 	switch c.op() {
 	case opFlush:
-		// There is no volatile write cache: what was completed is kept (see HostOptions on targets that have one).
+		// There is no volatile write cache to flush: completed writes are durable (see capabilities.writeCache for targets that
+		// have one).
 		if ns == nil && c.nsid() != allNamespaces {
 			q.complete(p, stInvalidNS|dnr, 0, nil)
 		} else {
@@ -533,7 +543,7 @@
 	}
 	x := &IO{Write: c.op() == opWrite || c.op() == opWriteZeroes, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
 	length := int(x.Blocks) * ns.BlockBytes
-	needsHostData := c.op() == opWrite || c.op() == opCompare // data of the host's
+	needsHostData := c.op() == opWrite || c.op() == opCompare
 	inCapsule, lengthMatches := c.sglType() == sglOffset, int(c.sglLen()) == length
 	if c.op() == opWriteZeroes {
 		inCapsule, lengthMatches = false, len(data) == 0 // no data pointer
@@ -545,11 +555,11 @@
 		inCapsule && (!needsHostData || len(data) != length || length > maxInCapsuleData), !inCapsule && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
 	case s.rejectNew.Load(), q.keyRetired.Load(), s.bufferedBytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
-		// Nothing of it was begun; the host may come back, or go elsewhere.
+		// The command was not started: the host may retry it here or on another path.
 		q.complete(p, statusOf(core.Overloaded, q.ctrl.retryDelaysEnabled()), 0, nil)
 	default:
 		x.Bytes = length
-		// A connection that ended meanwhile has let go of the command: what it would hold now, nobody gave back.
+		// If the connection was closed meanwhile, the command was released: bytes that it took now would never be returned.
 		q.mu.Lock()
 		dropped := q.cmds[c.cid()] != p
 		if !dropped {
@@ -574,8 +584,8 @@
 	return nil
 }
 
-// ask has the host send a write's data. One R2T is out for a command at a time, which any host bears. The
-// host has as long for it as the command may take.
+// requestData requests a command's data with an R2T. Only one R2T is outstanding for a command, which every host supports.
+// If the data is not complete within the timeout of the namespace's write class, the connection is closed.
 func (q *queue) requestData(p *pending) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -589,7 +599,7 @@
 	q.send(typeR2T, 0, dataHead(p.cmd.cid(), p.transferTag, 0, uint32(p.io.Bytes)), nil)
 }
 
-// data takes a part of a write's data, which must come in order and within what was asked for.
+// handleData handles a part of a command's data, which must be in order and within the requested range.
 func (q *queue) handleData(pd *pdu) error {
 	q.mu.Lock()
 	p := q.cmds[pd.u16(8)]
@@ -599,19 +609,19 @@
 	}
 	switch {
 	case p == nil || p.transferTag == 0 || p.dataTimer == nil:
-		return dataError(fesInvalidHeader, 8, "data for no command that waits for some")
+		return dataError(fesInvalidHeader, 8, "data for a command that has no outstanding R2T")
 	case pd.u16(10) != p.transferTag:
-		return dataError(fesInvalidHeader, 10, "data for another transfer tag")
+		return dataError(fesInvalidHeader, 10, "transfer tag does not match the R2T")
 	}
 	offset, length := int64(pd.u32(12)), int64(pd.u32(16))
 	last := offset+length == int64(p.io.Bytes)
 	switch {
 	case length != int64(len(pd.data)) || length > maxH2CData || length == 0:
-		return dataError(fesInvalidHeader, 16, "data length")
+		return dataError(fesInvalidHeader, 16, "data length out of range or not that of the data")
 	case offset != int64(p.received) || offset+length > int64(p.io.Bytes):
-		return dataError(fesOutOfRange, 12, "data out of order or range")
+		return dataError(fesOutOfRange, 12, "data out of order or beyond the requested range")
 	case last != (pd.flags&flagLast != 0):
-		return dataError(fesInvalidHeader, 1, "last-PDU flag")
+		return dataError(fesInvalidHeader, 1, "last-PDU flag does not match the data offset and length")
 	case pd.dataError:
 		q.complete(p, stTransient, 0, nil)
 		return nil
@@ -624,7 +634,8 @@
 	return nil
 }
 
-// submit hands the command to the core, in parts where it lies on several shards; the core owns its end from here on.
+// submit submits the command to the core, split into parts if it spans several shards. From here on the command ends with
+// the core's responses, unless it is aborted or its connection is closed.
 func (q *queue) submit(p *pending) {
 	parts := p.ns.splitByShard(p.io)
 	jobs := make([]*core.Job, len(parts))
@@ -635,8 +646,8 @@
 		j.Done = func(r core.Response) { q.completePart(p, i, r) }
 		jobs[i] = j
 	}
-	// Under the lock, so that an Abort finds the command either not handed over or wholly so. Submit does
-	// not wait, and Done never runs within it.
+	// Under the lock, so that an Abort finds either none or all of the command's parts submitted. Submit does not block, and
+	// never calls Done itself.
 	q.mu.Lock()
 	if q.cmds[p.cmd.cid()] != p {
 		q.mu.Unlock()
@@ -647,7 +658,7 @@
 	}
 	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
 	q.server.openCommands.Add(1)
-	// Stop looks for open commands once it has turned away new ones: one that it has not seen must not be sent on.
+	// Stop sets rejectNew before it waits for openCommands to reach zero: a command that is counted too late must not be submitted.
 	rejectAll := q.server.rejectNew.Load()
 	var rejected []int
 	for i, j := range jobs {
@@ -661,7 +672,7 @@
 	}
 }
 
-// part takes the end of a part; the last one completes the command.
+// completePart records the response to a part of a command. The last one completes the command.
 func (q *queue) completePart(p *pending, i int, a core.Response) {
 	q.mu.Lock()
 	p.responses[i] = a
@@ -689,7 +700,7 @@
 	}
 }
 
-// abort ends a command from the admin queue; false where there is no such command.
+// abort completes a command as aborted and cancels it in the core. It returns false if no such command is open.
 func (q *queue) abort(cid uint16) bool {
 	q.mu.Lock()
 	p := q.cmds[cid]
@@ -701,6 +712,7 @@
 	return true
 }
 
+// eui64Of returns a namespace's EUI-64, which is its volume's id.
 func eui64Of(ns *Namespace) []byte {
 	n, _ := strconv.ParseUint(ns.Volume, 16, 64)
 	return binary.BigEndian.AppendUint64(nil, n)
--- a/internal/datapath/nvme/events.go
+++ b/internal/datapath/nvme/events.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	maxEventRequests = 4      // Asynchronous Event Requests that wait at a time
-	supportedEvents  = 1 << 8 // namespace attribute notices, the bit in OAES and in the feature alike
-	// namespaceNotice is a notice (type 2) on namespaces (0) whose log page is the changed-namespaces one.
+	maxEventRequests = 4      // Asynchronous Event Requests outstanding at a time
+	supportedEvents  = 1 << 8 // Namespace Attribute Notices: the same bit in OAES and in the feature
+	// namespaceNotice is the result of an event: a notice (type 2), Namespace Attribute Changed (0), with the Changed
+	// Namespace List as its log page.
 	namespaceNotice      = 2 | 0<<8 | logNamespaces<<16
-	maxChangedNamespaces = 1024 // entries of that page
+	maxChangedNamespaces = 1024 // entries of that log page
 )
 
-// events is what a controller has to tell its host by itself; the controller's lock guards it.
+// asyncEvents holds a controller's asynchronous events. It is guarded by controller.mu.
 type asyncEvents struct {
-	enabled  uint32
-	requests []*pending // event requests, on the admin queue
-	changed  []uint32   // namespaces since the page was last read
-	masked   bool       // an event is out, and masked until the page is read
+	enabled  uint32     // events that the host enabled with Set Features
+	requests []*pending // outstanding Asynchronous Event Requests, on the admin queue
+	changed  []uint32   // namespaces changed since the log page was last read, in ascending order
+	masked   bool       // an event was sent, and no other is until the log page is read
 }
 
 func (e *asyncEvents) reset() { *e = asyncEvents{} }
 
-// awaitEvent takes an Asynchronous Event Request, which is completed when there is something to tell.
+// handleAsyncEvent keeps an Asynchronous Event Request outstanding until there is an event to report.
 func (q *queue) handleAsyncEvent(p *pending) {
 	c := q.ctrl
 	c.mu.Lock()
-	// Those that were aborted wait no more.
+	// Drop those that have been aborted.
 	c.events.requests = slices.DeleteFunc(c.events.requests, func(w *pending) bool {
 		q.mu.Lock()
 		defer q.mu.Unlock()
@@ -46,7 +47,7 @@
 	c.sendEvent()
 }
 
-// tell completes a waiting request where there is news that the host wants and has not been told.
+// sendEvent completes an outstanding event request if namespaces have changed and the event is enabled and not masked.
 func (c *controller) sendEvent() {
 	c.mu.Lock()
 	admin := c.queues[0]
@@ -59,7 +60,7 @@
 	e.requests, e.masked = e.requests[1:], true
 	c.mu.Unlock()
 	if !admin.complete(p, stOK, namespaceNotice, nil) {
-		// Aborted meanwhile: the next one that waits is told.
+		// The request was aborted in the meantime: try the next one.
 		c.mu.Lock()
 		c.events.masked = false
 		c.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// changed is the changed-namespaces page; reading it, unless the event is to be retained, lets the next event out.
+// changedNamespacesPage returns the Changed Namespace List. Reading it unmasks the event, unless the host asked to retain it.
 func (c *controller) changedNamespacesPage(retain bool) []byte {
 	page := make([]byte, 4*maxChangedNamespaces)
 	c.mu.Lock()
@@ -85,8 +86,8 @@
 	return page
 }
 
-// Update takes other namespaces into use and tells every host which have changed. Commands already with the core end as
-// they would have.
+// UpdateNamespaces replaces the namespaces and notifies every host of those that changed. Commands that are already in the
+// core complete as they would have without the change.
 func (s *Server) UpdateNamespaces(list []Namespace) {
 	current := namespacesByID(list)
 	old := *s.namespaces.Swap(current)
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -22,17 +22,17 @@
 	"spindlehitch/internal/policy"
 )
 
-// HostOptions set up the host side.
+// HostOptions are the options of a Host.
 type HostOptions struct {
 	Subsystem string // of the targets
 	HostNQN   string
 	HostID    [16]byte
 	KeepAlive time.Duration
-	Digests   bool        // ask for header and data digests
-	Keys      *keys.Store // TLS, where there are any
+	Digests   bool        // request header and data digests
+	Keys      *keys.Store // TLS certificates; nil: no TLS
 }
 
-// serial tells which keys connections are made with now.
+// keyGeneration returns the generation of the TLS certificates that new connections use.
 func (o *HostOptions) keyGeneration() int {
 	if o.Keys == nil {
 		return 0
@@ -40,64 +40,65 @@
 	return o.Keys.Generation()
 }
 
-// peer is a target's address with the keys it is met with: after a change of keys a new association is made beside the
-// old one, whose commands end on it.
+// peer is a target's address and the generation of the TLS certificates of its connections. After a rotation, a new
+// association is made beside the old one, on which the open commands complete.
 type peer struct {
 	addr          string
 	keyGeneration int
 }
 
-// Host is the upstream wire: an association with each target, and under it one I/O queue for each command
-// that is out. A queue of its own for each is what lets an attempt be given up by closing its connection,
-// without a word to, or for, any other.
+// Host is the upstream.Dialer for NVMe: an association with each target, with one I/O queue for each command that is in
+// flight. As each command has its own queue, an attempt can be abandoned by closing its connection, without any effect on
+// other commands.
 type Host struct {
 	opt          HostOptions
-	mu           sync.Mutex
+	mu           sync.Mutex // guards associations
 	associations map[peer]*association
 }
 
 // NewHost returns a host.
 func NewHost(opt HostOptions) *Host { return &Host{opt: opt, associations: map[peer]*association{}} }
 
-// association is the admin queue with one target, made when first needed.
+// association is the association with one target: its admin queue, connected when it is first needed, and the ids of its
+// I/O queues.
 type association struct {
 	host *Host
 	peer
-	adminSem chan struct{} // held by whoever speaks on the admin queue; waiting for it can be given up
+	adminSem chan struct{} // semaphore for the use of the admin queue; unlike a mutex, waiting for it can be abandoned
 
-	mu           sync.Mutex
-	admin        *hostConn // nil: none
+	mu           sync.Mutex // guards the fields below
+	admin        *hostConn  // nil: not connected
 	cntlid       uint16
-	inUse        map[uint16]bool
+	inUse        map[uint16]bool // ids of the I/O queues
 	capabilities capabilities
 	lastUsed     time.Time
-	unreadAborts int                        // Aborts whose completions nobody has read yet
-	retryBackoff backoff.ExponentialBackOff // after attempts in a row that came to no association
-	retryAt      time.Time
+	unreadAborts int                        // Aborts whose completions have not been read yet
+	retryBackoff backoff.ExponentialBackOff // delay after consecutive failed attempts to establish
+	retryAt      time.Time                  // no attempt before this time
 }
 
-// bears is what a target's controller tells of itself.
+// capabilities are what a target's controller reported in Identify.
 type capabilities struct {
 	inCapsuleSize int  // bytes of data that a capsule may hold
-	writeCache    bool // it has a volatile write cache: a write is asked to be on its medium before it is completed
+	writeCache    bool // it has a volatile write cache: writes are sent with FUA
 }
 
-// wire is one connection, of either kind.
+// hostConn is one connection to a controller, for an admin queue or an I/O queue.
 type hostConn struct {
 	net.Conn
 	in         *bufio.Reader
-	framing    framing // for what the controller wants
-	maxDataPDU uint32  // data of one H2CData
+	framing    framing // of the PDUs sent; received ones have no alignment
+	maxDataPDU uint32  // the controller's MAXH2CDATA
 	lastCID    uint16
 }
 
-// Dial opens an I/O queue at the target, and the association before it if there is none.
+// Dial connects an I/O queue of the target, after the association if there is none yet.
 func (h *Host) Dial(ctx context.Context, addr string) (upstream.Session, error) {
 	h.mu.Lock()
 	key := peer{addr, h.opt.keyGeneration()}
 	a := h.associations[key]
 	if a == nil {
-		maps.DeleteFunc(h.associations, func(_ peer, old *association) bool { return old.removable() }) // targets come and go
+		maps.DeleteFunc(h.associations, func(_ peer, old *association) bool { return old.removable() }) // of targets that are no longer listed
 		a = &association{host: h, peer: key, inUse: map[uint16]bool{}, adminSem: make(chan struct{}, 1), retryBackoff: newRetryBackoff(), lastUsed: time.Now()}
 		h.associations[key] = a
 	}
@@ -114,8 +115,8 @@
 	}
 	if err != nil {
 		a.releaseQID(qid)
-		// A target that turns the queue away has been started anew and knows nothing of the association: it
-		// must not count until the next keep-alive finds out. One that only is slow may still have it.
+		// A target that rejects the queue has restarted and lost the association: drop it now, and not only when the next
+		// Keep Alive fails. A target that timed out may be slow and still have the association.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
 			a.dropAdmin(admin)
 		}
@@ -125,14 +126,14 @@
 	return &session{hostConn: w, assoc: a, qid: qid, capabilities: caps}, nil
 }
 
-// forgotten tells whether nothing is left of it that anybody could want.
+// removable reports whether the association has ended, has no I/O queues and was not used or retried for a while.
 func (a *association) removable() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.admin == nil && len(a.inUse) == 0 && time.Since(a.lastUsed) > maxUnusedTime && time.Since(a.retryAt) > maxUnusedTime
 }
 
-// lose ends the association of an admin queue, if it is still this one's.
+// dropAdmin closes an admin queue. If it is the association's current one, the next Dial connects a new one.
 func (a *association) dropAdmin(w *hostConn) {
 	a.mu.Lock()
 	if a.admin == w {
@@ -142,7 +143,7 @@
 	w.Close()
 }
 
-// open makes a connection and agrees on its framing.
+// openConn opens a connection and negotiates its framing. The connection's deadline is that of ctx.
 func (h *Host) openConn(ctx context.Context, addr string) (*hostConn, error) {
 	c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -175,20 +176,21 @@
 	return w, nil
 }
 
+// readICResp reads the controller's ICResp, and checks that it grants no digest that was not requested.
 func (w *hostConn) readICResp(requested byte) error {
 	p, err := readPDU(w.in, framing{})
 	switch {
 	case err != nil:
 		return err
 	case p.kind != typeICResp || p.u16(8) != 0 || p.head[10] > maxPDA || p.head[11]&^requested != 0 || p.u32(12) < minH2CData:
-		return errors.New("controller's ICResp is not usable")
+		return errors.New("controller sent an invalid ICResp")
 	}
 	w.framing = framing{hdigest: p.head[11]&digestHeader != 0, ddigest: p.head[11]&digestData != 0, pda: int(p.head[10])}
 	w.maxDataPDU = p.u32(12)
 	return nil
 }
 
-// receive reads a PDU; the host asked for no alignment of its own.
+// receive reads a PDU. If the PDU is invalid, it sends the controller a termination request.
 func (w *hostConn) receive() (*pdu, error) {
 	p, err := readPDU(w.in, framing{hdigest: w.framing.hdigest, ddigest: w.framing.ddigest})
 	var f *fatalError
@@ -203,7 +205,8 @@
 	return w.lastCID
 }
 
-// ask carries out a command outside the data path: data in the capsule, a page or nothing back.
+// execute executes a command outside the data path. Its data, if any, is in the capsule; it returns the completion, and the
+// page that the controller sent, if any.
 func (w *hostConn) execute(c *command, data []byte) (completion, []byte, error) {
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], data)); err != nil {
 		return completion{}, nil, err
@@ -217,13 +220,13 @@
 		switch p.kind {
 		case typeC2HData:
 			if int64(len(page)) != int64(p.u32(12)) || len(page)+len(p.data) > identifyLen || p.dataError {
-				return completion{}, nil, errors.New("data out of order")
+				return completion{}, nil, errors.New("data out of order, too long or with a wrong digest")
 			}
 			page = append(page, p.data...)
 		case typeResp:
 			done := parseCompletion(p)
 			if done.cid != c.cid() {
-				continue // of an Abort that nobody waited for
+				continue // of an earlier Abort, see association.abort
 			}
 			if done.status != stOK {
 				return done, nil, fmt.Errorf("command %#x ended with status %#x", c.op(), uint16(done.status))
@@ -235,17 +238,18 @@
 	}
 }
 
+// fabricsCommand returns a fabrics command with length bytes of data in its capsule.
 func fabricsCommand(w *hostConn, fctype byte, length int) *command {
 	c := newCommand(opFabrics, w.nextCID(), length, length > 0)
 	c[4] = fctype
 	return c
 }
 
-// connect sends Connect; the answer is the controller's id.
+// connect sends Connect and returns the controller's id.
 func (w *hostConn) connect(opt HostOptions, qid, cntlid uint16) (uint16, error) {
 	c := fabricsCommand(w, fctConnect, connectLen)
 	c.set16(42, qid)
-	c.set16(44, 31)
+	c.set16(44, 31) // SQSIZE, zero-based
 	if qid == 0 {
 		c.set32(48, uint32(opt.KeepAlive.Milliseconds()))
 	} else {
@@ -260,7 +264,7 @@
 	return uint16(done.result), err
 }
 
-// property reads a property of four bytes.
+// readProperty reads a property of four bytes.
 func (w *hostConn) readProperty(offset uint32) (uint64, error) {
 	c := fabricsCommand(w, fctPropertyGet, 0)
 	c.set32(44, offset)
@@ -268,8 +272,8 @@
 	return done.result, err
 }
 
-// enter makes sure of the association and takes a queue id in it. Neither a target that stands still nor
-// whoever waits for it holds this up for longer than ctx allows.
+// acquireQID establishes the association if necessary and allocates a queue id in it. It returns when ctx ends, even if the
+// target does not respond or another caller is waiting for it.
 func (a *association) acquireQID(ctx context.Context) (admin *hostConn, cntlid, qid uint16, caps capabilities, err error) {
 	for {
 		a.mu.Lock()
@@ -282,7 +286,7 @@
 					return a.admin, a.cntlid, id, a.capabilities, nil
 				}
 			}
-			return nil, 0, 0, caps, errors.New("all I/O queues are in use")
+			return nil, 0, 0, caps, errors.New("all I/O queue ids of the association are in use")
 		}
 		a.mu.Unlock()
 		select {
@@ -304,7 +308,7 @@
 	a.mu.Unlock()
 }
 
-// establish connects the admin queue, enables the controller and reads what it bears. Its caller holds talk.
+// establish connects the admin queue, enables the controller and reads its capabilities. The caller holds adminSem.
 func (a *association) establish(ctx context.Context) error {
 	a.mu.Lock()
 	connected, backingOff := a.admin != nil, time.Now().Before(a.retryAt)
@@ -336,28 +340,29 @@
 	return nil
 }
 
-var errBackingOff = errors.New("an association failed just now")
+var errBackingOff = errors.New("connecting the association failed recently; backing off")
 
 const (
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = time.Second
 )
 
-// newRests are how long a target is let be after attempts at an association that failed in a row. What is asked of it
-// meanwhile fails at once, and the module decides what becomes of it.
+// newRetryBackoff returns the delays after consecutive failed attempts to establish an association. During a delay, attempts
+// on the target fail at once, and the policy module decides what happens with their requests.
 func newRetryBackoff() backoff.ExponentialBackOff {
 	b := backoff.ExponentialBackOff{InitialInterval: minRetryDelay, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: maxRetryDelay}
 	b.Reset()
 	return b
 }
 
+// enable connects the admin queue, enables the controller, waits until it is ready and reads its capabilities.
 func (h *Host) enable(ctx context.Context, w *hostConn) (cntlid uint16, caps capabilities, err error) {
 	if cntlid, err = w.connect(h.opt, 0, dynamicCntlID); err != nil {
 		return
 	}
 	c := fabricsCommand(w, fctPropertySet, 0)
 	c.set32(44, propCC)
-	c.set64(48, 4<<20|6<<16|ccEnable) // entry sizes, enabled
+	c.set64(48, 4<<20|6<<16|ccEnable) // queue entry sizes, EN
 	if _, _, err = w.execute(c, nil); err != nil {
 		return
 	}
@@ -378,7 +383,7 @@
 	id.set32(40, 1)
 	_, page, err := w.execute(id, nil)
 	if err == nil && len(page) != identifyLen {
-		err = errors.New("controller's identify page is not whole")
+		err = errors.New("controller's identify page is incomplete")
 	}
 	if err != nil {
 		return
@@ -386,11 +391,12 @@
 	return cntlid, capabilities{inCapsuleSize: max(0, int(binary.LittleEndian.Uint32(page[1792:]))*16-64), writeCache: page[525]&1 != 0}, nil
 }
 
-// unusedFor is how long an association without I/O queues is kept, so that none outlives its target's place
-// in the list for long.
+// maxUnusedTime is how long an association without I/O queues is kept, so that it is closed soon after its target is removed
+// from the list.
 const maxUnusedTime = 30 * time.Second
 
-// keep sends keep-alives until the admin queue fails or nothing needs it; the association has ended then.
+// sendKeepAlives sends Keep Alives until the admin queue fails, is replaced or is unused. Then it closes the admin queue and
+// returns.
 func (a *association) sendKeepAlives(w *hostConn) {
 	interval := a.host.opt.KeepAlive / 2
 	for {
@@ -401,7 +407,7 @@
 		a.mu.Unlock()
 		if unused {
 			a.dropAdmin(w)
-			if keysChanged { // nothing new comes to it
+			if keysChanged { // no new connection uses the old certificates
 				a.host.mu.Lock()
 				delete(a.host.associations, a.peer)
 				a.host.mu.Unlock()
@@ -413,7 +419,7 @@
 		_, _, err := w.execute(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
 		w.SetDeadline(time.Time{})
 		a.mu.Lock()
-		a.unreadAborts = 0 // their completions came before this one's
+		a.unreadAborts = 0 // their completions preceded this one's
 		a.mu.Unlock()
 		<-a.adminSem
 		if err != nil {
@@ -423,12 +429,12 @@
 	}
 }
 
-// mostAborts bounds the Aborts of which no completion was read; the admin queue holds 32 entries.
+// maxUnreadAborts bounds the Aborts whose completions have not been read; the admin queue has 32 entries.
 const maxUnreadAborts = 3
 
-// abort tells the controller that a command is not waited for any more. It is a courtesy: what counts is
-// that the command's connection closes. So it waits for nothing, least of all for a target that stands
-// still; its completion is passed over when the next keep-alive reads the queue.
+// abort sends an Abort for a command that is abandoned. It is best effort, as closing the command's connection ends it
+// anyway. So it does not wait for the admin queue or for a target that does not respond. Its completion is skipped when the
+// next Keep Alive reads the admin queue.
 func (a *association) abort(qid, cid uint16) {
 	select {
 	case a.adminSem <- struct{}{}:
@@ -451,7 +457,7 @@
 	w.SetWriteDeadline(time.Time{})
 }
 
-// session is one I/O queue.
+// session is an I/O queue of a target, which carries one command at a time. It implements upstream.Session.
 type session struct {
 	*hostConn
 	capabilities
@@ -460,10 +466,10 @@
 	releaseOnce sync.Once
 }
 
-// Close ends the queue.
+// Close closes the queue's connection and releases its queue id.
 func (s *session) Close() error {
 	c := s.Conn
-	if tlsConn, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(tlsConn.NetConn()) { // its word of the end would wait for that
+	if tlsConn, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(tlsConn.NetConn()) { // a close_notify alert would wait for the acknowledgement
 		c = tlsConn.NetConn()
 	}
 	err := upstream.CloseOrReset(c)
@@ -473,8 +479,8 @@
 
 // Alive implements upstream.Session.
 //
-// One made with keys that have been changed is not used again: the target will end it once they are good no more, and a
-// command written at that moment would be in doubt.
+// It returns false if the certificates have been rotated since the connection was made: the target closes it once it no
+// longer accepts the old certificate, and a command written at that moment might or might not have been executed.
 func (s *session) Alive() bool {
 	c := s.Conn
 	if tlsConn, ok := c.(*tls.Conn); ok {
@@ -483,8 +489,10 @@
 	return s.in.Buffered() == 0 && s.assoc.keyGeneration == s.assoc.host.opt.keyGeneration() && upstream.OpenAndIdle(c)
 }
 
-// Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
-// controller asks; until the last byte of it is written, it cannot have begun.
+// Do implements upstream.Session.
+//
+// It executes one read or write. A write's data is sent in the capsule if it fits, and otherwise when the controller requests
+// it with R2T. A write cannot have started before the last byte of its data was written.
 func (s *session) Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string) {
 	x := a.Payload.(*IO)
 	op := byte(opRead)
@@ -541,11 +549,12 @@
 	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
 }
 
-// stallAfter is how long an answer that has begun may bring nothing, as on HTTP: one that stops midway is not waited for
-// until the attempt's time is over.
+// stallTimeout is how long a response that has begun may bring no further data, as with HTTP, so that a response that stops
+// midway does not take all of the attempt's time.
 const stallTimeout = 250 * time.Millisecond
 
-// finish takes part in the command's transfers until its completion.
+// transfer sends and receives the command's data until its completion. It sets written once the last byte of a write's data
+// has been written.
 func (s *session) transfer(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
 	deadline := a.Deadline
@@ -566,14 +575,15 @@
 		switch p.kind {
 		case typeR2T:
 			if *written || p.u16(8) != c.cid() {
-				return 0, nil, errors.New("R2T for no write that waits")
+				return 0, nil, errors.New("unexpected R2T")
 			}
 			offset, length := int64(p.u32(12)), int64(p.u32(16))
 			if length == 0 || offset+length > int64(len(x.Data)) {
 				return 0, nil, errors.New("R2T out of range")
 			}
 			if !time.Now().Before(a.WriteDeadline()) {
-				// The deadline of writes is kept by a timer, which a busy machine may fire late: what must not leave any more must not hang on it.
+				// A write deadline is enforced by a timer, which a busy machine may fire late. Data must not be sent after its
+				// deadline, so check the time as well.
 				return 0, nil, os.ErrDeadlineExceeded
 			}
 			if err := s.sendData(c.cid(), p.u16(10), x.Data, int(offset), int(offset+length)); err != nil {
@@ -585,7 +595,7 @@
 		case typeC2HData:
 			if x.Write || p.u16(8) != c.cid() || int64(p.u32(12)) != int64(len(body)) ||
 				len(body)+len(p.data) > x.Bytes || p.dataError {
-				return 0, nil, errors.New("data for no read, out of order or damaged")
+				return 0, nil, errors.New("unexpected data, or data out of order, too long or with a wrong digest")
 			}
 			body = append(body, p.data...)
 			if p.flags&flagSuccess != 0 && p.flags&flagLast != 0 {
@@ -594,7 +604,7 @@
 		case typeResp:
 			done := parseCompletion(p)
 			if done.cid != c.cid() {
-				return 0, nil, errors.New("completion of another command")
+				return 0, nil, errors.New("completion with the id of another command")
 			}
 			return s.checkLength(done.status, x, body)
 		case typeC2HTerm:
@@ -605,14 +615,15 @@
 	}
 }
 
-// whole takes no read for served whose data is not all there.
+// checkLength fails a successful read whose data is incomplete.
 func (s *session) checkLength(st status, x *IO, body []byte) (status, []byte, error) {
 	if st == stOK && !x.Write && len(body) != x.Bytes {
-		return 0, nil, errors.New("data is not whole")
+		return 0, nil, errors.New("read completed with incomplete data")
 	}
 	return st, body, nil
 }
 
+// sendData sends the data from offset from up to to, in the H2CData PDUs of one R2T.
 func (s *session) sendData(cid, tag uint16, data []byte, from, to int) error {
 	for from < to {
 		n := min(to-from, int(s.maxDataPDU))
--- a/internal/datapath/nvme/logs.go
+++ b/internal/datapath/nvme/logs.go
@@ -18,11 +18,11 @@
 
 	errorEntries  = 16
 	errorEntryLen = 64
-	discoveryLen  = 1024 // of the header and of an entry
+	discoveryLen  = 1024 // length of the discovery log page's header, and of each of its entries
 	discoveryNQN  = "nqn.2014-08.org.nvmexpress.discovery"
 )
 
-// health counts what the health page tells.
+// healthCounters counts the commands and the 512-byte units that the health log page reports.
 type healthCounters struct{ reads, writes, readBlocks, writeBlocks atomic.Uint64 }
 
 func (h *healthCounters) count(x *IO) {
@@ -36,10 +36,10 @@
 	}
 }
 
-// errorLog keeps a controller's last commands that ended with an error.
+// errorLog keeps an entry for each of a controller's last commands that ended with an error.
 type errorLog struct {
-	mu      sync.Mutex
-	count   uint64
+	mu      sync.Mutex // guards the fields below
+	count   uint64     // errors in all
 	entries [errorEntries][errorEntryLen]byte
 }
 
@@ -53,7 +53,7 @@
 	binary.LittleEndian.PutUint16(e[8:], qid)
 	binary.LittleEndian.PutUint16(e[10:], c.cid())
 	binary.LittleEndian.PutUint16(e[12:], uint16(st)<<1)
-	binary.LittleEndian.PutUint16(e[14:], 0xFFFF) // no parameter is told
+	binary.LittleEndian.PutUint16(e[14:], 0xFFFF) // the parameter at fault is not reported
 	if qid > 0 {
 		binary.LittleEndian.PutUint64(e[16:], c.slba())
 	}
@@ -62,7 +62,7 @@
 	}
 }
 
-// page has the newest first.
+// page returns the log page, with the newest entry first.
 func (l *errorLog) page() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +73,8 @@
 	return b[:cap(b)]
 }
 
-// logPage takes Get Log Page: any part of a page, in dwords, past its end zeroes as the specification leaves it.
+// handleGetLogPage carries out Get Log Page for any part of a page, in dwords. Past the end of a page the specification
+// leaves the data undefined; it is zeroes here.
 func (q *queue) handleGetLogPage(p *pending) {
 	c := &p.cmd
 	length := (int64(c.dw(10)>>16) | int64(c.dw(11)&0xFFFF)<<16) + 1
@@ -97,7 +98,7 @@
 	}
 }
 
-// logBytes is a whole page; nil where there is none of that kind.
+// logPageData returns a whole log page, or nil if the controller has no such page.
 func (q *queue) logPageData(lid byte, retain bool) []byte {
 	s := q.server
 	if q.ctrl.isDiscovery {
@@ -113,7 +114,7 @@
 	case logHealth:
 		const kelvin = 273
 		binary.LittleEndian.PutUint16(page[1:], kelvin+25)
-		page[3], page[4] = 100, 10 // spare, and its threshold
+		page[3], page[4] = 100, 10 // available spare and its threshold, in percent
 		for at, n := range map[int]uint64{32: (s.health.readBlocks.Load() + 999) / 1000, 48: (s.health.writeBlocks.Load() + 999) / 1000,
 			64: s.health.reads.Load(), 80: s.health.writes.Load()} {
 			binary.LittleEndian.PutUint64(page[at:], n)
@@ -122,7 +123,7 @@
 		binary.LittleEndian.PutUint64(page[176:], q.ctrl.errors.count)
 		q.ctrl.errors.mu.Unlock()
 	case logFirmware:
-		page[0] = 1 // the slot in use
+		page[0] = 1 // the active slot
 		copy(page[8:], "1       ")
 	case logNamespaces:
 		return q.ctrl.changedNamespacesPage(retain)
@@ -135,7 +136,7 @@
 			page[1024+4*op] = 1
 		}
 		for _, op := range []int{opWrite, opWriteZeroes} {
-			page[1024+4*op] = 3 // changes what blocks hold
+			page[1024+4*op] = 3 // supported, and changes the content of blocks
 		}
 	default:
 		return nil
@@ -143,11 +144,11 @@
 	return page
 }
 
-// discovery is the discovery page: one entry, this subsystem at the address that the host came to.
+// discoveryPage returns the discovery log page: one entry, for this subsystem at the address that the host connected to.
 func (s *Server) discoveryPage(local net.Addr) []byte {
 	page := make([]byte, 2*discoveryLen)
-	binary.LittleEndian.PutUint64(page[0:], 1) // generation
-	binary.LittleEndian.PutUint64(page[8:], 1) // entries
+	binary.LittleEndian.PutUint64(page[0:], 1) // generation counter
+	binary.LittleEndian.PutUint64(page[8:], 1) // number of records
 	e := page[discoveryLen:]
 	const tcp, ipv4, ipv6, nvm = 3, 1, 2, 2
 	host, port, _ := net.SplitHostPort(local.String())
--- a/internal/datapath/nvme/pdu.go
+++ b/internal/datapath/nvme/pdu.go
@@ -1,6 +1,7 @@
-// Package nvme speaks a subset of NVMe over TCP, as controller (a front) and as host (an upstream wire), with
-// the core between them deciding as for any other wire. What lies outside the subset is answered with the
-// proper status or a termination request, never with silence.
+// Package nvme implements a subset of NVMe over TCP, as a controller (the front that hosts connect to) and as a host (the
+// upstream.Dialer that connects to targets). The core between the two handles commands like the requests of any other
+// protocol. Anything outside the subset is answered with the status or the termination request that the specifications
+// define for it, and never ignored.
 package nvme
 
 import (
@@ -46,42 +47,42 @@
 	fesOutOfRange     = 0x04
 	fesLimitExceeded  = 0x05
 	fesUnsupported    = 0x06
-	maxPDUData        = 128 << 10 // the largest data of one PDU that is taken
-	maxH2CData        = 64 << 10  // told to hosts
-	minH2CData        = 4096
-	maxTransfer       = 128 << 10 // of one command; a power of two of pages, see identify
+	maxPDUData        = 128 << 10 // largest data of one PDU that is accepted
+	maxH2CData        = 64 << 10  // MAXH2CDATA, sent to hosts in ICResp
+	minH2CData        = 4096      // least MAXH2CDATA that the specification allows
+	maxTransfer       = 128 << 10 // of one command; identify gives it as a power of two of pages (MDTS)
 	maxInCapsuleData  = 8192
 	defaultQueueDepth = 64
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// pdu is one message. head starts with the common header; data is what follows it, if any.
+// pdu is one received PDU. head starts with the common header; data is the PDU's data, if any.
 type pdu struct {
 	kind  byte
 	flags byte
 	head  []byte
 	data  []byte
-	// dataError marks data whose digest does not match: the command fails, the connection lives.
+	// dataError is set if the data digest does not match: the command fails, and the connection stays open.
 	dataError bool
 }
 
 func (p *pdu) u16(offset int) uint16 { return binary.LittleEndian.Uint16(p.head[offset:]) }
 func (p *pdu) u32(offset int) uint32 { return binary.LittleEndian.Uint32(p.head[offset:]) }
 
-// fatal is an error that ends the connection with a termination request.
+// fatalError is an error for which the connection is ended with a termination request.
 type fatalError struct {
-	fes   uint16
-	fei   uint32
-	cause string
-	head  []byte
+	fes   uint16 // fatal error status
+	fei   uint32 // fatal error information: the offset of the wrong field, or the digest
+	cause string // for the log
+	head  []byte // of the PDU at fault, copied into the request
 }
 
 func (f *fatalError) Error() string {
 	return fmt.Sprintf("%s (FES %#x, FEI %#x)", f.cause, f.fes, f.fei)
 }
 
-// headLen is the length of each type's header; 0: not a type.
+// headLen returns the header length of a PDU type, or 0 if the type does not exist.
 func headLen(kind byte) int {
 	switch kind {
 	case typeICReq, typeICResp:
@@ -94,13 +95,13 @@
 	return 0
 }
 
-// framing is what both sides agreed on.
+// framing is the PDU format that ICReq and ICResp negotiated for a connection.
 type framing struct {
 	hdigest, ddigest bool
-	pda              int // the receiver wants data at multiples of 4*(pda+1)
+	pda              int // PDU data alignment: the receiver wants data at multiples of 4*(pda+1)
 }
 
-// readPDU reads one message and checks its header, lengths and digests before any of it is used.
+// readPDU reads one PDU, and checks its header, its lengths and its digests before any of it is used.
 func readPDU(in io.Reader, f framing) (*pdu, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var ch [commonLen]byte
 	if _, err := io.ReadFull(in, ch[:]); err != nil {
@@ -116,12 +117,12 @@
 	case wantLen == 0:
 		return nil, headerError(0, "unknown PDU type")
 	case hlen != wantLen:
-		return nil, headerError(2, "header length does not fit the type")
+		return nil, headerError(2, "header length does not match the PDU type")
 	}
 	digests := kind >= typeCmd
 	hd := digests && f.hdigest
 	if digests && (flags&flagHDigest != 0) != f.hdigest {
-		return nil, headerError(1, "header digest flag is not what was agreed")
+		return nil, headerError(1, "header digest flag differs from the negotiated setting")
 	}
 	used := hlen
 	if hd {
@@ -141,7 +142,7 @@
 			return nil, unexpectedEOF(err)
 		}
 		if got := crc32.Checksum(p.head, castagnoli); got != binary.LittleEndian.Uint32(d[:]) {
-			return nil, &fatalError{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest", head: p.head}
+			return nil, &fatalError{fes: fesHeaderDigest, fei: binary.LittleEndian.Uint32(d[:]), cause: "header digest mismatch", head: p.head}
 		}
 	}
 	remaining := int(plen) - used
@@ -150,7 +151,7 @@
 	}
 	switch kind {
 	case typeICReq, typeICResp, typeResp, typeR2T:
-		return nil, headerError(4, "data where the type has none")
+		return nil, headerError(4, "PDU type must not carry data")
 	case typeH2CTerm, typeC2HTerm:
 		if remaining > maxTermData {
 			return nil, headerError(4, "termination request too long")
@@ -167,11 +168,11 @@
 	remaining -= pad
 	dd := digests && flags&flagDDigest != 0
 	if dd != (digests && f.ddigest && remaining > 0) {
-		return nil, headerError(1, "data digest flag is not what was agreed")
+		return nil, headerError(1, "data digest flag differs from the negotiated setting")
 	}
 	if dd {
 		if remaining -= digestLen; remaining < 0 {
-			return nil, headerError(4, "no room for the data digest")
+			return nil, headerError(4, "PDU length has no room for the data digest")
 		}
 	}
 	p.data = make([]byte, remaining)
@@ -188,7 +189,7 @@
 	return p, nil
 }
 
-// short makes an end within a PDU tell itself from one between two.
+// unexpectedEOF replaces io.EOF within a PDU, so that it differs from a connection closed between two PDUs.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -196,7 +197,7 @@
 	return err
 }
 
-// appendPDU writes a message: head holds the fields after the common header.
+// appendPDU appends a PDU to b. head holds the fields after the common header.
 func appendPDU(b []byte, f framing, kind, flags byte, head, data []byte) []byte {
 	hlen := commonLen + len(head)
 	digests := kind >= typeCmd
@@ -238,14 +239,16 @@
 	return b
 }
 
-// icHead is the body of ICReq and ICResp: version 0, alignment, digests, and the type's own limit.
+// icHead returns the fields of ICReq and ICResp after the common header: version 0, data alignment, digests, and the limit
+// that the type has (MAXR2T or MAXH2CDATA).
 func icHead(digests byte, limit uint32) []byte {
 	h := make([]byte, icLen-commonLen)
-	h[3] = digests // h[2], the alignment of data, stays 0
+	h[3] = digests // h[2], the data alignment, stays 0
 	binary.LittleEndian.PutUint32(h[4:], limit)
 	return h
 }
 
+// termPDU returns a termination request. It carries the header of the PDU at fault.
 func termPDU(kind byte, f *fatalError) []byte {
 	h := make([]byte, dataLen-commonLen)
 	binary.LittleEndian.PutUint16(h, f.fes)
@@ -253,6 +256,7 @@
 	return appendPDU(nil, framing{}, kind, 0, h, f.head[:min(len(f.head), maxTermData)])
 }
 
+// dataHead returns the fields after the common header of H2CData, C2HData and R2T.
 func dataHead(cid, tag uint16, offset, length uint32) []byte {
 	h := make([]byte, dataLen-commonLen)
 	binary.LittleEndian.PutUint16(h, cid)
--- a/internal/datapath/nvme/split.go
+++ b/internal/datapath/nvme/split.go
@@ -7,12 +7,13 @@
 	"spindlehitch/internal/policy"
 )
 
-// What becomes of commands that lie on several shards, and what a range of blocks may be. Nothing here does I/O.
+// This file splits commands that span several shards, merges the responses to their parts and checks block ranges. It does
+// no I/O.
 
-// everyNS names all namespaces of a controller.
+// allNamespaces is the broadcast NSID.
 const allNamespaces = 0xFFFFFFFF
 
-// split cuts a command where the shard changes: a target holds the blocks of its own shard only.
+// splitByShard splits a command where the shard changes, as a target holds the blocks of its own shard only.
 func (n *Namespace) splitByShard(x *IO) []*IO {
 	var parts []*IO
 	lba, remaining := x.SLBA, uint64(x.Blocks)
@@ -41,8 +42,8 @@
 	return parts
 }
 
-// gather makes one status of the parts' ends, and a read's data of theirs. Retryable is only a command of which nothing
-// that must not run twice has run or may have run.
+// mergeResponses merges the responses to a command's parts into one status and, for a read, its data. The status is
+// retryable only if no part that must not be executed twice was, or may have been, executed.
 func mergeResponses(x *IO, jobs []*core.Job, responses []core.Response, sendDelay bool) (status, []byte) {
 	var body []byte
 	served := 0
@@ -58,7 +59,7 @@
 			}
 			data, _ := r.Payload.([]byte)
 			if len(data) != jobs[i].Payload.(*IO).Bytes {
-				return stInternal | dnr, nil // no target's whole answer: never passed off as one
+				return stInternal | dnr, nil // incomplete data is never returned as a successful read
 			}
 			if len(responses) == 1 {
 				return stOK, data
@@ -80,12 +81,12 @@
 	case failed != nil:
 		return statusOf(*failed, sendDelay), nil
 	case x.Write && served > 0:
-		return stInternal | dnr, nil // a repeat would run again what has run
+		return stInternal | dnr, nil // a retry would execute the served parts again
 	}
 	return statusOf(rejected, sendDelay), nil
 }
 
-// dataset checks a Dataset Management command. Its attributes are hints, none of which is taken up.
+// checkDatasetManagement checks the ranges of a Dataset Management command. Its attributes are hints and are ignored.
 func (n *Namespace) checkDatasetManagement(c *command, data []byte) status {
 	const rangeLen = 16
 	ranges := int(c.dw(10)&0xFF) + 1
