--- a/internal/datapath/nvme/bench_test.go
+++ b/internal/datapath/nvme/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkReads has a host keep four reads out through the front, the core and a target, all on this machine.
+// BenchmarkReads measures reads of a host that keeps four in flight, through the front, the core and a target on this machine.
 func BenchmarkReads(b *testing.B) {
 	b.ReportAllocs()
 	backend := newStore()
--- a/internal/datapath/nvme/commands_test.go
+++ b/internal/datapath/nvme/commands_test.go
@@ -20,12 +20,13 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestCommandsMadeHere plays the commands that targets need not know, each to its end and with what is wrong of it.
+// TestCommandsHandledByFront checks the commands that the front carries out itself, so that targets need not support them,
+// with valid and with invalid fields.
 func TestCommandsHandledByFront(t *testing.T) {
-	back := newStore()
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, true)
-	end := func(name string, cmd *command, data []byte, want status) {
+	expect := func(name string, cmd *command, data []byte, want status) {
 		t.Helper()
 		cid := c.send(c.io, cmd, data)
 		if done, _ := c.next(); done.cid != cid || done.status != want {
@@ -42,25 +43,25 @@
 		cmd.set64(40, 7)
 		return cmd
 	}
-	end("compare with what is there", compare(), text, stOK)
-	end("compare with something else", compare(), make([]byte, blockSize), stCompareFailure)
+	expect("compare with the same data", compare(), text, stOK)
+	expect("compare with other data", compare(), make([]byte, blockSize), stCompareFailure)
 
 	zeroes := newCommand(opWriteZeroes, c.io.nextCID(), 0, false)
 	zeroes[39] = 0
 	zeroes.set32(4, 1)
 	zeroes.set64(40, 7)
-	end("write zeroes", zeroes, nil, stOK)
-	end("compare after zeroes", compare(), make([]byte, blockSize), stOK)
+	expect("write zeroes", zeroes, nil, stOK)
+	expect("compare after zeroes", compare(), make([]byte, blockSize), stOK)
 	zeroes.set16(2, c.io.nextCID())
 	zeroes.set16(48, maxTransfer/blockSize)
-	end("more zeroes than a transfer", zeroes, nil, stInvalidField|dnr)
+	expect("write zeroes of more than a transfer", zeroes, nil, stInvalidField|dnr)
 
 	flush := newCommand(opFlush, c.io.nextCID(), 0, false)
 	flush.set32(4, allNamespaces)
-	end("flush of all", flush, nil, stOK)
+	expect("flush of all namespaces", flush, nil, stOK)
 	flush.set16(2, c.io.nextCID())
 	flush.set32(4, 9)
-	end("flush of none", flush, nil, stInvalidNS|dnr)
+	expect("flush of an unknown namespace", flush, nil, stInvalidNS|dnr)
 
 	dataset := func(blocks uint32) (*command, []byte) {
 		cmd, r := newCommand(opDatasetManagement, c.io.nextCID(), 16, true), make([]byte, 16)
@@ -70,18 +71,18 @@
 		return cmd, r
 	}
 	cmd, r := dataset(1 << 10)
-	end("deallocate", cmd, r, stOK)
+	expect("deallocate", cmd, r, stOK)
 	cmd, r = dataset(1<<20 + 1)
-	end("deallocate past the end", cmd, r, stLBARange|dnr)
+	expect("deallocate past the end", cmd, r, stLBARange|dnr)
 	cmd, r = dataset(1)
-	cmd.set32(40, 1) // two ranges, one there
-	end("deallocate with a range missing", cmd, r, stInvalidField|dnr)
-	if back.wrote("") != 1 {
-		t.Errorf("zeroes were written %d times", back.wrote(""))
+	cmd.set32(40, 1) // two ranges, of which the data holds one
+	expect("deallocate with a range missing", cmd, r, stInvalidField|dnr)
+	if backend.wrote("") != 1 {
+		t.Errorf("zeroes were written %d times", backend.wrote(""))
 	}
 }
 
-// adminPage reads a log page, or part of it.
+// logPage reads a log page, or a part of it.
 func (c *client) logPage(lid byte, offset uint64, length int, retain bool) ([]byte, error) {
 	cmd := newCommand(opGetLogPage, c.admin.nextCID(), length, false)
 	dwords := uint32(length/4 - 1)
@@ -95,7 +96,7 @@
 	return page, err
 }
 
-// TestLogPages reads each page a host reads, whole and in part, and pages there are not.
+// TestLogPages reads log pages, whole and in part, and checks that unknown pages and invalid ranges are rejected.
 func TestLogPages(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
@@ -114,11 +115,11 @@
 	}
 	page, err = c.logPage(logFirmware, 8, 8, false)
 	if err != nil || string(page) != "1       " {
-		t.Errorf("firmware slot, from its offset: %v, %q", err, page)
+		t.Errorf("firmware slot, from an offset: %v, %q", err, page)
 	}
 	page, err = c.logPage(logEffects, 1024, 4096, false)
 	if err != nil || page[4*opWrite] != 3 || page[4*opCompare] != 1 || !bytes.Equal(page[3072:], make([]byte, 1024)) {
-		t.Errorf("effects, past the page's end: %v", err)
+		t.Errorf("effects, beyond the end of the page: %v", err)
 	}
 	for name, read := range map[string]func() ([]byte, error){
 		"an unknown page":                         func() ([]byte, error) { return c.logPage(0xC5, 0, 512, false) },
@@ -132,16 +133,16 @@
 	}
 }
 
-// TestNamespaceEvents changes the namespaces while a host waits: it is told once, reads which, and is told again only
-// after that. Event requests past the limit are turned away, aborted ones make room.
+// TestNamespaceEvents changes the namespaces while a host has event requests outstanding: it gets one event, and another
+// only after it has read the Changed Namespace List. Event requests beyond the limit are rejected; aborted ones do not count.
 func TestNamespaceEvents(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
-	await := func() uint16 {
+	sendEventRequest := func() uint16 {
 		cmd := newCommand(opAsyncEvent, c.admin.nextCID(), 0, false)
 		return c.send(c.admin, cmd, nil)
 	}
-	told := func() completion {
+	nextCompletion := func() completion {
 		t.Helper()
 		c.admin.SetReadDeadline(time.Now().Add(testTimeout))
 		p, err := c.admin.receive()
@@ -152,32 +153,32 @@
 	}
 	second := testNamespace()
 	second.ID = 2
-	s.UpdateNamespaces([]Namespace{testNamespace(), second}) // the host has not asked for such events: nothing is out, but it is kept
-	want := newCommand(opSetFeatures, c.admin.nextCID(), 0, false)
-	want.set32(40, featAsyncEvents)
-	want.set32(44, 0xFFFF)
-	if _, _, err := c.admin.execute(want, nil); err != nil {
+	s.UpdateNamespaces([]Namespace{testNamespace(), second}) // the event is not enabled yet: it is not sent, but the change is kept
+	enable := newCommand(opSetFeatures, c.admin.nextCID(), 0, false)
+	enable.set32(40, featAsyncEvents)
+	enable.set32(44, 0xFFFF)
+	if _, _, err := c.admin.execute(enable, nil); err != nil {
 		t.Fatal(err)
 	}
-	first := await()
-	if done := told(); done.cid != first || done.result != namespaceNotice {
+	first := sendEventRequest()
+	if done := nextCompletion(); done.cid != first || done.result != namespaceNotice {
 		t.Fatalf("event %+v", done)
 	}
 	var waiting []uint16
 	for range maxEventRequests {
-		waiting = append(waiting, await())
+		waiting = append(waiting, sendEventRequest())
 	}
-	over := await()
-	if done := told(); done.cid != over || done.status != stAsyncLimit|dnr {
-		t.Errorf("one too many: %+v", done)
+	excess := sendEventRequest()
+	if done := nextCompletion(); done.cid != excess || done.status != stAsyncLimit|dnr {
+		t.Errorf("event request beyond the limit: %+v", done)
 	}
 	s.UpdateNamespaces([]Namespace{testNamespace()}) // masked: the page has not been read
 	abort := newCommand(opAbort, c.admin.nextCID(), 0, false)
 	abort.set32(40, uint32(waiting[0])<<16)
 	c.send(c.admin, abort, nil)
 	for range 2 {
-		if done := told(); done.cid != waiting[0] && done.cid != abort.cid() {
-			t.Errorf("%+v came where the abort was due", done)
+		if done := nextCompletion(); done.cid != waiting[0] && done.cid != abort.cid() {
+			t.Errorf("%+v, want the completion of the Abort or of the aborted request", done)
 		}
 	}
 	page, err := c.logPage(logNamespaces, 0, 4096, false)
@@ -187,20 +188,20 @@
 	third := testNamespace()
 	third.ID = 3
 	s.UpdateNamespaces([]Namespace{third})
-	if done := told(); done.cid != waiting[1] || done.result != namespaceNotice {
+	if done := nextCompletion(); done.cid != waiting[1] || done.result != namespaceNotice {
 		t.Errorf("event after the page was read: %+v", done)
 	}
 	if page, err = c.logPage(logNamespaces, 0, 4096, true); err != nil || binary.LittleEndian.Uint32(page) != 1 || binary.LittleEndian.Uint32(page[4:]) != 3 {
 		t.Errorf("changed namespaces, retained: %v", err)
 	}
-	s.UpdateNamespaces([]Namespace{third}) // the same again is no change
+	s.UpdateNamespaces([]Namespace{third}) // no change
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stInvalidNS|dnr {
-		t.Errorf("read of a namespace that is gone: %+v", done)
+		t.Errorf("read of a removed namespace: %+v", done)
 	}
 }
 
-// TestDiscovery finds the subsystem by the well-known name and connects to what the entry says.
+// TestDiscovery reads the discovery log page from the well-known subsystem, and connects to the address in its entry.
 func TestDiscovery(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: discoveryNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute})
@@ -226,7 +227,7 @@
 		t.Errorf("entry %q %q", found, parseNQN(e[256:512]))
 	}
 	if _, err := c.logPage(logHealth, 0, 512, false); err == nil {
-		t.Error("a discovery controller told of its health")
+		t.Error("a discovery controller returned a health log page")
 	}
 	io, err := h.openConn(ctx, addr)
 	if err != nil {
@@ -234,12 +235,12 @@
 	}
 	defer io.Close()
 	if _, err := io.connect(h.opt, 1, cntlid); err == nil {
-		t.Error("an I/O queue at a discovery controller")
+		t.Error("a discovery controller accepted an I/O queue")
 	}
 	newClient(t, found, false)
 }
 
-// TestDisconnect deletes an I/O queue by the host's word; the association goes on without it.
+// TestDisconnect deletes an I/O queue with Disconnect: its connection is closed, and the association stays.
 func TestDisconnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
@@ -250,11 +251,11 @@
 		t.Error("the queue's connection is still open")
 	}
 	if _, _, err := c.admin.execute(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
-		t.Errorf("keep-alive after it: %v", err)
+		t.Errorf("Keep Alive after the Disconnect: %v", err)
 	}
 }
 
-// TestFeatures sets and gets what hosts do at their start.
+// TestFeatures sets and gets the features that hosts use when they start.
 func TestFeatures(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
@@ -274,12 +275,12 @@
 	}{
 		{"queues", opSetFeatures, featQueues, 3<<16 | 3, (maxIOQueues-1)<<16 | (maxIOQueues - 1), stOK},
 		{"events", opSetFeatures, featAsyncEvents, 0xFFFFFFFF, 0, stOK},
-		{"events as set", opGetFeatures, featAsyncEvents, 0, supportedEvents, stOK},
-		{"whether events can be changed", opGetFeatures, featAsyncEvents | 3<<8, 0, 4, stOK},
+		{"enabled events", opGetFeatures, featAsyncEvents, 0, supportedEvents, stOK},
+		{"capabilities of events", opGetFeatures, featAsyncEvents | 3<<8, 0, 4, stOK},
 		{"keep-alive", opGetFeatures, featKeepAlive, 0, 60000, stOK},
-		{"keep-alive, to be set", opSetFeatures, featKeepAlive, 5, 0, stNotChangeable | dnr},
-		{"events, to be saved", opSetFeatures, featAsyncEvents | 1<<31, 0, 0, stNotChangeable | dnr},
-		{"volatile write cache, of which there is none", opGetFeatures, 0x06, 0, 0, stInvalidField | dnr},
+		{"keep-alive cannot be set", opSetFeatures, featKeepAlive, 5, 0, stNotChangeable | dnr},
+		{"events cannot be saved", opSetFeatures, featAsyncEvents | 1<<31, 0, 0, stNotChangeable | dnr},
+		{"volatile write cache, which does not exist", opGetFeatures, 0x06, 0, 0, stInvalidField | dnr},
 	} {
 		done, err := feature(x.op, x.dw10, x.dw11)
 		if done.status != x.want || done.result != x.result || (err == nil) != (x.want == stOK) {
@@ -288,7 +289,7 @@
 	}
 }
 
-// TestSplit cuts commands where the shard changes, and nowhere else.
+// TestSplit checks that commands are split where the shard changes, and nowhere else.
 func TestSplit(t *testing.T) {
 	n := testNamespace()
 	n.StripeBlocks, n.Shards = 4, []int{0, 0, 1}
@@ -300,7 +301,7 @@
 	var shards []int
 	for _, p := range n.splitByShard(x) {
 		if p.SLBA != next || p.Bytes != len(p.Data) || p.Bytes != int(p.Blocks)*blockSize {
-			t.Errorf("part %+v does not follow", p)
+			t.Errorf("part %+v does not follow the previous one, or its length is wrong", p)
 		}
 		shards = append(shards, n.request(p).Shard)
 		next, data = next+uint64(p.Blocks), append(data, p.Data...)
@@ -310,16 +311,16 @@
 	}
 	whole := &IO{NSID: 1, SLBA: 1, Blocks: 7, Bytes: 7 * blockSize}
 	if parts := n.splitByShard(whole); len(parts) != 1 || parts[0] != whole {
-		t.Errorf("%d parts of what lies on one shard", len(parts))
+		t.Errorf("a command on one shard has %d parts, want the command itself", len(parts))
 	}
 }
 
-// TestGather holds the status of a command in parts against what of it has run or may have.
+// TestMergeResponses checks the status of a split command, depending on which of its parts were, or may have been, executed.
 func TestMergeResponses(t *testing.T) {
 	served := core.Response{Status: core.Served}
-	refused := core.Response{Status: core.Rejected, RetryAfter: 250 * time.Millisecond}
+	rejected := core.Response{Status: core.Rejected, RetryAfter: 250 * time.Millisecond}
 	failed := core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}
-	doubt := core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}
+	timedOut := core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}
 	for _, c := range []struct {
 		name        string
 		write       bool
@@ -328,12 +329,12 @@
 		wantRetried bool
 	}{
 		{"all served", true, []core.Response{served, served}, stOK, false},
-		{"all refused", true, []core.Response{refused, core.Overloaded}, stNSNotReady, true},
-		{"a write half served", true, []core.Response{served, refused}, stInternal | dnr, false},
-		{"a read half served", false, []core.Response{served, refused}, stNSNotReady, true},
-		{"one failed", true, []core.Response{refused, failed}, stInternal | dnr, false},
-		{"one in doubt", true, []core.Response{doubt, refused}, stTransient | dnr, false},
-		{"doubt outweighs an error", true, []core.Response{failed, doubt, served}, stTransient | dnr, false},
+		{"all rejected", true, []core.Response{rejected, core.Overloaded}, stNSNotReady, true},
+		{"a write, one part served", true, []core.Response{served, rejected}, stInternal | dnr, false},
+		{"a read, one part served", false, []core.Response{served, rejected}, stNSNotReady, true},
+		{"one failed", true, []core.Response{rejected, failed}, stInternal | dnr, false},
+		{"one timed out", true, []core.Response{timedOut, rejected}, stTransient | dnr, false},
+		{"a timeout takes precedence over an error", true, []core.Response{failed, timedOut, served}, stTransient | dnr, false},
 	} {
 		jobs := make([]*core.Job, len(c.ends))
 		for i := range jobs {
@@ -350,19 +351,19 @@
 		t.Errorf("read in parts: %#x, %q", uint16(st), body)
 	}
 	if st, _ = mergeResponses(&IO{}, jobs, []core.Response{{Payload: []byte("a")}, {Payload: []byte("b")}}, false); st != stInternal|dnr {
-		t.Errorf("a part that is short: %#x", uint16(st))
+		t.Errorf("a part with incomplete data: %#x", uint16(st))
 	}
 }
 
-// TestOverTwoShards sends commands that lie on two targets end to end: data in order, nothing written twice, and one
-// completion where one of the two is gone.
+// TestCommandSpansTwoShards sends commands whose blocks are on two targets: the data is in order, nothing is written twice,
+// and if one of the targets is draining, the command still has one completion.
 func TestCommandSpansTwoShards(t *testing.T) {
 	var stores []*store
 	var addrs []string
 	for range 2 {
-		back := newStore()
-		_, addr := newServer(t, back, targetNQN)
-		stores, addrs = append(stores, back), append(addrs, addr)
+		backend := newStore()
+		_, addr := newServer(t, backend, targetNQN)
+		stores, addrs = append(stores, backend), append(addrs, addr)
 	}
 	r := newInitiator(t, true, time.Second)
 	for i, addr := range addrs {
@@ -382,10 +383,10 @@
 	}
 	c.read(2, 10)
 	if done, got := c.next(); done.status != stOK || !bytes.Equal(got, data) {
-		t.Errorf("read %+v, %d bytes, the same: %v", done, len(got), bytes.Equal(got, data))
+		t.Errorf("read %+v, %d bytes, equal to the written data: %v", done, len(got), bytes.Equal(got, data))
 	}
 	if len(stores[0].received) == 0 || len(stores[1].received) == 0 {
-		t.Error("one of the targets got nothing")
+		t.Error("one of the targets received no command")
 	}
 	for i, s := range stores {
 		for text, times := range s.writes {
@@ -397,16 +398,16 @@
 	r.setShardTarget("b", addrs[1], 1, policy.Draining)
 	c.send(c.io, c.rw(opWrite, 2, 10, true), data)
 	if done, _ := c.next(); done.status != stInternal|dnr {
-		t.Errorf("write of which half has run: %+v", done)
+		t.Errorf("write of which one part was executed: %+v", done)
 	}
 	c.read(2, 10)
 	if done, _ := c.next(); done.status.code() != stNSNotReady || done.status&dnr != 0 {
-		t.Errorf("read of which half is to be had: %+v", done)
+		t.Errorf("read of which one part was rejected: %+v", done)
 	}
 }
 
-// TestShutdownAndReset plays what a host does at its end: CC.SHN, then a reset, which ends I/O queues but not the
-// association.
+// TestShutdownAndReset does what a host does when it disconnects: a shutdown with CC.SHN, then a reset, which closes the I/O
+// queues but not the association.
 func TestShutdownAndReset(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
@@ -425,39 +426,40 @@
 	}
 	set(0)
 	if _, err := c.io.receive(); err == nil || errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("an I/O queue outlived the reset: %v", err)
+		t.Errorf("an I/O queue is still open after the reset: %v", err)
 	}
 	if v, err := c.admin.readProperty(propCSTS); err != nil || v != 0 {
 		t.Errorf("status after a reset: %#x, %v", v, err)
 	}
 }
 
-// scripted is a target's I/O queue played by hand: it gives the command it got to the script, which writes what it likes.
-func runScripted(t *testing.T, can capabilities, x *IO, script func(net.Conn, *pdu)) (core.Result, string) {
+// runScripted executes a command on a session whose target is the script: it is called with the target's side of the
+// connection and the received command.
+func runScripted(t *testing.T, caps capabilities, x *IO, script func(net.Conn, *pdu)) (core.Result, string) {
 	t.Helper()
-	here, there := net.Pipe()
-	defer here.Close()
-	defer there.Close()
+	near, far := net.Pipe()
+	defer near.Close()
+	defer far.Close()
 	go func() {
-		if p, err := readPDU(bufio.NewReader(there), framing{}); err == nil {
-			script(there, p)
+		if p, err := readPDU(bufio.NewReader(far), framing{}); err == nil {
+			script(far, p)
 		}
 	}()
-	s := &session{hostConn: &hostConn{Conn: here, in: bufio.NewReader(here), maxDataPDU: minH2CData}, capabilities: can,
+	s := &session{hostConn: &hostConn{Conn: near, in: bufio.NewReader(near), maxDataPDU: minH2CData}, capabilities: caps,
 		assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
 	r, _, reason := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: x}, func() bool { return true })
 	return r, reason
 }
 
-// TestAnswerStopsMidway bounds an answer that has begun, as on HTTP: it is not waited for until its time is over.
+// TestStalledResponse checks that a response that stops midway ends the attempt long before its deadline, as with HTTP.
 func TestStalledResponse(t *testing.T) {
 	x := &IO{NSID: 1, Blocks: 2, Bytes: 2 * blockSize}
 	part := func(p *pdu, at, length int) []byte {
 		return appendPDU(nil, framing{}, typeC2HData, 0, dataHead(p.u16(10), 0, uint32(at), uint32(length)), make([]byte, length))
 	}
 	for name, script := range map[string]func(net.Conn, *pdu){
-		"within a PDU": func(c net.Conn, p *pdu) { _, _ = c.Write(part(p, 0, blockSize)[:100]) },
-		"between two":  func(c net.Conn, p *pdu) { _, _ = c.Write(part(p, 0, blockSize)) },
+		"within a PDU":     func(c net.Conn, p *pdu) { _, _ = c.Write(part(p, 0, blockSize)[:100]) },
+		"between two PDUs": func(c net.Conn, p *pdu) { _, _ = c.Write(part(p, 0, blockSize)) },
 	} {
 		began := time.Now()
 		r, reason := runScripted(t, capabilities{}, x, script)
@@ -467,37 +469,38 @@
 	}
 }
 
-// TestWritesReachTheMedium asks a target with a volatile write cache to have a write on its medium before it says so:
-// hosts are told that there is no such cache, and that Flush has nothing to do.
+// TestForceUnitAccess checks that writes to a target with a volatile write cache have FUA set. The front reports no such
+// cache to hosts and completes Flush without doing anything, so a completed write must be on the medium.
 func TestForceUnitAccess(t *testing.T) {
 	for _, cache := range []bool{false, true} {
-		asked := uint32(0)
+		dw12 := uint32(0)
 		x := &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: make([]byte, blockSize)}
 		r, reason := runScripted(t, capabilities{inCapsuleSize: maxInCapsuleData, writeCache: cache}, x, func(c net.Conn, p *pdu) {
 			var cmd command
 			copy(cmd[:], p.head[commonLen:])
-			asked = cmd.dw(12)
+			dw12 = cmd.dw(12)
 			_, _ = c.Write(appendPDU(nil, framing{}, typeResp, 0, completion{cid: cmd.cid()}.head(), nil))
 		})
-		if r.Code != policy.Served || (asked&fua != 0) != cache || asked&0xFFFF != 0 {
-			t.Errorf("cache %v: %v %s, dword 12 %#x", cache, r.Code, reason, asked)
+		if r.Code != policy.Served || (dw12&fua != 0) != cache || dw12&0xFFFF != 0 {
+			t.Errorf("cache %v: %v %s, dword 12 %#x", cache, r.Code, reason, dw12)
 		}
 	}
 }
 
-// TestRests bounds the rests after associations that failed, spreads them, and has none while they work.
+// TestAssociationBackoff checks the bounds and the jitter of the delay after a failed association, that attempts during the
+// delay fail at once, and that the target is reached again once it is back.
 func TestAssociationBackoff(t *testing.T) {
-	rests, seen := newRetryBackoff(), map[time.Duration]bool{}
+	retryBackoff, seen := newRetryBackoff(), map[time.Duration]bool{}
 	for failed := range 100 {
 		due := min(minRetryDelay<<min(failed, 16), maxRetryDelay)
-		rest := rests.NextBackOff()
-		if rest < due/2 || rest > due*3/2 {
-			t.Errorf("after %d: %v, about %v is due", failed, rest, due)
+		delay := retryBackoff.NextBackOff()
+		if delay < due/2 || delay > due*3/2 {
+			t.Errorf("delay after %d failures: %v, want about %v", failed, delay, due)
 		}
-		seen[rest] = true
+		seen[delay] = true
 	}
 	if len(seen) < 50 {
-		t.Errorf("rests are in step: %v", seen)
+		t.Errorf("delays have no jitter: %v", seen)
 	}
 	h := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -509,13 +512,13 @@
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	if _, err := h.Dial(ctx, addr); err == nil || errors.Is(err, errBackingOff) {
-		t.Errorf("first attempt at nobody: %v", err)
+		t.Errorf("first attempt at a closed port: %v", err)
 	}
 	if _, err := h.Dial(ctx, addr); !errors.Is(err, errBackingOff) {
-		t.Errorf("attempt during the rest: %v", err)
+		t.Errorf("attempt during the delay: %v", err)
 	}
 	if l, err = net.Listen("tcp", addr); err != nil {
-		t.Skipf("the address was taken meanwhile: %v", err)
+		t.Skipf("the address is in use by another process: %v", err)
 	}
 	s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
@@ -527,19 +530,20 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the target is back and still not reached: %v", err)
+			t.Fatalf("the target is back but cannot be reached: %v", err)
 		}
 	}
 }
 
-// TestConformance runs the whole suite against the front, through the core and two targets, and against targets alone;
-// and holds the suite itself against a controller that breaks clauses.
+// TestConformance runs the conformance suite against the front with the core and a target behind it, and against a target
+// alone. It also checks that the suite reports a controller that never responds, and that it refuses addresses other than
+// loopback.
 func TestConformance(t *testing.T) {
 	_, target := newServer(t, newStore(), targetNQN)
 	r := newInitiator(t, true, time.Second, target)
 	for name, opt := range map[string]ConformanceOptions{
 		"through the core": {Addr: r.addr, Subsystem: poolNQN, NSID: 1, AllowWrites: true},
-		"a target alone":   {Addr: target, Subsystem: targetNQN, NSID: 1, AllowWrites: true},
+		"target only":      {Addr: target, Subsystem: targetNQN, NSID: 1, AllowWrites: true},
 	} {
 		results, err := RunConformance(opt)
 		if err != nil {
@@ -557,7 +561,7 @@
 		}
 	}
 	if _, err := RunConformance(ConformanceOptions{Addr: "192.0.2.1:4420"}); err == nil {
-		t.Error("the suite would leave this machine")
+		t.Error("the suite accepted an address that is not a loopback address")
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -565,7 +569,7 @@
 	}
 	defer l.Close()
 	go func() {
-		for { // one that reads what comes and says nothing
+		for { // a controller that reads everything and never responds
 			c, err := l.Accept()
 			if err != nil {
 				return
@@ -584,16 +588,16 @@
 	}
 }
 
-// TestDataNeverComes has a host ask to write and send none of the data that it was asked for: its connection ends when the
-// command's time is over, nothing is kept, and nothing was written.
+// TestWriteDataTimeout has a host send a write but not the data that the R2T requests: its connection is closed when the
+// command times out, its bytes are released, and nothing is written.
 func TestWriteDataTimeout(t *testing.T) {
-	back := newStore()
+	backend := newStore()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	s := New(back, Options{Subsystem: poolNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20,
+	s := New(backend, Options{Subsystem: poolNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 8, MaxBufferedBytes: 1 << 20,
 		Timeouts: map[string]time.Duration{"event-write": 100 * time.Millisecond}, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	c := newClient(t, l.Addr().String(), false)
@@ -606,23 +610,23 @@
 	}
 	c.io.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.io.receive(); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection lives on: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
-	require.Eventually(t, func() bool { return s.bufferedBytes.Load() == 0 && s.openCommands.Load() == 0 }, testTimeout, time.Millisecond, "bytes or commands are kept")
-	if len(back.received) > 0 {
-		t.Error("a write without its data was run")
+	require.Eventually(t, func() bool { return s.bufferedBytes.Load() == 0 && s.openCommands.Load() == 0 }, testTimeout, time.Millisecond, "bytes or commands were not released")
+	if len(backend.received) > 0 {
+		t.Error("a write without its data was executed")
 	}
 }
 
-// TestAbortRacesCompletion aborts commands while their answers come: each has one completion, aborted or not, and no
-// write runs twice.
+// TestAbortRacesCompletion aborts commands while they complete: each has one completion, aborted or not, and no write is
+// executed twice.
 func TestAbortRacesCompletion(t *testing.T) {
-	back := newStore()
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	aborted := 0
 	for i := range 300 {
-		drainReceived(back)
+		drainReceived(backend)
 		cid := c.write(uint64(i), fmt.Sprint("w", i))
 		abort := newCommand(opAbort, c.admin.nextCID(), 0, false)
 		abort.set32(40, 1|uint32(cid)<<16)
@@ -630,38 +634,38 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end, _ := c.next()
+		completed, _ := c.next()
 		switch {
-		case end.cid != cid:
-			t.Fatalf("completion of %d where %d was out", end.cid, cid)
-		case (end.status == stAborted|dnr) != (done.result == 0):
-			t.Errorf("ended with %#x, the abort says %d", uint16(end.status), done.result)
-		case end.status == stAborted|dnr:
+		case completed.cid != cid:
+			t.Fatalf("completion of command %d, want %d", completed.cid, cid)
+		case (completed.status == stAborted|dnr) != (done.result == 0):
+			t.Errorf("completed with %#x, but the Abort's result is %d", uint16(completed.status), done.result)
+		case completed.status == stAborted|dnr:
 			aborted++
 		}
 	}
 	for i := range 300 {
-		if n := back.wrote(fmt.Sprint("w", i)); n > 1 {
-			t.Errorf("write %d ran %d times", i, n)
+		if n := backend.wrote(fmt.Sprint("w", i)); n > 1 {
+			t.Errorf("write %d was executed %d times", i, n)
 		}
 	}
 	t.Logf("%d of 300 were aborted", aborted)
 }
 
-// drain makes room in the store's record of what came.
+// drainReceived empties the store's channel of received commands, so that Submit does not block on it.
 func drainReceived(s *store) {
 	for len(s.received) > 0 {
 		<-s.received
 	}
 }
 
-// TestQueueFull sends more commands than the queue holds while the node stands still: the connection ends for that, with
-// a termination request, and another queue goes on.
+// TestQueueFull sends more commands than the queue has entries while the backend does not complete any: the connection is
+// closed with a termination request, and the admin queue stays open.
 func TestQueueFull(t *testing.T) {
-	back := newStore()
-	back.hold = make(chan struct{})
-	defer close(back.hold)
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	defer close(backend.hold)
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	for range 9 {
 		c.read(0, 1)
@@ -674,8 +678,8 @@
 	}
 }
 
-// TestHostGoesAmidCommands has hosts end their connections with commands out, over and over: the core hears of each, and
-// nothing is kept.
+// TestHostDisconnectsWithOpenCommands has hosts close their connections with open commands, repeatedly: each command is
+// cancelled in the core, and nothing stays allocated.
 func TestHostDisconnectsWithOpenCommands(t *testing.T) {
 	_, target := newServer(t, newStore(), targetNQN)
 	r := newInitiator(t, false, time.Second, target)
@@ -688,5 +692,5 @@
 	}
 	require.Eventually(t, func() bool {
 		return r.core.OpenCount() == 0 && r.server.bufferedBytes.Load() == 0 && r.server.openCommands.Load() == 0
-	}, testTimeout, time.Millisecond, "requests, bytes or commands are kept")
+	}, testTimeout, time.Millisecond, "requests, bytes or commands were not released")
 }
--- a/internal/datapath/nvme/conformance.go
+++ b/internal/datapath/nvme/conformance.go
@@ -13,46 +13,47 @@
 	"time"
 )
 
-// Verdict is what a clause came to.
+// Verdict is the result of checking a clause.
 type Verdict string
 
 const (
-	// Pass means that the controller does what the clause asks.
+	// Pass means that the controller meets the clause.
 	Pass Verdict = "pass"
-	// Miss means that it does not; the detail says what came instead.
+	// Fail means that it does not; Result.Detail says what it did instead.
 	Fail Verdict = "fail"
-	// Outside means that the clause is outside the subset; the controller refuses it with a status, as the clause asks then.
+	// Unsupported means that the clause is about a feature outside the subset, and that the controller rejects the feature with
+	// the status that the specification requires.
 	Unsupported Verdict = "outside"
-	// Skipped means that it writes, and writing was not allowed.
+	// Skipped means that the check writes to the namespace and ConformanceOptions.AllowWrites is not set.
 	Skipped Verdict = "skipped"
 )
 
-// Result is one line of the suite's table.
+// Result is the result of one clause.
 type Result struct {
-	Section string
-	Clause  string
+	Section string // of the specification
+	Clause  string // the requirement
 	Verdict Verdict
-	Detail  string
+	Detail  string // what failed
 }
 
-// ConformOptions say which controller the suite is pointed at.
+// ConformanceOptions are the options of RunConformance.
 type ConformanceOptions struct {
-	Addr        string
+	Addr        string // of the controller, a loopback address
 	Subsystem   string
 	NSID        uint32
-	AllowWrites bool // blocks 0 to 255 of the namespace may be overwritten
-	Timeout     time.Duration
+	AllowWrites bool          // blocks 0 to 255 of the namespace may be overwritten
+	Timeout     time.Duration // of each connection in all; 0: 5 s
 }
 
 // clause is one requirement and its check. Sections are those of the TCP transport specification 1.0 (TCP), the base
 // specification 2.0 (base) and the NVM command set specification 1.0 (NVM).
 type clause struct {
 	section, text       string
-	writes, unsupported bool // beside: outside the subset
+	writes, unsupported bool // unsupported: the feature is outside the subset, and check expects its rejection
 	check               func(*probe) error
 }
 
-// Conform holds a controller against each clause, each on connections of its own.
+// RunConformance checks a controller against each clause, each on connections of its own.
 func RunConformance(opt ConformanceOptions) ([]Result, error) {
 	host, _, err := net.SplitHostPort(opt.Addr)
 	if err != nil {
@@ -86,15 +87,15 @@
 	return results, nil
 }
 
-// probe is a clause's own host: connections that it opened, and what the controller told of itself.
+// probe is the host that checks one clause: the connections that it opened, and what the controller reported.
 type probe struct {
 	opt        ConformanceOptions
 	conns      []*hostConn
 	cntlid     uint16
-	blockBytes int // bytes of a block
+	blockBytes int // block size of the namespace
 	blocks     uint64
-	digests    bool
-	kato       time.Duration
+	digests    bool          // request digests on the next connections
+	kato       time.Duration // keep-alive timeout; 0: a minute
 }
 
 func (p *probe) close() {
@@ -112,7 +113,7 @@
 		KeepAlive: kato, Digests: p.digests})
 }
 
-// connect opens a connection, bounded in all it does, with framing agreed.
+// connect opens a connection, with a deadline, and negotiates its framing.
 func (p *probe) connect() (*hostConn, error) {
 	ctx, stop := context.WithTimeout(context.Background(), p.opt.Timeout)
 	defer stop()
@@ -123,7 +124,7 @@
 	return w, err
 }
 
-// raw opens a connection on which nothing has been said yet.
+// dialRaw opens a TCP connection without sending anything on it.
 func (p *probe) dialRaw() (net.Conn, error) {
 	c, err := net.DialTimeout("tcp", p.opt.Addr, p.opt.Timeout)
 	if err != nil {
@@ -166,6 +167,7 @@
 	return w, p.connectQueue(w, 1, 8)
 }
 
+// connectQueue sends Connect for an I/O queue.
 func (p *probe) connectQueue(w *hostConn, qid, size uint16) error {
 	c := fabricsCommand(w, fctConnect, connectLen)
 	c.set16(42, qid)
@@ -182,7 +184,7 @@
 	return data
 }
 
-// rw is a read or a write (or what resembles them) of some blocks.
+// rw returns a read, a write or another command with the same fields, for some blocks.
 func (p *probe) rw(w *hostConn, op byte, lba uint64, blocks int, inCapsule bool) *command {
 	c := newCommand(op, w.nextCID(), blocks*p.blockBytes, inCapsule)
 	c.set32(4, p.opt.NSID)
@@ -191,7 +193,7 @@
 	return c
 }
 
-// ends carries a command out and holds its status against the one wanted.
+// expectStatus executes a command and checks its status.
 func (p *probe) expectStatus(w *hostConn, c *command, data []byte, want status) error {
 	done, _, err := w.execute(c, data)
 	if done.status == want && (err == nil || want != stOK) {
@@ -203,7 +205,7 @@
 	return fmt.Errorf("status %#x, want %#x", uint16(done.status), uint16(want))
 }
 
-// terminated waits for a termination request with this status and field (negative: any).
+// expectTermination waits for a termination request and checks its status and its field (negative: any).
 func expectTermination(in io.Reader, fes uint16, fei int64) error {
 	for {
 		pd, err := readPDU(in, framing{})
@@ -223,7 +225,7 @@
 	}
 }
 
-// says sends bytes on a fresh connection and waits for the termination request.
+// terminatedAfterBytes sends bytes on a new connection and expects a termination request.
 func terminatedAfterBytes(b []byte, fes uint16, fei int64) func(*probe) error {
 	return func(p *probe) error {
 		c, err := p.dialRaw()
@@ -259,7 +261,7 @@
 	}
 }
 
-// adminEnds sends one admin command with these dwords and checks its status.
+// adminStatus sends an admin command with these dwords and checks its status.
 func adminStatus(op byte, length int, dw10, dw11 uint32, want status) func(*probe) error {
 	return onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(op, w.nextCID(), length, false)
@@ -269,7 +271,7 @@
 	})
 }
 
-// ioEnds sends one command on an I/O queue, as spoilt, and checks its status.
+// ioStatus sends a command on an I/O queue, after modify has changed it, and checks its status.
 func ioStatus(op byte, blocks int, want status, modify func(*probe, *command)) func(*probe) error {
 	return onQueue(func(p *probe, w *hostConn) error {
 		c := p.rw(w, op, 0, blocks, false)
@@ -278,7 +280,7 @@
 	})
 }
 
-// r2t begins a write that does not fit the capsule and returns the tag under which its data is asked for.
+// startWrite sends a write without data in the capsule, and returns the transfer tag of the R2T for its data.
 func (p *probe) startWrite(w *hostConn, blocks int) (c *command, tag uint16, err error) {
 	c = p.rw(w, opWrite, 0, blocks, false)
 	if _, err = w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil)); err != nil {
@@ -294,7 +296,8 @@
 	return
 }
 
-// badData begins a write of 32 blocks and sends one part of its data that is wrong.
+// terminatedAfterData starts a write of 32 blocks, sends an H2CData with the fields that modify returns and expects a
+// termination request.
 func terminatedAfterData(fes uint16, fei int64, modify func(p *probe, cid, tag uint16) (cidOut, tagOut uint16, offset, length, body int)) func(*probe) error {
 	return onQueue(func(p *probe, w *hostConn) error {
 		c, tag, err := p.startWrite(w, 32)
@@ -307,14 +310,14 @@
 	})
 }
 
-// icReq is a whole ICReq.
+// icReq returns an ICReq, after modify has changed it.
 func icReq(modify func([]byte)) []byte {
 	b := appendPDU(nil, framing{}, typeICReq, 0, icHead(0, 0), nil)
 	modify(b)
 	return b
 }
 
-// text fills blocks with something that is not the same anywhere.
+// pattern returns data for some blocks, different in each of them and for each seed.
 func (p *probe) pattern(blocks, seed int) []byte {
 	b := make([]byte, blocks*p.blockBytes)
 	for i := range b {
@@ -323,7 +326,7 @@
 	return b
 }
 
-// data reads one command's data and its end.
+// readData sends a command and returns its data and its status.
 func (p *probe) readData(w *hostConn, c *command) ([]byte, status, error) {
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], nil)); err != nil {
 		return nil, 0, err
@@ -345,7 +348,7 @@
 	}
 }
 
-// wrote writes and reads back.
+// writeAndReadBack writes blocks and checks that they read back as written.
 func writeAndReadBack(blocks int, inCapsule, digests bool) func(*probe) error { //nolint:gocognit // to be split with its package, see docs/left.md
 	return func(p *probe) error {
 		p.digests = digests
@@ -385,7 +388,7 @@
 	}
 }
 
-// ended waits for the connection's end.
+// expectClose waits until the controller closes the connection.
 func expectClose(w *hostConn) error {
 	for {
 		if _, err := w.receive(); errors.Is(err, os.ErrDeadlineExceeded) {
@@ -396,7 +399,7 @@
 	}
 }
 
-// setCC writes the controller's configuration.
+// writeCC sets the property CC, the controller configuration.
 func writeCC(w *hostConn, cc uint64) error {
 	c := fabricsCommand(w, fctPropertySet, 0)
 	c.set32(44, propCC)
@@ -405,7 +408,7 @@
 	return err
 }
 
-// page reads an identify page and checks it.
+// identifyPage reads an Identify page and checks it.
 func identifyPage(cns uint32, check func(*probe, []byte) bool) func(*probe) error {
 	return onAdmin(func(p *probe, w *hostConn) error {
 		c := newCommand(opIdentify, w.nextCID(), identifyLen, false)
@@ -424,7 +427,8 @@
 	})
 }
 
-// everyCut sends a part of a command on a connection each, and asks whether the controller still serves.
+// truncatedConnects sends prefixes of ICReq and Connect, each on its own connection, and checks that the controller still
+// accepts a host.
 func truncatedConnects(p *probe) error {
 	c := fabricsCommand(&hostConn{}, fctConnect, connectLen)
 	whole := append(icReq(func([]byte) {}), appendPDU(nil, framing{}, typeCmd, 0, c[:], p.connectData(p.opt.Subsystem))...)
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -57,15 +57,15 @@
 	return s, l.Addr().String()
 }
 
-// store is the stand-in target's back: it keeps blocks, counts what it runs, and can stand still.
+// store is the fake target's backend, in place of the core: it keeps blocks, counts what it executes, and can hold commands.
 type store struct {
 	mu       sync.Mutex
 	blocks   map[uint64][]byte
-	writes   map[string]int // how often each text was written
+	writes   map[string]int // number of writes of each text
 	reads    int
-	hold     chan struct{} // not nil: commands wait until it is closed
-	received chan *IO
-	answer   core.Response // instead of serving, where its Status is not Served
+	hold     chan struct{} // if not nil, commands wait until the test closes it
+	received chan *IO      // every submitted command; Submit blocks when it is full
+	answer   core.Response // if its Status is not Served, commands are not executed and get this response
 }
 
 func newStore() *store {
@@ -77,12 +77,12 @@
 func (s *store) Submit(j *core.Job) bool {
 	x := j.Payload.(*IO)
 	s.mu.Lock()
-	still, answer := s.hold, s.answer
+	hold, answer := s.hold, s.answer
 	s.mu.Unlock()
 	s.received <- x
 	go func() {
-		if still != nil {
-			<-still
+		if hold != nil {
+			<-hold
 		}
 		if answer.Status != core.Served {
 			j.Done(answer)
@@ -109,13 +109,14 @@
 	return true
 }
 
+// wrote returns how often a text was written.
 func (s *store) wrote(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes[text]
 }
 
-// rig is an initiator: front, core, module, and targets reached over NVMe.
+// testInitiator is an initiator: front, core, policy module, and targets reached over NVMe.
 type testInitiator struct {
 	addr     string
 	registry *upstream.Registry
@@ -123,13 +124,13 @@
 	server   *Server
 }
 
-func newInitiator(t testing.TB, digests bool, aim time.Duration, targets ...string) *testInitiator {
+func newInitiator(t testing.TB, digests bool, latencyObjective time.Duration, targets ...string) *testInitiator {
 	t.Helper()
 	module, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
 		MaxAttempts: 3, Plans: []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}},
 		Classes: []policy.Class{
-			{Name: "position-read", LatencyObjective: aim, Deadline: testTimeout, PriorityWeight: 3},
-			{Name: "event-write", LatencyObjective: aim, Deadline: testTimeout, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
+			{Name: "position-read", LatencyObjective: latencyObjective, Deadline: testTimeout, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: latencyObjective, Deadline: testTimeout, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,7 +149,7 @@
 	return r
 }
 
-// list tells of one target, as the list's actor does: the registry first.
+// setTarget updates one target. Like the goroutine that applies the target list, it updates the registry before the core.
 func (r *testInitiator) setTarget(id, addr string, state policy.EndpointState) {
 	r.setShardTarget(id, addr, 0, state)
 }
@@ -158,7 +159,7 @@
 	r.core.UpdateTargets(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
 }
 
-// client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
+// client is the fake host: an admin queue and an I/O queue of 8 entries, on which the test sends and receives PDUs itself.
 type client struct {
 	t     testing.TB
 	admin *hostConn
@@ -222,7 +223,7 @@
 	return c.send(c.io, c.rw(opRead, lba, blocks, false), nil)
 }
 
-// next reads PDUs up to the next completion, with the data that came for it.
+// next reads PDUs up to the next completion on the I/O queue, and returns it with the data received before it.
 func (c *client) next() (completion, []byte) {
 	c.t.Helper()
 	c.io.SetReadDeadline(time.Now().Add(testTimeout))
@@ -239,7 +240,7 @@
 	}
 }
 
-// TestPDUBytes holds the layout against bytes written out by hand from the specification.
+// TestPDUBytes compares encoded PDUs with bytes written by hand from the specification.
 func TestPDUBytes(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -253,7 +254,7 @@
 			dataHead(1, 0, 0, 4), []byte("1234"))[:8], "0707181c24000000"},
 		{"completion, not ready, delay 2", completion{sqhd: 5, sqid: 1, cid: 9, status: stNSNotReady.withRetryDelay(2)}.head(),
 			"00000000000000000500010009000421"},
-		{"completion, may have run", completion{cid: 9, status: stTransient | dnr}.head(), "00000000000000000000000009004480"},
+		{"completion, may have been executed", completion{cid: 9, status: stTransient | dnr}.head(), "00000000000000000000000009004480"},
 	} {
 		if got := hex.EncodeToString(c.got); got != c.want {
 			t.Errorf("%s:\n got %s\nwant %s", c.name, got, c.want)
@@ -261,8 +262,8 @@
 	}
 }
 
-// TestPDUCuts cuts and damages valid PDUs and feeds garbage: a cut is never whole, a damaged PDU under
-// digests is never taken for the one sent.
+// TestTruncatedAndDamagedPDUs truncates and damages valid PDUs and reads random bytes: a truncated PDU is never accepted, and
+// a damaged PDU with digests is never accepted with other content.
 func TestTruncatedAndDamagedPDUs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := framing{hdigest: rapid.Bool().Draw(t, "hd"), ddigest: rapid.Bool().Draw(t, "dd"), pda: rapid.IntRange(0, maxPDA).Draw(t, "pda")}
@@ -272,25 +273,25 @@
 		whole := appendPDU(nil, f, kind, 0, head, data)
 		p, err := readPDU(bytes.NewReader(whole), f)
 		if err != nil || !bytes.Equal(p.head[commonLen:], head) || !bytes.Equal(p.data, data) || p.dataError {
-			t.Fatalf("whole PDU came back as %+v, %v", p, err)
+			t.Fatalf("valid PDU was read as %+v, %v", p, err)
 		}
 		if p, err := readPDU(bytes.NewReader(whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]), f); err == nil {
-			t.Fatalf("a cut passed for whole: %+v", p)
+			t.Fatalf("a truncated PDU was accepted: %+v", p)
 		}
 		if at := rapid.IntRange(commonLen, len(whole)-1).Draw(t, "at"); f.hdigest && f.ddigest {
-			bent := bytes.Clone(whole)
-			bent[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-			p, err := readPDU(bytes.NewReader(bent), f)
+			damaged := bytes.Clone(whole)
+			damaged[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+			p, err := readPDU(bytes.NewReader(damaged), f)
 			if err == nil && !p.dataError && (!bytes.Equal(p.head[commonLen:], head) || !bytes.Equal(p.data, data)) {
-				t.Fatalf("damage at %d went unseen", at)
+				t.Fatalf("damage at byte %d was not detected", at)
 			}
 		}
 		_, _ = readPDU(bytes.NewReader(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")), f)
 	})
 }
 
-// TestEndToEnd reads back what was written, through initiator and target, small (in the capsule) and large
-// (asked for by R2T), with digests and without.
+// TestEndToEnd reads back what was written, through initiator and target, small (data in the capsule) and large (data
+// requested with R2T), with and without digests.
 func TestEndToEnd(t *testing.T) {
 	for _, digests := range []bool{false, true} {
 		_, target := newServer(t, newStore(), targetNQN)
@@ -319,82 +320,83 @@
 	}
 }
 
-// TestQueueDepth has several commands out at once, by their ids, and each gets its one completion.
+// TestQueueDepth sends several commands on one queue before any completes: each gets exactly one completion, by its id.
 func TestQueueDepth(t *testing.T) {
-	back := newStore()
-	back.hold = make(chan struct{})
-	_, target := newServer(t, back, targetNQN)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	_, target := newServer(t, backend, targetNQN)
 	r := newInitiator(t, false, 5*time.Second, target)
 	c := newClient(t, r.addr, false)
 	want := map[uint16]bool{}
 	for i := range 6 {
 		want[c.write(uint64(i), fmt.Sprint("text ", i))] = true
 	}
-	<-back.received
-	close(back.hold)
+	<-backend.received
+	close(backend.hold)
 	for range 6 {
 		done, _ := c.next()
 		if !want[done.cid] || done.status != stOK {
-			t.Fatalf("completion %+v, ids open %v", done, want)
+			t.Fatalf("completion %+v, open command ids %v", done, want)
 		}
 		delete(want, done.cid)
 	}
 	for i := range 6 {
-		if n := back.wrote(fmt.Sprint("text ", i)); n != 1 {
+		if n := backend.wrote(fmt.Sprint("text ", i)); n != 1 {
 			t.Errorf("write %d ran %d times", i, n)
 		}
 	}
 }
 
-// TestStandStillAndDrain is the case the operators fear: a target stands still with a write in its hands, and
-// a drain notice for it arrives. The write gets one completion, which tells the host not to send it again; it
-// is not sent anywhere else; what comes later goes to the target's successor and to nowhere else.
+// TestTargetHangsThenDrains guards against a double write when a target hangs with a write in progress and is then drained.
+// The write gets one completion, with DNR set, and is not sent to another target. Later commands go to the target's
+// successor only.
 func TestTargetHangsThenDrains(t *testing.T) {
-	stuck, next := newStore(), newStore()
-	stuck.hold = make(chan struct{})
-	_, a := newServer(t, stuck, targetNQN)
-	_, b := newServer(t, next, targetNQN)
+	hung, successor := newStore(), newStore()
+	hung.hold = make(chan struct{})
+	_, a := newServer(t, hung, targetNQN)
+	_, b := newServer(t, successor, targetNQN)
 	r := newInitiator(t, false, 300*time.Millisecond, a)
 	c := newClient(t, r.addr, false)
 	first := c.write(1, "event")
-	<-stuck.received
+	<-hung.received
 	r.setTarget("t0", a, policy.Draining)
 	r.setTarget("t1", b, policy.Up)
 	second := c.write(2, "later")
 	third := c.read(3, 1)
-	ends := map[uint16]status{}
+	statuses := map[uint16]status{}
 	for range 3 {
 		done, _ := c.next()
-		if _, twice := ends[done.cid]; twice {
+		if _, twice := statuses[done.cid]; twice {
 			t.Fatalf("command %d completed twice", done.cid)
 		}
-		ends[done.cid] = done.status
+		statuses[done.cid] = done.status
 	}
-	if st := ends[first]; st.code() == stOK || st&dnr == 0 {
-		t.Errorf("the write that may have run ended with %#x, want a failure with DNR", uint16(st))
+	if st := statuses[first]; st.code() == stOK || st&dnr == 0 {
+		t.Errorf("the write that may have been executed ended with %#x, want a failure with DNR", uint16(st))
 	}
-	if ends[second] != stOK || ends[third] != stOK {
-		t.Errorf("later commands ended with %#x and %#x", uint16(ends[second]), uint16(ends[third]))
+	if statuses[second] != stOK || statuses[third] != stOK {
+		t.Errorf("later commands ended with %#x and %#x", uint16(statuses[second]), uint16(statuses[third]))
 	}
-	close(stuck.hold) // it wakes, and runs what it had
+	close(hung.hold) // the target resumes and executes the write
 	c.write(4, "last")
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("after it woke: %+v", done)
+		t.Errorf("after the target resumed: %+v", done)
 	}
-	if len(stuck.received) != 0 {
-		t.Errorf("the draining target was sent something new")
+	if len(hung.received) != 0 {
+		t.Errorf("the draining target received a new command")
 	}
 	for text, want := range map[string]int{"event": 0, "later": 1, "last": 1} {
-		if n := next.wrote(text); n != want {
-			t.Errorf("%q ran %d times at the successor, want %d", text, n, want)
+		if n := successor.wrote(text); n != want {
+			t.Errorf("the successor executed %q %d times, want %d", text, n, want)
 		}
 	}
-	if n := stuck.wrote("event"); n > 1 {
-		t.Errorf("the write ran %d times", n)
+	if n := hung.wrote("event"); n > 1 {
+		t.Errorf("the write was executed %d times", n)
 	}
 }
 
-// TestNoFirstByteToALeavingTarget has the last look, with the queue in hand, say no: not a byte is sent.
+// TestNothingSentWhenStartRefused checks that no byte is sent if mayStart returns false, as it does once the target is
+// draining.
 func TestNothingSentWhenStartRefused(t *testing.T) {
 	near, far := net.Pipe()
 	bytesSent := make(chan int, 1)
@@ -407,12 +409,12 @@
 		func() bool { return false })
 	queue.Close()
 	if n := <-bytesSent; r.Code != policy.NotSent || reuse || n != 0 {
-		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
+		t.Errorf("code %v, reusable %v, %d bytes sent; want NotSent, not reusable and no bytes", r.Code, reuse, n)
 	}
 }
 
-// TestTargetStartsAnew loses a target and finds it again at its address: the association that it no longer
-// knows must not stand in the way until a keep-alive, a minute off here, finds out.
+// TestTargetRestart restarts a target at the same address. The association that the new process does not have must be
+// replaced on the next command, and not only when the next Keep Alive, up to a minute later here, fails.
 func TestTargetRestart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -429,24 +431,24 @@
 	c := newClient(t, r.addr, false)
 	c.read(1, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Fatalf("before: %+v", done)
+		t.Fatalf("before the restart: %+v", done)
 	}
 	if err := first.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	again, err := net.Listen("tcp", l.Addr().String())
+	second, err := net.Listen("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	start(again)
+	defer second.Close()
+	start(second)
 	c.read(2, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("after: %+v", done)
+		t.Errorf("after the restart: %+v", done)
 	}
 }
 
-// TestStatuses maps each end to its status, and refuses with a delay only to hosts that asked to be told.
+// TestStatuses checks the status for each response, and that only hosts that enabled ACRE get a retry delay.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -455,9 +457,9 @@
 		want   status
 	}{
 		{"served", core.Response{}, true, stOK},
-		{"refused", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withRetryDelay(2)},
-		{"refused for longer than can be told", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withRetryDelay(3)},
+		{"rejected", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
+		{"rejected, with delay", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withRetryDelay(2)},
+		{"rejected, longer than the longest delay", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withRetryDelay(3)},
 		{"timed out", core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}, true, stTransient | dnr},
 		{"error", core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}, true, stInternal | dnr},
 	} {
@@ -465,13 +467,13 @@
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
 		}
 	}
-	back := newStore()
-	back.answer = core.Response{Status: core.Rejected, RetryAfter: 100 * time.Millisecond}
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.answer = core.Response{Status: core.Rejected, RetryAfter: 100 * time.Millisecond}
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stNSNotReady {
-		t.Errorf("before the host asked for delays: %#x", uint16(done.status))
+		t.Errorf("before the host enabled retry delays: %#x", uint16(done.status))
 	}
 	set := newCommand(opSetFeatures, c.admin.nextCID(), 512, true)
 	set.set32(40, featHostBehavior)
@@ -480,11 +482,11 @@
 	}
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stNSNotReady.withRetryDelay(1) || done.status&dnr != 0 {
-		t.Errorf("after: %#x", uint16(done.status))
+		t.Errorf("after the host enabled retry delays: %#x", uint16(done.status))
 	}
 }
 
-// TestOutsideTheSubset checks that what is not served gets its status, and the connection goes on.
+// TestUnsupportedCommands checks that unsupported and invalid commands get their status, and that the connection stays open.
 func TestUnsupportedCommands(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
@@ -499,7 +501,7 @@
 		{"past the end", func(c *command) { c.set64(40, 1<<20) }, stLBARange},
 		{"fused", func(c *command) { c[1] |= 1 }, stInvalidField},
 		{"PRPs", func(c *command) { c[1] = 0 }, stInvalidField},
-		{"length that does not fit", func(c *command) { c.set32(32, 4) }, stInvalidField},
+		{"length that does not match the blocks", func(c *command) { c.set32(32, 4) }, stInvalidField},
 		{"connect again", func(c *command) { c[0], c[4] = opFabrics, fctConnect }, stSequence},
 	} {
 		cmd := c.rw(opRead, 0, 1, false)
@@ -518,18 +520,18 @@
 	}
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("a good command after all these: %+v", done)
+		t.Errorf("a valid command after the invalid ones: %+v", done)
 	}
 }
 
-// TestAbort ends a command by its queue and id, once.
+// TestAbort aborts a command by its queue and id. A second Abort of it finds no command.
 func TestAbort(t *testing.T) {
-	back := newStore()
-	back.hold = make(chan struct{})
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	cid := c.write(1, "x")
-	<-back.received
+	<-backend.received
 	abort := func(want uint64) {
 		t.Helper()
 		cmd := newCommand(opAbort, c.admin.nextCID(), 0, false)
@@ -543,14 +545,14 @@
 		t.Errorf("aborted command: %+v", done)
 	}
 	abort(1)
-	close(back.hold)
+	close(backend.hold)
 	other := c.read(5, 1)
 	if done, _ := c.next(); done.cid != other {
-		t.Errorf("completion of %d, want none but of %d", done.cid, other)
+		t.Errorf("completion of command %d, want only that of %d", done.cid, other)
 	}
 }
 
-// TestTermination checks that what breaks the transport's rules ends with a termination request that says why.
+// TestTermination checks that transport errors are answered with a termination request with the right fatal error status.
 func TestTermination(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	for _, c := range []struct {
@@ -559,10 +561,10 @@
 		fes  uint16
 	}{
 		{"unknown type", func(c *client) error { return writeRaw(c, []byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
-		{"a controller's PDU", func(c *client) error {
+		{"a PDU type that only controllers send", func(c *client) error {
 			return writeRaw(c, appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 1, 0, 1), nil))
 		}, fesSequence},
-		{"data nobody asked for", func(c *client) error {
+		{"data that was not requested", func(c *client) error {
 			return writeRaw(c, appendPDU(nil, framing{}, typeH2CData, flagLast, dataHead(9, 9, 0, 1), []byte("x")))
 		}, fesInvalidHeader},
 		{"data out of range", func(c *client) error {
@@ -587,8 +589,8 @@
 	}
 }
 
-// TestLastWordArrives has a host break the protocol, send on, and read only once its connection has ended: the termination request is
-// there, and no reset took it.
+// TestTerminationRequestReachesHost has a host violate the protocol, send more data, and read only once its connection has
+// been closed: the termination request arrives, and is not lost to a reset.
 func TestTerminationRequestReachesHost(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	h := newClient(t, addr, false)
@@ -603,11 +605,11 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestDataAsItEnds has the data of a write come in the instant in which the program has begun to turn commands away: it is turned away
-// as one that may come again, and never written; what is sent on then might find its connection ended.
+// TestWriteDataDuringShutdown has the data of a write arrive just after the server has begun to reject commands: the write is
+// rejected as retryable and never executed. If it were submitted, its connection could be closed before it completes.
 func TestWriteDataDuringShutdown(t *testing.T) {
-	back := newStore()
-	s, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	s, addr := newServer(t, backend, poolNQN)
 	h := newClient(t, addr, false)
 	cid := h.send(h.io, h.rw(opWrite, 0, 32, false), nil)
 	p, err := h.io.receive()
@@ -624,9 +626,9 @@
 	done, _ := h.next()
 	require.Equal(t, stNSNotReady, done.status.code())
 	require.Zero(t, done.status&dnr)
-	back.mu.Lock()
-	defer back.mu.Unlock()
-	require.Empty(t, back.writes)
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	require.Empty(t, backend.writes)
 }
 
 func writeRaw(c *client, b []byte) error {
@@ -634,8 +636,8 @@
 	return err
 }
 
-// TestControllerCuts sends a live controller damaged, cut and made-up PDUs after a valid start, connection after
-// connection: each ends or is answered, and a good host is served as before.
+// TestControllerSurvivesMalformedPDUs sends truncated and random PDUs after a valid ICReq, on one connection after another:
+// each is answered or closed, and a well-behaved host is still served.
 func TestControllerSurvivesMalformedPDUs(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	good := newClient(t, addr, false)
@@ -658,16 +660,16 @@
 		_, _ = c.Write(out[:rapid.IntRange(0, len(out)).Draw(rt, "cut")])
 		_ = c.(*net.TCPConn).CloseWrite()
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-			rt.Fatal("the controller neither answered nor ended the connection")
+			rt.Fatal("the controller neither answered nor closed the connection")
 		}
 	})
 	good.read(1, 1)
 	if done, _ := good.next(); done.status != stOK {
-		t.Errorf("a good host afterwards: %+v", done)
+		t.Errorf("a well-behaved host afterwards: %+v", done)
 	}
 }
 
-// TestBadConnect refuses hosts that ask for what is not there.
+// TestBadConnect checks that Connect to an unknown subsystem or an unknown controller is rejected.
 func TestBadConnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAlive: time.Minute})
@@ -679,15 +681,15 @@
 	}
 	defer w.Close()
 	if _, err := w.connect(h.opt, 0, dynamicCntlID); err == nil {
-		t.Error("a subsystem that is not here was connected to")
+		t.Error("Connect to an unknown subsystem succeeded")
 	}
 	if _, err := w.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77); err == nil {
-		t.Error("an I/O queue joined no association")
+		t.Error("Connect of an I/O queue to an unknown controller succeeded")
 	}
 }
 
-// TestSilentHostsMakeRoom fills the hosts' connections with silent ones: a host still gets in, what has joined stays, and
-// nobody is let in once all have joined.
+// TestUnconnectedHostsAreEvicted opens more silent connections than MaxConns: a host can still connect, connected hosts stay,
+// and once all connections are connected hosts, a new one is closed.
 func TestUnconnectedHostsAreEvicted(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	s.mu.Lock()
@@ -709,43 +711,43 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a fifth connection beside four that have joined: %v, want it closed", err)
+		t.Errorf("a fifth connection beside four connected ones: %v, want it closed", err)
 	}
 	for _, h := range []*client{first, second} {
 		h.read(1, 1)
 		if done, _ := h.next(); done.status != stOK {
-			t.Errorf("a host that had joined: %+v", done)
+			t.Errorf("a connected host: %+v", done)
 		}
 	}
 }
 
-// TestStopFinishes checks that a command taken before the end is completed, that hosts are served for a while after it on
-// what they have, within the time that is left, and turned away then.
+// TestStopCompletesOpenCommands checks that commands open at the call of Stop are completed, that new commands are still
+// served until Shutdown.ServeFor, and that they are rejected as retryable after that.
 func TestStopCompletesOpenCommands(t *testing.T) {
-	back := newStore()
-	back.hold = make(chan struct{})
-	s, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	s, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	taken := c.read(1, 1)
-	<-back.received
+	<-backend.received
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	time.Sleep(core.NewShutdownSchedule(2*time.Second).AcceptFor + 100*time.Millisecond)
-	meanwhile := c.read(3, 1)
-	if x := <-back.received; x.SLBA != 3 {
-		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
+	duringServe := c.read(3, 1)
+	if x := <-backend.received; x.SLBA != 3 {
+		t.Errorf("block %d was read during the shutdown, want 3", x.SLBA)
 	}
 	for !s.rejectNew.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	late := c.read(2, 1)
 	if done, _ := c.next(); done.cid != late || done.status.code() != stNSNotReady || done.status&dnr != 0 {
-		t.Errorf("late command: %+v, want it turned away", done)
+		t.Errorf("late command: %+v, want it rejected as retryable", done)
 	}
-	close(back.hold)
+	close(backend.hold)
 	for range 2 {
-		if done, _ := c.next(); done.cid != taken && done.cid != meanwhile || done.status != stOK {
-			t.Errorf("commands taken before: %+v", done)
+		if done, _ := c.next(); done.cid != taken && done.cid != duringServe || done.status != stOK {
+			t.Errorf("command sent before ServeFor: %+v", done)
 		}
 	}
 	if err := <-stopped; err != nil {
@@ -753,7 +755,7 @@
 	}
 }
 
-// TestIdentify reads the pages a host begins with.
+// TestIdentify checks the Identify pages that a host reads when it connects.
 func TestIdentify(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, true)
@@ -775,30 +777,30 @@
 	}
 }
 
-// TestNumbers counts each command once, by its status, and none as open once its connection has ended under it.
+// TestFigures checks that each command is counted once, by its status, and none as concurrent once its connection is closed.
 func TestFigures(t *testing.T) {
-	back := newStore()
-	s, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	s, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(1, 1)
 	c.next()
-	back.mu.Lock()
-	back.answer = core.Response{Status: core.Rejected}
-	back.mu.Unlock()
+	backend.mu.Lock()
+	backend.answer = core.Response{Status: core.Rejected}
+	backend.mu.Unlock()
 	c.read(2, 1)
 	c.next()
-	still := make(chan struct{})
-	defer close(still)
-	back.mu.Lock()
-	back.hold = still
-	back.mu.Unlock()
+	hold := make(chan struct{})
+	defer close(hold)
+	backend.mu.Lock()
+	backend.hold = hold
+	backend.mu.Unlock()
 	for range 3 {
 		c.read(3, 1)
 	}
 	for range 5 {
-		<-back.received
+		<-backend.received
 	}
-	numbers := func(want ...string) {
+	expectFigures := func(want ...string) {
 		t.Helper()
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
 			got := string(figures.Page(s.opt.Figures.Tell))
@@ -807,72 +809,75 @@
 			}
 		}, 20*time.Second, time.Millisecond)
 	}
-	numbers("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
+	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
 	c.io.Close()
-	numbers("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
+	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
 }
 
-// TestTargetsThatAreGoneAreForgotten has a host meet targets that come and go: of one that nobody has asked for in a while nothing is kept.
+// TestUnusedAssociationsAreRemoved dials targets that are gone: their associations are removed once they were not used for a
+// while.
 func TestUnusedAssociationsAreRemoved(t *testing.T) {
 	h := NewHost(HostOptions{KeepAlive: time.Second})
-	meet := func() {
+	dialClosedPort := func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		l.Close()
 		_, err = h.Dial(context.Background(), l.Addr().String())
 		require.Error(t, err)
 	}
-	meet()
-	meet()
-	require.Len(t, h.associations, 2) // their rests hold
+	dialClosedPort()
+	dialClosedPort()
+	require.Len(t, h.associations, 2) // both were used recently
 	for _, a := range h.associations {
 		a.lastUsed, a.retryAt = time.Now().Add(-2*maxUnusedTime), time.Now().Add(-2*maxUnusedTime)
 	}
-	meet()
+	dialClosedPort()
 	require.Len(t, h.associations, 1)
 }
 
-// tardy is a connection on a machine that is too busy to fire the timer of its writes' deadline.
+// noWriteDeadlineConn is a connection whose write deadline is never enforced, as on a machine that is too busy to fire its
+// timer.
 type noWriteDeadlineConn struct{ net.Conn }
 
 func (noWriteDeadlineConn) SetWriteDeadline(time.Time) error { return nil }
 
 func (c noWriteDeadlineConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// TestDataPastItsWindow has a target ask for a write's data just inside the window that the repeat may leave in, and after it: then no byte of
-// the data goes out, and the write cannot have begun. A completion of another command is not taken for its.
+// TestNoDataAfterWriteDeadline has a target send an R2T before and after the attempt's write deadline, after which a retry
+// must not be sent. After it, no data is sent, so the write cannot have started. Before it, the data is sent, and then the
+// completion of another command is not accepted as that of the write.
 func TestNoDataAfterWriteDeadline(t *testing.T) {
 	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: testTimeout, policy.NotConnected: 50 * time.Millisecond} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
-		before := time.Now().Add(window)
-		asked := make(chan int, 1)
+		sendBefore := time.Now().Add(window)
+		dataBytes := make(chan int, 1)
 		go func() {
 			c, _ := l.Accept()
 			defer c.Close()
 			capsule := make([]byte, 72)
 			_, _ = io.ReadFull(c, capsule)
 			if want == policy.NotConnected {
-				time.Sleep(time.Until(before))
+				time.Sleep(time.Until(sendBefore))
 			}
 			_, _ = c.Write(appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 7, 0, blockSize), nil))
 			n := 0
 			if want == policy.ConnectionReset {
 				n, _ = io.ReadFull(c, make([]byte, 24+blockSize))
-				_, _ = c.Write(appendPDU(nil, framing{}, typeResp, 0, make([]byte, 16), nil)) // names command 0
+				_, _ = c.Write(appendPDU(nil, framing{}, typeResp, 0, make([]byte, 16), nil)) // for command id 0
 			}
 			more, _ := io.Copy(io.Discard, c)
-			asked <- n + int(more)
+			dataBytes <- n + int(more)
 		}()
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
 		q := &session{hostConn: &hostConn{Conn: noWriteDeadlineConn{c}, in: bufio.NewReader(c), maxDataPDU: blockSize}, assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), SendBefore: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
+		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), SendBefore: sendBefore, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
 			Data: make([]byte, blockSize)}}, func() bool { return true })
 		q.Close()
 		require.Equal(t, want, r.Code)
 		require.False(t, reuse)
-		require.Equal(t, want == policy.ConnectionReset, <-asked > 0)
+		require.Equal(t, want == policy.ConnectionReset, <-dataBytes > 0)
 	}
 }
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -13,7 +13,8 @@
 	"spindlehitch/internal/testbed/issue"
 )
 
-// secured is a stand-in target over TLS, and the keys of host and target, which change together.
+// newTLSTarget starts a fake target with TLS. It returns the certificate store that host and target share, so that both rotate
+// at once, the target's backend, the target and its address.
 func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
@@ -26,20 +27,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := newStore()
-	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
+	backend := newStore()
+	s := New(backend, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
 		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: hostKeys, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
-	return hostKeys, back, s, l.Addr().String()
+	return hostKeys, backend, s, l.Addr().String()
 }
 
-// secureHost is a host of such a target with keys of its own.
+// newTLSHost returns a host that connects to such a target with the certificates in k.
 func newTLSHost(k *keys.Store) *Host {
 	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Keys: k})
 }
 
-// do carries one write out on a session that is dialled or used again, as a target's pool does.
+// do executes one command on the idle session if it is alive, or on a new one, as a target's connection pool does. It stores
+// the session in idle if it can be reused.
 func do(t *testing.T, h *Host, addr string, idle *upstream.Session, x *IO) core.Result {
 	t.Helper()
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
@@ -63,18 +65,18 @@
 	return r
 }
 
-// TestKeysChangeInService changes the keys again and again while a host writes: no command is lost or run twice, and
-// after the overlap none of the old connections is left.
+// TestKeyRotationDuringWrites rotates the certificates repeatedly while a host writes: no command is lost or executed twice,
+// and after the overlap no connection with old certificates is left.
 func TestKeyRotationDuringWrites(t *testing.T) {
 	dir := t.TempDir()
-	k, back, server, addr := newTLSTarget(t, dir, 400*time.Millisecond)
+	k, backend, server, addr := newTLSTarget(t, dir, 400*time.Millisecond)
 	h := newTLSHost(k)
 	var idle upstream.Session
 	data := make([]byte, blockSize)
 	began := time.Now()
 	last, n := began, 0
 	for ; time.Since(began) < 2*time.Second; n++ {
-		drainReceived(back)
+		drainReceived(backend)
 		data[0], data[1], data[2] = byte(n), byte(n>>8), 1
 		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), data...)}); r.Code != 0 {
 			t.Fatalf("write %d: %v", n, r.Code)
@@ -88,18 +90,18 @@
 		}
 	}
 	if k.Generation() < 2 || n < 100 {
-		t.Errorf("%d changes, %d writes", k.Generation(), n)
+		t.Errorf("%d rotations and %d writes, want at least 2 and 100", k.Generation(), n)
 	}
-	back.mu.Lock()
-	if len(back.writes) != n {
-		t.Errorf("%d of %d writes were run", len(back.writes), n)
+	backend.mu.Lock()
+	if len(backend.writes) != n {
+		t.Errorf("%d of %d writes were executed", len(backend.writes), n)
 	}
-	for _, times := range back.writes {
+	for _, times := range backend.writes {
 		if times != 1 {
-			t.Errorf("a write ran %d times", times)
+			t.Errorf("a write was executed %d times", times)
 		}
 	}
-	back.mu.Unlock()
+	backend.mu.Unlock()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		server.mu.Lock()
 		old := 0
@@ -110,32 +112,32 @@
 		}
 		open := len(server.queues)
 		server.mu.Unlock()
-		if old == 0 && open <= 2 { // the admin queue and the I/O queue of the newest keys
+		if old == 0 && open <= 2 { // the admin queue and the I/O queue with the newest certificates
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections, %d of them with old keys", open, old)
+			t.Fatalf("%d connections are open, %d of them with old certificates", open, old)
 		}
 	}
 }
 
-// TestOldKeysAreRefused keeps a host with its old keys: its open command is finished past the overlap, new commands and
-// connections are refused.
+// TestOldKeysAreRejected rotates the target's certificates, but not the host's: the host's open command completes even after
+// the overlap, then its connection is closed, and new connections are rejected.
 func TestOldKeysAreRejected(t *testing.T) {
 	dir := t.TempDir()
-	k, back, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
-	f := issue.Into(t, t.TempDir(), time.Hour) // another authority altogether
-	stranger, err := keys.Load(f)
+	k, backend, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
+	f := issue.Into(t, t.TempDir(), time.Hour) // from another certificate authority
+	otherCA, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	if _, err := newTLSHost(stranger).Dial(ctx, addr); err == nil {
-		t.Error("a stranger's key was taken")
+	if _, err := newTLSHost(otherCA).Dial(ctx, addr); err == nil {
+		t.Error("a certificate of another authority was accepted")
 	}
 	if _, err := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute}).Dial(ctx, addr); err == nil {
-		t.Error("a host without TLS was taken")
+		t.Error("a host without TLS was accepted")
 	}
 	old, err := keys.Load(config.TLS{Cert: dir + "/cert.pem", Key: dir + "/key.pem", CA: dir + "/ca.pem"})
 	if err != nil {
@@ -145,30 +147,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back.mu.Lock()
-	back.hold = make(chan struct{})
-	back.mu.Unlock()
-	ended := make(chan core.Result, 1)
+	backend.mu.Lock()
+	backend.hold = make(chan struct{})
+	backend.mu.Unlock()
+	result := make(chan core.Result, 1)
 	go func() {
 		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
-		ended <- r
+		result <- r
 	}()
-	<-back.received
+	<-backend.received
 	issue.Into(t, dir, time.Hour)
 	if err := k.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(200*time.Millisecond + 3*keyCheckInterval)
-	close(back.hold)
-	if r := <-ended; r.Code != 0 {
-		t.Errorf("the command that was open: %v", r.Code)
+	close(backend.hold)
+	if r := <-result; r.Code != 0 {
+		t.Errorf("the open command ended with %v", r.Code)
 	}
 	w := s.(*session).hostConn
 	w.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := w.in.Peek(1); err == nil {
-		t.Error("the old connection goes on")
+		t.Error("the connection with the old certificate is still open")
 	}
 	if _, err := newTLSHost(old).Dial(ctx, addr); err == nil {
-		t.Error("an old key was taken past its time")
+		t.Error("an old certificate was accepted after the overlap")
 	}
 }
