--- a/internal/datapath/nvme/admin.go
+++ b/internal/datapath/nvme/admin.go
@@ -147,6 +147,7 @@
 	}
 }
 
+// retryDelaysEnabled reports whether the host enabled retry delays (ACRE).
 func (c *controller) retryDelaysEnabled() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -380,6 +381,7 @@
 	return page
 }
 
+// maxNSID returns the highest NSID in use.
 func (s *Server) maxNSID() uint32 {
 	top := uint32(0)
 	for id := range *s.namespaces.Load() {
--- a/internal/datapath/nvme/bench_test.go
+++ b/internal/datapath/nvme/bench_test.go
@@ -19,10 +19,10 @@
 	c := newClient(b, r.addr, false)
 	sent := map[uint16]time.Time{}
 	took := make([]time.Duration, 0, b.N)
-	read := func() { sent[c.read(1, 8)] = time.Now() }
+	sendRead := func() { sent[c.read(1, 8)] = time.Now() }
 	b.ResetTimer()
 	for range min(4, b.N) {
-		read()
+		sendRead()
 	}
 	for i := range b.N {
 		done, _ := c.next()
@@ -31,7 +31,7 @@
 		}
 		took = append(took, time.Since(sent[done.cid]))
 		if i+4 < b.N {
-			read()
+			sendRead()
 		}
 	}
 	b.StopTimer()
--- a/internal/datapath/nvme/conformance.go
+++ b/internal/datapath/nvme/conformance.go
@@ -149,13 +149,13 @@
 
 // queue connects an admin queue and an I/O queue of 8 entries, and reads the namespace's size.
 func (p *probe) queue() (*hostConn, error) {
-	admin, err := p.admin()
+	adminConn, err := p.admin()
 	if err != nil {
 		return nil, err
 	}
-	id := newCommand(opIdentify, admin.nextCID(), identifyLen, false)
+	id := newCommand(opIdentify, adminConn.nextCID(), identifyLen, false)
 	id.set32(4, p.opt.NSID)
-	_, page, err := admin.execute(id, nil)
+	_, page, err := adminConn.execute(id, nil)
 	if err != nil {
 		return nil, fmt.Errorf("identify namespace: %w", err)
 	}
@@ -616,14 +616,14 @@
 		return err
 	})},
 	{section: "base 3.7.2", text: "a controller reset ends I/O queues and keeps the admin queue", check: onQueue(func(p *probe, w *hostConn) error {
-		admin := p.conns[0]
-		if err := writeCC(admin, 0); err != nil {
+		adminConn := p.conns[0]
+		if err := writeCC(adminConn, 0); err != nil {
 			return err
 		}
 		if err := expectClose(w); err != nil {
 			return err
 		}
-		_, err := admin.readProperty(propCSTS)
+		_, err := adminConn.readProperty(propCSTS)
 		return err
 	})},
 	{section: "base 3.9", text: "a host without keep-alives past its time-out loses its association", check: func(p *probe) error {
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -393,9 +393,11 @@
 
 var errHostTerminated = errors.New("host sent a termination request")
 
+// servePDUs negotiates the framing and handles PDUs until the connection fails or the host violates the protocol. The
+// handshake timeout covers everything up to a successful Connect.
 func (q *queue) servePDUs() error {
 	in := bufio.NewReaderSize(q.conn, 16<<10)
-	q.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // TLS writes too, in its handshake
+	q.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // for writes as well, as the TLS handshake writes
 	p, err := readPDU(in, framing{})
 	if err != nil {
 		return err
@@ -604,24 +606,24 @@
 	q.mu.Lock()
 	p := q.cmds[pd.u16(8)]
 	q.mu.Unlock()
-	dataError := func(fes uint16, at uint32, cause string) error {
+	protocolError := func(fes uint16, at uint32, cause string) error {
 		return &fatalError{fes: fes, fei: at, cause: cause, head: pd.head}
 	}
 	switch {
 	case p == nil || p.transferTag == 0 || p.dataTimer == nil:
-		return dataError(fesInvalidHeader, 8, "data for a command that has no outstanding R2T")
+		return protocolError(fesInvalidHeader, 8, "data for a command that has no outstanding R2T")
 	case pd.u16(10) != p.transferTag:
-		return dataError(fesInvalidHeader, 10, "transfer tag does not match the R2T")
+		return protocolError(fesInvalidHeader, 10, "transfer tag does not match the R2T")
 	}
 	offset, length := int64(pd.u32(12)), int64(pd.u32(16))
 	last := offset+length == int64(p.io.Bytes)
 	switch {
 	case length != int64(len(pd.data)) || length > maxH2CData || length == 0:
-		return dataError(fesInvalidHeader, 16, "data length out of range or not that of the data")
+		return protocolError(fesInvalidHeader, 16, "data length out of range or not that of the data")
 	case offset != int64(p.received) || offset+length > int64(p.io.Bytes):
-		return dataError(fesOutOfRange, 12, "data out of order or beyond the requested range")
+		return protocolError(fesOutOfRange, 12, "data out of order or beyond the requested range")
 	case last != (pd.flags&flagLast != 0):
-		return dataError(fesInvalidHeader, 1, "last-PDU flag does not match the data offset and length")
+		return protocolError(fesInvalidHeader, 1, "last-PDU flag does not match the data offset and length")
 	case pd.dataError:
 		q.complete(p, stTransient, 0, nil)
 		return nil
@@ -673,9 +675,9 @@
 }
 
 // completePart records the response to a part of a command. The last one completes the command.
-func (q *queue) completePart(p *pending, i int, a core.Response) {
+func (q *queue) completePart(p *pending, i int, response core.Response) {
 	q.mu.Lock()
-	p.responses[i] = a
+	p.responses[i] = response
 	p.unanswered--
 	last := p.unanswered == 0
 	q.mu.Unlock()
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -432,8 +432,8 @@
 // maxUnreadAborts bounds the Aborts whose completions have not been read; the admin queue has 32 entries.
 const maxUnreadAborts = 3
 
-// abort sends an Abort for a command that is abandoned. It is best effort, as closing the command's connection ends it
-// anyway. So it does not wait for the admin queue or for a target that does not respond. Its completion is skipped when the
+// abort sends an Abort for a command that is abandoned. It is best effort, as what counts is that the command's connection is
+// closed. So it does not wait for the admin queue or for a target that does not respond. Its completion is skipped when the
 // next Keep Alive reads the admin queue.
 func (a *association) abort(qid, cid uint16) {
 	select {
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -43,6 +43,7 @@
 		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, Read: "position-read", Write: "event-write"}
 }
 
+// newServer starts a Server in front of c, and returns it with its address.
 func newServer(t testing.TB, c Core, subsystem string) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -166,6 +167,7 @@
 	io    *hostConn
 }
 
+// newClient connects a client's admin queue and I/O queue to a server.
 func newClient(t testing.TB, addr string, digests bool) *client {
 	t.Helper()
 	h := NewHost(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute, Digests: digests})
