--- a/internal/datapath/nvme/bench_test.go
+++ b/internal/datapath/nvme/bench_test.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// BenchmarkReads has a host keep four reads out through the front, the core and a target, all on this machine.
+// BenchmarkReads measures reads of a host that keeps four in flight, through the front, the core and a target on this machine.
 func BenchmarkReads(b *testing.B) {
 	b.ReportAllocs()
-	back := newStore()
+	backend := newStore()
 	go func() {
-		for range back.came {
+		for range backend.received {
 		}
 	}()
-	_, target := newServer(b, back, targetNQN)
-	r := newRig(b, false, time.Second, target)
+	_, target := newServer(b, backend, targetNQN)
+	r := newInitiator(b, false, time.Second, target)
 	c := newClient(b, r.addr, false)
 	sent := map[uint16]time.Time{}
 	took := make([]time.Duration, 0, b.N)
-	ask := func() { sent[c.read(1, 8)] = time.Now() }
+	sendRead := func() { sent[c.read(1, 8)] = time.Now() }
 	b.ResetTimer()
 	for range min(4, b.N) {
-		ask()
+		sendRead()
 	}
 	for i := range b.N {
 		done, _ := c.next()
@@ -31,7 +31,7 @@
 		}
 		took = append(took, time.Since(sent[done.cid]))
 		if i+4 < b.N {
-			ask()
+			sendRead()
 		}
 	}
 	b.StopTimer()
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -21,58 +21,59 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// Options set up the controller side.
+// Options are the options of a Server.
 type Options struct {
-	Subsystem  string
-	Namespaces []Namespace
-	QueueDepth int
-	MostConn   int                      // hosts' connections at a time
-	MostBytes  int64                    // data of commands held at a time
-	Keys       *keys.Store              // TLS, where there are any
-	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
-	Figures    *figures.Book            // nil: none are kept
-	Leave      core.ShutdownSchedule
-	Log        *slog.Logger
-}
-
-// Core is what the front needs of the core.
+	Subsystem        string
+	Namespaces       []Namespace
+	QueueDepth       int
+	MaxConns         int                      // hosts' connections at a time
+	MaxBufferedBytes int64                    // data of all open commands
+	Keys             *keys.Store              // TLS certificates; nil: no TLS
+	Timeouts         map[string]time.Duration // of the commands of each class, as NVMe commands carry no deadline of their own
+	Figures          *figures.Book            // nil: commands are not counted
+	Shutdown         core.ShutdownSchedule
+	Log              *slog.Logger
+}
+
+// Core is the part of core.Core that the Server uses.
 type Core interface {
 	Submit(*core.Job) bool
 	Cancel(*core.Job)
 }
 
 const (
-	handshakeWithin = 2 * time.Second
-	writeWithin     = 5 * time.Second
-	mostQueues      = 16 // I/O queues of one controller
+	handshakeTimeout = 2 * time.Second
+	writeTimeout     = 5 * time.Second
+	maxIOQueues      = 16 // I/O queues of one controller
 )
 
-// Server is the NVMe over TCP front.
+// Server is the NVMe over TCP front: it accepts hosts' connections, and submits their reads and writes to the core.
 type Server struct {
-	opt     Options
-	core    Core
-	spaces  atomic.Pointer[map[uint32]*Namespace]
-	bytes   atomic.Int64
-	health  health
-	open    atomic.Int64              // commands in the core
-	left    atomic.Pointer[time.Time] // when Stop was called
-	leaving atomic.Bool               // new commands are turned away
-
-	mu          sync.Mutex
+	opt           Options
+	core          Core
+	namespaces    atomic.Pointer[map[uint32]*Namespace]
+	bufferedBytes atomic.Int64 // data of the open commands
+	health        healthCounters
+	openCommands  atomic.Int64              // commands submitted to the core and not completed
+	stopTime      atomic.Pointer[time.Time] // when Stop was called; nil before
+	rejectNew     atomic.Bool               // new commands are rejected as retryable
+
+	mu          sync.Mutex // guards the fields below
 	controllers map[uint16]*controller
 	queues      map[*queue]bool
 	nextID      uint16
 	listener    net.Listener
 }
 
-// New returns a front for the core.
+// New returns a Server for the core.
 func New(c Core, opt Options) *Server {
 	s := &Server{opt: opt, core: c, controllers: map[uint16]*controller{}, queues: map[*queue]bool{}}
-	s.spaces.Store(byID(opt.Namespaces))
+	s.namespaces.Store(namespacesByID(opt.Namespaces))
 	return s
 }
 
-func byID(list []Namespace) *map[uint32]*Namespace {
+// namespacesByID returns the namespaces by NSID.
+func namespacesByID(list []Namespace) *map[uint32]*Namespace {
 	m := make(map[uint32]*Namespace, len(list))
 	for i := range list {
 		m[list[i].ID] = &list[i]
@@ -80,72 +81,75 @@
 	return &m
 }
 
-func (s *Server) space(id uint32) *Namespace { return (*s.spaces.Load())[id] }
+// namespace returns the namespace with this NSID, or nil if there is none.
+func (s *Server) namespace(id uint32) *Namespace { return (*s.namespaces.Load())[id] }
 
-// controller is one association: an admin queue and its I/O queues.
+// controller is the controller of one association: an admin queue and its I/O queues. The association ends with the admin queue.
 type controller struct {
-	id     uint16
-	server *Server
-	host   string
-	mu     sync.Mutex
-	queues map[uint16]*queue
-	cc     uint32
-	csts   uint32
-	delays bool // the host wants to be told how long to stay away (ACRE)
-	finder bool // a discovery controller
-	events events
-	errors errorLog
-	kato   time.Duration
-	alive  *time.Timer
-}
-
-// queue is one connection: its reader's goroutine handles what comes, its writer's owns what goes.
+	id             uint16
+	server         *Server
+	host           string     // the host's NQN
+	mu             sync.Mutex // guards queues, cc, csts, acre and events
+	queues         map[uint16]*queue
+	cc             uint32
+	csts           uint32
+	acre           bool // the host enabled retry delays (ACRE)
+	isDiscovery    bool
+	events         asyncEvents
+	errors         errorLog
+	kato           time.Duration // keep-alive timeout; 0: none
+	keepAliveTimer *time.Timer   // closes all queues unless a Keep Alive resets it; nil: no timeout
+}
+
+// queue is one connection of a host. readLoop handles the received PDUs and ends when the connection fails or is closed.
+// writeLoop writes the PDUs in outgoing, ends at a nil or a failed write, and closes the connection.
 type queue struct {
-	server *Server
-	net    net.Conn
-	box    *mailbox.Box[[]byte]
-	ended  chan struct{}
-	once   sync.Once
-	reason string
-
-	retired atomic.Bool // its host's key is good no more: new commands are turned away
-	since   time.Time
-	joined  atomic.Bool // ctrl is set: the host has connected as NVMe knows it
-	framing framing
-	ctrl    *controller // set by Connect
-	qid     uint16
-	size    uint16
-
-	mu     sync.Mutex
-	sqhd   uint16
-	asked  int
-	cmds   map[uint16]*pending
-	serial uint16
-}
-
-// pending is a command without its completion.
+	server      *Server
+	conn        net.Conn
+	outgoing    *mailbox.Box[[]byte]
+	closed      chan struct{} // closed by close, at its end
+	closeOnce   sync.Once     // for closeReason and the nil in outgoing
+	closeReason string
+
+	keyRetired atomic.Bool // the host's certificate is no longer accepted: new commands are rejected
+	acceptedAt time.Time
+	connected  atomic.Bool // Connect has succeeded, and ctrl is set
+	framing    framing     // set before the first command
+	ctrl       *controller // this and the next two fields are set by Connect, under mu
+	qid        uint16
+	size       uint16
+
+	mu           sync.Mutex // guards the fields below
+	sqhd         uint16
+	commandCount int
+	cmds         map[uint16]*pending // open commands by command id; nil once the connection is closed
+	lastTag      uint16
+}
+
+// pending is a command that has not been completed. Its fields are written by readLoop, under queue.mu where other goroutines
+// use them, except for unanswered and responses, which completePart writes under queue.mu.
 type pending struct {
-	cmd  command
-	io   *IO
-	ns   *Namespace // as it was when the command came
-	got  int
-	tag  uint16
-	wait *time.Timer // for the host's data
-	jobs []*core.Job // the parts of it in the core
-	left int         // of them without an answer
-	ends []core.Response
-	seen *figures.Request
-}
-
-// Serve accepts until Stop.
+	cmd         command
+	io          *IO
+	ns          *Namespace       // as it was when the command was received
+	received    int              // bytes of the host's data
+	transferTag uint16           // of the R2T; 0: none was sent
+	dataTimer   *time.Timer      // closes the connection if the host's data is late
+	jobs        []*core.Job      // the command's parts, once they are submitted to the core
+	unanswered  int              // jobs without a response
+	responses   []core.Response  // to jobs, in their order
+	stats       *figures.Request // nil: not counted
+}
+
+// Serve accepts connections until Stop closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	s.mu.Lock()
 	s.listener = l
 	s.mu.Unlock()
 	if s.opt.Keys != nil {
-		over := make(chan struct{})
-		defer close(over)
-		go s.watchKeys(over)
+		stopped := make(chan struct{})
+		defer close(stopped)
+		go s.retireOldKeys(stopped)
 	}
 	for {
 		c, err := l.Accept()
@@ -153,60 +157,60 @@
 			return nil
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of descriptors, say: what is open goes on
+			time.Sleep(10 * time.Millisecond) // for example out of descriptors: open connections are still served
 			continue
 		}
 		if s.opt.Keys != nil {
 			c = tls.Server(c, s.opt.Keys.ServerConfig())
 		}
-		q := &queue{server: s, net: c, box: mailbox.New[[]byte](), ended: make(chan struct{}),
-			cmds: map[uint16]*pending{}, since: time.Now()}
+		q := &queue{server: s, conn: c, outgoing: mailbox.New[[]byte](), closed: make(chan struct{}),
+			cmds: map[uint16]*pending{}, acceptedAt: time.Now()}
 		s.mu.Lock()
-		full := len(s.queues) >= s.opt.MostConn && !s.makeRoom()
+		full := len(s.queues) >= s.opt.MaxConns && !s.evictUnconnected()
 		if !full {
 			s.queues[q] = true
 		}
 		s.mu.Unlock()
 		if full {
-			// Nothing was taken on it yet.
+			// No command has been received on it.
 			c.Close()
-			s.log(q, "CAP")
+			s.logClosed(q, "CAP")
 			continue
 		}
-		go q.write()
-		go q.read()
+		go q.writeLoop()
+		go q.readLoop()
 	}
 }
 
-// keysEvery is how often connections are held against the keys that are good.
-const keysEvery = 100 * time.Millisecond
+// keyCheckInterval is how often the hosts' certificates are checked against those that are accepted.
+const keyCheckInterval = 100 * time.Millisecond
 
-// watchKeys retires the connections of hosts whose keys are good no more, until the server stops accepting: their commands
-// are finished, new ones are turned away as retryable, and then they end.
-func (s *Server) watchKeys(over <-chan struct{}) {
-	tick := time.NewTicker(keysEvery)
+// retireOldKeys retires the connections of hosts whose certificates are no longer accepted: their open commands are
+// completed, new ones are rejected as retryable, and then the connections are closed. It returns when Serve does.
+func (s *Server) retireOldKeys(stopped <-chan struct{}) {
+	tick := time.NewTicker(keyCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
-		case <-over:
+		case <-stopped:
 			return
 		case <-tick.C:
 		}
 		s.mu.Lock()
 		for q := range s.queues {
-			if c := q.net.(*tls.Conn); !q.retired.Load() && q.joined.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
-				q.retired.Store(true)
+			if c := q.conn.(*tls.Conn); !q.keyRetired.Load() && q.connected.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
+				q.keyRetired.Store(true)
 			}
-			if q.retired.Load() && q.unused() {
-				q.end("KEY_RETIRED")
+			if q.keyRetired.Load() && q.idle() {
+				q.closeAfterWrites("KEY_RETIRED")
 			}
 		}
 		s.mu.Unlock()
 	}
 }
 
-// unused tells whether nothing with data is open on the queue and, for an admin queue, none of its I/O queues is left.
-func (q *queue) unused() bool {
+// idle reports whether no read or write is open on the queue and, for an admin queue, whether it has no I/O queues left.
+func (q *queue) idle() bool {
 	q.mu.Lock()
 	for _, p := range q.cmds {
 		if p.io != nil {
@@ -224,12 +228,12 @@
 	return len(ctrl.queues) <= 1
 }
 
-// makeRoom ends the connection that has been longest without a Connect, so that silent ones do not shut out hosts; the
-// server is locked. One that has joined is never ended for another.
-func (s *Server) makeRoom() bool {
+// evictUnconnected closes the connection that has been open longest without a Connect, so that silent connections do not
+// lock out hosts. A connection whose Connect succeeded is never evicted. The caller holds s.mu.
+func (s *Server) evictUnconnected() bool {
 	var oldest *queue
 	for q := range s.queues {
-		if !q.joined.Load() && (oldest == nil || q.since.Before(oldest.since)) {
+		if !q.connected.Load() && (oldest == nil || q.acceptedAt.Before(oldest.acceptedAt)) {
 			oldest = q
 		}
 	}
@@ -237,31 +241,32 @@
 		return false
 	}
 	delete(s.queues, oldest)
-	oldest.end("CAP")
+	oldest.closeAfterWrites("CAP")
 	return true
 }
 
-func (s *Server) log(q *queue, reason string) {
+func (s *Server) logClosed(q *queue, reason string) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	s.opt.Log.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.net.RemoteAddr().String()),
-		slog.String("reason", reason), slog.Int("requests", q.asked), slog.Int("queue", int(q.qid)))
+	s.opt.Log.Info("connection ended", slog.String("side", "host"), slog.String("peer", q.conn.RemoteAddr().String()),
+		slog.String("reason", reason), slog.Int("requests", q.commandCount), slog.Int("queue", int(q.qid)))
 }
 
-// Stop keeps accepting while hosts may still come, goes on for a while with commands on the connections there are, then
-// turns new ones away, finishes those taken and ends all connections.
+// Stop accepts connections for Shutdown.AcceptFor, and serves commands on those that are open until Shutdown.ServeFor. Then
+// it rejects new commands, waits for the open ones and closes all connections. If ctx ends first, it no longer waits for the
+// open commands and returns the context's error.
 func (s *Server) Stop(ctx context.Context) error {
 	now := time.Now()
-	s.left.Store(&now)
-	core.SleepUntil(ctx, now.Add(s.opt.Leave.AcceptFor))
+	s.stopTime.Store(&now)
+	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.AcceptFor))
 	s.mu.Lock()
 	if s.listener != nil {
 		s.listener.Close()
 	}
 	s.mu.Unlock()
-	core.SleepUntil(ctx, now.Add(s.opt.Leave.ServeFor))
-	s.leaving.Store(true)
-	for s.open.Load() > 0 && ctx.Err() == nil {
+	core.SleepUntil(ctx, now.Add(s.opt.Shutdown.ServeFor))
+	s.rejectNew.Store(true)
+	for s.openCommands.Load() > 0 && ctx.Err() == nil {
 		time.Sleep(2 * time.Millisecond)
 	}
 	err := ctx.Err()
@@ -272,36 +277,37 @@
 	}
 	s.mu.Unlock()
 	for _, q := range all {
-		q.end("LEAVING")
+		q.closeAfterWrites("LEAVING")
 	}
 	for _, q := range all {
-		<-q.ended
+		<-q.closed
 	}
 	return err
 }
 
-// end closes the connection, for the first reason given, once what was put before has been written.
-func (q *queue) end(reason string) {
-	q.once.Do(func() {
-		q.reason = reason
-		q.box.Put(nil)
+// closeAfterWrites closes the connection once the PDUs sent before have been written. Only the first call has an effect; its
+// reason is logged.
+func (q *queue) closeAfterWrites(reason string) {
+	q.closeOnce.Do(func() {
+		q.closeReason = reason
+		q.outgoing.Put(nil)
 	})
 }
 
-// write is the writer: it sends what the mailbox holds, and ends the connection at a nil.
-func (q *queue) write() {
+// writeLoop writes the PDUs in the mailbox. It closes the connection and returns at a nil, or when a write fails.
+func (q *queue) writeLoop() {
 	var spare [][]byte
 	for {
-		<-q.box.Wake()
-		batch := q.box.Take(spare)
+		<-q.outgoing.Wake()
+		batch := q.outgoing.Take(spare)
 		for _, b := range batch {
 			if b == nil {
 				q.close()
 				return
 			}
-			q.net.SetWriteDeadline(time.Now().Add(writeWithin))
-			if _, err := q.net.Write(b); err != nil {
-				q.end("HOST_WRITE_FAILED")
+			q.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := q.conn.Write(b); err != nil {
+				q.closeAfterWrites("HOST_WRITE_FAILED")
 				q.close()
 				return
 			}
@@ -310,100 +316,104 @@
 	}
 }
 
-// close ends the connection and everything that hung on it: commands whose host is gone, and with the admin
-// queue the whole association. What the host still sends is read away, so that no reset takes the last word to it.
+// close closes the connection, drops its open commands and, if it is the admin queue, ends the association. What the host
+// still sends is read and discarded: a reset could discard the last PDU, such as a termination request, before the host
+// has read it.
 func (q *queue) close() {
-	_ = listen.CloseWrite(q.net)
+	_ = listen.CloseWrite(q.conn)
 	q.mu.Lock()
-	left, ctrl := q.cmds, q.ctrl
+	open, ctrl := q.cmds, q.ctrl
 	q.cmds = nil
 	q.mu.Unlock()
-	for _, p := range left {
+	for _, p := range open {
 		q.drop(p)
 	}
 	if ctrl != nil {
-		ctrl.leave(q)
+		ctrl.removeQueue(q)
 	}
-	q.server.log(q, q.reason)
-	_ = listen.DrainAndClose(q.net)
+	q.server.logClosed(q, q.closeReason)
+	_ = listen.DrainAndClose(q.conn)
 	q.server.mu.Lock()
-	delete(q.server.queues, q) // it has had a descriptor until now
+	delete(q.server.queues, q) // only now, as MaxConns bounds descriptors, and the connection had one until here
 	q.server.mu.Unlock()
-	close(q.ended)
+	close(q.closed)
 }
 
-// drop lets go of a command that will not be answered any more.
+// drop releases and cancels a command that will not be completed, as its connection is closed.
 func (q *queue) drop(p *pending) {
 	q.release(p)
-	q.depart(p)
+	q.cancelJobs(p)
 }
 
-// depart tells the core that nobody waits for the command's parts any more.
-func (q *queue) depart(p *pending) {
+// cancelJobs cancels the command's parts in the core.
+func (q *queue) cancelJobs(p *pending) {
 	for _, j := range p.jobs {
 		q.server.core.Cancel(j)
 	}
 }
 
-// release gives back what an open command holds.
+// release returns what an open command holds: its timer, its bytes and its place among the open commands.
 func (q *queue) release(p *pending) {
-	p.seen.End(figures.Failure) // its host is gone, where it has no status yet
-	if p.wait != nil {
-		p.wait.Stop()
+	p.stats.End(figures.Failure) // no effect if complete has counted it: otherwise its connection was closed
+	if p.dataTimer != nil {
+		p.dataTimer.Stop()
 	}
 	if p.io != nil {
-		q.server.bytes.Add(-int64(p.io.Bytes))
+		q.server.bufferedBytes.Add(-int64(p.io.Bytes))
 	}
 	if p.jobs != nil {
-		q.server.open.Add(-1)
+		q.server.openCommands.Add(-1)
 	}
 }
 
-// read is the reader. What ends it is told to the host where the protocol has a word for it.
-func (q *queue) read() {
-	err := q.serve()
-	var f *fatal
+// readLoop handles PDUs until the connection fails, and then has it closed. A protocol error is answered with a termination
+// request.
+func (q *queue) readLoop() {
+	err := q.servePDUs()
+	var f *fatalError
 	var timeout net.Error
-	var noTLS tls.RecordHeaderError
+	var notTLS tls.RecordHeaderError
 	reason := "HOST_CLOSED"
 	switch {
 	case errors.As(err, &f):
-		q.box.Put(termPDU(typeC2HTerm, f))
+		q.outgoing.Put(termPDU(typeC2HTerm, f))
 		reason = "PROTOCOL_ERROR"
 		q.server.opt.Log.Warn("host broke the protocol", slog.String("error", f.Error()))
 	case errors.Is(err, errHostTerminated):
 		reason = "HOST_TERMINATED"
 	case errors.As(err, &timeout) && timeout.Timeout():
 		reason = "HANDSHAKE_SLOW"
-	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &noTLS):
+	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &notTLS):
 		reason = "TLS_REFUSED"
 	case err != nil && err.Error() != "EOF":
 		reason = "HOST_RESET"
 	}
-	q.end(reason)
+	q.closeAfterWrites(reason)
 }
 
 var errHostTerminated = errors.New("host sent a termination request")
 
-func (q *queue) serve() error {
-	in := bufio.NewReaderSize(q.net, 16<<10)
-	q.net.SetDeadline(time.Now().Add(handshakeWithin)) // TLS writes too, in its handshake
+// servePDUs negotiates the framing and handles PDUs until the connection fails or the host violates the protocol. The
+// handshake timeout covers everything up to a successful Connect.
+func (q *queue) servePDUs() error {
+	in := bufio.NewReaderSize(q.conn, 16<<10)
+	q.conn.SetDeadline(time.Now().Add(handshakeTimeout)) // for writes as well, as the TLS handshake writes
 	p, err := readPDU(in, framing{})
 	if err != nil {
 		return err
 	}
 	if p.kind != typeICReq {
-		return &fatal{fes: fesSequence, cause: "connection must begin with ICReq", head: p.head}
+		return &fatalError{fes: fesSequence, cause: "connection must begin with ICReq", head: p.head}
 	}
 	switch {
 	case p.u16(8) != 0:
-		return &fatal{fes: fesUnsupported, fei: 8, cause: "PDU format version", head: p.head}
+		return &fatalError{fes: fesUnsupported, fei: 8, cause: "unsupported PDU format version", head: p.head}
 	case p.head[10] > maxPDA:
-		return &fatal{fes: fesInvalidHeader, fei: 10, cause: "data alignment", head: p.head}
+		return &fatalError{fes: fesInvalidHeader, fei: 10, cause: "data alignment out of range", head: p.head}
 	}
 	digests := p.head[11] & (digestHeader | digestData)
 	q.framing = framing{hdigest: digests&digestHeader != 0, ddigest: digests&digestData != 0, pda: int(p.head[10])}
-	q.box.Put(appendPDU(nil, framing{}, typeICResp, 0, icHead(digests, maxH2CData), nil))
+	q.outgoing.Put(appendPDU(nil, framing{}, typeICResp, 0, icHead(digests, maxH2CData), nil))
 	first := true
 	for {
 		p, err := readPDU(in, framing{hdigest: q.framing.hdigest, ddigest: q.framing.ddigest})
@@ -412,31 +422,32 @@
 		}
 		switch p.kind {
 		case typeCmd:
-			if err := q.command(p); err != nil {
+			if err := q.handleCommand(p); err != nil {
 				return err
 			}
 			if first && q.ctrl != nil {
 				first = false
-				q.net.SetReadDeadline(time.Time{})
+				q.conn.SetReadDeadline(time.Time{})
 			}
 		case typeH2CData:
-			if err := q.data(p); err != nil {
+			if err := q.handleData(p); err != nil {
 				return err
 			}
 		case typeH2CTerm:
 			return errHostTerminated
 		default:
-			return &fatal{fes: fesSequence, cause: "PDU type not for a controller", head: p.head}
+			return &fatalError{fes: fesSequence, cause: "PDU type is not valid from a host", head: p.head}
 		}
 	}
 }
 
-// put sends a PDU of the agreed framing.
-func (q *queue) put(kind, flags byte, head, data []byte) {
-	q.box.Put(appendPDU(nil, q.framing, kind, flags, head, data))
+// send puts a PDU, in the negotiated framing, into the mailbox of writeLoop.
+func (q *queue) send(kind, flags byte, head, data []byte) {
+	q.outgoing.Put(appendPDU(nil, q.framing, kind, flags, head, data))
 }
 
-// complete gives a command its one completion, with its data before it; later ones are ignored.
+// complete completes a command, with its data sent first. It returns false, and does nothing, if the command was completed or
+// dropped before.
 func (q *queue) complete(p *pending, st status, result uint64, data []byte) bool {
 	cid := p.cmd.cid()
 	q.mu.Lock()
@@ -454,35 +465,35 @@
 		if at+len(part) == len(data) {
 			flags = flagLast
 		}
-		q.put(typeC2HData, flags, dataHead(cid, 0, uint32(at), uint32(len(part))), part)
+		q.send(typeC2HData, flags, dataHead(cid, 0, uint32(at), uint32(len(part))), part)
 	}
-	q.put(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
-	p.seen.End(endingOf(st))
-	q.release(p) // after the answer is in the writer's mailbox: Stop ends connections once nothing is open
+	q.send(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
+	p.stats.End(endingOf(st))
+	q.release(p) // once the completion is in the mailbox: Stop closes connections as soon as no command is open
 	q.mu.Unlock()
 	return true
 }
 
-// command takes a submission queue entry.
-func (q *queue) command(pd *pdu) error {
+// handleCommand handles a command capsule.
+func (q *queue) handleCommand(pd *pdu) error {
 	p := &pending{}
 	copy(p.cmd[:], pd.head[commonLen:])
 	cid := p.cmd.cid()
 	q.mu.Lock()
-	q.asked++
+	q.commandCount++
 	if q.size > 0 {
 		q.sqhd = (q.sqhd + 1) % q.size
 	}
 	if q.cmds == nil {
 		q.mu.Unlock()
-		return nil // ending
+		return nil // the connection is being closed
 	}
 	if q.size > 0 && len(q.cmds) >= int(q.size) {
 		q.mu.Unlock()
-		return &fatal{fes: fesSequence, cause: "more commands than the queue holds", head: pd.head}
+		return &fatalError{fes: fesSequence, cause: "more open commands than the queue has entries", head: pd.head}
 	}
 	if q.cmds[cid] != nil {
-		q.put(typeResp, 0, completion{sqhd: q.sqhd, sqid: q.qid, cid: cid, status: stCIDConflict | dnr}.head(), nil)
+		q.send(typeResp, 0, completion{sqhd: q.sqhd, sqid: q.qid, cid: cid, status: stCIDConflict | dnr}.head(), nil)
 		q.mu.Unlock()
 		return nil
 	}
@@ -490,35 +501,36 @@
 	q.mu.Unlock()
 	switch {
 	case p.cmd[1]&0xC0 != 0x40 || p.cmd[1]&3 != 0:
-		q.complete(p, stInvalidField|dnr, 0, nil) // SGLs are a must on fabrics; no fused commands here
+		q.complete(p, stInvalidField|dnr, 0, nil) // fabrics require SGLs, and fused commands are not supported
 	case pd.dataError:
-		q.complete(p, stTransient, 0, nil) // nothing was begun: a repeat is harmless
+		q.complete(p, stTransient, 0, nil) // the command was not started: a retry is harmless
 	case q.ctrl == nil:
-		q.connect(p, pd.data)
+		q.handleConnect(p, pd.data)
 	case p.cmd.op() == opFabrics:
-		q.fabrics(p)
+		q.handleFabrics(p)
 	case q.qid == 0:
-		q.admin(p, pd.data)
+		q.handleAdmin(p, pd.data)
 	default:
-		return q.io(p, pd.data)
+		return q.handleIO(p, pd.data)
 	}
 	return nil
 }
 
-// io takes a command of the NVM command set. Data towards here is in the capsule, or asked for.
-func (q *queue) io(p *pending, data []byte) error {
+// handleIO handles a command of the NVM command set. Data from the host is in the capsule, or is requested with R2T.
+func (q *queue) handleIO(p *pending, data []byte) error {
 	s, c := q.server, &p.cmd
-	ns := s.space(c.nsid())
+	ns := s.namespace(c.nsid())
 	switch c.op() {
 	case opFlush:
-		// There is no volatile write cache: what was completed is kept (see HostOptions on targets that have one).
-		if ns == nil && c.nsid() != everyNS {
+		// There is no volatile write cache to flush: completed writes are durable (see capabilities.writeCache for targets that
+		// have one).
+		if ns == nil && c.nsid() != allNamespaces {
 			q.complete(p, stInvalidNS|dnr, 0, nil)
 		} else {
 			q.complete(p, stOK, 0, nil)
 		}
 		return nil
-	case opRead, opWrite, opCompare, opWriteZeroes, opDataset:
+	case opRead, opWrite, opCompare, opWriteZeroes, opDatasetManagement:
 	default:
 		q.complete(p, stInvalidOpcode|dnr, 0, nil)
 		return nil
@@ -527,151 +539,152 @@
 		q.complete(p, stInvalidNS|dnr, 0, nil)
 		return nil
 	}
-	if c.op() == opDataset {
-		q.complete(p, ns.dataset(c, data), 0, nil)
+	if c.op() == opDatasetManagement {
+		q.complete(p, ns.checkDatasetManagement(c, data), 0, nil)
 		return nil
 	}
 	x := &IO{Write: c.op() == opWrite || c.op() == opWriteZeroes, NSID: ns.ID, SLBA: c.slba(), Blocks: c.blocks()}
 	length := int(x.Blocks) * ns.BlockBytes
-	takes := c.op() == opWrite || c.op() == opCompare // data of the host's
-	inside, moved := c.sglType() == sglOffset, int(c.sglLen()) == length
+	needsHostData := c.op() == opWrite || c.op() == opCompare
+	inCapsule, lengthMatches := c.sglType() == sglOffset, int(c.sglLen()) == length
 	if c.op() == opWriteZeroes {
-		inside, moved = false, len(data) == 0 // no data pointer
+		inCapsule, lengthMatches = false, len(data) == 0 // no data pointer
 	}
 	switch {
 	case x.SLBA >= ns.Blocks || uint64(x.Blocks) > ns.Blocks-x.SLBA:
 		q.complete(p, stLBARange|dnr, 0, nil)
-	case length > maxTransfer, !moved, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
-		inside && (!takes || len(data) != length || length > inCapsule), !inside && len(data) > 0:
+	case length > maxTransfer, !lengthMatches, c.op() != opWriteZeroes && c.sglType() != sglOffset && c.sglType() != sglTransport,
+		inCapsule && (!needsHostData || len(data) != length || length > maxInCapsuleData), !inCapsule && len(data) > 0:
 		q.complete(p, stInvalidField|dnr, 0, nil)
-	case s.leaving.Load(), q.retired.Load(), s.bytes.Load()+int64(length) > s.opt.MostBytes:
-		// Nothing of it was begun; the host may come back, or go elsewhere.
-		q.complete(p, statusOf(core.Overloaded, q.ctrl.wantsDelays()), 0, nil)
+	case s.rejectNew.Load(), q.keyRetired.Load(), s.bufferedBytes.Load()+int64(length) > s.opt.MaxBufferedBytes:
+		// The command was not started: the host may retry it here or on another path.
+		q.complete(p, statusOf(core.Overloaded, q.ctrl.retryDelaysEnabled()), 0, nil)
 	default:
 		x.Bytes = length
-		// A connection that ended meanwhile has let go of the command: what it would hold now, nobody gave back.
+		// If the connection was closed meanwhile, the command was released: bytes that it took now would never be returned.
 		q.mu.Lock()
-		gone := q.cmds[c.cid()] != p
-		if !gone {
+		dropped := q.cmds[c.cid()] != p
+		if !dropped {
 			p.io, p.ns = x, ns
-			s.bytes.Add(int64(length))
+			s.bufferedBytes.Add(int64(length))
 		}
 		q.mu.Unlock()
 		switch {
-		case gone:
+		case dropped:
 		case c.op() == opWriteZeroes:
 			x.Data = make([]byte, length)
 			q.submit(p)
-		case !takes:
+		case !needsHostData:
 			q.submit(p)
-		case inside:
+		case inCapsule:
 			x.Data = data
 			q.submit(p)
 		default:
-			q.ask(p)
+			q.requestData(p)
 		}
 	}
 	return nil
 }
 
-// ask has the host send a write's data. One R2T is out for a command at a time, which any host bears. The
-// host has as long for it as the command may take.
-func (q *queue) ask(p *pending) {
+// requestData requests a command's data with an R2T. Only one R2T is outstanding for a command, which every host supports.
+// If the data is not complete within the timeout of the namespace's write class, the connection is closed.
+func (q *queue) requestData(p *pending) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.cmds[p.cmd.cid()] != p {
 		return
 	}
 	p.io.Data = make([]byte, p.io.Bytes)
-	q.serial++
-	p.tag = q.serial
-	p.wait = time.AfterFunc(q.server.opt.Patience[p.ns.Write], func() { q.end("HOST_DATA_LATE") })
-	q.put(typeR2T, 0, dataHead(p.cmd.cid(), p.tag, 0, uint32(p.io.Bytes)), nil)
+	q.lastTag++
+	p.transferTag = q.lastTag
+	p.dataTimer = time.AfterFunc(q.server.opt.Timeouts[p.ns.Write], func() { q.closeAfterWrites("HOST_DATA_LATE") })
+	q.send(typeR2T, 0, dataHead(p.cmd.cid(), p.transferTag, 0, uint32(p.io.Bytes)), nil)
 }
 
-// data takes a part of a write's data, which must come in order and within what was asked for.
-func (q *queue) data(pd *pdu) error {
+// handleData handles a part of a command's data, which must be in order and within the requested range.
+func (q *queue) handleData(pd *pdu) error {
 	q.mu.Lock()
 	p := q.cmds[pd.u16(8)]
 	q.mu.Unlock()
-	wrong := func(fes uint16, at uint32, cause string) error {
-		return &fatal{fes: fes, fei: at, cause: cause, head: pd.head}
+	protocolError := func(fes uint16, at uint32, cause string) error {
+		return &fatalError{fes: fes, fei: at, cause: cause, head: pd.head}
 	}
 	switch {
-	case p == nil || p.tag == 0 || p.wait == nil:
-		return wrong(fesInvalidHeader, 8, "data for no command that waits for some")
-	case pd.u16(10) != p.tag:
-		return wrong(fesInvalidHeader, 10, "data for another transfer tag")
+	case p == nil || p.transferTag == 0 || p.dataTimer == nil:
+		return protocolError(fesInvalidHeader, 8, "data for a command that has no outstanding R2T")
+	case pd.u16(10) != p.transferTag:
+		return protocolError(fesInvalidHeader, 10, "transfer tag does not match the R2T")
 	}
 	offset, length := int64(pd.u32(12)), int64(pd.u32(16))
-	whole := offset+length == int64(p.io.Bytes)
+	last := offset+length == int64(p.io.Bytes)
 	switch {
 	case length != int64(len(pd.data)) || length > maxH2CData || length == 0:
-		return wrong(fesInvalidHeader, 16, "data length")
-	case offset != int64(p.got) || offset+length > int64(p.io.Bytes):
-		return wrong(fesOutOfRange, 12, "data out of order or range")
-	case whole != (pd.flags&flagLast != 0):
-		return wrong(fesInvalidHeader, 1, "last-PDU flag")
+		return protocolError(fesInvalidHeader, 16, "data length out of range or not that of the data")
+	case offset != int64(p.received) || offset+length > int64(p.io.Bytes):
+		return protocolError(fesOutOfRange, 12, "data out of order or beyond the requested range")
+	case last != (pd.flags&flagLast != 0):
+		return protocolError(fesInvalidHeader, 1, "last-PDU flag does not match the data offset and length")
 	case pd.dataError:
 		q.complete(p, stTransient, 0, nil)
 		return nil
 	}
 	copy(p.io.Data[offset:], pd.data)
-	if p.got += int(length); whole {
-		p.wait.Stop()
+	if p.received += int(length); last {
+		p.dataTimer.Stop()
 		q.submit(p)
 	}
 	return nil
 }
 
-// submit hands the command to the core, in parts where it lies on several shards; the core owns its end from here on.
+// submit submits the command to the core, split into parts if it spans several shards. From here on the command ends with
+// the core's responses, unless it is aborted or its connection is closed.
 func (q *queue) submit(p *pending) {
-	parts := p.ns.split(p.io)
+	parts := p.ns.splitByShard(p.io)
 	jobs := make([]*core.Job, len(parts))
 	now := time.Now()
 	for i, x := range parts {
 		j := &core.Job{Request: p.ns.request(x), Arrived: now, Payload: x}
-		j.Timeout = q.server.opt.Leave.LimitTimeout(q.server.opt.Patience[j.Class], now, q.server.left.Load())
-		j.Done = func(a core.Response) { q.part(p, i, a) }
+		j.Timeout = q.server.opt.Shutdown.LimitTimeout(q.server.opt.Timeouts[j.Class], now, q.server.stopTime.Load())
+		j.Done = func(r core.Response) { q.completePart(p, i, r) }
 		jobs[i] = j
 	}
-	// Under the lock, so that an Abort finds the command either not handed over or wholly so. Submit does
-	// not wait, and Done never runs within it.
+	// Under the lock, so that an Abort finds either none or all of the command's parts submitted. Submit does not block, and
+	// never calls Done itself.
 	q.mu.Lock()
 	if q.cmds[p.cmd.cid()] != p {
 		q.mu.Unlock()
 		return
 	}
 	if f := q.server.opt.Figures; f != nil {
-		p.seen = f.Take(jobs[0].Class)
+		p.stats = f.Take(jobs[0].Class)
 	}
-	p.jobs, p.left, p.ends = jobs, len(jobs), make([]core.Response, len(jobs))
-	q.server.open.Add(1)
-	// Stop looks for open commands once it has turned away new ones: one that it has not seen must not be sent on.
-	left := q.server.leaving.Load()
-	var turned []int
+	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
+	q.server.openCommands.Add(1)
+	// Stop sets rejectNew before it waits for openCommands to reach zero: a command that is counted too late must not be submitted.
+	rejectAll := q.server.rejectNew.Load()
+	var rejected []int
 	for i, j := range jobs {
-		if left || !q.server.core.Submit(j) {
-			turned = append(turned, i)
+		if rejectAll || !q.server.core.Submit(j) {
+			rejected = append(rejected, i)
 		}
 	}
 	q.mu.Unlock()
-	for _, i := range turned {
-		q.part(p, i, core.Overloaded)
+	for _, i := range rejected {
+		q.completePart(p, i, core.Overloaded)
 	}
 }
 
-// part takes the end of a part; the last one completes the command.
-func (q *queue) part(p *pending, i int, a core.Response) {
+// completePart records the response to a part of a command. The last one completes the command.
+func (q *queue) completePart(p *pending, i int, response core.Response) {
 	q.mu.Lock()
-	p.ends[i] = a
-	p.left--
-	last := p.left == 0
+	p.responses[i] = response
+	p.unanswered--
+	last := p.unanswered == 0
 	q.mu.Unlock()
 	if !last {
 		return
 	}
-	st, body := gather(p.io, p.jobs, p.ends, q.ctrl.wantsDelays())
+	st, body := mergeResponses(p.io, p.jobs, p.responses, q.ctrl.retryDelaysEnabled())
 	switch {
 	case st == stOK && p.cmd.op() == opCompare:
 		if !bytes.Equal(body, p.io.Data) {
@@ -679,17 +692,17 @@
 		}
 		body = nil
 	case st == stOK:
-		q.server.health.served(p.io)
+		q.server.health.count(p.io)
 	}
 	q.complete(p, st, 0, body)
-	for _, a := range p.ends {
-		if a.OnWritten != nil {
-			a.OnWritten()
+	for _, r := range p.responses {
+		if r.OnWritten != nil {
+			r.OnWritten()
 		}
 	}
 }
 
-// abort ends a command from the admin queue; false where there is no such command.
+// abort completes a command as aborted and cancels it in the core. It returns false if no such command is open.
 func (q *queue) abort(cid uint16) bool {
 	q.mu.Lock()
 	p := q.cmds[cid]
@@ -697,11 +710,12 @@
 	if p == nil || !q.complete(p, stAborted|dnr, 0, nil) {
 		return false
 	}
-	q.depart(p)
+	q.cancelJobs(p)
 	return true
 }
 
-func euiOf(ns *Namespace) []byte {
+// eui64Of returns a namespace's EUI-64, which is its volume's id.
+func eui64Of(ns *Namespace) []byte {
 	n, _ := strconv.ParseUint(ns.Volume, 16, 64)
 	return binary.BigEndian.AppendUint64(nil, n)
 }
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -22,118 +22,119 @@
 	"spindlehitch/internal/policy"
 )
 
-// HostOptions set up the host side.
+// HostOptions are the options of a Host.
 type HostOptions struct {
 	Subsystem string // of the targets
 	HostNQN   string
 	HostID    [16]byte
 	KeepAlive time.Duration
-	Digests   bool        // ask for header and data digests
-	Keys      *keys.Store // TLS, where there are any
+	Digests   bool        // request header and data digests
+	Keys      *keys.Store // TLS certificates; nil: no TLS
 }
 
-// serial tells which keys connections are made with now.
-func (o *HostOptions) serial() int {
+// keyGeneration returns the generation of the TLS certificates that new connections use.
+func (o *HostOptions) keyGeneration() int {
 	if o.Keys == nil {
 		return 0
 	}
 	return o.Keys.Generation()
 }
 
-// peer is a target's address with the keys it is met with: after a change of keys a new association is made beside the
-// old one, whose commands end on it.
+// peer is a target's address and the generation of the TLS certificates of its connections. After a rotation, a new
+// association is made beside the old one, on which the open commands complete.
 type peer struct {
-	addr   string
-	serial int
+	addr          string
+	keyGeneration int
 }
 
-// Host is the upstream wire: an association with each target, and under it one I/O queue for each command
-// that is out. A queue of its own for each is what lets an attempt be given up by closing its connection,
-// without a word to, or for, any other.
+// Host is the upstream.Dialer for NVMe: an association with each target, with one I/O queue for each command that is in
+// flight. As each command has its own queue, an attempt can be abandoned by closing its connection, without any effect on
+// other commands.
 type Host struct {
-	opt HostOptions
-	mu  sync.Mutex
-	all map[peer]*association
+	opt          HostOptions
+	mu           sync.Mutex // guards associations
+	associations map[peer]*association
 }
 
 // NewHost returns a host.
-func NewHost(opt HostOptions) *Host { return &Host{opt: opt, all: map[peer]*association{}} }
+func NewHost(opt HostOptions) *Host { return &Host{opt: opt, associations: map[peer]*association{}} }
 
-// association is the admin queue with one target, made when first needed.
+// association is the association with one target: its admin queue, connected when it is first needed, and the ids of its
+// I/O queues.
 type association struct {
 	host *Host
 	peer
-	talk chan struct{} // held by whoever speaks on the admin queue; waiting for it can be given up
+	adminSem chan struct{} // semaphore for the use of the admin queue; unlike a mutex, waiting for it can be abandoned
 
-	mu      sync.Mutex
-	admin   *wire // nil: none
-	cntlid  uint16
-	inUse   map[uint16]bool
-	bears   bears
-	usedAt  time.Time
-	aborted int                        // Aborts whose completions nobody has read yet
-	rests   backoff.ExponentialBackOff // after attempts in a row that came to no association
-	restAt  time.Time
+	mu           sync.Mutex // guards the fields below
+	admin        *hostConn  // nil: not connected
+	cntlid       uint16
+	inUse        map[uint16]bool // ids of the I/O queues
+	capabilities capabilities
+	lastUsed     time.Time
+	unreadAborts int                        // Aborts whose completions have not been read yet
+	retryBackoff backoff.ExponentialBackOff // delay after consecutive failed attempts to establish
+	retryAt      time.Time                  // no attempt before this time
 }
 
-// bears is what a target's controller tells of itself.
-type bears struct {
-	inside int  // bytes of data that a capsule may hold
-	cache  bool // it has a volatile write cache: a write is asked to be on its medium before it is completed
+// capabilities are what a target's controller reported in Identify.
+type capabilities struct {
+	inCapsuleSize int  // bytes of data that a capsule may hold
+	writeCache    bool // it has a volatile write cache: writes are sent with FUA
 }
 
-// wire is one connection, of either kind.
-type wire struct {
+// hostConn is one connection to a controller, for an admin queue or an I/O queue.
+type hostConn struct {
 	net.Conn
-	in      *bufio.Reader
-	framing framing // for what the controller wants
-	most    uint32  // data of one H2CData
-	cid     uint16
+	in         *bufio.Reader
+	framing    framing // of the PDUs sent; received ones have no alignment
+	maxDataPDU uint32  // the controller's MAXH2CDATA
+	lastCID    uint16
 }
 
-// Dial opens an I/O queue at the target, and the association before it if there is none.
+// Dial connects an I/O queue of the target, after the association if there is none yet.
 func (h *Host) Dial(ctx context.Context, addr string) (upstream.Session, error) {
 	h.mu.Lock()
-	who := peer{addr, h.opt.serial()}
-	a := h.all[who]
+	key := peer{addr, h.opt.keyGeneration()}
+	a := h.associations[key]
 	if a == nil {
-		maps.DeleteFunc(h.all, func(_ peer, old *association) bool { return old.forgotten() }) // targets come and go
-		a = &association{host: h, peer: who, inUse: map[uint16]bool{}, talk: make(chan struct{}, 1), rests: newRests(), usedAt: time.Now()}
-		h.all[who] = a
+		maps.DeleteFunc(h.associations, func(_ peer, old *association) bool { return old.removable() }) // of targets that are no longer listed
+		a = &association{host: h, peer: key, inUse: map[uint16]bool{}, adminSem: make(chan struct{}, 1), retryBackoff: newRetryBackoff(), lastUsed: time.Now()}
+		h.associations[key] = a
 	}
 	h.mu.Unlock()
-	admin, cntlid, qid, can, err := a.enter(ctx)
+	admin, cntlid, qid, caps, err := a.acquireQID(ctx)
 	if err != nil {
 		return nil, err
 	}
-	w, err := h.open(ctx, addr)
+	w, err := h.openConn(ctx, addr)
 	if err == nil {
 		if _, err = w.connect(h.opt, qid, cntlid); err != nil {
 			w.Close()
 		}
 	}
 	if err != nil {
-		a.free(qid)
-		// A target that turns the queue away has been started anew and knows nothing of the association: it
-		// must not count until the next keep-alive finds out. One that only is slow may still have it.
+		a.releaseQID(qid)
+		// A target that rejects the queue has restarted and lost the association: drop it now, and not only when the next
+		// Keep Alive fails. A target that timed out may be slow and still have the association.
 		if !errors.Is(err, os.ErrDeadlineExceeded) && ctx.Err() == nil {
-			a.lose(admin)
+			a.dropAdmin(admin)
 		}
 		return nil, err
 	}
 	w.SetDeadline(time.Time{})
-	return &session{wire: w, from: a, qid: qid, bears: can}, nil
+	return &session{hostConn: w, assoc: a, qid: qid, capabilities: caps}, nil
 }
 
-// forgotten tells whether nothing is left of it that anybody could want.
-func (a *association) forgotten() bool {
+// removable reports whether the association has ended, has no I/O queues and was not used or retried for a while.
+func (a *association) removable() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.admin == nil && len(a.inUse) == 0 && time.Since(a.usedAt) > unusedFor && time.Since(a.restAt) > unusedFor
+	return a.admin == nil && len(a.inUse) == 0 && time.Since(a.lastUsed) > maxUnusedTime && time.Since(a.retryAt) > maxUnusedTime
 }
 
-// lose ends the association of an admin queue, if it is still this one's.
-func (a *association) lose(w *wire) {
+// dropAdmin closes an admin queue. If it is the association's current one, the next Dial connects a new one.
+func (a *association) dropAdmin(w *hostConn) {
 	a.mu.Lock()
 	if a.admin == w {
 		a.admin = nil
@@ -142,31 +143,31 @@
 	w.Close()
 }
 
-// open makes a connection and agrees on its framing.
-func (h *Host) open(ctx context.Context, addr string) (*wire, error) {
+// openConn opens a connection and negotiates its framing. The connection's deadline is that of ctx.
+func (h *Host) openConn(ctx context.Context, addr string) (*hostConn, error) {
 	c, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	if h.opt.Keys != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		secure := tls.Client(c, h.opt.Keys.ClientConfig(host))
-		if err := secure.HandshakeContext(ctx); err != nil {
+		tlsConn := tls.Client(c, h.opt.Keys.ClientConfig(host))
+		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return nil, err
 		}
-		c = secure
+		c = tlsConn
 	}
-	w := &wire{Conn: c, in: bufio.NewReaderSize(c, 16<<10)}
-	if until, ok := ctx.Deadline(); ok {
-		c.SetDeadline(until)
+	w := &hostConn{Conn: c, in: bufio.NewReaderSize(c, 16<<10)}
+	if deadline, ok := ctx.Deadline(); ok {
+		c.SetDeadline(deadline)
 	}
 	var digests byte
 	if h.opt.Digests {
 		digests = digestHeader | digestData
 	}
 	if _, err = c.Write(appendPDU(nil, framing{}, typeICReq, 0, icHead(digests, 0), nil)); err == nil {
-		err = w.agree(digests)
+		err = w.readICResp(digests)
 	}
 	if err != nil {
 		c.Close()
@@ -175,36 +176,38 @@
 	return w, nil
 }
 
-func (w *wire) agree(asked byte) error {
+// readICResp reads the controller's ICResp, and checks that it grants no digest that was not requested.
+func (w *hostConn) readICResp(requested byte) error {
 	p, err := readPDU(w.in, framing{})
 	switch {
 	case err != nil:
 		return err
-	case p.kind != typeICResp || p.u16(8) != 0 || p.head[10] > maxPDA || p.head[11]&^asked != 0 || p.u32(12) < minH2CData:
-		return errors.New("controller's ICResp is not usable")
+	case p.kind != typeICResp || p.u16(8) != 0 || p.head[10] > maxPDA || p.head[11]&^requested != 0 || p.u32(12) < minH2CData:
+		return errors.New("controller sent an invalid ICResp")
 	}
 	w.framing = framing{hdigest: p.head[11]&digestHeader != 0, ddigest: p.head[11]&digestData != 0, pda: int(p.head[10])}
-	w.most = p.u32(12)
+	w.maxDataPDU = p.u32(12)
 	return nil
 }
 
-// receive reads a PDU; the host asked for no alignment of its own.
-func (w *wire) receive() (*pdu, error) {
+// receive reads a PDU. If the PDU is invalid, it sends the controller a termination request.
+func (w *hostConn) receive() (*pdu, error) {
 	p, err := readPDU(w.in, framing{hdigest: w.framing.hdigest, ddigest: w.framing.ddigest})
-	var f *fatal
+	var f *fatalError
 	if errors.As(err, &f) {
 		_, _ = w.Write(termPDU(typeH2CTerm, f))
 	}
 	return p, err
 }
 
-func (w *wire) nextCID() uint16 {
-	w.cid++
-	return w.cid
+func (w *hostConn) nextCID() uint16 {
+	w.lastCID++
+	return w.lastCID
 }
 
-// ask carries out a command outside the data path: data in the capsule, a page or nothing back.
-func (w *wire) ask(c *command, data []byte) (completion, []byte, error) {
+// execute executes a command outside the data path. Its data, if any, is in the capsule; it returns the completion, and the
+// page that the controller sent, if any.
+func (w *hostConn) execute(c *command, data []byte) (completion, []byte, error) {
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, c[:], data)); err != nil {
 		return completion{}, nil, err
 	}
@@ -217,13 +220,13 @@
 		switch p.kind {
 		case typeC2HData:
 			if int64(len(page)) != int64(p.u32(12)) || len(page)+len(p.data) > identifyLen || p.dataError {
-				return completion{}, nil, errors.New("data out of order")
+				return completion{}, nil, errors.New("data out of order, too long or with a wrong digest")
 			}
 			page = append(page, p.data...)
 		case typeResp:
 			done := parseCompletion(p)
 			if done.cid != c.cid() {
-				continue // of an Abort that nobody waited for
+				continue // of an earlier Abort, see association.abort
 			}
 			if done.status != stOK {
 				return done, nil, fmt.Errorf("command %#x ended with status %#x", c.op(), uint16(done.status))
@@ -235,17 +238,18 @@
 	}
 }
 
-func fabricsCommand(w *wire, fctype byte, length int) *command {
+// fabricsCommand returns a fabrics command with length bytes of data in its capsule.
+func fabricsCommand(w *hostConn, fctype byte, length int) *command {
 	c := newCommand(opFabrics, w.nextCID(), length, length > 0)
 	c[4] = fctype
 	return c
 }
 
-// connect sends Connect; the answer is the controller's id.
-func (w *wire) connect(opt HostOptions, qid, cntlid uint16) (uint16, error) {
+// connect sends Connect and returns the controller's id.
+func (w *hostConn) connect(opt HostOptions, qid, cntlid uint16) (uint16, error) {
 	c := fabricsCommand(w, fctConnect, connectLen)
 	c.set16(42, qid)
-	c.set16(44, 31)
+	c.set16(44, 31) // SQSIZE, zero-based
 	if qid == 0 {
 		c.set32(48, uint32(opt.KeepAlive.Milliseconds()))
 	} else {
@@ -256,190 +260,192 @@
 	binary.LittleEndian.PutUint16(data[16:], cntlid)
 	copy(data[256:511], opt.Subsystem)
 	copy(data[512:767], opt.HostNQN)
-	done, _, err := w.ask(c, data)
+	done, _, err := w.execute(c, data)
 	return uint16(done.result), err
 }
 
-// property reads a property of four bytes.
-func (w *wire) property(offset uint32) (uint64, error) {
+// readProperty reads a property of four bytes.
+func (w *hostConn) readProperty(offset uint32) (uint64, error) {
 	c := fabricsCommand(w, fctPropertyGet, 0)
 	c.set32(44, offset)
-	done, _, err := w.ask(c, nil)
+	done, _, err := w.execute(c, nil)
 	return done.result, err
 }
 
-// enter makes sure of the association and takes a queue id in it. Neither a target that stands still nor
-// whoever waits for it holds this up for longer than ctx allows.
-func (a *association) enter(ctx context.Context) (admin *wire, cntlid, qid uint16, can bears, err error) {
+// acquireQID establishes the association if necessary and allocates a queue id in it. It returns when ctx ends, even if the
+// target does not respond or another caller is waiting for it.
+func (a *association) acquireQID(ctx context.Context) (admin *hostConn, cntlid, qid uint16, caps capabilities, err error) {
 	for {
 		a.mu.Lock()
 		if a.admin != nil {
 			defer a.mu.Unlock()
-			for id := uint16(1); id <= mostQueues; id++ {
+			for id := uint16(1); id <= maxIOQueues; id++ {
 				if !a.inUse[id] {
 					a.inUse[id] = true
-					a.usedAt = time.Now()
-					return a.admin, a.cntlid, id, a.bears, nil
+					a.lastUsed = time.Now()
+					return a.admin, a.cntlid, id, a.capabilities, nil
 				}
 			}
-			return nil, 0, 0, can, errors.New("all I/O queues are in use")
+			return nil, 0, 0, caps, errors.New("all I/O queue ids of the association are in use")
 		}
 		a.mu.Unlock()
 		select {
-		case a.talk <- struct{}{}:
+		case a.adminSem <- struct{}{}:
 		case <-ctx.Done():
-			return nil, 0, 0, can, ctx.Err()
+			return nil, 0, 0, caps, ctx.Err()
 		}
 		err := a.establish(ctx)
-		<-a.talk
+		<-a.adminSem
 		if err != nil {
-			return nil, 0, 0, can, err
+			return nil, 0, 0, caps, err
 		}
 	}
 }
 
-func (a *association) free(qid uint16) {
+func (a *association) releaseQID(qid uint16) {
 	a.mu.Lock()
 	delete(a.inUse, qid)
 	a.mu.Unlock()
 }
 
-// establish connects the admin queue, enables the controller and reads what it bears. Its caller holds talk.
+// establish connects the admin queue, enables the controller and reads its capabilities. The caller holds adminSem.
 func (a *association) establish(ctx context.Context) error {
 	a.mu.Lock()
-	there, rests := a.admin != nil, time.Now().Before(a.restAt)
+	connected, backingOff := a.admin != nil, time.Now().Before(a.retryAt)
 	a.mu.Unlock()
 	switch {
-	case there:
+	case connected:
 		return nil
-	case rests:
-		return errRests
+	case backingOff:
+		return errBackingOff
 	}
-	w, err := a.host.open(ctx, a.addr)
+	w, err := a.host.openConn(ctx, a.addr)
 	var cntlid uint16
-	var can bears
+	var caps capabilities
 	if err == nil {
-		if cntlid, can, err = a.host.enable(ctx, w); err != nil {
+		if cntlid, caps, err = a.host.enable(ctx, w); err != nil {
 			w.Close()
 		}
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.restAt = time.Now().Add(a.rests.NextBackOff())
+		a.retryAt = time.Now().Add(a.retryBackoff.NextBackOff())
 		return err
 	}
 	w.SetDeadline(time.Time{})
-	a.admin, a.cntlid, a.bears, a.aborted, a.usedAt = w, cntlid, can, 0, time.Now()
-	a.rests.Reset()
-	go a.keep(w)
+	a.admin, a.cntlid, a.capabilities, a.unreadAborts, a.lastUsed = w, cntlid, caps, 0, time.Now()
+	a.retryBackoff.Reset()
+	go a.sendKeepAlives(w)
 	return nil
 }
 
-var errRests = errors.New("an association failed just now")
+var errBackingOff = errors.New("connecting the association failed recently; backing off")
 
 const (
-	restLeast = 20 * time.Millisecond
-	restMost  = time.Second
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = time.Second
 )
 
-// newRests are how long a target is let be after attempts at an association that failed in a row. What is asked of it
-// meanwhile fails at once, and the module decides what becomes of it.
-func newRests() backoff.ExponentialBackOff {
-	b := backoff.ExponentialBackOff{InitialInterval: restLeast, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: restMost}
+// newRetryBackoff returns the delays after consecutive failed attempts to establish an association. During a delay, attempts
+// on the target fail at once, and the policy module decides what happens with their requests.
+func newRetryBackoff() backoff.ExponentialBackOff {
+	b := backoff.ExponentialBackOff{InitialInterval: minRetryDelay, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: maxRetryDelay}
 	b.Reset()
 	return b
 }
 
-func (h *Host) enable(ctx context.Context, w *wire) (cntlid uint16, can bears, err error) {
-	if cntlid, err = w.connect(h.opt, 0, staticID); err != nil {
+// enable connects the admin queue, enables the controller, waits until it is ready and reads its capabilities.
+func (h *Host) enable(ctx context.Context, w *hostConn) (cntlid uint16, caps capabilities, err error) {
+	if cntlid, err = w.connect(h.opt, 0, dynamicCntlID); err != nil {
 		return
 	}
 	c := fabricsCommand(w, fctPropertySet, 0)
 	c.set32(44, propCC)
-	c.set64(48, 4<<20|6<<16|ccEnable) // entry sizes, enabled
-	if _, _, err = w.ask(c, nil); err != nil {
+	c.set64(48, 4<<20|6<<16|ccEnable) // queue entry sizes, EN
+	if _, _, err = w.execute(c, nil); err != nil {
 		return
 	}
 	for ready := false; !ready; {
 		var v uint64
-		if v, err = w.property(propCSTS); err != nil {
+		if v, err = w.readProperty(propCSTS); err != nil {
 			return
 		}
 		if ready = v&cstsReady != 0; !ready {
 			select {
 			case <-ctx.Done():
-				return 0, can, ctx.Err()
+				return 0, caps, ctx.Err()
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
 	}
 	id := newCommand(opIdentify, w.nextCID(), identifyLen, false)
 	id.set32(40, 1)
-	_, page, err := w.ask(id, nil)
+	_, page, err := w.execute(id, nil)
 	if err == nil && len(page) != identifyLen {
-		err = errors.New("controller's identify page is not whole")
+		err = errors.New("controller's identify page is incomplete")
 	}
 	if err != nil {
 		return
 	}
-	return cntlid, bears{inside: max(0, int(binary.LittleEndian.Uint32(page[1792:]))*16-64), cache: page[525]&1 != 0}, nil
+	return cntlid, capabilities{inCapsuleSize: max(0, int(binary.LittleEndian.Uint32(page[1792:]))*16-64), writeCache: page[525]&1 != 0}, nil
 }
 
-// unusedFor is how long an association without I/O queues is kept, so that none outlives its target's place
-// in the list for long.
-const unusedFor = 30 * time.Second
+// maxUnusedTime is how long an association without I/O queues is kept, so that it is closed soon after its target is removed
+// from the list.
+const maxUnusedTime = 30 * time.Second
 
-// keep sends keep-alives until the admin queue fails or nothing needs it; the association has ended then.
-func (a *association) keep(w *wire) {
-	every := a.host.opt.KeepAlive / 2
+// sendKeepAlives sends Keep Alives until the admin queue fails, is replaced or is unused. Then it closes the admin queue and
+// returns.
+func (a *association) sendKeepAlives(w *hostConn) {
+	interval := a.host.opt.KeepAlive / 2
 	for {
-		time.Sleep(every)
+		time.Sleep(interval)
 		a.mu.Lock()
-		old := a.serial != a.host.opt.serial()
-		over := a.admin != w || len(a.inUse) == 0 && (old || time.Since(a.usedAt) > unusedFor)
+		keysChanged := a.keyGeneration != a.host.opt.keyGeneration()
+		unused := a.admin != w || len(a.inUse) == 0 && (keysChanged || time.Since(a.lastUsed) > maxUnusedTime)
 		a.mu.Unlock()
-		if over {
-			a.lose(w)
-			if old { // nothing new comes to it
+		if unused {
+			a.dropAdmin(w)
+			if keysChanged { // no new connection uses the old certificates
 				a.host.mu.Lock()
-				delete(a.host.all, a.peer)
+				delete(a.host.associations, a.peer)
 				a.host.mu.Unlock()
 			}
 			return
 		}
-		a.talk <- struct{}{}
-		w.SetDeadline(time.Now().Add(every))
-		_, _, err := w.ask(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
+		a.adminSem <- struct{}{}
+		w.SetDeadline(time.Now().Add(interval))
+		_, _, err := w.execute(newCommand(opKeepAlive, w.nextCID(), 0, false), nil)
 		w.SetDeadline(time.Time{})
 		a.mu.Lock()
-		a.aborted = 0 // their completions came before this one's
+		a.unreadAborts = 0 // their completions preceded this one's
 		a.mu.Unlock()
-		<-a.talk
+		<-a.adminSem
 		if err != nil {
-			a.lose(w)
+			a.dropAdmin(w)
 			return
 		}
 	}
 }
 
-// mostAborts bounds the Aborts of which no completion was read; the admin queue holds 32 entries.
-const mostAborts = 3
+// maxUnreadAborts bounds the Aborts whose completions have not been read; the admin queue has 32 entries.
+const maxUnreadAborts = 3
 
-// abort tells the controller that a command is not waited for any more. It is a courtesy: what counts is
-// that the command's connection closes. So it waits for nothing, least of all for a target that stands
-// still; its completion is passed over when the next keep-alive reads the queue.
+// abort sends an Abort for a command that is abandoned. It is best effort, as what counts is that the command's connection is
+// closed. So it does not wait for the admin queue or for a target that does not respond. Its completion is skipped when the
+// next Keep Alive reads the admin queue.
 func (a *association) abort(qid, cid uint16) {
 	select {
-	case a.talk <- struct{}{}:
-		defer func() { <-a.talk }()
+	case a.adminSem <- struct{}{}:
+		defer func() { <-a.adminSem }()
 	default:
 		return
 	}
 	a.mu.Lock()
 	w := a.admin
-	ok := w != nil && a.aborted < mostAborts
-	a.aborted++
+	ok := w != nil && a.unreadAborts < maxUnreadAborts
+	a.unreadAborts++
 	a.mu.Unlock()
 	if !ok {
 		return
@@ -451,62 +457,64 @@
 	w.SetWriteDeadline(time.Time{})
 }
 
-// session is one I/O queue.
+// session is an I/O queue of a target, which carries one command at a time. It implements upstream.Session.
 type session struct {
-	*wire
-	bears
-	from *association
-	qid  uint16
-	once sync.Once
+	*hostConn
+	capabilities
+	assoc       *association
+	qid         uint16
+	releaseOnce sync.Once
 }
 
-// Close ends the queue.
+// Close closes the queue's connection and releases its queue id.
 func (s *session) Close() error {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(secure.NetConn()) { // its word of the end would wait for that
-		c = secure.NetConn()
+	if tlsConn, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(tlsConn.NetConn()) { // a close_notify alert would wait for the acknowledgement
+		c = tlsConn.NetConn()
 	}
 	err := upstream.CloseOrReset(c)
-	s.once.Do(func() { s.from.free(s.qid) })
+	s.releaseOnce.Do(func() { s.assoc.releaseQID(s.qid) })
 	return err
 }
 
 // Alive implements upstream.Session.
 //
-// One made with keys that have been changed is not used again: the target will end it once they are good no more, and a
-// command written at that moment would be in doubt.
+// It returns false if the certificates have been rotated since the connection was made: the target closes it once it no
+// longer accepts the old certificate, and a command written at that moment might or might not have been executed.
 func (s *session) Alive() bool {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok {
-		c = secure.NetConn()
+	if tlsConn, ok := c.(*tls.Conn); ok {
+		c = tlsConn.NetConn()
 	}
-	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.OpenAndIdle(c)
+	return s.in.Buffered() == 0 && s.assoc.keyGeneration == s.assoc.host.opt.keyGeneration() && upstream.OpenAndIdle(c)
 }
 
-// Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
-// controller asks; until the last byte of it is written, it cannot have begun.
-func (s *session) Do(a core.Attempt, first func() bool) (r core.Result, reuse bool, reason string) {
+// Do implements upstream.Session.
+//
+// It executes one read or write. A write's data is sent in the capsule if it fits, and otherwise when the controller requests
+// it with R2T. A write cannot have started before the last byte of its data was written.
+func (s *session) Do(a core.Attempt, mayStart func() bool) (r core.Result, reuse bool, reason string) {
 	x := a.Payload.(*IO)
 	op := byte(opRead)
 	if x.Write {
 		op = opWrite
 	}
-	inside := x.Write && len(x.Data) <= s.inside
-	c := newCommand(op, s.nextCID(), x.Bytes, inside)
+	inCapsule := x.Write && len(x.Data) <= s.inCapsuleSize
+	c := newCommand(op, s.nextCID(), x.Bytes, inCapsule)
 	c.set32(4, x.NSID)
 	c.set64(40, x.SLBA)
 	c.set16(48, uint16(x.Blocks-1))
-	if x.Write && s.cache {
+	if x.Write && s.writeCache {
 		c.set32(48, c.dw(12)|fua)
 	}
 	var data []byte
-	if inside {
+	if inCapsule {
 		data = x.Data
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
 	s.SetDeadline(a.Deadline)
 	s.SetWriteDeadline(a.WriteDeadline())
-	if !first() {
+	if !mayStart() {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
@@ -514,15 +522,15 @@
 		r.Code = policy.NotConnected
 		return r, false, "WRITE_" + upstream.ReasonCode(err)
 	}
-	written := !x.Write || inside
+	written := !x.Write || inCapsule
 	if written {
 		a.NotifySent()
 	}
-	st, body, err := s.finish(c, x, a, &written)
+	st, body, err := s.transfer(c, x, a, &written)
 	if err != nil {
 		switch {
 		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Deadline):
-			s.from.abort(s.qid, c.cid())
+			s.assoc.abort(s.qid, c.cid())
 			r.Code = policy.ConnectionReset
 			return r, false, "READ_STALLED"
 		case !written:
@@ -533,7 +541,7 @@
 			r.Code = policy.ConnectionReset
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
-			s.from.abort(s.qid, c.cid())
+			s.assoc.abort(s.qid, c.cid())
 		}
 		return r, false, "READ_" + upstream.ReasonCode(err)
 	}
@@ -541,22 +549,23 @@
 	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
 }
 
-// stallAfter is how long an answer that has begun may bring nothing, as on HTTP: one that stops midway is not waited for
-// until the attempt's time is over.
-const stallAfter = 250 * time.Millisecond
+// stallTimeout is how long a response that has begun may bring no further data, as with HTTP, so that a response that stops
+// midway does not take all of the attempt's time.
+const stallTimeout = 250 * time.Millisecond
 
-// finish takes part in the command's transfers until its completion.
-func (s *session) finish(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+// transfer sends and receives the command's data until its completion. It sets written once the last byte of a write's data
+// has been written.
+func (s *session) transfer(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
-	until := a.Deadline
+	deadline := a.Deadline
 	for {
-		s.SetReadDeadline(until)
+		s.SetReadDeadline(deadline)
 		if len(body) == 0 {
 			if _, err := s.in.Peek(1); err != nil {
 				return 0, nil, err
 			}
 		}
-		if at := time.Now().Add(stallAfter); at.Before(until) {
+		if at := time.Now().Add(stallTimeout); at.Before(deadline) {
 			s.SetReadDeadline(at)
 		}
 		p, err := s.receive()
@@ -566,14 +575,15 @@
 		switch p.kind {
 		case typeR2T:
 			if *written || p.u16(8) != c.cid() {
-				return 0, nil, errors.New("R2T for no write that waits")
+				return 0, nil, errors.New("unexpected R2T")
 			}
 			offset, length := int64(p.u32(12)), int64(p.u32(16))
 			if length == 0 || offset+length > int64(len(x.Data)) {
 				return 0, nil, errors.New("R2T out of range")
 			}
 			if !time.Now().Before(a.WriteDeadline()) {
-				// The deadline of writes is kept by a timer, which a busy machine may fire late: what must not leave any more must not hang on it.
+				// A write deadline is enforced by a timer, which a busy machine may fire late. Data must not be sent after its
+				// deadline, so check the time as well.
 				return 0, nil, os.ErrDeadlineExceeded
 			}
 			if err := s.sendData(c.cid(), p.u16(10), x.Data, int(offset), int(offset+length)); err != nil {
@@ -585,18 +595,18 @@
 		case typeC2HData:
 			if x.Write || p.u16(8) != c.cid() || int64(p.u32(12)) != int64(len(body)) ||
 				len(body)+len(p.data) > x.Bytes || p.dataError {
-				return 0, nil, errors.New("data for no read, out of order or damaged")
+				return 0, nil, errors.New("unexpected data, or data out of order, too long or with a wrong digest")
 			}
 			body = append(body, p.data...)
 			if p.flags&flagSuccess != 0 && p.flags&flagLast != 0 {
-				return s.whole(stOK, x, body)
+				return s.checkLength(stOK, x, body)
 			}
 		case typeResp:
 			done := parseCompletion(p)
 			if done.cid != c.cid() {
-				return 0, nil, errors.New("completion of another command")
+				return 0, nil, errors.New("completion with the id of another command")
 			}
-			return s.whole(done.status, x, body)
+			return s.checkLength(done.status, x, body)
 		case typeC2HTerm:
 			return 0, nil, io.ErrUnexpectedEOF
 		default:
@@ -605,17 +615,18 @@
 	}
 }
 
-// whole takes no read for served whose data is not all there.
-func (s *session) whole(st status, x *IO, body []byte) (status, []byte, error) {
+// checkLength fails a successful read whose data is incomplete.
+func (s *session) checkLength(st status, x *IO, body []byte) (status, []byte, error) {
 	if st == stOK && !x.Write && len(body) != x.Bytes {
-		return 0, nil, errors.New("data is not whole")
+		return 0, nil, errors.New("read completed with incomplete data")
 	}
 	return st, body, nil
 }
 
+// sendData sends the data from offset from up to to, in the H2CData PDUs of one R2T.
 func (s *session) sendData(cid, tag uint16, data []byte, from, to int) error {
 	for from < to {
-		n := min(to-from, int(s.most))
+		n := min(to-from, int(s.maxDataPDU))
 		flags := byte(0)
 		if from+n == to {
 			flags = flagLast
--- a/internal/datapath/nvme/logs.go
+++ b/internal/datapath/nvme/logs.go
@@ -18,14 +18,14 @@
 
 	errorEntries  = 16
 	errorEntryLen = 64
-	discoveryLen  = 1024 // of the header and of an entry
+	discoveryLen  = 1024 // length of the discovery log page's header, and of each of its entries
 	discoveryNQN  = "nqn.2014-08.org.nvmexpress.discovery"
 )
 
-// health counts what the health page tells.
-type health struct{ reads, writes, readBlocks, writeBlocks atomic.Uint64 }
+// healthCounters counts the commands and the 512-byte units that the health log page reports.
+type healthCounters struct{ reads, writes, readBlocks, writeBlocks atomic.Uint64 }
 
-func (h *health) served(x *IO) {
+func (h *healthCounters) count(x *IO) {
 	const unit = 512
 	if x.Write {
 		h.writes.Add(1)
@@ -36,24 +36,24 @@
 	}
 }
 
-// errorLog keeps a controller's last commands that ended with an error.
+// errorLog keeps an entry for each of a controller's last commands that ended with an error.
 type errorLog struct {
-	mu    sync.Mutex
-	count uint64
-	last  [errorEntries][errorEntryLen]byte
+	mu      sync.Mutex // guards the fields below
+	count   uint64     // errors in all
+	entries [errorEntries][errorEntryLen]byte
 }
 
 func (l *errorLog) add(qid uint16, c *command, st status) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := &l.last[l.count%errorEntries]
+	e := &l.entries[l.count%errorEntries]
 	l.count++
 	*e = [errorEntryLen]byte{}
 	binary.LittleEndian.PutUint64(e[0:], l.count)
 	binary.LittleEndian.PutUint16(e[8:], qid)
 	binary.LittleEndian.PutUint16(e[10:], c.cid())
 	binary.LittleEndian.PutUint16(e[12:], uint16(st)<<1)
-	binary.LittleEndian.PutUint16(e[14:], 0xFFFF) // no parameter is told
+	binary.LittleEndian.PutUint16(e[14:], 0xFFFF) // the parameter at fault is not reported
 	if qid > 0 {
 		binary.LittleEndian.PutUint64(e[16:], c.slba())
 	}
@@ -62,19 +62,20 @@
 	}
 }
 
-// page has the newest first.
+// page returns the log page, with the newest entry first.
 func (l *errorLog) page() []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	b := make([]byte, 0, errorEntries*errorEntryLen)
 	for i := uint64(0); i < min(l.count, errorEntries); i++ {
-		b = append(b, l.last[(l.count-1-i)%errorEntries][:]...)
+		b = append(b, l.entries[(l.count-1-i)%errorEntries][:]...)
 	}
 	return b[:cap(b)]
 }
 
-// logPage takes Get Log Page: any part of a page, in dwords, past its end zeroes as the specification leaves it.
-func (q *queue) logPage(p *pending) {
+// handleGetLogPage carries out Get Log Page for any part of a page, in dwords. Past the end of a page the specification
+// leaves the data undefined; it is zeroes here.
+func (q *queue) handleGetLogPage(p *pending) {
 	c := &p.cmd
 	length := (int64(c.dw(10)>>16) | int64(c.dw(11)&0xFFFF)<<16) + 1
 	length *= 4
@@ -84,7 +85,7 @@
 		return
 	}
 	const retain = 1 << 15
-	page := q.logBytes(byte(c.dw(10)), c.dw(10)&retain != 0)
+	page := q.logPageData(byte(c.dw(10)), c.dw(10)&retain != 0)
 	switch {
 	case page == nil:
 		q.complete(p, stInvalidLogPage|dnr, 0, nil)
@@ -97,12 +98,12 @@
 	}
 }
 
-// logBytes is a whole page; nil where there is none of that kind.
-func (q *queue) logBytes(lid byte, retain bool) []byte {
+// logPageData returns a whole log page, or nil if the controller has no such page.
+func (q *queue) logPageData(lid byte, retain bool) []byte {
 	s := q.server
-	if q.ctrl.finder {
+	if q.ctrl.isDiscovery {
 		if lid == logDiscovery {
-			return s.discovery(q.net.LocalAddr())
+			return s.discoveryPage(q.conn.LocalAddr())
 		}
 		return nil
 	}
@@ -113,7 +114,7 @@
 	case logHealth:
 		const kelvin = 273
 		binary.LittleEndian.PutUint16(page[1:], kelvin+25)
-		page[3], page[4] = 100, 10 // spare, and its threshold
+		page[3], page[4] = 100, 10 // available spare and its threshold, in percent
 		for at, n := range map[int]uint64{32: (s.health.readBlocks.Load() + 999) / 1000, 48: (s.health.writeBlocks.Load() + 999) / 1000,
 			64: s.health.reads.Load(), 80: s.health.writes.Load()} {
 			binary.LittleEndian.PutUint64(page[at:], n)
@@ -122,20 +123,20 @@
 		binary.LittleEndian.PutUint64(page[176:], q.ctrl.errors.count)
 		q.ctrl.errors.mu.Unlock()
 	case logFirmware:
-		page[0] = 1 // the slot in use
+		page[0] = 1 // the active slot
 		copy(page[8:], "1       ")
 	case logNamespaces:
-		return q.ctrl.changed(retain)
+		return q.ctrl.changedNamespacesPage(retain)
 	case logEffects:
 		page = make([]byte, 4096)
 		for _, op := range []int{opGetLogPage, opIdentify, opAbort, opSetFeatures, opGetFeatures, opAsyncEvent, opKeepAlive} {
 			page[4*op] = 1
 		}
-		for _, op := range []int{opFlush, opRead, opCompare, opDataset} {
+		for _, op := range []int{opFlush, opRead, opCompare, opDatasetManagement} {
 			page[1024+4*op] = 1
 		}
 		for _, op := range []int{opWrite, opWriteZeroes} {
-			page[1024+4*op] = 3 // changes what blocks hold
+			page[1024+4*op] = 3 // supported, and changes the content of blocks
 		}
 	default:
 		return nil
@@ -143,19 +144,19 @@
 	return page
 }
 
-// discovery is the discovery page: one entry, this subsystem at the address that the host came to.
-func (s *Server) discovery(at net.Addr) []byte {
+// discoveryPage returns the discovery log page: one entry, for this subsystem at the address that the host connected to.
+func (s *Server) discoveryPage(local net.Addr) []byte {
 	page := make([]byte, 2*discoveryLen)
-	binary.LittleEndian.PutUint64(page[0:], 1) // generation
-	binary.LittleEndian.PutUint64(page[8:], 1) // entries
+	binary.LittleEndian.PutUint64(page[0:], 1) // generation counter
+	binary.LittleEndian.PutUint64(page[8:], 1) // number of records
 	e := page[discoveryLen:]
 	const tcp, ipv4, ipv6, nvm = 3, 1, 2, 2
-	host, port, _ := net.SplitHostPort(at.String())
+	host, port, _ := net.SplitHostPort(local.String())
 	e[0], e[1], e[2] = tcp, ipv4, nvm
 	if ip := net.ParseIP(host); ip != nil && ip.To4() == nil {
 		e[1] = ipv6
 	}
-	binary.LittleEndian.PutUint16(e[6:], staticID)
+	binary.LittleEndian.PutUint16(e[6:], dynamicCntlID)
 	binary.LittleEndian.PutUint16(e[8:], uint16(max(s.opt.QueueDepth, 32)))
 	pad := func(b []byte, text string) {
 		for i := range b {
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -30,46 +30,47 @@
 func TestMain(m *testing.M) { seeded.Main(m) }
 
 const (
-	targetNQN = "nqn.2026-12.example.test:target"
-	poolNQN   = "nqn.2026-12.example.test:pool"
-	blockSize = 512
-	patient   = 20 * time.Second
+	targetNQN   = "nqn.2026-12.example.test:target"
+	poolNQN     = "nqn.2026-12.example.test:pool"
+	blockSize   = 512
+	testTimeout = 20 * time.Second
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func space() Namespace {
+func testNamespace() Namespace {
 	return Namespace{ID: 1, Volume: "00000003b4d60021", Plan: "std", Hosts: 1, BlockBytes: blockSize, Blocks: 1 << 20,
 		StripeBlocks: 2048, Shards: []int{0}, UnitBlocks: 16, Read: "position-read", Write: "event-write"}
 }
 
+// newServer starts a Server in front of c, and returns it with its address.
 func newServer(t testing.TB, c Core, subsystem string) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-		MostBytes: 8 << 20, Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Leave: core.NewShutdownSchedule(2 * time.Second),
-		Figures: figures.New([]string{"position-read", "event-write"}), Log: quiet})
+	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64,
+		MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Shutdown: core.NewShutdownSchedule(2 * time.Second),
+		Figures: figures.New([]string{"position-read", "event-write"}), Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
 	return s, l.Addr().String()
 }
 
-// store is the stand-in target's back: it keeps blocks, counts what it runs, and can stand still.
+// store is the fake target's backend, in place of the core: it keeps blocks, counts what it executes, and can hold commands.
 type store struct {
-	mu     sync.Mutex
-	blocks map[uint64][]byte
-	writes map[string]int // how often each text was written
-	reads  int
-	still  chan struct{} // not nil: commands wait until it is closed
-	came   chan *IO
-	answer core.Response // instead of serving, where its Status is not Served
+	mu       sync.Mutex
+	blocks   map[uint64][]byte
+	writes   map[string]int // number of writes of each text
+	reads    int
+	hold     chan struct{} // if not nil, commands wait until the test closes it
+	received chan *IO      // every submitted command; Submit blocks when it is full
+	answer   core.Response // if its Status is not Served, commands are not executed and get this response
 }
 
 func newStore() *store {
-	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, came: make(chan *IO, 64)}
+	return &store{blocks: map[uint64][]byte{}, writes: map[string]int{}, received: make(chan *IO, 64)}
 }
 
 func (s *store) Cancel(*core.Job) {}
@@ -77,12 +78,12 @@
 func (s *store) Submit(j *core.Job) bool {
 	x := j.Payload.(*IO)
 	s.mu.Lock()
-	still, answer := s.still, s.answer
+	hold, answer := s.hold, s.answer
 	s.mu.Unlock()
-	s.came <- x
+	s.received <- x
 	go func() {
-		if still != nil {
-			<-still
+		if hold != nil {
+			<-hold
 		}
 		if answer.Status != core.Served {
 			j.Done(answer)
@@ -109,75 +110,79 @@
 	return true
 }
 
+// wrote returns how often a text was written.
 func (s *store) wrote(text string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writes[text]
 }
 
-// rig is an initiator: front, core, module, and targets reached over NVMe.
-type rig struct {
-	addr   string
-	up     *upstream.Registry
-	core   *core.Core
-	server *Server
+// testInitiator is an initiator: front, core, policy module, and targets reached over NVMe.
+type testInitiator struct {
+	addr     string
+	registry *upstream.Registry
+	core     *core.Core
+	server   *Server
 }
 
-func newRig(t testing.TB, digests bool, aim time.Duration, targets ...string) *rig {
+func newInitiator(t testing.TB, digests bool, latencyObjective time.Duration, targets ...string) *testInitiator {
 	t.Helper()
 	module, err := policy.New(policy.Settings{Initiators: 1, MinStep: time.Millisecond, MeanUnits: 1, MaxUnits: 8,
 		MaxAttempts: 3, Plans: []policy.Plan{{Name: "std", Rate: 1000, ReservedRate: 1000, Weight: 1, PriorityFactor: 1}},
 		Classes: []policy.Class{
-			{Name: "position-read", LatencyObjective: aim, Deadline: patient, PriorityWeight: 3},
-			{Name: "event-write", LatencyObjective: aim, Deadline: patient, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
+			{Name: "position-read", LatencyObjective: latencyObjective, Deadline: testTimeout, PriorityWeight: 3},
+			{Name: "event-write", LatencyObjective: latencyObjective, Deadline: testTimeout, PriorityWeight: 2, Effect: policy.NonIdempotent}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{}
+	r := &testInitiator{}
 	host := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:initiator", KeepAlive: time.Minute, Digests: digests})
-	r.up = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: patient, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConnsTotal: 64, Log: quiet},
+	r.registry = upstream.NewRegistry(upstream.Options{Dialer: host, DialTimeout: testTimeout, IdleTimeout: time.Minute, MaxConnsPerTarget: 16, MaxConnsTotal: 64, Log: discardLog},
 		func(x core.Result) { r.core.Report(x) })
-	r.core = core.New(module, r.up, core.NewClock(), core.Options{})
+	r.core = core.New(module, r.registry, core.NewClock(), core.Options{})
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
 	go r.core.Run(ctx)
 	for i, addr := range targets {
-		r.list(fmt.Sprint("t", i), addr, policy.Up)
+		r.setTarget(fmt.Sprint("t", i), addr, policy.Up)
 	}
 	r.server, r.addr = newServer(t, r.core, poolNQN)
 	return r
 }
 
-// list tells of one target, as the list's actor does: the registry first.
-func (r *rig) list(id, addr string, state policy.EndpointState) { r.listAt(id, addr, 0, state) }
+// setTarget updates one target. Like the goroutine that applies the target list, it updates the registry before the core.
+func (r *testInitiator) setTarget(id, addr string, state policy.EndpointState) {
+	r.setShardTarget(id, addr, 0, state)
+}
 
-func (r *rig) listAt(id, addr string, shard int, state policy.EndpointState) {
-	r.up.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
+func (r *testInitiator) setShardTarget(id, addr string, shard int, state policy.EndpointState) {
+	r.registry.Apply([]upstream.Target{{ID: id, Addr: addr, State: state}}, false)
 	r.core.UpdateTargets(policy.EndpointList{Endpoints: []policy.Endpoint{{ID: id, Shard: shard, State: state}}})
 }
 
-// client is the stand-in host: an admin queue and one I/O queue of some depth, spoken to by hand.
+// client is the fake host: an admin queue and an I/O queue of 8 entries, on which the test sends and receives PDUs itself.
 type client struct {
 	t     testing.TB
-	admin *wire
-	io    *wire
+	admin *hostConn
+	io    *hostConn
 }
 
+// newClient connects a client's admin queue and I/O queue to a server.
 func newClient(t testing.TB, addr string, digests bool) *client {
 	t.Helper()
 	h := NewHost(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute, Digests: digests})
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	c := &client{t: t}
 	var err error
-	if c.admin, err = h.open(ctx, addr); err != nil {
+	if c.admin, err = h.openConn(ctx, addr); err != nil {
 		t.Fatal(err)
 	}
 	cntlid, _, err := h.enable(ctx, c.admin)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.io, err = h.open(ctx, addr); err != nil {
+	if c.io, err = h.openConn(ctx, addr); err != nil {
 		t.Fatal(err)
 	}
 	cmd := fabricsCommand(c.io, fctConnect, connectLen)
@@ -187,14 +192,14 @@
 	binary.LittleEndian.PutUint16(data[16:], cntlid)
 	copy(data[256:], poolNQN)
 	copy(data[512:], "nqn.2026-12.example.test:client")
-	if _, _, err = c.io.ask(cmd, data); err != nil {
+	if _, _, err = c.io.execute(cmd, data); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.io.Close(); c.admin.Close() })
 	return c
 }
 
-func (c *client) send(w *wire, cmd *command, data []byte) uint16 {
+func (c *client) send(w *hostConn, cmd *command, data []byte) uint16 {
 	c.t.Helper()
 	if _, err := w.Write(appendPDU(nil, w.framing, typeCmd, 0, cmd[:], data)); err != nil {
 		c.t.Fatal(err)
@@ -220,10 +225,10 @@
 	return c.send(c.io, c.rw(opRead, lba, blocks, false), nil)
 }
 
-// next reads PDUs up to the next completion, with the data that came for it.
+// next reads PDUs up to the next completion on the I/O queue, and returns it with the data received before it.
 func (c *client) next() (completion, []byte) {
 	c.t.Helper()
-	c.io.SetReadDeadline(time.Now().Add(patient))
+	c.io.SetReadDeadline(time.Now().Add(testTimeout))
 	var body []byte
 	for {
 		p, err := c.io.receive()
@@ -237,7 +242,7 @@
 	}
 }
 
-// TestPDUBytes holds the layout against bytes written out by hand from the specification.
+// TestPDUBytes compares encoded PDUs with bytes written by hand from the specification.
 func TestPDUBytes(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -249,9 +254,9 @@
 			"090018001800000002010403001000000020000000000000"},
 		{"data with both digests", appendPDU(nil, framing{hdigest: true, ddigest: true}, typeC2HData, flagLast,
 			dataHead(1, 0, 0, 4), []byte("1234"))[:8], "0707181c24000000"},
-		{"completion, not ready, delay 2", completion{sqhd: 5, sqid: 1, cid: 9, status: stNSNotReady.withDelay(2)}.head(),
+		{"completion, not ready, delay 2", completion{sqhd: 5, sqid: 1, cid: 9, status: stNSNotReady.withRetryDelay(2)}.head(),
 			"00000000000000000500010009000421"},
-		{"completion, may have run", completion{cid: 9, status: stTransient | dnr}.head(), "00000000000000000000000009004480"},
+		{"completion, may have been executed", completion{cid: 9, status: stTransient | dnr}.head(), "00000000000000000000000009004480"},
 	} {
 		if got := hex.EncodeToString(c.got); got != c.want {
 			t.Errorf("%s:\n got %s\nwant %s", c.name, got, c.want)
@@ -259,9 +264,9 @@
 	}
 }
 
-// TestPDUCuts cuts and damages valid PDUs and feeds garbage: a cut is never whole, a damaged PDU under
-// digests is never taken for the one sent.
-func TestPDUCuts(t *testing.T) {
+// TestTruncatedAndDamagedPDUs truncates and damages valid PDUs and reads random bytes: a truncated PDU is never accepted, and
+// a damaged PDU with digests is never accepted with other content.
+func TestTruncatedAndDamagedPDUs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := framing{hdigest: rapid.Bool().Draw(t, "hd"), ddigest: rapid.Bool().Draw(t, "dd"), pda: rapid.IntRange(0, maxPDA).Draw(t, "pda")}
 		data := rapid.SliceOfN(rapid.Byte(), 0, 300).Draw(t, "data")
@@ -270,29 +275,29 @@
 		whole := appendPDU(nil, f, kind, 0, head, data)
 		p, err := readPDU(bytes.NewReader(whole), f)
 		if err != nil || !bytes.Equal(p.head[commonLen:], head) || !bytes.Equal(p.data, data) || p.dataError {
-			t.Fatalf("whole PDU came back as %+v, %v", p, err)
+			t.Fatalf("valid PDU was read as %+v, %v", p, err)
 		}
 		if p, err := readPDU(bytes.NewReader(whole[:rapid.IntRange(0, len(whole)-1).Draw(t, "cut")]), f); err == nil {
-			t.Fatalf("a cut passed for whole: %+v", p)
+			t.Fatalf("a truncated PDU was accepted: %+v", p)
 		}
 		if at := rapid.IntRange(commonLen, len(whole)-1).Draw(t, "at"); f.hdigest && f.ddigest {
-			bent := bytes.Clone(whole)
-			bent[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
-			p, err := readPDU(bytes.NewReader(bent), f)
+			damaged := bytes.Clone(whole)
+			damaged[at] ^= 1 << rapid.IntRange(0, 7).Draw(t, "bit")
+			p, err := readPDU(bytes.NewReader(damaged), f)
 			if err == nil && !p.dataError && (!bytes.Equal(p.head[commonLen:], head) || !bytes.Equal(p.data, data)) {
-				t.Fatalf("damage at %d went unseen", at)
+				t.Fatalf("damage at byte %d was not detected", at)
 			}
 		}
 		_, _ = readPDU(bytes.NewReader(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage")), f)
 	})
 }
 
-// TestEndToEnd reads back what was written, through initiator and target, small (in the capsule) and large
-// (asked for by R2T), with digests and without.
+// TestEndToEnd reads back what was written, through initiator and target, small (data in the capsule) and large (data
+// requested with R2T), with and without digests.
 func TestEndToEnd(t *testing.T) {
 	for _, digests := range []bool{false, true} {
 		_, target := newServer(t, newStore(), targetNQN)
-		r := newRig(t, digests, 5*time.Second, target)
+		r := newInitiator(t, digests, 5*time.Second, target)
 		c := newClient(t, r.addr, digests)
 		cid := c.write(7, "small")
 		if done, _ := c.next(); done.cid != cid || done.status != stOK {
@@ -303,9 +308,9 @@
 			t.Fatalf("read: %+v, %q", done, body)
 		}
 		large := bytes.Repeat([]byte("0123456789abcdef"), 200*blockSize/16)
-		queue := &session{wire: c.io, from: &association{talk: make(chan struct{}, 1)}, bears: bears{inside: inCapsule}}
+		queue := &session{hostConn: c.io, assoc: &association{adminSem: make(chan struct{}, 1)}, capabilities: capabilities{inCapsuleSize: maxInCapsuleData}}
 		always := func() bool { return true }
-		until := time.Now().Add(patient)
+		until := time.Now().Add(testTimeout)
 		got, _, reason := queue.Do(core.Attempt{Deadline: until, Payload: &IO{Write: true, NSID: 1, SLBA: 100, Blocks: 200, Bytes: len(large), Data: large}}, always)
 		if got.Code != policy.Served {
 			t.Fatalf("large write: %+v, %s", got, reason)
@@ -317,134 +322,135 @@
 	}
 }
 
-// TestQueueDepth has several commands out at once, by their ids, and each gets its one completion.
+// TestQueueDepth sends several commands on one queue before any completes: each gets exactly one completion, by its id.
 func TestQueueDepth(t *testing.T) {
-	back := newStore()
-	back.still = make(chan struct{})
-	_, target := newServer(t, back, targetNQN)
-	r := newRig(t, false, 5*time.Second, target)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	_, target := newServer(t, backend, targetNQN)
+	r := newInitiator(t, false, 5*time.Second, target)
 	c := newClient(t, r.addr, false)
 	want := map[uint16]bool{}
 	for i := range 6 {
 		want[c.write(uint64(i), fmt.Sprint("text ", i))] = true
 	}
-	<-back.came
-	close(back.still)
+	<-backend.received
+	close(backend.hold)
 	for range 6 {
 		done, _ := c.next()
 		if !want[done.cid] || done.status != stOK {
-			t.Fatalf("completion %+v, ids open %v", done, want)
+			t.Fatalf("completion %+v, open command ids %v", done, want)
 		}
 		delete(want, done.cid)
 	}
 	for i := range 6 {
-		if n := back.wrote(fmt.Sprint("text ", i)); n != 1 {
+		if n := backend.wrote(fmt.Sprint("text ", i)); n != 1 {
 			t.Errorf("write %d ran %d times", i, n)
 		}
 	}
 }
 
-// TestStandStillAndDrain is the case the operators fear: a target stands still with a write in its hands, and
-// a drain notice for it arrives. The write gets one completion, which tells the host not to send it again; it
-// is not sent anywhere else; what comes later goes to the target's successor and to nowhere else.
-func TestStandStillAndDrain(t *testing.T) {
-	stuck, next := newStore(), newStore()
-	stuck.still = make(chan struct{})
-	_, a := newServer(t, stuck, targetNQN)
-	_, b := newServer(t, next, targetNQN)
-	r := newRig(t, false, 300*time.Millisecond, a)
+// TestTargetHangsThenDrains guards against a double write when a target hangs with a write in progress and is then drained.
+// The write gets one completion, with DNR set, and is not sent to another target. Later commands go to the target's
+// successor only.
+func TestTargetHangsThenDrains(t *testing.T) {
+	hung, successor := newStore(), newStore()
+	hung.hold = make(chan struct{})
+	_, a := newServer(t, hung, targetNQN)
+	_, b := newServer(t, successor, targetNQN)
+	r := newInitiator(t, false, 300*time.Millisecond, a)
 	c := newClient(t, r.addr, false)
 	first := c.write(1, "event")
-	<-stuck.came
-	r.list("t0", a, policy.Draining)
-	r.list("t1", b, policy.Up)
+	<-hung.received
+	r.setTarget("t0", a, policy.Draining)
+	r.setTarget("t1", b, policy.Up)
 	second := c.write(2, "later")
 	third := c.read(3, 1)
-	ends := map[uint16]status{}
+	statuses := map[uint16]status{}
 	for range 3 {
 		done, _ := c.next()
-		if _, twice := ends[done.cid]; twice {
+		if _, twice := statuses[done.cid]; twice {
 			t.Fatalf("command %d completed twice", done.cid)
 		}
-		ends[done.cid] = done.status
+		statuses[done.cid] = done.status
 	}
-	if st := ends[first]; st.code() == stOK || st&dnr == 0 {
-		t.Errorf("the write that may have run ended with %#x, want a failure with DNR", uint16(st))
+	if st := statuses[first]; st.code() == stOK || st&dnr == 0 {
+		t.Errorf("the write that may have been executed ended with %#x, want a failure with DNR", uint16(st))
 	}
-	if ends[second] != stOK || ends[third] != stOK {
-		t.Errorf("later commands ended with %#x and %#x", uint16(ends[second]), uint16(ends[third]))
+	if statuses[second] != stOK || statuses[third] != stOK {
+		t.Errorf("later commands ended with %#x and %#x", uint16(statuses[second]), uint16(statuses[third]))
 	}
-	close(stuck.still) // it wakes, and runs what it had
+	close(hung.hold) // the target resumes and executes the write
 	c.write(4, "last")
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("after it woke: %+v", done)
+		t.Errorf("after the target resumed: %+v", done)
 	}
-	if len(stuck.came) != 0 {
-		t.Errorf("the draining target was sent something new")
+	if len(hung.received) != 0 {
+		t.Errorf("the draining target received a new command")
 	}
 	for text, want := range map[string]int{"event": 0, "later": 1, "last": 1} {
-		if n := next.wrote(text); n != want {
-			t.Errorf("%q ran %d times at the successor, want %d", text, n, want)
+		if n := successor.wrote(text); n != want {
+			t.Errorf("the successor executed %q %d times, want %d", text, n, want)
 		}
 	}
-	if n := stuck.wrote("event"); n > 1 {
-		t.Errorf("the write ran %d times", n)
+	if n := hung.wrote("event"); n > 1 {
+		t.Errorf("the write was executed %d times", n)
 	}
 }
 
-// TestNoFirstByteToALeavingTarget has the last look, with the queue in hand, say no: not a byte is sent.
-func TestNoFirstByteToALeavingTarget(t *testing.T) {
+// TestNothingSentWhenStartRefused checks that no byte is sent if mayStart returns false, as it does once the target is
+// draining.
+func TestNothingSentWhenStartRefused(t *testing.T) {
 	near, far := net.Pipe()
 	bytesSent := make(chan int, 1)
 	go func() {
 		b, _ := io.ReadAll(far)
 		bytesSent <- len(b)
 	}()
-	queue := &session{wire: &wire{Conn: near}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-	r, reuse, _ := queue.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
+	queue := &session{hostConn: &hostConn{Conn: near}, assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
+	r, reuse, _ := queue.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}},
 		func() bool { return false })
 	queue.Close()
 	if n := <-bytesSent; r.Code != policy.NotSent || reuse || n != 0 {
-		t.Errorf("code %v, kept %v, %d bytes sent; want it not sent", r.Code, reuse, n)
+		t.Errorf("code %v, reusable %v, %d bytes sent; want NotSent, not reusable and no bytes", r.Code, reuse, n)
 	}
 }
 
-// TestTargetStartsAnew loses a target and finds it again at its address: the association that it no longer
-// knows must not stand in the way until a keep-alive, a minute off here, finds out.
-func TestTargetStartsAnew(t *testing.T) {
+// TestTargetRestart restarts a target at the same address. The association that the new process does not have must be
+// replaced on the next command, and not only when the next Keep Alive, up to a minute later here, fails.
+func TestTargetRestart(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	start := func(l net.Listener) *Server {
-		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64,
-			MostBytes: 8 << 20, Patience: map[string]time.Duration{"event-write": patient, "position-read": patient}, Leave: core.NewShutdownSchedule(2 * time.Second), Log: quiet})
+		s := New(newStore(), Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64,
+			MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"event-write": testTimeout, "position-read": testTimeout}, Shutdown: core.NewShutdownSchedule(2 * time.Second), Log: discardLog})
 		go func() { _ = s.Serve(l) }()
 		return s
 	}
 	first := start(l)
-	r := newRig(t, false, 5*time.Second, l.Addr().String())
+	r := newInitiator(t, false, 5*time.Second, l.Addr().String())
 	c := newClient(t, r.addr, false)
 	c.read(1, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Fatalf("before: %+v", done)
+		t.Fatalf("before the restart: %+v", done)
 	}
 	if err := first.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	again, err := net.Listen("tcp", l.Addr().String())
+	second, err := net.Listen("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	start(again)
+	defer second.Close()
+	start(second)
 	c.read(2, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("after: %+v", done)
+		t.Errorf("after the restart: %+v", done)
 	}
 }
 
-// TestStatuses maps each end to its status, and refuses with a delay only to hosts that asked to be told.
+// TestStatuses checks the status for each response, and that only hosts that enabled ACRE get a retry delay.
 func TestStatuses(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -453,9 +459,9 @@
 		want   status
 	}{
 		{"served", core.Response{}, true, stOK},
-		{"refused", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
-		{"refused, told how long", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withDelay(2)},
-		{"refused for longer than can be told", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withDelay(3)},
+		{"rejected", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, false, stNSNotReady},
+		{"rejected, with delay", core.Response{Status: core.Rejected, RetryAfter: 200 * time.Millisecond}, true, stNSNotReady.withRetryDelay(2)},
+		{"rejected, longer than the longest delay", core.Response{Status: core.Rejected, RetryAfter: time.Minute}, true, stNSNotReady.withRetryDelay(3)},
 		{"timed out", core.Response{Status: core.Failed, LastOutcome: policy.TimedOut}, true, stTransient | dnr},
 		{"error", core.Response{Status: core.Failed, LastOutcome: policy.AnsweredError}, true, stInternal | dnr},
 	} {
@@ -463,27 +469,27 @@
 			t.Errorf("%s: %#x, want %#x", c.name, uint16(got), uint16(c.want))
 		}
 	}
-	back := newStore()
-	back.answer = core.Response{Status: core.Rejected, RetryAfter: 100 * time.Millisecond}
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.answer = core.Response{Status: core.Rejected, RetryAfter: 100 * time.Millisecond}
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stNSNotReady {
-		t.Errorf("before the host asked for delays: %#x", uint16(done.status))
+		t.Errorf("before the host enabled retry delays: %#x", uint16(done.status))
 	}
 	set := newCommand(opSetFeatures, c.admin.nextCID(), 512, true)
 	set.set32(40, featHostBehavior)
-	if _, _, err := c.admin.ask(set, append([]byte{1}, make([]byte, 511)...)); err != nil {
+	if _, _, err := c.admin.execute(set, append([]byte{1}, make([]byte, 511)...)); err != nil {
 		t.Fatal(err)
 	}
 	c.read(0, 1)
-	if done, _ := c.next(); done.status != stNSNotReady.withDelay(1) || done.status&dnr != 0 {
-		t.Errorf("after: %#x", uint16(done.status))
+	if done, _ := c.next(); done.status != stNSNotReady.withRetryDelay(1) || done.status&dnr != 0 {
+		t.Errorf("after the host enabled retry delays: %#x", uint16(done.status))
 	}
 }
 
-// TestOutsideTheSubset checks that what is not served gets its status, and the connection goes on.
-func TestOutsideTheSubset(t *testing.T) {
+// TestUnsupportedCommands checks that unsupported and invalid commands get their status, and that the connection stays open.
+func TestUnsupportedCommands(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, false)
 	for _, x := range []struct {
@@ -497,7 +503,7 @@
 		{"past the end", func(c *command) { c.set64(40, 1<<20) }, stLBARange},
 		{"fused", func(c *command) { c[1] |= 1 }, stInvalidField},
 		{"PRPs", func(c *command) { c[1] = 0 }, stInvalidField},
-		{"length that does not fit", func(c *command) { c.set32(32, 4) }, stInvalidField},
+		{"length that does not match the blocks", func(c *command) { c.set32(32, 4) }, stInvalidField},
 		{"connect again", func(c *command) { c[0], c[4] = opFabrics, fctConnect }, stSequence},
 	} {
 		cmd := c.rw(opRead, 0, 1, false)
@@ -508,31 +514,31 @@
 		}
 	}
 	format := newCommand(0x80, c.admin.nextCID(), 0, false)
-	if done, _, err := c.admin.ask(format, nil); err == nil || done.status != stInvalidOpcode|dnr {
+	if done, _, err := c.admin.execute(format, nil); err == nil || done.status != stInvalidOpcode|dnr {
 		t.Errorf("format: %+v, %v", done, err)
 	}
-	if _, _, err := c.admin.ask(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
+	if _, _, err := c.admin.execute(newCommand(opKeepAlive, c.admin.nextCID(), 0, false), nil); err != nil {
 		t.Errorf("keep alive: %v", err)
 	}
 	c.read(0, 1)
 	if done, _ := c.next(); done.status != stOK {
-		t.Errorf("a good command after all these: %+v", done)
+		t.Errorf("a valid command after the invalid ones: %+v", done)
 	}
 }
 
-// TestAbort ends a command by its queue and id, once.
+// TestAbort aborts a command by its queue and id. A second Abort of it finds no command.
 func TestAbort(t *testing.T) {
-	back := newStore()
-	back.still = make(chan struct{})
-	_, addr := newServer(t, back, poolNQN)
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	_, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	cid := c.write(1, "x")
-	<-back.came
+	<-backend.received
 	abort := func(want uint64) {
 		t.Helper()
 		cmd := newCommand(opAbort, c.admin.nextCID(), 0, false)
 		cmd.set32(40, 1|uint32(cid)<<16)
-		if done, _, err := c.admin.ask(cmd, nil); err != nil || done.result != want {
+		if done, _, err := c.admin.execute(cmd, nil); err != nil || done.result != want {
 			t.Errorf("abort: result %d, %v; want %d", done.result, err, want)
 		}
 	}
@@ -541,14 +547,14 @@
 		t.Errorf("aborted command: %+v", done)
 	}
 	abort(1)
-	close(back.still)
+	close(backend.hold)
 	other := c.read(5, 1)
 	if done, _ := c.next(); done.cid != other {
-		t.Errorf("completion of %d, want none but of %d", done.cid, other)
+		t.Errorf("completion of command %d, want only that of %d", done.cid, other)
 	}
 }
 
-// TestTermination checks that what breaks the transport's rules ends with a termination request that says why.
+// TestTermination checks that transport errors are answered with a termination request with the right fatal error status.
 func TestTermination(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	for _, c := range []struct {
@@ -556,10 +562,12 @@
 		send func(*client) error
 		fes  uint16
 	}{
-		{"unknown type", func(c *client) error { return raw(c, []byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
-		{"a controller's PDU", func(c *client) error { return raw(c, appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 1, 0, 1), nil)) }, fesSequence},
-		{"data nobody asked for", func(c *client) error {
-			return raw(c, appendPDU(nil, framing{}, typeH2CData, flagLast, dataHead(9, 9, 0, 1), []byte("x")))
+		{"unknown type", func(c *client) error { return writeRaw(c, []byte{0x42, 0, 8, 0, 8, 0, 0, 0}) }, fesInvalidHeader},
+		{"a PDU type that only controllers send", func(c *client) error {
+			return writeRaw(c, appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 1, 0, 1), nil))
+		}, fesSequence},
+		{"data that was not requested", func(c *client) error {
+			return writeRaw(c, appendPDU(nil, framing{}, typeH2CData, flagLast, dataHead(9, 9, 0, 1), []byte("x")))
 		}, fesInvalidHeader},
 		{"data out of range", func(c *client) error {
 			cid := c.send(c.io, c.rw(opWrite, 0, 32, false), nil)
@@ -567,7 +575,7 @@
 			if err != nil || p.kind != typeR2T || p.u32(16) != 32*blockSize {
 				return errors.Join(errors.New("no R2T"), err)
 			}
-			return raw(c, appendPDU(nil, framing{}, typeH2CData, 0, dataHead(cid, p.u16(10), 512, 512), make([]byte, 512)))
+			return writeRaw(c, appendPDU(nil, framing{}, typeH2CData, 0, dataHead(cid, p.u16(10), 512, 512), make([]byte, 512)))
 		}, fesOutOfRange},
 	} {
 		h := newClient(t, addr, false)
@@ -575,7 +583,7 @@
 			t.Errorf("%s: %v", c.name, err)
 			continue
 		}
-		h.io.SetReadDeadline(time.Now().Add(patient))
+		h.io.SetReadDeadline(time.Now().Add(testTimeout))
 		p, err := h.io.receive()
 		if err != nil || p.kind != typeC2HTerm || p.u16(8) != c.fes {
 			t.Errorf("%s: %+v, %v; want a termination request with %#x", c.name, p, err, c.fes)
@@ -583,15 +591,15 @@
 	}
 }
 
-// TestLastWordArrives has a host break the protocol, send on, and read only once its connection has ended: the termination request is
-// there, and no reset took it.
-func TestLastWordArrives(t *testing.T) {
+// TestTerminationRequestReachesHost has a host violate the protocol, send more data, and read only once its connection has
+// been closed: the termination request arrives, and is not lost to a reset.
+func TestTerminationRequestReachesHost(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	h := newClient(t, addr, false)
 	open := func() int { s.mu.Lock(); defer s.mu.Unlock(); return len(s.queues) }
 	require.Equal(t, 2, open())
-	require.NoError(t, raw(h, append([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}, make([]byte, 100<<10)...)))
-	require.Eventually(t, func() bool { return open() < 2 }, patient, time.Millisecond)
+	require.NoError(t, writeRaw(h, append([]byte{0x42, 0, 8, 0, 8, 0, 0, 0}, make([]byte, 100<<10)...)))
+	require.Eventually(t, func() bool { return open() < 2 }, testTimeout, time.Millisecond)
 	p, err := h.io.receive()
 	require.NoError(t, err)
 	require.EqualValues(t, typeC2HTerm, p.kind)
@@ -599,40 +607,40 @@
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// TestDataAsItEnds has the data of a write come in the instant in which the program has begun to turn commands away: it is turned away
-// as one that may come again, and never written; what is sent on then might find its connection ended.
-func TestDataAsItEnds(t *testing.T) {
-	back := newStore()
-	s, addr := newServer(t, back, poolNQN)
+// TestWriteDataDuringShutdown has the data of a write arrive just after the server has begun to reject commands: the write is
+// rejected as retryable and never executed. If it were submitted, its connection could be closed before it completes.
+func TestWriteDataDuringShutdown(t *testing.T) {
+	backend := newStore()
+	s, addr := newServer(t, backend, poolNQN)
 	h := newClient(t, addr, false)
 	cid := h.send(h.io, h.rw(opWrite, 0, 32, false), nil)
 	p, err := h.io.receive()
 	require.NoError(t, err)
 	require.EqualValues(t, typeR2T, p.kind)
-	s.leaving.Store(true)
+	s.rejectNew.Store(true)
 	for at := 0; at < 32*blockSize; at += maxH2CData {
 		flags, n := byte(0), min(maxH2CData, 32*blockSize-at)
 		if at+n == 32*blockSize {
 			flags = flagLast
 		}
-		require.NoError(t, raw(h, appendPDU(nil, framing{}, typeH2CData, flags, dataHead(cid, p.u16(10), uint32(at), uint32(n)), make([]byte, n))))
+		require.NoError(t, writeRaw(h, appendPDU(nil, framing{}, typeH2CData, flags, dataHead(cid, p.u16(10), uint32(at), uint32(n)), make([]byte, n))))
 	}
 	done, _ := h.next()
 	require.Equal(t, stNSNotReady, done.status.code())
 	require.Zero(t, done.status&dnr)
-	back.mu.Lock()
-	defer back.mu.Unlock()
-	require.Empty(t, back.writes)
+	backend.mu.Lock()
+	defer backend.mu.Unlock()
+	require.Empty(t, backend.writes)
 }
 
-func raw(c *client, b []byte) error {
+func writeRaw(c *client, b []byte) error {
 	_, err := c.io.Write(b)
 	return err
 }
 
-// TestControllerCuts sends a live controller damaged, cut and made-up PDUs after a valid start, connection after
-// connection: each ends or is answered, and a good host is served as before.
-func TestControllerCuts(t *testing.T) {
+// TestControllerSurvivesMalformedPDUs sends truncated and random PDUs after a valid ICReq, on one connection after another:
+// each is answered or closed, and a well-behaved host is still served.
+func TestControllerSurvivesMalformedPDUs(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	good := newClient(t, addr, false)
 	rapid.Check(t, func(rt *rapid.T) {
@@ -641,7 +649,7 @@
 			rt.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patient))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		out := appendPDU(nil, framing{}, typeICReq, 0, icHead(0, 0), nil)
 		for range rapid.IntRange(1, 4).Draw(rt, "pdus") {
 			kind := rapid.SampledFrom([]byte{typeICReq, typeCmd, typeH2CData, typeH2CTerm, typeR2T, 0x55}).Draw(rt, "kind")
@@ -654,40 +662,40 @@
 		_, _ = c.Write(out[:rapid.IntRange(0, len(out)).Draw(rt, "cut")])
 		_ = c.(*net.TCPConn).CloseWrite()
 		if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-			rt.Fatal("the controller neither answered nor ended the connection")
+			rt.Fatal("the controller neither answered nor closed the connection")
 		}
 	})
 	good.read(1, 1)
 	if done, _ := good.next(); done.status != stOK {
-		t.Errorf("a good host afterwards: %+v", done)
+		t.Errorf("a well-behaved host afterwards: %+v", done)
 	}
 }
 
-// TestBadConnect refuses hosts that ask for what is not there.
+// TestBadConnect checks that Connect to an unknown subsystem or an unknown controller is rejected.
 func TestBadConnect(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	h := NewHost(HostOptions{Subsystem: "nqn.other", HostNQN: "nqn.host", KeepAlive: time.Minute})
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	w, err := h.open(ctx, addr)
+	w, err := h.openConn(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer w.Close()
-	if _, err := w.connect(h.opt, 0, staticID); err == nil {
-		t.Error("a subsystem that is not here was connected to")
+	if _, err := w.connect(h.opt, 0, dynamicCntlID); err == nil {
+		t.Error("Connect to an unknown subsystem succeeded")
 	}
 	if _, err := w.connect(HostOptions{Subsystem: poolNQN, HostNQN: "nqn.host"}, 1, 77); err == nil {
-		t.Error("an I/O queue joined no association")
+		t.Error("Connect of an I/O queue to an unknown controller succeeded")
 	}
 }
 
-// TestSilentHostsMakeRoom fills the hosts' connections with silent ones: a host still gets in, what has joined stays, and
-// nobody is let in once all have joined.
-func TestSilentHostsMakeRoom(t *testing.T) {
+// TestUnconnectedHostsAreEvicted opens more silent connections than MaxConns: a host can still connect, connected hosts stay,
+// and once all connections are connected hosts, a new one is closed.
+func TestUnconnectedHostsAreEvicted(t *testing.T) {
 	s, addr := newServer(t, newStore(), poolNQN)
 	s.mu.Lock()
-	s.opt.MostConn = 4
+	s.opt.MaxConns = 4
 	s.mu.Unlock()
 	first := newClient(t, addr, false)
 	for range 50 {
@@ -703,45 +711,45 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a fifth connection beside four that have joined: %v, want it closed", err)
+		t.Errorf("a fifth connection beside four connected ones: %v, want it closed", err)
 	}
 	for _, h := range []*client{first, second} {
 		h.read(1, 1)
 		if done, _ := h.next(); done.status != stOK {
-			t.Errorf("a host that had joined: %+v", done)
+			t.Errorf("a connected host: %+v", done)
 		}
 	}
 }
 
-// TestStopFinishes checks that a command taken before the end is completed, that hosts are served for a while after it on
-// what they have, within the time that is left, and turned away then.
-func TestStopFinishes(t *testing.T) {
-	back := newStore()
-	back.still = make(chan struct{})
-	s, addr := newServer(t, back, poolNQN)
+// TestStopCompletesOpenCommands checks that commands open at the call of Stop are completed, that new commands are still
+// served until Shutdown.ServeFor, and that they are rejected as retryable after that.
+func TestStopCompletesOpenCommands(t *testing.T) {
+	backend := newStore()
+	backend.hold = make(chan struct{})
+	s, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	taken := c.read(1, 1)
-	<-back.came
+	<-backend.received
 	stopped := make(chan error)
 	go func() { stopped <- s.Stop(context.Background()) }()
 	time.Sleep(core.NewShutdownSchedule(2*time.Second).AcceptFor + 100*time.Millisecond)
-	meanwhile := c.read(3, 1)
-	if x := <-back.came; x.SLBA != 3 {
-		t.Errorf("block %d was read while the program leaves, want 3", x.SLBA)
+	duringServe := c.read(3, 1)
+	if x := <-backend.received; x.SLBA != 3 {
+		t.Errorf("block %d was read during the shutdown, want 3", x.SLBA)
 	}
-	for !s.leaving.Load() {
+	for !s.rejectNew.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	late := c.read(2, 1)
 	if done, _ := c.next(); done.cid != late || done.status.code() != stNSNotReady || done.status&dnr != 0 {
-		t.Errorf("late command: %+v, want it turned away", done)
+		t.Errorf("late command: %+v, want it rejected as retryable", done)
 	}
-	close(back.still)
+	close(backend.hold)
 	for range 2 {
-		if done, _ := c.next(); done.cid != taken && done.cid != meanwhile || done.status != stOK {
-			t.Errorf("commands taken before: %+v", done)
+		if done, _ := c.next(); done.cid != taken && done.cid != duringServe || done.status != stOK {
+			t.Errorf("command sent before ServeFor: %+v", done)
 		}
 	}
 	if err := <-stopped; err != nil {
@@ -749,7 +757,7 @@
 	}
 }
 
-// TestIdentify reads the pages a host begins with.
+// TestIdentify checks the Identify pages that a host reads when it connects.
 func TestIdentify(t *testing.T) {
 	_, addr := newServer(t, newStore(), poolNQN)
 	c := newClient(t, addr, true)
@@ -757,44 +765,44 @@
 		0: func(p []byte) bool { return binary.LittleEndian.Uint64(p) == 1<<20 && p[130] == 9 },
 		1: func(p []byte) bool { return bytes.HasPrefix(p[768:], []byte(poolNQN)) && p[512] == 0x66 },
 		2: func(p []byte) bool { return binary.LittleEndian.Uint32(p) == 1 && p[4] == 0 },
-		3: func(p []byte) bool { return p[0] == 1 && hex.EncodeToString(p[4:12]) == space().Volume },
+		3: func(p []byte) bool { return p[0] == 1 && hex.EncodeToString(p[4:12]) == testNamespace().Volume },
 	} {
 		cmd := newCommand(opIdentify, c.admin.nextCID(), identifyLen, false)
 		if cns != 2 {
 			cmd.set32(4, 1)
 		}
 		cmd.set32(40, cns)
-		_, page, err := c.admin.ask(cmd, nil)
+		_, page, err := c.admin.execute(cmd, nil)
 		if err != nil || len(page) != identifyLen || !check(page) {
 			t.Errorf("CNS %d: %d bytes, %v", cns, len(page), err)
 		}
 	}
 }
 
-// TestNumbers counts each command once, by its status, and none as open once its connection has ended under it.
-func TestNumbers(t *testing.T) {
-	back := newStore()
-	s, addr := newServer(t, back, poolNQN)
+// TestFigures checks that each command is counted once, by its status, and none as concurrent once its connection is closed.
+func TestFigures(t *testing.T) {
+	backend := newStore()
+	s, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
 	c.read(1, 1)
 	c.next()
-	back.mu.Lock()
-	back.answer = core.Response{Status: core.Rejected}
-	back.mu.Unlock()
+	backend.mu.Lock()
+	backend.answer = core.Response{Status: core.Rejected}
+	backend.mu.Unlock()
 	c.read(2, 1)
 	c.next()
-	still := make(chan struct{})
-	defer close(still)
-	back.mu.Lock()
-	back.still = still
-	back.mu.Unlock()
+	hold := make(chan struct{})
+	defer close(hold)
+	backend.mu.Lock()
+	backend.hold = hold
+	backend.mu.Unlock()
 	for range 3 {
 		c.read(3, 1)
 	}
 	for range 5 {
-		<-back.came
+		<-backend.received
 	}
-	numbers := func(want ...string) {
+	expectFigures := func(want ...string) {
 		t.Helper()
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
 			got := string(figures.Page(s.opt.Figures.EmitMetrics))
@@ -803,72 +811,75 @@
 			}
 		}, 20*time.Second, time.Millisecond)
 	}
-	numbers("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
+	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
 	c.io.Close()
-	numbers("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
+	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
 }
 
-// TestTargetsThatAreGoneAreForgotten has a host meet targets that come and go: of one that nobody has asked for in a while nothing is kept.
-func TestTargetsThatAreGoneAreForgotten(t *testing.T) {
+// TestUnusedAssociationsAreRemoved dials targets that are gone: their associations are removed once they were not used for a
+// while.
+func TestUnusedAssociationsAreRemoved(t *testing.T) {
 	h := NewHost(HostOptions{KeepAlive: time.Second})
-	meet := func() {
+	dialClosedPort := func() {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		l.Close()
 		_, err = h.Dial(context.Background(), l.Addr().String())
 		require.Error(t, err)
 	}
-	meet()
-	meet()
-	require.Len(t, h.all, 2) // their rests hold
-	for _, a := range h.all {
-		a.usedAt, a.restAt = time.Now().Add(-2*unusedFor), time.Now().Add(-2*unusedFor)
+	dialClosedPort()
+	dialClosedPort()
+	require.Len(t, h.associations, 2) // both were used recently
+	for _, a := range h.associations {
+		a.lastUsed, a.retryAt = time.Now().Add(-2*maxUnusedTime), time.Now().Add(-2*maxUnusedTime)
 	}
-	meet()
-	require.Len(t, h.all, 1)
+	dialClosedPort()
+	require.Len(t, h.associations, 1)
 }
 
-// tardy is a connection on a machine that is too busy to fire the timer of its writes' deadline.
-type tardy struct{ net.Conn }
+// noWriteDeadlineConn is a connection whose write deadline is never enforced, as on a machine that is too busy to fire its
+// timer.
+type noWriteDeadlineConn struct{ net.Conn }
 
-func (tardy) SetWriteDeadline(time.Time) error { return nil }
+func (noWriteDeadlineConn) SetWriteDeadline(time.Time) error { return nil }
 
-func (c tardy) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
+func (c noWriteDeadlineConn) SetDeadline(t time.Time) error { return c.SetReadDeadline(t) }
 
-// TestDataPastItsWindow has a target ask for a write's data just inside the window that the repeat may leave in, and after it: then no byte of
-// the data goes out, and the write cannot have begun. A completion of another command is not taken for its.
-func TestDataPastItsWindow(t *testing.T) {
-	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: patient, policy.NotConnected: 50 * time.Millisecond} {
+// TestNoDataAfterWriteDeadline has a target send an R2T before and after the attempt's write deadline, after which a retry
+// must not be sent. After it, no data is sent, so the write cannot have started. Before it, the data is sent, and then the
+// completion of another command is not accepted as that of the write.
+func TestNoDataAfterWriteDeadline(t *testing.T) {
+	for want, window := range map[policy.OutcomeCode]time.Duration{policy.ConnectionReset: testTimeout, policy.NotConnected: 50 * time.Millisecond} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
 		defer l.Close()
-		before := time.Now().Add(window)
-		asked := make(chan int, 1)
+		sendBefore := time.Now().Add(window)
+		dataBytes := make(chan int, 1)
 		go func() {
 			c, _ := l.Accept()
 			defer c.Close()
 			capsule := make([]byte, 72)
 			_, _ = io.ReadFull(c, capsule)
 			if want == policy.NotConnected {
-				time.Sleep(time.Until(before))
+				time.Sleep(time.Until(sendBefore))
 			}
 			_, _ = c.Write(appendPDU(nil, framing{}, typeR2T, 0, dataHead(1, 7, 0, blockSize), nil))
 			n := 0
 			if want == policy.ConnectionReset {
 				n, _ = io.ReadFull(c, make([]byte, 24+blockSize))
-				_, _ = c.Write(appendPDU(nil, framing{}, typeResp, 0, make([]byte, 16), nil)) // names command 0
+				_, _ = c.Write(appendPDU(nil, framing{}, typeResp, 0, make([]byte, 16), nil)) // for command id 0
 			}
 			more, _ := io.Copy(io.Discard, c)
-			asked <- n + int(more)
+			dataBytes <- n + int(more)
 		}()
 		c, err := net.Dial("tcp", l.Addr().String())
 		require.NoError(t, err)
-		q := &session{wire: &wire{Conn: tardy{c}, in: bufio.NewReader(c), most: blockSize}, from: &association{talk: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
-		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(patient), SendBefore: before, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
+		q := &session{hostConn: &hostConn{Conn: noWriteDeadlineConn{c}, in: bufio.NewReader(c), maxDataPDU: blockSize}, assoc: &association{adminSem: make(chan struct{}, 1), inUse: map[uint16]bool{}}}
+		r, reuse, _ := q.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), SendBefore: sendBefore, Payload: &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize,
 			Data: make([]byte, blockSize)}}, func() bool { return true })
 		q.Close()
 		require.Equal(t, want, r.Code)
 		require.False(t, reuse)
-		require.Equal(t, want == policy.ConnectionReset, <-asked > 0)
+		require.Equal(t, want == policy.ConnectionReset, <-dataBytes > 0)
 	}
 }
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -13,12 +13,13 @@
 	"spindlehitch/internal/testbed/issue"
 )
 
-// secured is a stand-in target over TLS, and the keys of host and target, which change together.
-func secured(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
+// newTLSTarget starts a fake target with TLS. It returns the certificate store that host and target share, so that both rotate
+// at once, the target's backend, the target and its address.
+func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
-	k, err := keys.Load(f)
+	hostKeys, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,23 +27,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := newStore()
-	s := New(back, Options{Subsystem: targetNQN, Namespaces: []Namespace{space()}, QueueDepth: 8, MostConn: 64, MostBytes: 8 << 20,
-		Patience: map[string]time.Duration{"position-read": patient, "event-write": patient}, Keys: k, Log: quiet})
+	backend := newStore()
+	s := New(backend, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
+		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: hostKeys, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
-	return k, back, s, l.Addr().String()
+	return hostKeys, backend, s, l.Addr().String()
 }
 
-// secureHost is a host of such a target with keys of its own.
-func secureHost(k *keys.Store) *Host {
+// newTLSHost returns a host that connects to such a target with the certificates in k.
+func newTLSHost(k *keys.Store) *Host {
 	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Keys: k})
 }
 
-// do carries one write out on a session that is dialled or used again, as a target's pool does.
+// do executes one command on the idle session if it is alive, or on a new one, as a target's connection pool does. It stores
+// the session in idle if it can be reused.
 func do(t *testing.T, h *Host, addr string, idle *upstream.Session, x *IO) core.Result {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	s := *idle
 	if s == nil || !s.Alive() {
@@ -54,7 +56,7 @@
 			t.Fatal(err)
 		}
 	}
-	r, reuse, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: x}, func() bool { return true })
+	r, reuse, _ := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: x}, func() bool { return true })
 	*idle = s
 	if !reuse {
 		s.Close()
@@ -63,20 +65,20 @@
 	return r
 }
 
-// TestKeysChangeInService changes the keys again and again while a host writes: no command is lost or run twice, and
-// after the overlap none of the old connections is left.
-func TestKeysChangeInService(t *testing.T) {
+// TestKeyRotationDuringWrites rotates the certificates repeatedly while a host writes: no command is lost or executed twice,
+// and after the overlap no connection with old certificates is left.
+func TestKeyRotationDuringWrites(t *testing.T) {
 	dir := t.TempDir()
-	k, back, server, addr := secured(t, dir, 400*time.Millisecond)
-	h := secureHost(k)
+	k, backend, server, addr := newTLSTarget(t, dir, 400*time.Millisecond)
+	h := newTLSHost(k)
 	var idle upstream.Session
-	text := make([]byte, blockSize)
+	data := make([]byte, blockSize)
 	began := time.Now()
 	last, n := began, 0
 	for ; time.Since(began) < 2*time.Second; n++ {
-		drain(back)
-		text[0], text[1], text[2] = byte(n), byte(n>>8), 1
-		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), text...)}); r.Code != 0 {
+		drainReceived(backend)
+		data[0], data[1], data[2] = byte(n), byte(n>>8), 1
+		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), data...)}); r.Code != 0 {
 			t.Fatalf("write %d: %v", n, r.Code)
 		}
 		if time.Since(last) > 500*time.Millisecond {
@@ -88,87 +90,87 @@
 		}
 	}
 	if k.Generation() < 2 || n < 100 {
-		t.Errorf("%d changes, %d writes", k.Generation(), n)
+		t.Errorf("%d rotations and %d writes, want at least 2 and 100", k.Generation(), n)
 	}
-	back.mu.Lock()
-	if len(back.writes) != n {
-		t.Errorf("%d of %d writes were run", len(back.writes), n)
+	backend.mu.Lock()
+	if len(backend.writes) != n {
+		t.Errorf("%d of %d writes were executed", len(backend.writes), n)
 	}
-	for _, times := range back.writes {
+	for _, times := range backend.writes {
 		if times != 1 {
-			t.Errorf("a write ran %d times", times)
+			t.Errorf("a write was executed %d times", times)
 		}
 	}
-	back.mu.Unlock()
-	for end := time.Now().Add(patient); ; time.Sleep(10 * time.Millisecond) {
+	backend.mu.Unlock()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(10 * time.Millisecond) {
 		server.mu.Lock()
 		old := 0
 		for q := range server.queues {
-			if q.retired.Load() {
+			if q.keyRetired.Load() {
 				old++
 			}
 		}
 		open := len(server.queues)
 		server.mu.Unlock()
-		if old == 0 && open <= 2 { // the admin queue and the I/O queue of the newest keys
+		if old == 0 && open <= 2 { // the admin queue and the I/O queue with the newest certificates
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections, %d of them with old keys", open, old)
+			t.Fatalf("%d connections are open, %d of them with old certificates", open, old)
 		}
 	}
 }
 
-// TestOldKeysAreRefused keeps a host with its old keys: its open command is finished past the overlap, new commands and
-// connections are refused.
-func TestOldKeysAreRefused(t *testing.T) {
+// TestOldKeysAreRejected rotates the target's certificates, but not the host's: the host's open command completes even after
+// the overlap, then its connection is closed, and new connections are rejected.
+func TestOldKeysAreRejected(t *testing.T) {
 	dir := t.TempDir()
-	k, back, _, addr := secured(t, dir, 200*time.Millisecond)
-	f := issue.Into(t, t.TempDir(), time.Hour) // another authority altogether
-	stranger, err := keys.Load(f)
+	k, backend, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
+	f := issue.Into(t, t.TempDir(), time.Hour) // from another certificate authority
+	otherCA, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, stop := context.WithTimeout(context.Background(), patient)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	if _, err := secureHost(stranger).Dial(ctx, addr); err == nil {
-		t.Error("a stranger's key was taken")
+	if _, err := newTLSHost(otherCA).Dial(ctx, addr); err == nil {
+		t.Error("a certificate of another authority was accepted")
 	}
 	if _, err := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute}).Dial(ctx, addr); err == nil {
-		t.Error("a host without TLS was taken")
+		t.Error("a host without TLS was accepted")
 	}
 	old, err := keys.Load(config.TLS{Cert: dir + "/cert.pem", Key: dir + "/key.pem", CA: dir + "/ca.pem"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := secureHost(old).Dial(ctx, addr)
+	s, err := newTLSHost(old).Dial(ctx, addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back.mu.Lock()
-	back.still = make(chan struct{})
-	back.mu.Unlock()
-	ended := make(chan core.Result, 1)
+	backend.mu.Lock()
+	backend.hold = make(chan struct{})
+	backend.mu.Unlock()
+	result := make(chan core.Result, 1)
 	go func() {
-		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(patient), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
-		ended <- r
+		r, _, _ := s.Do(core.Attempt{Deadline: time.Now().Add(testTimeout), Payload: &IO{NSID: 1, Blocks: 1, Bytes: blockSize}}, func() bool { return true })
+		result <- r
 	}()
-	<-back.came
+	<-backend.received
 	issue.Into(t, dir, time.Hour)
 	if err := k.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(200*time.Millisecond + 3*keysEvery)
-	close(back.still)
-	if r := <-ended; r.Code != 0 {
-		t.Errorf("the command that was open: %v", r.Code)
+	time.Sleep(200*time.Millisecond + 3*keyCheckInterval)
+	close(backend.hold)
+	if r := <-result; r.Code != 0 {
+		t.Errorf("the open command ended with %v", r.Code)
 	}
-	w := s.(*session).wire
-	w.SetReadDeadline(time.Now().Add(patient))
+	w := s.(*session).hostConn
+	w.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := w.in.Peek(1); err == nil {
-		t.Error("the old connection goes on")
+		t.Error("the connection with the old certificate is still open")
 	}
-	if _, err := secureHost(old).Dial(ctx, addr); err == nil {
-		t.Error("an old key was taken past its time")
+	if _, err := newTLSHost(old).Dial(ctx, addr); err == nil {
+		t.Error("an old certificate was accepted after the overlap")
 	}
 }
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -28,10 +28,10 @@
 func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Book, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	limits := resourceLimits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
-		MostConn: limits.clientConns(), MostBytes: limits.heldBytes(), Patience: map[string]time.Duration{},
-		Log: log, Keys: certs, Figures: metrics, Leave: leave}
+		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.heldBytes(), Timeouts: map[string]time.Duration{},
+		Log: log, Keys: certs, Figures: metrics, Shutdown: leave}
 	for _, k := range c.Policy.Classes {
-		o.Patience[k.Name] = k.Deadline
+		o.Timeouts[k.Name] = k.Deadline
 	}
 	return o
 }
@@ -62,7 +62,7 @@
 // ApplyChange implements changeApplier.
 func (u namespaceUpdater) ApplyChange(c Change) error {
 	if c.Namespaces != nil {
-		u.front.Update(nvmeNamespaces(c.Namespaces))
+		u.front.UpdateNamespaces(nvmeNamespaces(c.Namespaces))
 	}
 	return nil
 }
