--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -99,7 +99,7 @@
 		require.Error(t, err)
 	}
 
-	f, err := edge.NewFollower(edge.Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: at}}})
+	f, err := edge.NewFollower(edge.FollowerOptions{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: at}}})
 	require.NoError(t, err)
 	go f.Run(ctx)
 	require.Eventually(t, func() bool {
--- a/internal/controlplane/agent/stream_service_test.go
+++ b/internal/controlplane/agent/stream_service_test.go
@@ -75,7 +75,7 @@
 	for i, addr := range relays {
 		list = append(list, watchstream.Relay{ID: fmt.Sprint("relay-", i), Region: "north", Addr: addr})
 	}
-	f, err := edge.NewFollower(edge.Options{Fleet: campus, Name: name, Region: "north", Relays: list})
+	f, err := edge.NewFollower(edge.FollowerOptions{Fleet: campus, Name: name, Region: "north", Relays: list})
 	require.NoError(g.t, err)
 	g.background(f.Run)
 	return f
--- a/internal/controlplane/watchstream/distribution/compat_test.go
+++ b/internal/controlplane/watchstream/distribution/compat_test.go
@@ -14,11 +14,11 @@
 func TestSnapshotOfOlderVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS("testdata/62b6efc")))
-	f, err := NewFollower(Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "z1", Dir: dir, Generation: 1,
+	f, err := NewFollower(FollowerOptions{Fleet: "campus", Name: "n1", Region: "north", Zone: "z1", Dir: dir, Generation: 1,
 		Relays: []watchstream.Relay{{ID: "r1", Addr: "127.0.0.1:1"}}})
 	require.NoError(t, err)
 	state := f.State()
-	require.Zero(t, state.SnapshotsDamaged)
+	require.Zero(t, state.SnapshotsUnusable)
 	require.Equal(t, "epoch-of-62b6efc", state.Epoch)
 	require.Equal(t, watchstream.Position{Targets: 2, Config: 2}, state.Position)
 	require.Greater(t, f.replica.Generation(), uint64(7))
--- a/internal/controlplane/watchstream/distribution/distribution_test.go
+++ b/internal/controlplane/watchstream/distribution/distribution_test.go
@@ -123,7 +123,7 @@
 }
 
 // follow starts a follower. It is ended with the test, or by stop.
-func follow(t *testing.T, opt Options) *heard {
+func follow(t *testing.T, opt FollowerOptions) *heard {
 	t.Helper()
 	h := &heard{t: t}
 	if opt.Fleet == "" {
@@ -182,7 +182,7 @@
 func TestDelta(t *testing.T) {
 	b := newBook(t, watchstream.SourceOptions{})
 	b.put(append(targets(300), layer("shared", `{"a":1}`), layer("region/south", `{"a":2}`))...)
-	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
 	require.Len(t, f.Records(watchstream.Targets), 300)
 	require.Len(t, f.Records(watchstream.Config), 1, "another region's layer is not its own")
@@ -290,7 +290,7 @@
 	v := b.put(target(0, 0))
 	var all []*heard
 	for i := range 8 {
-		all = append(all, follow(t, Options{Name: fmt.Sprint("i", i), Relays: to(b.addr)}))
+		all = append(all, follow(t, FollowerOptions{Name: fmt.Sprint("i", i), Relays: to(b.addr)}))
 	}
 	told := uint64(0)
 	for _, f := range all {
@@ -304,7 +304,7 @@
 func TestTurnedDown(t *testing.T) {
 	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0), layer("shared", `{"a":1}`))
-	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(b.addr)})
 	f.at(1)
 	f.mu.Lock()
 	f.down = func(u Update) error {
@@ -353,7 +353,7 @@
 		_, err = fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", watchPath, len(body), body)
 		require.NoError(t, err)
 	}
-	f := follow(t, Options{Name: "i1", Relays: to(b.addr)})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(b.addr)})
 	for range 5 {
 		f.at(b.put(target(0, 1)))
 	}
@@ -364,47 +364,47 @@
 	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(append(targets(40), layer("shared", `{"a":1}`))...)
 	dir := t.TempDir()
-	f := follow(t, Options{Name: "i1", Relays: to(b.addr), Dir: dir})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(b.addr), Dir: dir})
 	f.at(v)
 	turn := f.replica.Generation()
 	f.stop()
 	require.Equal(t, uint64(1), f.State().SnapshotsSaved)
 	nowhere := to("127.0.0.1:1")
-	again := follow(t, Options{Name: "i1", Relays: nowhere, Dir: dir, Generation: 1})
+	again := follow(t, FollowerOptions{Name: "i1", Relays: nowhere, Dir: dir, Generation: 1})
 	again.at(v)
 	require.True(t, again.told()[0].Full)
 	require.Len(t, again.told()[0].Records, 41)
 	require.Greater(t, again.replica.Generation(), turn, "also by a clock that was set back")
 	again.stop()
 	v = b.put(target(3, 1))
-	on := follow(t, Options{Name: "i1", Relays: to(b.addr), Dir: dir})
+	on := follow(t, FollowerOptions{Name: "i1", Relays: to(b.addr), Dir: dir})
 	on.at(v)
 	require.Equal(t, uint64(1), on.State().Records, "what differs, and no more")
 	on.stop()
 
 	whole, err := os.ReadFile(filepath.Join(dir, snapshotName))
 	require.NoError(t, err)
-	starts := func(text []byte, opt Options) FollowerState {
+	starts := func(text []byte, opt FollowerOptions) FollowerState {
 		opt.Dir, opt.Relays = t.TempDir(), nowhere
 		require.NoError(t, os.WriteFile(filepath.Join(opt.Dir, snapshotName), text, 0o600))
 		f, err := NewFollower(opt)
 		require.NoError(t, err)
 		return f.State()
 	}
-	mine := Options{Fleet: fleet, Name: "i1", Region: "north"}
-	require.Zero(t, starts(whole, mine).SnapshotsDamaged)
+	mine := FollowerOptions{Fleet: fleet, Name: "i1", Region: "north"}
+	require.Zero(t, starts(whole, mine).SnapshotsUnusable)
 	rapid.Check(t, func(rt *rapid.T) {
 		bent := bytes.Clone(whole[:rapid.IntRange(0, len(whole)).Draw(rt, "cut")])
 		if len(bent) == len(whole) {
 			bent[rapid.IntRange(0, len(whole)-1).Draw(rt, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 		}
 		s := starts(bent, mine)
-		require.Equal(rt, uint64(1), s.SnapshotsDamaged)
+		require.Equal(rt, uint64(1), s.SnapshotsUnusable)
 		require.Zero(rt, s.Position)
 	})
-	for _, other := range []Options{{Fleet: "other", Name: "i1", Region: "north"}, {Fleet: fleet, Name: "i1", Region: "south"}} {
+	for _, other := range []FollowerOptions{{Fleet: "other", Name: "i1", Region: "north"}, {Fleet: fleet, Name: "i1", Region: "south"}} {
 		s := starts(whole, other)
-		require.Equal(t, uint64(1), s.SnapshotsDamaged, other)
+		require.Equal(t, uint64(1), s.SnapshotsUnusable, other)
 		require.Zero(t, s.Position)
 	}
 }
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -37,8 +37,8 @@
 	connBufferBytes      = 2 << 10                // each way
 )
 
-// Options configure a follower.
-type Options struct {
+// FollowerOptions configure a follower.
+type FollowerOptions struct {
 	Fleet, Name, Region, Zone string
 	All                       bool                // a relay: all scopes
 	Relays                    []watchstream.Relay // that it may call
@@ -67,29 +67,29 @@
 
 // FollowerState is what a follower tells of itself.
 type FollowerState struct {
-	Epoch            string                 `json:"epoch,omitempty"`
-	Position         watchstream.Position   `json:"position"` // up to which everything is there
-	Applied          watchstream.Position   `json:"in_force"`
-	Rejection        *watchstream.Rejection `json:"refused,omitempty"` // of the configuration
-	AgeMs            int64                  `json:"age_ms"`            // since its state surely was the log's; -1: never
-	Relay            string                 `json:"relay,omitempty"`   // that answered last
-	Region           string                 `json:"region,omitempty"`  // of that relay
-	Switches         uint64                 `json:"moves"`
-	Polls            uint64                 `json:"polls"`
-	Deltas           uint64                 `json:"deltas"`
-	Records          uint64                 `json:"records"`
-	Failed           uint64                 `json:"failed"` // polls without an answer
-	Busy             uint64                 `json:"busy"`   // polls that were told to retry later
-	Rejected         map[string]uint64      `json:"turned"` // deltas and requests by reason
-	BytesIn          uint64                 `json:"bytes_in"`
-	BytesOut         uint64                 `json:"bytes_out"`
-	SnapshotsSaved   uint64                 `json:"saved"`
-	SnapshotsDamaged uint64                 `json:"torn"` // that could not be used
+	Epoch             string                 `json:"epoch,omitempty"`
+	Position          watchstream.Position   `json:"position"` // up to which everything is there
+	Applied           watchstream.Position   `json:"in_force"`
+	Rejection         *watchstream.Rejection `json:"refused,omitempty"` // of the configuration
+	AgeMs             int64                  `json:"age_ms"`            // since its state surely was the log's; -1: never
+	Relay             string                 `json:"relay,omitempty"`   // that answered last
+	Region            string                 `json:"region,omitempty"`  // of that relay
+	Switches          uint64                 `json:"moves"`
+	Polls             uint64                 `json:"polls"`
+	Deltas            uint64                 `json:"deltas"`
+	Records           uint64                 `json:"records"`
+	Failed            uint64                 `json:"failed"` // polls without an answer
+	Busy              uint64                 `json:"busy"`   // polls that were told to retry later
+	Rejected          map[string]uint64      `json:"turned"` // deltas and requests by reason
+	BytesIn           uint64                 `json:"bytes_in"`
+	BytesOut          uint64                 `json:"bytes_out"`
+	SnapshotsSaved    uint64                 `json:"saved"`
+	SnapshotsUnusable uint64                 `json:"torn"` // that could not be used
 }
 
 // Follower has a copy of the stream and keeps it up to date. All work is done by the goroutine of Run.
 type Follower struct {
-	opt          Options
+	opt          FollowerOptions
 	log          *slog.Logger
 	transport    http.RoundTripper
 	ownTransport *http.Transport // nil: the caller's is used
@@ -110,7 +110,7 @@
 }
 
 // NewFollower validates the options and reads the snapshot; it makes no call yet.
-func NewFollower(opt Options) (*Follower, error) {
+func NewFollower(opt FollowerOptions) (*Follower, error) {
 	scope := watchstream.Scope{Name: opt.Name, Region: opt.Region, Zone: opt.Zone, All: opt.All}
 	switch err := scope.Validate(); {
 	case err != nil:
--- a/internal/controlplane/watchstream/distribution/garbage_test.go
+++ b/internal/controlplane/watchstream/distribution/garbage_test.go
@@ -117,7 +117,7 @@
 				b.http.Config.Handler.ServeHTTP(w, r)
 			}
 		}))
-		f := follow(t, Options{Name: "i1", Relays: to(odd.Listener.Addr().String()), Generation: uint64(time.Now().UnixNano())})
+		f := follow(t, FollowerOptions{Name: "i1", Relays: to(odd.Listener.Addr().String()), Generation: uint64(time.Now().UnixNano())})
 		f.at(v)
 		s := f.State()
 		if c.count == "failed" {
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -60,7 +60,7 @@
 		agents[i] = watchstream.Relay{ID: addr, Region: opt.Region, Addr: addr}
 	}
 	var err error
-	r.follower, err = NewFollower(Options{Fleet: opt.Fleet, Name: opt.ID, Region: opt.Region, All: true, Relays: agents, Dir: opt.Dir, Log: opt.Log, Dial: opt.Dial})
+	r.follower, err = NewFollower(FollowerOptions{Fleet: opt.Fleet, Name: opt.ID, Region: opt.Region, All: true, Relays: agents, Dir: opt.Dir, Log: opt.Log, Dial: opt.Dial})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -108,7 +108,7 @@
 	}
 	var all []*heard
 	for i := range n {
-		all = append(all, follow(t, Options{Name: fmt.Sprint("i", i), Relays: to(addrs...)}))
+		all = append(all, follow(t, FollowerOptions{Name: fmt.Sprint("i", i), Relays: to(addrs...)}))
 	}
 	settled := func(v uint64) {
 		t.Helper()
@@ -162,7 +162,7 @@
 	alone := opt
 	alone.Agents = []string{"127.0.0.1:1"}
 	r = relayAt(t, "127.0.0.1:0", alone)
-	f := follow(t, Options{Name: "i1", Relays: to(r.addr)})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)})
 	f.at(v)
 	require.Len(t, f.Records(watchstream.Targets), 200)
 	require.Greater(t, f.State().AgeMs, int64(1), "it has heard of no agent")
@@ -179,7 +179,7 @@
 	require.NoError(t, os.WriteFile(path, text[:len(text)/2], 0o600))
 	r = relayAt(t, "127.0.0.1:0", opt)
 	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "from nothing")
-	require.Equal(t, uint64(1), r.State().Follower.SnapshotsDamaged)
+	require.Equal(t, uint64(1), r.State().Follower.SnapshotsUnusable)
 	require.Equal(t, uint64(202), r.State().Follower.Records, "199 targets, two layers, and a tombstone")
 }
 
@@ -223,13 +223,13 @@
 	v := b.put(append(targets(20), layer("shared", `{"a":1}`))...)
 	g := &gate{open: map[net.Conn]bool{}}
 	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Dial: g.dial})
-	f := follow(t, Options{Name: "i1", Relays: to(r.addr)})
+	f := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)})
 	f.at(v)
 	g.set(true)
 	later := b.put(target(1, 1))
 	// A poll that is answered tells an age of some two seconds at most while the relay hears.
 	eventually(t, func() bool { return f.State().AgeMs > 4000 }, "its age is told")
-	late := follow(t, Options{Name: "i2", Relays: to(r.addr)})
+	late := follow(t, FollowerOptions{Name: "i2", Relays: to(r.addr)})
 	late.at(v)
 	eventually(t, func() bool { return late.State().AgeMs > 4000 }, "to who came later too")
 	require.Less(t, f.State().Position.Targets, later)
@@ -257,7 +257,7 @@
 	cut := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "cut", Agents: []string{b.addr}, Dial: g.dial})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
 	relays := []watchstream.Relay{{ID: "cut", Region: "north", Addr: cut.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
+	f := follow(t, FollowerOptions{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "cut", f.State().Relay)
 	g.set(true)
@@ -283,7 +283,7 @@
 	home := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "home", Agents: []string{b.addr}})
 	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
 	relays := []watchstream.Relay{{ID: "home", Region: "north", Addr: home.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, Options{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
+	f := follow(t, FollowerOptions{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
 	f.at(v)
 	require.Equal(t, "home", f.State().Relay)
 	home.kill()
@@ -298,7 +298,7 @@
 func TestAnotherFleet(t *testing.T) {
 	b := newBook(t, watchstream.SourceOptions{})
 	b.put(target(0, 0))
-	f := follow(t, Options{Fleet: "other", Name: "i1", Relays: to(b.addr)})
+	f := follow(t, FollowerOptions{Fleet: "other", Name: "i1", Relays: to(b.addr)})
 	eventually(t, func() bool { return f.State().Rejected[string(watchstream.ReasonForeignFleet)] > 1 }, "refused")
 	require.Empty(t, f.told())
 	require.Zero(t, f.State().Position)
@@ -310,10 +310,10 @@
 	b := newBook(t, watchstream.SourceOptions{})
 	v := b.put(target(0, 0))
 	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Source: watchstream.SourceOptions{MaxReaders: 2}})
-	first, second := follow(t, Options{Name: "i1", Relays: to(r.addr)}), follow(t, Options{Name: "i2", Relays: to(r.addr)})
+	first, second := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)}), follow(t, FollowerOptions{Name: "i2", Relays: to(r.addr)})
 	first.at(v)
 	second.at(v)
-	third := follow(t, Options{Name: "i3", Relays: to(r.addr)})
+	third := follow(t, FollowerOptions{Name: "i3", Relays: to(r.addr)})
 	eventually(t, func() bool { return third.State().Busy > 0 }, "turned away")
 	require.Equal(t, 2, r.State().Readers)
 	resp, err := http.Get("http://" + r.addr + "/v1/feed")
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -76,12 +76,12 @@
 
 // ServerState is a server's counters since its start.
 type ServerState struct {
-	Polls    uint64 `json:"polls"`
-	Deltas   uint64 `json:"deltas"`
-	Records  uint64 `json:"records"`
-	Bytes    uint64 `json:"bytes"`   // of answer bodies, as sent
-	Rejected uint64 `json:"refused"` // requests, busy ones included
-	CutOff   uint64 `json:"cut"`     // readers that did not read their answer in time
+	Polls        uint64 `json:"polls"`
+	Deltas       uint64 `json:"deltas"`
+	Records      uint64 `json:"records"`
+	Bytes        uint64 `json:"bytes"`   // of answer bodies, as sent
+	Rejected     uint64 `json:"refused"` // requests, busy ones included
+	FailedWrites uint64 `json:"cut"`     // readers that did not read their answer in time
 }
 
 // State returns the counters.
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -158,7 +158,7 @@
 
 // snapshotUnusable counts and logs a snapshot that is ignored.
 func (f *Follower) snapshotUnusable(err error) {
-	f.state.SnapshotsDamaged++
+	f.state.SnapshotsUnusable++
 	f.log.Warn("snapshot ignored", slog.String("reason", "FEED_COPY_BAD"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 }
 
--- a/internal/controlplane/watchstream/status.go
+++ b/internal/controlplane/watchstream/status.go
@@ -26,8 +26,8 @@
 	Rejection   *Rejection `json:"refused,omitempty"`
 }
 
-// RelayState is a relay as of its last report.
-type RelayState struct {
+// RelayStatus is a relay as of its last report.
+type RelayStatus struct {
 	ID          string `json:"id"`
 	Region      string `json:"region,omitempty"`
 	Consistent  uint64 `json:"has"`
@@ -50,7 +50,7 @@
 	P99Ms        int64           `json:"most_ms"`  // until 99 of 100 had
 	AllMs        int64           `json:"all_ms"`
 	Lagging      []LaggingReader `json:"lagging,omitempty"` // some of them, those furthest behind first
-	Relays       []RelayState    `json:"relays,omitempty"`
+	Relays       []RelayStatus   `json:"relays,omitempty"`
 }
 
 // Status returns where a version is applied.
@@ -118,14 +118,14 @@
 }
 
 // relayStates returns the relays in order of their ids.
-func (t *AckTracker) relayStates(now time.Duration, heardReaders map[string]int) (states []RelayState) {
+func (t *AckTracker) relayStates(now time.Duration, heardReaders map[string]int) (states []RelayStatus) {
 	for id, r := range t.relays {
-		state := RelayState{ID: id, Region: r.Region, AgeMs: r.AgeMs, LastHeardMs: (now - r.receivedAt).Milliseconds(), Readers: heardReaders[id]}
+		state := RelayStatus{ID: id, Region: r.Region, AgeMs: r.AgeMs, LastHeardMs: (now - r.receivedAt).Milliseconds(), Readers: heardReaders[id]}
 		if r.Consistent.Epoch == t.epoch {
 			state.Consistent = r.Consistent.Min()
 		}
 		states = append(states, state)
 	}
-	slices.SortFunc(states, func(a, b RelayState) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(states, func(a, b RelayStatus) int { return cmp.Compare(a.ID, b.ID) })
 	return states
 }
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -25,7 +25,7 @@
 // The sources.
 const (
 	Discovery Source = iota
-	Feed
+	WatchStream
 	sources
 )
 
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -244,22 +244,22 @@
 		all  []said
 		want string
 	}{
-		{"either source alone", []said{{Feed, change(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"a drain by the feed, discovery lags", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"a drain by discovery, the feed lags", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Feed, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"a drain does not go back for its own source either", []said{{Feed, change(entry(draining, 5, "a:1"))}, {Feed, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"started anew", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Feed, change(entry(serving, 6, "b:1"))}}, "SERVING 6 b:1"},
-		{"an older start is not heard", []said{{Feed, change(entry(serving, 6, "b:1"))}, {Discovery, whole(entry(draining, 5, "a:1"))}}, "SERVING 6 b:1"},
-		{"absent", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(serving, 5, "a:1"))}, {Discovery, whole()}}, ""},
-		{"absent at an older start", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(serving, 6, "a:1"))}, {Discovery, whole()}}, "SERVING 6 a:1"},
+		{"either source alone", []said{{WatchStream, change(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
+		{"a drain by the feed, discovery lags", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"a drain by discovery, the feed lags", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"a drain does not go back for its own source either", []said{{WatchStream, change(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"started anew", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 6, "b:1"))}}, "SERVING 6 b:1"},
+		{"an older start is not heard", []said{{WatchStream, change(entry(serving, 6, "b:1"))}, {Discovery, whole(entry(draining, 5, "a:1"))}}, "SERVING 6 b:1"},
+		{"absent", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}, {Discovery, whole()}}, ""},
+		{"absent at an older start", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 6, "a:1"))}, {Discovery, whole()}}, "SERVING 6 a:1"},
 		{"an empty list by mistake", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Discovery, whole()}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
 		{"a drain is remembered over an absence", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Discovery, whole()}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"gone in the feed", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(serving, 5, "a:1"))}, {Feed, change(listing.Entry{ID: "t", State: deleted})}}, ""},
-		{"deleted at that start, and told again by the one that lags", []said{{Feed, change(entry(deleted, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, ""},
-		{"deleted at an older start", []said{{Feed, change(entry(deleted, 4, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"deleted and never named", []said{{Feed, change(listing.Entry{ID: "t", State: deleted})}, {Feed, change(entry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
-		{"moved: the last word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(serving, 5, "b:1"))}}, "SERVING 5 b:1"},
-		{"moved: a list that says what it said is no new word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Feed, change(entry(serving, 5, "b:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 b:1"},
+		{"gone in the feed", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}, {WatchStream, change(listing.Entry{ID: "t", State: deleted})}}, ""},
+		{"deleted at that start, and told again by the one that lags", []said{{WatchStream, change(entry(deleted, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, ""},
+		{"deleted at an older start", []said{{WatchStream, change(entry(deleted, 4, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
+		{"deleted and never named", []said{{WatchStream, change(listing.Entry{ID: "t", State: deleted})}, {WatchStream, change(entry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
+		{"moved: the last word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "b:1"))}}, "SERVING 5 b:1"},
+		{"moved: a list that says what it said is no new word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "b:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 b:1"},
 		{"moved while it drains", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "b:1"))}}, "DRAINING 5 b:1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -288,17 +288,17 @@
 	for i := range 100 {
 		id := fmt.Sprint("t", i)
 		v.Merge(Discovery, at(id, draining, 1))
-		v.Merge(Feed, at(id, serving, 1))
+		v.Merge(WatchStream, at(id, serving, 1))
 		v.Merge(Discovery, at(id, deleted, 0))
 		require.LessOrEqual(t, len(v.targets), 9, "the feed still names one")
-		v.Merge(Feed, at(id, deleted, 0))
+		v.Merge(WatchStream, at(id, deleted, 0))
 		require.LessOrEqual(t, len(v.targets), 8)
 	}
-	v.Merge(Feed, at("t95", serving, 1))
+	v.Merge(WatchStream, at("t95", serving, 1))
 	for i := 100; i < 120; i++ {
 		id := fmt.Sprint("t", i)
-		v.Merge(Feed, at(id, serving, 1))
-		v.Merge(Feed, at(id, deleted, 1))
+		v.Merge(WatchStream, at(id, serving, 1))
+		v.Merge(WatchStream, at(id, deleted, 1))
 	}
 	require.Len(t, v.targets, 9)
 	require.Contains(t, v.targets, "t95")
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -74,7 +74,7 @@
 	if !j.told {
 		if n.from == targetmerge.Discovery { // a whole list of the feed's has its pieces in it
 			for _, l := range j.held {
-				j.view.Merge(targetmerge.Feed, l)
+				j.view.Merge(targetmerge.WatchStream, l)
 			}
 		}
 		j.told, j.held, l = true, nil, j.view.Full()
@@ -87,7 +87,7 @@
 // hear takes the feed's word, and returns once those who listen have heard it: what was told to drain gets no first byte any more. One that
 // has stopped has nothing that could still be sent.
 func (j *joint) hear(l *listing.List, early bool) {
-	n := news{targetmerge.Feed, l, early, make(chan struct{})}
+	n := news{targetmerge.WatchStream, l, early, make(chan struct{})}
 	j.box.Put(n)
 	select {
 	case <-n.heard:
@@ -117,7 +117,7 @@
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
-	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.changed})
+	s.follower, err = edge.NewFollower(edge.FollowerOptions{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.changed})
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: feed: %w", err)
 	}
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -23,11 +23,11 @@
 type Options struct {
 	Name, Region, Zone string
 	Seed               uint64
-	Discovery          string        // where the list is asked for; empty: it is not
-	Crowd              int           // how many ask there
-	Known              *listing.List // the list as last had
-	Agents             []string      // whose configuration is followed; empty: none
-	Feed               *edge.Options // nil: it does not follow the feed
+	Discovery          string                // where the list is asked for; empty: it is not
+	Crowd              int                   // how many ask there
+	Known              *listing.List         // the list as last had
+	Agents             []string              // whose configuration is followed; empty: none
+	Feed               *edge.FollowerOptions // nil: it does not follow the feed
 	Members            *transport.Options
 	Module             *policy.Settings // nil: it has no module
 	Log                *slog.Logger
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -104,7 +104,7 @@
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
 	module := set(t)
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Module: &module, Log: quiet,
-		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
+		Feed: &edge.FollowerOptions{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
 	reaches(t, in, Targets, 1)
 	reaches(t, in, Config, 2)
@@ -184,7 +184,7 @@
 func TestDeaf(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.FollowerOptions{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
 	to, request, err := in.Asks("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -105,7 +105,7 @@
 	var all sync.WaitGroup
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
-		f, err := edge.NewFollower(edge.Options{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
+		f, err := edge.NewFollower(edge.FollowerOptions{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
 			OnChange: func(c edge.Update) error {
 				r.has[i].Store(c.Position.Min())
 				return nil
