--- a/internal/controlplane/watchstream/ack_tracker.go
+++ b/internal/controlplane/watchstream/ack_tracker.go
@@ -111,26 +111,26 @@
 	if err := report.Validate(); err != nil {
 		return ReportResponse{}, err
 	}
-	was := t.relays[report.Relay]
+	previous := t.relays[report.Relay]
 	switch {
 	case report.Fleet != t.fleet:
 		return ReportResponse{}, reject(ReasonForeignFleet, "the report is of fleet %q, and this is %q", report.Fleet, t.fleet)
-	case was != nil && (report.Incarnation < was.Incarnation || report.Incarnation == was.Incarnation && report.Seq <= was.Seq):
-		return ReportResponse{}, reject(ReasonStale, "report %d of life %d: %d of %d was taken", report.Seq, report.Incarnation, was.Seq, was.Incarnation)
-	case !report.Full && (was == nil || was.Incarnation != report.Incarnation || report.Base > was.UpTo):
+	case previous != nil && (report.Incarnation < previous.Incarnation || report.Incarnation == previous.Incarnation && report.Seq <= previous.Seq):
+		return ReportResponse{}, reject(ReasonStale, "report %d of life %d: %d of %d was taken", report.Seq, report.Incarnation, previous.Seq, previous.Incarnation)
+	case !report.Full && (previous == nil || previous.Incarnation != report.Incarnation || report.Base > previous.UpTo):
 		return ReportResponse{Incarnation: report.Incarnation, WantFull: true}, nil
 	}
 	if t.firstReportAt == 0 {
 		t.firstReportAt = max(now, 1)
 	}
-	if report.Full && was != nil { // a reader that is missing was last heard before the previous report
+	if report.Full && previous != nil { // a reader that is missing was last heard before the previous report
 		named := make(map[string]bool, len(report.Readers))
 		for i := range report.Readers {
 			named[report.Readers[i].Name] = true
 		}
 		for name, r := range t.readers {
 			if r.relay == report.Relay && !named[name] && !r.Silent {
-				r.Silent, r.lastHeardAt = true, was.receivedAt
+				r.Silent, r.lastHeardAt = true, previous.receivedAt
 			}
 		}
 	}
@@ -146,18 +146,18 @@
 
 // trackReader takes over one reader's state. There is one state for each name, and that of the later
 // generation wins, so that no reader counts twice (step 8).
-func (t *AckTracker) trackReader(now time.Duration, relay string, x Cursor) {
-	r := t.readers[x.Name]
+func (t *AckTracker) trackReader(now time.Duration, relay string, cursor Cursor) {
+	r := t.readers[cursor.Name]
 	switch {
 	case r == nil && len(t.readers) >= t.opt.MaxReaders:
 		return
 	case r == nil:
 		r = &trackedReader{}
-		t.readers[x.Name] = r
-	case x.Generation < r.Generation || x.Generation == r.Generation && relay != r.relay:
+		t.readers[cursor.Name] = r
+	case cursor.Generation < r.Generation || cursor.Generation == r.Generation && relay != r.relay:
 		return
 	}
-	*r = trackedReader{x, relay, now - time.Duration(x.LastHeardMs)*time.Millisecond}
+	*r = trackedReader{cursor, relay, now - time.Duration(cursor.LastHeardMs)*time.Millisecond}
 	t.appliedChanged = true
 }
 
@@ -206,9 +206,9 @@
 	}
 	slices.Sort(t.appliedSorted)
 	n := len(t.appliedSorted)
-	for i, part := range ackShares {
+	for i, share := range ackShares {
 		if n > 0 {
-			t.reachedBy[i].add(t.appliedSorted[n-int(math.Ceil(part*float64(n)))], now)
+			t.reachedBy[i].add(t.appliedSorted[n-int(math.Ceil(share*float64(n)))], now)
 		}
 	}
 }
--- a/internal/controlplane/watchstream/apply.go
+++ b/internal/controlplane/watchstream/apply.go
@@ -10,7 +10,7 @@
 // first. They must be applied at once; MarkApplied then acknowledges them. An error (a *RejectedError)
 // means that nothing has changed.
 func (r *Replica) ApplyDelta(d *Delta) (changed []Record, err error) {
-	s, begins, err := r.checkDelta(d)
+	s, isFirst, err := r.checkDelta(d)
 	if err != nil {
 		if e := (*RejectedError)(nil); errors.As(err, &e) {
 			r.rejections[e.Reason]++
@@ -24,13 +24,13 @@
 	}
 	r.digestsWanted = false
 	switch {
-	case begins && r.store.epoch == "":
+	case isFirst && r.store.epoch == "":
 		s.epoch = d.Epoch
-	case begins:
-		s.epoch, r.successor = d.Epoch, s
+	case isFirst:
+		s.epoch, r.replacement = d.Epoch, s
 	}
 	s.replaces = slices.Clone(d.Replaces)
-	s.newestSeen = s.newestSeen.furthest(d.Head)
+	s.newestSeen = s.newestSeen.later(d.Head)
 	if d.Range != nil {
 		changed = s.applyBuckets(d)
 		if r.progress = (&DigestProgress{d.Range.Start, d.Range.To}); d.Range.To == len(s.digests) {
@@ -47,7 +47,7 @@
 		}
 	}
 	s.trimTombstones()
-	if s == r.successor {
+	if s == r.replacement {
 		if s.consistent != s.newestSeen || s.consistent.Targets != s.consistent.Config { // the new history is not complete yet
 			return nil, nil
 		}
@@ -58,7 +58,7 @@
 
 // checkDelta returns the store that a delta applies to, and whether that store starts with it. It
 // changes nothing.
-func (r *Replica) checkDelta(d *Delta) (s *Store, begins bool, err error) {
+func (r *Replica) checkDelta(d *Delta) (s *Store, isFirst bool, err error) {
 	s = r.following()
 	switch {
 	case d.Fleet != s.fleet:
@@ -71,9 +71,9 @@
 		return nil, false, reject(ReasonOversize, "the delta is of %d bytes: %d at most", d.Size(), MaxDeltaBytes)
 	case d.Epoch == s.epoch:
 	case r.store.epoch == "":
-		begins = true
+		isFirst = true
 	case slices.Contains(d.Replaces, r.store.epoch) && !slices.Contains(r.store.replaces, d.Epoch):
-		s, begins = NewStore(s.fleet, s.limits), true
+		s, isFirst = NewStore(s.fleet, s.limits), true
 	default:
 		return nil, false, reject(ReasonEpoch, "the delta is of epoch %q, which doesn't say that it takes the place of %q", d.Epoch, r.store.epoch)
 	}
@@ -83,7 +83,7 @@
 	case d.From != s.have:
 		return nil, false, reject(ReasonGap, "the delta goes on from %v, and this is at %v", d.From, s.have)
 	case d.WantDigests:
-		if d.To != d.From || len(d.Records)+len(d.Buckets) > 0 || d.Range != nil || begins {
+		if d.To != d.From || len(d.Records)+len(d.Buckets) > 0 || d.Range != nil || isFirst {
 			return nil, false, reject(ReasonDisorder, "the delta asks and brings something")
 		}
 		return s, false, nil
@@ -94,9 +94,9 @@
 	case d.To.Config != d.From.Config && d.To.Config != d.Head.Config && !r.scope.All:
 		return nil, false, reject(ReasonDisorder, "the delta brings a part of the configuration")
 	case d.Range != nil:
-		return s, begins, r.checkBuckets(s, d)
+		return s, isFirst, r.checkBuckets(s, d)
 	}
-	return s, begins, r.checkRecords(s, d)
+	return s, isFirst, r.checkRecords(s, d)
 }
 
 // checkRecords checks the records of a delta by version.
@@ -134,7 +134,7 @@
 	if !r.scope.Includes(record.Kind, record.Key) {
 		return reject(ReasonOutOfScope, "%s %q is not of %+v", record.Kind, record.Key, r.scope)
 	}
-	if old := s.lanes[record.Kind].keys[record.Key]; old != nil && record.Version < old.Version && !(record.Deleted && old.Deleted) {
+	if old := s.byKind[record.Kind].keys[record.Key]; old != nil && record.Version < old.Version && !(record.Deleted && old.Deleted) {
 		return reject(ReasonBehind, "%s %q is brought at version %d, and is held at %d", record.Kind, record.Key, record.Version, old.Version)
 	}
 	return nil
@@ -168,7 +168,7 @@
 		next = b.Index + 1
 		sum := uint64(0)
 		for j, key := range b.Unchanged {
-			old := s.lanes[Targets].keys[key]
+			old := s.byKind[Targets].keys[key]
 			if old == nil || old.Deleted || s.bucketOf(key) != b.Index || seen[key] {
 				return reject(ReasonDisorder, "buckets[%d].held[%d]: %q isn't held there", i, j, key)
 			}
@@ -205,7 +205,7 @@
 
 // applyRecord reports whether a record changed more than a tombstone's version.
 func (s *Store) applyRecord(r Record) bool {
-	old := s.lanes[r.Kind].keys[r.Key]
+	old := s.byKind[r.Kind].keys[r.Key]
 	if old != nil && old.Version >= r.Version {
 		return false
 	}
@@ -226,9 +226,9 @@
 		}
 		for _, old := range slices.Clone(s.buckets[b.Index]) {
 			if !named[old.Key] {
-				gone := Record{Kind: Targets, Key: old.Key, Version: d.Head.Targets, Deleted: true}
-				s.putRecord(&gone)
-				changed = append(changed, gone)
+				tombstone := Record{Kind: Targets, Key: old.Key, Version: d.Head.Targets, Deleted: true}
+				s.putRecord(&tombstone)
+				changed = append(changed, tombstone)
 			}
 		}
 		for _, r := range b.Records {
@@ -243,21 +243,21 @@
 
 // switchHistory puts the new history in place of the old one, and returns what differs.
 func (r *Replica) switchHistory() (changed []Record) {
-	old, now := r.store, r.successor
+	old, next := r.store, r.replacement
 	for _, k := range Kinds {
-		old.lanes[k].byVersion.Ascend(func(record *Record) bool {
-			if is := now.lanes[k].keys[record.Key]; !record.Deleted && (is == nil || is.Deleted) {
-				changed = append(changed, Record{Kind: k, Key: record.Key, Version: *now.consistent.version(k), Deleted: true})
+		old.byKind[k].byVersion.Ascend(func(record *Record) bool {
+			if current := next.byKind[k].keys[record.Key]; !record.Deleted && (current == nil || current.Deleted) {
+				changed = append(changed, Record{Kind: k, Key: record.Key, Version: *next.consistent.version(k), Deleted: true})
 			}
 			return true
 		})
-		now.lanes[k].byVersion.Ascend(func(record *Record) bool {
-			if was := old.lanes[k].keys[record.Key]; !record.Deleted && (was == nil || was.Deleted || !bytes.Equal(was.Value, record.Value)) {
+		next.byKind[k].byVersion.Ascend(func(record *Record) bool {
+			if previous := old.byKind[k].keys[record.Key]; !record.Deleted && (previous == nil || previous.Deleted || !bytes.Equal(previous.Value, record.Value)) {
 				changed = append(changed, *record)
 			}
 			return true
 		})
 	}
-	*r.store, r.successor, r.rejection = *now, nil, nil
+	*r.store, r.replacement, r.rejection = *next, nil, nil
 	return changed
 }
--- a/internal/controlplane/watchstream/change.go
+++ b/internal/controlplane/watchstream/change.go
@@ -50,7 +50,7 @@
 		if err := p.validate(); err != nil {
 			return fieldError(fmt.Sprintf("puts[%d].%s", i, err.Field), "%s", err.Why)
 		}
-		if first, again := seen[id{p.Kind, p.Key}]; again {
+		if first, duplicate := seen[id{p.Kind, p.Key}]; duplicate {
 			return fieldError(fmt.Sprintf("puts[%d].key", i), "puts[%d] has %q too", first, p.Key)
 		}
 		seen[id{p.Kind, p.Key}] = i
@@ -63,12 +63,12 @@
 
 // validate returns the first field that cannot be used.
 func (p *Put) validate() *FieldError {
-	most := MaxTargetBytes
+	maxBytes := MaxTargetBytes
 	if p.Kind == Config {
-		most = MaxConfigBytes
+		maxBytes = MaxConfigBytes
 	}
 	switch {
-	case p.Kind >= kinds:
+	case p.Kind >= kindCount:
 		return &FieldError{"kind", fmt.Sprintf("unknown: %d", p.Kind)}
 	case p.Key == "":
 		return &FieldError{"key", "it is missing"}
@@ -80,8 +80,8 @@
 		return &FieldError{"value", "there is one beside gone"}
 	case p.Deleted:
 		return nil
-	case len(p.Value) > most:
-		return &FieldError{"value", fmt.Sprintf("%d bytes: %d at most", len(p.Value), most)}
+	case len(p.Value) > maxBytes:
+		return &FieldError{"value", fmt.Sprintf("%d bytes: %d at most", len(p.Value), maxBytes)}
 	case !json.Valid(p.Value):
 		return &FieldError{"value", "it is not JSON"}
 	case p.Value[firstByte(p.Value)] != '{':
--- a/internal/controlplane/watchstream/debug.go
+++ b/internal/controlplane/watchstream/debug.go
@@ -11,8 +11,8 @@
 // DebugPrint writes the store's state: equal states print alike.
 func (s *Store) DebugPrint(w io.Writer) {
 	fmt.Fprint(w, s.epoch, s.replaces, s.have, s.consistent, s.newestSeen, s.tombstoneFloor)
-	for k := range s.lanes {
-		s.lanes[k].byVersion.Ascend(func(r *Record) bool {
+	for k := range s.byKind {
+		s.byKind[k].byVersion.Ascend(func(r *Record) bool {
 			fmt.Fprintf(w, " %s@%d%t", r.Key, r.Version, r.Deleted)
 			return true
 		})
@@ -23,22 +23,22 @@
 // DebugPrint writes the reader's state, except the number of its requests.
 func (r *Replica) DebugPrint(w io.Writer) {
 	r.store.DebugPrint(w)
-	if r.successor != nil {
-		r.successor.DebugPrint(w)
+	if r.replacement != nil {
+		r.replacement.DebugPrint(w)
 	}
 	fmt.Fprintln(w, r.applied, r.generation, r.rejection, r.progress, r.digestsWanted)
 }
 
 // DebugPrint writes the source's state except its store, and times and numbers that have no effect any
 // more. said is how many requests a reader has sent.
-func (s *Source) DebugPrint(w io.Writer, now time.Duration, said func(name string) uint64) {
+func (s *Source) DebugPrint(w io.Writer, now time.Duration, requestCount func(name string) uint64) {
 	s.admission.refill(now)
 	fmt.Fprintf(w, "%.2f %v %d %d", s.admission.tokens, max(0, s.nextBusySlot-now).Round(time.Millisecond), s.reportedSeq, s.changeSeq)
 	for _, name := range slices.Sorted(maps.Keys(s.readers)) {
 		r := s.readers[name]
 		r.refill(now)
 		req := r.request
-		fmt.Fprintf(w, " %s %s%v%v%v%d.%d %v %v %t%t %.0f %.0f %d %v", name, req.Epoch, req.Have, req.Seen, req.Applied, req.Generation, said(name)-req.Seq, req.Rejection, req.Progress,
+		fmt.Fprintf(w, " %s %s%v%v%v%d.%d %v %v %t%t %.0f %.0f %d %v", name, req.Epoch, req.Have, req.Seen, req.Applied, req.Generation, requestCount(name)-req.Seq, req.Rejection, req.Progress,
 			r.waiting, r.silent, r.targetTokens.tokens, r.sharedTokens.tokens, r.changeSeq, min(now-r.lastHeardAt, s.opt.SilentAfter).Round(10*time.Millisecond))
 		if r.resync != nil {
 			fmt.Fprint(w, *r.resync)
--- a/internal/controlplane/watchstream/delta.go
+++ b/internal/controlplane/watchstream/delta.go
@@ -21,8 +21,8 @@
 	if r == nil || !r.waiting || st.epoch == "" {
 		return nil, idleWait
 	}
-	have, seen, fresh := r.request.Have, r.request.Seen, r.request.Epoch != st.epoch
-	if fresh { // it has another history, which this one replaces (step 9)
+	have, seen, newEpoch := r.request.Have, r.request.Seen, r.request.Epoch != st.epoch
+	if newEpoch { // it has another history, which this one replaces (step 9)
 		have, seen = Position{}, Position{}
 	}
 	head := st.consistent
@@ -38,7 +38,7 @@
 	d = &Delta{Fleet: st.fleet, Epoch: st.epoch, Replaces: slices.Clone(st.replaces), Scope: r.request.Scope, From: have, To: have, Head: head,
 		AgeMs: s.Age(now).Milliseconds()}
 	if have.Targets < st.tombstoneFloor { // deletions since then are forgotten (step 6)
-		wait = s.fillByDigest(r, d, fresh)
+		wait = s.fillByDigest(r, d, newEpoch)
 	} else {
 		r.resync = nil
 		wait = s.fillByVersion(r, d)
@@ -87,21 +87,21 @@
 // pendingRecords returns what a reader lacks of a kind, oldest first, in whole versions and at least
 // one, and how far it goes. What the reader's rate does not allow waits until a good part of the burst
 // is available, so that it is not sent in tiny pieces.
-func (s *Source) pendingRecords(r *reader, k Kind, from uint64, may float64) (list []Record, to uint64, wait time.Duration) {
-	most, total, cut := min(may, maxDeltaFill), 0, false
+func (s *Source) pendingRecords(r *reader, k Kind, from uint64, budget float64) (list []Record, to uint64, wait time.Duration) {
+	limit, total, truncated := min(budget, maxDeltaFill), 0, false
 	to = from
 	s.store.ascendAfter(k, from, func(record *Record) bool {
-		if record.Version != to && len(list) > 0 && float64(total) >= most {
-			cut = true
+		if record.Version != to && len(list) > 0 && float64(total) >= limit {
+			truncated = true
 			return false
 		}
 		list, to, total = append(list, *record), record.Version, total+record.Size()
 		return true
 	})
-	if !cut {
+	if !truncated {
 		to = *s.store.consistent.version(k)
 	}
-	if wait = r.pacingWait(may, cut, len(list) > 0, k); wait > 0 {
+	if wait = r.pacingWait(budget, truncated, len(list) > 0, k); wait > 0 {
 		return nil, from, wait
 	}
 	return list, to, 0
@@ -111,7 +111,7 @@
 // its layers belong together.
 func (s *Source) pendingLayers(r *reader, d *Delta) (list []Record, to uint64, wait time.Duration) {
 	for _, key := range d.Scope.layerKeys() {
-		if record := s.store.lanes[Config].keys[key]; record != nil && record.Version > d.From.Config {
+		if record := s.store.byKind[Config].keys[key]; record != nil && record.Version > d.From.Config {
 			list = append(list, *record)
 		}
 	}
--- a/internal/controlplane/watchstream/digest.go
+++ b/internal/controlplane/watchstream/digest.go
@@ -68,36 +68,36 @@
 
 // fillByDigest fills a delta with the next buckets that differ, or asks the reader for its digests. It
 // returns how long to wait if the reader's rate does not allow that now.
-func (s *Source) fillByDigest(r *reader, d *Delta, fresh bool) (wait time.Duration) {
+func (s *Source) fillByDigest(r *reader, d *Delta, newEpoch bool) (wait time.Duration) {
 	st, p := s.store, r.request.Progress
-	at := 0
+	from := 0
 	switch {
-	case fresh:
-		r.resync = &digestRun{epoch: st.epoch, start: d.Head.Targets}
+	case newEpoch:
+		r.resync = &digestResync{epoch: st.epoch, start: d.Head.Targets}
 	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its digests have just arrived
 	case r.resync != nil && r.resync.epoch == st.epoch && p != nil && r.resync.start == p.Start && p.NextBucket <= len(st.digests):
-		at = p.NextBucket
+		from = p.NextBucket
 	default:
 		// It is asked only if its rate allows the digests and a first part at once, or it would send them repeatedly.
-		sums := float64(digestBytes * len(st.digests))
-		if wait = r.waitForBytes(min(sums+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
+		requestBytes := float64(digestBytes * len(st.digests))
+		if wait = r.waitForBytes(min(requestBytes+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
 			return wait
 		}
-		r.sharedTokens.tokens -= sums
+		r.sharedTokens.tokens -= requestBytes
 		r.resync, d.WantDigests = nil, true
 		return 0
 	}
-	may := r.targetBudget()
-	most, total, cut, to := min(may, maxDeltaFill), 0, false, at
+	budget := r.targetBudget()
+	limit, total, truncated, to := min(budget, maxDeltaFill), 0, false, from
 	for ; to < len(st.digests); to++ {
-		theirs := uint64(0)
+		readerDigest := uint64(0)
 		if r.resync.digests != nil {
-			theirs = r.resync.digests[to]
+			readerDigest = r.resync.digests[to]
 		}
-		if st.digests[to] == theirs {
+		if st.digests[to] == readerDigest {
 			continue
 		}
-		if cut = total > 0 && float64(total) >= most; cut {
+		if truncated = total > 0 && float64(total) >= limit; truncated {
 			break
 		}
 		b := Bucket{Index: to, Digest: st.digests[to]}
@@ -111,18 +111,18 @@
 		d.Buckets = append(d.Buckets, b)
 		total += b.Size()
 	}
-	if wait = r.pacingWait(may, cut, total > 0, Targets); wait > 0 {
+	if wait = r.pacingWait(budget, truncated, total > 0, Targets); wait > 0 {
 		return wait
 	}
 	r.spendTargetBytes(total)
-	if d.Range = (&BucketRange{r.resync.start, at, to}); to == len(st.digests) {
+	if d.Range = (&BucketRange{r.resync.start, from, to}); to == len(st.digests) {
 		d.To.Targets = r.resync.start
 	}
 	return 0
 }
 
 // digestRun is a resync of one reader by digests.
-type digestRun struct {
+type digestResync struct {
 	epoch   string
 	start   uint64
 	digests Digests // of the reader when it began; nil: it had nothing
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -147,15 +147,15 @@
 // Run follows the stream until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	f.applySnapshot()
-	last := ""
+	lastID := ""
 	for ctx.Err() == nil {
 		relay, at := f.selector.NextCall(monotone.Now())
 		if !sleep(ctx, at-monotone.Now()) {
 			break
 		}
-		if relay.ID != last {
-			f.switchTo(relay, last)
-			last = relay.ID
+		if relay.ID != lastID {
+			f.switchTo(relay, lastID)
+			lastID = relay.ID
 		}
 		out, after, age := f.poll(ctx, relay)
 		if ctx.Err() != nil {
@@ -202,8 +202,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	whole := f.replica.Consistent()
-	s.Epoch, s.Position, s.Applied, s.Rejection = whole.Epoch, whole.Position, f.replica.Applied().Position, f.replica.Rejection()
+	watermark := f.replica.Consistent()
+	s.Epoch, s.Position, s.Applied, s.Rejection = watermark.Epoch, watermark.Position, f.replica.Applied().Position, f.replica.Rejection()
 	s.Rejected = maps.Clone(s.Rejected)
 	s.BytesIn, s.BytesOut = f.traffic.in.Load(), f.traffic.out.Load()
 	if s.AgeMs = -1; f.freshAt > 0 {
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -17,7 +17,7 @@
 
 // poll calls a relay once and applies the answer: after is when to retry, age how old the relay's
 // state may be.
-func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.CallOutcome, after, age time.Duration) {
+func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (outcome watchstream.CallOutcome, retryAfter, age time.Duration) {
 	f.mu.Lock()
 	req := f.replica.SubscribeRequest()
 	f.state.Polls++
@@ -35,8 +35,8 @@
 		}
 		return watchstream.CallFailed, 0, 0
 	case status == http.StatusOK:
-		out, age := f.applyDelta(relay, body)
-		return out, 0, age
+		outcome, age := f.applyDelta(relay, body)
+		return outcome, 0, age
 	case status == http.StatusNoContent:
 		f.noteAnswer(relay, age)
 		if monotone.Now()-began < minPollInterval {
@@ -60,14 +60,14 @@
 }
 
 // roundTrip makes one call and returns the decompressed answer.
-func (f *Follower) roundTrip(ctx context.Context, addr string, hello *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
-	text, err := jsonCodec.Marshal(hello)
+func (f *Follower) roundTrip(ctx context.Context, addr string, subscribe *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
+	payload, err := jsonCodec.Marshal(subscribe)
 	if err != nil {
 		return 0, 0, nil, err
 	}
-	ctx, done := context.WithTimeout(ctx, pollWait+pollGrace)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+watchPath, bytes.NewReader(text))
+	ctx, cancel := context.WithTimeout(ctx, pollWait+pollGrace)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+watchPath, bytes.NewReader(payload))
 	if err != nil {
 		return 0, 0, nil, err
 	}
@@ -82,18 +82,18 @@
 	}
 	defer resp.Body.Close()
 	if f.ownTransport == nil {
-		f.traffic.out.Add(uint64(len(text)))
+		f.traffic.out.Add(uint64(len(payload)))
 	}
-	ms, _ := strconv.ParseInt(resp.Header.Get(ageHeader), 10, 64)
-	in := &countingReader{Reader: io.LimitReader(resp.Body, maxAnswerBytes)}
-	body, err = readAll(in, resp.Header.Get(encodingHeader) == gzipEncoding, maxAnswerBytes)
+	ageMs, _ := strconv.ParseInt(resp.Header.Get(ageHeader), 10, 64)
+	counted := &countingReader{Reader: io.LimitReader(resp.Body, maxAnswerBytes)}
+	body, err = readAll(counted, resp.Header.Get(encodingHeader) == gzipEncoding, maxAnswerBytes)
 	if f.ownTransport == nil {
-		f.traffic.in.Add(in.n)
+		f.traffic.in.Add(counted.n)
 	}
 	if err != nil && ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return resp.StatusCode, time.Duration(max(0, ms)) * time.Millisecond, body, err
+	return resp.StatusCode, time.Duration(max(0, ageMs)) * time.Millisecond, body, err
 }
 
 // countingReader counts the bytes read.
@@ -110,7 +110,7 @@
 }
 
 // applyDelta applies a delta and passes on what it changed.
-func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (out watchstream.CallOutcome, age time.Duration) {
+func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (outcome watchstream.CallOutcome, age time.Duration) {
 	var d watchstream.Delta
 	if err := jsonCodec.Unmarshal(body, &d); err != nil {
 		f.mu.Lock()
@@ -128,19 +128,19 @@
 	}
 	f.state.Deltas++
 	f.state.Records += uint64(len(records))
-	mark := f.replica.Consistent()
+	watermark := f.replica.Consistent()
 	close(f.changed)
 	f.changed = make(chan struct{})
 	f.mu.Unlock()
 	f.recordsChanged, f.positionChanged = f.recordsChanged || len(records) > 0, true
 	age = time.Duration(max(0, d.AgeMs)) * time.Millisecond
 	f.noteAnswer(relay, age)
-	f.notify(Update{Records: records, Position: mark.Position}, mark)
+	f.notify(Update{Records: records, Position: watermark.Position}, watermark)
 	return watchstream.CallAnswered, age
 }
 
 // notify passes on an update and acknowledges it as far as it is applied.
-func (f *Follower) notify(u Update, mark watchstream.Watermark) {
+func (f *Follower) notify(u Update, watermark watchstream.Watermark) {
 	var err error
 	if f.opt.OnChange != nil && (len(u.Records) > 0 || u.Full || u.Position != f.notified) {
 		err = f.opt.OnChange(u)
@@ -149,11 +149,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.replica.RejectConfig(mark.Config, err.Error())
+		f.replica.RejectConfig(watermark.Config, err.Error())
 		f.state.Rejected["config"]++
-		f.log.Warn("configuration rejected", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", mark.Config), slog.Any("error", err))
+		f.log.Warn("configuration rejected", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", watermark.Config), slog.Any("error", err))
 	}
-	f.replica.MarkApplied(mark)
+	f.replica.MarkApplied(watermark)
 }
 
 // noteAnswer records which relay answered and how old its state may be.
@@ -173,7 +173,7 @@
 }
 
 // noteRejected counts and logs a rejection. The caller holds mu.
-func (f *Follower) noteRejected(relay watchstream.Relay, why watchstream.Reason, text string) {
-	f.state.Rejected[string(why)]++
-	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
+func (f *Follower) noteRejected(relay watchstream.Relay, reason watchstream.Reason, detail string) {
+	f.state.Rejected[string(reason)]++
+	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(reason)), slog.String("relay", relay.ID), slog.String("text", detail))
 }
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -70,22 +70,22 @@
 // replaceAll replaces the previous list by a full one, and reports false if that would remove too
 // much.
 func (p *Publisher) replaceAll(l *listing.List) bool {
-	named := make(map[string]bool, len(l.Servers))
+	listed := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
-		named[e.ID] = e.State != "DELETED"
+		listed[e.ID] = e.State != "DELETED"
 	}
-	gone := 0
+	removed := 0
 	for id := range p.want {
-		if !named[id] {
-			gone++
+		if !listed[id] {
+			removed++
 		}
 	}
-	if len(p.want) >= minTargetsToGuard && 2*gone > len(p.want) && !p.opt.AllowShrink {
-		p.opt.Log.Warn("full list not published", slog.String("reason", "FEED_LIST_SHRINKS"), slog.Int("targets", len(p.want)), slog.Int("gone", gone))
+	if len(p.want) >= minTargetsToGuard && 2*removed > len(p.want) && !p.opt.AllowShrink {
+		p.opt.Log.Warn("full list not published", slog.String("reason", "FEED_LIST_SHRINKS"), slog.Int("targets", len(p.want)), slog.Int("gone", removed))
 		return false
 	}
 	for id := range p.want {
-		if !named[id] {
+		if !listed[id] {
 			delete(p.want, id)
 			p.dirty[id] = true
 		}
@@ -96,35 +96,35 @@
 
 // Run makes changes until ctx ends.
 func (p *Publisher) Run(ctx context.Context) {
-	var have map[string]listing.Entry
+	var published map[string]listing.Entry
 	for ctx.Err() == nil {
-		if !p.isListed() {
+		if !p.receivedFullList() {
 			p.wait(ctx)
 			continue
 		}
-		if have == nil {
+		if published == nil {
 			var err error
-			if have, err = p.loadPublished(ctx); err != nil {
+			if published, err = p.loadPublished(ctx); err != nil {
 				p.publishFailed(ctx, err)
 				continue
 			}
 		}
-		c := p.nextChange(have)
+		c := p.nextChange(published)
 		if len(c.Puts) == 0 {
 			p.wait(ctx)
 			continue
 		}
 		v, err := p.opt.Put(ctx, c)
 		if err != nil {
-			have = nil // the stream shows whether it was made
+			published = nil // the stream shows whether it was made
 			p.publishFailed(ctx, err)
 			continue
 		}
 		for _, put := range c.Puts {
 			if put.Deleted {
-				delete(have, put.Key)
+				delete(published, put.Key)
 			} else if e, err := entryOf(put.Value); err == nil {
-				have[put.Key] = e
+				published[put.Key] = e
 			}
 		}
 		p.opt.Log.Info("targets published", slog.String("reason", "FEED_PUBLISHED"), slog.Uint64("version", v), slog.Int("targets", len(c.Puts)))
@@ -133,7 +133,7 @@
 }
 
 // isListed reports whether a full list has arrived.
-func (p *Publisher) isListed() bool {
+func (p *Publisher) receivedFullList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hasFullList
@@ -162,26 +162,26 @@
 	if err != nil {
 		return nil, err
 	}
-	have := make(map[string]listing.Entry, len(records))
+	published := make(map[string]listing.Entry, len(records))
 	for i := range records {
 		e, err := entryOf(records[i].Value)
 		if err != nil {
 			e = listing.Entry{} // equal to no listed entry, so it is put again
 		}
-		have[records[i].Key] = e
+		published[records[i].Key] = e
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.opt.AllowShrink && len(have) >= minTargetsToGuard && 2*len(p.want) < len(have) {
+	if !p.opt.AllowShrink && len(published) >= minTargetsToGuard && 2*len(p.want) < len(published) {
 		return nil, errors.New("the list has less than half of the targets in the stream: is it another fleet's? --shed takes them away")
 	}
-	for id := range have {
+	for id := range published {
 		p.dirty[id] = true
 	}
 	for id := range p.want {
 		p.dirty[id] = true
 	}
-	return have, nil
+	return published, nil
 }
 
 // entryOf decodes an entry of the list.
@@ -199,7 +199,7 @@
 }
 
 // nextChange returns the next change: what differs, up to a bound.
-func (p *Publisher) nextChange(have map[string]listing.Entry) watchstream.Change {
+func (p *Publisher) nextChange(published map[string]listing.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := watchstream.Change{Fleet: p.opt.Fleet}
@@ -209,18 +209,18 @@
 		}
 		delete(p.dirty, id)
 		put := watchstream.Put{Kind: watchstream.Targets, Key: id}
-		is, there := have[id]
+		current, exists := published[id]
 		e, wanted := p.want[id]
 		switch {
-		case !wanted && !there, wanted && there && sameEntry(is, e):
+		case !wanted && !exists, wanted && exists && sameEntry(current, e):
 			continue
 		case !wanted:
 			put.Deleted = true
 		default:
 			var err error
 			if put.Value, err = jsonCodec.Marshal(e); err == nil {
-				one := watchstream.Change{Fleet: p.opt.Fleet, Puts: []watchstream.Put{put}}
-				err = one.Validate()
+				single := watchstream.Change{Fleet: p.opt.Fleet, Puts: []watchstream.Put{put}}
+				err = single.Validate()
 			}
 			if err != nil {
 				if !sameEntry(p.unpublishable[id], e) {
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -39,14 +39,14 @@
 
 // Relay follows the agents and serves readers.
 type Relay struct {
-	opt      RelayOptions
-	log      *slog.Logger
-	follower *Follower
-	source   *watchstream.Source // guarded by the follower's lock
-	server   *Server
-	http     http.Server
-	conns    atomic.Int64
-	reports  struct{ sent, failed atomic.Uint64 }
+	opt        RelayOptions
+	log        *slog.Logger
+	follower   *Follower
+	source     *watchstream.Source // guarded by the follower's lock
+	server     *Server
+	httpServer http.Server
+	conns      atomic.Int64
+	reports    struct{ sent, failed atomic.Uint64 }
 }
 
 // NewRelay validates the options and reads the snapshot.
@@ -70,7 +70,7 @@
 	mux := http.NewServeMux()
 	r.server.Routes(mux)
 	mux.HandleFunc("GET /v1/feed", r.handleState)
-	r.http = http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout + maxPollWait, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10}
+	r.httpServer = http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout + maxPollWait, IdleTimeout: idleTimeout, MaxHeaderBytes: 8 << 10}
 	return r, nil
 }
 
@@ -86,7 +86,7 @@
 
 // Serve answers readers until Run ends.
 func (r *Relay) Serve(l net.Listener) error {
-	if err := r.http.Serve(&limitedListener{l, &r.conns, int64(r.opt.Source.MaxReaders + extraConns)}); !errors.Is(err, http.ErrServerClosed) {
+	if err := r.httpServer.Serve(&limitedListener{l, &r.conns, int64(r.opt.Source.MaxReaders + extraConns)}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
@@ -94,19 +94,19 @@
 
 // Run follows the agents and reports to their leader until ctx ends; then no more readers are served.
 func (r *Relay) Run(ctx context.Context) {
-	var work sync.WaitGroup
-	work.Go(func() { r.follower.Run(ctx) })
+	var wg sync.WaitGroup
+	wg.Go(func() { r.follower.Run(ctx) })
 	if r.opt.Report != nil {
-		work.Go(func() { r.reportLoop(ctx) })
+		wg.Go(func() { r.reportLoop(ctx) })
 	}
 	<-ctx.Done()
 	r.server.Stop()
-	within, done := context.WithTimeout(context.Background(), shutdownTimeout)
-	defer done()
-	if r.http.Shutdown(within) != nil {
-		r.http.Close() // readers that do not read their answers
+	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+	defer cancel()
+	if r.httpServer.Shutdown(shutdownCtx) != nil {
+		r.httpServer.Close() // readers that do not read their answers
 	}
-	work.Wait()
+	wg.Wait()
 }
 
 // reportLoop regularly tells the agents' leader what has changed at the readers. After a failure the
@@ -116,9 +116,9 @@
 	for sleep(ctx, reportInterval) {
 		var rep watchstream.Report
 		r.WithSource(func(now time.Duration, s *watchstream.Source) { rep = s.BuildReport(now, r.opt.ID, r.opt.Region) })
-		within, done := context.WithTimeout(ctx, reportTimeout)
-		answer, err := r.opt.Report(within, rep)
-		done()
+		reportCtx, cancel := context.WithTimeout(ctx, reportTimeout)
+		answer, err := r.opt.Report(reportCtx, rep)
+		cancel()
 		if err != nil {
 			if r.reports.failed.Add(1); !failing && ctx.Err() == nil {
 				r.log.Warn("relay report failed", slog.String("reason", "FEED_UNREPORTED"), slog.Any("error", err))
--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -52,7 +52,7 @@
 	})
 	var once sync.Once
 	x.stop = func() { once.Do(func() { end(); work.Wait() }) }
-	x.kill = func() { r.http.Close(); x.stop() }
+	x.kill = func() { r.httpServer.Close(); x.stop() }
 	t.Cleanup(x.stop)
 	return x
 }
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -56,7 +56,7 @@
 	pollSlots chan struct{} // bounds polls at a time
 	done      chan struct{} // closed by Stop
 	stopped   atomic.Bool
-	counters  struct{ polls, deltas, records, bytes, refused, cut atomic.Uint64 }
+	counters  struct{ polls, deltas, records, bytes, rejected, failedWrites atomic.Uint64 }
 }
 
 // NewServer returns a server of at most so many polls at a time; 0: the default.
@@ -87,7 +87,7 @@
 // State returns the counters.
 func (s *Server) State() ServerState {
 	c := &s.counters
-	return ServerState{c.polls.Load(), c.deltas.Load(), c.records.Load(), c.bytes.Load(), c.refused.Load(), c.cut.Load()}
+	return ServerState{c.polls.Load(), c.deltas.Load(), c.records.Load(), c.bytes.Load(), c.rejected.Load(), c.failedWrites.Load()}
 }
 
 // handlePoll answers one poll.
@@ -132,17 +132,17 @@
 	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, req) }); !ok {
 		return http.StatusServiceUnavailable, &RejectedError{watchstream.ReasonNotReady, "there is nothing here yet", notReadyRetry.Milliseconds()}
 	}
-	var full *watchstream.BusyError
-	var refusal *watchstream.RejectedError
+	var busy *watchstream.BusyError
+	var rejected *watchstream.RejectedError
 	switch {
 	case err == nil:
 		return 0, nil
-	case errors.As(err, &full):
-		return http.StatusServiceUnavailable, &RejectedError{reasonBusy, err.Error(), max(1, full.RetryAfter.Milliseconds())}
-	case errors.As(err, &refusal) && refusal.Reason == watchstream.ReasonNotReady:
-		return http.StatusServiceUnavailable, &RejectedError{refusal.Reason, refusal.Why, notReadyRetry.Milliseconds()}
-	case errors.As(err, &refusal) && refusal.Reason != watchstream.ReasonMalformed:
-		return http.StatusConflict, &RejectedError{Reason: refusal.Reason, Detail: refusal.Why}
+	case errors.As(err, &busy):
+		return http.StatusServiceUnavailable, &RejectedError{reasonBusy, err.Error(), max(1, busy.RetryAfter.Milliseconds())}
+	case errors.As(err, &rejected) && rejected.Reason == watchstream.ReasonNotReady:
+		return http.StatusServiceUnavailable, &RejectedError{rejected.Reason, rejected.Why, notReadyRetry.Milliseconds()}
+	case errors.As(err, &rejected) && rejected.Reason != watchstream.ReasonMalformed:
+		return http.StatusConflict, &RejectedError{Reason: rejected.Reason, Detail: rejected.Why}
 	}
 	return http.StatusUnprocessableEntity, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: err.Error()}
 }
@@ -152,12 +152,12 @@
 	until := monotone.Now() + min(time.Duration(max(req.WaitMs, 0))*time.Millisecond, maxPollWait)
 	var timer *time.Timer
 	for {
-		var wait, at time.Duration
+		var wait, checkedAt time.Duration
 		changed, _ := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) {
 			d, wait = src.NextDelta(now, req.Name)
-			age, at = src.Age(now), now
+			age, checkedAt = src.Age(now), now
 		})
-		if d != nil || at >= until {
+		if d != nil || checkedAt >= until {
 			return d, age
 		}
 		// What the reader's rate does not allow yet is not allowed sooner because of a change.
@@ -165,7 +165,7 @@
 			changed = nil
 			wait = min(wait, burstPause)
 		}
-		if wait = max(min(wait, until-at), time.Millisecond); timer == nil {
+		if wait = max(min(wait, until-checkedAt), time.Millisecond); timer == nil {
 			timer = time.NewTimer(wait)
 			defer timer.Stop()
 		} else {
@@ -191,8 +191,8 @@
 		return
 	}
 	if acceptsGzip(r) {
-		var packed bool
-		if text, packed = compress(text); packed {
+		var compressed bool
+		if text, compressed = compress(text); compressed {
 			w.Header().Set(encodingHeader, gzipEncoding)
 		}
 	}
@@ -206,7 +206,7 @@
 		err = http.NewResponseController(w).Flush()
 	}
 	if err != nil {
-		s.counters.cut.Add(1)
+		s.counters.failedWrites.Add(1)
 		return
 	}
 	s.counters.deltas.Add(1)
@@ -216,7 +216,7 @@
 
 // reject answers with a rejection.
 func (s *Server) reject(w http.ResponseWriter, status int, rejected *RejectedError) {
-	s.counters.refused.Add(1)
+	s.counters.rejected.Add(1)
 	text, err := jsonCodec.Marshal(rejected)
 	if err != nil {
 		status, text = http.StatusInternalServerError, nil
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -27,8 +27,8 @@
 
 // The body is CBOR, which takes a tenth of the time that JSON takes.
 var (
-	encode = must(cbor.EncOptions{}.EncMode())
-	decode = must(cbor.DecOptions{MaxArrayElements: 1 << 18, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
+	cborEncoder = must(cbor.EncOptions{}.EncMode())
+	cborDecoder = must(cbor.DecOptions{MaxArrayElements: 1 << 18, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 )
 
 // must returns m; the options are constants, so that an error is a mistake in the code.
@@ -46,10 +46,10 @@
 var errDamagedSnapshot = errors.New("the copy is torn")
 
 // writeSnapshot replaces the snapshot under dir.
-func writeSnapshot(dir string, text []byte) error {
-	head := binary.BigEndian.AppendUint64(bytes.Clone(snapshotMagic[:]), uint64(len(text)))
-	head = binary.BigEndian.AppendUint64(head, xxhash.Sum64(text))
-	return renameio.WriteFile(filepath.Join(dir, snapshotName), append(head, text...), 0o600)
+func writeSnapshot(dir string, body []byte) error {
+	header := binary.BigEndian.AppendUint64(bytes.Clone(snapshotMagic[:]), uint64(len(body)))
+	header = binary.BigEndian.AppendUint64(header, xxhash.Sum64(body))
+	return renameio.WriteFile(filepath.Join(dir, snapshotName), append(header, body...), 0o600)
 }
 
 // readSnapshot returns the body of the snapshot under dir; nil if there is none. An incomplete one is
@@ -63,28 +63,28 @@
 		return nil, err
 	}
 	defer f.Close()
-	var head [24]byte
-	if _, err := io.ReadFull(f, head[:]); err != nil {
+	var header [24]byte
+	if _, err := io.ReadFull(f, header[:]); err != nil {
 		return nil, fmt.Errorf("%w: %w", errDamagedSnapshot, err)
 	}
-	size, sum := binary.BigEndian.Uint64(head[8:]), binary.BigEndian.Uint64(head[16:])
+	size, sum := binary.BigEndian.Uint64(header[8:]), binary.BigEndian.Uint64(header[16:])
 	info, err := f.Stat()
 	switch {
 	case err != nil:
 		return nil, err
-	case !bytes.Equal(head[:8], snapshotMagic[:]):
+	case !bytes.Equal(header[:8], snapshotMagic[:]):
 		return nil, fmt.Errorf("%w: it does not begin as one", errDamagedSnapshot)
-	case size > maxSnapshotBytes || info.Size() != int64(len(head))+int64(size):
-		return nil, fmt.Errorf("%w: %d bytes, %d are told", errDamagedSnapshot, info.Size()-int64(len(head)), size)
+	case size > maxSnapshotBytes || info.Size() != int64(len(header))+int64(size):
+		return nil, fmt.Errorf("%w: %d bytes, %d are told", errDamagedSnapshot, info.Size()-int64(len(header)), size)
 	}
-	text := make([]byte, size)
-	if _, err := io.ReadFull(f, text); err != nil {
+	body := make([]byte, size)
+	if _, err := io.ReadFull(f, body); err != nil {
 		return nil, fmt.Errorf("%w: %w", errDamagedSnapshot, err)
 	}
-	if xxhash.Sum64(text) != sum {
+	if xxhash.Sum64(body) != sum {
 		return nil, fmt.Errorf("%w: its checksum differs", errDamagedSnapshot)
 	}
-	return text, nil
+	return body, nil
 }
 
 // storedSnapshot is the body of the file.
@@ -107,16 +107,16 @@
 		f.snapshotUnusable(err)
 		return
 	}
-	text, err := readSnapshot(f.opt.Dir)
+	body, err := readSnapshot(f.opt.Dir)
 	if err != nil {
 		f.snapshotUnusable(err)
 		return
 	}
-	if text == nil {
+	if body == nil {
 		return
 	}
 	var s storedSnapshot
-	if err = decode.Unmarshal(text, &s); err == nil {
+	if err = cborDecoder.Unmarshal(body, &s); err == nil {
 		err = f.restoreSnapshot(&s)
 	}
 	if err != nil {
@@ -128,15 +128,15 @@
 // applySnapshot passes on what the snapshot had applied.
 func (f *Follower) applySnapshot() {
 	f.mu.Lock()
-	mark := f.replica.Consistent()
+	watermark := f.replica.Consistent()
 	records := append(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)...)
 	f.mu.Unlock()
-	if mark.Epoch == "" {
+	if watermark.Epoch == "" {
 		return
 	}
-	f.log.Info("started from snapshot", slog.String("reason", "FEED_COPY"), slog.Int("records", len(records)), slog.Uint64("targets", mark.Targets),
-		slog.Uint64("config", mark.Config))
-	f.notify(Update{Records: records, Full: true, Position: mark.Position}, mark)
+	f.log.Info("started from snapshot", slog.String("reason", "FEED_COPY"), slog.Int("records", len(records)), slog.Uint64("targets", watermark.Targets),
+		slog.Uint64("config", watermark.Config))
+	f.notify(Update{Records: records, Full: true, Position: watermark.Position}, watermark)
 }
 
 // restoreSnapshot takes over a snapshot, before Run.
@@ -164,21 +164,21 @@
 
 // saveSnapshot replaces the snapshot if it is due, or at the end. A snapshot that lags in position
 // alone stays usable for long: an empty delta brings it up to date.
-func (f *Follower) saveSnapshot(last bool) {
+func (f *Follower) saveSnapshot(final bool) {
 	now := monotone.Now()
-	due := f.recordsChanged && now >= f.nextSaveAt || f.positionChanged && now-f.lastSaveAt >= positionSaveInterval || last && (f.recordsChanged || f.positionChanged)
+	due := f.recordsChanged && now >= f.nextSaveAt || f.positionChanged && now-f.lastSaveAt >= positionSaveInterval || final && (f.recordsChanged || f.positionChanged)
 	if f.opt.Dir == "" || !due {
 		return
 	}
 	f.mu.Lock()
 	s := storedSnapshot{Generation: f.replica.Generation(), Scope: f.replica.Scope(), Snapshot: f.replica.Store().Snapshot()}
 	f.mu.Unlock()
-	text, err := encode.Marshal(&s)
+	body, err := cborEncoder.Marshal(&s)
 	if err == nil {
-		err = writeSnapshot(f.opt.Dir, text)
+		err = writeSnapshot(f.opt.Dir, body)
 	}
-	took := monotone.Now() - now
-	f.lastSaveAt, f.nextSaveAt = now, now+max(saveInterval, saveCostFactor*took)
+	duration := monotone.Now() - now
+	f.lastSaveAt, f.nextSaveAt = now, now+max(saveInterval, saveCostFactor*duration)
 	if err != nil {
 		f.log.Warn("snapshot not written", slog.String("reason", "FEED_COPY_FAILED"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 		return
--- a/internal/controlplane/watchstream/errors.go
+++ b/internal/controlplane/watchstream/errors.go
@@ -34,8 +34,8 @@
 func (e *RejectedError) Error() string { return fmt.Sprintf("feed: refused (%s): %s", e.Reason, e.Why) }
 
 // reject returns a RejectedError.
-func reject(reason Reason, why string, args ...any) error {
-	return &RejectedError{reason, fmt.Sprintf(why, args...)}
+func reject(reason Reason, format string, args ...any) error {
+	return &RejectedError{reason, fmt.Sprintf(format, args...)}
 }
 
 // BusyError says that a source takes no new reader now; the reader may retry after RetryAfter, here or
@@ -60,6 +60,6 @@
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
 // fieldError returns a FieldError.
-func fieldError(name, why string, args ...any) error {
-	return &FieldError{name, fmt.Sprintf(why, args...)}
+func fieldError(name, format string, args ...any) error {
+	return &FieldError{name, fmt.Sprintf(format, args...)}
 }
--- a/internal/controlplane/watchstream/pacing.go
+++ b/internal/controlplane/watchstream/pacing.go
@@ -31,25 +31,25 @@
 
 // waitForBytes is how long it takes until n bytes of targets may be sent.
 func (r *reader) waitForBytes(n float64) time.Duration {
-	if may := r.targetBudget(); may < n {
-		return max(time.Millisecond, time.Duration((n-may)/(r.targetTokens.rate+r.sharedTokens.rate)*float64(time.Second)))
+	if budget := r.targetBudget(); budget < n {
+		return max(time.Millisecond, time.Duration((n-budget)/(r.targetTokens.rate+r.sharedTokens.rate)*float64(time.Second)))
 	}
 	return 0
 }
 
 // pacingWait is how long to wait before a part, or anything, is sent.
-func (r *reader) pacingWait(may float64, cut, pending bool, k Kind) time.Duration {
-	rate, least := r.sharedTokens.rate, r.sharedTokens.burst/4
+func (r *reader) pacingWait(budget float64, truncated, pending bool, k Kind) time.Duration {
+	rate, minBytes := r.sharedTokens.rate, r.sharedTokens.burst/4
 	if k == Targets {
-		rate, least = rate+r.targetTokens.rate, (r.targetTokens.burst+r.sharedTokens.burst)/4
+		rate, minBytes = rate+r.targetTokens.rate, (r.targetTokens.burst+r.sharedTokens.burst)/4
 	}
-	if !pending || may > 0 && !cut || cut && may >= least {
+	if !pending || budget > 0 && !truncated || truncated && budget >= minBytes {
 		return 0
 	}
-	if !cut {
-		least = 1
+	if !truncated {
+		minBytes = 1
 	}
-	return max(time.Millisecond, time.Duration((least-may)/rate*float64(time.Second)))
+	return max(time.Millisecond, time.Duration((minBytes-budget)/rate*float64(time.Second)))
 }
 
 // refill fills the reader's buckets up to now. A debt of the targets' bucket is paid from the shared
@@ -57,9 +57,9 @@
 func (r *reader) refill(now time.Duration) {
 	r.targetTokens.refill(now)
 	r.sharedTokens.refill(now)
-	if pays := min(-r.targetTokens.tokens, r.sharedTokens.tokens); pays > 0 {
-		r.targetTokens.tokens += pays
-		r.sharedTokens.tokens -= pays
+	if transfer := min(-r.targetTokens.tokens, r.sharedTokens.tokens); transfer > 0 {
+		r.targetTokens.tokens += transfer
+		r.sharedTokens.tokens -= transfer
 	}
 }
 
@@ -70,9 +70,9 @@
 // spendTargetBytes takes bytes of targets from the shared bucket first.
 func (r *reader) spendTargetBytes(bytes int) {
 	n := float64(bytes)
-	of := min(n, max(0, r.sharedTokens.tokens))
-	r.sharedTokens.tokens -= of
-	r.targetTokens.tokens -= n - of
+	fromShared := min(n, max(0, r.sharedTokens.tokens))
+	r.sharedTokens.tokens -= fromShared
+	r.targetTokens.tokens -= n - fromShared
 }
 
 // DeltaSent tells what a delta took on the wire, with its request and all overhead. NextDelta charges
--- a/internal/controlplane/watchstream/position.go
+++ b/internal/controlplane/watchstream/position.go
@@ -21,7 +21,7 @@
 func (p Position) notAfter(q Position) bool { return p.Targets <= q.Targets && p.Config <= q.Config }
 
 // furthest is the later position of each kind.
-func (p Position) furthest(q Position) Position {
+func (p Position) later(q Position) Position {
 	return Position{max(p.Targets, q.Targets), max(p.Config, q.Config)}
 }
 
--- a/internal/controlplane/watchstream/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -12,11 +12,11 @@
 const (
 	Targets Kind = iota // a target's entry of the endpoint list, by its id
 	Config              // a layer of the configuration, by its scope
-	kinds
+	kindCount
 )
 
 // Kinds lists all kinds.
-var Kinds = [kinds]Kind{Targets, Config}
+var Kinds = [kindCount]Kind{Targets, Config}
 
 // String returns the kind as messages have it.
 func (k Kind) String() string {
@@ -34,9 +34,9 @@
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (k *Kind) UnmarshalText(b []byte) error {
-	for _, is := range Kinds {
-		if is.String() == string(b) {
-			*k = is
+	for _, kind := range Kinds {
+		if kind.String() == string(b) {
+			*k = kind
 			return nil
 		}
 	}
--- a/internal/controlplane/watchstream/relay_selector.go
+++ b/internal/controlplane/watchstream/relay_selector.go
@@ -119,28 +119,28 @@
 
 // CallEnded tells how a call ended; after is what a BusyError said, age how old the answering relay's
 // state may be.
-func (s *RelaySelector) CallEnded(now time.Duration, o CallOutcome, after, age time.Duration) {
+func (s *RelaySelector) CallEnded(now time.Duration, outcome CallOutcome, retryAfter, age time.Duration) {
 	if len(s.relays) == 0 {
 		return
 	}
-	aged := o == CallAnswered && age > s.opt.StaleAfter
+	stale := outcome == CallAnswered && age > s.opt.StaleAfter
 	switch {
 	case s.searchOrigin >= 0:
-		s.searchAnswered(now, o, age)
-	case o == CallAnswered && !(aged && s.returnTo >= 0 && !s.isFresher(age)):
+		s.searchAnswered(now, outcome, age)
+	case outcome == CallAnswered && !(stale && s.returnTo >= 0 && !s.isFresher(age)):
 		s.stayWithCurrent(now, age)
-		if aged && now >= s.nextSearchAt {
+		if stale && now >= s.nextSearchAt {
 			s.startSearch(now)
 		}
 	case s.returnTo >= 0: // home is not ready: return to the relay before
 		s.current, s.returnTo, s.nextCallAt = s.returnTo, -1, now
-		s.homeRetryAt = now + max(after, s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax))
-	case o == CallBusy:
+		s.homeRetryAt = now + max(retryAfter, s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax))
+	case outcome == CallBusy:
 		// The same relay first: switching at once would ask all relays while all are busy.
 		if s.failuresHere++; s.failuresHere > 1 {
 			s.switchRelay(now)
 		}
-		s.nextCallAt = now + after + s.randomBetween(0, s.opt.RetryMin)
+		s.nextCallAt = now + retryAfter + s.randomBetween(0, s.opt.RetryMin)
 	default:
 		s.failures++
 		if s.failuresHere++; s.failuresHere >= s.opt.FailuresBeforeSwitch {
@@ -195,8 +195,8 @@
 
 // searchAnswered processes the outcome of a call of a search. Relays that are busy or do not answer
 // are skipped: the reader has one that answers.
-func (s *RelaySelector) searchAnswered(now time.Duration, o CallOutcome, age time.Duration) {
-	if o != CallAnswered || !s.isFresher(age) {
+func (s *RelaySelector) searchAnswered(now time.Duration, outcome CallOutcome, age time.Duration) {
+	if outcome != CallAnswered || !s.isFresher(age) {
 		s.searchNext(now)
 		return
 	}
--- a/internal/controlplane/watchstream/replica.go
+++ b/internal/controlplane/watchstream/replica.go
@@ -9,7 +9,7 @@
 type Replica struct {
 	store *Store
 	// history that replaces the store's, until it is complete (step 9); nil: none
-	successor     *Store
+	replacement   *Store
 	scope         Scope
 	applied       Watermark
 	generation    uint64
@@ -68,8 +68,8 @@
 
 // following is the store that deltas apply to.
 func (r *Replica) following() *Store {
-	if r.successor != nil {
-		return r.successor
+	if r.replacement != nil {
+		return r.replacement
 	}
 	return r.store
 }
@@ -93,7 +93,7 @@
 // starts again.
 func (r *Replica) SwitchSource() {
 	r.generation++
-	r.seq, r.progress, r.digestsWanted, r.successor = 0, nil, false, nil
+	r.seq, r.progress, r.digestsWanted, r.replacement = 0, nil, false, nil
 }
 
 // MarkApplied says that what ApplyDelta returned up to this watermark, one that Consistent returned,
@@ -103,22 +103,22 @@
 	if w.Epoch != r.store.epoch {
 		return
 	}
-	was := r.applied.Position
+	previous := r.applied.Position
 	if r.applied.Epoch != w.Epoch {
-		was = Position{}
+		previous = Position{}
 	}
-	now := w.Position
-	if !now.notAfter(r.store.consistent) {
+	next := w.Position
+	if !next.notAfter(r.store.consistent) {
 		return
 	}
 	if r.rejection != nil {
-		if newest, found := r.store.lanes[Config].byVersion.Max(); !found || newest.Version <= r.rejection.Version || now.Config < newest.Version {
-			now.Config = was.Config
+		if newest, found := r.store.byKind[Config].byVersion.Max(); !found || newest.Version <= r.rejection.Version || next.Config < newest.Version {
+			next.Config = previous.Config
 		} else {
 			r.rejection = nil
 		}
 	}
-	r.applied = Watermark{w.Epoch, was.furthest(now)}
+	r.applied = Watermark{w.Epoch, previous.later(next)}
 }
 
 // RejectConfig says that the configuration up to this version, the one of Consistent, cannot be
--- a/internal/controlplane/watchstream/snapshot.go
+++ b/internal/controlplane/watchstream/snapshot.go
@@ -19,8 +19,8 @@
 // Snapshot returns a snapshot of the store. Its values are shared and must not be modified.
 func (s *Store) Snapshot() Snapshot {
 	snap := Snapshot{Fleet: s.fleet, Epoch: s.epoch, Replaces: slices.Clone(s.replaces), Have: s.have, Consistent: s.consistent, NewestSeen: s.newestSeen, TombstoneFloor: s.tombstoneFloor}
-	for k := range s.lanes {
-		s.lanes[k].byVersion.Ascend(func(r *Record) bool {
+	for k := range s.byKind {
+		s.byKind[k].byVersion.Ascend(func(r *Record) bool {
 			snap.Records = append(snap.Records, *r)
 			return true
 		})
@@ -50,7 +50,7 @@
 			return reject(ReasonDisorder, "records[%d]: out of order", i)
 		case r.Version == 0 || r.Version > *snap.NewestSeen.version(r.Kind):
 			return reject(ReasonDisorder, "records[%d]: its version %d is not within the copy's", i, r.Version)
-		case n.lanes[r.Kind].keys[r.Key] != nil:
+		case n.byKind[r.Kind].keys[r.Key] != nil:
 			return reject(ReasonDisorder, "records[%d]: %s %q is in it twice", i, r.Kind, r.Key)
 		}
 		n.putRecord(&r)
@@ -73,6 +73,6 @@
 	if err := r.store.Restore(snap); err != nil {
 		return err
 	}
-	r.successor, r.progress, r.digestsWanted, r.applied, r.rejection = nil, nil, false, Watermark{}, nil
+	r.replacement, r.progress, r.digestsWanted, r.applied, r.rejection = nil, nil, false, Watermark{}, nil
 	return nil
 }
--- a/internal/controlplane/watchstream/source.go
+++ b/internal/controlplane/watchstream/source.go
@@ -52,7 +52,7 @@
 	waiting      bool          // the last request was not answered yet
 	targetTokens tokenBucket   // bytes, for targets alone
 	sharedTokens tokenBucket   // bytes, for either kind
-	resync       *digestRun
+	resync       *digestResync
 	changeSeq    uint64
 	silent       bool
 }
@@ -79,7 +79,7 @@
 func (s *Source) ReaderCount() int { return len(s.readers) }
 
 // Rejections returns the rejected requests by reason, and the number of readers rejected as busy.
-func (s *Source) Rejections() (refused map[Reason]uint64, busy uint64) {
+func (s *Source) Rejections() (byReason map[Reason]uint64, busy uint64) {
 	c := make(map[Reason]uint64, len(s.rejections))
 	for reason, n := range s.rejections {
 		c[reason] = n
@@ -126,15 +126,15 @@
 		r = &reader{targetTokens: newTokenBucket(now, rate/2, burst/2), sharedTokens: newTokenBucket(now, rate/2, burst/2)}
 		s.readers[req.Name] = r
 	}
-	was := r.request
-	if r.changeSeq == 0 || r.silent || was.Applied != req.Applied || was.Generation != req.Generation || was.Scope != req.Scope || was.Epoch != req.Epoch ||
-		(was.Rejection == nil) != (req.Rejection == nil) || was.Rejection != nil && *was.Rejection != *req.Rejection {
+	previous := r.request
+	if r.changeSeq == 0 || r.silent || previous.Applied != req.Applied || previous.Generation != req.Generation || previous.Scope != req.Scope || previous.Epoch != req.Epoch ||
+		(previous.Rejection == nil) != (req.Rejection == nil) || previous.Rejection != nil && *previous.Rejection != *req.Rejection {
 		s.changeSeq++
 		r.changeSeq = s.changeSeq
 	}
 	switch {
 	case len(req.Digests) > 0:
-		r.resync = &digestRun{epoch: req.Epoch, start: s.store.consistent.Targets, digests: req.Digests}
+		r.resync = &digestResync{epoch: req.Epoch, start: s.store.consistent.Targets, digests: req.Digests}
 		req.Digests = nil
 	case req.Progress == nil:
 		r.resync = nil // it has ended, or nothing of it arrived
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -33,13 +33,13 @@
 	consistent     Position
 	newestSeen     Position // newest position of any source that something came from (step 4)
 	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone (step 6)
-	lanes          [kinds]lane
+	byKind         [kindCount]kindState
 	digests        Digests
 	buckets        [][]*Record // live targets by bucket
 }
 
 // lane is the state of one kind.
-type lane struct {
+type kindState struct {
 	keys       map[string]*Record
 	byVersion  *btree.BTreeG[*Record] // all records
 	tombstones *btree.BTreeG[*Record] // deleted ones
@@ -56,8 +56,8 @@
 	l.Targets, l.Tombstones = cmp.Or(l.Targets, DefaultLimits.Targets), cmp.Or(l.Tombstones, DefaultLimits.Tombstones)
 	l.Scopes, l.Buckets = cmp.Or(l.Scopes, DefaultLimits.Scopes), cmp.Or(l.Buckets, DefaultLimits.Buckets)
 	s := &Store{limits: l, fleet: fleet, digests: make(Digests, l.Buckets), buckets: make([][]*Record, l.Buckets)}
-	for k := range s.lanes {
-		s.lanes[k] = lane{keys: map[string]*Record{}, byVersion: btree.NewG(16, versionLess), tombstones: btree.NewG(16, versionLess)}
+	for k := range s.byKind {
+		s.byKind[k] = kindState{keys: map[string]*Record{}, byVersion: btree.NewG(16, versionLess), tombstones: btree.NewG(16, versionLess)}
 	}
 	return s
 }
@@ -82,17 +82,17 @@
 func (s *Store) TombstoneFloor() uint64 { return s.tombstoneFloor }
 
 // Count is the number of live records of a kind.
-func (s *Store) Count(k Kind) int { return s.lanes[k].byVersion.Len() - s.lanes[k].tombstones.Len() }
+func (s *Store) Count(k Kind) int { return s.byKind[k].byVersion.Len() - s.byKind[k].tombstones.Len() }
 
 // Tombstones is the number of remembered deleted keys of a kind.
-func (s *Store) Tombstones(k Kind) int { return s.lanes[k].tombstones.Len() }
+func (s *Store) Tombstones(k Kind) int { return s.byKind[k].tombstones.Len() }
 
 // Bytes is the size of the keys and values of a kind.
-func (s *Store) Bytes(k Kind) int { return s.lanes[k].bytes }
+func (s *Store) Bytes(k Kind) int { return s.byKind[k].bytes }
 
 // Get returns the state of a key, if it is known; it may be deleted.
 func (s *Store) Get(k Kind, key string) (Record, bool) {
-	if r := s.lanes[k].keys[key]; r != nil {
+	if r := s.byKind[k].keys[key]; r != nil {
 		return *r, true
 	}
 	return Record{}, false
@@ -102,7 +102,7 @@
 // be modified.
 func (s *Store) Records(k Kind) []Record {
 	list := make([]Record, 0, s.Count(k))
-	s.lanes[k].byVersion.Ascend(func(r *Record) bool {
+	s.byKind[k].byVersion.Ascend(func(r *Record) bool {
 		if !r.Deleted {
 			list = append(list, *r)
 		}
@@ -129,12 +129,12 @@
 	case c.Replaces != "" && len(s.replaces) >= MaxReplaced && !slices.Contains(s.replaces, c.Replaces):
 		return 0, fieldError("replaces", "this history takes the place of %d others already", len(s.replaces))
 	}
-	live, known := s.Count(Targets), s.lanes[Config].byVersion.Len()
+	live, layers := s.Count(Targets), s.byKind[Config].byVersion.Len()
 	for _, p := range c.Puts {
-		r := s.lanes[p.Kind].keys[p.Key]
+		r := s.byKind[p.Kind].keys[p.Key]
 		switch {
 		case p.Kind == Config && r == nil:
-			known++
+			layers++
 		case p.Kind == Targets && !p.Deleted && (r == nil || r.Deleted):
 			live++
 		case p.Kind == Targets && p.Deleted && r != nil && !r.Deleted:
@@ -144,8 +144,8 @@
 	if live > s.limits.Targets {
 		return 0, fieldError("puts", "there would be %d targets: %d at most", live, s.limits.Targets)
 	}
-	if known > s.limits.Scopes {
-		return 0, fieldError("puts", "there would be %d layers of configuration, gone ones too: %d at most", known, s.limits.Scopes)
+	if layers > s.limits.Scopes {
+		return 0, fieldError("puts", "there would be %d layers of configuration, gone ones too: %d at most", layers, s.limits.Scopes)
 	}
 	s.epoch = cmp.Or(s.epoch, c.Epoch)
 	if c.Replaces != "" && !slices.Contains(s.replaces, c.Replaces) {
@@ -163,7 +163,7 @@
 
 // putRecord replaces the record of its key.
 func (s *Store) putRecord(r *Record) {
-	l := &s.lanes[r.Kind]
+	l := &s.byKind[r.Kind]
 	if old := l.keys[r.Key]; old != nil {
 		s.dropRecord(old)
 	}
@@ -183,7 +183,7 @@
 
 // dropRecord removes a record.
 func (s *Store) dropRecord(r *Record) {
-	l := &s.lanes[r.Kind]
+	l := &s.byKind[r.Kind]
 	delete(l.keys, r.Key)
 	l.byVersion.Delete(r)
 	l.bytes -= len(r.Key) + len(r.Value)
@@ -202,9 +202,9 @@
 
 // trimTombstones drops the oldest tombstones beyond the limit and raises the floor to them.
 func (s *Store) trimTombstones() {
-	graves := s.lanes[Targets].tombstones
-	for graves.Len() > s.limits.Tombstones {
-		r, _ := graves.Min()
+	tree := s.byKind[Targets].tombstones
+	for tree.Len() > s.limits.Tombstones {
+		r, _ := tree.Min()
 		s.tombstoneFloor = max(s.tombstoneFloor, r.Version)
 		s.dropRecord(r)
 	}
@@ -227,6 +227,6 @@
 }
 
 // ascendAfter visits the records of a kind with greater versions, in order.
-func (s *Store) ascendAfter(k Kind, v uint64, each func(*Record) bool) {
-	s.lanes[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, each)
+func (s *Store) ascendAfter(k Kind, v uint64, visit func(*Record) bool) {
+	s.byKind[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, visit)
 }
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -26,7 +26,7 @@
 const (
 	Discovery Source = iota
 	WatchStream
-	sources
+	sourceCount
 )
 
 // DefaultMaxRemoved is how many removed targets are remembered: as many as the stream keeps tombstones
@@ -61,7 +61,7 @@
 
 // target is a target that a source lists or has listed.
 type target struct {
-	entries   [sources]*sourceEntry
+	entries   [sourceCount]*sourceEntry
 	published *listing.Entry // its entry in the joined list; nil: none
 	removed   *list.Element  // among those that no source lists
 }
@@ -101,8 +101,8 @@
 }
 
 // New returns an empty view that remembers so many removed targets.
-func New(mostGone int) *View {
-	return &View{targets: map[string]*target{}, removed: list.New(), maxRemoved: mostGone}
+func New(limit int) *View {
+	return &View{targets: map[string]*target{}, removed: list.New(), maxRemoved: limit}
 }
 
 // Len is the number of targets in the joined list.
@@ -148,15 +148,15 @@
 		v.mergeEntry(from, e)
 	}
 	if l.Full {
-		var silent []string
+		var dropped []string
 		for id, t := range v.targets {
 			if entry := t.entries[from]; entry != nil && entry.listed && !named[id] {
 				entry.listed = false
-				silent = append(silent, id)
+				dropped = append(dropped, id)
 			}
 		}
-		slices.Sort(silent) // so that the result does not depend on the order of the map
-		touched = append(touched, silent...)
+		slices.Sort(dropped) // so that the result does not depend on the order of the map
+		touched = append(touched, dropped...)
 	}
 	var changed listing.Entries
 	for _, id := range touched {
@@ -231,15 +231,15 @@
 // trackRemoved remembers targets that no source lists, and forgets the longest removed ones beyond the
 // bound.
 func (v *View) trackRemoved(id string, t *target) {
-	named := false
+	stillListed := false
 	for _, e := range t.entries {
-		named = named || e != nil && e.listed
+		stillListed = stillListed || e != nil && e.listed
 	}
 	switch {
-	case named && t.removed != nil:
+	case stillListed && t.removed != nil:
 		v.removed.Remove(t.removed)
 		t.removed = nil
-	case !named && t.removed == nil:
+	case !stillListed && t.removed == nil:
 		t.removed = v.removed.PushBack(id)
 	}
 	for v.removed.Len() > v.maxRemoved {
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -83,7 +83,7 @@
 	out := map[string]standing{}
 	for i := range 4 {
 		id := fmt.Sprint("t", i)
-		var by [sources]*heard
+		var by [sourceCount]*heard
 		for _, s := range all {
 			h, mentioned := by[s.from], false
 			for _, e := range s.list.Servers {
@@ -165,7 +165,7 @@
 func TestOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := lists(t)
-		var one [sources][]said
+		var one [sourceCount][]said
 		for _, x := range all {
 			one[x.from] = append(one[x.from], x)
 		}
