--- a/internal/controlplane/watchstream/ack_tracker.go
+++ b/internal/controlplane/watchstream/ack_tracker.go
@@ -8,53 +8,53 @@
 	"time"
 )
 
-// AckTrackerOptions bound what the tracker keeps. Zero values stand for those of
+// AckTrackerOptions bound the tracker's state. Zero values are replaced by those of
 // DefaultAckTrackerOptions.
 type AckTrackerOptions struct {
-	SilentAfter     time.Duration // a relay that is not heard for so long is silent, with its readers
-	ForgetAfter     time.Duration // readers that are silent for so long are dropped
-	WarmUp          time.Duration // no times are recorded for so long after the first report
-	MaxReaders      int           // at most
+	SilentAfter     time.Duration // a relay without a report for this long counts as silent, with its readers
+	ForgetAfter     time.Duration // readers that were silent, and relays without a report, for this long are dropped
+	WarmUp          time.Duration // no times are recorded for this long after the first report
+	MaxReaders      int           // tracked at a time; further ones are ignored
 	MaxVersionTimes int           // versions whose times are kept
-	MaxListed       int           // names in a status
+	MaxListed       int           // lagging readers in a status
 }
 
-// DefaultAckTrackerOptions fit a fleet of 16,384 readers.
+// DefaultAckTrackerOptions are sized for a fleet of 16,384 readers.
 var DefaultAckTrackerOptions = AckTrackerOptions{SilentAfter: 10 * time.Second, ForgetAfter: 10 * time.Minute, WarmUp: 5 * time.Second, MaxReaders: 1 << 14, MaxVersionTimes: 1 << 13, MaxListed: 100}
 
-// AckTracker knows, at the agents' leader, which versions are applied at which readers. Its state is
-// in memory: a new leader's tracker asks for full reports.
+// AckTracker tracks, at the agents' leader, which versions are applied at which readers. Its state is in
+// memory only: the tracker of a new leader requests full reports.
 type AckTracker struct {
 	fleet          string
 	opt            AckTrackerOptions
 	epoch          string
 	relays         map[string]*relayReport
 	readers        map[string]*trackedReader
-	firstReportAt  time.Duration                // 0: none yet
+	firstReportAt  time.Duration                // 0: no report yet
 	commits        versionTimes                 // when versions were committed
-	reachedBy      [len(ackShares)]versionTimes // when versions were applied, by ackShares
-	appliedSorted  []uint64                     // applied versions of all readers, for noteReached
-	appliedChanged bool                         // appliedSorted has to be computed again
+	reachedBy      [len(ackShares)]versionTimes // when versions were applied by each of ackShares
+	appliedSorted  []uint64                     // applied versions of all readers; reused by noteReached
+	appliedChanged bool                         // an applied version changed since noteReached last ran
 	rejections     map[Reason]uint64
 }
 
-// ackShares are the shares of readers for which times are recorded.
+// ackShares are the shares of readers for which the time of reaching a version is recorded.
 var ackShares = [...]float64{0.5, 0.99, 1}
 
 // relayReport is a relay's last report, without its readers.
 type relayReport struct {
-	Report     // without its readers
+	Report     // Readers is nil
 	receivedAt time.Duration
 }
 
-// trackedReader is a reader's state with the relay that reported it.
+// trackedReader is a reader's last cursor with the relay that reported it.
 type trackedReader struct {
 	Cursor
 	relay       string
-	lastHeardAt time.Duration // as reported; a reader that is not silent is heard whenever its relay is
+	lastHeardAt time.Duration // as of the report; while the reader is not silent, later reports of its relay count as well
 }
 
-// NewAckTracker returns a tracker that knows no readers.
+// NewAckTracker returns a tracker without readers.
 func NewAckTracker(fleet string, o AckTrackerOptions) *AckTracker {
 	o.SilentAfter, o.ForgetAfter, o.WarmUp = cmp.Or(o.SilentAfter, DefaultAckTrackerOptions.SilentAfter), cmp.Or(o.ForgetAfter, DefaultAckTrackerOptions.ForgetAfter), cmp.Or(o.WarmUp, DefaultAckTrackerOptions.WarmUp)
 	o.MaxReaders, o.MaxVersionTimes, o.MaxListed = cmp.Or(o.MaxReaders, DefaultAckTrackerOptions.MaxReaders), cmp.Or(o.MaxVersionTimes, DefaultAckTrackerOptions.MaxVersionTimes), cmp.Or(o.MaxListed, DefaultAckTrackerOptions.MaxListed)
@@ -63,7 +63,7 @@
 	return t
 }
 
-// resetTimes drops all times, as for a new epoch.
+// resetTimes drops all recorded times, as a new epoch requires.
 func (t *AckTracker) resetTimes() {
 	t.commits = versionTimes{max: t.opt.MaxVersionTimes}
 	for i := range t.reachedBy {
@@ -71,8 +71,8 @@
 	}
 }
 
-// SetEpoch records the epoch of the log's changes. An agent that has restarted from a snapshot knows
-// it before it knows of any commit.
+// SetEpoch records the log's epoch. An agent that restarted from a snapshot knows it before the first
+// commit.
 func (t *AckTracker) SetEpoch(epoch string) {
 	if epoch != t.epoch {
 		t.epoch, t.appliedChanged = epoch, true
@@ -80,16 +80,16 @@
 	}
 }
 
-// NoteCommit records that the log has a change.
+// NoteCommit records the time at which a change was committed.
 func (t *AckTracker) NoteCommit(now time.Duration, epoch string, version uint64) {
 	t.SetEpoch(epoch)
 	if len(t.commits.list) == 0 {
-		t.commits.add(version-1, now) // its time is unknown
+		t.commits.add(version-1, now) // committed at an unknown time
 	}
 	t.commits.add(version, now)
 }
 
-// Rejections returns the rejected reports by reason.
+// Rejections returns the number of rejected reports by reason.
 func (t *AckTracker) Rejections() map[Reason]uint64 {
 	c := make(map[Reason]uint64, len(t.rejections))
 	for reason, n := range t.rejections {
@@ -98,7 +98,7 @@
 	return c
 }
 
-// AddReport processes a relay's report. An error means that nothing has changed.
+// AddReport processes a relay's report. On an error only the rejection counters have changed.
 func (t *AckTracker) AddReport(now time.Duration, report Report) (ReportResponse, error) {
 	resp, err := t.addReport(now, report)
 	if e := (*RejectedError)(nil); errors.As(err, &e) {
@@ -123,7 +123,7 @@
 	if t.firstReportAt == 0 {
 		t.firstReportAt = max(now, 1)
 	}
-	if report.Full && previous != nil { // a reader that is missing was last heard before the previous report
+	if report.Full && previous != nil { // a reader that is missing sent its last request before the previous report
 		named := make(map[string]bool, len(report.Readers))
 		for i := range report.Readers {
 			named[report.Readers[i].Name] = true
@@ -144,8 +144,8 @@
 	return ReportResponse{Incarnation: report.Incarnation, UpTo: report.UpTo}, nil
 }
 
-// trackReader takes over one reader's state. There is one state for each name, and that of the later
-// generation wins, so that no reader counts twice (step 8).
+// trackReader stores a reader's cursor. There is one cursor for each name, and that of the later
+// generation wins, so that no reader is counted twice (step 8).
 func (t *AckTracker) trackReader(now time.Duration, relay string, cursor Cursor) {
 	r := t.readers[cursor.Name]
 	switch {
@@ -161,7 +161,8 @@
 	t.appliedChanged = true
 }
 
-// appliedVersion is the version of the log's history up to which a reader has applied everything.
+// appliedVersion returns the version up to which a reader has applied all changes of the log; 0 if it
+// has applied another epoch's.
 func (t *AckTracker) appliedVersion(r *trackedReader) uint64 {
 	if r.Applied.Epoch != t.epoch {
 		return 0
@@ -169,7 +170,7 @@
 	return r.Applied.Min()
 }
 
-// Expire forgets readers that were silent for long, and relays that stopped reporting. It must be
+// Expire drops readers that were silent, and relays that sent no report, for ForgetAfter. It must be
 // called regularly.
 func (t *AckTracker) Expire(now time.Duration) {
 	for name, state := range t.readers {
@@ -185,7 +186,7 @@
 	}
 }
 
-// lastHeard is when a reader was last heard, as far as is known, and whether it is silent.
+// lastHeard returns when a reader is last known to have sent a request, and whether it is silent.
 func (t *AckTracker) lastHeard(now time.Duration, state *trackedReader) (at time.Duration, silent bool) {
 	r := t.relays[state.relay]
 	if state.Silent || r == nil {
@@ -194,7 +195,7 @@
 	return max(state.lastHeardAt, r.receivedAt), now-r.receivedAt >= t.opt.SilentAfter
 }
 
-// noteReached records which versions have been applied by which share of the readers.
+// noteReached records which version each of ackShares of the readers has applied by now.
 func (t *AckTracker) noteReached(now time.Duration) {
 	if !t.appliedChanged || now-t.firstReportAt < t.opt.WarmUp {
 		return
--- a/internal/controlplane/watchstream/bad_test.go
+++ b/internal/controlplane/watchstream/bad_test.go
@@ -184,14 +184,14 @@
 	b, err := json.Marshal(log.Snapshot())
 	require.NoError(t, err)
 	for want, change := range map[string]func(snap *Snapshot){
-		"foreign":          func(snap *Snapshot) { snap.Fleet = "g" },
-		"no epoch":         func(snap *Snapshot) { snap.Epoch = "" },
-		"further":          func(snap *Snapshot) { snap.Have.Targets = 9 },
-		"out of order":     func(snap *Snapshot) { snap.Records[0], snap.Records[1] = snap.Records[1], snap.Records[0] },
-		"in it twice":      func(snap *Snapshot) { snap.Records[1].Key = "b" },
-		"not within":       func(snap *Snapshot) { snap.Records[1].Version = 9 },
-		"records[0].value": func(snap *Snapshot) { snap.Records[0].Value = []byte(`{`) },
-		"is not of":        func(snap *Snapshot) { snap.Records[2].Key = "region/elsewhere" },
+		"foreign":                         func(snap *Snapshot) { snap.Fleet = "g" },
+		"no epoch":                        func(snap *Snapshot) { snap.Epoch = "" },
+		"is after the newest head":        func(snap *Snapshot) { snap.Have.Targets = 9 },
+		"out of order":                    func(snap *Snapshot) { snap.Records[0], snap.Records[1] = snap.Records[1], snap.Records[0] },
+		"duplicate of":                    func(snap *Snapshot) { snap.Records[1].Key = "b" },
+		"is outside the snapshot's range": func(snap *Snapshot) { snap.Records[1].Version = 9 },
+		"records[0].value":                func(snap *Snapshot) { snap.Records[0].Value = []byte(`{`) },
+		"is outside the scope":            func(snap *Snapshot) { snap.Records[2].Key = "region/elsewhere" },
 	} {
 		var snap Snapshot
 		require.NoError(t, json.Unmarshal(b, &snap))
--- a/internal/controlplane/watchstream/change.go
+++ b/internal/controlplane/watchstream/change.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Put sets or deletes a key.
+// Put sets or deletes one key.
 type Put struct {
 	Kind    Kind            `json:"kind"`
 	Key     string          `json:"key"`
@@ -14,16 +14,16 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Change is one entry of the log; it gets one version, whatever number of keys it changes.
+// Change is one entry of the log. It is assigned one version, however many keys it changes.
 type Change struct {
 	Fleet     string  `json:"fleet"`
-	Epoch     string  `json:"epoch,omitempty"`    // proposed; the first change of a group of agents names its history by it
-	Replaces  string  `json:"replaces,omitempty"` // set by an operator: this history replaces the one of that epoch (step 9)
-	IfVersion *uint64 `json:"if,omitempty"`       // apply only if this is the newest version
+	Epoch     string  `json:"epoch,omitempty"`    // proposed name; that of the first change in a log becomes the log's epoch
+	Replaces  string  `json:"replaces,omitempty"` // set by an operator: this log's epoch replaces that one (step 9)
+	IfVersion *uint64 `json:"if,omitempty"`       // apply only if this is the log's newest version
 	Puts      []Put   `json:"puts"`
 }
 
-// Validate returns an error that names the first field of a change that cannot be used.
+// Validate returns an error that names the first invalid field of a change.
 func (c *Change) Validate() error {
 	switch {
 	case c.Fleet == "":
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// validate returns the first field that cannot be used.
+// validate returns an error for the first invalid field, or nil.
 func (p *Put) validate() *FieldError {
 	maxBytes := MaxTargetBytes
 	if p.Kind == Config {
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// firstByte is the position of the first byte that is not white space.
+// firstByte returns the index of the first byte that is not white space, or 0 if there is none.
 func firstByte(b []byte) int {
 	return max(0, slices.IndexFunc(b, func(c byte) bool { return c != ' ' && c != '\n' && c != '\t' && c != '\r' }))
 }
--- a/internal/controlplane/watchstream/debug.go
+++ b/internal/controlplane/watchstream/debug.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// DebugPrint writes the store's state: equal states print alike.
+// DebugPrint writes the store's state; equal states give equal output.
 func (s *Store) DebugPrint(w io.Writer) {
 	fmt.Fprint(w, s.epoch, s.replaces, s.have, s.consistent, s.newestSeen, s.tombstoneFloor)
 	for k := range s.byKind {
@@ -20,7 +20,7 @@
 	fmt.Fprintln(w, s.digests)
 }
 
-// DebugPrint writes the reader's state, except the number of its requests.
+// DebugPrint writes the reader's state except its request number.
 func (r *Replica) DebugPrint(w io.Writer) {
 	r.store.DebugPrint(w)
 	if r.replacement != nil {
@@ -29,8 +29,8 @@
 	fmt.Fprintln(w, r.applied, r.generation, r.rejection, r.progress, r.digestsWanted)
 }
 
-// DebugPrint writes the source's state except its store, and times and numbers that have no effect any
-// more. said is how many requests a reader has sent.
+// DebugPrint writes the source's state without its store, times and sequence numbers only as far as they
+// still have an effect. requestCount returns how many requests a reader has sent.
 func (s *Source) DebugPrint(w io.Writer, now time.Duration, requestCount func(name string) uint64) {
 	s.admission.refill(now)
 	fmt.Fprintf(w, "%.2f %v %d %d", s.admission.tokens, max(0, s.nextBusySlot-now).Round(time.Millisecond), s.reportedSeq, s.changeSeq)
@@ -47,7 +47,7 @@
 	fmt.Fprintln(w)
 }
 
-// DebugPrint writes what the tracker knows, except times.
+// DebugPrint writes the tracker's state without times.
 func (t *AckTracker) DebugPrint(w io.Writer) {
 	fmt.Fprint(w, t.epoch)
 	for _, id := range slices.Sorted(maps.Keys(t.relays)) {
--- a/internal/controlplane/watchstream/delta.go
+++ b/internal/controlplane/watchstream/delta.go
@@ -8,21 +8,22 @@
 
 // Constants of deltas.
 const (
-	idleWait    = time.Minute // for a reader that waits for a change alone
-	digestBytes = 11          // of one bucket's digest in a request
-	// bytes at which a delta is full; the version that exceeds it is sent whole
+	idleWait    = time.Minute // if only a change of the store can lead to a delta
+	digestBytes = 11          // of one bucket's digest in a request, base64 encoded
+	// size at which a delta is full; the version that exceeds it is still sent completely
 	maxDeltaFill = MaxDeltaBytes / 8
 )
 
-// NextDelta returns what a waiting reader gets now, or nil and when to ask again, unless the store
-// changes or the reader sends a request before. There is at most one delta for each request.
+// NextDelta returns the delta for a waiting reader, or nil and how long to wait before the next call
+// unless the store changes or the reader sends another request first. Each request is answered by one
+// delta at most.
 func (s *Source) NextDelta(now time.Duration, name string) (d *Delta, wait time.Duration) {
 	r, st := s.readers[name], s.store
 	if r == nil || !r.waiting || st.epoch == "" {
 		return nil, idleWait
 	}
 	have, seen, newEpoch := r.request.Have, r.request.Seen, r.request.Epoch != st.epoch
-	if newEpoch { // it has another history, which this one replaces (step 9)
+	if newEpoch { // the reader has an epoch that this one replaces, or none (step 9)
 		have, seen = Position{}, Position{}
 	}
 	head := st.consistent
@@ -37,7 +38,7 @@
 	r.refill(now)
 	d = &Delta{Fleet: st.fleet, Epoch: st.epoch, Replaces: slices.Clone(st.replaces), Scope: r.request.Scope, From: have, To: have, Head: head,
 		AgeMs: s.Age(now).Milliseconds()}
-	if have.Targets < st.tombstoneFloor { // deletions since then are forgotten (step 6)
+	if have.Targets < st.tombstoneFloor { // tombstones after its position may have been dropped (step 6)
 		wait = s.fillByDigest(r, d, newEpoch)
 	} else {
 		r.resync = nil
@@ -50,14 +51,14 @@
 	return d, 0
 }
 
-// isConsistent reports whether what is held of a kind is the log's state at one version. It is not
-// during a resync in parts (step 3).
+// isConsistent reports whether the records of a kind are the log's state at one version. They are not
+// while a resync in parts is under way (step 3).
 func (s *Store) isConsistent(k Kind) bool {
 	return *s.consistent.version(k) == *s.newestSeen.version(k)
 }
 
-// fillByVersion fills a delta with what changed after the reader's position: targets first, and
-// configuration once no target is missing (step 7).
+// fillByVersion fills a delta with the records after the reader's position: targets first, and
+// configuration once the reader has all targets (step 7).
 func (s *Source) fillByVersion(r *reader, d *Delta) (wait time.Duration) {
 	st := s.store
 	list, to, wait := s.pendingRecords(r, Targets, d.From.Targets, r.targetBudget())
@@ -84,9 +85,9 @@
 	return wait
 }
 
-// pendingRecords returns what a reader lacks of a kind, oldest first, in whole versions and at least
-// one, and how far it goes. What the reader's rate does not allow waits until a good part of the burst
-// is available, so that it is not sent in tiny pieces.
+// pendingRecords returns the records of a kind after version from, oldest first and in whole versions,
+// at least one, and the version up to which they go. If the budget does not allow all of them, the next
+// part waits until a quarter of the burst is available, so that records are not sent in tiny deltas.
 func (s *Source) pendingRecords(r *reader, k Kind, from uint64, budget float64) (list []Record, to uint64, wait time.Duration) {
 	limit, total, truncated := min(budget, maxDeltaFill), 0, false
 	to = from
@@ -107,8 +108,8 @@
 	return list, to, 0
 }
 
-// pendingLayers returns the layers that a reader lacks of its own configuration: all or nothing, since
-// its layers belong together.
+// pendingLayers returns the changed layers of a reader's own configuration: all of them or none, since
+// they are merged into one configuration.
 func (s *Source) pendingLayers(r *reader, d *Delta) (list []Record, to uint64, wait time.Duration) {
 	for _, key := range d.Scope.layerKeys() {
 		if record := s.store.byKind[Config].keys[key]; record != nil && record.Version > d.From.Config {
@@ -122,7 +123,7 @@
 	return list, d.Head.Config, 0
 }
 
-// recordsSize is an upper bound of the records' bytes.
+// recordsSize returns an upper bound of the records' encoded bytes.
 func recordsSize(records []Record) (n int) {
 	for i := range records {
 		n += records[i].Size()
--- a/internal/controlplane/watchstream/digest.go
+++ b/internal/controlplane/watchstream/digest.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Digests are the digests of all buckets. In JSON they are base64 of eight bytes each, little endian.
+// Digests are the digests of all buckets. In JSON they are the base64 text of eight bytes each, little
+// endian.
 type Digests []uint64
 
 // MarshalText implements encoding.TextMarshaler.
@@ -32,16 +33,16 @@
 	return nil
 }
 
-// DigestProgress is how far a reader is in a resync by digests: the buckets before NextBucket are as
-// the source had them at version Start or later.
+// DigestProgress is how far a reader's resync by digests has progressed: the buckets before NextBucket
+// have the source's state at version Start or later.
 type DigestProgress struct {
 	Start      uint64 `json:"start"`
 	NextBucket int    `json:"at"`
 }
 
-// Bucket is all live targets of one bucket: a target of it that is not named was deleted. Unchanged
-// names those that the reader has as they are, since they last changed before its position. Digest is
-// the bucket's digest with all of them.
+// Bucket has all live targets of one bucket: a target that it does not name was deleted. Unchanged names
+// those that the reader already has, since they last changed at or before its position. Digest is the
+// bucket's digest at the source, over both.
 type Bucket struct {
 	Index     int      `json:"n"`
 	Digest    uint64   `json:"sum"`
@@ -49,7 +50,7 @@
 	Records   []Record `json:"records,omitempty"`
 }
 
-// Size is an upper bound of the bucket's bytes in a delta.
+// Size returns an upper bound of the bucket's encoded bytes in a delta.
 func (b *Bucket) Size() int {
 	n := 64
 	for _, key := range b.Unchanged {
@@ -58,27 +59,29 @@
 	return n + recordsSize(b.Records)
 }
 
-// BucketRange is the buckets From to To-1 that a delta by digests covers: those that it does not bring
-// are equal. Start is the version from which deltas by version continue once all buckets are covered.
+// BucketRange is the range of buckets, From to To-1, that a delta by digests covers: those that the
+// delta does not contain are equal at the source and the reader. Start is the version from which deltas
+// by version continue once all buckets are covered.
 type BucketRange struct {
 	Start uint64 `json:"start"`
 	From  int    `json:"from"`
 	To    int    `json:"to"`
 }
 
-// fillByDigest fills a delta with the next buckets that differ, or asks the reader for its digests. It
-// returns how long to wait if the reader's rate does not allow that now.
+// fillByDigest fills a delta with the next buckets that differ, or requests the reader's digests. It
+// returns how long to wait if the reader's rate does not allow that now, and 0 otherwise.
 func (s *Source) fillByDigest(r *reader, d *Delta, newEpoch bool) (wait time.Duration) {
 	st, p := s.store, r.request.Progress
 	from := 0
 	switch {
 	case newEpoch:
 		r.resync = &digestResync{epoch: st.epoch, start: d.Head.Targets}
-	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // its digests have just arrived
+	case r.resync != nil && r.resync.epoch == st.epoch && p == nil: // the reader's digests have just arrived
 	case r.resync != nil && r.resync.epoch == st.epoch && p != nil && r.resync.start == p.Start && p.NextBucket <= len(st.digests):
 		from = p.NextBucket
 	default:
-		// It is asked only if its rate allows the digests and a first part at once, or it would send them repeatedly.
+		// Digests are requested only if the reader's rate allows both them and a first part at once; otherwise the
+		// reader would send them repeatedly.
 		requestBytes := float64(digestBytes * len(st.digests))
 		if wait = r.waitForBytes(min(requestBytes+(r.targetTokens.burst+r.sharedTokens.burst)/4, r.targetTokens.burst+r.sharedTokens.burst)); wait > 0 {
 			return wait
@@ -121,9 +124,9 @@
 	return 0
 }
 
-// digestRun is a resync of one reader by digests.
+// digestResync is the state of one reader's resync by digests.
 type digestResync struct {
 	epoch   string
 	start   uint64
-	digests Digests // of the reader when it began; nil: it had nothing
+	digests Digests // of the reader when the resync began; nil: it had nothing of this epoch
 }
--- a/internal/controlplane/watchstream/errors.go
+++ b/internal/controlplane/watchstream/errors.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Reason is why something was rejected. Rejections are counted by it.
+// Reason classifies why a message or a change was rejected. Rejections are counted by reason.
 type Reason string
 
 // The reasons.
 const (
-	ReasonForeignFleet Reason = "foreign"   // of another fleet: wrong relay addresses, or a wrong fleet name
-	ReasonEpoch        Reason = "epoch"     // of another history that does not replace the present one (step 9)
-	ReasonMisdirected  Reason = "misdirect" // made for another reader, region or zone
-	// starts at another position than the reader's; harmless, the next one fits
+	ReasonForeignFleet Reason = "foreign"   // another fleet: the relay addresses or the fleet name are misconfigured
+	ReasonEpoch        Reason = "epoch"     // another epoch that does not replace the current one (step 9)
+	ReasonMisdirected  Reason = "misdirect" // addressed to another reader, region or zone
+	// starts at another position than the reader's; harmless, the next request repeats the reader's position
 	ReasonGap        Reason = "gap"
-	ReasonBehind     Reason = "back" // from a source that is behind what the reader has seen; harmless
+	ReasonBehind     Reason = "back" // from a source that is behind the reader; harmless
 	ReasonOversize   Reason = "oversize"
-	ReasonDisorder   Reason = "disorder"  // records out of order, twice, or outside the delta's range
-	ReasonOutOfScope Reason = "scope"     // a record of another's scope, or of none
-	ReasonMalformed  Reason = "malformed" // a record or a field that cannot be read
-	ReasonStale      Reason = "stale"     // an old request: a newer one was processed
-	ReasonNotReady   Reason = "unready"   // the source has nothing yet
+	ReasonDisorder   Reason = "disorder"  // records out of order, duplicate, or outside the delta's range
+	ReasonOutOfScope Reason = "scope"     // a record that is not in the reader's scope
+	ReasonMalformed  Reason = "malformed" // a record or a field that is invalid
+	ReasonStale      Reason = "stale"     // a request or report older than one already processed
+	ReasonNotReady   Reason = "unready"   // the source has no state yet
 )
 
-// RejectedError says that something was rejected and has changed nothing.
+// RejectedError reports a rejected message or change, which has changed nothing.
 type RejectedError struct {
 	Reason Reason
 	Why    string
@@ -38,25 +38,25 @@
 	return &RejectedError{reason, fmt.Sprintf(format, args...)}
 }
 
-// BusyError says that a source takes no new reader now; the reader may retry after RetryAfter, here or
-// elsewhere.
+// BusyError reports that a source admits no new reader now. The reader may retry after RetryAfter, at
+// this source or another.
 type BusyError struct{ RetryAfter time.Duration }
 
-// Error says when to retry.
+// Error returns when to retry.
 func (e *BusyError) Error() string { return fmt.Sprintf("feed: busy: come again in %v", e.RetryAfter) }
 
-// ConflictError says that a change expected another version than the newest one.
+// ConflictError reports a change whose IfVersion is not the newest version.
 type ConflictError struct{ Expected, Head uint64 }
 
-// Error names both versions.
+// Error returns both versions.
 func (e *ConflictError) Error() string {
 	return fmt.Sprintf("feed: the change is for version %d and the log is at %d: look at what has changed, and put it again", e.Expected, e.Head)
 }
 
-// FieldError names a field of a change, a request or a configuration that cannot be used.
+// FieldError reports an invalid field of a change, a request, a report or a set of options.
 type FieldError struct{ Field, Why string }
 
-// Error returns the field and what is wrong with it.
+// Error returns the field and why it is invalid.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
 // fieldError returns a FieldError.
--- a/internal/controlplane/watchstream/merge_layers.go
+++ b/internal/controlplane/watchstream/merge_layers.go
@@ -10,19 +10,19 @@
 	jsonpatch "github.com/evanphx/json-patch/v5"
 )
 
-// layerRank is a scope's place in the merge order; the later is merged over the earlier.
+// layerRank returns a scope's rank in the merge order; higher ranks are merged over lower ones.
 func layerRank(key string) int {
 	return slices.IndexFunc(scopePrefixes, func(s string) bool { return strings.HasPrefix(key, s) })
 }
 
-// LayerError names a layer that cannot be merged.
+// LayerError reports a layer that cannot be merged.
 type LayerError struct {
 	Key     string
 	Version uint64
 	Err     error
 }
 
-// Error names the layer and the cause.
+// Error returns the layer and the cause.
 func (e *LayerError) Error() string {
 	return fmt.Sprintf("configuration %q of version %d can't be merged: %v; put another one", e.Key, e.Version, e.Err)
 }
@@ -30,8 +30,8 @@
 // Unwrap returns the cause.
 func (e *LayerError) Unwrap() error { return e.Err }
 
-// MergeLayers merges the layers of one initiator's configuration by RFC 7396: shared, then region,
-// zone and instance. Without layers it is {}.
+// MergeLayers merges the layers of one initiator's configuration by JSON merge patch (RFC 7396): shared,
+// then region, zone and instance. Without layers the result is {}.
 func MergeLayers(records []Record) (json.RawMessage, error) {
 	list := slices.DeleteFunc(slices.Clone(records), func(r Record) bool { return r.Kind != Config || r.Deleted })
 	slices.SortStableFunc(list, func(a, b Record) int { return cmp.Compare(layerRank(a.Key), layerRank(b.Key)) })
--- a/internal/controlplane/watchstream/messages.go
+++ b/internal/controlplane/watchstream/messages.go
@@ -1,31 +1,31 @@
 package watchstream
 
-// Rejection is a configuration that an initiator could not apply (a NACK): the last good one stays in
-// force.
+// Rejection reports a configuration that an initiator could not apply (a NACK). The last valid
+// configuration stays in force.
 type Rejection struct {
 	Version uint64 `json:"version"`
 	Reason  string `json:"reason"`
 }
 
-// SubscribeRequest is a reader's request to a source: who it is, what it has, and what it has applied.
-// It acknowledges what is applied and asks for what comes next.
+// SubscribeRequest is a reader's request to a source. It identifies the reader, acknowledges what it
+// has applied, and requests the records after Have.
 type SubscribeRequest struct {
 	Fleet string   `json:"fleet"`
-	Epoch string   `json:"epoch,omitempty"` // of Have and Seen
-	Scope          // who it is
+	Epoch string   `json:"epoch,omitempty"` // that Have and Seen refer to
+	Scope          // the reader's identity
 	Have  Position `json:"have"`
-	// newest position it has heard of: a source behind it sends nothing (step 4)
+	// newest head of any source: a source behind it sends nothing (step 4)
 	Seen       Position        `json:"seen"`
 	Applied    Watermark       `json:"in_force"` // acknowledged (step 8)
-	Generation uint64          `json:"turn"`     // grows with each change of source, also over restarts
-	Seq        uint64          `json:"seq"`      // grows with each request of a generation
+	Generation uint64          `json:"turn"`     // increases with each change of source, also across restarts
+	Seq        uint64          `json:"seq"`      // increases with each request within a generation
 	Rejection  *Rejection      `json:"refused,omitempty"`
-	Progress   *DigestProgress `json:"digest,omitempty"` // of a resync by digests
-	Digests    Digests         `json:"sums,omitempty"`   // only if the source asked for them
+	Progress   *DigestProgress `json:"digest,omitempty"` // of a resync by digests; nil: none is running
+	Digests    Digests         `json:"sums,omitempty"`   // only if the source requested them (Delta.WantDigests)
 	WaitMs     int64           `json:"wait_ms,omitempty"`
 }
 
-// Validate returns an error that names the first field that cannot be used.
+// Validate returns an error that names the first invalid field.
 func (req *SubscribeRequest) Validate() error {
 	if err := req.Scope.Validate(); err != nil {
 		return err
@@ -48,7 +48,7 @@
 // MaxReasonBytes bounds the reason of a rejection.
 const MaxReasonBytes = 512
 
-// Delta brings one reader from a position to another.
+// Delta advances one reader from position From to position To.
 type Delta struct {
 	Fleet       string       `json:"fleet"`
 	Epoch       string       `json:"epoch"`
@@ -56,15 +56,15 @@
 	Scope       Scope        `json:"for"`
 	From        Position     `json:"from"`
 	To          Position     `json:"to"`
-	Head        Position     `json:"head"` // of the source: a reader at Head has everything
+	Head        Position     `json:"head"` // of the source: a reader at Head is up to date
 	Records     []Record     `json:"records,omitempty"`
 	Range       *BucketRange `json:"span,omitempty"`
 	Buckets     []Bucket     `json:"buckets,omitempty"`
-	WantDigests bool         `json:"ask,omitempty"` // the reader's digests are needed; nothing else is in this delta
-	AgeMs       int64        `json:"age_ms"`        // since the source surely had the newest state
+	WantDigests bool         `json:"ask,omitempty"` // requests the reader's digests; such a delta has no content
+	AgeMs       int64        `json:"age_ms"`        // upper bound of the age of the source's state
 }
 
-// Size is an upper bound of the delta's bytes.
+// Size returns an upper bound of the delta's encoded bytes.
 func (d *Delta) Size() int {
 	n := 512
 	for i := range d.Records {
--- a/internal/controlplane/watchstream/pacing.go
+++ b/internal/controlplane/watchstream/pacing.go
@@ -4,11 +4,11 @@
 	"time"
 )
 
-// tokenBucket is a token bucket in bytes or requests. It may be overdrawn by what cannot be sent in
-// parts.
+// tokenBucket is a token bucket of bytes or readers. It may be overdrawn by records that cannot be sent
+// in parts.
 type tokenBucket struct {
 	tokens, rate, burst float64
-	at                  time.Duration
+	at                  time.Duration // of the last refill
 }
 
 // newTokenBucket returns a full bucket.
@@ -16,7 +16,7 @@
 	return tokenBucket{burst, rate, burst, now}
 }
 
-// refill fills the bucket up to now.
+// refill adds the tokens since the last refill.
 func (b *tokenBucket) refill(now time.Duration) {
 	if now > b.at {
 		b.tokens = min(b.burst, b.tokens+b.rate*(now-b.at).Seconds())
@@ -24,12 +24,12 @@
 	}
 }
 
-// waitFor is how long it takes until n tokens are available.
+// waitFor returns how long it takes until n tokens, or the whole burst if n exceeds it, are available.
 func (b *tokenBucket) waitFor(n float64) time.Duration {
 	return max(time.Millisecond, time.Duration((min(n, b.burst)-b.tokens)/b.rate*float64(time.Second)))
 }
 
-// waitForBytes is how long it takes until n bytes of targets may be sent.
+// waitForBytes returns how long it takes until n bytes of targets may be sent; 0: now.
 func (r *reader) waitForBytes(n float64) time.Duration {
 	if budget := r.targetBudget(); budget < n {
 		return max(time.Millisecond, time.Duration((n-budget)/(r.targetTokens.rate+r.sharedTokens.rate)*float64(time.Second)))
@@ -37,7 +37,9 @@
 	return 0
 }
 
-// pacingWait is how long to wait before a part, or anything, is sent.
+// pacingWait returns how long to wait before records of kind k are sent; 0: send them now, or none are
+// pending. If the budget covers only some of them (truncated), a quarter of the burst must be available,
+// otherwise one byte.
 func (r *reader) pacingWait(budget float64, truncated, pending bool, k Kind) time.Duration {
 	rate, minBytes := r.sharedTokens.rate, r.sharedTokens.burst/4
 	if k == Targets {
@@ -52,8 +54,8 @@
 	return max(time.Millisecond, time.Duration((minBytes-budget)/rate*float64(time.Second)))
 }
 
-// refill fills the reader's buckets up to now. A debt of the targets' bucket is paid from the shared
-// one as well.
+// refill refills the reader's buckets. If the targets' bucket is overdrawn, tokens of the shared one
+// reduce the debt.
 func (r *reader) refill(now time.Duration) {
 	r.targetTokens.refill(now)
 	r.sharedTokens.refill(now)
@@ -63,8 +65,8 @@
 	}
 }
 
-// targetBudget is how many bytes of targets may be sent now. A debt of the shared bucket comes from
-// configuration and does not count.
+// targetBudget returns how many bytes of targets may be sent now. A debt of the shared bucket stems from
+// configuration and is not counted.
 func (r *reader) targetBudget() float64 { return r.targetTokens.tokens + max(0, r.sharedTokens.tokens) }
 
 // spendTargetBytes takes bytes of targets from the shared bucket first.
@@ -75,8 +77,8 @@
 	r.targetTokens.tokens -= n - fromShared
 }
 
-// DeltaSent tells what a delta took on the wire, with its request and all overhead. NextDelta charges
-// the estimated size; the difference is refunded or charged here.
+// DeltaSent corrects the charge for a delta to the bytes that it took on the wire, including its request
+// and all overhead. NextDelta charges the estimated size; the difference is charged or refunded here.
 func (s *Source) DeltaSent(name string, d *Delta, bytes int) {
 	r := s.readers[name]
 	if r == nil {
--- a/internal/controlplane/watchstream/record.go
+++ b/internal/controlplane/watchstream/record.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Kind is what a record is about. The versions of each kind are read separately (see Position).
+// Kind is what a record describes. Readers have a separate version for each kind (see Position).
 type Kind uint8
 
 // The kinds, in the order in which they are sent.
 const (
-	Targets Kind = iota // a target's entry of the endpoint list, by its id
-	Config              // a layer of the configuration, by its scope
+	Targets Kind = iota // a target's entry in the target list, by its id
+	Config              // a configuration layer, by its scope
 	kindCount
 )
 
 // Kinds lists all kinds.
 var Kinds = [kindCount]Kind{Targets, Config}
 
-// String returns the kind as messages have it.
+// String returns the kind's name in messages.
 func (k Kind) String() string {
 	switch k {
 	case Targets:
@@ -43,16 +43,16 @@
 	return fmt.Errorf("unknown kind %q: it is target or config", b)
 }
 
-// Bounds of what is accepted.
+// Bounds of accepted input.
 const (
 	MaxKeyBytes    = 128
-	MaxTargetBytes = 4 << 10   // of a target's entry
-	MaxConfigBytes = 64 << 10  // of a layer
-	MaxChangeBytes = 256 << 10 // keys and values of a change
-	MaxPuts        = 1 << 12   // of a change
-	MaxDeltaBytes  = 2 << 20   // of a delta, as Size counts
-	MaxNameBytes   = 128       // of a reader's name, a region, a zone, a fleet, an epoch
-	MaxReplaced    = 64        // epochs that a history replaces
+	MaxTargetBytes = 4 << 10   // of a target's value
+	MaxConfigBytes = 64 << 10  // of a layer's value
+	MaxChangeBytes = 256 << 10 // of the keys and values of a change
+	MaxPuts        = 1 << 12   // of one change
+	MaxDeltaBytes  = 2 << 20   // of a delta, as computed by Delta.Size
+	MaxNameBytes   = 128       // of the name of a reader, region, zone, fleet or epoch
+	MaxReplaced    = 64        // epochs that one epoch replaces
 )
 
 // Record is the state of one key at the version that last changed it.
@@ -64,5 +64,5 @@
 	Value   json.RawMessage `json:"value,omitempty"`
 }
 
-// Size is an upper bound of the record's bytes in a delta, if its key needs no escapes.
+// Size returns an upper bound of the record's encoded bytes in a delta, if its key needs no escaping.
 func (r *Record) Size() int { return len(r.Key) + len(r.Value) + 72 }
--- a/internal/controlplane/watchstream/relay_selector.go
+++ b/internal/controlplane/watchstream/relay_selector.go
@@ -17,8 +17,9 @@
 	Addr   string `json:"addr"`
 }
 
-// RankRelays orders the relays for a reader: those of its region first, each part by rendezvous
-// hashing. If a relay is gone, its readers spread over several others, and all other readers stay.
+// RankRelays ranks the relays for a reader: those of its region first, and within each group by
+// rendezvous hashing. If a relay is removed, its readers spread over several others, and all other
+// readers keep their relay.
 func RankRelays(relays []Relay, region, reader string) []Relay {
 	weight := func(r Relay) uint64 {
 		var d xxhash.Digest
@@ -41,56 +42,58 @@
 	return list
 }
 
-// CallOutcome is how a call ended.
+// CallOutcome is the result of a call.
 type CallOutcome uint8
 
 // The outcomes.
 const (
-	CallAnswered CallOutcome = iota // with a delta, or without news
-	CallFailed                      // not at all, or with an error of the source itself
-	CallTimedOut                    // without an answer in time
-	CallBusy                        // with a BusyError: not now
-	CallRejected                    // with another rejection: what this source has is not for this reader now
+	CallAnswered CallOutcome = iota // with a delta, or without a change
+	CallFailed                      // no response, or an error of the relay itself
+	CallTimedOut                    // no response before the deadline
+	CallBusy                        // rejected with a BusyError
+	CallRejected                    // rejected for another reason: the request, or the delta by the reader
 )
 
-// RelaySelectorOptions are the waits. Zero values stand for those of DefaultRelaySelectorOptions.
+// RelaySelectorOptions configure retries and switches. Zero values are replaced by those of
+// DefaultRelaySelectorOptions.
 type RelaySelectorOptions struct {
-	// wait before another relay is called: drawn from it to twice it, doubled by each failure up
-	// to RetryMax
+	// Delay after a failed call: drawn between a base and twice that base. The base is RetryMin, doubled by
+	// each further failure up to RetryMax.
 	RetryMin, RetryMax time.Duration
-	// after a switch, the first relay is tried again after a time drawn between these
+	// After a switch, the home relay is retried after a delay drawn between these.
 	HomeRetryMin, HomeRetryMax time.Duration
-	FailuresBeforeSwitch       int           // of one relay in a row
-	StaleAfter                 time.Duration // if a relay's state is older, others are asked whether theirs is newer
+	FailuresBeforeSwitch       int           // consecutive failures of one relay
+	StaleAfter                 time.Duration // if a relay's state is older, other relays are searched for newer state
 }
 
-// DefaultRelaySelectorOptions are the usual waits.
+// DefaultRelaySelectorOptions are the default options.
 var DefaultRelaySelectorOptions = RelaySelectorOptions{RetryMin: 100 * time.Millisecond, RetryMax: 2 * time.Second, HomeRetryMin: 10 * time.Second, HomeRetryMax: 30 * time.Second, FailuresBeforeSwitch: 1,
 	StaleAfter: 3 * time.Second}
 
-// RelaySelector decides which relay a reader calls, and when. The first relay in rank is its home.
+// RelaySelector selects which relay a reader calls, and when. The first relay in rank is the reader's
+// home.
 type RelaySelector struct {
 	relays       []Relay
-	localCount   int // relays of the reader's region
+	localCount   int // number of relays in the reader's region
 	opt          RelaySelectorOptions
 	rand         *rand.Rand
-	current      int           // the relay that is called now
-	nextCallAt   time.Duration // not before
-	homeRetryAt  time.Duration // when home is tried again; 0: home is the current one
-	returnTo     int           // relay to return to if home does not answer; -1: home is not being tried
-	failures     int           // in a row, of any relay
-	failuresHere int           // in a row, of the current one
-	lastAnswered int           // -1: none yet
+	current      int           // index of the relay to call
+	nextCallAt   time.Duration // earliest time of the next call
+	homeRetryAt  time.Duration // when home is retried; 0: home is the current relay
+	returnTo     int           // relay to return to if home does not answer; -1: home is not being retried
+	failures     int           // consecutive, of any relay
+	failuresHere int           // consecutive, of the current relay
+	lastAnswered int           // relay that answered last; -1: none yet
 	switches     uint64
 
 	lastAge      time.Duration // age of the state at the relay that answered last
-	searchOrigin int           // relay from which a search for newer state began; -1: there is none
-	searchQueue  []int         // relays to ask after the current one
-	nextSearchAt time.Duration // not before
+	searchOrigin int           // relay at which the search for newer state started; -1: no search is running
+	searchQueue  []int         // relays still to be called by the search
+	nextSearchAt time.Duration // earliest start of the next search
 }
 
-// NewRelaySelector returns a selector that has not called yet. Equal arguments give equal waits.
-// Without relays NextCall returns none.
+// NewRelaySelector returns a selector for the reader. Equal arguments give equal delays. Without relays
+// NextCall returns the zero Relay.
 func NewRelaySelector(relays []Relay, region, reader string, seed uint64, o RelaySelectorOptions) *RelaySelector {
 	o.RetryMin, o.RetryMax, o.FailuresBeforeSwitch = cmp.Or(o.RetryMin, DefaultRelaySelectorOptions.RetryMin), cmp.Or(o.RetryMax, DefaultRelaySelectorOptions.RetryMax), cmp.Or(o.FailuresBeforeSwitch, DefaultRelaySelectorOptions.FailuresBeforeSwitch)
 	o.HomeRetryMin, o.HomeRetryMax = cmp.Or(o.HomeRetryMin, DefaultRelaySelectorOptions.HomeRetryMin), cmp.Or(o.HomeRetryMax, DefaultRelaySelectorOptions.HomeRetryMax)
@@ -102,8 +105,8 @@
 	return s
 }
 
-// NextCall returns the relay to call, and not before when. If it is another one than last time, the
-// caller has to tell the Replica by SwitchSource first.
+// NextCall returns the relay to call and the earliest time to do so. If it is another relay than last
+// time, the caller must first call the Replica's SwitchSource.
 func (s *RelaySelector) NextCall(now time.Duration) (r Relay, at time.Duration) {
 	if len(s.relays) == 0 {
 		return Relay{}, now + s.opt.RetryMax
@@ -114,11 +117,11 @@
 	return s.relays[s.current], max(s.nextCallAt, now)
 }
 
-// Switches is how often another relay answered than the one before.
+// Switches returns how often an answer came from another relay than the previous answer.
 func (s *RelaySelector) Switches() uint64 { return s.switches }
 
-// CallEnded tells how a call ended; after is what a BusyError said, age how old the answering relay's
-// state may be.
+// CallEnded processes the outcome of a call. retryAfter is that of a BusyError; age is an upper bound of
+// the age of the answering relay's state.
 func (s *RelaySelector) CallEnded(now time.Duration, outcome CallOutcome, retryAfter, age time.Duration) {
 	if len(s.relays) == 0 {
 		return
@@ -132,11 +135,11 @@
 		if stale && now >= s.nextSearchAt {
 			s.startSearch(now)
 		}
-	case s.returnTo >= 0: // home is not ready: return to the relay before
+	case s.returnTo >= 0: // home does not answer, or its state is stale: return to the previous relay
 		s.current, s.returnTo, s.nextCallAt = s.returnTo, -1, now
 		s.homeRetryAt = now + max(retryAfter, s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax))
 	case outcome == CallBusy:
-		// The same relay first: switching at once would ask all relays while all are busy.
+		// The same relay is retried first: switching at once would call all relays while all are busy.
 		if s.failuresHere++; s.failuresHere > 1 {
 			s.switchRelay(now)
 		}
@@ -151,7 +154,7 @@
 	}
 }
 
-// stayWithCurrent stays with the relay that has answered.
+// stayWithCurrent keeps the relay that has answered as the current one.
 func (s *RelaySelector) stayWithCurrent(now, age time.Duration) {
 	if s.lastAnswered >= 0 && s.lastAnswered != s.current {
 		s.switches++
@@ -165,15 +168,15 @@
 	}
 }
 
-// isFresher reports whether state of that age is worth a switch: it is not stale, or at most half as
-// old as the present relay's. If all relays are cut off from the same agents, their ages are similar
-// and everybody stays.
+// isFresher reports whether state of that age justifies a switch: it is not stale, or at most half as
+// old as the current relay's. If all relays are cut off from the same agents, their ages are similar
+// and readers stay.
 func (s *RelaySelector) isFresher(age time.Duration) bool {
 	return age <= s.opt.StaleAfter || age <= s.lastAge/2
 }
 
-// startSearch asks the other relays of the region whether their state is newer, and one of another
-// region, which rank makes a different one for each reader.
+// startSearch starts a search for newer state: it calls the other relays of the region in turn, and then
+// the first in rank of another region, which differs between readers.
 func (s *RelaySelector) startSearch(now time.Duration) {
 	s.searchOrigin, s.searchQueue = s.current, s.searchQueue[:0]
 	for i := range min(s.localCount+1, len(s.relays)) {
@@ -184,7 +187,7 @@
 	s.searchNext(now)
 }
 
-// searchNext calls the next relay of a search, or returns to where it began.
+// searchNext selects the next relay of a search, or returns to the relay at which it started.
 func (s *RelaySelector) searchNext(now time.Duration) {
 	if s.nextCallAt = now; len(s.searchQueue) > 0 {
 		s.current, s.searchQueue = s.searchQueue[0], s.searchQueue[1:]
@@ -193,8 +196,8 @@
 	s.current, s.searchOrigin, s.nextSearchAt = s.searchOrigin, -1, now+s.randomBetween(s.opt.HomeRetryMin, s.opt.HomeRetryMax)
 }
 
-// searchAnswered processes the outcome of a call of a search. Relays that are busy or do not answer
-// are skipped: the reader has one that answers.
+// searchAnswered processes the outcome of a call made by a search. Relays that are busy or do not answer
+// are skipped, since the relay at which the search started does answer.
 func (s *RelaySelector) searchAnswered(now time.Duration, outcome CallOutcome, age time.Duration) {
 	if outcome != CallAnswered || !s.isFresher(age) {
 		s.searchNext(now)
@@ -207,7 +210,7 @@
 	s.stayWithCurrent(now, age)
 }
 
-// switchRelay goes on to the next relay.
+// switchRelay selects the next relay in rank.
 func (s *RelaySelector) switchRelay(now time.Duration) {
 	s.current, s.failuresHere = (s.current+1)%len(s.relays), 0
 	if s.current == 0 {
@@ -217,7 +220,7 @@
 	}
 }
 
-// randomBetween draws a duration from a to b.
+// randomBetween returns a random duration in [a, b), or a if that range is empty.
 func (s *RelaySelector) randomBetween(a, b time.Duration) time.Duration {
 	if b <= a {
 		return a
--- a/internal/controlplane/watchstream/replica.go
+++ b/internal/controlplane/watchstream/replica.go
@@ -4,60 +4,60 @@
 	"slices"
 )
 
-// Replica is a reader's copy of the stream: a store that follows a source's, what of it is applied,
-// and what the reader acknowledges.
+// Replica is a reader's copy of the stream: a store that follows a source's store, and the reader's
+// state of acknowledgement.
 type Replica struct {
 	store *Store
-	// history that replaces the store's, until it is complete (step 9); nil: none
+	// state of an epoch that replaces the store's, while it is incomplete (step 9); nil: none
 	replacement   *Store
 	scope         Scope
-	applied       Watermark
-	generation    uint64
+	applied       Watermark // acknowledged (step 8)
+	generation    uint64    // see SubscribeRequest
 	seq           uint64
-	rejection     *Rejection
-	progress      *DigestProgress // of a resync by digests
-	digestsWanted bool            // the source asked for them
+	rejection     *Rejection      // of the configuration; nil: none
+	progress      *DigestProgress // of a resync by digests; nil: none is running
+	digestsWanted bool            // the source requested them
 	ageMs         int64
 	rejections    map[Reason]uint64
 }
 
-// NewReplica returns an empty reader in its first generation of this run. Generations grow over
-// restarts, so it must exceed all of earlier runs (the start time in milliseconds will do). Zero
-// limits stand for the defaults.
+// NewReplica returns an empty replica in its first generation of this run. Generations increase across
+// restarts, so it must exceed those of all earlier runs (the start time in milliseconds does). Zero
+// limits are replaced by the defaults.
 func NewReplica(fleet string, scope Scope, generation uint64, l Limits) *Replica {
 	return &Replica{store: NewStore(fleet, l), scope: scope, generation: generation, rejections: map[Reason]uint64{}}
 }
 
-// Store is what the reader has. It stays the same object over new histories and restored snapshots, so
-// that a relay's Source can serve it.
+// Store returns the reader's store. It stays the same object across new epochs and restored snapshots,
+// so that a relay's Source can serve it.
 func (r *Replica) Store() *Store { return r.store }
 
-// Scope is who the reader is.
+// Scope returns the reader's identity.
 func (r *Replica) Scope() Scope { return r.scope }
 
 // Records returns the live records of a kind.
 func (r *Replica) Records(k Kind) []Record { return r.store.Records(k) }
 
-// Position is how far the reader has read. During a resync in parts it is ahead of what is consistent.
+// Position returns the position after the last delta. During a resync in parts it is ahead of Consistent.
 func (r *Replica) Position() Position { return r.store.have }
 
-// Consistent is up to where the reader has the log's state, and so what may be marked as applied once
-// everything that ApplyDelta returned is applied.
+// Consistent returns the watermark up to which the reader has the log's state. It may be passed to
+// MarkApplied once everything that ApplyDelta returned is applied.
 func (r *Replica) Consistent() Watermark { return Watermark{r.store.epoch, r.store.consistent} }
 
-// Applied is what is applied.
+// Applied returns the acknowledged watermark.
 func (r *Replica) Applied() Watermark { return r.applied }
 
-// Rejection is the configuration that could not be applied; nil once a later one was.
+// Rejection returns the configuration that could not be applied; nil once a later one was applied.
 func (r *Replica) Rejection() *Rejection { return r.rejection }
 
-// Generation is how often the reader has changed its source.
+// Generation returns the current generation, which increases with each change of source.
 func (r *Replica) Generation() uint64 { return r.generation }
 
-// AgeMs is the age, in milliseconds, that the last delta told.
+// AgeMs returns the age of the last delta (Delta.AgeMs).
 func (r *Replica) AgeMs() int64 { return r.ageMs }
 
-// Rejections returns the rejected deltas by reason.
+// Rejections returns the number of rejected deltas by reason.
 func (r *Replica) Rejections() map[Reason]uint64 {
 	c := make(map[Reason]uint64, len(r.rejections))
 	for reason, n := range r.rejections {
@@ -66,7 +66,7 @@
 	return c
 }
 
-// following is the store that deltas apply to.
+// following returns the store that deltas apply to.
 func (r *Replica) following() *Store {
 	if r.replacement != nil {
 		return r.replacement
@@ -74,7 +74,8 @@
 	return r.store
 }
 
-// SubscribeRequest returns the next request. Each is sent once: a repeated one is stale.
+// SubscribeRequest returns the next request. It must be sent only once: sources reject a repeated one as
+// stale.
 func (r *Replica) SubscribeRequest() SubscribeRequest {
 	s := r.following()
 	r.seq++
@@ -89,16 +90,16 @@
 	return req
 }
 
-// SwitchSource says that the reader continues at another source: what was begun at the previous one
-// starts again.
+// SwitchSource starts a new generation at another source. A resync or a replacing epoch that the previous
+// source had begun starts again.
 func (r *Replica) SwitchSource() {
 	r.generation++
 	r.seq, r.progress, r.digestsWanted, r.replacement = 0, nil, false, nil
 }
 
-// MarkApplied says that what ApplyDelta returned up to this watermark, one that Consistent returned,
-// is applied: it is acknowledged from now on (step 8). What the reader does not have consistently, or
-// has of another history, does not count.
+// MarkApplied records that everything ApplyDelta returned up to the watermark, one that Consistent
+// returned, is applied: it is acknowledged from now on (step 8). A watermark after Consistent or of
+// another epoch is ignored.
 func (r *Replica) MarkApplied(w Watermark) {
 	if w.Epoch != r.store.epoch {
 		return
@@ -121,9 +122,9 @@
 	r.applied = Watermark{w.Epoch, previous.later(next)}
 }
 
-// RejectConfig says that the configuration up to this version, the one of Consistent, cannot be
-// applied: the last good one stays in force. It is reported, and no configuration counts as applied
-// until one is that a later change made.
+// RejectConfig records that the configuration up to this version, that of Consistent, cannot be applied
+// and the last valid one stays in force. The rejection is reported to the source, and no configuration
+// counts as applied until a later change of it is.
 func (r *Replica) RejectConfig(version uint64, reason string) {
 	r.rejection = &Rejection{version, reason[:min(len(reason), MaxReasonBytes)]}
 }
--- a/internal/controlplane/watchstream/report.go
+++ b/internal/controlplane/watchstream/report.go
@@ -6,35 +6,36 @@
 	"time"
 )
 
-// Cursor is how far one reader is, as its relay knows it.
+// Cursor is the state of one reader as known to its relay.
 type Cursor struct {
 	Name        string     `json:"name"`
 	Region      string     `json:"region,omitempty"`
 	Zone        string     `json:"zone,omitempty"`
-	Epoch       string     `json:"epoch,omitempty"` // that it follows
+	Epoch       string     `json:"epoch,omitempty"` // that the reader follows
 	Applied     Watermark  `json:"in_force"`
 	Generation  uint64     `json:"turn"`
 	Rejection   *Rejection `json:"refused,omitempty"`
 	Silent      bool       `json:"silent,omitempty"`
-	LastHeardMs int64      `json:"ago_ms"` // since its last request
+	LastHeardMs int64      `json:"ago_ms"` // since the reader's last request
 }
 
-// Report tells the leader's AckTracker of a relay's readers: those that changed since Base, or all.
+// Report is a relay's report to the leader's AckTracker about its readers: all of them, or those that
+// changed after Base up to UpTo.
 type Report struct {
 	Fleet       string    `json:"fleet"`
 	Relay       string    `json:"relay"`
 	Region      string    `json:"region,omitempty"`
-	Incarnation uint64    `json:"life"` // grows over the relay's restarts
-	Seq         uint64    `json:"seq"`  // grows with each report of an incarnation
-	Base        uint64    `json:"base"`
+	Incarnation uint64    `json:"life"` // increases with each restart of the relay
+	Seq         uint64    `json:"seq"`  // increases with each report of an incarnation
+	Base        uint64    `json:"base"` // change number that the tracker has acknowledged
 	UpTo        uint64    `json:"upto"`
 	Full        bool      `json:"whole,omitempty"`
-	Consistent  Watermark `json:"has"`    // what the relay has
-	AgeMs       int64     `json:"age_ms"` // how old that may be
+	Consistent  Watermark `json:"has"`    // of the relay itself
+	AgeMs       int64     `json:"age_ms"` // upper bound of the age of the relay's state
 	Readers     []Cursor  `json:"readers,omitempty"`
 }
 
-// Validate returns an error that names the first field that cannot be used.
+// Validate returns an error that names the first invalid field.
 func (report *Report) Validate() error {
 	switch {
 	case report.Relay == "":
@@ -64,19 +65,19 @@
 	return nil
 }
 
-// MaxReportedReaders bounds the readers of one report.
+// MaxReportedReaders bounds the readers in one report.
 const MaxReportedReaders = 1 << 13
 
-// ReportResponse tells a relay what the tracker has of it; WantFull says that it lacks the base and
-// needs all readers.
+// ReportResponse acknowledges a relay's reports up to UpTo. WantFull means that the tracker lacks the
+// report's base and needs a full report.
 type ReportResponse struct {
 	Incarnation uint64 `json:"life"`
 	UpTo        uint64 `json:"upto"`
 	WantFull    bool   `json:"whole,omitempty"`
 }
 
-// BuildReport returns the readers that changed since what the tracker is known to have. Readers that
-// are relays themselves are left out.
+// BuildReport returns a report of the readers that changed after the last acknowledged report. Readers
+// that are relays themselves are left out.
 func (s *Source) BuildReport(now time.Duration, relay, region string) Report {
 	s.Expire(now)
 	s.reportSeq++
@@ -93,7 +94,7 @@
 	return rep
 }
 
-// ReportAcked processes the tracker's answer to a report.
+// ReportAcked processes the tracker's response to a report.
 func (s *Source) ReportAcked(resp ReportResponse) {
 	switch {
 	case resp.Incarnation != s.incarnation:
--- a/internal/controlplane/watchstream/scope.go
+++ b/internal/controlplane/watchstream/scope.go
@@ -5,10 +5,11 @@
 	"strings"
 )
 
-// sharedScope is the scope of the layer that all initiators have.
+// sharedScope is the scope of the layer that applies to all initiators.
 const sharedScope = "shared"
 
-// scopePrefixes are the other scopes, in the order in which one layer is merged over another.
+// scopePrefixes are the prefixes of the other scopes in merge order: each layer is merged over the
+// previous ones.
 var scopePrefixes = []string{"region/", "zone/", "instance/"}
 
 // isScope reports whether the key names a scope.
@@ -16,16 +17,16 @@
 	return key == sharedScope || slices.ContainsFunc(scopePrefixes, func(s string) bool { return len(key) > len(s) && strings.HasPrefix(key, s) })
 }
 
-// Scope is what a reader receives: all targets, and the configuration layers that apply to it. A relay
-// receives all layers.
+// Scope identifies a reader and determines what it receives: all targets, and the configuration layers
+// that apply to it. A relay receives all layers.
 type Scope struct {
 	Name   string `json:"name"`
 	Region string `json:"region,omitempty"`
 	Zone   string `json:"zone,omitempty"`
-	All    bool   `json:"all,omitempty"` // a relay
+	All    bool   `json:"all,omitempty"` // all layers; set by relays
 }
 
-// Validate returns an error that names the field that cannot be used.
+// Validate returns an error that names the first invalid field.
 func (s Scope) Validate() error {
 	switch {
 	case s.Name == "":
--- a/internal/controlplane/watchstream/snapshot.go
+++ b/internal/controlplane/watchstream/snapshot.go
@@ -4,7 +4,7 @@
 	"slices"
 )
 
-// Snapshot is a whole store at one moment, for the disk and for the log's snapshots.
+// Snapshot is the complete state of a store, for snapshots on disk and of the agents' log.
 type Snapshot struct {
 	Fleet          string   `json:"fleet"`
 	Epoch          string   `json:"epoch"`
@@ -13,7 +13,7 @@
 	Consistent     Position `json:"whole"`
 	NewestSeen     Position `json:"seen"`
 	TombstoneFloor uint64   `json:"floor"`
-	Records        []Record `json:"records"` // targets first, each kind in order of version, deleted ones included
+	Records        []Record `json:"records"` // targets first, each kind in order of version, including tombstones
 }
 
 // Snapshot returns a snapshot of the store. Its values are shared and must not be modified.
@@ -28,16 +28,16 @@
 	return snap
 }
 
-// Restore replaces the store's state by a snapshot. An error means that nothing has changed.
+// Restore replaces the store's state by a snapshot. On an error nothing has changed.
 func (s *Store) Restore(snap Snapshot) error {
 	n := NewStore(s.fleet, s.limits)
 	switch {
 	case snap.Fleet != s.fleet:
-		return reject(ReasonForeignFleet, "the copy is of fleet %q, and this is %q", snap.Fleet, s.fleet)
+		return reject(ReasonForeignFleet, "the snapshot is of fleet %q, the store of fleet %q", snap.Fleet, s.fleet)
 	case snap.Epoch == "" && (len(snap.Records) > 0 || snap.Have != Position{}):
-		return reject(ReasonMalformed, "the copy names no epoch")
+		return reject(ReasonMalformed, "the snapshot has no epoch")
 	case !snap.Consistent.notAfter(snap.NewestSeen) || !snap.Have.notAfter(snap.NewestSeen):
-		return reject(ReasonMalformed, "the copy is further than what it has seen")
+		return reject(ReasonMalformed, "the snapshot's position is after the newest head that it has seen")
 	}
 	var last *Record
 	for i := range snap.Records {
@@ -49,9 +49,9 @@
 		case last != nil && (r.Kind < last.Kind || r.Kind == last.Kind && !versionLess(last, &r)):
 			return reject(ReasonDisorder, "records[%d]: out of order", i)
 		case r.Version == 0 || r.Version > *snap.NewestSeen.version(r.Kind):
-			return reject(ReasonDisorder, "records[%d]: its version %d is not within the copy's", i, r.Version)
+			return reject(ReasonDisorder, "records[%d]: version %d is outside the snapshot's range", i, r.Version)
 		case n.byKind[r.Kind].keys[r.Key] != nil:
-			return reject(ReasonDisorder, "records[%d]: %s %q is in it twice", i, r.Kind, r.Key)
+			return reject(ReasonDisorder, "records[%d]: duplicate of %s %q", i, r.Kind, r.Key)
 		}
 		n.putRecord(&r)
 		last = &snap.Records[i]
@@ -63,11 +63,12 @@
 	return nil
 }
 
-// Restore starts with a snapshot from the disk. Nothing of it is applied yet.
+// Restore replaces the reader's state by a snapshot. Nothing counts as applied until MarkApplied is
+// called. On an error nothing has changed.
 func (r *Replica) Restore(snap Snapshot) error {
 	for i := range snap.Records {
 		if record := &snap.Records[i]; !r.scope.Includes(record.Kind, record.Key) {
-			return reject(ReasonOutOfScope, "records[%d]: %s %q is not of %+v", i, record.Kind, record.Key, r.scope)
+			return reject(ReasonOutOfScope, "records[%d]: %s %q is outside the scope %+v", i, record.Kind, record.Key, r.scope)
 		}
 	}
 	if err := r.store.Restore(snap); err != nil {
--- a/internal/controlplane/watchstream/source.go
+++ b/internal/controlplane/watchstream/source.go
@@ -7,58 +7,59 @@
 	"time"
 )
 
-// SourceOptions bound what readers get. Zero values stand for those of DefaultSourceOptions.
+// SourceOptions bound the readers and their traffic. Zero values are replaced by those of
+// DefaultSourceOptions.
 type SourceOptions struct {
-	ReaderRate       float64 // bytes a second for a reader, half of it for targets alone
-	ReaderBurst      float64 // bytes beyond the rate
-	RelayRate        float64 // the same for readers that are relays
+	ReaderRate       float64 // bytes a second for one reader; half of it is reserved for targets
+	ReaderBurst      float64 // bytes that may exceed the rate, divided likewise
+	RelayRate        float64 // the same, for readers that are relays
 	RelayBurst       float64
 	AdmitRate        float64       // new readers a second
 	AdmitBurst       float64       // new readers at once
 	MaxReaders       int           // at a time
-	ForgetAfter      time.Duration // a reader that sends nothing for so long is dropped
-	SilentAfter      time.Duration // and is reported as silent after this time
-	CoalesceInterval time.Duration // between two deltas to one reader: changes within it are sent together
+	ForgetAfter      time.Duration // a reader that sends no request for this long is dropped
+	SilentAfter      time.Duration // a reader that sends no request for this long is reported as silent
+	CoalesceInterval time.Duration // minimum time between two deltas to one reader: changes within it are sent together
 }
 
-// DefaultSourceOptions fit a relay with 200 to 400 initiators.
+// DefaultSourceOptions are sized for a relay with 200 to 400 initiators.
 var DefaultSourceOptions = SourceOptions{ReaderRate: 10_000, ReaderBurst: 64 << 10, RelayRate: 4 << 20, RelayBurst: 4 << 20, AdmitRate: 100, AdmitBurst: 100, MaxReaders: 1024,
 	ForgetAfter: 10 * time.Minute, SilentAfter: 10 * time.Second, CoalesceInterval: 200 * time.Millisecond}
 
-// Source serves a store to readers. What it keeps of each reader is bounded, whatever the reader does;
-// what a reader lacks is read from the store and never kept (step 7).
+// Source serves a store to readers. Its state per reader is bounded, whatever the reader does; the
+// records that a reader lacks are read from the store and never queued (step 7).
 type Source struct {
 	store        *Store
 	opt          SourceOptions
 	readers      map[string]*reader
 	admission    tokenBucket
-	nextBusySlot time.Duration // when the next rejected reader is told to retry
-	freshAt      time.Duration // when the store surely had its own source's newest state
-	rejections   map[Reason]uint64
-	busyCount    uint64 // readers rejected as busy
+	nextBusySlot time.Duration     // retry time of the last reader rejected as busy
+	freshAt      time.Duration     // when the store last had its own source's newest state; see MarkFresh
+	rejections   map[Reason]uint64 // requests by reason
+	busyCount    uint64            // requests rejected as busy
 
-	incarnation uint64 // of this source, over restarts
-	reportSeq   uint64
-	changeSeq   uint64 // of changes to what is reported; each reader has its last one's
-	reportedSeq uint64 // up to which the tracker has acknowledged reports
+	incarnation uint64 // of this source, increases across restarts
+	reportSeq   uint64 // of the last report
+	changeSeq   uint64 // number of the last change to a reported state; each reader has that of its own last change
+	reportedSeq uint64 // change number up to which the tracker has acknowledged reports
 }
 
-// reader is what a source keeps of one reader.
+// reader is the state of one reader at a source.
 type reader struct {
-	request      SubscribeRequest // the last one
+	request      SubscribeRequest // the last one, without digests
 	lastHeardAt  time.Duration
 	lastDeltaAt  time.Duration // valid if hadDelta
-	hadDelta     bool          // there was one
-	waiting      bool          // the last request was not answered yet
-	targetTokens tokenBucket   // bytes, for targets alone
+	hadDelta     bool          // a delta was sent
+	waiting      bool          // the last request has had no delta yet
+	targetTokens tokenBucket   // bytes, for targets only
 	sharedTokens tokenBucket   // bytes, for either kind
-	resync       *digestResync
-	changeSeq    uint64
+	resync       *digestResync // nil: none is running
+	changeSeq    uint64        // Source.changeSeq at the last change to the reader's reported state
 	silent       bool
 }
 
-// NewSource returns a source without readers. The incarnation must grow over restarts, as a Replica's
-// first generation does.
+// NewSource returns a source without readers. The incarnation must increase across restarts, as a
+// Replica's first generation does.
 func NewSource(store *Store, o SourceOptions, incarnation uint64) *Source {
 	o.ReaderRate, o.ReaderBurst = cmp.Or(o.ReaderRate, DefaultSourceOptions.ReaderRate), cmp.Or(o.ReaderBurst, DefaultSourceOptions.ReaderBurst)
 	o.RelayRate, o.RelayBurst = cmp.Or(o.RelayRate, DefaultSourceOptions.RelayRate), cmp.Or(o.RelayBurst, DefaultSourceOptions.RelayBurst)
@@ -68,17 +69,17 @@
 		rejections: map[Reason]uint64{}, incarnation: incarnation}
 }
 
-// MarkFresh says that the store had its own source's newest state at this moment: at an agent, when a
-// leader was heard; at a relay, when an answer arrived, less the age that it told.
+// MarkFresh records that the store had its own source's newest state at this time: at an agent, the time
+// of the last contact with the leader; at a relay, the time of the last answer minus the age in it.
 func (s *Source) MarkFresh(now time.Duration) { s.freshAt = max(s.freshAt, now) }
 
-// Age is how old the store's state may be.
+// Age returns an upper bound of the age of the store's state.
 func (s *Source) Age(now time.Duration) time.Duration { return max(0, now-s.freshAt) }
 
-// ReaderCount is the number of readers.
+// ReaderCount returns the number of readers.
 func (s *Source) ReaderCount() int { return len(s.readers) }
 
-// Rejections returns the rejected requests by reason, and the number of readers rejected as busy.
+// Rejections returns the number of rejected requests by reason, and that of requests rejected as busy.
 func (s *Source) Rejections() (byReason map[Reason]uint64, busy uint64) {
 	c := make(map[Reason]uint64, len(s.rejections))
 	for reason, n := range s.rejections {
@@ -87,8 +88,8 @@
 	return c, s.busyCount
 }
 
-// Subscribe processes a reader's request. It returns a *FieldError, a *RejectedError or a *BusyError,
-// and has then changed nothing of what it knows of readers.
+// Subscribe processes a reader's request. If it returns an error (a *FieldError, a *RejectedError or a
+// *BusyError), the state of the request's reader is unchanged.
 func (s *Source) Subscribe(now time.Duration, req SubscribeRequest) error {
 	err := s.subscribe(now, req)
 	if e := (*RejectedError)(nil); errors.As(err, &e) {
@@ -137,13 +138,14 @@
 		r.resync = &digestResync{epoch: req.Epoch, start: s.store.consistent.Targets, digests: req.Digests}
 		req.Digests = nil
 	case req.Progress == nil:
-		r.resync = nil // it has ended, or nothing of it arrived
+		r.resync = nil // the resync has ended, or none of its deltas has arrived
 	}
 	r.request, r.lastHeardAt, r.waiting, r.silent = req, now, true, false
 	return nil
 }
 
-// admitReader admits a new reader, or says when to retry: rejected readers are spread over time.
+// admitReader admits a new reader or returns a BusyError. The retry times of rejected readers are spread
+// at the admission rate.
 func (s *Source) admitReader(now time.Duration) error {
 	s.Expire(now)
 	if len(s.readers) >= s.opt.MaxReaders {
@@ -158,13 +160,13 @@
 	return &BusyError{min(s.nextBusySlot-now, 30*time.Second)}
 }
 
-// Expire drops readers that were silent for long and marks those that have become silent. It must be
-// called regularly.
+// Expire drops readers without a request for ForgetAfter and marks those without one for SilentAfter as
+// silent. It must be called regularly.
 func (s *Source) Expire(now time.Duration) {
 	for name, r := range s.readers {
 		switch {
 		case now-r.lastHeardAt >= s.opt.ForgetAfter:
-			delete(s.readers, name) // the tracker has it as silent
+			delete(s.readers, name) // it was reported as silent before
 		case now-r.lastHeardAt >= s.opt.SilentAfter && !r.silent:
 			s.changeSeq++
 			r.silent, r.changeSeq = true, s.changeSeq
--- a/internal/controlplane/watchstream/status.go
+++ b/internal/controlplane/watchstream/status.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Why a reader lacks a version.
+// Causes for which a reader has not applied a version.
 const (
-	LagSilent      = "silent"  // it is not heard
-	LagEpoch       = "epoch"   // it has another history
-	LagRejected    = "refused" // it rejected a configuration
-	LagRelayBehind = "cut"     // its relay lacks the version, too
-	LagPending     = "owed"    // its relay has it, and it has not acknowledged it
+	LagSilent      = "silent"  // no recent request of it is known
+	LagEpoch       = "epoch"   // it follows or has applied another epoch
+	LagRejected    = "refused" // it rejected a configuration, and no later one is applied
+	LagRelayBehind = "cut"     // its relay does not have the version either
+	LagPending     = "owed"    // its relay has the version, the reader has not acknowledged it
 )
 
 // LaggingReader is a reader that has not applied a version.
@@ -22,42 +22,42 @@
 	Relay       string     `json:"relay"`
 	Applied     uint64     `json:"has"`
 	Cause       string     `json:"why"`
-	LastHeardMs int64      `json:"heard_ms"` // ago
+	LastHeardMs int64      `json:"heard_ms"` // time since then
 	Rejection   *Rejection `json:"refused,omitempty"`
 }
 
-// RelayStatus is a relay as of its last report.
+// RelayStatus is the state of a relay as of its last report.
 type RelayStatus struct {
 	ID          string `json:"id"`
 	Region      string `json:"region,omitempty"`
 	Consistent  uint64 `json:"has"`
 	AgeMs       int64  `json:"age_ms"`
-	LastHeardMs int64  `json:"heard_ms"` // ago
+	LastHeardMs int64  `json:"heard_ms"` // time since that report
 	Readers     int    `json:"readers"`
 }
 
-// Status is where a version is applied.
+// Status reports at which readers a version is applied.
 type Status struct {
 	Epoch        string          `json:"epoch"`
 	Version      uint64          `json:"version"`
-	Readers      int             `json:"known"`  // known
-	Applied      int             `json:"have"`   // readers that have applied it
-	Silent       int             `json:"silent"` // readers that are not heard, whether they have applied it or not
-	Rejected     int             `json:"refused"`
+	Readers      int             `json:"known"`   // tracked readers
+	Applied      int             `json:"have"`    // readers that have applied it
+	Silent       int             `json:"silent"`  // silent readers, whether they have applied it or not
+	Rejected     int             `json:"refused"` // readers with a rejected configuration
 	AppliedShare float64         `json:"share"`
-	SinceMs      int64           `json:"since_ms"` // since the log has it; -1: unknown here
-	HalfMs       int64           `json:"half_ms"`  // from then until half had applied it; -1: not yet, or unknown here
-	P99Ms        int64           `json:"most_ms"`  // until 99 of 100 had
-	AllMs        int64           `json:"all_ms"`
-	Lagging      []LaggingReader `json:"lagging,omitempty"` // some of them, those furthest behind first
+	SinceMs      int64           `json:"since_ms"`          // since the version was committed; -1: unknown here
+	HalfMs       int64           `json:"half_ms"`           // from the commit until half of the readers had applied it; -1: not yet, or unknown here
+	P99Ms        int64           `json:"most_ms"`           // the same for 99 % of the readers
+	AllMs        int64           `json:"all_ms"`            // the same for all readers
+	Lagging      []LaggingReader `json:"lagging,omitempty"` // at most MaxListed, those furthest behind first
 	Relays       []RelayStatus   `json:"relays,omitempty"`
 }
 
-// Status returns where a version is applied.
+// Status returns the status of a version.
 func (t *AckTracker) Status(now time.Duration, version uint64) Status {
 	t.Expire(now)
 	s := Status{Epoch: t.epoch, Version: version, Readers: len(t.readers), SinceMs: -1, HalfMs: -1, P99Ms: -1, AllMs: -1}
-	heardReaders := map[string]int{} // by relay
+	heardReaders := map[string]int{} // readers that are not silent, by relay
 	for _, r := range t.readers {
 		at, silent := t.lastHeard(now, r)
 		if silent {
@@ -87,7 +87,7 @@
 	return s
 }
 
-// lagCause is why a reader has not applied a version.
+// lagCause returns the cause for which a reader has not applied a version.
 func (t *AckTracker) lagCause(r *trackedReader, silent bool, version uint64) string {
 	relay := t.relays[r.relay]
 	switch {
@@ -103,7 +103,8 @@
 	return LagPending
 }
 
-// fillTimes adds when the status's version was committed and applied, as far as that is known.
+// fillTimes adds the times at which the status's version was committed and applied, as far as they are
+// known.
 func (t *AckTracker) fillTimes(s *Status, now time.Duration) {
 	committedAt, known := t.commits.reachedAt(s.Version)
 	if !known {
@@ -117,7 +118,7 @@
 	}
 }
 
-// relayStates returns the relays in order of their ids.
+// relayStates returns the status of all relays in order of their ids.
 func (t *AckTracker) relayStates(now time.Duration, heardReaders map[string]int) (states []RelayStatus) {
 	for id, r := range t.relays {
 		state := RelayStatus{ID: id, Region: r.Region, AgeMs: r.AgeMs, LastHeardMs: (now - r.receivedAt).Milliseconds(), Readers: heardReaders[id]}
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -9,41 +9,41 @@
 	"github.com/google/btree"
 )
 
-// Limits bound what a Store keeps. Buckets must be the same at all stores of a fleet.
+// Limits bound the content of a Store. Buckets must be equal at all stores of a fleet.
 type Limits struct {
-	Targets    int // live targets; a change that exceeds it is rejected
-	Tombstones int // of deleted targets; the oldest is dropped beyond it
-	Scopes     int // layers, deleted ones included; a change that exceeds it is rejected
-	Buckets    int // that digests are computed over
+	Targets    int // live targets; a change that would exceed it is rejected
+	Tombstones int // of deleted targets; beyond it the oldest are dropped
+	Scopes     int // layers, including deleted ones; a change that would exceed it is rejected
+	Buckets    int // of keys, each with one digest
 }
 
-// DefaultLimits leave room for a fleet of 20,000 targets.
+// DefaultLimits are sized for a fleet of 20,000 targets.
 var DefaultLimits = Limits{Targets: 1 << 16, Tombstones: 1 << 14, Scopes: 1 << 14, Buckets: 1 << 10}
 
-// Store has the newest state of each key in order of version: the log's state at an agent, a copy of
-// it at a relay and at an initiator.
+// Store holds the newest state of each key, ordered by version: the log's state at an agent, and a copy
+// of it at a relay or an initiator.
 type Store struct {
 	limits   Limits
 	fleet    string
 	epoch    string
-	replaces []string // epochs that this history replaces (step 9)
-	// every key that the log last changed at or before it is held in that state (step 2)
+	replaces []string // epochs that this one replaces (step 9)
+	// each key whose last change in the log is at or before it has that state here (step 2)
 	have Position
-	// last position at which everything held was the log's state, or newer (step 3)
+	// last position at which all records were the log's state, or newer (step 3)
 	consistent     Position
-	newestSeen     Position // newest position of any source that something came from (step 4)
-	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone (step 6)
+	newestSeen     Position // newest head of any source whose delta was applied (step 4)
+	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone any more (step 6)
 	byKind         [kindCount]kindState
 	digests        Digests
 	buckets        [][]*Record // live targets by bucket
 }
 
-// lane is the state of one kind.
+// kindState holds the records of one kind.
 type kindState struct {
 	keys       map[string]*Record
 	byVersion  *btree.BTreeG[*Record] // all records
 	tombstones *btree.BTreeG[*Record] // deleted ones
-	bytes      int                    // of keys and values
+	bytes      int                    // of all keys and values
 }
 
 // versionLess orders records by version and key.
@@ -51,7 +51,7 @@
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// NewStore returns an empty store. Zero limits stand for those of DefaultLimits.
+// NewStore returns an empty store. Zero limits are replaced by those of DefaultLimits.
 func NewStore(fleet string, l Limits) *Store {
 	l.Targets, l.Tombstones = cmp.Or(l.Targets, DefaultLimits.Targets), cmp.Or(l.Tombstones, DefaultLimits.Tombstones)
 	l.Scopes, l.Buckets = cmp.Or(l.Scopes, DefaultLimits.Scopes), cmp.Or(l.Buckets, DefaultLimits.Buckets)
@@ -62,35 +62,35 @@
 	return s
 }
 
-// Fleet is the fleet whose stream it is.
+// Fleet returns the fleet that the stream belongs to.
 func (s *Store) Fleet() string { return s.fleet }
 
-// Epoch names the history that the store has; empty before the first change.
+// Epoch returns the epoch of the store's state; empty before the first change.
 func (s *Store) Epoch() string { return s.epoch }
 
-// Replaces are the epochs that this history replaces.
+// Replaces returns the epochs that this one replaces.
 func (s *Store) Replaces() []string { return slices.Clone(s.replaces) }
 
-// Head is the version of the last change. At a relay it is the smaller one of both kinds.
+// Head returns the version of the last change. At a relay it is the smaller version of both kinds.
 func (s *Store) Head() uint64 { return s.consistent.Min() }
 
-// Consistent is the position up to which the store has the log's state.
+// Consistent returns the position up to which the store has the log's state.
 func (s *Store) Consistent() Position { return s.consistent }
 
-// TombstoneFloor is the version up to which deletions are forgotten: readers behind it resync by
-// digests.
+// TombstoneFloor returns the version up to which tombstones may have been dropped: readers behind it
+// resync by digests.
 func (s *Store) TombstoneFloor() uint64 { return s.tombstoneFloor }
 
-// Count is the number of live records of a kind.
+// Count returns the number of live records of a kind.
 func (s *Store) Count(k Kind) int { return s.byKind[k].byVersion.Len() - s.byKind[k].tombstones.Len() }
 
-// Tombstones is the number of remembered deleted keys of a kind.
+// Tombstones returns the number of tombstones of a kind.
 func (s *Store) Tombstones(k Kind) int { return s.byKind[k].tombstones.Len() }
 
-// Bytes is the size of the keys and values of a kind.
+// Bytes returns the size of the keys and values of a kind.
 func (s *Store) Bytes(k Kind) int { return s.byKind[k].bytes }
 
-// Get returns the state of a key, if it is known; it may be deleted.
+// Get returns the record of a key, which may be a tombstone, and whether there is one.
 func (s *Store) Get(k Kind, key string) (Record, bool) {
 	if r := s.byKind[k].keys[key]; r != nil {
 		return *r, true
@@ -111,8 +111,8 @@
 	return list
 }
 
-// Apply applies a change of the log, the same at every agent, and returns its version. An error means
-// that nothing has changed.
+// Apply applies a change of the log and returns its version. The result is the same at every agent. On
+// an error nothing has changed.
 func (s *Store) Apply(c Change) (uint64, error) {
 	if err := c.Validate(); err != nil {
 		return 0, err
@@ -161,7 +161,7 @@
 	return v, nil
 }
 
-// putRecord replaces the record of its key.
+// putRecord inserts a record and replaces the previous one of its key.
 func (s *Store) putRecord(r *Record) {
 	l := &s.byKind[r.Kind]
 	if old := l.keys[r.Key]; old != nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// dropRecord removes a record.
+// dropRecord removes a record from all indexes.
 func (s *Store) dropRecord(r *Record) {
 	l := &s.byKind[r.Kind]
 	delete(l.keys, r.Key)
@@ -200,7 +200,8 @@
 	}
 }
 
-// trimTombstones drops the oldest tombstones beyond the limit and raises the floor to them.
+// trimTombstones drops the oldest tombstones of targets beyond the limit and raises the floor to their
+// versions.
 func (s *Store) trimTombstones() {
 	tree := s.byKind[Targets].tombstones
 	for tree.Len() > s.limits.Tombstones {
@@ -210,12 +211,12 @@
 	}
 }
 
-// bucketOf is the bucket of a key.
+// bucketOf returns the bucket of a key.
 func (s *Store) bucketOf(key string) int {
 	return int(xxhash.Sum64String(key) % uint64(len(s.digests)))
 }
 
-// digest is a record's part of its bucket's digest.
+// digest returns a record's contribution to its bucket's digest, which is the sum over its records.
 func (r *Record) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -226,7 +227,8 @@
 	return d.Sum64()
 }
 
-// ascendAfter visits the records of a kind with greater versions, in order.
+// ascendAfter visits the records of a kind with versions greater than v, in order, until visit returns
+// false.
 func (s *Store) ascendAfter(k Kind, v uint64, visit func(*Record) bool) {
 	s.byKind[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, visit)
 }
