--- a/internal/controlplane/watchstream/distribution/compress.go
+++ b/internal/controlplane/watchstream/distribution/compress.go
@@ -10,23 +10,23 @@
 	"sync"
 )
 
-// Bounds and headers of bodies.
+// Limits and headers of message bodies.
 const (
-	maxRequestBytes  = 64 << 10 // the digests of all buckets fit
+	maxRequestBytes  = 64 << 10 // fits a request with the digests of all buckets
 	maxAnswerBytes   = 4 << 20  // decompressed
-	minCompressBytes = 1 << 10  // from which compression saves bytes
+	minCompressBytes = 1 << 10  // smaller bodies are sent uncompressed, since compression would hardly save bytes
 	watchPath        = "/v1/feed/watch"
 	gzipEncoding     = "gzip"
 	encodingHeader   = "Content-Encoding"
 )
 
-// gzipWriters are reused, since their buffers are large.
+// gzipWriters holds writers for reuse, since their buffers are large.
 var gzipWriters = sync.Pool{New: func() any {
-	z, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // cannot fail: the level is valid
+	z, _ := gzip.NewWriterLevel(nil, gzip.BestSpeed) // never fails with a valid level
 	return z
 }}
 
-// compress returns the text compressed if that saves bytes, and whether it is.
+// compress returns the text compressed if that saves bytes, and whether it did so.
 func compress(text []byte) ([]byte, bool) {
 	if len(text) < minCompressBytes {
 		return text, false
@@ -41,12 +41,12 @@
 	return b.Bytes(), true
 }
 
-// acceptsGzip reports whether the caller reads compressed answers.
+// acceptsGzip reports whether the client accepts compressed responses.
 func acceptsGzip(r *http.Request) bool {
 	return strings.Contains(r.Header.Get("Accept-Encoding"), gzipEncoding)
 }
 
-// readAll reads a body of at most so many bytes, decompressed; a longer one is an error, however few
+// readAll reads and decompresses a body. More than maxBytes decompressed bytes are an error, however few
 // bytes were sent.
 func readAll(body io.Reader, compressed bool, maxBytes int) ([]byte, error) {
 	if compressed {
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -1,7 +1,7 @@
-// Package distribution moves the watch stream between processes: the server that readers poll, the
-// follower that polls it, the follower's snapshot on disk, the relay that is made of both, and the
-// publisher that puts a discovery service's list into the stream. Package watchstream decides; here
-// are sockets, the clock, the encoding and the log.
+// Package distribution carries the watch stream between processes: the server that readers poll, the
+// follower that polls it, the follower's snapshot on disk, the relay that consists of both, and the
+// publisher that writes a discovery service's list to the stream. The protocol's decisions are in
+// package watchstream; this package adds sockets, the clock, encoding and logging.
 package distribution
 
 import (
@@ -23,93 +23,96 @@
 // Times and bounds of a follower.
 const (
 	dialTimeout = time.Second
-	// that a poll waits for news: a connection that has failed silently looks like none
+	// time that a poll waits for a change. It is short, since a silently failed connection looks like one without
+	// changes.
 	pollWait  = time.Second
-	pollGrace = 1500 * time.Millisecond // beyond the poll's wait, after which the source is silent
-	// between a relay's calls of agents that fail: relays are few, and a region waits for each
+	pollGrace = 1500 * time.Millisecond // beyond pollWait, until the call times out
+	// upper limit of a relay's retry delay; short, since relays are few and a region's readers depend on each
 	relayRetryMax = time.Second
 	idleTimeout   = 30 * time.Second
-	// between two snapshots while records change, or longer: saveCostFactor times what the last one took
+	// minimum time between two snapshots while records change; if longer, saveCostFactor times the duration of the last write
 	saveInterval         = 10 * time.Second
 	saveCostFactor       = 200
-	positionSaveInterval = 10 * time.Minute       // if only the position has changed
-	minPollInterval      = 100 * time.Millisecond // after an answer without news that came at once
-	connBufferBytes      = 2 << 10                // each way
+	positionSaveInterval = 10 * time.Minute       // minimum time between snapshots if only the position has changed
+	minPollInterval      = 100 * time.Millisecond // pause after an answer without a change that came at once
+	connBufferBytes      = 2 << 10                // in each direction
 )
 
 // FollowerOptions configure a follower.
 type FollowerOptions struct {
 	Fleet, Name, Region, Zone string
-	All                       bool                // a relay: all scopes
-	Relays                    []watchstream.Relay // that it may call
-	Dir                       string              // of the snapshot; empty: none
-	Seed                      uint64              // of random waits; 0: from the name
+	All                       bool                // receive the layers of all scopes; set by relays
+	Relays                    []watchstream.Relay // that may be called
+	Dir                       string              // of the snapshot; empty: no snapshot
+	Seed                      uint64              // of random delays; 0: a hash of the name
 	Selection                 watchstream.RelaySelectorOptions
-	Log                       *slog.Logger // nil: none
-	// Transport carries the polls; nil: a transport of its own, and then State counts all bytes of its connections
-	// and not only bodies.
+	Log                       *slog.Logger // nil: no logging
+	// Transport carries the polls. nil: the follower has its own transport, and State counts all bytes of its
+	// connections instead of only bodies.
 	Transport http.RoundTripper
-	Dial      func(ctx context.Context, network, addr string) (net.Conn, error) // of its own transport; nil: the usual one
-	// OnChange is called with every update in order, on Run's goroutine, first with the snapshot from the disk.
-	// If it returns nil the update is applied. An error rejects the configuration, with its text as the reason;
-	// targets are applied all the same. nil: everything counts as applied at once.
+	Dial      func(ctx context.Context, network, addr string) (net.Conn, error) // used by the follower's own transport; nil: a net.Dialer
+	// OnChange is called on Run's goroutine with every update in order, first with the snapshot on disk if there is
+	// one. When it returns nil the update counts as applied. An error rejects the configuration with its text as the
+	// reason; targets still count as applied. nil: every update counts as applied at once.
 	OnChange func(Update) error
-	// of the first request, beyond those of earlier runs; 0: by the clock and the snapshot
+	// Generation of the first request, greater than those of earlier runs; 0: derived from the clock. It is raised
+	// above the snapshot's.
 	Generation uint64
 }
 
-// Update is what a follower has received.
+// Update is a change that a follower has received.
 type Update struct {
 	Records  []watchstream.Record // newest state of each key that changed; must not be modified
-	Full     bool                 // everything there is, from the snapshot
-	Position watchstream.Position // up to which everything is there
+	Full     bool                 // Records are all live records, from the snapshot
+	Position watchstream.Position // up to which the follower is consistent
 }
 
-// FollowerState is what a follower tells of itself.
+// FollowerState is a follower's position and its counters since the start.
 type FollowerState struct {
 	Epoch             string                 `json:"epoch,omitempty"`
-	Position          watchstream.Position   `json:"position"` // up to which everything is there
+	Position          watchstream.Position   `json:"position"` // up to which the follower is consistent
 	Applied           watchstream.Position   `json:"in_force"`
-	Rejection         *watchstream.Rejection `json:"refused,omitempty"` // of the configuration
-	AgeMs             int64                  `json:"age_ms"`            // since its state surely was the log's; -1: never
-	Relay             string                 `json:"relay,omitempty"`   // that answered last
+	Rejection         *watchstream.Rejection `json:"refused,omitempty"` // of the configuration; nil: none
+	AgeMs             int64                  `json:"age_ms"`            // upper bound of the age of its state; -1: no answer yet
+	Relay             string                 `json:"relay,omitempty"`   // relay that answered last
 	Region            string                 `json:"region,omitempty"`  // of that relay
 	Switches          uint64                 `json:"moves"`
 	Polls             uint64                 `json:"polls"`
 	Deltas            uint64                 `json:"deltas"`
 	Records           uint64                 `json:"records"`
 	Failed            uint64                 `json:"failed"` // polls without an answer
-	Busy              uint64                 `json:"busy"`   // polls that were told to retry later
-	Rejected          map[string]uint64      `json:"turned"` // deltas and requests by reason
+	Busy              uint64                 `json:"busy"`   // polls rejected with a time to retry after
+	Rejected          map[string]uint64      `json:"turned"` // deltas, requests and configurations, by reason
 	BytesIn           uint64                 `json:"bytes_in"`
 	BytesOut          uint64                 `json:"bytes_out"`
 	SnapshotsSaved    uint64                 `json:"saved"`
-	SnapshotsUnusable uint64                 `json:"torn"` // that could not be used
+	SnapshotsUnusable uint64                 `json:"torn"` // snapshots on disk that could not be used
 }
 
-// Follower has a copy of the stream and keeps it up to date. All work is done by the goroutine of Run.
+// Follower keeps a copy of the stream up to date by polling relays. All work is done on the goroutine of
+// Run; the other methods only read.
 type Follower struct {
 	opt          FollowerOptions
 	log          *slog.Logger
 	transport    http.RoundTripper
-	ownTransport *http.Transport // nil: the caller's is used
+	ownTransport *http.Transport // nil if FollowerOptions.Transport is set
 	traffic      trafficMeter
-	selector     *watchstream.RelaySelector // of Run alone
+	selector     *watchstream.RelaySelector // used by Run only
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards replica, changed, freshAt and state
 	replica *watchstream.Replica
 	changed chan struct{} // closed and replaced with each delta
-	freshAt time.Duration // when its state surely was the log's; 0: never
+	freshAt time.Duration // when the state last was the log's, by the last answer's age; 0: no answer yet
 	state   FollowerState
 
-	notified        watchstream.Position // of Run alone, as are the following
-	recordsChanged  bool                 // since the snapshot
-	positionChanged bool                 // since the snapshot
-	nextSaveAt      time.Duration
+	notified        watchstream.Position // position of the last OnChange; used by Run only, as are the following fields
+	recordsChanged  bool                 // since the last snapshot
+	positionChanged bool                 // since the last snapshot
+	nextSaveAt      time.Duration        // earliest time of the next snapshot if records changed
 	lastSaveAt      time.Duration
 }
 
-// NewFollower validates the options and reads the snapshot; it makes no call yet.
+// NewFollower validates the options and reads the snapshot. Polling starts with Run.
 func NewFollower(opt FollowerOptions) (*Follower, error) {
 	scope := watchstream.Scope{Name: opt.Name, Region: opt.Region, Zone: opt.Zone, All: opt.All}
 	switch err := scope.Validate(); {
@@ -144,7 +147,7 @@
 	return f, nil
 }
 
-// Run follows the stream until ctx ends.
+// Run polls relays until ctx ends, and writes a last snapshot before it returns.
 func (f *Follower) Run(ctx context.Context) {
 	f.applySnapshot()
 	lastID := ""
@@ -170,7 +173,7 @@
 	}
 }
 
-// sleep waits, and reports false if ctx ended.
+// sleep waits for d or until ctx ends, and reports whether ctx has not ended.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -185,7 +188,7 @@
 	}
 }
 
-// switchTo notes that another relay is called from now on.
+// switchTo prepares the replica for another relay. It does nothing for the first one (from is empty).
 func (f *Follower) switchTo(to watchstream.Relay, from string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/controlplane/watchstream/distribution/listener.go
+++ b/internal/controlplane/watchstream/distribution/listener.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// limitedListener accepts a bounded number of connections at a time. Others are closed at once, and
-// their readers call another relay.
+// limitedListener limits the connections that are open at a time to max. Connections beyond it are closed
+// at once, and their readers call another relay.
 type limitedListener struct {
 	net.Listener
 	open *atomic.Int64
@@ -29,7 +29,7 @@
 	}
 }
 
-// countedConn is an accepted connection, which counts until it is closed.
+// countedConn is an accepted connection that is counted in open until it is closed.
 type countedConn struct {
 	net.Conn
 	open      *atomic.Int64
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -15,8 +15,8 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// poll calls a relay once and applies the answer: after is when to retry, age how old the relay's
-// state may be.
+// poll calls a relay once and applies the answer. retryAfter is the relay's, for CallBusy; age is an
+// upper bound of the age of the relay's state.
 func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (outcome watchstream.CallOutcome, retryAfter, age time.Duration) {
 	f.mu.Lock()
 	req := f.replica.SubscribeRequest()
@@ -40,13 +40,13 @@
 	case status == http.StatusNoContent:
 		f.noteAnswer(relay, age)
 		if monotone.Now()-began < minPollInterval {
-			sleep(ctx, minPollInterval) // it shuts down, or does not wait for news
+			sleep(ctx, minPollInterval) // the relay is shutting down or does not wait for changes
 		}
 		return watchstream.CallAnswered, 0, age
 	}
 	var rejected RejectedError
 	if err := jsonCodec.Unmarshal(body, &rejected); err != nil || rejected.Reason == "" {
-		f.pollFailed(relay, fmt.Errorf("it answers %d, %.100q", status, body))
+		f.pollFailed(relay, fmt.Errorf("relay answered with status %d: %.100q", status, body))
 		return watchstream.CallFailed, 0, 0
 	}
 	f.mu.Lock()
@@ -59,7 +59,8 @@
 	return watchstream.CallRejected, 0, 0
 }
 
-// roundTrip makes one call and returns the decompressed answer.
+// roundTrip sends one request and returns the response with its body decompressed. age is that of the age
+// header.
 func (f *Follower) roundTrip(ctx context.Context, addr string, subscribe *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
 	payload, err := jsonCodec.Marshal(subscribe)
 	if err != nil {
@@ -71,7 +72,7 @@
 	if err != nil {
 		return 0, 0, nil, err
 	}
-	req.Header["User-Agent"] = nil // not sent, to save bytes
+	req.Header["User-Agent"] = nil // omits the header, to save bytes
 	req.Header.Set("Accept-Encoding", gzipEncoding)
 	resp, err := f.transport.RoundTrip(req)
 	if err != nil {
@@ -96,7 +97,7 @@
 	return resp.StatusCode, time.Duration(max(0, ageMs)) * time.Millisecond, body, err
 }
 
-// countingReader counts the bytes read.
+// countingReader counts the bytes read from its Reader.
 type countingReader struct {
 	io.Reader
 	n uint64
@@ -109,7 +110,7 @@
 	return n, err
 }
 
-// applyDelta applies a delta and passes on what it changed.
+// applyDelta decodes and applies a delta, wakes the readers that wait for a change, and calls OnChange.
 func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (outcome watchstream.CallOutcome, age time.Duration) {
 	var d watchstream.Delta
 	if err := jsonCodec.Unmarshal(body, &d); err != nil {
@@ -139,7 +140,7 @@
 	return watchstream.CallAnswered, age
 }
 
-// notify passes on an update and acknowledges it as far as it is applied.
+// notify calls OnChange with an update, if there is anything new, and acknowledges what was applied.
 func (f *Follower) notify(u Update, watermark watchstream.Watermark) {
 	var err error
 	if f.opt.OnChange != nil && (len(u.Records) > 0 || u.Full || u.Position != f.notified) {
@@ -156,7 +157,7 @@
 	f.replica.MarkApplied(watermark)
 }
 
-// noteAnswer records which relay answered and how old its state may be.
+// noteAnswer records which relay answered and when its state was fresh.
 func (f *Follower) noteAnswer(relay watchstream.Relay, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +165,7 @@
 	f.freshAt = max(f.freshAt, monotone.Now()-age)
 }
 
-// pollFailed counts and logs a poll without an answer.
+// pollFailed counts and logs a poll without a usable answer.
 func (f *Follower) pollFailed(relay watchstream.Relay, err error) {
 	f.mu.Lock()
 	f.state.Failed++
@@ -172,7 +173,7 @@
 	f.log.Warn("stream poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
 }
 
-// noteRejected counts and logs a rejection. The caller holds mu.
+// noteRejected counts and logs a rejected request or delta. The caller holds mu.
 func (f *Follower) noteRejected(relay watchstream.Relay, reason watchstream.Reason, detail string) {
 	f.state.Rejected[string(reason)]++
 	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(reason)), slog.String("relay", relay.ID), slog.String("text", detail))
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -13,32 +13,34 @@
 
 // Times and bounds of a publisher.
 const (
-	publishInterval     = 50 * time.Millisecond // between changes: updates within it are sent together
+	publishInterval     = 50 * time.Millisecond // minimum time between changes: updates within it are sent together
 	maxTargetsPerChange = 500
-	publishRetryDelay   = time.Second // after a change of which it is unknown whether it was made
-	// A full list that removes more than half of at least so many targets is taken for a mistake of discovery.
+	publishRetryDelay   = time.Second // after a failed change or read
+	// A full list that removes more than half of at least this many targets is treated as an error of discovery and
+	// not published.
 	minTargetsToGuard = 8
 )
 
 // PublisherOptions configure a publisher.
 type PublisherOptions struct {
 	Fleet       string
-	Put         func(context.Context, watchstream.Change) (uint64, error) // makes a change and returns its version
+	Put         func(context.Context, watchstream.Change) (uint64, error) // proposes a change and returns its version
 	Records     func(context.Context) ([]watchstream.Record, error)       // returns the targets in the stream
-	AllowShrink bool                                                      // full lists may remove more than half of the targets
+	AllowShrink bool                                                      // allow full lists to remove more than half of the targets
 	Log         *slog.Logger
 }
 
-// Publisher puts the differences between a list of targets and the stream into the stream.
+// Publisher keeps the targets in the stream equal to a list from discovery: it proposes changes with the
+// differences.
 type Publisher struct {
 	opt  PublisherOptions
-	wake chan struct{}
+	wake chan struct{} // holds one token once SetList has changed the list; never closed
 
-	mu            sync.Mutex
-	want          map[string]listing.Entry // by id
+	mu            sync.Mutex               // guards the following fields
+	want          map[string]listing.Entry // the list, by id
 	hasFullList   bool                     // a full list has arrived
-	dirty         map[string]bool          // ids to compare
-	unpublishable map[string]listing.Entry // entries that cannot be put, until they change
+	dirty         map[string]bool          // ids to compare with the stream
+	unpublishable map[string]listing.Entry // invalid entries by id, already logged, until they change
 }
 
 // NewPublisher returns a publisher without a list.
@@ -46,7 +48,8 @@
 	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]listing.Entry{}, dirty: map[string]bool{}, unpublishable: map[string]listing.Entry{}}
 }
 
-// SetList takes over a list, or a change of it, from discovery.
+// SetList stores a full list from discovery or applies a change to it. Changes before the first full list
+// are ignored.
 func (p *Publisher) SetList(l *listing.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -67,8 +70,8 @@
 	}
 }
 
-// replaceAll replaces the previous list by a full one, and reports false if that would remove too
-// much.
+// replaceAll removes the targets that a full list does not name. It reports false, and changes nothing, if
+// the list would remove too many (see minTargetsToGuard). The caller holds mu.
 func (p *Publisher) replaceAll(l *listing.List) bool {
 	listed := make(map[string]bool, len(l.Servers))
 	for _, e := range l.Servers {
@@ -94,7 +97,7 @@
 	return true
 }
 
-// Run makes changes until ctx ends.
+// Run publishes the list and its changes until ctx ends.
 func (p *Publisher) Run(ctx context.Context) {
 	var published map[string]listing.Entry
 	for ctx.Err() == nil {
@@ -116,7 +119,7 @@
 		}
 		v, err := p.opt.Put(ctx, c)
 		if err != nil {
-			published = nil // the stream shows whether it was made
+			published = nil // unknown whether the change was made: the stream is read again
 			p.publishFailed(ctx, err)
 			continue
 		}
@@ -132,14 +135,14 @@
 	}
 }
 
-// isListed reports whether a full list has arrived.
+// receivedFullList reports whether a full list has arrived.
 func (p *Publisher) receivedFullList() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.hasFullList
 }
 
-// wait waits for a new list.
+// wait waits until the list changes or ctx ends.
 func (p *Publisher) wait(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -156,7 +159,7 @@
 	sleep(ctx, publishRetryDelay)
 }
 
-// loadPublished reads the targets in the stream, and has all of them and of the list compared.
+// loadPublished reads the targets in the stream and marks all of them and of the list for comparison.
 func (p *Publisher) loadPublished(ctx context.Context) (map[string]listing.Entry, error) {
 	records, err := p.opt.Records(ctx)
 	if err != nil {
@@ -166,14 +169,14 @@
 	for i := range records {
 		e, err := entryOf(records[i].Value)
 		if err != nil {
-			e = listing.Entry{} // equal to no listed entry, so it is put again
+			e = listing.Entry{} // differs from every listed entry, so the target is put again
 		}
 		published[records[i].Key] = e
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.opt.AllowShrink && len(published) >= minTargetsToGuard && 2*len(p.want) < len(published) {
-		return nil, errors.New("the list has less than half of the targets in the stream: is it another fleet's? --shed takes them away")
+		return nil, errors.New("the list has less than half of the targets in the stream and may be another fleet's: --shed removes the others")
 	}
 	for id := range published {
 		p.dirty[id] = true
@@ -184,7 +187,7 @@
 	return published, nil
 }
 
-// entryOf decodes an entry of the list.
+// entryOf decodes a target's value.
 func entryOf(value []byte) (e listing.Entry, err error) {
 	return e, jsonCodec.Unmarshal(value, &e)
 }
@@ -198,7 +201,8 @@
 	return a == b
 }
 
-// nextChange returns the next change: what differs, up to a bound.
+// nextChange returns a change with the differences between the list and the published targets,
+// maxTargetsPerChange at most, and removes their ids from dirty.
 func (p *Publisher) nextChange(published map[string]listing.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -18,38 +18,38 @@
 // Times and bounds of a relay.
 const (
 	reportInterval  = time.Second
-	reportTimeout   = 2 * time.Second // by then the next report is more recent
+	reportTimeout   = 2 * time.Second // a later report replaces one that takes longer
 	requestTimeout  = 5 * time.Second // for a reader to send its request
-	shutdownTimeout = time.Second
-	// connections beyond one for each reader: readers that switch, and operators
+	shutdownTimeout = time.Second     // for open requests to end, before their connections are closed
+	// connections beyond one for each reader, for readers that switch relays and for operators
 	extraConns = 64
 )
 
 // RelayOptions configure a relay.
 type RelayOptions struct {
 	ID, Fleet, Region string
-	Agents            []string // addresses of agents; any of them is followed
-	Dir               string   // of the snapshot; empty: none
+	Agents            []string // addresses of agents, one of which is followed at a time
+	Dir               string   // of the snapshot; empty: no snapshot
 	Source            watchstream.SourceOptions
-	// Report sends a report to the agents' leader; nil: none is sent.
+	// Report sends a report to the agents' leader; nil: no reports are sent.
 	Report func(context.Context, watchstream.Report) (watchstream.ReportResponse, error)
-	Log    *slog.Logger
-	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
+	Log    *slog.Logger                                                      // nil: no logging
+	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // to agents; nil: a net.Dialer
 }
 
-// Relay follows the agents and serves readers.
+// Relay follows the agents' stream and serves its copy to readers.
 type Relay struct {
 	opt        RelayOptions
 	log        *slog.Logger
 	follower   *Follower
-	source     *watchstream.Source // guarded by the follower's lock
+	source     *watchstream.Source // guarded by follower.mu, like the replica whose store it serves
 	server     *Server
 	httpServer http.Server
 	conns      atomic.Int64
 	reports    struct{ sent, failed atomic.Uint64 }
 }
 
-// NewRelay validates the options and reads the snapshot.
+// NewRelay validates the options and reads the snapshot. Run and Serve start the relay.
 func NewRelay(opt RelayOptions) (*Relay, error) {
 	r := &Relay{opt: opt, log: opt.Log}
 	if r.log == nil {
@@ -84,7 +84,7 @@
 	return f.changed, true
 }
 
-// Serve answers readers until Run ends.
+// Serve serves readers on l until Run returns, and then returns nil.
 func (r *Relay) Serve(l net.Listener) error {
 	if err := r.httpServer.Serve(&limitedListener{l, &r.conns, int64(r.opt.Source.MaxReaders + extraConns)}); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// Run follows the agents and reports to their leader until ctx ends; then no more readers are served.
+// Run follows the agents and reports to their leader until ctx ends. Then it shuts the server down, and
+// returns when its goroutines have ended.
 func (r *Relay) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { r.follower.Run(ctx) })
@@ -104,13 +105,13 @@
 	shutdownCtx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if r.httpServer.Shutdown(shutdownCtx) != nil {
-		r.httpServer.Close() // readers that do not read their answers
+		r.httpServer.Close() // cuts off readers that do not read their responses
 	}
 	wg.Wait()
 }
 
-// reportLoop regularly tells the agents' leader what has changed at the readers. After a failure the
-// next report has it all.
+// reportLoop regularly reports the changes of the readers' states to the agents' leader until ctx ends.
+// After a failure the next report repeats what is not acknowledged.
 func (r *Relay) reportLoop(ctx context.Context) {
 	failing := false
 	for sleep(ctx, reportInterval) {
@@ -132,12 +133,12 @@
 	}
 }
 
-// RelayState is what a relay tells of itself.
+// RelayState is a relay's state and its counters since the start.
 type RelayState struct {
 	ID            string                        `json:"id"`
 	Readers       int                           `json:"readers"`
 	Rejected      map[watchstream.Reason]uint64 `json:"refused,omitempty"` // requests by reason
-	Busy          uint64                        `json:"busy"`              // readers that were told to retry later
+	Busy          uint64                        `json:"busy"`              // requests rejected with a time to retry after
 	Served        ServerState                   `json:"served"`
 	Follower      FollowerState                 `json:"follower"`
 	Reports       uint64                        `json:"reports"`
@@ -158,7 +159,7 @@
 	return s
 }
 
-// handleState answers an operator.
+// handleState answers GET /v1/feed with the relay's state.
 func (r *Relay) handleState(w http.ResponseWriter, _ *http.Request) {
 	text, err := jsonCodec.Marshal(r.State())
 	if err != nil {
@@ -166,5 +167,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text) // the operator may be gone
+	_, _ = w.Write(text) // the client may have disconnected
 }
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -14,60 +14,60 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// jsonCodec is the JSON codec of all messages.
+// jsonCodec encodes and decodes all messages.
 var jsonCodec = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // Times and bounds of a server.
 const (
-	maxPollWait   = 2 * time.Second // of a poll
-	answerTimeout = 5 * time.Second // for a reader to read its answer; a slower one is cut off
-	// for a reader whose rate is used up: it is not looked at again for each change of a burst
+	maxPollWait   = 2 * time.Second // upper limit of a poll's wait
+	answerTimeout = 5 * time.Second // for a reader to read its response; a slower one's connection is closed
+	// upper limit of the wait for a reader whose rate is used up; such readers are not checked at each change of a burst
 	burstPause      = 200 * time.Millisecond
-	notReadyRetry   = time.Second // for readers of a source that has nothing yet
+	notReadyRetry   = time.Second // retry delay of readers whose source has no state yet or whose server is at its limit of polls
 	ageHeader       = "Feed-Age-Ms"
-	headerBytes     = 300  // estimated size of a request's and an answer's headers
-	defaultMaxPolls = 4096 // at a time
+	headerBytes     = 300  // estimated size of the headers of a request and its response
+	defaultMaxPolls = 4096 // concurrent polls of a server, if NewServer is given none
 )
 
-// Origin is where a server's deltas come from: a source under its owner's lock.
+// Origin gives a server access to a source under the lock that guards it.
 type Origin interface {
-	// WithSource runs f while it holds the lock of the source and its store, and returns a channel that is closed
-	// at the store's next change. ok is false, and f is not run, if there is no source yet.
+	// WithSource calls f while it holds the lock of the source and its store, and returns a channel that the owner
+	// closes at the store's next change. ok is false, and f is not called, if there is no source yet.
 	WithSource(f func(now time.Duration, s *watchstream.Source)) (changed <-chan struct{}, ok bool)
 }
 
-// RejectedError is a source's answer to a request that it does not serve.
+// RejectedError is the response body for a request that a server rejects.
 type RejectedError struct {
 	Reason       watchstream.Reason `json:"reason"`
 	Detail       string             `json:"why,omitempty"`
-	RetryAfterMs int64              `json:"after_ms,omitempty"` // retry then, here or elsewhere
+	RetryAfterMs int64              `json:"after_ms,omitempty"` // retry after this time, at this source or another; 0: not given
 }
 
 // Error returns the reason and the detail.
 func (e *RejectedError) Error() string { return string(e.Reason) + ": " + e.Detail }
 
-// reasonBusy says that the source has no capacity now.
+// reasonBusy is the reason if a server has no capacity now.
 const reasonBusy watchstream.Reason = "busy"
 
-// Server answers readers' polls. What a reader lacks is read from the store when it can be sent, so
-// that a slow reader has nothing but its own connection.
+// Server answers readers' polls. Records are read from the store when they can be sent, so that a slow
+// reader occupies nothing but its own connection and poll.
 type Server struct {
 	origin    Origin
-	pollSlots chan struct{} // bounds polls at a time
-	done      chan struct{} // closed by Stop
-	stopped   atomic.Bool
+	pollSlots chan struct{} // one token for each poll in progress; its capacity bounds them
+	done      chan struct{} // closed by the first Stop
+	stopped   atomic.Bool   // Stop was called
 	counters  struct{ polls, deltas, records, bytes, rejected, failedWrites atomic.Uint64 }
 }
 
-// NewServer returns a server of at most so many polls at a time; 0: the default.
+// NewServer returns a server that serves at most maxPolls at a time; 0: defaultMaxPolls.
 func NewServer(origin Origin, maxPolls int) *Server {
 	return &Server{origin: origin, pollSlots: make(chan struct{}, cmp.Or(maxPolls, defaultMaxPolls)), done: make(chan struct{})}
 }
 
-// Routes registers the server's route.
+// Routes registers the server's routes.
 func (s *Server) Routes(mux *http.ServeMux) { mux.HandleFunc("POST "+watchPath, s.handlePoll) }
 
-// Stop ends the polls that wait.
+// Stop ends all waiting polls, which are then answered without a delta.
 func (s *Server) Stop() {
 	if !s.stopped.Swap(true) {
 		close(s.done)
@@ -79,9 +79,9 @@
 	Polls        uint64 `json:"polls"`
 	Deltas       uint64 `json:"deltas"`
 	Records      uint64 `json:"records"`
-	Bytes        uint64 `json:"bytes"`   // of answer bodies, as sent
-	Rejected     uint64 `json:"refused"` // requests, busy ones included
-	FailedWrites uint64 `json:"cut"`     // readers that did not read their answer in time
+	Bytes        uint64 `json:"bytes"`   // of response bodies with deltas, as sent
+	Rejected     uint64 `json:"refused"` // requests, including those rejected as busy
+	FailedWrites uint64 `json:"cut"`     // responses that a reader did not read in time, or whose connection failed
 }
 
 // State returns the counters.
@@ -100,9 +100,9 @@
 		s.reject(w, http.StatusServiceUnavailable, &RejectedError{reasonBusy, "too many polls at a time", notReadyRetry.Milliseconds()})
 		return
 	}
-	// For this answer alone: the connection may serve other calls later.
+	// The deadline is for this response only, since the connection may serve other requests later.
 	ctl := http.NewResponseController(w)
-	_ = ctl.SetWriteDeadline(time.Now().Add(maxPollWait + answerTimeout)) // a writer without deadlines is bounded by its server
+	_ = ctl.SetWriteDeadline(time.Now().Add(maxPollWait + answerTimeout)) // without support for deadlines, the HTTP server's timeouts apply
 	defer func() { _ = ctl.SetWriteDeadline(time.Time{}) }()
 	var req watchstream.SubscribeRequest
 	body, err := readAll(http.MaxBytesReader(w, r.Body, maxRequestBytes), r.Header.Get(encodingHeader) == gzipEncoding, maxRequestBytes)
@@ -126,7 +126,8 @@
 	s.sendDelta(w, r, d, len(body))
 }
 
-// subscribe passes a request to the source; rejection is nil if it was accepted.
+// subscribe passes a request to the source. rejection is nil if the source accepted it; status is the HTTP
+// status of a rejection.
 func (s *Server) subscribe(req watchstream.SubscribeRequest) (status int, rejection *RejectedError) {
 	var err error
 	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, req) }); !ok {
@@ -147,7 +148,8 @@
 	return http.StatusUnprocessableEntity, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: err.Error()}
 }
 
-// waitForDelta waits for what a reader gets; nil: nothing within the time that it waits.
+// waitForDelta waits for a reader's next delta. It returns nil once the request's wait is over, the reader
+// has disconnected or the server is stopped.
 func (s *Server) waitForDelta(r *http.Request, req watchstream.SubscribeRequest) (d *watchstream.Delta, age time.Duration) {
 	until := monotone.Now() + min(time.Duration(max(req.WaitMs, 0))*time.Millisecond, maxPollWait)
 	var timer *time.Timer
@@ -160,7 +162,7 @@
 		if d != nil || checkedAt >= until {
 			return d, age
 		}
-		// What the reader's rate does not allow yet is not allowed sooner because of a change.
+		// The delta is limited by the reader's rate, which a change of the store does not affect.
 		if wait < maxPollWait {
 			changed = nil
 			wait = min(wait, burstPause)
@@ -182,8 +184,8 @@
 	}
 }
 
-// sendDelta writes a delta within a time that does not depend on its reader, and tells the source how
-// many bytes it and its request took.
+// sendDelta writes a delta, within the write deadline set before, and reports the bytes of the response and
+// its request to the source.
 func (s *Server) sendDelta(w http.ResponseWriter, r *http.Request, d *watchstream.Delta, requestBytes int) {
 	text, err := jsonCodec.Marshal(d)
 	if err != nil {
@@ -214,7 +216,7 @@
 	s.counters.bytes.Add(uint64(len(text)))
 }
 
-// reject answers with a rejection.
+// reject answers a request with a rejection.
 func (s *Server) reject(w http.ResponseWriter, status int, rejected *RejectedError) {
 	s.counters.rejected.Add(1)
 	text, err := jsonCodec.Marshal(rejected)
@@ -226,5 +228,5 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_, _ = w.Write(text) // a reader that is gone asks again
+	_, _ = w.Write(text) // a reader that has disconnected retries
 }
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -19,19 +19,19 @@
 )
 
 // The snapshot is one file: a magic number, the length and the checksum (xxhash) of the body, and the body. It is replaced
-// atomically, so that a start reads a complete earlier state, or none.
+// atomically, so that a starting follower reads a complete earlier state or none.
 const (
 	snapshotName     = "feed.copy"
-	maxSnapshotBytes = 256 << 20 // bytes
+	maxSnapshotBytes = 256 << 20 // of the body
 )
 
-// The body is CBOR, which takes a tenth of the time that JSON takes.
+// The body is encoded as CBOR, which takes a tenth of the time of JSON.
 var (
 	cborEncoder = must(cbor.EncOptions{}.EncMode())
 	cborDecoder = must(cbor.DecOptions{MaxArrayElements: 1 << 18, MaxNestedLevels: 8, IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden}.DecMode())
 )
 
-// must returns m; the options are constants, so that an error is a mistake in the code.
+// must returns m. It panics on an error, which with constant options is a bug.
 func must[M any](m M, err error) M {
 	if err != nil {
 		panic(err)
@@ -39,11 +39,11 @@
 	return m
 }
 
-// snapshotMagic is how the file starts.
+// snapshotMagic are the first bytes of the file.
 var snapshotMagic = [8]byte{'s', 'h', 'f', 'e', 'e', 'd', '0', '1'}
 
-// errDamagedSnapshot says that a snapshot is not complete.
-var errDamagedSnapshot = errors.New("the copy is torn")
+// errDamagedSnapshot reports a snapshot file that is incomplete or altered.
+var errDamagedSnapshot = errors.New("snapshot file is damaged")
 
 // writeSnapshot replaces the snapshot under dir.
 func writeSnapshot(dir string, body []byte) error {
@@ -52,8 +52,8 @@
 	return renameio.WriteFile(filepath.Join(dir, snapshotName), append(header, body...), 0o600)
 }
 
-// readSnapshot returns the body of the snapshot under dir; nil if there is none. An incomplete one is
-// errDamagedSnapshot.
+// readSnapshot returns the body of the snapshot under dir; nil if there is none. For a damaged one the
+// error wraps errDamagedSnapshot.
 func readSnapshot(dir string) ([]byte, error) {
 	f, err := os.Open(filepath.Join(dir, snapshotName))
 	if errors.Is(err, os.ErrNotExist) {
@@ -73,16 +73,16 @@
 	case err != nil:
 		return nil, err
 	case !bytes.Equal(header[:8], snapshotMagic[:]):
-		return nil, fmt.Errorf("%w: it does not begin as one", errDamagedSnapshot)
+		return nil, fmt.Errorf("%w: magic number is missing", errDamagedSnapshot)
 	case size > maxSnapshotBytes || info.Size() != int64(len(header))+int64(size):
-		return nil, fmt.Errorf("%w: %d bytes, %d are told", errDamagedSnapshot, info.Size()-int64(len(header)), size)
+		return nil, fmt.Errorf("%w: body has %d bytes, header says %d", errDamagedSnapshot, info.Size()-int64(len(header)), size)
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(f, body); err != nil {
 		return nil, fmt.Errorf("%w: %w", errDamagedSnapshot, err)
 	}
 	if xxhash.Sum64(body) != sum {
-		return nil, fmt.Errorf("%w: its checksum differs", errDamagedSnapshot)
+		return nil, fmt.Errorf("%w: checksum mismatch", errDamagedSnapshot)
 	}
 	return body, nil
 }
@@ -90,15 +90,15 @@
 // storedSnapshot is the body of the file.
 type storedSnapshot struct {
 	Generation uint64               `json:"turn"`
-	Scope      watchstream.Scope    `json:"scope"` // with another scope, other layers are needed
+	Scope      watchstream.Scope    `json:"scope"` // a snapshot of another scope has other layers and is not used
 	Snapshot   watchstream.Snapshot `json:"copy"`
 }
 
-// generationGap is more than the generations that a run can have between two snapshots.
+// generationGap exceeds the number of generations that a run can go through between two snapshots.
 const generationGap = 1 << 20
 
-// loadSnapshot starts with the snapshot on disk. One that is damaged, or of another fleet or scope, is
-// ignored: the follower starts empty.
+// loadSnapshot restores the replica from the snapshot on disk. A snapshot that is damaged, or of another
+// fleet or scope, is ignored, and the follower starts empty.
 func (f *Follower) loadSnapshot() {
 	if f.opt.Dir == "" {
 		return
@@ -125,7 +125,7 @@
 	}
 }
 
-// applySnapshot passes on what the snapshot had applied.
+// applySnapshot calls OnChange with all records of the snapshot, if one was restored.
 func (f *Follower) applySnapshot() {
 	f.mu.Lock()
 	watermark := f.replica.Consistent()
@@ -139,10 +139,10 @@
 	f.notify(Update{Records: records, Full: true, Position: watermark.Position}, watermark)
 }
 
-// restoreSnapshot takes over a snapshot, before Run.
+// restoreSnapshot replaces the replica by one with the snapshot's state. It must be called before Run.
 func (f *Follower) restoreSnapshot(s *storedSnapshot) error {
 	if s.Scope != f.replica.Scope() {
-		return fmt.Errorf("the copy is for %+v, and this is %+v", s.Scope, f.replica.Scope())
+		return fmt.Errorf("the snapshot is for %+v, the follower is %+v", s.Scope, f.replica.Scope())
 	}
 	generation := f.replica.Generation()
 	if generation <= s.Generation {
@@ -162,8 +162,8 @@
 	f.log.Warn("snapshot ignored", slog.String("reason", "FEED_COPY_BAD"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
 }
 
-// saveSnapshot replaces the snapshot if it is due, or at the end. A snapshot that lags in position
-// alone stays usable for long: an empty delta brings it up to date.
+// saveSnapshot writes the snapshot if it is due, or if final is set and anything has changed. It is written
+// less often if only the position has changed, since an empty delta then brings an old one up to date.
 func (f *Follower) saveSnapshot(final bool) {
 	now := monotone.Now()
 	due := f.recordsChanged && now >= f.nextSaveAt || f.positionChanged && now-f.lastSaveAt >= positionSaveInterval || final && (f.recordsChanged || f.positionChanged)
--- a/internal/controlplane/watchstream/distribution/traffic.go
+++ b/internal/controlplane/watchstream/distribution/traffic.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// trafficMeter counts the bytes of connections, in both directions.
+// trafficMeter counts the bytes of connections in each direction.
 type trafficMeter struct{ in, out atomic.Uint64 }
 
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// wrapDial returns a dialFunc whose connections are counted.
+// wrapDial returns a dialFunc whose connections count their bytes in m.
 func (m *trafficMeter) wrapDial(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
@@ -23,7 +23,7 @@
 	}
 }
 
-// meteredConn is a connection whose bytes are counted.
+// meteredConn is a connection that counts its bytes in m.
 type meteredConn struct {
 	net.Conn
 	m *trafficMeter
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -1,14 +1,15 @@
-// Package targetmerge joins what two sources say of the targets, discovery and the watch stream, into
-// one list, and returns the changes of it. It has no clock, no sockets and no goroutines.
+// Package targetmerge merges the target lists of two sources, discovery and the watch stream, into one
+// list and returns its changes. It has no clock, no sockets and no goroutines; its types are not safe
+// for concurrent use.
 //
-// Either source may lag, so the newer statement on a target wins, not the later message: statements
-// are joined as in a lattice, by the target's start first, then by SERVING < DRAINING < DELETED. So a
-// drain is never undone for the same start, whichever source still says SERVING, and the order in
-// which the two are heard does not matter.
+// Either source may lag, so the newer state of a target wins, not the later message. A target's entries
+// are joined as in a lattice, ordered by the target's start time and then by SERVING < DRAINING <
+// DELETED. Therefore a drain is never undone for the same start, even if the other source still lists
+// the target as SERVING, and the order in which the two sources' lists arrive does not matter.
 //
-// A source that no longer lists a target counts as saying DELETED for the start that it knew. Only
-// that can be undone, by the same source: a list that was empty by mistake must not remove all targets
-// until each of them restarts.
+// If a source no longer lists a target, its entry counts as DELETED for the start that it had. Only this
+// can be undone, by the same source: a list that was empty by mistake must not remove all targets until
+// each of them restarts.
 package targetmerge
 
 import (
@@ -19,7 +20,7 @@
 	"spindlehitch/internal/datapath/listing"
 )
 
-// Source is who makes a statement.
+// Source identifies where a list comes from.
 type Source int
 
 // The sources.
@@ -29,29 +30,30 @@
 	sourceCount
 )
 
-// DefaultMaxRemoved is how many removed targets are remembered: as many as the stream keeps tombstones
-// for. A source would have to lag by so many removals to bring one back, and could do so for that
-// start alone.
+// DefaultMaxRemoved is the number of removed targets that a View remembers: as many as the stream keeps
+// tombstones. Only a source that lags by more removals could bring a target back, and only for that
+// start.
 const DefaultMaxRemoved = 1 << 14
 
+// The states of a target.
 const (
 	serving  = "SERVING"
 	draining = "DRAINING"
 	deleted  = "DELETED"
 )
 
-// stateRank orders the states of one start.
+// stateRank returns the order of a state within one start.
 func stateRank(state string) int { return slices.Index([]string{serving, draining, deleted}, state) }
 
-// sourceEntry is what one source has said of a target, joined: its latest start, and the highest state
-// at it.
+// sourceEntry is the join of one source's entries for a target: its latest start with the highest state
+// of that start.
 type sourceEntry struct {
 	listing.Entry
 	changedAt uint64 // sequence number of its last change
-	listed    bool   // the source still lists it
+	listed    bool   // whether the source still lists the target
 }
 
-// effectiveState is DELETED once the source does not list the target.
+// effectiveState returns the entry's state, or DELETED if the source no longer lists the target.
 func (e *sourceEntry) effectiveState() string {
 	if !e.listed {
 		return deleted
@@ -62,11 +64,11 @@
 // target is a target that a source lists or has listed.
 type target struct {
 	entries   [sourceCount]*sourceEntry
-	published *listing.Entry // its entry in the joined list; nil: none
-	removed   *list.Element  // among those that no source lists
+	published *listing.Entry // its entry in the merged list; nil: not in the list
+	removed   *list.Element  // element of View.removed; nil: a source lists the target
 }
 
-// effectiveEntry is the join of both sources.
+// effectiveEntry returns the join of both sources' entries.
 func (t *target) effectiveEntry() (e listing.Entry) {
 	var from *sourceEntry
 	for _, entry := range t.entries {
@@ -79,7 +81,8 @@
 	return e
 }
 
-// supersedes reports whether a wins over b: with the same start and state, the one that changed last.
+// supersedes reports whether a wins over b: by the later start, then the higher state, then the last
+// change.
 func supersedes(a, b *sourceEntry) bool {
 	if a.Started != b.Started {
 		return a.Started > b.Started
@@ -90,22 +93,22 @@
 	return a.changedAt > b.changedAt
 }
 
-// View is the joined list. Its size is bounded by what the two sources list and by the removed targets
-// that it remembers.
+// View holds the merged list. Its size is bounded by the targets that the two sources list and the removed
+// targets that it remembers.
 type View struct {
 	targets    map[string]*target
-	removed    *list.List // ids, the longest removed first
-	maxRemoved int
-	changeSeq  uint64
-	version    int64 // of the joined list
+	removed    *list.List // ids of targets that no source lists, oldest removal first
+	maxRemoved int        // upper limit of removed's length
+	changeSeq  uint64     // last sequence number of a sourceEntry
+	version    int64      // of the merged list
 }
 
-// New returns an empty view that remembers so many removed targets.
+// New returns an empty view that remembers at most limit removed targets.
 func New(limit int) *View {
 	return &View{targets: map[string]*target{}, removed: list.New(), maxRemoved: limit}
 }
 
-// Len is the number of targets in the joined list.
+// Len returns the number of targets in the merged list.
 func (v *View) Len() (n int) {
 	for _, t := range v.targets {
 		if t.published != nil {
@@ -115,7 +118,7 @@
 	return n
 }
 
-// Full returns the joined list, by id.
+// Full returns the merged list as a full list, sorted by id.
 func (v *View) Full() *listing.List {
 	l := v.newList()
 	l.Full = true
@@ -134,9 +137,9 @@
 	return &listing.List{Version: &version}
 }
 
-// Merge joins a source's list or change, which was validated, and returns what changed in the joined
-// list; nil: nothing. An entry DELETED without a start, or with an older one than the source's, only
-// says that the source does not list the target.
+// Merge joins a validated list, full or partial, of one source and returns the changes of the merged list;
+// nil: no changes. A DELETED entry without a start, or with an older start than the source's entry, only
+// means that the source no longer lists the target.
 func (v *View) Merge(from Source, l *listing.List) *listing.List {
 	var touched []string // ids, each once
 	named := make(map[string]bool, len(l.Servers))
@@ -155,7 +158,7 @@
 				dropped = append(dropped, id)
 			}
 		}
-		slices.Sort(dropped) // so that the result does not depend on the order of the map
+		slices.Sort(dropped) // makes the result independent of map order
 		touched = append(touched, dropped...)
 	}
 	var changed listing.Entries
@@ -176,7 +179,7 @@
 	return out
 }
 
-// mergeEntry joins an entry to what its source said before.
+// mergeEntry joins an entry to the previous entry of its source.
 func (v *View) mergeEntry(from Source, e listing.Entry) {
 	t := v.targets[e.ID]
 	if t == nil {
@@ -184,7 +187,7 @@
 	}
 	known := t.entries[from]
 	if known == nil {
-		if e.State != deleted || e.Started > 0 { // DELETED without a start, of a target that it never listed, says nothing
+		if e.State != deleted || e.Started > 0 { // DELETED without a start, for a target that the source never listed, has no information
 			t.entries[from] = &sourceEntry{Entry: e, listed: e.State != deleted, changedAt: v.nextSeq()}
 			v.targets[e.ID] = t
 		}
@@ -201,14 +204,14 @@
 	case e.Started < known.Started:
 		return
 	case e.Started == known.Started && stateRank(e.State) < stateRank(known.State):
-		e.State = known.State // the state stays for this start; the address may have changed all the same
+		e.State = known.State // the state is kept for this start, but the address may have changed
 	}
 	if !sameEntry(e, known.Entry) {
 		known.Entry, known.changedAt = e, v.nextSeq()
 	}
 }
 
-// nextSeq is the next sequence number.
+// nextSeq returns the next sequence number.
 func (v *View) nextSeq() uint64 {
 	v.changeSeq++
 	return v.changeSeq
@@ -228,8 +231,8 @@
 	return e, true
 }
 
-// trackRemoved remembers targets that no source lists, and forgets the longest removed ones beyond the
-// bound.
+// trackRemoved adds the target to the removed ones if no source lists it, takes it out if one does, and
+// forgets the oldest removed targets beyond the limit.
 func (v *View) trackRemoved(id string, t *target) {
 	stillListed := false
 	for _, e := range t.entries {
