--- a/internal/controlplane/watchstream/rules_test.go
+++ b/internal/controlplane/watchstream/protocol_test.go
@@ -10,28 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLayers merges by scope, and names what can't be.
-func TestLayers(t *testing.T) {
-	of := func(key, value string) Record {
+// TestMergeLayers checks that layers are merged in order of scope, and that an error names the layer that cannot be.
+func TestMergeLayers(t *testing.T) {
+	config := func(key, value string) Record {
 		return Record{Kind: Config, Key: key, Version: 3, Value: []byte(value)}
 	}
 	merged, err := MergeLayers(nil)
 	require.NoError(t, err)
 	require.JSONEq(t, `{}`, string(merged))
-	merged, err = MergeLayers([]Record{of("instance/n", `{"a":4}`), of("zone/z", `{"a":3,"d":{"x":null}}`), {Kind: Config, Key: "region/r", Deleted: true}, of("shared", `{"a":1,"b":1,"d":{"x":1,"y":1}}`),
+	merged, err = MergeLayers([]Record{config("instance/n", `{"a":4}`), config("zone/z", `{"a":3,"d":{"x":null}}`), {Kind: Config, Key: "region/r", Deleted: true}, config("shared", `{"a":1,"b":1,"d":{"x":1,"y":1}}`),
 		{Kind: Targets, Key: "shared", Value: []byte(`{"a":9}`)}})
 	require.NoError(t, err)
 	require.JSONEq(t, `{"a":4,"b":1,"d":{"y":1}}`, string(merged))
-	for _, bad := range [][]Record{{of("shared", `{`)}, {of("shared", `{}`), of("region/r", `[`)}, {of("zone/a", `{}`), of("zone/b", `{}`)}} {
-		_, err = MergeLayers(bad)
+	for _, invalid := range [][]Record{{config("shared", `{`)}, {config("shared", `{}`), config("region/r", `[`)}, {config("zone/a", `{}`), config("zone/b", `{}`)}} {
+		_, err = MergeLayers(invalid)
 		var e *LayerError
 		require.ErrorAs(t, err, &e)
 		require.Equal(t, uint64(3), e.Version)
 	}
 }
 
-// TestOwed has what a reader is owed go by keys and not by time, also beside a slow reader, and a lagging one delays nobody.
-func TestOwed(t *testing.T) {
+// TestDeltaHasEachKeyOnce checks that the delta to a lagging reader depends on the number of changed keys and not on the
+// number of changes, and that a lagging reader delays no other.
+func TestDeltaHasEachKeyOnce(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
 	s := NewSource(log, SourceOptions{}, 1)
@@ -52,7 +53,8 @@
 	require.Equal(t, Position{10_001, 10_001}, d.To)
 }
 
-// TestTargetsFirst has a reader that has used up all its bytes for a large configuration get a change of a target at once.
+// TestTargetsFirst checks that a reader that has spent its bytes on a large configuration still receives changes of
+// targets at once.
 func TestTargetsFirst(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
@@ -72,7 +74,8 @@
 		require.NoError(t, err)
 		require.Equal(t, Position{uint64(i) + 2, 1}, r.Consistent().Position)
 	}
-	// The configuration follows when its bytes are there; over all the time, no more than that and one configuration.
+	// The configuration follows once the rate allows its bytes: over the whole time no more than the rate allows, plus
+	// one configuration.
 	now += time.Second
 	require.NoError(t, s.Subscribe(now, r.SubscribeRequest()))
 	_, wait := s.NextDelta(now, "n1")
@@ -83,42 +86,42 @@
 	require.Equal(t, []string{"shared"}, keys(d.Records))
 }
 
-// TestAdmission has a thousand new readers come at once: they are told moments to come again at, and all are in within the time that the
-// rate allows.
+// TestAdmission has a thousand new readers subscribe at once. They are given different retry times, and all are admitted
+// within the time that the rate allows.
 func TestAdmission(t *testing.T) {
 	log := NewStore(fleetName, Limits{})
 	apply(t, log, change(target("a", "x")))
 	s := NewSource(log, SourceOptions{AdmitRate: 50, AdmitBurst: 20}, 1)
-	due := map[int]time.Duration{}
+	retryAt := map[int]time.Duration{}
 	for i := range 1000 {
-		due[i] = 0
+		retryAt[i] = 0
 	}
-	in, most := 0, 0
-	for now := time.Duration(0); len(due) > 0; now += 10 * time.Millisecond {
+	admitted, maxBurst := 0, 0
+	for now := time.Duration(0); len(retryAt) > 0; now += 10 * time.Millisecond {
 		require.Less(t, now, 30*time.Second)
-		before := in
+		before := admitted
 		for i := range 1000 {
-			if at, waits := due[i]; !waits || at > now {
+			if at, waits := retryAt[i]; !waits || at > now {
 				continue
 			}
 			err := s.Subscribe(now, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i)}, Generation: 1, Seq: 1})
 			if busy := (*BusyError)(nil); errors.As(err, &busy) {
 				require.Positive(t, busy.RetryAfter)
-				due[i] = now + busy.RetryAfter
+				retryAt[i] = now + busy.RetryAfter
 				continue
 			}
 			require.NoError(t, err)
-			delete(due, i)
-			in++
+			delete(retryAt, i)
+			admitted++
 		}
 		if now > 0 {
-			most = max(most, in-before)
+			maxBurst = max(maxBurst, admitted-before)
 		}
-		require.LessOrEqual(t, float64(in), 20+50*now.Seconds()+0.001)
+		require.LessOrEqual(t, float64(admitted), 20+50*now.Seconds()+0.001)
 	}
-	t.Logf("the most at one moment after the first: %d", most)
-	require.LessOrEqual(t, most, 5)
-	// Those that are known already are heard at any time; there are no more than so many.
+	t.Logf("most readers admitted at one time after the first: %d", maxBurst)
+	require.LessOrEqual(t, maxBurst, 5)
+	// Known readers are served at any time; new ones only up to MaxReaders.
 	full := NewSource(log, SourceOptions{MaxReaders: 1}, 1)
 	require.NoError(t, full.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "a"}, Generation: 1, Seq: 1}))
 	require.ErrorContains(t, full.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "b"}, Generation: 1, Seq: 1}), "busy")
@@ -127,16 +130,17 @@
 	require.Equal(t, 1, full.ReaderCount())
 }
 
-// TestEmptied has agents begin with an empty log: everybody keeps what there is and says so, until the operator's word.
-func TestEmptied(t *testing.T) {
+// TestNewEpochNeedsReplaces has the agents lose their log and start a new one. Relays and readers keep their state and
+// reject the new epoch until an operator's change replaces the old one.
+func TestNewEpochNeedsReplaces(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
 	relay := NewReplica(fleetName, Scope{Name: "relay/1", All: true}, 1, Limits{})
-	serves := NewSource(relay.Store(), SourceOptions{}, 1)
+	relaySource := NewSource(relay.Store(), SourceOptions{}, 1)
 	r := NewReplica(fleetName, Scope{Name: "n1", Region: "r1"}, 1, Limits{})
 	apply(t, log, change(target("a", "x"), target("b", "x"), layer("shared", `{"x":1}`)))
 	exchange(t, &now, NewSource(log, SourceOptions{}, 1), relay)
-	exchange(t, &now, serves, r)
+	exchange(t, &now, relaySource, r)
 
 	empty := NewStore(fleetName, Limits{})
 	agent := NewSource(empty, SourceOptions{}, 2)
@@ -150,25 +154,26 @@
 	require.NoError(t, err)
 	exchange(t, &now, agent, relay)
 	now += time.Second
-	require.NoError(t, serves.Subscribe(now, r.SubscribeRequest()))
-	d, _ := serves.NextDelta(now, "n1")
+	require.NoError(t, relaySource.Subscribe(now, r.SubscribeRequest()))
+	d, _ := relaySource.NextDelta(now, "n1")
 	changed, err := r.ApplyDelta(d)
 	require.NoError(t, err)
-	gone := map[string]bool{}
+	deleted := map[string]bool{}
 	for _, x := range changed {
-		gone[x.Key] = x.Deleted
+		deleted[x.Key] = x.Deleted
 	}
-	require.Equal(t, map[string]bool{"a": true, "c": false, "shared": true}, gone) // b is as it was
+	require.Equal(t, map[string]bool{"a": true, "c": false, "shared": true}, deleted) // b is unchanged
 	require.Equal(t, Watermark{"e1", Position{1, 1}}, r.Applied())
 	r.MarkApplied(r.Consistent())
 	require.Equal(t, Watermark{"e2", Position{2, 2}}, r.Applied())
-	// What comes late from the history before is refused.
+	// A late delta of the old epoch is rejected.
 	_, err = r.ApplyDelta(&Delta{Fleet: fleetName, Epoch: "e1", Replaces: []string{"e2"}, Scope: r.Scope(), To: Position{9, 9}, Head: Position{9, 9}})
 	require.ErrorContains(t, err, "(epoch)")
 }
 
-// TestTurnedDown has a configuration that can't be served: the last good one counts as in force, and the next good one does.
-func TestTurnedDown(t *testing.T) {
+// TestRejectedConfig checks that after a rejected configuration the last valid one stays acknowledged, until a valid
+// change of the configuration is applied.
+func TestRejectedConfig(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
 	s := NewSource(log, SourceOptions{}, 1)
@@ -196,74 +201,76 @@
 	require.Nil(t, r.SubscribeRequest().Rejection)
 }
 
-// TestTally tells who has a version, since when, and who not and why.
-func TestTally(t *testing.T) {
-	tally := NewAckTracker(fleetName, AckTrackerOptions{})
-	at := func(epoch string, v uint64) Watermark { return Watermark{epoch, Position{v, v}} }
+// TestAckTracker checks which readers have applied a version, when they did, and why others have not.
+func TestAckTracker(t *testing.T) {
+	tracker := NewAckTracker(fleetName, AckTrackerOptions{})
+	watermark := func(epoch string, v uint64) Watermark { return Watermark{epoch, Position{v, v}} }
 	seq := map[string]uint64{}
-	report := func(now time.Duration, relay string, whole bool, has uint64, readers ...Cursor) ReportResponse {
+	report := func(now time.Duration, relay string, full bool, relayVersion uint64, readers ...Cursor) ReportResponse {
 		seq[relay]++
-		resp, err := tally.AddReport(now, Report{Fleet: fleetName, Relay: relay, Incarnation: 1, Seq: seq[relay], Base: seq[relay] - 1, UpTo: seq[relay], Full: whole, Consistent: at("e1", has), Readers: readers})
+		resp, err := tracker.AddReport(now, Report{Fleet: fleetName, Relay: relay, Incarnation: 1, Seq: seq[relay], Base: seq[relay] - 1, UpTo: seq[relay], Full: full, Consistent: watermark("e1", relayVersion), Readers: readers})
 		require.NoError(t, err)
 		return resp
 	}
 	const s = time.Second
-	tally.NoteCommit(0, "e1", 1)
-	require.True(t, report(s, "a", false, 1).WantFull, "it has no base")
-	report(s, "a", true, 1, Cursor{Name: "n1", Applied: at("e1", 1), Generation: 1}, Cursor{Name: "n2", Applied: at("e1", 1), Generation: 1})
-	report(s, "b", true, 1, Cursor{Name: "n3", Applied: at("e1", 1), Generation: 1}, Cursor{Name: "n4", Applied: at("e0", 9), Epoch: "e0", Generation: 1})
-	report(7*s, "a", false, 1, Cursor{Name: "n1", Applied: at("e1", 1), Generation: 1})
-	tally.NoteCommit(10*s, "e1", 2)
-	report(11*s, "a", false, 2, Cursor{Name: "n1", Applied: at("e1", 2), Generation: 1})
-	report(12*s, "b", false, 2, Cursor{Name: "n3", Applied: at("e1", 2), Generation: 1, LastHeardMs: 100})
-	st := tally.Status(13*s, 2)
+	tracker.NoteCommit(0, "e1", 1)
+	require.True(t, report(s, "a", false, 1).WantFull, "the tracker has no base")
+	report(s, "a", true, 1, Cursor{Name: "n1", Applied: watermark("e1", 1), Generation: 1}, Cursor{Name: "n2", Applied: watermark("e1", 1), Generation: 1})
+	report(s, "b", true, 1, Cursor{Name: "n3", Applied: watermark("e1", 1), Generation: 1}, Cursor{Name: "n4", Applied: watermark("e0", 9), Epoch: "e0", Generation: 1})
+	report(7*s, "a", false, 1, Cursor{Name: "n1", Applied: watermark("e1", 1), Generation: 1})
+	tracker.NoteCommit(10*s, "e1", 2)
+	report(11*s, "a", false, 2, Cursor{Name: "n1", Applied: watermark("e1", 2), Generation: 1})
+	report(12*s, "b", false, 2, Cursor{Name: "n3", Applied: watermark("e1", 2), Generation: 1, LastHeardMs: 100})
+	st := tracker.Status(13*s, 2)
 	require.Equal(t, [4]int{4, 2, 0, 0}, [4]int{st.Readers, st.Applied, st.Silent, st.Rejected})
 	require.Equal(t, [4]int64{3000, 2000, -1, -1}, [4]int64{st.SinceMs, st.HalfMs, st.P99Ms, st.AllMs})
-	require.Equal(t, []string{"n4 epoch", "n2 owed"}, lags(st))
-	require.Equal(t, 1, len(tally.Status(13*s, 1).Lagging))
+	require.Equal(t, []string{"n4 epoch", "n2 owed"}, laggingCauses(st))
+	require.Equal(t, 1, len(tracker.Status(13*s, 1).Lagging))
 
-	// It moved, and then the word of the relay before comes; it counts once, as in its later turn.
-	report(14*s, "b", false, 2, Cursor{Name: "n2", Applied: at("e1", 2), Generation: 2}, Cursor{Name: "n4", Applied: at("e1", 1), Generation: 2, Rejection: &Rejection{2, "bad"}})
-	report(15*s, "a", false, 2, Cursor{Name: "n2", Applied: at("e1", 1), Generation: 1, Silent: true, LastHeardMs: 2000})
-	st = tally.Status(15*s, 2)
+	// n2 has switched to relay b, and a later report of relay a still has its old cursor: it counts once, in its later
+	// generation.
+	report(14*s, "b", false, 2, Cursor{Name: "n2", Applied: watermark("e1", 2), Generation: 2}, Cursor{Name: "n4", Applied: watermark("e1", 1), Generation: 2, Rejection: &Rejection{2, "bad"}})
+	report(15*s, "a", false, 2, Cursor{Name: "n2", Applied: watermark("e1", 1), Generation: 1, Silent: true, LastHeardMs: 2000})
+	st = tracker.Status(15*s, 2)
 	require.Equal(t, [4]int{4, 3, 0, 1}, [4]int{st.Readers, st.Applied, st.Silent, st.Rejected})
-	require.Equal(t, []string{"n4 refused"}, lags(st))
+	require.Equal(t, []string{"n4 refused"}, laggingCauses(st))
 
-	// A relay that is cut off has not what its readers lack; one that isn't heard has silent readers.
-	tally.NoteCommit(16*s, "e1", 3)
+	// Readers of a relay that lacks the version are listed with that cause; readers of a relay that sends no report are
+	// silent.
+	tracker.NoteCommit(16*s, "e1", 3)
 	report(16*s+s/2, "a", false, 3)
-	report(17*s, "b", false, 2, Cursor{Name: "n4", Applied: at("e1", 2), Generation: 2})
-	require.Equal(t, []string{"n1 owed", "n2 cut", "n3 cut", "n4 cut"}, lags(tally.Status(17*s, 3)))
-	st = tally.Status(26*s+7*s/10, 3)
-	require.Equal(t, []string{"n1 silent", "n2 cut", "n3 cut", "n4 cut"}, lags(st))
+	report(17*s, "b", false, 2, Cursor{Name: "n4", Applied: watermark("e1", 2), Generation: 2})
+	require.Equal(t, []string{"n1 owed", "n2 cut", "n3 cut", "n4 cut"}, laggingCauses(tracker.Status(17*s, 3)))
+	st = tracker.Status(26*s+7*s/10, 3)
+	require.Equal(t, []string{"n1 silent", "n2 cut", "n3 cut", "n4 cut"}, laggingCauses(st))
 	require.Equal(t, 1, st.Silent)
 	require.Equal(t, int64(10_200), st.Lagging[0].LastHeardMs)
 
-	// A version that all have had, and when.
-	report(26*s+8*s/10, "a", false, 3, Cursor{Name: "n1", Applied: at("e1", 3), Generation: 1})
-	report(27*s, "b", false, 3, Cursor{Name: "n2", Applied: at("e1", 3), Generation: 2}, Cursor{Name: "n3", Applied: at("e1", 3), Generation: 1}, Cursor{Name: "n4", Applied: at("e1", 3), Generation: 2})
-	st = tally.Status(28*s, 3)
+	// All readers have applied the version, and the times are known.
+	report(26*s+8*s/10, "a", false, 3, Cursor{Name: "n1", Applied: watermark("e1", 3), Generation: 1})
+	report(27*s, "b", false, 3, Cursor{Name: "n2", Applied: watermark("e1", 3), Generation: 2}, Cursor{Name: "n3", Applied: watermark("e1", 3), Generation: 1}, Cursor{Name: "n4", Applied: watermark("e1", 3), Generation: 2})
+	st = tracker.Status(28*s, 3)
 	require.Equal(t, [3]int64{11000, 11000, 11000}, [3]int64{st.HalfMs, st.P99Ms, st.AllMs})
 	require.Empty(t, st.Lagging)
 	require.InDelta(t, 1, st.AppliedShare, 0)
 
-	// A relay that is silent for long is forgotten with its readers; a report of an earlier life isn't taken.
-	st = tally.Status(28*s+DefaultAckTrackerOptions.ForgetAfter, 3)
+	// Relays that send no report are dropped with their readers; a report of another fleet is rejected.
+	st = tracker.Status(28*s+DefaultAckTrackerOptions.ForgetAfter, 3)
 	require.Zero(t, st.Readers)
-	_, err := tally.AddReport(28*s, Report{Fleet: "g", Relay: "a", Incarnation: 9, Full: true})
+	_, err := tracker.AddReport(28*s, Report{Fleet: "g", Relay: "a", Incarnation: 9, Full: true})
 	require.ErrorContains(t, err, "foreign")
-	require.Equal(t, uint64(1), tally.Rejections()[ReasonForeignFleet])
+	require.Equal(t, uint64(1), tracker.Rejections()[ReasonForeignFleet])
 }
 
-func lags(s Status) (list []string) {
+func laggingCauses(s Status) (list []string) {
 	for _, l := range s.Lagging {
 		list = append(list, l.Name+" "+l.Cause)
 	}
 	return list
 }
 
-// TestJSON has what goes over the wire come back as it went.
-func TestJSON(t *testing.T) {
+// TestJSONRoundTrip checks that messages survive encoding and decoding, and that invalid ones are rejected.
+func TestJSONRoundTrip(t *testing.T) {
 	req := SubscribeRequest{Fleet: "f", Epoch: "e", Scope: Scope{Name: "n", Region: "r", All: true}, Have: Position{1, 2}, Seen: Position{3, 4}, Applied: Watermark{"e", Position{1, 1}}, Generation: 5, Seq: 6,
 		Rejection: &Rejection{7, "x"}, Progress: &DigestProgress{8, 9}, Digests: Digests{10, 1 << 63}, WaitMs: 11}
 	var h2 SubscribeRequest
--- a/internal/controlplane/watchstream/size_test.go
+++ b/internal/controlplane/watchstream/scale_test.go
@@ -11,10 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-const atSize = 20_000
+const manyTargets = 20_000
 
-// filled is a log of so many targets, as a listing has them, and the configuration of 2,900 initiators in 30 zones of 8 regions.
-func filled(tb testing.TB, n int) *Store {
+// newFilledStore returns a log with n targets as in a target list, and the configuration of 2,900 initiators with 30 zones
+// and 30 regions.
+func newFilledStore(tb testing.TB, n int) *Store {
 	s := NewStore(fleetName, Limits{})
 	put := func(puts ...Put) {
 		_, err := s.Apply(change(puts...))
@@ -23,7 +24,7 @@
 	for i := 0; i < n; i += 500 {
 		var list []Put
 		for j := i; j < min(n, i+500); j++ {
-			list = append(list, entry(j, 0))
+			list = append(list, targetEntry(j, 0))
 		}
 		put(list...)
 	}
@@ -37,12 +38,12 @@
 	return s
 }
 
-func entry(i, again int) Put {
+func targetEntry(i, restart int) Put {
 	return Put{Kind: Targets, Key: fmt.Sprintf("db-%05d", i), Value: fmt.Appendf(nil, `{"id":"db-%05d","addr":"10.%d.%d.%d:5432","zone":"zone-%d","cell":%d,"state":"SERVING","started_ms":%d}`,
-		i, i%200, i/200%200, i%250, i%30, i, 1_700_000_000_000+again)}
+		i, i%200, i/200%200, i%250, i%30, i, 1_700_000_000_000+restart)}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,77 +51,77 @@
 	return m.HeapAlloc
 }
 
-// TestMemory bounds what a record costs at 20,000, and what a reader costs a source.
-func TestMemory(t *testing.T) {
-	before := heap()
-	s := filled(t, atSize)
-	after := heap()
+// TestMemoryPerRecord bounds the memory of a record in a store of 20,000 targets, and of a reader at a source.
+func TestMemoryPerRecord(t *testing.T) {
+	before := heapBytes()
+	s := newFilledStore(t, manyTargets)
+	after := heapBytes()
 	records := s.Count(Targets) + s.Count(Config)
-	each := float64(after-before) / float64(records)
-	t.Logf("%d records: %.0f bytes each, of which %.0f are its key and value", records, each, float64(s.Bytes(Targets)+s.Bytes(Config))/float64(records))
-	require.Less(t, each, 600.0)
+	bytesEach := float64(after-before) / float64(records)
+	t.Logf("%d records: %.0f bytes each, of which %.0f are its key and value", records, bytesEach, float64(s.Bytes(Targets)+s.Bytes(Config))/float64(records))
+	require.Less(t, bytesEach, 600.0)
 
 	src := NewSource(s, SourceOptions{}, 1)
-	before = heap()
+	before = heapBytes()
 	for i := range 400 {
 		require.NoError(t, src.Subscribe(time.Duration(i)*time.Second, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: fmt.Sprint("n", i), Region: "r1", Zone: "z1"}, Epoch: "e1", Have: s.Consistent(), Seen: s.Consistent(), Generation: 1, Seq: 1}))
 	}
-	each = float64(heap()-before) / 400
-	t.Logf("400 readers: %.0f bytes each", each)
-	require.Less(t, each, 2000.0)
+	bytesEach = float64(heapBytes()-before) / 400
+	t.Logf("400 readers: %.0f bytes each", bytesEach)
+	require.Less(t, bytesEach, 2000.0)
 	runtime.KeepAlive(s)
 	runtime.KeepAlive(src)
 }
 
-// TestWork has the work for a change and for a reader that is level not grow with the number of records: by allocations, which a busy
-// machine doesn't change.
-func TestWork(t *testing.T) {
-	work := func(n int) (apply, idle, one float64) {
-		s := filled(t, n)
+// TestAllocationsIndependentOfStoreSize checks that the work for a change, and for a reader that is up to date, does not
+// grow with the number of records. It counts allocations, which do not depend on the load of the machine.
+func TestAllocationsIndependentOfStoreSize(t *testing.T) {
+	measure := func(n int) (apply, idle, one float64) {
+		s := newFilledStore(t, n)
 		src := NewSource(s, SourceOptions{ReaderRate: 1e9, ReaderBurst: 1e9, CoalesceInterval: 1}, 1)
 		now := time.Second
 		req := SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1", Region: "r1", Zone: "z1"}, Epoch: "e1", Generation: 1}
 		i := 0
 		apply = testing.AllocsPerRun(200, func() {
 			i++
-			_, err := s.Apply(change(entry(i%n, i)))
+			_, err := s.Apply(change(targetEntry(i%n, i)))
 			require.NoError(t, err)
 		})
-		hear := func() {
+		subscribe := func() {
 			now, req.Seq = now+time.Second, req.Seq+1
 			require.NoError(t, src.Subscribe(now, req))
 		}
 		req.Have, req.Seen = s.Consistent(), s.Consistent()
-		hear()
+		subscribe()
 		idle = testing.AllocsPerRun(200, func() { src.NextDelta(now, "n1") })
 		one = testing.AllocsPerRun(200, func() {
 			req.Have, req.Seen = s.Consistent(), s.Consistent()
 			i++
-			_, err := s.Apply(change(entry(i%n, i)))
+			_, err := s.Apply(change(targetEntry(i%n, i)))
 			require.NoError(t, err)
-			hear()
+			subscribe()
 			d, _ := src.NextDelta(now, "n1")
 			require.Len(t, d.Records, 1)
 		})
 		return apply, idle, one
 	}
-	smallApply, smallIdle, smallOne := work(500)
-	apply, idle, one := work(atSize)
-	t.Logf("allocations for a change %.0f and %.0f, for a reader that is level %.0f and %.0f, for a change to a reader %.0f and %.0f, at 500 and 20,000", smallApply, apply, smallIdle, idle, smallOne, one)
+	smallApply, smallIdle, smallOne := measure(500)
+	apply, idle, one := measure(manyTargets)
+	t.Logf("allocations for a change %.0f and %.0f, for an up-to-date reader %.0f and %.0f, for a change sent to a reader %.0f and %.0f, at 500 and 20,000 targets", smallApply, apply, smallIdle, idle, smallOne, one)
 	require.Zero(t, idle)
 	require.Zero(t, smallIdle)
 	require.LessOrEqual(t, apply, smallApply+5)
 	require.LessOrEqual(t, one, smallOne+5)
 }
 
-// TestSums has the digests, kept with each change, be those of what there is.
-func TestSums(t *testing.T) {
-	s := filled(t, 3000)
+// TestDigestsMatchRecords checks that the digests, which each change updates, equal those computed from all records.
+func TestDigestsMatchRecords(t *testing.T) {
+	s := newFilledStore(t, 3000)
 	draw := rand.New(rand.NewPCG(1, 2))
 	for i := range 5000 {
-		p := entry(draw.IntN(4000), i)
+		p := targetEntry(draw.IntN(4000), i)
 		if draw.IntN(3) == 0 {
-			p = gone(p.Key)
+			p = deletion(p.Key)
 		}
 		apply(t, s, change(p))
 	}
@@ -136,40 +137,41 @@
 	}
 }
 
-// TestBringUp has one from nothing, and one that was away beyond the floor, be brought up in bounded pieces at its rate; the second gets
-// what differs and not all.
-func TestBringUp(t *testing.T) {
+// TestResyncByDigests has an empty reader, and then one that is behind the tombstone floor, catch up by bounded deltas at
+// the reader's rate. The second receives the differences and not all records.
+func TestResyncByDigests(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{Tombstones: 100})
-	for i := 0; i < atSize; i += 500 {
+	for i := 0; i < manyTargets; i += 500 {
 		var list []Put
 		for j := range 500 {
-			list = append(list, entry(i+j, 0))
+			list = append(list, targetEntry(i+j, 0))
 		}
 		apply(t, log, change(list...))
 	}
 	s := NewSource(log, SourceOptions{}, 1)
 	r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
 	deltas := exchange(t, &now, s, r)
-	t.Logf("all of %d: %d deltas within %v", atSize, deltas, now.Round(time.Second))
+	t.Logf("all %d targets: %d deltas within %v", manyTargets, deltas, now.Round(time.Second))
 	require.Equal(t, log.digests, r.Store().digests)
-	took := now
+	fullResync := now
 	for i := range 300 {
-		apply(t, log, change(gone(entry(i, 0).Key), entry(10_000+i, 1)))
+		apply(t, log, change(deletion(targetEntry(i, 0).Key), targetEntry(10_000+i, 1)))
 	}
 	require.Greater(t, log.TombstoneFloor(), r.Position().Targets)
 	now += time.Hour
 	began := now
 	deltas = exchange(t, &now, s, r)
-	t.Logf("by digests, 600 of %d changed: %d deltas within %v", atSize, deltas, (now - began).Round(time.Second))
+	t.Logf("by digests, 600 of %d targets changed: %d deltas within %v", manyTargets, deltas, (now - began).Round(time.Second))
 	require.Equal(t, log.digests, r.Store().digests)
 	require.Equal(t, log.Count(Targets), r.Store().Count(Targets))
-	require.Less(t, now-began, took/2)
+	require.Less(t, now-began, fullResync/2)
 }
 
-// TestConverge has a log, two relays and three readers over generated histories of some hundred targets: messages get lost and are repeated,
-// followers start again from old copies, new ones and nothing, floors pass; after quiet all are alike.
-func TestConverge(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestConverge runs a log, two relays and three readers through generated histories of a few hundred targets: messages are
+// lost and repeated, replicas restart from old snapshots, new ones or none, and fall behind the tombstone floor. After the
+// last change all must have the same state.
+func TestConverge(t *testing.T) { //nolint:gocognit // one scenario in sequence
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Buckets: 16, Tombstones: rapid.IntRange(5, 100).Draw(t, "tombstones")}
 		opt := SourceOptions{ReaderRate: float64(rapid.SampledFrom([]int{2000, 1_000_000}).Draw(t, "rate")), AdmitRate: 1000, AdmitBurst: 1000, CoalesceInterval: time.Millisecond}
@@ -177,35 +179,35 @@
 		log := NewStore(fleetName, limits)
 		agent := NewSource(log, opt, 1)
 		type node struct {
-			r      *Replica
-			s      *Source
-			copies []Snapshot
-			from   int
+			r           *Replica
+			s           *Source
+			snapshots   []Snapshot
+			sourceIndex int // of the relay in nodes; -1: the agent
 		}
-		turn, now := uint64(1), time.Second
+		generation, now := uint64(1), time.Second
 		var nodes []*node
 		start := func(n *node, scope Scope, snap *Snapshot) {
-			turn += 1 << 20
-			n.r = NewReplica(fleetName, scope, turn, limits)
+			generation += 1 << 20
+			n.r = NewReplica(fleetName, scope, generation, limits)
 			if snap != nil {
 				require.NoError(t, n.r.Restore(*snap))
 			}
 			if scope.All {
-				n.s = NewSource(n.r.Store(), opt, turn)
+				n.s = NewSource(n.r.Store(), opt, generation)
 			}
 		}
 		for i := range 5 {
-			n := &node{from: max(-1, i-2) % 2}
+			n := &node{sourceIndex: max(-1, i-2) % 2}
 			if i < 2 {
-				n.from = -1
+				n.sourceIndex = -1
 			}
 			start(n, Scope{Name: fmt.Sprint("n", i), Region: "r", All: i < 2}, nil)
 			nodes = append(nodes, n)
 		}
 		exchange := func(n *node, lost bool) {
 			s := agent
-			if n.from >= 0 {
-				s = nodes[n.from].s
+			if n.sourceIndex >= 0 {
+				s = nodes[n.sourceIndex].s
 			}
 			if err := s.Subscribe(now, n.r.SubscribeRequest()); err != nil {
 				return
@@ -229,8 +231,8 @@
 				var puts []Put
 				first := rapid.IntRange(0, 300).Draw(t, "first")
 				for j := range rapid.IntRange(1, 40).Draw(t, "puts") {
-					if p := entry(first+j, i); rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
-						puts = append(puts, gone(p.Key))
+					if p := targetEntry(first+j, i); rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
+						puts = append(puts, deletion(p.Key))
 					} else {
 						puts = append(puts, p)
 					}
@@ -248,16 +250,16 @@
 				n := nodes[rapid.IntRange(0, 4).Draw(t, "node")]
 				switch rapid.IntRange(0, 2).Draw(t, "fault") {
 				case 0:
-					n.copies = append(n.copies, n.r.Store().Snapshot())
+					n.snapshots = append(n.snapshots, n.r.Store().Snapshot())
 				case 1:
 					var snap *Snapshot
-					if k := rapid.IntRange(0, len(n.copies)).Draw(t, "copy"); k > 0 {
-						snap = &n.copies[k-1]
+					if k := rapid.IntRange(0, len(n.snapshots)).Draw(t, "copy"); k > 0 {
+						snap = &n.snapshots[k-1]
 					}
 					start(n, n.r.Scope(), snap)
 				default:
-					if n.from >= 0 {
-						n.from = 1 - n.from
+					if n.sourceIndex >= 0 {
+						n.sourceIndex = 1 - n.sourceIndex
 						n.r.SwitchSource()
 					}
 				}
@@ -268,12 +270,12 @@
 		}
 		for range 3000 {
 			now += 500 * time.Millisecond
-			level := true
+			converged := true
 			for _, n := range nodes {
 				exchange(n, false)
-				level = level && n.r.Applied().Min() == log.Head()
+				converged = converged && n.r.Applied().Min() == log.Head()
 			}
-			if level {
+			if converged {
 				break
 			}
 		}
@@ -289,12 +291,12 @@
 	})
 }
 
-func BenchmarkChange(b *testing.B) {
-	for _, n := range []int{2000, atSize} {
+func BenchmarkApply(b *testing.B) {
+	for _, n := range []int{2000, manyTargets} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := filled(b, n)
+			s := newFilledStore(b, n)
 			for i := 0; b.Loop(); i++ {
-				if _, err := s.Apply(change(entry(i%n, i))); err != nil {
+				if _, err := s.Apply(change(targetEntry(i%n, i))); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -302,11 +304,11 @@
 	}
 }
 
-// BenchmarkServe has a change go to 400 readers that are level, from their hello on.
-func BenchmarkServe(b *testing.B) {
-	for _, n := range []int{2000, atSize} {
+// BenchmarkDeltaToManyReaders sends a change to 400 up-to-date readers, including their requests.
+func BenchmarkDeltaToManyReaders(b *testing.B) {
+	for _, n := range []int{2000, manyTargets} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := filled(b, n)
+			s := newFilledStore(b, n)
 			src := NewSource(s, SourceOptions{ReaderRate: 1e9, ReaderBurst: 1e9, AdmitRate: 1e9, AdmitBurst: 1e9, CoalesceInterval: 1}, 1)
 			names := make([]string, 400)
 			for i := range names {
@@ -316,7 +318,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += time.Second
 				was := s.Consistent()
-				if _, err := s.Apply(change(entry(i%n, i))); err != nil {
+				if _, err := s.Apply(change(targetEntry(i%n, i))); err != nil {
 					b.Fatal(err)
 				}
 				for _, name := range names {
@@ -333,9 +335,9 @@
 	}
 }
 
-// BenchmarkIdle asks for one that is level.
-func BenchmarkIdle(b *testing.B) {
-	s := filled(b, atSize)
+// BenchmarkNextDeltaIdle calls NextDelta for a reader that is up to date.
+func BenchmarkNextDeltaIdle(b *testing.B) {
+	s := newFilledStore(b, manyTargets)
 	src := NewSource(s, SourceOptions{}, 1)
 	if err := src.Subscribe(0, SubscribeRequest{Fleet: fleetName, Scope: Scope{Name: "n1"}, Epoch: "e1", Have: s.Consistent(), Seen: s.Consistent(), Generation: 1, Seq: 1}); err != nil {
 		b.Fatal(err)
@@ -345,8 +347,8 @@
 	}
 }
 
-// BenchmarkTally takes a second's reports of 16 relays, of 2,900 readers that have all a new version in force.
-func BenchmarkTally(b *testing.B) {
+// BenchmarkAddReport processes one second's reports of 16 relays, with 2,900 readers that have all applied a new version.
+func BenchmarkAddReport(b *testing.B) {
 	t := NewAckTracker(fleetName, AckTrackerOptions{})
 	now := time.Second
 	for i := uint64(1); b.Loop(); i++ {
--- a/internal/controlplane/watchstream/bad_test.go
+++ b/internal/controlplane/watchstream/validation_test.go
@@ -10,17 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestBadChanges names the field that can't be used, and nothing is changed.
-func TestBadChanges(t *testing.T) {
-	wide := change()
+// TestApplyRejectsInvalidChanges checks that an invalid change is rejected with an error that names the field, and
+// changes nothing.
+func TestApplyRejectsInvalidChanges(t *testing.T) {
+	tooMany := change()
 	for i := range MaxPuts + 1 {
-		wide.Puts = append(wide.Puts, gone(fmt.Sprint("t", i)))
+		tooMany.Puts = append(tooMany.Puts, deletion(fmt.Sprint("t", i)))
 	}
-	heavy := change()
+	tooLarge := change()
 	for i := range MaxChangeBytes/MaxTargetBytes + 1 {
-		heavy.Puts = append(heavy.Puts, Put{Kind: Targets, Key: fmt.Sprint("t", i), Value: fmt.Appendf(nil, `{"x":%q}`, strings.Repeat("x", MaxTargetBytes-8))})
+		tooLarge.Puts = append(tooLarge.Puts, Put{Kind: Targets, Key: fmt.Sprint("t", i), Value: fmt.Appendf(nil, `{"x":%q}`, strings.Repeat("x", MaxTargetBytes-8))})
 	}
-	of := func(c Change, change func(*Change)) Change {
+	modified := func(c Change, change func(*Change)) Change {
 		change(&c)
 		return c
 	}
@@ -32,24 +33,24 @@
 		want string
 	}{
 		{"no fleet", Change{Epoch: "e", Puts: good.Puts}, "fleet"},
-		{"another fleet", of(good, func(c *Change) { c.Fleet = "g" }), "foreign"},
-		{"no epoch", of(good, func(c *Change) { c.Epoch = "" }), "epoch: it is missing"},
-		{"nothing", change(), "puts: it is empty"},
-		{"too many", wide, "puts: 4097 of them"},
-		{"too large", heavy, "the change is over 262144 bytes"},
-		{"over another version", of(good, func(c *Change) { c.IfVersion = &wrongIf }), "for version 7 and the log is at 0"},
-		{"itself replaced", of(good, func(c *Change) { c.Replaces = "e1" }), "replaces: \"e1\" is this history itself"},
-		{"an unknown kind", change(Put{Kind: 7, Key: "a"}), "puts[0].kind"},
+		{"another fleet", modified(good, func(c *Change) { c.Fleet = "g" }), "foreign"},
+		{"no epoch", modified(good, func(c *Change) { c.Epoch = "" }), "epoch: it is missing"},
+		{"no puts", change(), "puts: it is empty"},
+		{"too many puts", tooMany, "puts: 4097 of them"},
+		{"too large", tooLarge, "the change is over 262144 bytes"},
+		{"conflicting version", modified(good, func(c *Change) { c.IfVersion = &wrongIf }), "for version 7 and the log is at 0"},
+		{"replaces itself", modified(good, func(c *Change) { c.Replaces = "e1" }), "replaces: \"e1\" is this history itself"},
+		{"unknown kind", change(Put{Kind: 7, Key: "a"}), "puts[0].kind"},
 		{"no key", change(target("a", "x"), target("", "x")), "puts[1].key: it is missing"},
-		{"a long key", change(target(strings.Repeat("k", MaxKeyBytes+1), "x")), "puts[0].key: over 128 bytes"},
-		{"twice the same", change(target("a", "x"), gone("a")), "puts[1].key: puts[0] has \"a\" too"},
-		{"an unknown scope", change(layer("cell/7", `{}`)), "puts[0].key: \"cell/7\" is no scope"},
-		{"a scope without a name", change(layer("zone/", `{}`)), "puts[0].key"},
-		{"gone with a value", change(Put{Kind: Targets, Key: "a", Deleted: true, Value: []byte(`{}`)}), "puts[0].value: there is one beside gone"},
+		{"key too long", change(target(strings.Repeat("k", MaxKeyBytes+1), "x")), "puts[0].key: over 128 bytes"},
+		{"duplicate key", change(target("a", "x"), deletion("a")), "puts[1].key: puts[0] has \"a\" too"},
+		{"unknown scope", change(layer("cell/7", `{}`)), "puts[0].key: \"cell/7\" is no scope"},
+		{"scope without a name", change(layer("zone/", `{}`)), "puts[0].key"},
+		{"deletion with a value", change(Put{Kind: Targets, Key: "a", Deleted: true, Value: []byte(`{}`)}), "puts[0].value: there is one beside gone"},
 		{"no value", change(Put{Kind: Targets, Key: "a"}), "puts[0].value"},
-		{"half a value", change(layer("shared", `{"x":`)), "puts[0].value: it is not JSON"},
-		{"a list", change(layer("shared", `[1]`)), "puts[0].value: it is no JSON object"},
-		{"a long value", change(layer("shared", `{"x":"`+strings.Repeat("x", MaxConfigBytes)+`"}`)), "puts[0].value: 65544 bytes"},
+		{"truncated value", change(layer("shared", `{"x":`)), "puts[0].value: it is not JSON"},
+		{"value is a list", change(layer("shared", `[1]`)), "puts[0].value: it is no JSON object"},
+		{"value too long", change(layer("shared", `{"x":"`+strings.Repeat("x", MaxConfigBytes)+`"}`)), "puts[0].value: 65544 bytes"},
 	} {
 		s := NewStore(fleetName, Limits{})
 		_, err := s.Apply(c.Change)
@@ -63,12 +64,13 @@
 	require.ErrorContains(t, err, "there would be 3 targets: 2 at most")
 	_, err = s.Apply(change(layer("zone/z", `{}`)))
 	require.ErrorContains(t, err, "there would be 2 layers")
-	apply(t, s, change(gone("a"), target("c", "x"), layer("shared", `{"x":1}`)))
+	apply(t, s, change(deletion("a"), target("c", "x"), layer("shared", `{"x":1}`)))
 	require.Equal(t, uint64(2), s.Head())
 }
 
-// TestBadDeltas has each kind of delta that can't be taken be refused, counted by its reason, and change nothing.
-func TestBadDeltas(t *testing.T) {
+// TestApplyDeltaRejectsInvalidDeltas checks that each kind of invalid delta is rejected, counted by its reason, and
+// changes nothing.
+func TestApplyDeltaRejectsInvalidDeltas(t *testing.T) {
 	scope := Scope{Name: "n1", Region: "r1", Zone: "z1"}
 	log := NewStore(fleetName, Limits{})
 	apply(t, log, change(target("a", "127.0.0.1:1"), layer("shared", `{}`)))
@@ -117,7 +119,7 @@
 			d.Records, d.To, d.Range, d.Buckets = nil, Position{1, 1}, &BucketRange{2, 0, 1}, []Bucket{{Index: 0, Digest: 7}}
 		}},
 		{ReasonDisorder, func(d *Delta) {
-			d.Records, d.To, d.Range, d.Buckets = nil, Position{1, 1}, &BucketRange{2, 0, 1}, []Bucket{{Index: 0, Unchanged: []string{"nobody"}}}
+			d.Records, d.To, d.Range, d.Buckets = nil, Position{1, 1}, &BucketRange{2, 0, 1}, []Bucket{{Index: 0, Unchanged: []string{"unknown"}}}
 		}},
 		{ReasonGap, func(d *Delta) {
 			d.Records, d.To, d.Range = nil, Position{2, 1}, &BucketRange{2, 5, DefaultLimits.Buckets}
@@ -131,12 +133,12 @@
 	} {
 		d := good()
 		c.change(d)
-		counted := r.Rejections()[c.want]
+		rejections := r.Rejections()[c.want]
 		_, err := r.ApplyDelta(d)
 		var refusal *RejectedError
 		require.True(t, errors.As(err, &refusal), "%+v", d)
 		require.Equal(t, c.want, refusal.Reason, refusal.Why)
-		require.Equal(t, counted+1, r.Rejections()[c.want])
+		require.Equal(t, rejections+1, r.Rejections()[c.want])
 		require.Equal(t, before, fmt.Sprintf("%+v", r.Store().Snapshot()))
 	}
 	changed, err := r.ApplyDelta(good())
@@ -144,8 +146,8 @@
 	require.Len(t, changed, 2)
 }
 
-// TestBadHellos has a source refuse what it can't serve, and know nothing of it.
-func TestBadHellos(t *testing.T) {
+// TestSubscribeRejectsInvalidRequests checks that a source rejects invalid requests and admits no reader for them.
+func TestSubscribeRejectsInvalidRequests(t *testing.T) {
 	log := NewStore(fleetName, Limits{})
 	s := NewSource(log, SourceOptions{}, 1)
 	good := func() SubscribeRequest {
@@ -153,7 +155,7 @@
 	}
 	require.ErrorContains(t, s.Subscribe(0, good()), "unready")
 	apply(t, log, change(target("a", "x")))
-	for want, h := range map[string]func(h *SubscribeRequest){
+	for want, modify := range map[string]func(modify *SubscribeRequest){
 		"name":        func(h *SubscribeRequest) { h.Name = "" },
 		"fleet":       func(h *SubscribeRequest) { h.Fleet = "" },
 		"foreign":     func(h *SubscribeRequest) { h.Fleet = "g" },
@@ -166,7 +168,7 @@
 		"epoch: over": func(h *SubscribeRequest) { h.Epoch = strings.Repeat("x", MaxNameBytes+1) },
 	} {
 		bad := good()
-		h(&bad)
+		modify(&bad)
 		require.ErrorContains(t, s.Subscribe(0, bad), want)
 		require.Zero(t, s.ReaderCount())
 	}
@@ -176,14 +178,15 @@
 	require.Equal(t, uint64(1), counts[ReasonStale])
 }
 
-// TestBadCopies has copies that aren't whole, in order or of this fleet and scope be refused, and change nothing.
-func TestBadCopies(t *testing.T) {
+// TestRestoreRejectsInvalidSnapshots checks that a snapshot that is inconsistent, out of order or of another fleet or
+// scope is rejected and changes nothing.
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	log := NewStore(fleetName, Limits{})
 	apply(t, log, change(target("a", "x"), target("b", "x")))
-	apply(t, log, change(gone("a"), layer("shared", `{}`)))
+	apply(t, log, change(deletion("a"), layer("shared", `{}`)))
 	b, err := json.Marshal(log.Snapshot())
 	require.NoError(t, err)
-	for want, change := range map[string]func(snap *Snapshot){
+	for want, modify := range map[string]func(snap *Snapshot){
 		"foreign":                         func(snap *Snapshot) { snap.Fleet = "g" },
 		"no epoch":                        func(snap *Snapshot) { snap.Epoch = "" },
 		"is after the newest head":        func(snap *Snapshot) { snap.Have.Targets = 9 },
@@ -195,7 +198,7 @@
 	} {
 		var snap Snapshot
 		require.NoError(t, json.Unmarshal(b, &snap))
-		change(&snap)
+		modify(&snap)
 		r := NewReplica(fleetName, Scope{Name: "n1"}, 1, Limits{})
 		require.ErrorContains(t, r.Restore(snap), want)
 		require.Equal(t, Snapshot{Fleet: fleetName}, r.Store().Snapshot())
--- a/internal/controlplane/watchstream/watchstream_test.go
+++ b/internal/controlplane/watchstream/watchstream_test.go
@@ -19,7 +19,7 @@
 	return Put{Kind: Targets, Key: id, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"zone":"z1","cell":1,"state":"SERVING","started_ms":1}`, id, addr)}
 }
 
-func gone(id string) Put { return Put{Kind: Targets, Key: id, Deleted: true} }
+func deletion(id string) Put { return Put{Kind: Targets, Key: id, Deleted: true} }
 
 func layer(scope, value string) Put { return Put{Kind: Config, Key: scope, Value: []byte(value)} }
 
@@ -32,7 +32,7 @@
 	return v
 }
 
-// exchange has a reader follow a source until there is nothing for it, and returns how many deltas that took.
+// exchange has a reader follow a source until it is up to date, and returns the number of deltas.
 func exchange(t *testing.T, now *time.Duration, from *Source, r *Replica) (deltas int) {
 	t.Helper()
 	for range 10_000 {
@@ -52,24 +52,24 @@
 		r.MarkApplied(r.Consistent())
 		deltas++
 	}
-	t.Fatal("it never ends")
+	t.Fatal("the reader does not get up to date")
 	return 0
 }
 
-// TestHops has changes go from a log over a relay to an initiator.
-func TestHops(t *testing.T) {
+// TestChangesReachReaderOverRelay sends changes from a log over a relay to an initiator.
+func TestChangesReachReaderOverRelay(t *testing.T) {
 	now := time.Duration(0)
 	log := NewStore(fleetName, Limits{})
 	agent := NewSource(log, SourceOptions{}, 1)
 	relay := NewReplica(fleetName, Scope{Name: "relay/1", All: true}, 1, Limits{})
-	serves := NewSource(relay.Store(), SourceOptions{}, 1)
+	relaySource := NewSource(relay.Store(), SourceOptions{}, 1)
 	reader := NewReplica(fleetName, Scope{Name: "n1", Region: "r1", Zone: "z1"}, 1, Limits{})
 
 	apply(t, log, change(target("a", "127.0.0.1:1"), target("b", "127.0.0.1:2"), layer("shared", `{"x":1,"y":1}`)))
 	apply(t, log, change(layer("region/r1", `{"x":2}`), layer("region/r2", `{"x":3}`)))
-	apply(t, log, change(gone("a"), layer("instance/n1", `{"y":null}`)))
+	apply(t, log, change(deletion("a"), layer("instance/n1", `{"y":null}`)))
 	exchange(t, &now, agent, relay)
-	exchange(t, &now, serves, reader)
+	exchange(t, &now, relaySource, reader)
 	require.Equal(t, Watermark{"e1", Position{3, 3}}, reader.Applied())
 	require.Equal(t, []string{"b"}, keys(reader.Records(Targets)))
 	merged, err := MergeLayers(reader.Records(Config))
