--- a/internal/controlplane/watchstream/distribution/compat_test.go
+++ b/internal/controlplane/watchstream/distribution/compat_test.go
@@ -9,8 +9,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// TestSnapshotOfOlderVersion starts a follower with the snapshot on disk that one of commit 62b6efc wrote: its records, its position and
-// its generation are taken over, so that after an update it goes on where it was and is not refused as stale.
+// TestSnapshotOfOlderVersion starts a follower with a snapshot that a follower of commit 62b6efc wrote. It must restore the
+// records, position and generation, so that after an update it continues where it was and is not rejected as stale.
 func TestSnapshotOfOlderVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS("testdata/62b6efc")))
--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -19,29 +19,29 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// relayed is a relay on the loopback that can be stopped and started again at its address.
-type relayed struct {
+// testRelay is a running relay on the loopback interface that can be stopped and restarted at its address.
+type testRelay struct {
 	*Relay
 	t    *testing.T
 	opt  RelayOptions
 	addr string
-	kill func() // as by SIGKILL: connections are cut
+	kill func() // closes all connections, as SIGKILL would
 	stop func()
 }
 
-func relayAt(t *testing.T, addr string, opt RelayOptions) *relayed {
+func startRelay(t *testing.T, addr string, opt RelayOptions) *testRelay {
 	t.Helper()
 	opt.Fleet, opt.Region = fleet, "north"
 	r, err := NewRelay(opt)
 	require.NoError(t, err)
-	if addr == "127.0.0.1:0" { // where it may be started again
+	if addr == "127.0.0.1:0" { // a free port at which the relay can be restarted
 		free, err := ports.Free(1)
 		require.NoError(t, err)
 		addr = free[0]
 	}
 	l, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
-	x := &relayed{Relay: r, t: t, opt: opt, addr: l.Addr().String()}
+	x := &testRelay{Relay: r, t: t, opt: opt, addr: l.Addr().String()}
 	ctx, end := context.WithCancel(context.Background())
 	var work sync.WaitGroup
 	work.Go(func() { r.Run(ctx) })
@@ -57,190 +57,190 @@
 	return x
 }
 
-// count stands in for the agents' leader.
-type count struct {
-	mu    sync.Mutex
-	tally *watchstream.AckTracker
-	gone  bool
+// fakeLeader replaces the agents' leader.
+type fakeLeader struct {
+	mu          sync.Mutex
+	tracker     *watchstream.AckTracker
+	unavailable bool
 }
 
-func newCount() *count {
-	c := &count{}
-	c.renew()
-	return c
+func newFakeLeader() *fakeLeader {
+	l := &fakeLeader{}
+	l.replace()
+	return l
 }
 
-// renew is a change of leader: the new one knows nothing.
-func (c *count) renew() {
+// replace simulates a change of leader: the new one has an empty tracker.
+func (c *fakeLeader) replace() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
-	c.tally.NoteCommit(monotone.Now(), "first", 1)
+	c.tracker = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
+	c.tracker.NoteCommit(monotone.Now(), "first", 1)
 }
 
-func (c *count) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
+func (c *fakeLeader) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.gone {
-		return watchstream.ReportResponse{}, fmt.Errorf("no leader at the moment")
+	if c.unavailable {
+		return watchstream.ReportResponse{}, fmt.Errorf("no leader")
 	}
-	return c.tally.AddReport(monotone.Now(), r)
+	return c.tracker.AddReport(monotone.Now(), r)
 }
 
-func (c *count) status(v uint64) watchstream.Status {
+func (c *fakeLeader) status(v uint64) watchstream.Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tally.Status(monotone.Now(), v)
+	return c.tracker.Status(monotone.Now(), v)
 }
 
-// TestRelayKilled kills one of three relays: its followers go to the others and miss nothing, and nobody counts twice, with a change of
-// leader in the midst.
+// TestRelayKilled kills one of three relays while the leader changes. Its followers switch to the others and miss no change,
+// and no follower is counted twice.
 func TestRelayKilled(t *testing.T) {
 	const n = 12
-	b, c := newBook(t, watchstream.SourceOptions{}), newCount()
-	v := b.put(append(targets(50), layer("shared", `{"a":1}`))...)
-	var relays []*relayed
+	agent, leader := newFakeAgent(t, watchstream.SourceOptions{}), newFakeLeader()
+	v := agent.put(append(targets(50), layer("shared", `{"a":1}`))...)
+	var relays []*testRelay
 	var addrs []string
 	for i := range 3 {
-		relays = append(relays, relayAt(t, "127.0.0.1:0", RelayOptions{ID: fmt.Sprint("relay", i), Agents: []string{b.addr}, Report: c.report,
+		relays = append(relays, startRelay(t, "127.0.0.1:0", RelayOptions{ID: fmt.Sprint("relay", i), Agents: []string{agent.addr}, Report: leader.report,
 			Source: watchstream.SourceOptions{AdmitRate: 1000, AdmitBurst: 1000}}))
 		addrs = append(addrs, relays[i].addr)
 	}
-	var all []*heard
+	var all []*testFollower
 	for i := range n {
-		all = append(all, follow(t, FollowerOptions{Name: fmt.Sprint("i", i), Relays: to(addrs...)}))
+		all = append(all, startFollower(t, FollowerOptions{Name: fmt.Sprint("i", i), Relays: relaysAt(addrs...)}))
 	}
 	settled := func(v uint64) {
 		t.Helper()
 		for _, f := range all {
-			f.at(v)
+			f.waitApplied(v)
 		}
 		eventually(t, func() bool {
-			s := c.status(v)
+			s := leader.status(v)
 			require.LessOrEqual(t, s.Readers, n)
 			require.LessOrEqual(t, s.Applied, n)
 			return s.Applied == n
-		}, "all count")
+		}, "all followers are counted")
 	}
 	settled(v)
-	lost := -1
+	killed := -1
 	for i, r := range relays {
 		if r.State().Readers > 0 {
-			lost = i
+			killed = i
 		}
 	}
-	require.GreaterOrEqual(t, lost, 0)
-	c.mu.Lock()
-	c.gone = true
-	c.mu.Unlock()
-	relays[lost].kill()
-	v = b.put(target(1, 1), layer("region/north", `{"a":2}`))
-	c.renew()
-	c.mu.Lock()
-	c.gone = false
-	c.mu.Unlock()
+	require.GreaterOrEqual(t, killed, 0)
+	leader.mu.Lock()
+	leader.unavailable = true
+	leader.mu.Unlock()
+	relays[killed].kill()
+	v = agent.put(target(1, 1), layer("region/north", `{"a":2}`))
+	leader.replace()
+	leader.mu.Lock()
+	leader.unavailable = false
+	leader.mu.Unlock()
 	settled(v)
-	moves := uint64(0)
+	switches := uint64(0)
 	for _, f := range all {
-		moves += f.State().Switches
+		switches += f.State().Switches
 	}
-	require.NotZero(t, moves)
-	require.Equal(t, n, c.status(v).Readers, "the new leader has asked for all, each once")
+	require.NotZero(t, switches)
+	require.Equal(t, n, leader.status(v).Readers, "the new leader has received each follower once")
 }
 
-// TestRelayCopy starts a relay that has an old copy: it serves that at once, with its age, and is brought up by what differs. A torn copy is
-// passed over.
-func TestRelayCopy(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	v := b.put(append(targets(200), layer("shared", `{"a":1}`), layer("zone/far", `{"a":2}`))...)
+// TestRelaySnapshot restarts a relay with an old snapshot: it serves the old state at once, with its age, and catches up with
+// the differences only. A damaged snapshot is ignored.
+func TestRelaySnapshot(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	v := agent.put(append(targets(200), layer("shared", `{"a":1}`), layer("zone/far", `{"a":2}`))...)
 	dir := t.TempDir()
-	opt := RelayOptions{ID: "relay", Agents: []string{b.addr}, Dir: dir}
-	r := relayAt(t, "127.0.0.1:0", opt)
+	opt := RelayOptions{ID: "relay", Agents: []string{agent.addr}, Dir: dir}
+	r := startRelay(t, "127.0.0.1:0", opt)
 	eventually(t, func() bool { return r.State().Follower.Applied.Min() == v }, "up to date")
 	r.stop()
-	later := b.put(target(5, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-6", Deleted: true})
-	alone := opt
-	alone.Agents = []string{"127.0.0.1:1"}
-	r = relayAt(t, "127.0.0.1:0", alone)
-	f := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)})
-	f.at(v)
+	later := agent.put(target(5, 1), watchstream.Put{Kind: watchstream.Targets, Key: "t-6", Deleted: true})
+	isolated := opt
+	isolated.Agents = []string{"127.0.0.1:1"}
+	r = startRelay(t, "127.0.0.1:0", isolated)
+	f := startFollower(t, FollowerOptions{Name: "i1", Relays: relaysAt(r.addr)})
+	f.waitApplied(v)
 	require.Len(t, f.Records(watchstream.Targets), 200)
-	require.Greater(t, f.State().AgeMs, int64(1), "it has heard of no agent")
+	require.Greater(t, f.State().AgeMs, int64(1), "the relay has reached no agent")
 	f.stop()
 	r.stop()
-	r = relayAt(t, "127.0.0.1:0", opt)
-	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "brought up")
-	require.Equal(t, uint64(2), r.State().Follower.Records, "what differs, and no more")
+	r = startRelay(t, "127.0.0.1:0", opt)
+	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "caught up")
+	require.Equal(t, uint64(2), r.State().Follower.Records, "only the differences are sent")
 	require.Equal(t, 199, r.State().Targets)
 	r.stop()
 	path := filepath.Join(dir, snapshotName)
 	text, err := os.ReadFile(path)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(path, text[:len(text)/2], 0o600))
-	r = relayAt(t, "127.0.0.1:0", opt)
-	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "from nothing")
+	r = startRelay(t, "127.0.0.1:0", opt)
+	eventually(t, func() bool { return r.State().Follower.Applied.Min() == later }, "caught up without a snapshot")
 	require.Equal(t, uint64(1), r.State().Follower.SnapshotsUnusable)
 	require.Equal(t, uint64(202), r.State().Follower.Records, "199 targets, two layers, and a tombstone")
 }
 
-// gate lets connections through until it is shut; then it cuts those there are and takes none.
-type gate struct {
-	mu   sync.Mutex
-	shut bool
-	open map[net.Conn]bool
+// cuttableDialer dials connections. While cut is set, dials fail; setting it closes the open connections.
+type cuttableDialer struct {
+	mu    sync.Mutex
+	cut   bool
+	conns map[net.Conn]bool
 }
 
-func (g *gate) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (g *cuttableDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut {
+	if g.cut {
 		c.Close()
-		return nil, fmt.Errorf("the way is cut")
+		return nil, fmt.Errorf("connection is cut")
 	}
-	g.open[c] = true
+	g.conns[c] = true
 	return c, nil
 }
 
-func (g *gate) set(shut bool) {
+func (g *cuttableDialer) setCut(shut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.shut = shut; shut {
-		for c := range g.open {
+	if g.cut = shut; shut {
+		for c := range g.conns {
 			c.Close()
 		}
-		clear(g.open)
+		clear(g.conns)
 	}
 }
 
-// TestRelayCut cuts a relay off from all agents: it goes on serving what it has, readers hear how old that is, and once it hears again it
-// and they are brought up.
-func TestRelayCut(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	v := b.put(append(targets(20), layer("shared", `{"a":1}`))...)
-	g := &gate{open: map[net.Conn]bool{}}
-	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Dial: g.dial})
-	f := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)})
-	f.at(v)
-	g.set(true)
-	later := b.put(target(1, 1))
-	// A poll that is answered tells an age of some two seconds at most while the relay hears.
-	eventually(t, func() bool { return f.State().AgeMs > 4000 }, "its age is told")
-	late := follow(t, FollowerOptions{Name: "i2", Relays: to(r.addr)})
-	late.at(v)
-	eventually(t, func() bool { return late.State().AgeMs > 4000 }, "to who came later too")
+// TestRelayCutOffFromAgents cuts a relay off from all agents: it continues to serve its state, readers receive the state's
+// age, and once the agents are reachable again the relay and its readers catch up.
+func TestRelayCutOffFromAgents(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	v := agent.put(append(targets(20), layer("shared", `{"a":1}`))...)
+	dialer := &cuttableDialer{conns: map[net.Conn]bool{}}
+	r := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{agent.addr}, Dial: dialer.dial})
+	f := startFollower(t, FollowerOptions{Name: "i1", Relays: relaysAt(r.addr)})
+	f.waitApplied(v)
+	dialer.setCut(true)
+	later := agent.put(target(1, 1))
+	// While the relay reaches an agent, its answers have an age of about two seconds at most.
+	eventually(t, func() bool { return f.State().AgeMs > 4000 }, "the age grows")
+	second := startFollower(t, FollowerOptions{Name: "i2", Relays: relaysAt(r.addr)})
+	second.waitApplied(v)
+	eventually(t, func() bool { return second.State().AgeMs > 4000 }, "the age grows for a later follower too")
 	require.Less(t, f.State().Position.Targets, later)
-	g.set(false)
-	f.at(later)
-	late.at(later)
-	eventually(t, func() bool { return f.State().AgeMs < 4000 }, "it hears again")
+	dialer.setCut(false)
+	f.waitApplied(later)
+	second.waitApplied(later)
+	eventually(t, func() bool { return f.State().AgeMs < 4000 }, "the relay is fresh again")
 }
 
-// homed names a reader whose home is the first of these relays.
-func homed(relays []watchstream.Relay) string {
+// nameWithHome returns the name of a reader whose home is the first of these relays.
+func nameWithHome(relays []watchstream.Relay) string {
 	for i := 0; ; i++ {
 		if name := fmt.Sprint("i", i); watchstream.RankRelays(relays, "north", name)[0] == relays[0] {
 			return name
@@ -248,73 +248,75 @@
 	}
 }
 
-// TestRelayCutAlone cuts one of two relays off from the agents: it answers still, and its readers hear what is new from the other, soon. Once it
-// hears again they come back.
-func TestRelayCutAlone(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	v := b.put(append(targets(20), layer("shared", `{"a":1}`))...)
-	g := &gate{open: map[net.Conn]bool{}}
-	cut := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "cut", Agents: []string{b.addr}, Dial: g.dial})
-	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
+// TestOneRelayCutOffFromAgents cuts one of two relays off from the agents while it still answers: its readers soon receive
+// changes from the other relay, and return once it reaches the agents again.
+func TestOneRelayCutOffFromAgents(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	v := agent.put(append(targets(20), layer("shared", `{"a":1}`))...)
+	dialer := &cuttableDialer{conns: map[net.Conn]bool{}}
+	cut := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "cut", Agents: []string{agent.addr}, Dial: dialer.dial})
+	other := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{agent.addr}})
 	relays := []watchstream.Relay{{ID: "cut", Region: "north", Addr: cut.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, FollowerOptions{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
-	f.at(v)
+	f := startFollower(t, FollowerOptions{Name: nameWithHome(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
+	f.waitApplied(v)
 	require.Equal(t, "cut", f.State().Relay)
-	g.set(true)
+	dialer.setCut(true)
 	began := time.Now()
-	later := b.put(target(1, 1))
-	f.at(later)
-	t.Logf("in force after %v", time.Since(began).Round(time.Millisecond))
+	later := agent.put(target(1, 1))
+	f.waitApplied(later)
+	t.Logf("applied after %v", time.Since(began).Round(time.Millisecond))
 	require.Equal(t, "other", f.State().Relay)
-	for i := range 3 { // home is tried meanwhile, and has nothing newer
-		f.at(b.put(target(1, 2+i)))
+	for i := range 3 { // home is retried meanwhile and has no newer state
+		f.waitApplied(agent.put(target(1, 2+i)))
 		time.Sleep(time.Second)
 	}
 	require.LessOrEqual(t, f.State().AgeMs, int64(4000))
-	g.set(false)
-	eventually(t, func() bool { return f.State().Relay == "cut" }, "it is back")
-	f.at(b.put(target(2, 9)))
+	dialer.setCut(false)
+	eventually(t, func() bool { return f.State().Relay == "cut" }, "returned to the relay")
+	f.waitApplied(agent.put(target(2, 9)))
 }
 
-// TestHome has a reader's home not answer for a while: it goes to the other relay, and home once that answers again.
-func TestHome(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	v := b.put(targets(3)...)
-	home := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "home", Agents: []string{b.addr}})
-	other := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{b.addr}})
+// TestReturnToHomeRelay kills a reader's home relay: the reader switches to the other one, and returns once its home answers
+// again.
+func TestReturnToHomeRelay(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	v := agent.put(targets(3)...)
+	home := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "home", Agents: []string{agent.addr}})
+	other := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "other", Agents: []string{agent.addr}})
 	relays := []watchstream.Relay{{ID: "home", Region: "north", Addr: home.addr}, {ID: "other", Region: "north", Addr: other.addr}}
-	f := follow(t, FollowerOptions{Name: homed(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
-	f.at(v)
+	f := startFollower(t, FollowerOptions{Name: nameWithHome(relays), Relays: relays, Selection: watchstream.RelaySelectorOptions{HomeRetryMin: time.Second, HomeRetryMax: 2 * time.Second}})
+	f.waitApplied(v)
 	require.Equal(t, "home", f.State().Relay)
 	home.kill()
-	f.at(b.put(target(1, 1)))
+	f.waitApplied(agent.put(target(1, 1)))
 	require.Equal(t, "other", f.State().Relay)
-	relayAt(t, home.addr, home.opt)
-	eventually(t, func() bool { return f.State().Relay == "home" }, "it is home")
-	f.at(b.put(target(1, 2)))
+	startRelay(t, home.addr, home.opt)
+	eventually(t, func() bool { return f.State().Relay == "home" }, "returned to the home relay")
+	f.waitApplied(agent.put(target(1, 2)))
 }
 
-// TestAnotherFleet has a relay of another fleet and a follower of ours: nothing is taken, and it is counted.
-func TestAnotherFleet(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	b.put(target(0, 0))
-	f := follow(t, FollowerOptions{Fleet: "other", Name: "i1", Relays: to(b.addr)})
-	eventually(t, func() bool { return f.State().Rejected[string(watchstream.ReasonForeignFleet)] > 1 }, "refused")
-	require.Empty(t, f.told())
+// TestForeignFleet has a follower poll the source of another fleet: nothing is applied, and the rejections are counted.
+func TestForeignFleet(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	agent.put(target(0, 0))
+	f := startFollower(t, FollowerOptions{Fleet: "other", Name: "i1", Relays: relaysAt(agent.addr)})
+	eventually(t, func() bool { return f.State().Rejected[string(watchstream.ReasonForeignFleet)] > 1 }, "rejected")
+	require.Empty(t, f.received())
 	require.Zero(t, f.State().Position)
 	require.Zero(t, f.State().Records)
 }
 
-// TestRelayBounds has a relay be asked for more than it takes: readers over its number hear when to come again.
-func TestRelayBounds(t *testing.T) {
-	b := newBook(t, watchstream.SourceOptions{})
-	v := b.put(target(0, 0))
-	r := relayAt(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{b.addr}, Source: watchstream.SourceOptions{MaxReaders: 2}})
-	first, second := follow(t, FollowerOptions{Name: "i1", Relays: to(r.addr)}), follow(t, FollowerOptions{Name: "i2", Relays: to(r.addr)})
-	first.at(v)
-	second.at(v)
-	third := follow(t, FollowerOptions{Name: "i3", Relays: to(r.addr)})
-	eventually(t, func() bool { return third.State().Busy > 0 }, "turned away")
+// TestRelayLimits checks that readers beyond a relay's limit receive a retry time and connections beyond its limit are
+// closed.
+func TestRelayLimits(t *testing.T) {
+	agent := newFakeAgent(t, watchstream.SourceOptions{})
+	v := agent.put(target(0, 0))
+	r := startRelay(t, "127.0.0.1:0", RelayOptions{ID: "relay", Agents: []string{agent.addr}, Source: watchstream.SourceOptions{MaxReaders: 2}})
+	first, second := startFollower(t, FollowerOptions{Name: "i1", Relays: relaysAt(r.addr)}), startFollower(t, FollowerOptions{Name: "i2", Relays: relaysAt(r.addr)})
+	first.waitApplied(v)
+	second.waitApplied(v)
+	third := startFollower(t, FollowerOptions{Name: "i3", Relays: relaysAt(r.addr)})
+	eventually(t, func() bool { return third.State().Busy > 0 }, "rejected as busy")
 	require.Equal(t, 2, r.State().Readers)
 	resp, err := http.Get("http://" + r.addr + "/v1/feed")
 	require.NoError(t, err)
@@ -323,7 +325,7 @@
 	_, err = text.ReadFrom(resp.Body)
 	require.NoError(t, err)
 	require.Contains(t, text.String(), `"readers":2`)
-	// Connections beyond one for each reader and some more are closed at once.
+	// Connections beyond one for each reader plus extraConns are closed at once.
 	var held []net.Conn
 	defer func() {
 		for _, c := range held {
