--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -71,26 +71,26 @@
 }
 
 // replace simulates a change of leader: the new one has an empty tracker.
-func (c *fakeLeader) replace() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.tracker = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
-	c.tracker.NoteCommit(monotone.Now(), "first", 1)
+func (l *fakeLeader) replace() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.tracker = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
+	l.tracker.NoteCommit(monotone.Now(), "first", 1)
 }
 
-func (c *fakeLeader) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.unavailable {
+func (l *fakeLeader) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.unavailable {
 		return watchstream.ReportResponse{}, fmt.Errorf("no leader")
 	}
-	return c.tracker.AddReport(monotone.Now(), r)
+	return l.tracker.AddReport(monotone.Now(), r)
 }
 
-func (c *fakeLeader) status(v uint64) watchstream.Status {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.tracker.Status(monotone.Now(), v)
+func (l *fakeLeader) status(v uint64) watchstream.Status {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.tracker.Status(monotone.Now(), v)
 }
 
 // TestRelayKilled kills one of three relays while the leader changes. Its followers switch to the others and miss no change,
@@ -190,29 +190,29 @@
 	conns map[net.Conn]bool
 }
 
-func (g *cuttableDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (d *cuttableDialer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	c, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.cut {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.cut {
 		c.Close()
 		return nil, fmt.Errorf("connection is cut")
 	}
-	g.conns[c] = true
+	d.conns[c] = true
 	return c, nil
 }
 
-func (g *cuttableDialer) setCut(shut bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.cut = shut; shut {
-		for c := range g.conns {
+func (d *cuttableDialer) setCut(shut bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.cut = shut; shut {
+		for c := range d.conns {
 			c.Close()
 		}
-		clear(g.conns)
+		clear(d.conns)
 	}
 }
 
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -15,15 +15,16 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-// said is one list of one source.
-type said struct {
+// sourceList is a list from one source.
+type sourceList struct {
 	from Source
 	list *listing.List
 }
 
-// lists draws what two sources may tell, of few targets with few starts, so that they meet often: also what goes back and contradicts itself.
-func lists(t *rapid.T) []said {
-	var all []said
+// drawLists draws lists of two sources with few targets and few starts, so that these coincide often. They include lists
+// that return to an older state and lists that contradict themselves.
+func drawLists(t *rapid.T) []sourceList {
+	var all []sourceList
 	for range rapid.IntRange(1, 30).Draw(t, "lists") {
 		l := &listing.List{Full: rapid.IntRange(0, 3).Draw(t, "full") == 0}
 		has := map[string]bool{}
@@ -32,20 +33,20 @@
 			e := listing.Entry{ID: fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "id")), Addr: fmt.Sprint("10.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Zone: "z",
 				Cell: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), Started: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
 			if l.Full && has[e.ID] {
-				continue // a whole list says one thing of a target
+				continue // a full list names a target once
 			}
 			has[e.ID] = true
 			l.Servers = append(l.Servers, e)
 		}
-		all = append(all, said{Source(rapid.IntRange(0, 1).Draw(t, "from")), l})
+		all = append(all, sourceList{Source(rapid.IntRange(0, 1).Draw(t, "from")), l})
 	}
 	return all
 }
 
-// shown is a list as those who hear of its changes have it.
-type shown map[string]listing.Entry
+// mergedList is the merged list, by id, as a receiver of its changes reconstructs it.
+type mergedList map[string]listing.Entry
 
-func (s shown) apply(l *listing.List) {
+func (s mergedList) apply(l *listing.List) {
 	if l == nil {
 		return
 	}
@@ -59,52 +60,53 @@
 	}
 }
 
-// standing is where a target stands, wherever it is.
-type standing struct {
+// targetState is a target's start and state, without its address.
+type targetState struct {
 	started int64
 	state   string
 }
 
-func (s shown) standings() map[string]standing {
-	all := map[string]standing{}
+func (s mergedList) states() map[string]targetState {
+	all := map[string]targetState{}
 	for id, e := range s {
-		all[id] = standing{e.Started, e.State}
+		all[id] = targetState{e.Started, e.State}
 	}
 	return all
 }
 
-// simple is the joined list by its definition, from the whole history: a target's start is the greatest that was told; its state at it the
-// greatest that was told; it is out of the list where a source that told of that start names it no more.
-func simple(all []said) map[string]standing { //nolint:gocognit // one scenario, told in order
-	type heard struct {
-		starts map[int64]int // the greatest rank
-		names  bool
+// referenceMerge computes the merged list by its definition from all lists so far. A target's start is the latest in any list,
+// and its state the highest in any list for that start; it is not in the merged list if a source that has listed that start no
+// longer lists the target.
+func referenceMerge(all []sourceList) map[string]targetState { //nolint:gocognit // one scenario in sequence
+	type history struct {
+		starts map[int64]int // highest rank of a state, by start
+		listed bool          // whether the source lists it now
 	}
-	out := map[string]standing{}
+	out := map[string]targetState{}
 	for i := range 4 {
 		id := fmt.Sprint("t", i)
-		var by [sourceCount]*heard
+		var by [sourceCount]*history
 		for _, s := range all {
-			h, mentioned := by[s.from], false
+			h, named := by[s.from], false
 			for _, e := range s.list.Servers {
 				if e.ID != id {
 					continue
 				}
-				mentioned = true
+				named = true
 				if h == nil {
 					if e.State == deleted && e.Started == 0 {
 						continue
 					}
-					h = &heard{starts: map[int64]int{}}
+					h = &history{starts: map[int64]int{}}
 					by[s.from] = h
 				}
-				h.names = e.State != deleted
+				h.listed = e.State != deleted
 				if e.State != deleted || e.Started > 0 {
 					h.starts[e.Started] = max(h.starts[e.Started], stateRank(e.State))
 				}
 			}
-			if s.list.Full && !mentioned && h != nil {
-				h.names = false
+			if s.list.Full && !named && h != nil {
+				h.listed = false
 			}
 		}
 		start := int64(-1)
@@ -118,91 +120,93 @@
 			if h == nil {
 				continue
 			}
-			r, told := h.starts[start]
-			if !told {
+			r, hasStart := h.starts[start]
+			if !hasStart {
 				continue
 			}
 			known = true
-			if !h.names {
+			if !h.listed {
 				r = stateRank(deleted)
 			}
 			state = []string{serving, draining, deleted}[max(stateRank(state), r)]
 		}
 		if known && state != deleted {
-			out[id] = standing{start, state}
+			out[id] = targetState{start, state}
 		}
 	}
 	return out
 }
 
-// TestReference holds the view, and the changes that it tells, against the definition after each list.
-func TestReference(t *testing.T) {
+// TestMergeMatchesReference compares the view, and the sum of the changes that it returned, with referenceMerge after each
+// list.
+func TestMergeMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := lists(t)
-		v, s := New(DefaultMaxRemoved), shown{}
+		all := drawLists(t)
+		v, s := New(DefaultMaxRemoved), mergedList{}
 		for i, x := range all {
 			l := v.Merge(x.from, x.list)
 			if l != nil && (l.Full || len(l.Servers) == 0) {
-				t.Fatalf("list %d: answered by %+v, wanted changes", i, l)
+				t.Fatalf("list %d: Merge returned %+v, wanted changes", i, l)
 			}
 			s.apply(l)
-			whole := shown{}
-			whole.apply(v.Full())
-			if !maps.EqualFunc(whole, s, sameEntry) {
-				t.Fatalf("after list %d: %v in whole, the changes come to %v", i, whole, s)
+			full := mergedList{}
+			full.apply(v.Full())
+			if !maps.EqualFunc(full, s, sameEntry) {
+				t.Fatalf("after list %d: full list %v, changes give %v", i, full, s)
 			}
-			if want := simple(all[:i+1]); !maps.Equal(want, s.standings()) {
-				t.Fatalf("after list %d: %v, wanted %v", i, s.standings(), want)
+			if want := referenceMerge(all[:i+1]); !maps.Equal(want, s.states()) {
+				t.Fatalf("after list %d: %v, wanted %v", i, s.states(), want)
 			}
 			if v.Len() != len(s) {
-				t.Fatalf("after list %d: %d targets, the changes come to %d", i, v.Len(), len(s))
+				t.Fatalf("after list %d: %d targets, changes give %d", i, v.Len(), len(s))
 			}
 		}
 	})
 }
 
-// TestOrder hears the two sources in another order, each in its own: all targets stand where they did.
-func TestOrder(t *testing.T) {
+// TestMergeIndependentOfSourceOrder merges the lists of both sources in another order, without reordering those of one
+// source: the targets' states must be the same.
+func TestMergeIndependentOfSourceOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := lists(t)
-		var one [sourceCount][]said
+		all := drawLists(t)
+		var bySource [sourceCount][]sourceList
 		for _, x := range all {
-			one[x.from] = append(one[x.from], x)
+			bySource[x.from] = append(bySource[x.from], x)
 		}
-		var other []said
-		for len(one[0])+len(one[1]) > 0 {
+		var reordered []sourceList
+		for len(bySource[0])+len(bySource[1]) > 0 {
 			from := rapid.IntRange(0, 1).Draw(t, "next")
-			if len(one[from]) == 0 {
+			if len(bySource[from]) == 0 {
 				from = 1 - from
 			}
-			other, one[from] = append(other, one[from][0]), one[from][1:]
+			reordered, bySource[from] = append(reordered, bySource[from][0]), bySource[from][1:]
 		}
-		play := func(all []said) map[string]standing {
-			v, s := New(DefaultMaxRemoved), shown{}
+		replay := func(all []sourceList) map[string]targetState {
+			v, s := New(DefaultMaxRemoved), mergedList{}
 			for _, x := range all {
 				s.apply(v.Merge(x.from, x.list))
 			}
-			return s.standings()
+			return s.states()
 		}
-		if a, b := play(all), play(other); !maps.Equal(a, b) {
+		if a, b := replay(all), replay(reordered); !maps.Equal(a, b) {
 			t.Fatalf("%v in one order, %v in the other", a, b)
 		}
 	})
 }
 
-// TestMonotone checks that no change of the joined list brings back what was: an older start, a target that drains, for the same start; and
-// that a list that is heard again changes nothing, wherever its source still stands by it.
-func TestMonotone(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestMonotone checks that the merged list never returns to an older start, nor from DRAINING to SERVING for the same start,
+// and that a repeated list changes nothing unless it contradicts itself.
+func TestMonotone(t *testing.T) { //nolint:gocognit // one scenario in sequence
 	rapid.Check(t, func(t *rapid.T) {
-		v, s := New(DefaultMaxRemoved), shown{}
-		started, drained := map[string]int64{}, map[string]int64{}
-		for _, x := range lists(t) {
+		v, s := New(DefaultMaxRemoved), mergedList{}
+		started, drainedBefore := map[string]int64{}, map[string]int64{}
+		for _, x := range drawLists(t) {
 			l := v.Merge(x.from, x.list)
 			s.apply(l)
-			// What either source has told to drain, by the lists themselves.
+			// Latest start, plus one, for which either source has listed the target as draining.
 			for _, e := range x.list.Servers {
 				if e.State == draining {
-					drained[e.ID] = max(drained[e.ID], e.Started+1)
+					drainedBefore[e.ID] = max(drainedBefore[e.ID], e.Started+1)
 				}
 			}
 			for id, e := range s {
@@ -210,60 +214,60 @@
 					t.Fatalf("%s went back from start %d to %d", id, started[id], e.Started)
 				}
 				started[id] = e.Started
-				if e.State == serving && e.Started < drained[id] {
-					t.Fatalf("%s serves at start %d, and was told to drain at %d", id, e.Started, drained[id]-1)
+				if e.State == serving && e.Started < drainedBefore[id] {
+					t.Fatalf("%s is serving at start %d, but was draining at start %d", id, e.Started, drainedBefore[id]-1)
 				}
 			}
-			if again := v.Merge(x.from, x.list); again != nil {
+			if repeated := v.Merge(x.from, x.list); repeated != nil {
 				names := map[string]int{}
 				for _, e := range x.list.Servers {
 					names[e.ID]++
 				}
-				for _, e := range again.Servers {
-					if names[e.ID] < 2 { // two words of one target in one change take each other back each time
-						t.Fatalf("heard again it changed %+v", e)
+				for _, e := range repeated.Servers {
+					if names[e.ID] < 2 { // two entries for one target in one change may contradict each other
+						t.Fatalf("a repeated list changed %+v", e)
 					}
 				}
-				s.apply(again)
+				s.apply(repeated)
 			}
 		}
 	})
 }
 
-func entry(state string, started int64, addr string) listing.Entry {
+func targetEntry(state string, started int64, addr string) listing.Entry {
 	cell := 0
 	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Cell: &cell, State: state, Started: started}
 }
 
-// TestWords plays cases by hand.
-func TestWords(t *testing.T) {
+// TestMergeCases checks single cases.
+func TestMergeCases(t *testing.T) {
 	change := func(e ...listing.Entry) *listing.List { return &listing.List{Servers: e} }
-	whole := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Servers: e} }
+	full := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Servers: e} }
 	for _, c := range []struct {
 		name string
-		all  []said
+		all  []sourceList
 		want string
 	}{
-		{"either source alone", []said{{WatchStream, change(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"a drain by the feed, discovery lags", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"a drain by discovery, the feed lags", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"a drain does not go back for its own source either", []said{{WatchStream, change(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"started anew", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {WatchStream, change(entry(serving, 6, "b:1"))}}, "SERVING 6 b:1"},
-		{"an older start is not heard", []said{{WatchStream, change(entry(serving, 6, "b:1"))}, {Discovery, whole(entry(draining, 5, "a:1"))}}, "SERVING 6 b:1"},
-		{"absent", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}, {Discovery, whole()}}, ""},
-		{"absent at an older start", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 6, "a:1"))}, {Discovery, whole()}}, "SERVING 6 a:1"},
-		{"an empty list by mistake", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {Discovery, whole()}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"a drain is remembered over an absence", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Discovery, whole()}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"gone in the feed", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "a:1"))}, {WatchStream, change(listing.Entry{ID: "t", State: deleted})}}, ""},
-		{"deleted at that start, and told again by the one that lags", []said{{WatchStream, change(entry(deleted, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, ""},
-		{"deleted at an older start", []said{{WatchStream, change(entry(deleted, 4, "a:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"deleted and never named", []said{{WatchStream, change(listing.Entry{ID: "t", State: deleted})}, {WatchStream, change(entry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
-		{"moved: the last word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "b:1"))}}, "SERVING 5 b:1"},
-		{"moved: a list that says what it said is no new word", []said{{Discovery, whole(entry(serving, 5, "a:1"))}, {WatchStream, change(entry(serving, 5, "b:1"))}, {Discovery, whole(entry(serving, 5, "a:1"))}}, "SERVING 5 b:1"},
-		{"moved while it drains", []said{{Discovery, whole(entry(draining, 5, "a:1"))}, {Discovery, whole(entry(serving, 5, "b:1"))}}, "DRAINING 5 b:1"},
+		{"a single source", []sourceList{{WatchStream, change(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
+		{"drain in the stream, discovery lags", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(draining, 5, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"drain in discovery, the stream lags", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"a source cannot undo its own drain", []sourceList{{WatchStream, change(targetEntry(draining, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"restarted", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 6, "b:1"))}}, "SERVING 6 b:1"},
+		{"older start ignored", []sourceList{{WatchStream, change(targetEntry(serving, 6, "b:1"))}, {Discovery, full(targetEntry(draining, 5, "a:1"))}}, "SERVING 6 b:1"},
+		{"no longer listed", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}, {Discovery, full()}}, ""},
+		{"no longer listed at an older start", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 6, "a:1"))}, {Discovery, full()}}, "SERVING 6 a:1"},
+		{"empty list by mistake", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {Discovery, full()}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
+		{"drain kept while not listed", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {Discovery, full()}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
+		{"deleted in the stream", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(listing.Entry{ID: "t", State: deleted})}}, ""},
+		{"deleted at that start, still listed by the lagging source", []sourceList{{WatchStream, change(targetEntry(deleted, 5, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, ""},
+		{"deleted at an older start", []sourceList{{WatchStream, change(targetEntry(deleted, 4, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
+		{"deleted without having been listed", []sourceList{{WatchStream, change(listing.Entry{ID: "t", State: deleted})}, {WatchStream, change(targetEntry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
+		{"address changed: last change wins", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "b:1"))}}, "SERVING 5 b:1"},
+		{"address changed: a repeated list is no change", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "b:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 b:1"},
+		{"address changed while draining", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "b:1"))}}, "DRAINING 5 b:1"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			v, s := New(DefaultMaxRemoved), shown{}
+			v, s := New(DefaultMaxRemoved), mergedList{}
 			for _, x := range c.all {
 				s.apply(v.Merge(x.from, x.list))
 			}
@@ -276,12 +280,12 @@
 	}
 }
 
-// TestBounded has many targets come and go: what is remembered of those gone stays bounded, the longest gone are forgotten first, and one
-// that is named again is not forgotten.
-func TestBounded(t *testing.T) {
+// TestRemovedTargetsBounded adds and removes many targets: the number of remembered removed targets is bounded, the oldest
+// removals are forgotten first, and a target that is listed again is kept.
+func TestRemovedTargetsBounded(t *testing.T) {
 	v := New(8)
 	at := func(id, state string, started int64) *listing.List {
-		e := entry(state, started, "a:1")
+		e := targetEntry(state, started, "a:1")
 		e.ID = id
 		return &listing.List{Servers: listing.Entries{e}}
 	}
@@ -290,7 +294,7 @@
 		v.Merge(Discovery, at(id, draining, 1))
 		v.Merge(WatchStream, at(id, serving, 1))
 		v.Merge(Discovery, at(id, deleted, 0))
-		require.LessOrEqual(t, len(v.targets), 9, "the feed still names one")
+		require.LessOrEqual(t, len(v.targets), 9, "the stream still lists one")
 		v.Merge(WatchStream, at(id, deleted, 0))
 		require.LessOrEqual(t, len(v.targets), 8)
 	}
@@ -302,7 +306,7 @@
 	}
 	require.Len(t, v.targets, 9)
 	require.Contains(t, v.targets, "t95")
-	require.Nil(t, v.targets["t95"].published, "discovery dropped it at that start")
+	require.Nil(t, v.targets["t95"].published, "discovery deleted it at that start")
 	require.Contains(t, v.targets, "t119")
 	require.NotContains(t, v.targets, "t111")
 }
