--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -160,11 +160,11 @@
 			f.switchTo(relay, lastID)
 			lastID = relay.ID
 		}
-		out, after, age := f.poll(ctx, relay)
+		outcome, retryAfter, age := f.poll(ctx, relay)
 		if ctx.Err() != nil {
 			break
 		}
-		f.selector.CallEnded(monotone.Now(), out, after, age)
+		f.selector.CallEnded(monotone.Now(), outcome, retryAfter, age)
 		f.saveSnapshot(false)
 	}
 	f.saveSnapshot(true)
--- a/internal/controlplane/watchstream/distribution/malformed_test.go
+++ b/internal/controlplane/watchstream/distribution/malformed_test.go
@@ -48,7 +48,7 @@
 	} {
 		status, text := post(t, agent.addr, c.body, c.head)
 		require.Equal(t, c.want, status, "%s: %s", c.name, text)
-		var rejected RejectedError
+		var rejected ResponseError
 		require.NoError(t, json.Unmarshal(text, &rejected), c.name)
 		require.NotEmpty(t, rejected.Reason, c.name)
 	}
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -44,7 +44,7 @@
 		}
 		return watchstream.CallAnswered, 0, age
 	}
-	var rejected RejectedError
+	var rejected ResponseError
 	if err := jsonCodec.Unmarshal(body, &rejected); err != nil || rejected.Reason == "" {
 		f.pollFailed(relay, fmt.Errorf("relay answered with status %d: %.100q", status, body))
 		return watchstream.CallFailed, 0, 0
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -36,15 +36,15 @@
 	WithSource(f func(now time.Duration, s *watchstream.Source)) (changed <-chan struct{}, ok bool)
 }
 
-// RejectedError is the response body for a request that a server rejects.
-type RejectedError struct {
+// ResponseError is the response body for a request that a server rejects.
+type ResponseError struct {
 	Reason       watchstream.Reason `json:"reason"`
 	Detail       string             `json:"why,omitempty"`
 	RetryAfterMs int64              `json:"after_ms,omitempty"` // retry after this time, at this source or another; 0: not given
 }
 
 // Error returns the reason and the detail.
-func (e *RejectedError) Error() string { return string(e.Reason) + ": " + e.Detail }
+func (e *ResponseError) Error() string { return string(e.Reason) + ": " + e.Detail }
 
 // reasonBusy is the reason if a server has no capacity now.
 const reasonBusy watchstream.Reason = "busy"
@@ -97,7 +97,7 @@
 	case s.pollSlots <- struct{}{}:
 		defer func() { <-s.pollSlots }()
 	default:
-		s.reject(w, http.StatusServiceUnavailable, &RejectedError{reasonBusy, "too many polls at a time", notReadyRetry.Milliseconds()})
+		s.reject(w, http.StatusServiceUnavailable, &ResponseError{reasonBusy, "too many polls at a time", notReadyRetry.Milliseconds()})
 		return
 	}
 	// The deadline is for this response only, since the connection may serve other requests later.
@@ -110,7 +110,7 @@
 		err = jsonCodec.Unmarshal(body, &req)
 	}
 	if err != nil {
-		s.reject(w, http.StatusBadRequest, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: "body: " + err.Error()})
+		s.reject(w, http.StatusBadRequest, &ResponseError{Reason: watchstream.ReasonMalformed, Detail: "body: " + err.Error()})
 		return
 	}
 	if status, rejected := s.subscribe(req); rejected != nil {
@@ -128,10 +128,10 @@
 
 // subscribe passes a request to the source. rejection is nil if the source accepted it; status is the HTTP
 // status of a rejection.
-func (s *Server) subscribe(req watchstream.SubscribeRequest) (status int, rejection *RejectedError) {
+func (s *Server) subscribe(req watchstream.SubscribeRequest) (status int, rejection *ResponseError) {
 	var err error
 	if _, ok := s.origin.WithSource(func(now time.Duration, src *watchstream.Source) { err = src.Subscribe(now, req) }); !ok {
-		return http.StatusServiceUnavailable, &RejectedError{watchstream.ReasonNotReady, "there is nothing here yet", notReadyRetry.Milliseconds()}
+		return http.StatusServiceUnavailable, &ResponseError{watchstream.ReasonNotReady, "there is nothing here yet", notReadyRetry.Milliseconds()}
 	}
 	var busy *watchstream.BusyError
 	var rejected *watchstream.RejectedError
@@ -139,13 +139,13 @@
 	case err == nil:
 		return 0, nil
 	case errors.As(err, &busy):
-		return http.StatusServiceUnavailable, &RejectedError{reasonBusy, err.Error(), max(1, busy.RetryAfter.Milliseconds())}
+		return http.StatusServiceUnavailable, &ResponseError{reasonBusy, err.Error(), max(1, busy.RetryAfter.Milliseconds())}
 	case errors.As(err, &rejected) && rejected.Reason == watchstream.ReasonNotReady:
-		return http.StatusServiceUnavailable, &RejectedError{rejected.Reason, rejected.Why, notReadyRetry.Milliseconds()}
+		return http.StatusServiceUnavailable, &ResponseError{rejected.Reason, rejected.Why, notReadyRetry.Milliseconds()}
 	case errors.As(err, &rejected) && rejected.Reason != watchstream.ReasonMalformed:
-		return http.StatusConflict, &RejectedError{Reason: rejected.Reason, Detail: rejected.Why}
+		return http.StatusConflict, &ResponseError{Reason: rejected.Reason, Detail: rejected.Why}
 	}
-	return http.StatusUnprocessableEntity, &RejectedError{Reason: watchstream.ReasonMalformed, Detail: err.Error()}
+	return http.StatusUnprocessableEntity, &ResponseError{Reason: watchstream.ReasonMalformed, Detail: err.Error()}
 }
 
 // waitForDelta waits for a reader's next delta. It returns nil once the request's wait is over, the reader
@@ -217,7 +217,7 @@
 }
 
 // reject answers a request with a rejection.
-func (s *Server) reject(w http.ResponseWriter, status int, rejected *RejectedError) {
+func (s *Server) reject(w http.ResponseWriter, status int, rejected *ResponseError) {
 	s.counters.rejected.Add(1)
 	text, err := jsonCodec.Marshal(rejected)
 	if err != nil {
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -163,17 +163,17 @@
 
 // putRecord inserts a record and replaces the previous one of its key.
 func (s *Store) putRecord(r *Record) {
-	l := &s.byKind[r.Kind]
-	if old := l.keys[r.Key]; old != nil {
+	state := &s.byKind[r.Kind]
+	if old := state.keys[r.Key]; old != nil {
 		s.dropRecord(old)
 	}
-	l.keys[r.Key] = r
-	l.byVersion.ReplaceOrInsert(r)
-	l.bytes += len(r.Key) + len(r.Value)
+	state.keys[r.Key] = r
+	state.byVersion.ReplaceOrInsert(r)
+	state.bytes += len(r.Key) + len(r.Value)
 	switch {
 	case r.Deleted:
 		r.Value = nil
-		l.tombstones.ReplaceOrInsert(r)
+		state.tombstones.ReplaceOrInsert(r)
 	case r.Kind == Targets:
 		b := s.bucketOf(r.Key)
 		s.digests[b] += r.digest()
@@ -183,13 +183,13 @@
 
 // dropRecord removes a record from all indexes.
 func (s *Store) dropRecord(r *Record) {
-	l := &s.byKind[r.Kind]
-	delete(l.keys, r.Key)
-	l.byVersion.Delete(r)
-	l.bytes -= len(r.Key) + len(r.Value)
+	state := &s.byKind[r.Kind]
+	delete(state.keys, r.Key)
+	state.byVersion.Delete(r)
+	state.bytes -= len(r.Key) + len(r.Value)
 	switch {
 	case r.Deleted:
-		l.tombstones.Delete(r)
+		state.tombstones.Delete(r)
 	case r.Kind == Targets:
 		b := s.bucketOf(r.Key)
 		s.digests[b] -= r.digest()
