--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -56,7 +56,7 @@
 	if l.Full && !p.replaceAll(l) || !l.Full && !p.hasFullList {
 		return
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Targets {
 		if e.State == "DELETED" {
 			delete(p.want, e.ID)
 		} else {
@@ -73,8 +73,8 @@
 // replaceAll removes the targets that a full list does not name. It reports false, and changes nothing, if
 // the list would remove too many (see minTargetsToGuard). The caller holds mu.
 func (p *Publisher) replaceAll(l *listing.List) bool {
-	listed := make(map[string]bool, len(l.Servers))
-	for _, e := range l.Servers {
+	listed := make(map[string]bool, len(l.Targets))
+	for _, e := range l.Targets {
 		listed[e.ID] = e.State != "DELETED"
 	}
 	removed := 0
@@ -194,10 +194,10 @@
 
 // sameEntry reports whether two entries are equal.
 func sameEntry(a, b listing.Entry) bool {
-	if (a.Cell == nil) != (b.Cell == nil) || a.Cell != nil && *a.Cell != *b.Cell {
+	if (a.Shard == nil) != (b.Shard == nil) || a.Shard != nil && *a.Shard != *b.Shard {
 		return false
 	}
-	a.Cell, b.Cell = nil, nil
+	a.Shard, b.Shard = nil, nil
 	return a == b
 }
 
--- a/internal/controlplane/watchstream/distribution/publisher_test.go
+++ b/internal/controlplane/watchstream/distribution/publisher_test.go
@@ -80,14 +80,14 @@
 
 func entries(from, to, port int) (list listing.Entries) {
 	for i := from; i < to; i++ {
-		list = append(list, listing.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Cell: &i, State: "SERVING"})
+		list = append(list, listing.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Shard: &i, State: "SERVING"})
 	}
 	return list
 }
 
-func fullList(list listing.Entries) *listing.List { return &listing.List{Full: true, Servers: list} }
+func fullList(list listing.Entries) *listing.List { return &listing.List{Full: true, Targets: list} }
 
-func partialList(list listing.Entries) *listing.List { return &listing.List{Servers: list} }
+func partialList(list listing.Entries) *listing.List { return &listing.List{Targets: list} }
 
 // TestPublish checks that only the differences between a list and the stream are published, and that a target is not put
 // again after a lost response.
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -31,12 +31,12 @@
 		for range rapid.IntRange(0, 4).Draw(t, "entries") {
 			cell := rapid.IntRange(0, 1).Draw(t, "cell")
 			e := listing.Entry{ID: fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "id")), Addr: fmt.Sprint("10.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Zone: "z",
-				Cell: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), Started: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
+				Shard: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), StartedMs: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
 			if l.Full && has[e.ID] {
 				continue // a full list names a target once
 			}
 			has[e.ID] = true
-			l.Servers = append(l.Servers, e)
+			l.Targets = append(l.Targets, e)
 		}
 		all = append(all, sourceList{Source(rapid.IntRange(0, 1).Draw(t, "from")), l})
 	}
@@ -53,7 +53,7 @@
 	if l.Full {
 		clear(s)
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Targets {
 		if s[e.ID] = e; e.State == deleted {
 			delete(s, e.ID)
 		}
@@ -69,7 +69,7 @@
 func (s mergedList) states() map[string]targetState {
 	all := map[string]targetState{}
 	for id, e := range s {
-		all[id] = targetState{e.Started, e.State}
+		all[id] = targetState{e.StartedMs, e.State}
 	}
 	return all
 }
@@ -88,21 +88,21 @@
 		var by [sourceCount]*history
 		for _, s := range all {
 			h, named := by[s.from], false
-			for _, e := range s.list.Servers {
+			for _, e := range s.list.Targets {
 				if e.ID != id {
 					continue
 				}
 				named = true
 				if h == nil {
-					if e.State == deleted && e.Started == 0 {
+					if e.State == deleted && e.StartedMs == 0 {
 						continue
 					}
 					h = &history{starts: map[int64]int{}}
 					by[s.from] = h
 				}
 				h.listed = e.State != deleted
-				if e.State != deleted || e.Started > 0 {
-					h.starts[e.Started] = max(h.starts[e.Started], stateRank(e.State))
+				if e.State != deleted || e.StartedMs > 0 {
+					h.starts[e.StartedMs] = max(h.starts[e.StartedMs], stateRank(e.State))
 				}
 			}
 			if s.list.Full && !named && h != nil {
@@ -145,7 +145,7 @@
 		v, s := New(DefaultMaxRemoved), mergedList{}
 		for i, x := range all {
 			l := v.Merge(x.from, x.list)
-			if l != nil && (l.Full || len(l.Servers) == 0) {
+			if l != nil && (l.Full || len(l.Targets) == 0) {
 				t.Fatalf("list %d: Merge returned %+v, wanted changes", i, l)
 			}
 			s.apply(l)
@@ -204,26 +204,26 @@
 			l := v.Merge(x.from, x.list)
 			s.apply(l)
 			// Latest start, plus one, for which either source has listed the target as draining.
-			for _, e := range x.list.Servers {
+			for _, e := range x.list.Targets {
 				if e.State == draining {
-					drainedBefore[e.ID] = max(drainedBefore[e.ID], e.Started+1)
+					drainedBefore[e.ID] = max(drainedBefore[e.ID], e.StartedMs+1)
 				}
 			}
 			for id, e := range s {
-				if e.Started < started[id] {
-					t.Fatalf("%s went back from start %d to %d", id, started[id], e.Started)
+				if e.StartedMs < started[id] {
+					t.Fatalf("%s went back from start %d to %d", id, started[id], e.StartedMs)
 				}
-				started[id] = e.Started
-				if e.State == serving && e.Started < drainedBefore[id] {
-					t.Fatalf("%s is serving at start %d, but was draining at start %d", id, e.Started, drainedBefore[id]-1)
+				started[id] = e.StartedMs
+				if e.State == serving && e.StartedMs < drainedBefore[id] {
+					t.Fatalf("%s is serving at start %d, but was draining at start %d", id, e.StartedMs, drainedBefore[id]-1)
 				}
 			}
 			if repeated := v.Merge(x.from, x.list); repeated != nil {
 				names := map[string]int{}
-				for _, e := range x.list.Servers {
+				for _, e := range x.list.Targets {
 					names[e.ID]++
 				}
-				for _, e := range repeated.Servers {
+				for _, e := range repeated.Targets {
 					if names[e.ID] < 2 { // two entries for one target in one change may contradict each other
 						t.Fatalf("a repeated list changed %+v", e)
 					}
@@ -236,13 +236,13 @@
 
 func targetEntry(state string, started int64, addr string) listing.Entry {
 	cell := 0
-	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Cell: &cell, State: state, Started: started}
+	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Shard: &cell, State: state, StartedMs: started}
 }
 
 // TestMergeCases checks single cases.
 func TestMergeCases(t *testing.T) {
-	change := func(e ...listing.Entry) *listing.List { return &listing.List{Servers: e} }
-	full := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Servers: e} }
+	change := func(e ...listing.Entry) *listing.List { return &listing.List{Targets: e} }
+	full := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Targets: e} }
 	for _, c := range []struct {
 		name string
 		all  []sourceList
@@ -273,7 +273,7 @@
 			}
 			got := ""
 			if e, there := s["t"]; there {
-				got = fmt.Sprint(e.State, " ", e.Started, " ", e.Addr)
+				got = fmt.Sprint(e.State, " ", e.StartedMs, " ", e.Addr)
 			}
 			require.Equal(t, c.want, got)
 		})
@@ -287,7 +287,7 @@
 	at := func(id, state string, started int64) *listing.List {
 		e := targetEntry(state, started, "a:1")
 		e.ID = id
-		return &listing.List{Servers: listing.Entries{e}}
+		return &listing.List{Targets: listing.Entries{e}}
 	}
 	for i := range 100 {
 		id := fmt.Sprint("t", i)
--- a/internal/datapath/upstream/idle_test.go
+++ b/internal/datapath/upstream/idle_test.go
@@ -20,8 +20,8 @@
 	"spindlehitch/internal/testbed/virtualtime"
 )
 
-// wakings is about how often goroutines were run so far.
-func wakings() (n uint64) {
+// goroutineWakeups returns about how many times goroutines have been scheduled so far.
+func goroutineWakeups() (n uint64) {
 	s := []metrics.Sample{{Name: "/sched/latencies:seconds"}}
 	metrics.Read(s)
 	for _, c := range s[0].Value.Float64Histogram().Counts {
@@ -30,74 +30,75 @@
 	return n
 }
 
-// TestIdleTargetsCostNothing has an initiator send nothing to many targets for an hour: none of their actors wakes up meanwhile.
-func TestIdleTargetsCostNothing(t *testing.T) {
+// TestIdleTargetsDoNotWake checks that the actors of many idle targets do not wake up for an hour.
+func TestIdleTargetsDoNotWake(t *testing.T) {
 	virtualtime.Test(t, func(t *testing.T) {
-		g := NewRegistry(Options{Wire: NewHTTP(budget.New(0)), Idle: time.Second, MostConn: 1, MostAll: 1, Log: slog.New(slog.DiscardHandler)}, nil)
+		g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Second, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
 		var list []Target
 		for i := range 200 {
 			list = append(list, Target{ID: fmt.Sprint(i), Addr: "127.0.0.1:1"})
 		}
 		g.Apply(list, true)
-		defer g.Retire()
-		for _, x := range list { // their actors run
+		defer g.Shutdown()
+		for _, x := range list { // start their actors
 			g.mu.Lock()
-			g.tell(g.targets[x.ID], moved{})
+			g.post(g.targets[x.ID], pruneMsg{})
 			g.mu.Unlock()
 		}
 		synctest.Wait()
-		before := wakings()
+		before := goroutineWakeups()
 		time.Sleep(time.Hour)
 		synctest.Wait()
-		require.Less(t, wakings()-before, uint64(10_000))
+		require.Less(t, goroutineWakeups()-before, uint64(10_000))
 	})
 }
 
-// TestIdleConnectionEnds has nothing happen after an answer: its connection is closed once it has been idle for its time, and not before.
+// TestIdleConnectionEnds checks that an unused connection is closed after the idle timeout, and not before.
 func TestIdleConnectionEnds(t *testing.T) {
 	const idle = 200 * time.Millisecond
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	results := make(chan core.Result, 1)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: idle, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: idle, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
-	g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+	g.Send(core.Attempt{RequestID: "r", Target: "n", Deadline: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	c, err := l.Accept()
 	require.NoError(t, err)
 	defer c.Close()
 	_, err = c.Read(make([]byte, 4096))
 	require.NoError(t, err)
 	before := time.Now()
-	say(c, "200 OK", "")
+	respond(c, "200 OK", "")
 	<-results
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	require.GreaterOrEqual(t, time.Since(before), idle)
-	require.Eventually(t, func() bool { return g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// TestUnusedTargetsHaveNoActor lists many targets, of which one is used, and has them drain, move and go: only that one has an actor, which ends when it is gone.
+// TestUnusedTargetsHaveNoActor lists many targets and drains, moves and removes some: only a used one has an actor, which ends when the
+// target is removed.
 func TestUnusedTargetsHaveNoActor(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, c net.Conn) bool { return say(c, "200 OK", "") })
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, c net.Conn) bool { return respond(c, "200 OK", "") })
 	var list []Target
 	for i := range 1000 {
 		list = append(list, Target{ID: fmt.Sprint(i), Addr: s.Addr().String()})
 	}
 	results := make(chan core.Result, 8)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Minute, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Minute, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	before := runtime.NumGoroutine()
 	require.Equal(t, 1000, g.Apply(list, true))
-	g.Review()
+	g.PruneIdle()
 	g.Cancel("7", "r")
 	require.Equal(t, 1000, g.Apply([]Target{{ID: "8", State: policy.Draining}, {ID: "9", Addr: "127.0.0.1:1"}}, false))
 	require.Equal(t, 999, g.Apply([]Target{{ID: "10", State: policy.Removed}, {ID: "none", State: policy.Removed}}, false))
 	require.LessOrEqual(t, runtime.NumGoroutine(), before)
 	send := func(node string) policy.OutcomeCode {
-		g.Send(core.Attempt{Request: "r", Node: node, Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{RequestID: "r", Target: node, Deadline: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 		return (<-results).Code
 	}
 	require.Equal(t, policy.NotSent, send("8"))
@@ -106,17 +107,17 @@
 	require.Equal(t, policy.Served, send("11"))
 	require.Equal(t, 1, g.Apply([]Target{{ID: "11", Addr: s.Addr().String()}}, true))
 	require.Equal(t, policy.Served, send("11"))
-	g.Retire()
+	g.Shutdown()
 	require.Equal(t, policy.NotSent, send("11"))
 	s.Close()
-	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.pool.conns.Load() == 0 }, 20*time.Second, time.Millisecond)
+	require.Eventually(t, func() bool { return runtime.NumGoroutine() <= before && g.limits.open.Load() == 0 }, 20*time.Second, time.Millisecond)
 }
 
-// BenchmarkChange applies a change of one entry to lists of several lengths.
-func BenchmarkChange(b *testing.B) {
+// BenchmarkApplyChange applies a change of one entry to lists of several lengths.
+func BenchmarkApplyChange(b *testing.B) {
 	for _, n := range []int{200, 2000, 20_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			g := NewRegistry(Options{Wire: NewHTTP(budget.New(0)), Idle: time.Minute, MostConn: 1, MostAll: 1, Log: slog.New(slog.DiscardHandler)}, nil)
+			g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(0)), IdleTimeout: time.Minute, MaxConnsPerTarget: 1, MaxConnsTotal: 1, Log: slog.New(slog.DiscardHandler)}, nil)
 			var list []Target
 			for i := range n {
 				list = append(list, Target{ID: fmt.Sprint(i), Addr: "127.0.0.1:1"})
@@ -131,22 +132,23 @@
 				g.Apply([]Target{{ID: "7", State: policy.EndpointState(i % 2)}}, false)
 			}
 			b.ReportMetric(float64(after.HeapInuse+after.StackInuse-before.HeapInuse-before.StackInuse)/float64(n), "B/target")
-			g.Retire()
+			g.Shutdown()
 		})
 	}
 }
 
-// TestTimesChange has a connection rest for a time that becomes a shorter one: it is closed by that, and the next has another time to come up.
-func TestTimesChange(t *testing.T) {
+// TestTimeoutsChange lowers the timeouts in service: an idle connection is closed by the new idle timeout, and the next dial has the new
+// dial timeout.
+func TestTimeoutsChange(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
 	results := make(chan core.Result, 1)
-	g := NewRegistry(Options{Wire: NewHTTP(budget.New(1 << 20)), Dial: 20 * time.Second, Idle: time.Hour, MostConn: 4, MostAll: 4, Log: slog.New(slog.DiscardHandler)},
+	g := NewRegistry(Options{Dialer: NewHTTPDialer(budget.New(1 << 20)), DialTimeout: 20 * time.Second, IdleTimeout: time.Hour, MaxConnsPerTarget: 4, MaxConnsTotal: 4, Log: slog.New(slog.DiscardHandler)},
 		func(r core.Result) { results <- r })
 	g.Apply([]Target{{ID: "n", Addr: l.Addr().String()}}, true)
 	send := func() {
-		g.Send(core.Attempt{Request: "r", Node: "n", Until: time.Now().Add(20 * time.Second), Payload: &Message{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
+		g.Send(core.Attempt{RequestID: "r", Target: "n", Deadline: time.Now().Add(20 * time.Second), Payload: &Request{Method: http.MethodGet, URI: "/r/1", ID: "id"}})
 	}
 	send()
 	c, err := l.Accept()
@@ -155,11 +157,11 @@
 	c.SetDeadline(time.Now().Add(20 * time.Second))
 	_, err = c.Read(make([]byte, 4096))
 	require.NoError(t, err)
-	say(c, "200 OK", "")
+	respond(c, "200 OK", "")
 	<-results
-	g.Times(time.Nanosecond, 50*time.Millisecond)
+	g.SetTimeouts(time.Nanosecond, 50*time.Millisecond)
 	_, err = c.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 	send()
-	require.Equal(t, policy.NotConnected, (<-results).Code, "no connection comes up within a nanosecond")
+	require.Equal(t, policy.NotConnected, (<-results).Code, "no dial succeeds within a nanosecond")
 }
--- a/internal/datapath/upstream/stream_test.go
+++ b/internal/datapath/upstream/stream_test.go
@@ -23,9 +23,8 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestLargeAnswers has answers pass through that are too large to hold, in each framing: the result comes with their first
-// bytes, the rest as the target writes it, and the connection is used again only after the last of it. One cut short ends
-// with an error that no whole one has.
+// TestLargeAnswers checks that answers too large to buffer are streamed, in each framing: the result comes with the first bytes, the
+// rest as the target writes it, and the connection is reused only after the last byte. A truncated answer ends with an error.
 func TestLargeAnswers(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 20<<10)
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -34,40 +33,40 @@
 	}
 	sized := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for _, c := range []struct {
-		name, says string
-		cut        int // bytes that never come
+		name, text string
+		cut        int // bytes missing at the end
 		length     int64
 		conns      int32 // for two attempts
 	}{
 		{"length", sized, 0, int64(len(body)), 1},
 		{"chunks", chunked + "0\r\nA: b\r\n\r\n", 0, -1, 1},
-		{"until the end", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, 0, -1, 2},
+		{"until the close", "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body, 0, -1, 2},
 		{"length, cut", sized, 5, int64(len(body)), 2},
 		{"chunks, cut", chunked + "0\r\n\r\n", 5, -1, 2},
 	} {
-		rest := make(chan bool)
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
-			half := len(c.says) / 2
-			_, _ = io.WriteString(conn, c.says[:half])
-			<-rest
-			_, _ = io.WriteString(conn, c.says[half:len(c.says)-c.cut])
-			return c.cut == 0 && c.name != "until the end"
+		proceed := make(chan bool)
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+			half := len(c.text) / 2
+			_, _ = io.WriteString(conn, c.text[:half])
+			<-proceed
+			_, _ = io.WriteString(conn, c.text[half:len(c.text)-c.cut])
+			return c.cut == 0 && c.name != "until the close"
 		})
-		b := newBench(s.Addr().String())
+		b := newHarness(s.Addr().String())
 		for range 2 {
 			b.send(20 * time.Second)
-			r := b.result(t) // while the target holds half of it back
+			r := b.result(t) // the target has sent only half of the answer
 			st, ok := r.Payload.(*Stream)
 			if r.Code != policy.Served || !ok || st.Length != c.length {
 				t.Fatalf("%s: %+v, want a stream of length %d", c.name, r, c.length)
 			}
-			rest <- true
+			proceed <- true
 			got, err := io.ReadAll(st)
-			if whole := c.cut == 0; (err == nil) != whole || whole && string(got) != body {
+			if complete := c.cut == 0; (err == nil) != complete || complete && string(got) != body {
 				t.Errorf("%s: %d bytes, %v", c.name, len(got), err)
 			}
 			st.Discard()
-			time.Sleep(5 * time.Millisecond) // for the pool to have the connection
+			time.Sleep(5 * time.Millisecond) // for the connection to get back to the pool
 		}
 		if got := s.accepted.Load(); got != c.conns {
 			t.Errorf("%s: %d connections for two attempts, want %d", c.name, got, c.conns)
@@ -75,30 +74,29 @@
 	}
 }
 
-// TestSmallAnswersAreHeld checks that small answers of unknown length are whole before anything of them is passed on: cut
-// short, they can be asked for again.
-func TestSmallAnswersAreHeld(t *testing.T) {
-	for says, want := range map[string]policy.OutcomeCode{
+// TestSmallAnswersAreBuffered checks that small answers of unknown length are complete before anything of them is forwarded: if one is
+// truncated, the request can be retried.
+func TestSmallAnswersAreBuffered(t *testing.T) {
+	for text, want := range map[string]policy.OutcomeCode{
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n": policy.Served,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n":           policy.Served,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n":          policy.ConnectionReset,
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nx\r\n":         policy.ConnectionReset,
 		"HTTP/1.1 200 OK\r\n\r\nx": policy.Served,
 	} {
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, says); return false })
-		b := newBench(s.Addr().String())
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { _, _ = io.WriteString(conn, text); return false })
+		b := newHarness(s.Addr().String())
 		b.send(10 * time.Second)
 		r := b.result(t)
 		if _, held := r.Payload.([]byte); r.Code != want || !held && want == policy.Served {
-			t.Errorf("%q: %+v, want it held, code %v", says, r, want)
+			t.Errorf("%q: %+v, want it buffered, code %v", text, r, want)
 		}
 	}
 }
 
-// TestEndlessAnswer guards against an answer without a length that never ends: it costs no more than the largest there may
-// be, and does not pass for whole.
+// TestEndlessAnswer checks that an answer without a length that never ends is cut off at the largest body and ends with an error.
 func TestEndlessAnswer(t *testing.T) {
-	s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\n")
 		for part := make([]byte, 1<<20); ; {
 			if _, err := conn.Write(part); err != nil {
@@ -106,7 +104,7 @@
 			}
 		}
 	})
-	b := newBench(s.Addr().String())
+	b := newHarness(s.Addr().String())
 	b.send(20 * time.Second)
 	n, err := io.Copy(io.Discard, b.result(t).Payload.(*Stream))
 	if !errors.Is(err, errTooLarge) || n > MaxBody+64<<10 {
@@ -114,12 +112,12 @@
 	}
 }
 
-// TestUpload sends a body ahead in pieces: the target has all but the last one before the attempt, begins with it, and one
-// attempt is all there is. Where it is closed instead, or the target leaves first, nothing can have run.
-func TestUpload(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestUpload uploads a body in pieces: the target gets all but the last one before the attempt and starts the request with that one, and
+// a second attempt has no connection. If the upload is closed, or the target drains before it, nothing can have run.
+func TestUpload(t *testing.T) { //nolint:gocognit // one scenario, step by step
 	for _, length := range []int64{5 * 1000, -1} {
 		bodies := make(chan string, 1)
-		s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool { return false })
+		s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool { return false })
 		s.Close()
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -134,9 +132,9 @@
 			_, _ = io.WriteString(w, "done")
 		})
 		go func() { _ = http.Serve(l, answer) }()
-		b := newBench(l.Addr().String())
-		up := func() *Upload {
-			u, err := b.Ahead(context.Background(), "n", &Message{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
+		b := newHarness(l.Addr().String())
+		newUpload := func() *Upload {
+			u, err := b.StartUpload(context.Background(), "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, length, time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -145,18 +143,18 @@
 					t.Fatal(err)
 				}
 			}
-			u.Last(make([]byte, 1000))
+			u.HoldLastPiece(make([]byte, 1000))
 			return u
 		}
-		u := up()
+		u := newUpload()
 		time.Sleep(20 * time.Millisecond)
 		if len(bodies) > 0 {
 			t.Error("the target has the request before any attempt")
 		}
-		// It drains meanwhile, and the list has another one: the first byte was before.
+		// The target drains meanwhile, but the request's first byte was written before.
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Draining}}, false)
 		for i, want := range []policy.OutcomeCode{policy.Served, policy.NotConnected} {
-			b.Send(core.Attempt{Request: "1", Number: i, Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+			b.Send(core.Attempt{RequestID: "1", Number: i, Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 			if r := b.result(t); r.Code != want {
 				t.Errorf("attempt %d: code %v, want %v", i, r.Code, want)
 			}
@@ -164,49 +162,49 @@
 		if got, want := <-bodies, fmt.Sprint(length, " 5000 id"); got != want {
 			t.Errorf("the target had %q, want %q", got, want)
 		}
-		if _, err := b.Ahead(context.Background(), "n", u.msg, length, time.Second); err == nil {
-			t.Error("a body goes ahead to a target that drains")
+		if _, err := b.StartUpload(context.Background(), "n", u.request, length, time.Second); err == nil {
+			t.Error("an upload starts at a draining target")
 		}
 		b.Apply([]Target{{ID: "n", Addr: l.Addr().String(), State: policy.Up}}, false)
-		u = up()
+		u = newUpload()
 		u.Close()
-		b.Send(core.Attempt{Request: "2", Node: "n", Until: time.Now().Add(10 * time.Second), Payload: &Message{Method: "PUT", Upload: u}})
+		b.Send(core.Attempt{RequestID: "2", Target: "n", Deadline: time.Now().Add(10 * time.Second), Payload: &Request{Method: "PUT", Upload: u}})
 		if r := b.result(t); r.Code != policy.NotConnected {
-			t.Errorf("after it was closed: code %v", r.Code)
+			t.Errorf("attempt after the upload was closed: code %v", r.Code)
 		}
-		require.Eventually(t, func() bool { return b.pool.conns.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
+		require.Eventually(t, func() bool { return b.limits.open.Load() <= 1 }, 10*time.Second, time.Millisecond, "connections are left")
 		if len(bodies) > 0 {
-			t.Errorf("the target took what was closed: %q", <-bodies)
+			t.Errorf("the target got the request of a closed upload: %q", <-bodies)
 		}
 	}
 }
 
-// TestSlowChunks guards the first bytes of a slow answer in chunks: what is there goes on, whether its chunk is whole or not.
+// TestSlowChunks checks that the first bytes of a slow chunked answer are forwarded before their chunk is complete.
 func TestSlowChunks(t *testing.T) {
 	stop := make(chan bool)
 	defer close(stop)
-	s := newStandIn(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
+	s := newFakeTarget(t, func(_ int32, _ *http.Request, conn net.Conn) bool {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100000\r\nthe first")
 		<-stop
 		return false
 	})
-	b := newBench(s.Addr().String())
+	b := newHarness(s.Addr().String())
 	begun := time.Now()
 	b.send(10 * time.Second)
 	st, ok := b.result(t).Payload.(*Stream)
 	if !ok || time.Since(begun) > 5*time.Second {
 		t.Fatalf("a stream %v after %v", ok, time.Since(begun))
 	}
-	got := make([]byte, pieceSize)
+	got := make([]byte, bufferSize)
 	if n, err := st.Read(got); string(got[:n]) != "the first" || err != nil {
 		t.Errorf("read %q, %v", got[:n], err)
 	}
 	st.Discard()
 }
 
-// TestChunkCuts reads bodies in chunks through readers of any size, cuts them, and feeds garbage: a whole one comes as it
-// was written and leaves what follows it, and no cut passes for whole.
-func TestChunkCuts(t *testing.T) {
+// TestTruncatedChunks reads chunked bodies, complete, truncated and of random bytes: a complete body is read as it was written without
+// the data that follows it, and no truncated one is accepted.
+func TestTruncatedChunks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var raw bytes.Buffer
 		w := httputil.NewChunkedWriter(&raw)
@@ -219,21 +217,21 @@
 		raw.WriteString(rapid.SampledFrom([]string{"\r\n", "A: b\r\n\r\n"}).Draw(t, "trailer"))
 		read := func(b []byte) ([]byte, string, error) {
 			in := bufio.NewReaderSize(iotest.OneByteReader(bytes.NewReader(b)), 16)
-			got, err := io.ReadAll(&chunks{in: in})
+			got, err := io.ReadAll(&chunkedReader{in: in})
 			rest, _ := io.ReadAll(in)
 			return got, string(rest), err
 		}
 		if got, rest, err := read(append(raw.Bytes(), "next"...)); err != nil || !bytes.Equal(got, body) || rest != "next" {
-			t.Fatalf("whole: %q, %q left, %v; want %q", got, rest, err, body)
+			t.Fatalf("complete: %q, %q left, %v; want %q", got, rest, err, body)
 		}
 		cut := rapid.IntRange(0, raw.Len()-1).Draw(t, "cut")
 		if got, _, err := read(raw.Bytes()[:cut]); err == nil {
-			t.Fatalf("cut at %d passed for whole: %q", cut, got)
+			t.Fatalf("body cut at %d accepted: %q", cut, got)
 		}
 		_, _, _ = read(rapid.SliceOf(rapid.Byte()).Draw(t, "garbage"))
 	})
 	for _, bad := range []string{"-1\r\n", "fffffffff\r\n", "x\r\n", "1\r\nab\r\n", "0\r\n" + strings.Repeat("A: b\r\n", maxTrailer)} {
-		if _, err := io.ReadAll(&chunks{in: bufio.NewReader(strings.NewReader(bad))}); !errors.Is(err, errChunk) {
+		if _, err := io.ReadAll(&chunkedReader{in: bufio.NewReader(strings.NewReader(bad))}); !errors.Is(err, errBadChunk) {
 			t.Errorf("%.20q: %v", bad, err)
 		}
 	}
