--- a/internal/controlplane/watchstream/ack_tracker.go
+++ b/internal/controlplane/watchstream/ack_tracker.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// SetEpoch records the log's epoch. An agent that restarted from a snapshot knows it before the first
+// SetEpoch records the log's epoch. An agent that restarted from a snapshot has it before the first
 // commit.
 func (t *AckTracker) SetEpoch(epoch string) {
 	if epoch != t.epoch {
--- a/internal/controlplane/watchstream/distribution/distribution_test.go
+++ b/internal/controlplane/watchstream/distribution/distribution_test.go
@@ -311,14 +311,14 @@
 	f.mu.Lock()
 	f.rejectUpdate = func(u Update) error {
 		for _, r := range u.Records {
-			if string(r.Value) == `{"a":"odd"}` {
+			if string(r.Value) == `{"a":"invalid"}` {
 				return errors.New("a: not a number")
 			}
 		}
 		return nil
 	}
 	f.mu.Unlock()
-	agent.put(layer("shared", `{"a":"odd"}`))
+	agent.put(layer("shared", `{"a":"invalid"}`))
 	eventually(t, func() bool { return f.State().Rejection != nil }, "configuration rejected")
 	v := agent.put(target(0, 1))
 	eventually(t, func() bool { return f.State().Applied.Targets == v }, "targets are still applied")
@@ -397,11 +397,11 @@
 	mine := FollowerOptions{Fleet: fleet, Name: "i1", Region: "north"}
 	require.Zero(t, startWith(file, mine).SnapshotsUnusable)
 	rapid.Check(t, func(rt *rapid.T) {
-		bent := bytes.Clone(file[:rapid.IntRange(0, len(file)).Draw(rt, "cut")])
-		if len(bent) == len(file) {
-			bent[rapid.IntRange(0, len(file)-1).Draw(rt, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
+		damaged := bytes.Clone(file[:rapid.IntRange(0, len(file)).Draw(rt, "cut")])
+		if len(damaged) == len(file) {
+			damaged[rapid.IntRange(0, len(file)-1).Draw(rt, "at")] ^= 1 << rapid.IntRange(0, 7).Draw(rt, "bit")
 		}
-		s := startWith(bent, mine)
+		s := startWith(damaged, mine)
 		require.Equal(rt, uint64(1), s.SnapshotsUnusable)
 		require.Zero(rt, s.Position)
 	})
--- a/internal/controlplane/watchstream/distribution/malformed_test.go
+++ b/internal/controlplane/watchstream/distribution/malformed_test.go
@@ -44,7 +44,7 @@
 		{"no name", []byte(`{"fleet":"campus","turn":1,"seq":1}`), nil, http.StatusUnprocessableEntity},
 		{"wrong number of digests", []byte(`{"fleet":"campus","name":"x","turn":1,"seq":1,"sums":"AAAAAAAAAAA="}`), nil, http.StatusUnprocessableEntity},
 		{"another fleet", bytes.Replace(good, []byte(fleet), []byte("other"), 1), nil, http.StatusConflict},
-		{"another epoch", bytes.Replace(good, []byte(`"turn"`), []byte(`"epoch":"odd","turn"`), 1), nil, http.StatusConflict},
+		{"another epoch", bytes.Replace(good, []byte(`"turn"`), []byte(`"epoch":"other","turn"`), 1), nil, http.StatusConflict},
 	} {
 		status, text := post(t, agent.addr, c.body, c.head)
 		require.Equal(t, c.want, status, "%s: %s", c.name, text)
@@ -59,9 +59,9 @@
 	require.Equal(t, http.StatusConflict, status, "a repeated request is rejected")
 	rapid.Check(t, func(rt *rapid.T) {
 		at := rapid.IntRange(0, len(good)-1).Draw(rt, "at")
-		bent := bytes.Clone(good)
-		bent[at] = rapid.Byte().Draw(rt, "byte")
-		status, _ := post(t, agent.addr, bent, nil)
+		mutated := bytes.Clone(good)
+		mutated[at] = rapid.Byte().Draw(rt, "byte")
+		status, _ := post(t, agent.addr, mutated, nil)
 		require.Less(rt, status, 500)
 	})
 }
@@ -104,7 +104,7 @@
 		{"request rejected", string(watchstream.ReasonForeignFleet), 409, false, []byte(`{"reason":"foreign","why":"not here"}`)},
 	} {
 		var bad sync.Once
-		odd := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		faulty := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			served := true
 			bad.Do(func() {
 				served = false
@@ -118,7 +118,7 @@
 				agent.http.Config.Handler.ServeHTTP(w, r)
 			}
 		}))
-		f := startFollower(t, FollowerOptions{Name: "i1", Relays: relaysAt(odd.Listener.Addr().String()), Generation: uint64(time.Now().UnixNano())})
+		f := startFollower(t, FollowerOptions{Name: "i1", Relays: relaysAt(faulty.Listener.Addr().String()), Generation: uint64(time.Now().UnixNano())})
 		f.waitApplied(v)
 		s := f.State()
 		if c.count == "failed" {
@@ -130,7 +130,7 @@
 			require.NotEqual(t, "bad", r.Key, c.name)
 		}
 		f.stop()
-		odd.CloseClientConnections()
-		odd.Close()
+		faulty.CloseClientConnections()
+		faulty.Close()
 	}
 }
--- a/internal/controlplane/watchstream/scale_test.go
+++ b/internal/controlplane/watchstream/scale_test.go
@@ -231,7 +231,7 @@
 				var puts []Put
 				first := rapid.IntRange(0, 300).Draw(t, "first")
 				for j := range rapid.IntRange(1, 40).Draw(t, "puts") {
-					if p := targetEntry(first+j, i); rapid.IntRange(0, 2).Draw(t, "gone") == 0 {
+					if p := targetEntry(first+j, i); rapid.IntRange(0, 2).Draw(t, "deleted") == 0 {
 						puts = append(puts, deletion(p.Key))
 					} else {
 						puts = append(puts, p)
@@ -253,7 +253,7 @@
 					n.snapshots = append(n.snapshots, n.r.Store().Snapshot())
 				case 1:
 					var snap *Snapshot
-					if k := rapid.IntRange(0, len(n.snapshots)).Draw(t, "copy"); k > 0 {
+					if k := rapid.IntRange(0, len(n.snapshots)).Draw(t, "snapshot"); k > 0 {
 						snap = &n.snapshots[k-1]
 					}
 					start(n, n.r.Scope(), snap)
