--- a/internal/controlplane/watchstream/distribution/compat_test.go
+++ b/internal/controlplane/watchstream/distribution/compat_test.go
@@ -9,16 +9,16 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// TestSnapshotOfOlderVersion starts a follower with the snapshot on disk that one of commit 62b6efc wrote: its records, its position and
-// its generation are taken over, so that after an update it goes on where it was and is not refused as stale.
+// TestSnapshotOfOlderVersion starts a follower with a snapshot that a follower of commit 62b6efc wrote. It must restore the
+// records, position and generation, so that after an update it continues where it was and is not rejected as stale.
 func TestSnapshotOfOlderVersion(t *testing.T) {
 	dir := t.TempDir()
 	require.NoError(t, os.CopyFS(dir, os.DirFS("testdata/62b6efc")))
-	f, err := NewFollower(Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "z1", Dir: dir, Generation: 1,
+	f, err := NewFollower(FollowerOptions{Fleet: "campus", Name: "n1", Region: "north", Zone: "z1", Dir: dir, Generation: 1,
 		Relays: []watchstream.Relay{{ID: "r1", Addr: "127.0.0.1:1"}}})
 	require.NoError(t, err)
 	state := f.State()
-	require.Zero(t, state.SnapshotsDamaged)
+	require.Zero(t, state.SnapshotsUnusable)
 	require.Equal(t, "epoch-of-62b6efc", state.Epoch)
 	require.Equal(t, watchstream.Position{Targets: 2, Config: 2}, state.Position)
 	require.Greater(t, f.replica.Generation(), uint64(7))
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -15,9 +15,9 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// poll calls a relay once and applies the answer: after is when to retry, age how old the relay's
-// state may be.
-func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (out watchstream.CallOutcome, after, age time.Duration) {
+// poll calls a relay once and applies the answer. retryAfter is the relay's, for CallBusy; age is an
+// upper bound of the age of the relay's state.
+func (f *Follower) poll(ctx context.Context, relay watchstream.Relay) (outcome watchstream.CallOutcome, retryAfter, age time.Duration) {
 	f.mu.Lock()
 	req := f.replica.SubscribeRequest()
 	f.state.Polls++
@@ -35,18 +35,18 @@
 		}
 		return watchstream.CallFailed, 0, 0
 	case status == http.StatusOK:
-		out, age := f.applyDelta(relay, body)
-		return out, 0, age
+		outcome, age := f.applyDelta(relay, body)
+		return outcome, 0, age
 	case status == http.StatusNoContent:
 		f.noteAnswer(relay, age)
 		if monotone.Now()-began < minPollInterval {
-			sleep(ctx, minPollInterval) // it shuts down, or does not wait for news
+			sleep(ctx, minPollInterval) // the relay is shutting down or does not wait for changes
 		}
 		return watchstream.CallAnswered, 0, age
 	}
-	var rejected RejectedError
+	var rejected ResponseError
 	if err := jsonCodec.Unmarshal(body, &rejected); err != nil || rejected.Reason == "" {
-		f.pollFailed(relay, fmt.Errorf("it answers %d, %.100q", status, body))
+		f.pollFailed(relay, fmt.Errorf("relay answered with status %d: %.100q", status, body))
 		return watchstream.CallFailed, 0, 0
 	}
 	f.mu.Lock()
@@ -59,19 +59,20 @@
 	return watchstream.CallRejected, 0, 0
 }
 
-// roundTrip makes one call and returns the decompressed answer.
-func (f *Follower) roundTrip(ctx context.Context, addr string, hello *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
-	text, err := jsonCodec.Marshal(hello)
+// roundTrip sends one request and returns the response with its body decompressed. age is that of the age
+// header.
+func (f *Follower) roundTrip(ctx context.Context, addr string, subscribe *watchstream.SubscribeRequest) (status int, age time.Duration, body []byte, err error) {
+	payload, err := jsonCodec.Marshal(subscribe)
 	if err != nil {
 		return 0, 0, nil, err
 	}
-	ctx, done := context.WithTimeout(ctx, pollWait+pollGrace)
-	defer done()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+watchPath, bytes.NewReader(text))
+	ctx, cancel := context.WithTimeout(ctx, pollWait+pollGrace)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+watchPath, bytes.NewReader(payload))
 	if err != nil {
 		return 0, 0, nil, err
 	}
-	req.Header["User-Agent"] = nil // not sent, to save bytes
+	req.Header["User-Agent"] = nil // omits the header, to save bytes
 	req.Header.Set("Accept-Encoding", gzipEncoding)
 	resp, err := f.transport.RoundTrip(req)
 	if err != nil {
@@ -82,21 +83,21 @@
 	}
 	defer resp.Body.Close()
 	if f.ownTransport == nil {
-		f.traffic.out.Add(uint64(len(text)))
+		f.traffic.out.Add(uint64(len(payload)))
 	}
-	ms, _ := strconv.ParseInt(resp.Header.Get(ageHeader), 10, 64)
-	in := &countingReader{Reader: io.LimitReader(resp.Body, maxAnswerBytes)}
-	body, err = readAll(in, resp.Header.Get(encodingHeader) == gzipEncoding, maxAnswerBytes)
+	ageMs, _ := strconv.ParseInt(resp.Header.Get(ageHeader), 10, 64)
+	counted := &countingReader{Reader: io.LimitReader(resp.Body, maxAnswerBytes)}
+	body, err = readAll(counted, resp.Header.Get(encodingHeader) == gzipEncoding, maxAnswerBytes)
 	if f.ownTransport == nil {
-		f.traffic.in.Add(in.n)
+		f.traffic.in.Add(counted.n)
 	}
 	if err != nil && ctx.Err() != nil {
 		err = ctx.Err()
 	}
-	return resp.StatusCode, time.Duration(max(0, ms)) * time.Millisecond, body, err
+	return resp.StatusCode, time.Duration(max(0, ageMs)) * time.Millisecond, body, err
 }
 
-// countingReader counts the bytes read.
+// countingReader counts the bytes read from its Reader.
 type countingReader struct {
 	io.Reader
 	n uint64
@@ -109,8 +110,8 @@
 	return n, err
 }
 
-// applyDelta applies a delta and passes on what it changed.
-func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (out watchstream.CallOutcome, age time.Duration) {
+// applyDelta decodes and applies a delta, wakes the readers that wait for a change, and calls OnChange.
+func (f *Follower) applyDelta(relay watchstream.Relay, body []byte) (outcome watchstream.CallOutcome, age time.Duration) {
 	var d watchstream.Delta
 	if err := jsonCodec.Unmarshal(body, &d); err != nil {
 		f.mu.Lock()
@@ -128,19 +129,19 @@
 	}
 	f.state.Deltas++
 	f.state.Records += uint64(len(records))
-	mark := f.replica.Consistent()
+	watermark := f.replica.Consistent()
 	close(f.changed)
 	f.changed = make(chan struct{})
 	f.mu.Unlock()
 	f.recordsChanged, f.positionChanged = f.recordsChanged || len(records) > 0, true
 	age = time.Duration(max(0, d.AgeMs)) * time.Millisecond
 	f.noteAnswer(relay, age)
-	f.notify(Update{Records: records, Position: mark.Position}, mark)
+	f.notify(Update{Records: records, Position: watermark.Position}, watermark)
 	return watchstream.CallAnswered, age
 }
 
-// notify passes on an update and acknowledges it as far as it is applied.
-func (f *Follower) notify(u Update, mark watchstream.Watermark) {
+// notify calls OnChange with an update, if there is anything new, and acknowledges what was applied.
+func (f *Follower) notify(u Update, watermark watchstream.Watermark) {
 	var err error
 	if f.opt.OnChange != nil && (len(u.Records) > 0 || u.Full || u.Position != f.notified) {
 		err = f.opt.OnChange(u)
@@ -149,14 +150,14 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err != nil {
-		f.replica.RejectConfig(mark.Config, err.Error())
+		f.replica.RejectConfig(watermark.Config, err.Error())
 		f.state.Rejected["config"]++
-		f.log.Warn("configuration rejected", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", mark.Config), slog.Any("error", err))
+		f.log.Warn("configuration rejected", slog.String("reason", "FEED_BAD_CONFIG"), slog.Uint64("version", watermark.Config), slog.Any("error", err))
 	}
-	f.replica.MarkApplied(mark)
+	f.replica.MarkApplied(watermark)
 }
 
-// noteAnswer records which relay answered and how old its state may be.
+// noteAnswer records which relay answered and when its state was fresh.
 func (f *Follower) noteAnswer(relay watchstream.Relay, age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -164,7 +165,7 @@
 	f.freshAt = max(f.freshAt, monotone.Now()-age)
 }
 
-// pollFailed counts and logs a poll without an answer.
+// pollFailed counts and logs a poll without a usable answer.
 func (f *Follower) pollFailed(relay watchstream.Relay, err error) {
 	f.mu.Lock()
 	f.state.Failed++
@@ -172,8 +173,8 @@
 	f.log.Warn("stream poll failed", slog.String("reason", "FEED_FAILED"), slog.String("relay", relay.ID), slog.Any("error", err))
 }
 
-// noteRejected counts and logs a rejection. The caller holds mu.
-func (f *Follower) noteRejected(relay watchstream.Relay, why watchstream.Reason, text string) {
-	f.state.Rejected[string(why)]++
-	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(why)), slog.String("relay", relay.ID), slog.String("text", text))
+// noteRejected counts and logs a rejected request or delta. The caller holds mu.
+func (f *Follower) noteRejected(relay watchstream.Relay, reason watchstream.Reason, detail string) {
+	f.state.Rejected[string(reason)]++
+	f.log.Warn("stream message rejected", slog.String("reason", "FEED_REFUSED"), slog.String("why", string(reason)), slog.String("relay", relay.ID), slog.String("text", detail))
 }
--- a/internal/controlplane/watchstream/store.go
+++ b/internal/controlplane/watchstream/store.go
@@ -9,41 +9,41 @@
 	"github.com/google/btree"
 )
 
-// Limits bound what a Store keeps. Buckets must be the same at all stores of a fleet.
+// Limits bound the content of a Store. Buckets must be equal at all stores of a fleet.
 type Limits struct {
-	Targets    int // live targets; a change that exceeds it is rejected
-	Tombstones int // of deleted targets; the oldest is dropped beyond it
-	Scopes     int // layers, deleted ones included; a change that exceeds it is rejected
-	Buckets    int // that digests are computed over
+	Targets    int // live targets; a change that would exceed it is rejected
+	Tombstones int // of deleted targets; beyond it the oldest are dropped
+	Scopes     int // layers, including deleted ones; a change that would exceed it is rejected
+	Buckets    int // of keys, each with one digest
 }
 
-// DefaultLimits leave room for a fleet of 20,000 targets.
+// DefaultLimits are sized for a fleet of 20,000 targets.
 var DefaultLimits = Limits{Targets: 1 << 16, Tombstones: 1 << 14, Scopes: 1 << 14, Buckets: 1 << 10}
 
-// Store has the newest state of each key in order of version: the log's state at an agent, a copy of
-// it at a relay and at an initiator.
+// Store holds the newest state of each key, ordered by version: the log's state at an agent, and a copy
+// of it at a relay or an initiator.
 type Store struct {
 	limits   Limits
 	fleet    string
 	epoch    string
-	replaces []string // epochs that this history replaces (step 9)
-	// every key that the log last changed at or before it is held in that state (step 2)
+	replaces []string // epochs that this one replaces (step 9)
+	// each key whose last change in the log is at or before it has that state here (step 2)
 	have Position
-	// last position at which everything held was the log's state, or newer (step 3)
+	// last position at which all records were the log's state, or newer (step 3)
 	consistent     Position
-	newestSeen     Position // newest position of any source that something came from (step 4)
-	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone (step 6)
-	lanes          [kinds]lane
+	newestSeen     Position // newest head of any source whose delta was applied (step 4)
+	tombstoneFloor uint64   // targets deleted at or before it may have no tombstone any more (step 6)
+	byKind         [kindCount]kindState
 	digests        Digests
 	buckets        [][]*Record // live targets by bucket
 }
 
-// lane is the state of one kind.
-type lane struct {
+// kindState holds the records of one kind.
+type kindState struct {
 	keys       map[string]*Record
 	byVersion  *btree.BTreeG[*Record] // all records
 	tombstones *btree.BTreeG[*Record] // deleted ones
-	bytes      int                    // of keys and values
+	bytes      int                    // of all keys and values
 }
 
 // versionLess orders records by version and key.
@@ -51,48 +51,48 @@
 	return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Key, b.Key)) < 0
 }
 
-// NewStore returns an empty store. Zero limits stand for those of DefaultLimits.
+// NewStore returns an empty store. Zero limits are replaced by those of DefaultLimits.
 func NewStore(fleet string, l Limits) *Store {
 	l.Targets, l.Tombstones = cmp.Or(l.Targets, DefaultLimits.Targets), cmp.Or(l.Tombstones, DefaultLimits.Tombstones)
 	l.Scopes, l.Buckets = cmp.Or(l.Scopes, DefaultLimits.Scopes), cmp.Or(l.Buckets, DefaultLimits.Buckets)
 	s := &Store{limits: l, fleet: fleet, digests: make(Digests, l.Buckets), buckets: make([][]*Record, l.Buckets)}
-	for k := range s.lanes {
-		s.lanes[k] = lane{keys: map[string]*Record{}, byVersion: btree.NewG(16, versionLess), tombstones: btree.NewG(16, versionLess)}
+	for k := range s.byKind {
+		s.byKind[k] = kindState{keys: map[string]*Record{}, byVersion: btree.NewG(16, versionLess), tombstones: btree.NewG(16, versionLess)}
 	}
 	return s
 }
 
-// Fleet is the fleet whose stream it is.
+// Fleet returns the fleet that the stream belongs to.
 func (s *Store) Fleet() string { return s.fleet }
 
-// Epoch names the history that the store has; empty before the first change.
+// Epoch returns the epoch of the store's state; empty before the first change.
 func (s *Store) Epoch() string { return s.epoch }
 
-// Replaces are the epochs that this history replaces.
+// Replaces returns the epochs that this one replaces.
 func (s *Store) Replaces() []string { return slices.Clone(s.replaces) }
 
-// Head is the version of the last change. At a relay it is the smaller one of both kinds.
+// Head returns the version of the last change. At a relay it is the smaller version of both kinds.
 func (s *Store) Head() uint64 { return s.consistent.Min() }
 
-// Consistent is the position up to which the store has the log's state.
+// Consistent returns the position up to which the store has the log's state.
 func (s *Store) Consistent() Position { return s.consistent }
 
-// TombstoneFloor is the version up to which deletions are forgotten: readers behind it resync by
-// digests.
+// TombstoneFloor returns the version up to which tombstones may have been dropped: readers behind it
+// resync by digests.
 func (s *Store) TombstoneFloor() uint64 { return s.tombstoneFloor }
 
-// Count is the number of live records of a kind.
-func (s *Store) Count(k Kind) int { return s.lanes[k].byVersion.Len() - s.lanes[k].tombstones.Len() }
+// Count returns the number of live records of a kind.
+func (s *Store) Count(k Kind) int { return s.byKind[k].byVersion.Len() - s.byKind[k].tombstones.Len() }
 
-// Tombstones is the number of remembered deleted keys of a kind.
-func (s *Store) Tombstones(k Kind) int { return s.lanes[k].tombstones.Len() }
+// Tombstones returns the number of tombstones of a kind.
+func (s *Store) Tombstones(k Kind) int { return s.byKind[k].tombstones.Len() }
 
-// Bytes is the size of the keys and values of a kind.
-func (s *Store) Bytes(k Kind) int { return s.lanes[k].bytes }
+// Bytes returns the size of the keys and values of a kind.
+func (s *Store) Bytes(k Kind) int { return s.byKind[k].bytes }
 
-// Get returns the state of a key, if it is known; it may be deleted.
+// Get returns the record of a key, which may be a tombstone, and whether there is one.
 func (s *Store) Get(k Kind, key string) (Record, bool) {
-	if r := s.lanes[k].keys[key]; r != nil {
+	if r := s.byKind[k].keys[key]; r != nil {
 		return *r, true
 	}
 	return Record{}, false
@@ -102,7 +102,7 @@
 // be modified.
 func (s *Store) Records(k Kind) []Record {
 	list := make([]Record, 0, s.Count(k))
-	s.lanes[k].byVersion.Ascend(func(r *Record) bool {
+	s.byKind[k].byVersion.Ascend(func(r *Record) bool {
 		if !r.Deleted {
 			list = append(list, *r)
 		}
@@ -111,8 +111,8 @@
 	return list
 }
 
-// Apply applies a change of the log, the same at every agent, and returns its version. An error means
-// that nothing has changed.
+// Apply applies a change of the log and returns its version. The result is the same at every agent. On
+// an error nothing has changed.
 func (s *Store) Apply(c Change) (uint64, error) {
 	if err := c.Validate(); err != nil {
 		return 0, err
@@ -129,12 +129,12 @@
 	case c.Replaces != "" && len(s.replaces) >= MaxReplaced && !slices.Contains(s.replaces, c.Replaces):
 		return 0, fieldError("replaces", "this history takes the place of %d others already", len(s.replaces))
 	}
-	live, known := s.Count(Targets), s.lanes[Config].byVersion.Len()
+	live, layers := s.Count(Targets), s.byKind[Config].byVersion.Len()
 	for _, p := range c.Puts {
-		r := s.lanes[p.Kind].keys[p.Key]
+		r := s.byKind[p.Kind].keys[p.Key]
 		switch {
 		case p.Kind == Config && r == nil:
-			known++
+			layers++
 		case p.Kind == Targets && !p.Deleted && (r == nil || r.Deleted):
 			live++
 		case p.Kind == Targets && p.Deleted && r != nil && !r.Deleted:
@@ -144,8 +144,8 @@
 	if live > s.limits.Targets {
 		return 0, fieldError("puts", "there would be %d targets: %d at most", live, s.limits.Targets)
 	}
-	if known > s.limits.Scopes {
-		return 0, fieldError("puts", "there would be %d layers of configuration, gone ones too: %d at most", known, s.limits.Scopes)
+	if layers > s.limits.Scopes {
+		return 0, fieldError("puts", "there would be %d layers of configuration, gone ones too: %d at most", layers, s.limits.Scopes)
 	}
 	s.epoch = cmp.Or(s.epoch, c.Epoch)
 	if c.Replaces != "" && !slices.Contains(s.replaces, c.Replaces) {
@@ -161,19 +161,19 @@
 	return v, nil
 }
 
-// putRecord replaces the record of its key.
+// putRecord inserts a record and replaces the previous one of its key.
 func (s *Store) putRecord(r *Record) {
-	l := &s.lanes[r.Kind]
-	if old := l.keys[r.Key]; old != nil {
+	state := &s.byKind[r.Kind]
+	if old := state.keys[r.Key]; old != nil {
 		s.dropRecord(old)
 	}
-	l.keys[r.Key] = r
-	l.byVersion.ReplaceOrInsert(r)
-	l.bytes += len(r.Key) + len(r.Value)
+	state.keys[r.Key] = r
+	state.byVersion.ReplaceOrInsert(r)
+	state.bytes += len(r.Key) + len(r.Value)
 	switch {
 	case r.Deleted:
 		r.Value = nil
-		l.tombstones.ReplaceOrInsert(r)
+		state.tombstones.ReplaceOrInsert(r)
 	case r.Kind == Targets:
 		b := s.bucketOf(r.Key)
 		s.digests[b] += r.digest()
@@ -181,15 +181,15 @@
 	}
 }
 
-// dropRecord removes a record.
+// dropRecord removes a record from all indexes.
 func (s *Store) dropRecord(r *Record) {
-	l := &s.lanes[r.Kind]
-	delete(l.keys, r.Key)
-	l.byVersion.Delete(r)
-	l.bytes -= len(r.Key) + len(r.Value)
+	state := &s.byKind[r.Kind]
+	delete(state.keys, r.Key)
+	state.byVersion.Delete(r)
+	state.bytes -= len(r.Key) + len(r.Value)
 	switch {
 	case r.Deleted:
-		l.tombstones.Delete(r)
+		state.tombstones.Delete(r)
 	case r.Kind == Targets:
 		b := s.bucketOf(r.Key)
 		s.digests[b] -= r.digest()
@@ -200,22 +200,23 @@
 	}
 }
 
-// trimTombstones drops the oldest tombstones beyond the limit and raises the floor to them.
+// trimTombstones drops the oldest tombstones of targets beyond the limit and raises the floor to their
+// versions.
 func (s *Store) trimTombstones() {
-	graves := s.lanes[Targets].tombstones
-	for graves.Len() > s.limits.Tombstones {
-		r, _ := graves.Min()
+	tree := s.byKind[Targets].tombstones
+	for tree.Len() > s.limits.Tombstones {
+		r, _ := tree.Min()
 		s.tombstoneFloor = max(s.tombstoneFloor, r.Version)
 		s.dropRecord(r)
 	}
 }
 
-// bucketOf is the bucket of a key.
+// bucketOf returns the bucket of a key.
 func (s *Store) bucketOf(key string) int {
 	return int(xxhash.Sum64String(key) % uint64(len(s.digests)))
 }
 
-// digest is a record's part of its bucket's digest.
+// digest returns a record's contribution to its bucket's digest, which is the sum over its records.
 func (r *Record) digest() uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -226,7 +227,8 @@
 	return d.Sum64()
 }
 
-// ascendAfter visits the records of a kind with greater versions, in order.
-func (s *Store) ascendAfter(k Kind, v uint64, each func(*Record) bool) {
-	s.lanes[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, each)
+// ascendAfter visits the records of a kind with versions greater than v, in order, until visit returns
+// false.
+func (s *Store) ascendAfter(k Kind, v uint64, visit func(*Record) bool) {
+	s.byKind[k].byVersion.AscendGreaterOrEqual(&Record{Version: v + 1}, visit)
 }
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -78,7 +78,7 @@
 	if !m.published {
 		if u.source == targetmerge.Discovery { // a full list of the feed includes its partial ones
 			for _, partial := range m.heldPartials {
-				m.view.Merge(targetmerge.Feed, partial)
+				m.view.Merge(targetmerge.WatchStream, partial)
 			}
 		}
 		m.published, m.heldPartials, merged = true, nil, m.view.Full()
@@ -91,7 +91,7 @@
 // applyFeed queues a list of the feed and returns once all listeners have applied it, so that no new request is sent to a target that the
 // list has draining. It also returns if the merger has stopped, since then no request can be sent.
 func (m *targetMerger) applyFeed(l *listing.List, isPartial bool) {
-	u := targetUpdate{targetmerge.Feed, l, isPartial, make(chan struct{})}
+	u := targetUpdate{targetmerge.WatchStream, l, isPartial, make(chan struct{})}
 	m.box.Put(u)
 	select {
 	case <-u.applied:
@@ -121,7 +121,7 @@
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
-	s.follower, err = edge.NewFollower(edge.Options{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.onUpdate})
+	s.follower, err = edge.NewFollower(edge.FollowerOptions{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.onUpdate})
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: feed: %w", err)
 	}
