--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -217,7 +217,7 @@
 		w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 		fmt.Fprintf(w, "NAME\tBIRTH\tAT %s\tAT %s\n", a.Self, b.Self)
 		for _, r := range rows {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", r.Name, r.Birth, r.A, r.B)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\n", r.Name, r.ID, r.A, r.B)
 		}
 		err = w.Flush()
 	}
--- a/cmd/spindlehitch/report.go
+++ b/cmd/spindlehitch/report.go
@@ -79,7 +79,7 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			r, err := accounts.Tell(merged, volume)
+			r, err := accounts.NewReport(merged, volume)
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
@@ -155,7 +155,7 @@
 	if err := jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(io.LimitReader(resp.Body, mostAccounts)).Decode(&s); err != nil {
 		return s, err
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 func write(w io.Writer, r accounts.Report, form, out string) (err error) {
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -417,7 +417,7 @@
 		}
 	}
 	v := r.Volumes[0]
-	if v.Node <= 0 || v.P50 <= 0 || len(r.Nodes) != 1 || r.Nodes[0].Answers == 0 {
+	if v.AtTarget <= 0 || v.P50 <= 0 || len(r.Targets) != 1 || r.Targets[0].Answers == 0 {
 		t.Errorf("%+v", r)
 	}
 	testTop(t, at, v.Volume)
--- a/cmd/spindlehitch/top.go
+++ b/cmd/spindlehitch/top.go
@@ -50,10 +50,10 @@
 	name string
 	of   func(accounts.Row) float64
 }{
-	{"waiting", func(r accounts.Row) float64 { return r.Bound }},
+	{"waiting", func(r accounts.Row) float64 { return r.LimitWait }},
 	{"p99", func(r accounts.Row) float64 { return r.P99 }},
 	{"requests", func(r accounts.Row) float64 { return float64(r.Requests) }},
-	{"still nodes", func(r accounts.Row) float64 { return r.Still }},
+	{"still nodes", func(r accounts.Row) float64 { return r.Stalled }},
 }
 
 // news is what the instances told.
@@ -76,7 +76,7 @@
 	}
 	merged, err := accounts.Merge(all...)
 	if err == nil {
-		n.report, err = accounts.Tell(merged, "")
+		n.report, err = accounts.NewReport(merged, "")
 	}
 	if err != nil {
 		n.failed = append(n.failed, err.Error())
@@ -121,7 +121,7 @@
 	r.Volumes = rows[:len(rows)-hidden]
 	fmt.Fprintf(&b, "volumes by %s (o: other order, q: quit)\n", by.name)
 	if len(r.Instances) > 0 {
-		r.Nodes = nil
+		r.Targets = nil
 		if err := r.Text(&b); err != nil {
 			fmt.Fprintln(&b, err)
 		}
--- a/internal/controlplane/lease/leasework/fleet_report.go
+++ b/internal/controlplane/lease/leasework/fleet_report.go
@@ -182,7 +182,7 @@
 	if len(snapshots) == 0 {
 		merged.From, merged.To = start, start.Add(window)
 	}
-	if report, err = accounts.Tell(merged, ""); err != nil {
+	if report, err = accounts.NewReport(merged, ""); err != nil {
 		return report, nil, err
 	}
 	missing, err := json.Marshal(w.Missing)
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	err = report.ParquetAbout(f, about)
+	err = report.ParquetWithMetadata(f, about)
 	failpoint.Hit("account.written")
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return err
@@ -258,5 +258,5 @@
 	if err := json.NewDecoder(body).Decode(&s); err != nil {
 		return s, err
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
--- a/internal/controlplane/membership/events.go
+++ b/internal/controlplane/membership/events.go
@@ -16,10 +16,21 @@
 	Reporters   []uint64      `json:"-"` // of a death
 }
 
-// Counts are the node's counters. JSON uses the field names.
+// Counts are a member's counters. JSON uses the field names or, where a field has one, its tag.
 type Counts struct {
-	Probes, Failed, Suspected, Buried, Refuted, Pauses, Starved, Voided uint64
-	Stale, Foreign, Misdirected, Limited, Absurd                        uint64 // messages that were ignored: not recent,
+	Probes              uint64
+	Failed              uint64 // probes that neither the member nor a helper answered
+	Suspected           uint64
+	DeclaredDead        uint64 `json:"Buried"`
+	Refuted             uint64 // suspicions and deaths of this member that it refuted
+	Pauses              uint64 // of this process
+	Starved             uint64 // clock checks that were late, but by less than a pause
+	RestartedSuspicions uint64 `json:"Voided"`
+	Stale               uint64 // messages ignored: no pending request matches, or the sender has this member's id
+	Foreign             uint64 // messages ignored: another fleet
+	Misdirected         uint64 // messages ignored: another receiver
+	Limited             uint64 // sync requests ignored: malformed, or beyond maxSyncAnswers
+	FutureIncarnations  uint64 `json:"Absurd"` // reports on this member ignored: incarnation greater than its own
 }
 
 // addEvent records a change of the view.
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -165,7 +165,7 @@
 func (n *Node) refute(r *Record) {
 	switch {
 	case r.Incarnation > n.self.Incarnation:
-		n.Counts.Absurd++
+		n.Counts.FutureIncarnations++
 	case r.Incarnation == n.self.Incarnation && r.Status != Alive && n.self.Status == Alive:
 		n.Counts.Refuted++
 		n.adjustHealth(1)
--- a/internal/controlplane/membership/suspicion.go
+++ b/internal/controlplane/membership/suspicion.go
@@ -66,7 +66,7 @@
 	m.deathReporter = judge
 	n.setStatus(now, m, Dead, m.incarnation, why)
 	n.events[len(n.events)-1].Reporters = by
-	n.Counts.Buried++
+	n.Counts.DeclaredDead++
 	n.queueBroadcast(n.recordOf(m))
 }
 
@@ -127,6 +127,6 @@
 	for i := range n.suspicions {
 		s := &n.suspicions[i]
 		s.startedAt, s.reporters, s.deathReporters, s.restarted = now, nil, nil, true
-		n.Counts.Voided++
+		n.Counts.RestartedSuspicions++
 	}
 }
--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -25,7 +25,7 @@
 		to.Inc("fleet.members.sent_bytes", r.sentBytes.Load(), 1)
 		to.Inc("fleet.members.lost", r.dropped.Load(), 1)
 		to.Inc("fleet.members.bad", r.malformed.Load(), 1)
-		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.Absurd), 1)
+		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.FutureIncarnations), 1)
 		to.Inc("fleet.members.refuted", int64(v.Counts.Refuted), 1)
 		to.Inc("fleet.members.pauses", int64(v.Counts.Pauses), 1)
 	})
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -294,10 +294,10 @@
 
 // ViewDifference is where two views differ.
 type ViewDifference struct {
-	Name  string `json:"name"`
-	Birth string `json:"birth"`
-	A     string `json:"a"`
-	B     string `json:"b"`
+	Name string `json:"name"`
+	ID   string `json:"birth"`
+	A    string `json:"a"`
+	B    string `json:"b"`
 }
 
 // Diff returns the members that two views have as live with different incarnations, or that only one
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -398,7 +398,7 @@
 // accounted for in full, each in the part where it went, and none stays open.
 func TestObserver(t *testing.T) {
 	h := &hand{up: &fake{}, now: time.Now()}
-	book := accounts.New(accounts.Options{Volumes: 10, Pairs: 10, Open: 10})
+	book := accounts.New(accounts.Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
 	h.Core = New(module(t), h.up, NewClock(), Options{MostHeld: 100, Observer: book})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	var answers []Answer
@@ -410,8 +410,8 @@
 	if answers[0].Written == nil {
 		t.Fatal("nobody would hear that the answer was written")
 	}
-	a := book.Volume("v")
-	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.Node: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
+	a := book.Account("v")
+	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.AtTarget: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
 	if a == nil || a.Requests != 1 || a.Times != want {
 		t.Fatalf("%+v, want %v", a, want)
 	}
@@ -427,10 +427,10 @@
 	}
 	answers[1].Written()
 	h.step(h.now, h.box.Take(nil))
-	if a.Requests != 3 || a.Times[accounts.Bound] < 100*time.Millisecond {
+	if a.Requests != 3 || a.Times[accounts.LimitWait] < 100*time.Millisecond {
 		t.Errorf("%+v: the third was held", a)
 	}
-	if n := book.Open(); n != 0 {
+	if n := book.OpenRequests(); n != 0 {
 		t.Errorf("%d requests stay open", n)
 	}
 }
@@ -438,7 +438,7 @@
 // BenchmarkRequests steps the core by hand through requests of 100 volumes, each served, without accounts and with them.
 func BenchmarkRequests(b *testing.B) {
 	for name, observer := range map[string]Observer{"accounts=off": nil,
-		"accounts=on": accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 8192})} {
+		"accounts=on": accounts.New(accounts.Options{MaxVolumes: 4096, MaxPairs: 4096, MaxOpen: 8192})} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			h := &hand{up: &fake{}, now: time.Now()}
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -50,7 +50,7 @@
 	EasyConn  int         // of these, how many may be without a request
 	Ready     func() bool // whether requests can be sent on; nil: from the start
 	ReadyOnly bool        // requests come in by another front
-	Figures   *figures.Book
+	Figures   *figures.Metrics
 	Room      *budget.Bytes // for bodies and pieces of them
 	// Ahead opens a large body's way to a target.
 	Ahead func(ctx context.Context, node string, m *upstream.Message, length int64, wait time.Duration) (*upstream.Upload, error)
@@ -181,7 +181,7 @@
 		default:
 			w.Header().Set("Connection", "close")
 			s.write(w, core.TooMany)
-			s.opt.Figures.Ended(classOf(r), figures.Overload)
+			s.opt.Figures.CountOutcome(classOf(r), figures.Overload)
 		}
 		return
 	}
@@ -194,11 +194,11 @@
 	defer func() { free() }()
 	switch {
 	case f != nil:
-		s.opt.Figures.Ended(classOf(r), figures.Failure)
+		s.opt.Figures.CountOutcome(classOf(r), figures.Failure)
 		refuseBad(w, r, conn, f)
 		return
 	case early != nil:
-		s.opt.Figures.Ended(j.Class, figures.Overload)
+		s.opt.Figures.CountOutcome(j.Class, figures.Overload)
 		refuseBad(w, r, conn, &fault{after: early.RetryAfter, status: http.StatusServiceUnavailable, text: refusedText})
 		return
 	}
@@ -210,7 +210,7 @@
 	if r.ContentLength != 0 {
 		arrived = conn.arrival()
 	}
-	seen := s.opt.Figures.Take(j.Class)
+	seen := s.opt.Figures.StartRequest(j.Class)
 	defer seen.End(figures.Failure) // where nothing else is known by then
 	// The time for the request to come must not run out on it while it is open.
 	if r.ContentLength != 0 && http.NewResponseController(w).SetReadDeadline(time.Time{}) != nil {
@@ -331,7 +331,7 @@
 }
 
 // endingOf is the number that an answer counts under.
-func endingOf(a core.Answer) figures.Ending {
+func endingOf(a core.Answer) figures.Outcome {
 	switch a.Ending {
 	case core.Served:
 		return figures.Success
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -665,7 +665,7 @@
 	}
 	_, _ = io.WriteString(left, good)
 	<-b.jobs
-	if got := string(figures.Page(s.opt.Figures.Tell)); !strings.Contains(got, "concurrent:1|") {
+	if got := string(figures.Render(s.opt.Figures.Tell)); !strings.Contains(got, "concurrent:1|") {
 		t.Errorf("with one open:\n%s", got)
 	}
 	left.Close()
@@ -676,7 +676,7 @@
 	}
 	want := []string{"put.success:1|", "put.overload:2|", "put.error:4|", "get.error:0|", "concurrent:0|"}
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
-		got := string(figures.Page(s.opt.Figures.Tell))
+		got := string(figures.Render(s.opt.Figures.Tell))
 		for _, w := range want {
 			assert.Contains(t, got, w)
 		}
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -119,7 +119,7 @@
 }
 
 // endingOf is the number that a command's status counts under.
-func endingOf(st status) figures.Ending {
+func endingOf(st status) figures.Outcome {
 	switch {
 	case st == stOK, st.code() == stCompareFailure:
 		return figures.Success
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -30,7 +30,7 @@
 	MostBytes  int64                    // data of commands held at a time
 	Keys       *keys.Keys               // TLS, where there are any
 	Patience   map[string]time.Duration // of each class: NVMe commands carry no deadline of their own
-	Figures    *figures.Book            // nil: none are kept
+	Figures    *figures.Metrics         // nil: none are kept
 	Leave      core.Leave
 	Log        *slog.Logger
 }
@@ -643,7 +643,7 @@
 		return
 	}
 	if f := q.server.opt.Figures; f != nil {
-		p.seen = f.Take(jobs[0].Class)
+		p.seen = f.StartRequest(jobs[0].Class)
 	}
 	p.jobs, p.left, p.ends = jobs, len(jobs), make([]core.Answer, len(jobs))
 	q.server.open.Add(1)
--- a/internal/observability/accounts/accounts_test.go
+++ b/internal/observability/accounts/accounts_test.go
@@ -23,7 +23,7 @@
 // their whole time, what is blamed is no more than what was waited, and nothing is kept past its bounds.
 func TestPartsAddUp(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	rapid.Check(t, func(t *rapid.T) {
-		opt := Options{Volumes: 3, Pairs: 4, Open: 6}
+		opt := Options{MaxVolumes: 3, MaxPairs: 4, MaxOpen: 6}
 		b := New(opt)
 		whole, requests := map[string]time.Duration{}, uint64(0)
 		arrived, volume := map[string]time.Duration{}, map[string]string{}
@@ -56,10 +56,10 @@
 				}
 				b.End(now, id)
 			case 5:
-				b.Forget(func(n string) bool { return n == "n0" })
+				b.ForgetUnlisted(func(n string) bool { return n == "n0" })
 			}
-			if len(b.volumes) > opt.Volumes || len(b.Blames()) > opt.Pairs || len(b.open) > opt.Open {
-				t.Fatalf("%d volumes, %d pairs, %d open", len(b.volumes), len(b.Blames()), len(b.open))
+			if len(b.volumes) > opt.MaxVolumes || len(b.Attributions()) > opt.MaxPairs || len(b.open) > opt.MaxOpen {
+				t.Fatalf("%d volumes, %d pairs, %d open", len(b.volumes), len(b.Attributions()), len(b.open))
 			}
 		}
 		for id := range b.open {
@@ -67,19 +67,19 @@
 			requests++
 			b.End(now, id)
 		}
-		b.Forget(func(string) bool { return false })
+		b.ForgetUnlisted(func(string) bool { return false })
 		var told uint64
 		var bound time.Duration
 		for v, a := range b.volumes {
 			told += a.Requests
-			bound += a.Times[Bound]
+			bound += a.Times[LimitWait]
 			for p, d := range a.Times {
 				if d < 0 {
-					t.Fatalf("%s: %v of %v", v, d, Part(p))
+					t.Fatalf("%s: %v of %v", v, d, Phase(p))
 				}
 			}
-			if few && a.Times.Whole() != whole[v] {
-				t.Fatalf("%s: parts of %v add up to %v, its requests took %v", v, a.Times, a.Times.Whole(), whole[v])
+			if few && a.Times.Total() != whole[v] {
+				t.Fatalf("%s: parts of %v add up to %v, its requests took %v", v, a.Times, a.Times.Total(), whole[v])
 			}
 		}
 		if few && (told != requests || b.Dropped.Volumes != 0) {
@@ -100,10 +100,10 @@
 
 // play serves jobs at a stand-in node that works on two at a time, of which the initiator has at most four out, and stands
 // still in the given stretches; the book is told all of it.
-func play(t *testing.T, jobs []job, still ...span) *Book {
+func play(t *testing.T, jobs []job, still ...span) *Recorder {
 	t.Helper()
 	slices.SortStableFunc(jobs, func(a, b job) int { return cmp.Compare(a.at, b.at) })
-	b := New(Options{Volumes: 100, Pairs: 100, Open: 10000})
+	b := New(Options{MaxVolumes: 100, MaxPairs: 100, MaxOpen: 10000})
 	type work struct {
 		id   string
 		left time.Duration
@@ -154,17 +154,17 @@
 }
 
 // waited sums what the volumes other than the named one waited behind a cause.
-func waited(b *Book, except string) map[Pair]time.Duration {
-	sum := map[Pair]time.Duration{}
-	for _, x := range b.Blames() {
+func waited(b *Recorder, except string) map[WaitPair]time.Duration {
+	sum := map[WaitPair]time.Duration{}
+	for _, x := range b.Attributions() {
 		if x.Volume != except {
-			sum[Pair{Cause: x.Cause, Stall: x.Stall}] += x.Waited
+			sum[WaitPair{Cause: x.Cause, Stall: x.Stall}] += x.Waited
 		}
 	}
 	return sum
 }
 
-func heaviest(sum map[Pair]time.Duration) (worst Pair) {
+func heaviest(sum map[WaitPair]time.Duration) (worst WaitPair) {
 	for p, d := range sum {
 		if d > sum[worst] {
 			worst = p
@@ -181,7 +181,7 @@
 	}
 	b := play(t, jobs)
 	sum := waited(b, "greedy")
-	if worst := heaviest(sum); worst != (Pair{Cause: "greedy"}) {
+	if worst := heaviest(sum); worst != (WaitPair{Cause: "greedy"}) {
 		t.Errorf("named %+v: %v", worst, sum)
 	}
 	if b.nodes["node"].Stalls > 0 {
@@ -198,11 +198,11 @@
 		t.Errorf("%d stalls, %v of 480 ms", n.Stalls, n.StoodFor)
 	}
 	sum := waited(b, "")
-	if worst := heaviest(sum); worst != (Pair{Cause: "node", Stall: true}) {
+	if worst := heaviest(sum); worst != (WaitPair{Cause: "node", Stall: true}) {
 		t.Errorf("named %+v: %v", worst, sum)
 	}
 	for v, a := range b.volumes {
-		if a.Times[Still] == 0 {
+		if a.Times[Stalled] == 0 {
 			t.Errorf("%s: no time at a still node", v)
 		}
 	}
@@ -224,7 +224,7 @@
 	if n := b.nodes["node"]; n.Stalls > 0 {
 		t.Errorf("%d stalls, %v: the node only worked", n.Stalls, n.StoodFor)
 	}
-	if worst := heaviest(waited(b, "costly")); worst != (Pair{Cause: "costly"}) {
+	if worst := heaviest(waited(b, "costly")); worst != (WaitPair{Cause: "costly"}) {
 		t.Errorf("named %+v", worst)
 	}
 }
@@ -237,7 +237,7 @@
 	}
 	b := play(t, jobs, span{4 * time.Second, 4240 * ms})
 	sum := waited(b, "greedy")
-	greedy, still := sum[Pair{Cause: "greedy"}], sum[Pair{Cause: "node", Stall: true}]
+	greedy, still := sum[WaitPair{Cause: "greedy"}], sum[WaitPair{Cause: "node", Stall: true}]
 	if greedy < 500*ms || still < 100*ms || b.nodes["node"].Stalls != 1 {
 		t.Errorf("%v behind the surge, %v behind the stall, %d stalls", greedy, still, b.nodes["node"].Stalls)
 	}
@@ -245,15 +245,15 @@
 
 // TestClientLeaves closes the account of a request whose client goes while it is held, and while it is out.
 func TestClientLeaves(t *testing.T) {
-	b := New(Options{Volumes: 10, Pairs: 10, Open: 10})
+	b := New(Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
 	b.Arrive(0, policy.Request{ID: "held", Volume: "v"})
 	b.End(30*ms, "held")
 	b.Arrive(30*ms, policy.Request{ID: "out", Volume: "v"})
 	b.Release(40*ms, "out", "n", 4*ms, true)
 	b.Begin(42*ms, "out")
 	b.End(60*ms, "out")
-	want := Times{Bucket: 4 * ms, Bound: 6 * ms, Connect: 2 * ms, Node: 18 * ms, Reply: 30 * ms}
-	if a := b.Volume("v"); a == nil || a.Times != want || a.Requests != 2 {
+	want := Times{BucketWait: 4 * ms, LimitWait: 6 * ms, Connect: 2 * ms, AtTarget: 18 * ms, Reply: 30 * ms}
+	if a := b.Account("v"); a == nil || a.Times != want || a.Requests != 2 {
 		t.Errorf("%+v, want %v", a, want)
 	}
 	if len(b.nodes["n"].out) > 0 || len(b.open) > 0 {
@@ -265,18 +265,18 @@
 // over by more than its error.
 func TestHeavy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, truth := newHeavy(5), map[Pair]time.Duration{}
+		h, truth := newHeavy(5), map[WaitPair]time.Duration{}
 		for range rapid.IntRange(0, 200).Draw(t, "adds") {
-			p := Pair{Volume: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "pair"))}
+			p := WaitPair{Volume: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "pair"))}
 			d := time.Duration(rapid.IntRange(1, 1000).Draw(t, "time"))
 			truth[p] += d
 			h.add(p, d)
 		}
-		listed := map[Pair]bool{}
+		listed := map[WaitPair]bool{}
 		for _, x := range h.list() {
-			listed[x.Pair] = true
-			if x.Waited < truth[x.Pair] || x.Waited-x.Error > truth[x.Pair] {
-				t.Fatalf("%+v, in truth %v", x, truth[x.Pair])
+			listed[x.WaitPair] = true
+			if x.Waited < truth[x.WaitPair] || x.Waited-x.Overestimate > truth[x.WaitPair] {
+				t.Fatalf("%+v, in truth %v", x, truth[x.WaitPair])
 			}
 		}
 		for p, d := range truth {
@@ -289,7 +289,7 @@
 
 // TestPercentiles holds a volume's percentiles against the exact ones, within the stated error.
 func TestPercentiles(t *testing.T) {
-	b := New(Options{Volumes: 1, Pairs: 1, Open: 1})
+	b := New(Options{MaxVolumes: 1, MaxPairs: 1, MaxOpen: 1})
 	var all []float64
 	now, rng := time.Duration(0), rand.New(rand.NewPCG(3, 3))
 	for range 5000 {
@@ -301,7 +301,7 @@
 	}
 	slices.Sort(all)
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
-		got, err := b.Volume("v").Latency.GetValueAtQuantile(q)
+		got, err := b.Account("v").Latency.GetValueAtQuantile(q)
 		exact := all[int(q*float64(len(all)-1))]
 		if err != nil || math.Abs(got-exact) > Accuracy*exact*1.01 {
 			t.Errorf("p%v: %v, exactly %v, %v", 100*q, got, exact, err)
@@ -312,28 +312,28 @@
 // TestMerge puts two instances' accounts together: sums are exact, percentiles as good as of one book that saw all, pairs
 // within their errors.
 func TestMerge(t *testing.T) {
-	both, each := New(Options{Volumes: 9, Pairs: 9, Open: 9}), [2]*Book{}
+	both, each := New(Options{MaxVolumes: 9, MaxPairs: 9, MaxOpen: 9}), [2]*Recorder{}
 	rng, now := rand.New(rand.NewPCG(5, 5)), time.Duration(0)
 	for i := range each {
-		each[i] = New(Options{Volumes: 9, Pairs: 9, Open: 9})
+		each[i] = New(Options{MaxVolumes: 9, MaxPairs: 9, MaxOpen: 9})
 	}
 	for i := range 4000 {
 		took := time.Duration(rng.ExpFloat64() * float64(30*ms))
-		for _, b := range []*Book{both, each[i%2]} {
+		for _, b := range []*Recorder{both, each[i%2]} {
 			b.Arrive(now, policy.Request{ID: "x", Volume: fmt.Sprint("v", i%3)})
 			b.End(now+took, "x")
 		}
 		now += took
 	}
 	for i, b := range each {
-		b.blames.add(Pair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
+		b.blames.add(WaitPair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
 	}
 	at := time.Unix(1000, 0)
-	m, err := Merge(each[0].Cut("a", at, at.Add(time.Minute)), each[1].Cut("b", at.Add(time.Minute), at.Add(2*time.Minute)))
-	if err != nil || m.Check() != nil {
-		t.Fatal(err, m.Check())
+	m, err := Merge(each[0].SnapshotAndReset("a", at, at.Add(time.Minute)), each[1].SnapshotAndReset("b", at.Add(time.Minute), at.Add(2*time.Minute)))
+	if err != nil || m.Validate() != nil {
+		t.Fatal(err, m.Validate())
 	}
-	want := both.Look("all", at, at.Add(2*time.Minute))
+	want := both.Snapshot("all", at, at.Add(2*time.Minute))
 	for i := range want.Volumes {
 		got, exp := &m.Volumes[i], &want.Volumes[i]
 		p, err1 := got.Percentiles(0.5, 0.99)
@@ -342,25 +342,25 @@
 			t.Errorf("%s: %d %v %v, want %d %v %v", got.Volume, got.Requests, got.Times, p, exp.Requests, exp.Times, q)
 		}
 	}
-	if len(m.Blames) != 1 || m.Blames[0].Waited != 3*time.Second || !m.To.Equal(at.Add(2*time.Minute)) {
-		t.Errorf("%+v", m.Blames)
+	if len(m.Attributions) != 1 || m.Attributions[0].Waited != 3*time.Second || !m.To.Equal(at.Add(2*time.Minute)) {
+		t.Errorf("%+v", m.Attributions)
 	}
-	if each[0].Look("a", at, at); len(each[0].volumes) != 0 {
+	if each[0].Snapshot("a", at, at); len(each[0].volumes) != 0 {
 		t.Error("a cut book has its old accounts")
 	}
-	full := Snapshot{Blames: []Blame{{Pair: Pair{Volume: "x"}, Waited: 9 * ms}, {Pair: Pair{Volume: "y"}, Waited: 4 * ms, Error: ms}}}
-	other := Snapshot{Blames: []Blame{{Pair: Pair{Volume: "z"}, Waited: 20 * ms}}}
+	full := Snapshot{Attributions: []Attribution{{WaitPair: WaitPair{Volume: "x"}, Waited: 9 * ms}, {WaitPair: WaitPair{Volume: "y"}, Waited: 4 * ms, Overestimate: ms}}}
+	other := Snapshot{Attributions: []Attribution{{WaitPair: WaitPair{Volume: "z"}, Waited: 20 * ms}}}
 	for _, m := range [][]Snapshot{{full, other}, {other, full}} {
 		s, err := Merge(m...)
-		if err != nil || s.Blames[0].Volume != "z" || s.Blames[0].Waited != 24*ms || s.Blames[0].Error != 4*ms {
-			t.Errorf("a pair that a full snapshot may have dropped: %+v, %v", s.Blames, err)
+		if err != nil || s.Attributions[0].Volume != "z" || s.Attributions[0].Waited != 24*ms || s.Attributions[0].Overestimate != 4*ms {
+			t.Errorf("a pair that a full snapshot may have dropped: %+v, %v", s.Attributions, err)
 		}
 	}
 }
 
 // TestLongestUnusedGoes keeps the accounts that were used last where there are too many, also after a cut.
 func TestLongestUnusedGoes(t *testing.T) {
-	b := New(Options{Volumes: 2, Pairs: 1, Open: 1})
+	b := New(Options{MaxVolumes: 2, MaxPairs: 1, MaxOpen: 1})
 	use := func(volumes ...string) {
 		for _, v := range volumes {
 			b.Arrive(0, policy.Request{ID: "x", Volume: v})
@@ -368,12 +368,12 @@
 		}
 	}
 	use("a", "b", "a", "c")
-	if b.Volume("a") == nil || b.Volume("b") != nil || b.Volume("c") == nil || b.Dropped.Volumes != 1 {
+	if b.Account("a") == nil || b.Account("b") != nil || b.Account("c") == nil || b.Dropped.Volumes != 1 {
 		t.Errorf("kept %v, %+v", b.volumes, b.Dropped)
 	}
-	b.Cut("n", time.Unix(0, 0), time.Unix(1, 0))
+	b.SnapshotAndReset("n", time.Unix(0, 0), time.Unix(1, 0))
 	use("d", "e", "f")
-	if b.Volume("d") != nil || b.Volume("f") == nil || len(b.volumes) != 2 || b.used.Len() != 2 {
+	if b.Account("d") != nil || b.Account("f") == nil || len(b.volumes) != 2 || b.used.Len() != 2 {
 		t.Errorf("after a cut %v", b.volumes)
 	}
 }
--- a/internal/observability/accounts/disk/compat_test.go
+++ b/internal/observability/accounts/disk/compat_test.go
@@ -20,6 +20,6 @@
 		require.True(t, s.From.Equal(day.Add(time.Duration(i)*time.Minute)))
 		require.Len(t, s.Volumes, 1)
 		require.EqualValues(t, 1, s.Volumes[0].Requests)
-		require.Equal(t, 3*time.Millisecond, s.Volumes[0].Times[accounts.Bucket])
+		require.Equal(t, 3*time.Millisecond, s.Volumes[0].Times[accounts.BucketWait])
 	}
 }
--- a/internal/observability/accounts/disk/disk.go
+++ b/internal/observability/accounts/disk/disk.go
@@ -32,10 +32,10 @@
 
 // Errors of files that are not used.
 var (
-	ErrForeign = errors.New("not a file of accounts")
-	ErrVersion = errors.New("of another version")
-	ErrCut     = errors.New("cut short")
-	ErrDamaged = errors.New("damaged")
+	ErrNotAccounts = errors.New("not a file of accounts")
+	ErrVersion     = errors.New("of another version")
+	ErrTruncated   = errors.New("cut short")
+	ErrCorrupt     = errors.New("damaged")
 )
 
 // Write puts a snapshot into the folder, under a name by its time, and drops the oldest past so many.
@@ -129,9 +129,9 @@
 	case err != nil:
 		return bad(err)
 	case !strings.HasPrefix(string(b), magic[:min(len(magic), len(b))]) || len(b) == 0:
-		return bad(ErrForeign)
+		return bad(ErrNotAccounts)
 	case len(b) < headLen:
-		return bad(ErrCut)
+		return bad(ErrTruncated)
 	case b[len(magic)] != version:
 		return bad(fmt.Errorf("%w: %d, this program reads %d", ErrVersion, b[len(magic)], version))
 	}
@@ -139,19 +139,19 @@
 	body := b[headLen:]
 	switch {
 	case uint64(len(body)) < length:
-		return bad(ErrCut)
+		return bad(ErrTruncated)
 	case uint64(len(body)) > length, crc32.Checksum(body, castagnoli) != sum:
-		return bad(ErrDamaged)
+		return bad(ErrCorrupt)
 	}
 	z, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrDamaged, err))
+		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
 	if err := json.NewDecoder(io.LimitReader(z, most)).Decode(&s); err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrDamaged, err))
+		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
-	if err := s.Check(); err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrDamaged, err))
+	if err := s.Validate(); err != nil {
+		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
 	return s, nil
 }
--- a/internal/observability/accounts/disk/disk_test.go
+++ b/internal/observability/accounts/disk/disk_test.go
@@ -20,13 +20,13 @@
 
 // sample is a snapshot of one minute.
 func sample(instance string, minute int) accounts.Snapshot {
-	b := accounts.New(accounts.Options{Volumes: 4, Pairs: 4, Open: 4})
+	b := accounts.New(accounts.Options{MaxVolumes: 4, MaxPairs: 4, MaxOpen: 4})
 	b.Arrive(0, policy.Request{ID: "a", Volume: "v1"})
 	b.Release(10*time.Millisecond, "a", "n1", 3*time.Millisecond, true)
 	b.Begin(11*time.Millisecond, "a")
 	b.Answer(40*time.Millisecond, "a", true)
 	b.End(41*time.Millisecond, "a")
-	return b.Cut(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
+	return b.SnapshotAndReset(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
 }
 
 // TestCutsAndNoise reads a file cut anywhere, with any byte changed, or of noise: nothing but the whole file passes.
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	s, err := Read(names[0])
-	if err != nil || len(s.Volumes) != 1 || s.Volumes[0].Requests != 1 || s.Volumes[0].Times[accounts.Bucket] != 3*time.Millisecond {
+	if err != nil || len(s.Volumes) != 1 || s.Volumes[0].Requests != 1 || s.Volumes[0].Times[accounts.BucketWait] != 3*time.Millisecond {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	path := filepath.Join(dir, "x.accounts")
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		_, err := Read(path)
-		if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrCut) && !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrVersion) {
+		if !errors.Is(err, ErrNotAccounts) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrVersion) {
 			t.Fatalf("%d bytes of %d: %v", len(b), len(whole), err)
 		}
 	})
--- a/internal/observability/accounts/heavy.go
+++ b/internal/observability/accounts/heavyhitters.go
@@ -8,31 +8,32 @@
 )
 
 // Pair is a volume that waited and what it waited behind: another volume, itself, or a node that stood still.
-type Pair struct {
+type WaitPair struct {
 	Volume string
 	Cause  string
 	Stall  bool // Cause is a node
 }
 
 // Blame is a pair's time; Error is by how much it may be over.
-type Blame struct {
-	Pair
-	Waited, Error time.Duration
-	at            int
+type Attribution struct {
+	WaitPair
+	Waited       time.Duration
+	Overestimate time.Duration `json:"Error"`
+	at           int
 }
 
 // heavy keeps the pairs that most time was blamed on, by SpaceSaving: a new pair takes the place, and as its error the time,
 // of the least. No pair of more than the whole divided by most is missing.
 type heavy struct {
 	most  int
-	pairs map[Pair]*Blame
+	pairs map[WaitPair]*Attribution
 	least leastFirst
 	whole time.Duration
 }
 
-func newHeavy(most int) *heavy { return &heavy{most: most, pairs: map[Pair]*Blame{}} }
+func newHeavy(most int) *heavy { return &heavy{most: most, pairs: map[WaitPair]*Attribution{}} }
 
-func (h *heavy) add(p Pair, d time.Duration) {
+func (h *heavy) add(p WaitPair, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -41,13 +42,13 @@
 	switch {
 	case b != nil:
 	case len(h.pairs) < h.most:
-		b = &Blame{Pair: p}
+		b = &Attribution{WaitPair: p}
 		h.pairs[p] = b
 		heap.Push(&h.least, b)
 	default:
 		b = h.least[0]
-		delete(h.pairs, b.Pair)
-		b.Pair, b.Error = p, b.Waited
+		delete(h.pairs, b.WaitPair)
+		b.WaitPair, b.Overestimate = p, b.Waited
 		h.pairs[p] = b
 	}
 	b.Waited += d
@@ -55,13 +56,13 @@
 }
 
 // heaviestFirst orders blames, those of the same weight by name.
-func heaviestFirst(a, b Blame) int {
+func heaviestFirst(a, b Attribution) int {
 	return cmp.Or(cmp.Compare(b.Waited, a.Waited), cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Cause, b.Cause))
 }
 
 // list has the heaviest first.
-func (h *heavy) list() []Blame {
-	all := make([]Blame, 0, len(h.pairs))
+func (h *heavy) list() []Attribution {
+	all := make([]Attribution, 0, len(h.pairs))
 	for _, b := range h.pairs {
 		all = append(all, *b)
 	}
@@ -69,7 +70,7 @@
 	return all
 }
 
-type leastFirst []*Blame
+type leastFirst []*Attribution
 
 func (l leastFirst) Len() int           { return len(l) }
 func (l leastFirst) Less(i, j int) bool { return l[i].Waited < l[j].Waited }
@@ -78,7 +79,7 @@
 	l[i].at, l[j].at = i, j
 }
 func (l *leastFirst) Push(x any) {
-	b := x.(*Blame)
+	b := x.(*Attribution)
 	b.at = len(*l)
 	*l = append(*l, b)
 }
--- a/internal/observability/accounts/book.go
+++ b/internal/observability/accounts/recorder.go
@@ -12,28 +12,28 @@
 )
 
 // Part is a stretch of a request's time.
-type Part int
+type Phase int
 
 // The parts of a request's time, in the order of docs/accounts.md.
 const (
-	Bucket Part = iota
-	Bound
+	BucketWait Phase = iota
+	LimitWait
 	Connect
-	Node
-	Still
+	AtTarget
+	Stalled
 	Reply
-	parts
+	phases
 )
 
-func (p Part) String() string {
+func (p Phase) String() string {
 	return [...]string{"bucket", "bound", "connect", "node", "still", "reply"}[p]
 }
 
 // Times is a time for each part.
-type Times [parts]time.Duration
+type Times [phases]time.Duration
 
 // Whole is their sum.
-func (t Times) Whole() (d time.Duration) {
+func (t Times) Total() (d time.Duration) {
 	for _, x := range t {
 		d += x
 	}
@@ -48,10 +48,10 @@
 
 // Options are the book's bounds.
 type Options struct {
-	Volumes int                          // kept, by last use
-	Pairs   int                          // of volume and cause
-	Open    int                          // requests at a time; more are not accounted for
-	Worth   func(policy.Request) float64 // of serving it; nil: 1
+	MaxVolumes int                          // kept, by last use
+	MaxPairs   int                          // of volume and cause
+	MaxOpen    int                          // requests at a time; more are not accounted for
+	Worth      func(policy.Request) float64 // of serving it; nil: 1
 }
 
 // Account is one volume's.
@@ -70,7 +70,7 @@
 }
 
 // Book is the accounts of one initiator. It is not safe for concurrent use.
-type Book struct {
+type Recorder struct {
 	opt     Options
 	open    map[string]*entry
 	volumes map[string]*Account
@@ -102,17 +102,17 @@
 }
 
 // New returns an empty book.
-func New(opt Options) *Book {
-	return &Book{opt: opt, open: map[string]*entry{}, volumes: map[string]*Account{}, used: list.New(), nodes: map[string]*node{},
-		blames: newHeavy(max(1, opt.Pairs)), shares: sums{}}
+func New(opt Options) *Recorder {
+	return &Recorder{opt: opt, open: map[string]*entry{}, volumes: map[string]*Account{}, used: list.New(), nodes: map[string]*node{},
+		blames: newHeavy(max(1, opt.MaxPairs)), shares: sums{}}
 }
 
 // Values sets what serving a request is worth, of those that arrive from now on; nil: 1.
-func (b *Book) Values(worth func(policy.Request) float64) { b.opt.Worth = worth }
+func (b *Recorder) SetWorth(worth func(policy.Request) float64) { b.opt.Worth = worth }
 
 // Arrive takes a request.
-func (b *Book) Arrive(at time.Duration, r policy.Request) {
-	if len(b.open) >= b.opt.Open {
+func (b *Recorder) Arrive(at time.Duration, r policy.Request) {
+	if len(b.open) >= b.opt.MaxOpen {
 		b.Dropped.Requests++
 		return
 	}
@@ -124,7 +124,7 @@
 }
 
 // Served notes that a request's answer came from a node, before its client left.
-func (b *Book) Served(id string) {
+func (b *Recorder) Served(id string) {
 	if e := b.open[id]; e != nil {
 		e.served = true
 	}
@@ -132,15 +132,15 @@
 
 // Release ends a time of being held: the request goes to the node, or, with sent false, is given up. Ahead is how much of
 // that time its start tag lay ahead.
-func (b *Book) Release(at time.Duration, id, name string, ahead time.Duration, sent bool) {
+func (b *Recorder) Release(at time.Duration, id, name string, ahead time.Duration, sent bool) {
 	e := b.open[id]
 	if e == nil || e.node != "" {
 		return
 	}
 	held := at - e.at
 	ahead = min(max(ahead, 0), held)
-	e.times[Bucket] += ahead
-	e.times[Bound] += held - ahead
+	e.times[BucketWait] += ahead
+	e.times[LimitWait] += held - ahead
 	n := b.node(name)
 	if w := (stay{e.volume, span{at - (held - ahead), at}}); n != nil && w.length() > 0 {
 		n.settle(at)
@@ -154,7 +154,7 @@
 }
 
 // node returns what is known of a node; nil without a name.
-func (b *Book) node(name string) *node {
+func (b *Recorder) node(name string) *node {
 	if name == "" {
 		return nil
 	}
@@ -167,7 +167,7 @@
 }
 
 // Begin tells when the attempt's first byte was written; it may be told late.
-func (b *Book) Begin(at time.Duration, id string) {
+func (b *Recorder) Begin(at time.Duration, id string) {
 	if e := b.open[id]; e != nil && e.node != "" && !e.begun {
 		at = max(at, e.at)
 		e.times[Connect] += at - e.at
@@ -176,14 +176,14 @@
 }
 
 // Answer ends an attempt; alive says that it was the node that ended it.
-func (b *Book) Answer(at time.Duration, id string, alive bool) {
+func (b *Recorder) Answer(at time.Duration, id string, alive bool) {
 	e := b.open[id]
 	if e == nil || e.node == "" {
 		return
 	}
 	at = max(at, e.at)
 	if e.begun {
-		e.times[Node] += at - e.at
+		e.times[AtTarget] += at - e.at
 		e.visits = append(e.visits, visit{e.node, span{e.at, at}})
 	} else {
 		e.times[Connect] += at - e.at
@@ -193,7 +193,7 @@
 }
 
 // End closes the request's account: its last byte is with the client, or nobody waits for it any more.
-func (b *Book) End(at time.Duration, id string) {
+func (b *Recorder) End(at time.Duration, id string) {
 	e := b.open[id]
 	if e == nil {
 		return
@@ -208,7 +208,7 @@
 }
 
 // close books the request once it is known of each of its visits whether the node stood still.
-func (b *Book) close(e *entry, visited int) {
+func (b *Recorder) close(e *entry, visited int) {
 	if visited < len(e.visits) {
 		v := e.visits[visited]
 		n := b.nodes[v.node]
@@ -219,8 +219,8 @@
 		n.settle(e.at)
 		n.known(func() {
 			still := min(n.still(v.span), v.length())
-			e.times[Node] -= still
-			e.times[Still] += still
+			e.times[AtTarget] -= still
+			e.times[Stalled] += still
 			b.close(e, visited+1)
 		})
 		return
@@ -228,20 +228,20 @@
 	a := b.account(e.volume)
 	a.Requests++
 	a.Share.add(e)
-	for _, of := range []Of{{Class, e.class}, {Plan, e.plan}} {
+	for _, of := range []ShareKey{{Class, e.class}, {Plan, e.plan}} {
 		b.shares.of(of).add(e)
 	}
 	for i, d := range e.times {
 		a.Times[i] += d
 	}
-	_ = a.Latency.Add(e.times.Whole().Seconds())
+	_ = a.Latency.Add(e.times.Total().Seconds())
 }
 
 // account returns a volume's, in place of the one longest without use where there are too many.
-func (b *Book) account(volume string) *Account {
+func (b *Recorder) account(volume string) *Account {
 	a := b.volumes[volume]
 	if a == nil {
-		if len(b.volumes) >= max(1, b.opt.Volumes) {
+		if len(b.volumes) >= max(1, b.opt.MaxVolumes) {
 			// From a list by use: a look at all of them, for each volume that comes and goes, took the core 0.1 ms.
 			oldest := b.used.Remove(b.used.Back()).(string)
 			delete(b.volumes, oldest)
@@ -259,7 +259,7 @@
 }
 
 // Forget drops what is known of nodes that the list no longer has; those with attempts out stay.
-func (b *Book) Forget(listed func(string) bool) {
+func (b *Recorder) ForgetUnlisted(listed func(string) bool) {
 	for name, n := range b.nodes {
 		if len(n.out) == 0 && !listed(name) {
 			n.decide()
@@ -269,10 +269,10 @@
 }
 
 // Open is how many requests are open.
-func (b *Book) Open() int { return len(b.open) }
+func (b *Recorder) OpenRequests() int { return len(b.open) }
 
 // Volume returns a volume's account; nil: none.
-func (b *Book) Volume(name string) *Account { return b.volumes[name] }
+func (b *Recorder) Account(name string) *Account { return b.volumes[name] }
 
 // Blames are the causes of waiting, the heaviest first.
-func (b *Book) Blames() []Blame { return b.blames.list() }
+func (b *Recorder) Attributions() []Attribution { return b.blames.list() }
--- a/internal/observability/accounts/render.go
+++ b/internal/observability/accounts/render.go
@@ -15,47 +15,47 @@
 
 // Row is a volume's line in a report, as JSON and as a column each of a Parquet file. Times are in seconds.
 type Row struct {
-	Volume   string  `json:"volume" parquet:"volume,dict"`
-	Requests uint64  `json:"requests" parquet:"requests"`
-	P50      float64 `json:"p50_s" parquet:"p50_s"`
-	P90      float64 `json:"p90_s" parquet:"p90_s"`
-	P99      float64 `json:"p99_s" parquet:"p99_s"`
-	Bucket   float64 `json:"bucket_s" parquet:"bucket_s"`
-	Bound    float64 `json:"bound_s" parquet:"bound_s"`
-	Connect  float64 `json:"connect_s" parquet:"connect_s"`
-	Node     float64 `json:"node_s" parquet:"node_s"`
-	Still    float64 `json:"still_s" parquet:"still_s"`
-	Reply    float64 `json:"reply_s" parquet:"reply_s"`
-	Causes   []Cause `json:"causes" parquet:"causes,list"`
+	Volume     string  `json:"volume" parquet:"volume,dict"`
+	Requests   uint64  `json:"requests" parquet:"requests"`
+	P50        float64 `json:"p50_s" parquet:"p50_s"`
+	P90        float64 `json:"p90_s" parquet:"p90_s"`
+	P99        float64 `json:"p99_s" parquet:"p99_s"`
+	BucketWait float64 `json:"bucket_s" parquet:"bucket_s"`
+	LimitWait  float64 `json:"bound_s" parquet:"bound_s"`
+	Connect    float64 `json:"connect_s" parquet:"connect_s"`
+	AtTarget   float64 `json:"node_s" parquet:"node_s"`
+	Stalled    float64 `json:"still_s" parquet:"still_s"`
+	Reply      float64 `json:"reply_s" parquet:"reply_s"`
+	Causes     []Cause `json:"causes" parquet:"causes,list"`
 }
 
 // Cause is what a volume waited behind.
 type Cause struct {
-	Cause  string  `json:"cause" parquet:"cause,dict"`
-	Stall  bool    `json:"stall" parquet:"stall"`
-	Waited float64 `json:"waited_s" parquet:"waited_s"`
-	Over   float64 `json:"at_most_over_by_s" parquet:"at_most_over_by_s"`
+	Cause        string  `json:"cause" parquet:"cause,dict"`
+	Stall        bool    `json:"stall" parquet:"stall"`
+	Waited       float64 `json:"waited_s" parquet:"waited_s"`
+	Overestimate float64 `json:"at_most_over_by_s" parquet:"at_most_over_by_s"`
 }
 
 // Report is what is told of a stretch of time.
 type Report struct {
-	Instances []string    `json:"instances"`
-	From      time.Time   `json:"from"`
-	To        time.Time   `json:"to"`
-	Volumes   []Row       `json:"volumes"`
-	Nodes     []NodeTimes `json:"nodes"`
-	Dropped   Dropped     `json:"dropped"`
+	Instances []string      `json:"instances"`
+	From      time.Time     `json:"from"`
+	To        time.Time     `json:"to"`
+	Volumes   []Row         `json:"volumes"`
+	Targets   []TargetTimes `json:"nodes"`
+	Dropped   Dropped       `json:"dropped"`
 }
 
 const mostCauses = 5 // of a volume, told
 
 // Tell makes a report, of one volume where it is named.
-func Tell(s Snapshot, volume string) (Report, error) {
-	r := Report{Instances: s.Instances, From: s.From, To: s.To, Nodes: s.Nodes, Dropped: s.Dropped, Volumes: []Row{}}
+func NewReport(s Snapshot, volume string) (Report, error) {
+	r := Report{Instances: s.Instances, From: s.From, To: s.To, Targets: s.Targets, Dropped: s.Dropped, Volumes: []Row{}}
 	causes := map[string][]Cause{}
-	for _, b := range s.Blames { // the heaviest first
+	for _, b := range s.Attributions { // the heaviest first
 		if len(causes[b.Volume]) < mostCauses {
-			causes[b.Volume] = append(causes[b.Volume], Cause{b.Cause, b.Stall, b.Waited.Seconds(), b.Error.Seconds()})
+			causes[b.Volume] = append(causes[b.Volume], Cause{b.Cause, b.Stall, b.Waited.Seconds(), b.Overestimate.Seconds()})
 		}
 	}
 	for i := range s.Volumes {
@@ -68,8 +68,8 @@
 			return r, err
 		}
 		t := v.Times
-		r.Volumes = append(r.Volumes, Row{v.Volume, v.Requests, p[0].Seconds(), p[1].Seconds(), p[2].Seconds(), t[Bucket].Seconds(),
-			t[Bound].Seconds(), t[Connect].Seconds(), t[Node].Seconds(), t[Still].Seconds(), t[Reply].Seconds(), causes[v.Volume]})
+		r.Volumes = append(r.Volumes, Row{v.Volume, v.Requests, p[0].Seconds(), p[1].Seconds(), p[2].Seconds(), t[BucketWait].Seconds(),
+			t[LimitWait].Seconds(), t[Connect].Seconds(), t[AtTarget].Seconds(), t[Stalled].Seconds(), t[Reply].Seconds(), causes[v.Volume]})
 	}
 	if volume != "" && len(r.Volumes) == 0 {
 		return r, fmt.Errorf("volume %q has no account from %s to %s", volume, s.From.Format(time.RFC3339), s.To.Format(time.RFC3339))
@@ -95,16 +95,16 @@
 			behind = append(behind, fmt.Sprintf("%s %.2f s", name, c.Waited))
 		}
 		fmt.Fprintf(t, "%s\t%d\t%.0f\t%.0f\t%.0f\t", v.Volume, v.Requests, v.P50*1000, v.P90*1000, v.P99*1000)
-		for _, x := range []float64{v.Bucket, v.Bound, v.Connect, v.Node, v.Still, v.Reply} {
+		for _, x := range []float64{v.BucketWait, v.LimitWait, v.Connect, v.AtTarget, v.Stalled, v.Reply} {
 			fmt.Fprintf(t, "%.1f\t", 1000*x/float64(max(v.Requests, 1)))
 		}
 		fmt.Fprintf(t, "  %s\n", strings.Join(behind, ", "))
 	}
-	if len(r.Nodes) > 0 {
+	if len(r.Targets) > 0 {
 		fmt.Fprint(t, "\t\t\t\t\t\t\t\t\t\t\t\nnode\tanswers\tstalls\tstood still\t\t\t\t\t\t\t\t\n")
 	}
-	for _, n := range r.Nodes {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f s\t\t\t\t\t\t\t\t\n", n.Node, n.Answers, n.Stalls, n.StoodFor.Seconds())
+	for _, n := range r.Targets {
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.2f s\t\t\t\t\t\t\t\t\n", n.Target, n.Answers, n.Stalls, n.StalledFor.Seconds())
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -114,10 +114,10 @@
 }
 
 // Parquet writes the volumes as a columnar file.
-func (r Report) Parquet(w io.Writer) error { return r.ParquetAbout(w, nil) }
+func (r Report) Parquet(w io.Writer) error { return r.ParquetWithMetadata(w, nil) }
 
 // ParquetAbout is Parquet with key-value metadata.
-func (r Report) ParquetAbout(w io.Writer, about map[string]string) error {
+func (r Report) ParquetWithMetadata(w io.Writer, about map[string]string) error {
 	options := []parquet.WriterOption{parquet.Compression(&zstd.Codec{})}
 	for _, key := range slices.Sorted(maps.Keys(about)) {
 		options = append(options, parquet.KeyValueMetadata(key, about[key]))
--- a/internal/observability/accounts/share.go
+++ b/internal/observability/accounts/share.go
@@ -14,19 +14,19 @@
 )
 
 // Kind is what a share is told of.
-type Kind string
+type ShareKind string
 
 // The kinds of shares: of a class, a plan, a volume.
 const (
-	Class  Kind = "class"
-	Plan   Kind = "plan"
-	Volume Kind = "volume"
+	Class  ShareKind = "class"
+	Plan   ShareKind = "plan"
+	Volume ShareKind = "volume"
 )
 
 // Of names a share.
-type Of struct {
-	Kind Kind   `json:"kind"`
-	Name string `json:"name"`
+type ShareKey struct {
+	Kind ShareKind `json:"kind"`
+	Name string    `json:"name"`
 }
 
 // Share is what was asked and what of it was served while its client waited, by number and by worth.
@@ -52,7 +52,7 @@
 }
 
 // Part is the part of the worth that was served, from 0 to 1; 1 where nothing was asked.
-func (s Share) Part() float64 {
+func (s Share) ServedFraction() float64 {
 	if s.Worth == 0 {
 		return 1
 	}
@@ -60,41 +60,41 @@
 }
 
 // ShareOf is a share by its name.
-type ShareOf struct {
-	Of
+type NamedShare struct {
+	ShareKey
 	Share
 }
 
 // sums are shares by name.
-type sums map[Of]*Share
+type sums map[ShareKey]*Share
 
-func (s sums) of(o Of) *Share {
+func (s sums) of(o ShareKey) *Share {
 	if s[o] == nil {
 		s[o] = &Share{}
 	}
 	return s[o]
 }
 
-func (s sums) add(list []ShareOf) {
+func (s sums) add(list []NamedShare) {
 	for _, x := range list {
-		t := s.of(x.Of)
+		t := s.of(x.ShareKey)
 		*t = t.Plus(x.Share)
 	}
 }
 
 // shareList is the shares by name.
-func shareList(m sums) (all []ShareOf) {
-	for _, of := range slices.SortedFunc(maps.Keys(m), func(a, b Of) int {
+func shareList(m sums) (all []NamedShare) {
+	for _, of := range slices.SortedFunc(maps.Keys(m), func(a, b ShareKey) int {
 		return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	}) {
-		all = append(all, ShareOf{of, *m[of]})
+		all = append(all, NamedShare{of, *m[of]})
 	}
 	return all
 }
 
 // Shares are those of classes, plans and volumes that have at least that part of all worth asked, least served first, and what all
 // have together.
-func (s *Snapshot) Shares(least float64) (list []ShareOf, all Share) {
+func (s *Snapshot) Shares(least float64) (list []NamedShare, all Share) {
 	for _, x := range s.Served {
 		if x.Kind == Class {
 			all = all.Plus(x.Share)
@@ -102,21 +102,21 @@
 	}
 	list = slices.Clone(s.Served)
 	for _, v := range s.Volumes {
-		list = append(list, ShareOf{Of{Volume, v.Volume}, v.Share})
+		list = append(list, NamedShare{ShareKey{Volume, v.Volume}, v.Share})
 	}
-	list = slices.DeleteFunc(list, func(x ShareOf) bool { return x.Worth < least*all.Worth })
-	slices.SortStableFunc(list, func(a, b ShareOf) int {
-		return cmp.Or(cmp.Compare(a.Part(), b.Part()), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
+	list = slices.DeleteFunc(list, func(x NamedShare) bool { return x.Worth < least*all.Worth })
+	slices.SortStableFunc(list, func(a, b NamedShare) int {
+		return cmp.Or(cmp.Compare(a.ServedFraction(), b.ServedFraction()), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 	})
 	return list, all
 }
 
 // WriteShares writes them for a person, the least served first.
-func WriteShares(w io.Writer, list []ShareOf, all Share) error {
+func WriteShares(w io.Writer, list []NamedShare, all Share) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprint(t, "of\tname\trequests\tserved\tof all worth\tserved by worth\n")
 	row := func(kind, name string, s Share) {
-		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.3f\t%.3f\n", kind, name, s.Asked, s.Served, s.Worth/max(all.Worth, 1e-9), s.Part())
+		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%.3f\t%.3f\n", kind, name, s.Asked, s.Served, s.Worth/max(all.Worth, 1e-9), s.ServedFraction())
 	}
 	for _, x := range list {
 		row(string(x.Kind), x.Name, x.Share)
@@ -126,15 +126,15 @@
 }
 
 // SharesLine is the message of a log line with LoggedShares.
-const SharesLine = "served shares"
+const SharesLogMessage = "served shares"
 
 // LoggedShares is how shares stand in a log line: JSON, so that ReadShares finds them in any log.
-type LoggedShares []ShareOf
+type LoggedShares []NamedShare
 
 // MarshalText implements encoding.TextMarshaler.
-func (l LoggedShares) MarshalText() ([]byte, error) { return json.Marshal([]ShareOf(l)) }
+func (l LoggedShares) MarshalText() ([]byte, error) { return json.Marshal([]NamedShare(l)) }
 
-var inLog = regexp.MustCompile(`msg="` + SharesLine + `".* shares="((?:[^"\\]|\\.)*)"`)
+var inLog = regexp.MustCompile(`msg="` + SharesLogMessage + `".* shares="((?:[^"\\]|\\.)*)"`)
 
 // ReadShares sums up the shares in a log's lines, of any number of instances; all else in it is passed over.
 func ReadShares(r io.Reader) (Snapshot, error) {
@@ -146,7 +146,7 @@
 		if m == nil {
 			continue
 		}
-		var list []ShareOf
+		var list []NamedShare
 		text, err := strconv.Unquote(`"` + string(m[1]) + `"`)
 		if err == nil {
 			err = json.Unmarshal([]byte(text), &list)
--- a/internal/observability/accounts/share_test.go
+++ b/internal/observability/accounts/share_test.go
@@ -16,7 +16,7 @@
 // comes first. The same comes out of a log, of two instances.
 func TestShares(t *testing.T) {
 	worth := func(r policy.Request) float64 { return map[string]float64{"read": 3, "write": 1}[r.Class] }
-	b := New(Options{Volumes: 8, Pairs: 8, Open: 8, Worth: worth})
+	b := New(Options{MaxVolumes: 8, MaxPairs: 8, MaxOpen: 8, Worth: worth})
 	for i, c := range []struct {
 		class, plan, volume string
 		served, again       bool
@@ -33,7 +33,7 @@
 		b.End(time.Duration(i), id)
 		b.Served(id) // too late
 	}
-	s := b.Cut("one", time.Time{}, time.Time{}.Add(time.Second))
+	s := b.SnapshotAndReset("one", time.Time{}, time.Time{}.Add(time.Second))
 	list, all := s.Shares(0)
 	require.Equal(t, Share{4, 3, 8, 5}, all)
 	var order []string
@@ -46,12 +46,12 @@
 	require.Equal(t, list[1].Share, list[2].Share)
 	most, _ := s.Shares(0.5)
 	require.Len(t, most, 3, "those with half of the worth")
-	require.Empty(t, b.Cut("one", time.Time{}, time.Time{}).Served, "the next window")
+	require.Empty(t, b.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "the next window")
 
 	var log bytes.Buffer
 	to := slog.New(slog.NewTextHandler(&log, nil))
 	for range 2 {
-		to.Info(SharesLine, "name", "one", "shares", LoggedShares(list))
+		to.Info(SharesLogMessage, "name", "one", "shares", LoggedShares(list))
 		to.Info("another line", "shares", "none")
 	}
 	read, err := ReadShares(&log)
--- a/internal/observability/accounts/snapshot.go
+++ b/internal/observability/accounts/snapshot.go
@@ -14,14 +14,14 @@
 
 // Snapshot is what the accounts held over a stretch of time, of one instance or several.
 type Snapshot struct {
-	Instances []string
-	From, To  time.Time
-	Volumes   []VolumeTimes
-	Nodes     []NodeTimes
-	Blames    []Blame
-	Blamed    time.Duration // on all pairs, those not kept too
-	Served    []ShareOf     // of classes and plans; files from before shares have none
-	Dropped   Dropped
+	Instances    []string
+	From, To     time.Time
+	Volumes      []VolumeTimes
+	Targets      []TargetTimes `json:"Nodes"`
+	Attributions []Attribution `json:"Blames"`
+	Attributed   time.Duration `json:"Blamed"` // to all pairs, including those that were not kept
+	Served       []NamedShare  // of classes and plans; files from before shares have none
+	Dropped      Dropped
 }
 
 // VolumeTimes is a volume's account; Latency is a sketch as DDSketch encodes it.
@@ -33,17 +33,17 @@
 	Share    Share
 }
 
-// NodeTimes is what was seen of a node.
-type NodeTimes struct {
-	Node     string
-	Answers  uint64
-	Stalls   uint64
-	StoodFor time.Duration
+// TargetTimes are the counters of one target.
+type TargetTimes struct {
+	Target     string `json:"Node"`
+	Answers    uint64
+	Stalls     uint64
+	StalledFor time.Duration `json:"StoodFor"`
 }
 
 // Cut returns what the book holds and starts it afresh; open requests go into the next one.
-func (b *Book) Cut(instance string, from, to time.Time) Snapshot {
-	s := b.Look(instance, from, to)
+func (b *Recorder) SnapshotAndReset(instance string, from, to time.Time) Snapshot {
+	s := b.Snapshot(instance, from, to)
 	b.volumes, b.blames, b.shares, b.Dropped = map[string]*Account{}, newHeavy(b.blames.most), sums{}, Dropped{}
 	b.used.Init()
 	for _, n := range b.nodes {
@@ -53,8 +53,8 @@
 }
 
 // Look returns what the book holds, volumes and nodes by name.
-func (b *Book) Look(instance string, from, to time.Time) Snapshot {
-	s := Snapshot{Instances: []string{instance}, From: from, To: to, Blames: b.blames.list(), Blamed: b.blames.whole, Served: shareList(b.shares), Dropped: b.Dropped}
+func (b *Recorder) Snapshot(instance string, from, to time.Time) Snapshot {
+	s := Snapshot{Instances: []string{instance}, From: from, To: to, Attributions: b.blames.list(), Attributed: b.blames.whole, Served: shareList(b.shares), Dropped: b.Dropped}
 	for _, v := range slices.Sorted(maps.Keys(b.volumes)) {
 		a := b.volumes[v]
 		var code []byte
@@ -63,7 +63,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.nodes)) {
 		n := b.nodes[name]
-		s.Nodes = append(s.Nodes, NodeTimes{name, n.Answers, n.Stalls, n.StoodFor})
+		s.Targets = append(s.Targets, TargetTimes{name, n.Answers, n.Stalls, n.StoodFor})
 	}
 	return s
 }
@@ -99,7 +99,7 @@
 }
 
 // Check names what cannot be right, so that what was read from elsewhere is never trusted by halves.
-func (s *Snapshot) Check() error {
+func (s *Snapshot) Validate() error {
 	if s.To.Before(s.From) {
 		return fmt.Errorf("ends %v before it begins", s.From.Sub(s.To))
 	}
@@ -123,7 +123,7 @@
 // up, and a pair that a full snapshot does not have may have waited there as long as the least that it has.
 func Merge(all ...Snapshot) (Snapshot, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var m Snapshot
-	volumes, nodes, pairs := map[string]*VolumeTimes{}, map[string]*NodeTimes{}, map[Pair]*Blame{}
+	volumes, nodes, pairs := map[string]*VolumeTimes{}, map[string]*TargetTimes{}, map[WaitPair]*Attribution{}
 	sketches := map[string]*ddsketch.DDSketch{}
 	shares := sums{}
 	floor := time.Duration(0) // what a pair may have waited in the snapshots so far, none of which has it
@@ -136,7 +136,7 @@
 			m.To = s.To
 		}
 		m.Instances = append(m.Instances, s.Instances...)
-		m.Blamed += s.Blamed
+		m.Attributed += s.Attributed
 		m.Dropped.Volumes += s.Dropped.Volumes
 		m.Dropped.Requests += s.Dropped.Requests
 		for j := range s.Volumes {
@@ -158,33 +158,33 @@
 			}
 		}
 		shares.add(s.Served)
-		for _, n := range s.Nodes {
-			t := nodes[n.Node]
+		for _, n := range s.Targets {
+			t := nodes[n.Target]
 			if t == nil {
-				t = &NodeTimes{Node: n.Node}
-				nodes[n.Node] = t
+				t = &TargetTimes{Target: n.Target}
+				nodes[n.Target] = t
 			}
-			t.Answers, t.Stalls, t.StoodFor = t.Answers+n.Answers, t.Stalls+n.Stalls, t.StoodFor+n.StoodFor
+			t.Answers, t.Stalls, t.StalledFor = t.Answers+n.Answers, t.Stalls+n.Stalls, t.StalledFor+n.StalledFor
 		}
-		full, here := time.Duration(0), map[Pair]bool{}
-		for _, b := range s.Blames {
-			here[b.Pair] = true
-			if b.Error > 0 { // a pair has been pushed out
-				full = s.Blames[len(s.Blames)-1].Waited
+		full, here := time.Duration(0), map[WaitPair]bool{}
+		for _, b := range s.Attributions {
+			here[b.WaitPair] = true
+			if b.Overestimate > 0 { // a pair has been pushed out
+				full = s.Attributions[len(s.Attributions)-1].Waited
 			}
 		}
 		for _, t := range pairs {
-			if !here[t.Pair] {
-				t.Waited, t.Error = t.Waited+full, t.Error+full
+			if !here[t.WaitPair] {
+				t.Waited, t.Overestimate = t.Waited+full, t.Overestimate+full
 			}
 		}
-		for _, b := range s.Blames {
-			t := pairs[b.Pair]
+		for _, b := range s.Attributions {
+			t := pairs[b.WaitPair]
 			if t == nil {
-				t = &Blame{Pair: b.Pair, Waited: floor, Error: floor}
-				pairs[b.Pair] = t
+				t = &Attribution{WaitPair: b.WaitPair, Waited: floor, Overestimate: floor}
+				pairs[b.WaitPair] = t
 			}
-			t.Waited, t.Error = t.Waited+b.Waited, t.Error+b.Error
+			t.Waited, t.Overestimate = t.Waited+b.Waited, t.Overestimate+b.Overestimate
 		}
 		floor += full
 	}
@@ -197,11 +197,11 @@
 	}
 	m.Served = shareList(shares)
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
-		m.Nodes = append(m.Nodes, *nodes[name])
+		m.Targets = append(m.Targets, *nodes[name])
 	}
 	for _, b := range pairs {
-		m.Blames = append(m.Blames, *b)
+		m.Attributions = append(m.Attributions, *b)
 	}
-	slices.SortFunc(m.Blames, heaviestFirst)
+	slices.SortFunc(m.Attributions, heaviestFirst)
 	return m, nil
 }
--- a/internal/observability/accounts/node.go
+++ b/internal/observability/accounts/target.go
@@ -136,9 +136,9 @@
 }
 
 // share deals a stretch of waiting out: to the node's stalls first, the rest to those who were out meanwhile.
-func (n *node) share(name string, w stay, to func(Pair, time.Duration)) {
+func (n *node) share(name string, w stay, to func(WaitPair, time.Duration)) {
 	still := n.still(w.span)
-	to(Pair{w.volume, name, true}, still)
+	to(WaitPair{w.volume, name, true}, still)
 	left := w.length() - still
 	if left <= 0 {
 		return
@@ -165,6 +165,6 @@
 		add(*s)
 	}
 	for volume, d := range each {
-		to(Pair{w.volume, volume, false}, time.Duration(float64(left)*float64(d)/float64(sum)))
+		to(WaitPair{w.volume, volume, false}, time.Duration(float64(left)*float64(d)/float64(sum)))
 	}
 }
--- a/internal/observability/control/control.go
+++ b/internal/observability/control/control.go
@@ -14,9 +14,9 @@
 
 const (
 	// Most is how many connections are open at a time.
-	Most = 16
+	MaxConnections = 16
 	// MostFiles is how many descriptors all of it takes at most.
-	MostFiles = Most + 2
+	MaxFiles = MaxConnections + 2
 	// callWithin is how long a call may take to come, and its answer to be read.
 	callWithin = 900 * time.Millisecond
 	maxHead    = 4 << 10
@@ -25,7 +25,7 @@
 // Options are what the pages show.
 type Options struct {
 	Ready   func() bool
-	Figures func() []byte
+	Metrics func() []byte
 	Members func() any // what the instance knows of the others, as JSON; nil: it keeps no such view
 	Log     *slog.Logger
 }
@@ -48,7 +48,7 @@
 	})
 	pages.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		_, _ = w.Write(opt.Figures())
+		_, _ = w.Write(opt.Metrics())
 	})
 	if opt.Members != nil {
 		pages.HandleFunc("GET /v1/members", func(w http.ResponseWriter, _ *http.Request) {
@@ -92,7 +92,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.open) >= Most {
+	if len(d.open) >= MaxConnections {
 		var oldest net.Conn
 		for o, at := range d.open {
 			if oldest == nil || at.Before(d.open[oldest]) {
--- a/internal/observability/control/control_test.go
+++ b/internal/observability/control/control_test.go
@@ -18,7 +18,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := New(Options{Ready: ready, Figures: func() []byte { return []byte("edge_proxy.concurrent:0|g\n") }, Log: slog.New(slog.DiscardHandler)})
+	s := New(Options{Ready: ready, Metrics: func() []byte { return []byte("edge_proxy.concurrent:0|g\n") }, Log: slog.New(slog.DiscardHandler)})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { s.Close() })
 	return l.Addr().String()
@@ -73,7 +73,7 @@
 // answered well within the second that it has, all the while.
 func TestSilentCallers(t *testing.T) {
 	addr := start(t, func() bool { return true })
-	for i := range 4 * Most {
+	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -82,7 +82,7 @@
 		if i%2 == 0 {
 			_, _ = io.WriteString(c, "GET /v1/metr")
 		}
-		if i%Most != 0 {
+		if i%MaxConnections != 0 {
 			continue
 		}
 		begun := time.Now()
--- a/internal/observability/figures/figures_test.go
+++ b/internal/observability/figures/figures_test.go
@@ -12,26 +12,26 @@
 	var wait sync.WaitGroup
 	for i := range 300 {
 		wait.Go(func() {
-			r := b.Take("get")
-			for e := range endings {
-				r.End((e + Ending(i)) % endings)
+			r := b.StartRequest("get")
+			for e := range outcomes {
+				r.End((e + Outcome(i)) % outcomes)
 			}
-			b.Dispatched()
-			b.Ended("no class", Failure)
+			b.CountDispatch()
+			b.CountOutcome("no class", Failure)
 		})
 	}
 	wait.Wait()
-	open := b.Take("put")
-	b.Listed(7)
-	b.Avoided(2)
+	open := b.StartRequest("put")
+	b.SetTargets(7)
+	b.SetAvoided(2)
 	want := "edge_proxy.replies.get.success:100|c\nedge_proxy.replies.get.overload:100|c\nedge_proxy.replies.get.error:100|c\n" +
 		"edge_proxy.replies.put.success:0|c\nedge_proxy.replies.put.overload:0|c\nedge_proxy.replies.put.error:0|c\n" +
 		"edge_proxy.dispatches:300|c\nedge_proxy.concurrent:1|g\nedge_proxy.targets:7|g\nedge_proxy.targets_disabled:2|g\n"
-	if got := string(Page(b.Tell)); got != want {
+	if got := string(Render(b.Tell)); got != want {
 		t.Errorf("rendered\n%s, want\n%s", got, want)
 	}
 	open.End(Overload)
-	if got := string(Page(b.Tell)); !strings.Contains(got, "concurrent:0|") || !strings.Contains(got, "put.overload:1|") {
+	if got := string(Render(b.Tell)); !strings.Contains(got, "concurrent:0|") || !strings.Contains(got, "put.overload:1|") {
 		t.Errorf("after the last end:\n%s", got)
 	}
 }
@@ -39,12 +39,12 @@
 // TestKnow has classes come and go: what was counted stays, and a new one begins at 0.
 func TestKnow(t *testing.T) {
 	b := New([]string{"get"})
-	open := b.Take("get")
-	b.Know([]string{"put"})
+	open := b.StartRequest("get")
+	b.AddClasses([]string{"put"})
 	open.End(Success)
-	b.Ended("put", Overload)
-	b.Know([]string{"get"})
-	got := string(Page(b.Tell))
+	b.CountOutcome("put", Overload)
+	b.AddClasses([]string{"get"})
+	got := string(Render(b.Tell))
 	for _, want := range []string{"get.success:1|", "get.error:0|", "put.overload:1|", "put.success:0|", "concurrent:0|"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("no %s in\n%s", want, got)
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -22,7 +22,7 @@
 
 // ledger is a running instance's accounts: the book, which the core's goroutine alone touches, and what is done with it.
 type ledger struct {
-	book   *accounts.Book
+	book   *accounts.Recorder
 	opt    config.Accounts
 	name   string
 	log    *slog.Logger
@@ -44,7 +44,7 @@
 }
 
 func newLedger(opt config.Accounts, name string, worth func(policy.Request) float64, log *slog.Logger) *ledger {
-	l := &ledger{book: accounts.New(accounts.Options{Volumes: opt.Volumes, Pairs: opt.Pairs, Open: opt.Open, Worth: worth}), opt: opt, name: name,
+	l := &ledger{book: accounts.New(accounts.Options{MaxVolumes: opt.Volumes, MaxPairs: opt.Pairs, MaxOpen: opt.Open, Worth: worth}), opt: opt, name: name,
 		log: log, from: time.Now()}
 	l.run = l.write
 	return l
@@ -56,10 +56,10 @@
 	l.core.Inspect(func() {
 		now := time.Now()
 		if !cut {
-			done <- l.book.Look(l.name, l.from, now)
+			done <- l.book.Snapshot(l.name, l.from, now)
 			return
 		}
-		done <- l.book.Cut(l.name, l.from, now)
+		done <- l.book.SnapshotAndReset(l.name, l.from, now)
 		l.from = now
 	})
 	select {
@@ -104,7 +104,7 @@
 	}
 	if l.opt.Log {
 		served, _ := s.Shares(0)
-		l.log.Info(accounts.SharesLine, slog.String("name", l.name), slog.Any("shares", accounts.LoggedShares(served)))
+		l.log.Info(accounts.SharesLogMessage, slog.String("name", l.name), slog.Any("shares", accounts.LoggedShares(served)))
 	}
 	if l.opt.Dir == "" {
 		return
@@ -173,5 +173,5 @@
 	for _, e := range list.Servers {
 		listed[e.ID] = true
 	}
-	l.core.Inspect(func() { l.book.Forget(func(id string) bool { return listed[id] }) })
+	l.core.Inspect(func() { l.book.ForgetUnlisted(func(id string) bool { return listed[id] }) })
 }
--- a/internal/process/instance/adopt.go
+++ b/internal/process/instance/adopt.go
@@ -37,10 +37,10 @@
 	}
 	a.limits.grant(granted(cfg.Limits))
 	a.module.up.Times(cfg.Dial, cfg.ConnIdle*4/5)
-	a.module.numbers.Know(slices.Collect(maps.Keys(cfg.Classes())))
+	a.module.numbers.AddClasses(slices.Collect(maps.Keys(cfg.Classes())))
 	a.list.list.Crowd(crowd(cfg))
 	if a.book != nil {
-		a.in.core.Inspect(func() { a.book.book.Values(worth(cfg)) })
+		a.in.core.Inspect(func() { a.book.book.SetWorth(worth(cfg)) })
 	}
 	select {
 	case <-a.in.core.Adopt(cfg.Module, cfg.MostHeld, namesFor(cfg)):
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -173,12 +173,12 @@
 		wire, rest = nvme.NewHost(host(op.NVMe, certs)), 0 // its answers name their commands
 	}
 	numbers := figures.New(slices.Collect(maps.Keys(cfg.Classes())))
-	out := upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5, Rest: rest, Sent: numbers.Dispatched, Log: log}
+	out := upstream.Options{Wire: wire, Dial: cfg.Dial, Idle: cfg.ConnIdle * 4 / 5, Rest: rest, Sent: numbers.CountDispatch, Log: log}
 	if part != nil {
 		out.Stock = part
 	}
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
-	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.Avoided}
+	bounds := core.Options{MostHeld: cfg.MostHeld, Margin: answerMargin, NamesFor: namesFor(cfg), Avoided: numbers.SetAvoided}
 	if duties != nil {
 		bounds.Avoids = duties.runner.SetEjected
 	}
@@ -247,7 +247,7 @@
 		in.parts = append(in.parts, certificates{keys: certs})
 	}
 	if cfg.Control != "" {
-		about := control.Options{Ready: clients.Ready, Figures: func() []byte { return figures.Page(in.parts.tell) }, Log: log}
+		about := control.Options{Ready: clients.Ready, Metrics: func() []byte { return figures.Render(in.parts.tell) }, Log: log}
 		if known != nil {
 			about.Members = func() any {
 				v, _ := known.View()
@@ -334,7 +334,7 @@
 	loop
 	core    *core.Core
 	up      *upstream.Registry
-	numbers *figures.Book
+	numbers *figures.Metrics
 }
 
 // Listed implements listener. The targets' actors hear before the module does: a send decided on the older list meets the newer one.
@@ -345,7 +345,7 @@
 		nodes.Endpoints[i] = e.Node()
 		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: nodes.Endpoints[i].State}
 	}
-	d.numbers.Listed(d.up.Apply(targets, l.Full))
+	d.numbers.SetTargets(d.up.Apply(targets, l.Full))
 	d.core.List(nodes)
 }
 
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -101,7 +101,7 @@
 	p.listed(&listing.List{})
 	require.ErrorIs(t, p.reload(Change{}), bad)
 	require.Equal(t, "list a list b reload a reload b", strings.Join(log, " "))
-	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Page(p.tell)))
+	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Render(p.tell)))
 }
 
 const settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":500000,
@@ -236,7 +236,7 @@
 				continue // fewer than any configuration may have
 			}
 			l := limits{Cores: 1, MemoryMB: 192, Sockets: sockets}.of(parts)
-			total := l.clients() + l.allTargets() + spareFiles + control.MostFiles
+			total := l.clients() + l.allTargets() + spareFiles + control.MaxFiles
 			require.LessOrEqual(t, total, l.Sockets, "%d sockets in %d parts", sockets, parts)
 			require.LessOrEqual(t, l.target(), l.allTargets())
 			require.Less(t, l.easy(), l.Sockets/4)
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -45,7 +45,7 @@
 // clients is how many connections clients may hold, beside the targets' and the spare descriptors, and in a third of
 // the memory.
 func (l limits) clients() int {
-	n := min(l.Sockets-l.allTargets()-spareFiles-control.MostFiles, l.MemoryMB<<20/3/clientBytes)
+	n := min(l.Sockets-l.allTargets()-spareFiles-control.MaxFiles, l.MemoryMB<<20/3/clientBytes)
 	return max(n, fewClients)
 }
 
@@ -59,7 +59,7 @@
 
 // allTargets is how many connections all targets' pools may hold together.
 func (l limits) allTargets() int {
-	return max(min(l.Sockets*3/10, l.Sockets-spareFiles-control.MostFiles-fewClients), fewTargets)
+	return max(min(l.Sockets*3/10, l.Sockets-spareFiles-control.MaxFiles-fewClients), fewTargets)
 }
 
 // held is how many bytes may be held at a time.
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -25,7 +25,7 @@
 
 // about is this initiator as its hosts' controller. Connections and data held have their part of the
 // process's limits.
-func about(n *config.NVMe, c *config.Config, certs *keys.Keys, numbers *figures.Book, leave core.Leave, log *slog.Logger) nvme.Options {
+func about(n *config.NVMe, c *config.Config, certs *keys.Keys, numbers *figures.Metrics, leave core.Leave, log *slog.Logger) nvme.Options {
 	own := limits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: namespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MostConn: own.clients(), MostBytes: own.held(), Patience: map[string]time.Duration{},
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -194,7 +194,7 @@
 		Sizes: []float64{64, 256, 1024, 4096}, Short: []float64{32, 64, 128, 256},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			before := heap()
-			b := accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 64})
+			b := accounts.New(accounts.Options{MaxVolumes: 4096, MaxPairs: 4096, MaxOpen: 64})
 			m, err := newModule(64)
 			if err != nil {
 				return nil, err
@@ -213,7 +213,7 @@
 			}
 			held := max(0, heap()-before)
 			day := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-			t, err := json.Marshal(b.Look("instance-00001", day, day.Add(time.Minute)))
+			t, err := json.Marshal(b.Snapshot("instance-00001", day, day.Add(time.Minute)))
 			runtime.KeepAlive(b)
 			return []float64{float64(len(t)), held}, err
 		}}}
