--- a/internal/controlplane/membership/awareness.go
+++ b/internal/controlplane/membership/awareness.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// scaleByHealth lengthens the member's own timeouts by its health score (Lifeguard).
+// scaleByHealth lengthens one of this member's timeouts in proportion to its health score (Lifeguard).
 func (n *Node) scaleByHealth(d time.Duration) time.Duration {
 	return d * time.Duration(1+n.healthScore)
 }
 
-// adjustHealth changes the health score within its bounds.
+// adjustHealth adds to the health score, within 0 and maxHealthScore.
 func (n *Node) adjustHealth(by int) {
 	if !n.config.DisableLifeguard {
 		n.healthScore = max(0, min(maxHealthScore, n.healthScore+by))
 	}
 }
 
-// observeClock compares the clock with the time of the announced tick. A large delay is a pause of
-// this process and restarts all suspicions (step 4); a smaller one means that messages wait unread,
-// and moves the timeouts.
+// observeClock compares the clock with the time of the announced tick. A large delay means that this
+// process was paused, and restarts all suspicions (step 4). A smaller one means that received messages
+// may still be queued, and postpones the timeouts.
 func (n *Node) observeClock(now time.Duration) {
 	late := now - n.announcedTick
 	switch {
@@ -34,7 +34,8 @@
 	case late > n.config.ProbeTimeout/2:
 		n.Counts.Starved++
 		n.adjustHealth(1)
-		// Messages that came meanwhile have not been read: the delay does not count, and there is time to read them.
+		// Messages that arrived meanwhile are still queued: the delay does not count against other members, and one
+		// more probe timeout is granted to process the queue.
 		late += n.config.ProbeTimeout
 		if n.currentProbe != nil {
 			n.currentProbe.startedAt += late
@@ -50,19 +51,20 @@
 	}
 }
 
-// markIsolated notes that nobody is heard: until somebody is, no member is declared dead (step 4).
+// markIsolated marks this member as isolated: it receives no verified messages, and declares no member
+// dead until it receives one (step 4).
 func (n *Node) markIsolated(now time.Duration) {
 	n.isolated = true
 	n.addEvent(now, &member{info: &n.self.Info, id: n.self.ID}, "alone", n.self.Incarnation, "we hear nobody")
 }
 
-// receivesPings reports whether pings of others arrived recently: then this member hears, but is not
-// heard.
+// receivesPings reports whether pings of other members arrived recently. If they did while this member
+// is isolated, it can receive, but its own messages do not arrive.
 func (n *Node) receivesPings(now time.Duration) bool {
 	return slices.ContainsFunc(n.recentPings, func(p pendingRequest) bool { return now-p.sentAt < 4*n.config.ProbeInterval })
 }
 
-// IsolationReason returns why the member declares nobody dead; empty: it does.
+// IsolationReason returns why this member declares no member dead, or "" if it is not isolated.
 func (n *Node) IsolationReason(now time.Duration) string {
 	switch {
 	case !n.isolated:
--- a/internal/controlplane/membership/broadcast.go
+++ b/internal/controlplane/membership/broadcast.go
@@ -7,31 +7,32 @@
 	"time"
 )
 
-// broadcast is a record that is being piggybacked.
+// broadcast is a record that is being piggybacked, with the number of times it was sent.
 type broadcast struct {
 	Record
 	transmissions int
 }
 
-// retransmitLimit is how often a record is piggybacked.
+// retransmitLimit returns how many times a record is piggybacked.
 func (n *Node) retransmitLimit() int {
 	return int(math.Ceil(n.config.RetransmitMult * math.Log2(float64(n.Size())+1)))
 }
 
-// queueBroadcast has a record piggybacked. It replaces what was to be told of the member before,
-// except the reports of other reporters.
+// queueBroadcast queues a record to be piggybacked. It replaces older queued records of the same member,
+// except reports by other reporters.
 func (n *Node) queueBroadcast(r Record) {
 	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(u broadcast) bool {
 		return u.ID == r.ID && (u.Incarnation < r.Incarnation || u.Incarnation == r.Incarnation && (u.Status < r.Status || u.Status == r.Status && u.Reporter == r.Reporter))
 	})
-	if len(n.broadcasts) >= maxBroadcasts { // it was sent most often
+	if len(n.broadcasts) >= maxBroadcasts { // drops the first: the one sent least often, as piggyback sorts them
 		n.broadcasts = slices.Delete(n.broadcasts, 0, 1)
 	}
 	n.broadcasts = append(n.broadcasts, broadcast{Record: r})
 }
 
-// piggyback fills a verified message with what is to be spread: first what the receiver should know of
-// itself, then what was sent least often. A message's size does not depend on the fleet's.
+// piggyback adds queued records to a message that echoes a nonce of its receiver: first the receiver's own
+// record if this view holds it suspected or dead, so that it can refute, then those sent least often. The
+// size of a message does not depend on the size of the fleet.
 func (n *Node) piggyback(msg *Message, to uint64) {
 	room := MaxMessageBytes - 200 - msg.From.size()
 	if m := n.lookup(to); m != nil && m.status != Alive && m.status != Left {
@@ -39,7 +40,7 @@
 		msg.Records = append(msg.Records, r)
 		room -= r.size()
 	}
-	most := n.retransmitLimit()
+	limit := n.retransmitLimit()
 	slices.SortStableFunc(n.broadcasts, func(a, b broadcast) int { return a.transmissions - b.transmissions })
 	for i := range n.broadcasts {
 		u := &n.broadcasts[i]
@@ -50,9 +51,9 @@
 		msg.Records = append(msg.Records, u.Record)
 		u.transmissions++
 	}
-	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(u broadcast) bool { return u.transmissions >= most })
+	n.broadcasts = slices.DeleteFunc(n.broadcasts, func(u broadcast) bool { return u.transmissions >= limit })
 	kept := n.reachBroadcasts[:0]
-	var told []reachKey
+	var requeued []reachKey
 	for _, k := range n.reachBroadcasts {
 		reach := n.reachability[k]
 		switch {
@@ -62,17 +63,17 @@
 		default:
 			room -= 60
 			msg.Reachability = append(msg.Reachability, reach.Reachability)
-			if reach.transmissions++; reach.transmissions < most {
-				told = append(told, k) // after the others
+			if reach.transmissions++; reach.transmissions < limit {
+				requeued = append(requeued, k) // behind those not sent yet
 			} else {
 				reach.transmissions = -1
 			}
 		}
 	}
-	n.reachBroadcasts = append(kept, told...)
+	n.reachBroadcasts = append(kept, requeued...)
 }
 
-// mergePiggyback takes over what a verified message carries.
+// mergePiggyback merges the records and findings in a verified message into the view.
 func (n *Node) mergePiggyback(now time.Duration, msg *Message) {
 	for i := range msg.Records {
 		n.mergeRecord(now, &msg.Records[i])
@@ -84,7 +85,7 @@
 	}
 }
 
-// gossipUrgent spreads an own change at once, at most twice in a probe interval.
+// gossipUrgent spreads a change of this member's own record at once, at most twice in a probe interval.
 func (n *Node) gossipUrgent(now time.Duration, o *outbox) {
 	if n.gossipPending && now-n.lastUrgentGossip >= n.config.ProbeInterval/2 {
 		n.gossipPending, n.lastUrgentGossip = false, now
@@ -92,23 +93,25 @@
 	}
 }
 
-// pingRecentlyHeard pings the members heard last, so that their answers carry away what is urgent.
-func (n *Node) pingRecentlyHeard(now time.Duration, most int, o *outbox) {
-	var best []*member
+// pingRecentlyHeard pings the members heard most recently. The confirmations of their acks carry the
+// queued broadcasts.
+func (n *Node) pingRecentlyHeard(now time.Duration, limit int, o *outbox) {
+	var recent []*member
 	for i := range n.members {
 		if m := &n.members[i]; m.status == Alive {
-			best = append(best, m)
+			recent = append(recent, m)
 		}
 	}
-	slices.SortStableFunc(best, func(a, b *member) int { return cmp.Compare(b.lastHeardAt, a.lastHeardAt) })
-	for _, m := range best[:min(most, len(best))] {
+	slices.SortStableFunc(recent, func(a, b *member) int { return cmp.Compare(b.lastHeardAt, a.lastHeardAt) })
+	for _, m := range recent[:min(limit, len(recent))] {
 		nonce := n.newNonce()
 		n.expectReply(nonce, pendingRequest{responder: m.id, kind: Ping, sentAt: now})
 		n.sendPing(now, m, nonce, Datagram, o)
 	}
 }
 
-// raiseIncarnation gives the member's own record a greater incarnation and has it spread.
+// raiseIncarnation increments the incarnation of this member's own record and queues the record for
+// urgent gossip.
 func (n *Node) raiseIncarnation() {
 	n.toggleDigest(&n.self)
 	n.self.Incarnation++
--- a/internal/controlplane/membership/debug.go
+++ b/internal/controlplane/membership/debug.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// DebugString prints the state except for random numbers, with times relative to now: equal states go
-// on alike.
+// DebugString prints the state except for random numbers, with times relative to now. Two nodes with equal
+// strings behave the same from then on.
 func (n *Node) DebugString(now time.Duration, name func(uint64) string) string {
 	var b strings.Builder
 	ago := func(t time.Duration) int64 { return (now - t).Milliseconds() }
-	fmt.Fprintf(&b, "%s.%d %v score %d alone %v poked %d heard %d next %d/%d", name(n.self.ID), n.self.Incarnation, n.self.Status, n.healthScore, n.isolated,
+	fmt.Fprintf(&b, "%s.%d %v score %d isolated %v gossiped %d heard %d next %d/%d", name(n.self.ID), n.self.Incarnation, n.self.Status, n.healthScore, n.isolated,
 		min(ago(n.lastUrgentGossip), 1000), ago(n.lastHeardAt), ago(n.nextProbe), ago(n.nextSync))
 	for _, i := range n.sortedIndexes() {
 		m := &n.members[i]
@@ -29,16 +29,16 @@
 		}
 	}
 	if p := n.currentProbe; p != nil {
-		fmt.Fprintf(&b, " probe %s %d asked %d nacks %d answers %v told %v", name(p.target), ago(p.startedAt), len(p.helpers), p.nacks, p.acked, p.reachedBy != 0)
+		fmt.Fprintf(&b, " probe %s %d helpers %d nacks %d acked %v reached %v", name(p.target), ago(p.startedAt), len(p.helpers), p.nacks, p.acked, p.reachedBy != 0)
 	}
 	for _, path := range n.suspectPaths {
-		fmt.Fprintf(&b, " doubt %s %d %d %d", name(path.target), path.failures, path.pingsSeen, path.streamAcks)
+		fmt.Fprintf(&b, " path %s %d %d %d", name(path.target), path.failures, path.pingsSeen, path.streamAcks)
 	}
 	for _, k := range n.sortedReachKeys() {
-		fmt.Fprintf(&b, " way %s %s-%s %v", name(k.observer), name(k.from), name(k.to), n.reachability[k].State)
+		fmt.Fprintf(&b, " link %s %s-%s %v", name(k.observer), name(k.from), name(k.to), n.reachability[k].State)
 	}
 	for _, u := range n.broadcasts {
-		fmt.Fprintf(&b, " tell %s.%d %v %s %d", name(u.ID), u.Incarnation, u.Status, name(u.Reporter), u.transmissions)
+		fmt.Fprintf(&b, " broadcast %s.%d %v %s %d", name(u.ID), u.Incarnation, u.Status, name(u.Reporter), u.transmissions)
 	}
 	missed := make([]string, 0, len(n.missedProbes))
 	for x := range n.missedProbes {
@@ -53,7 +53,7 @@
 	return b.String()
 }
 
-// sortedIndexes returns the positions of members in order of id.
+// sortedIndexes returns the positions in members, ordered by id.
 func (n *Node) sortedIndexes() []int {
 	order := make([]int, len(n.members))
 	for i := range order {
@@ -64,18 +64,19 @@
 }
 
 // Lookup returns the view's record of one member.
-func (n *Node) Lookup(birth uint64) (Record, bool) {
-	m := n.lookup(birth)
+func (n *Node) Lookup(id uint64) (Record, bool) {
+	m := n.lookup(id)
 	if m == nil {
 		return Record{}, false
 	}
 	return n.recordOf(m), true
 }
 
-// PendingBroadcasts is the number of records that are still being piggybacked.
+// PendingBroadcasts returns the number of records that are still being piggybacked.
 func (n *Node) PendingBroadcasts() int { return len(n.broadcasts) }
 
-// DirectSuspects returns the members that this one suspects by its own probes, with the incarnation.
+// DirectSuspects returns the ids of the members that this one suspects by its own probes, with the
+// suspected incarnations.
 func (n *Node) DirectSuspects() map[uint64]uint32 {
 	all := map[uint64]uint32{}
 	for _, s := range n.suspicions {
--- a/internal/controlplane/membership/events.go
+++ b/internal/controlplane/membership/events.go
@@ -13,7 +13,7 @@
 	Status      string        `json:"to"`
 	Incarnation uint32        `json:"incarnation"`
 	Reason      string        `json:"why"`
-	Reporters   []uint64      `json:"-"` // of a death
+	Reporters   []uint64      `json:"-"` // members whose reports led to a death
 }
 
 // Counts are a member's counters. JSON uses the field names or, where a field has one, its tag.
@@ -33,14 +33,14 @@
 	FutureIncarnations  uint64 `json:"Absurd"` // reports on this member ignored: incarnation greater than its own
 }
 
-// addEvent records a change of the view.
-func (n *Node) addEvent(now time.Duration, m *member, to string, inc uint32, why string) {
+// addEvent appends a change of the view, and drops the oldest beyond maxEvents.
+func (n *Node) addEvent(now time.Duration, m *member, to string, inc uint32, reason string) {
 	n.eventCount++
-	n.events = append(n.events, Event{At: now, ID: m.id, Name: m.info.Name, Status: to, Incarnation: inc, Reason: why})
+	n.events = append(n.events, Event{At: now, ID: m.id, Name: m.info.Name, Status: to, Incarnation: inc, Reason: reason})
 	if len(n.events) > maxEvents {
 		n.events = slices.Delete(n.events, 0, len(n.events)-maxEvents)
 	}
 }
 
-// Events returns the changes that are kept, the latest last, and the number of all.
+// Events returns the changes that are kept, the latest last, and the number of all changes so far.
 func (n *Node) Events() (kept []Event, ever int) { return n.events, n.eventCount }
--- a/internal/controlplane/membership/membership_test.go
+++ b/internal/controlplane/membership/membership_test.go
@@ -18,7 +18,7 @@
 
 func info(name string) Info { return Info{Name: name, Addr: name + ":1"} }
 
-func machine(t testing.TB, known int) *Node {
+func newTestNode(t testing.TB, known int) *Node {
 	t.Helper()
 	set := DefaultConfig
 	set.FleetID = 7
@@ -31,20 +31,21 @@
 	return n
 }
 
-// TestLateness has a member look at the clock late while a probe is out: a short lateness costs the one that was asked nothing, since
-// its answer may wait unread; a long one is a pause, which voids the probe and is told.
-func TestLateness(t *testing.T) {
+// TestLateTick runs the tick that ends a probe late. Up to half a probe timeout the probe fails as usual. A longer delay does not count
+// against the probed member, since its answer may still be queued. Beyond PauseThreshold it is a pause, which discards the probe and
+// raises the member's own incarnation.
+func TestLateTick(t *testing.T) {
 	for _, c := range []struct {
 		late   time.Duration
 		failed uint64
 		pauses uint64
 		inc    uint32
 	}{{0, 1, 0, 1}, {100 * time.Millisecond, 1, 0, 1}, {700 * time.Millisecond, 0, 0, 1}, {1900 * time.Millisecond, 0, 0, 1}, {2100 * time.Millisecond, 0, 1, 2}} {
-		n := machine(t, 5)
+		n := newTestNode(t, 5)
 		at := n.NextTick()
-		n.Tick(at) // a probe goes out
+		n.Tick(at) // sends a ping
 		at = n.NextTick()
-		n.Tick(at) // others are asked
+		n.Tick(at) // asks helpers
 		at = n.NextTick() + c.late
 		n.Tick(at)
 		require.Equal(t, c.failed, n.Counts.Failed, "%v late", c.late)
@@ -53,10 +54,10 @@
 	}
 }
 
-// TestNoMessageGrows fills a member with all that it may know, under the longest names, and looks at what it sends: no message is larger
-// for it.
-func TestNoMessageGrows(t *testing.T) {
-	n := machine(t, 0)
+// TestMessageSizeBounded fills a view to its bounds, with names of the greatest length, and checks that no message that the member sends
+// exceeds its bound.
+func TestMessageSizeBounded(t *testing.T) {
+	n := newTestNode(t, 0)
 	long := strings.Repeat("x", MaxTextBytes)
 	var all []Record
 	for i := range 4000 {
@@ -86,11 +87,11 @@
 	}
 }
 
-// TestGarbage feeds a member messages of any content that pass the check: nobody comes of it, nobody dies of it, and it answers each with
-// a bounded number of messages.
-func TestGarbage(t *testing.T) {
+// TestUnverifiedMessagesChangeNothing feeds a member valid messages with random content that echo none of its nonces: they add no member,
+// end none, and each causes a bounded number of replies (step 2).
+func TestUnverifiedMessagesChangeNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := machine(&testing.B{}, 3)
+		n := newTestNode(&testing.B{}, 3)
 		digest, inc := n.AliveDigest(), n.Self().Incarnation
 		for range rapid.IntRange(1, 30).Draw(t, "messages") {
 			record := func(name string) Record {
@@ -107,18 +108,18 @@
 				t.Fatal(err)
 			}
 			if out := n.Receive(time.Second, msg, Datagram); len(out) > maxSyncPages+2 {
-				t.Fatalf("%d messages for one", len(out))
+				t.Fatalf("%d messages in reply to one", len(out))
 			}
 		}
 		if n.AliveDigest() != digest || n.Self().Incarnation != inc || n.Size() != 4 || len(n.reachability) > 0 {
-			t.Fatalf("garbage changed the view: %s", n.DebugString(time.Second, idText))
+			t.Fatalf("unverified messages changed the view: %s", n.DebugString(time.Second, formatID))
 		}
 	})
 }
 
-// TestViews tells states as they are: who is paused, slow, twice there, cut off or suspected, and ways between two zones as one.
-func TestViews(t *testing.T) {
-	n := machine(t, 0)
+// TestViewStates checks the states that a View shows: paused, slow, cut off, suspected and left members, and names that two members have.
+func TestViewStates(t *testing.T) {
+	n := newTestNode(t, 0)
 	for i := range 8 {
 		n.mergeRecord(0, &Record{ID: uint64(10 + i), Incarnation: 1, Info: Info{Name: fmt.Sprint("n", i), Addr: "a:1", Zone: []string{"a", "b"}[i%2]}})
 	}
@@ -133,7 +134,7 @@
 	v := n.View(time.Second)
 	states := map[string]State{}
 	for _, s := range v.Members {
-		if s.ID != idText(30) {
+		if s.ID != formatID(30) {
 			states[s.Name] = s.State
 		}
 	}
@@ -142,7 +143,7 @@
 	require.Len(t, n.EndedInstances(5), 1)
 	require.Equal(t, "n4", n.EndedInstances(5)[0].Name)
 	require.Empty(t, Diff(v, v))
-	w := machine(t, 0).View(0)
+	w := newTestNode(t, 0).View(0)
 	w.Members[0].ID = "other"
 	require.NotEmpty(t, Diff(v, w))
 }
--- a/internal/controlplane/membership/message.go
+++ b/internal/controlplane/membership/message.go
@@ -5,20 +5,20 @@
 	"fmt"
 )
 
-// Version is the protocol version; messages of other versions are not read.
+// Version is the protocol version; messages of other versions are rejected.
 const Version = 1
 
 // Bounds of a message.
 const (
 	MaxTextBytes    = 64   // of a name, an address or a zone
-	MaxMessageBytes = 1200 // whatever the size of the fleet
+	MaxMessageBytes = 1200 // independent of the size of the fleet
 	MaxRecords      = 24
 	MaxReachability = 8
-	DigestBuckets   = 64 // by which two views are compared
-	maxSyncPages    = 8  // sent in answer to one sync request
+	DigestBuckets   = 64 // digests by which two views are compared, each over the ids of one bucket
+	maxSyncPages    = 8  // sent in reply to one sync request or page
 )
 
-// Status is what a record says of a member. Of two records with the same incarnation, the one with the
+// Status is a member's status in a record. Of two records with the same incarnation, the one with the
 // greater status wins.
 type Status uint8
 
@@ -39,26 +39,26 @@
 	return [...]string{"alive", "suspect", "dead", "left"}[s]
 }
 
-// Info is the static information on a member.
+// Info is the information on a member that does not change with its status.
 type Info struct {
 	Name string `cbor:"1,keyasint"`
-	Addr string `cbor:"2,keyasint"` // where it is reached
+	Addr string `cbor:"2,keyasint"` // host:port of its sockets
 	Zone string `cbor:"3,keyasint,omitempty"`
 }
 
-// Record is a statement on one member. A member is one run of a process; its ID is drawn at its start,
-// so that statements on one run do not apply to a later run with the same name. Only the member itself
+// Record reports the status of one member. A member is one run of a process; its ID is drawn at its
+// start, so that records of one run do not apply to a later run with the same name. Only the member itself
 // raises its incarnation.
 type Record struct {
 	ID          uint64 `cbor:"1,keyasint"`
 	Incarnation uint32 `cbor:"2,keyasint"`
 	Status      Status `cbor:"3,keyasint,omitempty"`
 	Info        Info   `cbor:"4,keyasint"`
-	Reporter    uint64 `cbor:"5,keyasint,omitempty"` // who suspects it or declared it dead
-	PausedMs    uint32 `cbor:"6,keyasint,omitempty"` // pause that made it raise its incarnation
+	Reporter    uint64 `cbor:"5,keyasint,omitempty"` // member that suspects it or declared it dead
+	PausedMs    uint32 `cbor:"6,keyasint,omitempty"` // length of the pause after which it raised its incarnation
 }
 
-// size is an upper bound of the encoded size in bytes.
+// size returns an upper bound of the encoded size in bytes.
 func (r *Record) size() int { return len(r.Info.Name) + len(r.Info.Addr) + len(r.Info.Zone) + 48 }
 
 // Validate returns an error that names the first invalid field.
@@ -78,23 +78,23 @@
 	return nil
 }
 
-// Reachability is what one member found out about the link from one member to another.
+// Reachability is a finding of one member, the observer, about the link from one member to another.
 type Reachability struct {
 	Observer uint64    `cbor:"1,keyasint"`
 	From     uint64    `cbor:"2,keyasint"`
 	To       uint64    `cbor:"3,keyasint"`
 	State    LinkState `cbor:"4,keyasint"`
-	Seq      uint32    `cbor:"5,keyasint"` // of the observer: the greatest is the latest
+	Seq      uint32    `cbor:"5,keyasint"` // counts the observer's findings: the greatest is the latest
 }
 
-// LinkState is the state of a link.
+// LinkState is the state of a link in one direction.
 type LinkState uint8
 
 // The states.
 const (
-	LinkUp        LinkState = iota // works again
+	LinkUp        LinkState = iota // messages arrive again
 	LinkDown                       // messages do not arrive
-	DatagramsLost                  // streams arrive, datagrams do not
+	DatagramsLost                  // messages arrive by stream, but not by datagram
 )
 
 // String returns the state as views show it.
@@ -114,10 +114,10 @@
 	Ack                            // answers a Ping, with a nonce of its own
 	AckConfirm                     // answers an Ack
 	PingRequest                    // asks a helper to ping another member
-	IndirectAck                    // the helper reached it
-	Nack                           // the helper is there, and has not reached it yet
-	SyncRequest                    // asks for the parts of a view that differ
-	SyncPage                       // records of parts that differ
+	IndirectAck                    // a helper's reply: the subject answered it
+	Nack                           // a helper's reply: it received the request, and the subject has not answered yet
+	SyncRequest                    // asks for the records of the buckets whose digests differ
+	SyncPage                       // records of buckets whose digests differ
 	kinds
 )
 
@@ -134,15 +134,15 @@
 	Version          uint8       `cbor:"1,keyasint"`
 	FleetID          uint64      `cbor:"2,keyasint"`
 	Kind             MessageKind `cbor:"3,keyasint"`
-	From             Record      `cbor:"4,keyasint"`           // the sender's own record
-	To               uint64      `cbor:"5,keyasint,omitempty"` // id of the receiver; 0: whoever has the address
-	Nonce            uint64      `cbor:"6,keyasint,omitempty"` // to be echoed
-	Echo             uint64      `cbor:"7,keyasint,omitempty"` // nonce that this answers: the message was written after it
-	Opinion          *Opinion    `cbor:"8,keyasint,omitempty"`
-	SilentMs         uint32      `cbor:"9,keyasint,omitempty"` // since the sender heard it; 0: recently, or never
-	Subject          Record      `cbor:"10,keyasint,omitempty"`
-	RequesterNonce   uint64      `cbor:"11,keyasint,omitempty"`
-	SawRequesterPing bool        `cbor:"12,keyasint,omitempty"` // the subject has received the requester's own ping
+	From             Record      `cbor:"4,keyasint"`            // the sender's own record
+	To               uint64      `cbor:"5,keyasint,omitempty"`  // id of the receiver; 0: any member at the address
+	Nonce            uint64      `cbor:"6,keyasint,omitempty"`  // to be echoed in the reply
+	Echo             uint64      `cbor:"7,keyasint,omitempty"`  // nonce of the message that this replies to: proves that this one was written after it
+	Opinion          *Opinion    `cbor:"8,keyasint,omitempty"`  // of a Ping: the receiver's status in the sender's view
+	SilentMs         uint32      `cbor:"9,keyasint,omitempty"`  // time since the sender last heard the receiver; 0: recently, or never
+	Subject          Record      `cbor:"10,keyasint,omitempty"` // member that an indirect probe concerns; in a helper's Ping: the requester
+	RequesterNonce   uint64      `cbor:"11,keyasint,omitempty"` // nonce of the requester's own ping, in a helper's Ping and its Ack
+	SawRequesterPing bool        `cbor:"12,keyasint,omitempty"` // the probed member has received the requester's own ping
 	Health           uint8       `cbor:"13,keyasint,omitempty"` // health score; 0: healthy
 	Load             uint16      `cbor:"14,keyasint,omitempty"` // open requests
 	Agent            string      `cbor:"15,keyasint,omitempty"` // an agent that answered it recently
@@ -153,13 +153,13 @@
 	ViewSize     uint32         `cbor:"19,keyasint,omitempty"` // live members in the sender's view
 }
 
-// Opinion is a status and the incarnation that it is about.
+// Opinion is a member's status in a view, and the incarnation to which it applies.
 type Opinion struct {
 	Incarnation uint32 `cbor:"1,keyasint"`
 	Status      Status `cbor:"2,keyasint,omitempty"`
 }
 
-// Validate returns an error that names the first invalid field. Nothing of an invalid message is used.
+// Validate returns an error that names the first invalid field. An invalid message is dropped as a whole.
 func (m *Message) Validate() error {
 	switch {
 	case m.Version != Version:
@@ -192,13 +192,13 @@
 	}
 	for i, r := range m.Reachability {
 		if r.State > DatagramsLost || r.Observer == 0 || r.From == 0 || r.To == 0 {
-			return fmt.Errorf("links[%d]: not one", i)
+			return fmt.Errorf("links[%d]: unknown state or missing id", i)
 		}
 	}
 	return nil
 }
 
-// Channel is how a message travels.
+// Channel is the transport of a message.
 type Channel uint8
 
 // The channels.
@@ -207,7 +207,7 @@
 	Stream
 )
 
-// Outgoing is a message to send.
+// Outgoing is a message to send to an address.
 type Outgoing struct {
 	Addr    string
 	Channel Channel
--- a/internal/controlplane/membership/node.go
+++ b/internal/controlplane/membership/node.go
@@ -9,15 +9,15 @@
 // Constants of the protocol.
 const (
 	maxHealthScore     = 8
-	maxPendingRequests = 256 // requests that wait for an answer
-	maxRecentPings     = 64  // pings of others that are remembered
+	maxPendingRequests = 256 // requests that wait for their reply
+	maxRecentPings     = 64  // received pings that are remembered
 	maxBroadcasts      = 4096
 	maxReachRecords    = 1024
-	maxSuspectPaths    = 8 // links that are tested again at a time
-	failuresBeforeCut  = 6 // failed probes in a row, with answers by another path, that make a cut
+	maxSuspectPaths    = 8 // members probed more often at a time, to find out which link is cut
+	failuresBeforeCut  = 6 // consecutive failed probes of a member reached by another path, after which a cut is reported
 	maxEvents          = 256
 	maxAgents          = 8
-	maxTombstones      = 1024 // ended members that are remembered
+	maxTombstones      = 1024 // members that are dead or have left and are remembered
 	maxSyncAnswers     = 4    // sync requests answered in a probe interval
 	deadProbeEvery     = 4    // one probe in so many goes to a member declared dead
 )
@@ -27,52 +27,53 @@
 	config          Config
 	rng             *rand.Rand
 	self            Record
-	load            uint16 // open requests, told to others
-	agent           string // an agent that answered this process recently
+	load            uint16 // open client requests, sent with each message
+	agent           string // address of an agent that answered this process recently, sent likewise
 	seeds           []string
-	members         []member // all others, in no order; index has their positions by id
+	members         []member // all others, unordered; index has their positions by id
 	index           map[uint64]int32
 	liveCount       int      // others that are alive or suspected
 	endedCount      int      // others that are dead or have left
 	rotation        []uint64 // probe order: ids from rotationPos on have not been probed in this round
 	rotationPos     int
 	currentProbe    *probe                    // nil: none
-	probeCount      uint64                    // ever
-	pending         map[uint64]pendingRequest // requests that wait for an answer, by nonce
-	recentPings     []pendingRequest          // pings of others, not verified
+	probeCount      uint64                    // probes started so far
+	pending         map[uint64]pendingRequest // requests that wait for their reply, by nonce
+	recentPings     []pendingRequest          // received pings, not verified; responder is the sender
 	suspicions      []suspicion
 	suspectPaths    []suspectPath
 	reachability    map[reachKey]*reachRecord
 	reachBroadcasts []reachKey            // reachability records to be piggybacked
 	reachSeq        uint32                // of the last own reachability record
 	broadcasts      []broadcast           // records to be piggybacked
-	digests         [DigestBuckets]uint64 // over all records, by bucket
-	aliveDigest     uint64                // over the live members
+	digests         [DigestBuckets]uint64 // XOR of the hashes of all records, by bucket
+	aliveDigest     uint64                // the same over the live members alone
 
 	nextProbe, nextSync, nextJoin time.Duration
-	announcedTick                 time.Duration   // what NextTick returned last
+	announcedTick                 time.Duration   // last result of NextTick: when Tick is expected
 	clockCheckedAt                time.Duration   // last call of observeClock
-	lastHeardAt                   time.Duration   // last verified message from anybody
-	missedProbes                  map[uint64]bool // members whose probes failed since anybody was heard
+	lastHeardAt                   time.Duration   // last verified message from any member
+	missedProbes                  map[uint64]bool // members whose probes failed since the last verified message
 	healthScore                   int             // Lifeguard's local health multiplier; 0: healthy
-	isolated                      bool            // nobody is heard: no verdicts are made
-	gossipPending                 bool            // an own change has to be spread at once
-	lastUrgentGossip              time.Duration   // when that was last done
+	isolated                      bool            // no verified messages arrive: no member is declared dead
+	gossipPending                 bool            // gossipUrgent must spread a change of the own record
+	lastUrgentGossip              time.Duration   // last time that gossipUrgent sent
 	syncAnswers                   int             // sync requests answered since syncPeriodStart
 	syncPeriodStart               time.Duration
 	events                        []Event
-	eventCount                    int         // ever, including those no longer kept
-	agents                        []agentSeen // named by others recently, the latest last
+	eventCount                    int         // including those no longer kept
+	agents                        []agentSeen // agents reported by others recently, the latest last
 	Counts                        Counts
 }
 
-// agentSeen is an agent that another member named.
+// agentSeen is the address of an agent that another member reported.
 type agentSeen struct {
 	addr   string
 	seenAt time.Duration
 }
 
-// New starts a run of a member. The id must be drawn at random; seeds are addresses to join by.
+// New returns the state machine of a new run of a member. The id must be drawn at random; seeds are the
+// addresses of members through which to join.
 func New(config Config, id uint64, info Info, seeds []string, now time.Duration, rng *rand.Rand) *Node {
 	n := &Node{config: config, rng: rng, self: Record{ID: id, Incarnation: 1, Info: info}, seeds: seeds, index: map[uint64]int32{},
 		pending: map[uint64]pendingRequest{}, reachability: map[reachKey]*reachRecord{}, missedProbes: map[uint64]bool{}, lastHeardAt: now, syncPeriodStart: now}
@@ -87,14 +88,14 @@
 // Self returns the member's own record.
 func (n *Node) Self() Record { return n.self }
 
-// SetLocalState sets what the member tells of itself: its load, and an agent that answered it
-// recently; empty: none.
+// SetLocalState sets what later messages report of this member: its load, and the address of an agent
+// that answered it recently (empty: none).
 func (n *Node) SetLocalState(load uint16, agent string) { n.load, n.agent = load, agent }
 
-// Size is the number of live members in the view, including this one.
+// Size returns the number of live members in the view, including this one.
 func (n *Node) Size() int { return n.liveCount + 1 }
 
-// NextTick is when Tick is due: at least once in a probe interval, so that no pause goes unnoticed
+// NextTick returns when Tick is due: at least once in a probe interval, so that every pause is detected
 // (step 4).
 func (n *Node) NextTick() time.Duration {
 	at := min(n.nextProbe, n.nextSync, n.clockCheckedAt+n.config.ProbeInterval)
@@ -123,7 +124,7 @@
 	return out
 }
 
-// Preload makes others known from the start, as after a sync with a member that knows them.
+// Preload adds live members to a new view, as a sync with a member that has them would.
 func (n *Node) Preload(now time.Duration, all []Record, infos []*Info) {
 	n.members = slices.Grow(n.members, len(all))
 	for i := range all {
@@ -143,7 +144,7 @@
 // outbox collects messages to send.
 type outbox []Outgoing
 
-// Tick does what is due and returns the messages to send.
+// Tick runs the actions that are due and returns the messages to send.
 func (n *Node) Tick(now time.Duration) []Outgoing {
 	var o outbox
 	n.observeClock(now)
@@ -168,8 +169,7 @@
 }
 
 // Receive processes a valid message and returns the messages to send. Only a message that echoes a
-// nonce of this member is believed (step 2). Any other, however old it may be, causes no more than an
-// answer.
+// nonce of this member may change the view (step 2). Any other, however old, causes at most a reply.
 func (n *Node) Receive(now time.Duration, msg *Message, via Channel) []Outgoing {
 	var o outbox
 	n.observeClock(now)
@@ -229,7 +229,8 @@
 	}
 }
 
-// Leave ends the membership in order: members that were heard recently are told and spread it.
+// Leave marks this member as left, and returns pings to the members heard most recently, whose replies
+// make it spread.
 func (n *Node) Leave(now time.Duration) []Outgoing {
 	if n.self.Status == Left {
 		return nil
@@ -245,13 +246,14 @@
 	return o
 }
 
-// LeaveAcknowledged reports whether another member has heard that this one leaves.
+// LeaveAcknowledged reports whether other members have received that this one leaves: its record was
+// piggybacked on at least two replies.
 func (n *Node) LeaveAcknowledged() bool {
 	own := func(u broadcast) bool { return u.ID == n.self.ID && u.transmissions < 2 }
 	return n.self.Status == Left && !slices.ContainsFunc(n.broadcasts, own)
 }
 
-// SetAddr has others reach the member at another address.
+// SetAddr changes the address at which others reach this member.
 func (n *Node) SetAddr(addr string) {
 	n.self.Info.Addr = addr
 	n.self.PausedMs = 0
--- a/internal/controlplane/membership/probe.go
+++ b/internal/controlplane/membership/probe.go
@@ -11,17 +11,17 @@
 	addr          string
 	nonce         uint64
 	startedAt     time.Duration
-	helpers       []uint64 // asked to ping it; a single 0: there was nobody to ask
-	nacks         int
-	acked         bool   // it answered this member itself
-	reachedBy     uint64 // helper that reached it; 0: none
-	sawOurPing    bool   // it received this member's own ping
-	ackedByStream bool   // its answer came by stream only
+	helpers       []uint64 // members asked to ping it; a single 0: there were none to ask
+	nacks         int      // helpers that confirmed the request
+	acked         bool     // it answered this member directly
+	reachedBy     uint64   // helper that reached it; 0: none
+	sawOurPing    bool     // it received this member's own ping
+	ackedByStream bool     // its direct answer came by stream only
 }
 
-// pendingRequest is a request that waits for its answer.
+// pendingRequest is a request that waits for its reply.
 type pendingRequest struct {
-	responder uint64 // who has to answer; 0: whoever has the address
+	responder uint64 // id of the member that must reply; 0: any member at the address
 	kind      MessageKind
 	sentAt    time.Duration
 	// Of a ping on behalf of another member:
@@ -29,13 +29,13 @@
 	requesterNonce uint64
 }
 
-// newMessage returns a message with the fields that all messages have.
+// newMessage returns a message with the fields that every kind has.
 func (n *Node) newMessage(k MessageKind, to uint64) *Message {
 	return &Message{Version: Version, FleetID: n.config.FleetID, Kind: k, From: n.self, To: to, Health: uint8(n.healthScore), Load: n.load, Agent: n.agent,
 		ViewSize: uint32(n.Size())}
 }
 
-// newNonce draws a nonce that is not 0.
+// newNonce draws a random nonce other than 0.
 func (n *Node) newNonce() uint64 {
 	for {
 		if nonce := n.rng.Uint64(); nonce != 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// expectReply remembers a request; beyond the bound the oldest one is dropped.
+// expectReply adds a pending request; at maxPendingRequests it drops the oldest one.
 func (n *Node) expectReply(nonce uint64, p pendingRequest) {
 	if len(n.pending) >= maxPendingRequests {
 		var oldest uint64
@@ -58,7 +58,7 @@
 	n.pending[nonce] = p
 }
 
-// startProbe starts the next probe.
+// startProbe pings the next target and schedules the probe after it.
 func (n *Node) startProbe(now time.Duration, o *outbox) {
 	n.nextProbe = now + n.scaleByHealth(n.config.ProbeInterval)
 	m := n.nextProbeTarget()
@@ -72,14 +72,14 @@
 	n.sendPing(now, m, p.nonce, Datagram, o)
 }
 
-// nextProbeTarget returns who is probed next: every second time a member on a suspect path, now and
-// then one declared dead (step 5), else the next of the rotation.
+// nextProbeTarget returns the member to probe next: one in deadProbeEvery times a dead member (step 5),
+// every second time one on a suspect path, else the next of the rotation. It returns nil if there is none.
 func (n *Node) nextProbeTarget() *member {
 	n.probeCount++
 	if n.endedCount > 0 && n.probeCount%deadProbeEvery == 0 {
-		from := n.rng.IntN(len(n.members))
+		start := n.rng.IntN(len(n.members))
 		for i := range n.members {
-			if m := &n.members[(from+i)%len(n.members)]; m.status == Dead {
+			if m := &n.members[(start+i)%len(n.members)]; m.status == Dead {
 				return m
 			}
 		}
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// sendPing pings a member and tells it what this view says of it, so that it can refute.
+// sendPing pings a member. The ping carries the member's status in this view, so that it can refute.
 func (n *Node) sendPing(now time.Duration, m *member, nonce uint64, via Channel, o *outbox) {
 	msg := n.newMessage(Ping, m.id)
 	msg.Nonce = nonce
@@ -121,12 +121,12 @@
 	*o = append(*o, Outgoing{m.info.Addr, via, msg})
 }
 
-// probeIndirectly asks helpers to ping a member that has not answered, and tries a stream.
+// probeIndirectly asks helpers to ping the probed member, which has not answered, and pings it by stream.
 func (n *Node) probeIndirectly(now time.Duration, o *outbox) {
 	p := n.currentProbe
 	m := n.lookup(p.target)
 	if m == nil || m.status > Suspect {
-		p.helpers = []uint64{0} // nobody
+		p.helpers = []uint64{0} // no helper
 		return
 	}
 	n.sendPing(now, m, p.nonce, Stream, o)
@@ -153,8 +153,8 @@
 	}
 }
 
-// finishProbe ends the probe in progress: a member that nobody reached is suspected; one that was
-// reached by others only is on a suspect path.
+// finishProbe ends the probe in progress. A member that neither this one nor a helper reached is
+// suspected; one that only helpers or a stream reached is put on a suspect path.
 func (n *Node) finishProbe(now time.Duration) {
 	p := n.currentProbe
 	n.currentProbe = nil
@@ -177,7 +177,7 @@
 	n.Counts.Failed++
 	n.missedProbes[p.target] = true
 	if p.nacks == 0 && len(p.helpers) > 0 && p.helpers[0] != 0 {
-		n.adjustHealth(1) // the helpers are silent too: this process may be the one that does not hear
+		n.adjustHealth(1) // the helpers did not reply either: the fault may be in this process
 	}
 	if !n.isolated && !n.config.DisableLifeguard && len(n.missedProbes) >= min(3, n.liveCount) && now-n.lastHeardAt > 2*n.config.ProbeInterval {
 		n.markIsolated(now)
@@ -187,8 +187,8 @@
 
 // handlePing answers a ping.
 func (n *Node) handlePing(now time.Duration, msg *Message, via Channel, o *outbox) {
-	// A ping is not verified and may be old. It changes nothing but this member's own incarnation, and only if it
-	// doubts exactly the present one.
+	// A ping is not verified and may be old. It may only raise this member's own incarnation, and only if it reports
+	// the current incarnation as suspected or dead.
 	if msg.Opinion != nil && msg.Opinion.Status != Alive && msg.Opinion.Status != Left {
 		n.refute(&Record{ID: n.self.ID, Incarnation: msg.Opinion.Incarnation, Status: msg.Opinion.Status})
 	}
@@ -198,7 +198,7 @@
 	n.recentPings = append(n.recentPings, pendingRequest{responder: msg.From.ID, requesterNonce: msg.Nonce, sentAt: now})
 	r := n.newMessage(Ack, msg.From.ID)
 	r.Echo, r.Nonce = msg.Nonce, n.newNonce()
-	if msg.RequesterNonce != 0 { // on behalf of another member: has that one's own ping arrived?
+	if msg.RequesterNonce != 0 { // a helper's ping: report whether the requester's own ping has arrived
 		r.SawRequesterPing = slices.ContainsFunc(n.recentPings, func(p pendingRequest) bool {
 			return p.requesterNonce == msg.RequesterNonce && p.responder == msg.Subject.ID
 		})
@@ -209,7 +209,7 @@
 	*o = append(*o, Outgoing{msg.From.Info.Addr, via, r})
 }
 
-// handleAck processes the answer to an own ping.
+// handleAck processes the answer to a ping of this member.
 func (n *Node) handleAck(now time.Duration, msg *Message, via Channel, o *outbox) {
 	m := n.noteHeard(now, msg)
 	if p := n.currentProbe; p != nil && p.nonce == msg.Echo {
@@ -233,17 +233,17 @@
 		delete(n.pending, msg.Echo)
 	}
 	n.mergePiggyback(now, msg)
-	c := n.newMessage(AckConfirm, msg.From.ID)
-	c.Echo = msg.Nonce
-	n.piggyback(c, msg.From.ID)
-	*o = append(*o, Outgoing{msg.From.Info.Addr, via, c})
+	confirm := n.newMessage(AckConfirm, msg.From.ID)
+	confirm.Echo = msg.Nonce
+	n.piggyback(confirm, msg.From.ID)
+	*o = append(*o, Outgoing{msg.From.Info.Addr, via, confirm})
 }
 
 // handlePingRequest pings a member on behalf of another one.
 func (n *Node) handlePingRequest(now time.Duration, msg *Message, o *outbox) {
 	nack := n.newMessage(Nack, msg.From.ID)
 	nack.Echo, nack.Subject = msg.Nonce, msg.Subject
-	*o = append(*o, Outgoing{msg.From.Info.Addr, Datagram, nack}) // this helper is there, whether or not the probe succeeds
+	*o = append(*o, Outgoing{msg.From.Info.Addr, Datagram, nack}) // sent at once, whether or not the probe succeeds
 	m := n.lookup(msg.Subject.ID)
 	if m == nil || m.status > Suspect {
 		return
@@ -255,7 +255,7 @@
 	*o = append(*o, Outgoing{m.info.Addr, Datagram, p})
 }
 
-// handleIndirectReply processes a helper's answer.
+// handleIndirectReply processes a helper's Nack or IndirectAck for the probe in progress.
 func (n *Node) handleIndirectReply(now time.Duration, msg *Message) {
 	p := n.currentProbe
 	if p == nil || p.nonce != msg.Echo || !slices.Contains(p.helpers, msg.From.ID) || msg.Subject.ID != p.target {
--- a/internal/controlplane/membership/reachability.go
+++ b/internal/controlplane/membership/reachability.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// suspectPath is a member that others reach and this one does not; it is probed more often.
+// suspectPath is a live member that this one does not reach directly, by datagram; it is probed more often.
 type suspectPath struct {
 	target     uint64
-	failures   int    // probes that failed in a row
-	pingsSeen  int    // of these, it received our ping
-	streamAcks int    // of these, it answered by stream
-	lastHelper uint64 // that reached it
-	published  bool   // a reachability record was published
+	failures   int    // consecutive failed probes
+	pingsSeen  int    // of these, how many times it received this member's ping
+	streamAcks int    // of these, how many times it answered by stream
+	lastHelper uint64 // the last one that reached it
+	published  bool   // whether a cut link to or from it was published
 }
 
-// reachKey identifies a reachability record: what one observer says of one link.
+// reachKey identifies a reachability record: one observer's finding about one link.
 type reachKey struct{ observer, from, to uint64 }
 
-// reachRecord is a reachability record as this member has it.
+// reachRecord is a reachability record with its arrival and its transmissions by this member.
 type reachRecord struct {
 	Reachability
-	at            time.Duration // arrival
-	transmissions int           // -1: sent as often as needed
+	at            time.Duration // time of arrival
+	transmissions int           // -1: complete, no longer piggybacked
 }
 
-// findSuspectPath returns the suspect path to a member, or nil.
-func (n *Node) findSuspectPath(birth uint64) *suspectPath {
+// findSuspectPath returns the suspect path of a member, or nil.
+func (n *Node) findSuspectPath(id uint64) *suspectPath {
 	for i := range n.suspectPaths {
-		if n.suspectPaths[i].target == birth {
+		if n.suspectPaths[i].target == id {
 			return &n.suspectPaths[i]
 		}
 	}
 	return nil
 }
 
-// clearSuspectPath withdraws what was found of the links to and from a member that answers again.
+// clearSuspectPath removes the suspect path of a member that answers directly again, and publishes its
+// links as up if they were published as cut.
 func (n *Node) clearSuspectPath(now time.Duration, m *member) {
 	path := n.findSuspectPath(m.id)
 	if path == nil {
@@ -54,8 +55,8 @@
 	n.suspectPaths = slices.DeleteFunc(n.suspectPaths, func(x suspectPath) bool { return x.target == m.id })
 }
 
-// notePathFailure counts a probe of a live member that did not answer this one. After enough of them
-// in a row it is known which direction is cut, and published.
+// notePathFailure counts a probe of a member that was reached, but not directly by datagram. After every
+// failuresBeforeCut consecutive failures it publishes which direction of the link is cut (step 6).
 func (n *Node) notePathFailure(now time.Duration, m *member, p *probe) {
 	path := n.findSuspectPath(m.id)
 	if path == nil {
@@ -82,7 +83,7 @@
 	switch {
 	case 2*path.streamAcks > path.failures:
 		r.State = DatagramsLost
-	case 2*path.pingsSeen > path.failures: // it receives our pings, but its answers do not arrive
+	case 2*path.pingsSeen > path.failures: // it receives this member's pings, but its answers do not arrive
 		r.From, r.To = r.To, r.From
 	}
 	if !path.published {
@@ -92,17 +93,18 @@
 	n.publishReachability(now, r)
 }
 
-// publishReachability publishes a finding of this member.
+// publishReachability queues a finding of this member to be piggybacked.
 func (n *Node) publishReachability(now time.Duration, r Reachability) {
 	n.reachSeq++
 	r.Observer, r.Seq = n.self.ID, n.reachSeq
 	n.mergeReachability(now, r)
 }
 
-// mergeReachability keeps the latest finding of each observer on each link.
+// mergeReachability keeps the latest finding of each observer about each link, and queues a new one to be
+// piggybacked. At maxReachRecords it drops the oldest.
 func (n *Node) mergeReachability(now time.Duration, r Reachability) {
 	k := reachKey{r.Observer, r.From, r.To}
-	if was := n.reachability[k]; was != nil && was.Seq >= r.Seq {
+	if known := n.reachability[k]; known != nil && known.Seq >= r.Seq {
 		return
 	}
 	if len(n.reachability) >= maxReachRecords && n.reachability[k] == nil {
@@ -115,21 +117,21 @@
 		}
 		delete(n.reachability, oldest)
 	}
-	if was := n.reachability[k]; was == nil || was.transmissions < 0 {
+	if known := n.reachability[k]; known == nil || known.transmissions < 0 {
 		n.reachBroadcasts = append(n.reachBroadcasts, k)
 	}
 	n.reachability[k] = &reachRecord{Reachability: r, at: now}
 }
 
-// reachKeyLess orders keys.
+// reachKeyLess orders keys by observer, from and to.
 func reachKeyLess(a, b reachKey) bool {
 	return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to)) < 0
 }
 
-// reachabilityTTL is how long a finding holds that is not repeated.
+// reachabilityTTL returns how long a finding is valid if its observer does not repeat it.
 func (n *Node) reachabilityTTL() time.Duration { return 60 * n.config.ProbeInterval }
 
-// sortedReachKeys returns the keys of all findings in order.
+// sortedReachKeys returns the keys of all findings, in the order of reachKeyLess.
 func (n *Node) sortedReachKeys() []reachKey {
 	return slices.SortedFunc(maps.Keys(n.reachability), func(a, b reachKey) int {
 		return cmp.Or(cmp.Compare(a.observer, b.observer), cmp.Compare(a.from, b.from), cmp.Compare(a.to, b.to))
--- a/internal/controlplane/membership/state.go
+++ b/internal/controlplane/membership/state.go
@@ -9,105 +9,106 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// member is what is known of another member.
+// member is the state of another member in this view.
 type member struct {
-	info          *Info
-	id            uint64
-	lastHeardAt   time.Duration // last message that surely was recent; -1: none
-	statusSince   time.Duration // last change of status
-	pauseToldAt   time.Duration // when it told of a pause of pausedMs
-	deathReporter uint64        // who declared it dead
-	incarnation   uint32
-	pausedMs      uint32
-	load          uint16
-	status        Status
-	health        uint8 // health score that it told
-	lateAcks      uint8 // late answers in a row
-	inRotation    bool  // it is in the probe order
-	suppressed    bool  // it ended long ago and is not told any more
+	info            *Info
+	id              uint64
+	lastHeardAt     time.Duration // last verified message; -1: none
+	statusSince     time.Duration // last change of status
+	pauseReportedAt time.Duration // when the pause of pausedMs was reported
+	deathReporter   uint64        // member that declared it dead
+	incarnation     uint32
+	pausedMs        uint32
+	load            uint16
+	status          Status
+	health          uint8 // health score that it reported
+	lateAcks        uint8 // consecutive late answers
+	inRotation      bool  // whether rotation contains it
+	suppressed      bool  // it ended long ago: excluded from digests and syncs
 }
 
-// lookup returns a known member, or nil.
-func (n *Node) lookup(birth uint64) *member {
-	if i, ok := n.index[birth]; ok {
+// lookup returns another member of the view, or nil.
+func (n *Node) lookup(id uint64) *member {
+	if i, ok := n.index[id]; ok {
 		return &n.members[i]
 	}
 	return nil
 }
 
-// recordOf returns the view's record of a member.
+// recordOf returns a member's record as this view reports it.
 func (n *Node) recordOf(m *member) Record {
 	r := Record{ID: m.id, Incarnation: m.incarnation, Status: m.status, Info: *m.info, PausedMs: m.pausedMs}
 	switch m.status {
 	case Suspect:
 		r.Reporter = n.self.ID
-	case Dead: // keeps who declared it: hearing of it makes nobody a further reporter (step 3)
+	case Dead: // the member that declared it: forwarding a death does not make this member a further reporter (step 3)
 		r.Reporter = m.deathReporter
 	}
 	return r
 }
 
-// setStatus changes a member's status and incarnation, and records the cause.
-func (n *Node) setStatus(now time.Duration, m *member, s Status, inc uint32, why string) {
-	if was := n.recordOf(m); !m.suppressed {
-		n.toggleDigest(&was)
+// setStatus changes a member's status and incarnation, and records an event with the cause if the status
+// differs.
+func (n *Node) setStatus(now time.Duration, m *member, s Status, inc uint32, reason string) {
+	if old := n.recordOf(m); !m.suppressed {
+		n.toggleDigest(&old)
 	}
 	m.suppressed = false
 	if m.status != s {
-		if was, is := m.status <= Suspect, s <= Suspect; was && !is {
+		if wasLive, isLive := m.status <= Suspect, s <= Suspect; wasLive && !isLive {
 			n.liveCount--
 			n.endedCount++
-		} else if !was && is {
+		} else if !wasLive && isLive {
 			n.liveCount++
 			n.endedCount--
 			n.insertIntoRotation(m)
 		}
 		m.statusSince = now
-		n.addEvent(now, m, s.String(), inc, why)
+		n.addEvent(now, m, s.String(), inc, reason)
 	}
 	m.status, m.incarnation = s, inc
-	is := n.recordOf(m)
-	n.toggleDigest(&is)
+	updated := n.recordOf(m)
+	n.toggleDigest(&updated)
 	if s != Suspect {
 		n.suspicions = slices.DeleteFunc(n.suspicions, func(x suspicion) bool { return x.id == m.id })
 	}
 }
 
-// addMember adds a member that was not known.
-func (n *Node) addMember(now time.Duration, r *Record, why string) *member {
+// addMember adds a member that is not in the view.
+func (n *Node) addMember(now time.Duration, r *Record, reason string) *member {
 	info := r.Info
 	n.index[r.ID] = int32(len(n.members))
 	n.members = append(n.members, member{info: &info, id: r.ID, lastHeardAt: -1, statusSince: now, incarnation: r.Incarnation, status: r.Status, pausedMs: r.PausedMs, deathReporter: r.Reporter})
 	m := &n.members[len(n.members)-1]
-	is := n.recordOf(m)
-	n.toggleDigest(&is)
+	added := n.recordOf(m)
+	n.toggleDigest(&added)
 	if r.Status <= Suspect {
 		n.liveCount++
 		n.insertIntoRotation(m)
 	} else {
 		n.endedCount++
 	}
-	n.addEvent(now, m, r.Status.String(), r.Incarnation, why)
+	n.addEvent(now, m, r.Status.String(), r.Incarnation, reason)
 	return m
 }
 
-// removeMember forgets a member that has ended.
-func (n *Node) removeMember(birth uint64) {
-	i := n.index[birth]
-	if was := n.recordOf(&n.members[i]); !n.members[i].suppressed {
-		n.toggleDigest(&was)
+// removeMember removes a member that is dead or has left.
+func (n *Node) removeMember(id uint64) {
+	i := n.index[id]
+	if removed := n.recordOf(&n.members[i]); !n.members[i].suppressed {
+		n.toggleDigest(&removed)
 	}
 	n.endedCount--
-	n.rotation = slices.DeleteFunc(n.rotation, func(b uint64) bool { return b == birth })
+	n.rotation = slices.DeleteFunc(n.rotation, func(b uint64) bool { return b == id })
 	n.rotationPos = min(n.rotationPos, len(n.rotation))
 	last := int32(len(n.members) - 1)
 	n.members[i] = n.members[last]
 	n.index[n.members[i].id] = i
 	n.members = n.members[:last]
-	delete(n.index, birth)
+	delete(n.index, id)
 }
 
-// insertIntoRotation puts a member at a random place of the rest of the round, so that the time of its
+// insertIntoRotation puts a member at a random position in the rest of the round, so that the time of its
 // first probe is not predictable.
 func (n *Node) insertIntoRotation(m *member) {
 	if !m.inRotation {
@@ -116,7 +117,7 @@
 	}
 }
 
-// mergeRecord takes over a record that came with a verified message (step 2).
+// mergeRecord merges a record from a verified message into the view (step 2).
 func (n *Node) mergeRecord(now time.Duration, r *Record) {
 	if r.ID == n.self.ID {
 		n.refute(r)
@@ -136,15 +137,15 @@
 		return
 	}
 	if r.Incarnation > m.incarnation && (r.Status <= Suspect || r.Status == Dead && m.status <= Suspect) {
-		// A greater incarnation outdates everything that was said before: only the member itself raises it.
-		was := m.status
+		// Records of smaller incarnations are outdated, since only the member itself raises its incarnation (step 1).
+		oldStatus := m.status
 		info := r.Info
-		m.info, m.pausedMs, m.pauseToldAt = &info, r.PausedMs, now
-		why := "told"
-		if was != Alive {
-			why = "refuted"
+		m.info, m.pausedMs, m.pauseReportedAt = &info, r.PausedMs, now
+		reason := "told"
+		if oldStatus != Alive {
+			reason = "refuted"
 		}
-		n.setStatus(now, m, Alive, r.Incarnation, why)
+		n.setStatus(now, m, Alive, r.Incarnation, reason)
 		n.queueBroadcast(Record{ID: r.ID, Incarnation: r.Incarnation, Info: r.Info, PausedMs: r.PausedMs})
 	}
 	switch {
@@ -161,7 +162,7 @@
 	}
 }
 
-// refute answers a suspicion or a death of this member with a greater incarnation (step 1).
+// refute raises this member's incarnation if a record reports the current one as suspected or dead (step 1).
 func (n *Node) refute(r *Record) {
 	switch {
 	case r.Incarnation > n.self.Incarnation:
@@ -174,7 +175,8 @@
 	}
 }
 
-// noteHeard records a message that surely is recent, since it echoes a nonce of this member.
+// noteHeard records that the sender of a verified message is alive, and ends isolation. It returns the
+// sender's state, or nil if the sender is not in the view.
 func (n *Node) noteHeard(now time.Duration, msg *Message) *member {
 	n.lastHeardAt = now
 	clear(n.missedProbes)
@@ -200,20 +202,20 @@
 	return m
 }
 
-// recordHash is a record's part of the digests. A suspicion counts as alive, since views differ in
-// suspicions all the time.
-func recordHash(birth uint64, inc uint32, s Status) uint64 {
+// recordHash returns a record's contribution to the digests. A suspicion counts as alive, since suspicions
+// differ between views most of the time.
+func recordHash(id uint64, inc uint32, s Status) uint64 {
 	if s == Suspect {
 		s = Alive
 	}
 	var b [13]byte
-	binary.LittleEndian.PutUint64(b[:], birth)
+	binary.LittleEndian.PutUint64(b[:], id)
 	binary.LittleEndian.PutUint32(b[8:], inc)
 	b[12] = byte(s)
 	return xxhash.Sum64(b[:])
 }
 
-// toggleDigest adds a record to the digests, or removes it.
+// toggleDigest adds a record to the digests, or removes one that was added before (XOR).
 func (n *Node) toggleDigest(r *Record) {
 	h := recordHash(r.ID, r.Incarnation, r.Status)
 	n.digests[r.ID%DigestBuckets] ^= h
@@ -222,20 +224,20 @@
 	}
 }
 
-// AliveDigest is equal for two views that have the same live members with the same incarnations.
+// AliveDigest returns a digest that is equal for views with the same live members and incarnations.
 func (n *Node) AliveDigest() uint64 { return n.aliveDigest }
 
-// expireState forgets members that ended long ago, requests that nobody answers, and reachability
-// records that were not repeated; it repeats its own.
+// expireState removes members that ended long ago, requests without a reply, and reachability records that
+// were not repeated. It republishes this member's own findings that still hold.
 func (n *Node) expireState(now time.Duration) {
 	var ended []*member
-	var gone []uint64
+	var expired []uint64
 	for i := range n.members {
 		if m := &n.members[i]; m.status > Suspect {
 			if now-m.statusSince > n.config.TombstoneTTL {
-				gone = append(gone, m.id)
+				expired = append(expired, m.id)
 			} else {
-				if now-m.statusSince > n.config.TombstoneTTL/2 && !m.suppressed { // a member that has forgotten it must not learn of it again
+				if now-m.statusSince > n.config.TombstoneTTL/2 && !m.suppressed { // members that have removed it already must not get it again by a sync
 					r := n.recordOf(m)
 					n.toggleDigest(&r)
 					m.suppressed = true
@@ -247,11 +249,11 @@
 	if over := len(ended) - maxTombstones; over > 0 {
 		slices.SortStableFunc(ended, func(x, y *member) int { return cmp.Compare(x.statusSince, y.statusSince) })
 		for _, m := range ended[:over] {
-			gone = append(gone, m.id)
+			expired = append(expired, m.id)
 		}
 	}
-	for _, y := range gone {
-		n.removeMember(y)
+	for _, id := range expired {
+		n.removeMember(id)
 	}
 	for nonce, x := range n.pending {
 		if now-x.sentAt > 10*n.config.ProbeInterval*time.Duration(1+n.healthScore) {
--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -1,5 +1,5 @@
-// Package transport runs a membership.Node: it has the sockets, the clock, the encoding and the log. A
-// single goroutine touches the node.
+// Package transport runs a membership.Node: it provides the sockets, the clock, the encoding and the log.
+// A single goroutine accesses the node.
 package transport
 
 import (
@@ -20,15 +20,15 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// Bounds and times of the sockets.
+// Bounds and timeouts of the sockets.
 const (
-	maxFrameBytes  = 4 << 10 // of one message
-	maxStreams     = 32      // accepted at a time
-	maxDials       = 16
+	maxFrameBytes  = 4 << 10         // of one message
+	maxStreams     = 32              // accepted streams that are open at a time
+	maxDials       = 16              // outgoing streams at a time
 	streamTimeout  = 2 * time.Second // for a whole stream
-	leaveTimeout   = time.Second     // to tell others that the member leaves
-	rebindInterval = time.Second
-	maxQueued      = 1024 // messages that were received and not processed yet
+	leaveTimeout   = time.Second     // for other members to receive that this one leaves
+	rebindInterval = time.Second     // between attempts to listen at Options.Bind
+	maxQueued      = 1024            // received messages that are not processed yet
 )
 
 // Options configure one member.
@@ -37,35 +37,36 @@
 	FleetKey                    string
 	Seeds                       []string
 	Config                      membership.Config
-	// a predecessor may still hold the address: use another port until it is free
+	// a predecessor may still listen at Bind: use another port until it is free
 	AllowOtherPort bool
 	Log            *slog.Logger
 }
 
-// Runner is the member of one process.
+// Runner runs the member of one process. Its run goroutine owns the node and the sockets, and ends when
+// Stop cancels its context.
 type Runner struct {
 	opt        Options
 	localState func() (load uint16, agent string) // see OnLocalState
 	id         uint64
-	node       *membership.Node // of the run goroutine alone
-	incoming   chan received
-	calls      chan func() // run on the run goroutine
-	sockets    *sockets
-	dialSlots  chan struct{} // bounds outgoing streams
+	node       *membership.Node // accessed by the run goroutine alone
+	incoming   chan received    // decoded messages; never closed
+	calls      chan func()      // functions for the run goroutine to call; never closed
+	sockets    *sockets         // closed by the run goroutine
+	dialSlots  chan struct{}    // semaphore of outgoing streams
 	enc        cbor.EncMode
 	dec        cbor.DecMode
 	cancel     context.CancelFunc
-	done       chan struct{}
+	done       chan struct{} // closed when the run goroutine has ended
 
 	malformed, dropped, sentMessages, sentBytes atomic.Int64 // counters of messages; dropped ones could not be sent or queued
 	warnForeign                                 sync.Once
-	agents                                      atomic.Pointer[[]string] // published for other goroutines
+	agents                                      atomic.Pointer[[]string] // stored by publish for other goroutines
 	endedInstances                              atomic.Pointer[[]membership.EndedInstance]
-	loggedEvents                                int // number of events that were logged
+	loggedEvents                                int // value of View.EventCount up to which events were logged
 	loggedIsolation                             string
 }
 
-// received is a message with the channel that it came by.
+// received is a message with the channel by which it arrived.
 type received struct {
 	*membership.Message
 	channel membership.Channel
@@ -90,18 +91,18 @@
 	return r, err
 }
 
-// OnLocalState sets what returns the state that the member tells of itself, once in a probe interval.
-// It must be called before Start.
+// OnLocalState sets the function that returns what messages report of this member. It is called once in a
+// probe interval, on the run goroutine. OnLocalState must be called before Start.
 func (r *Runner) OnLocalState(f func() (load uint16, agent string)) { r.localState = f }
 
-// Start opens the sockets and starts a run of the member.
+// Start opens the sockets and starts the run goroutine, as a new run of the member.
 func (r *Runner) Start(context.Context) error {
-	box, err := listenAt(r.opt.Bind)
-	at := r.opt.Advertise
+	opened, err := listenAt(r.opt.Bind)
+	addr := r.opt.Advertise
 	if err != nil && r.opt.AllowOtherPort {
 		host, _, _ := net.SplitHostPort(r.opt.Bind)
-		if box, err = listenAt(net.JoinHostPort(host, "0")); err == nil {
-			at = box.bound
+		if opened, err = listenAt(net.JoinHostPort(host, "0")); err == nil {
+			addr = opened.bound
 		}
 	}
 	if err != nil {
@@ -109,25 +110,25 @@
 	}
 	r.id = rand.Uint64() | 1
 	now := monotone.Now()
-	r.node = membership.New(r.opt.Config, r.id, membership.Info{Name: r.opt.Name, Addr: at, Zone: r.opt.Zone}, r.opt.Seeds, now,
+	r.node = membership.New(r.opt.Config, r.id, membership.Info{Name: r.opt.Name, Addr: addr, Zone: r.opt.Zone}, r.opt.Seeds, now,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.done = make(chan struct{})
 	var ctx context.Context
 	ctx, r.cancel = context.WithCancel(context.Background())
-	r.adoptSockets(box)
-	r.opt.Log.Info("member", slog.String("reason", "MEMBER_STARTED"), slog.String("name", r.opt.Name), slog.String("addr", at),
+	r.adoptSockets(opened)
+	r.opt.Log.Info("member", slog.String("reason", "MEMBER_STARTED"), slog.String("name", r.opt.Name), slog.String("addr", addr),
 		slog.String("birth", fmt.Sprintf("%016x", r.id)))
 	go r.run(ctx)
 	return nil
 }
 
-// run is the only goroutine that touches the node.
+// run is the only goroutine that accesses the node. It returns when ctx is cancelled.
 func (r *Runner) run(ctx context.Context) {
 	defer close(r.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	about := time.NewTicker(max(r.opt.Config.ProbeInterval, 100*time.Millisecond))
-	defer about.Stop()
+	publishTicker := time.NewTicker(max(r.opt.Config.ProbeInterval, 100*time.Millisecond))
+	defer publishTicker.Stop()
 	var rebind <-chan time.Time
 	if r.sockets.bound != r.opt.Bind {
 		t := time.NewTicker(rebindInterval)
@@ -142,7 +143,7 @@
 		case <-timer.C:
 			r.send(r.node.Tick(monotone.Now()))
 		case x := <-r.incoming:
-			// The clock first: after a pause, a queued message must not be processed as if it had just arrived.
+			// Tick first if it is due: after a pause, a queued message must not be processed as if it had just arrived.
 			if now := monotone.Now(); now >= r.node.NextTick() {
 				r.send(r.node.Tick(now))
 			}
@@ -154,14 +155,14 @@
 			r.send(r.node.Receive(monotone.Now(), x.Message, x.channel))
 		case f := <-r.calls:
 			f()
-		case <-about.C:
+		case <-publishTicker.C:
 			if r.localState != nil {
 				r.node.SetLocalState(r.localState())
 			}
 			r.publish()
 		case <-rebind:
-			if box, err := listenAt(r.opt.Bind); err == nil {
-				r.adoptSockets(box)
+			if opened, err := listenAt(r.opt.Bind); err == nil {
+				r.adoptSockets(opened)
 				r.node.SetAddr(r.opt.Advertise)
 				rebind = nil
 				r.opt.Log.Info("member address changed", slog.String("reason", "MEMBER_MOVED"), slog.String("addr", r.opt.Advertise))
@@ -172,14 +173,14 @@
 	}
 }
 
-// publish stores what other goroutines read.
+// publish stores the agents and ended instances for other goroutines to read.
 func (r *Runner) publish() {
-	agents, verdicts := r.node.Agents(), r.node.EndedInstances(membership.MaxRecords)
+	agents, ended := r.node.Agents(), r.node.EndedInstances(membership.MaxRecords)
 	r.agents.Store(&agents)
-	r.endedInstances.Store(&verdicts)
+	r.endedInstances.Store(&ended)
 }
 
-// logEvents logs changes of the view.
+// logEvents logs new changes of the view, and the begin and end of isolation.
 func (r *Runner) logEvents() {
 	now := monotone.Now()
 	events, ever := r.node.Events()
@@ -195,16 +196,17 @@
 			slog.String("birth", fmt.Sprintf("%016x", e.ID)), slog.Uint64("incarnation", uint64(e.Incarnation)), slog.String("why", e.Reason))
 	}
 	r.loggedEvents = ever
-	if alone := r.node.IsolationReason(now); alone != r.loggedIsolation {
-		if r.loggedIsolation = alone; alone != "" {
-			r.opt.Log.Warn("isolated: no member is declared dead", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", alone))
+	if isolation := r.node.IsolationReason(now); isolation != r.loggedIsolation {
+		if r.loggedIsolation = isolation; isolation != "" {
+			r.opt.Log.Warn("isolated: no member is declared dead", slog.String("reason", "MEMBERS_ALONE"), slog.String("why", isolation))
 		} else {
 			r.opt.Log.Info("no longer isolated", slog.String("reason", "MEMBERS_HEARD"))
 		}
 	}
 }
 
-// onLoop runs f on the run goroutine and waits for it; false: the runner has stopped.
+// onLoop calls f on the run goroutine and waits until it returns. It returns false, without a call, if the
+// runner has stopped.
 func (r *Runner) onLoop(f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
@@ -216,13 +218,13 @@
 	}
 }
 
-// View returns what this member knows of all.
+// View returns a snapshot of this member's view; ok is false if the runner has stopped.
 func (r *Runner) View() (v membership.View, ok bool) {
 	ok = r.onLoop(func(now time.Duration) { v = r.node.View(now) })
 	return v, ok
 }
 
-// Agents returns agents that answered other members recently.
+// Agents returns the addresses of agents that answered other members recently, as last published.
 func (r *Runner) Agents() []string {
 	if l := r.agents.Load(); l != nil {
 		return *l
@@ -230,8 +232,8 @@
 	return nil
 }
 
-// EndedInstances returns a bounded number of instances that this view holds dead or gone, at most a
-// probe interval old.
+// EndedInstances returns a bounded number of instances that are dead or have left in this view. The list is
+// at most a probe interval old.
 func (r *Runner) EndedInstances() []membership.EndedInstance {
 	if l := r.endedInstances.Load(); l != nil {
 		return *l
@@ -239,17 +241,18 @@
 	return nil
 }
 
-// Stop tells others that the member leaves, and ends it.
-func (r *Runner) Stop(within context.Context) error {
-	ctx, done := context.WithTimeout(within, leaveTimeout)
+// Stop announces to other members that this one leaves, waits up to leaveTimeout for them to receive it, and
+// ends the run goroutine.
+func (r *Runner) Stop(parent context.Context) error {
+	ctx, done := context.WithTimeout(parent, leaveTimeout)
 	defer done()
-	heard := false
+	acknowledged := false
 	r.onLoop(func(now time.Duration) {
 		r.send(r.node.Leave(now))
-		heard = r.node.Size() == 1
+		acknowledged = r.node.Size() == 1
 	})
-	for !heard && ctx.Err() == nil {
-		r.onLoop(func(time.Duration) { heard = r.node.LeaveAcknowledged() })
+	for !acknowledged && ctx.Err() == nil {
+		r.onLoop(func(time.Duration) { acknowledged = r.node.LeaveAcknowledged() })
 		select {
 		case <-ctx.Done():
 		case <-time.After(5 * time.Millisecond):
--- a/internal/controlplane/membership/transport/sockets.go
+++ b/internal/controlplane/membership/transport/sockets.go
@@ -10,14 +10,14 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// sockets are where a member is reached.
+// sockets are a member's datagram socket and stream listener at one address.
 type sockets struct {
 	packet net.PacketConn
 	stream net.Listener
 	bound  string
 }
 
-// listenAt opens a stream listener and a datagram socket at one address.
+// listenAt opens a stream listener and a datagram socket at the same address and port.
 func listenAt(addr string) (*sockets, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -31,23 +31,23 @@
 	return &sockets{p, l, l.Addr().String()}, nil
 }
 
-// close closes both.
+// close closes both, which ends the goroutines that read from them.
 func (s *sockets) close() {
 	s.packet.Close()
 	s.stream.Close()
 }
 
-// adoptSockets has the member be reached at sockets, in place of previous ones.
-func (r *Runner) adoptSockets(box *sockets) {
+// adoptSockets starts to receive on new sockets, and closes the previous ones.
+func (r *Runner) adoptSockets(opened *sockets) {
 	if r.sockets != nil {
 		r.sockets.close()
 	}
-	r.sockets = box
-	go r.readDatagrams(box.packet)
-	go r.acceptStreams(box.stream)
+	r.sockets = opened
+	go r.readDatagrams(opened.packet)
+	go r.acceptStreams(opened.stream)
 }
 
-// send sends messages. What cannot be sent is dropped, as it may be on any network.
+// send sends messages. It drops those that cannot be sent: the protocol tolerates lost messages.
 func (r *Runner) send(list []membership.Outgoing) {
 	streams := map[string][]byte{}
 	for _, s := range list {
@@ -76,7 +76,7 @@
 		case r.dialSlots <- struct{}{}:
 			go func() {
 				defer func() { <-r.dialSlots }()
-				if err := dial(from, addr, b); err != nil {
+				if err := sendFrames(from, addr, b); err != nil {
 					r.dropped.Add(1)
 				}
 			}()
@@ -86,8 +86,8 @@
 	}
 }
 
-// dial sends frames by a stream of their own.
-func dial(from, addr string, b []byte) error {
+// sendFrames opens a stream, writes frames to it and closes it.
+func sendFrames(from, addr string, b []byte) error {
 	d := net.Dialer{Timeout: streamTimeout, LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
@@ -99,7 +99,8 @@
 	return err
 }
 
-// receive decodes a message and queues it.
+// receive decodes a message and queues it for the run goroutine. It drops malformed messages, and any
+// message while the queue is full.
 func (r *Runner) receive(b []byte, via membership.Channel) {
 	msg := &membership.Message{}
 	if err := r.dec.Unmarshal(b, msg); err != nil || msg.Validate() != nil {
@@ -113,7 +114,7 @@
 	}
 }
 
-// readDatagrams receives until the socket is closed.
+// readDatagrams receives datagrams until the socket is closed.
 func (r *Runner) readDatagrams(c net.PacketConn) {
 	b := make([]byte, 64<<10)
 	for {
@@ -130,23 +131,24 @@
 	}
 }
 
-// acceptStreams receives until the listener is closed.
+// acceptStreams accepts streams, and receives their frames, until the listener is closed. A stream is
+// closed at its end, at a frame that is too large, and at streamTimeout.
 func (r *Runner) acceptStreams(l net.Listener) {
-	room := make(chan struct{}, maxStreams)
+	slots := make(chan struct{}, maxStreams)
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			c.Close()
 			r.dropped.Add(1)
 			continue
 		}
 		go func() {
-			defer func() { c.Close(); <-room }()
+			defer func() { c.Close(); <-slots }()
 			c.SetDeadline(time.Now().Add(streamTimeout))
 			var head [2]byte
 			for {
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -14,15 +14,15 @@
 // The states.
 const (
 	StateAlive       State = "alive"
-	StateSuspect     State = "unsure" // suspected; when it ends and why are told
-	StateDead        State = "dead"   // nobody hears it
-	StateUnreachable State = "cut"    // some hear it
-	StatePaused      State = "paused" // it was silent for all, and came back as the same run
-	StateSlow        State = "slow"
+	StateSuspect     State = "unsure" // suspected; Reason and DeadlineS apply
+	StateDead        State = "dead"   // declared dead
+	StateUnreachable State = "cut"    // live, with a link to or from it that is cut
+	StatePaused      State = "paused" // it reported a pause of its process recently
+	StateSlow        State = "slow"   // late answers or a high health score
 	StateLeft        State = "left"
 )
 
-// MemberView is a member in a view.
+// MemberView is a member's entry in a View.
 type MemberView struct {
 	Name        string  `json:"name"`
 	ID          string  `json:"birth"`
@@ -31,30 +31,30 @@
 	Incarnation uint32  `json:"incarnation"`
 	State       State   `json:"state"`
 	Reason      string  `json:"why,omitempty"`
-	DeadlineS   float64 `json:"until_s,omitempty"` // of a suspicion: at the latest
+	DeadlineS   float64 `json:"until_s,omitempty"` // of a suspicion: seconds until it becomes a death at the latest
 	SinceS      float64 `json:"since_s"`
-	LastHeardS  float64 `json:"heard_s"` // ago, by this member; -1: never
+	LastHeardS  float64 `json:"heard_s"` // seconds since its last verified message; -1: none
 	Load        uint16  `json:"load"`
 	Self        bool    `json:"self,omitempty"`
 }
 
-// PathView is a cut link, or with BetweenZones the sum of many between two zones.
+// PathView is a cut link between two instances, or with BetweenZones the sum of several between two zones.
 type PathView struct {
 	From         string   `json:"from"`
 	To           string   `json:"to"`
 	Kind         string   `json:"kind"`
-	BetweenZones bool     `json:"zones,omitempty"` // between zones
+	BetweenZones bool     `json:"zones,omitempty"` // From and To are zones
 	Count        int      `json:"times"`
-	Observers    []string `json:"by"` // some of them
+	Observers    []string `json:"by"` // at most maxObserversShown of them
 	AgoS         float64  `json:"ago_s"`
 }
 
-// View is what a member knows of all.
+// View is a snapshot of one member's view of the group.
 type View struct {
 	Self           string       `json:"self"`
 	Digest         string       `json:"digest"` // equal for views with the same live members and incarnations
 	Size           int          `json:"size"`   // live members
-	HealthScore    int          `json:"doubt"`  // of the member itself, 0 (healthy) to 8
+	HealthScore    int          `json:"doubt"`  // of the member itself, 0 (healthy) to maxHealthScore
 	Isolation      string       `json:"alone,omitempty"`
 	Members        []MemberView `json:"members"`
 	Paths          []PathView   `json:"ways,omitempty"`
@@ -63,36 +63,36 @@
 	Counts         Counts       `json:"counts"`
 	Events         []Event      `json:"changes,omitempty"`
 	EventAgesS     []float64    `json:"changes_ago_s,omitempty"`
-	EventCount     int          `json:"changes_ever"` // ever, including those no longer kept
+	EventCount     int          `json:"changes_ever"` // including those no longer kept
 }
 
 // Constants of views.
 const (
-	pauseShownFor     = 30 * time.Second // after the pause was told
-	slowThreshold     = 3                // late answers in a row, or health score
+	pauseShownFor     = 30 * time.Second // after the pause was reported
+	slowThreshold     = 3                // consecutive late answers, or health score
 	maxObserversShown = 5                // of a path
-	minPathsToSum     = 3                // cut links between two zones that are shown as one
+	minPathsToSum     = 3                // cut links between two zones from which on they are shown as one
 )
 
-// idText prints an id.
-func idText(b uint64) string { return fmt.Sprintf("%016x", b) }
+// formatID returns an id as views and logs show it.
+func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
 // pathSum adds up the reachability records of one path.
 type pathSum struct {
 	PathView
-	at time.Duration // latest record
+	at time.Duration // arrival of the latest record
 }
 
-// pathKey names a path between two instances or two zones, with the kind of its cut.
+// pathKey identifies a path between two instances or two zones, with the kind of its cut.
 type pathKey struct{ from, to, kind string }
 
-// pathSums are sums by path, in the order in which the paths were first found.
+// pathSums are sums by path, kept in the order in which the paths were first added.
 type pathSums struct {
 	byKey map[pathKey]*pathSum
 	order []pathKey
 }
 
-// add counts a record of an observer.
+// add adds one observer's record to the sum of its path.
 func (p *pathSums) add(k pathKey, betweenZones bool, observer string, at time.Duration) {
 	s := p.byKey[k]
 	if s == nil {
@@ -107,14 +107,14 @@
 	s.at = max(s.at, at)
 }
 
-// view returns a path's sum as views show it.
+// view returns the sum of a path, with its age.
 func (p *pathSums) view(k pathKey, now time.Duration) PathView {
 	s := p.byKey[k]
 	s.AgoS = (now - s.at).Seconds()
 	return s.PathView
 }
 
-// liveInfo returns the information on a live member, this one included.
+// liveInfo returns the information on a live member, which may be this one.
 func (n *Node) liveInfo(id uint64) (info Info, ok bool) {
 	if id == n.self.ID {
 		return n.self.Info, true
@@ -126,8 +126,8 @@
 	return *m.info, true
 }
 
-// pathViews sums up the reachability records that hold; cut has, by member, descriptions of its cut
-// links. Many cut links between two zones are shown as one.
+// pathViews sums up the valid reachability records of live members; cut has, by member, descriptions of
+// its cut links. From minPathsToSum on, cut links between two zones are shown as one.
 func (n *Node) pathViews(now time.Duration) (list []PathView, cut map[uint64][]string) {
 	cut = map[uint64][]string{}
 	zones, pairs := pathSums{byKey: map[pathKey]*pathSum{}}, pathSums{byKey: map[pathKey]*pathSum{}}
@@ -171,9 +171,9 @@
 	return list, cut
 }
 
-// View returns what is known now.
+// View returns a snapshot of the view.
 func (n *Node) View(now time.Duration) View {
-	v := View{Self: n.self.Info.Name, Digest: idText(n.aliveDigest), Size: n.Size(), HealthScore: n.healthScore, Isolation: n.IsolationReason(now), Counts: n.Counts,
+	v := View{Self: n.self.Info.Name, Digest: formatID(n.aliveDigest), Size: n.Size(), HealthScore: n.healthScore, Isolation: n.IsolationReason(now), Counts: n.Counts,
 		Events: slices.Clone(n.events), EventCount: n.eventCount}
 	for _, e := range v.Events {
 		v.EventAgesS = append(v.EventAgesS, (now - e.At).Seconds())
@@ -183,7 +183,7 @@
 	}
 	paths, cut := n.pathViews(now)
 	v.Paths = paths
-	self := MemberView{Name: n.self.Info.Name, ID: idText(n.self.ID), Addr: n.self.Info.Addr, Zone: n.self.Info.Zone, Incarnation: n.self.Incarnation, State: StateAlive,
+	self := MemberView{Name: n.self.Info.Name, ID: formatID(n.self.ID), Addr: n.self.Info.Addr, Zone: n.self.Info.Zone, Incarnation: n.self.Incarnation, State: StateAlive,
 		Load: n.load, Self: true}
 	if n.self.Status == Left {
 		self.State = StateLeft
@@ -208,9 +208,9 @@
 	return v
 }
 
-// memberView returns a member as views show it; cutLinks describes its cut links.
+// memberView returns a member's entry in a View; cutLinks describes its cut links.
 func (n *Node) memberView(now time.Duration, m *member, cutLinks []string) MemberView {
-	x := MemberView{Name: m.info.Name, ID: idText(m.id), Addr: m.info.Addr, Zone: m.info.Zone, Incarnation: m.incarnation, State: StateAlive,
+	x := MemberView{Name: m.info.Name, ID: formatID(m.id), Addr: m.info.Addr, Zone: m.info.Zone, Incarnation: m.incarnation, State: StateAlive,
 		SinceS: (now - m.statusSince).Seconds(), LastHeardS: -1, Load: m.load}
 	if m.lastHeardAt >= 0 {
 		x.LastHeardS = (now - m.lastHeardAt).Seconds()
@@ -225,7 +225,7 @@
 		x.Reason, x.DeadlineS = n.suspectView(now, m)
 	case len(cutLinks) > 0:
 		x.State, x.Reason = StateUnreachable, strings.Join(cutLinks[:min(2, len(cutLinks))], "; ")
-	case m.pausedMs > 0 && now-m.pauseToldAt < pauseShownFor:
+	case m.pausedMs > 0 && now-m.pauseReportedAt < pauseShownFor:
 		x.State, x.Reason = StatePaused, fmt.Sprintf("stood still for %v", time.Duration(m.pausedMs)*time.Millisecond)
 	case m.health >= slowThreshold || m.lateAcks >= slowThreshold:
 		x.State, x.Reason = StateSlow, "it doubts itself"
@@ -236,55 +236,55 @@
 	return x
 }
 
-// suspectView returns why a member is suspected and when that ends at the latest.
+// suspectView returns why a member is suspected, and the seconds until its suspicion ends at the latest.
 func (n *Node) suspectView(now time.Duration, m *member) (reason string, deadlineS float64) {
 	for i := range n.suspicions {
 		s := &n.suspicions[i]
 		if s.id != m.id {
 			continue
 		}
-		why := fmt.Sprintf("%d do not hear it", len(s.reporters))
+		cause := fmt.Sprintf("%d do not hear it", len(s.reporters))
 		if s.restarted {
-			why = "begun anew after a pause of our own"
+			cause = "begun anew after a pause of our own"
 		}
 		if n.isolated {
-			why = n.IsolationReason(now)
+			cause = n.IsolationReason(now)
 		}
-		return why, max(0, (n.suspicionDeadline(s) - now).Seconds())
+		return cause, max(0, (n.suspicionDeadline(s) - now).Seconds())
 	}
 	return "", 0
 }
 
-// EndedInstance is an instance that this view holds dead or gone. It is a hint for planning, never for
-// safety.
+// EndedInstance is an instance that is dead or has left in this view. It may be wrong: use it as a hint for
+// planning, never where safety depends on it.
 type EndedInstance struct {
 	Name   string `json:"name"`
 	Addr   string `json:"addr"`
 	Failed bool   `json:"dead"` // else it has left
 }
 
-// EndedInstances returns names without a live member, the latest first.
-func (n *Node) EndedInstances(most int) (list []EndedInstance) {
-	lives := map[string]bool{n.self.Info.Name: n.self.Status == Alive}
+// EndedInstances returns up to limit instances without a live member of their name, the latest first.
+func (n *Node) EndedInstances(limit int) (list []EndedInstance) {
+	excluded := map[string]bool{n.self.Info.Name: n.self.Status == Alive}
 	var ended []*member
 	for i := range n.members {
 		if m := &n.members[i]; m.status <= Suspect {
-			lives[m.info.Name] = true
+			excluded[m.info.Name] = true
 		} else {
 			ended = append(ended, m)
 		}
 	}
 	slices.SortStableFunc(ended, func(a, b *member) int { return cmp.Compare(b.statusSince, a.statusSince) })
 	for _, m := range ended {
-		if len(list) < most && !lives[m.info.Name] {
-			lives[m.info.Name] = true // once
+		if len(list) < limit && !excluded[m.info.Name] {
+			excluded[m.info.Name] = true // list each name once
 			list = append(list, EndedInstance{m.info.Name, m.info.Addr, m.status == Dead})
 		}
 	}
 	return list
 }
 
-// Agents returns agents that answered other members recently, the latest last.
+// Agents returns the addresses of agents that answered other members recently, the latest last.
 func (n *Node) Agents() (list []string) {
 	for _, seen := range n.agents {
 		list = append(list, seen.addr)
@@ -292,7 +292,7 @@
 	return list
 }
 
-// ViewDifference is where two views differ.
+// ViewDifference is a member on which two views, A and B, differ.
 type ViewDifference struct {
 	Name string `json:"name"`
 	ID   string `json:"birth"`
@@ -300,17 +300,17 @@
 	B    string `json:"b"`
 }
 
-// Diff returns the members that two views have as live with different incarnations, or that only one
-// of them has as live. Ended members and suspicions may differ.
+// Diff returns the members that are live in both views with different incarnations, or live in only one of
+// them. Differences in suspicions and in how members ended are ignored.
 func Diff(a, b View) (rows []ViewDifference) {
-	word := func(v View) map[string]MemberView {
+	byID := func(v View) map[string]MemberView {
 		m := map[string]MemberView{}
 		for _, x := range v.Members {
 			m[x.ID] = x
 		}
 		return m
 	}
-	lives := func(x MemberView, known bool) string {
+	describe := func(x MemberView, known bool) string {
 		switch {
 		case !known:
 			return "unknown"
@@ -319,12 +319,12 @@
 		}
 		return fmt.Sprint("incarnation ", x.Incarnation)
 	}
-	wa, wb := word(a), word(b)
+	membersA, membersB := byID(a), byID(b)
 	for _, list := range [][]MemberView{a.Members, b.Members} {
 		for _, x := range list {
-			xa, ina := wa[x.ID]
-			xb, inb := wb[x.ID]
-			r := ViewDifference{x.Name, x.ID, lives(xa, ina), lives(xb, inb)}
+			xa, ina := membersA[x.ID]
+			xb, inb := membersB[x.ID]
+			r := ViewDifference{x.Name, x.ID, describe(xa, ina), describe(xb, inb)}
 			ended := func(s string) bool { return s == "unknown" || s == string(StateDead) || s == string(StateLeft) }
 			if r.A != r.B && !(ended(r.A) && ended(r.B)) && !slices.Contains(rows, r) {
 				rows = append(rows, r)
--- a/internal/testbed/modelcheck/members/wrong_test.go
+++ b/internal/testbed/modelcheck/members/wrong_test.go
@@ -16,7 +16,7 @@
 	{"a dead one's refutation not taken", "membership/state.go", "(r.Status <= Suspect || r.Status == Dead && m.status <= Suspect)", "(r.Status <= Suspect && m.status != Dead || r.Status == Dead && m.status <= Suspect)", ""},
 	{"a verdict as soon as there is a suspicion", "membership/suspicion.go", "\treturn s.startedAt + most + most*time.Duration(n.healthScore)/2\n", "\treturn s.startedAt + 0*most\n", ""},
 	{"one reporter is enough", "membership/suspicion.go", "if k > 1 && len(s.reporters) > 0 {", "if c := least; len(s.reporters) > 0 {\n\t\tmost = c\n\t}\n\tif false {", ""},
-	{"a reporter counted twice", "membership/suspicion.go", "if by == 0 || s.id != m.id || slices.Contains(s.reporters, by)", "if by == 0 || s.id != m.id", ""},
+	{"a reporter counted twice", "membership/suspicion.go", "if reporter == 0 || s.id != m.id || slices.Contains(s.reporters, reporter)", "if reporter == 0 || s.id != m.id", ""},
 	{"a judge counted as a reporter", "membership/suspicion.go", "n.suspect(now, m, max(r.Incarnation, m.incarnation), 0, \"told dead\")", "n.suspect(now, m, max(r.Incarnation, m.incarnation), r.Reporter, \"told dead\")", ""},
 	{"a verdict told on as one's own", "membership/state.go", "\t\tr.Reporter = m.deathReporter\n", "\t\tr.Reporter = n.self.ID\n", ""},
 	{"a death believed at one's word", "membership/suspicion.go", "if len(s.deathReporters) >= n.config.Confirmations && !n.isolated {", "if len(s.deathReporters) >= 1 && !n.isolated {", ""},
@@ -31,7 +31,7 @@
 	{"the dead never asked again", "membership/probe.go", "if n.endedCount > 0 && n.probeCount%deadProbeEvery == 0 {", "if false {", "TestBuried"},
 	{"seeds asked only while nobody is known", "membership/sync.go", "\tif len(unknown) > 0 {", "\tif len(unknown) > 0 && (n.liveCount == 0 || n.isolated) {", ""},
 	{"views never compared", "membership/sync.go", "differ[b] = msg.Digests[b] != n.digests[b]", "differ[b] = false", "TestFar"},
-	{"records passed on for ever", "membership/broadcast.go", "return u.transmissions >= most })", "return u.transmissions < 0 })", ""},
+	{"records passed on for ever", "membership/broadcast.go", "return u.transmissions >= limit })", "return u.transmissions < 0 })", ""},
 	{"words on two incarnations counted together", "membership/state.go", "(r.Status <= Suspect || r.Status == Dead && m.status <= Suspect)", "r.Status <= Suspect", ""},
 }
 
