--- a/internal/observability/control/control.go
+++ b/internal/observability/control/control.go
@@ -1,5 +1,5 @@
-// Package control is the second address: what staff ask a running initiator. It has connections of its own, and its
-// answers are read from what others have left, so that no load on the clients' side holds them up.
+// Package control serves the control address, where operators query a running initiator. It has its own listener and
+// connections, and responds from state that other goroutines have published, so that client load does not delay it.
 package control
 
 import (
@@ -13,104 +13,104 @@
 )
 
 const (
-	// Most is how many connections are open at a time.
+	// MaxConnections is the greatest number of connections that are open at a time.
 	MaxConnections = 16
-	// MostFiles is how many descriptors all of it takes at most.
+	// MaxFiles is the greatest number of file descriptors that the server uses.
 	MaxFiles = MaxConnections + 2
-	// callWithin is how long a call may take to come, and its answer to be read.
-	callWithin = 900 * time.Millisecond
-	maxHead    = 4 << 10
+	// requestTimeout bounds the reading of a request; the writing of its response may take twice as long.
+	requestTimeout = 900 * time.Millisecond
+	maxHeaderBytes = 4 << 10
 )
 
-// Options are what the pages show.
+// Options are the sources of the responses.
 type Options struct {
 	Ready   func() bool
 	Metrics func() []byte
-	Members func() any // what the instance knows of the others, as JSON; nil: it keeps no such view
+	Members func() any // the instance's view of the other members, encoded as JSON; nil: /v1/members does not exist
 	Log     *slog.Logger
 }
 
-// Server is the second address.
+// Server is the HTTP server of the control address.
 type Server struct {
-	http http.Server
-	door door
+	http     http.Server
+	listener boundedListener
 }
 
-// New returns a server that answers from opt.
+// New returns a server that responds from opt.
 func New(opt Options) *Server {
-	pages := http.NewServeMux()
-	pages.HandleFunc("GET /v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
 		if !opt.Ready() {
 			http.Error(w, "not taking clients", http.StatusServiceUnavailable)
 			return
 		}
 		_, _ = w.Write([]byte("ready\n"))
 	})
-	pages.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		_, _ = w.Write(opt.Metrics())
 	})
 	if opt.Members != nil {
-		pages.HandleFunc("GET /v1/members", func(w http.ResponseWriter, _ *http.Request) {
+		mux.HandleFunc("GET /v1/members", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			_ = json.NewEncoder(w).Encode(opt.Members())
 		})
 	}
-	s := &Server{http: http.Server{Handler: pages, ReadTimeout: callWithin, WriteTimeout: 2 * callWithin,
-		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}}
-	s.http.SetKeepAlivesEnabled(false) // one call a connection
-	s.http.ConnState = s.door.state
+	s := &Server{http: http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: slog.NewLogLogger(opt.Log.Handler(), slog.LevelWarn)}}
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
+	s.http.ConnState = s.listener.connState
 	return s
 }
 
-// Serve answers until Close.
+// Serve serves requests until Close.
 func (s *Server) Serve(l net.Listener) error {
-	s.door.Listener = l
-	s.door.open = map[net.Conn]time.Time{}
-	if err := s.http.Serve(&s.door); !errors.Is(err, http.ErrServerClosed) {
+	s.listener.Listener = l
+	s.listener.open = map[net.Conn]time.Time{}
+	if err := s.http.Serve(&s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close ends it at once: nothing that it is asked is worth waiting for.
+// Close closes the listener and all connections at once, without waiting for open requests.
 func (s *Server) Close() error { return s.http.Close() }
 
-// door bounds the connections. At the bound the one that has waited longest to be asked anything goes: callers that say
-// nothing, or half a call, must not shut out those that ask.
-type door struct {
+// boundedListener bounds the open connections. At the bound it closes the oldest one, so that clients that send nothing, or
+// an incomplete request, do not lock out others.
+type boundedListener struct {
 	net.Listener
-	mu   sync.Mutex
-	open map[net.Conn]time.Time // that have not asked whole, since when
+	mu   sync.Mutex             // guards open
+	open map[net.Conn]time.Time // open connections, with the time of their accept
 }
 
 // Accept implements net.Listener.
-func (d *door) Accept() (net.Conn, error) {
-	c, err := d.Listener.Accept()
+func (l *boundedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.open) >= MaxConnections {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.open) >= MaxConnections {
 		var oldest net.Conn
-		for o, at := range d.open {
-			if oldest == nil || at.Before(d.open[oldest]) {
-				oldest = o
+		for other, at := range l.open {
+			if oldest == nil || at.Before(l.open[oldest]) {
+				oldest = other
 			}
 		}
 		oldest.Close()
-		delete(d.open, oldest)
+		delete(l.open, oldest)
 	}
-	d.open[c] = time.Now()
+	l.open[c] = time.Now()
 	return c, nil
 }
 
-// state follows net/http's: a connection that has closed makes room by itself.
-func (d *door) state(c net.Conn, st http.ConnState) {
+// connState is the server's ConnState hook: it removes closed connections.
+func (l *boundedListener) connState(c net.Conn, st http.ConnState) {
 	if st == http.StateClosed {
-		d.mu.Lock()
-		delete(d.open, c)
-		d.mu.Unlock()
+		l.mu.Lock()
+		delete(l.open, c)
+		l.mu.Unlock()
 	}
 }
--- a/internal/observability/control/control_test.go
+++ b/internal/observability/control/control_test.go
@@ -39,13 +39,13 @@
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil || !resp.Close {
-		t.Errorf("%q: closes %v, %v; want one call a connection", raw, resp.Close, err)
+		t.Errorf("%q: closes %v, %v; want one request per connection", raw, resp.Close, err)
 	}
 	return resp.StatusCode, string(body)
 }
 
-// TestCalls asks what there is, what there is not, and what cannot be read.
-func TestCalls(t *testing.T) {
+// TestRequestStatus sends valid requests, requests for unknown paths and methods, and a malformed one, and checks their status.
+func TestRequestStatus(t *testing.T) {
 	var ready atomic.Bool
 	addr := start(t, ready.Load)
 	for _, c := range []struct {
@@ -69,9 +69,9 @@
 	}
 }
 
-// TestSilentCallers holds far more connections than there is room for, half of them with half a call: one that asks is
-// answered well within the second that it has, all the while.
-func TestSilentCallers(t *testing.T) {
+// TestIncompleteRequestsDoNotBlockOthers opens four times MaxConnections connections, half of them idle and half with an
+// incomplete request: a complete request is still served within a second.
+func TestIncompleteRequestsDoNotBlockOthers(t *testing.T) {
 	addr := start(t, func() bool { return true })
 	for i := range 4 * MaxConnections {
 		c, err := net.Dial("tcp", addr)
@@ -85,10 +85,10 @@
 		if i%MaxConnections != 0 {
 			continue
 		}
-		begun := time.Now()
+		started := time.Now()
 		status, body := call(t, addr, "GET /v1/metrics HTTP/1.1\r\nHost: a\r\n\r\n")
-		if took := time.Since(begun); status != 200 || !strings.Contains(body, "|g") || took > time.Second {
-			t.Errorf("with %d silent callers: %d, %q after %v", i+1, status, body, took)
+		if took := time.Since(started); status != 200 || !strings.Contains(body, "|g") || took > time.Second {
+			t.Errorf("with %d connections without a complete request: %d, %q after %v", i+1, status, body, took)
 		}
 	}
 }
--- a/internal/observability/figures/figures.go
+++ b/internal/observability/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures holds the numbers that staff read of a running initiator, and writes them down. It does no I/O, and whoever
-// reads them waits for nobody. Each number is counted once, where the event happens.
+// Package figures holds the metrics of a running initiator, and renders them in statsd's line format. It does no I/O, and
+// reading metrics never blocks. Each event is counted once, where it happens.
 package figures
 
 import (
@@ -10,124 +10,124 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 )
 
-// Ending says how a request ended for its client.
+// Outcome is how a request ended for its client.
 type Outcome int
 
 const (
-	// Success was served whole.
+	// Success is a request that was served completely.
 	Success Outcome = iota
-	// Overload was refused: trying again is harmless.
+	// Overload is a request that was rejected because of load: a retry is safe.
 	Overload
-	// Failure is any other end.
+	// Failure is any other outcome.
 	Failure
 	outcomes
 )
 
 func (e Outcome) String() string { return [...]string{"success", "overload", "error"}[e] }
 
-// prefix stands before each name.
+// prefix precedes each metric's name.
 const prefix = "edge_proxy"
 
-// Book is the numbers of one process. All of it is safe for concurrent use.
+// Metrics are the counters and gauges of one process. All methods are safe for concurrent use, except AddClasses with itself.
 type Metrics struct {
-	classes    atomic.Pointer[map[string]*[outcomes]atomic.Int64] // never changed, but for another in its place
-	dispatches atomic.Int64
-	concurrent atomic.Int64
-	targets    atomic.Int64
-	disabled   atomic.Int64
+	outcomesByClass atomic.Pointer[map[string]*[outcomes]atomic.Int64] // the map is never modified: AddClasses replaces it
+	dispatches      atomic.Int64
+	concurrent      atomic.Int64
+	targets         atomic.Int64
+	avoided         atomic.Int64
 }
 
-// New returns the numbers for these classes, all at 0.
+// New returns metrics that count these classes, all at 0.
 func New(classes []string) *Metrics {
-	b := &Metrics{}
-	b.classes.Store(&map[string]*[outcomes]atomic.Int64{})
-	b.AddClasses(classes)
-	return b
+	m := &Metrics{}
+	m.outcomesByClass.Store(&map[string]*[outcomes]atomic.Int64{})
+	m.AddClasses(classes)
+	return m
 }
 
-// Know has these classes counted as well, from 0 where they are new. Numbers only grow, so that none is forgotten. It isn't to be called by
-// two at a time.
-func (b *Metrics) AddClasses(classes []string) {
-	all := maps.Clone(*b.classes.Load())
+// AddClasses counts these classes as well, from 0 where they are new. Counters must never decrease, so no class is ever removed. It
+// must not be called concurrently with itself.
+func (m *Metrics) AddClasses(classes []string) {
+	all := maps.Clone(*m.outcomesByClass.Load())
 	for _, c := range classes {
 		if all[c] == nil {
 			all[c] = &[outcomes]atomic.Int64{}
 		}
 	}
-	b.classes.Store(&all)
+	m.outcomesByClass.Store(&all)
 }
 
-// Dispatched notes an attempt that was written whole to a target.
-func (b *Metrics) CountDispatch() { b.dispatches.Add(1) }
+// CountDispatch counts an attempt that was written completely to a target.
+func (m *Metrics) CountDispatch() { m.dispatches.Add(1) }
 
-// Listed notes how many targets the list has.
-func (b *Metrics) SetTargets(n int) { b.targets.Store(int64(n)) }
+// SetTargets sets the number of targets in the list.
+func (m *Metrics) SetTargets(n int) { m.targets.Store(int64(n)) }
 
-// Avoided notes how many of them the module avoids.
-func (b *Metrics) SetAvoided(n int) { b.disabled.Store(int64(n)) }
+// SetAvoided sets the number of targets that the policy avoids.
+func (m *Metrics) SetAvoided(n int) { m.avoided.Store(int64(n)) }
 
-// Request is one request that was taken, until it ends.
+// Request is one accepted request, which counts as concurrent until it ends.
 type Request struct {
-	book  *Metrics
-	class string
-	ended atomic.Bool
+	metrics *Metrics
+	class   string
+	ended   atomic.Bool
 }
 
-// Take notes that a request is there, whole.
-func (b *Metrics) StartRequest(class string) *Request {
-	b.concurrent.Add(1)
-	return &Request{book: b, class: class}
+// StartRequest counts a request that was received completely as concurrent, until its End.
+func (m *Metrics) StartRequest(class string) *Request {
+	m.concurrent.Add(1)
+	return &Request{metrics: m, class: class}
 }
 
-// End notes how it ended; only the first word counts. A nil one is not kept.
+// End counts the outcome of the request. Only the first call has an effect; on a nil Request none has.
 func (r *Request) End(e Outcome) {
 	if r == nil || r.ended.Swap(true) {
 		return
 	}
-	r.book.concurrent.Add(-1)
-	r.book.CountOutcome(r.class, e)
+	r.metrics.concurrent.Add(-1)
+	r.metrics.CountOutcome(r.class, e)
 }
 
-// Ended counts the end of a request that was never taken. A class that is not known is not counted.
-func (b *Metrics) CountOutcome(class string, e Outcome) {
-	if n := (*b.classes.Load())[class]; n != nil {
+// CountOutcome counts the outcome of a request without a StartRequest. Classes that were not added are not counted.
+func (m *Metrics) CountOutcome(class string, e Outcome) {
+	if n := (*m.outcomesByClass.Load())[class]; n != nil {
 		n[e].Add(1)
 	}
 }
 
-// Tell tells the numbers: counters from 0 at the start of the process, gauges as they are now.
-func (b *Metrics) Tell(to statsd.ExtendedStatSender) {
-	classes := *b.classes.Load()
+// Tell writes the metrics: counters since the start of the process, gauges with their current value.
+func (m *Metrics) Tell(to statsd.ExtendedStatSender) {
+	classes := *m.outcomesByClass.Load()
 	for _, c := range slices.Sorted(maps.Keys(classes)) {
 		for e := range outcomes {
 			to.Inc("replies."+c+"."+e.String(), classes[c][e].Load(), 1)
 		}
 	}
-	to.Inc("dispatches", b.dispatches.Load(), 1)
-	to.Gauge("concurrent", b.concurrent.Load(), 1)
-	to.Gauge("targets", b.targets.Load(), 1)
-	to.Gauge("targets_disabled", b.disabled.Load(), 1)
+	to.Inc("dispatches", m.dispatches.Load(), 1)
+	to.Gauge("concurrent", m.concurrent.Load(), 1)
+	to.Gauge("targets", m.targets.Load(), 1)
+	to.Gauge("targets_disabled", m.avoided.Load(), 1)
 }
 
-// Page writes down the numbers that tell tells, one a line, as the platform has them: those of statsd.
-func Render(tell func(statsd.ExtendedStatSender)) []byte {
-	var p page
-	c, err := statsd.NewClientWithSender(&p, prefix, statsd.SuffixOctothorpe)
+// Render returns the metrics that write emits, one per line, in the platform's statsd format.
+func Render(write func(statsd.ExtendedStatSender)) []byte {
+	var buffer lineBuffer
+	c, err := statsd.NewClientWithSender(&buffer, prefix, statsd.SuffixOctothorpe)
 	if err != nil {
-		panic(err) // of arguments, which are always these
+		panic(err) // the arguments are constant and valid
 	}
-	tell(c.(statsd.ExtendedStatSender))
-	return p
+	write(c.(statsd.ExtendedStatSender))
+	return buffer
 }
 
-// page is a sender that keeps what it is sent.
-type page []byte
+// lineBuffer is a statsd sender that appends the lines to a buffer.
+type lineBuffer []byte
 
 // Send implements statsd.Sender.
-func (p *page) Send(line []byte) (int, error) {
+func (p *lineBuffer) Send(line []byte) (int, error) {
 	*p = append(append(*p, line...), '\n')
 	return len(line), nil
 }
 
 // Close implements statsd.Sender.
-func (p *page) Close() error { return nil }
+func (p *lineBuffer) Close() error { return nil }
--- a/internal/observability/figures/figures_test.go
+++ b/internal/observability/figures/figures_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestEachOnce ends requests from many goroutines, each more than once: every one counts once, and none stays open.
-func TestEachOnce(t *testing.T) {
+// TestRequestsCountOnce ends requests from many goroutines, each more than once: each is counted once, and none stays concurrent.
+func TestRequestsCountOnce(t *testing.T) {
 	b := New([]string{"put", "get"})
 	var wait sync.WaitGroup
 	for i := range 300 {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestKnow has classes come and go: what was counted stays, and a new one begins at 0.
-func TestKnow(t *testing.T) {
+// TestAddClasses adds classes while a request is open: existing counters keep their values, and new classes start at 0.
+func TestAddClasses(t *testing.T) {
 	b := New([]string{"get"})
 	open := b.StartRequest("get")
 	b.AddClasses([]string{"put"})
