--- a/internal/observability/accounts/accounts_test.go
+++ b/internal/observability/accounts/accounts_test.go
@@ -19,20 +19,20 @@
 
 const ms = time.Millisecond
 
-// TestPartsAddUp drives a book through histories of any kind, in order of time: the parts of each volume's requests add up to
-// their whole time, what is blamed is no more than what was waited, and nothing is kept past its bounds.
-func TestPartsAddUp(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestPhasesAddUp reports random events to a Recorder, in order of time: the phases of each volume's requests add up to their
+// total time, no more time is attributed than was waited, and no bound is exceeded.
+func TestPhasesAddUp(t *testing.T) { //nolint:gocognit // one scenario, step by step
 	rapid.Check(t, func(t *rapid.T) {
 		opt := Options{MaxVolumes: 3, MaxPairs: 4, MaxOpen: 6}
 		b := New(opt)
-		whole, requests := map[string]time.Duration{}, uint64(0)
+		total, requests := map[string]time.Duration{}, uint64(0)
 		arrived, volume := map[string]time.Duration{}, map[string]string{}
 		now := time.Duration(0)
 		few := rapid.Bool().Draw(t, "few volumes")
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 120).Draw(t, "ms")) * ms
 			id := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id"))
-			node := fmt.Sprint("n", rapid.IntRange(0, 1).Draw(t, "node"))
+			target := fmt.Sprint("n", rapid.IntRange(0, 1).Draw(t, "node"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				if b.open[id] != nil {
@@ -44,14 +44,14 @@
 					arrived[id], volume[id] = now, v
 				}
 			case 1:
-				b.Release(now, id, node, time.Duration(rapid.IntRange(-50, 500).Draw(t, "ahead"))*ms, rapid.Bool().Draw(t, "sent"))
+				b.Release(now, id, target, time.Duration(rapid.IntRange(-50, 500).Draw(t, "ahead"))*ms, rapid.Bool().Draw(t, "sent"))
 			case 2:
 				b.Begin(now, id)
 			case 3:
 				b.Answer(now, id, rapid.Bool().Draw(t, "alive"))
 			case 4:
 				if b.open[id] != nil {
-					whole[volume[id]] += now - arrived[id]
+					total[volume[id]] += now - arrived[id]
 					requests++
 				}
 				b.End(now, id)
@@ -63,44 +63,44 @@
 			}
 		}
 		for id := range b.open {
-			whole[volume[id]] += now - arrived[id]
+			total[volume[id]] += now - arrived[id]
 			requests++
 			b.End(now, id)
 		}
 		b.ForgetUnlisted(func(string) bool { return false })
-		var told uint64
+		var accounted uint64
 		var bound time.Duration
 		for v, a := range b.volumes {
-			told += a.Requests
+			accounted += a.Requests
 			bound += a.Times[LimitWait]
 			for p, d := range a.Times {
 				if d < 0 {
 					t.Fatalf("%s: %v of %v", v, d, Phase(p))
 				}
 			}
-			if few && a.Times.Total() != whole[v] {
-				t.Fatalf("%s: parts of %v add up to %v, its requests took %v", v, a.Times, a.Times.Total(), whole[v])
+			if few && a.Times.Total() != total[v] {
+				t.Fatalf("%s: phases %v add up to %v, its requests took %v", v, a.Times, a.Times.Total(), total[v])
 			}
 		}
-		if few && (told != requests || b.Dropped.Volumes != 0) {
-			t.Fatalf("%d of %d requests, %+v", told, requests, b.Dropped)
+		if few && (accounted != requests || b.Dropped.Volumes != 0) {
+			t.Fatalf("%d of %d requests, %+v", accounted, requests, b.Dropped)
 		}
-		if few && b.blames.whole > bound+time.Duration(requests) {
-			t.Fatalf("%v blamed of %v waited", b.blames.whole, bound)
+		if few && b.attributions.total > bound+time.Duration(requests) {
+			t.Fatalf("%v attributed of %v waited", b.attributions.total, bound)
 		}
 	})
 }
 
-// job is a request of the stand-in world below.
+// job is a request of the simulation below.
 type job struct {
 	at     time.Duration
 	volume string
 	work   time.Duration
 }
 
-// play serves jobs at a stand-in node that works on two at a time, of which the initiator has at most four out, and stands
-// still in the given stretches; the book is told all of it.
-func play(t *testing.T, jobs []job, still ...span) *Recorder {
+// simulate serves jobs at a simulated target that processes two at a time and stalls in the given spans, while the initiator has
+// at most four attempts open, and returns a Recorder that all events were reported to.
+func simulate(t *testing.T, jobs []job, stalls ...span) *Recorder {
 	t.Helper()
 	slices.SortStableFunc(jobs, func(a, b job) int { return cmp.Compare(a.at, b.at) })
 	b := New(Options{MaxVolumes: 100, MaxPairs: 100, MaxOpen: 10000})
@@ -113,15 +113,15 @@
 	next := 0
 	for now := time.Duration(0); next < len(jobs) || len(held)+len(out) > 0; now += step {
 		if now > time.Minute {
-			t.Fatal("the stand-in world does not end")
+			t.Fatal("the simulation does not end")
 		}
 		for ; next < len(jobs) && jobs[next].at <= now; next++ {
 			id := fmt.Sprint(next)
 			b.Arrive(now, policy.Request{ID: id, Volume: jobs[next].volume})
 			held = append(held, work{id, jobs[next].work})
 		}
-		stands := slices.ContainsFunc(still, func(s span) bool { return s.from <= now && now < s.to })
-		if !stands {
+		stalled := slices.ContainsFunc(stalls, func(s span) bool { return s.from <= now && now < s.to })
+		if !stalled {
 			for i := range min(2, len(out)) {
 				out[i].left -= step
 			}
@@ -144,8 +144,8 @@
 	return b
 }
 
-// steady is the usual load: three volumes, 60 requests a second together, of 20 ms each.
-func steady() (jobs []job) {
+// steadyLoad returns the base load: three volumes with about 60 requests a second in total, of about 20 ms each.
+func steadyLoad() (jobs []job) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	for at := time.Duration(0); at < 6*time.Second; at += time.Duration(rng.ExpFloat64() * 16 * float64(ms)) {
 		jobs = append(jobs, job{at, fmt.Sprint("v", rng.IntN(3)), time.Duration(15+rng.IntN(10)) * ms})
@@ -153,7 +153,7 @@
 	return jobs
 }
 
-// waited sums what the volumes other than the named one waited behind a cause.
+// waited returns, by cause, how long volumes other than the named one waited.
 func waited(b *Recorder, except string) map[WaitPair]time.Duration {
 	sum := map[WaitPair]time.Duration{}
 	for _, x := range b.Attributions() {
@@ -173,29 +173,29 @@
 	return worst
 }
 
-// TestSurgeIsNamed has one volume surge at a known time: it is what the others waited behind.
-func TestSurgeIsNamed(t *testing.T) {
-	jobs := steady()
+// TestSurgeIsAttributed adds a surge of one volume to the base load: most of the others' waiting is attributed to it.
+func TestSurgeIsAttributed(t *testing.T) {
+	jobs := steadyLoad()
 	for i := range 120 {
 		jobs = append(jobs, job{2*time.Second + time.Duration(i)*5*ms, "greedy", 20 * ms})
 	}
-	b := play(t, jobs)
+	b := simulate(t, jobs)
 	sum := waited(b, "greedy")
 	if worst := heaviest(sum); worst != (WaitPair{Cause: "greedy"}) {
 		t.Errorf("named %+v: %v", worst, sum)
 	}
-	if b.nodes["node"].Stalls > 0 {
-		t.Errorf("%d stalls of a node that worked all the time", b.nodes["node"].Stalls)
+	if b.targets["node"].Stalls > 0 {
+		t.Errorf("%d stalls of a target that never stalled", b.targets["node"].Stalls)
 	}
 }
 
-// TestStallIsNamed has the node stand still for 240 ms: it is named itself, most of that time is found, and no volume's
-// waiting during it is blamed on another.
-func TestStallIsNamed(t *testing.T) {
-	b := play(t, steady(), span{2 * time.Second, 2240 * ms}, span{4 * time.Second, 4240 * ms})
-	n := b.nodes["node"]
-	if n.Stalls != 2 || n.StoodFor < 300*ms || n.StoodFor > 560*ms {
-		t.Errorf("%d stalls, %v of 480 ms", n.Stalls, n.StoodFor)
+// TestStallIsAttributed stalls the target twice for 240 ms: most of that time is found, and most waiting is attributed to the
+// target, not to other volumes.
+func TestStallIsAttributed(t *testing.T) {
+	b := simulate(t, steadyLoad(), span{2 * time.Second, 2240 * ms}, span{4 * time.Second, 4240 * ms})
+	n := b.targets["node"]
+	if n.Stalls != 2 || n.StalledFor < 300*ms || n.StalledFor > 560*ms {
+		t.Errorf("%d stalls, %v of 480 ms", n.Stalls, n.StalledFor)
 	}
 	sum := waited(b, "")
 	if worst := heaviest(sum); worst != (WaitPair{Cause: "node", Stall: true}) {
@@ -203,16 +203,16 @@
 	}
 	for v, a := range b.volumes {
 		if a.Times[Stalled] == 0 {
-			t.Errorf("%s: no time at a still node", v)
+			t.Errorf("%s: no time at a stalled target", v)
 		}
 	}
 }
 
-// TestCostlyIsNoStall has costly requests come at once while others go on: their volume is named, the node is not. The
-// others are few enough not to wait behind one another for long after.
-func TestCostlyIsNoStall(t *testing.T) {
+// TestCostlyRequestsAreNoStall adds simultaneous costly requests to half of the base load: waiting is attributed to their
+// volume, not to a stall. The load is halved so that other volumes do not queue behind one another long afterwards.
+func TestCostlyRequestsAreNoStall(t *testing.T) {
 	var jobs []job
-	for i, j := range steady() {
+	for i, j := range steadyLoad() {
 		if i%2 == 0 {
 			jobs = append(jobs, j)
 		}
@@ -220,30 +220,30 @@
 	for i := range 10 {
 		jobs = append(jobs, job{2*time.Second + time.Duration(i)*ms, "costly", time.Duration(150+40*i) * ms})
 	}
-	b := play(t, jobs)
-	if n := b.nodes["node"]; n.Stalls > 0 {
-		t.Errorf("%d stalls, %v: the node only worked", n.Stalls, n.StoodFor)
+	b := simulate(t, jobs)
+	if n := b.targets["node"]; n.Stalls > 0 {
+		t.Errorf("%d stalls, %v, of a target that never stalled", n.Stalls, n.StalledFor)
 	}
 	if worst := heaviest(waited(b, "costly")); worst != (WaitPair{Cause: "costly"}) {
 		t.Errorf("named %+v", worst)
 	}
 }
 
-// TestBothAreNamed has a surge and a stall at different times: each is named for its part.
-func TestBothAreNamed(t *testing.T) {
-	jobs := steady()
+// TestSurgeAndStallAreAttributed has a surge and a stall at different times: waiting is attributed to each of them.
+func TestSurgeAndStallAreAttributed(t *testing.T) {
+	jobs := steadyLoad()
 	for i := range 80 {
 		jobs = append(jobs, job{1*time.Second + time.Duration(i)*6*ms, "greedy", 20 * ms})
 	}
-	b := play(t, jobs, span{4 * time.Second, 4240 * ms})
+	b := simulate(t, jobs, span{4 * time.Second, 4240 * ms})
 	sum := waited(b, "greedy")
 	greedy, still := sum[WaitPair{Cause: "greedy"}], sum[WaitPair{Cause: "node", Stall: true}]
-	if greedy < 500*ms || still < 100*ms || b.nodes["node"].Stalls != 1 {
-		t.Errorf("%v behind the surge, %v behind the stall, %d stalls", greedy, still, b.nodes["node"].Stalls)
+	if greedy < 500*ms || still < 100*ms || b.targets["node"].Stalls != 1 {
+		t.Errorf("%v behind the surge, %v behind the stall, %d stalls", greedy, still, b.targets["node"].Stalls)
 	}
 }
 
-// TestClientLeaves closes the account of a request whose client goes while it is held, and while it is out.
+// TestClientLeaves ends a request whose client leaves while it is held, and one whose client leaves during an attempt.
 func TestClientLeaves(t *testing.T) {
 	b := New(Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
 	b.Arrive(0, policy.Request{ID: "held", Volume: "v"})
@@ -256,16 +256,16 @@
 	if a := b.Account("v"); a == nil || a.Times != want || a.Requests != 2 {
 		t.Errorf("%+v, want %v", a, want)
 	}
-	if len(b.nodes["n"].out) > 0 || len(b.open) > 0 {
-		t.Error("something is kept of requests that are over")
+	if len(b.targets["n"].openAttempts) > 0 || len(b.open) > 0 {
+		t.Error("state of ended requests is kept")
 	}
 }
 
-// TestHeavy holds the bound of the heavy hitters: no pair of more than the whole by their number is missing, and none is
-// over by more than its error.
-func TestHeavy(t *testing.T) {
+// TestHeavyHittersBound checks the bounds of SpaceSaving: no pair with more than total/capacity is missing, and no pair is
+// overestimated by more than its Overestimate.
+func TestHeavyHittersBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, truth := newHeavy(5), map[WaitPair]time.Duration{}
+		h, truth := newHeavyHitters(5), map[WaitPair]time.Duration{}
 		for range rapid.IntRange(0, 200).Draw(t, "adds") {
 			p := WaitPair{Volume: fmt.Sprint(rapid.IntRange(0, 20).Draw(t, "pair"))}
 			d := time.Duration(rapid.IntRange(1, 1000).Draw(t, "time"))
@@ -280,15 +280,15 @@
 			}
 		}
 		for p, d := range truth {
-			if d > h.whole/5 && !listed[p] {
-				t.Fatalf("%v of %v is missing", d, h.whole)
+			if d > h.total/5 && !listed[p] {
+				t.Fatalf("%v of %v is missing", d, h.total)
 			}
 		}
 	})
 }
 
-// TestPercentiles holds a volume's percentiles against the exact ones, within the stated error.
-func TestPercentiles(t *testing.T) {
+// TestPercentilesWithinAccuracy compares a volume's percentiles with the exact ones.
+func TestPercentilesWithinAccuracy(t *testing.T) {
 	b := New(Options{MaxVolumes: 1, MaxPairs: 1, MaxOpen: 1})
 	var all []float64
 	now, rng := time.Duration(0), rand.New(rand.NewPCG(3, 3))
@@ -309,8 +309,8 @@
 	}
 }
 
-// TestMerge puts two instances' accounts together: sums are exact, percentiles as good as of one book that saw all, pairs
-// within their errors.
+// TestMerge merges the snapshots of two instances: sums are exact, percentiles equal those of a single Recorder of all requests,
+// and pairs are within their overestimates.
 func TestMerge(t *testing.T) {
 	both, each := New(Options{MaxVolumes: 9, MaxPairs: 9, MaxOpen: 9}), [2]*Recorder{}
 	rng, now := rand.New(rand.NewPCG(5, 5)), time.Duration(0)
@@ -326,7 +326,7 @@
 		now += took
 	}
 	for i, b := range each {
-		b.blames.add(WaitPair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
+		b.attributions.add(WaitPair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
 	}
 	at := time.Unix(1000, 0)
 	m, err := Merge(each[0].SnapshotAndReset("a", at, at.Add(time.Minute)), each[1].SnapshotAndReset("b", at.Add(time.Minute), at.Add(2*time.Minute)))
@@ -346,20 +346,20 @@
 		t.Errorf("%+v", m.Attributions)
 	}
 	if each[0].Snapshot("a", at, at); len(each[0].volumes) != 0 {
-		t.Error("a cut book has its old accounts")
+		t.Error("SnapshotAndReset has kept accounts")
 	}
 	full := Snapshot{Attributions: []Attribution{{WaitPair: WaitPair{Volume: "x"}, Waited: 9 * ms}, {WaitPair: WaitPair{Volume: "y"}, Waited: 4 * ms, Overestimate: ms}}}
 	other := Snapshot{Attributions: []Attribution{{WaitPair: WaitPair{Volume: "z"}, Waited: 20 * ms}}}
 	for _, m := range [][]Snapshot{{full, other}, {other, full}} {
 		s, err := Merge(m...)
 		if err != nil || s.Attributions[0].Volume != "z" || s.Attributions[0].Waited != 24*ms || s.Attributions[0].Overestimate != 4*ms {
-			t.Errorf("a pair that a full snapshot may have dropped: %+v, %v", s.Attributions, err)
+			t.Errorf("a pair that a full snapshot may have replaced: %+v, %v", s.Attributions, err)
 		}
 	}
 }
 
-// TestLongestUnusedGoes keeps the accounts that were used last where there are too many, also after a cut.
-func TestLongestUnusedGoes(t *testing.T) {
+// TestLeastRecentlyUsedAccountIsEvicted creates more accounts than MaxVolumes, also after SnapshotAndReset.
+func TestLeastRecentlyUsedAccountIsEvicted(t *testing.T) {
 	b := New(Options{MaxVolumes: 2, MaxPairs: 1, MaxOpen: 1})
 	use := func(volumes ...string) {
 		for _, v := range volumes {
@@ -373,7 +373,7 @@
 	}
 	b.SnapshotAndReset("n", time.Unix(0, 0), time.Unix(1, 0))
 	use("d", "e", "f")
-	if b.Account("d") != nil || b.Account("f") == nil || len(b.volumes) != 2 || b.used.Len() != 2 {
-		t.Errorf("after a cut %v", b.volumes)
+	if b.Account("d") != nil || b.Account("f") == nil || len(b.volumes) != 2 || b.lru.Len() != 2 {
+		t.Errorf("after SnapshotAndReset: %v", b.volumes)
 	}
 }
--- a/internal/observability/accounts/disk/compat_test.go
+++ b/internal/observability/accounts/disk/compat_test.go
@@ -9,8 +9,8 @@
 	"spindlehitch/internal/observability/accounts"
 )
 
-// TestFilesOfOlderVersion reads account snapshots that commit 62b6efc wrote, and finds in them what it had counted.
-func TestFilesOfOlderVersion(t *testing.T) {
+// TestReadsFilesOfOlderBuild reads account files that the build of commit 62b6efc wrote, and checks their content.
+func TestReadsFilesOfOlderBuild(t *testing.T) {
 	all, skipped, err := ReadAll("testdata/62b6efc", time.Time{}, time.Time{})
 	require.NoError(t, err)
 	require.Empty(t, skipped)
--- a/internal/observability/accounts/disk/disk.go
+++ b/internal/observability/accounts/disk/disk.go
@@ -1,4 +1,4 @@
-// Package disk keeps snapshots of the accounts in files: versioned, checksummed, never half written under their name.
+// Package disk stores snapshots of the accounts in versioned, checksummed files, which appear only once they are complete.
 package disk
 
 import (
@@ -19,26 +19,27 @@
 	"spindlehitch/internal/observability/accounts"
 )
 
-// A file is the magic, a version byte, the length and CRC-32C of what follows, and that: JSON, compressed by gzip.
+// A file consists of the magic, a version byte, the length and the CRC-32C of the body, and the body: JSON compressed by gzip.
 const (
-	magic   = "SPHACCT"
-	version = 1
-	headLen = len(magic) + 1 + 8 + 4
-	most    = 64 << 20 // bytes of one file, and of what is in it
-	suffix  = ".accounts"
+	magic        = "SPHACCT"
+	version      = 1
+	headerBytes  = len(magic) + 1 + 8 + 4
+	maxFileBytes = 64 << 20 // bytes of one file, and of its uncompressed body
+	suffix       = ".accounts"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of files that are not used.
+// Errors of files that cannot be used.
 var (
-	ErrNotAccounts = errors.New("not a file of accounts")
-	ErrVersion     = errors.New("of another version")
-	ErrTruncated   = errors.New("cut short")
-	ErrCorrupt     = errors.New("damaged")
+	ErrNotAccounts = errors.New("not an accounts file")
+	ErrVersion     = errors.New("unsupported version")
+	ErrTruncated   = errors.New("truncated")
+	ErrCorrupt     = errors.New("corrupt")
 )
 
-// Write puts a snapshot into the folder, under a name by its time, and drops the oldest past so many.
+// Write writes a snapshot to a new file of the folder, named by its instances and its end, and removes all but the latest keep
+// files.
 func Write(dir string, s accounts.Snapshot, keep int) (err error) {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -59,7 +60,7 @@
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return err
 	}
-	// Under a name that no reader looks at, until it is on the medium whole.
+	// Written under a temporary name that readers ignore, and renamed only after a successful sync.
 	f, err := os.CreateTemp(dir, "writing-*")
 	if err != nil {
 		return err
@@ -82,12 +83,13 @@
 		_ = d.Sync()
 		d.Close()
 	}
-	return drop(dir, keep)
+	return prune(dir, keep)
 }
 
-// drop removes the oldest files past so many, and what a process that was killed left half written.
-func drop(dir string, keep int) error {
-	names, err := list(dir)
+// prune removes all but the latest keep files, at least one, and temporary files older than a minute, which a killed process
+// has left.
+func prune(dir string, keep int) error {
+	names, err := listFiles(dir)
 	if err != nil {
 		return err
 	}
@@ -96,8 +98,8 @@
 		errs = append(errs, os.Remove(names[0]))
 		names = names[1:]
 	}
-	left, _ := filepath.Glob(filepath.Join(dir, "writing-*"))
-	for _, name := range left {
+	unfinished, _ := filepath.Glob(filepath.Join(dir, "writing-*"))
+	for _, name := range unfinished {
 		if i, err := os.Stat(name); err == nil && time.Since(i.ModTime()) > time.Minute {
 			errs = append(errs, os.Remove(name))
 		}
@@ -105,18 +107,18 @@
 	return errors.Join(errs...)
 }
 
-// list has the folder's files, the oldest first.
-func list(dir string) ([]string, error) {
+// listFiles returns the folder's account files, the oldest first.
+func listFiles(dir string) ([]string, error) {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+suffix))
-	stamp := func(name string) string { return name[max(0, len(name)-20-len(suffix)):] }
-	slices.SortFunc(names, func(a, b string) int { return strings.Compare(stamp(a), stamp(b)) })
+	timestamp := func(name string) string { return name[max(0, len(name)-20-len(suffix)):] }
+	slices.SortFunc(names, func(a, b string) int { return strings.Compare(timestamp(a), timestamp(b)) })
 	return names, err
 }
 
-// Read reads one file. What is wrong with it is one of the errors above.
+// Read reads one file. If its content cannot be used, the error wraps one of the errors above.
 func Read(path string) (accounts.Snapshot, error) {
 	var s accounts.Snapshot
-	bad := func(err error) (accounts.Snapshot, error) {
+	fail := func(err error) (accounts.Snapshot, error) {
 		return accounts.Snapshot{}, fmt.Errorf("%s: %w", path, err)
 	}
 	f, err := os.Open(path)
@@ -124,45 +126,46 @@
 		return s, err
 	}
 	defer f.Close()
-	b, err := io.ReadAll(io.LimitReader(f, most))
+	b, err := io.ReadAll(io.LimitReader(f, maxFileBytes))
 	switch {
 	case err != nil:
-		return bad(err)
+		return fail(err)
 	case !strings.HasPrefix(string(b), magic[:min(len(magic), len(b))]) || len(b) == 0:
-		return bad(ErrNotAccounts)
-	case len(b) < headLen:
-		return bad(ErrTruncated)
+		return fail(ErrNotAccounts)
+	case len(b) < headerBytes:
+		return fail(ErrTruncated)
 	case b[len(magic)] != version:
-		return bad(fmt.Errorf("%w: %d, this program reads %d", ErrVersion, b[len(magic)], version))
+		return fail(fmt.Errorf("%w: %d, this program reads %d", ErrVersion, b[len(magic)], version))
 	}
 	length, sum := binary.LittleEndian.Uint64(b[len(magic)+1:]), binary.LittleEndian.Uint32(b[len(magic)+9:])
-	body := b[headLen:]
+	body := b[headerBytes:]
 	switch {
 	case uint64(len(body)) < length:
-		return bad(ErrTruncated)
+		return fail(ErrTruncated)
 	case uint64(len(body)) > length, crc32.Checksum(body, castagnoli) != sum:
-		return bad(ErrCorrupt)
+		return fail(ErrCorrupt)
 	}
 	z, err := gzip.NewReader(bytes.NewReader(body))
 	if err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
+		return fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
-	if err := json.NewDecoder(io.LimitReader(z, most)).Decode(&s); err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
+	if err := json.NewDecoder(io.LimitReader(z, maxFileBytes)).Decode(&s); err != nil {
+		return fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
 	if err := s.Validate(); err != nil {
-		return bad(fmt.Errorf("%w: %w", ErrCorrupt, err))
+		return fail(fmt.Errorf("%w: %w", ErrCorrupt, err))
 	}
 	return s, nil
 }
 
-// ReadAll reads a file, or a folder's files that touch the window; what cannot be used is named and skipped.
+// ReadAll reads a file, or the files of a folder, and returns the snapshots that overlap the window from..to, whose zero bounds
+// are open. Files that cannot be used are skipped; skipped has their errors.
 func ReadAll(path string, from, to time.Time) (all []accounts.Snapshot, skipped []error, err error) {
 	names := []string{path}
 	if i, err := os.Stat(path); err != nil {
 		return nil, nil, err
 	} else if i.IsDir() {
-		if names, err = list(path); err != nil {
+		if names, err = listFiles(path); err != nil {
 			return nil, nil, err
 		}
 	}
--- a/internal/observability/accounts/disk/disk_test.go
+++ b/internal/observability/accounts/disk/disk_test.go
@@ -18,7 +18,7 @@
 
 var day = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// sample is a snapshot of one minute.
+// sample returns a snapshot of one minute with one request.
 func sample(instance string, minute int) accounts.Snapshot {
 	b := accounts.New(accounts.Options{MaxVolumes: 4, MaxPairs: 4, MaxOpen: 4})
 	b.Arrive(0, policy.Request{ID: "a", Volume: "v1"})
@@ -29,13 +29,14 @@
 	return b.SnapshotAndReset(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
 }
 
-// TestCutsAndNoise reads a file cut anywhere, with any byte changed, or of noise: nothing but the whole file passes.
-func TestCutsAndNoise(t *testing.T) {
+// TestDamagedFilesAreRejected reads files that are truncated, extended, have a changed byte or consist of random bytes: only the
+// original file is accepted.
+func TestDamagedFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, sample("n1", 0), 10); err != nil {
 		t.Fatal(err)
 	}
-	names, err := list(dir)
+	names, err := listFiles(dir)
 	if err != nil || len(names) != 1 {
 		t.Fatalf("%v, %v", names, err)
 	}
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestKilledMidWrite leaves what a process killed while writing leaves: no reader sees it, and it is cleared away.
-func TestKilledMidWrite(t *testing.T) {
+// TestInterruptedWriteIsRemoved creates the temporary file that a process killed while writing leaves: readers ignore it, and a
+// later Write removes it.
+func TestInterruptedWriteIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	left := filepath.Join(dir, "writing-123")
 	if err := os.WriteFile(left, []byte("half"), 0o600); err != nil {
@@ -102,7 +104,7 @@
 		t.Errorf("%d read, %v skipped, %v", len(all), skipped, err)
 	}
 	if _, err := os.Stat(left); !os.IsNotExist(err) {
-		t.Errorf("what was left half written: %v", err)
+		t.Errorf("temporary file of an interrupted write: %v", err)
 	}
 	all, _, err = ReadAll(dir, day.Add(3*time.Minute), day.Add(4*time.Minute))
 	if err != nil || len(all) != 1 {
--- a/internal/observability/accounts/heavyhitters.go
+++ b/internal/observability/accounts/heavyhitters.go
@@ -7,61 +7,63 @@
 	"time"
 )
 
-// Pair is a volume that waited and what it waited behind: another volume, itself, or a node that stood still.
+// WaitPair is a volume that waited and what it waited behind: another volume, itself, or a stalled target.
 type WaitPair struct {
 	Volume string
 	Cause  string
-	Stall  bool // Cause is a node
+	Stall  bool // Cause is a target
 }
 
-// Blame is a pair's time; Error is by how much it may be over.
+// Attribution is the waiting time attributed to a pair. The true time is at most Waited and at least Waited-Overestimate.
 type Attribution struct {
 	WaitPair
 	Waited       time.Duration
 	Overestimate time.Duration `json:"Error"`
-	at           int
+	heapIndex    int
 }
 
-// heavy keeps the pairs that most time was blamed on, by SpaceSaving: a new pair takes the place, and as its error the time,
-// of the least. No pair of more than the whole divided by most is missing.
-type heavy struct {
-	most  int
-	pairs map[WaitPair]*Attribution
-	least leastFirst
-	whole time.Duration
+// heavyHitters keeps the pairs with the longest waits, by the SpaceSaving algorithm: at capacity, a new pair replaces the one
+// with the shortest wait, whose wait becomes its overestimate. No pair with more than total/capacity is missing.
+type heavyHitters struct {
+	capacity int
+	pairs    map[WaitPair]*Attribution
+	minHeap  attributionHeap
+	total    time.Duration
 }
 
-func newHeavy(most int) *heavy { return &heavy{most: most, pairs: map[WaitPair]*Attribution{}} }
+func newHeavyHitters(capacity int) *heavyHitters {
+	return &heavyHitters{capacity: capacity, pairs: map[WaitPair]*Attribution{}}
+}
 
-func (h *heavy) add(p WaitPair, d time.Duration) {
+func (h *heavyHitters) add(p WaitPair, d time.Duration) {
 	if d <= 0 {
 		return
 	}
-	h.whole += d
+	h.total += d
 	b := h.pairs[p]
 	switch {
 	case b != nil:
-	case len(h.pairs) < h.most:
+	case len(h.pairs) < h.capacity:
 		b = &Attribution{WaitPair: p}
 		h.pairs[p] = b
-		heap.Push(&h.least, b)
+		heap.Push(&h.minHeap, b)
 	default:
-		b = h.least[0]
+		b = h.minHeap[0]
 		delete(h.pairs, b.WaitPair)
 		b.WaitPair, b.Overestimate = p, b.Waited
 		h.pairs[p] = b
 	}
 	b.Waited += d
-	heap.Fix(&h.least, b.at)
+	heap.Fix(&h.minHeap, b.heapIndex)
 }
 
-// heaviestFirst orders blames, those of the same weight by name.
+// heaviestFirst orders attributions by descending wait, then by name.
 func heaviestFirst(a, b Attribution) int {
 	return cmp.Or(cmp.Compare(b.Waited, a.Waited), cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Cause, b.Cause))
 }
 
-// list has the heaviest first.
-func (h *heavy) list() []Attribution {
+// list returns all attributions in the order of heaviestFirst.
+func (h *heavyHitters) list() []Attribution {
 	all := make([]Attribution, 0, len(h.pairs))
 	for _, b := range h.pairs {
 		all = append(all, *b)
@@ -70,20 +72,21 @@
 	return all
 }
 
-type leastFirst []*Attribution
+// attributionHeap is a heap.Interface with the shortest wait first. It keeps each attribution's heapIndex up to date.
+type attributionHeap []*Attribution
 
-func (l leastFirst) Len() int           { return len(l) }
-func (l leastFirst) Less(i, j int) bool { return l[i].Waited < l[j].Waited }
-func (l leastFirst) Swap(i, j int) {
+func (l attributionHeap) Len() int           { return len(l) }
+func (l attributionHeap) Less(i, j int) bool { return l[i].Waited < l[j].Waited }
+func (l attributionHeap) Swap(i, j int) {
 	l[i], l[j] = l[j], l[i]
-	l[i].at, l[j].at = i, j
+	l[i].heapIndex, l[j].heapIndex = i, j
 }
-func (l *leastFirst) Push(x any) {
+func (l *attributionHeap) Push(x any) {
 	b := x.(*Attribution)
-	b.at = len(*l)
+	b.heapIndex = len(*l)
 	*l = append(*l, b)
 }
-func (l *leastFirst) Pop() any {
+func (l *attributionHeap) Pop() any {
 	old := *l
 	b := old[len(old)-1]
 	*l = old[:len(old)-1]
--- a/internal/observability/accounts/recorder.go
+++ b/internal/observability/accounts/recorder.go
@@ -1,5 +1,6 @@
-// Package accounts keeps, for each volume, where the time of its requests went and what they waited behind. It does no I/O,
-// reads no clock and decides nothing: it is told what the core sees, in order of time. docs/accounts.md defines its words.
+// Package accounts records, for each volume, the phases in which the time of its requests was spent, and what they waited
+// behind. It does no I/O, reads no clock and makes no decisions: the core reports events to it, in order of time.
+// docs/accounts.md defines its terms.
 package accounts
 
 import (
@@ -11,28 +12,29 @@
 	"spindlehitch/internal/policy"
 )
 
-// Part is a stretch of a request's time.
+// Phase is a part of the time between a request's arrival and its end.
 type Phase int
 
-// The parts of a request's time, in the order of docs/accounts.md.
+// The phases, in the order of docs/accounts.md.
 const (
-	BucketWait Phase = iota
-	LimitWait
-	Connect
-	AtTarget
-	Stalled
-	Reply
+	BucketWait Phase = iota // held because its start tag lay ahead
+	LimitWait               // held for any other reason
+	Connect                 // released, until the first byte was written to the target
+	AtTarget                // from the first byte until the attempt ended, without Stalled
+	Stalled                 // the same, while the target was stalled
+	Reply                   // since the last attempt or hold ended, until the request ended
 	phases
 )
 
+// String returns the phase's name in reports.
 func (p Phase) String() string {
 	return [...]string{"bucket", "bound", "connect", "node", "still", "reply"}[p]
 }
 
-// Times is a time for each part.
+// Times is the time spent in each phase.
 type Times [phases]time.Duration
 
-// Whole is their sum.
+// Total returns the sum over all phases.
 func (t Times) Total() (d time.Duration) {
 	for _, x := range t {
 		d += x
@@ -43,193 +45,194 @@
 const (
 	// Accuracy is the relative error of percentiles.
 	Accuracy = 0.02
-	bins     = 512 // past which a sketch gives up the accuracy of its least values
+	maxBins  = 512 // of a sketch: beyond, it collapses the bins of its smallest values, which lose accuracy
 )
 
-// Options are the book's bounds.
+// Options are the bounds of a Recorder, and the worth of requests.
 type Options struct {
-	MaxVolumes int                          // kept, by last use
-	MaxPairs   int                          // of volume and cause
-	MaxOpen    int                          // requests at a time; more are not accounted for
-	Worth      func(policy.Request) float64 // of serving it; nil: 1
+	MaxVolumes int                          // accounts kept; the least recently used is evicted
+	MaxPairs   int                          // pairs of volume and cause that are kept
+	MaxOpen    int                          // open requests at a time; more are not recorded
+	Worth      func(policy.Request) float64 // worth of serving a request; nil: 1
 }
 
-// Account is one volume's.
+// Account is the account of one volume's requests that have ended.
 type Account struct {
-	Requests uint64
-	Times    Times
-	Latency  *ddsketch.DDSketch // of whole requests, in seconds
-	Share    Share
-	used     *list.Element
+	Requests   uint64
+	Times      Times
+	Latency    *ddsketch.DDSketch // of whole requests, in seconds
+	Share      Share
+	lruElement *list.Element // its element of Recorder.lru
 }
 
-// Dropped counts what the bounds cost.
+// Dropped counts what was lost to the bounds.
 type Dropped struct {
-	Volumes  uint64 // accounts given up for others
-	Requests uint64 // not accounted for, as too many were open
+	Volumes  uint64 // accounts that were evicted
+	Requests uint64 // not recorded, since too many were open
 }
 
-// Book is the accounts of one initiator. It is not safe for concurrent use.
+// Recorder records the accounts of one initiator. It is not safe for concurrent use.
 type Recorder struct {
-	opt     Options
-	open    map[string]*entry
-	volumes map[string]*Account
-	used    *list.List // of volumes, the last used first
-	nodes   map[string]*node
-	blames  *heavy
-	shares  sums // of classes and plans, which the settings bound
-	Dropped Dropped
+	opt          Options
+	open         map[string]*openRequest
+	volumes      map[string]*Account
+	lru          *list.List // volume names, the most recently used first
+	targets      map[string]*targetState
+	attributions *heavyHitters
+	shares       shareSums // of classes and plans, whose number the settings bound
+	Dropped      Dropped
 }
 
-// entry is one open request.
-type entry struct {
-	volume string
-	class  string
-	plan   string
-	worth  float64
-	served bool
-	at     time.Duration // accounted for up to then
-	times  Times
-	node   string // where its attempt is out
-	begun  bool   // its first byte was written
-	visits []visit
+// openRequest is the state of one request that has not ended.
+type openRequest struct {
+	volume           string
+	class            string
+	plan             string
+	worth            float64
+	served           bool
+	accountedUntil   time.Duration // the time before it is booked to phases
+	times            Times
+	target           string // target of its open attempt; empty: none
+	firstByteWritten bool   // whether the open attempt's first byte was written
+	targetSpans      []targetSpan
 }
 
-// visit is time at a node, of which some may prove to have been a stall.
-type visit struct {
-	node string
+// targetSpan is the time of one attempt at a target, a part of which may turn out to be a stall.
+type targetSpan struct {
+	target string
 	span
 }
 
-// New returns an empty book.
+// New returns an empty Recorder.
 func New(opt Options) *Recorder {
-	return &Recorder{opt: opt, open: map[string]*entry{}, volumes: map[string]*Account{}, used: list.New(), nodes: map[string]*node{},
-		blames: newHeavy(max(1, opt.MaxPairs)), shares: sums{}}
+	return &Recorder{opt: opt, open: map[string]*openRequest{}, volumes: map[string]*Account{}, lru: list.New(), targets: map[string]*targetState{},
+		attributions: newHeavyHitters(max(1, opt.MaxPairs)), shares: shareSums{}}
 }
 
-// Values sets what serving a request is worth, of those that arrive from now on; nil: 1.
-func (b *Recorder) SetWorth(worth func(policy.Request) float64) { b.opt.Worth = worth }
+// SetWorth sets the worth of serving requests that arrive from now on; nil: 1.
+func (rec *Recorder) SetWorth(worth func(policy.Request) float64) { rec.opt.Worth = worth }
 
-// Arrive takes a request.
-func (b *Recorder) Arrive(at time.Duration, r policy.Request) {
-	if len(b.open) >= b.opt.MaxOpen {
-		b.Dropped.Requests++
+// Arrive starts to record a request, unless too many are open.
+func (rec *Recorder) Arrive(at time.Duration, r policy.Request) {
+	if len(rec.open) >= rec.opt.MaxOpen {
+		rec.Dropped.Requests++
 		return
 	}
-	e := &entry{volume: r.Volume, class: r.Class, plan: r.Plan, worth: 1, at: at}
-	if b.opt.Worth != nil {
-		e.worth = b.opt.Worth(r)
+	e := &openRequest{volume: r.Volume, class: r.Class, plan: r.Plan, worth: 1, accountedUntil: at}
+	if rec.opt.Worth != nil {
+		e.worth = rec.opt.Worth(r)
 	}
-	b.open[r.ID] = e
+	rec.open[r.ID] = e
 }
 
-// Served notes that a request's answer came from a node, before its client left.
-func (b *Recorder) Served(id string) {
-	if e := b.open[id]; e != nil {
+// Served marks an open request as answered by a target before its client left.
+func (rec *Recorder) Served(id string) {
+	if e := rec.open[id]; e != nil {
 		e.served = true
 	}
 }
 
-// Release ends a time of being held: the request goes to the node, or, with sent false, is given up. Ahead is how much of
-// that time its start tag lay ahead.
-func (b *Recorder) Release(at time.Duration, id, name string, ahead time.Duration, sent bool) {
-	e := b.open[id]
-	if e == nil || e.node != "" {
+// Release ends the time in which a request was held: it is sent to the target or, with sent false, abandoned. tagLead is the
+// part of that time in which its start tag lay ahead.
+func (rec *Recorder) Release(at time.Duration, id, target string, tagLead time.Duration, sent bool) {
+	e := rec.open[id]
+	if e == nil || e.target != "" {
 		return
 	}
-	held := at - e.at
-	ahead = min(max(ahead, 0), held)
-	e.times[BucketWait] += ahead
-	e.times[LimitWait] += held - ahead
-	n := b.node(name)
-	if w := (stay{e.volume, span{at - (held - ahead), at}}); n != nil && w.length() > 0 {
-		n.settle(at)
-		n.known(func() { n.share(name, w, b.blames.add) })
+	held := at - e.accountedUntil
+	tagLead = min(max(tagLead, 0), held)
+	e.times[BucketWait] += tagLead
+	e.times[LimitWait] += held - tagLead
+	state := rec.targetState(target)
+	if wait := (attempt{e.volume, span{at - (held - tagLead), at}}); state != nil && wait.length() > 0 {
+		state.expireGap(at)
+		state.whenDecided(func() { state.attributeWait(target, wait, rec.attributions.add) })
 	}
-	e.at = at
-	if sent && n != nil {
-		e.node, e.begun = name, false
-		n.enter(at, id, e.volume)
+	e.accountedUntil = at
+	if sent && state != nil {
+		e.target, e.firstByteWritten = target, false
+		state.startAttempt(at, id, e.volume)
 	}
 }
 
-// node returns what is known of a node; nil without a name.
-func (b *Recorder) node(name string) *node {
+// targetState returns the state of a target, which it creates if there is none, or nil if name is empty.
+func (rec *Recorder) targetState(name string) *targetState {
 	if name == "" {
 		return nil
 	}
-	n := b.nodes[name]
-	if n == nil {
-		n = newNode()
-		b.nodes[name] = n
+	state := rec.targets[name]
+	if state == nil {
+		state = newTargetState()
+		rec.targets[name] = state
 	}
-	return n
+	return state
 }
 
-// Begin tells when the attempt's first byte was written; it may be told late.
-func (b *Recorder) Begin(at time.Duration, id string) {
-	if e := b.open[id]; e != nil && e.node != "" && !e.begun {
-		at = max(at, e.at)
-		e.times[Connect] += at - e.at
-		e.at, e.begun = at, true
+// Begin records when the attempt's first byte was written; the event may be reported late.
+func (rec *Recorder) Begin(at time.Duration, id string) {
+	if e := rec.open[id]; e != nil && e.target != "" && !e.firstByteWritten {
+		at = max(at, e.accountedUntil)
+		e.times[Connect] += at - e.accountedUntil
+		e.accountedUntil, e.firstByteWritten = at, true
 	}
 }
 
-// Answer ends an attempt; alive says that it was the node that ended it.
-func (b *Recorder) Answer(at time.Duration, id string, alive bool) {
-	e := b.open[id]
-	if e == nil || e.node == "" {
+// Answer ends an attempt; answered reports whether an answer of the target ended it.
+func (rec *Recorder) Answer(at time.Duration, id string, answered bool) {
+	e := rec.open[id]
+	if e == nil || e.target == "" {
 		return
 	}
-	at = max(at, e.at)
-	if e.begun {
-		e.times[AtTarget] += at - e.at
-		e.visits = append(e.visits, visit{e.node, span{e.at, at}})
+	at = max(at, e.accountedUntil)
+	if e.firstByteWritten {
+		e.times[AtTarget] += at - e.accountedUntil
+		e.targetSpans = append(e.targetSpans, targetSpan{e.target, span{e.accountedUntil, at}})
 	} else {
-		e.times[Connect] += at - e.at
+		e.times[Connect] += at - e.accountedUntil
 	}
-	b.nodes[e.node].leave(at, id, alive)
-	e.at, e.node = at, ""
+	rec.targets[e.target].endAttempt(at, id, answered)
+	e.accountedUntil, e.target = at, ""
 }
 
-// End closes the request's account: its last byte is with the client, or nobody waits for it any more.
-func (b *Recorder) End(at time.Duration, id string) {
-	e := b.open[id]
+// End ends a request: its last byte was written to the client, or the client has left.
+func (rec *Recorder) End(at time.Duration, id string) {
+	e := rec.open[id]
 	if e == nil {
 		return
 	}
-	if e.node != "" {
-		b.Answer(at, id, false)
+	if e.target != "" {
+		rec.Answer(at, id, false)
 	}
-	delete(b.open, id)
-	e.times[Reply] += at - e.at
-	e.at = at
-	b.close(e, 0)
+	delete(rec.open, id)
+	e.times[Reply] += at - e.accountedUntil
+	e.accountedUntil = at
+	rec.closeRequest(e, 0)
 }
 
-// close books the request once it is known of each of its visits whether the node stood still.
-func (b *Recorder) close(e *entry, visited int) {
-	if visited < len(e.visits) {
-		v := e.visits[visited]
-		n := b.nodes[v.node]
-		if n == nil { // forgotten
-			b.close(e, visited+1)
+// closeRequest adds the request to its volume's account once it is decided, for each of its target spans from checked on,
+// whether the target was stalled.
+func (rec *Recorder) closeRequest(e *openRequest, checked int) {
+	if checked < len(e.targetSpans) {
+		v := e.targetSpans[checked]
+		state := rec.targets[v.target]
+		if state == nil { // ForgetUnlisted removed it
+			rec.closeRequest(e, checked+1)
 			return
 		}
-		n.settle(e.at)
-		n.known(func() {
-			still := min(n.still(v.span), v.length())
-			e.times[AtTarget] -= still
-			e.times[Stalled] += still
-			b.close(e, visited+1)
+		state.expireGap(e.accountedUntil)
+		state.whenDecided(func() {
+			stalled := min(state.stalledDuring(v.span), v.length())
+			e.times[AtTarget] -= stalled
+			e.times[Stalled] += stalled
+			rec.closeRequest(e, checked+1)
 		})
 		return
 	}
-	a := b.account(e.volume)
+	a := rec.accountOf(e.volume)
 	a.Requests++
 	a.Share.add(e)
-	for _, of := range []ShareKey{{Class, e.class}, {Plan, e.plan}} {
-		b.shares.of(of).add(e)
+	for _, key := range []ShareKey{{Class, e.class}, {Plan, e.plan}} {
+		rec.shares.get(key).add(e)
 	}
 	for i, d := range e.times {
 		a.Times[i] += d
@@ -237,42 +240,42 @@
 	_ = a.Latency.Add(e.times.Total().Seconds())
 }
 
-// account returns a volume's, in place of the one longest without use where there are too many.
-func (b *Recorder) account(volume string) *Account {
-	a := b.volumes[volume]
+// accountOf returns a volume's account. If it creates one beyond MaxVolumes, it evicts the least recently used.
+func (rec *Recorder) accountOf(volume string) *Account {
+	a := rec.volumes[volume]
 	if a == nil {
-		if len(b.volumes) >= max(1, b.opt.MaxVolumes) {
-			// From a list by use: a look at all of them, for each volume that comes and goes, took the core 0.1 ms.
-			oldest := b.used.Remove(b.used.Back()).(string)
-			delete(b.volumes, oldest)
-			b.Dropped.Volumes++
+		if len(rec.volumes) >= max(1, rec.opt.MaxVolumes) {
+			// The list avoids a scan of all accounts, which took the core 0.1 ms for each new volume.
+			oldest := rec.lru.Remove(rec.lru.Back()).(string)
+			delete(rec.volumes, oldest)
+			rec.Dropped.Volumes++
 		}
-		sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(Accuracy, bins)
+		sketch, err := ddsketch.LogCollapsingLowestDenseDDSketch(Accuracy, maxBins)
 		if err != nil {
 			panic(err) // the accuracy is a constant
 		}
-		a = &Account{Latency: sketch, used: b.used.PushFront(volume)}
-		b.volumes[volume] = a
+		a = &Account{Latency: sketch, lruElement: rec.lru.PushFront(volume)}
+		rec.volumes[volume] = a
 	}
-	b.used.MoveToFront(a.used)
+	rec.lru.MoveToFront(a.lruElement)
 	return a
 }
 
-// Forget drops what is known of nodes that the list no longer has; those with attempts out stay.
-func (b *Recorder) ForgetUnlisted(listed func(string) bool) {
-	for name, n := range b.nodes {
-		if len(n.out) == 0 && !listed(name) {
-			n.decide()
-			delete(b.nodes, name)
+// ForgetUnlisted removes the state of targets that are no longer listed and have no open attempts.
+func (rec *Recorder) ForgetUnlisted(listed func(string) bool) {
+	for name, state := range rec.targets {
+		if len(state.openAttempts) == 0 && !listed(name) {
+			state.decideGap()
+			delete(rec.targets, name)
 		}
 	}
 }
 
-// Open is how many requests are open.
-func (b *Recorder) OpenRequests() int { return len(b.open) }
+// OpenRequests returns the number of open requests.
+func (rec *Recorder) OpenRequests() int { return len(rec.open) }
 
-// Volume returns a volume's account; nil: none.
-func (b *Recorder) Account(name string) *Account { return b.volumes[name] }
+// Account returns a volume's account, or nil.
+func (rec *Recorder) Account(name string) *Account { return rec.volumes[name] }
 
-// Blames are the causes of waiting, the heaviest first.
-func (b *Recorder) Attributions() []Attribution { return b.blames.list() }
+// Attributions returns the recorded causes of waiting, those with the longest wait first.
+func (rec *Recorder) Attributions() []Attribution { return rec.attributions.list() }
--- a/internal/observability/accounts/render.go
+++ b/internal/observability/accounts/render.go
@@ -13,7 +13,7 @@
 	"github.com/parquet-go/parquet-go/compress/zstd"
 )
 
-// Row is a volume's line in a report, as JSON and as a column each of a Parquet file. Times are in seconds.
+// Row is a volume's line in a report. Each field is a field of the JSON and a column of the Parquet file. Times are in seconds.
 type Row struct {
 	Volume     string  `json:"volume" parquet:"volume,dict"`
 	Requests   uint64  `json:"requests" parquet:"requests"`
@@ -29,7 +29,7 @@
 	Causes     []Cause `json:"causes" parquet:"causes,list"`
 }
 
-// Cause is what a volume waited behind.
+// Cause is what a volume waited behind, with the time attributed to it.
 type Cause struct {
 	Cause        string  `json:"cause" parquet:"cause,dict"`
 	Stall        bool    `json:"stall" parquet:"stall"`
@@ -37,7 +37,7 @@
 	Overestimate float64 `json:"at_most_over_by_s" parquet:"at_most_over_by_s"`
 }
 
-// Report is what is told of a stretch of time.
+// Report is a Snapshot prepared for output.
 type Report struct {
 	Instances []string      `json:"instances"`
 	From      time.Time     `json:"from"`
@@ -47,14 +47,14 @@
 	Dropped   Dropped       `json:"dropped"`
 }
 
-const mostCauses = 5 // of a volume, told
+const maxCauses = 5 // causes of a volume that a report lists
 
-// Tell makes a report, of one volume where it is named.
+// NewReport returns a report of all volumes, or of the one volume that is named.
 func NewReport(s Snapshot, volume string) (Report, error) {
 	r := Report{Instances: s.Instances, From: s.From, To: s.To, Targets: s.Targets, Dropped: s.Dropped, Volumes: []Row{}}
 	causes := map[string][]Cause{}
-	for _, b := range s.Attributions { // the heaviest first
-		if len(causes[b.Volume]) < mostCauses {
+	for _, b := range s.Attributions { // in the order of heaviestFirst
+		if len(causes[b.Volume]) < maxCauses {
 			causes[b.Volume] = append(causes[b.Volume], Cause{b.Cause, b.Stall, b.Waited.Seconds(), b.Overestimate.Seconds()})
 		}
 	}
@@ -77,7 +77,7 @@
 	return r, nil
 }
 
-// Text writes the report for a person: a line for each volume, times as a mean for a request in milliseconds.
+// Text writes the report as a table with a line for each volume. Times are means per request in milliseconds.
 func (r Report) Text(w io.Writer) error {
 	fmt.Fprintf(w, "%s, %s to %s\n\n", strings.Join(r.Instances, ", "), r.From.Format(time.RFC3339), r.To.Format(time.RFC3339))
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -113,14 +113,14 @@
 	return err
 }
 
-// Parquet writes the volumes as a columnar file.
+// Parquet writes the volumes as a Parquet file.
 func (r Report) Parquet(w io.Writer) error { return r.ParquetWithMetadata(w, nil) }
 
-// ParquetAbout is Parquet with key-value metadata.
-func (r Report) ParquetWithMetadata(w io.Writer, about map[string]string) error {
+// ParquetWithMetadata is Parquet with key-value metadata.
+func (r Report) ParquetWithMetadata(w io.Writer, metadata map[string]string) error {
 	options := []parquet.WriterOption{parquet.Compression(&zstd.Codec{})}
-	for _, key := range slices.Sorted(maps.Keys(about)) {
-		options = append(options, parquet.KeyValueMetadata(key, about[key]))
+	for _, key := range slices.Sorted(maps.Keys(metadata)) {
+		options = append(options, parquet.KeyValueMetadata(key, metadata[key]))
 	}
 	p := parquet.NewGenericWriter[Row](w, options...)
 	if _, err := p.Write(r.Volumes); err != nil {
--- a/internal/observability/accounts/share_test.go
+++ b/internal/observability/accounts/share_test.go
@@ -12,8 +12,8 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestShares ends requests of two classes in each way: what was served counts by number and by worth, once, and the least served
-// comes first. The same comes out of a log, of two instances.
+// TestShares ends requests of two classes, served, not served, and served twice: each is counted at most once, by number and by
+// worth, and the lowest served fraction is first. ReadShares reads the same from a log of two instances.
 func TestShares(t *testing.T) {
 	worth := func(r policy.Request) float64 { return map[string]float64{"read": 3, "write": 1}[r.Class] }
 	b := New(Options{MaxVolumes: 8, MaxPairs: 8, MaxOpen: 8, Worth: worth})
@@ -31,7 +31,7 @@
 			b.Served(id)
 		}
 		b.End(time.Duration(i), id)
-		b.Served(id) // too late
+		b.Served(id) // ignored: the request has ended
 	}
 	s := b.SnapshotAndReset("one", time.Time{}, time.Time{}.Add(time.Second))
 	list, all := s.Shares(0)
@@ -45,8 +45,8 @@
 	require.Equal(t, Share{3, 2, 7, 4}, list[1].Share)
 	require.Equal(t, list[1].Share, list[2].Share)
 	most, _ := s.Shares(0.5)
-	require.Len(t, most, 3, "those with half of the worth")
-	require.Empty(t, b.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "the next window")
+	require.Len(t, most, 3, "shares of at least half of the worth")
+	require.Empty(t, b.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "shares after SnapshotAndReset")
 
 	var log bytes.Buffer
 	to := slog.New(slog.NewTextHandler(&log, nil))
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	require.Equal(t, read.Served[:4], merged.Served)
 	_, err = ReadShares(strings.NewReader(`level=INFO msg="served shares" shares="[{\"kind\":`))
-	require.NoError(t, err, "a line that was cut off is none")
+	require.NoError(t, err, "a truncated line is ignored")
 	_, err = ReadShares(strings.NewReader(`level=INFO msg="served shares" shares="{}"`))
 	require.Error(t, err)
 	var text bytes.Buffer
--- a/internal/observability/accounts/snapshot.go
+++ b/internal/observability/accounts/snapshot.go
@@ -12,7 +12,7 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// Snapshot is what the accounts held over a stretch of time, of one instance or several.
+// Snapshot is the content of the accounts of one or more instances over an interval of time.
 type Snapshot struct {
 	Instances    []string
 	From, To     time.Time
@@ -20,11 +20,11 @@
 	Targets      []TargetTimes `json:"Nodes"`
 	Attributions []Attribution `json:"Blames"`
 	Attributed   time.Duration `json:"Blamed"` // to all pairs, including those that were not kept
-	Served       []NamedShare  // of classes and plans; files from before shares have none
+	Served       []NamedShare  // of classes and plans; empty in files of versions that had no shares
 	Dropped      Dropped
 }
 
-// VolumeTimes is a volume's account; Latency is a sketch as DDSketch encodes it.
+// VolumeTimes is a volume's account in a Snapshot; Latency is an encoded DDSketch.
 type VolumeTimes struct {
 	Volume   string
 	Requests uint64
@@ -41,36 +41,36 @@
 	StalledFor time.Duration `json:"StoodFor"`
 }
 
-// Cut returns what the book holds and starts it afresh; open requests go into the next one.
-func (b *Recorder) SnapshotAndReset(instance string, from, to time.Time) Snapshot {
-	s := b.Snapshot(instance, from, to)
-	b.volumes, b.blames, b.shares, b.Dropped = map[string]*Account{}, newHeavy(b.blames.most), sums{}, Dropped{}
-	b.used.Init()
-	for _, n := range b.nodes {
-		n.Answers, n.Stalls, n.StoodFor = 0, 0, 0
+// SnapshotAndReset returns a Snapshot and clears the accounts. Open requests are counted in the next one.
+func (rec *Recorder) SnapshotAndReset(instance string, from, to time.Time) Snapshot {
+	s := rec.Snapshot(instance, from, to)
+	rec.volumes, rec.attributions, rec.shares, rec.Dropped = map[string]*Account{}, newHeavyHitters(rec.attributions.capacity), shareSums{}, Dropped{}
+	rec.lru.Init()
+	for _, n := range rec.targets {
+		n.Answers, n.Stalls, n.StalledFor = 0, 0, 0
 	}
 	return s
 }
 
-// Look returns what the book holds, volumes and nodes by name.
-func (b *Recorder) Snapshot(instance string, from, to time.Time) Snapshot {
-	s := Snapshot{Instances: []string{instance}, From: from, To: to, Attributions: b.blames.list(), Attributed: b.blames.whole, Served: shareList(b.shares), Dropped: b.Dropped}
-	for _, v := range slices.Sorted(maps.Keys(b.volumes)) {
-		a := b.volumes[v]
+// Snapshot returns the accounts, with volumes and targets ordered by name.
+func (rec *Recorder) Snapshot(instance string, from, to time.Time) Snapshot {
+	s := Snapshot{Instances: []string{instance}, From: from, To: to, Attributions: rec.attributions.list(), Attributed: rec.attributions.total, Served: sortedShares(rec.shares), Dropped: rec.Dropped}
+	for _, v := range slices.Sorted(maps.Keys(rec.volumes)) {
+		a := rec.volumes[v]
 		var code []byte
 		a.Latency.Encode(&code, false)
 		s.Volumes = append(s.Volumes, VolumeTimes{v, a.Requests, a.Times, code, a.Share})
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.nodes)) {
-		n := b.nodes[name]
-		s.Targets = append(s.Targets, TargetTimes{name, n.Answers, n.Stalls, n.StoodFor})
+	for _, name := range slices.Sorted(maps.Keys(rec.targets)) {
+		n := rec.targets[name]
+		s.Targets = append(s.Targets, TargetTimes{name, n.Answers, n.Stalls, n.StalledFor})
 	}
 	return s
 }
 
 // Sketch decodes the latencies of a volume.
 func (v *VolumeTimes) Sketch() (*ddsketch.DDSketch, error) {
-	s, err := ddsketch.DecodeDDSketch(v.Latency, func() store.Store { return store.NewCollapsingLowestDenseStore(bins) }, nil)
+	s, err := ddsketch.DecodeDDSketch(v.Latency, func() store.Store { return store.NewCollapsingLowestDenseStore(maxBins) }, nil)
 	if err != nil {
 		return nil, fmt.Errorf("latencies of volume %s: %w", v.Volume, err)
 	}
@@ -81,7 +81,7 @@
 	return s, nil
 }
 
-// Percentiles are of a volume's whole requests.
+// Percentiles returns quantiles of the latency of a volume's requests, from arrival to end.
 func (v *VolumeTimes) Percentiles(quantiles ...float64) ([]time.Duration, error) {
 	s, err := v.Sketch()
 	if err != nil {
@@ -98,7 +98,8 @@
 	return out, nil
 }
 
-// Check names what cannot be right, so that what was read from elsewhere is never trusted by halves.
+// Validate returns an error that names the first inconsistency. A snapshot that was read from a file or the network must not be
+// used if it fails.
 func (s *Snapshot) Validate() error {
 	if s.To.Before(s.From) {
 		return fmt.Errorf("ends %v before it begins", s.From.Sub(s.To))
@@ -113,20 +114,20 @@
 			return fmt.Errorf("volume %s: %v latencies of %d requests", v.Volume, sketch.GetCount(), v.Requests)
 		}
 		if slices.Min(v.Times[:]) < 0 {
-			return fmt.Errorf("volume %s: a part is negative", v.Volume)
+			return fmt.Errorf("volume %s: the time of a phase is negative", v.Volume)
 		}
 	}
 	return nil
 }
 
-// Merge puts snapshots of several instances or stretches together. Percentiles keep their accuracy; the errors of pairs add
-// up, and a pair that a full snapshot does not have may have waited there as long as the least that it has.
+// Merge merges snapshots of several instances or intervals. Percentiles keep their accuracy. Overestimates of pairs add up: a
+// pair that a full snapshot does not contain may have waited there as long as the shortest wait that it contains.
 func Merge(all ...Snapshot) (Snapshot, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var m Snapshot
-	volumes, nodes, pairs := map[string]*VolumeTimes{}, map[string]*TargetTimes{}, map[WaitPair]*Attribution{}
+	volumes, targets, pairs := map[string]*VolumeTimes{}, map[string]*TargetTimes{}, map[WaitPair]*Attribution{}
 	sketches := map[string]*ddsketch.DDSketch{}
-	shares := sums{}
-	floor := time.Duration(0) // what a pair may have waited in the snapshots so far, none of which has it
+	shares := shareSums{}
+	missedSoFar := time.Duration(0) // what a pair may have waited in the snapshots so far if none contains it
 	for i := range all {
 		s := &all[i]
 		if i == 0 || s.From.Before(m.From) {
@@ -159,34 +160,34 @@
 		}
 		shares.add(s.Served)
 		for _, n := range s.Targets {
-			t := nodes[n.Target]
+			t := targets[n.Target]
 			if t == nil {
 				t = &TargetTimes{Target: n.Target}
-				nodes[n.Target] = t
+				targets[n.Target] = t
 			}
 			t.Answers, t.Stalls, t.StalledFor = t.Answers+n.Answers, t.Stalls+n.Stalls, t.StalledFor+n.StalledFor
 		}
-		full, here := time.Duration(0), map[WaitPair]bool{}
+		missedAtMost, present := time.Duration(0), map[WaitPair]bool{}
 		for _, b := range s.Attributions {
-			here[b.WaitPair] = true
-			if b.Overestimate > 0 { // a pair has been pushed out
-				full = s.Attributions[len(s.Attributions)-1].Waited
+			present[b.WaitPair] = true
+			if b.Overestimate > 0 { // the snapshot is full: a pair was replaced
+				missedAtMost = s.Attributions[len(s.Attributions)-1].Waited
 			}
 		}
 		for _, t := range pairs {
-			if !here[t.WaitPair] {
-				t.Waited, t.Overestimate = t.Waited+full, t.Overestimate+full
+			if !present[t.WaitPair] {
+				t.Waited, t.Overestimate = t.Waited+missedAtMost, t.Overestimate+missedAtMost
 			}
 		}
 		for _, b := range s.Attributions {
 			t := pairs[b.WaitPair]
 			if t == nil {
-				t = &Attribution{WaitPair: b.WaitPair, Waited: floor, Overestimate: floor}
+				t = &Attribution{WaitPair: b.WaitPair, Waited: missedSoFar, Overestimate: missedSoFar}
 				pairs[b.WaitPair] = t
 			}
 			t.Waited, t.Overestimate = t.Waited+b.Waited, t.Overestimate+b.Overestimate
 		}
-		floor += full
+		missedSoFar += missedAtMost
 	}
 	slices.Sort(m.Instances)
 	m.Instances = slices.Compact(m.Instances)
@@ -195,9 +196,9 @@
 		sketches[name].Encode(&v.Latency, false)
 		m.Volumes = append(m.Volumes, *v)
 	}
-	m.Served = shareList(shares)
-	for _, name := range slices.Sorted(maps.Keys(nodes)) {
-		m.Targets = append(m.Targets, *nodes[name])
+	m.Served = sortedShares(shares)
+	for _, name := range slices.Sorted(maps.Keys(targets)) {
+		m.Targets = append(m.Targets, *targets[name])
 	}
 	for _, b := range pairs {
 		m.Attributions = append(m.Attributions, *b)
--- a/internal/observability/accounts/target.go
+++ b/internal/observability/accounts/target.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// stallFactor is how many usual latencies without any answer make a gap. Half takes a busy node for a still one.
+	// stallFactor is the number of usual latencies without any answer that make a gap. With half of it, a busy target counts as stalled.
 	stallFactor = 3
-	// stallLeast is the shortest gap that counts: far above what a busy process is late by.
-	stallLeast = 40 * time.Millisecond
-	// usualGain is the part by which an answer moves the usual latency.
-	usualGain = 0.1
-	keepPast  = 64 // ended attempts that a wait may still be shared out among
-	keepGaps  = 16 // stalls that an open request may still have met
+	// minStall is the shortest gap that counts: far above the scheduling delays of a busy process.
+	minStall = 40 * time.Millisecond
+	// latencyGain is the weight of a new answer in the moving average of the latency.
+	latencyGain      = 0.1
+	maxEndedAttempts = 64 // ended attempts to which a wait may still be attributed
+	maxRecentStalls  = 16 // stalls that may still overlap an open request
 )
 
-// span is a stretch of time.
+// span is an interval of time.
 type span struct{ from, to time.Duration }
 
 func (s span) length() time.Duration { return max(0, s.to-s.from) }
@@ -25,146 +25,153 @@
 	return span{max(s.from, o.from), min(s.to, o.to)}.length()
 }
 
-// stay is an attempt at a node.
-type stay struct {
+// attempt is an attempt at a target; to is -1 while it is open.
+type attempt struct {
 	volume string
 	span
 }
 
-// node is what is known of a node's doings, from the attempts of this initiator alone.
-type node struct {
-	out      map[string]*stay // by request
-	past     []stay
-	several  time.Duration // since when two or more are out; -1: they are not
-	answered time.Duration // last
-	usual    time.Duration
-	stalls   []span
-	gap      *span    // that may have been a stall: open until the next answer tells
-	waits    []func() // what hangs on that
-
-	Answers  uint64
-	Stalls   uint64
-	StoodFor time.Duration
+// targetState is the state of a target, as derived from the attempts of this initiator alone. A gap is a long time without an
+// answer while two or more attempts are open. It counts as a stall if another answer follows the one that ends it soon; a
+// single late answer may just be of a costly request.
+type targetState struct {
+	openAttempts    map[string]*attempt // by request id
+	endedAttempts   []attempt
+	concurrentSince time.Duration // since when two or more attempts are open; -1: fewer are open
+	lastAnswerAt    time.Duration // -1: none
+	usualLatency    time.Duration // moving average; 0: no answer yet
+	recentStalls    []span
+	pendingGap      *span    // last gap, until it is decided whether it was a stall; nil: none
+	onGapDecided    []func() // called when pendingGap is decided
+
+	Answers    uint64
+	Stalls     uint64
+	StalledFor time.Duration
 }
 
-func newNode() *node { return &node{out: map[string]*stay{}, several: -1, answered: -1} }
+func newTargetState() *targetState {
+	return &targetState{openAttempts: map[string]*attempt{}, concurrentSince: -1, lastAnswerAt: -1}
+}
 
-func (n *node) enter(at time.Duration, id, volume string) {
-	n.settle(at)
-	n.out[id] = &stay{volume, span{at, -1}}
-	if len(n.out) == 2 {
-		n.several = at
+func (t *targetState) startAttempt(at time.Duration, id, volume string) {
+	t.expireGap(at)
+	t.openAttempts[id] = &attempt{volume, span{at, -1}}
+	if len(t.openAttempts) == 2 {
+		t.concurrentSince = at
 	}
 }
 
-// leave takes an attempt out. Alive says that its end was an answer of the node's.
-func (n *node) leave(at time.Duration, id string, alive bool) {
-	s := n.out[id]
+// endAttempt ends an open attempt; answered reports whether an answer of the target ended it.
+func (t *targetState) endAttempt(at time.Duration, id string, answered bool) {
+	s := t.openAttempts[id]
 	if s == nil {
 		return
 	}
-	n.settle(at)
-	if alive {
-		n.answer(at, at-s.from)
+	t.expireGap(at)
+	if answered {
+		t.recordAnswer(at, at-s.from)
 	}
 	s.to = at
-	n.past = append(n.past, *s)
-	if len(n.past) > keepPast {
-		n.past = slices.Delete(n.past, 0, len(n.past)-keepPast)
+	t.endedAttempts = append(t.endedAttempts, *s)
+	if len(t.endedAttempts) > maxEndedAttempts {
+		t.endedAttempts = slices.Delete(t.endedAttempts, 0, len(t.endedAttempts)-maxEndedAttempts)
 	}
-	delete(n.out, id)
-	if len(n.out) < 2 {
-		n.several = -1
+	delete(t.openAttempts, id)
+	if len(t.openAttempts) < 2 {
+		t.concurrentSince = -1
 	}
 }
 
-// answer looks at the time since the one before it.
-func (n *node) answer(at, took time.Duration) {
-	n.Answers++
-	if n.gap != nil { // settle has left it open: this answer follows soon enough
-		n.stalls = append(n.stalls, *n.gap)
-		if len(n.stalls) > keepGaps {
-			n.stalls = slices.Delete(n.stalls, 0, len(n.stalls)-keepGaps)
+// recordAnswer confirms a pending gap as a stall, checks whether the time since the last answer is a new gap, and updates the
+// usual latency if it is none.
+func (t *targetState) recordAnswer(at, took time.Duration) {
+	t.Answers++
+	if t.pendingGap != nil { // not expired: this answer followed soon enough
+		t.recentStalls = append(t.recentStalls, *t.pendingGap)
+		if len(t.recentStalls) > maxRecentStalls {
+			t.recentStalls = slices.Delete(t.recentStalls, 0, len(t.recentStalls)-maxRecentStalls)
 		}
-		n.Stalls++
-		n.StoodFor += n.gap.length()
-		n.decide()
-	}
-	from := max(n.answered, n.several)
-	quiet := at - from
-	if n.several >= 0 && n.usual > 0 && quiet > stallLeast && quiet > stallFactor*n.usual {
-		n.gap = &span{from + n.usual, at}
-	} else if n.usual == 0 {
-		n.usual = took
+		t.Stalls++
+		t.StalledFor += t.pendingGap.length()
+		t.decideGap()
+	}
+	from := max(t.lastAnswerAt, t.concurrentSince)
+	silence := at - from
+	if t.concurrentSince >= 0 && t.usualLatency > 0 && silence > minStall && silence > stallFactor*t.usualLatency {
+		t.pendingGap = &span{from + t.usualLatency, at}
+	} else if t.usualLatency == 0 {
+		t.usualLatency = took
 	} else {
-		n.usual += time.Duration(float64(took-n.usual) * usualGain)
+		t.usualLatency += time.Duration(float64(took-t.usualLatency) * latencyGain)
 	}
-	n.answered = at
+	t.lastAnswerAt = at
 }
 
-// settle closes the question of a gap that no answer followed in time.
-func (n *node) settle(at time.Duration) {
-	if n.gap != nil && at-n.gap.to > max(n.usual, n.gap.length()/4) {
-		n.decide()
+// expireGap discards a pending gap that no answer followed in time: it was no stall.
+func (t *targetState) expireGap(at time.Duration) {
+	if t.pendingGap != nil && at-t.pendingGap.to > max(t.usualLatency, t.pendingGap.length()/4) {
+		t.decideGap()
 	}
 }
 
-func (n *node) decide() {
-	n.gap = nil
-	waits := n.waits
-	n.waits = nil
-	for _, f := range waits {
+// decideGap clears the pending gap, which was confirmed or discarded, and calls what waits for the decision.
+func (t *targetState) decideGap() {
+	t.pendingGap = nil
+	callbacks := t.onGapDecided
+	t.onGapDecided = nil
+	for _, f := range callbacks {
 		f()
 	}
 }
 
-// known calls f once it is known whether the node stood still until now.
-func (n *node) known(f func()) {
-	if n.gap != nil {
-		n.waits = append(n.waits, f)
+// whenDecided calls f once it is decided for all time until now whether the target was stalled: at once if no gap is pending.
+func (t *targetState) whenDecided(f func()) {
+	if t.pendingGap != nil {
+		t.onGapDecided = append(t.onGapDecided, f)
 		return
 	}
 	f()
 }
 
-// still is how much of a stretch the node stood still.
-func (n *node) still(s span) (d time.Duration) {
-	for _, g := range n.stalls {
+// stalledDuring returns how much of a span the target was stalled.
+func (t *targetState) stalledDuring(s span) (d time.Duration) {
+	for _, g := range t.recentStalls {
 		d += s.overlap(g)
 	}
 	return d
 }
 
-// share deals a stretch of waiting out: to the node's stalls first, the rest to those who were out meanwhile.
-func (n *node) share(name string, w stay, to func(WaitPair, time.Duration)) {
-	still := n.still(w.span)
-	to(WaitPair{w.volume, name, true}, still)
-	left := w.length() - still
+// attributeWait attributes a wait for a target: first to the target's stalls, the rest to the volumes with attempts at the
+// target meanwhile, in proportion to their time there.
+func (t *targetState) attributeWait(name string, wait attempt, attribute func(WaitPair, time.Duration)) {
+	stalled := t.stalledDuring(wait.span)
+	attribute(WaitPair{wait.volume, name, true}, stalled)
+	left := wait.length() - stalled
 	if left <= 0 {
 		return
 	}
 	var sum time.Duration
-	each := map[string]time.Duration{}
-	add := func(s stay) {
+	byVolume := map[string]time.Duration{}
+	add := func(s attempt) {
 		if s.to < 0 {
-			s.to = w.to
+			s.to = wait.to
 		}
-		d := s.overlap(w.span)
-		for _, g := range n.stalls { // it is nobody's fault what it was out then
-			d -= span{max(s.from, w.from), min(s.to, w.to)}.overlap(g)
+		d := s.overlap(wait.span)
+		for _, g := range t.recentStalls { // time at a stalled target is not attributed to a volume
+			d -= span{max(s.from, wait.from), min(s.to, wait.to)}.overlap(g)
 		}
 		if d > 0 {
-			each[s.volume] += d
+			byVolume[s.volume] += d
 			sum += d
 		}
 	}
-	for _, s := range n.past {
+	for _, s := range t.endedAttempts {
 		add(s)
 	}
-	for _, s := range n.out {
+	for _, s := range t.openAttempts {
 		add(*s)
 	}
-	for volume, d := range each {
-		to(WaitPair{w.volume, volume, false}, time.Duration(float64(left)*float64(d)/float64(sum)))
+	for volume, d := range byVolume {
+		attribute(WaitPair{wait.volume, volume, false}, time.Duration(float64(left)*float64(d)/float64(sum)))
 	}
 }
