--- a/internal/controlplane/membership/message.go
+++ b/internal/controlplane/membership/message.go
@@ -143,9 +143,9 @@
 	Subject          Record      `cbor:"10,keyasint,omitempty"` // member that an indirect probe concerns; in a helper's Ping: the requester
 	RequesterNonce   uint64      `cbor:"11,keyasint,omitempty"` // nonce of the requester's own ping, in a helper's Ping and its Ack
 	SawRequesterPing bool        `cbor:"12,keyasint,omitempty"` // the probed member has received the requester's own ping
-	Health           uint8       `cbor:"13,keyasint,omitempty"` // health score; 0: healthy
-	Load             uint16      `cbor:"14,keyasint,omitempty"` // open requests
-	Agent            string      `cbor:"15,keyasint,omitempty"` // an agent that answered it recently
+	Health           uint8       `cbor:"13,keyasint,omitempty"` // health score of the sender; 0: healthy
+	Load             uint16      `cbor:"14,keyasint,omitempty"` // open client requests of the sender
+	Agent            string      `cbor:"15,keyasint,omitempty"` // address of an agent that answered the sender recently
 
 	Records      []Record       `cbor:"16,keyasint,omitempty"`
 	Reachability []Reachability `cbor:"17,keyasint,omitempty"`
--- a/internal/controlplane/membership/node.go
+++ b/internal/controlplane/membership/node.go
@@ -37,7 +37,7 @@
 	rotation        []uint64 // probe order: ids from rotationPos on have not been probed in this round
 	rotationPos     int
 	currentProbe    *probe                    // nil: none
-	probeCount      uint64                    // probes started so far
+	probeCount      uint64                    // calls of nextProbeTarget so far
 	pending         map[uint64]pendingRequest // requests that wait for their reply, by nonce
 	recentPings     []pendingRequest          // received pings, not verified; responder is the sender
 	suspicions      []suspicion
@@ -246,8 +246,8 @@
 	return o
 }
 
-// LeaveAcknowledged reports whether other members have received that this one leaves: its record was
-// piggybacked on at least two replies.
+// LeaveAcknowledged reports whether this member has left and its record was piggybacked on at least two
+// replies, so that other members have most likely received it.
 func (n *Node) LeaveAcknowledged() bool {
 	own := func(u broadcast) bool { return u.ID == n.self.ID && u.transmissions < 2 }
 	return n.self.Status == Left && !slices.ContainsFunc(n.broadcasts, own)
--- a/internal/controlplane/membership/view.go
+++ b/internal/controlplane/membership/view.go
@@ -15,9 +15,9 @@
 const (
 	StateAlive       State = "alive"
 	StateSuspect     State = "unsure" // suspected; Reason and DeadlineS apply
-	StateDead        State = "dead"   // declared dead
-	StateUnreachable State = "cut"    // live, with a link to or from it that is cut
-	StatePaused      State = "paused" // it reported a pause of its process recently
+	StateDead        State = "dead"   // declared dead: no member reaches it
+	StateUnreachable State = "cut"    // some members reach it, but a link to or from it is cut
+	StatePaused      State = "paused" // its process was paused and resumed recently, as the same run
 	StateSlow        State = "slow"   // late answers or a high health score
 	StateLeft        State = "left"
 )
