--- a/internal/observability/accounts/accounts_test.go
+++ b/internal/observability/accounts/accounts_test.go
@@ -24,7 +24,7 @@
 func TestPhasesAddUp(t *testing.T) { //nolint:gocognit // one scenario, step by step
 	rapid.Check(t, func(t *rapid.T) {
 		opt := Options{MaxVolumes: 3, MaxPairs: 4, MaxOpen: 6}
-		b := New(opt)
+		rec := New(opt)
 		total, requests := map[string]time.Duration{}, uint64(0)
 		arrived, volume := map[string]time.Duration{}, map[string]string{}
 		now := time.Duration(0)
@@ -32,61 +32,61 @@
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 120).Draw(t, "ms")) * ms
 			id := fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "id"))
-			target := fmt.Sprint("n", rapid.IntRange(0, 1).Draw(t, "node"))
+			target := fmt.Sprint("n", rapid.IntRange(0, 1).Draw(t, "target"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				if b.open[id] != nil {
+				if rec.open[id] != nil {
 					continue
 				}
 				v := fmt.Sprint("v", rapid.IntRange(0, 2+4*map[bool]int{false: 1}[few]).Draw(t, "volume"))
-				b.Arrive(now, policy.Request{ID: id, Volume: v})
-				if b.open[id] != nil {
+				rec.Arrive(now, policy.Request{ID: id, Volume: v})
+				if rec.open[id] != nil {
 					arrived[id], volume[id] = now, v
 				}
 			case 1:
-				b.Release(now, id, target, time.Duration(rapid.IntRange(-50, 500).Draw(t, "ahead"))*ms, rapid.Bool().Draw(t, "sent"))
+				rec.Release(now, id, target, time.Duration(rapid.IntRange(-50, 500).Draw(t, "tag lead"))*ms, rapid.Bool().Draw(t, "sent"))
 			case 2:
-				b.Begin(now, id)
+				rec.Begin(now, id)
 			case 3:
-				b.Answer(now, id, rapid.Bool().Draw(t, "alive"))
+				rec.Answer(now, id, rapid.Bool().Draw(t, "answered"))
 			case 4:
-				if b.open[id] != nil {
+				if rec.open[id] != nil {
 					total[volume[id]] += now - arrived[id]
 					requests++
 				}
-				b.End(now, id)
+				rec.End(now, id)
 			case 5:
-				b.ForgetUnlisted(func(n string) bool { return n == "n0" })
+				rec.ForgetUnlisted(func(n string) bool { return n == "n0" })
 			}
-			if len(b.volumes) > opt.MaxVolumes || len(b.Attributions()) > opt.MaxPairs || len(b.open) > opt.MaxOpen {
-				t.Fatalf("%d volumes, %d pairs, %d open", len(b.volumes), len(b.Attributions()), len(b.open))
+			if len(rec.volumes) > opt.MaxVolumes || len(rec.Attributions()) > opt.MaxPairs || len(rec.open) > opt.MaxOpen {
+				t.Fatalf("beyond the bounds: %d volumes, %d pairs, %d open", len(rec.volumes), len(rec.Attributions()), len(rec.open))
 			}
 		}
-		for id := range b.open {
+		for id := range rec.open {
 			total[volume[id]] += now - arrived[id]
 			requests++
-			b.End(now, id)
+			rec.End(now, id)
 		}
-		b.ForgetUnlisted(func(string) bool { return false })
+		rec.ForgetUnlisted(func(string) bool { return false })
 		var accounted uint64
-		var bound time.Duration
-		for v, a := range b.volumes {
+		var limitWait time.Duration
+		for v, a := range rec.volumes {
 			accounted += a.Requests
-			bound += a.Times[LimitWait]
+			limitWait += a.Times[LimitWait]
 			for p, d := range a.Times {
 				if d < 0 {
-					t.Fatalf("%s: %v of %v", v, d, Phase(p))
+					t.Fatalf("%s: %v in phase %v", v, d, Phase(p))
 				}
 			}
 			if few && a.Times.Total() != total[v] {
 				t.Fatalf("%s: phases %v add up to %v, its requests took %v", v, a.Times, a.Times.Total(), total[v])
 			}
 		}
-		if few && (accounted != requests || b.Dropped.Volumes != 0) {
-			t.Fatalf("%d of %d requests, %+v", accounted, requests, b.Dropped)
+		if few && (accounted != requests || rec.Dropped.Volumes != 0) {
+			t.Fatalf("%d of %d requests recorded, %+v", accounted, requests, rec.Dropped)
 		}
-		if few && b.attributions.total > bound+time.Duration(requests) {
-			t.Fatalf("%v attributed of %v waited", b.attributions.total, bound)
+		if few && rec.attributions.total > limitWait+time.Duration(requests) {
+			t.Fatalf("%v attributed of %v waited", rec.attributions.total, limitWait)
 		}
 	})
 }
@@ -103,7 +103,7 @@
 func simulate(t *testing.T, jobs []job, stalls ...span) *Recorder {
 	t.Helper()
 	slices.SortStableFunc(jobs, func(a, b job) int { return cmp.Compare(a.at, b.at) })
-	b := New(Options{MaxVolumes: 100, MaxPairs: 100, MaxOpen: 10000})
+	rec := New(Options{MaxVolumes: 100, MaxPairs: 100, MaxOpen: 10000})
 	type work struct {
 		id   string
 		left time.Duration
@@ -117,7 +117,7 @@
 		}
 		for ; next < len(jobs) && jobs[next].at <= now; next++ {
 			id := fmt.Sprint(next)
-			b.Arrive(now, policy.Request{ID: id, Volume: jobs[next].volume})
+			rec.Arrive(now, policy.Request{ID: id, Volume: jobs[next].volume})
 			held = append(held, work{id, jobs[next].work})
 		}
 		stalled := slices.ContainsFunc(stalls, func(s span) bool { return s.from <= now && now < s.to })
@@ -130,18 +130,18 @@
 					i++
 					continue
 				}
-				b.Answer(now, out[i].id, true)
-				b.End(now, out[i].id)
+				rec.Answer(now, out[i].id, true)
+				rec.End(now, out[i].id)
 				out = slices.Delete(out, i, i+1)
 			}
 		}
 		for len(out) < 4 && len(held) > 0 {
-			b.Release(now, held[0].id, "node", 0, true)
-			b.Begin(now, held[0].id)
+			rec.Release(now, held[0].id, "node", 0, true)
+			rec.Begin(now, held[0].id)
 			out, held = append(out, held[0]), held[1:]
 		}
 	}
-	return b
+	return rec
 }
 
 // steadyLoad returns the base load: three volumes with about 60 requests a second in total, of about 20 ms each.
@@ -154,9 +154,9 @@
 }
 
 // waited returns, by cause, how long volumes other than the named one waited.
-func waited(b *Recorder, except string) map[WaitPair]time.Duration {
+func waited(rec *Recorder, except string) map[WaitPair]time.Duration {
 	sum := map[WaitPair]time.Duration{}
-	for _, x := range b.Attributions() {
+	for _, x := range rec.Attributions() {
 		if x.Volume != except {
 			sum[WaitPair{Cause: x.Cause, Stall: x.Stall}] += x.Waited
 		}
@@ -179,29 +179,29 @@
 	for i := range 120 {
 		jobs = append(jobs, job{2*time.Second + time.Duration(i)*5*ms, "greedy", 20 * ms})
 	}
-	b := simulate(t, jobs)
-	sum := waited(b, "greedy")
+	rec := simulate(t, jobs)
+	sum := waited(rec, "greedy")
 	if worst := heaviest(sum); worst != (WaitPair{Cause: "greedy"}) {
-		t.Errorf("named %+v: %v", worst, sum)
+		t.Errorf("longest wait attributed to %+v: %v", worst, sum)
 	}
-	if b.targets["node"].Stalls > 0 {
-		t.Errorf("%d stalls of a target that never stalled", b.targets["node"].Stalls)
+	if rec.targets["node"].Stalls > 0 {
+		t.Errorf("%d stalls of a target that never stalled", rec.targets["node"].Stalls)
 	}
 }
 
 // TestStallIsAttributed stalls the target twice for 240 ms: most of that time is found, and most waiting is attributed to the
 // target, not to other volumes.
 func TestStallIsAttributed(t *testing.T) {
-	b := simulate(t, steadyLoad(), span{2 * time.Second, 2240 * ms}, span{4 * time.Second, 4240 * ms})
-	n := b.targets["node"]
+	rec := simulate(t, steadyLoad(), span{2 * time.Second, 2240 * ms}, span{4 * time.Second, 4240 * ms})
+	n := rec.targets["node"]
 	if n.Stalls != 2 || n.StalledFor < 300*ms || n.StalledFor > 560*ms {
-		t.Errorf("%d stalls, %v of 480 ms", n.Stalls, n.StalledFor)
+		t.Errorf("%d stalls, %v of 480 ms found", n.Stalls, n.StalledFor)
 	}
-	sum := waited(b, "")
+	sum := waited(rec, "")
 	if worst := heaviest(sum); worst != (WaitPair{Cause: "node", Stall: true}) {
-		t.Errorf("named %+v: %v", worst, sum)
+		t.Errorf("longest wait attributed to %+v: %v", worst, sum)
 	}
-	for v, a := range b.volumes {
+	for v, a := range rec.volumes {
 		if a.Times[Stalled] == 0 {
 			t.Errorf("%s: no time at a stalled target", v)
 		}
@@ -220,12 +220,12 @@
 	for i := range 10 {
 		jobs = append(jobs, job{2*time.Second + time.Duration(i)*ms, "costly", time.Duration(150+40*i) * ms})
 	}
-	b := simulate(t, jobs)
-	if n := b.targets["node"]; n.Stalls > 0 {
+	rec := simulate(t, jobs)
+	if n := rec.targets["node"]; n.Stalls > 0 {
 		t.Errorf("%d stalls, %v, of a target that never stalled", n.Stalls, n.StalledFor)
 	}
-	if worst := heaviest(waited(b, "costly")); worst != (WaitPair{Cause: "costly"}) {
-		t.Errorf("named %+v", worst)
+	if worst := heaviest(waited(rec, "costly")); worst != (WaitPair{Cause: "costly"}) {
+		t.Errorf("longest wait attributed to %+v", worst)
 	}
 }
 
@@ -235,28 +235,28 @@
 	for i := range 80 {
 		jobs = append(jobs, job{1*time.Second + time.Duration(i)*6*ms, "greedy", 20 * ms})
 	}
-	b := simulate(t, jobs, span{4 * time.Second, 4240 * ms})
-	sum := waited(b, "greedy")
-	greedy, still := sum[WaitPair{Cause: "greedy"}], sum[WaitPair{Cause: "node", Stall: true}]
-	if greedy < 500*ms || still < 100*ms || b.targets["node"].Stalls != 1 {
-		t.Errorf("%v behind the surge, %v behind the stall, %d stalls", greedy, still, b.targets["node"].Stalls)
+	rec := simulate(t, jobs, span{4 * time.Second, 4240 * ms})
+	sum := waited(rec, "greedy")
+	greedy, stalled := sum[WaitPair{Cause: "greedy"}], sum[WaitPair{Cause: "node", Stall: true}]
+	if greedy < 500*ms || stalled < 100*ms || rec.targets["node"].Stalls != 1 {
+		t.Errorf("%v behind the surge, %v behind the stall, %d stalls", greedy, stalled, rec.targets["node"].Stalls)
 	}
 }
 
 // TestClientLeaves ends a request whose client leaves while it is held, and one whose client leaves during an attempt.
 func TestClientLeaves(t *testing.T) {
-	b := New(Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
-	b.Arrive(0, policy.Request{ID: "held", Volume: "v"})
-	b.End(30*ms, "held")
-	b.Arrive(30*ms, policy.Request{ID: "out", Volume: "v"})
-	b.Release(40*ms, "out", "n", 4*ms, true)
-	b.Begin(42*ms, "out")
-	b.End(60*ms, "out")
+	rec := New(Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
+	rec.Arrive(0, policy.Request{ID: "held", Volume: "v"})
+	rec.End(30*ms, "held")
+	rec.Arrive(30*ms, policy.Request{ID: "out", Volume: "v"})
+	rec.Release(40*ms, "out", "n", 4*ms, true)
+	rec.Begin(42*ms, "out")
+	rec.End(60*ms, "out")
 	want := Times{BucketWait: 4 * ms, LimitWait: 6 * ms, Connect: 2 * ms, AtTarget: 18 * ms, Reply: 30 * ms}
-	if a := b.Account("v"); a == nil || a.Times != want || a.Requests != 2 {
+	if a := rec.Account("v"); a == nil || a.Times != want || a.Requests != 2 {
 		t.Errorf("%+v, want %v", a, want)
 	}
-	if len(b.targets["n"].openAttempts) > 0 || len(b.open) > 0 {
+	if len(rec.targets["n"].openAttempts) > 0 || len(rec.open) > 0 {
 		t.Error("state of ended requests is kept")
 	}
 }
@@ -276,12 +276,12 @@
 		for _, x := range h.list() {
 			listed[x.WaitPair] = true
 			if x.Waited < truth[x.WaitPair] || x.Waited-x.Overestimate > truth[x.WaitPair] {
-				t.Fatalf("%+v, in truth %v", x, truth[x.WaitPair])
+				t.Fatalf("%+v, true wait %v", x, truth[x.WaitPair])
 			}
 		}
 		for p, d := range truth {
 			if d > h.total/5 && !listed[p] {
-				t.Fatalf("%v of %v is missing", d, h.total)
+				t.Fatalf("a pair with %v of %v is missing", d, h.total)
 			}
 		}
 	})
@@ -289,22 +289,22 @@
 
 // TestPercentilesWithinAccuracy compares a volume's percentiles with the exact ones.
 func TestPercentilesWithinAccuracy(t *testing.T) {
-	b := New(Options{MaxVolumes: 1, MaxPairs: 1, MaxOpen: 1})
+	rec := New(Options{MaxVolumes: 1, MaxPairs: 1, MaxOpen: 1})
 	var all []float64
 	now, rng := time.Duration(0), rand.New(rand.NewPCG(3, 3))
 	for range 5000 {
 		d := time.Duration(math.Exp(rng.NormFloat64()*1.5) * float64(20*ms))
-		b.Arrive(now, policy.Request{ID: "x", Volume: "v"})
+		rec.Arrive(now, policy.Request{ID: "x", Volume: "v"})
 		now += d
-		b.End(now, "x")
+		rec.End(now, "x")
 		all = append(all, d.Seconds())
 	}
 	slices.Sort(all)
 	for _, q := range []float64{0.5, 0.9, 0.99, 0.999} {
-		got, err := b.Account("v").Latency.GetValueAtQuantile(q)
+		got, err := rec.Account("v").Latency.GetValueAtQuantile(q)
 		exact := all[int(q*float64(len(all)-1))]
 		if err != nil || math.Abs(got-exact) > Accuracy*exact*1.01 {
-			t.Errorf("p%v: %v, exactly %v, %v", 100*q, got, exact, err)
+			t.Errorf("p%v: %v, exact value %v, %v", 100*q, got, exact, err)
 		}
 	}
 }
@@ -319,14 +319,14 @@
 	}
 	for i := range 4000 {
 		took := time.Duration(rng.ExpFloat64() * float64(30*ms))
-		for _, b := range []*Recorder{both, each[i%2]} {
-			b.Arrive(now, policy.Request{ID: "x", Volume: fmt.Sprint("v", i%3)})
-			b.End(now+took, "x")
+		for _, rec := range []*Recorder{both, each[i%2]} {
+			rec.Arrive(now, policy.Request{ID: "x", Volume: fmt.Sprint("v", i%3)})
+			rec.End(now+took, "x")
 		}
 		now += took
 	}
-	for i, b := range each {
-		b.attributions.add(WaitPair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
+	for i, rec := range each {
+		rec.attributions.add(WaitPair{Volume: "v1", Cause: "v2"}, time.Duration(i+1)*time.Second)
 	}
 	at := time.Unix(1000, 0)
 	m, err := Merge(each[0].SnapshotAndReset("a", at, at.Add(time.Minute)), each[1].SnapshotAndReset("b", at.Add(time.Minute), at.Add(2*time.Minute)))
@@ -343,7 +343,7 @@
 		}
 	}
 	if len(m.Attributions) != 1 || m.Attributions[0].Waited != 3*time.Second || !m.To.Equal(at.Add(2*time.Minute)) {
-		t.Errorf("%+v", m.Attributions)
+		t.Errorf("merged attributions: %+v", m.Attributions)
 	}
 	if each[0].Snapshot("a", at, at); len(each[0].volumes) != 0 {
 		t.Error("SnapshotAndReset has kept accounts")
@@ -360,20 +360,20 @@
 
 // TestLeastRecentlyUsedAccountIsEvicted creates more accounts than MaxVolumes, also after SnapshotAndReset.
 func TestLeastRecentlyUsedAccountIsEvicted(t *testing.T) {
-	b := New(Options{MaxVolumes: 2, MaxPairs: 1, MaxOpen: 1})
+	rec := New(Options{MaxVolumes: 2, MaxPairs: 1, MaxOpen: 1})
 	use := func(volumes ...string) {
 		for _, v := range volumes {
-			b.Arrive(0, policy.Request{ID: "x", Volume: v})
-			b.End(0, "x")
+			rec.Arrive(0, policy.Request{ID: "x", Volume: v})
+			rec.End(0, "x")
 		}
 	}
 	use("a", "b", "a", "c")
-	if b.Account("a") == nil || b.Account("b") != nil || b.Account("c") == nil || b.Dropped.Volumes != 1 {
-		t.Errorf("kept %v, %+v", b.volumes, b.Dropped)
+	if rec.Account("a") == nil || rec.Account("b") != nil || rec.Account("c") == nil || rec.Dropped.Volumes != 1 {
+		t.Errorf("kept %v, %+v", rec.volumes, rec.Dropped)
 	}
-	b.SnapshotAndReset("n", time.Unix(0, 0), time.Unix(1, 0))
+	rec.SnapshotAndReset("n", time.Unix(0, 0), time.Unix(1, 0))
 	use("d", "e", "f")
-	if b.Account("d") != nil || b.Account("f") == nil || len(b.volumes) != 2 || b.lru.Len() != 2 {
-		t.Errorf("after SnapshotAndReset: %v", b.volumes)
+	if rec.Account("d") != nil || rec.Account("f") == nil || len(rec.volumes) != 2 || rec.lru.Len() != 2 {
+		t.Errorf("after SnapshotAndReset: %v", rec.volumes)
 	}
 }
--- a/internal/observability/accounts/share_test.go
+++ b/internal/observability/accounts/share_test.go
@@ -16,24 +16,24 @@
 // worth, and the lowest served fraction is first. ReadShares reads the same from a log of two instances.
 func TestShares(t *testing.T) {
 	worth := func(r policy.Request) float64 { return map[string]float64{"read": 3, "write": 1}[r.Class] }
-	b := New(Options{MaxVolumes: 8, MaxPairs: 8, MaxOpen: 8, Worth: worth})
+	rec := New(Options{MaxVolumes: 8, MaxPairs: 8, MaxOpen: 8, Worth: worth})
 	for i, c := range []struct {
 		class, plan, volume string
 		served, again       bool
 	}{{"read", "gold", "v", true, false}, {"read", "gold", "v", false, false}, {"write", "base", "w", true, true}, {"write", "gold", "v", true, false}} {
 		id := string(rune('a' + i))
-		b.Arrive(time.Duration(i), policy.Request{ID: id, Class: c.class, Plan: c.plan, Volume: c.volume})
-		b.Release(time.Duration(i), id, "n", 0, true)
+		rec.Arrive(time.Duration(i), policy.Request{ID: id, Class: c.class, Plan: c.plan, Volume: c.volume})
+		rec.Release(time.Duration(i), id, "n", 0, true)
 		if c.served {
-			b.Served(id)
+			rec.Served(id)
 		}
 		if c.again {
-			b.Served(id)
+			rec.Served(id)
 		}
-		b.End(time.Duration(i), id)
-		b.Served(id) // ignored: the request has ended
+		rec.End(time.Duration(i), id)
+		rec.Served(id) // ignored: the request has ended
 	}
-	s := b.SnapshotAndReset("one", time.Time{}, time.Time{}.Add(time.Second))
+	s := rec.SnapshotAndReset("one", time.Time{}, time.Time{}.Add(time.Second))
 	list, all := s.Shares(0)
 	require.Equal(t, Share{4, 3, 8, 5}, all)
 	var order []string
@@ -46,7 +46,7 @@
 	require.Equal(t, list[1].Share, list[2].Share)
 	most, _ := s.Shares(0.5)
 	require.Len(t, most, 3, "shares of at least half of the worth")
-	require.Empty(t, b.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "shares after SnapshotAndReset")
+	require.Empty(t, rec.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "shares after SnapshotAndReset")
 
 	var log bytes.Buffer
 	to := slog.New(slog.NewTextHandler(&log, nil))
