--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -28,8 +28,8 @@
 	HostNQN   string
 	HostID    [16]byte
 	KeepAlive time.Duration
-	Digests   bool       // ask for header and data digests
-	Keys      *keys.Keys // TLS, where there are any
+	Digests   bool        // ask for header and data digests
+	Keys      *keys.Store // TLS, where there are any
 }
 
 // serial tells which keys connections are made with now.
@@ -37,7 +37,7 @@
 	if o.Keys == nil {
 		return 0
 	}
-	return o.Keys.Serial()
+	return o.Keys.Generation()
 }
 
 // peer is a target's address with the keys it is met with: after a change of keys a new association is made beside the
@@ -150,7 +150,7 @@
 	}
 	if h.opt.Keys != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		secure := tls.Client(c, h.opt.Keys.Client(host))
+		secure := tls.Client(c, h.opt.Keys.ClientConfig(host))
 		if err := secure.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return nil, err
@@ -463,10 +463,10 @@
 // Close ends the queue.
 func (s *session) Close() error {
 	c := s.Conn
-	if secure, ok := c.(*tls.Conn); ok && upstream.Unheard(secure.NetConn()) { // its word of the end would wait for that
+	if secure, ok := c.(*tls.Conn); ok && upstream.HasUnackedData(secure.NetConn()) { // its word of the end would wait for that
 		c = secure.NetConn()
 	}
-	err := upstream.CloseNow(c)
+	err := upstream.CloseOrReset(c)
 	s.once.Do(func() { s.from.free(s.qid) })
 	return err
 }
@@ -480,7 +480,7 @@
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.Quiet(c)
+	return s.in.Buffered() == 0 && s.from.serial == s.from.host.opt.serial() && upstream.OpenAndIdle(c)
 }
 
 // Do carries one read or write. A write's data goes in the capsule where it fits, otherwise when the
@@ -504,24 +504,24 @@
 		data = x.Data
 	}
 	capsule := appendPDU(nil, s.framing, typeCmd, 0, c[:], data)
-	s.SetDeadline(a.Until)
-	s.SetWriteDeadline(a.WriteBy())
+	s.SetDeadline(a.Deadline)
+	s.SetWriteDeadline(a.WriteDeadline())
 	if !first() {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
 	}
 	if n, err := s.Write(capsule); n < len(capsule) {
 		r.Code = policy.NotConnected
-		return r, false, "WRITE_" + upstream.Cause(err)
+		return r, false, "WRITE_" + upstream.ReasonCode(err)
 	}
 	written := !x.Write || inside
 	if written {
-		a.Sent()
+		a.NotifySent()
 	}
 	st, body, err := s.finish(c, x, a, &written)
 	if err != nil {
 		switch {
-		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Until):
+		case written && errors.Is(err, os.ErrDeadlineExceeded) && time.Now().Before(a.Deadline):
 			s.from.abort(s.qid, c.cid())
 			r.Code = policy.ConnectionReset
 			return r, false, "READ_STALLED"
@@ -535,7 +535,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, net.ErrClosed) {
 			s.from.abort(s.qid, c.cid())
 		}
-		return r, false, "READ_" + upstream.Cause(err)
+		return r, false, "READ_" + upstream.ReasonCode(err)
 	}
 	r.Code, r.Payload = outcomeOf(st), body
 	return r, s.SetDeadline(time.Time{}) == nil, "CLOSED"
@@ -548,7 +548,7 @@
 // finish takes part in the command's transfers until its completion.
 func (s *session) finish(c *command, x *IO, a core.Attempt, written *bool) (status, []byte, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	var body []byte
-	until := a.Until
+	until := a.Deadline
 	for {
 		s.SetReadDeadline(until)
 		if len(body) == 0 {
@@ -572,7 +572,7 @@
 			if length == 0 || offset+length > int64(len(x.Data)) {
 				return 0, nil, errors.New("R2T out of range")
 			}
-			if !time.Now().Before(a.WriteBy()) {
+			if !time.Now().Before(a.WriteDeadline()) {
 				// The deadline of writes is kept by a timer, which a busy machine may fire late: what must not leave any more must not hang on it.
 				return 0, nil, os.ErrDeadlineExceeded
 			}
@@ -580,7 +580,7 @@
 				return 0, nil, err
 			}
 			if *written = offset+length == int64(len(x.Data)); *written {
-				a.Sent()
+				a.NotifySent()
 			}
 		case typeC2HData:
 			if x.Write || p.u16(8) != c.cid() || int64(p.u32(12)) != int64(len(body)) ||
@@ -629,4 +629,4 @@
 	return nil
 }
 
-var _ upstream.Wire = (*Host)(nil)
+var _ upstream.Dialer = (*Host)(nil)
--- a/internal/process/instance/duty.go
+++ b/internal/process/instance/duty.go
@@ -33,7 +33,7 @@
 		jobs[lease.EndpointProbe] = d.probe // else such a task fails here, and goes to another member
 	}
 	d.runner = leasework.New(leasework.Options{Tasks: op.Fleet.Tasks, Jobs: jobs, RenewNow: hurry, OpenRequests: load, DeadInstances: ended, Log: log})
-	d.probe.Attach(d.runner)
+	d.probe.SetRunner(d.runner)
 	d.run = d.runner.Run
 	return d
 }
@@ -42,20 +42,20 @@
 func (d *duty) tells(c *core.Core) {
 	d.runner.OnResults(func(news []lease.ProbeResult, way time.Duration) {
 		for _, x := range news {
-			c.Watched(policy.ProbeResult{Endpoint: x.Target, Healthy: x.Healthy, Age: time.Duration(x.AgeMs)*time.Millisecond + way, NextProbe: d.runner.OperationPeriod(x.Task)})
+			c.ReportProbe(policy.ProbeResult{Endpoint: x.Target, Healthy: x.Healthy, Age: time.Duration(x.AgeMs)*time.Millisecond + way, NextProbe: d.runner.OperationPeriod(x.Task)})
 		}
 	})
 }
 
 // Tell implements teller.
-func (d *duty) Tell(to statsd.ExtendedStatSender) { d.runner.Tell(to) }
+func (d *duty) Tell(to statsd.ExtendedStatSender) { d.runner.WriteMetrics(to) }
 
 // Listed implements listener.
 func (d *duty) Listed(l *listing.List) {
-	addrs := make(map[string]string, len(l.Servers))
-	for _, e := range l.Servers {
+	addrs := make(map[string]string, len(l.Targets))
+	for _, e := range l.Targets {
 		addrs[e.ID] = e.Addr
-		if e.Node().State == policy.Removed {
+		if e.Endpoint().State == policy.Removed {
 			addrs[e.ID] = ""
 		}
 	}
