--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -8,7 +8,7 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// Tell writes the metrics of the membership to a statsd client.
+// Tell writes the metrics of the membership to a statsd client. Package instance finds it by a type assertion.
 func (r *Runner) Tell(to statsd.ExtendedStatSender) {
 	r.onLoop(func(now time.Duration) {
 		v := r.node.View(now)
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -665,7 +665,7 @@
 	}
 	_, _ = io.WriteString(closedConn, validRequest)
 	<-b.jobs
-	if got := string(figures.Render(s.opt.Figures.Tell)); !strings.Contains(got, "concurrent:1|") {
+	if got := string(figures.Render(s.opt.Figures.WriteMetrics)); !strings.Contains(got, "concurrent:1|") {
 		t.Errorf("with one open:\n%s", got)
 	}
 	closedConn.Close()
@@ -676,7 +676,7 @@
 	}
 	want := []string{"put.success:1|", "put.overload:2|", "put.error:4|", "get.error:0|", "concurrent:0|"}
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
-		got := string(figures.Render(s.opt.Figures.Tell))
+		got := string(figures.Render(s.opt.Figures.WriteMetrics))
 		for _, w := range want {
 			assert.Contains(t, got, w)
 		}
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -797,7 +797,7 @@
 	numbers := func(want ...string) {
 		t.Helper()
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
-			got := string(figures.Render(s.opt.Figures.Tell))
+			got := string(figures.Render(s.opt.Figures.WriteMetrics))
 			for _, w := range want {
 				assert.Contains(t, got, w)
 			}
--- a/internal/observability/figures/figures.go
+++ b/internal/observability/figures/figures.go
@@ -34,7 +34,7 @@
 	dispatches      atomic.Int64
 	concurrent      atomic.Int64
 	targets         atomic.Int64
-	avoided         atomic.Int64
+	ejected         atomic.Int64
 }
 
 // New returns metrics that count these classes, all at 0.
@@ -63,8 +63,8 @@
 // SetTargets sets the number of targets in the list.
 func (m *Metrics) SetTargets(n int) { m.targets.Store(int64(n)) }
 
-// SetAvoided sets the number of targets that the policy avoids.
-func (m *Metrics) SetAvoided(n int) { m.avoided.Store(int64(n)) }
+// SetEjected sets the number of listed targets that the policy has ejected.
+func (m *Metrics) SetEjected(n int) { m.ejected.Store(int64(n)) }
 
 // Request is one accepted request, which counts as concurrent until it ends.
 type Request struct {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Tell writes the metrics: counters since the start of the process, gauges with their current value.
-func (m *Metrics) Tell(to statsd.ExtendedStatSender) {
+// WriteMetrics writes the metrics to a statsd client: counters since the start of the process, gauges with their current value.
+func (m *Metrics) WriteMetrics(to statsd.ExtendedStatSender) {
 	classes := *m.outcomesByClass.Load()
 	for _, c := range slices.Sorted(maps.Keys(classes)) {
 		for e := range outcomes {
@@ -106,7 +106,7 @@
 	to.Inc("dispatches", m.dispatches.Load(), 1)
 	to.Gauge("concurrent", m.concurrent.Load(), 1)
 	to.Gauge("targets", m.targets.Load(), 1)
-	to.Gauge("targets_disabled", m.avoided.Load(), 1)
+	to.Gauge("targets_disabled", m.ejected.Load(), 1)
 }
 
 // Render returns the metrics that write emits, one per line, in the platform's statsd format.
--- a/internal/observability/figures/figures_test.go
+++ b/internal/observability/figures/figures_test.go
@@ -23,15 +23,15 @@
 	wait.Wait()
 	open := b.StartRequest("put")
 	b.SetTargets(7)
-	b.SetAvoided(2)
+	b.SetEjected(2)
 	want := "edge_proxy.replies.get.success:100|c\nedge_proxy.replies.get.overload:100|c\nedge_proxy.replies.get.error:100|c\n" +
 		"edge_proxy.replies.put.success:0|c\nedge_proxy.replies.put.overload:0|c\nedge_proxy.replies.put.error:0|c\n" +
 		"edge_proxy.dispatches:300|c\nedge_proxy.concurrent:1|g\nedge_proxy.targets:7|g\nedge_proxy.targets_disabled:2|g\n"
-	if got := string(Render(b.Tell)); got != want {
+	if got := string(Render(b.WriteMetrics)); got != want {
 		t.Errorf("rendered\n%s, want\n%s", got, want)
 	}
 	open.End(Overload)
-	if got := string(Render(b.Tell)); !strings.Contains(got, "concurrent:0|") || !strings.Contains(got, "put.overload:1|") {
+	if got := string(Render(b.WriteMetrics)); !strings.Contains(got, "concurrent:0|") || !strings.Contains(got, "put.overload:1|") {
 		t.Errorf("after the last end:\n%s", got)
 	}
 }
@@ -44,7 +44,7 @@
 	open.End(Success)
 	b.CountOutcome("put", Overload)
 	b.AddClasses([]string{"get"})
-	got := string(Render(b.Tell))
+	got := string(Render(b.WriteMetrics))
 	for _, want := range []string{"get.success:1|", "get.error:0|", "put.overload:1|", "put.success:0|", "concurrent:0|"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("no %s in\n%s", want, got)
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -178,7 +178,7 @@
 		out.Quota = part
 	}
 	up := upstream.NewRegistry(out, func(r core.Result) { in.core.Report(r) })
-	bounds := core.Options{MaxOpen: cfg.MostHeld, Margin: answerMargin, RequestIDTTL: namesFor(cfg), OnEjectedCount: numbers.SetAvoided}
+	bounds := core.Options{MaxOpen: cfg.MostHeld, Margin: answerMargin, RequestIDTTL: namesFor(cfg), OnEjectedCount: numbers.SetEjected}
 	if duties != nil {
 		bounds.OnEjectedTargets = duties.runner.SetEjected
 	}
@@ -357,7 +357,7 @@
 }
 
 // Tell implements teller.
-func (d *decisions) Tell(to statsd.ExtendedStatSender) { d.numbers.Tell(to) }
+func (d *decisions) Tell(to statsd.ExtendedStatSender) { d.numbers.WriteMetrics(to) }
 
 // seat is the instance's seat in the fleet, given back once nothing is served any more.
 type seat struct {
