--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -180,7 +180,7 @@
 	r.endedInstances.Store(&ended)
 }
 
-// logEvents logs new changes of the view, and the begin and end of isolation.
+// logEvents logs new changes of the view, and the start and end of isolation.
 func (r *Runner) logEvents() {
 	now := monotone.Now()
 	events, ever := r.node.Events()
