--- a/internal/controlplane/membership/transport/metrics.go
+++ b/internal/controlplane/membership/transport/metrics.go
@@ -8,7 +8,7 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// EmitMetrics writes the metrics of the membership.
+// EmitMetrics writes the metrics of the membership to a statsd client. Package instance finds it by a type assertion.
 func (r *Runner) EmitMetrics(to statsd.ExtendedStatSender) {
 	r.onLoop(func(now time.Duration) {
 		v := r.node.View(now)
@@ -25,7 +25,7 @@
 		to.Inc("fleet.members.sent_bytes", r.sentBytes.Load(), 1)
 		to.Inc("fleet.members.lost", r.dropped.Load(), 1)
 		to.Inc("fleet.members.bad", r.malformed.Load(), 1)
-		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.Absurd), 1)
+		to.Inc("fleet.members.stale", int64(v.Counts.Stale+v.Counts.Foreign+v.Counts.Misdirected+v.Counts.Limited+v.Counts.FutureIncarnations), 1)
 		to.Inc("fleet.members.refuted", int64(v.Counts.Refuted), 1)
 		to.Inc("fleet.members.pauses", int64(v.Counts.Pauses), 1)
 	})
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -399,7 +399,7 @@
 // that is rejected is accounted for, each under the part where it was spent, and none stays open.
 func TestObserver(t *testing.T) {
 	h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
-	book := accounts.New(accounts.Options{Volumes: 10, Pairs: 10, Open: 10})
+	book := accounts.New(accounts.Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
 	h.Core = New(newScheduler(t), h.fake, NewClock(), Options{MaxOpen: 100, Observer: book})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	var responses []Response
@@ -411,8 +411,8 @@
 	if responses[0].OnWritten == nil {
 		t.Fatal("OnWritten is not set: the observer would not learn that the response was written")
 	}
-	a := book.Volume("v")
-	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.Node: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
+	a := book.Account("v")
+	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.AtTarget: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
 	if a == nil || a.Requests != 1 || a.Times != want {
 		t.Fatalf("%+v, want %v", a, want)
 	}
@@ -428,10 +428,10 @@
 	}
 	responses[1].OnWritten()
 	h.step(h.now, h.mailbox.Take(nil))
-	if a.Requests != 3 || a.Times[accounts.Bound] < 100*time.Millisecond {
+	if a.Requests != 3 || a.Times[accounts.LimitWait] < 100*time.Millisecond {
 		t.Errorf("%+v: want 3 requests, the third with its time in the queue", a)
 	}
-	if n := book.Open(); n != 0 {
+	if n := book.OpenRequests(); n != 0 {
 		t.Errorf("%d requests stay open", n)
 	}
 }
@@ -439,7 +439,7 @@
 // BenchmarkRequests steps the core through requests of 100 volumes, each served, without accounts and with them.
 func BenchmarkRequests(b *testing.B) {
 	for name, observer := range map[string]Observer{"accounts=off": nil,
-		"accounts=on": accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 8192})} {
+		"accounts=on": accounts.New(accounts.Options{MaxVolumes: 4096, MaxPairs: 4096, MaxOpen: 8192})} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -51,7 +51,7 @@
 	SoftMaxConns int         // above this number, those without a request are evicted
 	Ready        func() bool // whether requests can be forwarded; nil: always
 	ReadyOnly    bool        // serve /-/ready only: requests come in through another front
-	Figures      *figures.Book
+	Figures      *figures.Metrics
 	BufferBudget *budget.Bytes // for bodies and pieces of them
 	// OpenUpload opens an upload to a target, for a body that is too large to be buffered.
 	OpenUpload func(ctx context.Context, target string, m *upstream.Request, length int64, wait time.Duration) (*upstream.Upload, error)
@@ -183,7 +183,7 @@
 		default:
 			w.Header().Set("Connection", "close")
 			s.writeResponse(w, core.Overloaded)
-			s.opt.Figures.Ended(classOf(r), figures.Overload)
+			s.opt.Figures.CountOutcome(classOf(r), figures.Overload)
 		}
 		return
 	}
@@ -196,11 +196,11 @@
 	defer func() { release() }()
 	switch {
 	case reqErr != nil:
-		s.opt.Figures.Ended(classOf(r), figures.Failure)
+		s.opt.Figures.CountOutcome(classOf(r), figures.Failure)
 		rejectAndDrain(w, r, conn, reqErr)
 		return
 	case rejection != nil:
-		s.opt.Figures.Ended(j.Class, figures.Overload)
+		s.opt.Figures.CountOutcome(j.Class, figures.Overload)
 		rejectAndDrain(w, r, conn, &requestError{retryAfter: rejection.RetryAfter, status: http.StatusServiceUnavailable, text: rejectedText})
 		return
 	}
@@ -212,7 +212,7 @@
 	if r.ContentLength != 0 {
 		arrived = conn.lastArrival()
 	}
-	counted := s.opt.Figures.Take(j.Class)
+	counted := s.opt.Figures.StartRequest(j.Class)
 	defer counted.End(figures.Failure) // unless another ending has been counted by then
 	// The read deadline for the body must not expire while the request is open.
 	if r.ContentLength != 0 && http.NewResponseController(w).SetReadDeadline(time.Time{}) != nil {
@@ -333,7 +333,7 @@
 }
 
 // figuresEnding returns the ending that a response is counted under.
-func figuresEnding(resp core.Response) figures.Ending {
+func figuresEnding(resp core.Response) figures.Outcome {
 	switch resp.Status {
 	case core.Served:
 		return figures.Success
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -122,7 +122,7 @@
 }
 
 // endingOf returns the figure under which a command with this status is counted.
-func endingOf(st status) figures.Ending {
+func endingOf(st status) figures.Outcome {
 	switch {
 	case st == stOK, st.code() == stCompareFailure:
 		return figures.Success
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -30,7 +30,7 @@
 	MaxBufferedBytes int64                    // data of all open commands
 	Keys             *keys.Store              // TLS certificates; nil: no TLS
 	Timeouts         map[string]time.Duration // of the commands of each class, as NVMe commands carry no deadline of their own
-	Figures          *figures.Book            // nil: commands are not counted
+	Figures          *figures.Metrics         // nil: commands are not counted
 	Shutdown         core.ShutdownSchedule
 	Log              *slog.Logger
 }
@@ -656,7 +656,7 @@
 		return
 	}
 	if f := q.server.opt.Figures; f != nil {
-		p.stats = f.Take(jobs[0].Class)
+		p.stats = f.StartRequest(jobs[0].Class)
 	}
 	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
 	q.server.openCommands.Add(1)
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -805,7 +805,7 @@
 	expectFigures := func(want ...string) {
 		t.Helper()
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
-			got := string(figures.Page(s.opt.Figures.EmitMetrics))
+			got := string(figures.Render(s.opt.Figures.EmitMetrics))
 			for _, w := range want {
 				assert.Contains(t, got, w)
 			}
--- a/internal/observability/accounts/disk/compat_test.go
+++ b/internal/observability/accounts/disk/compat_test.go
@@ -9,8 +9,8 @@
 	"spindlehitch/internal/observability/accounts"
 )
 
-// TestFilesOfOlderVersion reads account snapshots that commit 62b6efc wrote, and finds in them what it had counted.
-func TestFilesOfOlderVersion(t *testing.T) {
+// TestReadsFilesOfOlderBuild reads account files that the build of commit 62b6efc wrote, and checks their content.
+func TestReadsFilesOfOlderBuild(t *testing.T) {
 	all, skipped, err := ReadAll("testdata/62b6efc", time.Time{}, time.Time{})
 	require.NoError(t, err)
 	require.Empty(t, skipped)
@@ -20,6 +20,6 @@
 		require.True(t, s.From.Equal(day.Add(time.Duration(i)*time.Minute)))
 		require.Len(t, s.Volumes, 1)
 		require.EqualValues(t, 1, s.Volumes[0].Requests)
-		require.Equal(t, 3*time.Millisecond, s.Volumes[0].Times[accounts.Bucket])
+		require.Equal(t, 3*time.Millisecond, s.Volumes[0].Times[accounts.BucketWait])
 	}
 }
--- a/internal/observability/accounts/disk/disk_test.go
+++ b/internal/observability/accounts/disk/disk_test.go
@@ -18,24 +18,25 @@
 
 var day = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// sample is a snapshot of one minute.
+// sample returns a snapshot of one minute with one request.
 func sample(instance string, minute int) accounts.Snapshot {
-	b := accounts.New(accounts.Options{Volumes: 4, Pairs: 4, Open: 4})
+	b := accounts.New(accounts.Options{MaxVolumes: 4, MaxPairs: 4, MaxOpen: 4})
 	b.Arrive(0, policy.Request{ID: "a", Volume: "v1"})
 	b.Release(10*time.Millisecond, "a", "n1", 3*time.Millisecond, true)
 	b.Begin(11*time.Millisecond, "a")
 	b.Answer(40*time.Millisecond, "a", true)
 	b.End(41*time.Millisecond, "a")
-	return b.Cut(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
+	return b.SnapshotAndReset(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
 }
 
-// TestCutsAndNoise reads a file cut anywhere, with any byte changed, or of noise: nothing but the whole file passes.
-func TestCutsAndNoise(t *testing.T) {
+// TestDamagedFilesAreRejected reads files that are truncated, extended, have a changed byte or consist of random bytes: only the
+// original file is accepted.
+func TestDamagedFilesAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	if err := Write(dir, sample("n1", 0), 10); err != nil {
 		t.Fatal(err)
 	}
-	names, err := list(dir)
+	names, err := listFiles(dir)
 	if err != nil || len(names) != 1 {
 		t.Fatalf("%v, %v", names, err)
 	}
@@ -44,7 +45,7 @@
 		t.Fatal(err)
 	}
 	s, err := Read(names[0])
-	if err != nil || len(s.Volumes) != 1 || s.Volumes[0].Requests != 1 || s.Volumes[0].Times[accounts.Bucket] != 3*time.Millisecond {
+	if err != nil || len(s.Volumes) != 1 || s.Volumes[0].Requests != 1 || s.Volumes[0].Times[accounts.BucketWait] != 3*time.Millisecond {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	path := filepath.Join(dir, "x.accounts")
@@ -64,7 +65,7 @@
 			t.Fatal(err)
 		}
 		_, err := Read(path)
-		if !errors.Is(err, ErrForeign) && !errors.Is(err, ErrCut) && !errors.Is(err, ErrDamaged) && !errors.Is(err, ErrVersion) {
+		if !errors.Is(err, ErrNotAccounts) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrCorrupt) && !errors.Is(err, ErrVersion) {
 			t.Fatalf("%d bytes of %d: %v", len(b), len(whole), err)
 		}
 	})
@@ -81,8 +82,9 @@
 	}
 }
 
-// TestKilledMidWrite leaves what a process killed while writing leaves: no reader sees it, and it is cleared away.
-func TestKilledMidWrite(t *testing.T) {
+// TestInterruptedWriteIsRemoved creates the temporary file that a process killed while writing leaves: readers ignore it, and a
+// later Write removes it.
+func TestInterruptedWriteIsRemoved(t *testing.T) {
 	dir := t.TempDir()
 	left := filepath.Join(dir, "writing-123")
 	if err := os.WriteFile(left, []byte("half"), 0o600); err != nil {
@@ -102,7 +104,7 @@
 		t.Errorf("%d read, %v skipped, %v", len(all), skipped, err)
 	}
 	if _, err := os.Stat(left); !os.IsNotExist(err) {
-		t.Errorf("what was left half written: %v", err)
+		t.Errorf("temporary file of an interrupted write: %v", err)
 	}
 	all, _, err = ReadAll(dir, day.Add(3*time.Minute), day.Add(4*time.Minute))
 	if err != nil || len(all) != 1 {
--- a/internal/observability/accounts/share_test.go
+++ b/internal/observability/accounts/share_test.go
@@ -12,28 +12,28 @@
 	"spindlehitch/internal/policy"
 )
 
-// TestShares ends requests of two classes in each way: what was served counts by number and by worth, once, and the least served
-// comes first. The same comes out of a log, of two instances.
+// TestShares ends requests of two classes, served, not served, and served twice: each is counted at most once, by number and by
+// worth, and the lowest served fraction is first. ReadShares reads the same from a log of two instances.
 func TestShares(t *testing.T) {
 	worth := func(r policy.Request) float64 { return map[string]float64{"read": 3, "write": 1}[r.Class] }
-	b := New(Options{Volumes: 8, Pairs: 8, Open: 8, Worth: worth})
+	rec := New(Options{MaxVolumes: 8, MaxPairs: 8, MaxOpen: 8, Worth: worth})
 	for i, c := range []struct {
 		class, plan, volume string
 		served, again       bool
 	}{{"read", "gold", "v", true, false}, {"read", "gold", "v", false, false}, {"write", "base", "w", true, true}, {"write", "gold", "v", true, false}} {
 		id := string(rune('a' + i))
-		b.Arrive(time.Duration(i), policy.Request{ID: id, Class: c.class, Plan: c.plan, Volume: c.volume})
-		b.Release(time.Duration(i), id, "n", 0, true)
+		rec.Arrive(time.Duration(i), policy.Request{ID: id, Class: c.class, Plan: c.plan, Volume: c.volume})
+		rec.Release(time.Duration(i), id, "n", 0, true)
 		if c.served {
-			b.Served(id)
+			rec.Served(id)
 		}
 		if c.again {
-			b.Served(id)
+			rec.Served(id)
 		}
-		b.End(time.Duration(i), id)
-		b.Served(id) // too late
+		rec.End(time.Duration(i), id)
+		rec.Served(id) // ignored: the request has ended
 	}
-	s := b.Cut("one", time.Time{}, time.Time{}.Add(time.Second))
+	s := rec.SnapshotAndReset("one", time.Time{}, time.Time{}.Add(time.Second))
 	list, all := s.Shares(0)
 	require.Equal(t, Share{4, 3, 8, 5}, all)
 	var order []string
@@ -45,13 +45,13 @@
 	require.Equal(t, Share{3, 2, 7, 4}, list[1].Share)
 	require.Equal(t, list[1].Share, list[2].Share)
 	most, _ := s.Shares(0.5)
-	require.Len(t, most, 3, "those with half of the worth")
-	require.Empty(t, b.Cut("one", time.Time{}, time.Time{}).Served, "the next window")
+	require.Len(t, most, 3, "shares of at least half of the worth")
+	require.Empty(t, rec.SnapshotAndReset("one", time.Time{}, time.Time{}).Served, "shares after SnapshotAndReset")
 
 	var log bytes.Buffer
 	to := slog.New(slog.NewTextHandler(&log, nil))
 	for range 2 {
-		to.Info(SharesLine, "name", "one", "shares", LoggedShares(list))
+		to.Info(SharesLogMessage, "name", "one", "shares", LoggedShares(list))
 		to.Info("another line", "shares", "none")
 	}
 	read, err := ReadShares(&log)
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	require.Equal(t, read.Served[:4], merged.Served)
 	_, err = ReadShares(strings.NewReader(`level=INFO msg="served shares" shares="[{\"kind\":`))
-	require.NoError(t, err, "a line that was cut off is none")
+	require.NoError(t, err, "a truncated line is ignored")
 	_, err = ReadShares(strings.NewReader(`level=INFO msg="served shares" shares="{}"`))
 	require.Error(t, err)
 	var text bytes.Buffer
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -23,7 +23,7 @@
 // accountsRecorder keeps a running instance's latency accounts, and writes, logs and serves them window by window. Only the
 // core's goroutine touches book and since.
 type accountsRecorder struct {
-	book            *accounts.Book
+	book            *accounts.Recorder
 	opt             config.Accounts
 	name            string
 	log             *slog.Logger
@@ -45,7 +45,7 @@
 }
 
 func newAccountsRecorder(opt config.Accounts, name string, priority func(policy.Request) float64, log *slog.Logger) *accountsRecorder {
-	a := &accountsRecorder{book: accounts.New(accounts.Options{Volumes: opt.Volumes, Pairs: opt.Pairs, Open: opt.Open, Worth: priority}), opt: opt, name: name,
+	a := &accountsRecorder{book: accounts.New(accounts.Options{MaxVolumes: opt.Volumes, MaxPairs: opt.Pairs, MaxOpen: opt.Open, Worth: priority}), opt: opt, name: name,
 		log: log, since: time.Now()}
 	a.run = a.writeWindows
 	return a
@@ -57,10 +57,10 @@
 	a.core.Inspect(func() {
 		now := time.Now()
 		if !cut {
-			done <- a.book.Look(a.name, a.since, now)
+			done <- a.book.Snapshot(a.name, a.since, now)
 			return
 		}
-		done <- a.book.Cut(a.name, a.since, now)
+		done <- a.book.SnapshotAndReset(a.name, a.since, now)
 		a.since = now
 	})
 	select {
@@ -108,7 +108,7 @@
 	}
 	if a.opt.Log {
 		served, _ := snapshot.Shares(0)
-		a.log.Info(accounts.SharesLine, slog.String("name", a.name), slog.Any("shares", accounts.LoggedShares(served)))
+		a.log.Info(accounts.SharesLogMessage, slog.String("name", a.name), slog.Any("shares", accounts.LoggedShares(served)))
 	}
 	if a.opt.Dir == "" {
 		return
@@ -177,5 +177,5 @@
 	for _, e := range list.Targets {
 		listed[e.ID] = true
 	}
-	a.core.Inspect(func() { a.book.Forget(func(id string) bool { return listed[id] }) })
+	a.core.Inspect(func() { a.book.ForgetUnlisted(func(id string) bool { return listed[id] }) })
 }
--- a/internal/process/instance/config_change.go
+++ b/internal/process/instance/config_change.go
@@ -38,10 +38,10 @@
 	}
 	a.limits.setLimits(effectiveLimits(cfg.Limits))
 	a.dataPath.up.SetTimeouts(cfg.DialTimeout, cfg.ConnIdleTimeout*4/5)
-	a.dataPath.metrics.Know(slices.Collect(maps.Keys(cfg.ClassNames())))
+	a.dataPath.metrics.AddClasses(slices.Collect(maps.Keys(cfg.ClassNames())))
 	a.discovery.watcher.SetInitiators(discoverySharers(cfg))
 	if a.accounts != nil {
-		a.instance.core.Inspect(func() { a.accounts.book.Values(requestPriority(cfg)) })
+		a.instance.core.Inspect(func() { a.accounts.book.SetWorth(requestPriority(cfg)) })
 	}
 	select {
 	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestNameRetention(cfg)):
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -173,12 +173,12 @@
 		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certs)), 0 // NVMe answers name their commands
 	}
 	metrics := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
-	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: metrics.Dispatched, Log: log}
+	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: metrics.CountDispatch, Log: log}
 	if session != nil {
 		upstreamOptions.Quota = session
 	}
 	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
-	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: metrics.Avoided}
+	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: metrics.SetEjected}
 	if tasks != nil {
 		coreOptions.OnEjectedTargets = tasks.runner.SetEjected
 	}
@@ -247,7 +247,7 @@
 		in.components = append(in.components, certificateReloader{keys: certs})
 	}
 	if cfg.Control != "" {
-		controlOptions := control.Options{Ready: httpFront.Ready, Figures: func() []byte { return figures.Page(in.components.emitMetrics) }, Log: log}
+		controlOptions := control.Options{Ready: httpFront.Ready, Metrics: func() []byte { return figures.Render(in.components.emitMetrics) }, Log: log}
 		if members != nil {
 			controlOptions.Members = func() any {
 				v, _ := members.View()
@@ -336,7 +336,7 @@
 	loop
 	core    *core.Core
 	up      *upstream.Registry
-	metrics *figures.Book
+	metrics *figures.Metrics
 }
 
 // OnTargetList implements targetListener. The connection pools get the list before the scheduler, so that an attempt that was decided on the
@@ -348,7 +348,7 @@
 		endpoints.Endpoints[i] = e.Endpoint()
 		targets[i] = upstream.Target{ID: e.ID, Addr: e.Addr, State: endpoints.Endpoints[i].State}
 	}
-	d.metrics.Listed(d.up.Apply(targets, l.Full))
+	d.metrics.SetTargets(d.up.Apply(targets, l.Full))
 	d.core.UpdateTargets(endpoints)
 }
 
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -102,7 +102,7 @@
 	p.onTargetList(&listing.List{})
 	require.ErrorIs(t, p.applyChange(Change{}), bad)
 	require.Equal(t, "list a list b reload a reload b", strings.Join(calls, " "))
-	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Page(p.emitMetrics)))
+	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Render(p.emitMetrics)))
 }
 
 const settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":500000,
@@ -238,7 +238,7 @@
 				continue // less than the minimum of a configuration
 			}
 			l := resourceLimits{Cores: 1, MemoryMB: 192, Sockets: sockets}.forProcesses(processes)
-			total := l.clientConns() + l.targetConns() + reservedFiles + control.MostFiles
+			total := l.clientConns() + l.targetConns() + reservedFiles + control.MaxFiles
 			require.LessOrEqual(t, total, l.Sockets, "%d sockets for %d processes", sockets, processes)
 			require.LessOrEqual(t, l.connsPerTarget(), l.targetConns())
 			require.Less(t, l.idleClientConns(), l.Sockets/4)
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -46,7 +46,7 @@
 // clientConns is the limit on client connections: the descriptors left by target connections and the reserve, and no more
 // than fit into a third of the memory.
 func (l resourceLimits) clientConns() int {
-	n := min(l.Sockets-l.targetConns()-reservedFiles-control.MostFiles, l.MemoryMB<<20/3/clientConnBytes)
+	n := min(l.Sockets-l.targetConns()-reservedFiles-control.MaxFiles, l.MemoryMB<<20/3/clientConnBytes)
 	return max(n, minClientConns)
 }
 
@@ -60,7 +60,7 @@
 
 // targetConns is the limit on the connection pools of all targets together.
 func (l resourceLimits) targetConns() int {
-	return max(min(l.Sockets*3/10, l.Sockets-reservedFiles-control.MostFiles-minClientConns), minTargetConns)
+	return max(min(l.Sockets*3/10, l.Sockets-reservedFiles-control.MaxFiles-minClientConns), minTargetConns)
 }
 
 // heldBytes is the limit on the bytes of bodies that are buffered at a time: a quarter of the memory.
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -25,7 +25,7 @@
 
 // nvmeControllerOptions configures this initiator as the NVMe controller that hosts connect to. The bounds on connections
 // and on held data derive from the process's limits.
-func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Book, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
+func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Metrics, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	limits := resourceLimits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.heldBytes(), Timeouts: map[string]time.Duration{},
