--- a/cmd/benchlink/decode.go
+++ b/cmd/benchlink/decode.go
@@ -11,7 +11,7 @@
 func parseUint(n json.Number) (uint64, error) { return strconv.ParseUint(n.String(), 10, 64) }
 
 // required names the first of the fields that is absent.
-func required(fields ...any) error {
+func requireFields(fields ...any) error {
 	for i := 0; i+1 < len(fields); i += 2 {
 		absent := false
 		switch p := fields[i+1].(type) {
@@ -27,7 +27,7 @@
 			absent = p == nil
 		}
 		if absent {
-			return missing(fields[i].(string))
+			return missingField(fields[i].(string))
 		}
 	}
 	return nil
@@ -39,13 +39,13 @@
 	case "members":
 		return decodeList(e)
 	case "newRequest":
-		err := required("rid", e.Rid, "tier", e.Tier, "vol", e.Vol, "grade", e.Grade,
+		err := requireFields("rid", e.Rid, "tier", e.Tier, "vol", e.Vol, "grade", e.Grade,
 			"budgetUs", e.BudgetUs, "weight", e.Weight, "groupNo", e.GroupNo)
 		if err != nil {
 			return nil, err
 		}
 		r := policy.Request{ID: *e.Rid, Class: *e.Grade, Plan: *e.Tier, Volume: *e.Vol,
-			Shard: *e.GroupNo, Units: *e.Weight, TimeLeft: us(*e.BudgetUs)}
+			Shard: *e.GroupNo, Units: *e.Weight, TimeLeft: microseconds(*e.BudgetUs)}
 		if e.Chunk != nil {
 			r.Extent = *e.Chunk
 		}
@@ -54,7 +54,7 @@
 		}
 		return r, nil
 	case "result":
-		err := required("rid", e.Rid, "leg", e.Leg, "target", e.Target, "stateCode", e.StateCode,
+		err := requireFields("rid", e.Rid, "leg", e.Leg, "target", e.Target, "stateCode", e.StateCode,
 			"spentUs", e.SpentUs, "complete", e.Complete)
 		if err != nil {
 			return nil, err
@@ -64,19 +64,19 @@
 			return nil, err
 		}
 		o := policy.Outcome{ID: *e.Rid, Attempt: *e.Leg, Endpoint: *e.Target, Code: code,
-			Latency: us(*e.SpentUs), Final: *e.Complete}
+			Latency: microseconds(*e.SpentUs), Final: *e.Complete}
 		if e.Used != nil {
 			o.VolumeUsage = *e.Used
 		}
-		o.Load = load(e.ServerStats)
+		o.Load = decodeLoad(e.ServerStats)
 		return o, nil
 	case "underWay":
-		if err := required("rid", e.Rid); err != nil {
+		if err := requireFields("rid", e.Rid); err != nil {
 			return nil, err
 		}
 		return policy.ResponseStarted{ID: *e.Rid}, nil
 	case "clientGone":
-		if err := required("rid", e.Rid); err != nil {
+		if err := requireFields("rid", e.Rid); err != nil {
 			return nil, err
 		}
 		return policy.ClientGone{ID: *e.Rid}, nil
@@ -89,7 +89,7 @@
 }
 
 // load turns a load report into the module's; nil where none came.
-func load(s *stats) *policy.Load {
+func decodeLoad(s *loadReport) *policy.Load {
 	if s == nil {
 		return nil
 	}
@@ -103,8 +103,8 @@
 	return l
 }
 
-func decodeCode(word string) (policy.OutcomeCode, error) {
-	switch word {
+func decodeCode(code string) (policy.OutcomeCode, error) {
+	switch code {
 	case "delivered":
 		return policy.Served, nil
 	case "app_error":
@@ -122,12 +122,12 @@
 	case "unused":
 		return policy.NotSent, nil
 	}
-	return 0, fmt.Errorf("stateCode: unknown outcome %q", word)
+	return 0, fmt.Errorf("stateCode: unknown outcome %q", code)
 }
 
 func decodeList(e *event) (policy.Event, error) {
 	if e.Mode == nil {
-		return nil, missing("mode")
+		return nil, missingField("mode")
 	}
 	var list policy.EndpointList
 	switch *e.Mode {
@@ -140,24 +140,24 @@
 		return nil, fmt.Errorf("mode: unknown list kind %q", *e.Mode)
 	}
 	for i, r := range e.Records {
-		if err := required("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
+		if err := requireFields("target", r.Target, "cohort", r.Cohort, "mode", r.Mode); err != nil {
 			return nil, fmt.Errorf("records[%d]: %w", i, err)
 		}
-		n := policy.Endpoint{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
+		endpoint := policy.Endpoint{ID: *r.Target, Zone: r.FailureDomain, Shard: *r.Cohort}
 		switch *r.Mode {
 		case "up":
-			n.State = policy.Up
+			endpoint.State = policy.Up
 		case "draining":
-			n.State = policy.Draining
+			endpoint.State = policy.Draining
 		case "removed":
-			n.State = policy.Removed
+			endpoint.State = policy.Removed
 		default:
 			return nil, fmt.Errorf("records[%d]: mode: unknown state %q", i, *r.Mode)
 		}
 		if r.LaunchedUs != nil {
-			n.Started = us(*r.LaunchedUs)
+			endpoint.Started = microseconds(*r.LaunchedUs)
 		}
-		list.Endpoints = append(list.Endpoints, n)
+		list.Endpoints = append(list.Endpoints, endpoint)
 	}
 	return list, nil
 }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -20,14 +20,14 @@
 // run answers every batch of in with one line on out, until in ends.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
-	l := newLink()
+	a := newAdapter()
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("reading batch %d: %w", n, err)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			reply, err := l.handle(line)
+			reply, err := a.handle(line)
 			if err != nil {
 				return fmt.Errorf("batch %d: %w", n, err)
 			}
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -38,11 +38,11 @@
 	SpentUs     *int64                   `json:"spentUs"`
 	Complete    *bool                    `json:"complete"`
 	Used        *int                     `json:"used"`
-	ServerStats *stats                   `json:"serverStats"`
+	ServerStats *loadReport              `json:"serverStats"`
 }
 
 // stats is a load report; a nil field was absent.
-type stats struct {
+type loadReport struct {
 	Depth      *float64 `json:"depth"`
 	Concurrent *float64 `json:"concurrent"`
 }
@@ -73,16 +73,16 @@
 	Outbox []action `json:"outbox"`
 }
 
-func missing(field string) error { return config.MissingField(field) }
+func missingField(field string) error { return config.MissingField(field) }
 
-func us(n int64) time.Duration { return config.Microseconds(n) }
+func microseconds(n int64) time.Duration { return config.Microseconds(n) }
 
 // link hosts the instances of one process. They share nothing but the line they are spoken to on.
-type link struct {
+type adapter struct {
 	instances map[string]*policy.Scheduler
 }
 
-func newLink() *link { return &link{instances: map[string]*policy.Scheduler{}} }
+func newAdapter() *adapter { return &adapter{instances: map[string]*policy.Scheduler{}} }
 
 // inbox is what a batch holds for one instance since its last start.
 type inbox struct {
@@ -91,80 +91,80 @@
 }
 
 // handle decodes one batch, steps the instances it names in order of first mention, and encodes the reply.
-func (l *link) handle(line []byte) ([]byte, error) {
+func (a *adapter) handle(line []byte) ([]byte, error) {
 	var b batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return nil, fmt.Errorf("decoding batch: %w", err)
 	}
 	switch {
 	case b.WallUs == nil:
-		return nil, missing("wallUs")
+		return nil, missingField("wallUs")
 	case b.Frame == nil:
-		return nil, missing("frame")
+		return nil, missingField("frame")
 	case b.Inbox == nil:
-		return nil, missing("inbox")
+		return nil, missingField("inbox")
 	}
-	var boxes []*inbox
-	box := map[string]*inbox{}
+	var inboxes []*inbox
+	byID := map[string]*inbox{}
 	for i, raw := range b.Inbox {
 		var e event
 		if err := json.Unmarshal(raw, &e); err != nil {
 			return nil, fmt.Errorf("event %d: %w", i, err)
 		}
 		if e.Type == nil {
-			return nil, fmt.Errorf("event %d: %w", i, missing("type"))
+			return nil, fmt.Errorf("event %d: %w", i, missingField("type"))
 		}
 		if e.InitiatorID == nil {
-			return nil, fmt.Errorf("event %d (%s): %w", i, *e.Type, missing("initiatorId"))
+			return nil, fmt.Errorf("event %d (%s): %w", i, *e.Type, missingField("initiatorId"))
 		}
 		id := *e.InitiatorID
-		in := box[id]
+		in := byID[id]
 		if in == nil {
 			in = &inbox{id: id}
-			box[id] = in
-			boxes = append(boxes, in)
+			byID[id] = in
+			inboxes = append(inboxes, in)
 		}
-		if err := l.take(in, &e); err != nil {
+		if err := a.addEvent(in, &e); err != nil {
 			return nil, fmt.Errorf("event %d (%s): %w", i, *e.Type, err)
 		}
 	}
 	out := reply{Frame: *b.Frame, Outbox: []action{}}
-	for _, in := range boxes {
-		out.Outbox = l.step(out.Outbox, in, us(*b.WallUs))
+	for _, in := range inboxes {
+		out.Outbox = a.step(out.Outbox, in, microseconds(*b.WallUs))
 	}
 	return json.Marshal(out)
 }
 
 // take adds one event to its instance's inbox; a start or a shutdown replaces the instance.
-func (l *link) take(in *inbox, e *event) error {
+func (a *adapter) addEvent(in *inbox, e *event) error {
 	switch *e.Type {
 	case "start":
 		if e.InitSeed == nil {
-			return missing("initSeed")
+			return missingField("initSeed")
 		}
 		if e.Options == nil {
-			return missing("options")
+			return missingField("options")
 		}
 		seed, err := parseSeed(*e.InitSeed)
 		if err != nil {
 			return err
 		}
-		set, err := e.Options.PolicySettings()
+		settings, err := e.Options.PolicySettings()
 		if err != nil {
 			return err
 		}
-		s, err := policy.New(set, seed)
+		s, err := policy.New(settings, seed)
 		if err != nil {
 			return fmt.Errorf("options: %w", err)
 		}
-		l.instances[in.id], in.events = s, nil
+		a.instances[in.id], in.events = s, nil
 		return nil
 	case "shutdown":
-		delete(l.instances, in.id)
+		delete(a.instances, in.id)
 		in.events = nil
 		return nil
 	}
-	if l.instances[in.id] == nil {
+	if a.instances[in.id] == nil {
 		return fmt.Errorf("instance %q has no start", in.id)
 	}
 	ev, err := decode(e)
@@ -178,8 +178,8 @@
 }
 
 // step lets one instance decide; a panic in the decision code becomes internalError.
-func (l *link) step(out []action, in *inbox, now time.Duration) (done []action) {
-	s := l.instances[in.id]
+func (a *adapter) step(out []action, in *inbox, now time.Duration) (done []action) {
+	s := a.instances[in.id]
 	if s == nil {
 		return out
 	}
@@ -189,29 +189,29 @@
 		}
 	}()
 	done = out
-	for _, a := range s.Step(now, in.events) {
-		done = append(done, encode(a, in.id))
+	for _, act := range s.Step(now, in.events) {
+		done = append(done, encode(act, in.id))
 	}
 	return done
 }
 
 func encode(a policy.Action, id string) action {
-	w := action{InitiatorID: id}
+	out := action{InitiatorID: id}
 	switch a.Kind {
 	case policy.Send:
-		w.Type, w.Rid, w.Target, w.MaxWaitUs = "relay", a.Request, a.Endpoint, a.Wait.Microseconds()
+		out.Type, out.Rid, out.Target, out.MaxWaitUs = "relay", a.Request, a.Endpoint, a.Wait.Microseconds()
 	case policy.Reject:
-		w.Type, w.Rid, w.HoldOffUs = "decline", a.Request, a.Wait.Microseconds()
+		out.Type, out.Rid, out.HoldOffUs = "decline", a.Request, a.Wait.Microseconds()
 	case policy.Fail:
-		w.Type, w.Rid = "lose", a.Request
+		out.Type, out.Rid = "lose", a.Request
 	case policy.SetTimer:
-		w.Type, w.KeyBack, w.FromNowUs = "remind", "step", a.Wait.Microseconds()
+		out.Type, out.KeyBack, out.FromNowUs = "remind", "step", a.Wait.Microseconds()
 	case policy.Subscribe:
-		w.Type, w.On = "streamChanges", true
+		out.Type, out.On = "streamChanges", true
 	case policy.Log:
-		w.Type, w.Message = "trace", a.Text
+		out.Type, out.Message = "trace", a.Text
 	}
-	return w
+	return out
 }
 
 func parseSeed(n json.Number) (uint64, error) {
--- a/cmd/benchlink/wire_test.go
+++ b/cmd/benchlink/wire_test.go
@@ -10,24 +10,24 @@
 	"spindlehitch/internal/policy"
 )
 
-const options1 = `{"peersTotal":1,"tickUs":1000,"surprise":7,"classes":[{"name":"get","promiseUs":400000,` +
+const optionsJSON = `{"peersTotal":1,"tickUs":1000,"surprise":7,"classes":[{"name":"get","promiseUs":400000,` +
 	`"deadlineUs":2000000,"effect":"pure","worth":1}],"contracts":[{"name":"std","usualRate":10,"pays":1}],` +
 	`"extra":{"meanUnits":1,"largest":1},"registryMode":"pushed"}`
 
-const start = `{"type":"start","initiatorId":"i_0","initSeed":18446744073709551615,"options":` + options1 + `}`
+const startEvent = `{"type":"start","initiatorId":"i_0","initSeed":18446744073709551615,"options":` + optionsJSON + `}`
 
-const list = `{"type":"members","initiatorId":"i_0","mode":"whole","gen":1,"records":[{"target":"n","cohort":0,"mode":"up"}]}`
+const listEvent = `{"type":"members","initiatorId":"i_0","mode":"whole","gen":1,"records":[{"target":"n","cohort":0,"mode":"up"}]}`
 
-func line(frame int, events ...string) string {
+func batchLine(frame int, events ...string) string {
 	return fmt.Sprintf(`{"wallUs":%d,"frame":%d,"inbox":[%s]}`+"\n", 1000000+frame*1000, frame, strings.Join(events, ","))
 }
 
-func request(drop string) string {
+func requestEvent(omit string) string {
 	fields := []string{`"rid":"r1"`, `"tier":"std"`, `"vol":"v"`, `"grade":"get"`, `"budgetUs":900000`, `"weight":1`,
 		`"groupNo":0`, `"chunk":"k"`, `"writers":1`}
 	out := `{"type":"newRequest","initiatorId":"i_0"`
 	for _, f := range fields {
-		if !strings.HasPrefix(f, `"`+drop+`"`) {
+		if !strings.HasPrefix(f, `"`+omit+`"`) {
 			out += "," + f
 		}
 	}
@@ -36,7 +36,7 @@
 
 func TestRequestIsSent(t *testing.T) {
 	var out bytes.Buffer
-	if err := run(strings.NewReader(line(1, start, list)+line(2, request(""))), &out); err != nil {
+	if err := run(strings.NewReader(batchLine(1, startEvent, listEvent)+batchLine(2, requestEvent(""))), &out); err != nil {
 		t.Fatal(err)
 	}
 	want := `"type":"relay","initiatorId":"i_0","rid":"r1","target":"n","maxWaitUs":900000`
@@ -51,11 +51,11 @@
 	at := func(us, frame int, event string) string {
 		return fmt.Sprintf(`{"wallUs":%d,"frame":%d,"inbox":[%s]}`+"\n", us, frame, event)
 	}
-	first := strings.Replace(request(""), `"groupNo":0`, `"groupNo":5`, 1) // no target holds it
-	again := strings.NewReplacer(`"r1"`, `"r2"`, "900000", "300000").Replace(first)
+	first := strings.Replace(requestEvent(""), `"groupNo":0`, `"groupNo":5`, 1) // no target holds it
+	retry := strings.NewReplacer(`"r1"`, `"r2"`, "900000", "300000").Replace(first)
 	var out bytes.Buffer
-	in := at(1000000, 1, start+","+list) + at(1001000, 2, first) +
-		at(1500000, 3, `{"type":"reminder","initiatorId":"i_0","keyBack":"step"}`) + at(1600000, 4, again)
+	in := at(1000000, 1, startEvent+","+listEvent) + at(1001000, 2, first) +
+		at(1500000, 3, `{"type":"reminder","initiatorId":"i_0","keyBack":"step"}`) + at(1600000, 4, retry)
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
@@ -78,25 +78,25 @@
 		{"no clock", `{"frame":1,"inbox":[]}`, "wallUs: required field is missing"},
 		{"no frame", `{"wallUs":1,"inbox":[]}`, "frame: required field is missing"},
 		{"no inbox", `{"wallUs":1,"frame":1}`, "inbox: required field is missing"},
-		{"no type", line(1, `{"initiatorId":"i_0"}`), "type: required field is missing"},
-		{"no instance", line(1, `{"type":"reminder"}`), "initiatorId: required field is missing"},
-		{"unknown event", line(1, start, `{"type":"gossip","initiatorId":"i_0"}`), `unknown event "gossip"`},
-		{"no start", line(1, list), `instance "i_0" has no start`},
-		{"no seed", line(1, strings.Replace(start, "initSeed", "seed", 1)), "initSeed: required field is missing"},
-		{"broken seed", line(1, strings.Replace(start, "18446744073709551615", "1.5", 1)), "initSeed"},
-		{"no options", line(1, strings.Replace(start, "options", "opts", 1)), "options: required field is missing"},
-		{"no peers", line(1, strings.Replace(start, "peersTotal", "peers", 1)), "options.peersTotal"},
-		{"unservable options", line(1, strings.Replace(start, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs an aim"},
-		{"unknown effect", line(1, strings.Replace(start, "pure", "odd", 1)), `effect: unknown effect "odd"`},
-		{"unknown group", line(1, strings.Replace(start, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
-		{"unknown outcome", line(1, start, result("odd")), `unknown outcome "odd"`},
-		{"wrong type", line(1, start, strings.Replace(request(""), "900000", `"soon"`, 1)), "budgetUs"},
-		{"no list kind", line(1, start, strings.Replace(list, `"mode":"whole",`, "", 1)), "mode: required field"},
-		{"unknown list kind", line(1, start, strings.Replace(list, "whole", "odd", 1)), `unknown list kind "odd"`},
-		{"entry without shard", line(1, start, strings.Replace(list, `"cohort":0,`, "", 1)), "records[0]: cohort"},
-		{"unknown state", line(1, start, strings.Replace(list, `"up"`, `"odd"`, 1)), `unknown state "odd"`},
-		{"stream without id", line(1, start, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
-		{"departure without id", line(1, start, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
+		{"no type", batchLine(1, `{"initiatorId":"i_0"}`), "type: required field is missing"},
+		{"no instance", batchLine(1, `{"type":"reminder"}`), "initiatorId: required field is missing"},
+		{"unknown event", batchLine(1, startEvent, `{"type":"gossip","initiatorId":"i_0"}`), `unknown event "gossip"`},
+		{"no start", batchLine(1, listEvent), `instance "i_0" has no start`},
+		{"no seed", batchLine(1, strings.Replace(startEvent, "initSeed", "seed", 1)), "initSeed: required field is missing"},
+		{"broken seed", batchLine(1, strings.Replace(startEvent, "18446744073709551615", "1.5", 1)), "initSeed"},
+		{"no options", batchLine(1, strings.Replace(startEvent, "options", "opts", 1)), "options: required field is missing"},
+		{"no peers", batchLine(1, strings.Replace(startEvent, "peersTotal", "peers", 1)), "options.peersTotal"},
+		{"unservable options", batchLine(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs an aim"},
+		{"unknown effect", batchLine(1, strings.Replace(startEvent, "pure", "odd", 1)), `effect: unknown effect "odd"`},
+		{"unknown group", batchLine(1, strings.Replace(startEvent, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
+		{"unknown outcome", batchLine(1, startEvent, result("odd")), `unknown outcome "odd"`},
+		{"wrong type", batchLine(1, startEvent, strings.Replace(requestEvent(""), "900000", `"soon"`, 1)), "budgetUs"},
+		{"no list kind", batchLine(1, startEvent, strings.Replace(listEvent, `"mode":"whole",`, "", 1)), "mode: required field"},
+		{"unknown list kind", batchLine(1, startEvent, strings.Replace(listEvent, "whole", "odd", 1)), `unknown list kind "odd"`},
+		{"entry without shard", batchLine(1, startEvent, strings.Replace(listEvent, `"cohort":0,`, "", 1)), "records[0]: cohort"},
+		{"unknown state", batchLine(1, startEvent, strings.Replace(listEvent, `"up"`, `"odd"`, 1)), `unknown state "odd"`},
+		{"stream without id", batchLine(1, startEvent, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
+		{"departure without id", batchLine(1, startEvent, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
 	} {
 		err := run(strings.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -104,7 +104,7 @@
 		}
 	}
 	for _, f := range []string{"rid", "tier", "vol", "grade", "budgetUs", "weight", "groupNo"} {
-		err := run(strings.NewReader(line(1, start, request(f))), &bytes.Buffer{})
+		err := run(strings.NewReader(batchLine(1, startEvent, requestEvent(f))), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), f+": required field is missing") {
 			t.Errorf("request without %s: error %v", f, err)
 		}
@@ -119,12 +119,12 @@
 
 // FuzzDecode checks that no line makes the adapter panic, and that the decision code never faults.
 func FuzzDecode(f *testing.F) {
-	f.Add(line(2, request("")))
-	f.Add(line(2, list, `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"shed","spentUs":1,"complete":false}`))
+	f.Add(batchLine(2, requestEvent("")))
+	f.Add(batchLine(2, listEvent, `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"shed","spentUs":1,"complete":false}`))
 	f.Add("{}")
 	f.Fuzz(func(t *testing.T, in string) {
 		var out bytes.Buffer
-		_ = run(strings.NewReader(line(1, start, list)+in), &out)
+		_ = run(strings.NewReader(batchLine(1, startEvent, listEvent)+in), &out)
 		if strings.Contains(out.String(), `"internalError"`) {
 			t.Fatalf("decision code faulted: %s", out.String())
 		}
--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -17,10 +17,10 @@
 func membersCommand(printResult func(*cobra.Command, any, func() error) error) *cobra.Command {
 	var sizes []int
 	var troubles []string
-	var lasts, delay time.Duration
+	var duration, delay time.Duration
 	var kills int
 	var seed uint64
-	var plain bool
+	var withoutLifeguard bool
 	cmd := &cobra.Command{Use: "members", Short: "Measure the membership: false verdicts, time to detect, cost, by size and trouble", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var rows []mesh.Row
@@ -28,13 +28,13 @@
 				if size < 5 {
 					return fmt.Errorf("--sizes: %d is under 5", size)
 				}
-				for _, t := range mesh.Troubles {
-					if len(troubles) > 0 && !slices.Contains(troubles, t.Name) {
+				for _, trouble := range mesh.Troubles {
+					if len(troubles) > 0 && !slices.Contains(troubles, trouble.Name) {
 						continue
 					}
-					set := membership.DefaultConfig
-					set.DisableLifeguard = plain
-					row, err := mesh.Measure(mesh.Spec{Size: size, Zones: 3, Seed: seed, Settings: set, Delay: delay}, t, lasts, kills, encoded)
+					cfg := membership.DefaultConfig
+					cfg.DisableLifeguard = withoutLifeguard
+					row, err := mesh.Measure(mesh.Spec{Size: size, Zones: 3, Seed: seed, Settings: cfg, Delay: delay}, trouble, duration, kills, encodedSize)
 					if err != nil {
 						return err
 					}
@@ -54,16 +54,16 @@
 	f := cmd.Flags()
 	f.IntSliceVar(&sizes, "sizes", []int{20, 300}, "members")
 	f.StringSliceVar(&troubles, "troubles", nil, "by name; all where none is named")
-	f.DurationVar(&lasts, "lasts", 10*time.Minute, "of the trouble, in the fleet's time")
+	f.DurationVar(&duration, "lasts", 10*time.Minute, "of the trouble, in the fleet's time")
 	f.DurationVar(&delay, "delay", 2*time.Millisecond, "of a message, mean")
 	f.IntVar(&kills, "kills", 5, "members that are killed one after the other afterwards")
 	f.Uint64Var(&seed, "seed", 1, "of all draws")
-	f.BoolVar(&plain, "plain", false, "without self-distrust and reporters")
+	f.BoolVar(&withoutLifeguard, "plain", false, "without self-distrust and reporters")
 	return cmd
 }
 
 // encoded is a message's size on the wire.
-func encoded(m *membership.Message) int {
+func encodedSize(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -11,9 +11,9 @@
 )
 
 func main() {
-	asked, err := slope.Agent()
-	if !asked {
-		err = command().Execute()
+	isAgent, err := slope.Agent()
+	if !isAgent {
+		err = rootCommand().Execute()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "spindlehitch-scale:", err)
@@ -21,7 +21,7 @@
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "spindlehitch-scale", Short: "What a fleet costs by its size", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(slopesCommand(), pageCommand(), runCommand(), showCommand(), hostCommand())
 	return root
--- a/cmd/spindlehitch-scale/run.go
+++ b/cmd/spindlehitch-scale/run.go
@@ -17,12 +17,12 @@
 )
 
 // exitNotHeld is the exit code of a run of which a limit is not held, or was not measured: its last line says how many.
-const exitNotHeld = 5
+const exitLimitNotHeld = 5
 
 // runCommand is the scale run: the table of what was found, and as its last line how many limits are held.
 func runCommand() *cobra.Command {
 	var asJSON bool
-	var plots, program, dir string
+	var plotDir, program, dir string
 	cmd := &cobra.Command{Use: "run [short|full|wide|burst|before|FILE.toml]", Short: "Run hollow and real initiators under changes and faults", Args: cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			spec, err := run.Read(append(args, "short")[0])
@@ -53,8 +53,8 @@
 				return err
 			}
 			r.Cores = runtime.NumCPU()
-			if plots != "" {
-				if err := r.Plots(plots, "scale-"+spec.Name); err != nil {
+			if plotDir != "" {
+				if err := r.Plots(plotDir, "scale-"+spec.Name); err != nil {
 					return err
 				}
 			}
@@ -70,13 +70,13 @@
 			}
 			for _, c := range r.Checks {
 				if !c.Held() {
-					os.Exit(exitNotHeld)
+					os.Exit(exitLimitNotHeld)
 				}
 			}
 			return nil
 		}}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON in place of tables")
-	cmd.Flags().StringVar(&plots, "plots", "", "draw into this folder")
+	cmd.Flags().StringVar(&plotDir, "plots", "", "draw into this folder")
 	cmd.Flags().StringVar(&program, "program", "", "spindlehitch; the one beside this program where it is not told")
 	cmd.Flags().StringVar(&dir, "dir", "", "keep logs and state in this folder")
 	return cmd
@@ -84,24 +84,24 @@
 
 // showCommand writes the tables of a run that was kept as JSON, and draws it.
 func showCommand() *cobra.Command {
-	var plots string
+	var plotDir string
 	cmd := &cobra.Command{Use: "show RESULT.json", Short: "Print the tables of a run that was kept by --json", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
-		text, err := os.ReadFile(args[0])
+		data, err := os.ReadFile(args[0])
 		if err != nil {
 			return err
 		}
 		var r run.Result
-		if err := json.Unmarshal(text, &r); err != nil {
+		if err := json.Unmarshal(data, &r); err != nil {
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
-		if plots != "" {
-			if err := r.Plots(plots, "scale-"+r.Name); err != nil {
+		if plotDir != "" {
+			if err := r.Plots(plotDir, "scale-"+r.Name); err != nil {
 				return err
 			}
 		}
 		return r.Table(cmd.OutOrStdout())
 	}}
-	cmd.Flags().StringVar(&plots, "plots", "", "draw into this folder")
+	cmd.Flags().StringVar(&plotDir, "plots", "", "draw into this folder")
 	return cmd
 }
 
--- a/cmd/spindlehitch-scale/slopes.go
+++ b/cmd/spindlehitch-scale/slopes.go
@@ -19,7 +19,7 @@
 
 // slopesCommand measures the slopes of docs/CAPACITY.md.
 func slopesCommand() *cobra.Command { //nolint:gocognit // to be split with its package, see docs/left.md
-	var asJSON, write, short, mended bool
+	var asJSON, write, short, corrected bool
 	var root string
 	cmd := &cobra.Command{Use: "slopes [NAME...]", Short: "Measure what each role costs by size", RunE: func(cmd *cobra.Command, names []string) error {
 		if short && write {
@@ -33,30 +33,30 @@
 		defer stop()
 		table, err := slope.Load()
 		if write { // it may have changed since this program was built
-			table, err = read(root)
+			table, err = readTable(root)
 		}
 		if err != nil {
 			return err
 		}
 		measured := &slope.Table{Size: table.Size, Limits: table.Limits}
 		for _, p := range probes {
-			var list []slope.Slope
+			var slopes []slope.Slope
 			if short {
-				list, err = slope.Short(ctx, p, time.Now())
+				slopes, err = slope.Short(ctx, p, time.Now())
 			} else {
-				list, err = slope.Measure(ctx, p, p.Sizes, time.Now())
+				slopes, err = slope.Measure(ctx, p, p.Sizes, time.Now())
 			}
 			if err != nil {
 				return err
 			}
-			for _, s := range list {
-				if mended {
+			for _, s := range slopes {
+				if corrected {
 					table.Mended(s.Name)
 				}
 				measured.Put(s)
 				table.Put(s)
 			}
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Gives[0].Name, list[0].Lasts)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Gives[0].Name, slopes[0].Lasts)
 		}
 		if write {
 			if err := table.Check(); err != nil {
@@ -83,7 +83,7 @@
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON in place of a table")
 	cmd.Flags().BoolVar(&write, "write", false, "put what was measured into the repository's table")
 	cmd.Flags().BoolVar(&short, "short", false, "small sizes, for a check")
-	cmd.Flags().BoolVar(&mended, "mended", false, "keep the figures so far as those from before what they measure was mended")
+	cmd.Flags().BoolVar(&corrected, "mended", false, "keep the figures so far as those from before what they measure was mended")
 	cmd.Flags().StringVar(&root, "root", ".", "the repository")
 	return cmd
 }
@@ -92,7 +92,7 @@
 func pageCommand() *cobra.Command {
 	var root string
 	cmd := &cobra.Command{Use: "page", Short: "Write the tables of " + slope.PageFile, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		table, err := read(root)
+		table, err := readTable(root)
 		if err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 	return cmd
 }
 
-func read(root string) (*slope.Table, error) {
+func readTable(root string) (*slope.Table, error) {
 	text, err := os.ReadFile(filepath.Join(root, slope.File))
 	if err != nil {
 		return nil, err
@@ -119,10 +119,10 @@
 	return slope.Read(slope.File, text)
 }
 
-func printSlopes(to io.Writer, all []slope.Slope) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printSlopes(out io.Writer, slopes []slope.Slope) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SLOPE\tVALUE\tERROR\tUNIT\tPER\tBASE\tRANGE\tLARGEST FORETOLD, OFF BY\tOF")
-	for _, s := range all {
+	for _, s := range slopes {
 		per := s.Per
 		if s.Power == 2 {
 			per += " squared"
--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -26,44 +26,44 @@
 		Short: "Run one of the agents that keep the instances' configurations",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			set, err := config.ReadAgent(operator)
+			cfg, err := config.ReadAgent(operator)
 			if err != nil {
 				return err
 			}
-			stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
-			return runAgent(stop, set, slog.New(slog.NewTextHandler(os.Stderr, nil)))
+			return runAgent(ctx, cfg, slog.New(slog.NewTextHandler(os.Stderr, nil)))
 		},
 	}
 	cmd.Flags().StringVar(&operator, "operator", "deploy/agent.toml", "the operator's file (TOML) with the agents")
 	return cmd
 }
 
-func runAgent(stop context.Context, set *config.Agent, log *slog.Logger) error {
-	l, err := net.Listen("tcp", set.API())
+func runAgent(ctx context.Context, cfg *config.Agent, log *slog.Logger) error {
+	l, err := net.Listen("tcp", cfg.API())
 	if err != nil {
 		return fmt.Errorf("agent.peer.api: %w", err)
 	}
-	a, err := agent.Start(agent.Options{ID: set.ID, Dir: set.Dir, Peers: set.Peers, Log: log, ValidateConfig: checkConfig, StartContext: stop})
+	a, err := agent.Start(agent.Options{ID: cfg.ID, Dir: cfg.Dir, Peers: cfg.Peers, Log: log, ValidateConfig: validateConfig, StartContext: ctx})
 	if err != nil {
 		l.Close()
 		return err
 	}
-	log.Info("agent up", slog.String("id", set.ID), slog.String("listen", set.API()))
-	failed := make(chan error, 1)
-	go func() { failed <- a.Serve(l) }()
+	log.Info("agent up", slog.String("id", cfg.ID), slog.String("listen", cfg.API()))
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- a.Serve(l) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		_ = a.Stop()
 		return err
-	case <-stop.Done():
+	case <-ctx.Done():
 		return a.Stop()
 	}
 }
 
 // checkConfig tells whether an instance could start from the configuration.
-func checkConfig(name string, b []byte) error {
-	cfg, err := config.Parse(b, func(string) string { return "" })
+func validateConfig(name string, text []byte) error {
+	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err == nil && cfg.Name != name {
 		err = fmt.Errorf("name: the configuration is %q's, not %q's", cfg.Name, name)
 	}
@@ -75,7 +75,7 @@
 	client := &agent.Client{}
 	cmd := &cobra.Command{Use: "config", Short: "Read and write instances' configurations at the agents"}
 	cmd.PersistentFlags().StringSliceVar(&client.Addrs, "agents", []string{"127.0.0.1:7701"}, "where the agents answer")
-	out := func(cmd *cobra.Command, v any) error {
+	printJSON := func(cmd *cobra.Command, v any) error {
 		e := json.NewEncoder(cmd.OutOrStdout())
 		e.SetIndent("", "  ")
 		return e.Encode(v)
@@ -86,29 +86,29 @@
 			if err != nil {
 				return err
 			}
-			return out(cmd, e)
+			return printJSON(cmd, e)
 		}}
 	list := &cobra.Command{Use: "list", Short: "List the instances and the versions of their configurations", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := client.ListConfigs(cmd.Context())
+			versions, err := client.ListConfigs(cmd.Context())
 			if err != nil {
 				return err
 			}
-			names := make([]string, 0, len(all))
-			for name := range all {
+			names := make([]string, 0, len(versions))
+			for name := range versions {
 				names = append(names, name)
 			}
 			slices.Sort(names)
 			for _, name := range names {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s\t%d\n", name, all[name])
+				fmt.Fprintf(cmd.OutOrStdout(), "%s\t%d\n", name, versions[name])
 			}
 			return nil
 		}}
-	var over int64
+	var ifVersion int64
 	write := func(cmd *cobra.Command, name string, text []byte) error {
 		condition := ""
-		if over >= 0 {
-			condition = strconv.FormatInt(over, 10)
+		if ifVersion >= 0 {
+			condition = strconv.FormatInt(ifVersion, 10)
 		}
 		e, err := client.PutConfig(cmd.Context(), name, text, condition)
 		if err != nil {
@@ -123,7 +123,7 @@
 			if err != nil {
 				return err
 			}
-			if err := checkConfig(args[0], text); err != nil {
+			if err := validateConfig(args[0], text); err != nil {
 				return err
 			}
 			return write(cmd, args[0], text)
@@ -131,7 +131,7 @@
 	remove := &cobra.Command{Use: "delete NAME", Short: "Take an instance's configuration away; one that runs goes on", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return write(cmd, args[0], nil) }}
 	for _, c := range []*cobra.Command{put, remove} {
-		c.Flags().Int64Var(&over, "if-version", -1, "only over this version; 0: only where there is none yet")
+		c.Flags().Int64Var(&ifVersion, "if-version", -1, "only over this version; 0: only where there is none yet")
 	}
 	status := &cobra.Command{Use: "status", Short: "Show each agent's state and leader", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/cmd/spindlehitch/bench_test.go
+++ b/cmd/spindlehitch/bench_test.go
@@ -19,20 +19,22 @@
 // BenchmarkSmallRequest is a small read and a small write by turns on one connection, through the whole program to a stand-in
 // target in the same process.
 func BenchmarkSmallRequest(b *testing.B) {
-	w := newWorld(b)
-	cfg, err := config.Parse([]byte(w.config()), func(string) string { return "" })
+	f := newFixture(b)
+	cfg, err := config.Parse([]byte(f.config()), func(string) string { return "" })
 	if err != nil {
 		b.Fatal(err)
 	}
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, &config.OperatorFile{}, instance.Options{Log: quiet}) }()
-	var c net.Conn
-	require.Eventually(b, func() bool { status, _ := w.ask(); return status == 200 }, 20*time.Second, 10*time.Millisecond, "never served")
-	if c, err = net.Dial("tcp", w.listen); err != nil {
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() {
+		serveErr <- instance.Serve(ctx, cfg, &config.OperatorFile{}, instance.Options{Log: discardLog})
+	}()
+	var conn net.Conn
+	require.Eventually(b, func() bool { status, _ := f.get(); return status == 200 }, 20*time.Second, 10*time.Millisecond, "never served")
+	if conn, err = net.Dial("tcp", f.listen); err != nil {
 		b.Fatal(err)
 	}
-	in := bufio.NewReader(c)
+	in := bufio.NewReader(conn)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -45,7 +47,7 @@
 		if body != "" {
 			raw += string(make([]byte, 200))
 		}
-		_, _ = io.WriteString(c, raw)
+		_, _ = io.WriteString(conn, raw)
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
 			b.Fatal(err)
@@ -55,9 +57,9 @@
 		}
 	}
 	b.StopTimer()
-	c.Close()
-	leave()
-	if err := <-ended; err != nil {
+	conn.Close()
+	cancel()
+	if err := <-serveErr; err != nil {
 		b.Error(err)
 	}
 }
--- a/cmd/spindlehitch/change.go
+++ b/cmd/spindlehitch/change.go
@@ -19,17 +19,17 @@
 	var f fleetFlags
 	cmd := &cobra.Command{Use: "change", Short: "The feed of changes of targets and configuration: put one, and see where it is in force"}
 	f.add(cmd)
-	var sites, replaces string
-	var over int64
+	var feedFile, replaces string
+	var ifVersion int64
 	readFile := func(path string) (watchstream.Change, error) {
-		var known *config.Feed
-		if sites != "" {
+		var feed *config.Feed
+		if feedFile != "" {
 			var err error
-			if known, err = config.ReadFeed(sites); err != nil {
-				return watchstream.Change{}, fmt.Errorf("%s: %w", sites, err)
+			if feed, err = config.ReadFeed(feedFile); err != nil {
+				return watchstream.Change{}, fmt.Errorf("%s: %w", feedFile, err)
 			}
 		}
-		return config.ReadChange(path, known)
+		return config.ReadChange(path, feed)
 	}
 	put := &cobra.Command{Use: "put FILE", Short: "Have a file of changes made, as one version", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -37,19 +37,19 @@
 			if err != nil {
 				return err
 			}
-			if over >= 0 {
-				n := uint64(over)
+			if ifVersion >= 0 {
+				n := uint64(ifVersion)
 				c.IfVersion = &n
 			}
 			if replaces != "" {
 				c.Replaces = replaces
 			}
 			v, err := f.client.PutChange(cmd.Context(), c)
-			var no *agent.RejectedError
-			if errors.As(err, &no) {
+			var rejected *agent.RejectedError
+			if errors.As(err, &rejected) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if err := f.change(err); err != nil {
+			if err := f.changeError(err); err != nil {
 				return err
 			}
 			if f.json {
@@ -58,7 +58,7 @@
 			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", v)
 			return nil
 		}}
-	put.Flags().Int64Var(&over, "if-version", -1, "only where this is the newest version; 0: only as the first change")
+	put.Flags().Int64Var(&ifVersion, "if-version", -1, "only where this is the newest version; 0: only as the first change")
 	put.Flags().StringVar(&replaces, "replaces", "", "the epoch of an earlier history of this fleet that this one takes the place of")
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of changes and change nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -69,7 +69,7 @@
 			return err
 		}}
 	for _, c := range []*cobra.Command{put, check} {
-		c.Flags().StringVar(&sites, "feed", "", "an operator's file with [feed]: regions and zones that it doesn't name are refused")
+		c.Flags().StringVar(&feedFile, "feed", "", "an operator's file with [feed]: regions and zones that it doesn't name are refused")
 	}
 	show := &cobra.Command{Use: "show [KIND [KEY]]", Short: "Show the targets (target) or the layers of the configuration (config), or one of them", Args: cobra.MaximumNArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error { return f.showRecords(cmd, args) }}
@@ -83,22 +83,22 @@
 				}
 				version = n
 			}
-			return f.showInForce(cmd, version)
+			return f.showStreamStatus(cmd, version)
 		}}
 	cmd.AddCommand(put, check, show, status)
 	return cmd
 }
 
 // asked is the error of a question, with the exit code where nobody answered it.
-func asked(err error) error {
-	var no *agent.RejectedError
+func queryError(err error) error {
+	var rejected *agent.RejectedError
 	switch {
 	case errors.Is(err, agent.ErrNotFound):
 		return errors.New("no change has come yet")
-	case err == nil, errors.As(err, &no):
+	case err == nil, errors.As(err, &rejected):
 		return err
 	}
-	return &exit{exitSilent, err}
+	return &exitError{exitNoResponse, err}
 }
 
 func (f *fleetFlags) showRecords(cmd *cobra.Command, args []string) error {
@@ -116,11 +116,11 @@
 	}
 	all := []watchstream.Record{}
 	for _, k := range kinds {
-		some, err := f.client.Records(cmd.Context(), k, key)
+		found, err := f.client.Records(cmd.Context(), k, key)
 		if err != nil {
-			return asked(err)
+			return queryError(err)
 		}
-		all = append(all, some...)
+		all = append(all, found...)
 	}
 	if key != "" && len(all) == 0 {
 		return fmt.Errorf("key: no %s %q", kinds[0], key)
@@ -142,61 +142,61 @@
 	return w.Flush()
 }
 
-func (f *fleetFlags) showInForce(cmd *cobra.Command, version uint64) error {
+func (f *fleetFlags) showStreamStatus(cmd *cobra.Command, version uint64) error {
 	v, err := f.client.StreamStatus(cmd.Context(), version)
 	if err != nil {
-		return asked(err)
+		return queryError(err)
 	}
 	if f.json {
 		e := json.NewEncoder(cmd.OutOrStdout())
 		e.SetIndent("", "  ")
 		err = e.Encode(v)
 	} else {
-		err = writeInForce(cmd.OutOrStdout(), v)
+		err = writeStreamStatus(cmd.OutOrStdout(), v)
 	}
 	if err == nil && !v.Leads {
 		age := "no agent there knows how old"
 		if v.AgeMs >= 0 {
-			age = "at least " + ms(v.AgeMs) + " old"
+			age = "at least " + formatMs(v.AgeMs) + " old"
 		}
-		err = &exit{exitOld, fmt.Errorf("no leader answers: this is what the log of %s says, %s, and nothing is known of initiators", v.Agent, age)}
+		err = &exitError{exitStale, fmt.Errorf("no leader answers: this is what the log of %s says, %s, and nothing is known of initiators", v.Agent, age)}
 	}
 	return err
 }
 
-func writeInForce(out io.Writer, v agent.StreamStatus) error {
-	after := func(n int64) string {
+func writeStreamStatus(out io.Writer, v agent.StreamStatus) error {
+	msOrUnknown := func(n int64) string {
 		if n < 0 {
 			return "not known"
 		}
-		return ms(n)
+		return formatMs(n)
 	}
 	fmt.Fprintf(out, "version %d of %s, newest %d, epoch %s, by %s\n", v.Version, v.Fleet, v.Head, v.Epoch, v.Agent)
 	if !v.Leads {
 		return nil
 	}
-	fmt.Fprintf(out, "in force at %d of %d (%.4g in 100), put %s ago; %d are silent, %d turned a configuration down\n", v.Applied, v.Readers, 100*v.AppliedShare, after(v.SinceMs),
+	fmt.Fprintf(out, "in force at %d of %d (%.4g in 100), put %s ago; %d are silent, %d turned a configuration down\n", v.Applied, v.Readers, 100*v.AppliedShare, msOrUnknown(v.SinceMs),
 		v.Silent, v.Rejected)
-	fmt.Fprintf(out, "half had it after %s, 99 in 100 after %s, all after %s\n", after(v.HalfMs), after(v.P99Ms), after(v.AllMs))
+	fmt.Fprintf(out, "half had it after %s, 99 in 100 after %s, all after %s\n", msOrUnknown(v.HalfMs), msOrUnknown(v.P99Ms), msOrUnknown(v.AllMs))
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	if len(v.Relays) > 0 {
 		fmt.Fprintln(w, "RELAY\tREGION\tHAS\tOLD\tREPORTED\tREADERS")
 	}
 	for _, r := range v.Relays {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s ago\t%d\n", r.ID, r.Region, r.Consistent, ms(r.AgeMs), ms(r.LastHeardMs), r.Readers)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s ago\t%d\n", r.ID, r.Region, r.Consistent, formatMs(r.AgeMs), formatMs(r.LastHeardMs), r.Readers)
 	}
 	if len(v.Lagging) > 0 {
 		fmt.Fprintln(w, "LAGS\tREGION\tRELAY\tHAS\tWHY\tHEARD\tTURNED DOWN")
 	}
 	for _, l := range v.Lagging {
-		down := ""
+		rejection := ""
 		if l.Rejection != nil {
-			down = fmt.Sprintf("version %d: %s", l.Rejection.Version, l.Rejection.Reason)
+			rejection = fmt.Sprintf("version %d: %s", l.Rejection.Version, l.Rejection.Reason)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s ago\t%s\n", l.Name, l.Region, l.Relay, l.Applied, l.Cause, ms(l.LastHeardMs), down)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s ago\t%s\n", l.Name, l.Region, l.Relay, l.Applied, l.Cause, formatMs(l.LastHeardMs), rejection)
 	}
-	if more := v.Readers - v.Applied - len(v.Lagging); more > 0 {
-		fmt.Fprintf(w, "and %d more that lag\n", more)
+	if omitted := v.Readers - v.Applied - len(v.Lagging); omitted > 0 {
+		fmt.Fprintf(w, "and %d more that lag\n", omitted)
 	}
 	return w.Flush()
 }
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -20,14 +20,14 @@
 )
 
 // command runs a command line; the code is what the process would end with.
-func command(args ...string) (out string, code int, err error) {
+func runCommand(args ...string) (out string, code int, err error) {
 	var b bytes.Buffer
 	root := rootCommand()
 	root.SetOut(&b)
 	root.SetArgs(args)
 	if err = root.Execute(); err != nil {
 		code = 1
-		var e *exit
+		var e *exitError
 		if errors.As(err, &e) {
 			code = e.code
 		}
@@ -38,36 +38,36 @@
 // TestChangeCommands puts changes at an agent, carries them over a relay to an initiator, and asks where they are in force: by table, by
 // JSON and by exit codes.
 func TestChangeCommands(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
-	api, at := freeAddr(t), freeAddr(t)
-	ended := make(chan error, 2)
+	ctx, cancel := context.WithCancel(context.Background())
+	agentAddr, relayAddr := freeAddr(t), freeAddr(t)
+	errs := make(chan error, 2)
 	go func() {
-		ended <- runAgent(ctx, &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: api}}}, quiet)
+		errs <- runAgent(ctx, &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: agentAddr}}}, discardLog)
 	}()
 	stopped := false
 	stop := func() {
 		if !stopped {
 			stopped = true
-			end()
-			require.NoError(t, <-ended)
-			require.NoError(t, <-ended)
+			cancel()
+			require.NoError(t, <-errs)
+			require.NoError(t, <-errs)
 		}
 	}
 	defer stop()
 	dir := t.TempDir()
-	set, err := config.ReadRelay("../../deploy/relay.toml")
+	relayConfig, err := config.ReadRelay("../../deploy/relay.toml")
 	require.NoError(t, err)
-	set.Listen, set.Agents, set.Dir = at, []string{api}, filepath.Join(dir, "relay")
-	go func() { ended <- runRelay(ctx, set, quiet) }()
-	agents := []string{"--agents", api}
-	run := func(args ...string) (string, int, error) { return command(append(args, agents...)...) }
+	relayConfig.Listen, relayConfig.Agents, relayConfig.Dir = relayAddr, []string{agentAddr}, filepath.Join(dir, "relay")
+	go func() { errs <- runRelay(ctx, relayConfig, discardLog) }()
+	agents := []string{"--agents", agentAddr}
+	run := func(args ...string) (string, int, error) { return runCommand(append(args, agents...)...) }
 
-	out, code, err := command("change", "check", "../../deploy/change.toml", "--feed", "../../deploy/feed.toml")
+	out, code, err := runCommand("change", "check", "../../deploy/change.toml", "--feed", "../../deploy/feed.toml")
 	require.NoError(t, err)
 	require.Zero(t, code)
 	require.Contains(t, out, "4 puts for fleet campus")
 	require.Eventually(t, func() bool { // a leader
-		_, err := (&agent.Client{Addrs: []string{api}}).ListConfigs(ctx)
+		_, err := (&agent.Client{Addrs: []string{agentAddr}}).ListConfigs(ctx)
 		return err == nil
 	}, time.Minute, 50*time.Millisecond)
 	out, _, err = run("change", "put", "../../deploy/change.toml", "--if-version", "0")
@@ -77,9 +77,9 @@
 	require.Equal(t, 1, code)
 	require.ErrorContains(t, err, "change.toml")
 	require.ErrorContains(t, err, "at 1")
-	twice := filepath.Join(dir, "twice.json")
-	require.NoError(t, os.WriteFile(twice, []byte(`{"fleet":"campus","puts":[{"kind":"config","key":"region/a","value":{}},{"kind":"config","key":"region/a","value":{}}]}`), 0o600))
-	_, code, err = run("change", "put", twice)
+	duplicate := filepath.Join(dir, "twice.json")
+	require.NoError(t, os.WriteFile(duplicate, []byte(`{"fleet":"campus","puts":[{"kind":"config","key":"region/a","value":{}},{"kind":"config","key":"region/a","value":{}}]}`), 0o600))
+	_, code, err = run("change", "put", duplicate)
 	require.Equal(t, 1, code)
 	require.ErrorContains(t, err, "twice.json: puts[1].key")
 
@@ -93,15 +93,15 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &records))
 	require.Len(t, records, 1)
 	require.Equal(t, uint64(1), records[0].Version)
-	for _, bad := range [][]string{{"change", "show", "odd"}, {"change", "show", "target", "t-9"}, {"change", "status", "x"}, {"change", "status", "7"}, {"change", "status", "0"}} {
-		_, code, err = run(bad...)
-		require.Equal(t, 1, code, bad)
+	for _, args := range [][]string{{"change", "show", "odd"}, {"change", "show", "target", "t-9"}, {"change", "status", "x"}, {"change", "status", "7"}, {"change", "status", "0"}} {
+		_, code, err = run(args...)
+		require.Equal(t, 1, code, args)
 		require.Error(t, err)
 	}
 
-	f, err := edge.NewFollower(edge.Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: at}}})
+	follower, err := edge.NewFollower(edge.Options{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: relayAddr}}})
 	require.NoError(t, err)
-	go f.Run(ctx)
+	go follower.Run(ctx)
 	require.Eventually(t, func() bool {
 		out, _, err = run("change", "status")
 		return err == nil && strings.Contains(out, "in force at 1 of 1")
@@ -117,10 +117,10 @@
 
 	stop()
 	_, code, err = run("change", "status")
-	require.Equal(t, exitSilent, code)
+	require.Equal(t, exitNoResponse, code)
 	require.Error(t, err)
 	_, code, err = run("change", "put", "../../deploy/change.toml")
-	require.Equal(t, exitSilent, code, "it may have been made: %v", err)
+	require.Equal(t, exitNoResponse, code, "it may have been made: %v", err)
 }
 
 // TestRelayFiles has a relay's file that can't be served stop the start, and name file and field.
@@ -129,10 +129,10 @@
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "relay.toml")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(raw), "readers = 3000", "readers = 0", 1)), 0o600))
-	_, code, err := command("relay", "--operator", path)
+	_, code, err := runCommand("relay", "--operator", path)
 	require.Equal(t, 1, code)
 	require.ErrorContains(t, err, "relay.readers: 0 is under 1")
-	_, code, err = command("relay", "--operator", "../../deploy/feed.toml")
+	_, code, err = runCommand("relay", "--operator", "../../deploy/feed.toml")
 	require.Equal(t, 1, code)
 	require.ErrorContains(t, err, "relay: ")
 }
@@ -143,38 +143,38 @@
 		Rejected: 1, SinceMs: 1500, HalfMs: -1, P99Ms: -1, AllMs: -1,
 		Lagging: []watchstream.LaggingReader{{Name: "n7", Relay: "r1", Applied: 7, Cause: watchstream.LagRejected, LastHeardMs: 20, Rejection: &watchstream.Rejection{Version: 8, Reason: "a: not a number"}}}}}
 	var b bytes.Buffer
-	require.NoError(t, writeInForce(&b, v))
+	require.NoError(t, writeStreamStatus(&b, v))
 	for _, want := range []string{"in force at 100 of 250 (40 in 100), put 1.5s ago", "half had it after not known", "n7", "version 8: a: not a number", "and 149 more that lag"} {
 		require.Contains(t, b.String(), want)
 	}
 	b.Reset()
-	require.NoError(t, writeInForce(&b, agent.StreamStatus{Agent: "a", Head: 9}))
+	require.NoError(t, writeStreamStatus(&b, agent.StreamStatus{Agent: "a", Head: 9}))
 	require.NotContains(t, b.String(), "in force at")
 }
 
 // TestPublishCommand has a discovery's list put into the feed.
 func TestPublishCommand(t *testing.T) {
-	ctx, end := context.WithCancel(context.Background())
-	api := freeAddr(t)
-	w := newWorld(t)
-	ended := make(chan error, 2)
+	ctx, cancel := context.WithCancel(context.Background())
+	agentAddr := freeAddr(t)
+	f := newFixture(t)
+	errs := make(chan error, 2)
 	go func() {
-		ended <- runAgent(ctx, &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: api}}}, quiet)
+		errs <- runAgent(ctx, &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: agentAddr}}}, discardLog)
 	}()
-	set := publishing{agents: []string{api}, fleet: "campus", discovery: w.discovery}
+	opts := publishOptions{agents: []string{agentAddr}, fleet: "campus", discovery: f.discovery}
 	go func() {
-		set.run(ctx, quiet)
-		ended <- nil
+		opts.run(ctx, discardLog)
+		errs <- nil
 	}()
-	client := &agent.Client{Addrs: []string{api}}
+	client := &agent.Client{Addrs: []string{agentAddr}}
 	require.Eventually(t, func() bool {
 		records, err := client.Records(ctx, watchstream.Targets, "t")
 		return err == nil && len(records) == 1 && records[0].Version == 1
 	}, time.Minute, 50*time.Millisecond)
-	end()
-	require.NoError(t, <-ended)
-	require.NoError(t, <-ended)
-	_, code, err := command("publish")
+	cancel()
+	require.NoError(t, <-errs)
+	require.NoError(t, <-errs)
+	_, code, err := runCommand("publish")
 	require.Equal(t, 1, code)
 	require.ErrorContains(t, err, "--fleet")
 }
--- a/cmd/spindlehitch/check.go
+++ b/cmd/spindlehitch/check.go
@@ -17,16 +17,16 @@
 		Short: "Validate a configuration without starting anything",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			get := os.Getenv
+			getenv := os.Getenv
 			if len(args) == 1 {
-				get = func(name string) string {
+				getenv = func(name string) string {
 					if name == "PROXY_CONFIG" {
 						return args[0]
 					}
 					return ""
 				}
 			}
-			cfg, op, err := instance.Load(get, operator)
+			cfg, op, err := instance.Load(getenv, operator)
 			if err != nil {
 				return err
 			}
--- a/cmd/spindlehitch/conform.go
+++ b/cmd/spindlehitch/conform.go
@@ -22,18 +22,18 @@
 				return err
 			}
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			seen := map[nvme.Verdict]int{}
+			counts := map[nvme.Verdict]int{}
 			for _, r := range results {
-				seen[r.Verdict]++
+				counts[r.Verdict]++
 				fmt.Fprintf(table, "%s\t%s\t%s\t%s\n", r.Verdict, r.Section, r.Clause, r.Detail)
 			}
 			if err := table.Flush(); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d passed, %d failed, %d outside the subset and refused, %d skipped\n",
-				seen[nvme.Pass], seen[nvme.Miss], seen[nvme.Outside], seen[nvme.Skipped])
-			if seen[nvme.Miss] > 0 {
-				return fmt.Errorf("conform: %d clauses failed", seen[nvme.Miss])
+				counts[nvme.Pass], counts[nvme.Miss], counts[nvme.Outside], counts[nvme.Skipped])
+			if counts[nvme.Miss] > 0 {
+				return fmt.Errorf("conform: %d clauses failed", counts[nvme.Miss])
 			}
 			return nil
 		},
--- a/cmd/spindlehitch/left_test.go
+++ b/cmd/spindlehitch/disconnect_test.go
@@ -15,37 +15,37 @@
 )
 
 // sight is a target that notes which requests have come to it whole, and which not.
-type sight struct {
-	mu          sync.Mutex
-	whole, part []string
-	begun       chan string // each request, with its head
-	release     chan bool
+type recordingTarget struct {
+	mu                sync.Mutex
+	complete, partial []string
+	started           chan string // each request, with its head
+	release           chan bool
 }
 
-func (s *sight) saw(id string, whole bool) {
+func (s *recordingTarget) record(id string, complete bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if whole {
-		s.whole = append(s.whole, id)
+	if complete {
+		s.complete = append(s.complete, id)
 	} else {
-		s.part = append(s.part, id)
+		s.partial = append(s.partial, id)
 	}
 }
 
-func (s *sight) seen() (whole, part []string) {
+func (s *recordingTarget) requests() (complete, partial []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string{}, s.whole...), append([]string{}, s.part...)
+	return append([]string{}, s.complete...), append([]string{}, s.partial...)
 }
 
-func (s *sight) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *recordingTarget) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
-	s.begun <- id
+	s.started <- id
 	if strings.HasPrefix(id, "stalled") {
 		<-s.release
 	}
 	_, err := io.Copy(io.Discard, r.Body)
-	s.saw(id, err == nil)
+	s.record(id, err == nil)
 	switch {
 	case strings.HasPrefix(id, "slow"):
 		select {
@@ -56,12 +56,12 @@
 		_, _ = w.Write(make([]byte, 64<<10))
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-		s.begun <- "ended"
+		s.started <- "ended"
 	case strings.HasPrefix(id, "endless"):
 		for r.Context().Err() == nil {
 			_, _ = w.Write(make([]byte, 64<<10))
 		}
-		s.begun <- "ended"
+		s.started <- "ended"
 	}
 	_, _ = io.WriteString(w, "from the target")
 }
@@ -70,19 +70,19 @@
 // target, waiting behind others, out at the target, half here, half on their way there, or with an answer that passes through. Only
 // when the initiator has had its time to hear of it is what they waited for let happen: nothing of theirs begins any more.
 func TestLeftEverywhere(t *testing.T) {
-	s := &sight{begun: make(chan string, 256), release: make(chan bool)}
-	w := largeWorld(t, s.ServeHTTP)
-	listed := make(chan bool)
-	held := largeWorld(t, s.ServeHTTP)
-	relay, err := net.Listen("tcp", "127.0.0.1:0") // discovery, once it is up
+	target := &recordingTarget{started: make(chan string, 256), release: make(chan bool)}
+	f := newHandlerFixture(t, target.ServeHTTP)
+	discoveryUp := make(chan bool)
+	pending := newHandlerFixture(t, target.ServeHTTP)
+	proxy, err := net.Listen("tcp", "127.0.0.1:0") // discovery, once it is up
 	require.NoError(t, err)
-	defer relay.Close()
-	discovery := held.discovery
-	held.discovery = relay.Addr().String()
+	defer proxy.Close()
+	discovery := pending.discovery
+	pending.discovery = proxy.Addr().String()
 	go func() {
-		<-listed
+		<-discoveryUp
 		for {
-			c, err := relay.Accept()
+			c, err := proxy.Accept()
 			if err != nil {
 				return
 			}
@@ -94,10 +94,10 @@
 			go func() { _, _ = io.Copy(c, d); c.Close() }()
 		}
 	}()
-	begin := func(w *world) (open func(int)) {
+	startCounted := func(f *fixture) (waitOpen func(int)) {
 		control := freeAddr(t)
-		start(t, strings.Replace(w.config(), `"settings":`, fmt.Sprintf(`"control":%q,"settings":`, control), 1))
-		require.Eventually(t, func() bool { c, err := net.Dial("tcp", w.listen); return err == nil && c.Close() == nil }, 20*time.Second, time.Millisecond)
+		startInstance(t, strings.Replace(f.config(), `"settings":`, fmt.Sprintf(`"control":%q,"settings":`, control), 1))
+		require.Eventually(t, func() bool { c, err := net.Dial("tcp", f.listen); return err == nil && c.Close() == nil }, 20*time.Second, time.Millisecond)
 		return func(want int) {
 			t.Helper()
 			require.Eventually(t, func() bool {
@@ -109,8 +109,8 @@
 			}, 5*time.Second, time.Millisecond, "not %d requests are open", want)
 		}
 	}
-	ask := func(w *world, id, rest string) *net.TCPConn {
-		c, err := net.Dial("tcp", w.listen)
+	send := func(f *fixture, id, rest string) *net.TCPConn {
+		c, err := net.Dial("tcp", f.listen)
 		require.NoError(t, err)
 		t.Cleanup(func() { c.Close() })
 		method := "PUT"
@@ -120,7 +120,7 @@
 		fmt.Fprintf(c, "%s /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: %s\r\n%s%s", method, id, largeHead, rest)
 		return c.(*net.TCPConn)
 	}
-	flood := func(c *net.TCPConn) {
+	floodAndClose := func(c *net.TCPConn) {
 		_, _ = io.WriteString(c, strings.Repeat("x", 200<<10))
 		c.Close()
 	}
@@ -128,9 +128,9 @@
 		c.SetLinger(0)
 		c.Close()
 	}
-	next := func() string {
+	nextStarted := func() string {
 		select {
-		case id := <-s.begun:
+		case id := <-target.started:
 			return id
 		case <-time.After(20 * time.Second):
 			t.Fatal("nothing came to the target")
@@ -139,61 +139,64 @@
 	}
 
 	// Held: no target is known yet.
-	open := begin(held)
-	for i, leave := range []func(*net.TCPConn){flood, reset} {
-		c := ask(held, fmt.Sprint("held", i), "")
-		open(1)
-		leave(c)
-		open(0)
+	waitOpen := startCounted(pending)
+	for i, disconnect := range []func(*net.TCPConn){floodAndClose, reset} {
+		c := send(pending, fmt.Sprint("held", i), "")
+		waitOpen(1)
+		disconnect(c)
+		waitOpen(0)
 	}
-	close(listed)
-	ready(t, "http://"+held.listen+"/-/ready")
-	ask(held, "after", "")
-	require.Equal(t, "after", next())
+	close(discoveryUp)
+	waitReady(t, "http://"+pending.listen+"/-/ready")
+	send(pending, "after", "")
+	require.Equal(t, "after", nextStarted())
 
 	// Behind others, and out at the target.
-	open = begin(w)
-	ready(t, "http://"+w.listen+"/-/ready")
-	var all []*net.TCPConn
+	waitOpen = startCounted(f)
+	waitReady(t, "http://"+f.listen+"/-/ready")
+	var conns []*net.TCPConn
 	for i := range 40 {
-		all = append(all, ask(w, fmt.Sprint("slow", i), ""))
+		conns = append(conns, send(f, fmt.Sprint("slow", i), ""))
 	}
-	next()
-	open(len(all))
-	for _, c := range all {
-		flood(c)
+	nextStarted()
+	waitOpen(len(conns))
+	for _, c := range conns {
+		floodAndClose(c)
 	}
-	open(0)
-	whole, _ := s.seen()
-	require.Less(t, len(whole), 40, "none waited")
+	waitOpen(0)
+	complete, _ := target.requests()
+	require.Less(t, len(complete), 40, "none waited")
 
 	// Half here.
-	reset(ask(w, "half", "Content-Length: 9\r\n\r\nbo"))
+	reset(send(f, "half", "Content-Length: 9\r\n\r\nbo"))
 	// On its way: the target reads no more than the head until the client is gone.
-	for _, leave := range []func(*net.TCPConn){reset, func(c *net.TCPConn) { c.Close() }} {
-		c := ask(w, "stalled", "Content-Length: 90000\r\n\r\n"+strings.Repeat("x", 80000))
-		for next() != "stalled" {
+	for _, disconnect := range []func(*net.TCPConn){reset, func(c *net.TCPConn) { c.Close() }} {
+		c := send(f, "stalled", "Content-Length: 90000\r\n\r\n"+strings.Repeat("x", 80000))
+		for nextStarted() != "stalled" {
 		}
-		leave(c)
-		s.release <- true
-		require.Eventually(t, func() bool { _, part := s.seen(); return len(part) > 0 && part[len(part)-1] == "stalled" }, 20*time.Second, time.Millisecond)
+		disconnect(c)
+		target.release <- true
+		require.Eventually(t, func() bool {
+			_, partial := target.requests()
+			return len(partial) > 0 && partial[len(partial)-1] == "stalled"
+		}, 20*time.Second, time.Millisecond)
 	}
 	// With its answer passing through, and stuck on its way.
 	for _, id := range []string{"endless", "stuck"} {
-		c := ask(w, id, "")
+		c := send(f, id, "")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		_, _ = io.CopyN(io.Discard, resp.Body, 32<<10)
 		reset(c)
-		open(0) // well before the target is given up
-		for next() != "ended" {
+		waitOpen(0) // well before the target is given up
+		for nextStarted() != "ended" {
 		}
 	}
 
-	ask(w, "sentinel", "")
-	for next() != "sentinel" {
+	send(f, "sentinel", "")
+	for nextStarted() != "sentinel" {
 	}
-	after, part := s.seen()
-	require.Equal(t, append(whole, "endless", "stuck", "sentinel"), after)
-	require.NotContains(t, part, "half")
+	completed, partial := target.requests()
+	require.Equal(t, append(complete, "endless", "stuck", "sentinel"), completed)
+	require.NotContains(t, partial, "half")
 }
--- /dev/null
+++ b/cmd/spindlehitch/drain_test.go
@@ -0,0 +1,339 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"spindlehitch/internal/process/instance"
+)
+
+// pusher is discovery: an agent that answers at once with what it has, or as soon as there is news. It changes as a test says.
+type watchDiscovery struct {
+	*httptest.Server
+	mu          sync.Mutex
+	version     int
+	states      map[string]string // by address
+	lastChanged []string          // the addresses that the last change is about
+	changed     chan struct{}     // closed with the next change
+	stalled     chan struct{}     // closed when what is open falls silent
+	down        bool              // what comes now is never answered
+	fullLists   bool              // changes are told by the whole list
+}
+
+func newWatchDiscovery(t *testing.T, version int, states map[string]string) *watchDiscovery {
+	p := &watchDiscovery{version: version, states: states, changed: make(chan struct{}), stalled: make(chan struct{})}
+	p.Server = httptest.NewServer(p)
+	t.Cleanup(p.Close)
+	t.Cleanup(p.CloseClientConnections)
+	return p
+}
+
+func (p *watchDiscovery) addr() string { return p.Listener.Addr().String() }
+
+func (p *watchDiscovery) update(f func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	f()
+}
+
+// change is the next version; a state of "" takes a target off the list without a word.
+func (p *watchDiscovery) publish(states map[string]string) {
+	p.update(func() {
+		p.version++
+		p.lastChanged = nil
+		for addr, s := range states {
+			if p.states[addr] = s; s == "" {
+				delete(p.states, addr)
+			} else {
+				p.lastChanged = append(p.lastChanged, addr)
+			}
+		}
+		close(p.changed)
+		p.changed = make(chan struct{})
+	})
+}
+
+// silence has all open calls fall silent; those that come after are answered.
+func (p *watchDiscovery) stallOpenWatches() {
+	p.update(func() { close(p.stalled); p.stalled = make(chan struct{}) })
+}
+
+func (p *watchDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
+	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
+	p.mu.Lock()
+	stalled, changed, version, down := p.stalled, p.changed, p.version, p.down
+	p.mu.Unlock()
+	if down {
+		<-r.Context().Done()
+		return
+	}
+	if after == version {
+		select {
+		case <-stalled:
+			<-r.Context().Done()
+			return
+		case <-r.Context().Done():
+			return
+		case <-changed:
+		case <-time.After(time.Duration(wait) * time.Millisecond):
+		}
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var entries []string
+	addEntry := func(addr string) {
+		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":0,"state":%q}`, addr, addr, p.states[addr]))
+	}
+	full := p.fullLists || after != p.version-1
+	switch {
+	case after == p.version: // nothing new
+		full = false
+	case full:
+		for addr := range p.states {
+			addEntry(addr)
+		}
+	default:
+		for _, addr := range p.lastChanged {
+			addEntry(addr)
+		}
+	}
+	fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, p.version, full, strings.Join(entries, ","))
+}
+
+// cell is targets of one shard, which note whose requests came to them.
+type targetGroup struct {
+	mu       sync.Mutex
+	received map[string][]string // request ids by target
+	holding  atomic.Bool         // requests wait, and are then told that they were not started
+	waiting  chan string         // the targets at which they do
+	released chan bool
+}
+
+func newTargetGroup() *targetGroup {
+	return &targetGroup{received: map[string][]string{}, waiting: make(chan string, 64), released: make(chan bool)}
+}
+
+// target is one more of them.
+func (group *targetGroup) addTarget(t *testing.T) (addr string) {
+	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		group.mu.Lock()
+		group.received[addr] = append(group.received[addr], r.Header.Get("Request-Id"))
+		group.mu.Unlock()
+		if group.holding.Load() {
+			group.waiting <- addr
+			<-group.released
+			w.Header().Set("Not-Started", "1")
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		_, _ = io.WriteString(w, "from the target")
+	}))
+	addr = s.Listener.Addr().String()
+	s.Start()
+	t.Cleanup(s.Close)
+	return addr
+}
+
+func (group *targetGroup) receivedBy(addr string) []string {
+	group.mu.Lock()
+	defer group.mu.Unlock()
+	return append([]string{}, group.received[addr]...)
+}
+
+// TestReloadWithDrains has targets drain in every way in which an initiator may come to hear of it: with a new configuration that takes it
+// out of an outage, right after that, by a whole list in place of a change, by one that leaves a target out, after all watches
+// fell silent or were reset, and when discovery returns. Requests go on all the while. None that is asked for once the list is
+// in force comes to a target that drains in it, or that is gone, and each is served.
+func TestReloadWithDrains(t *testing.T) {
+	group := newTargetGroup()
+	first, second := group.addTarget(t), group.addTarget(t)
+	oldDiscovery := newWatchDiscovery(t, 7, map[string]string{first: "SERVING", second: "SERVING"})
+	newDiscovery := newWatchDiscovery(t, 2, map[string]string{first: "DRAINING", second: "SERVING", group.addTarget(t): "SERVING"})
+	f := &fixture{listen: freeAddr(t), discovery: oldDiscovery.addr()}
+	control := freeAddr(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	writeConfig := func(discovery string) {
+		f.discovery = discovery
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(f.config(), `"settings":`, fmt.Sprintf(`"control":%q,"settings":`, control), 1)), 0o600))
+	}
+	writeConfig(oldDiscovery.addr())
+	getenv := func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }
+	cfg, op, err := instance.Load(getenv, "")
+	require.NoError(t, err)
+	hup := make(chan os.Signal, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() {
+		serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog, Changes: instance.ReloadOnSignal(hup, getenv, cfg.Discovery, "", discardLog)})
+	}()
+	waitReady(t, "http://"+f.listen+"/-/ready")
+
+	// Requests go on; each round's have a name of their own.
+	var round atomic.Int64
+	var clients sync.WaitGroup
+	var stopped atomic.Bool
+	defer stopped.Store(true)
+	served := make([]atomic.Int64, 16) // by round
+	for range 6 {
+		clients.Go(func() {
+			for !stopped.Load() {
+				r := round.Load()
+				status, body := f.getWithID(fmt.Sprintf("round%d-%d", r, f.requestCount.Add(1)))
+				assert.Equal(t, 200, status, body)
+				served[r].Add(1)
+			}
+		})
+	}
+	// in checks that the list is in force, that its number of targets tells, and what then comes.
+	checkRouting := func(targets int, excluded ...string) {
+		t.Helper()
+		waitTargetCount(t, control, targets)
+		r := round.Add(1)
+		require.Eventually(t, func() bool { return served[r].Load() >= 60 }, time.Minute, time.Millisecond)
+		for _, addr := range excluded {
+			for _, id := range group.receivedBy(addr) {
+				require.False(t, strings.HasPrefix(id, fmt.Sprintf("round%d-", r)), "%s came to a target that drains or is gone", id)
+			}
+		}
+	}
+	checkRouting(2)
+	// Moved out of an outage, to where it drains already.
+	oldDiscovery.update(func() { oldDiscovery.down = true })
+	oldDiscovery.stallOpenWatches()
+	writeConfig(newDiscovery.addr())
+	hup <- syscall.SIGHUP
+	checkRouting(3, first)
+	// Soon after.
+	third, fourth := group.addTarget(t), group.addTarget(t)
+	newDiscovery.publish(map[string]string{second: "DRAINING", third: "SERVING", fourth: "SERVING"})
+	checkRouting(5, first, second)
+	// By the whole list.
+	newDiscovery.update(func() { newDiscovery.fullLists = true })
+	fifth := group.addTarget(t)
+	newDiscovery.publish(map[string]string{third: "DRAINING", fifth: "SERVING"})
+	checkRouting(6, first, second, third)
+	// And by what is left out there.
+	newDiscovery.publish(map[string]string{first: "", second: "", fourth: "DRAINING"})
+	checkRouting(4, first, second, third, fourth)
+	newDiscovery.update(func() { newDiscovery.fullLists = false })
+	// All watches fall silent, and it drains right after.
+	sixth := group.addTarget(t)
+	newDiscovery.stallOpenWatches()
+	newDiscovery.publish(map[string]string{fifth: "DRAINING", sixth: "SERVING"})
+	checkRouting(5, third, fourth, fifth)
+	// They are reset some time before.
+	seventh := group.addTarget(t)
+	newDiscovery.CloseClientConnections()
+	newDiscovery.publish(map[string]string{sixth: "DRAINING", seventh: "SERVING"})
+	checkRouting(6, third, fourth, fifth, sixth)
+	// In an outage, told at the return.
+	eighth := group.addTarget(t)
+	newDiscovery.update(func() { newDiscovery.down = true })
+	newDiscovery.stallOpenWatches()
+	newDiscovery.publish(map[string]string{seventh: "DRAINING", eighth: "SERVING"})
+	newDiscovery.update(func() { newDiscovery.down = false })
+	checkRouting(7, third, fourth, fifth, sixth, seventh)
+	stopped.Store(true)
+	clients.Wait()
+	cancel()
+	require.NoError(t, <-serveErr)
+}
+
+// inForce waits until so many targets are listed, which the module and the targets' actors know by then.
+func waitTargetCount(t *testing.T, control string, targets int) {
+	t.Helper()
+	require.EventuallyWithT(t, func(t *assert.CollectT) {
+		resp, err := http.Get("http://" + control + "/v1/metrics")
+		if !assert.NoError(t, err) {
+			return
+		}
+		defer resp.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		assert.NoError(t, err)
+		assert.Contains(t, string(text), fmt.Sprintf(".targets:%d|", targets))
+	}, time.Minute, time.Millisecond)
+}
+
+// askAs is ask under a name.
+func (f *fixture) getWithID(id string) (int, string) {
+	c, err := net.Dial("tcp", f.listen)
+	if err != nil {
+		return 0, err.Error()
+	}
+	defer c.Close()
+	fmt.Fprintf(c, "GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nRequest-Id: %s\r\nTier: base\r\n"+
+		"Request-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n", id)
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
+	if err != nil {
+		return 0, err.Error()
+	}
+	body, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(body)
+}
+
+// TestDrainWhileLeaving has the watch fall silent and targets drain once the initiator has been told to end, with a request open: the list is
+// watched for as long as anything is answered. A target that turns the request away hands it on to none that drains by then.
+func TestDrainWhileLeaving(t *testing.T) {
+	group := newTargetGroup()
+	one, two := group.addTarget(t), group.addTarget(t)
+	discovery := newWatchDiscovery(t, 7, map[string]string{one: "SERVING", two: "SERVING"})
+	f := &fixture{listen: freeAddr(t), discovery: discovery.addr()}
+	control := freeAddr(t)
+	path := filepath.Join(t.TempDir(), "config.json")
+	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(f.config(), `"settings":`, fmt.Sprintf(`"control":%q,"settings":`, control), 1)), 0o600))
+	cfg, op, err := instance.Load(func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }, "")
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog}) }()
+	waitReady(t, "http://"+f.listen+"/-/ready")
+	group.holding.Store(true)
+	releaseAll := sync.OnceFunc(func() { group.holding.Store(false); close(group.released) })
+	defer releaseAll()
+	response := make(chan string, 1)
+	go func() {
+		status, body := f.getWithID("open")
+		response <- fmt.Sprint(status, " ", body)
+	}()
+	holder := <-group.waiting
+	other := one
+	if holder == one {
+		other = two
+	}
+	cancel()
+	require.Eventually(t, func() bool {
+		resp, err := http.Get("http://" + control + "/v1/readyz")
+		if err != nil {
+			return false
+		}
+		resp.Body.Close()
+		return resp.StatusCode != http.StatusOK
+	}, time.Minute, time.Millisecond)
+	third := group.addTarget(t)
+	discovery.stallOpenWatches()
+	discovery.publish(map[string]string{other: "DRAINING", third: "SERVING"})
+	waitTargetCount(t, control, 3)
+	releaseAll()
+	require.Equal(t, "200 from the target", <-response)
+	require.Empty(t, group.receivedBy(other), "sent to a target that drains")
+	require.NotEmpty(t, append(group.receivedBy(third), group.receivedBy(holder)[1:]...))
+	require.NoError(t, <-serveErr)
+}
--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -29,35 +29,35 @@
 }
 
 // show prints the fleet by table, or as JSON what value makes of it. What may be old says so, also by the exit code.
-func (f *fleetFlags) show(cmd *cobra.Command, value func(agent.FleetView) (any, error), table func(io.Writer, agent.FleetView)) error {
+func (f *fleetFlags) show(cmd *cobra.Command, makeJSON func(agent.FleetView) (any, error), writeTable func(io.Writer, agent.FleetView)) error {
 	v, err := f.client.Fleet(cmd.Context())
 	if err != nil {
-		return &exit{exitSilent, err}
+		return &exitError{exitNoResponse, err}
 	}
-	it, err := value(v)
+	jsonValue, err := makeJSON(v)
 	if err != nil {
 		return err
 	}
 	if f.json {
 		e := json.NewEncoder(cmd.OutOrStdout())
 		e.SetIndent("", "  ")
-		err = e.Encode(it)
+		err = e.Encode(jsonValue)
 	} else {
 		w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-		table(w, v)
+		writeTable(w, v)
 		err = w.Flush()
 	}
 	if err == nil && !v.Leads {
 		age := "no agent there knows how old"
 		if v.AgeMs >= 0 {
-			age = "at least " + ms(v.AgeMs) + " old"
+			age = "at least " + formatMs(v.AgeMs) + " old"
 		}
-		err = &exit{exitOld, fmt.Errorf("no leader answers: this is what the log of %s says, %s", v.Agent, age)}
+		err = &exitError{exitStale, fmt.Errorf("no leader answers: this is what the log of %s says, %s", v.Agent, age)}
 	}
 	return err
 }
 
-func ms(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
+func formatMs(n int64) string { return (time.Duration(n) * time.Millisecond).String() }
 
 func budgetCommand() *cobra.Command {
 	var f fleetFlags
@@ -81,17 +81,17 @@
 		}}
 	show := &cobra.Command{Use: "show NAME", Short: "Show who holds how much of a budget, and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.show(cmd, func(v agent.FleetView) (any, error) { return shown(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
-				s, err := shown(v, args[0])
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return newBudgetStatus(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
+				s, err := newBudgetStatus(v, args[0])
 				if err == nil {
-					s.table(w)
+					s.writeTable(w)
 				}
 			})
 		}}
-	var against string
+	var configPath string
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of budgets and change nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := readBudgets(args[0], against)
+			d, err := readBudgets(args[0], configPath)
 			if err == nil {
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d budgets, %d seats\n", args[0], len(d.Budgets), d.MaxSessions)
 			}
@@ -99,61 +99,61 @@
 		}}
 	set := &cobra.Command{Use: "set FILE", Short: "Have the fleet go by a file of budgets", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := readBudgets(args[0], against)
+			d, err := readBudgets(args[0], configPath)
 			if err != nil {
 				return err
 			}
 			d, err = f.client.SetQuotaConfig(cmd.Context(), d)
-			var no *agent.RejectedError
-			if errors.As(err, &no) {
+			var rejected *agent.RejectedError
+			if errors.As(err, &rejected) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if err := f.change(err); err != nil {
+			if err := f.changeError(err); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", d.Version)
 			return nil
 		}}
 	for _, c := range []*cobra.Command{check, set} {
-		c.Flags().StringVar(&against, "config", "", "an instance's configuration, whose plans and classes the budgets may name")
+		c.Flags().StringVar(&configPath, "config", "", "an instance's configuration, whose plans and classes the budgets may name")
 	}
 	cmd.AddCommand(list, show, set, check)
 	return cmd
 }
 
-func readBudgets(path, against string) (quota.Config, error) {
+func readBudgets(path, configPath string) (quota.Config, error) {
 	var c *config.Config
-	if against != "" {
-		text, err := os.ReadFile(against)
+	if configPath != "" {
+		text, err := os.ReadFile(configPath)
 		if err != nil {
 			return quota.Config{}, err
 		}
 		if c, err = config.Parse(text, func(string) string { return "" }); err != nil {
-			return quota.Config{}, fmt.Errorf("%s: %w", against, err)
+			return quota.Config{}, fmt.Errorf("%s: %w", configPath, err)
 		}
 	}
 	return config.ReadBudgets(path, c)
 }
 
 // budgetShown is one budget as the leader sees it.
-type budgetShown struct {
+type budgetStatus struct {
 	quota.Budget
-	Pool    quota.Amount           `json:"pool"` // what is divided, beyond the floors
-	Agent   string                 `json:"agent"`
-	Leads   bool                   `json:"leads"`
-	AgeMs   int64                  `json:"age_ms"`
-	WaitMs  int64                  `json:"wait_ms"` // until a new leader gives anything new
-	Behind  []string               `json:"behind"`  // members that go by another version of the budgets
-	Holders []allocator.LedgerLine `json:"holders"`
+	Pool           quota.Amount           `json:"pool"` // what is divided, beyond the floors
+	Agent          string                 `json:"agent"`
+	Leads          bool                   `json:"leads"`
+	AgeMs          int64                  `json:"age_ms"`
+	RecoveryWaitMs int64                  `json:"wait_ms"` // until a new leader gives anything new
+	Outdated       []string               `json:"behind"`  // members that go by another version of the budgets
+	Holders        []allocator.LedgerLine `json:"holders"`
 }
 
-func shown(v agent.FleetView, name string) (*budgetShown, error) {
+func newBudgetStatus(v agent.FleetView, name string) (*budgetStatus, error) {
 	b := v.QuotaConfig.Budget(name)
 	if b == nil {
 		return nil, fmt.Errorf("no budget %q", name)
 	}
-	s := &budgetShown{Budget: *b, Pool: v.QuotaConfig.SharedPool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, WaitMs: v.RecoveryWaitMs,
-		Behind: []string{}, Holders: []allocator.LedgerLine{}}
+	s := &budgetStatus{Budget: *b, Pool: v.QuotaConfig.SharedPool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, RecoveryWaitMs: v.RecoveryWaitMs,
+		Outdated: []string{}, Holders: []allocator.LedgerLine{}}
 	for _, l := range v.Ledger {
 		if l.Budget == name {
 			s.Holders = append(s.Holders, l)
@@ -161,29 +161,29 @@
 	}
 	for _, m := range v.Members {
 		if m.ConfigVersion != v.QuotaConfig.Version {
-			s.Behind = append(s.Behind, m.Name)
+			s.Outdated = append(s.Outdated, m.Name)
 		}
 	}
 	return s, nil
 }
 
-func (s *budgetShown) table(w io.Writer) {
+func (s *budgetStatus) writeTable(w io.Writer) {
 	fmt.Fprintln(w, "OF\tNAME\tMAY HOLD\tBURST\tASKED\tUSED\tOUT\tUNTIL\tSEEN\tBY\tMEMBER")
-	sum := map[string]float64{}
+	heldByKey := map[string]float64{}
 	for _, l := range s.Holders {
 		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", l.Key.Key, l.Name, l.MaxOutstanding.Rate, l.MaxOutstanding.Burst, l.Want, l.Used, l.InUse,
-			ms(l.ExpiresMs), ms(l.LastSeenMs), s.Agent, l.ID)
-		sum[l.Key.Key] += l.MaxOutstanding.Rate
+			formatMs(l.ExpiresMs), formatMs(l.LastSeenMs), s.Agent, l.ID)
+		heldByKey[l.Key.Key] += l.MaxOutstanding.Rate
 	}
-	most := 0.0
-	for _, x := range sum {
-		most = max(most, x)
+	maxHeld := 0.0
+	for _, x := range heldByKey {
+		maxHeld = max(maxHeld, x)
 	}
-	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", most, s.Pool.Rate, s.FloorRate)
-	if s.WaitMs > 0 {
-		fmt.Fprintf(w, "the leader is new: nothing new is given for %s\n", ms(s.WaitMs))
+	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", maxHeld, s.Pool.Rate, s.FloorRate)
+	if s.RecoveryWaitMs > 0 {
+		fmt.Fprintf(w, "the leader is new: nothing new is given for %s\n", formatMs(s.RecoveryWaitMs))
 	}
-	if len(s.Behind) > 0 {
-		fmt.Fprintf(w, "not heard of yet by %v\n", s.Behind)
+	if len(s.Outdated) > 0 {
+		fmt.Fprintf(w, "not heard of yet by %v\n", s.Outdated)
 	}
 }
--- a/cmd/spindlehitch/large_test.go
+++ b/cmd/spindlehitch/large_body_test.go
@@ -21,29 +21,31 @@
 )
 
 // start runs an initiator of this configuration until the test ends.
-func start(t *testing.T, text string) {
+func startInstance(t *testing.T, text string) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, &config.OperatorFile{}, instance.Options{Log: quiet}) }()
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() {
+		serveErr <- instance.Serve(ctx, cfg, &config.OperatorFile{}, instance.Options{Log: discardLog})
+	}()
 	t.Cleanup(func() {
-		leave()
-		if err := <-ended; err != nil {
+		cancel()
+		if err := <-serveErr; err != nil {
 			t.Error(err)
 		}
 	})
 }
 
 // largeWorld is a world whose target answers with what serve writes.
-func largeWorld(t *testing.T, serve http.HandlerFunc) *world {
+func newHandlerFixture(t *testing.T, handler http.HandlerFunc) *fixture {
 	t.Helper()
-	target := httptest.NewServer(serve)
+	target := httptest.NewServer(handler)
 	t.Cleanup(target.Close)
-	found := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	discovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done()
 			return
@@ -51,9 +53,9 @@
 		fmt.Fprintf(rw, `{"version":1,"full":true,"servers":[{"id":"t","addr":%q,"cell":0,"state":"SERVING"}]}`,
 			strings.TrimPrefix(target.URL, "http://"))
 	}))
-	t.Cleanup(found.Close)
-	w := &world{listen: freeAddr(t), discovery: strings.TrimPrefix(found.URL, "http://")}
-	return w
+	t.Cleanup(discovery.Close)
+	f := &fixture{listen: freeAddr(t), discovery: strings.TrimPrefix(discovery.URL, "http://")}
+	return f
 }
 
 const largeHead = "Host: a\r\nTier: base\r\nRequest-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n"
@@ -62,7 +64,7 @@
 // memory. Each has its own bytes back, and what the process holds stays far under what passes.
 func TestLargeBothWays(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	const size = 32 << 20
-	w := largeWorld(t, func(rw http.ResponseWriter, r *http.Request) {
+	f := newHandlerFixture(t, func(rw http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
 			sum := sha256.New()
 			n, err := io.Copy(sum, r.Body)
@@ -77,25 +79,25 @@
 		}
 	})
 	// A connection may take as long as it does on a busy machine: a body whose target can't be reached in time is refused.
-	start(t, strings.NewReplacer(`"settings":`, `"limits":{"memory_mb":16},"settings":`, `"sendCap":3`, `"sendCap":3,"dialTimeoutUs":20000000`).Replace(w.config()))
-	ready(t, "http://"+w.listen+"/-/ready")
-	most, over := uint64(0), make(chan bool)
+	startInstance(t, strings.NewReplacer(`"settings":`, `"limits":{"memory_mb":16},"settings":`, `"sendCap":3`, `"sendCap":3,"dialTimeoutUs":20000000`).Replace(f.config()))
+	waitReady(t, "http://"+f.listen+"/-/ready")
+	peakHeap, stopSampling := uint64(0), make(chan bool)
 	go func() {
 		for {
 			var m runtime.MemStats
 			runtime.ReadMemStats(&m)
-			most = max(most, m.HeapInuse)
+			peakHeap = max(peakHeap, m.HeapInuse)
 			select {
-			case over <- true:
+			case stopSampling <- true:
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
 		}
 	}()
-	var wait sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 6 {
-		wait.Go(func() {
-			c, err := net.Dial("tcp", w.listen)
+		wg.Go(func() {
+			c, err := net.Dial("tcp", f.listen)
 			if err != nil {
 				t.Error(err)
 				return
@@ -121,15 +123,15 @@
 			}
 			fmt.Fprintf(c, "PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: l%d\r\n%s%s\r\n", i, largeHead, framing)
 			sum, rng := sha256.New(), rand.NewChaCha8([32]byte{byte(i)})
-			for left := size; left > 0; {
-				part := make([]byte, min(left, 1+int(rng.Uint64()%70000)))
-				rng.Read(part)
-				sum.Write(part)
-				left -= len(part)
+			for remaining := size; remaining > 0; {
+				chunk := make([]byte, min(remaining, 1+int(rng.Uint64()%70000)))
+				rng.Read(chunk)
+				sum.Write(chunk)
+				remaining -= len(chunk)
 				if i%3 == 1 {
-					fmt.Fprintf(c, "%x\r\n%s\r\n", len(part), part)
+					fmt.Fprintf(c, "%x\r\n%s\r\n", len(chunk), chunk)
 				} else {
-					_, _ = c.Write(part)
+					_, _ = c.Write(chunk)
 				}
 			}
 			if i%3 == 1 {
@@ -146,20 +148,20 @@
 			}
 		})
 	}
-	wait.Wait()
-	<-over
+	wg.Wait()
+	<-stopSampling
 	// The clients and the target of the test live here too; one whole body alone would be more.
-	if most > size {
-		t.Errorf("%d MB were held", most>>20)
+	if peakHeap > size {
+		t.Errorf("%d MB were held", peakHeap>>20)
 	}
 }
 
 // TestLargeBroken is about bodies and answers that break midway: a request whose body lost its target is refused and was
 // never sent again, and an answer cut short is no whole one for its client.
 func TestLargeBroken(t *testing.T) {
-	tries := make(chan string, 64)
-	w := largeWorld(t, func(rw http.ResponseWriter, r *http.Request) {
-		tries <- r.Method
+	attempts := make(chan string, 64)
+	f := newHandlerFixture(t, func(rw http.ResponseWriter, r *http.Request) {
+		attempts <- r.Method
 		if r.Method == http.MethodPut {
 			_, _ = io.CopyN(io.Discard, r.Body, 100<<10)
 		} else {
@@ -168,12 +170,12 @@
 		}
 		panic(http.ErrAbortHandler)
 	})
-	start(t, w.config())
-	ready(t, "http://"+w.listen+"/-/ready") // before its list of targets is known an upload is refused unsent
-	say := func(raw string, body int) (*http.Response, error) {
-		for end := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-			c, err := net.Dial("tcp", w.listen)
-			if err != nil && time.Now().Before(end) {
+	startInstance(t, f.config())
+	waitReady(t, "http://"+f.listen+"/-/ready") // before its list of targets is known an upload is refused unsent
+	send := func(raw string, remaining int) (*http.Response, error) {
+		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
+			c, err := net.Dial("tcp", f.listen)
+			if err != nil && time.Now().Before(deadline) {
 				continue
 			} else if err != nil {
 				t.Fatal(err)
@@ -181,7 +183,7 @@
 			t.Cleanup(func() { c.Close() })
 			c.SetDeadline(time.Now().Add(20 * time.Second))
 			_, _ = io.WriteString(c, raw)
-			for ; body > 0; body -= 10000 {
+			for ; remaining > 0; remaining -= 10000 {
 				if _, err := c.Write(make([]byte, 10000)); err != nil {
 					break
 				}
@@ -190,18 +192,18 @@
 			return http.ReadResponse(bufio.NewReader(c), nil)
 		}
 	}
-	resp, err := say("PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b1\r\n"+largeHead+"Content-Length: 1000000\r\n\r\n", 1000000)
+	resp, err := send("PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b1\r\n"+largeHead+"Content-Length: 1000000\r\n\r\n", 1000000)
 	if err != nil || resp.StatusCode != 503 {
 		t.Errorf("a body without its target: %+v, %v; want a refusal", resp, err)
 	}
-	resp, err = say("GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b2\r\n"+largeHead+"\r\n", 0)
+	resp, err = send("GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b2\r\n"+largeHead+"\r\n", 0)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("an answer: %+v, %v", resp, err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
 		t.Errorf("%d bytes of a million passed for whole", n)
 	}
-	if len(tries) != 2 || <-tries != "PUT" {
-		t.Errorf("%d tries reached the target, want one each", len(tries)+1)
+	if len(attempts) != 2 || <-attempts != "PUT" {
+		t.Errorf("%d tries reached the target, want one each", len(attempts)+1)
 	}
 }
--- a/cmd/spindlehitch/lease.go
+++ b/cmd/spindlehitch/lease.go
@@ -17,17 +17,17 @@
 )
 
 // taskLine is one task as lease list has it.
-type taskLine struct {
+type taskSummary struct {
 	lease.Task
-	Held    int    `json:"held"`
-	Members int    `json:"members"` // that hold some of it
-	Acts    uint64 `json:"acts"`
-	Refused uint64 `json:"refused"`
-	Failed  uint64 `json:"failed"`
+	Held      int    `json:"held"`
+	Members   int    `json:"members"` // that hold some of it
+	Completed uint64 `json:"acts"`
+	Fenced    uint64 `json:"refused"`
+	Failed    uint64 `json:"failed"`
 }
 
 // taskShown is one task as lease show has it.
-type taskShown struct {
+type taskStatus struct {
 	lease.Task
 	Agent  string               `json:"agent"`
 	Leads  bool                 `json:"leads"`
@@ -42,51 +42,53 @@
 	f.add(cmd)
 	list := &cobra.Command{Use: "list", Short: "List the tasks and how much of each is held", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			return f.show(cmd, func(v agent.FleetView) (any, error) { return taskLines(v), nil }, func(w io.Writer, v agent.FleetView) {
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return taskSummaries(v), nil }, func(w io.Writer, v agent.FleetView) {
 				fmt.Fprintln(w, "TASK\tKIND\tSHARDS\tHELD\tMEMBERS\tLEASE\tACT\tEVERY\tACTS\tREFUSED\tFAILED")
-				for _, t := range taskLines(v) {
-					fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", t.Name, t.Kind, t.Shards, t.Held, t.Members, ms(t.TTLMs), ms(t.OperationTimeoutMs),
-						ms(t.IntervalMs), t.Acts, t.Refused, t.Failed)
+				for _, t := range taskSummaries(v) {
+					fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%s\t%s\t%s\t%d\t%d\t%d\n", t.Name, t.Kind, t.Shards, t.Held, t.Members, formatMs(t.TTLMs), formatMs(t.OperationTimeoutMs),
+						formatMs(t.IntervalMs), t.Completed, t.Fenced, t.Failed)
 				}
 				fmt.Fprintf(w, "version %d, by %s\n", v.LeaseConfig.Version, v.Agent)
 			})
 		}}
 	show := &cobra.Command{Use: "show TASK", Short: "Show who holds each shard of a task, since when and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.show(cmd, func(v agent.FleetView) (any, error) { return showTask(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
-				if s, err := showTask(v, args[0]); err == nil {
-					s.table(w)
+			return f.show(cmd, func(v agent.FleetView) (any, error) { return newTaskStatus(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
+				if s, err := newTaskStatus(v, args[0]); err == nil {
+					s.writeTable(w)
 				}
 			})
 		}}
-	move := func(cmd *cobra.Command, args []string, to, done string) error {
+	migrate := func(cmd *cobra.Command, args []string, member, result string) error {
 		shard, err := strconv.Atoi(args[1])
 		if err != nil || shard < 0 {
 			return fmt.Errorf("shard: %q is not a number from 0 on", args[1])
 		}
 		k := lease.Key{Task: args[0], Shard: shard}
-		if err := f.change(f.client.MigrateLease(cmd.Context(), k, to)); err != nil {
+		if err := f.changeError(f.client.MigrateLease(cmd.Context(), k, member)); err != nil {
 			return fmt.Errorf("lease %s: %w", k, err)
 		}
-		fmt.Fprintf(cmd.OutOrStdout(), "%s %s\n", k, done)
+		fmt.Fprintf(cmd.OutOrStdout(), "%s %s\n", k, result)
 		return nil
 	}
 	release := &cobra.Command{Use: "release TASK SHARD", Short: "Have a shard's holder give it back, for another member", Args: cobra.ExactArgs(2),
-		RunE: func(cmd *cobra.Command, args []string) error { return move(cmd, args, lease.AnyMember, "is recalled") }}
-	to := &cobra.Command{Use: "move TASK SHARD MEMBER", Short: "Have a shard go to a member, by its id or its instance's name, and stay there", Args: cobra.ExactArgs(3),
-		RunE: func(cmd *cobra.Command, args []string) error { return move(cmd, args, args[2], "goes to "+args[2]) }}
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return migrate(cmd, args, lease.AnyMember, "is recalled")
+		}}
+	move := &cobra.Command{Use: "move TASK SHARD MEMBER", Short: "Have a shard go to a member, by its id or its instance's name, and stay there", Args: cobra.ExactArgs(3),
+		RunE: func(cmd *cobra.Command, args []string) error { return migrate(cmd, args, args[2], "goes to "+args[2]) }}
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of tasks and change nothing", Args: cobra.ExactArgs(1)}
-	against := check.Flags().String("budgets", "", "the fleet's file of budgets, whose renewals, seats and clocks the tasks' times have to fit")
+	budgetsPath := check.Flags().String("budgets", "", "the fleet's file of budgets, whose renewals, seats and clocks the tasks' times have to fit")
 	check.RunE = func(cmd *cobra.Command, args []string) error {
-		var doc *quota.Config
-		if *against != "" {
-			d, err := config.ReadBudgets(*against, nil)
+		var budgets *quota.Config
+		if *budgetsPath != "" {
+			d, err := config.ReadBudgets(*budgetsPath, nil)
 			if err != nil {
 				return err
 			}
-			doc = &d
+			budgets = &d
 		}
-		d, err := config.ReadTasks(args[0], doc)
+		d, err := config.ReadTasks(args[0], budgets)
 		if err == nil {
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d tasks\n", args[0], len(d.Tasks))
 		}
@@ -99,54 +101,54 @@
 				return err
 			}
 			d, err = f.client.SetLeaseConfig(cmd.Context(), d)
-			var no *agent.RejectedError
-			if errors.As(err, &no) {
+			var rejected *agent.RejectedError
+			if errors.As(err, &rejected) {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
-			if err := f.change(err); err != nil {
+			if err := f.changeError(err); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", d.Version)
 			return nil
 		}}
-	cmd.AddCommand(list, show, release, to, set, check)
+	cmd.AddCommand(list, show, release, move, set, check)
 	return cmd
 }
 
 // change is the error of a change, with the exit code that tells whether it may have been made.
-func (f *fleetFlags) change(err error) error {
-	var refused *agent.RejectedError
-	var why quota.RejectionError
-	if err == nil || errors.As(err, &refused) || errors.As(err, &why) {
+func (f *fleetFlags) changeError(err error) error {
+	var rejected *agent.RejectedError
+	var rejection quota.RejectionError
+	if err == nil || errors.As(err, &rejected) || errors.As(err, &rejection) {
 		return err
 	}
-	return &exit{exitSilent, err}
+	return &exitError{exitNoResponse, err}
 }
 
-func taskLines(v agent.FleetView) []taskLine {
-	all := []taskLine{}
+func taskSummaries(v agent.FleetView) []taskSummary {
+	all := []taskSummary{}
 	for _, t := range v.LeaseConfig.Tasks {
-		x := taskLine{Task: t}
-		by := map[string]bool{}
+		x := taskSummary{Task: t}
+		holders := map[string]bool{}
 		for _, l := range v.Leases {
 			if l.Task == t.Name && l.Holder != "" {
 				x.Held++
-				by[l.Holder] = true
-				x.Acts, x.Refused, x.Failed = x.Acts+l.Completed, x.Refused+l.Fenced, x.Failed+l.Failed
+				holders[l.Holder] = true
+				x.Completed, x.Fenced, x.Failed = x.Completed+l.Completed, x.Fenced+l.Fenced, x.Failed+l.Failed
 			}
 		}
-		x.Members = len(by)
+		x.Members = len(holders)
 		all = append(all, x)
 	}
 	return all
 }
 
-func showTask(v agent.FleetView, name string) (*taskShown, error) {
+func newTaskStatus(v agent.FleetView, name string) (*taskStatus, error) {
 	t := v.LeaseConfig.Task(name)
 	if t == nil {
 		return nil, fmt.Errorf("task: no task %q", name)
 	}
-	s := &taskShown{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.LeaseStatus{}}
+	s := &taskStatus{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.LeaseStatus{}}
 	for _, l := range v.Leases {
 		if l.Task == name {
 			s.Leases = append(s.Leases, l)
@@ -158,16 +160,16 @@
 	return s, nil
 }
 
-func (s *taskShown) table(w io.Writer) {
-	ago := func(n int64) string {
+func (s *taskStatus) writeTable(w io.Writer) {
+	msOrUnknown := func(n int64) string {
 		if n < 0 {
 			return "unknown"
 		}
-		return ms(n)
+		return formatMs(n)
 	}
 	fmt.Fprintln(w, "SHARD\tSTATE\tHOLDER\tTOKEN\tSINCE\tENDS IN\tPROGRESS\tACTS\tREFUSED\tFAILED\tNEXT\tMEMBER")
 	for _, l := range s.Leases {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Shard, l.State, l.HolderName, l.Token, ago(l.SinceMs), ago(l.UntilMs), ago(l.ProgressMs),
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Shard, l.State, l.HolderName, l.Token, msOrUnknown(l.SinceMs), msOrUnknown(l.UntilMs), msOrUnknown(l.ProgressMs),
 			l.Completed, l.Fenced, l.Failed, l.NextHolder, l.Holder)
 	}
 	fmt.Fprintf(w, "by %s\n", s.Agent)
@@ -175,13 +177,13 @@
 		fmt.Fprintln(w, "TARGET\tAVOIDED BY\tFOUND\tAGO\tTOOK\tTOKEN")
 	}
 	for _, b := range s.Board {
-		found, when, took, token := "not yet", "", "", ""
+		result, age, took, token := "not yet", "", "", ""
 		if b.Result != nil {
-			found, when, took, token = "not well", ms(b.Result.AgeMs), fmt.Sprintf("%d us", b.Result.LatencyUs), fmt.Sprint(b.Result.Token)
+			result, age, took, token = "not well", formatMs(b.Result.AgeMs), fmt.Sprintf("%d us", b.Result.LatencyUs), fmt.Sprint(b.Result.Token)
 			if b.Result.Healthy {
-				found = "well"
+				result = "well"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", b.Target, b.Reporters, found, when, took, token)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\n", b.Target, b.Reporters, result, age, took, token)
 	}
 }
--- a/cmd/spindlehitch/main.go
+++ b/cmd/spindlehitch/main.go
@@ -12,7 +12,7 @@
 func main() {
 	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "spindlehitch:", err)
-		var e *exit
+		var e *exitError
 		if errors.As(err, &e) {
 			os.Exit(e.code)
 		}
@@ -21,18 +21,18 @@
 }
 
 // exit is an error with an exit code that scripts can tell from others; without one it is 1.
-type exit struct {
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e *exit) Error() string { return e.err.Error() }
-func (e *exit) Unwrap() error { return e.err }
+func (e *exitError) Error() string { return e.err.Error() }
+func (e *exitError) Unwrap() error { return e.err }
 
 // Exit codes beside 0 and 1 (refused, or bad input).
 const (
-	exitOld    = 3 // what was printed may be old
-	exitSilent = 4 // no agent answered in time: a change may or may not have been made
+	exitStale      = 3 // what was printed may be old
+	exitNoResponse = 4 // no agent answered in time: a change may or may not have been made
 )
 
 func rootCommand() *cobra.Command {
--- a/cmd/spindlehitch/report.go
+++ b/cmd/spindlehitch/report.go
@@ -22,60 +22,60 @@
 )
 
 func reportCommand() *cobra.Command { //nolint:gocognit // to be split with its package, see docs/left.md
-	var files, instances []string
-	var since, until, volume, form, out, folder string
-	var logs []string
-	var least float64
-	var shares bool
+	var paths, instances []string
+	var since, until, volume, format, outPath, fleetDir string
+	var logPaths []string
+	var minShare float64
+	var showShares bool
 	cmd := &cobra.Command{
 		Use:   "report",
 		Short: "Tell where the time of each volume's requests went, and what they waited behind",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if folder != "" {
-				return fleetReports(cmd.OutOrStdout(), folder, form)
+			if fleetDir != "" {
+				return writeFleetReports(cmd.OutOrStdout(), fleetDir, format)
 			}
-			from, to, err := window(since, until)
+			from, to, err := parseWindow(since, until)
 			if err != nil {
 				return err
 			}
-			var all []accounts.Snapshot
-			for _, path := range files {
-				some, skipped, err := disk.ReadAll(path, from, to)
+			var snapshots []accounts.Snapshot
+			for _, path := range paths {
+				read, skipped, err := disk.ReadAll(path, from, to)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
 				for _, err := range skipped {
 					fmt.Fprintln(cmd.ErrOrStderr(), "skipped:", err)
 				}
-				all = append(all, some...)
+				snapshots = append(snapshots, read...)
 			}
 			for _, addr := range instances {
-				s, err := ask(addr)
+				s, err := fetchSnapshot(addr)
 				if err != nil {
 					return fmt.Errorf("report: instance %s: %w", addr, err)
 				}
-				all = append(all, s)
+				snapshots = append(snapshots, s)
 			}
-			for _, path := range logs {
-				s, err := sharesOf(path)
+			for _, path := range logPaths {
+				s, err := readShares(path)
 				if err != nil {
 					return fmt.Errorf("report: %w", err)
 				}
-				all = append(all, s)
+				snapshots = append(snapshots, s)
 			}
-			if len(all) > 0 && (shares || len(logs) > 0) {
-				merged := accounts.MergeShares(all...)
-				list, sum := merged.Shares(least)
-				if form == "json" {
+			if len(snapshots) > 0 && (showShares || len(logPaths) > 0) {
+				merged := accounts.MergeShares(snapshots...)
+				list, sum := merged.Shares(minShare)
+				if format == "json" {
 					return json.NewEncoder(cmd.OutOrStdout()).Encode(map[string]any{"shares": list, "all": sum})
 				}
 				return accounts.WriteShares(cmd.OutOrStdout(), list, sum)
 			}
-			if len(all) == 0 {
+			if len(snapshots) == 0 {
 				return errors.New("report: no accounts in that window; name files or a folder by --from, instances by --instances")
 			}
-			merged, err := accounts.Merge(all...)
+			merged, err := accounts.Merge(snapshots...)
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
@@ -83,33 +83,33 @@
 			if err != nil {
 				return fmt.Errorf("report: %w", err)
 			}
-			return write(cmd.OutOrStdout(), r, form, out)
+			return writeReport(cmd.OutOrStdout(), r, format, outPath)
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&files, "from", nil, "files of accounts, or folders of them")
+	f.StringSliceVar(&paths, "from", nil, "files of accounts, or folders of them")
 	f.StringSliceVar(&instances, "instances", nil, "addresses at which running instances tell theirs")
-	f.BoolVar(&shares, "shares", false, "tell the served share of each class, plan and volume, the least served first")
-	f.StringSliceVar(&logs, "logs", nil, "logs of instances with [accounts] log = true, or folders of them: their shares")
-	f.Float64Var(&least, "least", 0.05, "of shares, only those with at least this part of all worth asked")
-	f.StringVar(&folder, "fleet", "", "list the reports in the folder of the fleet's account, and nothing else")
+	f.BoolVar(&showShares, "shares", false, "tell the served share of each class, plan and volume, the least served first")
+	f.StringSliceVar(&logPaths, "logs", nil, "logs of instances with [accounts] log = true, or folders of them: their shares")
+	f.Float64Var(&minShare, "least", 0.05, "of shares, only those with at least this part of all worth asked")
+	f.StringVar(&fleetDir, "fleet", "", "list the reports in the folder of the fleet's account, and nothing else")
 	f.StringVar(&since, "since", "", "only files that go past this time (RFC 3339)")
 	f.StringVar(&until, "until", "", "only files that begin before this time")
 	f.StringVar(&volume, "volume", "", "only this volume")
-	f.StringVar(&form, "format", "text", "text, json or parquet")
-	f.StringVarP(&out, "output", "o", "", "a file to write to; parquet needs one")
+	f.StringVar(&format, "format", "text", "text, json or parquet")
+	f.StringVarP(&outPath, "output", "o", "", "a file to write to; parquet needs one")
 	return cmd
 }
 
-func window(since, until string) (from, to time.Time, err error) {
+func parseWindow(since, until string) (from, to time.Time, err error) {
 	for _, x := range []struct {
 		flag, text string
-		into       *time.Time
+		dest       *time.Time
 	}{{"since", since, &from}, {"until", until, &to}} {
 		if x.text == "" {
 			continue
 		}
-		if *x.into, err = time.Parse(time.RFC3339, x.text); err != nil {
+		if *x.dest, err = time.Parse(time.RFC3339, x.text); err != nil {
 			return from, to, fmt.Errorf("report: --%s: %q is not a time such as 2026-12-01T18:00:00Z", x.flag, x.text)
 		}
 	}
@@ -120,30 +120,30 @@
 }
 
 // fleetReports lists the windows of the fleet's account.
-func fleetReports(w io.Writer, dir, form string) error {
-	all, err := leasework.Reports(dir)
+func writeFleetReports(out io.Writer, dir, format string) error {
+	reports, err := leasework.Reports(dir)
 	if err != nil {
 		return fmt.Errorf("report: --fleet: %w", err)
 	}
-	if form == "json" {
-		e := json.NewEncoder(w)
+	if format == "json" {
+		e := json.NewEncoder(out)
 		e.SetIndent("", "  ")
-		return e.Encode(all)
+		return e.Encode(reports)
 	}
-	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(t, "WINDOW\tLENGTH\tINSTANCES\tMISSING\tBY\tTOKEN\tFILE")
-	for _, x := range all {
+	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(w, "WINDOW\tLENGTH\tINSTANCES\tMISSING\tBY\tTOKEN\tFILE")
+	for _, x := range reports {
 		missing := strings.Join(x.Missing, "; ")
-		fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\t%d\t%s\n", time.Unix(x.Start, 0).UTC().Format(time.RFC3339), time.Duration(x.WindowS)*time.Second, len(x.Instances), missing, x.Member, x.Token, x.File)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%d\t%s\n", time.Unix(x.Start, 0).UTC().Format(time.RFC3339), time.Duration(x.WindowS)*time.Second, len(x.Instances), missing, x.Member, x.Token, x.File)
 	}
-	return t.Flush()
+	return w.Flush()
 }
 
-const askWithin, mostAccounts = 5 * time.Second, 64 << 20
+const fetchTimeout, maxSnapshotBytes = 5 * time.Second, 64 << 20
 
 // ask has a running instance tell its accounts.
-func ask(addr string) (s accounts.Snapshot, err error) {
-	client := http.Client{Timeout: askWithin}
+func fetchSnapshot(addr string) (s accounts.Snapshot, err error) {
+	client := http.Client{Timeout: fetchTimeout}
 	resp, err := client.Get("http://" + addr + "/accounts")
 	if err != nil {
 		return s, err
@@ -152,28 +152,28 @@
 	if resp.StatusCode != http.StatusOK {
 		return s, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	if err := jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(io.LimitReader(resp.Body, mostAccounts)).Decode(&s); err != nil {
+	if err := jsoniter.ConfigCompatibleWithStandardLibrary.NewDecoder(io.LimitReader(resp.Body, maxSnapshotBytes)).Decode(&s); err != nil {
 		return s, err
 	}
 	return s, s.Check()
 }
 
-func write(w io.Writer, r accounts.Report, form, out string) (err error) {
-	if form != "text" && form != "json" && form != "parquet" {
-		return fmt.Errorf("report: --format: %q is none of text, json and parquet", form)
+func writeReport(w io.Writer, r accounts.Report, format, outPath string) (err error) {
+	if format != "text" && format != "json" && format != "parquet" {
+		return fmt.Errorf("report: --format: %q is none of text, json and parquet", format)
 	}
-	if form == "parquet" && out == "" {
+	if format == "parquet" && outPath == "" {
 		return errors.New("report: --format parquet needs --output")
 	}
-	if out != "" {
-		f, err := os.Create(out)
+	if outPath != "" {
+		f, err := os.Create(outPath)
 		if err != nil {
 			return fmt.Errorf("report: %w", err)
 		}
 		defer func() { err = errors.Join(err, f.Close()) }()
 		w = f
 	}
-	switch form {
+	switch format {
 	case "json":
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
@@ -185,8 +185,8 @@
 }
 
 // sharesOf reads the shares in a log, or in all files of a folder.
-func sharesOf(path string) (accounts.Snapshot, error) {
-	var all []accounts.Snapshot
+func readShares(path string) (accounts.Snapshot, error) {
+	var snapshots []accounts.Snapshot
 	err := filepath.WalkDir(path, func(name string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() {
 			return err
@@ -200,8 +200,8 @@
 		if err != nil {
 			return fmt.Errorf("%s: %w", name, err)
 		}
-		all = append(all, s)
+		snapshots = append(snapshots, s)
 		return nil
 	})
-	return accounts.MergeShares(all...), err
+	return accounts.MergeShares(snapshots...), err
 }
--- a/cmd/spindlehitch/serve.go
+++ b/cmd/spindlehitch/serve.go
@@ -15,42 +15,42 @@
 func serveCommand() *cobra.Command {
 	var operator string
 	var agents []string
-	var layers bool
+	var fromFeed bool
 	cmd := &cobra.Command{
 		Use:   "serve",
 		Short: "Run one initiator, as the environment and its configuration say",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-			stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
 			// Taken from the start on: a SIGHUP that nobody waits for would end the process.
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
-			if len(agents) > 0 || layers {
+			if len(agents) > 0 || fromFeed {
 				go func() {
 					for range hup {
 						log.Info("nothing to reload", slog.String("reason", "AGENTS_CONFIGURE"))
 					}
 				}()
 			}
-			if layers {
-				return instance.ServeFromFeed(stop, os.Getenv, operator, log)
+			if fromFeed {
+				return instance.ServeFromFeed(ctx, os.Getenv, operator, log)
 			}
 			if len(agents) > 0 {
-				return instance.ServeFromAgents(stop, agents, os.Getenv, operator, log)
+				return instance.ServeFromAgents(ctx, agents, os.Getenv, operator, log)
 			}
 			cfg, op, err := instance.Load(os.Getenv, operator)
 			if err != nil {
 				return err
 			}
 			changes := instance.ReloadOnSignal(hup, os.Getenv, cfg.Discovery, operator, log)
-			return instance.Serve(stop, cfg, op, instance.Options{Log: log, Changes: changes})
+			return instance.Serve(ctx, cfg, op, instance.Options{Log: log, Changes: changes})
 		},
 	}
 	cmd.Flags().StringVar(&operator, "operator", "", "an operator's file (TOML), such as deploy/nvme.toml")
 	cmd.Flags().StringSliceVar(&agents, "agents", nil, "take the configuration of PROXY_NAME from these agents, and follow its changes")
-	cmd.Flags().BoolVar(&layers, "config-from-feed", false, "take the configuration of PROXY_NAME from the feed in the operator's file, and follow its changes")
+	cmd.Flags().BoolVar(&fromFeed, "config-from-feed", false, "take the configuration of PROXY_NAME from the feed in the operator's file, and follow its changes")
 	cmd.MarkFlagsMutuallyExclusive("agents", "config-from-feed")
 	return cmd
 }
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -33,9 +33,9 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-const settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,
+const policySettings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,
  "effect":"pure","worth":3}],"contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 
@@ -50,26 +50,26 @@
 }
 
 // world is a stand-in target and a discovery that names it.
-type world struct {
+type fixture struct {
 	listen, discovery string
-	found             http.Handler
-	slow              atomic.Bool
-	asked             atomic.Int64
-	came, release     chan struct{}
+	discoveryHandler  http.Handler
+	holdRequests      atomic.Bool
+	requestCount      atomic.Int64
+	arrived, release  chan struct{}
 }
 
-func newWorld(t testing.TB) *world {
+func newFixture(t testing.TB) *fixture {
 	t.Helper()
-	w := &world{listen: freeAddr(t), came: make(chan struct{}, 1), release: make(chan struct{})}
+	f := &fixture{listen: freeAddr(t), arrived: make(chan struct{}, 1), release: make(chan struct{})}
 	target := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		if w.slow.Load() {
-			w.came <- struct{}{}
-			<-w.release
+		if f.holdRequests.Load() {
+			f.arrived <- struct{}{}
+			<-f.release
 		}
 		fmt.Fprint(rw, "from the target")
 	}))
 	t.Cleanup(target.Close)
-	w.found = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+	f.discoveryHandler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("after") {
 			<-r.Context().Done()
 			return
@@ -77,25 +77,25 @@
 		fmt.Fprintf(rw, `{"version":1,"full":true,"servers":[{"id":"t","addr":%q,"cell":0,"state":"SERVING"}]}`,
 			strings.TrimPrefix(target.URL, "http://"))
 	})
-	found := httptest.NewServer(w.found)
-	t.Cleanup(found.Close)
-	w.discovery = strings.TrimPrefix(found.URL, "http://")
-	return w
+	discovery := httptest.NewServer(f.discoveryHandler)
+	t.Cleanup(discovery.Close)
+	f.discovery = strings.TrimPrefix(discovery.URL, "http://")
+	return f
 }
 
-func (w *world) config() string {
-	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`, w.listen, w.discovery, settings)
+func (f *fixture) config() string {
+	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`, f.listen, f.discovery, policySettings)
 }
 
 // ask sends one request on a connection of its own; a status of 0 says that none came.
-func (w *world) ask() (int, string) {
-	c, err := net.Dial("tcp", w.listen)
+func (f *fixture) get() (int, string) {
+	c, err := net.Dial("tcp", f.listen)
 	if err != nil {
 		return 0, err.Error()
 	}
 	defer c.Close()
 	fmt.Fprintf(c, "GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nHost: a\r\nRequest-Id: i%d\r\nTier: base\r\n"+
-		"Request-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n", w.asked.Add(1))
+		"Request-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n\r\n", f.requestCount.Add(1))
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
 		return 0, err.Error()
@@ -105,17 +105,17 @@
 }
 
 // until asks until a request is served.
-func (w *world) until(t *testing.T) {
+func (f *fixture) waitServed(t *testing.T) {
 	t.Helper()
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
-		status, body := w.ask()
+		status, body := f.get()
 		assert.Equal(t, 200, status)
 		assert.Equal(t, "from the target", body)
 	}, time.Minute, 10*time.Millisecond)
 }
 
 // ready waits until the page says yes.
-func ready(t *testing.T, url string) {
+func waitReady(t *testing.T, url string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		resp, err := http.Get(url)
@@ -128,36 +128,36 @@
 
 // TestServeAndStop runs a whole initiator, and ends it with a request open: that one is served first.
 func TestServeAndStop(t *testing.T) {
-	w := newWorld(t)
+	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(w.config()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(f.config()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cfg, op, err := instance.Load(func(name string) string { return map[string]string{"PROXY_CONFIG": path}[name] }, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet}) }()
-	w.until(t)
-	w.slow.Store(true)
-	open := make(chan string, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog}) }()
+	f.waitServed(t)
+	f.holdRequests.Store(true)
+	response := make(chan string, 1)
 	go func() {
-		status, body := w.ask()
-		open <- fmt.Sprint(status, " ", body)
+		status, body := f.get()
+		response <- fmt.Sprint(status, " ", body)
 	}()
-	<-w.came
-	leave()
+	<-f.arrived
+	cancel()
 	time.Sleep(core.NewShutdownSchedule(time.Minute).RespondWithin + 300*time.Millisecond) // its client waits for longer than that
-	close(w.release)
-	if got := <-open; got != "200 from the target" {
+	close(f.release)
+	if got := <-response; got != "200 from the target" {
 		t.Errorf("the request that was open: %s", got)
 	}
-	if err := <-ended; err != nil {
+	if err := <-serveErr; err != nil {
 		t.Error(err)
 	}
-	if status, _ := w.ask(); status != 0 {
+	if status, _ := f.get(); status != 0 {
 		t.Errorf("served after the end: %d", status)
 	}
 }
@@ -166,17 +166,17 @@
 // changes nothing, a good one moves discovery against the environment's word, and only there. Requests are served all
 // along, and the end is in order with a reload under way.
 func TestReload(t *testing.T) {
-	w := newWorld(t)
+	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	put := func(text string) {
+	writeConfig := func(text string) {
 		t.Helper()
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(w.config())
+	writeConfig(f.config())
 	getenv := func(name string) string {
-		return map[string]string{"PROXY_CONFIG": path, "PROXY_DISCOVERY": w.discovery}[name]
+		return map[string]string{"PROXY_CONFIG": path, "PROXY_DISCOVERY": f.discovery}[name]
 	}
 	cfg, op, err := instance.Load(getenv, "")
 	if err != nil {
@@ -185,43 +185,43 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
 	go func() {
-		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, Changes: instance.ReloadOnSignal(hup, getenv, cfg.Discovery, "", quiet)})
+		serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog, Changes: instance.ReloadOnSignal(hup, getenv, cfg.Discovery, "", discardLog)})
 	}()
-	w.until(t)
-	signalled := func() {
+	f.waitServed(t)
+	reload := func() {
 		if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
 	}
-	put(`{"name":"n1"}`)
-	signalled()
-	w.until(t)
+	writeConfig(`{"name":"n1"}`)
+	reload()
+	f.waitServed(t)
 	for range 3 {
-		asked := make(chan string, 64)
-		found := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-			asked <- r.URL.String()
-			w.found.ServeHTTP(rw, r)
+		requested := make(chan string, 64)
+		discovery := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+			requested <- r.URL.String()
+			f.discoveryHandler.ServeHTTP(rw, r)
 		}))
-		defer found.Close()
-		put(strings.Replace(w.config(), w.discovery, strings.TrimPrefix(found.URL, "http://"), 1))
-		signalled()
+		defer discovery.Close()
+		writeConfig(strings.Replace(f.config(), f.discovery, strings.TrimPrefix(discovery.URL, "http://"), 1))
+		reload()
 		select {
-		case got := <-asked:
+		case got := <-requested:
 			if got != "/api/targets" {
 				t.Errorf("first asked at the new address: %q", got)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("the new address was not asked")
 		}
-		w.until(t)
+		f.waitServed(t)
 	}
-	put(w.config())
-	signalled()
-	leave()
-	if err := <-ended; err != nil {
+	writeConfig(f.config())
+	reload()
+	cancel()
+	if err := <-serveErr; err != nil {
 		t.Error(err)
 	}
 }
@@ -229,45 +229,45 @@
 // TestFollow has an instance take its configuration from an agent, keep it when a bad one comes, and move to a
 // successor when a good one does, without a request lost.
 func TestFollow(t *testing.T) {
-	w := newWorld(t)
-	set := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 2)
-	go func() { ended <- runAgent(stop, set, quiet) }()
-	client := &agent.Client{Addrs: []string{set.API()}}
-	put := func(text string) (err error) {
-		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-			if _, err = client.PutConfig(stop, "n1", []byte(text), ""); err == nil || !strings.Contains(err.Error(), "leader") &&
+	f := newFixture(t)
+	agentConfig := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
+	ctx, cancel := context.WithCancel(context.Background())
+	errs := make(chan error, 2)
+	go func() { errs <- runAgent(ctx, agentConfig, discardLog) }()
+	client := &agent.Client{Addrs: []string{agentConfig.API()}}
+	putConfig := func(text string) (err error) {
+		for deadline := time.Now().Add(time.Minute); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+			if _, err = client.PutConfig(ctx, "n1", []byte(text), ""); err == nil || !strings.Contains(err.Error(), "leader") &&
 				!strings.Contains(err.Error(), "refused") {
 				return err
 			}
 		}
 		return err
 	}
-	if err := put(w.config()); err != nil {
+	if err := putConfig(f.config()); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
-		ended <- instance.ServeFromAgents(stop, client.Addrs, func(name string) string { return map[string]string{"PROXY_NAME": "n1"}[name] }, "", quiet)
+		errs <- instance.ServeFromAgents(ctx, client.Addrs, func(name string) string { return map[string]string{"PROXY_NAME": "n1"}[name] }, "", discardLog)
 	}()
-	w.until(t)
-	if err := put(`{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
+	f.waitServed(t)
+	if err := putConfig(`{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
 		t.Errorf("a configuration that cannot be served: %v", err)
 	}
-	first := w.listen
-	w.listen = freeAddr(t)
-	if err := put(w.config()); err != nil {
+	oldListen := f.listen
+	f.listen = freeAddr(t)
+	if err := putConfig(f.config()); err != nil {
 		t.Fatal(err)
 	}
-	w.until(t)
-	now := w.listen
-	w.listen = first
-	require.Eventually(t, func() bool { status, _ := w.ask(); return status == 0 }, time.Minute, 20*time.Millisecond, "the predecessor still answers")
-	w.listen = now
-	w.until(t)
-	leave()
+	f.waitServed(t)
+	newListen := f.listen
+	f.listen = oldListen
+	require.Eventually(t, func() bool { status, _ := f.get(); return status == 0 }, time.Minute, 20*time.Millisecond, "the predecessor still answers")
+	f.listen = newListen
+	f.waitServed(t)
+	cancel()
 	for range 2 {
-		if err := <-ended; err != nil {
+		if err := <-errs; err != nil {
 			t.Error(err)
 		}
 	}
@@ -276,15 +276,15 @@
 // TestServeNVMe serves by an operator's file: NVMe over TCP answers at its address, and on the platform's there
 // is the ready page alone.
 func TestServeNVMe(t *testing.T) {
-	w := newWorld(t)
-	dir, at := t.TempDir(), freeAddr(t)
+	f := newFixture(t)
+	dir, nvmeAddr := t.TempDir(), freeAddr(t)
 	raw, err := os.ReadFile("../../deploy/nvme.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text := strings.NewReplacer("127.0.0.1:4420", at, "standard", "base", "event-write", "position-read",
+	text := strings.NewReplacer("127.0.0.1:4420", nvmeAddr, "standard", "base", "event-write", "position-read",
 		"history-export", "position-read").Replace(string(raw))
-	for name, text := range map[string]string{"config.json": w.config(), "nvme.toml": text} {
+	for name, text := range map[string]string{"config.json": f.config(), "nvme.toml": text} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -295,41 +295,41 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, leave := context.WithCancel(context.Background())
-	up, ended, changes := make(chan struct{}), make(chan error, 1), make(chan instance.Change)
+	ctx, cancel := context.WithCancel(context.Background())
+	listening, serveErr, changes := make(chan struct{}), make(chan error, 1), make(chan instance.Change)
 	go func() {
-		ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet, OnListening: func() { close(up) }, Changes: changes})
+		serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog, OnListening: func() { close(listening) }, Changes: changes})
 	}()
-	<-up
-	if status, _ := w.ask(); status != 404 {
+	<-listening
+	if status, _ := f.get(); status != 404 {
 		t.Errorf("a request by HTTP: status %d", status)
 	}
-	ready(t, "http://"+w.listen+"/-/ready")
-	c, err := net.Dial("tcp", at)
+	waitReady(t, "http://"+f.listen+"/-/ready")
+	c, err := net.Dial("tcp", nvmeAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	_, _ = c.Write(append([]byte{0, 0, 128, 0, 128, 0, 0, 0}, make([]byte, 120)...)) // ICReq
-	answer := make([]byte, 128)
-	if _, err := io.ReadFull(c, answer); err != nil || answer[0] != 1 {
-		t.Errorf("ICReq was answered with %x, %v", answer[:8], err)
+	response := make([]byte, 128)
+	if _, err := io.ReadFull(c, response); err != nil || response[0] != 1 {
+		t.Errorf("ICReq was answered with %x, %v", response[:8], err)
 	}
 	// The conformance suite at the command line, before and after other namespaces came by a reload.
 	conform := func(namespace string) (string, error) {
 		var out strings.Builder
 		root := rootCommand()
 		root.SetOut(&out)
-		root.SetArgs([]string{"conform", "--addr", at, "--subsystem", op.NVMe.Subsystem, "--namespace", namespace})
+		root.SetArgs([]string{"conform", "--addr", nvmeAddr, "--subsystem", op.NVMe.Subsystem, "--namespace", namespace})
 		err := root.Execute()
 		return out.String(), err
 	}
 	if out, err := conform("1"); err != nil || !strings.Contains(out, " 0 failed") {
 		t.Errorf("conform: %v\n%s", err, out)
 	}
-	spaces := slices.Clone(op.NVMe.Namespaces)
-	spaces[0].ID = 5
-	changes <- instance.Change{Namespaces: spaces}
+	namespaces := slices.Clone(op.NVMe.Namespaces)
+	namespaces[0].ID = 5
+	changes <- instance.Change{Namespaces: namespaces}
 	changes <- instance.Change{} // the first has been taken over by now
 	if out, err := conform("5"); err != nil {
 		t.Errorf("conform after the reload: %v\n%s", err, out)
@@ -337,17 +337,17 @@
 	if out, err := conform("1"); err == nil || !strings.Contains(out, "fail") {
 		t.Errorf("conform of a namespace that is gone: %v\n%s", err, out)
 	}
-	leave()
-	if err := <-ended; err != nil {
+	cancel()
+	if err := <-serveErr; err != nil {
 		t.Error(err)
 	}
 }
 
 // TestCommands runs the command line's own words.
 func TestCommands(t *testing.T) {
-	w := newWorld(t)
+	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(w.config()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(f.config()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	run := func(args ...string) (string, error) {
@@ -361,7 +361,7 @@
 	if out, err := run("check", path); err != nil || !strings.HasPrefix(out, "n1: 1 classes") {
 		t.Errorf("check: %q, %v", out, err)
 	}
-	if err := os.WriteFile(path, []byte(strings.Replace(w.config(), "n1", "", 1)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(strings.Replace(f.config(), "n1", "", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := run("check", path); err == nil || !strings.Contains(err.Error(), "name") {
@@ -378,11 +378,11 @@
 // TestAccounts has an instance keep accounts, asks it for them while it runs, and reads what it left on its disk, in each
 // form; what cannot be told gets one clear message.
 func TestAccounts(t *testing.T) {
-	w := newWorld(t)
-	dir, at := t.TempDir(), freeAddr(t)
-	kept := filepath.Join(dir, "accounts.data")
-	for name, text := range map[string]string{"config.json": w.config(),
-		"accounts.toml": fmt.Sprintf("[accounts]\nlisten = %q\ndir = %q\nwindow_s = 3600\n", at, kept)} {
+	f := newFixture(t)
+	dir, nvmeAddr := t.TempDir(), freeAddr(t)
+	accountsDir := filepath.Join(dir, "accounts.data")
+	for name, text := range map[string]string{"config.json": f.config(),
+		"accounts.toml": fmt.Sprintf("[accounts]\nlisten = %q\ndir = %q\nwindow_s = 3600\n", nvmeAddr, accountsDir)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -393,10 +393,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stop, leave := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- instance.Serve(stop, cfg, op, instance.Options{Log: quiet}) }()
-	w.until(t)
+	ctx, cancel := context.WithCancel(context.Background())
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- instance.Serve(ctx, cfg, op, instance.Options{Log: discardLog}) }()
+	f.waitServed(t)
 	report := func(args ...string) (string, error) {
 		var out strings.Builder
 		root := rootCommand()
@@ -407,12 +407,12 @@
 		return out.String(), err
 	}
 	var r accounts.Report
-	for end := time.Now().Add(time.Minute); len(r.Volumes) == 0 || r.Volumes[0].Requests == 0; time.Sleep(10 * time.Millisecond) {
-		out, err := report("--instances", at, "--format", "json")
+	for deadline := time.Now().Add(time.Minute); len(r.Volumes) == 0 || r.Volumes[0].Requests == 0; time.Sleep(10 * time.Millisecond) {
+		out, err := report("--instances", nvmeAddr, "--format", "json")
 		if err == nil {
 			err = json.Unmarshal([]byte(out), &r)
 		}
-		if err != nil || time.Now().After(end) {
+		if err != nil || time.Now().After(deadline) {
 			t.Fatalf("%v\n%s", err, out)
 		}
 	}
@@ -420,19 +420,19 @@
 	if v.Node <= 0 || v.P50 <= 0 || len(r.Nodes) != 1 || r.Nodes[0].Answers == 0 {
 		t.Errorf("%+v", r)
 	}
-	testTop(t, at, v.Volume)
-	leave()
-	if err := <-ended; err != nil {
+	checkTop(t, nvmeAddr, v.Volume)
+	cancel()
+	if err := <-serveErr; err != nil {
 		t.Fatal(err)
 	}
-	if out, err := report("--from", kept, "--volume", v.Volume); err != nil || !strings.Contains(out, v.Volume) || !strings.Contains(out, "n1, ") {
+	if out, err := report("--from", accountsDir, "--volume", v.Volume); err != nil || !strings.Contains(out, v.Volume) || !strings.Contains(out, "n1, ") {
 		t.Errorf("%v\n%s", err, out)
 	}
-	columns := filepath.Join(dir, "out.parquet")
-	if out, err := report("--from", kept, "--format", "parquet", "-o", columns); err != nil {
+	parquetPath := filepath.Join(dir, "out.parquet")
+	if out, err := report("--from", accountsDir, "--format", "parquet", "-o", parquetPath); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	rows, err := parquet.ReadFile[accounts.Row](columns)
+	rows, err := parquet.ReadFile[accounts.Row](parquetPath)
 	if err != nil || len(rows) != 1 || rows[0].Volume != v.Volume || rows[0].Requests < v.Requests {
 		t.Errorf("%+v, %v", rows, err)
 	}
@@ -440,14 +440,14 @@
 		args []string
 		want string
 	}{
-		{[]string{"--from", kept, "--volume", "nobody"}, `volume "nobody" has no account`},
-		{[]string{"--from", kept, "--since", "yesterday"}, "--since"},
-		{[]string{"--from", kept, "--since", "2026-12-02T00:00:00Z", "--until", "2026-12-01T00:00:00Z"}, "not before"},
-		{[]string{"--from", kept, "--until", "2001-01-01T00:00:00Z"}, "no accounts in that window"},
-		{[]string{"--from", kept, "--format", "xml"}, "--format"},
-		{[]string{"--from", kept, "--format", "parquet"}, "--output"},
+		{[]string{"--from", accountsDir, "--volume", "nobody"}, `volume "nobody" has no account`},
+		{[]string{"--from", accountsDir, "--since", "yesterday"}, "--since"},
+		{[]string{"--from", accountsDir, "--since", "2026-12-02T00:00:00Z", "--until", "2026-12-01T00:00:00Z"}, "not before"},
+		{[]string{"--from", accountsDir, "--until", "2001-01-01T00:00:00Z"}, "no accounts in that window"},
+		{[]string{"--from", accountsDir, "--format", "xml"}, "--format"},
+		{[]string{"--from", accountsDir, "--format", "parquet"}, "--output"},
 		{[]string{"--from", filepath.Join(dir, "nowhere")}, "nowhere"},
-		{[]string{"--instances", at}, "instance " + at},
+		{[]string{"--instances", nvmeAddr}, "instance " + nvmeAddr},
 	} {
 		if out, err := report(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v\n%s", c.args, err, out)
@@ -456,25 +456,25 @@
 }
 
 // testTop looks at the live screen of a running instance and one that does not answer, in each order, and leaves it.
-func testTop(t *testing.T, at, volume string) {
+func checkTop(t *testing.T, addr, volume string) {
 	t.Helper()
-	var m tea.Model = top{instances: []string{at, "127.0.0.1:1"}, every: time.Second, height: 24}
-	m, again := m.Update(m.Init()())
-	if again == nil {
+	var m tea.Model = topModel{instances: []string{addr, "127.0.0.1:1"}, interval: time.Second, height: 24}
+	m, cmd := m.Update(m.Init()())
+	if cmd == nil {
 		t.Error("the instances are asked once only")
 	}
-	for _, x := range orders {
-		screen := m.(top).screen()
+	for _, x := range sortOrders {
+		screen := m.(topModel).render()
 		if !strings.Contains(screen, "by "+x.name) || !strings.Contains(screen, volume) || !strings.Contains(screen, "no answer: 127.0.0.1:1") {
 			t.Errorf("by %s:\n%s", x.name, screen)
 		}
 		m, _ = m.Update(tea.KeyPressMsg{Code: 'o', Text: "o"})
 	}
-	crowded := m.(top)
+	crowded := m.(topModel)
 	for i := range 100 {
 		crowded.report.Volumes = append(crowded.report.Volumes, accounts.Row{Volume: fmt.Sprint("w", i)})
 	}
-	if lines := strings.Count(crowded.screen(), "\n"); lines > crowded.height {
+	if lines := strings.Count(crowded.render(), "\n"); lines > crowded.height {
 		t.Errorf("%d lines on a screen of %d", lines, crowded.height)
 	}
 	if _, quit := m.Update(tea.KeyPressMsg{Code: 'q', Text: "q"}); quit == nil {
--- a/cmd/spindlehitch/top.go
+++ b/cmd/spindlehitch/top.go
@@ -16,7 +16,7 @@
 
 func topCommand() *cobra.Command {
 	var instances []string
-	var every time.Duration
+	var interval time.Duration
 	cmd := &cobra.Command{
 		Use:   "top",
 		Short: "Show live which volumes wait, and behind what",
@@ -25,20 +25,20 @@
 			if len(instances) == 0 {
 				return errors.New("top: --instances names none")
 			}
-			_, err := tea.NewProgram(top{instances: instances, every: max(every, 100*time.Millisecond), height: 24},
+			_, err := tea.NewProgram(topModel{instances: instances, interval: max(interval, 100*time.Millisecond), height: 24},
 				tea.WithInput(cmd.InOrStdin()), tea.WithOutput(cmd.OutOrStdout()), tea.WithContext(cmd.Context())).Run()
 			return err
 		},
 	}
 	cmd.Flags().StringSliceVar(&instances, "instances", nil, "addresses at which running instances tell their accounts")
-	cmd.Flags().DurationVar(&every, "every", time.Second, "how often they are asked")
+	cmd.Flags().DurationVar(&interval, "every", time.Second, "how often they are asked")
 	return cmd
 }
 
 // top is the state of the screen.
-type top struct {
+type topModel struct {
 	instances []string
-	every     time.Duration
+	interval  time.Duration
 	height    int
 	order     int // by which of orders
 	report    accounts.Report
@@ -46,9 +46,9 @@
 }
 
 // orders are by what volumes may be listed, the most first.
-var orders = []struct {
-	name string
-	of   func(accounts.Row) float64
+var sortOrders = []struct {
+	name  string
+	value func(accounts.Row) float64
 }{
 	{"waiting", func(r accounts.Row) float64 { return r.Bound }},
 	{"p99", func(r accounts.Row) float64 { return r.P99 }},
@@ -57,40 +57,40 @@
 }
 
 // news is what the instances told.
-type news struct {
+type refreshMsg struct {
 	report accounts.Report
 	failed []string
 }
 
 // look asks the instances and makes one report of those that answer.
-func (t top) look() tea.Msg {
-	var n news
-	var all []accounts.Snapshot
+func (t topModel) refresh() tea.Msg {
+	var msg refreshMsg
+	var snapshots []accounts.Snapshot
 	for _, addr := range t.instances {
-		s, err := ask(addr)
+		s, err := fetchSnapshot(addr)
 		if err != nil {
-			n.failed = append(n.failed, fmt.Sprintf("%s: %v", addr, err))
+			msg.failed = append(msg.failed, fmt.Sprintf("%s: %v", addr, err))
 			continue
 		}
-		all = append(all, s)
+		snapshots = append(snapshots, s)
 	}
-	merged, err := accounts.Merge(all...)
+	merged, err := accounts.Merge(snapshots...)
 	if err == nil {
-		n.report, err = accounts.Tell(merged, "")
+		msg.report, err = accounts.Tell(merged, "")
 	}
 	if err != nil {
-		n.failed = append(n.failed, err.Error())
+		msg.failed = append(msg.failed, err.Error())
 	}
-	return n
+	return msg
 }
 
-func (t top) Init() tea.Cmd { return t.look }
+func (t topModel) Init() tea.Cmd { return t.refresh }
 
-func (t top) Update(m tea.Msg) (tea.Model, tea.Cmd) {
-	switch m := m.(type) {
-	case news:
+func (t topModel) Update(msg tea.Msg) (tea.Model, tea.Cmd) {
+	switch m := msg.(type) {
+	case refreshMsg:
 		t.report, t.failed = m.report, m.failed
-		return t, tea.Tick(t.every, func(time.Time) tea.Msg { return t.look() })
+		return t, tea.Tick(t.interval, func(time.Time) tea.Msg { return t.refresh() })
 	case tea.WindowSizeMsg:
 		t.height = m.Height
 	case tea.KeyPressMsg:
@@ -98,28 +98,28 @@
 		case "q", "ctrl+c", "esc":
 			return t, tea.Quit
 		case "o", "space":
-			t.order = (t.order + 1) % len(orders)
+			t.order = (t.order + 1) % len(sortOrders)
 		}
 	}
 	return t, nil
 }
 
-func (t top) View() tea.View {
-	v := tea.NewView(t.screen())
+func (t topModel) View() tea.View {
+	v := tea.NewView(t.render())
 	v.AltScreen = true
 	return v
 }
 
 // screen is the text shown: as many volumes as there is room for, ordered, and what did not answer.
-func (t top) screen() string {
+func (t topModel) render() string {
 	var b strings.Builder
-	r, by := t.report, orders[t.order]
+	r, order := t.report, sortOrders[t.order]
 	rows := slices.Clone(r.Volumes)
-	slices.SortStableFunc(rows, func(x, y accounts.Row) int { return cmp.Compare(by.of(y), by.of(x)) })
-	const around = 8 // lines beside the volumes'
-	hidden := max(0, len(rows)-max(1, t.height-around-len(t.failed)))
+	slices.SortStableFunc(rows, func(x, y accounts.Row) int { return cmp.Compare(order.value(y), order.value(x)) })
+	const reservedLines = 8 // lines beside the volumes'
+	hidden := max(0, len(rows)-max(1, t.height-reservedLines-len(t.failed)))
 	r.Volumes = rows[:len(rows)-hidden]
-	fmt.Fprintf(&b, "volumes by %s (o: other order, q: quit)\n", by.name)
+	fmt.Fprintf(&b, "volumes by %s (o: other order, q: quit)\n", order.name)
 	if len(r.Instances) > 0 {
 		r.Nodes = nil
 		if err := r.Text(&b); err != nil {
