--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -39,6 +39,7 @@
 	return cmd
 }
 
+// runAgent runs an agent until ctx is cancelled or its HTTP server fails.
 func runAgent(ctx context.Context, cfg *config.Agent, log *slog.Logger) error {
 	l, err := net.Listen("tcp", cfg.API())
 	if err != nil {
@@ -61,16 +62,16 @@
 	}
 }
 
-// checkConfig tells whether an instance could start from the configuration.
+// validateConfig returns an error if the named instance could not start with the configuration.
 func validateConfig(name string, text []byte) error {
 	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err == nil && cfg.Name != name {
-		err = fmt.Errorf("name: the configuration is %q's, not %q's", cfg.Name, name)
+		err = fmt.Errorf("name: the configuration belongs to instance %q, not %q", cfg.Name, name)
 	}
 	return err
 }
 
-// configCommand groups what reads and writes the instances' configurations.
+// configCommand groups the commands that read and write instances' configurations.
 func configCommand() *cobra.Command {
 	client := &agent.Client{}
 	cmd := &cobra.Command{Use: "config", Short: "Read and write instances' configurations at the agents"}
--- a/cmd/spindlehitch/bench_test.go
+++ b/cmd/spindlehitch/bench_test.go
@@ -16,8 +16,8 @@
 	"spindlehitch/internal/process/instance"
 )
 
-// BenchmarkSmallRequest is a small read and a small write by turns on one connection, through the whole program to a stand-in
-// target in the same process.
+// BenchmarkSmallRequest alternates small reads and small writes on one connection, through the whole initiator to a fake target in the
+// same process.
 func BenchmarkSmallRequest(b *testing.B) {
 	f := newFixture(b)
 	cfg, err := config.Parse([]byte(f.config()), func(string) string { return "" })
@@ -30,7 +30,7 @@
 		serveErr <- instance.Serve(ctx, cfg, &config.OperatorFile{}, instance.Options{Log: discardLog})
 	}()
 	var conn net.Conn
-	require.Eventually(b, func() bool { status, _ := f.get(); return status == 200 }, 20*time.Second, 10*time.Millisecond, "never served")
+	require.Eventually(b, func() bool { status, _ := f.get(); return status == 200 }, 20*time.Second, 10*time.Millisecond, "no request was served")
 	if conn, err = net.Dial("tcp", f.listen); err != nil {
 		b.Fatal(err)
 	}
--- a/cmd/spindlehitch/change.go
+++ b/cmd/spindlehitch/change.go
@@ -89,12 +89,12 @@
 	return cmd
 }
 
-// asked is the error of a question, with the exit code where nobody answered it.
+// queryError converts the error of a query; if no agent responded, the result carries exitNoResponse.
 func queryError(err error) error {
 	var rejected *agent.RejectedError
 	switch {
 	case errors.Is(err, agent.ErrNotFound):
-		return errors.New("no change has come yet")
+		return errors.New("no change has been published yet")
 	case err == nil, errors.As(err, &rejected):
 		return err
 	}
@@ -155,11 +155,11 @@
 		err = writeStreamStatus(cmd.OutOrStdout(), v)
 	}
 	if err == nil && !v.Leads {
-		age := "no agent there knows how old"
+		age := "age unknown"
 		if v.AgeMs >= 0 {
 			age = "at least " + formatMs(v.AgeMs) + " old"
 		}
-		err = &exitError{exitStale, fmt.Errorf("no leader answers: this is what the log of %s says, %s, and nothing is known of initiators", v.Agent, age)}
+		err = &exitError{exitStale, fmt.Errorf("no leader available: showing the log of agent %s, %s; initiator status is unknown", v.Agent, age)}
 	}
 	return err
 }
--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -19,7 +19,7 @@
 	"spindlehitch/internal/process/config"
 )
 
-// command runs a command line; the code is what the process would end with.
+// runCommand runs a command line; code is the exit code of the process.
 func runCommand(args ...string) (out string, code int, err error) {
 	var b bytes.Buffer
 	root := rootCommand()
@@ -35,8 +35,8 @@
 	return b.String(), code, err
 }
 
-// TestChangeCommands puts changes at an agent, carries them over a relay to an initiator, and asks where they are in force: by table, by
-// JSON and by exit codes.
+// TestChangeCommands publishes changes through an agent, distributes them through a relay to an initiator, and queries where they are in
+// force; it checks the table, the JSON output and the exit codes.
 func TestChangeCommands(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	agentAddr, relayAddr := freeAddr(t), freeAddr(t)
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	require.Zero(t, code)
 	require.Contains(t, out, "4 puts for fleet campus")
-	require.Eventually(t, func() bool { // a leader
+	require.Eventually(t, func() bool { // a leader is elected
 		_, err := (&agent.Client{Addrs: []string{agentAddr}}).ListConfigs(ctx)
 		return err == nil
 	}, time.Minute, 50*time.Millisecond)
@@ -120,10 +120,10 @@
 	require.Equal(t, exitNoResponse, code)
 	require.Error(t, err)
 	_, code, err = run("change", "put", "../../deploy/change.toml")
-	require.Equal(t, exitNoResponse, code, "it may have been made: %v", err)
+	require.Equal(t, exitNoResponse, code, "the change may have been applied: %v", err)
 }
 
-// TestRelayFiles has a relay's file that can't be served stop the start, and name file and field.
+// TestRelayFiles checks that a relay does not start with an invalid file, and that the error names the field.
 func TestRelayFiles(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/relay.toml")
 	require.NoError(t, err)
@@ -137,8 +137,8 @@
 	require.ErrorContains(t, err, "relay: ")
 }
 
-// TestInForceTable writes what is known of a version, also where it is little.
-func TestInForceTable(t *testing.T) {
+// TestStreamStatusTable formats the status of a version, both in full and from an agent that is not the leader.
+func TestStreamStatusTable(t *testing.T) {
 	v := agent.StreamStatus{Agent: "a", Fleet: "campus", Head: 9, Leads: true, Status: watchstream.Status{Epoch: "e", Version: 8, Readers: 250, Applied: 100, AppliedShare: 0.4, Silent: 1,
 		Rejected: 1, SinceMs: 1500, HalfMs: -1, P99Ms: -1, AllMs: -1,
 		Lagging: []watchstream.LaggingReader{{Name: "n7", Relay: "r1", Applied: 7, Cause: watchstream.LagRejected, LastHeardMs: 20, Rejection: &watchstream.Rejection{Version: 8, Reason: "a: not a number"}}}}}
@@ -152,7 +152,7 @@
 	require.NotContains(t, b.String(), "in force at")
 }
 
-// TestPublishCommand has a discovery's list put into the feed.
+// TestPublishCommand checks that targets listed by discovery are published to the feed.
 func TestPublishCommand(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	agentAddr := freeAddr(t)
--- a/cmd/spindlehitch/disconnect_test.go
+++ b/cmd/spindlehitch/disconnect_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sight is a target that notes which requests have come to it whole, and which not.
+// recordingTarget is a target that records the ids of the requests it received in full and of those cut short.
 type recordingTarget struct {
 	mu                sync.Mutex
-	complete, partial []string
-	started           chan string // each request, with its head
-	release           chan bool
+	complete, partial []string    // guarded by mu
+	started           chan string // request ids as heads arrive, and "ended" when a response is abandoned; never closed
+	release           chan bool   // each value lets one "slow" or "stalled" request continue; never closed
 }
 
 func (s *recordingTarget) record(id string, complete bool) {
@@ -52,7 +52,7 @@
 		case <-s.release:
 		case <-r.Context().Done():
 		}
-	case id == "stuck": // after the first of its answer
+	case id == "stuck": // blocks after the first part of its response
 		_, _ = w.Write(make([]byte, 64<<10))
 		http.NewResponseController(w).Flush()
 		<-r.Context().Done()
@@ -66,15 +66,15 @@
 	_, _ = io.WriteString(w, "from the target")
 }
 
-// TestLeftEverywhere has clients send more than their request and go, or be reset, wherever their requests are: held for want of a
-// target, waiting behind others, out at the target, half here, half on their way there, or with an answer that passes through. Only
-// when the initiator has had its time to hear of it is what they waited for let happen: nothing of theirs begins any more.
-func TestLeftEverywhere(t *testing.T) {
+// TestDisconnectEverywhere has clients disconnect, by sending excess bytes and closing or by a reset, at every stage of a request: held
+// without a known target, queued behind others, sent to the target, partly received, partly forwarded, and during the response. What the
+// request waited for happens only after the initiator could detect the disconnect; no request of a gone client may start then.
+func TestDisconnectEverywhere(t *testing.T) {
 	target := &recordingTarget{started: make(chan string, 256), release: make(chan bool)}
 	f := newHandlerFixture(t, target.ServeHTTP)
 	discoveryUp := make(chan bool)
 	pending := newHandlerFixture(t, target.ServeHTTP)
-	proxy, err := net.Listen("tcp", "127.0.0.1:0") // discovery, once it is up
+	proxy, err := net.Listen("tcp", "127.0.0.1:0") // forwards to discovery after discoveryUp is closed
 	require.NoError(t, err)
 	defer proxy.Close()
 	discovery := pending.discovery
@@ -106,7 +106,7 @@
 				defer resp.Body.Close()
 				text, _ := io.ReadAll(resp.Body)
 				return strings.Contains(string(text), fmt.Sprintf("concurrent:%d|", want))
-			}, 5*time.Second, time.Millisecond, "not %d requests are open", want)
+			}, 5*time.Second, time.Millisecond, "number of open requests is not %d", want)
 		}
 	}
 	send := func(f *fixture, id, rest string) *net.TCPConn {
@@ -133,7 +133,7 @@
 		case id := <-target.started:
 			return id
 		case <-time.After(20 * time.Second):
-			t.Fatal("nothing came to the target")
+			t.Fatal("no request reached the target")
 			return ""
 		}
 	}
@@ -151,7 +151,7 @@
 	send(pending, "after", "")
 	require.Equal(t, "after", nextStarted())
 
-	// Behind others, and out at the target.
+	// Queued behind others, and sent to the target.
 	waitOpen = startCounted(f)
 	waitReady(t, "http://"+f.listen+"/-/ready")
 	var conns []*net.TCPConn
@@ -165,11 +165,11 @@
 	}
 	waitOpen(0)
 	complete, _ := target.requests()
-	require.Less(t, len(complete), 40, "none waited")
+	require.Less(t, len(complete), 40, "no request was queued")
 
-	// Half here.
+	// Body partly received.
 	reset(send(f, "half", "Content-Length: 9\r\n\r\nbo"))
-	// On its way: the target reads no more than the head until the client is gone.
+	// Body partly forwarded: the target reads only the head until the client is gone.
 	for _, disconnect := range []func(*net.TCPConn){reset, func(c *net.TCPConn) { c.Close() }} {
 		c := send(f, "stalled", "Content-Length: 90000\r\n\r\n"+strings.Repeat("x", 80000))
 		for nextStarted() != "stalled" {
@@ -181,14 +181,14 @@
 			return len(partial) > 0 && partial[len(partial)-1] == "stalled"
 		}, 20*time.Second, time.Millisecond)
 	}
-	// With its answer passing through, and stuck on its way.
+	// During the response: one that the target keeps sending, and one that the target stalls.
 	for _, id := range []string{"endless", "stuck"} {
 		c := send(f, id, "")
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		require.NoError(t, err)
 		_, _ = io.CopyN(io.Discard, resp.Body, 32<<10)
 		reset(c)
-		waitOpen(0) // well before the target is given up
+		waitOpen(0) // well before the attempt at the target times out
 		for nextStarted() != "ended" {
 		}
 	}
--- a/cmd/spindlehitch/drain_test.go
+++ b/cmd/spindlehitch/drain_test.go
@@ -24,17 +24,18 @@
 	"spindlehitch/internal/process/instance"
 )
 
-// pusher is discovery: an agent that answers at once with what it has, or as soon as there is news. It changes as a test says.
+// watchDiscovery is a fake discovery service with long polling: a call responds at once if its version differs from the current one,
+// otherwise at the next change or when its wait time has passed. mu guards the fields below it.
 type watchDiscovery struct {
 	*httptest.Server
 	mu          sync.Mutex
 	version     int
-	states      map[string]string // by address
-	lastChanged []string          // the addresses that the last change is about
-	changed     chan struct{}     // closed with the next change
-	stalled     chan struct{}     // closed when what is open falls silent
-	down        bool              // what comes now is never answered
-	fullLists   bool              // changes are told by the whole list
+	states      map[string]string // state by target address
+	lastChanged []string          // addresses listed in the last change
+	changed     chan struct{}     // closed and replaced by publish
+	stalled     chan struct{}     // closed and replaced by stallOpenWatches
+	down        bool              // new calls receive no response
+	fullLists   bool              // changes are sent as full lists
 }
 
 func newWatchDiscovery(t *testing.T, version int, states map[string]string) *watchDiscovery {
@@ -47,13 +48,14 @@
 
 func (p *watchDiscovery) addr() string { return p.Listener.Addr().String() }
 
+// update runs f with mu held.
 func (p *watchDiscovery) update(f func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	f()
 }
 
-// change is the next version; a state of "" takes a target off the list without a word.
+// publish creates the next version; a state of "" drops a target from the list without listing it in the change.
 func (p *watchDiscovery) publish(states map[string]string) {
 	p.update(func() {
 		p.version++
@@ -70,7 +72,7 @@
 	})
 }
 
-// silence has all open calls fall silent; those that come after are answered.
+// stallOpenWatches makes all calls now waiting for a change hang until their client disconnects; later calls are answered.
 func (p *watchDiscovery) stallOpenWatches() {
 	p.update(func() { close(p.stalled); p.stalled = make(chan struct{}) })
 }
@@ -118,20 +120,20 @@
 	fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, p.version, full, strings.Join(entries, ","))
 }
 
-// cell is targets of one shard, which note whose requests came to them.
+// targetGroup is the targets of one shard; they record the ids of the requests they receive.
 type targetGroup struct {
 	mu       sync.Mutex
-	received map[string][]string // request ids by target
-	holding  atomic.Bool         // requests wait, and are then told that they were not started
-	waiting  chan string         // the targets at which they do
-	released chan bool
+	received map[string][]string // request ids by target address; guarded by mu
+	holding  atomic.Bool         // requests wait for released and are then rejected as not started
+	waiting  chan string         // receives the target's address for each waiting request; never closed
+	released chan bool           // closed by the test to end the wait
 }
 
 func newTargetGroup() *targetGroup {
 	return &targetGroup{received: map[string][]string{}, waiting: make(chan string, 64), released: make(chan bool)}
 }
 
-// target is one more of them.
+// addTarget starts one more target, which is closed when the test ends.
 func (group *targetGroup) addTarget(t *testing.T) (addr string) {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		group.mu.Lock()
@@ -158,10 +160,10 @@
 	return append([]string{}, group.received[addr]...)
 }
 
-// TestReloadWithDrains has targets drain in every way in which an initiator may come to hear of it: with a new configuration that takes it
-// out of an outage, right after that, by a whole list in place of a change, by one that leaves a target out, after all watches
-// fell silent or were reset, and when discovery returns. Requests go on all the while. None that is asked for once the list is
-// in force comes to a target that drains in it, or that is gone, and each is served.
+// TestReloadWithDrains drains targets in every way an initiator can learn of it: in the first list after a reload moves it away from an
+// unavailable discovery service, in a change soon after, in a full list, in a full list without some targets, after all watches stalled or
+// were reset, and after a discovery outage. Requests are sent throughout. Every request must be served, and none sent after a list is in
+// force may reach a target that the list drains or no longer has.
 func TestReloadWithDrains(t *testing.T) {
 	group := newTargetGroup()
 	first, second := group.addTarget(t), group.addTarget(t)
@@ -186,7 +188,7 @@
 	}()
 	waitReady(t, "http://"+f.listen+"/-/ready")
 
-	// Requests go on; each round's have a name of their own.
+	// Requests are sent throughout; their ids carry the round.
 	var round atomic.Int64
 	var clients sync.WaitGroup
 	var stopped atomic.Bool
@@ -202,7 +204,8 @@
 			}
 		})
 	}
-	// in checks that the list is in force, that its number of targets tells, and what then comes.
+	// checkRouting waits until a list with this number of targets is in force, begins a new round, and checks that no request of the round
+	// reaches an excluded target.
 	checkRouting := func(targets int, excluded ...string) {
 		t.Helper()
 		waitTargetCount(t, control, targets)
@@ -210,41 +213,41 @@
 		require.Eventually(t, func() bool { return served[r].Load() >= 60 }, time.Minute, time.Millisecond)
 		for _, addr := range excluded {
 			for _, id := range group.receivedBy(addr) {
-				require.False(t, strings.HasPrefix(id, fmt.Sprintf("round%d-", r)), "%s came to a target that drains or is gone", id)
+				require.False(t, strings.HasPrefix(id, fmt.Sprintf("round%d-", r)), "%s reached a draining or removed target", id)
 			}
 		}
 	}
 	checkRouting(2)
-	// Moved out of an outage, to where it drains already.
+	// A reload during an outage moves to a discovery service whose list already drains first.
 	oldDiscovery.update(func() { oldDiscovery.down = true })
 	oldDiscovery.stallOpenWatches()
 	writeConfig(newDiscovery.addr())
 	hup <- syscall.SIGHUP
 	checkRouting(3, first)
-	// Soon after.
+	// A change soon after the move.
 	third, fourth := group.addTarget(t), group.addTarget(t)
 	newDiscovery.publish(map[string]string{second: "DRAINING", third: "SERVING", fourth: "SERVING"})
 	checkRouting(5, first, second)
-	// By the whole list.
+	// A full list.
 	newDiscovery.update(func() { newDiscovery.fullLists = true })
 	fifth := group.addTarget(t)
 	newDiscovery.publish(map[string]string{third: "DRAINING", fifth: "SERVING"})
 	checkRouting(6, first, second, third)
-	// And by what is left out there.
+	// A full list without first and second.
 	newDiscovery.publish(map[string]string{first: "", second: "", fourth: "DRAINING"})
 	checkRouting(4, first, second, third, fourth)
 	newDiscovery.update(func() { newDiscovery.fullLists = false })
-	// All watches fall silent, and it drains right after.
+	// All watches stall right before the change.
 	sixth := group.addTarget(t)
 	newDiscovery.stallOpenWatches()
 	newDiscovery.publish(map[string]string{fifth: "DRAINING", sixth: "SERVING"})
 	checkRouting(5, third, fourth, fifth)
-	// They are reset some time before.
+	// All connections are reset before the change.
 	seventh := group.addTarget(t)
 	newDiscovery.CloseClientConnections()
 	newDiscovery.publish(map[string]string{sixth: "DRAINING", seventh: "SERVING"})
 	checkRouting(6, third, fourth, fifth, sixth)
-	// In an outage, told at the return.
+	// A change during an outage, received when discovery is available again.
 	eighth := group.addTarget(t)
 	newDiscovery.update(func() { newDiscovery.down = true })
 	newDiscovery.stallOpenWatches()
@@ -257,7 +260,8 @@
 	require.NoError(t, <-serveErr)
 }
 
-// inForce waits until so many targets are listed, which the module and the targets' actors know by then.
+// waitTargetCount waits until the metrics report this number of targets; by then the list is in force in the scheduler and in the targets'
+// actors.
 func waitTargetCount(t *testing.T, control string, targets int) {
 	t.Helper()
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
@@ -272,7 +276,7 @@
 	}, time.Minute, time.Millisecond)
 }
 
-// askAs is ask under a name.
+// getWithID is get with a request id of the caller's.
 func (f *fixture) getWithID(id string) (int, string) {
 	c, err := net.Dial("tcp", f.listen)
 	if err != nil {
@@ -289,8 +293,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// TestDrainWhileLeaving has the watch fall silent and targets drain once the initiator has been told to end, with a request open: the list is
-// watched for as long as anything is answered. A target that turns the request away hands it on to none that drains by then.
+// TestDrainWhileLeaving stalls the watch and drains a target after shutdown has begun, with a request open. The initiator must watch the
+// list until the last response: the open request, rejected by its target, must not be retried at the draining target.
 func TestDrainWhileLeaving(t *testing.T) {
 	group := newTargetGroup()
 	one, two := group.addTarget(t), group.addTarget(t)
@@ -333,7 +337,7 @@
 	waitTargetCount(t, control, 3)
 	releaseAll()
 	require.Equal(t, "200 from the target", <-response)
-	require.Empty(t, group.receivedBy(other), "sent to a target that drains")
+	require.Empty(t, group.receivedBy(other), "request sent to a draining target")
 	require.NotEmpty(t, append(group.receivedBy(third), group.receivedBy(holder)[1:]...))
 	require.NoError(t, <-serveErr)
 }
--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -17,7 +17,7 @@
 	"spindlehitch/internal/process/config"
 )
 
-// fleetFlags are those of every command that asks the agents for the fleet.
+// fleetFlags are the flags shared by all commands that query the agents for the state of the fleet.
 type fleetFlags struct {
 	client agent.Client
 	json   bool
@@ -28,7 +28,8 @@
 	cmd.PersistentFlags().BoolVar(&f.json, "json", false, "print JSON in place of a table")
 }
 
-// show prints the fleet by table, or as JSON what value makes of it. What may be old says so, also by the exit code.
+// show prints the fleet as a table with writeTable, or the value of makeJSON as JSON. If no leader is available the printed data may be
+// stale, and the returned error carries exitStale.
 func (f *fleetFlags) show(cmd *cobra.Command, makeJSON func(agent.FleetView) (any, error), writeTable func(io.Writer, agent.FleetView)) error {
 	v, err := f.client.Fleet(cmd.Context())
 	if err != nil {
@@ -48,11 +49,11 @@
 		err = w.Flush()
 	}
 	if err == nil && !v.Leads {
-		age := "no agent there knows how old"
+		age := "age unknown"
 		if v.AgeMs >= 0 {
 			age = "at least " + formatMs(v.AgeMs) + " old"
 		}
-		err = &exitError{exitStale, fmt.Errorf("no leader answers: this is what the log of %s says, %s", v.Agent, age)}
+		err = &exitError{exitStale, fmt.Errorf("no leader available: showing the log of agent %s, %s", v.Agent, age)}
 	}
 	return err
 }
@@ -135,15 +136,15 @@
 	return config.ReadBudgets(path, c)
 }
 
-// budgetShown is one budget as the leader sees it.
+// budgetStatus is the JSON form of one budget and its allocations, as the responding agent has them.
 type budgetStatus struct {
 	quota.Budget
-	Pool           quota.Amount           `json:"pool"` // what is divided, beyond the floors
+	Pool           quota.Amount           `json:"pool"` // capacity divided on demand, in addition to the floors
 	Agent          string                 `json:"agent"`
 	Leads          bool                   `json:"leads"`
 	AgeMs          int64                  `json:"age_ms"`
-	RecoveryWaitMs int64                  `json:"wait_ms"` // until a new leader gives anything new
-	Outdated       []string               `json:"behind"`  // members that go by another version of the budgets
+	RecoveryWaitMs int64                  `json:"wait_ms"` // until a new leader grants new allocations
+	Outdated       []string               `json:"behind"`  // members that use another version of the budgets
 	Holders        []allocator.LedgerLine `json:"holders"`
 }
 
--- a/cmd/spindlehitch/imports_test.go
+++ b/cmd/spindlehitch/imports_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestTestbedIsNotLinked holds that the programs that serve contain nothing of internal/testbed: neither fault injection, the fleet model
-// and scale runs, nor the searches of the state machines may reach a production binary through an import.
+// TestTestbedIsNotLinked checks that the production programs do not import internal/testbed: fault injection, the fleet model, scale runs
+// and the state machines' model checkers must not reach a production binary.
 func TestTestbedIsNotLinked(t *testing.T) {
 	for _, program := range []string{"spindlehitch/cmd/spindlehitch", "spindlehitch/cmd/benchlink"} {
 		t.Run(program, func(t *testing.T) {
--- a/cmd/spindlehitch/large_body_test.go
+++ b/cmd/spindlehitch/large_body_test.go
@@ -20,7 +20,7 @@
 	"spindlehitch/internal/process/instance"
 )
 
-// start runs an initiator of this configuration until the test ends.
+// startInstance runs an initiator with this configuration until the test ends.
 func startInstance(t *testing.T, text string) {
 	t.Helper()
 	cfg, err := config.Parse([]byte(text), func(string) string { return "" })
@@ -40,7 +40,7 @@
 	})
 }
 
-// largeWorld is a world whose target answers with what serve writes.
+// newHandlerFixture returns a fixture whose target responds with handler.
 func newHandlerFixture(t *testing.T, handler http.HandlerFunc) *fixture {
 	t.Helper()
 	target := httptest.NewServer(handler)
@@ -60,9 +60,9 @@
 
 const largeHead = "Host: a\r\nTier: base\r\nRequest-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n"
 
-// TestLargeBothWays sends 32 MB and gets them back, by several clients at once, some in chunks, with an eighth of that for
-// memory. Each has its own bytes back, and what the process holds stays far under what passes.
-func TestLargeBothWays(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestLargeBothWays checks uploads and downloads of 32 MB by six concurrent clients, some with chunked bodies, with memory_mb set to 16. The
+// target must receive each body intact, and the heap of the whole process must stay below the size of one body.
+func TestLargeBothWays(t *testing.T) { //nolint:gocognit // one scenario, in order
 	const size = 32 << 20
 	f := newHandlerFixture(t, func(rw http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
@@ -78,7 +78,7 @@
 			_, _ = rw.Write(make([]byte, 1<<14))
 		}
 	})
-	// A connection may take as long as it does on a busy machine: a body whose target can't be reached in time is refused.
+	// The dial timeout is long because the machine may be busy: a body whose target can't be reached in time is rejected.
 	startInstance(t, strings.NewReplacer(`"settings":`, `"limits":{"memory_mb":16},"settings":`, `"sendCap":3`, `"sendCap":3,"dialTimeoutUs":20000000`).Replace(f.config()))
 	waitReady(t, "http://"+f.listen+"/-/ready")
 	peakHeap, stopSampling := uint64(0), make(chan bool)
@@ -150,14 +150,14 @@
 	}
 	wg.Wait()
 	<-stopSampling
-	// The clients and the target of the test live here too; one whole body alone would be more.
+	// The heap includes the test's clients and target; buffering one whole body would exceed this limit.
 	if peakHeap > size {
-		t.Errorf("%d MB were held", peakHeap>>20)
+		t.Errorf("heap grew to %d MB", peakHeap>>20)
 	}
 }
 
-// TestLargeBroken is about bodies and answers that break midway: a request whose body lost its target is refused and was
-// never sent again, and an answer cut short is no whole one for its client.
+// TestLargeBroken aborts bodies and responses midway: a request whose target failed while receiving its body is rejected and never
+// retried, and a truncated response must not look complete to its client.
 func TestLargeBroken(t *testing.T) {
 	attempts := make(chan string, 64)
 	f := newHandlerFixture(t, func(rw http.ResponseWriter, r *http.Request) {
@@ -171,7 +171,7 @@
 		panic(http.ErrAbortHandler)
 	})
 	startInstance(t, f.config())
-	waitReady(t, "http://"+f.listen+"/-/ready") // before its list of targets is known an upload is refused unsent
+	waitReady(t, "http://"+f.listen+"/-/ready") // an upload before the first list of targets is rejected without being sent
 	send := func(raw string, remaining int) (*http.Response, error) {
 		for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(10 * time.Millisecond) {
 			c, err := net.Dial("tcp", f.listen)
@@ -194,16 +194,16 @@
 	}
 	resp, err := send("PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b1\r\n"+largeHead+"Content-Length: 1000000\r\n\r\n", 1000000)
 	if err != nil || resp.StatusCode != 503 {
-		t.Errorf("a body without its target: %+v, %v; want a refusal", resp, err)
+		t.Errorf("upload whose target aborted: %+v, %v; want status 503", resp, err)
 	}
 	resp, err = send("GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b2\r\n"+largeHead+"\r\n", 0)
 	if err != nil || resp.StatusCode != 200 {
-		t.Fatalf("an answer: %+v, %v", resp, err)
+		t.Fatalf("response that will be truncated: %+v, %v; want status 200", resp, err)
 	}
 	if n, err := io.Copy(io.Discard, resp.Body); err == nil {
-		t.Errorf("%d bytes of a million passed for whole", n)
+		t.Errorf("%d bytes of a truncated response were accepted as complete, want an error", n)
 	}
 	if len(attempts) != 2 || <-attempts != "PUT" {
-		t.Errorf("%d tries reached the target, want one each", len(attempts)+1)
+		t.Errorf("%d attempts reached the target, want one for each request", len(attempts)+1)
 	}
 }
--- a/cmd/spindlehitch/lease.go
+++ b/cmd/spindlehitch/lease.go
@@ -16,17 +16,17 @@
 	"spindlehitch/internal/process/config"
 )
 
-// taskLine is one task as lease list has it.
+// taskSummary is the JSON form of one task in "lease list".
 type taskSummary struct {
 	lease.Task
 	Held      int    `json:"held"`
-	Members   int    `json:"members"` // that hold some of it
+	Members   int    `json:"members"` // members that hold at least one shard
 	Completed uint64 `json:"acts"`
 	Fenced    uint64 `json:"refused"`
 	Failed    uint64 `json:"failed"`
 }
 
-// taskShown is one task as lease show has it.
+// taskStatus is the JSON form of one task in "lease show".
 type taskStatus struct {
 	lease.Task
 	Agent  string               `json:"agent"`
@@ -115,7 +115,8 @@
 	return cmd
 }
 
-// change is the error of a change, with the exit code that tells whether it may have been made.
+// changeError converts the error of a change: a rejection is returned as is, any other error carries exitNoResponse, since the change may
+// have been applied.
 func (f *fleetFlags) changeError(err error) error {
 	var rejected *agent.RejectedError
 	var rejection quota.RejectionError
--- a/cmd/spindlehitch/main.go
+++ b/cmd/spindlehitch/main.go
@@ -1,4 +1,5 @@
-// Command spindlehitch is the real initiator: the decision module on sockets.
+// Command spindlehitch runs a storage initiator, which schedules requests with package policy, and the agents and relays of its control
+// plane; its other subcommands query and change them.
 package main
 
 import (
@@ -20,7 +21,7 @@
 	}
 }
 
-// exit is an error with an exit code that scripts can tell from others; without one it is 1.
+// exitError is an error with its own exit code, so that scripts can distinguish it; the exit code of any other error is 1.
 type exitError struct {
 	code int
 	err  error
@@ -29,10 +30,10 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// Exit codes beside 0 and 1 (refused, or bad input).
+// Exit codes besides 0 and 1 (request rejected or invalid input).
 const (
-	exitStale      = 3 // what was printed may be old
-	exitNoResponse = 4 // no agent answered in time: a change may or may not have been made
+	exitStale      = 3 // the printed data may be stale
+	exitNoResponse = 4 // no agent responded in time: a change may or may not have been applied
 )
 
 func rootCommand() *cobra.Command {
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -19,10 +19,10 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// exitDiffer is the exit code where two views that were compared are not the same.
+// exitViewsDiffer is the exit code of members --diff when the two views differ.
 const exitViewsDiffer = 5
 
-// membersOf is what flags of members say beside those of the fleet.
+// membersOptions are the flags of the members command besides fleetFlags.
 type membersOptions struct {
 	from         string
 	diff         []string
@@ -67,7 +67,7 @@
 	return cmd
 }
 
-// viewOf asks an instance for its view.
+// fetchView requests an instance's membership view from its control address.
 func fetchView(ctx context.Context, addr string) (v membership.View, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
@@ -81,10 +81,10 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotFound {
-		return v, fmt.Errorf("members: the instance at %s keeps no view: its operator's file has no [fleet.members]", addr)
+		return v, fmt.Errorf("members: the instance at %s has no membership view: [fleet.members] is missing in its operator's file", addr)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return v, fmt.Errorf("members: %s answers %s", addr, resp.Status)
+		return v, fmt.Errorf("members: %s returned status %s", addr, resp.Status)
 	}
 	return v, json.NewDecoder(resp.Body).Decode(&v)
 }
@@ -158,7 +158,7 @@
 	return w.Flush()
 }
 
-// follow writes changes of a view as they come.
+// follow polls the instance and prints new membership events until it is interrupted or a poll fails.
 func (opts *membersOptions) follow(ctx context.Context, out io.Writer, v membership.View) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -194,7 +194,7 @@
 	}
 }
 
-// compare tells what two views have otherwise.
+// compareViews prints the members on which the views of two instances differ.
 func (opts *membersOptions) compareViews(cmd *cobra.Command) error {
 	if len(opts.diff) != 2 {
 		return errors.New("--diff takes two addresses: A,B")
--- a/cmd/spindlehitch/model.go
+++ b/cmd/spindlehitch/model.go
@@ -10,7 +10,7 @@
 	"github.com/spf13/cobra"
 )
 
-// modelCommand hands over to the program beside this one: what serves has nothing of it linked in.
+// modelCommand executes spindlehitch-model from this program's own folder, which keeps the fleet model out of the production binary.
 func modelCommand() *cobra.Command {
 	return &cobra.Command{Use: "model", Short: "A fleet in virtual time: experiments, plots, replays", DisableFlagParsing: true,
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -21,7 +21,7 @@
 			path := filepath.Join(filepath.Dir(self), "spindlehitch-model")
 			err = syscall.Exec(path, append([]string{path}, args...), os.Environ())
 			if errors.Is(err, os.ErrNotExist) {
-				return fmt.Errorf("model: %s is not there; make build makes it", path)
+				return fmt.Errorf("model: %s not found; run make build", path)
 			}
 			return fmt.Errorf("model: %w", err)
 		}}
--- a/cmd/spindlehitch/publish.go
+++ b/cmd/spindlehitch/publish.go
@@ -40,13 +40,14 @@
 	return cmd
 }
 
-// publishing is what flags of publish say.
+// publishOptions are the flags of the publish command.
 type publishOptions struct {
 	agents           []string
 	fleet, discovery string
-	allowShrink      bool
+	allowShrink      bool // accept a list that removes more than half of the targets
 }
 
+// run publishes the targets that discovery lists until runCtx is cancelled.
 func (o *publishOptions) run(runCtx context.Context, log *slog.Logger) {
 	client := &agent.Client{Addrs: o.agents}
 	p := edge.NewPublisher(edge.PublisherOptions{Fleet: o.fleet, Put: client.PutChange, AllowShrink: o.allowShrink, Log: log,
--- a/cmd/spindlehitch/relay.go
+++ b/cmd/spindlehitch/relay.go
@@ -37,6 +37,7 @@
 	return cmd
 }
 
+// runRelay runs a relay until parent is cancelled or its HTTP server fails.
 func runRelay(parent context.Context, cfg *config.Relay, log *slog.Logger) error {
 	l, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
@@ -56,7 +57,7 @@
 	serveErr := make(chan error, 1)
 	go func() {
 		serveErr <- r.Serve(l)
-		cancel() // without a listener it is of no use
+		cancel() // ends Run: the relay cannot serve without its listener
 	}()
 	r.Run(ctx)
 	return <-serveErr
--- a/cmd/spindlehitch/report.go
+++ b/cmd/spindlehitch/report.go
@@ -119,7 +119,7 @@
 	return from, to, nil
 }
 
-// fleetReports lists the windows of the fleet's account.
+// writeFleetReports lists the reports of the fleet accounting task, one per window.
 func writeFleetReports(out io.Writer, dir, format string) error {
 	reports, err := leasework.Reports(dir)
 	if err != nil {
@@ -141,7 +141,7 @@
 
 const fetchTimeout, maxSnapshotBytes = 5 * time.Second, 64 << 20
 
-// ask has a running instance tell its accounts.
+// fetchSnapshot requests the accounts of a running instance.
 func fetchSnapshot(addr string) (s accounts.Snapshot, err error) {
 	client := http.Client{Timeout: fetchTimeout}
 	resp, err := client.Get("http://" + addr + "/accounts")
@@ -160,7 +160,7 @@
 
 func writeReport(w io.Writer, r accounts.Report, format, outPath string) (err error) {
 	if format != "text" && format != "json" && format != "parquet" {
-		return fmt.Errorf("report: --format: %q is none of text, json and parquet", format)
+		return fmt.Errorf("report: --format: %q is not text, json or parquet", format)
 	}
 	if format == "parquet" && outPath == "" {
 		return errors.New("report: --format parquet needs --output")
@@ -184,7 +184,7 @@
 	return r.Text(w)
 }
 
-// sharesOf reads the shares in a log, or in all files of a folder.
+// readShares reads the served shares from a log file, or from all files in a folder, and merges them.
 func readShares(path string) (accounts.Snapshot, error) {
 	var snapshots []accounts.Snapshot
 	err := filepath.WalkDir(path, func(name string, d fs.DirEntry, err error) error {
--- a/cmd/spindlehitch/serve.go
+++ b/cmd/spindlehitch/serve.go
@@ -24,7 +24,7 @@
 			log := slog.New(slog.NewTextHandler(os.Stderr, nil))
 			ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer cancel()
-			// Taken from the start on: a SIGHUP that nobody waits for would end the process.
+			// Registered before anything else: an unhandled SIGHUP would terminate the process.
 			hup := make(chan os.Signal, 1)
 			signal.Notify(hup, syscall.SIGHUP)
 			if len(agents) > 0 || fromFeed {
--- a/cmd/spindlehitch/serve_test.go
+++ b/cmd/spindlehitch/serve_test.go
@@ -39,7 +39,7 @@
  "effect":"pure","worth":3}],"contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 
-// freeAddr finds a port of the loopback that nobody listens on.
+// freeAddr returns an unused loopback address.
 func freeAddr(t testing.TB) string {
 	t.Helper()
 	addrs, err := ports.Free(1)
@@ -49,13 +49,13 @@
 	return addrs[0]
 }
 
-// world is a stand-in target and a discovery that names it.
+// fixture is a fake target, a discovery service that lists it, and the address at which an initiator under test listens.
 type fixture struct {
 	listen, discovery string
 	discoveryHandler  http.Handler
-	holdRequests      atomic.Bool
-	requestCount      atomic.Int64
-	arrived, release  chan struct{}
+	holdRequests      atomic.Bool   // the target sends on arrived and then waits for release before it responds
+	requestCount      atomic.Int64  // numbers the request ids
+	arrived, release  chan struct{} // the test closes release; arrived is never closed
 }
 
 func newFixture(t testing.TB) *fixture {
@@ -87,7 +87,7 @@
 	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"settings":%s}`, f.listen, f.discovery, policySettings)
 }
 
-// ask sends one request on a connection of its own; a status of 0 says that none came.
+// get sends one request on a new connection; a status of 0 means that there was no response, and the string is then the error.
 func (f *fixture) get() (int, string) {
 	c, err := net.Dial("tcp", f.listen)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// until asks until a request is served.
+// waitServed sends requests until one is served.
 func (f *fixture) waitServed(t *testing.T) {
 	t.Helper()
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
@@ -114,7 +114,7 @@
 	}, time.Minute, 10*time.Millisecond)
 }
 
-// ready waits until the page says yes.
+// waitReady polls a readiness page until it returns status 200.
 func waitReady(t *testing.T, url string) {
 	t.Helper()
 	require.Eventually(t, func() bool {
@@ -126,7 +126,7 @@
 	}, time.Minute, 10*time.Millisecond, "never ready")
 }
 
-// TestServeAndStop runs a whole initiator, and ends it with a request open: that one is served first.
+// TestServeAndStop shuts an initiator down with a request open: the request is served first.
 func TestServeAndStop(t *testing.T) {
 	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -149,22 +149,22 @@
 	}()
 	<-f.arrived
 	cancel()
-	time.Sleep(core.NewShutdownSchedule(time.Minute).RespondWithin + 300*time.Millisecond) // its client waits for longer than that
+	time.Sleep(core.NewShutdownSchedule(time.Minute).RespondWithin + 300*time.Millisecond) // the client's own timeout is longer
 	close(f.release)
 	if got := <-response; got != "200 from the target" {
-		t.Errorf("the request that was open: %s", got)
+		t.Errorf("open request: %s", got)
 	}
 	if err := <-serveErr; err != nil {
 		t.Error(err)
 	}
 	if status, _ := f.get(); status != 0 {
-		t.Errorf("served after the end: %d", status)
+		t.Errorf("response after shutdown: status %d", status)
 	}
 }
 
-// TestReload replaces the file under a running initiator and signals the process itself: one that cannot be served
-// changes nothing, a good one moves discovery against the environment's word, and only there. Requests are served all
-// along, and the end is in order with a reload under way.
+// TestReload replaces the configuration file of a running initiator and sends SIGHUP: an invalid file changes nothing, and a valid one
+// changes only the discovery address, overriding the environment variable. Requests are served throughout, and a shutdown during a reload
+// succeeds.
 func TestReload(t *testing.T) {
 	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -211,10 +211,10 @@
 		select {
 		case got := <-requested:
 			if got != "/api/targets" {
-				t.Errorf("first asked at the new address: %q", got)
+				t.Errorf("first request at the new discovery address: %q", got)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatal("the new address was not asked")
+			t.Fatal("no request at the new discovery address")
 		}
 		f.waitServed(t)
 	}
@@ -226,8 +226,8 @@
 	}
 }
 
-// TestFollow has an instance take its configuration from an agent, keep it when a bad one comes, and move to a
-// successor when a good one does, without a request lost.
+// TestFollow runs an instance with its configuration from an agent: an invalid new configuration is rejected and the old one kept, and a
+// valid one starts a successor with the new listen address, after which the predecessor stops serving.
 func TestFollow(t *testing.T) {
 	f := newFixture(t)
 	agentConfig := &config.Agent{ID: "a", Dir: t.TempDir(), Peers: []config.Peer{{ID: "a", Raft: freeAddr(t), API: freeAddr(t)}}}
@@ -252,7 +252,7 @@
 	}()
 	f.waitServed(t)
 	if err := putConfig(`{"name":"n1"}`); err == nil || !strings.Contains(err.Error(), "listen") {
-		t.Errorf("a configuration that cannot be served: %v", err)
+		t.Errorf("invalid configuration: %v, want an error about listen", err)
 	}
 	oldListen := f.listen
 	f.listen = freeAddr(t)
@@ -262,7 +262,7 @@
 	f.waitServed(t)
 	newListen := f.listen
 	f.listen = oldListen
-	require.Eventually(t, func() bool { status, _ := f.get(); return status == 0 }, time.Minute, 20*time.Millisecond, "the predecessor still answers")
+	require.Eventually(t, func() bool { status, _ := f.get(); return status == 0 }, time.Minute, 20*time.Millisecond, "the predecessor still serves requests")
 	f.listen = newListen
 	f.waitServed(t)
 	cancel()
@@ -273,8 +273,7 @@
 	}
 }
 
-// TestServeNVMe serves by an operator's file: NVMe over TCP answers at its address, and on the platform's there
-// is the ready page alone.
+// TestServeNVMe serves NVMe over TCP as set in an operator's file; the platform's HTTP address then has only the readiness page.
 func TestServeNVMe(t *testing.T) {
 	f := newFixture(t)
 	dir, nvmeAddr := t.TempDir(), freeAddr(t)
@@ -302,7 +301,7 @@
 	}()
 	<-listening
 	if status, _ := f.get(); status != 404 {
-		t.Errorf("a request by HTTP: status %d", status)
+		t.Errorf("HTTP request: status %d, want 404", status)
 	}
 	waitReady(t, "http://"+f.listen+"/-/ready")
 	c, err := net.Dial("tcp", nvmeAddr)
@@ -315,7 +314,7 @@
 	if _, err := io.ReadFull(c, response); err != nil || response[0] != 1 {
 		t.Errorf("ICReq was answered with %x, %v", response[:8], err)
 	}
-	// The conformance suite at the command line, before and after other namespaces came by a reload.
+	// The conform command, before and after a reload of the namespaces.
 	conform := func(namespace string) (string, error) {
 		var out strings.Builder
 		root := rootCommand()
@@ -330,12 +329,12 @@
 	namespaces := slices.Clone(op.NVMe.Namespaces)
 	namespaces[0].ID = 5
 	changes <- instance.Change{Namespaces: namespaces}
-	changes <- instance.Change{} // the first has been taken over by now
+	changes <- instance.Change{} // received only after the first has been applied
 	if out, err := conform("5"); err != nil {
 		t.Errorf("conform after the reload: %v\n%s", err, out)
 	}
 	if out, err := conform("1"); err == nil || !strings.Contains(out, "fail") {
-		t.Errorf("conform of a namespace that is gone: %v\n%s", err, out)
+		t.Errorf("conform of a removed namespace: %v\n%s", err, out)
 	}
 	cancel()
 	if err := <-serveErr; err != nil {
@@ -343,7 +342,7 @@
 	}
 }
 
-// TestCommands runs the command line's own words.
+// TestCommands runs the check, version and config put commands.
 func TestCommands(t *testing.T) {
 	f := newFixture(t)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -365,24 +364,24 @@
 		t.Fatal(err)
 	}
 	if _, err := run("check", path); err == nil || !strings.Contains(err.Error(), "name") {
-		t.Errorf("check of a bad one: %v", err)
+		t.Errorf("check of a configuration without a name: %v", err)
 	}
 	if out, err := run("version"); err != nil || !strings.HasPrefix(out, "spindlehitch ") {
 		t.Errorf("version: %q, %v", out, err)
 	}
 	if _, err := run("config", "put", "n2", path, "--agents", "127.0.0.1:1"); err == nil {
-		t.Error("another instance's configuration was put")
+		t.Error("config put accepted another instance's configuration")
 	}
 }
 
-// TestAccounts has an instance keep accounts, asks it for them while it runs, and reads what it left on its disk, in each
-// form; what cannot be told gets one clear message.
+// TestAccounts reports an instance's accounts while it runs and, in each format, from the files it has written after shutdown; a report that
+// cannot be made fails with an error that names the reason.
 func TestAccounts(t *testing.T) {
 	f := newFixture(t)
-	dir, nvmeAddr := t.TempDir(), freeAddr(t)
+	dir, accountsAddr := t.TempDir(), freeAddr(t)
 	accountsDir := filepath.Join(dir, "accounts.data")
 	for name, text := range map[string]string{"config.json": f.config(),
-		"accounts.toml": fmt.Sprintf("[accounts]\nlisten = %q\ndir = %q\nwindow_s = 3600\n", nvmeAddr, accountsDir)} {
+		"accounts.toml": fmt.Sprintf("[accounts]\nlisten = %q\ndir = %q\nwindow_s = 3600\n", accountsAddr, accountsDir)} {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -408,7 +407,7 @@
 	}
 	var r accounts.Report
 	for deadline := time.Now().Add(time.Minute); len(r.Volumes) == 0 || r.Volumes[0].Requests == 0; time.Sleep(10 * time.Millisecond) {
-		out, err := report("--instances", nvmeAddr, "--format", "json")
+		out, err := report("--instances", accountsAddr, "--format", "json")
 		if err == nil {
 			err = json.Unmarshal([]byte(out), &r)
 		}
@@ -420,7 +419,7 @@
 	if v.Node <= 0 || v.P50 <= 0 || len(r.Nodes) != 1 || r.Nodes[0].Answers == 0 {
 		t.Errorf("%+v", r)
 	}
-	checkTop(t, nvmeAddr, v.Volume)
+	checkTop(t, accountsAddr, v.Volume)
 	cancel()
 	if err := <-serveErr; err != nil {
 		t.Fatal(err)
@@ -447,7 +446,7 @@
 		{[]string{"--from", accountsDir, "--format", "xml"}, "--format"},
 		{[]string{"--from", accountsDir, "--format", "parquet"}, "--output"},
 		{[]string{"--from", filepath.Join(dir, "nowhere")}, "nowhere"},
-		{[]string{"--instances", nvmeAddr}, "instance " + nvmeAddr},
+		{[]string{"--instances", accountsAddr}, "instance " + accountsAddr},
 	} {
 		if out, err := report(c.args...); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v\n%s", c.args, err, out)
@@ -455,13 +454,13 @@
 	}
 }
 
-// testTop looks at the live screen of a running instance and one that does not answer, in each order, and leaves it.
+// checkTop renders the screen for a running instance and an unreachable one in each sort order, and quits.
 func checkTop(t *testing.T, addr, volume string) {
 	t.Helper()
 	var m tea.Model = topModel{instances: []string{addr, "127.0.0.1:1"}, interval: time.Second, height: 24}
 	m, cmd := m.Update(m.Init()())
 	if cmd == nil {
-		t.Error("the instances are asked once only")
+		t.Error("no further poll of the instances is scheduled")
 	}
 	for _, x := range sortOrders {
 		screen := m.(topModel).render()
@@ -478,11 +477,11 @@
 		t.Errorf("%d lines on a screen of %d", lines, crowded.height)
 	}
 	if _, quit := m.Update(tea.KeyPressMsg{Code: 'q', Text: "q"}); quit == nil {
-		t.Error("q does not leave")
+		t.Error("q does not quit")
 	}
 	root := rootCommand()
 	root.SetArgs([]string{"top"})
 	if err := root.Execute(); err == nil || !strings.Contains(err.Error(), "--instances") {
-		t.Errorf("top of nobody: %v", err)
+		t.Errorf("top without instances: %v", err)
 	}
 }
--- a/cmd/spindlehitch/top.go
+++ b/cmd/spindlehitch/top.go
@@ -23,7 +23,7 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if len(instances) == 0 {
-				return errors.New("top: --instances names none")
+				return errors.New("top: --instances is required")
 			}
 			_, err := tea.NewProgram(topModel{instances: instances, interval: max(interval, 100*time.Millisecond), height: 24},
 				tea.WithInput(cmd.InOrStdin()), tea.WithOutput(cmd.OutOrStdout()), tea.WithContext(cmd.Context())).Run()
@@ -35,17 +35,17 @@
 	return cmd
 }
 
-// top is the state of the screen.
+// topModel is the Bubble Tea model of the screen.
 type topModel struct {
 	instances []string
 	interval  time.Duration
 	height    int
-	order     int // by which of orders
+	order     int // index into sortOrders
 	report    accounts.Report
-	failed    []string // instances that did not answer
+	failed    []string // instances that failed to respond, with their errors
 }
 
-// orders are by what volumes may be listed, the most first.
+// sortOrders are the sort keys of the volume list, in descending order of value.
 var sortOrders = []struct {
 	name  string
 	value func(accounts.Row) float64
@@ -56,13 +56,13 @@
 	{"still nodes", func(r accounts.Row) float64 { return r.Still }},
 }
 
-// news is what the instances told.
+// refreshMsg is the result of polling all instances.
 type refreshMsg struct {
 	report accounts.Report
 	failed []string
 }
 
-// look asks the instances and makes one report of those that answer.
+// refresh polls the instances and merges the accounts of those that respond into one report.
 func (t topModel) refresh() tea.Msg {
 	var msg refreshMsg
 	var snapshots []accounts.Snapshot
@@ -110,13 +110,13 @@
 	return v
 }
 
-// screen is the text shown: as many volumes as there is room for, ordered, and what did not answer.
+// render returns the screen's text: as many sorted volumes as fit, and the instances that failed to respond.
 func (t topModel) render() string {
 	var b strings.Builder
 	r, order := t.report, sortOrders[t.order]
 	rows := slices.Clone(r.Volumes)
 	slices.SortStableFunc(rows, func(x, y accounts.Row) int { return cmp.Compare(order.value(y), order.value(x)) })
-	const reservedLines = 8 // lines beside the volumes'
+	const reservedLines = 8 // lines other than volume rows
 	hidden := max(0, len(rows)-max(1, t.height-reservedLines-len(t.failed)))
 	r.Volumes = rows[:len(rows)-hidden]
 	fmt.Fprintf(&b, "volumes by %s (o: other order, q: quit)\n", order.name)
--- a/cmd/spindlehitch/upgrade_test.go
+++ b/cmd/spindlehitch/upgrade_test.go
@@ -19,9 +19,9 @@
 	"spindlehitch/internal/process/instance"
 )
 
-// TestUpgrades starts an initiator twice more beside itself, at a socket that all inherit, while clients ask without a
-// pause: no request is refused, reset or unread. Here the three are in one process, which has one part in a handover: the
-// later ones go on without, and each older one leaves at its SIGTERM.
+// TestUpgrades starts two successors of an initiator in turn, on one inherited socket, while clients send requests continuously: no request
+// may be rejected, reset or left unread. All three run in one process, which can take only one part in a handover, so the successors start
+// without one, and each predecessor shuts down when its context is cancelled, as on SIGTERM.
 func TestUpgrades(t *testing.T) {
 	f := newFixture(t)
 	l, err := net.Listen("tcp", f.listen)
@@ -96,7 +96,7 @@
 	text := make([]byte, 4096)
 	n, _ := resp.Body.Read(text)
 	if !strings.Contains(string(text[:n]), "edge_proxy.targets:1|g") || strings.Contains(string(text[:n]), "success:0|") {
-		t.Errorf("the last one's numbers: %s", text[:n])
+		t.Errorf("metrics of the last process: %s", text[:n])
 	}
 	close(done)
 	wg.Wait()
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestBadSocket stops the start with a message that names the variable.
+// TestBadSocket checks that an inherited descriptor that is not a socket fails the start with an error that names its variable.
 func TestBadSocket(t *testing.T) {
 	f := newFixture(t)
 	file, err := os.Create(t.TempDir() + "/file")
