--- a/cmd/benchlink/decode.go
+++ b/cmd/benchlink/decode.go
@@ -10,7 +10,7 @@
 
 func parseUint(n json.Number) (uint64, error) { return strconv.ParseUint(n.String(), 10, 64) }
 
-// required names the first of the fields that is absent.
+// requireFields takes pairs of a field's name and its pointer, and returns an error for the first pointer that is nil.
 func requireFields(fields ...any) error {
 	for i := 0; i+1 < len(fields); i += 2 {
 		absent := false
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// decode turns a wire event into the module's; nil where the module has no use for it.
+// decode converts a wire event to a scheduler event, or to nil if the scheduler does not use it.
 func decode(e *event) (policy.Event, error) {
 	switch *e.Type {
 	case "members":
@@ -88,7 +88,7 @@
 	return nil, fmt.Errorf("type: unknown event %q", *e.Type)
 }
 
-// load turns a load report into the module's; nil where none came.
+// decodeLoad converts a load report; it returns nil if the event has none.
 func decodeLoad(s *loadReport) *policy.Load {
 	if s == nil {
 		return nil
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the scheduler decide on the bench's wire: JSON lines in, JSON lines out.
+// Command benchlink connects the scheduler to the test bench: it reads batches of events and writes replies with actions, as JSON lines.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	}
 }
 
-// run answers every batch of in with one line on out, until in ends.
+// run writes one reply line to out for each batch read from in. It returns nil at the end of in.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
 	a := newAdapter()
--- a/cmd/benchlink/wire.go
+++ b/cmd/benchlink/wire.go
@@ -9,6 +9,7 @@
 	"spindlehitch/internal/process/config"
 )
 
+// batch is one input line; a nil field was absent or null.
 type batch struct {
 	WallUs *int64            `json:"wallUs"`
 	Frame  *int64            `json:"frame"`
@@ -41,12 +42,13 @@
 	ServerStats *loadReport              `json:"serverStats"`
 }
 
-// stats is a load report; a nil field was absent.
+// loadReport is a target's load report; a nil field was absent.
 type loadReport struct {
 	Depth      *float64 `json:"depth"`
 	Concurrent *float64 `json:"concurrent"`
 }
 
+// record is an entry of a list of targets; a nil field was absent or null.
 type record struct {
 	Target        *string `json:"target"`
 	FailureDomain string  `json:"failureDomain"`
@@ -55,6 +57,7 @@
 	LaunchedUs    *int64  `json:"launchedUs"`
 }
 
+// action is a decision of the scheduler as sent to the bench.
 type action struct {
 	Type        string `json:"type"`
 	InitiatorID string `json:"initiatorId"`
@@ -68,6 +71,7 @@
 	Message     string `json:"message,omitempty"`
 }
 
+// reply is the output line for the batch of the same frame.
 type reply struct {
 	Frame  int64    `json:"frame"`
 	Outbox []action `json:"outbox"`
@@ -77,14 +81,14 @@
 
 func microseconds(n int64) time.Duration { return config.Microseconds(n) }
 
-// link hosts the instances of one process. They share nothing but the line they are spoken to on.
+// adapter runs the scheduler instances of one process. They share no state except the input and output streams.
 type adapter struct {
 	instances map[string]*policy.Scheduler
 }
 
 func newAdapter() *adapter { return &adapter{instances: map[string]*policy.Scheduler{}} }
 
-// inbox is what a batch holds for one instance since its last start.
+// inbox holds the events of a batch for one instance, without those before its last start or shutdown.
 type inbox struct {
 	id     string
 	events []policy.Event
@@ -135,7 +139,7 @@
 	return json.Marshal(out)
 }
 
-// take adds one event to its instance's inbox; a start or a shutdown replaces the instance.
+// addEvent appends one event to its instance's inbox; a start replaces the instance and a shutdown removes it, and both empty the inbox.
 func (a *adapter) addEvent(in *inbox, e *event) error {
 	switch *e.Type {
 	case "start":
@@ -177,7 +181,7 @@
 	return nil
 }
 
-// step lets one instance decide; a panic in the decision code becomes internalError.
+// step runs one scheduler step of an instance and appends its actions to out; a panic in the scheduler becomes an internalError action.
 func (a *adapter) step(out []action, in *inbox, now time.Duration) (done []action) {
 	s := a.instances[in.id]
 	if s == nil {
--- a/cmd/benchlink/wire_test.go
+++ b/cmd/benchlink/wire_test.go
@@ -18,10 +18,12 @@
 
 const listEvent = `{"type":"members","initiatorId":"i_0","mode":"whole","gen":1,"records":[{"target":"n","cohort":0,"mode":"up"}]}`
 
+// batchLine returns an input line with these events.
 func batchLine(frame int, events ...string) string {
 	return fmt.Sprintf(`{"wallUs":%d,"frame":%d,"inbox":[%s]}`+"\n", 1000000+frame*1000, frame, strings.Join(events, ","))
 }
 
+// requestEvent returns a newRequest event without the field omit.
 func requestEvent(omit string) string {
 	fields := []string{`"rid":"r1"`, `"tier":"std"`, `"vol":"v"`, `"grade":"get"`, `"budgetUs":900000`, `"weight":1`,
 		`"groupNo":0`, `"chunk":"k"`, `"writers":1`}
@@ -45,13 +47,13 @@
 	}
 }
 
-// TestHoldOff checks that the module's wait before a client's retry goes out with the refusal: here a later try
-// of what was turned away, past its aim, which is to stay away until its client's patience is over.
+// TestHoldOff checks that a rejection carries the scheduler's delay before a client's retry. Here a rejected request is sent again after its
+// class's latency objective has passed; the delay must cover the rest of the client's time budget.
 func TestHoldOff(t *testing.T) {
 	at := func(us, frame int, event string) string {
 		return fmt.Sprintf(`{"wallUs":%d,"frame":%d,"inbox":[%s]}`+"\n", us, frame, event)
 	}
-	first := strings.Replace(requestEvent(""), `"groupNo":0`, `"groupNo":5`, 1) // no target holds it
+	first := strings.Replace(requestEvent(""), `"groupNo":0`, `"groupNo":5`, 1) // no target serves this shard
 	retry := strings.NewReplacer(`"r1"`, `"r2"`, "900000", "300000").Replace(first)
 	var out bytes.Buffer
 	in := at(1000000, 1, startEvent+","+listEvent) + at(1001000, 2, first) +
@@ -67,7 +69,7 @@
 	}
 }
 
-// TestMalformed checks each plain message on input that cannot be served.
+// TestMalformed checks the error for each kind of invalid input.
 func TestMalformed(t *testing.T) {
 	result := func(code string) string {
 		return `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"` + code +
@@ -75,7 +77,7 @@
 	}
 	for _, c := range []struct{ name, in, want string }{
 		{"not JSON", "nonsense\n", "decoding batch"},
-		{"no clock", `{"frame":1,"inbox":[]}`, "wallUs: required field is missing"},
+		{"no wallUs", `{"frame":1,"inbox":[]}`, "wallUs: required field is missing"},
 		{"no frame", `{"wallUs":1,"inbox":[]}`, "frame: required field is missing"},
 		{"no inbox", `{"wallUs":1,"frame":1}`, "inbox: required field is missing"},
 		{"no type", batchLine(1, `{"initiatorId":"i_0"}`), "type: required field is missing"},
@@ -86,7 +88,7 @@
 		{"broken seed", batchLine(1, strings.Replace(startEvent, "18446744073709551615", "1.5", 1)), "initSeed"},
 		{"no options", batchLine(1, strings.Replace(startEvent, "options", "opts", 1)), "options: required field is missing"},
 		{"no peers", batchLine(1, strings.Replace(startEvent, "peersTotal", "peers", 1)), "options.peersTotal"},
-		{"unservable options", batchLine(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs an aim"},
+		{"invalid options", batchLine(1, strings.Replace(startEvent, `"promiseUs":400000`, `"promiseUs":0`, 1)), "needs an aim"},
 		{"unknown effect", batchLine(1, strings.Replace(startEvent, "pure", "odd", 1)), `effect: unknown effect "odd"`},
 		{"unknown group", batchLine(1, strings.Replace(startEvent, `"pure"`, `"token","group":"odd"`, 1)), `unknown group "odd"`},
 		{"unknown outcome", batchLine(1, startEvent, result("odd")), `unknown outcome "odd"`},
@@ -95,8 +97,8 @@
 		{"unknown list kind", batchLine(1, startEvent, strings.Replace(listEvent, "whole", "odd", 1)), `unknown list kind "odd"`},
 		{"entry without shard", batchLine(1, startEvent, strings.Replace(listEvent, `"cohort":0,`, "", 1)), "records[0]: cohort"},
 		{"unknown state", batchLine(1, startEvent, strings.Replace(listEvent, `"up"`, `"odd"`, 1)), `unknown state "odd"`},
-		{"stream without id", batchLine(1, startEvent, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
-		{"departure without id", batchLine(1, startEvent, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
+		{"response start without id", batchLine(1, startEvent, `{"type":"underWay","initiatorId":"i_0"}`), "rid: required field"},
+		{"client disconnect without id", batchLine(1, startEvent, `{"type":"clientGone","initiatorId":"i_0"}`), "rid: required field"},
 	} {
 		err := run(strings.NewReader(c.in), &bytes.Buffer{})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -117,7 +119,7 @@
 	}
 }
 
-// FuzzDecode checks that no line makes the adapter panic, and that the decision code never faults.
+// FuzzDecode checks that no input makes the adapter or the scheduler panic.
 func FuzzDecode(f *testing.F) {
 	f.Add(batchLine(2, requestEvent("")))
 	f.Add(batchLine(2, listEvent, `{"type":"result","initiatorId":"i_0","rid":"r1","leg":0,"target":"n","stateCode":"shed","spentUs":1,"complete":false}`))
@@ -126,12 +128,12 @@
 		var out bytes.Buffer
 		_ = run(strings.NewReader(batchLine(1, startEvent, listEvent)+in), &out)
 		if strings.Contains(out.String(), `"internalError"`) {
-			t.Fatalf("decision code faulted: %s", out.String())
+			t.Fatalf("the scheduler panicked: %s", out.String())
 		}
 	})
 }
 
-// TestLoadReport checks what becomes of a node's report: absent figures stay absent, unknown ones are ignored.
+// TestLoadReport checks the conversion of a target's load report: absent fields stay absent and unknown ones are ignored.
 func TestLoadReport(t *testing.T) {
 	for _, c := range []struct {
 		in   string
--- a/cmd/spindlehitch-model/main.go
+++ b/cmd/spindlehitch-model/main.go
@@ -1,5 +1,5 @@
-// Command spindlehitch-model is `spindlehitch model`: a fleet in virtual time. It is a program of its own, so that nothing of it is linked
-// into what serves.
+// Command spindlehitch-model runs a model of a fleet in virtual time; "spindlehitch model" executes it. It is a separate program, so that the
+// model is not linked into the production binary.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	"spindlehitch/internal/testbed/model/experiment"
 )
 
-// exitBroken is the exit code of an experiment in which a promise was broken.
+// exitInvariantViolated is the exit code of an experiment in which an invariant was violated.
 const exitInvariantViolated = 5
 
 func main() {
@@ -120,7 +120,7 @@
 			}
 			n, err := strconv.Atoi(args[1])
 			if err != nil || n < 0 || n >= len(exp.Runs) {
-				return fmt.Errorf("run: %q is none of 0 to %d", args[1], len(exp.Runs)-1)
+				return fmt.Errorf("run: %q is not a number from 0 to %d", args[1], len(exp.Runs)-1)
 			}
 			planned := exp.Runs[n]
 			spec := *planned.Spec
@@ -175,7 +175,7 @@
 	return root
 }
 
-// program names this program by what it is made of.
+// programHash returns a hash of this program's executable file.
 func programHash() (uint64, error) {
 	path, err := os.Executable()
 	if err != nil {
--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -13,7 +13,7 @@
 	"spindlehitch/internal/testbed/model/mesh"
 )
 
-// membersCommand measures the membership in virtual time: false verdicts, time to detect a death, cost.
+// membersCommand measures the membership protocol in virtual time: false failure verdicts, time to detect a failure, and cost.
 func membersCommand(printResult func(*cobra.Command, any, func() error) error) *cobra.Command {
 	var sizes []int
 	var troubles []string
@@ -26,7 +26,7 @@
 			var rows []mesh.Row
 			for _, size := range sizes {
 				if size < 5 {
-					return fmt.Errorf("--sizes: %d is under 5", size)
+					return fmt.Errorf("--sizes: %d is less than 5", size)
 				}
 				for _, trouble := range mesh.Troubles {
 					if len(troubles) > 0 && !slices.Contains(troubles, trouble.Name) {
@@ -62,7 +62,7 @@
 	return cmd
 }
 
-// encoded is a message's size on the wire.
+// encodedSize returns the size of a message on the wire, or 0 if it cannot be encoded.
 func encodedSize(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -1,4 +1,5 @@
-// Command spindlehitch-scale measures what a fleet costs by its size. It is a program of its own, so that nothing of it is linked into what serves.
+// Command spindlehitch-scale measures the resource cost of a fleet as a function of its size. It is a separate program, so that none of it is
+// linked into the production binary.
 package main
 
 import (
--- a/cmd/spindlehitch-scale/run.go
+++ b/cmd/spindlehitch-scale/run.go
@@ -16,10 +16,10 @@
 	"spindlehitch/internal/testbed/scale/slope"
 )
 
-// exitNotHeld is the exit code of a run of which a limit is not held, or was not measured: its last line says how many.
+// exitLimitNotHeld is the exit code of a run that exceeded a limit or did not measure it; the last line of its output has the count.
 const exitLimitNotHeld = 5
 
-// runCommand is the scale run: the table of what was found, and as its last line how many limits are held.
+// runCommand runs a scale run and prints its results as tables; the last line has the number of limits that were held.
 func runCommand() *cobra.Command {
 	var asJSON bool
 	var plotDir, program, dir string
@@ -44,7 +44,7 @@
 				program = filepath.Join(filepath.Dir(self), "spindlehitch")
 			}
 			if _, err := os.Stat(program); err != nil {
-				return fmt.Errorf("--program: %w; make build makes it", err)
+				return fmt.Errorf("--program: %w; run make build", err)
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -82,7 +82,7 @@
 	return cmd
 }
 
-// showCommand writes the tables of a run that was kept as JSON, and draws it.
+// showCommand prints the tables of a run saved as JSON, and optionally its plots.
 func showCommand() *cobra.Command {
 	var plotDir string
 	cmd := &cobra.Command{Use: "show RESULT.json", Short: "Print the tables of a run that was kept by --json", Args: cobra.ExactArgs(1), RunE: func(cmd *cobra.Command, args []string) error {
@@ -105,10 +105,10 @@
 	return cmd
 }
 
-// hostCommand is a process of hollow initiators, which a run starts.
+// hostCommand is the hidden command with which a run starts a process of hollow initiators.
 func hostCommand() *cobra.Command {
 	return &cobra.Command{Use: "host", Hidden: true, Args: cobra.NoArgs, RunE: func(cmd *cobra.Command, _ []string) error {
-		// An interrupt from the keyboard reaches all processes of the run: the one that gives the orders ends this one.
+		// An interrupt from the keyboard reaches every process of the run; the controlling process stops this one in order.
 		signal.Ignore(os.Interrupt)
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM)
 		defer stop()
--- a/cmd/spindlehitch-scale/slopes.go
+++ b/cmd/spindlehitch-scale/slopes.go
@@ -19,11 +19,11 @@
 
 // slopesCommand measures the slopes of docs/CAPACITY.md.
 func slopesCommand() *cobra.Command { //nolint:gocognit // to be split with its package, see docs/left.md
-	var asJSON, write, short, corrected bool
+	var asJSON, write, short, afterFix bool
 	var root string
 	cmd := &cobra.Command{Use: "slopes [NAME...]", Short: "Measure what each role costs by size", RunE: func(cmd *cobra.Command, names []string) error {
 		if short && write {
-			return errors.New("--write: a short run is for a check, the table takes full ones")
+			return errors.New("--write cannot be used with --short: the table takes full measurements only")
 		}
 		probes, err := slope.Find(names)
 		if err != nil {
@@ -32,7 +32,7 @@
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		table, err := slope.Load()
-		if write { // it may have changed since this program was built
+		if write { // the file may be newer than the table built into this program
 			table, err = readTable(root)
 		}
 		if err != nil {
@@ -50,7 +50,7 @@
 				return err
 			}
 			for _, s := range slopes {
-				if corrected {
+				if afterFix {
 					table.Mended(s.Name)
 				}
 				measured.Put(s)
@@ -60,7 +60,7 @@
 		}
 		if write {
 			if err := table.Check(); err != nil {
-				return fmt.Errorf("nothing is written: %w", err)
+				return fmt.Errorf("table not written: %w", err)
 			}
 			text, err := table.Text()
 			if err != nil {
@@ -83,12 +83,12 @@
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON in place of a table")
 	cmd.Flags().BoolVar(&write, "write", false, "put what was measured into the repository's table")
 	cmd.Flags().BoolVar(&short, "short", false, "small sizes, for a check")
-	cmd.Flags().BoolVar(&corrected, "mended", false, "keep the figures so far as those from before what they measure was mended")
+	cmd.Flags().BoolVar(&afterFix, "mended", false, "keep the figures so far as those from before what they measure was mended")
 	cmd.Flags().StringVar(&root, "root", ".", "the repository")
 	return cmd
 }
 
-// pageCommand writes the tables of docs/CAPACITY.md from the table of slopes.
+// pageCommand regenerates the tables of docs/CAPACITY.md from the table of slopes.
 func pageCommand() *cobra.Command {
 	var root string
 	cmd := &cobra.Command{Use: "page", Short: "Write the tables of " + slope.PageFile, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
--- a/cmd/spindlehitch/disconnect_test.go
+++ b/cmd/spindlehitch/disconnect_test.go
@@ -117,7 +117,7 @@
 		if rest == "" {
 			method, rest = "GET", "\r\n"
 		}
-		fmt.Fprintf(c, "%s /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: %s\r\n%s%s", method, id, largeHead, rest)
+		fmt.Fprintf(c, "%s /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: %s\r\n%s%s", method, id, requestHeaders, rest)
 		return c.(*net.TCPConn)
 	}
 	floodAndClose := func(c *net.TCPConn) {
--- a/cmd/spindlehitch/drain_test.go
+++ b/cmd/spindlehitch/drain_test.go
@@ -39,50 +39,50 @@
 }
 
 func newWatchDiscovery(t *testing.T, version int, states map[string]string) *watchDiscovery {
-	p := &watchDiscovery{version: version, states: states, changed: make(chan struct{}), stalled: make(chan struct{})}
-	p.Server = httptest.NewServer(p)
-	t.Cleanup(p.Close)
-	t.Cleanup(p.CloseClientConnections)
-	return p
+	d := &watchDiscovery{version: version, states: states, changed: make(chan struct{}), stalled: make(chan struct{})}
+	d.Server = httptest.NewServer(d)
+	t.Cleanup(d.Close)
+	t.Cleanup(d.CloseClientConnections)
+	return d
 }
 
-func (p *watchDiscovery) addr() string { return p.Listener.Addr().String() }
+func (d *watchDiscovery) addr() string { return d.Listener.Addr().String() }
 
 // update runs f with mu held.
-func (p *watchDiscovery) update(f func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (d *watchDiscovery) update(f func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	f()
 }
 
 // publish creates the next version; a state of "" drops a target from the list without listing it in the change.
-func (p *watchDiscovery) publish(states map[string]string) {
-	p.update(func() {
-		p.version++
-		p.lastChanged = nil
+func (d *watchDiscovery) publish(states map[string]string) {
+	d.update(func() {
+		d.version++
+		d.lastChanged = nil
 		for addr, s := range states {
-			if p.states[addr] = s; s == "" {
-				delete(p.states, addr)
+			if d.states[addr] = s; s == "" {
+				delete(d.states, addr)
 			} else {
-				p.lastChanged = append(p.lastChanged, addr)
+				d.lastChanged = append(d.lastChanged, addr)
 			}
 		}
-		close(p.changed)
-		p.changed = make(chan struct{})
+		close(d.changed)
+		d.changed = make(chan struct{})
 	})
 }
 
 // stallOpenWatches makes all calls now waiting for a change hang until their client disconnects; later calls are answered.
-func (p *watchDiscovery) stallOpenWatches() {
-	p.update(func() { close(p.stalled); p.stalled = make(chan struct{}) })
+func (d *watchDiscovery) stallOpenWatches() {
+	d.update(func() { close(d.stalled); d.stalled = make(chan struct{}) })
 }
 
-func (p *watchDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *watchDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	p.mu.Lock()
-	stalled, changed, version, down := p.stalled, p.changed, p.version, p.down
-	p.mu.Unlock()
+	d.mu.Lock()
+	stalled, changed, version, down := d.stalled, d.changed, d.version, d.down
+	d.mu.Unlock()
 	if down {
 		<-r.Context().Done()
 		return
@@ -98,26 +98,26 @@
 		case <-time.After(time.Duration(wait) * time.Millisecond):
 		}
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var entries []string
 	addEntry := func(addr string) {
-		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":0,"state":%q}`, addr, addr, p.states[addr]))
+		entries = append(entries, fmt.Sprintf(`{"id":%q,"addr":%q,"cell":0,"state":%q}`, addr, addr, d.states[addr]))
 	}
-	full := p.fullLists || after != p.version-1
+	full := d.fullLists || after != d.version-1
 	switch {
-	case after == p.version: // nothing new
+	case after == d.version: // nothing new
 		full = false
 	case full:
-		for addr := range p.states {
+		for addr := range d.states {
 			addEntry(addr)
 		}
 	default:
-		for _, addr := range p.lastChanged {
+		for _, addr := range d.lastChanged {
 			addEntry(addr)
 		}
 	}
-	fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, p.version, full, strings.Join(entries, ","))
+	fmt.Fprintf(w, `{"version":%d,"full":%v,"servers":[%s]}`, d.version, full, strings.Join(entries, ","))
 }
 
 // targetGroup is the targets of one shard; they record the ids of the requests they receive.
@@ -134,14 +134,14 @@
 }
 
 // addTarget starts one more target, which is closed when the test ends.
-func (group *targetGroup) addTarget(t *testing.T) (addr string) {
+func (g *targetGroup) addTarget(t *testing.T) (addr string) {
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		group.mu.Lock()
-		group.received[addr] = append(group.received[addr], r.Header.Get("Request-Id"))
-		group.mu.Unlock()
-		if group.holding.Load() {
-			group.waiting <- addr
-			<-group.released
+		g.mu.Lock()
+		g.received[addr] = append(g.received[addr], r.Header.Get("Request-Id"))
+		g.mu.Unlock()
+		if g.holding.Load() {
+			g.waiting <- addr
+			<-g.released
 			w.Header().Set("Not-Started", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -154,10 +154,10 @@
 	return addr
 }
 
-func (group *targetGroup) receivedBy(addr string) []string {
-	group.mu.Lock()
-	defer group.mu.Unlock()
-	return append([]string{}, group.received[addr]...)
+func (g *targetGroup) receivedBy(addr string) []string {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return append([]string{}, g.received[addr]...)
 }
 
 // TestReloadWithDrains drains targets in every way an initiator can learn of it: in the first list after a reload moves it away from an
--- a/cmd/spindlehitch/fleet.go
+++ b/cmd/spindlehitch/fleet.go
@@ -70,9 +70,9 @@
 				fmt.Fprintln(w, "NAME\tUSE\tPER\tKIND\tWHOLE\tBURST\tLEAST\tMOST\tHELD")
 				for _, b := range v.QuotaConfig.Budgets {
 					held := 0.0
-					for _, l := range v.Ledger {
-						if l.Budget == b.Name {
-							held += l.MaxOutstanding.Rate
+					for _, line := range v.Ledger {
+						if line.Budget == b.Name {
+							held += line.MaxOutstanding.Rate
 						}
 					}
 					fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%g\t%g\t%g\t%g\t%.4g\n", b.Name, b.Resource, b.Scope, b.Kind, b.Capacity, b.Burst, b.FloorRate, b.MaxPerMember, held)
@@ -83,28 +83,28 @@
 	show := &cobra.Command{Use: "show NAME", Short: "Show who holds how much of a budget, and until when", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return f.show(cmd, func(v agent.FleetView) (any, error) { return newBudgetStatus(v, args[0]) }, func(w io.Writer, v agent.FleetView) {
-				s, err := newBudgetStatus(v, args[0])
+				status, err := newBudgetStatus(v, args[0])
 				if err == nil {
-					s.writeTable(w)
+					status.writeTable(w)
 				}
 			})
 		}}
 	var configPath string
 	check := &cobra.Command{Use: "check FILE", Short: "Check a file of budgets and change nothing", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := readBudgets(args[0], configPath)
+			cfg, err := readBudgets(args[0], configPath)
 			if err == nil {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d budgets, %d seats\n", args[0], len(d.Budgets), d.MaxSessions)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d budgets, %d seats\n", args[0], len(cfg.Budgets), cfg.MaxSessions)
 			}
 			return err
 		}}
 	set := &cobra.Command{Use: "set FILE", Short: "Have the fleet go by a file of budgets", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := readBudgets(args[0], configPath)
+			cfg, err := readBudgets(args[0], configPath)
 			if err != nil {
 				return err
 			}
-			d, err = f.client.SetQuotaConfig(cmd.Context(), d)
+			cfg, err = f.client.SetQuotaConfig(cmd.Context(), cfg)
 			var rejected *agent.RejectedError
 			if errors.As(err, &rejected) {
 				return fmt.Errorf("%s: %w", args[0], err)
@@ -112,7 +112,7 @@
 			if err := f.changeError(err); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", d.Version)
+			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", cfg.Version)
 			return nil
 		}}
 	for _, c := range []*cobra.Command{check, set} {
@@ -123,17 +123,17 @@
 }
 
 func readBudgets(path, configPath string) (quota.Config, error) {
-	var c *config.Config
+	var instanceConfig *config.Config
 	if configPath != "" {
 		text, err := os.ReadFile(configPath)
 		if err != nil {
 			return quota.Config{}, err
 		}
-		if c, err = config.Parse(text, func(string) string { return "" }); err != nil {
+		if instanceConfig, err = config.Parse(text, func(string) string { return "" }); err != nil {
 			return quota.Config{}, fmt.Errorf("%s: %w", configPath, err)
 		}
 	}
-	return config.ReadBudgets(path, c)
+	return config.ReadBudgets(path, instanceConfig)
 }
 
 // budgetStatus is the JSON form of one budget and its allocations, as the responding agent has them.
@@ -153,38 +153,38 @@
 	if b == nil {
 		return nil, fmt.Errorf("no budget %q", name)
 	}
-	s := &budgetStatus{Budget: *b, Pool: v.QuotaConfig.SharedPool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, RecoveryWaitMs: v.RecoveryWaitMs,
+	status := &budgetStatus{Budget: *b, Pool: v.QuotaConfig.SharedPool(b), Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, RecoveryWaitMs: v.RecoveryWaitMs,
 		Outdated: []string{}, Holders: []allocator.LedgerLine{}}
-	for _, l := range v.Ledger {
-		if l.Budget == name {
-			s.Holders = append(s.Holders, l)
+	for _, line := range v.Ledger {
+		if line.Budget == name {
+			status.Holders = append(status.Holders, line)
 		}
 	}
-	for _, m := range v.Members {
-		if m.ConfigVersion != v.QuotaConfig.Version {
-			s.Outdated = append(s.Outdated, m.Name)
+	for _, member := range v.Members {
+		if member.ConfigVersion != v.QuotaConfig.Version {
+			status.Outdated = append(status.Outdated, member.Name)
 		}
 	}
-	return s, nil
+	return status, nil
 }
 
-func (s *budgetStatus) writeTable(w io.Writer) {
+func (status *budgetStatus) writeTable(w io.Writer) {
 	fmt.Fprintln(w, "OF\tNAME\tMAY HOLD\tBURST\tASKED\tUSED\tOUT\tUNTIL\tSEEN\tBY\tMEMBER")
 	heldByKey := map[string]float64{}
-	for _, l := range s.Holders {
-		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", l.Key.Key, l.Name, l.MaxOutstanding.Rate, l.MaxOutstanding.Burst, l.Want, l.Used, l.InUse,
-			formatMs(l.ExpiresMs), formatMs(l.LastSeenMs), s.Agent, l.ID)
-		heldByKey[l.Key.Key] += l.MaxOutstanding.Rate
+	for _, line := range status.Holders {
+		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%g\t%s\t%s ago\t%s\t%s\n", line.Key.Key, line.Name, line.MaxOutstanding.Rate, line.MaxOutstanding.Burst, line.Want, line.Used, line.InUse,
+			formatMs(line.ExpiresMs), formatMs(line.LastSeenMs), status.Agent, line.ID)
+		heldByKey[line.Key.Key] += line.MaxOutstanding.Rate
 	}
 	maxHeld := 0.0
 	for _, x := range heldByKey {
 		maxHeld = max(maxHeld, x)
 	}
-	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", maxHeld, s.Pool.Rate, s.FloorRate)
-	if s.RecoveryWaitMs > 0 {
-		fmt.Fprintf(w, "the leader is new: nothing new is given for %s\n", formatMs(s.RecoveryWaitMs))
+	fmt.Fprintf(w, "%.4g of a pool of %.4g held at most; each seat has %g besides\n", maxHeld, status.Pool.Rate, status.FloorRate)
+	if status.RecoveryWaitMs > 0 {
+		fmt.Fprintf(w, "the leader is new: nothing new is given for %s\n", formatMs(status.RecoveryWaitMs))
 	}
-	if len(s.Outdated) > 0 {
-		fmt.Fprintf(w, "not heard of yet by %v\n", s.Outdated)
+	if len(status.Outdated) > 0 {
+		fmt.Fprintf(w, "not heard of yet by %v\n", status.Outdated)
 	}
 }
--- a/cmd/spindlehitch/large_body_test.go
+++ b/cmd/spindlehitch/large_body_test.go
@@ -58,7 +58,7 @@
 	return f
 }
 
-const largeHead = "Host: a\r\nTier: base\r\nRequest-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n"
+const requestHeaders = "Host: a\r\nTier: base\r\nRequest-Timeout-Ms: 20000\r\nIO-Info: volume=00000003b4d60021,units=1,shard=0,hosts=1\r\n"
 
 // TestLargeBothWays checks uploads and downloads of 32 MB by six concurrent clients, some with chunked bodies, with memory_mb set to 16. The
 // target must receive each body intact, and the heap of the whole process must stay below the size of one body.
@@ -106,7 +106,7 @@
 			c.SetDeadline(time.Now().Add(time.Minute))
 			in := bufio.NewReader(c)
 			if i%3 == 0 {
-				fmt.Fprintf(c, "GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: l%d\r\n%s\r\n", i, largeHead)
+				fmt.Fprintf(c, "GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: l%d\r\n%s\r\n", i, requestHeaders)
 				resp, err := http.ReadResponse(in, nil)
 				if err != nil {
 					t.Error(err)
@@ -121,7 +121,7 @@
 			if i%3 == 1 {
 				framing = "Transfer-Encoding: chunked\r\n"
 			}
-			fmt.Fprintf(c, "PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: l%d\r\n%s%s\r\n", i, largeHead, framing)
+			fmt.Fprintf(c, "PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: l%d\r\n%s%s\r\n", i, requestHeaders, framing)
 			sum, rng := sha256.New(), rand.NewChaCha8([32]byte{byte(i)})
 			for remaining := size; remaining > 0; {
 				chunk := make([]byte, min(remaining, 1+int(rng.Uint64()%70000)))
@@ -192,11 +192,11 @@
 			return http.ReadResponse(bufio.NewReader(c), nil)
 		}
 	}
-	resp, err := send("PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b1\r\n"+largeHead+"Content-Length: 1000000\r\n\r\n", 1000000)
+	resp, err := send("PUT /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b1\r\n"+requestHeaders+"Content-Length: 1000000\r\n\r\n", 1000000)
 	if err != nil || resp.StatusCode != 503 {
 		t.Errorf("upload whose target aborted: %+v, %v; want status 503", resp, err)
 	}
-	resp, err = send("GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b2\r\n"+largeHead+"\r\n", 0)
+	resp, err = send("GET /position-read/7f3a9c21e0b4d655 HTTP/1.1\r\nRequest-Id: b2\r\n"+requestHeaders+"\r\n", 0)
 	if err != nil || resp.StatusCode != 200 {
 		t.Fatalf("response that will be truncated: %+v, %v; want status 200", resp, err)
 	}
--- a/cmd/spindlehitch/lease.go
+++ b/cmd/spindlehitch/lease.go
@@ -82,25 +82,25 @@
 	check.RunE = func(cmd *cobra.Command, args []string) error {
 		var budgets *quota.Config
 		if *budgetsPath != "" {
-			d, err := config.ReadBudgets(*budgetsPath, nil)
+			cfg, err := config.ReadBudgets(*budgetsPath, nil)
 			if err != nil {
 				return err
 			}
-			budgets = &d
+			budgets = &cfg
 		}
-		d, err := config.ReadTasks(args[0], budgets)
+		cfg, err := config.ReadTasks(args[0], budgets)
 		if err == nil {
-			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d tasks\n", args[0], len(d.Tasks))
+			fmt.Fprintf(cmd.OutOrStdout(), "%s: %d tasks\n", args[0], len(cfg.Tasks))
 		}
 		return err
 	}
 	set := &cobra.Command{Use: "set FILE", Short: "Have the fleet go by a file of tasks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			d, err := config.ReadTasks(args[0], nil)
+			cfg, err := config.ReadTasks(args[0], nil)
 			if err != nil {
 				return err
 			}
-			d, err = f.client.SetLeaseConfig(cmd.Context(), d)
+			cfg, err = f.client.SetLeaseConfig(cmd.Context(), cfg)
 			var rejected *agent.RejectedError
 			if errors.As(err, &rejected) {
 				return fmt.Errorf("%s: %w", args[0], err)
@@ -108,7 +108,7 @@
 			if err := f.changeError(err); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", d.Version)
+			fmt.Fprintf(cmd.OutOrStdout(), "version %d\n", cfg.Version)
 			return nil
 		}}
 	cmd.AddCommand(list, show, release, move, set, check)
@@ -129,17 +129,17 @@
 func taskSummaries(v agent.FleetView) []taskSummary {
 	all := []taskSummary{}
 	for _, t := range v.LeaseConfig.Tasks {
-		x := taskSummary{Task: t}
+		summary := taskSummary{Task: t}
 		holders := map[string]bool{}
 		for _, l := range v.Leases {
 			if l.Task == t.Name && l.Holder != "" {
-				x.Held++
+				summary.Held++
 				holders[l.Holder] = true
-				x.Completed, x.Fenced, x.Failed = x.Completed+l.Completed, x.Fenced+l.Fenced, x.Failed+l.Failed
+				summary.Completed, summary.Fenced, summary.Failed = summary.Completed+l.Completed, summary.Fenced+l.Fenced, summary.Failed+l.Failed
 			}
 		}
-		x.Members = len(holders)
-		all = append(all, x)
+		summary.Members = len(holders)
+		all = append(all, summary)
 	}
 	return all
 }
@@ -149,19 +149,19 @@
 	if t == nil {
 		return nil, fmt.Errorf("task: no task %q", name)
 	}
-	s := &taskStatus{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.LeaseStatus{}}
+	status := &taskStatus{Task: *t, Agent: v.Agent, Leads: v.Leads, AgeMs: v.AgeMs, Leases: []lessor.LeaseStatus{}}
 	for _, l := range v.Leases {
 		if l.Task == name {
-			s.Leases = append(s.Leases, l)
+			status.Leases = append(status.Leases, l)
 		}
 	}
 	if t.Kind == lease.EndpointProbe {
-		s.Board = v.Board
+		status.Board = v.Board
 	}
-	return s, nil
+	return status, nil
 }
 
-func (s *taskStatus) writeTable(w io.Writer) {
+func (status *taskStatus) writeTable(w io.Writer) {
 	msOrUnknown := func(n int64) string {
 		if n < 0 {
 			return "unknown"
@@ -169,15 +169,15 @@
 		return formatMs(n)
 	}
 	fmt.Fprintln(w, "SHARD\tSTATE\tHOLDER\tTOKEN\tSINCE\tENDS IN\tPROGRESS\tACTS\tREFUSED\tFAILED\tNEXT\tMEMBER")
-	for _, l := range s.Leases {
+	for _, l := range status.Leases {
 		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\n", l.Shard, l.State, l.HolderName, l.Token, msOrUnknown(l.SinceMs), msOrUnknown(l.UntilMs), msOrUnknown(l.ProgressMs),
 			l.Completed, l.Fenced, l.Failed, l.NextHolder, l.Holder)
 	}
-	fmt.Fprintf(w, "by %s\n", s.Agent)
-	if len(s.Board) > 0 {
+	fmt.Fprintf(w, "by %s\n", status.Agent)
+	if len(status.Board) > 0 {
 		fmt.Fprintln(w, "TARGET\tAVOIDED BY\tFOUND\tAGO\tTOOK\tTOKEN")
 	}
-	for _, b := range s.Board {
+	for _, b := range status.Board {
 		result, age, took, token := "not yet", "", "", ""
 		if b.Result != nil {
 			result, age, took, token = "not well", formatMs(b.Result.AgeMs), fmt.Sprintf("%d us", b.Result.LatencyUs), fmt.Sprint(b.Result.Token)
--- a/cmd/spindlehitch/members.go
+++ b/cmd/spindlehitch/members.go
@@ -24,8 +24,8 @@
 
 // membersOptions are the flags of the members command besides fleetFlags.
 type membersOptions struct {
-	from         string
-	diff         []string
+	from         string   // control address of an instance, whose view is shown instead of the agents' list
+	diff         []string // control addresses of two instances whose views are compared
 	links, watch bool
 	asJSON       bool
 }
--- a/cmd/spindlehitch/relay.go
+++ b/cmd/spindlehitch/relay.go
@@ -43,8 +43,8 @@
 	if err != nil {
 		return fmt.Errorf("relay.listen: %w", err)
 	}
-	leader := &agent.Client{Addrs: cfg.Agents}
-	r, err := edge.NewRelay(edge.RelayOptions{ID: cfg.ID, Fleet: cfg.Fleet, Region: cfg.Region, Agents: cfg.Agents, Dir: cfg.Dir, Report: leader.SendReport, Log: log,
+	client := &agent.Client{Addrs: cfg.Agents}
+	r, err := edge.NewRelay(edge.RelayOptions{ID: cfg.ID, Fleet: cfg.Fleet, Region: cfg.Region, Agents: cfg.Agents, Dir: cfg.Dir, Report: client.SendReport, Log: log,
 		Source: watchstream.SourceOptions{ReaderRate: float64(*cfg.Rate), ReaderBurst: float64(*cfg.Burst), AdmitRate: float64(*cfg.Admit), AdmitBurst: float64(2 * *cfg.Admit),
 			MaxReaders: *cfg.Readers}})
 	if err != nil {
