--- a/cmd/spindlehitch/disconnect_test.go
+++ b/cmd/spindlehitch/disconnect_test.go
@@ -68,7 +68,7 @@
 
 // TestDisconnectEverywhere has clients disconnect, by sending excess bytes and closing or by a reset, at every stage of a request: held
 // without a known target, queued behind others, sent to the target, partly received, partly forwarded, and during the response. What the
-// request waited for happens only after the initiator could detect the disconnect; no request of a gone client may start then.
+// request waited for happens only after the initiator could detect the disconnect; no request of a disconnected client may start after it.
 func TestDisconnectEverywhere(t *testing.T) {
 	target := &recordingTarget{started: make(chan string, 256), release: make(chan bool)}
 	f := newHandlerFixture(t, target.ServeHTTP)
@@ -169,7 +169,7 @@
 
 	// Body partly received.
 	reset(send(f, "half", "Content-Length: 9\r\n\r\nbo"))
-	// Body partly forwarded: the target reads only the head until the client is gone.
+	// Body partly forwarded: the target reads only the head until the client has disconnected.
 	for _, disconnect := range []func(*net.TCPConn){reset, func(c *net.TCPConn) { c.Close() }} {
 		c := send(f, "stalled", "Content-Length: 90000\r\n\r\n"+strings.Repeat("x", 80000))
 		for nextStarted() != "stalled" {
