--- a/cmd/spindlehitch/agent.go
+++ b/cmd/spindlehitch/agent.go
@@ -66,7 +66,7 @@
 func validateConfig(name string, text []byte) error {
 	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err == nil && cfg.Name != name {
-		err = fmt.Errorf("name: the configuration belongs to instance %q, not %q", cfg.Name, name)
+		err = fmt.Errorf("name: the configuration is %q's, not %q's", cfg.Name, name)
 	}
 	return err
 }
