--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Command benchlink lets the scheduler decide on the bench's wire: JSON lines in, JSON lines out.
+// Command benchlink connects the scheduler to the test bench: it reads batches of events and writes replies with actions, as JSON lines.
 package main
 
 import (
@@ -17,17 +17,17 @@
 	}
 }
 
-// run answers every batch of in with one line on out, until in ends.
+// run writes one reply line to out for each batch read from in. It returns nil at the end of in.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<20), bufio.NewWriterSize(out, 1<<16)
-	l := newLink()
+	a := newAdapter()
 	for n := 1; ; n++ {
 		line, err := r.ReadBytes('\n')
 		if err != nil && !errors.Is(err, io.EOF) {
 			return fmt.Errorf("reading batch %d: %w", n, err)
 		}
 		if line = bytes.TrimSpace(line); len(line) > 0 {
-			reply, err := l.handle(line)
+			reply, err := a.handle(line)
 			if err != nil {
 				return fmt.Errorf("batch %d: %w", n, err)
 			}
--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -1,4 +1,5 @@
-// Command spindlehitch-scale measures what a fleet costs by its size. It is a program of its own, so that nothing of it is linked into what serves.
+// Command spindlehitch-scale measures the resource cost of a fleet as a function of its size. It is a separate program, so that none of it is
+// linked into the production binary.
 package main
 
 import (
@@ -11,9 +12,9 @@
 )
 
 func main() {
-	asked, err := slope.Agent()
-	if !asked {
-		err = command().Execute()
+	isAgent, err := slope.Agent()
+	if !isAgent {
+		err = rootCommand().Execute()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "spindlehitch-scale:", err)
@@ -21,7 +22,7 @@
 	}
 }
 
-func command() *cobra.Command {
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{Use: "spindlehitch-scale", Short: "What a fleet costs by its size", SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(slopesCommand(), pageCommand(), runCommand(), showCommand(), hostCommand())
 	return root
--- a/cmd/spindlehitch-scale/slopes.go
+++ b/cmd/spindlehitch-scale/slopes.go
@@ -19,11 +19,11 @@
 
 // slopesCommand measures the slopes of docs/CAPACITY.md.
 func slopesCommand() *cobra.Command { //nolint:gocognit // to be split with its package, see docs/left.md
-	var asJSON, write, short, mended bool
+	var asJSON, write, short, afterFix bool
 	var root string
 	cmd := &cobra.Command{Use: "slopes [NAME...]", Short: "Measure what each role costs by size", RunE: func(cmd *cobra.Command, names []string) error {
 		if short && write {
-			return errors.New("--write: a short run is for a check, the table takes full ones")
+			return errors.New("--write cannot be used with --short: the table takes full measurements only")
 		}
 		probes, err := slope.Find(names)
 		if err != nil {
@@ -32,35 +32,35 @@
 		ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 		defer stop()
 		table, err := slope.Load()
-		if write { // it may have changed since this program was built
-			table, err = read(root)
+		if write { // the file may be newer than the table built into this program
+			table, err = readTable(root)
 		}
 		if err != nil {
 			return err
 		}
 		measured := &slope.Table{Size: table.Size, Limits: table.Limits}
 		for _, p := range probes {
-			var list []slope.Slope
+			var slopes []slope.Slope
 			if short {
-				list, err = slope.Short(ctx, p, time.Now())
+				slopes, err = slope.Short(ctx, p, time.Now())
 			} else {
-				list, err = slope.Measure(ctx, p, p.Sizes, time.Now())
+				slopes, err = slope.Measure(ctx, p, p.Sizes, time.Now())
 			}
 			if err != nil {
 				return err
 			}
-			for _, s := range list {
-				if mended {
+			for _, s := range slopes {
+				if afterFix {
 					table.Mended(s.Name)
 				}
 				measured.Put(s)
 				table.Put(s)
 			}
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Gives[0].Name, list[0].Lasts)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Gives[0].Name, slopes[0].Lasts)
 		}
 		if write {
 			if err := table.Check(); err != nil {
-				return fmt.Errorf("nothing is written: %w", err)
+				return fmt.Errorf("table not written: %w", err)
 			}
 			text, err := table.Text()
 			if err != nil {
@@ -83,16 +83,16 @@
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON in place of a table")
 	cmd.Flags().BoolVar(&write, "write", false, "put what was measured into the repository's table")
 	cmd.Flags().BoolVar(&short, "short", false, "small sizes, for a check")
-	cmd.Flags().BoolVar(&mended, "mended", false, "keep the figures so far as those from before what they measure was mended")
+	cmd.Flags().BoolVar(&afterFix, "mended", false, "keep the figures so far as those from before what they measure was mended")
 	cmd.Flags().StringVar(&root, "root", ".", "the repository")
 	return cmd
 }
 
-// pageCommand writes the tables of docs/CAPACITY.md from the table of slopes.
+// pageCommand regenerates the tables of docs/CAPACITY.md from the table of slopes.
 func pageCommand() *cobra.Command {
 	var root string
 	cmd := &cobra.Command{Use: "page", Short: "Write the tables of " + slope.PageFile, Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
-		table, err := read(root)
+		table, err := readTable(root)
 		if err != nil {
 			return err
 		}
@@ -111,7 +111,7 @@
 	return cmd
 }
 
-func read(root string) (*slope.Table, error) {
+func readTable(root string) (*slope.Table, error) {
 	text, err := os.ReadFile(filepath.Join(root, slope.File))
 	if err != nil {
 		return nil, err
@@ -119,10 +119,10 @@
 	return slope.Read(slope.File, text)
 }
 
-func printSlopes(to io.Writer, all []slope.Slope) error {
-	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', 0)
+func printSlopes(out io.Writer, slopes []slope.Slope) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SLOPE\tVALUE\tERROR\tUNIT\tPER\tBASE\tRANGE\tLARGEST FORETOLD, OFF BY\tOF")
-	for _, s := range all {
+	for _, s := range slopes {
 		per := s.Per
 		if s.Power == 2 {
 			per += " squared"
