--- a/internal/controlplane/agent/client.go
+++ b/internal/controlplane/agent/client.go
@@ -178,7 +178,7 @@
 
 // roundTrip makes one HTTP request to an agent; leader is set if the agent redirects to it.
 func (c *Client) roundTrip(ctx context.Context, addr string, call call, timeout time.Duration) (status int, respBody []byte, leader string, err error) {
-	ctx, done := context.WithTimeoutCause(ctx, timeout, fmt.Errorf("no response within %v", timeout))
+	ctx, done := context.WithTimeoutCause(ctx, timeout, fmt.Errorf("no answer within %v", timeout))
 	defer done()
 	defer func() {
 		if !isConclusive(err) {
