--- a/internal/datapath/keys/keys_test.go
+++ b/internal/datapath/keys/keys_test.go
@@ -32,7 +32,7 @@
 // overlap after that, rejected after the overlap and after a second rotation.
 func TestRotation(t *testing.T) {
 	dir := t.TempDir()
-	f := issue.Into(t, dir, time.Hour)
+	f := issue.WriteCertificates(t, dir, time.Hour)
 	f.OverlapMs = 300
 	k, err := keys.Load(f)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	rotate := func() {
 		t.Helper()
-		issue.Into(t, dir, time.Hour)
+		issue.WriteCertificates(t, dir, time.Hour)
 		if err := k.Reload(); err != nil {
 			t.Fatal(err)
 		}
@@ -73,7 +73,7 @@
 
 // TestExpiredCertificateIsRejected checks that an expired certificate is rejected although its authority is current.
 func TestExpiredCertificateIsRejected(t *testing.T) {
-	f := issue.Into(t, t.TempDir(), -time.Second)
+	f := issue.WriteCertificates(t, t.TempDir(), -time.Second)
 	k, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 
 // TestInvalidFilesKeepTheCurrentCertificates checks that a failed reload names the invalid file and changes nothing.
 func TestInvalidFilesKeepTheCurrentCertificates(t *testing.T) {
-	f := issue.Into(t, t.TempDir(), time.Hour)
+	f := issue.WriteCertificates(t, t.TempDir(), time.Hour)
 	k, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -16,7 +16,7 @@
 // secured is a stand-in target over TLS, and the keys of host and target, which change together.
 func secured(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
-	f := issue.Into(t, dir, time.Hour)
+	f := issue.WriteCertificates(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
 	k, err := keys.Load(f)
 	if err != nil {
@@ -80,7 +80,7 @@
 			t.Fatalf("write %d: %v", n, r.Code)
 		}
 		if time.Since(last) > 500*time.Millisecond {
-			issue.Into(t, dir, time.Hour)
+			issue.WriteCertificates(t, dir, time.Hour)
 			if err := k.Reload(); err != nil {
 				t.Fatal(err)
 			}
@@ -124,7 +124,7 @@
 func TestOldKeysAreRefused(t *testing.T) {
 	dir := t.TempDir()
 	k, back, _, addr := secured(t, dir, 200*time.Millisecond)
-	f := issue.Into(t, t.TempDir(), time.Hour) // another authority altogether
+	f := issue.WriteCertificates(t, t.TempDir(), time.Hour) // another authority altogether
 	stranger, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 		ended <- r
 	}()
 	<-back.came
-	issue.Into(t, dir, time.Hour)
+	issue.WriteCertificates(t, dir, time.Hour)
 	if err := k.Reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/faults/agents.go
+++ b/internal/testbed/faults/agents.go
@@ -73,7 +73,9 @@
 }
 
 // Isolate cuts agent i off from the other agents, in both directions; Join ends it.
-func (g *Agents) Isolate(i int) { g.each(i, func(k *Link) { k.Set(Way{Hold: true}, Way{Hold: true}) }) }
+func (g *Agents) Isolate(i int) {
+	g.each(i, func(k *Link) { k.Set(Impairment{Hold: true}, Impairment{Hold: true}) })
+}
 
 // Join lets agent i and the others hear one another again.
 func (g *Agents) Join(i int) { g.each(i, (*Link).Heal) }
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -39,19 +39,19 @@
 	text := []byte("twelve bytes")
 	for _, c := range []struct {
 		name        string
-		there, back Way
+		there, back Impairment
 		least       time.Duration // until the echo is there
 		never       bool          // it must not come until the link is healed
 		after       bool          // it comes then
 	}{
 		{name: "open"},
-		{name: "delay there", there: Way{Delay: short}, least: short},
-		{name: "delay both", there: Way{Delay: short}, back: Way{Delay: short}, least: 2 * short},
-		{name: "rate", back: Way{Rate: 60}, least: 200 * time.Millisecond},
-		{name: "hold there", there: Way{Hold: true}, never: true, after: true},
-		{name: "hold back", back: Way{Hold: true}, never: true, after: true},
-		{name: "drop there", there: Way{Drop: true}, never: true},
-		{name: "drop back", back: Way{Drop: true}, never: true},
+		{name: "delay there", there: Impairment{Delay: short}, least: short},
+		{name: "delay both", there: Impairment{Delay: short}, back: Impairment{Delay: short}, least: 2 * short},
+		{name: "rate", back: Impairment{Rate: 60}, least: 200 * time.Millisecond},
+		{name: "hold there", there: Impairment{Hold: true}, never: true, after: true},
+		{name: "hold back", back: Impairment{Hold: true}, never: true, after: true},
+		{name: "drop there", there: Impairment{Drop: true}, never: true},
+		{name: "drop back", back: Impairment{Drop: true}, never: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k, err := NewLink("a", "b", echo(t))
--- a/internal/testbed/faults/files_test.go
+++ b/internal/testbed/faults/files_test.go
@@ -23,7 +23,7 @@
 			r := New(t)
 			targets := r.Targets(1, nil)
 			down := r.Link("n", "discovery", targets.Discovery)
-			down.Set(Way{Hold: true}, Way{Hold: true})
+			down.Set(Impairment{Hold: true}, Impairment{Hold: true})
 			n := r.Instance("n", InstanceOptions{Targets: &Targets{Discovery: down.Addr}, Peers: 1, Files: files}, 0)
 			most := 256 // as Instance has it
 			if files > 0 {
--- a/internal/testbed/faults/fleet.go
+++ b/internal/testbed/faults/fleet.go
@@ -78,7 +78,7 @@
 // CutOff has nothing pass between the instance and the agents: asked says whether that goes for what it sends, told for what comes
 // back.
 func (n *Instance) CutOff(asked, told bool) {
-	n.setLinks(Way{Drop: asked}, Way{Drop: told})()
+	n.setLinks(Impairment{Drop: asked}, Impairment{Drop: told})()
 }
 
 // Heal ends CutOff.
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -213,7 +213,7 @@
 	n, token := d.holder(0)
 	gone("its answers come late around a hand-over", n, func() {
 		for _, k := range n.Links {
-			k.Set(Way{}, Way{Delay: 700 * time.Millisecond})
+			k.Set(Impairment{}, Impairment{Delay: 700 * time.Millisecond})
 		}
 		d.run("lease", "release", "drill", "0")
 	})
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -10,7 +10,7 @@
 )
 
 // Way is what a link does with what passes in one direction. The zero value lets it through.
-type Way struct {
+type Impairment struct {
 	Delay time.Duration // of each piece
 	Rate  int           // bytes a second; 0: any
 	Hold  bool          // nothing passes until it is taken back; what came meanwhile then does, late, as TCP's repeats would
@@ -26,8 +26,8 @@
 	l        net.Listener
 
 	mu      sync.Mutex
-	there   Way // from the one who dials
-	back    Way
+	there   Impairment // from the one who dials
+	back    Impairment
 	cut     bool
 	conns   map[*passage]bool
 	changed chan struct{} // closed and renewed at each change
@@ -63,7 +63,7 @@
 }
 
 // Set has the link treat the two ways so from now on, and lets new connections through.
-func (k *Link) Set(there, back Way) {
+func (k *Link) Set(there, back Impairment) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.there.Drop && !there.Drop || k.back.Drop && !back.Drop {
@@ -78,7 +78,7 @@
 }
 
 // Heal lets everything through again.
-func (k *Link) Heal() { k.Set(Way{}, Way{}) }
+func (k *Link) Heal() { k.Set(Impairment{}, Impairment{}) }
 
 // Cut resets all connections and takes no new ones.
 func (k *Link) Cut() {
@@ -214,7 +214,7 @@
 	paid := time.Duration(0) // of the rate
 	for {
 		k.mu.Lock()
-		w, changed := [2]Way{k.there, k.back}[way], k.changed
+		w, changed := [2]Impairment{k.there, k.back}[way], k.changed
 		alive := k.conns[p] && !k.cut
 		if w.Drop {
 			p.lost = true
--- a/internal/testbed/faults/reads_test.go
+++ b/internal/testbed/faults/reads_test.go
@@ -92,7 +92,7 @@
 		return all[0].Applied > 0 && all[1].Applied >= all[0].Applied
 	})
 	// The other follower can vote, but nobody hears it ask for votes.
-	g.links[other][behind].Set(Way{Hold: true}, Way{})
+	g.links[other][behind].Set(Impairment{Hold: true}, Impairment{})
 	g.Procs[first].Kill()
 	require.Equal(t, behind, g.Leader(first))
 	return behind
--- a/internal/testbed/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -116,11 +116,11 @@
 	case "reset":
 		return n.eachLink((*Link).Reset), n.Heal
 	case "deaf":
-		return n.setLinks(Way{}, Way{Hold: true}), n.Heal
+		return n.setLinks(Impairment{}, Impairment{Hold: true}), n.Heal
 	case "mute":
-		return n.setLinks(Way{Hold: true}, Way{}), n.Heal
+		return n.setLinks(Impairment{Hold: true}, Impairment{}), n.Heal
 	}
-	return n.setLinks(Way{Delay: e.For / 20}, Way{Delay: e.For / 8}), n.Heal // slow
+	return n.setLinks(Impairment{Delay: e.For / 20}, Impairment{Delay: e.For / 8}), n.Heal // slow
 }
 
 // eachLink returns a function that does something to each link of the instance.
@@ -133,6 +133,6 @@
 }
 
 // setLinks returns a function that has each link of the instance treat its two ways so.
-func (n *Instance) setLinks(there, back Way) func() {
+func (n *Instance) setLinks(there, back Impairment) func() {
 	return n.eachLink(func(k *Link) { k.Set(there, back) })
 }
--- a/internal/testbed/issue/issue.go
+++ b/internal/testbed/issue/issue.go
@@ -19,7 +19,7 @@
 )
 
 // Into writes a new authority and a certificate of it, good for so long, into the folder, in place of what is there.
-func Into(t testing.TB, dir string, good time.Duration) config.TLS {
+func WriteCertificates(t testing.TB, dir string, good time.Duration) config.TLS {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
--- a/internal/testbed/scale/hollow/journal.go
+++ b/internal/testbed/scale/hollow/checker.go
@@ -11,12 +11,12 @@
 )
 
 // Lane is one of the streams that an initiator follows.
-type Lane string
+type Stream string
 
 // The lanes.
 const (
-	Targets Lane = "targets"
-	Config  Lane = "config"
+	Targets Stream = "targets"
+	Config  Stream = "config"
 )
 
 // Reached is a version that came into force, and when: by the clock of internal/process/monotone, which all processes of a machine share.
@@ -27,13 +27,13 @@
 
 // Journal is what the run's judge has of one initiator. It outlives the initiator's restarts and is written from the promises, not from the code
 // that keeps them: versions only grow, and once a target's drain was told, its older state is never in force again, nor is it sent to.
-type Journal struct {
+type Checker struct {
 	name   string
 	mu     sync.Mutex
-	lanes  map[Lane][]Reached
-	told   map[string]told // of targets that were told by a change
-	seen   map[Lane]uint64 // as asked, over all lives
-	said   map[Lane]uint64 // by this life
+	lanes  map[Stream][]Reached
+	told   map[string]told   // of targets that were told by a change
+	seen   map[Stream]uint64 // as asked, over all lives
+	said   map[Stream]uint64 // by this life
 	life   any
 	broken []string
 	faults int
@@ -49,21 +49,21 @@
 const mostBroken = 8
 
 // NewJournal returns the journal of an initiator.
-func NewJournal(name string) *Journal {
-	return &Journal{name: name, lanes: map[Lane][]Reached{}, told: map[string]told{}, seen: map[Lane]uint64{}}
+func NewChecker(name string) *Checker {
+	return &Checker{name: name, lanes: map[Stream][]Reached{}, told: map[string]told{}, seen: map[Stream]uint64{}}
 }
 
 // Lives begins a new life of the initiator. One without anything of its own on disk begins where it was first configured.
-func (j *Journal) Lives(kept bool) {
+func (j *Checker) RecordRestart(kept bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !kept {
-		j.lanes, j.told, j.seen = map[Lane][]Reached{}, map[string]told{}, map[Lane]uint64{}
+		j.lanes, j.told, j.seen = map[Stream][]Reached{}, map[string]told{}, map[Stream]uint64{}
 	}
 }
 
 // Heard notes that a version is in force.
-func (j *Journal) Heard(lane Lane, version uint64, at time.Duration) {
+func (j *Checker) RecordApplied(lane Stream, version uint64, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	all := j.lanes[lane]
@@ -80,7 +80,7 @@
 }
 
 // Told notes what is in force of targets.
-func (j *Journal) Told(entries []listing.Entry) {
+func (j *Checker) RecordTargets(entries []listing.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range entries {
@@ -97,13 +97,13 @@
 
 // Seen notes what one of its lives says is in force of each lane, when it was asked. One that has just begun says nothing until it has read its
 // copy on disk; what it says then is no older than what was in force before.
-func (j *Journal) Seen(life any, targets, config uint64) {
+func (j *Checker) RecordReported(life any, targets, config uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.life != life {
-		j.life, j.said = life, map[Lane]uint64{}
+		j.life, j.said = life, map[Stream]uint64{}
 	}
-	for lane, v := range map[Lane]uint64{Targets: targets, Config: config} {
+	for lane, v := range map[Stream]uint64{Targets: targets, Config: config} {
 		if v < j.said[lane] || v > 0 && v < j.seen[lane] {
 			j.breaks("%s: says that version %d is in force after %d", lane, v, j.seen[lane])
 		}
@@ -112,14 +112,14 @@
 }
 
 // Breaks notes that something which must not be was met.
-func (j *Journal) Breaks(form string, about ...any) {
+func (j *Checker) RecordViolation(form string, about ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.breaks(form, about...)
 }
 
 // Sends notes that the module has a first byte go to a target.
-func (j *Journal) Sends(target string) {
+func (j *Checker) RecordSend(target string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if t, there := j.told[target]; there && t.state != serving {
@@ -128,21 +128,21 @@
 }
 
 // breaks notes a broken promise. Its caller holds mu.
-func (j *Journal) breaks(form string, about ...any) {
+func (j *Checker) breaks(form string, about ...any) {
 	if j.faults++; len(j.broken) < mostBroken {
 		j.broken = append(j.broken, j.name+": "+fmt.Sprintf(form, about...))
 	}
 }
 
 // Broken tells how often a promise was broken, and the first of them.
-func (j *Journal) Broken() (int, []string) {
+func (j *Checker) Violations() (int, []string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.faults, slices.Clone(j.broken)
 }
 
 // At is the version in force of a lane; 0: none.
-func (j *Journal) At(lane Lane) uint64 {
+func (j *Checker) Version(lane Stream) uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	v := j.seen[lane]
@@ -153,7 +153,7 @@
 }
 
 // When tells when a version, or one after it, came into force; false: it has not.
-func (j *Journal) When(lane Lane, version uint64) (time.Duration, bool) {
+func (j *Checker) AppliedAt(lane Stream, version uint64) (time.Duration, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	all := j.lanes[lane]
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -24,18 +24,18 @@
 	Name, Region, Zone string
 	Seed               uint64
 	Discovery          string        // where the list is asked for; empty: it is not
-	Crowd              int           // how many ask there
-	Known              *listing.List // the list as last had
+	Initiators         int           // how many ask there
+	LastKnown          *listing.List // the list as last had
 	Agents             []string      // whose configuration is followed; empty: none
 	Feed               *edge.Options // nil: it does not follow the feed
 	Members            *transport.Options
-	Module             *policy.Settings // nil: it has no module
+	Policy             *policy.Settings // nil: it has no module
 	Log                *slog.Logger
 }
 
 // Initiator is one hollow initiator.
 type Initiator struct {
-	Journal *Journal
+	Checker *Checker
 	opt     Options
 	life    sync.Mutex // held while it starts or stops
 	mu      sync.Mutex // of stop and feed
@@ -46,7 +46,7 @@
 }
 
 // New returns an initiator that does nothing yet.
-func New(opt Options) *Initiator { return &Initiator{Journal: NewJournal(opt.Name), opt: opt} }
+func New(opt Options) *Initiator { return &Initiator{Checker: NewChecker(opt.Name), opt: opt} }
 
 // Name is the initiator's.
 func (in *Initiator) Name() string { return in.opt.Name }
@@ -64,9 +64,9 @@
 	defer in.life.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
 	var m *module
-	if in.opt.Module != nil {
+	if in.opt.Policy != nil {
 		var err error
-		if m, err = newModule(*in.opt.Module, in.opt.Seed, in.Journal); err != nil {
+		if m, err = newModule(*in.opt.Policy, in.opt.Seed, in.Checker); err != nil {
 			stop()
 			return err
 		}
@@ -97,13 +97,13 @@
 	in.stop = stop
 	in.mu.Unlock()
 	if in.opt.Discovery != "" {
-		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.Known, Initiators: in.opt.Crowd, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
+		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.LastKnown, Initiators: in.opt.Initiators, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
 		in.all.Go(func() { w.Run(ctx) })
 	}
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
 		in.all.Go(func() {
-			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotone.Now()) })
+			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Checker.RecordApplied(Config, e.Version, monotone.Now()) })
 		})
 	}
 	return nil
@@ -112,12 +112,12 @@
 // lists takes lists over: the module, where there is one, steps each before it counts as in force.
 func (in *Initiator) lists(m *module) func(*listing.List) {
 	return func(l *listing.List) {
-		done := func() { in.Journal.Heard(Targets, uint64(*l.Version), monotone.Now()) }
+		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotone.Now()) }
 		if m != nil {
 			m.list(l, done)
 			return
 		}
-		in.Journal.Told(l.Targets)
+		in.Checker.RecordTargets(l.Targets)
 		done()
 	}
 }
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -92,9 +92,9 @@
 	return s, strings.TrimPrefix(front.URL, "http://")
 }
 
-func reaches(t *testing.T, in *Initiator, lane Lane, v uint64) {
+func reaches(t *testing.T, in *Initiator, lane Stream, v uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { in.Poll(); return in.Journal.At(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
+	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
 }
 
 // TestFeed has a hollow initiator with a module and a copy on disk follow changes, and start again.
@@ -103,7 +103,7 @@
 	s.put(t, put(target("a", 0, 0, serving)), put(target("b", 1, 0, serving)))
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
 	module := set(t)
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Module: &module, Log: quiet,
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Policy: &module, Log: quiet,
 		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
 	reaches(t, in, Targets, 1)
@@ -112,22 +112,22 @@
 	reaches(t, in, Targets, s.put(t, put(target("a", 0, 2, serving)), put(target("b", 1, 1, "DRAINING"))))
 	in.Stop(true)
 	require.False(t, in.Running())
-	read, written, _ := in.Wire()
+	read, written, _ := in.TransferredBytes()
 	require.Positive(t, read)
 	require.Positive(t, written)
-	in.Journal.Lives(true)
+	in.Checker.RecordRestart(true)
 	v := s.put(t, put(target("b", 1, 2, serving)))
 	require.NoError(t, in.Start())
 	reaches(t, in, Targets, v)
 	in.Stop(false)
-	n, what := in.Journal.Broken()
+	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
 }
 
 // TestModuleSends shows that the judge sees what the module sends: once a target's drain is told, the module is tried at it and sends nothing
 // there; told by a list that the module never gets, it would be found out.
 func TestModuleSends(t *testing.T) {
-	j := NewJournal("h1")
+	j := NewChecker("h1")
 	m, err := newModule(set(t), 1, j)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
@@ -137,11 +137,11 @@
 	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
 	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
 	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
-	n, what := j.Broken()
+	n, what := j.Violations()
 	require.Zero(t, n, what)
-	j.Told([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
+	j.RecordTargets([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
 	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
-	n, what = j.Broken()
+	n, what = j.Violations()
 	require.Positive(t, n, what)
 }
 
@@ -176,7 +176,7 @@
 	reaches(t, in, Config, 7)
 	close(changed)
 	reaches(t, in, Targets, 2)
-	n, what := in.Journal.Broken()
+	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
 }
 
@@ -185,7 +185,7 @@
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)))
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
-	to, request, err := in.Asks("deaf-1")
+	to, request, err := in.PipelinedRequests("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
 	c, err := net.Dial("tcp", to)
--- a/internal/testbed/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -20,7 +20,7 @@
 	m       *policy.Scheduler
 	set     policy.Settings
 	clock   core.Clock
-	journal *Journal
+	journal *Checker
 	box     *mailbox.Box[lists]
 	made    int
 	open    map[string]bool
@@ -33,7 +33,7 @@
 	done func()
 }
 
-func newModule(set policy.Settings, seed uint64, j *Journal) (*module, error) {
+func newModule(set policy.Settings, seed uint64, j *Checker) (*module, error) {
 	m, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 	for i, e := range l.list.Targets {
 		nodes.Endpoints[i] = e.Endpoint()
 	}
-	x.journal.Told(l.list.Targets) // here, as a send decided before it is none past it
+	x.journal.RecordTargets(l.list.Targets) // here, as a send decided before it is none past it
 	x.step(nodes)
 	l.done()
 	if l.list.Full {
@@ -108,7 +108,7 @@
 	for _, a := range actions {
 		switch a.Kind {
 		case policy.Send:
-			x.journal.Sends(a.Endpoint)
+			x.journal.RecordSend(a.Endpoint)
 			delete(x.open, a.Request)
 			ends = append(ends, policy.Outcome{ID: a.Request, Attempt: 1, Endpoint: a.Endpoint, Code: policy.Served, Latency: time.Millisecond, Final: true})
 		case policy.Reject, policy.Fail:
--- a/internal/testbed/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -48,7 +48,7 @@
 		if !r.Deleted {
 			var err error
 			if e, err = listing.DecodeEntry(r.Value); err != nil {
-				in.Journal.Breaks("target %s: %v", r.Key, err)
+				in.Checker.RecordViolation("target %s: %v", r.Key, err)
 				continue
 			}
 		}
@@ -56,7 +56,7 @@
 	}
 	if len(l.Targets) > 0 || l.Full {
 		if m == nil {
-			in.Journal.Told(l.Targets)
+			in.Checker.RecordTargets(l.Targets)
 		} else if !m.wait(l) {
 			return fmt.Errorf("stopped")
 		}
@@ -71,8 +71,8 @@
 		}
 	}
 	at := monotone.Now()
-	in.Journal.Heard(Targets, c.Position.Targets, at)
-	in.Journal.Heard(Config, c.Position.Config, at)
+	in.Checker.RecordApplied(Targets, c.Position.Targets, at)
+	in.Checker.RecordApplied(Config, c.Position.Config, at)
 	return nil
 }
 
@@ -88,12 +88,12 @@
 func (in *Initiator) Poll() {
 	if f := in.feed.now.Load(); f != nil {
 		s := f.State()
-		in.Journal.Seen(f, s.Applied.Targets, s.Applied.Config)
+		in.Checker.RecordReported(f, s.Applied.Targets, s.Applied.Config)
 	}
 }
 
 // Wire is how many bytes its own transport has read and written; what goes through the process's transport is not in it.
-func (in *Initiator) Wire() (read, written, moves uint64) {
+func (in *Initiator) TransferredBytes() (read, written, moves uint64) {
 	in.mu.Lock()
 	read, written, moves = in.feed.in, in.feed.out, in.feed.moves
 	f := in.feed.now.Load()
@@ -109,7 +109,7 @@
 const pipelined = 64
 
 // Asks is calls as it makes them, for one that never reads an answer.
-func (in *Initiator) Asks(name string) (addr string, request []byte, err error) {
+func (in *Initiator) PipelinedRequests(name string) (addr string, request []byte, err error) {
 	if in.opt.Feed == nil {
 		addr = in.opt.Agents[0]
 		for range pipelined {
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -234,7 +234,7 @@
 		return 0, s, nil
 	}
 	// The last of each lane says it of those before. By the feed all come to the same version, also those that a change says nothing to.
-	newest := map[hollow.Lane]mark{}
+	newest := map[hollow.Stream]mark{}
 	for _, m := range marks {
 		m.Region, m.Zone, m.Name = "", "", ""
 		if m.Version >= newest[m.Lane].Version {
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -67,7 +67,7 @@
 
 // mark is a change whose way to all is told.
 type mark struct {
-	Lane    hollow.Lane
+	Lane    hollow.Stream
 	Version uint64
 	By      map[string]uint64 `json:",omitempty"` // where each initiator has a version of its own
 	Region  string            `json:",omitempty"` // whom it is for: of a region, a zone, of that name; empty: all
@@ -110,7 +110,7 @@
 type last struct {
 	Who     string
 	Ms      float64
-	Lane    hollow.Lane
+	Lane    hollow.Stream
 	Primary bool
 }
 
@@ -223,7 +223,7 @@
 		if !there {
 			return fmt.Errorf("region %q is not known", x.Region)
 		}
-		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Crowd: h.crowd, Known: h.known, Agents: w.Agents,
+		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Initiators: h.crowd, LastKnown: h.known, Agents: w.Agents,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 		if len(w.Relays) > 0 {
 			opt.Feed = &edge.Options{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
@@ -235,7 +235,7 @@
 			}
 		}
 		if x.Module {
-			opt.Module = &h.module
+			opt.Policy = &h.module
 		}
 		if x.Bind != "" {
 			opt.Members = &transport.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, FleetKey: h.fleet, Seeds: x.Seeds, Config: membership.DefaultConfig, Log: opt.Log}
@@ -315,7 +315,7 @@
 				return
 			}
 			some[i].Stop(true)
-			some[i].Journal.Lives(h.spec[some[i].Name()].Disk)
+			some[i].Checker.RecordRestart(h.spec[some[i].Name()].Disk)
 			if err := some[i].Start(); err != nil {
 				fmt.Fprintln(os.Stderr, some[i].Name(), err)
 			}
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -114,19 +114,19 @@
 const lookEvery = 20 * time.Millisecond
 
 // look asks all real initiators what they have in force until ctx ends, and notes when what came.
-func (f *fleet) look(ctx context.Context) []*hollow.Journal {
+func (f *fleet) look(ctx context.Context) []*hollow.Checker {
 	var all sync.WaitGroup
-	var journals []*hollow.Journal
+	var journals []*hollow.Checker
 	for _, r := range f.reals {
-		j := hollow.NewJournal(r.spec.Name)
+		j := hollow.NewChecker(r.spec.Name)
 		journals = append(journals, j)
 		all.Go(func() {
 			for ctx.Err() == nil {
 				// The moment of asking: it may have been in force for a while by the answer.
 				if n := r.figures(ctx); n != nil {
 					at := monotone.Now()
-					j.Heard(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
-					j.Heard(hollow.Config, uint64(n["feed.in_force.config"]), at)
+					j.RecordApplied(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
+					j.RecordApplied(hollow.Config, uint64(n["feed.in_force.config"]), at)
 				}
 				select {
 				case <-time.After(lookEvery):
@@ -192,7 +192,7 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	defer stop()
 	w := f.newWriter(7)
-	looked := make(chan []*hollow.Journal, 1)
+	looked := make(chan []*hollow.Checker, 1)
 	go func() { looked <- f.look(ctx) }()
 	w.run(f.ctx, min(2, f.spec.Changes[len(f.spec.Changes)-1]), time.Duration(f.spec.ForS*float64(time.Second)))
 	f.pause(2 * time.Second)
@@ -208,7 +208,7 @@
 			if _, there := m.of(r.spec); !there {
 				continue
 			}
-			at, done := journals[i].When(m.Lane, m.Version)
+			at, done := journals[i].AppliedAt(m.Lane, m.Version)
 			if !done {
 				s.Missing++
 				continue
@@ -225,7 +225,7 @@
 	x.quantiles(s)
 	broken := 0
 	for _, j := range journals {
-		n, _ := j.Broken()
+		n, _ := j.Violations()
 		broken += n
 	}
 	f.backwards += broken
--- a/internal/testbed/scale/run/suffer.go
+++ b/internal/testbed/scale/run/suffer.go
@@ -183,7 +183,7 @@
 // held has links hold all that comes, until it ends.
 func held(links []*faults.Link) (end func() error) {
 	for _, l := range links {
-		l.Set(faults.Way{Hold: true}, faults.Way{Hold: true})
+		l.Set(faults.Impairment{Hold: true}, faults.Impairment{Hold: true})
 	}
 	return func() error {
 		for _, l := range links {
--- a/internal/testbed/scale/run/tell.go
+++ b/internal/testbed/scale/run/tell.go
@@ -11,7 +11,7 @@
 // state tells who has what is asked about, and what was broken.
 func (h *host) state(o *order, s *state) {
 	for _, in := range h.all {
-		if n, what := in.Journal.Broken(); n > 0 {
+		if n, what := in.Checker.Violations(); n > 0 {
 			s.Broken, s.What = s.Broken+n, append(s.What, what...)
 		}
 		if !in.Running() {
@@ -21,7 +21,7 @@
 		s.Running++
 		has := true
 		for _, m := range o.Marks {
-			if v, there := m.of(h.spec[in.Name()]); there && in.Journal.At(m.Lane) < v {
+			if v, there := m.of(h.spec[in.Name()]); there && in.Checker.Version(m.Lane) < v {
 				has = false
 			}
 		}
@@ -30,7 +30,7 @@
 		} else if len(s.Lags) < 4 {
 			s.Lags = append(s.Lags, in.Name())
 		}
-		in, out, moves := in.Wire()
+		in, out, moves := in.TransferredBytes()
 		s.In, s.Out, s.Moves = s.In+int64(in), s.Out+int64(out), s.Moves+moves
 	}
 	s.Pending = int(h.pending.Load())
@@ -48,7 +48,7 @@
 			if !there || !in.Running() {
 				continue
 			}
-			at, done := in.Journal.When(m.Lane, v)
+			at, done := in.Checker.AppliedAt(m.Lane, v)
 			if !done {
 				s.Missing++
 				if len(s.Lags) < 4 {
@@ -70,7 +70,7 @@
 func (h *host) deafen(o *order) error {
 	for i := range o.Number {
 		in := h.all[i%len(h.all)]
-		addr, request, err := in.Asks(fmt.Sprint("deaf-", os.Getpid(), "-", i))
+		addr, request, err := in.PipelinedRequests(fmt.Sprint("deaf-", os.Getpid(), "-", i))
 		if err != nil {
 			return err
 		}
