--- a/internal/testbed/faults/agents.go
+++ b/internal/testbed/faults/agents.go
@@ -14,20 +14,20 @@
 )
 
 // Agents is a group of agents, every directed pair of which has a link for Raft and one for calls.
-type Agents struct {
-	rig   *Rig
-	Procs []*Proc
-	Dirs  []string
-	Raft  []string  // where each listens, behind the links
-	API   []string  // the same for calls
-	links [][]*Link // from, to; nil on the diagonal: Raft
-	calls [][]*Link // the same for calls
+type AgentGroup struct {
+	rig       *Rig
+	Procs     []*Proc
+	Dirs      []string
+	Raft      []string  // where each listens, behind the links
+	API       []string  // the same for calls
+	raftLinks [][]*Link // from, to; nil on the diagonal: Raft
+	apiLinks  [][]*Link // the same for calls
 }
 
 // Agents starts n agents. Env is added to the environment of agent i, where it is given.
-func (r *Rig) Agents(n int, env ...[]string) *Agents {
+func (r *Rig) StartAgents(n int, env ...[]string) *AgentGroup {
 	r.T.Helper()
-	g := &Agents{rig: r}
+	g := &AgentGroup{rig: r}
 	addrs := FreeAddrs(r.T, 2*n)
 	g.Raft, g.API = addrs[:n], addrs[n:]
 	for i := range n {
@@ -38,15 +38,15 @@
 				continue
 			}
 			from, to := fmt.Sprint("agent-", i), fmt.Sprint("agent-", j)
-			raft = append(raft, r.Link(from, to, g.Raft[j]))
-			calls = append(calls, r.Link(from, to, g.API[j]))
+			raft = append(raft, r.StartLink(from, to, g.Raft[j]))
+			calls = append(calls, r.StartLink(from, to, g.API[j]))
 		}
-		g.links, g.calls = append(g.links, raft), append(g.calls, calls)
+		g.raftLinks, g.apiLinks = append(g.raftLinks, raft), append(g.apiLinks, calls)
 	}
 	for i := range n {
 		g.Dirs = append(g.Dirs, filepath.Join(r.Dir, fmt.Sprint("agent-", i)))
 		path := filepath.Join(r.Dir, fmt.Sprintf("agent-%d.toml", i))
-		if err := os.WriteFile(path, []byte(g.file(i)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(g.operatorFile(i)), 0o600); err != nil {
 			r.T.Fatal(err)
 		}
 		var more []string
@@ -59,13 +59,13 @@
 }
 
 // file is agent i's operator's file: it reaches the others through its own links.
-func (g *Agents) file(i int) string {
+func (g *AgentGroup) operatorFile(i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[agent]\nid = \"agent-%d\"\ndir = %q\n", i, g.Dirs[i])
 	for j := range g.Raft {
 		raft, api := g.Raft[j], g.API[j]
 		if i != j {
-			raft, api = g.links[i][j].Addr, g.calls[i][j].Addr
+			raft, api = g.raftLinks[i][j].Addr, g.apiLinks[i][j].Addr
 		}
 		fmt.Fprintf(&b, "[[agent.peer]]\nid = \"agent-%d\"\nraft = %q\napi = %q\n", j, raft, api)
 	}
@@ -73,17 +73,17 @@
 }
 
 // Isolate cuts agent i off from the other agents, in both directions; Join ends it.
-func (g *Agents) Isolate(i int) {
-	g.each(i, func(k *Link) { k.Set(Impairment{Hold: true}, Impairment{Hold: true}) })
+func (g *AgentGroup) Isolate(i int) {
+	g.eachLink(i, func(k *Link) { k.Set(Impairment{Hold: true}, Impairment{Hold: true}) })
 }
 
 // Join lets agent i and the others hear one another again.
-func (g *Agents) Join(i int) { g.each(i, (*Link).Heal) }
+func (g *AgentGroup) Reconnect(i int) { g.eachLink(i, (*Link).Heal) }
 
-func (g *Agents) each(i int, do func(*Link)) {
+func (g *AgentGroup) eachLink(i int, do func(*Link)) {
 	for j := range g.Raft {
 		if i != j {
-			for _, k := range []*Link{g.links[i][j], g.links[j][i], g.calls[i][j], g.calls[j][i]} {
+			for _, k := range []*Link{g.raftLinks[i][j], g.raftLinks[j][i], g.apiLinks[i][j], g.apiLinks[j][i]} {
 				do(k)
 			}
 		}
@@ -91,7 +91,7 @@
 }
 
 // List is the agents' addresses as a flag has them, first the ones named.
-func (g *Agents) List(first ...int) string {
+func (g *AgentGroup) AddrList(first ...int) string {
 	var all []string
 	seen := map[int]bool{}
 	for _, i := range first {
@@ -106,10 +106,10 @@
 }
 
 // Leader waits until all agents that are alive and not in but name one leader, and returns its number.
-func (g *Agents) Leader(but ...int) int {
+func (g *AgentGroup) Leader(but ...int) int {
 	g.rig.T.Helper()
 	leader := -1
-	g.rig.Until("a leader", func() bool {
+	g.rig.WaitFor("a leader", func() bool {
 		named := map[int]bool{}
 		for i := range g.Procs {
 			if slices.Contains(but, i) {
@@ -131,7 +131,7 @@
 }
 
 // leading returns the number of the agent that says that it leads; -1: none does.
-func (g *Agents) leading(ctx context.Context) int {
+func (g *AgentGroup) currentLeader(ctx context.Context) int {
 	for i, addr := range g.API {
 		if !g.Procs[i].Alive() || g.Procs[i].Stopped() {
 			continue
--- a/internal/testbed/faults/budget_test.go
+++ b/internal/testbed/faults/budget_test.go
@@ -14,12 +14,12 @@
 
 // Budgets of the fault runs: short parts, so that much happens in little time.
 const (
-	partMs    = 1500
-	workRate  = 200.0
-	workBurst = 100.0
+	allocationTTLMs = 1500
+	workRate        = 200.0
+	workBurst       = 100.0
 )
 
-const head = `seats = 20
+const quotaHeader = `seats = 20
 renew_ms = 300
 part_ms = 1500
 seat_s = 6
@@ -47,17 +47,17 @@
 // fleet is agents, targets and instances under load.
 type fleet struct {
 	*Rig
-	agents  *Agents
-	targets *Targets
-	all     []*Instance
+	agents    *AgentGroup
+	targets   *Targets
+	instances []*Instance
 }
 
 func newFleet(t *testing.T, instances, targets int, budgets string, rates map[string]float64, o InstanceOptions, clocks ...float64) *fleet {
 	t.Helper()
 	r := New(t)
-	f := &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(targets, rates)}
+	f := &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(targets, rates)}
 	f.agents.Leader()
-	if out, code, _ := r.Run("budget", "set", r.File("budgets.toml", budgets), "--agents", f.agents.List()); code != 0 {
+	if out, code, _ := r.Run("budget", "set", r.WriteFile("budgets.toml", budgets), "--agents", f.agents.AddrList()); code != 0 {
 		t.Fatal(out)
 	}
 	o.Agents, o.Targets, o.Peers = f.agents, f.targets, instances
@@ -66,90 +66,90 @@
 		if len(clocks) > 0 {
 			clock = clocks[i%len(clocks)]
 		}
-		f.all = append(f.all, r.Instance(fmt.Sprint("n", i), o, clock))
+		f.instances = append(f.instances, r.StartInstance(fmt.Sprint("n", i), o, clock))
 	}
-	for _, n := range f.all {
-		f.Until(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
+	for _, n := range f.instances {
+		f.WaitFor(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
 	}
-	r.Load(t.Context(), f.all, targets)
+	r.StartLoad(t.Context(), f.instances, targets)
 	return f
 }
 
-func (f *fleet) offer(rate float64) {
-	for _, n := range f.all {
-		n.Offer(rate)
+func (f *fleet) setLoad(rate float64) {
+	for _, n := range f.instances {
+		n.SetLoad(rate)
 	}
 }
 
 // served waits until the fleet serves at least so much a second, over half a second.
-func (f *fleet) served(what string, least float64) {
+func (f *fleet) waitServed(what string, least float64) {
 	f.T.Helper()
 	time.Sleep(700 * time.Millisecond) // what was served before it is out of sight
-	took := f.Until(fmt.Sprintf("%s: %.0f a second", what, least), func() bool { return f.targets.Judge.Rate(500 * time.Millisecond)[0] >= least })
+	took := f.WaitFor(fmt.Sprintf("%s: %.0f a second", what, least), func() bool { return f.targets.Monitor.Rate(500 * time.Millisecond)[0] >= least })
 	f.T.Logf("%s: %.0f a second again %.1f renewals after it, worst window %.1f of %.0f", what, least, (took.Seconds()+0.7)/0.3,
-		f.targets.Judge.Worst("work"), workBurst)
+		f.targets.Monitor.MaxExcess("work"), workBurst)
 }
 
 // TestWorkBudget drives eight instances under a budget of all work, with more load than it, through what machines and networks
 // do. What the targets count never goes past it, over any window.
 func TestWorkBudget(t *testing.T) {
-	f := newFleet(t, 8, 2, head+workBudget, map[string]float64{"work": workRate}, InstanceOptions{}, 1.0005, 0, 0.9995)
+	f := newFleet(t, 8, 2, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{}, 1.0005, 0, 0.9995)
 	pauses := 0.0
-	time.Sleep(partMs * time.Millisecond) // tokens are saved
-	f.offer(60)
-	f.served("joined, with tokens saved", 0.8*workRate)
-	for _, n := range f.all[2:] {
+	time.Sleep(allocationTTLMs * time.Millisecond) // tokens are saved
+	f.setLoad(60)
+	f.waitServed("joined, with tokens saved", 0.8*workRate)
+	for _, n := range f.instances[2:] {
 		n.Kill()
 	}
-	f.all[0].Offer(250)
-	f.all[1].Offer(250)
-	f.served("six of eight killed", 0.75*workRate)
-	for _, n := range f.all[2:] {
+	f.instances[0].SetLoad(250)
+	f.instances[1].SetLoad(250)
+	f.waitServed("six of eight killed", 0.75*workRate)
+	for _, n := range f.instances[2:] {
 		n.Restart()
 	}
-	f.offer(60)
-	f.Until("all are back", func() bool { return strings.Count(f.all[7].Log(), "FLEET_JOINED") == 2 })
-	f.served("all are back", 0.75*workRate)
+	f.setLoad(60)
+	f.WaitFor("all are back", func() bool { return strings.Count(f.instances[7].Log(), "FLEET_JOINED") == 2 })
+	f.waitServed("all are back", 0.75*workRate)
 
-	f.all[0].Pause()
+	f.instances[0].Pause()
 	pauses++
-	time.Sleep(2 * partMs * time.Millisecond)
-	f.all[0].Resume()
-	f.all[1].CutOff(true, false)
-	f.all[2].CutOff(false, true)
-	f.Until("it is cut off", func() bool {
-		return strings.Contains(f.all[1].Log(), "FLEET_CUT_OFF") && strings.Contains(f.all[2].Log(), "FLEET_CUT_OFF")
+	time.Sleep(2 * allocationTTLMs * time.Millisecond)
+	f.instances[0].Resume()
+	f.instances[1].DropAgentTraffic(true, false)
+	f.instances[2].DropAgentTraffic(false, true)
+	f.WaitFor("it is cut off", func() bool {
+		return strings.Contains(f.instances[1].Log(), "FLEET_CUT_OFF") && strings.Contains(f.instances[2].Log(), "FLEET_CUT_OFF")
 	})
-	f.served("one paused and resumed, two cut off", 0.7*workRate)
-	f.all[1].Heal()
-	f.all[2].Heal()
+	f.waitServed("one paused and resumed, two cut off", 0.7*workRate)
+	f.instances[1].Heal()
+	f.instances[2].Heal()
 
 	leader := f.agents.Leader()
 	f.agents.Procs[leader].Pause()
-	time.Sleep(2 * partMs * time.Millisecond)
-	f.served("the leader paused", 0.7*workRate)
+	time.Sleep(2 * allocationTTLMs * time.Millisecond)
+	f.waitServed("the leader paused", 0.7*workRate)
 	f.agents.Procs[leader].Resume()
 	second := f.agents.Leader()
 	f.agents.Isolate(second)
-	time.Sleep(partMs * time.Millisecond)
-	f.served("the leader with a minority", 0.7*workRate)
-	f.agents.Join(second)
+	time.Sleep(allocationTTLMs * time.Millisecond)
+	f.waitServed("the leader with a minority", 0.7*workRate)
+	f.agents.Reconnect(second)
 	third := f.agents.Leader()
 	f.agents.Procs[third].Kill()
-	f.served("the leader killed", 0.7*workRate)
+	f.waitServed("the leader killed", 0.7*workRate)
 	f.agents.Procs[third].Restart()
 
-	worst, most := f.targets.Judge.Worst("work"), workBurst+pauses
+	worst, most := f.targets.Monitor.MaxExcess("work"), workBurst+pauses
 	t.Logf("worst window: %.1f beyond the rate, of %.0f", worst, most)
 	if worst > most {
 		t.Errorf("a window saw %.1f beyond the rate, of %.0f", worst, most)
 	}
-	if lost := f.all[1].Lost.Load(); lost > 0 { // it was never killed nor paused
+	if lost := f.instances[1].Unanswered.Load(); lost > 0 { // it was never killed nor paused
 		t.Errorf("%d requests had no answer", lost)
 	}
-	f.Leave(f.all)
+	f.stopAll(f.instances)
 	var v struct{ Members []json.RawMessage }
-	out, code, _ := f.Run("members", "--json", "--agents", f.agents.List())
+	out, code, _ := f.Run("members", "--json", "--agents", f.agents.AddrList())
 	if err := json.Unmarshal([]byte(out), &v); err != nil || code != 0 {
 		t.Fatalf("members: exit code %d, %v: %s", code, err, out)
 	}
@@ -157,10 +157,10 @@
 }
 
 // Leave ends the instances in order, all at once.
-func (f *fleet) Leave(all []*Instance) {
+func (f *fleet) stopAll(all []*Instance) {
 	f.T.Helper()
 	for _, n := range all {
-		n.Offer(0)
+		n.SetLoad(0)
 	}
 	done := make(chan bool, len(all))
 	for _, n := range all {
@@ -178,7 +178,7 @@
 func TestOtherBudgets(t *testing.T) {
 	const conns, repeats, repeatBurst, cold, coldBurst = 30, 20.0, 40.0, 40.0, 48.0
 	rules := `{"coldShare":0.2,"warmWithinUs":600000000,"fallUs":2000000,"tipMultiple":2,"resendRatio":5,"extraFree":100,"resendSpanUs":1000000}`
-	f := newFleet(t, 6, 3, head+connBudget+`[[budget]]
+	f := newFleet(t, 6, 3, quotaHeader+connBudget+`[[budget]]
 name = "repeats"
 use = "repeat"
 whole = 20
@@ -195,26 +195,26 @@
 least_burst = 1
 `, map[string]float64{"repeat": repeats, "cold": cold}, InstanceOptions{Rules: rules})
 	for _, x := range f.targets.All {
-		x.Takes.Store(int64(20 * time.Millisecond))
-	}
-	f.offer(60)
-	f.Until("the fleet serves", func() bool { return f.targets.Judge.Rate(time.Second)[0] > 200 })
-	f.targets.All[0].Spoils.Store(3) // not all: a target that only fails is tried one at a time
-	f.Until("repeats come", func() bool { return f.targets.Judge.Rate(time.Second)[1] > repeats/4 })
-	f.all[0].CutOff(true, true)
-	f.all[1].CutOff(false, true)
-	f.targets.Restarted(f.targets.All[1])
-	f.targets.Restarted(f.targets.All[2])
-	f.Until("the cold targets are served", func() bool { return f.targets.Judge.Rate(time.Second)[2] > cold/4 })
-	time.Sleep(partMs * time.Millisecond)
-	f.all[0].Heal()
-	f.all[1].Heal()
-	f.targets.All[0].Spoils.Store(0)
+		x.ServiceTime.Store(int64(20 * time.Millisecond))
+	}
+	f.setLoad(60)
+	f.WaitFor("the fleet serves", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 200 })
+	f.targets.All[0].FailEvery.Store(3) // not all: a target that only fails is tried one at a time
+	f.WaitFor("repeats come", func() bool { return f.targets.Monitor.Rate(time.Second)[1] > repeats/4 })
+	f.instances[0].DropAgentTraffic(true, true)
+	f.instances[1].DropAgentTraffic(false, true)
+	f.targets.MarkRestarted(f.targets.All[1])
+	f.targets.MarkRestarted(f.targets.All[2])
+	f.WaitFor("the cold targets are served", func() bool { return f.targets.Monitor.Rate(time.Second)[2] > cold/4 })
+	time.Sleep(allocationTTLMs * time.Millisecond)
+	f.instances[0].Heal()
+	f.instances[1].Heal()
+	f.targets.All[0].FailEvery.Store(0)
 	for _, p := range f.agents.Procs {
 		p.Kill()
 	}
-	f.Until("all have their floor alone", func() bool {
-		for _, n := range f.all {
+	f.WaitFor("all have their floor alone", func() bool {
+		for _, n := range f.instances {
 			if !strings.Contains(n.Log(), "FLEET_CUT_OFF") {
 				return false
 			}
@@ -224,23 +224,23 @@
 	if os.Getenv("SPINDLEHITCH_FAULTS") != "" {
 		time.Sleep(time.Minute) // by hand; their seats end meanwhile
 	}
-	atFloor := f.targets.Judge.Rate(500 * time.Millisecond)
+	atFloor := f.targets.Monitor.Rate(500 * time.Millisecond)
 	for _, p := range f.agents.Procs {
 		p.Restart()
 	}
-	f.Until("the agents are heard again", func() bool {
-		out, code, _ := f.Run("budget", "show", "conns", "--json", "--agents", f.agents.List())
+	f.WaitFor("the agents are heard again", func() bool {
+		out, code, _ := f.Run("budget", "show", "conns", "--json", "--agents", f.agents.AddrList())
 		return code == 0 && strings.Contains(out, `"name": "n5"`)
 	})
-	time.Sleep(partMs * time.Millisecond)
-	t.Logf("at cold targets %.0f a second with the agents gone, %.0f afterwards", atFloor[2], f.targets.Judge.Rate(500 * time.Millisecond)[2])
-	if most := f.targets.MostConns(); most > conns {
+	time.Sleep(allocationTTLMs * time.Millisecond)
+	t.Logf("at cold targets %.0f a second with the agents gone, %.0f afterwards", atFloor[2], f.targets.Monitor.Rate(500 * time.Millisecond)[2])
+	if most := f.targets.MaxConns(); most > conns {
 		t.Errorf("%d connections were open at one target, of %d", most, conns)
 	} else {
 		t.Logf("%d connections at most at one target, of %d", most, conns)
 	}
 	for name, most := range map[string]float64{"repeat": repeatBurst, "cold.t1": coldBurst, "cold.t2": coldBurst} {
-		if worst := f.targets.Judge.Worst(name); worst > most {
+		if worst := f.targets.Monitor.MaxExcess(name); worst > most {
 			t.Errorf("%s: a window saw %.1f beyond the rate, of %.1f", name, worst, most)
 		} else {
 			t.Logf("%s: worst window %.1f beyond the rate, of %.1f", name, worst, most)
@@ -251,37 +251,37 @@
 // TestSeats has processes come that the fleet has no seat for, or whose name is taken, one that wakes up after its seat has ended,
 // and an upgrade: each has its defined outcome.
 func TestSeats(t *testing.T) {
-	small := strings.Replace(strings.Replace(head, "seats = 20", "seats = 3", 1), "seat_s = 6", "seat_s = 2", 1)
+	small := strings.Replace(strings.Replace(quotaHeader, "seats = 20", "seats = 3", 1), "seat_s = 6", "seat_s = 2", 1)
 	f := newFleet(t, 1, 1, small+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	o := InstanceOptions{Agents: f.agents, Targets: f.targets, Peers: 3}
 	says := func(n *Instance, reason string, times int) {
 		t.Helper()
-		f.Until(n.Name+": "+reason, func() bool { return strings.Count(n.Log(), "reason="+reason) >= times })
+		f.WaitFor(n.Name+": "+reason, func() bool { return strings.Count(n.Log(), "reason="+reason) >= times })
 	}
-	twin := f.Instance("n0", o, 0)
+	twin := f.StartInstance("n0", o, 0)
 	says(twin, "FLEET_NAME_TAKEN", 1)
 	twin.Kill()
-	socket, addr := listening(t)
+	socket, addr := listenSocket(t)
 	defer socket.Close()
-	o.Socket, o.Listen = socket, addr
-	old := f.Instance("n1", o, 0)
+	o.ListenSocket, o.Listen = socket, addr
+	old := f.StartInstance("n1", o, 0)
 	says(old, "FLEET_JOINED", 1)
-	young := f.Instance("n1", o, 0)
+	young := f.StartInstance("n1", o, 0)
 	says(young, "FLEET_JOINED", 1)
 	says(old, "FLEET_LEFT", 1) // the younger one serves
-	f.Until("the older process has ended", func() bool { return !old.Alive() })
-	o.Socket, o.Listen = nil, ""
-	third := f.Instance("n2", o, 0)
+	f.WaitFor("the older process has ended", func() bool { return !old.Alive() })
+	o.ListenSocket, o.Listen = nil, ""
+	third := f.StartInstance("n2", o, 0)
 	says(third, "FLEET_JOINED", 1)
-	fourth := f.Instance("n3", o, 0)
+	fourth := f.StartInstance("n3", o, 0)
 	says(fourth, "FLEET_NO_SEAT", 1)
 	third.Pause()
 	says(fourth, "FLEET_JOINED", 1) // once the seat has ended
 	third.Resume()
 	says(third, "FLEET_SEAT_LOST", 1)
 	says(third, "FLEET_NO_SEAT", 1)
-	if !strings.Contains(third.Figures(), "edge_proxy.fleet.seated:0|g") {
-		t.Errorf("the second address does not tell that there is no seat: %s", third.Figures())
+	if !strings.Contains(third.Metrics(), "edge_proxy.fleet.seated:0|g") {
+		t.Errorf("the second address does not tell that there is no seat: %s", third.Metrics())
 	}
 	fourth.Stop(30 * time.Second)
 	says(third, "FLEET_JOINED", 2)
@@ -290,45 +290,45 @@
 // TestAgentsHurt fills the disk of the agent that leads while budgets are changed, makes the whole smaller while all of it is out, and
 // starts an agent from an empty folder.
 func TestAgentsHurt(t *testing.T) {
-	f := newFleet(t, 3, 1, head+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
-	f.offer(150)
-	f.served("all of the whole is out", 0.8*workRate)
+	f := newFleet(t, 3, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
+	f.setLoad(150)
+	f.waitServed("all of the whole is out", 0.8*workRate)
 	set := func(whole, burst int) (string, int) {
 		text := strings.Replace(strings.Replace(workBudget, "whole = 200", fmt.Sprint("whole = ", whole), 1), "burst = 100\n", fmt.Sprintf("burst = %d\n", burst), 1)
-		out, code, _ := f.Run("budget", "set", f.File("budgets.toml", head+text), "--agents", f.agents.List())
+		out, code, _ := f.Run("budget", "set", f.WriteFile("budgets.toml", quotaHeader+text), "--agents", f.agents.AddrList())
 		return out, code
 	}
 	leader := f.agents.Leader()
 	if err := f.agents.Procs[leader].FillDisk(f.agents.Dirs[leader]); err != nil {
 		t.Fatal(err)
 	}
-	big := f.File("big.json", fmt.Sprintf(`{"name":"big","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","pad":%q,"settings":{"peersTotal":1,"tickUs":2000,
+	big := f.WriteFile("big.json", fmt.Sprintf(`{"name":"big","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","pad":%q,"settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, strings.Repeat("x", 600<<10)))
-	f.Until("its log can't grow", func() bool {
-		out, code, _ := f.Run("config", "put", "big", big, "--agents", f.agents.List())
+	f.WaitFor("its log can't grow", func() bool {
+		out, code, _ := f.Run("config", "put", "big", big, "--agents", f.agents.AddrList())
 		t.Logf("put with a full disk: exit code %d, %.200s", code, out)
 		return strings.Contains(f.agents.Procs[leader].Log(), "file too large")
 	})
-	f.served("the leader's disk is full", 0.7*workRate)
+	f.waitServed("the leader's disk is full", 0.7*workRate)
 	if err := f.agents.Procs[leader].FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	f.Until("budgets are changed again", func() bool { _, code := set(200, 100); return code == 0 })
+	f.WaitFor("budgets are changed again", func() bool { _, code := set(200, 100); return code == 0 })
 	empty := (f.agents.Leader() + 1) % 3
 	f.agents.Procs[empty].Kill()
 	if err := os.RemoveAll(f.agents.Dirs[empty]); err != nil {
 		t.Fatal(err)
 	}
 	f.agents.Procs[empty].Restart()
-	f.Until("the emptied agent knows the budgets", func() bool {
+	f.WaitFor("the emptied agent knows the budgets", func() bool {
 		out, _, _ := f.Run("config", "status", "--agents", f.agents.API[empty])
 		return strings.Contains(out, "Follower") && !strings.Contains(out, "applied=0")
 	})
-	f.Until("the whole is smaller", func() bool { _, code := set(60, 80); return code == 0 })
-	f.Until("all go by the smaller one", func() bool { return f.targets.Judge.Rate(time.Second)[0] <= 66 })
-	f.Until("it is used", func() bool { return f.targets.Judge.Rate(time.Second)[0] >= 25 })
-	if worst := f.targets.Judge.Worst("work"); worst > 110 {
+	f.WaitFor("the whole is smaller", func() bool { _, code := set(60, 80); return code == 0 })
+	f.WaitFor("all go by the smaller one", func() bool { return f.targets.Monitor.Rate(time.Second)[0] <= 66 })
+	f.WaitFor("it is used", func() bool { return f.targets.Monitor.Rate(time.Second)[0] >= 25 })
+	if worst := f.targets.Monitor.MaxExcess("work"); worst > 110 {
 		t.Errorf("a window saw %.1f beyond the rate, of 110", worst)
 	}
 }
@@ -336,9 +336,9 @@
 // TestBudgetCommands gives the commands what can't be served: one message that names the field, an exit code, and nothing changed.
 func TestBudgetCommands(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
-	good := head + workBudget + connBudget
+	good := quotaHeader + workBudget + connBudget
 	for _, c := range []struct{ old, wrong, want string }{
 		{"whole = 200", "whole = 0", "budget[0].whole"}, {"whole = 200", "whole = -5", "budget[0].whole"},
 		{"least = 1\nleast_burst", "least = 11\nleast_burst", "budget[0].least"}, {"use = \"work\"", "use = \"play\"", "budget[0].use"},
@@ -350,26 +350,26 @@
 		if !strings.Contains(good, c.old) {
 			t.Fatalf("no %q", c.old)
 		}
-		file := r.File("wrong.toml", strings.Replace(good, c.old, c.wrong, 1))
+		file := r.WriteFile("wrong.toml", strings.Replace(good, c.old, c.wrong, 1))
 		for _, command := range []string{"check", "set"} {
-			out, code, _ := r.Run("budget", command, file, "--agents", g.List())
+			out, code, _ := r.Run("budget", command, file, "--agents", g.AddrList())
 			if code != 1 || !strings.Contains(out, c.want+":") || strings.Count(out, "\n") != 1 {
 				t.Errorf("budget %s with %q: exit code %d, %s", command, c.wrong, code, out)
 			}
 		}
 	}
-	file := r.File("good.toml", good)
+	file := r.WriteFile("good.toml", good)
 	for _, args := range [][]string{{"budget", "check", file}, {"budget", "set", file}, {"budget", "list"}, {"budget", "show", "conns"}, {"members"}} {
-		if out, code, _ := r.Run(append(args, "--agents", g.List())...); code != 0 {
+		if out, code, _ := r.Run(append(args, "--agents", g.AddrList())...); code != 0 {
 			t.Errorf("%v: exit code %d, %s", args, code, out)
 		}
 	}
-	if out, code, _ := r.Run("budget", "show", "play", "--agents", g.List()); code != 1 || !strings.Contains(out, "play") {
+	if out, code, _ := r.Run("budget", "show", "play", "--agents", g.AddrList()); code != 1 || !strings.Contains(out, "play") {
 		t.Errorf("an unknown budget: exit code %d, %s", code, out)
 	}
 	// An agent hears only with the next heartbeat that what it has written down is confirmed.
-	r.Until("all agents have applied it", func() bool {
-		out, _, _ := r.Run("config", "status", "--agents", g.List())
+	r.WaitFor("all agents have applied it", func() bool {
+		out, _, _ := r.Run("config", "status", "--agents", g.AddrList())
 		applied := map[string]bool{}
 		for line := range strings.Lines(out) {
 			_, after, _ := strings.Cut(line, "applied=")
@@ -380,16 +380,16 @@
 	for _, p := range g.Procs[1:] {
 		p.Kill()
 	}
-	if out, code, _ := r.Run("budget", "list", "--agents", g.List()); code != 3 || !strings.Contains(out, " old") || !strings.Contains(out, "conns") {
+	if out, code, _ := r.Run("budget", "list", "--agents", g.AddrList()); code != 3 || !strings.Contains(out, " old") || !strings.Contains(out, "conns") {
 		t.Errorf("without a majority: exit code %d, %s", code, out)
 	}
-	if out, code, _ := r.Run("budget", "set", file, "--agents", g.List()); code != 4 {
+	if out, code, _ := r.Run("budget", "set", file, "--agents", g.AddrList()); code != 4 {
 		t.Errorf("a change without a majority: exit code %d, %s", code, out)
 	}
 }
 
 // listening is a socket that processes inherit, and where it is bound.
-func listening(t *testing.T) (*os.File, string) {
+func listenSocket(t *testing.T) (*os.File, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -406,16 +406,16 @@
 // TestRenewPastSilent has the agent that an instance asks first stand still: its renewals go on at the others, though one agent could use
 // up all the time that a renewal has.
 func TestRenewPastSilent(t *testing.T) {
-	f := newFleet(t, 1, 1, strings.Replace(head, "seat_s = 6", "seat_s = 600", 1)+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
+	f := newFleet(t, 1, 1, strings.Replace(quotaHeader, "seat_s = 6", "seat_s = 600", 1)+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	taken := func() (n int) {
-		_, after, _ := strings.Cut(f.all[0].Figures(), "renewals.taken:")
+		_, after, _ := strings.Cut(f.instances[0].Metrics(), "renewals.taken:")
 		_, _ = fmt.Sscanf(after, "%d", &n)
 		return n
 	}
-	f.Until("it renews", func() bool { return taken() > 0 })
+	f.WaitFor("it renews", func() bool { return taken() > 0 })
 	f.agents.Procs[0].Pause()
 	before := taken()
-	took := f.Until("it renews at another", func() bool { return taken() >= before+5 })
+	took := f.WaitFor("it renews at another", func() bool { return taken() >= before+5 })
 	t.Logf("five more renewals after %v", took)
 	f.agents.Procs[0].Resume()
 }
@@ -424,9 +424,9 @@
 // never, and one of no member is told so, by an agent that a majority follows.
 func TestRenewalTwice(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	leader := g.Leader()
-	if out, code, _ := r.Run("budget", "set", r.File("budgets.toml", head+workBudget), "--agents", g.List()); code != 0 {
+	if out, code, _ := r.Run("budget", "set", r.WriteFile("budgets.toml", quotaHeader+workBudget), "--agents", g.AddrList()); code != 0 {
 		t.Fatal(out)
 	}
 	post := func(path, body string) (int, string) {
--- a/internal/testbed/faults/configure_test.go
+++ b/internal/testbed/faults/configure_test.go
@@ -18,8 +18,8 @@
 
 // configured is a shared configuration of a fleet that goes by its version: a plan is named by it, and what may be held, how long connections
 // rest and what limits there are go with it.
-func configured(discovery string, version int) watchstream.Put {
-	return layer("shared", `{"discovery":%q,"limits":{"sockets":%d},"settings":{"peersTotal":%d,"tickUs":2000,
+func sharedConfig(discovery string, version int) watchstream.Put {
+	return configPut("shared", `{"discovery":%q,"limits":{"sockets":%d},"settings":{"peersTotal":%d,"tickUs":2000,
  "classes":[{"name":"position-read","promiseUs":%d,"deadlineUs":2000000,"effect":"pure","worth":%d}],
  "contracts":[{"name":"base","usualRate":%d,"reservation":1000,"parts":1,"pays":1},{"name":"plan%d","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3,"mostHeld":%d,"connIdleUs":%d}}}`,
@@ -31,36 +31,36 @@
 // was killed; no initiator begins a successor; and what the fleet knows to be in force is what clients meet.
 func TestConfigurationUnderFaults(t *testing.T) {
 	r := New(t)
-	f := &fed{Rig: r, t: t, targets: r.Targets(2, nil), starts: map[string]int64{"t0": 1000, "t1": 1000}}
-	agents := r.Agents(3)
-	f.Feed = r.Feed(agents, 2, "north", "south")
+	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(2, nil), startedMs: map[string]int64{"t0": 1000, "t1": 1000}}
+	agents := r.StartAgents(3)
+	f.RelayNetwork = r.StartRelays(agents, 2, "north", "south")
 	agents.Leader()
-	puts := []watchstream.Put{configured(f.targets.Discovery, 0)}
+	puts := []watchstream.Put{sharedConfig(f.targets.Discovery, 0)}
 	for i, x := range f.targets.All {
 		x.Shard = i
-		puts = append(puts, f.entry(x, "SERVING"))
+		puts = append(puts, f.targetPut(x, "SERVING"))
 	}
 	var all []*Instance
 	for i := range 4 {
-		n := f.Layered(fmt.Sprint("n", i), f.regions[i%2])
-		f.all, all = append(f.all, n), append(all, n.Instance)
-		puts = append(puts, layer("instance/"+n.Name, `{"listen":%q,"control":%q}`, n.Listen, n.Control))
+		n := f.StartConfigSubscriber(fmt.Sprint("n", i), f.regions[i%2])
+		f.subscribers, all = append(f.subscribers, n), append(all, n.Instance)
+		puts = append(puts, configPut("instance/"+n.Name, `{"listen":%q,"control":%q}`, n.Listen, n.Control))
 	}
-	f.until("all serve", f.Put(puts...), f.all)
-	r.Load(t.Context(), all, 2)
+	f.waitApplied("all serve", f.Put(puts...), f.subscribers)
+	r.StartLoad(t.Context(), all, 2)
 	for _, n := range all {
-		n.Offer(40)
-		f.Until(n.Name+" serves", func() bool { return n.Served.Load() > 10 })
+		n.SetLoad(40)
+		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > 10 })
 	}
 	lost := func(of []*Instance) (n int64) {
 		for _, x := range of {
-			n += x.Lost.Load() + x.Other.Load()
+			n += x.Unanswered.Load() + x.OtherStatus.Load()
 		}
 		return n
 	}
 	had := lost(all)
 
-	rng := rand.New(rand.NewPCG(seedOf(3), 15))
+	rng := rand.New(rand.NewPCG(seedFromEnv(3), 15))
 	const changes = 60
 	var hurt sync.WaitGroup
 	var last uint64
@@ -91,25 +91,25 @@
 				killed.Restart()
 			})
 		case changes / 2:
-			f.all[3].Kill()
-			f.all[3].Restart()
+			f.subscribers[3].Kill()
+			f.subscribers[3].Restart()
 		}
-		last = f.Put(configured(f.targets.Discovery, i))
+		last = f.Put(sharedConfig(f.targets.Discovery, i))
 		time.Sleep(100 * time.Millisecond)
 	}
-	took := f.until("all have the last configuration", last, f.all)
+	took := f.waitApplied("all have the last configuration", last, f.subscribers)
 	t.Logf("in force at all %v after the last change", took.Round(time.Millisecond))
-	for _, n := range f.all {
-		require.Equal(t, http.StatusOK, ask(t, n.Listen, fmt.Sprint("plan", changes)), "%s says that the last configuration is in force", n.Name)
-		require.Equal(t, http.StatusUnprocessableEntity, ask(t, n.Listen, fmt.Sprint("plan", changes-1)), "%s", n.Name)
+	for _, n := range f.subscribers {
+		require.Equal(t, http.StatusOK, requestStatus(t, n.Listen, fmt.Sprint("plan", changes)), "%s says that the last configuration is in force", n.Name)
+		require.Equal(t, http.StatusUnprocessableEntity, requestStatus(t, n.Listen, fmt.Sprint("plan", changes-1)), "%s", n.Name)
 	}
 	hurt.Wait()
 	for _, n := range all {
 		served := n.Served.Load()
-		f.Until(n.Name+" serves", func() bool { return n.Served.Load() > served+10 })
+		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > served+10 })
 	}
 	require.EqualValues(t, had, lost(all[:3]), "requests lost or refused at initiators that weren't killed")
-	for i, n := range f.all {
+	for i, n := range f.subscribers {
 		log := n.Log()
 		if i == 3 {
 			log = log[strings.LastIndex(log, "msg=serving"):]
@@ -117,11 +117,14 @@
 		require.LessOrEqual(t, strings.Count(log, "started=true"), 1, "%s begins once:\n%s", n.Name, log)
 		require.NotContains(t, log, "BAD_CONFIG")
 	}
-	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(last)); return ok && s.Applied == 4 && s.Rejected == 0 })
+	f.WaitFor("the fleet knows", func() bool {
+		s, ok := f.versionStatus(fmt.Sprint(last))
+		return ok && s.Applied == 4 && s.Rejected == 0
+	})
 }
 
 // ask sends one request of a plan and returns its status.
-func ask(t *testing.T, addr, plan string) int {
+func requestStatus(t *testing.T, addr, plan string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/position-read/7f3a9c21e0b4d655", nil)
 	require.NoError(t, err)
@@ -136,7 +139,7 @@
 }
 
 // seedOf is what SPINDLEHITCH_SEED says; the usual one where it says nothing.
-func seedOf(usual uint64) uint64 {
+func seedFromEnv(usual uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SPINDLEHITCH_SEED"), 10, 64); err == nil {
 		return n
 	}
--- a/internal/testbed/faults/files_test.go
+++ b/internal/testbed/faults/descriptors_test.go
@@ -21,10 +21,10 @@
 	for _, files := range []int{0, 160, 96, 64} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
 			r := New(t)
-			targets := r.Targets(1, nil)
-			down := r.Link("n", "discovery", targets.Discovery)
+			targets := r.StartTargets(1, nil)
+			down := r.StartLink("n", "discovery", targets.Discovery)
 			down.Set(Impairment{Hold: true}, Impairment{Hold: true})
-			n := r.Instance("n", InstanceOptions{Targets: &Targets{Discovery: down.Addr}, Peers: 1, Files: files}, 0)
+			n := r.StartInstance("n", InstanceOptions{Targets: &Targets{Discovery: down.Addr}, Peers: 1, MaxFiles: files}, 0)
 			most := 256 // as Instance has it
 			if files > 0 {
 				most = files
@@ -80,7 +80,7 @@
 			t.Logf("%d descriptors taken, ready after %v", filled, time.Since(began))
 			require.Eventually(t, func() bool { return status("http://"+n.Listen+"/-/ready") == 200 }, 10*time.Second, 10*time.Millisecond)
 			require.Eventually(t, func() bool {
-				n.ask(ctx, client, fmt.Sprint(time.Now().UnixNano()), 0)
+				n.sendRequest(ctx, client, fmt.Sprint(time.Now().UnixNano()), 0)
 				return n.Served.Load() > 0
 			}, 10*time.Second, 10*time.Millisecond)
 			require.NotContains(t, n.Log(), "too many open files")
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -123,7 +123,7 @@
 // an election and a second, on a machine that is as busy as it likes.
 func TestSilentAgent(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	leader := g.Leader()
 	other := (leader + 1) % 3
 	for _, c := range []struct {
@@ -131,9 +131,9 @@
 		paused int
 	}{{"a follower, named first", other}, {"the leader", leader}} {
 		g.Procs[c.paused].Pause()
-		out, code, took := r.Run("config", "list", "--agents", g.List(c.paused))
+		out, code, took := r.Run("config", "list", "--agents", g.AddrList(c.paused))
 		if code != 0 { // an election may take long where the machine is busy
-			out, code, took = r.Run("config", "list", "--agents", g.List(c.paused))
+			out, code, took = r.Run("config", "list", "--agents", g.AddrList(c.paused))
 		}
 		t.Logf("%s paused: %v", c.name, took)
 		if code != 0 {
@@ -145,7 +145,7 @@
 	for _, p := range g.Procs[1:] {
 		p.Pause()
 	}
-	out, code, _ := r.Run("config", "list", "--agents", g.List(1))
+	out, code, _ := r.Run("config", "list", "--agents", g.AddrList(1))
 	for _, a := range g.API[1:] {
 		if code == 0 || !bytes.Contains([]byte(out), []byte("agent "+a+": no answer")) {
 			t.Errorf("two agents paused: exit code %d, and the message does not name %s: %s", code, a, out)
@@ -160,19 +160,19 @@
 // before the 30 s that its watch once took.
 func TestSilentFollowed(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	quiet := (g.Leader() + 1) % 3
-	p := r.Start("n1", []string{"PROXY_NAME=n1"}, "serve", "--agents", g.List(quiet))
+	p := r.Start("n1", []string{"PROXY_NAME=n1"}, "serve", "--agents", g.AddrList(quiet))
 	time.Sleep(300 * time.Millisecond) // its watch is open
 	g.Procs[quiet].Pause()
 	addrs := FreeAddrs(t, 2)
-	file := r.File("n1.json", `{"name":"n1","listen":"`+addrs[0]+`","discovery":"`+addrs[1]+`","settings":{"peersTotal":1,"tickUs":2000,
+	file := r.WriteFile("n1.json", `{"name":"n1","listen":"`+addrs[0]+`","discovery":"`+addrs[1]+`","settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`)
-	if out, code, _ := r.Run("config", "put", "n1", file, "--agents", g.List()); code != 0 {
+	if out, code, _ := r.Run("config", "put", "n1", file, "--agents", g.AddrList()); code != 0 {
 		t.Fatal(out)
 	}
-	took := r.Until("configuration taken", func() bool { return bytes.Contains([]byte(p.Log()), []byte("configuration taken")) })
+	took := r.WaitFor("configuration taken", func() bool { return bytes.Contains([]byte(p.Log()), []byte("configuration taken")) })
 	t.Logf("told %v after", took)
 	if took > 15*time.Second {
 		t.Errorf("told only after %v", took)
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -22,7 +22,7 @@
 )
 
 // steps of an act that processes are stopped at.
-var steps = []string{"act.begun", "act.opened", "act.checked", "act.taken", "place.link", "place.linked", "act.ending"}
+var operationSteps = []string{"act.begun", "act.opened", "act.checked", "act.taken", "place.link", "place.linked", "act.ending"}
 
 // TestLeasesScheduled plays faults at random, by a seed, and has members stop inside acts for longer than leases all the time, by aims. By
 // hand it goes on for as long as SPINDLEHITCH_FAULTS says (such as 10m), with twenty members and thirty shards; SPINDLEHITCH_SEED
@@ -33,12 +33,12 @@
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length, members, shards = d, 20, 30
 	}
-	seed = seedOf(seed)
-	d := newDrill(t, members, shards, 1.0005, 0, 0.9995)
+	seed = seedFromEnv(seed)
+	d := newLeaseFleet(t, members, shards, 1.0005, 0, 0.9995)
 	// What is paused is paused inside an act here.
-	plan := slices.DeleteFunc(Schedule(seed, members, 3, length, 8*time.Second/time.Duration(members)), func(e Event) bool { return e.What == "pause" })
+	plan := slices.DeleteFunc(Schedule(seed, members, 3, length, 8*time.Second/time.Duration(members)), func(e Fault) bool { return e.Kind == "pause" })
 	if path := os.Getenv("SPINDLEHITCH_RECORD"); path != "" {
-		if b, err := Record(plan); err != nil || os.WriteFile(path, b, 0o644) != nil {
+		if b, err := EncodeSchedule(plan); err != nil || os.WriteFile(path, b, 0o644) != nil {
 			t.Fatal("the schedule can't be written")
 		}
 	}
@@ -48,25 +48,25 @@
 	var aiming sync.WaitGroup
 	aiming.Go(func() {
 		for ctx.Err() == nil {
-			n, step := d.all[rng.IntN(members)], steps[rng.IntN(len(steps))]
-			n.Aim(step, "stop")
-			for end := time.Now().Add(2 * time.Second); !n.Struck(step) && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
+			n, step := d.instances[rng.IntN(members)], operationSteps[rng.IntN(len(operationSteps))]
+			n.ArmFailpoint(step, "stop")
+			for end := time.Now().Add(2 * time.Second); !n.FailpointHit(step) && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 			}
-			if n.Unaim(step) || !n.Struck(step) {
+			if n.DisarmFailpoint(step) || !n.FailpointHit(step) {
 				continue // it held nothing, or was dead
 			}
-			time.Sleep(leaseFor + time.Duration(rng.Float64()*float64(leaseFor)))
+			time.Sleep(leaseTTL + time.Duration(rng.Float64()*float64(leaseTTL)))
 			if n.Stopped() {
 				inside++ // for all of that time
 			}
 			n.Resume()
 		}
 	})
-	counts := d.Play(plan, d.all, d.agents)
+	counts := d.RunSchedule(plan, d.instances, d.agents)
 	stop()
 	aiming.Wait()
-	d.even("once all faults have ended every shard is held, evenly", members)
-	seen := d.judge()
+	d.waitBalanced("once all faults have ended every shard is held, evenly", members)
+	seen := d.checkWitness()
 	t.Logf("seed %d, %v, %d members, %d shards: %v, %d pauses inside an act for longer than a lease, no overlap", seed, length, members, shards, counts, inside)
 	if inside < int(length/(8*time.Second)) {
 		t.Errorf("only %d pauses fell inside an act", inside)
@@ -82,7 +82,7 @@
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
 		t.Skip("by hand")
 	}
-	d := newDrill(t, 20, 30)
+	d := newLeaseFleet(t, 20, 30)
 	tokens := func() map[int]uint64 {
 		all := map[int]uint64{}
 		for _, l := range d.leases() {
@@ -92,7 +92,7 @@
 	}
 	// gap is, over what moved, from a moment to the first call under the new token.
 	round := func(what string, n *Instance, do func()) {
-		d.even("before "+what, len(d.all))
+		d.waitBalanced("before "+what, len(d.instances))
 		time.Sleep(time.Second)
 		had, mine := tokens(), 0
 		for _, l := range d.leases() {
@@ -103,7 +103,7 @@
 		from := time.Since(d.witness.began)
 		do()
 		after := time.Since(d.witness.began)
-		time.Sleep(4 * leaseFor)
+		time.Sleep(4 * leaseTTL)
 		moved := 0
 		var gaps []float64
 		for shard, token := range tokens() {
@@ -122,24 +122,24 @@
 			if n == nil {
 				from = after
 			}
-			gaps = append(gaps, (first-from).Seconds()/leaseFor.Seconds())
+			gaps = append(gaps, (first-from).Seconds()/leaseTTL.Seconds())
 		}
 		slices.Sort(gaps)
 		t.Logf("%s: %d shards of the one, %d moved, the next act after %.3f leases", what, mine, moved, gaps)
 	}
 	for i := range 3 {
-		n := d.all[3*i]
+		n := d.instances[3*i]
 		round("a kill", n, n.Kill)
 		n.Restart()
-		n = d.all[3*i+1]
-		round("a cut", n, func() { n.CutOff(true, true) })
+		n = d.instances[3*i+1]
+		round("a cut", n, func() { n.DropAgentTraffic(true, true) })
 		n.Heal()
-		n = d.all[3*i+2]
+		n = d.instances[3*i+2]
 		round("a leave in order, from its end on", nil, func() { n.Stop(20 * time.Second) })
 		n.Restart()
-		round("a release", nil, func() { d.run("lease", "release", "drill", fmt.Sprint(i)) })
+		round("a release", nil, func() { d.mustRun("lease", "release", "drill", fmt.Sprint(i)) })
 	}
-	d.judge()
+	d.checkWitness()
 }
 
 // TestLeaseOperations has members in this process claim, give back, move and look at leases through agents that are hurt, and holds the
@@ -147,11 +147,11 @@
 func TestLeaseOperations(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	t.Parallel()
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
-	for _, args := range [][]string{{"budget", "set", r.File("seats.toml", leaseSeats)},
-		{"lease", "set", r.File("tasks.toml", "[[task]]\nname = \"t\"\nkind = \"watch\"\nshards = 2\nlease_ms = 1200\nact_ms = 100\npause_ms = 50\nprogress_ms = 60000\n")}} {
-		if out, code, _ := r.Run(append(args, "--agents", g.List())...); code != 0 {
+	for _, args := range [][]string{{"budget", "set", r.WriteFile("seats.toml", leaseQuotaHeader)},
+		{"lease", "set", r.WriteFile("tasks.toml", "[[task]]\nname = \"t\"\nkind = \"watch\"\nshards = 2\nlease_ms = 1200\nact_ms = 100\npause_ms = 50\nprogress_ms = 60000\n")}} {
+		if out, code, _ := r.Run(append(args, "--agents", g.AddrList())...); code != 0 {
 			t.Fatal(out)
 		}
 	}
@@ -190,7 +190,7 @@
 					for _, h := range m.Status() {
 						if has[h.Shard] != h.Token {
 							has[h.Shard] = h.Token
-							note(i, h.Shard, operation{"grant", h.Token}, nil, before, time.Since(began))
+							note(i, h.Shard, registerOperation{"grant", h.Token}, nil, before, time.Since(began))
 							mu.Lock()
 							grants++
 							mu.Unlock()
@@ -216,7 +216,7 @@
 				done()
 				if err == nil && v.Leads {
 					for _, l := range v.Leases {
-						note(10+i, l.Shard, operation{"read", 0}, l.Token, call, time.Since(began))
+						note(10+i, l.Shard, registerOperation{"read", 0}, l.Token, call, time.Since(began))
 					}
 				}
 				if rng.IntN(3) == 0 {
@@ -248,7 +248,7 @@
 		case 2:
 			g.Isolate(leader)
 			time.Sleep(1500 * time.Millisecond)
-			g.Join(leader)
+			g.Reconnect(leader)
 		}
 	}
 	work.Wait()
@@ -257,11 +257,11 @@
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
 		Step: func(state, in, out any) []any {
-			s, o := state.(uint64), in.(operation)
+			s, o := state.(uint64), in.(registerOperation)
 			switch {
-			case o.what == "grant" && o.token > s:
+			case o.kind == "grant" && o.token > s:
 				return []any{o.token}
-			case o.what == "read" && out.(uint64) >= s:
+			case o.kind == "read" && out.(uint64) >= s:
 				return []any{out.(uint64)}
 			}
 			return nil
@@ -280,7 +280,7 @@
 	}
 }
 
-type operation struct {
-	what  string
+type registerOperation struct {
+	kind  string
 	token uint64
 }
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -14,61 +14,61 @@
 )
 
 // Seats of the lease runs: short leases, so that much happens in little time.
-const leaseSeats = "seats = 80\nrenew_ms = 200\npart_ms = 1000\nseat_s = 30\n"
+const leaseQuotaHeader = "seats = 80\nrenew_ms = 200\npart_ms = 1000\nseat_s = 30\n"
 
-const leaseFor = 1500 * time.Millisecond
+const leaseTTL = 1500 * time.Millisecond
 
 // drilled is agents and members that drill, with a witness.
-type drilled struct {
+type leaseFleet struct {
 	*fleet
 	witness *Witness
 	task    lease.Task
 	client  *agent.Client
 }
 
-func newDrill(t *testing.T, members, shards int, clocks ...float64) *drilled {
+func newLeaseFleet(t *testing.T, members, shards int, clocks ...float64) *leaseFleet {
 	t.Helper()
 	r := New(t)
 	every := int64(400)
 	if members > 10 {
 		every = 1000 // each act is some syncs of the one disk
 	}
-	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(1, nil)}, witness: r.Witness()}
-	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: shards, TTLMs: leaseFor.Milliseconds(), OperationTimeoutMs: 500, IntervalMs: every, ProgressTimeoutMs: 3000,
+	d := &leaseFleet{fleet: &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(1, nil)}, witness: r.StartWitness()}
+	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: shards, TTLMs: leaseTTL.Milliseconds(), OperationTimeoutMs: 500, IntervalMs: every, ProgressTimeoutMs: 3000,
 		Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
 	d.client = &agent.Client{Addrs: d.agents.API}
 	d.agents.Leader()
-	d.run("budget", "set", r.File("seats.toml", leaseSeats))
-	d.run("lease", "set", r.File("tasks.toml", d.file()))
+	d.mustRun("budget", "set", r.WriteFile("seats.toml", leaseQuotaHeader))
+	d.mustRun("lease", "set", r.WriteFile("tasks.toml", d.taskFile()))
 	for i := range members {
 		clock := 0.0
 		if len(clocks) > 0 {
 			clock = clocks[i%len(clocks)]
 		}
-		d.all = append(d.all, r.Instance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members,
-			Uses: "uses = []\ntasks = [\"drill\"]\n"}, clock))
+		d.instances = append(d.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members,
+			FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, clock))
 	}
-	d.even("all have joined", members)
+	d.waitBalanced("all have joined", members)
 	return d
 }
 
-func (d *drilled) file() string {
+func (d *leaseFleet) taskFile() string {
 	return fmt.Sprintf("[[task]]\nname = \"drill\"\nkind = \"drill\"\nshards = %d\nlease_ms = %d\nact_ms = %d\nevery_ms = %d\nprogress_ms = %d\ndir = %q\nwitness = %q\n",
 		d.task.Shards, d.task.TTLMs, d.task.OperationTimeoutMs, d.task.IntervalMs, d.task.ProgressTimeoutMs, d.task.Dir, d.task.Witness)
 }
 
 // run runs a command at the agents that has to succeed.
-func (d *drilled) run(args ...string) string {
+func (d *leaseFleet) mustRun(args ...string) string {
 	d.T.Helper()
-	out, code, _ := d.Run(append(args, "--agents", d.agents.List())...)
+	out, code, _ := d.Run(append(args, "--agents", d.agents.AddrList())...)
 	if code != 0 {
 		d.T.Fatalf("%v: exit code %d, %s", args, code, out)
 	}
 	return out
 }
 
-func (d *drilled) leases() []lessor.LeaseStatus {
-	out, code, _ := d.Run("lease", "show", "drill", "--json", "--agents", d.agents.List())
+func (d *leaseFleet) leases() []lessor.LeaseStatus {
+	out, code, _ := d.Run("lease", "show", "drill", "--json", "--agents", d.agents.AddrList())
 	var s struct{ Leases []lessor.LeaseStatus }
 	if code != 0 || json.Unmarshal([]byte(out), &s) != nil {
 		return nil
@@ -77,9 +77,9 @@
 }
 
 // even waits until so many members hold shards, evenly.
-func (d *drilled) even(what string, members int) {
+func (d *leaseFleet) waitBalanced(what string, members int) {
 	d.T.Helper()
-	d.Until(what, func() bool {
+	d.WaitFor(what, func() bool {
 		has := map[string]int{}
 		for _, l := range d.leases() {
 			if l.State != "held" {
@@ -96,14 +96,14 @@
 }
 
 // holder is who has a shard.
-func (d *drilled) holder(shard int) (*Instance, uint64) {
+func (d *leaseFleet) waitHolder(shard int) (*Instance, uint64) {
 	d.T.Helper()
 	var found *Instance
 	var token uint64
-	d.Until(fmt.Sprint("somebody holds shard ", shard), func() bool {
+	d.WaitFor(fmt.Sprint("somebody holds shard ", shard), func() bool {
 		for _, l := range d.leases() {
 			if l.Shard == shard && l.State == "held" {
-				for _, n := range d.all {
+				for _, n := range d.instances {
 					if n.Name == l.HolderName {
 						found, token = n, l.Token
 					}
@@ -116,9 +116,9 @@
 }
 
 // handed waits until a shard is acted on under a newer token.
-func (d *drilled) handed(what string, shard int, token uint64) time.Duration {
+func (d *leaseFleet) waitNewToken(what string, shard int, token uint64) time.Duration {
 	d.T.Helper()
-	return d.Until(what, func() bool {
+	return d.WaitFor(what, func() bool {
 		d.witness.mu.Lock()
 		defer d.witness.mu.Unlock()
 		for _, c := range d.witness.calls {
@@ -131,9 +131,9 @@
 }
 
 // judge ends the run: what was done has to be in order.
-func (d *drilled) judge() Seen {
+func (d *leaseFleet) checkWitness() WitnessSummary {
 	d.T.Helper()
-	seen, err := d.witness.Judge(d.task)
+	seen, err := d.witness.Check(d.task)
 	if err != nil {
 		d.T.Error(err)
 	}
@@ -145,13 +145,13 @@
 // they do when they wake up is refused at the place.
 func TestActsPaused(t *testing.T) {
 	t.Parallel()
-	d := newDrill(t, 3, 4, 1.0005, 0, 0.9995)
+	d := newLeaseFleet(t, 3, 4, 1.0005, 0, 0.9995)
 	inside := 0
 	for i, step := range []string{"act.begun", "act.opened", "act.checked", "act.taken", "place.link", "place.linked", "act.ending"} {
 		shard := i % d.task.Shards
-		n, _ := d.holder(shard)
-		n.Aim(step, "stop")
-		d.Until(step, func() bool { return n.Struck(step) })
+		n, _ := d.waitHolder(shard)
+		n.ArmFailpoint(step, "stop")
+		d.WaitFor(step, func() bool { return n.FailpointHit(step) })
 		inside++
 		held := map[int]uint64{}
 		for _, l := range d.leases() {
@@ -163,12 +163,12 @@
 			t.Fatalf("%s stopped at %s and held nothing", n.Name, step)
 		}
 		for shard, token := range held {
-			d.handed(fmt.Sprintf("%s stands still at %s: shard %d", n.Name, step, shard), shard, token)
+			d.waitNewToken(fmt.Sprintf("%s stands still at %s: shard %d", n.Name, step, shard), shard, token)
 		}
 		n.Resume()
-		d.even(n.Name+" goes on", 3)
+		d.waitBalanced(n.Name+" goes on", 3)
 	}
-	seen := d.judge()
+	seen := d.checkWitness()
 	t.Logf("%d pauses inside an act", inside)
 	if seen.Tokens < d.task.Shards+inside {
 		t.Errorf("%d tokens for %d pauses", seen.Tokens, inside)
@@ -177,9 +177,9 @@
 
 // TestLeasesHurt drives the hard cases of members: cut off from the agents and not from the place, and the other way round; answers that come
 // late around a hand-over; a move in mid-act; a member that hangs and renews; one name twice; all restarted at once.
-func TestLeasesHurt(t *testing.T) {
+func TestLeaseMemberFaults(t *testing.T) {
 	t.Parallel()
-	d := newDrill(t, 4, 6, 0.9995, 1.0005)
+	d := newLeaseFleet(t, 4, 6, 0.9995, 1.0005)
 	gone := func(what string, n *Instance, do func()) {
 		t.Helper()
 		held := map[int]uint64{}
@@ -191,63 +191,63 @@
 		began := time.Now()
 		do()
 		for shard, token := range held {
-			d.handed(fmt.Sprintf("%s: shard %d", what, shard), shard, token)
+			d.waitNewToken(fmt.Sprintf("%s: shard %d", what, shard), shard, token)
 		}
-		t.Logf("%s: %d shards go on after %.2f leases", what, len(held), time.Since(began).Seconds()/leaseFor.Seconds())
+		t.Logf("%s: %d shards go on after %.2f leases", what, len(held), time.Since(began).Seconds()/leaseTTL.Seconds())
 	}
-	n := d.all[0]
-	gone("cut off from the agents, not from the place", n, func() { n.CutOff(true, true) })
+	n := d.instances[0]
+	gone("cut off from the agents, not from the place", n, func() { n.DropAgentTraffic(true, true) })
 	n.Heal()
-	d.even("it hears the agents again", 4)
+	d.waitBalanced("it hears the agents again", 4)
 
 	gone("cut off from the place, not from the agents", n, func() {
-		if err := n.fileSize(0); err != nil {
+		if err := n.limitFileSize(0); err != nil {
 			t.Fatal(err)
 		}
 	})
 	if err := n.FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	d.Until("it lost them for want of progress", func() bool { return strings.Contains(n.Log(), "ACT_FAILED") })
+	d.WaitFor("it lost them for want of progress", func() bool { return strings.Contains(n.Log(), "ACT_FAILED") })
 
-	n, token := d.holder(0)
+	n, token := d.waitHolder(0)
 	gone("its answers come late around a hand-over", n, func() {
 		for _, k := range n.Links {
 			k.Set(Impairment{}, Impairment{Delay: 700 * time.Millisecond})
 		}
-		d.run("lease", "release", "drill", "0")
+		d.mustRun("lease", "release", "drill", "0")
 	})
 	n.Heal()
-	if _, next := d.holder(0); next <= token {
+	if _, next := d.waitHolder(0); next <= token {
 		t.Errorf("token %d after %d", next, token)
 	}
 
-	n, token = d.holder(1)
-	to := d.all[0]
+	n, token = d.waitHolder(1)
+	to := d.instances[0]
 	if to == n {
-		to = d.all[1]
+		to = d.instances[1]
 	}
-	n.Aim("act.opened", "stop")
-	d.Until("an act is begun", func() bool { return n.Struck("act.opened") })
-	d.run("lease", "move", "drill", "1", to.Name)
+	n.ArmFailpoint("act.opened", "stop")
+	d.WaitFor("an act is begun", func() bool { return n.FailpointHit("act.opened") })
+	d.mustRun("lease", "move", "drill", "1", to.Name)
 	time.Sleep(300 * time.Millisecond)
 	n.Resume()
-	took := d.handed("moved in mid-act", 1, token)
+	took := d.waitNewToken("moved in mid-act", 1, token)
 	// On a busy machine the one that it went to may have lost it again already: then it is moved once more.
-	d.Until("it is where it was moved to", func() bool {
-		at, _ := d.holder(1)
+	d.WaitFor("it is where it was moved to", func() bool {
+		at, _ := d.waitHolder(1)
 		if at != to {
-			d.Run("lease", "move", "drill", "1", to.Name, "--agents", d.agents.List())
+			d.Run("lease", "move", "drill", "1", to.Name, "--agents", d.agents.AddrList())
 		}
 		return at == to
 	})
-	t.Logf("moved in mid-act: another acts %.3f leases after the holder goes on", took.Seconds()/leaseFor.Seconds())
+	t.Logf("moved in mid-act: another acts %.3f leases after the holder goes on", took.Seconds()/leaseTTL.Seconds())
 
-	n, _ = d.holder(2)
-	n.Aim("act.begun", "hang")
-	d.Until("an act hangs", func() bool { return n.Struck("act.begun") })
+	n, _ = d.waitHolder(2)
+	n.ArmFailpoint("act.begun", "hang")
+	d.WaitFor("an act hangs", func() bool { return n.FailpointHit("act.begun") })
 	var hung int
-	d.Until("what hangs goes on", func() bool {
+	d.WaitFor("what hangs goes on", func() bool {
 		hung = 0
 		for _, l := range d.leases() {
 			if l.HolderName == n.Name && l.ProgressMs > 2*d.task.ProgressTimeoutMs {
@@ -257,27 +257,27 @@
 		return hung == 0
 	})
 
-	twin := d.Instance(n.Name, InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: 4, Uses: "uses = []\ntasks = [\"drill\"]\n"}, 0)
-	d.Until("a member under a name twice is turned away", func() bool { return strings.Contains(twin.Log(), "FLEET_NAME_TAKEN") })
+	twin := d.StartInstance(n.Name, InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: 4, FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, 0)
+	d.WaitFor("a member under a name twice is turned away", func() bool { return strings.Contains(twin.Log(), "FLEET_NAME_TAKEN") })
 	twin.Kill()
 
-	for _, n := range d.all {
+	for _, n := range d.instances {
 		n.Kill()
 	}
 	began := time.Now()
-	for _, n := range d.all {
+	for _, n := range d.instances {
 		n.Restart()
 	}
-	d.even("all members restarted at once", 4)
-	t.Logf("all members restarted at once: even again after %.2f leases", time.Since(began).Seconds()/leaseFor.Seconds())
-	d.judge()
+	d.waitBalanced("all members restarted at once", 4)
+	t.Logf("all members restarted at once: even again after %.2f leases", time.Since(began).Seconds()/leaseTTL.Seconds())
+	d.checkWitness()
 }
 
 // TestLeaseAgentsHurt drives the hard cases of agents: the leader killed between a grant and its answer, stopped there past all leases, alone
 // with a member that reaches no other; a disk that is full while something is granted; all gone for longer than leases last.
 func TestLeaseAgentsHurt(t *testing.T) {
 	t.Parallel()
-	d := newDrill(t, 3, 4, 1.0005, 0.9995)
+	d := newLeaseFleet(t, 3, 4, 1.0005, 0.9995)
 	acts := func() int {
 		d.witness.mu.Lock()
 		defer d.witness.mu.Unlock()
@@ -286,33 +286,33 @@
 	goesOn := func(what string) {
 		t.Helper()
 		had := acts()
-		d.Until(what+": acts go on", func() bool { return acts() > had+20 })
-		d.even(what, 3)
+		d.WaitFor(what+": acts go on", func() bool { return acts() > had+20 })
+		d.waitBalanced(what, 3)
 	}
 	for _, step := range []string{"agent.ordered", "agent.awarded", "agent.orders"} {
 		leader := d.agents.Leader()
 		p := d.agents.Procs[leader]
-		_, token := d.holder(0)
-		p.Aim(step, "kill")
-		d.Run("lease", "release", "drill", "0", "--agents", d.agents.List()) // perhaps by a leader that dies
-		d.Until("the leader dies at "+step, func() bool { return !p.Alive() })
+		_, token := d.waitHolder(0)
+		p.ArmFailpoint(step, "kill")
+		d.Run("lease", "release", "drill", "0", "--agents", d.agents.AddrList()) // perhaps by a leader that dies
+		d.WaitFor("the leader dies at "+step, func() bool { return !p.Alive() })
 		p.Restart()
-		d.handed("the leader killed at "+step, 0, token)
+		d.waitNewToken("the leader killed at "+step, 0, token)
 		goesOn("killed at " + step)
 	}
 	for _, step := range []string{"agent.awarded", "agent.ordered"} {
 		p := d.agents.Procs[d.agents.Leader()]
-		p.Aim(step, "stop")
-		d.Run("lease", "release", "drill", "1", "--agents", d.agents.List())
-		d.Until("the leader stops at "+step, func() bool { return p.Struck(step) })
-		time.Sleep(2 * leaseFor)
+		p.ArmFailpoint(step, "stop")
+		d.Run("lease", "release", "drill", "1", "--agents", d.agents.AddrList())
+		d.WaitFor("the leader stops at "+step, func() bool { return p.FailpointHit(step) })
+		time.Sleep(2 * leaseTTL)
 		p.Resume()
 		goesOn("stopped at " + step)
 	}
 
 	// The minority's old leader, and a member that reaches nobody else.
 	leader := d.agents.Leader()
-	n, token := d.holder(0)
+	n, token := d.waitHolder(0)
 	held := []int{}
 	for _, l := range d.leases() {
 		if l.HolderName == n.Name {
@@ -326,9 +326,9 @@
 		}
 	}
 	for _, shard := range held {
-		d.handed(fmt.Sprintf("the minority's leader renews nothing: shard %d", shard), shard, token)
+		d.waitNewToken(fmt.Sprintf("the minority's leader renews nothing: shard %d", shard), shard, token)
 	}
-	d.agents.Join(leader)
+	d.agents.Reconnect(leader)
 	n.Heal()
 	goesOn("the minority's old leader")
 
@@ -336,10 +336,10 @@
 	if err := d.agents.Procs[leader].FillDisk(d.agents.Dirs[leader]); err != nil {
 		t.Fatal(err)
 	}
-	d.all[2].Kill() // its shards are granted, by a log that can't grow for long
-	d.all[2].Restart()
+	d.instances[2].Kill() // its shards are granted, by a log that can't grow for long
+	d.instances[2].Restart()
 	had := acts()
-	d.Until("a full disk: acts go on", func() bool { return acts() > had+60 })
+	d.WaitFor("a full disk: acts go on", func() bool { return acts() > had+60 })
 	if err := d.agents.Procs[leader].FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
@@ -348,9 +348,9 @@
 	for _, p := range d.agents.Procs {
 		p.Pause()
 	}
-	time.Sleep(2 * leaseFor)
+	time.Sleep(2 * leaseTTL)
 	had = acts()
-	time.Sleep(leaseFor)
+	time.Sleep(leaseTTL)
 	if now := acts(); now != had {
 		t.Errorf("%d calls of places while no agent was there and all leases had ended", now-had)
 	}
@@ -358,5 +358,5 @@
 		p.Resume()
 	}
 	goesOn("all agents gone")
-	d.judge()
+	d.checkWitness()
 }
--- a/internal/testbed/faults/linearizability_test.go
+++ b/internal/testbed/faults/linearizability_test.go
@@ -20,12 +20,12 @@
 const (
 	faultKill        = "kill"
 	faultPause       = "pause"
-	faultAlone       = "alone"        // cut off from the other agents
+	faultIsolate     = "alone"        // cut off from the other agents
 	faultKillElected = "kill elected" // a kill, and another of the agent that is elected then, as soon as it is
 )
 
 // agentFaults hurts one agent after the other until the context ends, in these ways, and returns how often what happened.
-func agentFaults(ctx context.Context, g *Agents, seed uint64, kinds ...string) map[string]int {
+func agentFaults(ctx context.Context, g *AgentGroup, seed uint64, kinds ...string) map[string]int {
 	rng := rand.New(rand.NewPCG(seed, 42))
 	counts := map[string]int{}
 	sleep := func(atLeast, atMost time.Duration) {
@@ -43,7 +43,7 @@
 	for sleep(time.Second, 2*time.Second); ctx.Err() == nil; sleep(1500*time.Millisecond, 3*time.Second) {
 		i := rng.IntN(len(g.Procs))
 		if rng.IntN(3) > 0 {
-			i = max(0, g.leading(ctx))
+			i = max(0, g.currentLeader(ctx))
 		}
 		p := g.Procs[i]
 		switch kind := kinds[rng.IntN(len(kinds))]; kind {
@@ -51,13 +51,13 @@
 			hurt(kind, p.Kill, p.Restart)
 		case faultPause:
 			hurt(kind, p.Pause, p.Resume)
-		case faultAlone:
-			hurt(kind, func() { g.Isolate(i) }, func() { g.Join(i) })
+		case faultIsolate:
+			hurt(kind, func() { g.Isolate(i) }, func() { g.Reconnect(i) })
 		case faultKillElected:
 			hurt(faultKill, p.Kill, p.Restart)
 			next := -1
 			for ctx.Err() == nil && next < 0 {
-				next = g.leading(ctx)
+				next = g.currentLeader(ctx)
 			}
 			if next >= 0 {
 				hurt(kind, g.Procs[next].Kill, g.Procs[next].Restart)
@@ -68,7 +68,7 @@
 }
 
 // runHistory has clients call a group of agents for that long, while agents are hurt in these ways.
-func runHistory(t *testing.T, g *Agents, seed uint64, length time.Duration, kinds ...string) (*History, map[string]int) {
+func runHistory(t *testing.T, g *AgentGroup, seed uint64, length time.Duration, kinds ...string) (*History, map[string]int) {
 	t.Helper()
 	const clients, keysAtOnce = 8, 3
 	h := NewHistory()
@@ -114,11 +114,11 @@
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length = d
 	}
-	seed := seedOf(42)
+	seed := seedFromEnv(42)
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
-	h, counts := runHistory(t, g, seed, length, faultKill, faultPause, faultAlone, faultKillElected)
+	h, counts := runHistory(t, g, seed, length, faultKill, faultPause, faultIsolate, faultKillElected)
 	t.Logf("seed %d: %v; %v", seed, h, counts)
 	require.NoError(t, h.Check(time.Minute), "seed %d", seed)
 	require.Positive(t, h.acked)
@@ -134,7 +134,7 @@
 	}
 	const lookInterval = 20 * time.Millisecond
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
 	began := time.Now()
 	var leaderless []time.Duration // when no agent that answers led
@@ -142,12 +142,12 @@
 	var watching sync.WaitGroup
 	watching.Go(func() {
 		for ; ctx.Err() == nil; time.Sleep(lookInterval) {
-			if g.leading(ctx) < 0 {
+			if g.currentLeader(ctx) < 0 {
 				leaderless = append(leaderless, time.Since(began))
 			}
 		}
 	})
-	h, counts := runHistory(t, g, seedOf(42), length, faultKill, faultPause)
+	h, counts := runHistory(t, g, seedFromEnv(42), length, faultKill, faultPause)
 	done()
 	watching.Wait()
 	gap := h.LongestGap()
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -23,25 +23,25 @@
 	From, To string
 	Addr     string
 	to       string
-	l        net.Listener
+	listener net.Listener
 
 	mu      sync.Mutex
-	there   Impairment // from the one who dials
-	back    Impairment
+	forward Impairment // from the one who dials
+	reverse Impairment
 	cut     bool
-	conns   map[*passage]bool
+	conns   map[*linkConn]bool
 	changed chan struct{} // closed and renewed at each change
-	passed  [2]int64
+	bytes   [2]int64
 }
 
 // passage is one connection through a link.
-type passage struct {
-	near, far net.Conn
-	lost      bool // something of it was dropped
+type linkConn struct {
+	dialer, server net.Conn
+	dropped        bool // something of it was dropped
 }
 
 // Link returns a link to addr that lets everything through.
-func (r *Rig) Link(from, to, addr string) *Link {
+func (r *Rig) StartLink(from, to, addr string) *Link {
 	r.T.Helper()
 	l, err := NewLink(from, to, addr)
 	if err != nil {
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{From: from, To: to, Addr: at.Addr().String(), to: addr, l: at, conns: map[*passage]bool{}, changed: make(chan struct{})}
+	k := &Link{From: from, To: to, Addr: at.Addr().String(), to: addr, listener: at, conns: map[*linkConn]bool{}, changed: make(chan struct{})}
 	go k.accept()
 	return k, nil
 }
@@ -66,15 +66,15 @@
 func (k *Link) Set(there, back Impairment) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.there.Drop && !there.Drop || k.back.Drop && !back.Drop {
+	if k.forward.Drop && !there.Drop || k.reverse.Drop && !back.Drop {
 		for p := range k.conns {
-			if p.lost {
+			if p.dropped {
 				p.reset()
 			}
 		}
 	}
-	k.there, k.back, k.cut = there, back, false
-	k.announce()
+	k.forward, k.reverse, k.cut = there, back, false
+	k.notifyChange()
 }
 
 // Heal lets everything through again.
@@ -96,15 +96,15 @@
 }
 
 // Passed is how many bytes went through, from the one who dials and back.
-func (k *Link) Passed() (there, back int64) {
+func (k *Link) BytesPassed() (there, back int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.passed[0], k.passed[1]
+	return k.bytes[0], k.bytes[1]
 }
 
 // Close ends the link.
 func (k *Link) Close() {
-	k.l.Close()
+	k.listener.Close()
 	k.Cut()
 }
 
@@ -112,16 +112,16 @@
 	for p := range k.conns {
 		p.reset()
 	}
-	k.announce()
+	k.notifyChange()
 }
 
-func (k *Link) announce() {
+func (k *Link) notifyChange() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-func (p *passage) reset() {
-	for _, c := range []net.Conn{p.near, p.far} {
+func (p *linkConn) reset() {
+	for _, c := range []net.Conn{p.dialer, p.server} {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 			t.Close()
@@ -131,19 +131,19 @@
 
 func (k *Link) accept() {
 	for {
-		near, err := k.l.Accept()
+		near, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.pass(near)
+		go k.serveConn(near)
 	}
 }
 
-func (k *Link) pass(near net.Conn) {
-	p := &passage{near: near}
+func (k *Link) serveConn(near net.Conn) {
+	p := &linkConn{dialer: near}
 	far, err := net.DialTimeout("tcp", k.to, 5*time.Second)
 	if err == nil {
-		p.far = far
+		p.server = far
 	}
 	k.mu.Lock()
 	if k.cut || err != nil {
@@ -154,8 +154,8 @@
 	k.conns[p] = true
 	k.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.copy(p, 0) })
-	both.Go(func() { k.copy(p, 1) })
+	both.Go(func() { k.copyDirection(p, 0) })
+	both.Go(func() { k.copyDirection(p, 1) })
 	both.Wait()
 	near.Close()
 	far.Close()
@@ -165,26 +165,26 @@
 }
 
 // piece is what came at one time.
-type piece struct {
-	b  []byte
-	at time.Time
+type chunk struct {
+	b       []byte
+	arrived time.Time
 }
 
 // copy carries one way of a connection. What is read waits in line with the time that it came, so that a delay is that
 // delay for each piece and not for the sum of them.
-func (k *Link) copy(p *passage, way int) {
-	from, to := p.near, p.far
+func (k *Link) copyDirection(p *linkConn, way int) {
+	from, to := p.dialer, p.server
 	if way == 1 {
-		from, to = p.far, p.near
+		from, to = p.server, p.dialer
 	}
-	line := make(chan piece, 1024)
+	line := make(chan chunk, 1024)
 	go func() {
 		defer close(line)
 		for {
 			b := make([]byte, 16<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				line <- piece{b[:n], time.Now()}
+				line <- chunk{b[:n], time.Now()}
 			}
 			if err != nil {
 				return
@@ -192,14 +192,14 @@
 		}
 	}()
 	for c := range line {
-		if !k.wait(p, way, c) {
+		if !k.waitToPass(p, way, c) {
 			continue
 		}
 		if _, err := to.Write(c.b); err != nil {
 			break
 		}
 		k.mu.Lock()
-		k.passed[way] += int64(len(c.b))
+		k.bytes[way] += int64(len(c.b))
 		k.mu.Unlock()
 	}
 	if t, ok := to.(*net.TCPConn); ok {
@@ -210,20 +210,20 @@
 }
 
 // wait waits until a piece is to pass; false where it is lost.
-func (k *Link) wait(p *passage, way int, c piece) bool {
+func (k *Link) waitToPass(p *linkConn, way int, c chunk) bool {
 	paid := time.Duration(0) // of the rate
 	for {
 		k.mu.Lock()
-		w, changed := [2]Impairment{k.there, k.back}[way], k.changed
+		w, changed := [2]Impairment{k.forward, k.reverse}[way], k.changed
 		alive := k.conns[p] && !k.cut
 		if w.Drop {
-			p.lost = true
+			p.dropped = true
 		}
 		k.mu.Unlock()
 		if w.Drop || !alive {
 			return false
 		}
-		due := time.Until(c.at.Add(w.Delay))
+		due := time.Until(c.arrived.Add(w.Delay))
 		if w.Rate > 0 {
 			due = max(due, 0) + time.Duration(len(c.b))*time.Second/time.Duration(w.Rate) - paid
 		}
@@ -237,7 +237,7 @@
 		began := time.Now()
 		select {
 		case <-time.After(due):
-			return !p.lost
+			return !p.dropped
 		case <-changed:
 			paid += time.Since(began)
 		}
--- a/internal/testbed/faults/long_test.go
+++ b/internal/testbed/faults/long_test.go
@@ -22,7 +22,7 @@
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length, instances = d, 20
 	}
-	seed = seedOf(seed)
+	seed = seedFromEnv(seed)
 	plan := Schedule(seed, instances, 3, length, 6*time.Second/time.Duration(instances))
 	if again := Schedule(seed, instances, 3, length, 6*time.Second/time.Duration(instances)); !slices.Equal(plan, again) {
 		t.Fatal("a seed names two schedules")
@@ -44,14 +44,14 @@
 least = 1
 linger_ms = 2500
 `, map[string]float64{"work": 300}, InstanceOptions{}, 1.0005, 0, 0.9995)
-	f.offer(2.5 * 300 / float64(instances))
-	counts := f.Play(plan, f.all, f.agents)
-	f.Until("the whole is used once all faults have ended", func() bool { return f.targets.Judge.Rate(time.Second)[0] > 0.8*300 })
-	worst, conns := f.targets.Judge.Worst("work"), f.targets.MostConns()
+	f.setLoad(2.5 * 300 / float64(instances))
+	counts := f.RunSchedule(plan, f.instances, f.agents)
+	f.WaitFor("the whole is used once all faults have ended", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 0.8*300 })
+	worst, conns := f.targets.Monitor.MaxExcess("work"), f.targets.MaxConns()
 	var served, lost int64
-	for _, n := range f.all {
+	for _, n := range f.instances {
 		served += n.Served.Load()
-		lost += n.Lost.Load()
+		lost += n.Unanswered.Load()
 	}
 	t.Logf("seed %d, %v, %d instances: %v; worst window %.1f beyond the rate, of 300; %d connections at most at a target, of 120; %d served, %d asked of a process that was dead or stood still",
 		seed, length, instances, counts, worst, conns, served, lost)
@@ -70,7 +70,7 @@
 		t.Skip("by hand")
 	}
 	rules := `{"coldShare":1,"warmWithinUs":600000000,"fallUs":1000000,"tipMultiple":1,"resendRatio":5,"extraFree":100,"resendSpanUs":1000000}`
-	cold := head + `[[budget]]
+	cold := quotaHeader + `[[budget]]
 name = "cold"
 use = "cold"
 per = "target"
@@ -85,21 +85,21 @@
 			f = newFleet(t, 10, 1, cold, map[string]float64{"cold": 40}, InstanceOptions{Rules: rules})
 		} else {
 			r := New(t)
-			f = &fleet{Rig: r, targets: r.Targets(1, map[string]float64{"cold": 40})}
+			f = &fleet{Rig: r, targets: r.StartTargets(1, map[string]float64{"cold": 40})}
 			for i := range 10 {
-				f.all = append(f.all, r.Instance(fmt.Sprint("n", i), InstanceOptions{Targets: f.targets, Peers: 10, Rules: rules}, 0))
+				f.instances = append(f.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Targets: f.targets, Peers: 10, Rules: rules}, 0))
 			}
-			r.Load(t.Context(), f.all, 1)
+			r.StartLoad(t.Context(), f.instances, 1)
 		}
-		f.targets.Restarted(f.targets.All[0])
-		f.offer(20)
+		f.targets.MarkRestarted(f.targets.All[0])
+		f.setLoad(20)
 		time.Sleep(8 * time.Second)
-		all := f.targets.Judge.Rate(3 * time.Second)[2]
-		for _, n := range f.all[3:] {
+		all := f.targets.Monitor.Rate(3 * time.Second)[2]
+		for _, n := range f.instances[3:] {
 			n.Kill()
 		}
 		time.Sleep(8 * time.Second)
-		three := f.targets.Judge.Rate(3 * time.Second)[2]
+		three := f.targets.Monitor.Rate(3 * time.Second)[2]
 		t.Logf("fleet-wide budget %v: ten instances send a cold target %.1f a second of 40, three that are left %.1f", ours, all, three)
 	}
 }
@@ -109,7 +109,7 @@
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
 		t.Skip("by hand")
 	}
-	repeats := head + `[[budget]]
+	repeats := quotaHeader + `[[budget]]
 name = "repeats"
 use = "repeat"
 whole = 40
@@ -124,34 +124,34 @@
 			f = newFleet(t, 10, 1, repeats, map[string]float64{"repeat": 40}, InstanceOptions{Rules: rules})
 		} else {
 			r := New(t)
-			f = &fleet{Rig: r, targets: r.Targets(1, map[string]float64{"repeat": 40})}
+			f = &fleet{Rig: r, targets: r.StartTargets(1, map[string]float64{"repeat": 40})}
 			for i := range 10 {
-				f.all = append(f.all, r.Instance(fmt.Sprint("n", i), InstanceOptions{Targets: f.targets, Peers: 10, Rules: rules}, 0))
+				f.instances = append(f.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Targets: f.targets, Peers: 10, Rules: rules}, 0))
 			}
-			r.Load(t.Context(), f.all, 1)
+			r.StartLoad(t.Context(), f.instances, 1)
 		}
-		f.offer(30)
+		f.setLoad(30)
 		time.Sleep(3 * time.Second)
-		f.targets.All[0].Spoils.Store(3)
+		f.targets.All[0].FailEvery.Store(3)
 		time.Sleep(6 * time.Second)
-		all := f.targets.Judge.Rate(3 * time.Second)[1]
-		for _, n := range f.all[3:] {
+		all := f.targets.Monitor.Rate(3 * time.Second)[1]
+		for _, n := range f.instances[3:] {
 			n.Kill()
 		}
 		time.Sleep(6 * time.Second)
-		three := f.targets.Judge.Rate(3 * time.Second)[1]
-		f.targets.All[0].Spoils.Store(0)
+		three := f.targets.Monitor.Rate(3 * time.Second)[1]
+		f.targets.All[0].FailEvery.Store(0)
 		time.Sleep(6 * time.Second)
 		var before, served int64
-		for _, n := range f.all[:3] {
+		for _, n := range f.instances[:3] {
 			before += n.Served.Load()
 		}
 		time.Sleep(3 * time.Second)
-		for _, n := range f.all[:3] {
+		for _, n := range f.instances[:3] {
 			served += n.Served.Load()
 		}
 		t.Logf("fleet-wide budget %v: ten instances send %.1f repeats a second of 40, worst window %.1f, three that are left %.1f; 6 s after the cause is gone they serve %.0f a second of 90",
-			ours, all, f.targets.Judge.Worst("repeat"), three, float64(served-before)/3)
+			ours, all, f.targets.Monitor.MaxExcess("repeat"), three, float64(served-before)/3)
 	}
 }
 
@@ -160,10 +160,10 @@
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
 		t.Skip("by hand")
 	}
-	f := newFleet(t, 5, 1, head+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
-	f.offer(150)
+	f := newFleet(t, 5, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
+	f.setLoad(150)
 	part := func(n *Instance) float64 {
-		for line := range strings.Lines(n.Figures()) {
+		for line := range strings.Lines(n.Metrics()) {
 			if _, after, found := strings.Cut(line, "fleet.work.part:"); found {
 				x, _ := strconv.ParseFloat(strings.TrimSuffix(after, "|g\n"), 64)
 				return x
@@ -174,7 +174,7 @@
 	pool := workRate/1.001 - 20 // beyond the floors
 	even := func(what string, of ...*Instance) {
 		t.Helper()
-		took := f.Until(what, func() bool {
+		took := f.WaitFor(what, func() bool {
 			for _, n := range of {
 				if share := 1 + pool/float64(len(of)); part(n) < 0.95*share {
 					return false
@@ -185,18 +185,18 @@
 		t.Logf("%s: %.1f renewals until %d have their new parts", what, took.Seconds()/0.3, len(of))
 	}
 	for round := range 3 {
-		even("all", f.all...)
-		f.all[4].Stop(30 * time.Second)
-		even("a leave", f.all[:4]...)
-		f.all[4].Restart()
-		even("a join, from the process's start", f.all...)
-		f.all[3].Kill()
-		even("a kill", f.all[0], f.all[1], f.all[2], f.all[4])
-		f.all[3].Restart()
-		even("all again", f.all...)
-		f.all[round%3].CutOff(true, true)
-		even("a cut", slices.Concat(f.all[:round%3], f.all[round%3+1:])...)
-		f.all[round%3].Heal()
+		even("all", f.instances...)
+		f.instances[4].Stop(30 * time.Second)
+		even("a leave", f.instances[:4]...)
+		f.instances[4].Restart()
+		even("a join, from the process's start", f.instances...)
+		f.instances[3].Kill()
+		even("a kill", f.instances[0], f.instances[1], f.instances[2], f.instances[4])
+		f.instances[3].Restart()
+		even("all again", f.instances...)
+		f.instances[round%3].DropAgentTraffic(true, true)
+		even("a cut", slices.Concat(f.instances[:round%3], f.instances[round%3+1:])...)
+		f.instances[round%3].Heal()
 	}
 }
 
@@ -207,13 +207,13 @@
 	}
 	for _, n := range []int{20, 300, 1000} {
 		r := New(t)
-		g := r.Agents(3)
+		g := r.StartAgents(3)
 		leader := g.Leader()
-		budgets := r.File("budgets.toml", strings.Replace(strings.Replace("seats = 2000\nrenew_ms = 1000\npart_ms = 4000\nseat_s = 60\n"+workBudget, "whole = 200", "whole = 20000", 1), "burst = 100\n", "burst = 20000\n", 1))
-		if out, code, _ := r.Run("budget", "set", budgets, "--agents", g.List()); code != 0 {
+		budgets := r.WriteFile("budgets.toml", strings.Replace(strings.Replace("seats = 2000\nrenew_ms = 1000\npart_ms = 4000\nseat_s = 60\n"+workBudget, "whole = 200", "whole = 20000", 1), "burst = 100\n", "burst = 20000\n", 1))
+		if out, code, _ := r.Run("budget", "set", budgets, "--agents", g.AddrList()); code != 0 {
 			t.Fatal(out)
 		}
-		link := r.Link("members", "leader", g.API[leader])
+		link := r.StartLink("members", "leader", g.API[leader])
 		ctx, stop := context.WithCancel(t.Context())
 		var work sync.WaitGroup
 		for i := range n {
@@ -225,9 +225,9 @@
 		}
 		time.Sleep(14 * time.Second)
 		cpu := g.Procs[leader].CPU()
-		there, back := link.Passed()
+		there, back := link.BytesPassed()
 		time.Sleep(5 * time.Second)
-		t2, b2 := link.Passed()
+		t2, b2 := link.BytesPassed()
 		t.Logf("%d members: the leader uses %.3f of a core, %.0f bytes a renewal there, %.0f back", n, (g.Procs[leader].CPU()-cpu).Seconds()/5,
 			float64(t2-there)/5/float64(n), float64(b2-back)/5/float64(n))
 		stop()
--- a/internal/testbed/faults/members_test.go
+++ b/internal/testbed/faults/members_test.go
@@ -21,21 +21,21 @@
 const probeMs = 400
 
 // everyone tells whether all members that run, but for some, tell so of a name.
-func (m *Mesh) everyone(name string, is func(membership.MemberView) bool, but ...int) bool {
-	for _, n := range m.Nodes {
-		if n.Runs() && !n.Stopped() && n.Name() != name && !slices.Contains(but, n.N) && !is(n.State(name)) {
+func (m *Mesh) allReport(name string, is func(membership.MemberView) bool, but ...int) bool {
+	for _, n := range m.Members {
+		if n.Running() && !n.Stopped() && n.Name() != name && !slices.Contains(but, n.Index) && !is(n.StateOf(name)) {
 			return false
 		}
 	}
 	return true
 }
 
-func in(states ...membership.State) func(membership.MemberView) bool {
+func inState(states ...membership.State) func(membership.MemberView) bool {
 	return func(s membership.MemberView) bool { return slices.Contains(states, s.State) }
 }
 
-func living(s membership.MemberView) bool {
-	return s.Name != "" && !in(membership.StateDead, membership.StateLeft)(s)
+func isLive(s membership.MemberView) bool {
+	return s.Name != "" && !inState(membership.StateDead, membership.StateLeft)(s)
 }
 
 // TestMembers starts twenty instances without agents and plays, one after the other, what can happen to one of them and to the ways
@@ -43,106 +43,106 @@
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	r := New(t)
-	m := r.Mesh(MeshOptions{Size: 20, ProbeMs: probeMs, Rates: []float64{1, 1.1, 0.9}, Zones: 2})
-	joined := r.Until("all know each other", m.Level)
+	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.1, 0.9}, Zones: 2})
+	joined := r.WaitFor("all know each other", m.Converged)
 	ill := map[string]bool{"m3": true, "m4": true, "m5": true, "m6": true}
 	ctx, stop := context.WithCancel(context.Background())
-	falsely := m.Falsely(ctx, func(name string) bool { return !ill[name] })
+	falsely := m.CollectFalseVerdicts(ctx, func(name string) bool { return !ill[name] })
 	defer stop()
 
 	// Paused past its suspicion, buried, and back as the same life.
-	birth := m.Nodes[3].State("m3").ID
-	m.Nodes[3].Pause()
-	buried := r.Until("a member that stands still is held dead", func() bool { return m.everyone("m3", in(membership.StateDead), 3) })
-	m.Nodes[3].Resume()
-	r.Until("it is back", func() bool {
-		return m.everyone("m3", func(s membership.MemberView) bool { return living(s) && s.ID == birth && s.Incarnation > 1 }) && m.Level()
+	birth := m.Members[3].StateOf("m3").ID
+	m.Members[3].Pause()
+	buried := r.WaitFor("a member that stands still is held dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
+	m.Members[3].Resume()
+	r.WaitFor("it is back", func() bool {
+		return m.allReport("m3", func(s membership.MemberView) bool { return isLive(s) && s.ID == birth && s.Incarnation > 1 }) && m.Converged()
 	})
-	require.Contains(t, m.Nodes[3].Log()+m.Nodes[0].Log(), "MEMBER_DEAD")
+	require.Contains(t, m.Members[3].Log()+m.Members[0].Log(), "MEMBER_DEAD")
 
 	// Killed, and started again: a later life.
-	m.Nodes[4].Kill()
-	killed := r.Until("a member that died is held dead", func() bool { return m.everyone("m4", in(membership.StateDead)) })
-	m.Nodes[4].Restart()
-	r.Until("its later life is known", func() bool { return m.everyone("m4", living) && m.Level() })
+	m.Members[4].Kill()
+	killed := r.WaitFor("a member that died is held dead", func() bool { return m.allReport("m4", inState(membership.StateDead)) })
+	m.Members[4].Restart()
+	r.WaitFor("its later life is known", func() bool { return m.allReport("m4", isLive) && m.Converged() })
 
 	// One way cut: named with its direction, taken back when it is mended, and nobody is held dead.
-	m.Set(0, 1, Cut)
-	named := r.Until("a way that is cut is named", func() bool {
+	m.SetPath(0, 1, PathCut)
+	named := r.WaitFor("a way that is cut is named", func() bool {
 		for _, at := range []int{0, 1, 9} {
-			v, _ := m.Nodes[at].View()
+			v, _ := m.Members[at].View()
 			if !slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.From == "m0" && w.To == "m1" && w.Kind == "cut" }) {
 				return false
 			}
 		}
 		return true
 	})
-	out, code, _ := r.Run("members", "--from", m.Nodes[9].Control, "--links")
+	out, code, _ := r.Run("members", "--from", m.Members[9].Control, "--links")
 	require.Zero(t, code, out)
 	require.Contains(t, out, "m0    m1  cut")
 	m.Heal()
-	r.Until("it is taken back", func() bool {
-		v, _ := m.Nodes[9].View()
+	r.WaitFor("it is taken back", func() bool {
+		v, _ := m.Members[9].View()
 		return len(v.Paths) == 0
 	})
 
 	// Its datagrams are blocked and streams pass: it lives, and it is told why it is hard to reach.
-	for i := range m.Nodes {
-		m.Set(i, 7, Passing{Datagrams: true})
-		m.Set(7, i, Passing{Datagrams: true})
+	for i := range m.Members {
+		m.SetPath(i, 7, PathImpairment{DropDatagrams: true})
+		m.SetPath(7, i, PathImpairment{DropDatagrams: true})
 	}
-	r.Until("datagrams that are blocked are told", func() bool {
-		v, _ := m.Nodes[7].View()
+	r.WaitFor("datagrams that are blocked are told", func() bool {
+		v, _ := m.Members[7].View()
 		return slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.Kind == "datagrams cut" })
 	})
-	require.True(t, living(m.Nodes[0].State("m7")))
+	require.True(t, isLive(m.Members[0].StateOf("m7")))
 	m.Heal()
 
 	// A member that hears all and that nobody hears learns it, and judges nobody.
-	for i := range m.Nodes {
-		m.Set(5, i, Cut)
+	for i := range m.Members {
+		m.SetPath(5, i, PathCut)
 	}
-	r.Until("a mute member knows it", func() bool {
-		v, _ := m.Nodes[5].View()
+	r.WaitFor("a mute member knows it", func() bool {
+		v, _ := m.Members[5].View()
 		return strings.Contains(v.Isolation, "none hears us")
 	})
-	r.Until("the others hold it dead", func() bool { return m.everyone("m5", in(membership.StateDead), 5) })
-	v, _ := m.Nodes[5].View()
+	r.WaitFor("the others hold it dead", func() bool { return m.allReport("m5", inState(membership.StateDead), 5) })
+	v, _ := m.Members[5].View()
 	require.Equal(t, 20, v.Size, "who hears nobody judges nobody")
-	require.Contains(t, m.Nodes[5].Log(), "MEMBERS_ALONE")
+	require.Contains(t, m.Members[5].Log(), "MEMBERS_ALONE")
 	m.Heal()
-	met := r.Until("views meet", m.Level)
+	met := r.WaitFor("views meet", m.Converged)
 
 	// Two halves, joined again.
-	for i := range m.Nodes {
-		for j := range m.Nodes {
+	for i := range m.Members {
+		for j := range m.Members {
 			if i%2 != j%2 {
-				m.Set(i, j, Cut)
+				m.SetPath(i, j, PathCut)
 			}
 		}
 	}
-	for _, n := range m.Nodes {
+	for _, n := range m.Members {
 		ill[n.Name()] = true // from here on all are held dead by somebody
 	}
 	stop()
 	require.Empty(t, falsely())
-	r.Until("each half knows itself alone", func() bool {
-		a, _ := m.Nodes[0].View()
-		b, _ := m.Nodes[1].View()
+	r.WaitFor("each half knows itself alone", func() bool {
+		a, _ := m.Members[0].View()
+		b, _ := m.Members[1].View()
 		return a.Size == 10 && b.Size == 10
 	})
-	out, code, _ = r.Run("members", "--diff", m.Nodes[0].Control+","+m.Nodes[1].Control)
+	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Equal(t, 5, code, out)
 	m.Heal()
-	halves := r.Until("the halves know each other", m.Level)
-	out, code, _ = r.Run("members", "--diff", m.Nodes[0].Control+","+m.Nodes[1].Control)
+	halves := r.WaitFor("the halves know each other", m.Converged)
+	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "know the same 20")
 
 	// Left in order.
-	require.True(t, m.Nodes[6].Stop(20*time.Second))
-	r.Until("a member that left is told so", func() bool { return m.everyone("m6", in(membership.StateLeft)) })
-	out, code, _ = r.Run("members", "--from", m.Nodes[0].Control, "--json")
+	require.True(t, m.Members[6].Stop(20*time.Second))
+	r.WaitFor("a member that left is told so", func() bool { return m.allReport("m6", inState(membership.StateLeft)) })
+	out, code, _ = r.Run("members", "--from", m.Members[0].Control, "--json")
 	require.Zero(t, code)
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
 	require.Equal(t, 19, v.Size)
@@ -162,11 +162,11 @@
 		{"n", fmt.Sprintf("bind = %q", addrs[2]), "fleet.members.key: required"},
 		{"n", fmt.Sprintf("bind = %q\nkey = \"k\"\nprobe_ms = 500\ntimeout_ms = 600\npause_ms = 400", addrs[2]), "fleet.members.timeout_ms: 600 is not under probe_ms\nfleet.members.pause_ms: 400 is not over probe_ms"},
 	} {
-		file := r.File("c.json", fmt.Sprintf(`{"name":%q,"listen":%q,"control":%q,"discovery":"127.0.0.1:9","settings":{"peersTotal":1,"tickUs":2000,
+		file := r.WriteFile("c.json", fmt.Sprintf(`{"name":%q,"listen":%q,"control":%q,"discovery":"127.0.0.1:9","settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":200000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, c.name, addrs[0], addrs[1]))
-		p := r.Start("bad", []string{"PROXY_CONFIG=" + file}, "serve", "--operator", r.File("c.toml", "[fleet.members]\n"+c.toml+"\n"))
-		r.Until("it ends", func() bool { return !p.Alive() })
+		p := r.Start("bad", []string{"PROXY_CONFIG=" + file}, "serve", "--operator", r.WriteFile("c.toml", "[fleet.members]\n"+c.toml+"\n"))
+		r.WaitFor("it ends", func() bool { return !p.Alive() })
 		require.Equal(t, 1, p.cmd.ProcessState.ExitCode())
 		require.Contains(t, p.Log(), c.want)
 		p.out.b = nil
@@ -186,23 +186,23 @@
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length = d
 	}
-	seed = seedOf(seed)
+	seed = seedFromEnv(seed)
 	r := New(t)
-	m := r.Mesh(MeshOptions{Size: 20, ProbeMs: probeMs, Rates: []float64{1, 1.0005, 0.9995}, Zones: 2})
-	r.Until("all know each other", m.Level)
+	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.0005, 0.9995}, Zones: 2})
+	r.WaitFor("all know each other", m.Converged)
 	// The last six are paused and killed; the others are healthy throughout.
 	const hurt = 14
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	falsely := m.Falsely(ctx, func(name string) bool {
+	falsely := m.CollectFalseVerdicts(ctx, func(name string) bool {
 		n, _ := strconv.Atoi(strings.TrimPrefix(name, "m"))
 		return n < hurt
 	})
-	m.All(Passing{Loss: 0.1, Twice: 0.05, Delay: 2 * time.Millisecond, Jitter: 20 * time.Millisecond})
+	m.SetDefaultPath(PathImpairment{Loss: 0.1, Duplication: 0.05, Delay: 2 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	counts := map[string]int{}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		n := m.Nodes[hurt+rng.IntN(len(m.Nodes)-hurt)]
+		n := m.Members[hurt+rng.IntN(len(m.Members)-hurt)]
 		switch what := rng.IntN(4); {
 		case what == 0 && n.Alive():
 			n.Kill()
@@ -210,11 +210,11 @@
 			time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 			n.Restart()
 		case what == 1:
-			from, to := rng.IntN(len(m.Nodes)), rng.IntN(len(m.Nodes))
+			from, to := rng.IntN(len(m.Members)), rng.IntN(len(m.Members))
 			if from != to {
-				m.Set(from, to, Cut)
+				m.SetPath(from, to, PathCut)
 				counts["cut"]++
-				time.AfterFunc(time.Duration(2+rng.IntN(6))*time.Second, func() { m.Set(from, to, Passing{Loss: 0.1}) })
+				time.AfterFunc(time.Duration(2+rng.IntN(6))*time.Second, func() { m.SetPath(from, to, PathImpairment{Loss: 0.1}) })
 			}
 		default:
 			n.Pause()
@@ -227,7 +227,7 @@
 	stop()
 	require.Empty(t, falsely())
 	m.Heal()
-	met := r.Until("views meet", func() bool { m.Heal(); return m.Level() })
+	met := r.WaitFor("views meet", func() bool { m.Heal(); return m.Converged() })
 	t.Logf("seed %d, %v: %v; views meet %.1f probes after", seed, length, counts, met.Seconds()*1000/probeMs)
 }
 
@@ -235,67 +235,67 @@
 func TestMembersHard(t *testing.T) {
 	t.Parallel()
 	r := New(t)
-	targets := r.Targets(1, nil)
-	m := r.Mesh(MeshOptions{Size: 12, ProbeMs: probeMs, Seeds: []int{0, 11}, Later: []int{10, 11}, Targets: targets})
-	r.Until("they join by the one seed that lives", m.Level)
+	targets := r.StartTargets(1, nil)
+	m := r.StartMesh(MeshOptions{Size: 12, ProbeMs: probeMs, Seeds: []int{0, 11}, StartLater: []int{10, 11}, Targets: targets})
+	r.WaitFor("they join by the one seed that lives", m.Converged)
 
 	// Heard by one alone: it lives, for all.
 	births := map[string]string{}
 	for i := range 10 {
-		births[m.Nodes[i].Name()] = m.Nodes[0].State(m.Nodes[i].Name()).ID
+		births[m.Members[i].Name()] = m.Members[0].StateOf(m.Members[i].Name()).ID
 		if i != 4 && i != 5 {
-			m.Set(4, i, Cut)
+			m.SetPath(4, i, PathCut)
 		}
 	}
 	time.Sleep(20 * probeMs * time.Millisecond)
 	for i := range 10 {
-		require.NotEqual(t, membership.StateDead, m.Nodes[i].State("m4").State, "at m%d", i)
+		require.NotEqual(t, membership.StateDead, m.Members[i].StateOf("m4").State, "at m%d", i)
 	}
 	m.Heal()
 
 	// Three in ten messages lost, and a kill: found all the same, and nobody else is.
-	m.All(Passing{Loss: 0.3})
-	m.Nodes[9].Kill()
-	r.Until("a death is found among losses", func() bool { return m.everyone("m9", in(membership.StateDead)) })
+	m.SetDefaultPath(PathImpairment{Loss: 0.3})
+	m.Members[9].Kill()
+	r.WaitFor("a death is found among losses", func() bool { return m.allReport("m9", inState(membership.StateDead)) })
 	for i := range 9 {
-		require.True(t, living(m.Nodes[0].State(m.Nodes[i].Name())) || m.Nodes[0].State(m.Nodes[i].Name()).Self)
+		require.True(t, isLive(m.Members[0].StateOf(m.Members[i].Name())) || m.Members[0].StateOf(m.Members[i].Name()).Self)
 	}
 	m.Heal()
 
 	// Streams blocked and datagrams open: nothing happens.
 	for i := range 10 {
-		m.Set(i, 2, Passing{Streams: true})
-		m.Set(2, i, Passing{Streams: true})
+		m.SetPath(i, 2, PathImpairment{DropStreams: true})
+		m.SetPath(2, i, PathImpairment{DropStreams: true})
 	}
 	time.Sleep(10 * probeMs * time.Millisecond)
-	require.True(t, living(m.Nodes[3].State("m2")))
+	require.True(t, isLive(m.Members[3].StateOf("m2")))
 	m.Heal()
 
 	// Half of all started again at once, the seed among them: later lives, all known.
 	for i := range 5 {
-		m.Nodes[i].Kill()
+		m.Members[i].Kill()
 	}
 	for i := range 5 {
-		m.Nodes[i].Restart()
+		m.Members[i].Restart()
 	}
-	r.Until("half of all are known as later lives", func() bool {
+	r.WaitFor("half of all are known as later lives", func() bool {
 		for i := range 5 {
-			if s := m.Nodes[7].State(m.Nodes[i].Name()); !living(s) || s.ID == births[s.Name] {
+			if s := m.Members[7].StateOf(m.Members[i].Name()); !isLive(s) || s.ID == births[s.Name] {
 				return false
 			}
 		}
-		return m.Level()
+		return m.Converged()
 	})
 
 	// All seeds dead: those who know each other go on, and one that starts knows nobody until a seed is back.
-	m.Nodes[0].Kill()
-	m.Nodes[10].Begin()
-	r.Until("the seed's death is known", func() bool { return m.everyone("m0", in(membership.StateDead), 10) })
-	v, ok := m.Nodes[10].View()
+	m.Members[0].Kill()
+	m.Members[10].Start()
+	r.WaitFor("the seed's death is known", func() bool { return m.allReport("m0", inState(membership.StateDead), 10) })
+	v, ok := m.Members[10].View()
 	require.True(t, ok)
 	require.Equal(t, 1, v.Size)
-	m.Nodes[0].Restart()
-	r.Until("it joins when a seed is back, and the seed is known again", m.Level)
+	m.Members[0].Restart()
+	r.WaitFor("it joins when a seed is back, and the seed is known again", m.Converged)
 
 	// An upgrade: two processes of one name for a while.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -304,16 +304,16 @@
 	socket, err := l.(*net.TCPListener).File()
 	require.NoError(t, err)
 	defer socket.Close()
-	elder := m.Nodes[11].Upgrade(socket, FreeAddrs(t, 1)[0])
-	r.Until("the elder is known", func() bool { return living(m.Nodes[1].State("m11")) })
-	first := m.Nodes[1].State("m11").ID
-	younger := m.Nodes[11].Upgrade(socket, FreeAddrs(t, 1)[0])
-	r.Until("the elder leaves by itself", func() bool { return !elder.Alive() })
-	r.Until("the younger one is known, at the address of its name", func() bool {
-		s := m.Nodes[1].State("m11")
-		return living(s) && s.ID != first && s.Addr == m.Nodes[11].advertise
+	elder := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
+	r.WaitFor("the elder is known", func() bool { return isLive(m.Members[1].StateOf("m11")) })
+	first := m.Members[1].StateOf("m11").ID
+	younger := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
+	r.WaitFor("the elder leaves by itself", func() bool { return !elder.Alive() })
+	r.WaitFor("the younger one is known, at the address of its name", func() bool {
+		s := m.Members[1].StateOf("m11")
+		return isLive(s) && s.ID != first && s.Addr == m.Members[11].advertise
 	})
-	v, _ = m.Nodes[1].View()
+	v, _ = m.Members[1].View()
 	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == first && s.State == membership.StateLeft }), "the elder has left")
 	require.Empty(t, v.DuplicateNames)
 	younger.Kill()
--- a/internal/testbed/faults/mesh.go
+++ b/internal/testbed/faults/mesh.go
@@ -18,35 +18,35 @@
 )
 
 // Passing is what becomes of messages from one member to another.
-type Passing struct {
-	Loss      float64 // part of the datagrams that never arrives
-	Twice     float64 // part that arrives twice
-	Delay     time.Duration
-	Jitter    time.Duration // more, at random: datagrams overtake one another
-	Datagrams bool          // none arrives
-	Streams   bool          // nothing on streams arrives
+type PathImpairment struct {
+	Loss          float64 // part of the datagrams that never arrives
+	Duplication   float64 // part that arrives twice
+	Delay         time.Duration
+	Jitter        time.Duration // more, at random: datagrams overtake one another
+	DropDatagrams bool          // none arrives
+	DropStreams   bool          // nothing on streams arrives
 }
 
 // Cut is a way on which nothing passes.
-var Cut = Passing{Datagrams: true, Streams: true}
+var PathCut = PathImpairment{DropDatagrams: true, DropStreams: true}
 
 // Mesh is instances that know each other, each behind a relay of its own that knows where a message comes from: every one has an address
 // of the loopback to itself, from which it also dials.
 type Mesh struct {
-	rig   *Rig
-	Nodes []*Node
-	mu    sync.Mutex
-	rng   *rand.Rand
-	all   Passing            // of ways that have no rule of their own
-	ways  map[[2]int]Passing // from, to
-	at    map[string]int     // by the address dialled from
+	rig          *Rig
+	Members      []*Member
+	mu           sync.Mutex
+	rng          *rand.Rand
+	defaultPath  PathImpairment            // of ways that have no rule of their own
+	paths        map[[2]int]PathImpairment // from, to
+	memberByHost map[string]int            // by the address dialled from
 }
 
 // Node is one of them.
-type Node struct {
+type Member struct {
 	*Proc
 	rig       *Rig
-	N         int
+	Index     int
 	Zone      string
 	Control   string
 	bind      string
@@ -59,21 +59,21 @@
 
 // MeshOptions set one up.
 type MeshOptions struct {
-	Size    int
-	ProbeMs int
-	Seeds   []int     // by whom all join; nil: the first three
-	Later   []int     // not started yet
-	Rates   []float64 // of clocks
-	Zones   int
-	Agents  *Agents  // nil: none
-	Targets *Targets // nil: no list of targets
-	More    string   // TOML, under [fleet]
+	Size       int
+	ProbeMs    int
+	Seeds      []int     // by whom all join; nil: the first three
+	StartLater []int     // not started yet
+	ClockRates []float64 // of clocks
+	Zones      int
+	Agents     *AgentGroup // nil: none
+	Targets    *Targets    // nil: no list of targets
+	FleetTOML  string      // TOML, under [fleet]
 }
 
 // Mesh starts the instances and their relays.
-func (r *Rig) Mesh(o MeshOptions) *Mesh {
+func (r *Rig) StartMesh(o MeshOptions) *Mesh {
 	r.T.Helper()
-	m := &Mesh{rig: r, rng: rand.New(rand.NewPCG(1, 2)), ways: map[[2]int]Passing{}, at: map[string]int{}}
+	m := &Mesh{rig: r, rng: rand.New(rand.NewPCG(1, 2)), paths: map[[2]int]PathImpairment{}, memberByHost: map[string]int{}}
 	if o.Seeds == nil {
 		o.Seeds = []int{0, 1, 2}
 	}
@@ -81,28 +81,28 @@
 	port := func(i int) string { return ports[i][strings.LastIndex(ports[i], ":"):] }
 	for i := range o.Size {
 		// A block of addresses for each test binary, so that two do not meet.
-		net := fmt.Sprintf("127.%d", 16+nets())
-		n := &Node{rig: r, N: i, Control: ports[i], bind: fmt.Sprintf("%s.1.%d%s", net, i+1, port(o.Size+i)), advertise: fmt.Sprintf("%s.2.%d%s", net, i+1, port(2*o.Size+i)),
+		net := fmt.Sprintf("127.%d", 16+loopbackBlock())
+		n := &Member{rig: r, Index: i, Control: ports[i], bind: fmt.Sprintf("%s.1.%d%s", net, i+1, port(o.Size+i)), advertise: fmt.Sprintf("%s.2.%d%s", net, i+1, port(2*o.Size+i)),
 			Zone: fmt.Sprint("z", i%max(o.Zones, 1)), client: http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-		m.Nodes = append(m.Nodes, n)
+		m.Members = append(m.Members, n)
 		host, _, _ := strings.Cut(n.bind, ":")
-		m.at[host] = i
+		m.memberByHost[host] = i
 	}
 	listens := FreeAddrs(r.T, o.Size)
 	discovery := "127.0.0.1:9"
 	if o.Targets != nil {
 		discovery = o.Targets.Discovery
 	}
-	for i, n := range m.Nodes {
-		m.relay(n)
+	for i, n := range m.Members {
+		m.startRelay(n)
 		var seeds []string
 		for _, s := range o.Seeds {
-			seeds = append(seeds, fmt.Sprintf("%q", m.Nodes[s].advertise))
+			seeds = append(seeds, fmt.Sprintf("%q", m.Members[s].advertise))
 		}
-		file := r.File(fmt.Sprintf("m%d.json", i), fmt.Sprintf(`{"name":"m%d","listen":%q,"control":%q,"discovery":%q,"settings":{"peersTotal":%d,"tickUs":2000,
+		file := r.WriteFile(fmt.Sprintf("m%d.json", i), fmt.Sprintf(`{"name":"m%d","listen":%q,"control":%q,"discovery":%q,"settings":{"peersTotal":%d,"tickUs":2000,
  "classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":200000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, i, listens[i], n.Control, discovery, o.Size))
-		fleet := "[fleet]\n" + o.More
+		fleet := "[fleet]\n" + o.FleetTOML
 		if o.Agents != nil {
 			var agents []string
 			for _, a := range o.Agents.API {
@@ -110,31 +110,31 @@
 			}
 			fleet += "agents = [" + strings.Join(agents, ", ") + "]\n"
 		}
-		toml := r.File(fmt.Sprintf("m%d.toml", i), fleet+fmt.Sprintf("[fleet.members]\nbind = %q\nadvertise = %q\nseeds = [%s]\nzone = %q\nkey = \"k\"\nprobe_ms = %d\ntimeout_ms = %d\npause_ms = %d\ncompare_ms = %d\n",
+		toml := r.WriteFile(fmt.Sprintf("m%d.toml", i), fleet+fmt.Sprintf("[fleet.members]\nbind = %q\nadvertise = %q\nseeds = [%s]\nzone = %q\nkey = \"k\"\nprobe_ms = %d\ntimeout_ms = %d\npause_ms = %d\ncompare_ms = %d\n",
 			n.bind, n.advertise, strings.Join(seeds, ", "), n.Zone, o.ProbeMs, o.ProbeMs*3/10, 2*o.ProbeMs, 10*o.ProbeMs))
 		env := []string{"PROXY_CONFIG=" + file, "GOMAXPROCS=1"}
-		if len(o.Rates) > 0 {
-			env = append(env, fmt.Sprint("SPINDLEHITCH_CLOCK_RATE=", o.Rates[i%len(o.Rates)]))
+		if len(o.ClockRates) > 0 {
+			env = append(env, fmt.Sprint("SPINDLEHITCH_CLOCK_RATE=", o.ClockRates[i%len(o.ClockRates)]))
 		}
 		n.env, n.args, n.listen = env, []string{"serve", "--operator", toml}, listens[i]
-		if !slices.Contains(o.Later, i) {
-			n.Begin()
+		if !slices.Contains(o.StartLater, i) {
+			n.Start()
 		}
 	}
 	return m
 }
 
 // Begin starts its process.
-func (n *Node) Begin() { n.Proc = n.rig.StartWith(n.Name(), nil, 0, n.env, n.args...) }
+func (n *Member) Start() { n.Proc = n.rig.StartWith(n.Name(), nil, 0, n.env, n.args...) }
 
 // Name is its name in the fleet.
-func (n *Node) Name() string { return fmt.Sprint("m", n.N) }
+func (n *Member) Name() string { return fmt.Sprint("m", n.Index) }
 
 // Runs tells whether it has been started and has not ended.
-func (n *Node) Runs() bool { return n.Proc != nil && n.Alive() }
+func (n *Member) Running() bool { return n.Proc != nil && n.Alive() }
 
 // Upgrade starts another process of the same name beside it, at the same inherited socket of its clients.
-func (n *Node) Upgrade(socket *os.File, control string) *Node {
+func (n *Member) Upgrade(socket *os.File, control string) *Member {
 	next := *n
 	next.Control = control
 	next.Proc = n.rig.StartWith(n.Name()+"-next", []*os.File{socket}, 0, append(slices.Clone(n.env), "PROXY_SOCKET_FD=3", "PROXY_CONTROL="+control), n.args...)
@@ -142,44 +142,44 @@
 }
 
 // Set has messages from one to another pass so from now on.
-func (m *Mesh) Set(from, to int, p Passing) {
+func (m *Mesh) SetPath(from, to int, p PathImpairment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ways[[2]int{from, to}] = p
+	m.paths[[2]int{from, to}] = p
 }
 
 // All has messages on all ways without a rule of their own pass so.
-func (m *Mesh) All(p Passing) {
+func (m *Mesh) SetDefaultPath(p PathImpairment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.all = p
+	m.defaultPath = p
 }
 
 // Heal lets everything pass.
 func (m *Mesh) Heal() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.all = Passing{}
-	clear(m.ways)
+	m.defaultPath = PathImpairment{}
+	clear(m.paths)
 }
 
 // rule is that of a way, with draws of what becomes of one message.
-func (m *Mesh) rule(from string, to int) (p Passing, lost, twice bool, wait time.Duration) {
+func (m *Mesh) drawFate(from string, to int) (p PathImpairment, lost, twice bool, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p, own := m.ways[[2]int{m.at[from], to}]
+	p, own := m.paths[[2]int{m.memberByHost[from], to}]
 	if !own {
-		p = m.all
+		p = m.defaultPath
 	}
 	wait = p.Delay
 	if p.Jitter > 0 {
 		wait += time.Duration(m.rng.Int64N(int64(p.Jitter)))
 	}
-	return p, m.rng.Float64() < p.Loss, m.rng.Float64() < p.Twice, wait
+	return p, m.rng.Float64() < p.Loss, m.rng.Float64() < p.Duplication, wait
 }
 
 // relay stands in front of a member, for datagrams and streams.
-func (m *Mesh) relay(n *Node) { //nolint:gocognit // to be split with its package, see docs/left.md
+func (m *Mesh) startRelay(n *Member) { //nolint:gocognit // to be split with its package, see docs/left.md
 	t := m.rig.T
 	t.Helper()
 	packets, err := net.ListenPacket("udp", n.advertise)
@@ -205,8 +205,8 @@
 			if err != nil {
 				return
 			}
-			p, lost, twice, wait := m.rule(from.(*net.UDPAddr).IP.String(), n.N)
-			if p.Datagrams || lost {
+			p, lost, twice, wait := m.drawFate(from.(*net.UDPAddr).IP.String(), n.Index)
+			if p.DropDatagrams || lost {
 				continue
 			}
 			text := append([]byte(nil), b[:k]...)
@@ -229,8 +229,8 @@
 			go func() {
 				defer near.Close()
 				near.SetDeadline(time.Now().Add(5 * time.Second))
-				p, _, _, wait := m.rule(near.RemoteAddr().(*net.TCPAddr).IP.String(), n.N)
-				if p.Streams {
+				p, _, _, wait := m.drawFate(near.RemoteAddr().(*net.TCPAddr).IP.String(), n.Index)
+				if p.DropStreams {
 					_, _ = io.Copy(io.Discard, near)
 					return
 				}
@@ -247,7 +247,7 @@
 }
 
 // View is what a member knows; false where it does not answer.
-func (n *Node) View() (v membership.View, ok bool) {
+func (n *Member) View() (v membership.View, ok bool) {
 	resp, err := n.client.Get("http://" + n.Control + "/v1/members")
 	if err != nil {
 		return v, false
@@ -257,7 +257,7 @@
 }
 
 // State is what a member tells of the living or last life of another.
-func (n *Node) State(name string) (s membership.MemberView) {
+func (n *Member) StateOf(name string) (s membership.MemberView) {
 	v, _ := n.View()
 	for _, x := range v.Members {
 		ended := func(x membership.MemberView) bool {
@@ -271,15 +271,15 @@
 }
 
 // Level tells whether all that run know the same, and just them.
-func (m *Mesh) Level() bool {
+func (m *Mesh) Converged() bool {
 	digest, living := "", 0
-	for _, n := range m.Nodes {
-		if n.Runs() {
+	for _, n := range m.Members {
+		if n.Running() {
 			living++
 		}
 	}
-	for _, n := range m.Nodes {
-		if !n.Runs() {
+	for _, n := range m.Members {
+		if !n.Running() {
 			continue
 		}
 		v, ok := n.View()
@@ -293,7 +293,7 @@
 
 // Falsely collects verdicts of death, by all members, on lives that are healthy until the context ends: that neither died nor stood still, as
 // healthy tells, nor were starved, as they tell themselves (a busy machine may leave one without a processor for as long as a verdict takes).
-func (m *Mesh) Falsely(ctx context.Context, healthy func(name string) bool) (found func() []string) { //nolint:gocognit // to be split with its package, see docs/left.md
+func (m *Mesh) CollectFalseVerdicts(ctx context.Context, healthy func(name string) bool) (found func() []string) { //nolint:gocognit // to be split with its package, see docs/left.md
 	type verdict struct {
 		at   time.Time
 		of   string
@@ -303,7 +303,7 @@
 	var all []verdict
 	starved := map[string][]time.Time{}
 	var wait sync.WaitGroup
-	for _, n := range m.Nodes {
+	for _, n := range m.Members {
 		wait.Go(func() {
 			seen, birth, late := 0, "", uint64(0)
 			for ctx.Err() == nil {
@@ -351,4 +351,4 @@
 	}
 }
 
-var nets = sync.OnceValue(func() int { return rand.IntN(200) })
+var loopbackBlock = sync.OnceValue(func() int { return rand.IntN(200) })
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -16,7 +16,7 @@
 // TestRecorded has a schedule of the rig played in the model: twenty instances, a minute, no promise broken.
 func TestRecorded(t *testing.T) {
 	plan := Schedule(7, 20, 3, time.Minute, 400*time.Millisecond)
-	b, err := Record(plan)
+	b, err := EncodeSchedule(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,26 +83,28 @@
 	const members, whole = 20, 300.0
 	text := fmt.Sprintf("seats = 60\nrenew_ms = 300\npart_ms = 1500\nseat_s = 20\n[[budget]]\nname = \"work\"\nuse = \"work\"\nwhole = %g\nburst = %g\nleast = 0.5\nleast_burst = 1\n", whole, whole)
 	r := New(t)
-	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(1, nil)}, witness: r.Witness()}
+	d := &leaseFleet{fleet: &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(1, nil)}, witness: r.StartWitness()}
 	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: 30, TTLMs: 2000, OperationTimeoutMs: 500, IntervalMs: 1000, ProgressTimeoutMs: 6000, Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
 	d.agents.Leader()
-	budgets := r.File("work.toml", text)
-	d.run("budget", "set", budgets)
-	d.run("lease", "set", r.File("tasks.toml", d.file()))
+	budgets := r.WriteFile("work.toml", text)
+	d.mustRun("budget", "set", budgets)
+	d.mustRun("lease", "set", r.WriteFile("tasks.toml", d.taskFile()))
 	for i := range members {
-		d.all = append(d.all, d.Instance(fmt.Sprint("m", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, Uses: "uses = [\"work\"]\ntasks = [\"drill\"]\n"}, 0))
+		d.instances = append(d.instances, d.StartInstance(fmt.Sprint("m", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, FleetTOML: "uses = [\"work\"]\ntasks = [\"drill\"]\n"}, 0))
 	}
-	d.even("all hold shards", members)
-	d.Load(t.Context(), d.all, 1)
-	for _, n := range d.all {
-		n.Offer(2 * whole / members)
+	d.waitBalanced("all hold shards", members)
+	d.StartLoad(t.Context(), d.instances, 1)
+	for _, n := range d.instances {
+		n.SetLoad(2 * whole / members)
 	}
 	time.Sleep(6 * time.Second)
 	killed := 14
 	leader := d.agents.Leader()
 	began := time.Now()
 	step := func(at float64) { time.Sleep(time.Until(began.Add(time.Duration(at * float64(time.Second))))) }
-	rate := func(over float64) float64 { return d.targets.Judge.Rate(time.Duration(over * float64(time.Second)))[0] }
+	rate := func(over float64) float64 {
+		return d.targets.Monitor.Rate(time.Duration(over * float64(time.Second)))[0]
+	}
 	var rig [5]float64
 	rig[0] = rate(3)
 	tokens := map[int]uint64{}
@@ -110,11 +112,11 @@
 		tokens[l.Shard] = l.Token
 	}
 	began = time.Now()
-	for _, n := range d.all[:killed] {
+	for _, n := range d.instances[:killed] {
 		n.Kill()
 	}
-	for _, n := range d.all[killed:] {
-		n.Offer(2 * whole / float64(members-killed))
+	for _, n := range d.instances[killed:] {
+		n.SetLoad(2 * whole / float64(members-killed))
 	}
 	for time.Since(began) < 20*time.Second {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/testbed/faults/proc.go
+++ b/internal/testbed/faults/proc.go
@@ -62,17 +62,17 @@
 
 // Proc is one process of the program.
 type Proc struct {
-	Name  string
-	rig   *Rig
-	env   []string
-	args  []string
-	pass  []*os.File // from descriptor 3 on
-	aims  string     // the folder of its failpoints
-	files int        // how many descriptors the machine grants it; 0: as many as this process
-	out   *tail
-	cmd   *exec.Cmd
-	done  chan struct{} // closed once it has ended
-	err   error
+	Name         string
+	rig          *Rig
+	env          []string
+	args         []string
+	extraFiles   []*os.File // from descriptor 3 on
+	failpointDir string     // the folder of its failpoints
+	maxFiles     int        // how many descriptors the machine grants it; 0: as many as this process
+	out          *tail
+	cmd          *exec.Cmd
+	done         chan struct{} // closed once it has ended
+	err          error
 }
 
 // tail keeps what a process wrote, its last MiB.
@@ -118,8 +118,8 @@
 // StartWith is Start with open files for the process, from descriptor 3 on, and with a bound on its descriptors; 0: none of its own.
 func (r *Rig) StartWith(name string, pass []*os.File, files int, env []string, args ...string) *Proc {
 	r.T.Helper()
-	p := &Proc{Name: name, rig: r, env: env, args: args, pass: pass, files: files, aims: filepath.Join(r.Dir, "aims", name), out: &tail{}}
-	if err := os.MkdirAll(p.aims, 0o700); err != nil {
+	p := &Proc{Name: name, rig: r, env: env, args: args, extraFiles: pass, maxFiles: files, failpointDir: filepath.Join(r.Dir, "aims", name), out: &tail{}}
+	if err := os.MkdirAll(p.failpointDir, 0o700); err != nil {
 		r.T.Fatal(err)
 	}
 	p.start()
@@ -136,11 +136,11 @@
 func (p *Proc) start() {
 	p.rig.T.Helper()
 	p.cmd = exec.Command(p.rig.bin, p.args...)
-	if p.files > 0 {
-		p.cmd = exec.Command("sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.files), p.rig.bin}, p.args...)...)
+	if p.maxFiles > 0 {
+		p.cmd = exec.Command("sh", append([]string{"-c", `ulimit -n "$0" && exec "$@"`, strconv.Itoa(p.maxFiles), p.rig.bin}, p.args...)...)
 	}
-	p.cmd.Env = append([]string{"TMPDIR=" + p.rig.Dir, "PATH=" + os.Getenv("PATH"), "SPINDLEHITCH_FAILPOINTS=" + p.aims}, p.env...)
-	p.cmd.Stdout, p.cmd.Stderr, p.cmd.ExtraFiles = p.out, p.out, p.pass
+	p.cmd.Env = append([]string{"TMPDIR=" + p.rig.Dir, "PATH=" + os.Getenv("PATH"), "SPINDLEHITCH_FAILPOINTS=" + p.failpointDir}, p.env...)
+	p.cmd.Stdout, p.cmd.Stderr, p.cmd.ExtraFiles = p.out, p.out, p.extraFiles
 	p.cmd.Dir = p.rig.Dir
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	started := make(chan error)
@@ -187,30 +187,32 @@
 
 // Aim has the process stop, die, hang or wait for Release (stop, kill, hang, wait) the next time that it comes to the step of that name
 // (internal/process/failpoint).
-func (p *Proc) Aim(step, what string) {
+func (p *Proc) ArmFailpoint(step, what string) {
 	p.rig.T.Helper()
-	os.Remove(filepath.Join(p.aims, step+".hit"))
+	os.Remove(filepath.Join(p.failpointDir, step+".hit"))
 	// Written elsewhere first: the process must not read half of it.
-	from := filepath.Join(p.aims, "aiming")
+	from := filepath.Join(p.failpointDir, "aiming")
 	if err := os.WriteFile(from, []byte(what), 0o600); err != nil {
 		p.rig.T.Fatal(err)
 	}
-	if err := os.Rename(from, filepath.Join(p.aims, step)); err != nil {
+	if err := os.Rename(from, filepath.Join(p.failpointDir, step)); err != nil {
 		p.rig.T.Fatal(err)
 	}
 }
 
 // Struck tells whether the process has come to a step that was aimed at.
-func (p *Proc) Struck(step string) bool {
-	_, err := os.Stat(filepath.Join(p.aims, step+".hit"))
+func (p *Proc) FailpointHit(step string) bool {
+	_, err := os.Stat(filepath.Join(p.failpointDir, step+".hit"))
 	return err == nil
 }
 
 // Release lets a caller go on that waits at a step.
-func (p *Proc) Release(step string) { os.Remove(filepath.Join(p.aims, step+".hit")) }
+func (p *Proc) ReleaseFailpoint(step string) { os.Remove(filepath.Join(p.failpointDir, step+".hit")) }
 
 // Unaim takes an aim back, and tells whether the process has not come to the step.
-func (p *Proc) Unaim(step string) bool { return os.Remove(filepath.Join(p.aims, step)) == nil }
+func (p *Proc) DisarmFailpoint(step string) bool {
+	return os.Remove(filepath.Join(p.failpointDir, step)) == nil
+}
 
 // Pause stops it where it stands, and returns once the kernel has.
 func (p *Proc) Pause() {
@@ -289,18 +291,18 @@
 	if err != nil {
 		return err
 	}
-	return p.fileSize(uint64(largest))
+	return p.limitFileSize(uint64(largest))
 }
 
 // FreeDisk ends FillDisk.
-func (p *Proc) FreeDisk() error { return p.fileSize(unix.RLIM_INFINITY) }
+func (p *Proc) FreeDisk() error { return p.limitFileSize(unix.RLIM_INFINITY) }
 
-func (p *Proc) fileSize(most uint64) error {
+func (p *Proc) limitFileSize(most uint64) error {
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
 }
 
 // Until waits until done, for as long as a busy machine may take.
-func (r *Rig) Until(what string, done func() bool) time.Duration {
+func (r *Rig) WaitFor(what string, done func() bool) time.Duration {
 	r.T.Helper()
 	began := time.Now()
 	for end := began.Add(time.Minute); !done(); time.Sleep(10 * time.Millisecond) {
@@ -312,7 +314,7 @@
 }
 
 // File writes a file of the test's and returns its path.
-func (r *Rig) File(name, text string) string {
+func (r *Rig) WriteFile(name, text string) string {
 	r.T.Helper()
 	path := filepath.Join(r.Dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
--- a/internal/testbed/faults/reads_test.go
+++ b/internal/testbed/faults/reads_test.go
@@ -79,20 +79,20 @@
 const applyStep = "agent.apply"
 
 // electBehind has a follower hold back the application of all that write does, kills the leader and has that follower elected.
-func electBehind(t *testing.T, g *Agents, write func(leader *agent.Client)) (behind int) {
+func electLaggingFollower(t *testing.T, g *AgentGroup, write func(leader *agent.Client)) (behind int) {
 	t.Helper()
 	first := g.Leader()
 	behind, other := (first+1)%3, (first+2)%3
-	g.Procs[behind].Aim(applyStep, "wait")
+	g.Procs[behind].ArmFailpoint(applyStep, "wait")
 	write(&agent.Client{Addrs: []string{g.API[first]}})
-	g.rig.Until("the follower holds its log back", func() bool { return g.Procs[behind].Struck(applyStep) })
+	g.rig.WaitFor("the follower holds its log back", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
 	// Its log has all that is committed, or it could not be elected. What Raft counts as applied is handed to the state machine only.
-	g.rig.Until("the follower's log has everything", func() bool {
+	g.rig.WaitFor("the follower's log has everything", func() bool {
 		all := (&agent.Client{Addrs: []string{g.API[first], g.API[behind]}}).Status(t.Context())
 		return all[0].Applied > 0 && all[1].Applied >= all[0].Applied
 	})
 	// The other follower can vote, but nobody hears it ask for votes.
-	g.links[other][behind].Set(Impairment{Hold: true}, Impairment{})
+	g.raftLinks[other][behind].Set(Impairment{Hold: true}, Impairment{})
 	g.Procs[first].Kill()
 	require.Equal(t, behind, g.Leader(first))
 	return behind
@@ -102,25 +102,25 @@
 // committed: such a read misses writes that were acknowledged.
 func TestNewLeaderReadsAppliedLog(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
 	writeEverything(t, &agent.Client{Addrs: g.API}, 1)
 	for _, addr := range g.API {
-		r.Until("all have what comes first", func() bool {
+		r.WaitFor("all have what comes first", func() bool {
 			_, body := get(t.Context(), addr, "/v1/feed?stale", time.Second)
 			return strings.Contains(body, `"head":1`)
 		})
 	}
-	behind := electBehind(t, g, func(leader *agent.Client) { writeEverything(t, leader, 2) })
+	behind := electLaggingFollower(t, g, func(leader *agent.Client) { writeEverything(t, leader, 2) })
 	for path, want := range readsOf(2) {
 		status, body := get(t.Context(), g.API[behind], path, time.Second)
 		if status != 0 && status != http.StatusServiceUnavailable {
 			assert.Contains(t, body, want, "%s, before the log is applied", path)
 		}
 	}
-	g.Procs[behind].Release(applyStep)
+	g.Procs[behind].ReleaseFailpoint(applyStep)
 	for path, want := range readsOf(2) {
-		r.Until(path, func() bool {
+		r.WaitFor(path, func() bool {
 			status, _ := get(t.Context(), g.API[behind], path, 10*time.Second)
 			return status == http.StatusOK
 		})
@@ -133,9 +133,9 @@
 // the next one for the first, and refuses it while an agent is down.
 func TestNewLeaderKnowsFirstChange(t *testing.T) {
 	r := New(t)
-	g := r.Agents(3)
-	change := watchstream.Change{Fleet: "campus", Puts: []watchstream.Put{layer("shared", "{}")}}
-	behind := electBehind(t, g, func(leader *agent.Client) {
+	g := r.StartAgents(3)
+	change := watchstream.Change{Fleet: "campus", Puts: []watchstream.Put{configPut("shared", "{}")}}
+	behind := electLaggingFollower(t, g, func(leader *agent.Client) {
 		_, err := leader.PutChange(t.Context(), change)
 		require.NoError(t, err)
 	})
@@ -145,7 +145,7 @@
 	done()
 	require.Error(t, err)
 	require.NotContains(t, err.Error(), "first change")
-	g.Procs[behind].Release(applyStep)
+	g.Procs[behind].ReleaseFailpoint(applyStep)
 	_, err = client.PutChange(t.Context(), change)
 	require.NoError(t, err)
 }
@@ -155,7 +155,7 @@
 func TestAgentBehindTellsItsAge(t *testing.T) {
 	const behindFor = 1500 * time.Millisecond
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	first := g.Leader()
 	behind := (first + 1) % 3
 	client := &agent.Client{Addrs: []string{g.API[first]}}
@@ -170,20 +170,20 @@
 	writeEverything(t, client, 1)
 	fields := map[string]string{"/v1/fleet?stale": "age_ms", "/v1/feed?stale": "old_ms"}
 	for path, field := range fields {
-		r.Until("its state is new", func() bool {
+		r.WaitFor("its state is new", func() bool {
 			status, body := get(t.Context(), g.API[behind], path, time.Second)
 			return status == http.StatusOK && strings.Contains(body, readsOf(1)[strings.TrimSuffix(path, "?stale")]) && age(path, field) < 1000
 		})
 	}
-	g.Procs[behind].Aim(applyStep, "wait")
+	g.Procs[behind].ArmFailpoint(applyStep, "wait")
 	writeEverything(t, client, 2)
-	r.Until("the agent holds its log back", func() bool { return g.Procs[behind].Struck(applyStep) })
+	r.WaitFor("the agent holds its log back", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
 	time.Sleep(behindFor)
 	for path, field := range fields {
 		assert.GreaterOrEqual(t, age(path, field), 1000.0, "%s of an agent that lacks what was written %v ago", path, behindFor)
 	}
-	g.Procs[behind].Release(applyStep)
+	g.Procs[behind].ReleaseFailpoint(applyStep)
 	for path, field := range fields {
-		r.Until("its state is new again", func() bool { return age(path, field) < 1000 })
+		r.WaitFor("its state is new again", func() bool { return age(path, field) < 1000 })
 	}
 }
--- a/internal/testbed/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -13,32 +13,32 @@
 )
 
 // Event is one fault of a schedule. What lasts ends by itself.
-type Event struct {
-	At   time.Duration
-	What string // kill, pause, cut, deaf, mute, slow, reset, agent-kill, agent-pause, agent-alone
-	On   int    // which instance, or agent
-	For  time.Duration
+type Fault struct {
+	At       time.Duration
+	Kind     string // kill, pause, cut, deaf, mute, slow, reset, agent-kill, agent-pause, agent-alone
+	Index    int    // which instance, or agent
+	Duration time.Duration
 }
 
-func (e Event) String() string {
-	return fmt.Sprintf("%.1fs %s %d for %.1fs", e.At.Seconds(), e.What, e.On, e.For.Seconds())
+func (e Fault) String() string {
+	return fmt.Sprintf("%.1fs %s %d for %.1fs", e.At.Seconds(), e.Kind, e.Index, e.Duration.Seconds())
 }
 
 // Schedule is faults at random over a length of time: the same for the same seed and sizes. One agent is hurt at a time, at most, so
 // that a majority is always there; any number of instances is. About one fault comes every so often.
-func Schedule(seed uint64, instances, agents int, length, every time.Duration) []Event {
+func Schedule(seed uint64, instances, agents int, length, every time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 20))
 	kinds := []string{"kill", "pause", "cut", "deaf", "mute", "slow", "reset", "agent-kill", "agent-pause", "agent-alone"}
-	var all []Event
+	var all []Fault
 	var agentFree time.Duration
 	for at := every; at < length; at += time.Duration((0.5 + rng.Float64()) * float64(every)) {
-		e := Event{At: at, What: kinds[rng.IntN(len(kinds))], For: time.Duration((0.2 + 3.3*rng.Float64()) * float64(time.Second))}
-		if e.On = rng.IntN(instances); strings.HasPrefix(e.What, "agent") {
-			e.On = rng.IntN(agents)
+		e := Fault{At: at, Kind: kinds[rng.IntN(len(kinds))], Duration: time.Duration((0.2 + 3.3*rng.Float64()) * float64(time.Second))}
+		if e.Index = rng.IntN(instances); strings.HasPrefix(e.Kind, "agent") {
+			e.Index = rng.IntN(agents)
 			if at < agentFree {
 				continue
 			}
-			agentFree = at + e.For + 3*time.Second
+			agentFree = at + e.Duration + 3*time.Second
 		}
 		all = append(all, e)
 	}
@@ -47,11 +47,11 @@
 
 // Record is a schedule as an experiment on the modelled fleet reads it (its schedule file). Resets of connections alone are left out: the
 // model has none.
-func Record(all []Event) ([]byte, error) {
+func EncodeSchedule(all []Fault) ([]byte, error) {
 	var faults []model.Fault
 	for _, e := range all {
-		if e.What != "reset" {
-			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.For.Seconds(), What: e.What, On: []int{e.On}})
+		if e.Kind != "reset" {
+			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.Duration.Seconds(), What: e.Kind, On: []int{e.Index}})
 		}
 	}
 	return json.MarshalIndent(faults, "", " ")
@@ -59,25 +59,25 @@
 
 // Play carries a schedule out and returns once everything in it has ended. It tells how often what happened. An instance that is still
 // under a fault, or was until a second ago, is spared.
-func (r *Rig) Play(all []Event, instances []*Instance, agents *Agents) map[string]int {
-	var steps []step
+func (r *Rig) RunSchedule(all []Fault, instances []*Instance, agents *AgentGroup) map[string]int {
+	var steps []scheduleStep
 	counts := map[string]int{}
 	busy := map[int]time.Duration{} // until when an instance is under a fault
 	for _, e := range all {
 		var begin, end func()
-		if strings.HasPrefix(e.What, "agent") {
-			begin, end = agents.fault(e)
+		if strings.HasPrefix(e.Kind, "agent") {
+			begin, end = agents.faultActions(e)
 		} else {
-			if e.At < busy[e.On] {
+			if e.At < busy[e.Index] {
 				continue
 			}
-			busy[e.On] = e.At + e.For + time.Second
-			begin, end = instances[e.On].fault(e)
+			busy[e.Index] = e.At + e.Duration + time.Second
+			begin, end = instances[e.Index].faultActions(e)
 		}
-		counts[e.What]++
-		steps = append(steps, step{e.At, begin}, step{e.At + e.For, end})
+		counts[e.Kind]++
+		steps = append(steps, scheduleStep{e.At, begin}, scheduleStep{e.At + e.Duration, end})
 	}
-	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
+	slices.SortStableFunc(steps, func(a, b scheduleStep) int { return cmp.Compare(a.at, b.at) })
 	began := time.Now()
 	for _, s := range steps {
 		time.Sleep(time.Until(began.Add(s.at)))
@@ -87,26 +87,26 @@
 }
 
 // step is one begin or end of a fault.
-type step struct {
+type scheduleStep struct {
 	at time.Duration
 	do func()
 }
 
 // fault returns what begins and what ends a fault of an agent.
-func (g *Agents) fault(e Event) (begin, end func()) {
-	p := g.Procs[e.On]
-	switch e.What {
+func (g *AgentGroup) faultActions(e Fault) (begin, end func()) {
+	p := g.Procs[e.Index]
+	switch e.Kind {
 	case "agent-kill":
 		return p.Kill, p.Restart
 	case "agent-pause":
 		return p.Pause, p.Resume
 	}
-	return func() { g.Isolate(e.On) }, func() { g.Join(e.On) }
+	return func() { g.Isolate(e.Index) }, func() { g.Reconnect(e.Index) }
 }
 
 // fault returns what begins and what ends a fault of an instance or of its links.
-func (n *Instance) fault(e Event) (begin, end func()) {
-	switch e.What {
+func (n *Instance) faultActions(e Fault) (begin, end func()) {
+	switch e.Kind {
 	case "kill":
 		return n.Kill, n.Restart
 	case "pause":
@@ -120,7 +120,7 @@
 	case "mute":
 		return n.setLinks(Impairment{Hold: true}, Impairment{}), n.Heal
 	}
-	return n.setLinks(Impairment{Delay: e.For / 20}, Impairment{Delay: e.For / 8}), n.Heal // slow
+	return n.setLinks(Impairment{Delay: e.Duration / 20}, Impairment{Delay: e.Duration / 8}), n.Heal // slow
 }
 
 // eachLink returns a function that does something to each link of the instance.
--- a/internal/testbed/faults/starts_test.go
+++ b/internal/testbed/faults/startup_test.go
@@ -15,36 +15,36 @@
 )
 
 // turns is the list's one service for all initiators: calls in turn, 50 ms each, those given up too. One that would wait for over 2 s fails.
-type turns struct {
-	mu   sync.Mutex
-	free time.Time
-	down bool // silent
+type slowDiscovery struct {
+	mu       sync.Mutex
+	nextFree time.Time
+	down     bool // silent
 }
 
-func (s *turns) turn() bool {
+func (s *slowDiscovery) waitTurn() bool {
 	const most = 2 * time.Second
 	s.mu.Lock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.nextFree.Before(now) {
+		s.nextFree = now
 	}
-	wait := s.free.Sub(now)
+	wait := s.nextFree.Sub(now)
 	if wait <= most {
-		s.free = s.free.Add(50 * time.Millisecond)
+		s.nextFree = s.nextFree.Add(50 * time.Millisecond)
 	}
 	s.mu.Unlock()
 	time.Sleep(min(wait, most))
 	return wait <= most
 }
 
-func (s *turns) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *slowDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	down := s.down
 	s.mu.Unlock()
 	switch {
 	case down:
 		<-r.Context().Done()
-	case !s.turn():
+	case !s.waitTurn():
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
 		fmt.Fprint(w, `{"version":6,"full":true,"servers":[{"id":"t","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]}`)
@@ -65,7 +65,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := New(t)
-			s := &turns{}
+			s := &slowDiscovery{}
 			server := httptest.NewServer(s)
 			t.Cleanup(server.Close)
 			t.Cleanup(server.CloseClientConnections)
@@ -81,14 +81,14 @@
 			addrs := FreeAddrs(t, procs)
 			var members []*Proc
 			for i, addr := range addrs {
-				file := r.File(fmt.Sprintf("%d.json", i), fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,%s"settings":{"peersTotal":%d,"tickUs":2000,
+				file := r.WriteFile(fmt.Sprintf("%d.json", i), fmt.Sprintf(`{"name":"n%d","listen":%q,"discovery":%q,%s"settings":{"peersTotal":%d,"tickUs":2000,
 					"registryMode":"on_request","classes":[{"name":"read","promiseUs":100000,"deadlineUs":500000,"effect":"pure","worth":3}],
 					"contracts":[{"name":"base","usualRate":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}}`,
 					i, addr, strings.TrimPrefix(server.URL, "http://"), c.known, all))
 				members = append(members, r.Start(fmt.Sprint("n", i), []string{"PROXY_CONFIG=" + file}, "serve"))
 			}
 			for _, addr := range addrs {
-				r.Until("first ready", ready(addr))
+				r.WaitFor("first ready", ready(addr))
 			}
 			for _, p := range members {
 				p.Kill()
@@ -102,7 +102,7 @@
 				s.mu.Unlock()
 				for range all - procs { // the others, each until it is answered
 					go func() {
-						for !s.turn() {
+						for !s.waitTurn() {
 							time.Sleep(time.Duration(rand.Int64N(int64(4 * time.Second)))) // as these do
 						}
 					}()
--- a/internal/testbed/faults/feed_test.go
+++ b/internal/testbed/faults/stream_test.go
@@ -17,119 +17,119 @@
 )
 
 // fed is a fleet that takes the feed, with targets of which two share a shard, so that one may drain.
-type fed struct {
+type streamFleet struct {
 	*Rig
-	*Feed
-	t       *testing.T
-	targets *Targets
-	all     []*Reader
-	judge   *DrainJudge
-	starts  map[string]int64 // of each target, in ms
-	drained map[string]bool
+	*RelayNetwork
+	t            *testing.T
+	targets      *Targets
+	subscribers  []*Subscriber
+	drainChecker *DrainChecker
+	startedMs    map[string]int64 // of each target, in ms
+	drained      map[string]bool
 }
 
 // sentBefore is how long a request that left before a drain was in force may take to be seen at its target. An initiator that goes on
 // sending does so as long as the target drains.
-const sentBefore = 2 * time.Second
+const inFlightGrace = 2 * time.Second
 
 // newFed starts agents, two relays in each of two regions, targets for four shards and initiators. Discovery goes on to tell that all targets
 // serve as they did when the run began: it lags for good, and says so now and then.
-func newFed(t *testing.T, initiators int) *fed {
+func newStreamFleet(t *testing.T, initiators int) *streamFleet {
 	t.Helper()
 	r := New(t)
-	f := &fed{Rig: r, t: t, targets: r.Targets(8, nil), judge: NewDrainJudge(sentBefore), starts: map[string]int64{}, drained: map[string]bool{}}
-	f.targets.Reached = f.judge.Reached
-	agents := r.Agents(3)
-	f.Feed = r.Feed(agents, 2, "north", "south")
+	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(8, nil), drainChecker: NewDrainChecker(inFlightGrace), startedMs: map[string]int64{}, drained: map[string]bool{}}
+	f.targets.OnRequest = f.drainChecker.RecordRequest
+	agents := r.StartAgents(3)
+	f.RelayNetwork = r.StartRelays(agents, 2, "north", "south")
 	agents.Leader()
 	var puts []watchstream.Put
 	for i, x := range f.targets.All {
 		x.Shard = i % 4
 		x.Started.Store(1000) // long ago
-		f.starts[x.ID] = 1000
-		puts = append(puts, f.entry(x, "SERVING"))
+		f.startedMs[x.ID] = 1000
+		puts = append(puts, f.targetPut(x, "SERVING"))
 	}
 	f.Put(puts...)
 	for i := range initiators {
-		f.all = append(f.all, f.Reader(fmt.Sprint("n", i), f.regions[i%2], InstanceOptions{Targets: f.targets, Peers: initiators}))
+		f.subscribers = append(f.subscribers, f.StartSubscriber(fmt.Sprint("n", i), f.regions[i%2], InstanceOptions{Targets: f.targets, Peers: initiators}))
 	}
-	f.until("all initiators take the feed", 1, f.all)
+	f.waitApplied("all initiators take the feed", 1, f.subscribers)
 	return f
 }
 
 // entry is a target as the feed tells it.
-func (f *fed) entry(x *Target, state string) watchstream.Put {
-	return watchstream.Put{Kind: watchstream.Targets, Key: x.ID, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"cell":%d,"state":%q,"started_ms":%d}`, x.ID, x.Addr, x.Shard, state, f.starts[x.ID])}
+func (f *streamFleet) targetPut(x *Target, state string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Targets, Key: x.ID, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"cell":%d,"state":%q,"started_ms":%d}`, x.ID, x.Addr, x.Shard, state, f.startedMs[x.ID])}
 }
 
 // until waits until these have a version in force, and tells how long that took.
-func (f *fed) until(what string, version uint64, who []*Reader) time.Duration {
+func (f *streamFleet) waitApplied(what string, version uint64, who []*Subscriber) time.Duration {
 	f.t.Helper()
-	return f.Until(what, func() bool {
-		return !slices.ContainsFunc(who, func(n *Reader) bool {
-			says := n.Says()
+	return f.WaitFor(what, func() bool {
+		return !slices.ContainsFunc(who, func(n *Subscriber) bool {
+			says := n.StreamMetrics()
 			return says["in_force.targets"] < int64(version) || says["in_force.config"] < int64(version)
 		})
 	})
 }
 
 // turn drains a target whose partner serves, or has one serve again under another start.
-func (f *fed) turn(rng *rand.Rand) uint64 {
+func (f *streamFleet) toggleDrain(rng *rand.Rand) uint64 {
 	x := f.targets.All[rng.IntN(len(f.targets.All))]
 	partner := f.targets.All[(slices.Index(f.targets.All, x)+4)%8]
 	switch {
 	case f.drained[x.ID]:
-		f.judge.Started(x.ID)
-		f.starts[x.ID] += 1000
+		f.drainChecker.RecordServing(x.ID)
+		f.startedMs[x.ID] += 1000
 		f.drained[x.ID] = false
-		return f.Put(f.entry(x, "SERVING"))
+		return f.Put(f.targetPut(x, "SERVING"))
 	case f.drained[partner.ID]:
-		return f.Put(f.entry(partner, "DRAINING")) // once more: it changes nothing but the version
+		return f.Put(f.targetPut(partner, "DRAINING")) // once more: it changes nothing but the version
 	}
 	f.drained[x.ID] = true
-	version := f.Put(f.entry(x, "DRAINING"))
-	f.judge.Drained(x.ID, version)
+	version := f.Put(f.targetPut(x, "DRAINING"))
+	f.drainChecker.RecordDrain(x.ID, version)
 	return version
 }
 
 // feedEvent is one fault of a run. What lasts ends by itself.
-type feedEvent struct {
-	At, For time.Duration
-	What    string // relay-kill, relay-pause, agent-kill, agent-pause, region-cut, restart and pause (of an initiator)
-	On      int
+type streamFault struct {
+	At, Duration time.Duration
+	Kind         string // relay-kill, relay-pause, agent-kill, agent-pause, region-cut, restart and pause (of an initiator)
+	Index        int
 }
 
 // feedSchedule is faults at random: the same for the same seed and sizes. One agent is hurt and one region cut at a time, at most.
-func feedSchedule(seed uint64, initiators int, length, every time.Duration) []feedEvent {
+func streamFaultSchedule(seed uint64, initiators int, length, every time.Duration) []streamFault {
 	rng := rand.New(rand.NewPCG(seed, 36))
-	var all []feedEvent
+	var all []streamFault
 	free := map[string]time.Duration{}
 	// Each kind comes, however short the run.
 	kinds := []string{"relay-kill", "relay-pause", "agent-kill", "region-cut", "restart", "restart", "pause", "agent-pause", "relay-kill"}
 	for at, i := every, 0; at < length; at, i = at+time.Duration((0.5+rng.Float64())*float64(every)), i+1 {
-		e := feedEvent{At: at, For: time.Duration((0.5 + 4*rng.Float64()) * float64(time.Second)), What: kinds[rng.IntN(len(kinds))]}
+		e := streamFault{At: at, Duration: time.Duration((0.5 + 4*rng.Float64()) * float64(time.Second)), Kind: kinds[rng.IntN(len(kinds))]}
 		if i < len(kinds) {
-			e.What = kinds[i]
+			e.Kind = kinds[i]
 		}
-		on, key := 4, e.What
-		switch what, _, _ := strings.Cut(e.What, "-"); what {
+		on, key := 4, e.Kind
+		switch what, _, _ := strings.Cut(e.Kind, "-"); what {
 		case "agent":
 			on, key = 3, "agent"
 		case "region":
 			on, key = 2, "region"
-			e.For += 2 * time.Second
+			e.Duration += 2 * time.Second
 		case "restart", "pause":
 			on = initiators
 		}
-		if e.On = rng.IntN(on); on == initiators {
-			key = fmt.Sprint("initiator ", e.On)
+		if e.Index = rng.IntN(on); on == initiators {
+			key = fmt.Sprint("initiator ", e.Index)
 		} else if on == 4 {
-			key = fmt.Sprint("relay ", e.On)
+			key = fmt.Sprint("relay ", e.Index)
 		}
 		if at < free[key] {
 			continue
 		}
-		free[key] = at + e.For + 2*time.Second
+		free[key] = at + e.Duration + 2*time.Second
 		all = append(all, e)
 	}
 	return all
@@ -143,22 +143,22 @@
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length = d
 	}
-	seed = seedOf(seed)
+	seed = seedFromEnv(seed)
 	const initiators = 12
-	plan := feedSchedule(seed, initiators, length, 1400*time.Millisecond)
-	require.Equal(t, plan, feedSchedule(seed, initiators, length, 1400*time.Millisecond), "a seed names one schedule")
-	f := newFed(t, initiators)
+	plan := streamFaultSchedule(seed, initiators, length, 1400*time.Millisecond)
+	require.Equal(t, plan, streamFaultSchedule(seed, initiators, length, 1400*time.Millisecond), "a seed names one schedule")
+	f := newStreamFleet(t, initiators)
 	var instances []*Instance
-	for _, n := range f.all {
+	for _, n := range f.subscribers {
 		instances = append(instances, n.Instance)
 	}
-	f.Load(t.Context(), instances, 4)
-	for _, n := range f.all {
-		n.Offer(15)
+	f.StartLoad(t.Context(), instances, 4)
+	for _, n := range f.subscribers {
+		n.SetLoad(15)
 	}
 	var mu sync.Mutex
 	var back, over []string
-	f.Watch(t.Context(), f.all, f.judge, func(what string) {
+	f.PollApplied(t.Context(), f.subscribers, f.drainChecker, func(what string) {
 		mu.Lock()
 		defer mu.Unlock()
 		back = append(back, what)
@@ -173,7 +173,7 @@
 				return
 			case <-time.After(300 * time.Millisecond):
 			}
-			if said, asked := f.overcounted(); asked {
+			if said, asked := f.checkAppliedCount(); asked {
 				mu.Lock()
 				if counted++; said != "" {
 					over = append(over, said)
@@ -192,26 +192,26 @@
 	}
 	var steps []step
 	for _, e := range plan {
-		counts[e.What]++
+		counts[e.Kind]++
 		var begin, end func()
-		switch e.What {
+		switch e.Kind {
 		case "relay-kill":
-			begin, end = f.Relays[e.On].Kill, f.Relays[e.On].Restart
+			begin, end = f.Relays[e.Index].Kill, f.Relays[e.Index].Restart
 		case "relay-pause":
-			begin, end = f.Relays[e.On].Pause, f.Relays[e.On].Resume
+			begin, end = f.Relays[e.Index].Pause, f.Relays[e.Index].Resume
 		case "agent-kill":
-			begin, end = f.Group.Procs[e.On].Kill, f.Group.Procs[e.On].Restart
+			begin, end = f.AgentGroup.Procs[e.Index].Kill, f.AgentGroup.Procs[e.Index].Restart
 		case "agent-pause":
-			begin, end = f.Group.Procs[e.On].Pause, f.Group.Procs[e.On].Resume
+			begin, end = f.AgentGroup.Procs[e.Index].Pause, f.AgentGroup.Procs[e.Index].Resume
 		case "region-cut":
-			begin = func() { f.CutRegion(f.regions[e.On], f.all) }
-			end = func() { f.HealRegion(f.regions[e.On], f.all) }
+			begin = func() { f.CutRegion(f.regions[e.Index], f.subscribers) }
+			end = func() { f.HealRegion(f.regions[e.Index], f.subscribers) }
 		case "restart":
-			begin, end = func() { f.all[e.On].Renew(e.On, f.judge) }, func() {}
+			begin, end = func() { f.subscribers[e.Index].KillAndRestart(e.Index, f.drainChecker) }, func() {}
 		case "pause":
-			begin, end = f.all[e.On].Pause, f.all[e.On].Resume
+			begin, end = f.subscribers[e.Index].Pause, f.subscribers[e.Index].Resume
 		}
-		steps = append(steps, step{e.At, begin}, step{e.At + e.For, end})
+		steps = append(steps, step{e.At, begin}, step{e.At + e.Duration, end})
 	}
 	slices.SortStableFunc(steps, func(a, b step) int { return int(a.at - b.at) })
 	began := time.Now()
@@ -221,35 +221,35 @@
 			steps[0].do()
 			steps = steps[1:]
 		}
-		f.turn(rng)
+		f.toggleDrain(rng)
 		if changes++; changes%5 == 0 {
-			f.targets.Tell()
+			f.targets.RepublishList()
 		}
 	}
-	version := f.Put(f.entry(f.targets.All[0], map[bool]string{true: "DRAINING", false: "SERVING"}[f.drained["t0"]]))
-	took := f.until("all have the last version in force after quiet", version, f.all)
+	version := f.Put(f.targetPut(f.targets.All[0], map[bool]string{true: "DRAINING", false: "SERVING"}[f.drained["t0"]]))
+	took := f.waitApplied("all have the last version in force after quiet", version, f.subscribers)
 	var known watchstream.Status
-	told := f.Until("the fleet's answer is that all have it", func() bool {
-		s, ok := f.status(fmt.Sprint(version))
+	told := f.WaitFor("the fleet's answer is that all have it", func() bool {
+		s, ok := f.versionStatus(fmt.Sprint(version))
 		known = s
 		return ok && s.Applied == initiators
 	})
-	time.Sleep(sentBefore + time.Second) // the drains of now are judged for a while after all have them
+	time.Sleep(inFlightGrace + time.Second) // the drains of now are judged for a while after all have them
 	close(ending)
 	counting.Wait()
 	var served, lost int64
-	for _, n := range f.all {
+	for _, n := range f.subscribers {
 		served += n.Served.Load()
-		lost += n.Lost.Load()
+		lost += n.Unanswered.Load()
 	}
-	f.judge.mu.Lock()
-	held := f.judge.Held
-	f.judge.mu.Unlock()
+	f.drainChecker.mu.Lock()
+	held := f.drainChecker.DrainsApplied
+	f.drainChecker.mu.Unlock()
 	t.Logf("seed %d, %v: %v; %d changes; all at version %d after %v, known after %v more: %+v; %d times a drain was held against an initiator; %d answers on who has what held; %d served, %d asked of a process that was dead or stood still",
 		seed, length, counts, changes, version, took.Round(time.Millisecond), told.Round(time.Millisecond), known, held, counted, served, lost)
 	mu.Lock()
 	defer mu.Unlock()
-	require.Empty(t, f.judge.Broken(), "no first byte goes to a target whose drain is in force")
+	require.Empty(t, f.drainChecker.Violations(), "no first byte goes to a target whose drain is in force")
 	require.Empty(t, back, "no version goes back")
 	require.Empty(t, over, "no answer counts more than have it")
 	require.Positive(t, held)
@@ -260,15 +260,15 @@
 
 // overcounted asks the fleet how many have the latest version in force, and after that each initiator: what it has in force by then it does
 // not lose, but for one that was started again, whose last word counts until it is heard anew, or that can't be asked.
-func (f *fed) overcounted() (said string, asked bool) {
-	s, ok := f.status("latest")
+func (f *streamFleet) checkAppliedCount() (said string, asked bool) {
+	s, ok := f.versionStatus("latest")
 	if !ok {
 		return "", false
 	}
 	have, unsure := 0, 0
-	for _, n := range f.all {
-		says := n.Says()
-		life, up := n.life()
+	for _, n := range f.subscribers {
+		says := n.StreamMetrics()
+		life, up := n.currentGeneration()
 		switch {
 		case says != nil && min(says["in_force.targets"], says["in_force.config"]) >= int64(s.Version):
 			have++
@@ -283,7 +283,7 @@
 }
 
 // layer is one of a configuration.
-func layer(key, value string, args ...any) watchstream.Put {
+func configPut(key, value string, args ...any) watchstream.Put {
 	return watchstream.Put{Kind: watchstream.Config, Key: key, Value: fmt.Appendf(nil, value, args...)}
 }
 
@@ -291,76 +291,79 @@
 // of its field, and known to be; the last good one goes on, also where the process is started again with no relay to ask.
 func TestFeedConfiguration(t *testing.T) {
 	r := New(t)
-	f := &fed{Rig: r, t: t, targets: r.Targets(1, nil), starts: map[string]int64{"t0": 1000}}
-	agents := r.Agents(3)
-	f.Feed = r.Feed(agents, 1, "north")
+	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(1, nil), startedMs: map[string]int64{"t0": 1000}}
+	agents := r.StartAgents(3)
+	f.RelayNetwork = r.StartRelays(agents, 1, "north")
 	agents.Leader()
 	relay := f.Relays[0]
 	for i := range 2 {
-		f.all = append(f.all, f.Layered(fmt.Sprint("n", i), "north"))
+		f.subscribers = append(f.subscribers, f.StartConfigSubscriber(fmt.Sprint("n", i), "north"))
 	}
 	shared := `{"discovery":%q,"settings":{"peersTotal":2,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":1000000,"deadlineUs":2000000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":%d}}}`
-	version := f.Put(f.entry(f.targets.All[0], "SERVING"), layer("shared", shared, f.targets.Discovery, 3), layer("region/north", `{"limits":{"sockets":256}}`),
-		layer("instance/n0", `{"listen":%q,"control":%q}`, f.all[0].Listen, f.all[0].Control), layer("instance/n1", `{"listen":%q,"control":%q}`, f.all[1].Listen, f.all[1].Control))
-	f.until("both serve", version, f.all)
-	r.Load(t.Context(), []*Instance{f.all[0].Instance, f.all[1].Instance}, 1)
-	serves := func(n *Reader) {
+	version := f.Put(f.targetPut(f.targets.All[0], "SERVING"), configPut("shared", shared, f.targets.Discovery, 3), configPut("region/north", `{"limits":{"sockets":256}}`),
+		configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control), configPut("instance/n1", `{"listen":%q,"control":%q}`, f.subscribers[1].Listen, f.subscribers[1].Control))
+	f.waitApplied("both serve", version, f.subscribers)
+	r.StartLoad(t.Context(), []*Instance{f.subscribers[0].Instance, f.subscribers[1].Instance}, 1)
+	serves := func(n *Subscriber) {
 		t.Helper()
 		had := n.Served.Load()
-		f.Until(n.Name+" serves", func() bool { return n.Served.Load() > had+10 })
+		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > had+10 })
 	}
-	for _, n := range f.all {
-		n.Offer(50)
+	for _, n := range f.subscribers {
+		n.SetLoad(50)
 		serves(n)
 	}
-	version = f.Put(layer("shared", shared, f.targets.Discovery, 4))
-	f.until("both have another configuration", version, f.all)
-	for _, n := range f.all {
+	version = f.Put(configPut("shared", shared, f.targets.Discovery, 4))
+	f.waitApplied("both have another configuration", version, f.subscribers)
+	for _, n := range f.subscribers {
 		serves(n)
 		require.Equal(t, 2, strings.Count(n.Log(), "configuration taken"), "%s", n.Log())
-		require.Zero(t, n.Lost.Load(), "the predecessor answers what it took")
-		require.Zero(t, n.Other.Load())
+		require.Zero(t, n.Unanswered.Load(), "the predecessor answers what it took")
+		require.Zero(t, n.OtherStatus.Load())
 	}
 	// What says the same again is no other configuration.
-	version = f.Put(layer("region/north", `{"limits": {"sockets": 256}}`))
-	f.until("both have what is the same", version, f.all)
-	require.Equal(t, 2, strings.Count(f.all[0].Log(), "configuration taken"))
+	version = f.Put(configPut("region/north", `{"limits": {"sockets": 256}}`))
+	f.waitApplied("both have what is the same", version, f.subscribers)
+	require.Equal(t, 2, strings.Count(f.subscribers[0].Log(), "configuration taken"))
 
 	good := version
-	version = f.Put(layer("instance/n0", `{"listen":%q,"control":"nowhere"}`, f.all[0].Listen))
-	f.until("n1 has it", version, f.all[1:])
+	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":"nowhere"}`, f.subscribers[0].Listen))
+	f.waitApplied("n1 has it", version, f.subscribers[1:])
 	turnedDown := func() {
 		t.Helper()
-		f.Until("the fleet knows that n0 has turned it down", func() bool {
-			s, ok := f.status(fmt.Sprint(version))
+		f.WaitFor("the fleet knows that n0 has turned it down", func() bool {
+			s, ok := f.versionStatus(fmt.Sprint(version))
 			return ok && s.Applied == 1 && s.Rejected == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Cause == watchstream.LagRejected &&
 				s.Lagging[0].Rejection != nil && strings.Contains(s.Lagging[0].Rejection.Reason, "control: ")
 		})
 	}
 	turnedDown()
-	says := f.all[0].Says()
+	says := f.subscribers[0].StreamMetrics()
 	require.EqualValues(t, good, says["in_force.config"])
 	require.Positive(t, says["refused.config"])
-	serves(f.all[0])
+	serves(f.subscribers[0])
 
 	relay.Kill()
-	f.all[0].Kill()
-	f.all[0].Restart()
-	serves(f.all[0])
-	require.NotContains(t, f.all[0].Log(), "FEED_NOT_KEPT")
+	f.subscribers[0].Kill()
+	f.subscribers[0].Restart()
+	serves(f.subscribers[0])
+	require.NotContains(t, f.subscribers[0].Log(), "FEED_NOT_KEPT")
 	relay.Restart()
 	turnedDown()
-	serves(f.all[0])
-	version = f.Put(layer("instance/n0", `{"listen":%q,"control":%q}`, f.all[0].Listen, f.all[0].Control))
-	f.until("all have what can be served", version, f.all)
-	f.Until("the fleet knows", func() bool { s, ok := f.status(fmt.Sprint(version)); return ok && s.Applied == 2 && s.Rejected == 0 })
-	serves(f.all[0])
+	serves(f.subscribers[0])
+	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control))
+	f.waitApplied("all have what can be served", version, f.subscribers)
+	f.WaitFor("the fleet knows", func() bool {
+		s, ok := f.versionStatus(fmt.Sprint(version))
+		return ok && s.Applied == 2 && s.Rejected == 0
+	})
+	serves(f.subscribers[0])
 }
 
 // status is what the fleet knows of a version.
-func (f *fed) status(version string) (s watchstream.Status, ok bool) {
-	for _, a := range f.Group.API {
+func (f *streamFleet) versionStatus(version string) (s watchstream.Status, ok bool) {
+	for _, a := range f.AgentGroup.API {
 		resp, err := f.client.Get("http://" + a + "/v1/feed/versions/" + version)
 		if err != nil {
 			continue
--- a/internal/testbed/faults/judge.go
+++ b/internal/testbed/faults/targets.go
@@ -13,32 +13,32 @@
 
 // Judge counts by itself what reaches all stand-in targets, and knows nothing of parts: of a rate, how far any window went beyond
 // it; of connections, how many were ever open at one target.
-type Judge struct {
-	mu      sync.Mutex
-	began   time.Time
-	rates   map[string]*bucket
-	seen    map[string]int // attempts by request
-	reached [][3]int64     // by tenths of a second: all, repeats, at cold targets
+type TrafficMonitor struct {
+	mu       sync.Mutex
+	began    time.Time
+	limits   map[string]*leakyBucket
+	attempts map[string]int // attempts by request
+	arrivals [][3]int64     // by tenths of a second: all, repeats, at cold targets
 }
 
 // bucket takes what arrives and empties at the rate: its level is the most by which a window that ends now is over it.
-type bucket struct {
-	rate, level, worst float64
-	at                 time.Time
+type leakyBucket struct {
+	rate, level, maxLevel float64
+	at                    time.Time
 }
 
-func (b *bucket) arrive(now time.Time, units float64) {
+func (b *leakyBucket) add(now time.Time, units float64) {
 	b.level = max(0, b.level-b.rate*now.Sub(b.at).Seconds()) + units
-	b.at, b.worst = now, max(b.worst, b.level)
+	b.at, b.maxLevel = now, max(b.maxLevel, b.level)
 }
 
 // Targets is the stand-in targets, and the service that lists them.
 type Targets struct {
 	rig       *Rig
-	Judge     *Judge
+	Monitor   *TrafficMonitor
 	All       []*Target
 	Discovery string
-	Reached   func(t *Target, request string) // told of each request that reaches a target; nil: nobody asks. Set before any comes
+	OnRequest func(t *Target, request string) // told of each request that reaches a target; nil: nobody asks. Set before any comes
 	mu        sync.Mutex
 	version   int
 	changed   chan struct{}
@@ -46,32 +46,32 @@
 
 // Target is one stand-in.
 type Target struct {
-	ID, Addr string
-	Shard    int
-	Started  atomic.Int64 // Unix ms; 0: long ago
-	Spoils   atomic.Int64 // answers each so manieth with an error; 0: none
-	Takes    atomic.Int64 // ns for each request
-	Ill      atomic.Bool  // asked for its health, it says that it is not well
-	Probed   atomic.Int64 // how often it was asked for it
-	all      atomic.Int64 // requests, health calls not among them
-	asked    atomic.Int64
-	conns    atomic.Int64
-	most     atomic.Int64
+	ID, Addr       string
+	Shard          int
+	Started        atomic.Int64 // Unix ms; 0: long ago
+	FailEvery      atomic.Int64 // answers each so manieth with an error; 0: none
+	ServiceTime    atomic.Int64 // ns for each request
+	Unhealthy      atomic.Bool  // asked for its health, it says that it is not well
+	HealthChecks   atomic.Int64 // how often it was asked for it
+	requests       atomic.Int64 // requests, health calls not among them
+	failCandidates atomic.Int64
+	openConns      atomic.Int64
+	maxConns       atomic.Int64
 }
 
 // Targets starts n targets, each with a shard of its own. Rates are what the judge holds all of them against, in units a second,
 // by the names work, repeat and cold; cold counts for each target alone.
-func (r *Rig) Targets(n int, rates map[string]float64) *Targets {
+func (r *Rig) StartTargets(n int, rates map[string]float64) *Targets {
 	g := &Targets{rig: r, version: 1, changed: make(chan struct{}),
-		Judge: &Judge{began: time.Now(), rates: map[string]*bucket{}, seen: map[string]int{}}}
+		Monitor: &TrafficMonitor{began: time.Now(), limits: map[string]*leakyBucket{}, attempts: map[string]int{}}}
 	for name, rate := range rates {
 		if name == "cold" {
 			for i := range n {
-				g.Judge.rates[fmt.Sprint("cold.t", i)] = &bucket{rate: rate}
+				g.Monitor.limits[fmt.Sprint("cold.t", i)] = &leakyBucket{rate: rate}
 			}
 			continue
 		}
-		g.Judge.rates[name] = &bucket{rate: rate}
+		g.Monitor.limits[name] = &leakyBucket{rate: rate}
 	}
 	for i := range n {
 		t := &Target{ID: fmt.Sprint("t", i), Shard: i}
@@ -79,11 +79,11 @@
 		s.Config.ConnState = func(_ net.Conn, state http.ConnState) {
 			switch state {
 			case http.StateNew:
-				n := t.conns.Add(1)
-				for most := t.most.Load(); n > most && !t.most.CompareAndSwap(most, n); most = t.most.Load() {
+				n := t.openConns.Add(1)
+				for most := t.maxConns.Load(); n > most && !t.maxConns.CompareAndSwap(most, n); most = t.maxConns.Load() {
 				}
 			case http.StateClosed, http.StateHijacked:
-				t.conns.Add(-1)
+				t.openConns.Add(-1)
 			}
 		}
 		s.Start()
@@ -91,7 +91,7 @@
 		t.Addr = strings.TrimPrefix(s.URL, "http://")
 		g.All = append(g.All, t)
 	}
-	list := httptest.NewServer(http.HandlerFunc(g.list))
+	list := httptest.NewServer(http.HandlerFunc(g.serveList))
 	r.T.Cleanup(func() {
 		list.CloseClientConnections()
 		list.Close()
@@ -100,7 +100,7 @@
 	return g
 }
 
-func (g *Targets) list(w http.ResponseWriter, q *http.Request) {
+func (g *Targets) serveList(w http.ResponseWriter, q *http.Request) {
 	g.mu.Lock()
 	version, changed := g.version, g.changed
 	g.mu.Unlock()
@@ -122,13 +122,13 @@
 }
 
 // Restarted has the list tell that a target has started at that moment: it is cold.
-func (g *Targets) Restarted(t *Target) {
+func (g *Targets) MarkRestarted(t *Target) {
 	t.Started.Store(time.Now().UnixMilli())
-	g.Tell()
+	g.RepublishList()
 }
 
 // Tell has the list told again, as it is.
-func (g *Targets) Tell() {
+func (g *Targets) RepublishList() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.version++
@@ -137,26 +137,26 @@
 }
 
 func (g *Targets) serve(t *Target, w http.ResponseWriter, q *http.Request) {
-	now, j := time.Now(), g.Judge
+	now, j := time.Now(), g.Monitor
 	if q.URL.Path == "/-/healthy" {
-		t.Probed.Add(1)
-		if t.Ill.Load() {
+		t.HealthChecks.Add(1)
+		if t.Unhealthy.Load() {
 			http.Error(w, "not well", http.StatusServiceUnavailable)
 		}
 		return
 	}
-	t.all.Add(1)
-	if g.Reached != nil {
-		g.Reached(t, q.Header.Get("Request-Id"))
+	t.requests.Add(1)
+	if g.OnRequest != nil {
+		g.OnRequest(t, q.Header.Get("Request-Id"))
 	}
 	cold := t.Started.Load() > 0
 	j.mu.Lock()
 	id := q.Header.Get("Request-Id")
-	j.seen[id]++
-	repeat := j.seen[id] > 1
+	j.attempts[id]++
+	repeat := j.attempts[id] > 1
 	at := int(now.Sub(j.began) / (100 * time.Millisecond))
-	for len(j.reached) <= at {
-		j.reached = append(j.reached, [3]int64{})
+	for len(j.arrivals) <= at {
+		j.arrivals = append(j.arrivals, [3]int64{})
 	}
 	for i, x := range []struct {
 		name string
@@ -165,14 +165,14 @@
 		if !x.is {
 			continue
 		}
-		j.reached[at][i]++
-		if b := j.rates[x.name]; b != nil {
-			b.arrive(now, 1)
+		j.arrivals[at][i]++
+		if b := j.limits[x.name]; b != nil {
+			b.add(now, 1)
 		}
 	}
 	j.mu.Unlock()
-	time.Sleep(time.Duration(t.Takes.Load()))
-	if n := t.Spoils.Load(); n > 0 && t.asked.Add(1)%n == 0 {
+	time.Sleep(time.Duration(t.ServiceTime.Load()))
+	if n := t.FailEvery.Load(); n > 0 && t.failCandidates.Add(1)%n == 0 {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
@@ -180,20 +180,20 @@
 }
 
 // Worst is by how much any window so far was over the rate of that name.
-func (j *Judge) Worst(name string) float64 {
+func (j *TrafficMonitor) MaxExcess(name string) float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.rates[name].worst
+	return j.limits[name].maxLevel
 }
 
 // Rate is what arrived a second, over the last whole tenths of a second: all, repeats, at cold targets.
-func (j *Judge) Rate(over time.Duration) (rate [3]float64) {
+func (j *TrafficMonitor) Rate(over time.Duration) (rate [3]float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	to := int(time.Since(j.began) / (100 * time.Millisecond))
 	from := max(0, to-int(over/(100*time.Millisecond)))
-	for at := from; at < min(to, len(j.reached)); at++ {
-		for i, n := range j.reached[at] {
+	for at := from; at < min(to, len(j.arrivals)); at++ {
+		for i, n := range j.arrivals[at] {
 			rate[i] += float64(n) / over.Seconds()
 		}
 	}
@@ -201,9 +201,9 @@
 }
 
 // MostConns is how many connections were ever open at one target at a time.
-func (g *Targets) MostConns() (most int64) {
+func (g *Targets) MaxConns() (most int64) {
 	for _, t := range g.All {
-		most = max(most, t.most.Load())
+		most = max(most, t.maxConns.Load())
 	}
 	return most
 }
--- a/internal/testbed/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -18,14 +18,14 @@
 )
 
 // newTasked starts agents, targets and members that run the tasks of a file.
-func newTasked(t *testing.T, members, targets int, file, runs string, more func(i int) string) *drilled {
+func newTaskFleet(t *testing.T, members, targets int, file, runs string, more func(i int) string) *leaseFleet {
 	t.Helper()
 	r := New(t)
-	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(targets, nil)}}
+	d := &leaseFleet{fleet: &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(targets, nil)}}
 	d.agents.Leader()
-	d.run("budget", "set", r.File("seats.toml", leaseSeats))
+	d.mustRun("budget", "set", r.WriteFile("seats.toml", leaseQuotaHeader))
 	if file != "" {
-		d.run("lease", "set", r.File("tasks.toml", file))
+		d.mustRun("lease", "set", r.WriteFile("tasks.toml", file))
 	}
 	for i := range members {
 		uses := "uses = []\n"
@@ -35,12 +35,12 @@
 		if more != nil {
 			uses += more(i)
 		}
-		d.all = append(d.all, r.Instance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, Uses: uses}, 0))
+		d.instances = append(d.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, FleetTOML: uses}, 0))
 	}
-	for _, n := range d.all {
-		d.Until(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
+	for _, n := range d.instances {
+		d.WaitFor(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
 	}
-	r.Load(t.Context(), d.all, targets)
+	r.StartLoad(t.Context(), d.instances, targets)
 	return d
 }
 
@@ -50,15 +50,15 @@
 // when it is well again.
 func TestWatching(t *testing.T) {
 	t.Parallel()
-	d := newTasked(t, 4, 2, watchTask, `"watch"`, nil)
+	d := newTaskFleet(t, 4, 2, watchTask, `"watch"`, nil)
 	bad := d.targets.All[1]
-	for _, n := range d.all {
-		n.Offer(12)
+	for _, n := range d.instances {
+		n.SetLoad(12)
 	}
-	bad.Spoils.Store(1)
-	bad.Ill.Store(true)
+	bad.FailEvery.Store(1)
+	bad.Unhealthy.Store(true)
 	board := func() (by int, well, found bool, token uint64) {
-		out, _, _ := d.Run("lease", "show", "watch", "--json", "--agents", d.agents.List())
+		out, _, _ := d.Run("lease", "show", "watch", "--json", "--agents", d.agents.AddrList())
 		var s struct {
 			Leases []lessor.LeaseStatus
 			Board  []struct {
@@ -84,27 +84,27 @@
 		return
 	}
 	var token uint64
-	d.Until("members avoid it, and one has tried it", func() bool {
+	d.WaitFor("members avoid it, and one has tried it", func() bool {
 		by, well, found, by1 := board()
 		token = by1
 		return by >= 2 && found && !well
 	})
-	before := bad.Probed.Load()
+	before := bad.HealthChecks.Load()
 	time.Sleep(3 * time.Second)
 	// An act begins each 300 ms at the soonest; the board may lose a member that avoids it no more for a moment.
-	tries := bad.Probed.Load() - before
+	tries := bad.HealthChecks.Load() - before
 	t.Logf("%d tries in 3 s by one for all", tries)
 	if tries < 1 || tries > 13 {
 		t.Errorf("%d tries in 3 s, wanted at most one each 0.3 s of the whole fleet", tries)
 	}
 	var holder *Instance
-	out := d.run("lease", "show", "watch", "--json")
+	out := d.mustRun("lease", "show", "watch", "--json")
 	var s struct{ Leases []lessor.LeaseStatus }
 	if err := json.Unmarshal([]byte(out), &s); err != nil {
 		t.Fatal(err)
 	}
 	for _, l := range s.Leases {
-		for _, n := range d.all {
+		for _, n := range d.instances {
 			if l.Token == token && n.Name == l.HolderName {
 				holder = n
 			}
@@ -114,12 +114,14 @@
 		t.Fatalf("nobody holds token %d: %s", token, out)
 	}
 	holder.Kill()
-	d.Until("another tries it", func() bool { _, _, found, next := board(); return found && next > token })
-	bad.Ill.Store(false)
-	bad.Spoils.Store(0)
-	d.Until("all know that it is well", func() bool { by, well, _, _ := board(); return by == 0 || well })
-	served := bad.asked.Load()
-	d.Until("it is asked again", func() bool { return bad.asked.Load() > served+20 || d.targets.Judge.Rate(time.Second)[0] > 20 })
+	d.WaitFor("another tries it", func() bool { _, _, found, next := board(); return found && next > token })
+	bad.Unhealthy.Store(false)
+	bad.FailEvery.Store(0)
+	d.WaitFor("all know that it is well", func() bool { by, well, _, _ := board(); return by == 0 || well })
+	served := bad.failCandidates.Load()
+	d.WaitFor("it is asked again", func() bool {
+		return bad.failCandidates.Load() > served+20 || d.targets.Monitor.Rate(time.Second)[0] > 20
+	})
 }
 
 const accountTask = "[[task]]\nname = \"account\"\nkind = \"account\"\nlease_ms = 1500\nact_ms = 700\nevery_ms = 200\nprogress_ms = 4000\nwindow_s = 2\ndir = %q\n"
@@ -130,13 +132,13 @@
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "reports")
 	listens := FreeAddrs(t, 3)
-	d := newTasked(t, 3, 1, fmt.Sprintf(accountTask, dir), `"account"`, func(i int) string {
+	d := newTaskFleet(t, 3, 1, fmt.Sprintf(accountTask, dir), `"account"`, func(i int) string {
 		if i == 2 {
 			return "" // it keeps no accounts
 		}
 		return fmt.Sprintf("[accounts]\nlisten = %q\nwindow_s = 2\n", listens[i])
 	})
-	d.offer(20)
+	d.setLoad(20)
 	reports := func() []leasework.ReportWindow {
 		all, err := leasework.Reports(dir)
 		if err != nil && !os.IsNotExist(err) && !strings.Contains(err.Error(), "no report") {
@@ -144,28 +146,28 @@
 		}
 		return all
 	}
-	d.Until("the first report", func() bool { return len(reports()) > 0 })
+	d.WaitFor("the first report", func() bool { return len(reports()) > 0 })
 	struck := 0
 	for i, step := range []string{"account.begun", "account.asked", "account.written", "account.synced", "place.link", "account.committed"} {
 		had := len(reports())
 		what := []string{"stop", "kill"}[i%2]
-		for _, n := range d.all {
-			n.Aim(step, what)
+		for _, n := range d.instances {
+			n.ArmFailpoint(step, what)
 		}
 		var hit *Instance
-		d.Until("the holder comes to "+step, func() bool {
-			for _, n := range d.all {
-				if n.Struck(step) {
+		d.WaitFor("the holder comes to "+step, func() bool {
+			for _, n := range d.instances {
+				if n.FailpointHit(step) {
 					hit = n
 				}
 			}
 			return hit != nil
 		})
 		struck++
-		for _, n := range d.all {
-			n.Unaim(step)
+		for _, n := range d.instances {
+			n.DisarmFailpoint(step)
 		}
-		d.Until(fmt.Sprintf("%s at %s: another writes on", what, step), func() bool { return len(reports()) >= min(had+2, 1000) })
+		d.WaitFor(fmt.Sprintf("%s at %s: another writes on", what, step), func() bool { return len(reports()) >= min(had+2, 1000) })
 		if what == "kill" {
 			hit.Restart()
 		} else {
@@ -218,11 +220,11 @@
 // TestLeaseCommands has commands and files refused, each by one message that names the field, and nothing done.
 func TestLeaseCommands(t *testing.T) {
 	t.Parallel()
-	d := newDrill(t, 2, 2)
+	d := newLeaseFleet(t, 2, 2)
 	before := d.leases()
-	task := d.file()
-	agents := []string{"--agents", d.agents.List()}
-	budgets := d.File("seats2.toml", leaseSeats)
+	task := d.taskFile()
+	agents := []string{"--agents", d.agents.AddrList()}
+	budgets := d.WriteFile("seats2.toml", leaseQuotaHeader)
 	for _, c := range []struct {
 		what, file string
 		args       []string
@@ -247,7 +249,7 @@
 		{"progress too short", strings.Replace(task, "progress_ms = 3000", "progress_ms = 300", 1), []string{"lease", "check", "FILE"}, "task[0].progress_ms: 300 is shorter", 1},
 		{"no agent", "", []string{"lease", "release", "drill", "0", "--agents", "127.0.0.1:1"}, "agent 127.0.0.1:1", 4},
 	} {
-		path := d.File("bad.toml", c.file)
+		path := d.WriteFile("bad.toml", c.file)
 		for i, a := range c.args {
 			if a == "FILE" {
 				c.args[i] = path
@@ -264,8 +266,8 @@
 		}
 	}
 	// Off: everything is given back, and then the task may be changed.
-	d.run("lease", "set", d.File("off.toml", task+"off = true\n"))
-	d.Until("nothing is held", func() bool {
+	d.mustRun("lease", "set", d.WriteFile("off.toml", task+"off = true\n"))
+	d.WaitFor("nothing is held", func() bool {
 		for _, l := range d.leases() {
 			if l.State != "off" {
 				return false
@@ -273,10 +275,10 @@
 		}
 		return true
 	})
-	d.run("lease", "set", d.File("three.toml", strings.Replace(task, "shards = 2", "shards = 3", 1)))
+	d.mustRun("lease", "set", d.WriteFile("three.toml", strings.Replace(task, "shards = 2", "shards = 3", 1)))
 	d.task.Shards = 3
-	d.even("three shards are held", 2)
-	out := d.run("lease", "list")
+	d.waitBalanced("three shards are held", 2)
+	out := d.mustRun("lease", "list")
 	if !strings.Contains(out, "drill") || !strings.Contains(out, "1.5s") {
 		t.Errorf("lease list: %s", out)
 	}
@@ -290,7 +292,7 @@
 	for _, p := range d.agents.Procs {
 		p.Resume()
 	}
-	d.judge()
+	d.checkWitness()
 }
 
 // TestMeasureWatching measures tries at a target that is avoided and the time to know that it is well again, one for all against each for
@@ -300,24 +302,24 @@
 		t.Skip("by hand")
 	}
 	for _, file := range []string{"", watchTask} {
-		d := newTasked(t, 10, 2, file, `"watch"`, nil)
+		d := newTaskFleet(t, 10, 2, file, `"watch"`, nil)
 		bad := d.targets.All[1]
-		d.offer(8)
+		d.setLoad(8)
 		time.Sleep(2 * time.Second)
-		bad.Takes.Store(int64(3 * time.Second)) // it stands still, its health call too
-		bad.Ill.Store(true)
+		bad.ServiceTime.Store(int64(3 * time.Second)) // it stands still, its health call too
+		bad.Unhealthy.Store(true)
 		time.Sleep(6 * time.Second)
-		asked, probed := bad.all.Load(), bad.Probed.Load()
+		asked, probed := bad.requests.Load(), bad.HealthChecks.Load()
 		time.Sleep(10 * time.Second)
-		asked, probed = bad.all.Load()-asked, bad.Probed.Load()-probed
-		bad.Takes.Store(0)
-		bad.Ill.Store(false)
+		asked, probed = bad.requests.Load()-asked, bad.HealthChecks.Load()-probed
+		bad.ServiceTime.Store(0)
+		bad.Unhealthy.Store(false)
 		began := time.Now()
 		known := map[string]time.Duration{}
 		ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
-		for len(known) < len(d.all) && ctx.Err() == nil {
-			for _, n := range d.all {
-				if _, knows := known[n.Name]; !knows && avoided(n) == 0 {
+		for len(known) < len(d.instances) && ctx.Err() == nil {
+			for _, n := range d.instances {
+				if _, knows := known[n.Name]; !knows && ejectedTargets(n) == 0 {
 					known[n.Name] = time.Since(began)
 				}
 			}
@@ -328,14 +330,14 @@
 			sum, most = sum+k, max(most, k)
 		}
 		t.Logf("one for all %v: while it stood still %.1f requests and %.1f tries a second reached it; well again, %d of %d knew after %v on average, %v at most",
-			file != "", float64(asked)/10, float64(probed)/10, len(known), len(d.all), sum/time.Duration(max(1, len(known))), most)
-		for _, p := range append(d.agents.Procs, procs(d.all)...) {
+			file != "", float64(asked)/10, float64(probed)/10, len(known), len(d.instances), sum/time.Duration(max(1, len(known))), most)
+		for _, p := range append(d.agents.Procs, instanceProcs(d.instances)...) {
 			p.Kill()
 		}
 	}
 }
 
-func procs(all []*Instance) (p []*Proc) {
+func instanceProcs(all []*Instance) (p []*Proc) {
 	for _, n := range all {
 		p = append(p, n.Proc)
 	}
@@ -343,9 +345,9 @@
 }
 
 // avoided is how many targets an instance avoids, by its own numbers; -1 where it does not tell.
-func avoided(n *Instance) int {
+func ejectedTargets(n *Instance) int {
 	var k int
-	for line := range strings.Lines(n.Figures()) {
+	for line := range strings.Lines(n.Metrics()) {
 		if _, after, found := strings.Cut(line, "targets_disabled:"); found {
 			_, _ = fmt.Sscanf(after, "%d", &k)
 			return k
--- a/internal/testbed/faults/witness.go
+++ b/internal/testbed/faults/witness.go
@@ -26,18 +26,18 @@
 	Addr  string
 	began time.Time
 	mu    sync.Mutex
-	calls map[string]*witnessed
+	calls map[string]*observedCall
 }
 
-type witnessed struct {
+type observedCall struct {
 	leasework.DrillNotice
 	call, end time.Duration // end 0: it has not returned
 }
 
 // Witness starts one.
-func (r *Rig) Witness() *Witness {
-	w := &Witness{began: time.Now(), calls: map[string]*witnessed{}}
-	s := httptest.NewServer(http.HandlerFunc(w.note))
+func (r *Rig) StartWitness() *Witness {
+	w := &Witness{began: time.Now(), calls: map[string]*observedCall{}}
+	s := httptest.NewServer(http.HandlerFunc(w.handleNotice))
 	r.T.Cleanup(func() {
 		s.CloseClientConnections()
 		s.Close()
@@ -46,7 +46,7 @@
 	return w
 }
 
-func (w *Witness) note(_ http.ResponseWriter, q *http.Request) {
+func (w *Witness) handleNotice(_ http.ResponseWriter, q *http.Request) {
 	at := time.Since(w.began)
 	var n leasework.DrillNotice
 	if json.NewDecoder(q.Body).Decode(&n) != nil {
@@ -58,47 +58,47 @@
 	id := fmt.Sprintf("%s/%d", n.ID, n.Token)
 	switch c := w.calls[id]; {
 	case c == nil && !n.Return:
-		w.calls[id] = &witnessed{DrillNotice: n, call: at}
+		w.calls[id] = &observedCall{DrillNotice: n, call: at}
 	case c != nil && n.Return:
 		c.DrillNotice, c.end = n, at
 	}
 }
 
 // Seen is what a witness and the places together have of a run.
-type Seen struct {
-	Calls, Taken, Refused, Unknown int
-	Tokens                         int // that acts began under: hand-overs, and the first of each shard
-	Acts                           int // whose end was taken
+type WitnessSummary struct {
+	Calls, Accepted, Rejected, Unknown int
+	Tokens                             int // that acts began under: hand-overs, and the first of each shard
+	Operations                         int // whose end was taken
 }
 
-func (s Seen) String() string {
-	return fmt.Sprintf("%d calls of places, %d taken, %d refused, %d of which nobody heard; %d acts ended under %d tokens", s.Calls, s.Taken, s.Refused, s.Unknown, s.Acts, s.Tokens)
+func (s WitnessSummary) String() string {
+	return fmt.Sprintf("%d calls of places, %d taken, %d refused, %d of which nobody heard; %d acts ended under %d tokens", s.Calls, s.Accepted, s.Rejected, s.Unknown, s.Operations, s.Tokens)
 }
 
 // input and output of a call, for the model of a place.
-type input struct {
-	op         string
-	token, act uint64
+type guardInput struct {
+	step             string
+	token, operation uint64
 }
 
 // placeModel is a guarded place as it has to be: acts one after the other, in the order of their tokens. It is written from
 // the promise, not from the code that keeps it.
-var placeModel = porcupine.Model{
+var guardModel = porcupine.Model{
 	Init: func() any { return [3]uint64{} }, // the newest token and act begun; 1 while the act is under way
 	Step: func(state, in, out any) (bool, any) {
-		s, i := state.([3]uint64), in.(input)
-		mine := s[0] == i.token && s[1] == i.act && s[2] == 1
-		newer := i.token > s[0] || i.token == s[0] && i.act > s[1]
+		s, i := state.([3]uint64), in.(guardInput)
+		mine := s[0] == i.token && s[1] == i.operation && s[2] == 1
+		newer := i.token > s[0] || i.token == s[0] && i.operation > s[1]
 		can := mine
-		if i.op == "begin" {
+		if i.step == "begin" {
 			can = newer
 		}
 		next := s
 		switch {
 		case !can:
-		case i.op == "begin":
-			next = [3]uint64{i.token, i.act, 1}
-		case i.op == "end":
+		case i.step == "begin":
+			next = [3]uint64{i.token, i.operation, 1}
+		case i.step == "end":
 			next[2] = 0
 		}
 		switch out.(string) {
@@ -111,14 +111,14 @@
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(in, out any) string {
-		i := in.(input)
-		return fmt.Sprintf("%s %d.%d %v", i.op, i.token, i.act, out)
+		i := in.(guardInput)
+		return fmt.Sprintf("%s %d.%d %v", i.step, i.token, i.operation, out)
 	},
 }
 
 // Judge holds all that was witnessed of a task against the promise: for each shard the calls have to be linearizable as a guarded place, and
 // what the place itself wrote down has to be in order. What is wrong is an error that names the shard.
-func (w *Witness) Judge(task lease.Task) (seen Seen, err error) {
+func (w *Witness) Check(task lease.Task) (seen WitnessSummary, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	shards := map[int][]porcupine.Operation{}
@@ -151,19 +151,19 @@
 		case out == "unknown":
 			seen.Unknown++
 		case c.Accepted:
-			seen.Taken++
+			seen.Accepted++
 			if tokens[c.Token] = true; c.Step == "end" {
-				seen.Acts++
+				seen.Operations++
 			}
 		default:
-			seen.Refused++
+			seen.Rejected++
 		}
-		shards[c.Shard] = append(shards[c.Shard], porcupine.Operation{ClientId: members[c.Member], Input: input{c.Step, c.Token, c.Operation}, Call: int64(c.call), Output: out, Return: int64(end)})
+		shards[c.Shard] = append(shards[c.Shard], porcupine.Operation{ClientId: members[c.Member], Input: guardInput{c.Step, c.Token, c.Operation}, Call: int64(c.call), Output: out, Return: int64(end)})
 	}
 	seen.Tokens = len(tokens)
 	for shard, history := range shards {
 		slices.SortFunc(history, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
-		if got := porcupine.CheckOperationsTimeout(placeModel, history, time.Minute); got != porcupine.Ok {
+		if got := porcupine.CheckOperationsTimeout(guardModel, history, time.Minute); got != porcupine.Ok {
 			return seen, fmt.Errorf("shard %d: %d calls are not those of acts one after the other: %s", shard, len(history), got)
 		}
 	}
@@ -172,7 +172,7 @@
 		if err != nil {
 			return seen, err
 		}
-		if err := inOrder(s.Last); err != nil {
+		if err := checkLogOrder(s.Last); err != nil {
 			return seen, fmt.Errorf("shard %d, by its own word: %w", shard, err)
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // inOrder holds what a place wrote down against the promise.
-func inOrder(all []leasework.DrillEntry) error {
+func checkLogOrder(all []leasework.DrillEntry) error {
 	var p fencing.Guard
 	for i, e := range all {
 		if !e.Accepted {
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -12,21 +12,21 @@
 // They are below those that the kernel gives to whoever names none: one of these, once let go, may be a connection's by the time a process
 // listens there.
 const (
-	first = 10_000
-	many  = 20_000
+	firstPort = 10_000
+	portCount = 20_000
 )
 
 // next is the next port to try: each is given out once.
-var next atomic.Int64
+var nextPort atomic.Int64
 
 // Free returns so many addresses that nobody listens at, by TCP or UDP.
 func Free(n int) (addrs []string, err error) {
-	next.CompareAndSwap(0, int64(os.Getpid())*131) // other processes look as well
-	for range many {
+	nextPort.CompareAndSwap(0, int64(os.Getpid())*131) // other processes look as well
+	for range portCount {
 		if len(addrs) == n {
 			return addrs, nil
 		}
-		addr := fmt.Sprint("127.0.0.1:", first+next.Add(1)%many)
+		addr := fmt.Sprint("127.0.0.1:", firstPort+nextPort.Add(1)%portCount)
 		l, err := net.Listen("tcp", addr)
 		if err != nil {
 			continue
--- a/internal/testbed/scale/hollow/checker_test.go
+++ b/internal/testbed/scale/hollow/checker_test.go
@@ -103,5 +103,5 @@
 	}
 	n, what := j.Violations()
 	require.Equal(t, 100, n)
-	require.Len(t, what, mostBroken)
+	require.Len(t, what, maxViolationTexts)
 }
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -35,14 +35,14 @@
 
 // Initiator is one hollow initiator.
 type Initiator struct {
-	Checker *Checker
-	opt     Options
-	life    sync.Mutex // held while it starts or stops
-	mu      sync.Mutex // of stop and feed
-	stop    context.CancelFunc
-	all     sync.WaitGroup
-	peers   *transport.Runner
-	feed    follower
+	Checker     *Checker
+	opt         Options
+	lifecycleMu sync.Mutex // held while it starts or stops
+	mu          sync.Mutex // of stop and feed
+	stop        context.CancelFunc
+	running     sync.WaitGroup
+	membership  *transport.Runner
+	feed        streamState
 }
 
 // New returns an initiator that does nothing yet.
@@ -60,17 +60,17 @@
 
 // Start starts its parts.
 func (in *Initiator) Start() error {
-	in.life.Lock()
-	defer in.life.Unlock()
+	in.lifecycleMu.Lock()
+	defer in.lifecycleMu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	var m *module
+	var m *policyLoop
 	if in.opt.Policy != nil {
 		var err error
-		if m, err = newModule(*in.opt.Policy, in.opt.Seed, in.Checker); err != nil {
+		if m, err = newPolicyLoop(*in.opt.Policy, in.opt.Seed, in.Checker); err != nil {
 			stop()
 			return err
 		}
-		in.all.Go(func() { m.run(ctx) })
+		in.running.Go(func() { m.run(ctx) })
 	}
 	if in.opt.Members != nil {
 		p, err := transport.New(*in.opt.Members)
@@ -79,30 +79,30 @@
 		}
 		if err != nil {
 			stop()
-			in.all.Wait()
+			in.running.Wait()
 			return err
 		}
-		in.peers = p
+		in.membership = p
 	}
 	if in.opt.Feed != nil {
-		run, err := in.follow(m)
+		run, err := in.newFollower(m)
 		if err != nil {
 			stop()
-			in.all.Wait()
+			in.running.Wait()
 			return err
 		}
-		in.all.Go(func() { run(ctx) })
+		in.running.Go(func() { run(ctx) })
 	}
 	in.mu.Lock()
 	in.stop = stop
 	in.mu.Unlock()
 	if in.opt.Discovery != "" {
-		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.LastKnown, Initiators: in.opt.Initiators, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
-		in.all.Go(func() { w.Run(ctx) })
+		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.LastKnown, Initiators: in.opt.Initiators, Seed: in.opt.Seed, Log: in.opt.Log}, in.applyList(m))
+		in.running.Go(func() { w.Run(ctx) })
 	}
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
-		in.all.Go(func() {
+		in.running.Go(func() {
 			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Checker.RecordApplied(Config, e.Version, monotone.Now()) })
 		})
 	}
@@ -110,11 +110,11 @@
 }
 
 // lists takes lists over: the module, where there is one, steps each before it counts as in force.
-func (in *Initiator) lists(m *module) func(*listing.List) {
+func (in *Initiator) applyList(m *policyLoop) func(*listing.List) {
 	return func(l *listing.List) {
 		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotone.Now()) }
 		if m != nil {
-			m.list(l, done)
+			m.enqueue(l, done)
 			return
 		}
 		in.Checker.RecordTargets(l.Targets)
@@ -124,24 +124,24 @@
 
 // Stop ends its parts, without a word to others where abrupt.
 func (in *Initiator) Stop(abrupt bool) {
-	in.life.Lock()
-	defer in.life.Unlock()
+	in.lifecycleMu.Lock()
+	defer in.lifecycleMu.Unlock()
 	if !in.Running() {
 		return
 	}
-	if in.peers != nil {
+	if in.membership != nil {
 		ctx, done := context.WithCancel(context.Background())
 		if abrupt {
 			done()
 		}
-		_ = in.peers.Stop(ctx)
+		_ = in.membership.Stop(ctx)
 		done()
-		in.peers = nil
+		in.membership = nil
 	}
 	in.stop()
-	in.all.Wait()
+	in.running.Wait()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.feed.end()
+	in.feed.endLife()
 	in.stop = nil
 }
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -23,10 +23,10 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
 // set is the least that a module takes.
-func set(t *testing.T) policy.Settings {
+func testSettings(t *testing.T) policy.Settings {
 	t.Helper()
 	var o config.PlatformSettings
 	require.NoError(t, json.Unmarshal([]byte(`{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,"effect":"pure","worth":3}],
@@ -92,7 +92,7 @@
 	return s, strings.TrimPrefix(front.URL, "http://")
 }
 
-func reaches(t *testing.T, in *Initiator, lane Stream, v uint64) {
+func waitVersion(t *testing.T, in *Initiator, lane Stream, v uint64) {
 	t.Helper()
 	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
 }
@@ -102,14 +102,14 @@
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)), put(target("b", 1, 0, serving)))
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
-	module := set(t)
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Policy: &module, Log: quiet,
+	module := testSettings(t)
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Policy: &module, Log: discardLog,
 		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
-	reaches(t, in, Targets, 1)
-	reaches(t, in, Config, 2)
-	reaches(t, in, Targets, s.put(t, put(target("a", 0, 1, "DRAINING"))))
-	reaches(t, in, Targets, s.put(t, put(target("a", 0, 2, serving)), put(target("b", 1, 1, "DRAINING"))))
+	waitVersion(t, in, Targets, 1)
+	waitVersion(t, in, Config, 2)
+	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 1, "DRAINING"))))
+	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 2, serving)), put(target("b", 1, 1, "DRAINING"))))
 	in.Stop(true)
 	require.False(t, in.Running())
 	read, written, _ := in.TransferredBytes()
@@ -118,7 +118,7 @@
 	in.Checker.RecordRestart(true)
 	v := s.put(t, put(target("b", 1, 2, serving)))
 	require.NoError(t, in.Start())
-	reaches(t, in, Targets, v)
+	waitVersion(t, in, Targets, v)
 	in.Stop(false)
 	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
@@ -128,19 +128,19 @@
 // there; told by a list that the module never gets, it would be found out.
 func TestModuleSends(t *testing.T) {
 	j := NewChecker("h1")
-	m, err := newModule(set(t), 1, j)
+	m, err := newPolicyLoop(testSettings(t), 1, j)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	go m.run(ctx)
 	defer func() { stop(); <-m.ended }()
 	v := int64(1)
-	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
 	n, what := j.Violations()
 	require.Zero(t, n, what)
 	j.RecordTargets([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
 	n, what = j.Violations()
 	require.Positive(t, n, what)
 }
@@ -169,13 +169,13 @@
 	}))
 	defer agents.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	in := New(Options{Name: "h1", Discovery: at(found), Agents: []string{at(agents)}, Log: quiet})
+	in := New(Options{Name: "h1", Discovery: at(found), Agents: []string{at(agents)}, Log: discardLog})
 	require.NoError(t, in.Start())
 	defer in.Stop(true)
-	reaches(t, in, Targets, 1)
-	reaches(t, in, Config, 7)
+	waitVersion(t, in, Targets, 1)
+	waitVersion(t, in, Config, 7)
 	close(changed)
-	reaches(t, in, Targets, 2)
+	waitVersion(t, in, Targets, 2)
 	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
 }
@@ -184,7 +184,7 @@
 func TestDeaf(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: discardLog, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
 	to, request, err := in.PipelinedRequests("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
--- a/internal/testbed/scale/hollow/policy.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -12,41 +12,41 @@
 )
 
 // trial is how many requests at changed targets a module decides after each list.
-const trial = 4
+const probeRequests = 4
 
 // module is the real module on a goroutine of its own. After each list it decides a few requests for what has changed: each first byte that it would have
 // go out is the judge's to see.
-type module struct {
-	m       *policy.Scheduler
-	set     policy.Settings
-	clock   core.Clock
-	journal *Checker
-	box     *mailbox.Box[lists]
-	made    int
-	open    map[string]bool
-	due     time.Time // of the timer; zero: none
-	ended   chan struct{}
+type policyLoop struct {
+	scheduler    *policy.Scheduler
+	settings     policy.Settings
+	clock        core.Clock
+	checker      *Checker
+	inbox        *mailbox.Box[pendingList]
+	requestCount int
+	openRequests map[string]bool
+	timerAt      time.Time // of the timer; zero: none
+	ended        chan struct{}
 }
 
-type lists struct {
+type pendingList struct {
 	list *listing.List
 	done func()
 }
 
-func newModule(set policy.Settings, seed uint64, j *Checker) (*module, error) {
+func newPolicyLoop(set policy.Settings, seed uint64, j *Checker) (*policyLoop, error) {
 	m, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &module{m: m, set: set, clock: core.NewClock(), journal: j, box: mailbox.New[lists](), open: map[string]bool{}, ended: make(chan struct{})}, nil
+	return &policyLoop{scheduler: m, settings: set, clock: core.NewClock(), checker: j, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
 }
 
-func (x *module) list(l *listing.List, done func()) { x.box.Put(lists{l, done}) }
+func (x *policyLoop) enqueue(l *listing.List, done func()) { x.inbox.Put(pendingList{l, done}) }
 
 // wait hands a list over and returns once it was stepped; false: the module has ended.
-func (x *module) wait(l *listing.List) bool {
+func (x *policyLoop) applyAndWait(l *listing.List) bool {
 	done := make(chan struct{})
-	x.list(l, func() { close(done) })
+	x.enqueue(l, func() { close(done) })
 	select {
 	case <-done:
 		return true
@@ -55,7 +55,7 @@
 	}
 }
 
-func (x *module) run(ctx context.Context) {
+func (x *policyLoop) run(ctx context.Context) {
 	defer close(x.ended)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -64,57 +64,57 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-			x.due = time.Time{}
+			x.timerAt = time.Time{}
 			x.step(policy.TimerFired{})
-		case <-x.box.Wake():
-			for _, l := range x.box.Take(nil) {
-				x.listed(l)
+		case <-x.inbox.Wake():
+			for _, l := range x.inbox.Take(nil) {
+				x.apply(l)
 			}
 		}
-		if !x.due.IsZero() {
-			timer.Reset(time.Until(x.due))
+		if !x.timerAt.IsZero() {
+			timer.Reset(time.Until(x.timerAt))
 		}
 	}
 }
 
-func (x *module) listed(l lists) {
+func (x *policyLoop) apply(l pendingList) {
 	nodes := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Targets))}
 	for i, e := range l.list.Targets {
 		nodes.Endpoints[i] = e.Endpoint()
 	}
-	x.journal.RecordTargets(l.list.Targets) // here, as a send decided before it is none past it
+	x.checker.RecordTargets(l.list.Targets) // here, as a send decided before it is none past it
 	x.step(nodes)
 	l.done()
 	if l.list.Full {
 		return
 	}
-	for _, n := range nodes.Endpoints[:min(trial, len(nodes.Endpoints))] {
-		x.made++
-		id := strconv.Itoa(x.made)
-		x.open[id] = true
-		x.step(policy.Request{ID: id, Class: x.set.Classes[0].Name, Plan: x.set.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, VolumeInitiators: 1})
+	for _, n := range nodes.Endpoints[:min(probeRequests, len(nodes.Endpoints))] {
+		x.requestCount++
+		id := strconv.Itoa(x.requestCount)
+		x.openRequests[id] = true
+		x.step(policy.Request{ID: id, Class: x.settings.Classes[0].Name, Plan: x.settings.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, VolumeInitiators: 1})
 	}
-	for id := range x.open { // what found no target is not waited for
-		delete(x.open, id)
+	for id := range x.openRequests { // what found no target is not waited for
+		delete(x.openRequests, id)
 		x.step(policy.ClientGone{ID: id})
 	}
 }
 
 // step has the module decide, and ends each attempt that it makes at once: as served.
-func (x *module) step(e policy.Event) {
+func (x *policyLoop) step(e policy.Event) {
 	now := time.Now()
-	actions := x.m.Step(x.clock.At(now), []policy.Event{e})
+	actions := x.scheduler.Step(x.clock.At(now), []policy.Event{e})
 	var ends []policy.Event
 	for _, a := range actions {
 		switch a.Kind {
 		case policy.Send:
-			x.journal.RecordSend(a.Endpoint)
-			delete(x.open, a.Request)
+			x.checker.RecordSend(a.Endpoint)
+			delete(x.openRequests, a.Request)
 			ends = append(ends, policy.Outcome{ID: a.Request, Attempt: 1, Endpoint: a.Endpoint, Code: policy.Served, Latency: time.Millisecond, Final: true})
 		case policy.Reject, policy.Fail:
-			delete(x.open, a.Request)
+			delete(x.openRequests, a.Request)
 		case policy.SetTimer:
-			x.due = now.Add(a.Wait)
+			x.timerAt = now.Add(a.Wait)
 		}
 	}
 	for _, e := range ends {
--- a/internal/testbed/scale/hollow/stream.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -16,26 +16,26 @@
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // follower is an initiator's end of the feed, over all of its lives.
-type follower struct {
-	now     atomic.Pointer[edge.Follower] // nil: it does not run
-	in, out uint64                        // of earlier lives
-	moves   uint64
+type streamState struct {
+	current                         atomic.Pointer[edge.Follower] // nil: it does not run
+	earlierBytesIn, earlierBytesOut uint64                        // of earlier lives
+	earlierSwitches                 uint64
 }
 
 // start begins a life: what the copy on disk has first, then what changes.
-func (in *Initiator) follow(m *module) (run func(context.Context), err error) {
+func (in *Initiator) newFollower(m *policyLoop) (run func(context.Context), err error) {
 	opt := *in.opt.Feed
 	var f *edge.Follower
-	opt.OnChange = func(c edge.Update) error { return in.changed(f, m, c) }
+	opt.OnChange = func(c edge.Update) error { return in.applyUpdate(f, m, c) }
 	if f, err = edge.NewFollower(opt); err != nil {
 		return nil, err
 	}
-	in.feed.now.Store(f)
+	in.feed.current.Store(f)
 	return f.Run, nil
 }
 
 // changed takes over what the feed has brought. What can't be read as a list is the run's own fault: it is told as broken.
-func (in *Initiator) changed(f *edge.Follower, m *module, c edge.Update) error {
+func (in *Initiator) applyUpdate(f *edge.Follower, m *policyLoop, c edge.Update) error {
 	v := int64(c.Position.Targets)
 	l := &listing.List{Version: &v, Full: c.Full}
 	config := c.Full
@@ -57,7 +57,7 @@
 	if len(l.Targets) > 0 || l.Full {
 		if m == nil {
 			in.Checker.RecordTargets(l.Targets)
-		} else if !m.wait(l) {
+		} else if !m.applyAndWait(l) {
 			return fmt.Errorf("stopped")
 		}
 	}
@@ -77,16 +77,16 @@
 }
 
 // end notes what a life took.
-func (x *follower) end() {
-	if f := x.now.Swap(nil); f != nil {
+func (x *streamState) endLife() {
+	if f := x.current.Swap(nil); f != nil {
 		s := f.State()
-		x.in, x.out, x.moves = x.in+s.BytesIn, x.out+s.BytesOut, x.moves+s.Switches
+		x.earlierBytesIn, x.earlierBytesOut, x.earlierSwitches = x.earlierBytesIn+s.BytesIn, x.earlierBytesOut+s.BytesOut, x.earlierSwitches+s.Switches
 	}
 }
 
 // Poll asks the follower for what is in force, as it acknowledges it, and has the judge hold that against what it said before.
 func (in *Initiator) Poll() {
-	if f := in.feed.now.Load(); f != nil {
+	if f := in.feed.current.Load(); f != nil {
 		s := f.State()
 		in.Checker.RecordReported(f, s.Applied.Targets, s.Applied.Config)
 	}
@@ -95,8 +95,8 @@
 // Wire is how many bytes its own transport has read and written; what goes through the process's transport is not in it.
 func (in *Initiator) TransferredBytes() (read, written, moves uint64) {
 	in.mu.Lock()
-	read, written, moves = in.feed.in, in.feed.out, in.feed.moves
-	f := in.feed.now.Load()
+	read, written, moves = in.feed.earlierBytesIn, in.feed.earlierBytesOut, in.feed.earlierSwitches
+	f := in.feed.current.Load()
 	in.mu.Unlock()
 	if f != nil {
 		s := f.State()
@@ -106,13 +106,13 @@
 }
 
 // pipelined is how many calls one that never reads makes at once.
-const pipelined = 64
+const pipelinedRequests = 64
 
 // Asks is calls as it makes them, for one that never reads an answer.
 func (in *Initiator) PipelinedRequests(name string) (addr string, request []byte, err error) {
 	if in.opt.Feed == nil {
 		addr = in.opt.Agents[0]
-		for range pipelined {
+		for range pipelinedRequests {
 			request = fmt.Appendf(request, "GET /v1/instances/%s?stale&wait_ms=60000&after=0 HTTP/1.1\r\nHost: %s\r\n\r\n", in.opt.Name, addr)
 		}
 		return addr, request, nil
@@ -123,7 +123,7 @@
 			addr = r.Addr
 		}
 	}
-	for i := range pipelined {
+	for i := range pipelinedRequests {
 		text, err := format.Marshal(watchstream.SubscribeRequest{Fleet: in.opt.Feed.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Generation: 1, Seq: uint64(i + 1)})
 		if err != nil {
 			return "", nil, err
