--- a/internal/testbed/faults/agents.go
+++ b/internal/testbed/faults/agents.go
@@ -13,18 +13,18 @@
 	"spindlehitch/internal/controlplane/agent"
 )
 
-// Agents is a group of agents, every directed pair of which has a link for Raft and one for calls.
+// AgentGroup is a group of agents. Every directed pair of agents has a link for Raft and one for API calls.
 type AgentGroup struct {
 	rig       *Rig
 	Procs     []*Proc
 	Dirs      []string
-	Raft      []string  // where each listens, behind the links
-	API       []string  // the same for calls
-	raftLinks [][]*Link // from, to; nil on the diagonal: Raft
-	apiLinks  [][]*Link // the same for calls
+	Raft      []string  // Raft address of each, behind the links
+	API       []string  // API address of each
+	raftLinks [][]*Link // Raft, by from and to; nil on the diagonal
+	apiLinks  [][]*Link // API, by from and to
 }
 
-// Agents starts n agents. Env is added to the environment of agent i, where it is given.
+// StartAgents starts n agents. env[i], if given, is added to the environment of agent i.
 func (r *Rig) StartAgents(n int, env ...[]string) *AgentGroup {
 	r.T.Helper()
 	g := &AgentGroup{rig: r}
@@ -49,16 +49,16 @@
 		if err := os.WriteFile(path, []byte(g.operatorFile(i)), 0o600); err != nil {
 			r.T.Fatal(err)
 		}
-		var more []string
+		var extraEnv []string
 		if i < len(env) {
-			more = env[i]
+			extraEnv = env[i]
 		}
-		g.Procs = append(g.Procs, r.Start(fmt.Sprint("agent-", i), more, "agent", "--operator", path))
+		g.Procs = append(g.Procs, r.Start(fmt.Sprint("agent-", i), extraEnv, "agent", "--operator", path))
 	}
 	return g
 }
 
-// file is agent i's operator's file: it reaches the others through its own links.
+// operatorFile returns agent i's operator file, in which it reaches the others through its own links.
 func (g *AgentGroup) operatorFile(i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[agent]\nid = \"agent-%d\"\ndir = %q\n", i, g.Dirs[i])
@@ -72,12 +72,12 @@
 	return b.String()
 }
 
-// Isolate cuts agent i off from the other agents, in both directions; Join ends it.
+// Isolate holds all traffic between agent i and the other agents in both directions; Reconnect undoes it.
 func (g *AgentGroup) Isolate(i int) {
 	g.eachLink(i, func(k *Link) { k.Set(Impairment{Hold: true}, Impairment{Hold: true}) })
 }
 
-// Join lets agent i and the others hear one another again.
+// Reconnect undoes Isolate.
 func (g *AgentGroup) Reconnect(i int) { g.eachLink(i, (*Link).Heal) }
 
 func (g *AgentGroup) eachLink(i int, do func(*Link)) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// List is the agents' addresses as a flag has them, first the ones named.
+// AddrList returns the agents' API addresses as flags take them, those of the agents first in front.
 func (g *AgentGroup) AddrList(first ...int) string {
 	var all []string
 	seen := map[int]bool{}
@@ -105,11 +105,12 @@
 	return strings.Join(all, ",")
 }
 
-// Leader waits until all agents that are alive and not in but name one leader, and returns its number.
+// Leader waits until all agents other than those in but name the same leader, and returns its number. The leader is not
+// one of but.
 func (g *AgentGroup) Leader(but ...int) int {
 	g.rig.T.Helper()
 	leader := -1
-	g.rig.WaitFor("a leader", func() bool {
+	g.rig.WaitFor("all agents to name one leader", func() bool {
 		named := map[int]bool{}
 		for i := range g.Procs {
 			if slices.Contains(but, i) {
@@ -130,7 +131,7 @@
 	return leader
 }
 
-// leading returns the number of the agent that says that it leads; -1: none does.
+// currentLeader returns the number of the agent that reports to be the leader; -1: none does.
 func (g *AgentGroup) currentLeader(ctx context.Context) int {
 	for i, addr := range g.API {
 		if !g.Procs[i].Alive() || g.Procs[i].Stopped() {
--- a/internal/testbed/faults/doc.go
+++ b/internal/testbed/faults/doc.go
@@ -1,7 +1,8 @@
-// Package faults is a rig for fault runs: it starts the built program as many processes on the loopback, puts relays between
-// any two of them that delay, hold, throttle, cut or reset what passes in one direction or both, pauses, kills and starts
-// processes again, fills an agent's disk, and has stand-in targets that count by themselves what reaches them. What is done
-// when is a schedule, which its seed names again. docs/faults.md is its page.
+// Package faults runs fault-injection tests against the built program. It starts the program as many processes on the
+// loopback, puts links between them that delay, hold, throttle, cut or reset traffic in one direction or both, pauses,
+// kills and restarts processes, makes an agent's disk appear full, and runs stand-in targets that count the requests
+// that reach them. Which fault is injected when comes from a schedule that is reproducible from its seed. See
+// docs/faults.md.
 //
-// Every process and every relay ends with the test that started it, also where that fails.
+// Every process and every link ends with the test that started it, even if the test fails.
 package faults
--- a/internal/testbed/faults/fleet.go
+++ b/internal/testbed/faults/fleet.go
@@ -13,30 +13,30 @@
 	"time"
 )
 
-// Instance is one initiator as a process, with a link to each agent.
+// Instance is one initiator process, with a link to each agent.
 type Instance struct {
 	*Proc
 	Listen, Control     string
 	Links               []*Link
-	offeredMilliRate    atomic.Int64 // requests a second offered, in thousandths
-	Served, OtherStatus atomic.Int64 // answers 200, and any other
-	Unanswered          atomic.Int64 // requests without an answer
+	offeredMilliRate    atomic.Int64 // offered load, in thousandths of a request a second
+	Served, OtherStatus atomic.Int64 // responses with status 200, and with any other
+	Unanswered          atomic.Int64 // requests without a response
 }
 
-// InstanceOptions set up instances.
+// InstanceOptions configure an instance.
 type InstanceOptions struct {
-	Agents       *AgentGroup // nil: none, each keeps to the even part of the settings
+	Agents       *AgentGroup // nil: none; each instance keeps to its even share of the settings
 	Targets      *Targets
-	Peers        int      // how many the settings name
-	Rules        string   // JSON, of the settings
-	FleetTOML    string   // TOML
-	ListenSocket *os.File // the clients' socket, inherited; Listen says where it is bound
+	Peers        int      // the setting peersTotal
+	Rules        string   // JSON, the setting rules
+	FleetTOML    string   // TOML, further lines of the section [fleet]
+	ListenSocket *os.File // inherited client socket; Listen is its address
 	Listen       string
-	MaxFiles     int    // how many descriptors the machine grants; 0: as many as this process
-	OperatorFile string // an operator's file, TOML, in place of one that names the agents
+	MaxFiles     int    // limit on its open descriptors; 0: the limit of this process
+	OperatorFile string // TOML, an operator file in place of one that names the agents
 }
 
-// Instance starts one initiator.
+// StartInstance starts one initiator. rate is its clock rate; 0: the machine's.
 func (r *Rig) StartInstance(name string, o InstanceOptions, rate float64) *Instance {
 	r.T.Helper()
 	addrs := FreeAddrs(r.T, 2)
@@ -75,16 +75,16 @@
 	return n
 }
 
-// CutOff has nothing pass between the instance and the agents: asked says whether that goes for what it sends, told for what comes
-// back.
-func (n *Instance) DropAgentTraffic(asked, told bool) {
-	n.setLinks(Impairment{Drop: asked}, Impairment{Drop: told})()
+// DropAgentTraffic drops the traffic between the instance and the agents: what it sends if asked, what it receives if
+// told.
+func (n *Instance) DropAgentTraffic(outgoing, incoming bool) {
+	n.setLinks(Impairment{Drop: outgoing}, Impairment{Drop: incoming})()
 }
 
-// Heal ends CutOff.
+// Heal undoes DropAgentTraffic.
 func (n *Instance) Heal() { n.eachLink((*Link).Heal)() }
 
-// Figures is what the instance's second address tells; nothing where it does not answer.
+// Metrics returns the metrics from the instance's control address; empty if it does not answer.
 func (n *Instance) Metrics() string {
 	client := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := client.Get("http://" + n.Control + "/v1/metrics")
@@ -96,10 +96,10 @@
 	return string(b)
 }
 
-// Offer has requests come at so many a second from now on, whatever becomes of them.
+// SetLoad sets how many requests a second are sent from now on, whatever becomes of them.
 func (n *Instance) SetLoad(rate float64) { n.offeredMilliRate.Store(int64(rate * 1000)) }
 
-// Load is an open-loop generator for the instances: it ends with the context.
+// StartLoad starts an open-loop load generator for the instances. It ends with the context or the test.
 func (r *Rig) StartLoad(ctx context.Context, all []*Instance, shards int) {
 	var work sync.WaitGroup
 	ctx, stop := context.WithCancel(ctx)
@@ -119,7 +119,7 @@
 				} else {
 					due = due.Add(time.Duration(float64(time.Second) / rate))
 					if late := time.Since(due); late > time.Second {
-						due = due.Add(late) // the generator itself stood still
+						due = due.Add(late) // the generator itself was delayed
 					}
 				}
 				select {
@@ -135,21 +135,21 @@
 	}
 }
 
-// answerWithin is how long a request may go without an answer, from when it has a connection. One that gets none of its generator's in that
-// time was never asked.
+// responseTimeout bounds the wait for a response, from when the request has a connection. A request that gets no
+// connection of the generator within that time was never sent, and does not count.
 const responseTimeout = 5 * time.Second
 
 func (n *Instance) sendRequest(ctx context.Context, client *http.Client, id string, shard int) {
-	within, stop := context.WithCancel(ctx)
+	requestCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var asked atomic.Bool
-	late := time.AfterFunc(responseTimeout, stop)
-	defer late.Stop()
-	within = httptrace.WithClientTrace(within, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
-		asked.Store(true)
-		late.Reset(responseTimeout)
+	var connected atomic.Bool
+	timeout := time.AfterFunc(responseTimeout, stop)
+	defer timeout.Stop()
+	requestCtx = httptrace.WithClientTrace(requestCtx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
+		connected.Store(true)
+		timeout.Reset(responseTimeout)
 	}})
-	req, err := http.NewRequestWithContext(within, http.MethodGet, "http://"+n.Listen+"/position-read/7f3a9c21e0b4d655", nil)
+	req, err := http.NewRequestWithContext(requestCtx, http.MethodGet, "http://"+n.Listen+"/position-read/7f3a9c21e0b4d655", nil)
 	if err != nil {
 		return
 	}
@@ -159,7 +159,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		if ctx.Err() == nil && (asked.Load() || within.Err() == nil) {
+		if ctx.Err() == nil && (connected.Load() || requestCtx.Err() == nil) {
 			n.Unanswered.Add(1)
 		}
 		return
--- a/internal/testbed/faults/history.go
+++ b/internal/testbed/faults/history.go
@@ -20,9 +20,9 @@
 type Operation struct {
 	Kind      OperationKind
 	Key       string
-	Value     int    // that a put writes, unique in its history
-	Condition int64  // version that a put or delete asks for; noCondition: any
-	After     uint64 // version that a waiting read has; 0: it does not wait
+	Value     int    // written by a put; unique in its history
+	Condition int64  // version that a put or delete requires; noCondition: any
+	After     uint64 // version after which a waiting read waits; 0: it does not wait
 }
 
 // OperationKind is what an operation does.
@@ -56,18 +56,19 @@
 const (
 	OutcomeOK        Outcome = "ok"
 	OutcomeUnchanged Outcome = "unchanged" // a waiting read's version was still the latest
-	OutcomeConflict  Outcome = "conflict"  // the condition did not hold
-	OutcomeUnknown   Outcome = "unknown"   // a write may have been made, or may be made later
-	OutcomeNone      Outcome = "none"      // nothing was done
+	OutcomeConflict  Outcome = "conflict"  // the condition was not met
+	OutcomeUnknown   Outcome = "unknown"   // a write may have been made, or may still be made
+	OutcomeNone      Outcome = "none"      // no effect
 )
 
-// History is what clients called and were answered. It is safe for concurrent use.
+// History records the operations of clients and their results. It is safe for concurrent use. mu guards the fields
+// below it.
 type History struct {
 	began time.Time
 
 	mu          sync.Mutex
 	operations  []porcupine.Operation
-	versions    map[int]uint64 // of each value, as far as anybody was told
+	versions    map[int]uint64 // of each value whose version a client learned
 	acked       int
 	lastWrite   time.Duration // acknowledged
 	longestGap  time.Duration // between two acknowledged writes
@@ -87,17 +88,17 @@
 		h.readsOK, h.readsFailed, h.acked, h.longestGap.Round(time.Millisecond), h.gapEndedAt.Round(time.Millisecond))
 }
 
-// Gap is a time without an acknowledged write, since the history began.
+// Gap is a period without an acknowledged write, relative to the begin of the history.
 type Gap struct{ From, To time.Duration }
 
-// LongestGap is the longest time between two acknowledged writes.
+// LongestGap returns the longest period between two acknowledged writes.
 func (h *History) LongestGap() Gap {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return Gap{h.gapEndedAt - h.longestGap, h.gapEndedAt}
 }
 
-// record adds an operation that was called at that time and has just ended.
+// record adds an operation that was called at that time and has just returned.
 func (h *History) record(client int, op Operation, call time.Duration, r Result) {
 	end := time.Since(h.began)
 	h.mu.Lock()
@@ -146,12 +147,13 @@
 	return nil
 }
 
-// settle returns the operations on a key with the outcome of unknown writes as far as reads tell it, since the checker's work grows with
-// each write that may be made at any time. A put whose value somebody read was made before that read returned. One that nobody read can
-// have shown in a conflict, or in a list, alone: it is left out, as is what it may explain.
+// settle returns the operations on a key with the outcome of unknown writes resolved as far as reads show it, since the
+// checker's work grows with each write that may take effect at any time. A put whose value was read took effect before
+// the first such read returned. A put whose value nobody read can only have shown in a conflict or in a list: it is
+// left out, and so are the conflicts and lists that it may explain.
 func settle(all []porcupine.Operation, end int64) (operations []porcupine.Operation) {
-	readAt := map[int]int64{}            // by value: when the first read of it returned
-	versions := map[uint64]bool{0: true} // whose values are known
+	readAt := map[int]int64{}            // by value: return of the first read of it
+	versions := map[uint64]bool{0: true} // versions whose values are known
 	for _, op := range all {
 		in, r := op.Input.(Operation), op.Output.(Result)
 		if r.Outcome != OutcomeOK || in.Kind == OperationList {
@@ -162,7 +164,7 @@
 			readAt[r.Value] = op.Return
 		}
 	}
-	lostFrom := end // when the first put that nobody read was called
+	lostFrom := end // call of the first put whose value nobody read
 	for _, op := range all {
 		in := op.Input.(Operation)
 		if _, read := readAt[in.Value]; !read && in.Kind == OperationPut && op.Output.(Result).Outcome == OutcomeUnknown {
@@ -188,7 +190,7 @@
 	return operations
 }
 
-// describe tells the operations around the first that no linearization of the others has.
+// describe lists the operations around the first one that no partial linearization contains.
 func describe(model porcupine.Model, operations []porcupine.Operation, info porcupine.LinearizationInfo) string {
 	longest := 0
 	for _, partition := range info.PartialLinearizations() {
@@ -197,15 +199,15 @@
 		}
 	}
 	var b strings.Builder
-	fmt.Fprintf(&b, "; %d can be put in order", longest)
+	fmt.Fprintf(&b, "; the longest partial linearization has %d", longest)
 	for _, op := range operations[max(0, longest-20):min(len(operations), longest+20)] {
 		fmt.Fprintf(&b, "\n%v to %v, client %d: %s", time.Duration(op.Call), time.Duration(op.Return), op.ClientId, model.DescribeOperation(op.Input, op.Output))
 	}
 	return b.String()
 }
 
-// model is one key of the agents' configurations: its state is the value, 0 where there is none. Values are unique, so each has one
-// version; a value whose version nobody was told cannot be asked for by a condition.
+// model specifies one key of the agents' configurations. Its state is the value, 0 if there is none. Values are unique,
+// so each has one version; a value whose version no client learned cannot be the condition of a write.
 func (h *History) model() porcupine.Model {
 	version := func(value int) uint64 { return h.versions[value] }
 	return porcupine.Model{
@@ -236,16 +238,16 @@
 	}
 }
 
-// KeyClient calls random agents with random operations on a few keys, one at a time, and records them. It does not follow redirects:
-// it takes them as a hint where to call next.
+// KeyClient makes random operations on a few keys at random agents, one at a time, and records them in History. It does
+// not follow redirects: it takes them as a hint which agent to call next.
 type KeyClient struct {
 	ID      int
 	History *History
 	Addrs   []string
 	rng     *rand.Rand
 	http    http.Client
-	seen    map[string]uint64 // newest version of a key that it was told
-	leader  string            // where it was redirected to last
+	seen    map[string]uint64 // newest version of each key that it learned
+	leader  string            // agent that it was last redirected to or answered by
 	values  int
 }
 
@@ -257,10 +259,10 @@
 	return c
 }
 
-// maxClientValues is the values that one client may write: they number the values of all clients.
+// maxClientValues bounds the values that one client writes, so that values are unique over all clients.
 const maxClientValues = 1 << 20
 
-// Step makes one operation on one of the keys.
+// Step makes one random operation on one of the keys and records it.
 func (c *KeyClient) Step(ctx context.Context, keys []string) {
 	op := Operation{Key: keys[c.rng.IntN(len(keys))], Condition: noCondition}
 	switch n := c.rng.IntN(100); {
@@ -294,7 +296,7 @@
 	c.History.record(c.ID, op, call, r)
 }
 
-// request sends one request to the agent it takes for the leader, or to any.
+// request sends one request to the agent that the client takes for the leader, or to a random one.
 func (c *KeyClient) request(ctx context.Context, method, path string, condition int64, body string) (status int, text []byte, err error) {
 	ctx, done := context.WithTimeout(ctx, operationTimeout)
 	defer done()
@@ -329,7 +331,8 @@
 	return resp.StatusCode, text, err
 }
 
-// reachable is a leader's address if the client may call it; agents behind links name one another by their links.
+// reachable returns a leader's address if it is one that the client may call, else an empty string: agents behind links
+// redirect to the addresses of their own links.
 func (c *KeyClient) reachable(addr string) string {
 	for _, a := range c.Addrs {
 		if a == addr {
@@ -339,7 +342,7 @@
 	return ""
 }
 
-// unconfirmed begins the answer to a write that may still be made.
+// unconfirmed is the prefix of the response to a write that may still be made.
 const unconfirmed = "not confirmed"
 
 // do makes a get, a put or a delete.
@@ -398,7 +401,7 @@
 	}
 }
 
-// configuration is an instance's configuration that an agent accepts, with a value.
+// configuration returns the configuration of an instance that an agent accepts, with a value in it.
 func configuration(name string, value int) string {
 	return fmt.Sprintf(`{"name":%q,"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","pad":%d,"settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -9,16 +9,17 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// Way is what a link does with what passes in one direction. The zero value lets it through.
+// Impairment is how a link impairs the traffic in one direction. The zero value passes everything.
 type Impairment struct {
-	Delay time.Duration // of each piece
-	Rate  int           // bytes a second; 0: any
-	Hold  bool          // nothing passes until it is taken back; what came meanwhile then does, late, as TCP's repeats would
-	Drop  bool          // what comes is lost; the connection cannot go on after that, and is reset once Drop is taken back
+	Delay time.Duration // of each chunk read
+	Rate  int           // bytes a second; 0: unlimited
+	Hold  bool          // traffic is held back and passes late once Hold is cleared, as TCP retransmissions would
+	Drop  bool          // traffic is lost; the connection cannot continue after that and is reset once Drop is cleared
 }
 
-// Link is a directed link between two processes: whoever dials Addr reaches the other through it. There is one for each
-// direction of dialling, and each has two ways, since what is asked and what is answered can fail apart.
+// Link is a proxy for one direction of dialing between two processes: a connection to Addr is forwarded to the other
+// process. The two directions of traffic are impaired separately, since requests and responses can fail separately. mu
+// guards the fields below it.
 type Link struct {
 	From, To string
 	Addr     string
@@ -26,21 +27,21 @@
 	listener net.Listener
 
 	mu      sync.Mutex
-	forward Impairment // from the one who dials
+	forward Impairment // from the dialing side
 	reverse Impairment
 	cut     bool
 	conns   map[*linkConn]bool
-	changed chan struct{} // closed and renewed at each change
+	changed chan struct{} // closed and replaced at each change, to wake waiting copies
 	bytes   [2]int64
 }
 
-// passage is one connection through a link.
+// linkConn is one connection through a link.
 type linkConn struct {
 	dialer, server net.Conn
-	dropped        bool // something of it was dropped
+	dropped        bool // some of its traffic was dropped
 }
 
-// Link returns a link to addr that lets everything through.
+// StartLink returns a link to addr that passes everything; it ends with the test.
 func (r *Rig) StartLink(from, to, addr string) *Link {
 	r.T.Helper()
 	l, err := NewLink(from, to, addr)
@@ -51,36 +52,37 @@
 	return l
 }
 
-// NewLink returns a link outside a test.
+// NewLink returns a link outside a test. The caller must close it.
 func NewLink(from, to, addr string) (*Link, error) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{From: from, To: to, Addr: at.Addr().String(), to: addr, listener: at, conns: map[*linkConn]bool{}, changed: make(chan struct{})}
+	k := &Link{From: from, To: to, Addr: tcpListener.Addr().String(), to: addr, listener: tcpListener, conns: map[*linkConn]bool{}, changed: make(chan struct{})}
 	go k.accept()
 	return k, nil
 }
 
-// Set has the link treat the two ways so from now on, and lets new connections through.
-func (k *Link) Set(there, back Impairment) {
+// Set sets the impairments of both directions and undoes Cut. Connections that lost data are reset once it no longer
+// drops.
+func (k *Link) Set(forward, reverse Impairment) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.forward.Drop && !there.Drop || k.reverse.Drop && !back.Drop {
+	if k.forward.Drop && !forward.Drop || k.reverse.Drop && !reverse.Drop {
 		for p := range k.conns {
 			if p.dropped {
 				p.reset()
 			}
 		}
 	}
-	k.forward, k.reverse, k.cut = there, back, false
+	k.forward, k.reverse, k.cut = forward, reverse, false
 	k.notifyChange()
 }
 
-// Heal lets everything through again.
+// Heal removes all impairments.
 func (k *Link) Heal() { k.Set(Impairment{}, Impairment{}) }
 
-// Cut resets all connections and takes no new ones.
+// Cut resets all connections and rejects new ones.
 func (k *Link) Cut() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,21 +90,21 @@
 	k.resetAll()
 }
 
-// Reset resets all connections; new ones are taken.
+// Reset resets all connections; new ones are accepted.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.resetAll()
 }
 
-// Passed is how many bytes went through, from the one who dials and back.
-func (k *Link) BytesPassed() (there, back int64) {
+// BytesPassed returns how many bytes passed from the dialing side and back.
+func (k *Link) BytesPassed() (forward, reverse int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.bytes[0], k.bytes[1]
 }
 
-// Close ends the link.
+// Close closes the listener and all connections.
 func (k *Link) Close() {
 	k.listener.Close()
 	k.Cut()
@@ -131,19 +133,19 @@
 
 func (k *Link) accept() {
 	for {
-		near, err := k.listener.Accept()
+		dialer, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.serveConn(near)
+		go k.serveConn(dialer)
 	}
 }
 
-func (k *Link) serveConn(near net.Conn) {
-	p := &linkConn{dialer: near}
-	far, err := net.DialTimeout("tcp", k.to, 5*time.Second)
+func (k *Link) serveConn(dialer net.Conn) {
+	p := &linkConn{dialer: dialer}
+	server, err := net.DialTimeout("tcp", k.to, 5*time.Second)
 	if err == nil {
-		p.server = far
+		p.server = server
 	}
 	k.mu.Lock()
 	if k.cut || err != nil {
@@ -157,64 +159,64 @@
 	both.Go(func() { k.copyDirection(p, 0) })
 	both.Go(func() { k.copyDirection(p, 1) })
 	both.Wait()
-	near.Close()
-	far.Close()
+	dialer.Close()
+	server.Close()
 	k.mu.Lock()
 	delete(k.conns, p)
 	k.mu.Unlock()
 }
 
-// piece is what came at one time.
+// chunk is the data of one read and the time of the read.
 type chunk struct {
 	b       []byte
 	arrived time.Time
 }
 
-// copy carries one way of a connection. What is read waits in line with the time that it came, so that a delay is that
-// delay for each piece and not for the sum of them.
-func (k *Link) copyDirection(p *linkConn, way int) {
+// copyDirection copies one direction of a connection. Chunks are queued with the time of their read, so that a delay
+// applies to each chunk and does not add up over them.
+func (k *Link) copyDirection(p *linkConn, direction int) {
 	from, to := p.dialer, p.server
-	if way == 1 {
+	if direction == 1 {
 		from, to = p.server, p.dialer
 	}
-	line := make(chan chunk, 1024)
+	queue := make(chan chunk, 1024)
 	go func() {
-		defer close(line)
+		defer close(queue)
 		for {
 			b := make([]byte, 16<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				line <- chunk{b[:n], time.Now()}
+				queue <- chunk{b[:n], time.Now()}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for c := range line {
-		if !k.waitToPass(p, way, c) {
+	for c := range queue {
+		if !k.waitToPass(p, direction, c) {
 			continue
 		}
 		if _, err := to.Write(c.b); err != nil {
 			break
 		}
 		k.mu.Lock()
-		k.bytes[way] += int64(len(c.b))
+		k.bytes[direction] += int64(len(c.b))
 		k.mu.Unlock()
 	}
 	if t, ok := to.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	for range line { // until the reader sees the end of it
+	for range queue { // drain the queue until the reading goroutine ends
 	}
 }
 
-// wait waits until a piece is to pass; false where it is lost.
-func (k *Link) waitToPass(p *linkConn, way int, c chunk) bool {
-	paid := time.Duration(0) // of the rate
+// waitToPass waits until a chunk may pass; false: it is dropped.
+func (k *Link) waitToPass(p *linkConn, direction int, c chunk) bool {
+	waited := time.Duration(0) // waited so far for the rate limit
 	for {
 		k.mu.Lock()
-		w, changed := [2]Impairment{k.forward, k.reverse}[way], k.changed
+		w, changed := [2]Impairment{k.forward, k.reverse}[direction], k.changed
 		alive := k.conns[p] && !k.cut
 		if w.Drop {
 			p.dropped = true
@@ -225,7 +227,7 @@
 		}
 		due := time.Until(c.arrived.Add(w.Delay))
 		if w.Rate > 0 {
-			due = max(due, 0) + time.Duration(len(c.b))*time.Second/time.Duration(w.Rate) - paid
+			due = max(due, 0) + time.Duration(len(c.b))*time.Second/time.Duration(w.Rate) - waited
 		}
 		if !w.Hold && due <= 0 {
 			return true
@@ -239,12 +241,12 @@
 		case <-time.After(due):
 			return !p.dropped
 		case <-changed:
-			paid += time.Since(began)
+			waited += time.Since(began)
 		}
 	}
 }
 
-// FreeAddrs finds ports of the loopback that nobody listens on, each only once.
+// FreeAddrs returns n loopback addresses that nothing listens on; none is returned twice.
 func FreeAddrs(t testing.TB, n int) []string {
 	t.Helper()
 	addrs, err := ports.Free(n)
--- a/internal/testbed/faults/mesh.go
+++ b/internal/testbed/faults/mesh.go
@@ -17,32 +17,33 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// Passing is what becomes of messages from one member to another.
+// PathImpairment is how messages from one member to another are impaired.
 type PathImpairment struct {
-	Loss          float64 // part of the datagrams that never arrives
-	Duplication   float64 // part that arrives twice
+	Loss          float64 // fraction of the datagrams that is lost
+	Duplication   float64 // fraction that arrives twice
 	Delay         time.Duration
-	Jitter        time.Duration // more, at random: datagrams overtake one another
-	DropDatagrams bool          // none arrives
-	DropStreams   bool          // nothing on streams arrives
+	Jitter        time.Duration // additional random delay; it reorders datagrams
+	DropDatagrams bool          // all datagrams are lost
+	DropStreams   bool          // all data on streams is lost
 }
 
-// Cut is a way on which nothing passes.
+// PathCut loses all messages.
 var PathCut = PathImpairment{DropDatagrams: true, DropStreams: true}
 
-// Mesh is instances that know each other, each behind a relay of its own that knows where a message comes from: every one has an address
-// of the loopback to itself, from which it also dials.
+// Mesh is a membership group of instances. A relay in front of each member applies the impairment of the path on which
+// a message came. It identifies the sender by address: each instance has a loopback address of its own from which it
+// dials. mu guards the fields below it.
 type Mesh struct {
 	rig          *Rig
 	Members      []*Member
 	mu           sync.Mutex
 	rng          *rand.Rand
-	defaultPath  PathImpairment            // of ways that have no rule of their own
-	paths        map[[2]int]PathImpairment // from, to
-	memberByHost map[string]int            // by the address dialled from
+	defaultPath  PathImpairment            // of paths without an entry in paths
+	paths        map[[2]int]PathImpairment // by from and to
+	memberByHost map[string]int            // index of the member that dials from that host
 }
 
-// Node is one of them.
+// Member is one instance of the group.
 type Member struct {
 	*Proc
 	rig       *Rig
@@ -57,20 +58,20 @@
 	client    http.Client
 }
 
-// MeshOptions set one up.
+// MeshOptions configure a mesh.
 type MeshOptions struct {
 	Size       int
 	ProbeMs    int
-	Seeds      []int     // by whom all join; nil: the first three
-	StartLater []int     // not started yet
-	ClockRates []float64 // of clocks
+	Seeds      []int     // members that all join through; nil: the first three
+	StartLater []int     // members that are started later, by Start
+	ClockRates []float64 // clock rates, assigned to the members in turn
 	Zones      int
 	Agents     *AgentGroup // nil: none
-	Targets    *Targets    // nil: no list of targets
-	FleetTOML  string      // TOML, under [fleet]
+	Targets    *Targets    // nil: no discovery service
+	FleetTOML  string      // lines of the section [fleet]
 }
 
-// Mesh starts the instances and their relays.
+// StartMesh starts the instances, except those in o.StartLater, and their relays.
 func (r *Rig) StartMesh(o MeshOptions) *Mesh {
 	r.T.Helper()
 	m := &Mesh{rig: r, rng: rand.New(rand.NewPCG(1, 2)), paths: map[[2]int]PathImpairment{}, memberByHost: map[string]int{}}
@@ -80,7 +81,7 @@
 	ports := FreeAddrs(r.T, 3*o.Size)
 	port := func(i int) string { return ports[i][strings.LastIndex(ports[i], ":"):] }
 	for i := range o.Size {
-		// A block of addresses for each test binary, so that two do not meet.
+		// Each test binary uses a block of addresses of its own, so that two binaries do not collide.
 		net := fmt.Sprintf("127.%d", 16+loopbackBlock())
 		n := &Member{rig: r, Index: i, Control: ports[i], bind: fmt.Sprintf("%s.1.%d%s", net, i+1, port(o.Size+i)), advertise: fmt.Sprintf("%s.2.%d%s", net, i+1, port(2*o.Size+i)),
 			Zone: fmt.Sprint("z", i%max(o.Zones, 1)), client: http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
@@ -124,16 +125,16 @@
 	return m
 }
 
-// Begin starts its process.
+// Start starts the member's process.
 func (n *Member) Start() { n.Proc = n.rig.StartWith(n.Name(), nil, 0, n.env, n.args...) }
 
-// Name is its name in the fleet.
+// Name returns the member's instance name.
 func (n *Member) Name() string { return fmt.Sprint("m", n.Index) }
 
-// Runs tells whether it has been started and has not ended.
+// Running reports whether the member was started and has not ended.
 func (n *Member) Running() bool { return n.Proc != nil && n.Alive() }
 
-// Upgrade starts another process of the same name beside it, at the same inherited socket of its clients.
+// Upgrade starts a second process under the same name with the same inherited client socket.
 func (n *Member) Upgrade(socket *os.File, control string) *Member {
 	next := *n
 	next.Control = control
@@ -141,21 +142,21 @@
 	return &next
 }
 
-// Set has messages from one to another pass so from now on.
+// SetPath sets the impairment of messages from one member to another.
 func (m *Mesh) SetPath(from, to int, p PathImpairment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.paths[[2]int{from, to}] = p
 }
 
-// All has messages on all ways without a rule of their own pass so.
+// SetDefaultPath sets the impairment of all paths that have none of their own.
 func (m *Mesh) SetDefaultPath(p PathImpairment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.defaultPath = p
 }
 
-// Heal lets everything pass.
+// Heal removes all impairments.
 func (m *Mesh) Heal() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -163,8 +164,8 @@
 	clear(m.paths)
 }
 
-// rule is that of a way, with draws of what becomes of one message.
-func (m *Mesh) drawFate(from string, to int) (p PathImpairment, lost, twice bool, wait time.Duration) {
+// drawFate returns the impairment of a path, with random draws of what happens to one message.
+func (m *Mesh) drawFate(from string, to int) (p PathImpairment, lost, duplicated bool, wait time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	p, own := m.paths[[2]int{m.memberByHost[from], to}]
@@ -178,7 +179,7 @@
 	return p, m.rng.Float64() < p.Loss, m.rng.Float64() < p.Duplication, wait
 }
 
-// relay stands in front of a member, for datagrams and streams.
+// startRelay starts the relay in front of a member, for datagrams and streams. It ends with the test.
 func (m *Mesh) startRelay(n *Member) { //nolint:gocognit // to be split with its package, see docs/left.md
 	t := m.rig.T
 	t.Helper()
@@ -209,12 +210,12 @@
 			if p.DropDatagrams || lost {
 				continue
 			}
-			text := append([]byte(nil), b[:k]...)
+			datagram := append([]byte(nil), b[:k]...)
 			for range map[bool]int{false: 1, true: 2}[twice] {
 				if wait == 0 {
-					_, _ = packets.WriteTo(text, to)
+					_, _ = packets.WriteTo(datagram, to)
 				} else {
-					time.AfterFunc(wait, func() { _, _ = packets.WriteTo(text, to) })
+					time.AfterFunc(wait, func() { _, _ = packets.WriteTo(datagram, to) })
 				}
 				wait += p.Jitter / 2
 			}
@@ -222,31 +223,31 @@
 	}()
 	go func() {
 		for {
-			near, err := streams.Accept()
+			dialer, err := streams.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer near.Close()
-				near.SetDeadline(time.Now().Add(5 * time.Second))
-				p, _, _, wait := m.drawFate(near.RemoteAddr().(*net.TCPAddr).IP.String(), n.Index)
+				defer dialer.Close()
+				dialer.SetDeadline(time.Now().Add(5 * time.Second))
+				p, _, _, wait := m.drawFate(dialer.RemoteAddr().(*net.TCPAddr).IP.String(), n.Index)
 				if p.DropStreams {
-					_, _ = io.Copy(io.Discard, near)
+					_, _ = io.Copy(io.Discard, dialer)
 					return
 				}
 				time.Sleep(wait)
-				far, err := net.DialTimeout("tcp", n.bind, time.Second)
+				server, err := net.DialTimeout("tcp", n.bind, time.Second)
 				if err != nil {
 					return
 				}
-				defer far.Close()
-				_, _ = io.Copy(far, near)
+				defer server.Close()
+				_, _ = io.Copy(server, dialer)
 			}()
 		}
 	}()
 }
 
-// View is what a member knows; false where it does not answer.
+// View returns the member's view of the group; false if it does not answer.
 func (n *Member) View() (v membership.View, ok bool) {
 	resp, err := n.client.Get("http://" + n.Control + "/v1/members")
 	if err != nil {
@@ -256,7 +257,7 @@
 	return v, resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(&v) == nil
 }
 
-// State is what a member tells of the living or last life of another.
+// StateOf returns the member's entry for a name: the live incarnation, or else the last one.
 func (n *Member) StateOf(name string) (s membership.MemberView) {
 	v, _ := n.View()
 	for _, x := range v.Members {
@@ -270,12 +271,12 @@
 	return s
 }
 
-// Level tells whether all that run know the same, and just them.
+// Converged reports whether all running members have the same view, with only the running members in it.
 func (m *Mesh) Converged() bool {
-	digest, living := "", 0
+	digest, running := "", 0
 	for _, n := range m.Members {
 		if n.Running() {
-			living++
+			running++
 		}
 	}
 	for _, n := range m.Members {
@@ -283,7 +284,7 @@
 			continue
 		}
 		v, ok := n.View()
-		if !ok || v.Size != living || digest != "" && v.Digest != digest {
+		if !ok || v.Size != running || digest != "" && v.Digest != digest {
 			return false
 		}
 		digest = v.Digest
@@ -291,8 +292,10 @@
 	return true
 }
 
-// Falsely collects verdicts of death, by all members, on lives that are healthy until the context ends: that neither died nor stood still, as
-// healthy tells, nor were starved, as they tell themselves (a busy machine may leave one without a processor for as long as a verdict takes).
+// CollectFalseVerdicts collects, from all members until the context ends, verdicts that a healthy member is dead: one
+// that neither ended nor was paused, as reported by healthy, nor was starved by its own counters (a busy machine may
+// leave one without a processor for as long as a verdict takes). found returns the verdicts, after the context has
+// ended.
 func (m *Mesh) CollectFalseVerdicts(ctx context.Context, healthy func(name string) bool) (found func() []string) { //nolint:gocognit // to be split with its package, see docs/left.md
 	type verdict struct {
 		at   time.Time
@@ -305,7 +308,7 @@
 	var wait sync.WaitGroup
 	for _, n := range m.Members {
 		wait.Go(func() {
-			seen, birth, late := 0, "", uint64(0)
+			seen, selfID, starvedCount := 0, "", uint64(0)
 			for ctx.Err() == nil {
 				time.Sleep(100 * time.Millisecond)
 				v, ok := n.View()
@@ -318,12 +321,12 @@
 						self = x.ID
 					}
 				}
-				if self != birth {
-					seen, birth, late = 0, self, 0
+				if self != selfID {
+					seen, selfID, starvedCount = 0, self, 0
 				}
 				mu.Lock()
-				if now := v.Counts.Starved + v.Counts.Pauses; now > late {
-					starved[n.Name()], late = append(starved[n.Name()], time.Now()), now
+				if now := v.Counts.Starved + v.Counts.Pauses; now > starvedCount {
+					starved[n.Name()], starvedCount = append(starved[n.Name()], time.Now()), now
 				}
 				for i := max(0, len(v.Events)-(v.EventCount-seen)); i < len(v.Events); i++ {
 					if e := v.Events[i]; e.Status == "dead" && healthy(e.Name) {
@@ -346,7 +349,7 @@
 				list = append(list, x.text)
 			}
 		}
-		m.rig.T.Logf("%d verdicts on members that were not stopped, %d of them on some that were not starved either", len(all), len(list))
+		m.rig.T.Logf("%d dead verdicts on members that were not stopped, %d of them on members that were not starved either", len(all), len(list))
 		return list
 	}
 }
--- a/internal/testbed/faults/proc.go
+++ b/internal/testbed/faults/proc.go
@@ -19,10 +19,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Rig is the processes, relays and folders of one test.
+// Rig holds the processes, links and files of one test.
 type Rig struct {
 	T   testing.TB
-	Dir string // a folder of the test's own
+	Dir string // temporary folder of the test
 	bin string
 }
 
@@ -32,7 +32,7 @@
 	err  error
 }
 
-// Main is for TestMain of a package with fault runs: it takes the built program away afterwards.
+// Main is for TestMain of a package with fault tests. It runs the tests and removes the built program.
 func Main(m *testing.M) {
 	code := m.Run()
 	if built.dir != "" {
@@ -41,8 +41,8 @@
 	os.Exit(code)
 }
 
-// New returns a rig for one test. The program is built once for each test binary, with the tag faults, which alone lets a
-// process be told that its clock runs unlike the others'.
+// New returns a rig for one test. The program is built once for each test binary, with the build tag faults: only with
+// that tag can a process be started with a clock that runs at a different rate.
 func New(t testing.TB) *Rig {
 	t.Helper()
 	built.once.Do(func() {
@@ -66,16 +66,16 @@
 	rig          *Rig
 	env          []string
 	args         []string
-	extraFiles   []*os.File // from descriptor 3 on
-	failpointDir string     // the folder of its failpoints
-	maxFiles     int        // how many descriptors the machine grants it; 0: as many as this process
+	extraFiles   []*os.File // inherited from descriptor 3 on
+	failpointDir string     // folder of the files that arm its failpoints
+	maxFiles     int        // limit on its open descriptors; 0: the limit of this process
 	out          *tail
 	cmd          *exec.Cmd
-	done         chan struct{} // closed once it has ended
+	done         chan struct{} // closed when the process has ended, by the goroutine that waits for it; each start makes a new one
 	err          error
 }
 
-// tail keeps what a process wrote, its last MiB.
+// tail keeps the last MiB of a process's output. mu guards b.
 type tail struct {
 	mu sync.Mutex
 	b  []byte
@@ -97,8 +97,8 @@
 	return string(o.b)
 }
 
-// spawn starts commands from a thread that lives as long as this process: children are told to die with the thread that
-// started them, so that none is left behind by a test binary that is killed.
+// spawn returns a channel of functions that are run on a thread which lives as long as this process. Children are
+// killed by the kernel when the thread that started them ends (Pdeathsig), so a killed test binary leaves none behind.
 var spawn = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -110,15 +110,16 @@
 	return work
 })
 
-// Start starts the program with these arguments; env is added to a short environment of the rig's own.
+// Start starts the program with these arguments. env is added to a minimal environment.
 func (r *Rig) Start(name string, env []string, args ...string) *Proc {
 	return r.StartWith(name, nil, 0, env, args...)
 }
 
-// StartWith is Start with open files for the process, from descriptor 3 on, and with a bound on its descriptors; 0: none of its own.
-func (r *Rig) StartWith(name string, pass []*os.File, files int, env []string, args ...string) *Proc {
+// StartWith is Start with inherited open files, from descriptor 3 on, and a limit on open descriptors (0: the limit of
+// this process).
+func (r *Rig) StartWith(name string, extraFiles []*os.File, maxFiles int, env []string, args ...string) *Proc {
 	r.T.Helper()
-	p := &Proc{Name: name, rig: r, env: env, args: args, extraFiles: pass, maxFiles: files, failpointDir: filepath.Join(r.Dir, "aims", name), out: &tail{}}
+	p := &Proc{Name: name, rig: r, env: env, args: args, extraFiles: extraFiles, maxFiles: maxFiles, failpointDir: filepath.Join(r.Dir, "aims", name), out: &tail{}}
 	if err := os.MkdirAll(p.failpointDir, 0o700); err != nil {
 		r.T.Fatal(err)
 	}
@@ -127,7 +128,7 @@
 		p.Kill()
 		if r.T.Failed() {
 			lines := strings.Split(p.Log(), "\n")
-			r.T.Logf("%s wrote last:\n%s", name, strings.Join(lines[max(0, len(lines)-25):], "\n"))
+			r.T.Logf("last output of %s:\n%s", name, strings.Join(lines[max(0, len(lines)-25):], "\n"))
 		}
 	})
 	return p
@@ -156,7 +157,8 @@
 	}()
 }
 
-// Run runs the program to its end, within a minute, and returns what it wrote and its exit code.
+// Run runs the program until it exits and returns its output, exit code and duration. The test fails if it takes over a
+// minute.
 func (r *Rig) Run(args ...string) (out string, code int, took time.Duration) {
 	r.T.Helper()
 	began := time.Now()
@@ -175,7 +177,7 @@
 	}
 }
 
-// Alive tells whether it has not ended yet.
+// Alive reports whether the process has not ended yet.
 func (p *Proc) Alive() bool {
 	select {
 	case <-p.done:
@@ -185,81 +187,84 @@
 	}
 }
 
-// Aim has the process stop, die, hang or wait for Release (stop, kill, hang, wait) the next time that it comes to the step of that name
-// (internal/process/failpoint).
-func (p *Proc) ArmFailpoint(step, what string) {
+// ArmFailpoint makes the process stop, die, hang or wait for ReleaseFailpoint (action stop, kill, hang or wait) the
+// next time that it reaches the failpoint of that name (internal/process/failpoint).
+func (p *Proc) ArmFailpoint(failpoint, action string) {
 	p.rig.T.Helper()
-	os.Remove(filepath.Join(p.failpointDir, step+".hit"))
-	// Written elsewhere first: the process must not read half of it.
-	from := filepath.Join(p.failpointDir, "aiming")
-	if err := os.WriteFile(from, []byte(what), 0o600); err != nil {
+	os.Remove(filepath.Join(p.failpointDir, failpoint+".hit"))
+	// Renamed into place: the process must not read a partly written file.
+	tempPath := filepath.Join(p.failpointDir, "aiming")
+	if err := os.WriteFile(tempPath, []byte(action), 0o600); err != nil {
 		p.rig.T.Fatal(err)
 	}
-	if err := os.Rename(from, filepath.Join(p.failpointDir, step)); err != nil {
+	if err := os.Rename(tempPath, filepath.Join(p.failpointDir, failpoint)); err != nil {
 		p.rig.T.Fatal(err)
 	}
 }
 
-// Struck tells whether the process has come to a step that was aimed at.
-func (p *Proc) FailpointHit(step string) bool {
-	_, err := os.Stat(filepath.Join(p.failpointDir, step+".hit"))
+// FailpointHit reports whether the process has reached a failpoint that was armed.
+func (p *Proc) FailpointHit(failpoint string) bool {
+	_, err := os.Stat(filepath.Join(p.failpointDir, failpoint+".hit"))
 	return err == nil
 }
 
-// Release lets a caller go on that waits at a step.
-func (p *Proc) ReleaseFailpoint(step string) { os.Remove(filepath.Join(p.failpointDir, step+".hit")) }
+// ReleaseFailpoint lets a goroutine that waits at a failpoint continue.
+func (p *Proc) ReleaseFailpoint(failpoint string) {
+	os.Remove(filepath.Join(p.failpointDir, failpoint+".hit"))
+}
 
-// Unaim takes an aim back, and tells whether the process has not come to the step.
-func (p *Proc) DisarmFailpoint(step string) bool {
-	return os.Remove(filepath.Join(p.failpointDir, step)) == nil
+// DisarmFailpoint disarms a failpoint and reports whether the process had not reached it.
+func (p *Proc) DisarmFailpoint(failpoint string) bool {
+	return os.Remove(filepath.Join(p.failpointDir, failpoint)) == nil
 }
 
-// Pause stops it where it stands, and returns once the kernel has.
+// Pause stops the process with SIGSTOP and returns once the kernel shows it as stopped, or after a second.
 func (p *Proc) Pause() {
 	p.signal(syscall.SIGSTOP)
 	for end := time.Now().Add(time.Second); p.Alive() && !p.Stopped() && time.Now().Before(end); time.Sleep(time.Millisecond) {
 	}
 }
 
-// Stopped tells whether it stands still.
+// Stopped reports whether the process is stopped by a signal.
 func (p *Proc) Stopped() bool {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	_, state, found := strings.Cut(string(b), ") ")
 	return err == nil && found && state[0] == 'T'
 }
 
-// Resume lets it go on.
+// Resume continues a stopped process.
 func (p *Proc) Resume() { p.signal(syscall.SIGCONT) }
 
-// Kill ends it by SIGKILL and waits until it is gone.
+// Kill sends SIGKILL and waits until the process has ended.
 func (p *Proc) Kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// Stop ends it in order, by SIGTERM, and kills it if that takes longer than within. It tells whether it ended by itself.
-func (p *Proc) Stop(within time.Duration) bool {
+// Stop sends SIGTERM and waits for the process to exit. It kills the process after within, and reports whether the
+// process exited by itself.
+func (p *Proc) Stop(timeout time.Duration) bool {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		return true
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.Kill()
 		return false
 	}
 }
 
-// Restart starts it again with the same arguments, after it has ended.
+// Restart kills the process if it still runs, and starts it again with the same arguments.
 func (p *Proc) Restart() {
 	p.rig.T.Helper()
 	p.Kill()
 	p.start()
 }
 
-// Log is what it wrote, its last MiB, over all its starts.
+// Log returns the last MiB of the process's output, over all its starts.
 func (p *Proc) Log() string { return p.out.String() }
 
-// CPU is the processor time that it has used so far.
+// CPU returns the processor time that the process has used so far.
 func (p *Proc) CPU() time.Duration {
 	b, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.cmd.Process.Pid))
 	_, after, _ := strings.Cut(string(b), ") ")
@@ -269,10 +274,11 @@
 	}
 	user, _ := strconv.Atoi(fields[11])
 	system, _ := strconv.Atoi(fields[12])
-	return time.Duration(user+system) * 10 * time.Millisecond // ticks of a hundredth: USER_HZ
+	return time.Duration(user+system) * 10 * time.Millisecond // USER_HZ is 100 ticks a second
 }
 
-// FillDisk has every write past the size that the files below dir have now fail, as on a disk that is full.
+// FillDisk makes every write fail that would grow a file past the size of the largest file now below dir, as on a full
+// disk.
 func (p *Proc) FillDisk(dir string) error {
 	var largest int64
 	err := filepath.WalkDir(dir, func(_ string, e fs.DirEntry, err error) error {
@@ -294,26 +300,27 @@
 	return p.limitFileSize(uint64(largest))
 }
 
-// FreeDisk ends FillDisk.
+// FreeDisk undoes FillDisk.
 func (p *Proc) FreeDisk() error { return p.limitFileSize(unix.RLIM_INFINITY) }
 
-func (p *Proc) limitFileSize(most uint64) error {
-	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}, nil)
+func (p *Proc) limitFileSize(maxBytes uint64) error {
+	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: maxBytes, Max: unix.RLIM_INFINITY}, nil)
 }
 
-// Until waits until done, for as long as a busy machine may take.
+// WaitFor waits until done returns true and returns how long that took. The test fails after a minute, which leaves
+// room for a busy machine.
 func (r *Rig) WaitFor(what string, done func() bool) time.Duration {
 	r.T.Helper()
 	began := time.Now()
 	for end := began.Add(time.Minute); !done(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.T.Fatalf("not within a minute: %s", what)
+			r.T.Fatalf("timed out after a minute waiting for: %s", what)
 		}
 	}
 	return time.Since(began)
 }
 
-// File writes a file of the test's and returns its path.
+// WriteFile writes a file in the test's folder and returns its path.
 func (r *Rig) WriteFile(name, text string) string {
 	r.T.Helper()
 	path := filepath.Join(r.Dir, name)
--- a/internal/testbed/faults/relays.go
+++ b/internal/testbed/faults/relays.go
@@ -17,10 +17,10 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// feedFleet is the name of the fleet of these runs.
+// fleetName is the fleet name in these tests.
 const fleetName = "campus"
 
-// Feed is the way of changes to all: agents, relays in regions, and what it takes to follow and to judge them.
+// RelayNetwork is the agents and the relays of the watch stream, through which changes reach the initiators.
 type RelayNetwork struct {
 	rig        *Rig
 	AgentGroup *AgentGroup
@@ -29,44 +29,47 @@
 	client     http.Client
 }
 
-// FeedRelay is one relay as a process, with a link to each agent.
+// Relay is one relay process, with a link to each agent.
 type Relay struct {
 	*Proc
 	ID, Region, Addr string
 	Links            []*Link
 }
 
-// Feed starts relays, so many in each region, behind links to the agents. They keep their copies below the rig's folder.
-func (r *Rig) StartRelays(agents *AgentGroup, each int, regions ...string) *RelayNetwork {
+// StartRelays starts each relays in every region, behind links to the agents. They keep their copies below the rig's
+// folder.
+func (r *Rig) StartRelays(agents *AgentGroup, perRegion int, regions ...string) *RelayNetwork {
 	r.T.Helper()
 	f := &RelayNetwork{rig: r, AgentGroup: agents, regions: regions, client: http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}}
-	addrs := FreeAddrs(r.T, each*len(regions))
+	addrs := FreeAddrs(r.T, perRegion*len(regions))
 	for i, addr := range addrs {
-		y := &Relay{ID: fmt.Sprint("relay-", i), Region: regions[i/each], Addr: addr}
-		var to []string
+		relay := &Relay{ID: fmt.Sprint("relay-", i), Region: regions[i/perRegion], Addr: addr}
+		var quotedAddrs []string
 		for j, a := range agents.API {
-			y.Links = append(y.Links, r.StartLink(y.ID, fmt.Sprint("agent-", j), a))
-			to = append(to, strconv.Quote(y.Links[j].Addr))
+			relay.Links = append(relay.Links, r.StartLink(relay.ID, fmt.Sprint("agent-", j), a))
+			quotedAddrs = append(quotedAddrs, strconv.Quote(relay.Links[j].Addr))
 		}
-		file := r.WriteFile(y.ID+".toml", fmt.Sprintf("[relay]\nid = %q\nfleet = %q\nregion = %q\nlisten = %q\nagents = [%s]\ndir = %q\n",
-			y.ID, fleetName, y.Region, addr, strings.Join(to, ", "), filepath.Join(r.Dir, y.ID)))
-		y.Proc = r.Start(y.ID, nil, "relay", "--operator", file)
-		f.Relays = append(f.Relays, y)
+		file := r.WriteFile(relay.ID+".toml", fmt.Sprintf("[relay]\nid = %q\nfleet = %q\nregion = %q\nlisten = %q\nagents = [%s]\ndir = %q\n",
+			relay.ID, fleetName, relay.Region, addr, strings.Join(quotedAddrs, ", "), filepath.Join(r.Dir, relay.ID)))
+		relay.Proc = r.Start(relay.ID, nil, "relay", "--operator", file)
+		f.Relays = append(f.Relays, relay)
 	}
 	return f
 }
 
-// Reader is an initiator that takes the feed, with a link to each relay.
+// Subscriber is an initiator that subscribes to the watch stream, with a link to each relay. mu guards Generation and
+// restarting.
 type Subscriber struct {
 	*Instance
 	Region     string
 	mu         sync.Mutex
-	Generation int  // how often it was started: what it says is held against one life
-	restarting bool // it is being started again
+	Generation int  // counts its starts; versions that it reports are only compared within one
+	restarting bool // it is being killed and restarted
 	links      []*Link
 }
 
-// Reader starts an initiator that takes the feed; o.File and o.Agents are not used.
+// StartSubscriber starts an initiator that takes its targets from the watch stream; o.OperatorFile and o.Agents are not
+// used.
 func (f *RelayNetwork) StartSubscriber(name, region string, o InstanceOptions) *Subscriber {
 	f.rig.T.Helper()
 	n := &Subscriber{Region: region, Generation: 1}
@@ -77,7 +80,7 @@
 	return n
 }
 
-// Layered starts an initiator that takes its configuration from the feed as well.
+// StartConfigSubscriber starts an initiator that takes its targets and its configuration from the watch stream.
 func (f *RelayNetwork) StartConfigSubscriber(name, region string) *Subscriber {
 	f.rig.T.Helper()
 	addrs := FreeAddrs(f.rig.T, 2)
@@ -88,7 +91,7 @@
 	return n
 }
 
-// file is the operator's file of an initiator.
+// operatorFile returns the operator file of an initiator and its links to the relays.
 func (f *RelayNetwork) operatorFile(name, region string) (string, []*Link) {
 	var links []*Link
 	var b strings.Builder
@@ -103,18 +106,18 @@
 	return b.String(), links
 }
 
-// CutRegion has nothing pass between a region's relays and the agents, and between its initiators and relays of other regions, nor the other
-// way; HealRegion ends it.
-func (f *RelayNetwork) CutRegion(region string, readers []*Subscriber) {
-	f.eachBorderLink(region, readers, (*Link).Cut)
+// CutRegion cuts a region off: its relays from the agents, and its initiators from the relays of other regions and the
+// other way round. HealRegion undoes it.
+func (f *RelayNetwork) CutRegion(region string, subscribers []*Subscriber) {
+	f.eachBorderLink(region, subscribers, (*Link).Cut)
 }
 
-// HealRegion ends CutRegion.
-func (f *RelayNetwork) HealRegion(region string, readers []*Subscriber) {
-	f.eachBorderLink(region, readers, (*Link).Heal)
+// HealRegion undoes CutRegion.
+func (f *RelayNetwork) HealRegion(region string, subscribers []*Subscriber) {
+	f.eachBorderLink(region, subscribers, (*Link).Heal)
 }
 
-func (f *RelayNetwork) eachBorderLink(region string, readers []*Subscriber, do func(*Link)) {
+func (f *RelayNetwork) eachBorderLink(region string, subscribers []*Subscriber, do func(*Link)) {
 	for _, y := range f.Relays {
 		if y.Region == region {
 			for _, k := range y.Links {
@@ -122,7 +125,7 @@
 			}
 		}
 	}
-	for _, n := range readers {
+	for _, n := range subscribers {
 		for i, k := range n.links {
 			if (n.Region == region) != (f.Relays[i].Region == region) {
 				do(k)
@@ -131,15 +134,16 @@
 	}
 }
 
-// Put has the fleet changed, once, whoever leads, and returns the version that it made.
+// Put makes one change through whichever agent leads and returns the version of the change. Retries reuse the change's
+// ID, so it is made once.
 func (f *RelayNetwork) Put(puts ...watchstream.Put) (version uint64) {
 	f.rig.T.Helper()
 	body, err := json.Marshal(watchstream.Change{Fleet: fleetName, Epoch: "runs", Puts: puts})
 	if err != nil {
 		f.rig.T.Fatal(err)
 	}
-	id, said := rand.Text(), ""
-	f.rig.WaitFor("a change is taken", func() bool {
+	id, lastResponse := rand.Text(), ""
+	f.rig.WaitFor("a change to be accepted", func() bool {
 		for _, a := range f.AgentGroup.API {
 			req, err := http.NewRequest(http.MethodPost, "http://"+a+"/v1/feed/changes", bytes.NewReader(body))
 			if err != nil {
@@ -157,8 +161,8 @@
 				version = made.Version
 				return true
 			}
-			if said = fmt.Sprint(resp.StatusCode, " ", string(text)); resp.StatusCode >= 400 && resp.StatusCode < 500 {
-				f.rig.T.Fatalf("a change is refused: %s", said)
+			if lastResponse = fmt.Sprint(resp.StatusCode, " ", string(text)); resp.StatusCode >= 400 && resp.StatusCode < 500 {
+				f.rig.T.Fatalf("change rejected: %s", lastResponse)
 			}
 		}
 		return false
@@ -166,48 +170,52 @@
 	return version
 }
 
-// Says is what the initiator's second address tells of the feed, by name without its prefix; nil where it does not answer.
+// StreamMetrics returns the initiator's watch stream metrics by name without prefix; nil if its control address does
+// not answer.
 func (n *Subscriber) StreamMetrics() map[string]int64 {
-	all := map[string]int64{}
+	metrics := map[string]int64{}
 	for line := range strings.Lines(n.Metrics()) {
 		name, rest, _ := strings.Cut(strings.TrimSpace(line), ":")
 		value, _, _ := strings.Cut(rest, "|")
-		if name, ours := strings.CutPrefix(name, "edge_proxy.feed."); ours {
+		if name, found := strings.CutPrefix(name, "edge_proxy.feed."); found {
 			if v, err := strconv.ParseInt(value, 10, 64); err == nil {
-				all[name] = v
+				metrics[name] = v
 			}
 		}
 	}
-	if len(all) == 0 {
+	if len(metrics) == 0 {
 		return nil
 	}
-	return all
+	return metrics
 }
 
-// DrainJudge holds what reaches the targets against what each initiator has said to be in force: once it has a drain in force, none of its
-// requests comes there any more. It knows nothing of how the feed works, and goes by its own clock.
+// DrainChecker checks the requests that reach the targets against the versions that initiators report as applied: an
+// initiator that has applied a target's drain must send it no more requests. It is independent of the watch stream's
+// code and uses its own clock. mu guards the fields below it.
 type DrainChecker struct {
-	grace         time.Duration // for what was sent before and is still on its way
+	grace         time.Duration // for requests sent before the drain was applied
 	mu            sync.Mutex
-	drains        map[string]uint64            // by target: the version that drains it
-	appliedSince  map[string]map[int]time.Time // by target and initiator: from when on it was known to be in force there
+	drains        map[string]uint64            // by target: version of its drain
+	appliedSince  map[string]map[int]time.Time // by target and initiator: when the initiator first reported the drain as applied
 	violations    []string
-	DrainsApplied int // drains known to be in force at an initiator
+	DrainsApplied int // pairs of initiator and drain that were reported as applied
 }
 
-// NewDrainJudge returns a judge that allows so long for what is under way. It reads an initiator's number from the request's id.
+// NewDrainChecker returns a checker that allows requests to arrive for grace after the drain was applied. It reads an
+// initiator's number from the request ID.
 func NewDrainChecker(allow time.Duration) *DrainChecker {
 	return &DrainChecker{grace: allow, drains: map[string]uint64{}, appliedSince: map[string]map[int]time.Time{}}
 }
 
-// Drained notes that a version drains a target; Started, before the change is made, that it will serve again, under another start.
+// RecordDrain records that a version drains a target. RecordServing must be called before the change that makes it
+// serve again, with another start time.
 func (j *DrainChecker) RecordDrain(target string, version uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.drains[target], j.appliedSince[target] = version, map[int]time.Time{}
 }
 
-// Started ends Drained.
+// RecordServing ends the check of a target that was drained.
 func (j *DrainChecker) RecordServing(target string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -215,7 +223,8 @@
 	delete(j.appliedSince, target)
 }
 
-// InForce notes that an initiator said at that moment, or before, that all targets' changes up to a version are in force.
+// RecordApplied records that an initiator reported, at that time, that it has applied all target changes up to a
+// version.
 func (j *DrainChecker) RecordApplied(initiator int, version uint64, at time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -227,7 +236,8 @@
 	}
 }
 
-// Ended notes that an initiator's life ends: the next one knows what it has on disk, and tells anew what of it is in force.
+// RecordRestart records that an initiator's process ended. The next one starts from its copy on disk and reports anew
+// what it has applied.
 func (j *DrainChecker) RecordRestart(initiator int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -236,7 +246,7 @@
 	}
 }
 
-// Reached is for Targets.
+// RecordRequest checks a request that reached a target; it is set as Targets.OnRequest.
 func (j *DrainChecker) RecordRequest(t *Target, request string) {
 	at := time.Now()
 	number, _, _ := strings.Cut(request, "-")
@@ -247,49 +257,49 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if since, known := j.appliedSince[t.ID][initiator]; known && at.Sub(since) > j.grace && len(j.violations) < 20 {
-		j.violations = append(j.violations, fmt.Sprintf("initiator %d reached %s %v after it had its drain (version %d) in force",
+		j.violations = append(j.violations, fmt.Sprintf("initiator %d sent a request to %s %v after it had applied its drain (version %d)",
 			initiator, t.ID, at.Sub(since).Round(time.Millisecond), j.drains[t.ID]))
 	}
 }
 
-// Broken is what went wrong.
+// Violations returns the first requests that reached a drained target.
 func (j *DrainChecker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.violations...)
 }
 
-// Watch asks all initiators what is in force, until the context ends, and tells the judge. A version that goes back within one life of an
-// initiator is told to back.
-func (f *RelayNetwork) PollApplied(ctx context.Context, readers []*Subscriber, judge *DrainChecker, back func(string)) {
+// PollApplied polls all initiators for the versions that they have applied until the context ends, and passes them to
+// the checker. It calls back for a version that goes back within one generation of an initiator.
+func (f *RelayNetwork) PollApplied(ctx context.Context, subscribers []*Subscriber, checker *DrainChecker, wentBack func(string)) {
 	var work sync.WaitGroup
 	f.rig.T.Cleanup(work.Wait)
-	for i, n := range readers {
+	for i, n := range subscribers {
 		work.Go(func() {
-			had, life := map[string]int64{}, 0
+			last, lastGeneration := map[string]int64{}, 0
 			for ctx.Err() == nil {
 				n.mu.Lock()
-				lives := n.Generation
+				generation := n.Generation
 				n.mu.Unlock()
-				says := n.StreamMetrics()
+				metrics := n.StreamMetrics()
 				at := time.Now()
 				n.mu.Lock()
-				if says == nil || n.Generation != lives || n.restarting {
+				if metrics == nil || n.Generation != generation || n.restarting {
 					n.mu.Unlock()
 					time.Sleep(50 * time.Millisecond)
 					continue
 				}
-				if lives != life {
-					clear(had)
-					life = lives
+				if generation != lastGeneration {
+					clear(last)
+					lastGeneration = generation
 				}
-				judge.RecordApplied(i, uint64(says["in_force.targets"]), at)
+				checker.RecordApplied(i, uint64(metrics["in_force.targets"]), at)
 				n.mu.Unlock()
-				for _, lane := range []string{"position.targets", "position.config", "in_force.targets", "in_force.config"} {
-					if says[lane] < had[lane] {
-						back(fmt.Sprintf("%s: %s went back from %d to %d", n.Name, lane, had[lane], says[lane]))
+				for _, metric := range []string{"position.targets", "position.config", "in_force.targets", "in_force.config"} {
+					if metrics[metric] < last[metric] {
+						wentBack(fmt.Sprintf("%s: %s went back from %d to %d", n.Name, metric, last[metric], metrics[metric]))
 					}
-					had[lane] = says[lane]
+					last[metric] = metrics[metric]
 				}
 				time.Sleep(50 * time.Millisecond)
 			}
@@ -297,13 +307,13 @@
 	}
 }
 
-// Renew kills the initiator and starts it again.
-func (n *Subscriber) KillAndRestart(i int, judge *DrainChecker) {
+// KillAndRestart kills the initiator and starts it again, as a new generation.
+func (n *Subscriber) KillAndRestart(i int, checker *DrainChecker) {
 	n.mu.Lock()
 	n.restarting = true
 	n.mu.Unlock()
 	n.Kill()
-	judge.RecordRestart(i)
+	checker.RecordRestart(i)
 	n.Restart()
 	n.mu.Lock()
 	n.Generation++
@@ -311,7 +321,7 @@
 	n.mu.Unlock()
 }
 
-// life tells which life an initiator is in; false while it is between two.
+// currentGeneration returns the initiator's generation; false while it is being restarted.
 func (n *Subscriber) currentGeneration() (int, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -12,11 +12,11 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// Event is one fault of a schedule. What lasts ends by itself.
+// Fault is one fault of a schedule. It ends by itself after Duration.
 type Fault struct {
 	At       time.Duration
-	Kind     string // kill, pause, cut, deaf, mute, slow, reset, agent-kill, agent-pause, agent-alone
-	Index    int    // which instance, or agent
+	Kind     string // kill, pause, cut, deaf (receives nothing), mute (sends nothing), slow, reset, agent-kill, agent-pause, agent-alone
+	Index    int    // index of the instance or agent
 	Duration time.Duration
 }
 
@@ -24,8 +24,9 @@
 	return fmt.Sprintf("%.1fs %s %d for %.1fs", e.At.Seconds(), e.Kind, e.Index, e.Duration.Seconds())
 }
 
-// Schedule is faults at random over a length of time: the same for the same seed and sizes. One agent is hurt at a time, at most, so
-// that a majority is always there; any number of instances is. About one fault comes every so often.
+// Schedule returns random faults over a length of time, the same for the same seed and sizes. At most one agent is
+// faulty at a time, so that there is always a majority; any number of instances is. The mean interval between faults is
+// every.
 func Schedule(seed uint64, instances, agents int, length, every time.Duration) []Fault {
 	rng := rand.New(rand.NewPCG(seed, 20))
 	kinds := []string{"kill", "pause", "cut", "deaf", "mute", "slow", "reset", "agent-kill", "agent-pause", "agent-alone"}
@@ -45,8 +46,8 @@
 	return all
 }
 
-// Record is a schedule as an experiment on the modelled fleet reads it (its schedule file). Resets of connections alone are left out: the
-// model has none.
+// EncodeSchedule encodes a schedule as the schedule file of an experiment on the modeled fleet. Resets of connections
+// are left out, since the model has none.
 func EncodeSchedule(all []Fault) ([]byte, error) {
 	var faults []model.Fault
 	for _, e := range all {
@@ -57,12 +58,12 @@
 	return json.MarshalIndent(faults, "", " ")
 }
 
-// Play carries a schedule out and returns once everything in it has ended. It tells how often what happened. An instance that is still
-// under a fault, or was until a second ago, is spared.
+// RunSchedule runs a schedule, returns once every fault in it has ended, and counts the faults by kind. A fault is
+// skipped if its instance is still under another one, or was until a second ago.
 func (r *Rig) RunSchedule(all []Fault, instances []*Instance, agents *AgentGroup) map[string]int {
 	var steps []scheduleStep
 	counts := map[string]int{}
-	busy := map[int]time.Duration{} // until when an instance is under a fault
+	busy := map[int]time.Duration{} // by instance: the end of its last fault
 	for _, e := range all {
 		var begin, end func()
 		if strings.HasPrefix(e.Kind, "agent") {
@@ -86,13 +87,13 @@
 	return counts
 }
 
-// step is one begin or end of a fault.
+// scheduleStep is the begin or end of a fault.
 type scheduleStep struct {
 	at time.Duration
 	do func()
 }
 
-// fault returns what begins and what ends a fault of an agent.
+// faultActions returns the functions that begin and end a fault of an agent.
 func (g *AgentGroup) faultActions(e Fault) (begin, end func()) {
 	p := g.Procs[e.Index]
 	switch e.Kind {
@@ -104,7 +105,7 @@
 	return func() { g.Isolate(e.Index) }, func() { g.Reconnect(e.Index) }
 }
 
-// fault returns what begins and what ends a fault of an instance or of its links.
+// faultActions returns the functions that begin and end a fault of an instance or of its links.
 func (n *Instance) faultActions(e Fault) (begin, end func()) {
 	switch e.Kind {
 	case "kill":
@@ -123,7 +124,7 @@
 	return n.setLinks(Impairment{Delay: e.Duration / 20}, Impairment{Delay: e.Duration / 8}), n.Heal // slow
 }
 
-// eachLink returns a function that does something to each link of the instance.
+// eachLink returns a function that calls do for each link of the instance.
 func (n *Instance) eachLink(do func(*Link)) func() {
 	return func() {
 		for _, k := range n.Links {
@@ -132,7 +133,7 @@
 	}
 }
 
-// setLinks returns a function that has each link of the instance treat its two ways so.
+// setLinks returns a function that sets both impairments of each link of the instance.
 func (n *Instance) setLinks(there, back Impairment) func() {
 	return n.eachLink(func(k *Link) { k.Set(there, back) })
 }
--- a/internal/testbed/faults/targets.go
+++ b/internal/testbed/faults/targets.go
@@ -11,17 +11,18 @@
 	"time"
 )
 
-// Judge counts by itself what reaches all stand-in targets, and knows nothing of parts: of a rate, how far any window went beyond
-// it; of connections, how many were ever open at one target.
+// TrafficMonitor counts what reaches all stand-in targets, independently of how quotas are allocated: by how much any
+// window exceeded a rate limit, and how many connections were ever open at one target. mu guards the fields below it.
 type TrafficMonitor struct {
 	mu       sync.Mutex
 	began    time.Time
 	limits   map[string]*leakyBucket
-	attempts map[string]int // attempts by request
-	arrivals [][3]int64     // by tenths of a second: all, repeats, at cold targets
+	attempts map[string]int // attempts by request ID
+	arrivals [][3]int64     // by tenths of a second: all, retries, at cold targets
 }
 
-// bucket takes what arrives and empties at the rate: its level is the most by which a window that ends now is over it.
+// leakyBucket fills with arrivals and drains at the rate. Its level is the most by which a window that ends now exceeds
+// the rate.
 type leakyBucket struct {
 	rate, level, maxLevel float64
 	at                    time.Time
@@ -32,35 +33,35 @@
 	b.at, b.maxLevel = now, max(b.maxLevel, b.level)
 }
 
-// Targets is the stand-in targets, and the service that lists them.
+// Targets is the stand-in targets and the discovery service that lists them. mu guards version and changed.
 type Targets struct {
 	rig       *Rig
 	Monitor   *TrafficMonitor
 	All       []*Target
 	Discovery string
-	OnRequest func(t *Target, request string) // told of each request that reaches a target; nil: nobody asks. Set before any comes
+	OnRequest func(t *Target, request string) // called for each request that reaches a target; may be nil; set before any request
 	mu        sync.Mutex
 	version   int
 	changed   chan struct{}
 }
 
-// Target is one stand-in.
+// Target is one stand-in target. IDs start with t.
 type Target struct {
 	ID, Addr       string
 	Shard          int
-	Started        atomic.Int64 // Unix ms; 0: long ago
-	FailEvery      atomic.Int64 // answers each so manieth with an error; 0: none
+	Started        atomic.Int64 // start time in Unix ms; 0: long ago
+	FailEvery      atomic.Int64 // fails every n-th request; 0: none
 	ServiceTime    atomic.Int64 // ns for each request
-	Unhealthy      atomic.Bool  // asked for its health, it says that it is not well
-	HealthChecks   atomic.Int64 // how often it was asked for it
-	requests       atomic.Int64 // requests, health calls not among them
+	Unhealthy      atomic.Bool  // health checks fail
+	HealthChecks   atomic.Int64 // health checks received
+	requests       atomic.Int64 // requests without health checks
 	failCandidates atomic.Int64
 	openConns      atomic.Int64
 	maxConns       atomic.Int64
 }
 
-// Targets starts n targets, each with a shard of its own. Rates are what the judge holds all of them against, in units a second,
-// by the names work, repeat and cold; cold counts for each target alone.
+// StartTargets starts n targets, each with a shard of its own. rates are the limits that the monitor holds all of them
+// together to, in units a second, under the names work, repeat and cold; cold applies to each target alone.
 func (r *Rig) StartTargets(n int, rates map[string]float64) *Targets {
 	g := &Targets{rig: r, version: 1, changed: make(chan struct{}),
 		Monitor: &TrafficMonitor{began: time.Now(), limits: map[string]*leakyBucket{}, attempts: map[string]int{}}}
@@ -121,13 +122,13 @@
 	fmt.Fprintf(w, `{"version":%d,"full":true,"servers":[%s]}`, version, strings.Join(all, ","))
 }
 
-// Restarted has the list tell that a target has started at that moment: it is cold.
+// MarkRestarted publishes that a target has started now: it is cold.
 func (g *Targets) MarkRestarted(t *Target) {
 	t.Started.Store(time.Now().UnixMilli())
 	g.RepublishList()
 }
 
-// Tell has the list told again, as it is.
+// RepublishList publishes the list again under a new version.
 func (g *Targets) RepublishList() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -141,7 +142,7 @@
 	if q.URL.Path == "/-/healthy" {
 		t.HealthChecks.Add(1)
 		if t.Unhealthy.Load() {
-			http.Error(w, "not well", http.StatusServiceUnavailable)
+			http.Error(w, "unhealthy", http.StatusServiceUnavailable)
 		}
 		return
 	}
@@ -179,14 +180,14 @@
 	fmt.Fprint(w, "done")
 }
 
-// Worst is by how much any window so far was over the rate of that name.
+// MaxExcess returns the most by which any window so far exceeded the limit of that name.
 func (j *TrafficMonitor) MaxExcess(name string) float64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.limits[name].maxLevel
 }
 
-// Rate is what arrived a second, over the last whole tenths of a second: all, repeats, at cold targets.
+// Rate returns the arrivals a second over the last whole tenths of a second: all, retries, at cold targets.
 func (j *TrafficMonitor) Rate(over time.Duration) (rate [3]float64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -200,7 +201,7 @@
 	return rate
 }
 
-// MostConns is how many connections were ever open at one target at a time.
+// MaxConns returns the most connections that were ever open at one target at a time.
 func (g *Targets) MaxConns() (most int64) {
 	for _, t := range g.All {
 		most = max(most, t.maxConns.Load())
--- a/internal/testbed/faults/witness.go
+++ b/internal/testbed/faults/witness.go
@@ -20,8 +20,8 @@
 	"spindlehitch/internal/controlplane/lease/leasework"
 )
 
-// Witness is told by members of each call of a drill's place, before it is made and after it has returned, and knows nothing of leases. It
-// goes by its own clock.
+// Witness records each call that members make to a drill's guarded folder. Members notify it before the call and after
+// its return. It is independent of leases and uses its own clock. mu guards calls.
 type Witness struct {
 	Addr  string
 	began time.Time
@@ -34,7 +34,7 @@
 	call, end time.Duration // end 0: it has not returned
 }
 
-// Witness starts one.
+// StartWitness starts a witness; it ends with the test.
 func (r *Rig) StartWitness() *Witness {
 	w := &Witness{began: time.Now(), calls: map[string]*observedCall{}}
 	s := httptest.NewServer(http.HandlerFunc(w.handleNotice))
@@ -54,7 +54,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	// A process that is started again counts its calls from one; a token is never given twice.
+	// The call counter starts again with the process, but a token is never granted twice.
 	id := fmt.Sprintf("%s/%d", n.ID, n.Token)
 	switch c := w.calls[id]; {
 	case c == nil && !n.Return:
@@ -64,27 +64,27 @@
 	}
 }
 
-// Seen is what a witness and the places together have of a run.
+// WitnessSummary summarizes what the witness and the folders recorded of a run.
 type WitnessSummary struct {
 	Calls, Accepted, Rejected, Unknown int
-	Tokens                             int // that acts began under: hand-overs, and the first of each shard
-	Operations                         int // whose end was taken
+	Tokens                             int // tokens under which operations began: handovers, and the first of each shard
+	Operations                         int // operations whose end was accepted
 }
 
 func (s WitnessSummary) String() string {
-	return fmt.Sprintf("%d calls of places, %d taken, %d refused, %d of which nobody heard; %d acts ended under %d tokens", s.Calls, s.Accepted, s.Rejected, s.Unknown, s.Operations, s.Tokens)
+	return fmt.Sprintf("%d calls, %d accepted, %d rejected, %d with unknown result; %d operations ended under %d tokens", s.Calls, s.Accepted, s.Rejected, s.Unknown, s.Operations, s.Tokens)
 }
 
-// input and output of a call, for the model of a place.
+// guardInput is the input of a call in the model of a guarded folder.
 type guardInput struct {
 	step             string
 	token, operation uint64
 }
 
-// placeModel is a guarded place as it has to be: acts one after the other, in the order of their tokens. It is written from
-// the promise, not from the code that keeps it.
+// guardModel specifies a guarded folder: operations run one after the other, in the order of their tokens. It is
+// written from the specification, independently of the fencing code.
 var guardModel = porcupine.Model{
-	Init: func() any { return [3]uint64{} }, // the newest token and act begun; 1 while the act is under way
+	Init: func() any { return [3]uint64{} }, // newest token and operation that began; 1 while the operation is in progress
 	Step: func(state, in, out any) (bool, any) {
 		s, i := state.([3]uint64), in.(guardInput)
 		mine := s[0] == i.token && s[1] == i.operation && s[2] == 1
@@ -107,7 +107,7 @@
 		case "refused":
 			return !can, s
 		}
-		return true, next // nobody heard: it was taken if it could be, now or later
+		return true, next // unknown result: it was accepted if it could be, now or later
 	},
 	Equal: func(a, b any) bool { return a == b },
 	DescribeOperation: func(in, out any) string {
@@ -116,8 +116,8 @@
 	},
 }
 
-// Judge holds all that was witnessed of a task against the promise: for each shard the calls have to be linearizable as a guarded place, and
-// what the place itself wrote down has to be in order. What is wrong is an error that names the shard.
+// Check checks all recorded calls of a task: for each shard they have to be linearizable as a guarded folder, and the
+// folder's own record has to be in order. The error names the shard.
 func (w *Witness) Check(task lease.Task) (seen WitnessSummary, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -164,7 +164,7 @@
 	for shard, history := range shards {
 		slices.SortFunc(history, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 		if got := porcupine.CheckOperationsTimeout(guardModel, history, time.Minute); got != porcupine.Ok {
-			return seen, fmt.Errorf("shard %d: %d calls are not those of acts one after the other: %s", shard, len(history), got)
+			return seen, fmt.Errorf("shard %d: %d calls are not linearizable as operations one after the other: %s", shard, len(history), got)
 		}
 	}
 	for shard := range task.Shards {
@@ -173,13 +173,13 @@
 			return seen, err
 		}
 		if err := checkLogOrder(s.Last); err != nil {
-			return seen, fmt.Errorf("shard %d, by its own word: %w", shard, err)
+			return seen, fmt.Errorf("shard %d, record of its folder: %w", shard, err)
 		}
 	}
 	return seen, nil
 }
 
-// inOrder holds what a place wrote down against the promise.
+// checkLogOrder checks the record that a guarded folder keeps.
 func checkLogOrder(all []leasework.DrillEntry) error {
 	var p fencing.Guard
 	for i, e := range all {
@@ -189,7 +189,7 @@
 		mine := e.Token == p.Token && e.Operation == p.Operation && p.InProgress
 		newer := e.Token > p.Token || e.Token == p.Token && e.Operation > p.Operation
 		if i > 0 && p.Token > 0 && (e.Step == "begin" && !newer || e.Step != "begin" && !mine) {
-			return fmt.Errorf("entry %d, %+v, was taken after act %d under token %d", i, e, p.Operation, p.Token)
+			return fmt.Errorf("entry %d, %+v, was accepted after operation %d under token %d", i, e, p.Operation, p.Token)
 		}
 		p = fencing.Guard{Token: e.Token, Operation: e.Operation, InProgress: e.Step != "end"}
 	}
