--- a/internal/testbed/faults/budget_test.go
+++ b/internal/testbed/faults/budget_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Budgets of the fault runs: short parts, so that much happens in little time.
+// Budgets of the fault tests. Allocations expire quickly, so that much happens in little time.
 const (
 	allocationTTLMs = 1500
 	workRate        = 200.0
@@ -69,7 +69,7 @@
 		f.instances = append(f.instances, r.StartInstance(fmt.Sprint("n", i), o, clock))
 	}
 	for _, n := range f.instances {
-		f.WaitFor(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
+		f.WaitFor(n.Name+" to join", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
 	}
 	r.StartLoad(t.Context(), f.instances, targets)
 	return f
@@ -81,23 +81,24 @@
 	}
 }
 
-// served waits until the fleet serves at least so much a second, over half a second.
+// waitServed waits until the fleet serves at least this many requests a second over half a second.
 func (f *fleet) waitServed(what string, least float64) {
 	f.T.Helper()
-	time.Sleep(700 * time.Millisecond) // what was served before it is out of sight
-	took := f.WaitFor(fmt.Sprintf("%s: %.0f a second", what, least), func() bool { return f.targets.Monitor.Rate(500 * time.Millisecond)[0] >= least })
-	f.T.Logf("%s: %.0f a second again %.1f renewals after it, worst window %.1f of %.0f", what, least, (took.Seconds()+0.7)/0.3,
+	time.Sleep(700 * time.Millisecond) // past the half second before the call
+	took := f.WaitFor(fmt.Sprintf("%s: %.0f requests a second", what, least), func() bool { return f.targets.Monitor.Rate(500 * time.Millisecond)[0] >= least })
+	f.T.Logf("%s: %.0f requests a second again after %.1f renewals, largest excess %.1f of %.0f", what, least, (took.Seconds()+0.7)/0.3,
 		f.targets.Monitor.MaxExcess("work"), workBurst)
 }
 
-// TestWorkBudget drives eight instances under a budget of all work, with more load than it, through what machines and networks
-// do. What the targets count never goes past it, over any window.
+// TestWorkBudget guards against a fleet that exceeds its budget for all work: eight instances under more load than the
+// budget go through kills, pauses, lost traffic and loss of the leader. No window of what the targets count exceeds the
+// budget by more than its burst.
 func TestWorkBudget(t *testing.T) {
 	f := newFleet(t, 8, 2, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{}, 1.0005, 0, 0.9995)
 	pauses := 0.0
-	time.Sleep(allocationTTLMs * time.Millisecond) // tokens are saved
+	time.Sleep(allocationTTLMs * time.Millisecond) // the token buckets fill
 	f.setLoad(60)
-	f.waitServed("joined, with tokens saved", 0.8*workRate)
+	f.waitServed("all joined, with full buckets", 0.8*workRate)
 	for _, n := range f.instances[2:] {
 		n.Kill()
 	}
@@ -108,8 +109,8 @@
 		n.Restart()
 	}
 	f.setLoad(60)
-	f.WaitFor("all are back", func() bool { return strings.Count(f.instances[7].Log(), "FLEET_JOINED") == 2 })
-	f.waitServed("all are back", 0.75*workRate)
+	f.WaitFor("all to join again", func() bool { return strings.Count(f.instances[7].Log(), "FLEET_JOINED") == 2 })
+	f.waitServed("all joined again", 0.75*workRate)
 
 	f.instances[0].Pause()
 	pauses++
@@ -117,7 +118,7 @@
 	f.instances[0].Resume()
 	f.instances[1].DropAgentTraffic(true, false)
 	f.instances[2].DropAgentTraffic(false, true)
-	f.WaitFor("it is cut off", func() bool {
+	f.WaitFor("two instances to be cut off", func() bool {
 		return strings.Contains(f.instances[1].Log(), "FLEET_CUT_OFF") && strings.Contains(f.instances[2].Log(), "FLEET_CUT_OFF")
 	})
 	f.waitServed("one paused and resumed, two cut off", 0.7*workRate)
@@ -132,7 +133,7 @@
 	second := f.agents.Leader()
 	f.agents.Isolate(second)
 	time.Sleep(allocationTTLMs * time.Millisecond)
-	f.waitServed("the leader with a minority", 0.7*workRate)
+	f.waitServed("the leader isolated", 0.7*workRate)
 	f.agents.Reconnect(second)
 	third := f.agents.Leader()
 	f.agents.Procs[third].Kill()
@@ -140,12 +141,12 @@
 	f.agents.Procs[third].Restart()
 
 	worst, most := f.targets.Monitor.MaxExcess("work"), workBurst+pauses
-	t.Logf("worst window: %.1f beyond the rate, of %.0f", worst, most)
+	t.Logf("largest excess of a window: %.1f, limit %.0f", worst, most)
 	if worst > most {
-		t.Errorf("a window saw %.1f beyond the rate, of %.0f", worst, most)
+		t.Errorf("a window exceeded the rate by %.1f, limit %.0f", worst, most)
 	}
-	if lost := f.instances[1].Unanswered.Load(); lost > 0 { // it was never killed nor paused
-		t.Errorf("%d requests had no answer", lost)
+	if lost := f.instances[1].Unanswered.Load(); lost > 0 { // this instance was neither killed nor paused
+		t.Errorf("%d requests had no response", lost)
 	}
 	f.stopAll(f.instances)
 	var v struct{ Members []json.RawMessage }
@@ -153,10 +154,10 @@
 	if err := json.Unmarshal([]byte(out), &v); err != nil || code != 0 {
 		t.Fatalf("members: exit code %d, %v: %s", code, err, out)
 	}
-	t.Logf("%d members are left, of those killed", len(v.Members))
+	t.Logf("%d sessions are left, of killed instances", len(v.Members))
 }
 
-// Leave ends the instances in order, all at once.
+// stopAll stops the instances at the same time and expects each to exit by itself.
 func (f *fleet) stopAll(all []*Instance) {
 	f.T.Helper()
 	for _, n := range all {
@@ -168,13 +169,14 @@
 	}
 	for range all {
 		if !<-done {
-			f.T.Error("an instance did not end by itself")
+			f.T.Error("an instance did not exit by itself")
 		}
 	}
 }
 
-// TestOtherBudgets drives six instances under budgets of connections, repeats and work at cold targets: a target fails, one becomes
-// cold while a third of the fleet is cut off, the whole agent group is gone and comes back with its disks.
+// TestOtherBudgets drives six instances under budgets for connections, retries and work at cold targets: one target
+// fails, others become cold while a third of the fleet is cut off, and the whole agent group is killed and restarted
+// with its disks. No budget may be exceeded.
 func TestOtherBudgets(t *testing.T) {
 	const conns, repeats, repeatBurst, cold, coldBurst = 30, 20.0, 40.0, 40.0, 48.0
 	rules := `{"coldShare":0.2,"warmWithinUs":600000000,"fallUs":2000000,"tipMultiple":2,"resendRatio":5,"extraFree":100,"resendSpanUs":1000000}`
@@ -198,14 +200,14 @@
 		x.ServiceTime.Store(int64(20 * time.Millisecond))
 	}
 	f.setLoad(60)
-	f.WaitFor("the fleet serves", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 200 })
-	f.targets.All[0].FailEvery.Store(3) // not all: a target that only fails is tried one at a time
-	f.WaitFor("repeats come", func() bool { return f.targets.Monitor.Rate(time.Second)[1] > repeats/4 })
+	f.WaitFor("the fleet to serve", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 200 })
+	f.targets.All[0].FailEvery.Store(3) // not all: a target that fails every request gets one trial at a time
+	f.WaitFor("retries to arrive", func() bool { return f.targets.Monitor.Rate(time.Second)[1] > repeats/4 })
 	f.instances[0].DropAgentTraffic(true, true)
 	f.instances[1].DropAgentTraffic(false, true)
 	f.targets.MarkRestarted(f.targets.All[1])
 	f.targets.MarkRestarted(f.targets.All[2])
-	f.WaitFor("the cold targets are served", func() bool { return f.targets.Monitor.Rate(time.Second)[2] > cold/4 })
+	f.WaitFor("the cold targets to receive requests", func() bool { return f.targets.Monitor.Rate(time.Second)[2] > cold/4 })
 	time.Sleep(allocationTTLMs * time.Millisecond)
 	f.instances[0].Heal()
 	f.instances[1].Heal()
@@ -213,7 +215,7 @@
 	for _, p := range f.agents.Procs {
 		p.Kill()
 	}
-	f.WaitFor("all have their floor alone", func() bool {
+	f.WaitFor("all instances to be cut off, with only their floor left", func() bool {
 		for _, n := range f.instances {
 			if !strings.Contains(n.Log(), "FLEET_CUT_OFF") {
 				return false
@@ -222,34 +224,34 @@
 		return true
 	})
 	if os.Getenv("SPINDLEHITCH_FAULTS") != "" {
-		time.Sleep(time.Minute) // by hand; their seats end meanwhile
+		time.Sleep(time.Minute) // manual runs only; their sessions expire meanwhile
 	}
 	atFloor := f.targets.Monitor.Rate(500 * time.Millisecond)
 	for _, p := range f.agents.Procs {
 		p.Restart()
 	}
-	f.WaitFor("the agents are heard again", func() bool {
+	f.WaitFor("the instances to renew at the agents again", func() bool {
 		out, code, _ := f.Run("budget", "show", "conns", "--json", "--agents", f.agents.AddrList())
 		return code == 0 && strings.Contains(out, `"name": "n5"`)
 	})
 	time.Sleep(allocationTTLMs * time.Millisecond)
-	t.Logf("at cold targets %.0f a second with the agents gone, %.0f afterwards", atFloor[2], f.targets.Monitor.Rate(500 * time.Millisecond)[2])
+	t.Logf("requests a second at cold targets: %.0f without agents, %.0f afterwards", atFloor[2], f.targets.Monitor.Rate(500 * time.Millisecond)[2])
 	if most := f.targets.MaxConns(); most > conns {
-		t.Errorf("%d connections were open at one target, of %d", most, conns)
+		t.Errorf("%d connections were open at one target, limit %d", most, conns)
 	} else {
-		t.Logf("%d connections at most at one target, of %d", most, conns)
+		t.Logf("at most %d connections open at one target, limit %d", most, conns)
 	}
 	for name, most := range map[string]float64{"repeat": repeatBurst, "cold.t1": coldBurst, "cold.t2": coldBurst} {
 		if worst := f.targets.Monitor.MaxExcess(name); worst > most {
-			t.Errorf("%s: a window saw %.1f beyond the rate, of %.1f", name, worst, most)
+			t.Errorf("%s: a window exceeded the rate by %.1f, limit %.1f", name, worst, most)
 		} else {
-			t.Logf("%s: worst window %.1f beyond the rate, of %.1f", name, worst, most)
+			t.Logf("%s: largest excess of a window: %.1f, limit %.1f", name, worst, most)
 		}
 	}
 }
 
-// TestSeats has processes come that the fleet has no seat for, or whose name is taken, one that wakes up after its seat has ended,
-// and an upgrade: each has its defined outcome.
+// TestSeats checks the outcome for processes without a session: one whose name is taken, an upgrade under the same
+// name, one for which no session is left, and one that resumes after its session has expired.
 func TestSeats(t *testing.T) {
 	small := strings.Replace(strings.Replace(quotaHeader, "seats = 20", "seats = 3", 1), "seat_s = 6", "seat_s = 2", 1)
 	f := newFleet(t, 1, 1, small+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
@@ -268,31 +270,31 @@
 	says(old, "FLEET_JOINED", 1)
 	young := f.StartInstance("n1", o, 0)
 	says(young, "FLEET_JOINED", 1)
-	says(old, "FLEET_LEFT", 1) // the younger one serves
-	f.WaitFor("the older process has ended", func() bool { return !old.Alive() })
+	says(old, "FLEET_LEFT", 1) // the successor serves
+	f.WaitFor("the predecessor to exit", func() bool { return !old.Alive() })
 	o.ListenSocket, o.Listen = nil, ""
 	third := f.StartInstance("n2", o, 0)
 	says(third, "FLEET_JOINED", 1)
 	fourth := f.StartInstance("n3", o, 0)
 	says(fourth, "FLEET_NO_SEAT", 1)
 	third.Pause()
-	says(fourth, "FLEET_JOINED", 1) // once the seat has ended
+	says(fourth, "FLEET_JOINED", 1) // once the paused instance's session has expired
 	third.Resume()
 	says(third, "FLEET_SEAT_LOST", 1)
 	says(third, "FLEET_NO_SEAT", 1)
 	if !strings.Contains(third.Metrics(), "edge_proxy.fleet.seated:0|g") {
-		t.Errorf("the second address does not tell that there is no seat: %s", third.Metrics())
+		t.Errorf("the metrics do not show that there is no session: %s", third.Metrics())
 	}
 	fourth.Stop(30 * time.Second)
 	says(third, "FLEET_JOINED", 2)
 }
 
-// TestAgentsHurt fills the disk of the agent that leads while budgets are changed, makes the whole smaller while all of it is out, and
-// starts an agent from an empty folder.
+// TestAgentsHurt fills the disk of the leading agent while budgets are changed, restarts an agent with an empty folder,
+// and reduces a budget's capacity while all of it is allocated.
 func TestAgentsHurt(t *testing.T) {
 	f := newFleet(t, 3, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	f.setLoad(150)
-	f.waitServed("all of the whole is out", 0.8*workRate)
+	f.waitServed("all capacity allocated", 0.8*workRate)
 	set := func(whole, burst int) (string, int) {
 		text := strings.Replace(strings.Replace(workBudget, "whole = 200", fmt.Sprint("whole = ", whole), 1), "burst = 100\n", fmt.Sprintf("burst = %d\n", burst), 1)
 		out, code, _ := f.Run("budget", "set", f.WriteFile("budgets.toml", quotaHeader+text), "--agents", f.agents.AddrList())
@@ -305,7 +307,7 @@
 	big := f.WriteFile("big.json", fmt.Sprintf(`{"name":"big","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","pad":%q,"settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, strings.Repeat("x", 600<<10)))
-	f.WaitFor("its log can't grow", func() bool {
+	f.WaitFor("the leader's log to hit the full disk", func() bool {
 		out, code, _ := f.Run("config", "put", "big", big, "--agents", f.agents.AddrList())
 		t.Logf("put with a full disk: exit code %d, %.200s", code, out)
 		return strings.Contains(f.agents.Procs[leader].Log(), "file too large")
@@ -314,26 +316,27 @@
 	if err := f.agents.Procs[leader].FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	f.WaitFor("budgets are changed again", func() bool { _, code := set(200, 100); return code == 0 })
+	f.WaitFor("budgets to be changed again", func() bool { _, code := set(200, 100); return code == 0 })
 	empty := (f.agents.Leader() + 1) % 3
 	f.agents.Procs[empty].Kill()
 	if err := os.RemoveAll(f.agents.Dirs[empty]); err != nil {
 		t.Fatal(err)
 	}
 	f.agents.Procs[empty].Restart()
-	f.WaitFor("the emptied agent knows the budgets", func() bool {
+	f.WaitFor("the emptied agent to replicate the state", func() bool {
 		out, _, _ := f.Run("config", "status", "--agents", f.agents.API[empty])
 		return strings.Contains(out, "Follower") && !strings.Contains(out, "applied=0")
 	})
-	f.WaitFor("the whole is smaller", func() bool { _, code := set(60, 80); return code == 0 })
-	f.WaitFor("all go by the smaller one", func() bool { return f.targets.Monitor.Rate(time.Second)[0] <= 66 })
-	f.WaitFor("it is used", func() bool { return f.targets.Monitor.Rate(time.Second)[0] >= 25 })
+	f.WaitFor("the capacity to be reduced", func() bool { _, code := set(60, 80); return code == 0 })
+	f.WaitFor("all instances to keep to the reduced capacity", func() bool { return f.targets.Monitor.Rate(time.Second)[0] <= 66 })
+	f.WaitFor("the reduced capacity to be used", func() bool { return f.targets.Monitor.Rate(time.Second)[0] >= 25 })
 	if worst := f.targets.Monitor.MaxExcess("work"); worst > 110 {
-		t.Errorf("a window saw %.1f beyond the rate, of 110", worst)
+		t.Errorf("a window exceeded the rate by %.1f, limit 110", worst)
 	}
 }
 
-// TestBudgetCommands gives the commands what can't be served: one message that names the field, an exit code, and nothing changed.
+// TestBudgetCommands checks that invalid budgets and commands are rejected with one message that names the field and
+// with an exit code, and change nothing.
 func TestBudgetCommands(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
@@ -348,7 +351,7 @@
 		{"per = \"target\"", "per = \"plan\"", "budget[1].per"},
 	} {
 		if !strings.Contains(good, c.old) {
-			t.Fatalf("no %q", c.old)
+			t.Fatalf("the valid file does not contain %q", c.old)
 		}
 		file := r.WriteFile("wrong.toml", strings.Replace(good, c.old, c.wrong, 1))
 		for _, command := range []string{"check", "set"} {
@@ -367,8 +370,8 @@
 	if out, code, _ := r.Run("budget", "show", "play", "--agents", g.AddrList()); code != 1 || !strings.Contains(out, "play") {
 		t.Errorf("an unknown budget: exit code %d, %s", code, out)
 	}
-	// An agent hears only with the next heartbeat that what it has written down is confirmed.
-	r.WaitFor("all agents have applied it", func() bool {
+	// A follower learns only with the next heartbeat that an entry of its log is committed.
+	r.WaitFor("all agents to apply the same entries", func() bool {
 		out, _, _ := r.Run("config", "status", "--agents", g.AddrList())
 		applied := map[string]bool{}
 		for line := range strings.Lines(out) {
@@ -388,7 +391,7 @@
 	}
 }
 
-// listening is a socket that processes inherit, and where it is bound.
+// listenSocket returns a listening socket for processes to inherit, and its address.
 func listenSocket(t *testing.T) (*os.File, string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -403,8 +406,8 @@
 	return file, l.Addr().String()
 }
 
-// TestRenewPastSilent has the agent that an instance asks first stand still: its renewals go on at the others, though one agent could use
-// up all the time that a renewal has.
+// TestRenewPastSilent guards against renewals that stop when the agent that an instance asks first is paused: one agent
+// must not use up all the time that a renewal has.
 func TestRenewPastSilent(t *testing.T) {
 	f := newFleet(t, 1, 1, strings.Replace(quotaHeader, "seat_s = 6", "seat_s = 600", 1)+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	taken := func() (n int) {
@@ -412,16 +415,16 @@
 		_, _ = fmt.Sscanf(after, "%d", &n)
 		return n
 	}
-	f.WaitFor("it renews", func() bool { return taken() > 0 })
+	f.WaitFor("the instance to renew", func() bool { return taken() > 0 })
 	f.agents.Procs[0].Pause()
 	before := taken()
-	took := f.WaitFor("it renews at another", func() bool { return taken() >= before+5 })
+	took := f.WaitFor("five renewals at another agent", func() bool { return taken() >= before+5 })
 	t.Logf("five more renewals after %v", took)
 	f.agents.Procs[0].Resume()
 }
 
-// TestRenewalTwice sends renewals by hand, as a network would that repeats and reorders them: each number is heard once, an older one
-// never, and one of no member is told so, by an agent that a majority follows.
+// TestRenewalTwice sends duplicated and reordered renewals, as a network may: each sequence number is accepted once and
+// an older one never, an unknown member is rejected, and an isolated leader accepts nothing.
 func TestRenewalTwice(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
@@ -439,7 +442,7 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, strings.TrimSpace(string(text))
 	}
-	for range 2 { // the first answer may have been lost
+	for range 2 { // the first response may have been lost
 		if status, text := post("/v1/fleet/members", `{"id":"m","name":"n","addr":"a","weight":1}`); status != 200 || !strings.Contains(text, `"seats":20`) {
 			t.Fatalf("join: %d %s", status, text)
 		}
@@ -455,8 +458,8 @@
 			t.Errorf("%s: %s, want %s", c.what, text, c.want)
 		}
 	}
-	g.Isolate(leader) // it may still believe that it leads; nobody agrees
+	g.Isolate(leader) // it may still consider itself the leader, without a majority
 	if status, text := post("/v1/fleet/renew", `{"id":"m","seq":4,"version":0}`); status == 200 {
-		t.Errorf("a leader that is cut off answers: %s", text)
+		t.Errorf("an isolated leader accepted a renewal: %s", text)
 	}
 }
--- a/internal/testbed/faults/configure_test.go
+++ b/internal/testbed/faults/configure_test.go
@@ -16,8 +16,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// configured is a shared configuration of a fleet that goes by its version: a plan is named by it, and what may be held, how long connections
-// rest and what limits there are go with it.
+// sharedConfig returns a shared configuration derived from a version: a plan is named after the version, and the limits
+// for held requests and idle connections and other settings vary with it.
 func sharedConfig(discovery string, version int) watchstream.Put {
 	return configPut("shared", `{"discovery":%q,"limits":{"sockets":%d},"settings":{"peersTotal":%d,"tickUs":2000,
  "classes":[{"name":"position-read","promiseUs":%d,"deadlineUs":2000000,"effect":"pure","worth":%d}],
@@ -26,9 +26,10 @@
 		discovery, 256+version%64, 4+version%3, 1000000+version, 1+version%5, 1000+version%500, version, 2000+version, 1000000*(1+version%4))
 }
 
-// TestConfigurationUnderFaults changes the shared configuration of four initiators ten times a second, while clients go on at each, and a relay is cut off from the
-// agents alone, one is paused and one killed, and an initiator is killed and started again. Nobody's request is lost or refused, but for those at the one that
-// was killed; no initiator begins a successor; and what the fleet knows to be in force is what clients meet.
+// TestConfigurationUnderFaults changes the shared configuration of four initiators ten times a second under load, while
+// a relay is cut off from the agents, one is paused and one killed, and one initiator is restarted. No request is lost
+// or refused except at the restarted initiator, no initiator starts a successor process, and the configuration that is
+// reported as applied is the one that requests meet.
 func TestConfigurationUnderFaults(t *testing.T) {
 	r := New(t)
 	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(2, nil), startedMs: map[string]int64{"t0": 1000, "t1": 1000}}
@@ -46,11 +47,11 @@
 		f.subscribers, all = append(f.subscribers, n), append(all, n.Instance)
 		puts = append(puts, configPut("instance/"+n.Name, `{"listen":%q,"control":%q}`, n.Listen, n.Control))
 	}
-	f.waitApplied("all serve", f.Put(puts...), f.subscribers)
+	f.waitApplied("all initiators to serve", f.Put(puts...), f.subscribers)
 	r.StartLoad(t.Context(), all, 2)
 	for _, n := range all {
 		n.SetLoad(40)
-		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > 10 })
+		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > 10 })
 	}
 	lost := func(of []*Instance) (n int64) {
 		for _, x := range of {
@@ -67,7 +68,7 @@
 	for i := 1; i <= changes; i++ {
 		switch i {
 		case changes / 6:
-			cut := f.Relays[rng.IntN(2)] // of the north
+			cut := f.Relays[rng.IntN(2)] // of the region north
 			for _, k := range cut.Links {
 				k.Cut()
 			}
@@ -97,16 +98,16 @@
 		last = f.Put(sharedConfig(f.targets.Discovery, i))
 		time.Sleep(100 * time.Millisecond)
 	}
-	took := f.waitApplied("all have the last configuration", last, f.subscribers)
-	t.Logf("in force at all %v after the last change", took.Round(time.Millisecond))
+	took := f.waitApplied("all initiators to apply the last configuration", last, f.subscribers)
+	t.Logf("applied by all %v after the last change", took.Round(time.Millisecond))
 	for _, n := range f.subscribers {
-		require.Equal(t, http.StatusOK, requestStatus(t, n.Listen, fmt.Sprint("plan", changes)), "%s says that the last configuration is in force", n.Name)
+		require.Equal(t, http.StatusOK, requestStatus(t, n.Listen, fmt.Sprint("plan", changes)), "%s reports the last configuration as applied", n.Name)
 		require.Equal(t, http.StatusUnprocessableEntity, requestStatus(t, n.Listen, fmt.Sprint("plan", changes-1)), "%s", n.Name)
 	}
 	hurt.Wait()
 	for _, n := range all {
 		served := n.Served.Load()
-		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > served+10 })
+		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > served+10 })
 	}
 	require.EqualValues(t, had, lost(all[:3]), "requests lost or refused at initiators that weren't killed")
 	for i, n := range f.subscribers {
@@ -114,16 +115,16 @@
 		if i == 3 {
 			log = log[strings.LastIndex(log, "msg=serving"):]
 		}
-		require.LessOrEqual(t, strings.Count(log, "started=true"), 1, "%s begins once:\n%s", n.Name, log)
+		require.LessOrEqual(t, strings.Count(log, "started=true"), 1, "%s starts once:\n%s", n.Name, log)
 		require.NotContains(t, log, "BAD_CONFIG")
 	}
-	f.WaitFor("the fleet knows", func() bool {
+	f.WaitFor("the agents to report that all have applied it", func() bool {
 		s, ok := f.versionStatus(fmt.Sprint(last))
 		return ok && s.Applied == 4 && s.Rejected == 0
 	})
 }
 
-// ask sends one request of a plan and returns its status.
+// requestStatus sends one request under a plan and returns its status.
 func requestStatus(t *testing.T, addr, plan string) int {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodGet, "http://"+addr+"/position-read/7f3a9c21e0b4d655", nil)
@@ -138,7 +139,7 @@
 	return resp.StatusCode
 }
 
-// seedOf is what SPINDLEHITCH_SEED says; the usual one where it says nothing.
+// seedFromEnv returns the seed in SPINDLEHITCH_SEED, or the default if it is not set.
 func seedFromEnv(usual uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SPINDLEHITCH_SEED"), 10, 64); err == nil {
 		return n
--- a/internal/testbed/faults/descriptors_test.go
+++ b/internal/testbed/faults/descriptors_test.go
@@ -14,9 +14,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestIdleFill has idle clients take all the descriptors they can get while discovery is down, some of them silent, some in the middle
-// of a head, some after a call: the second address answers all the while; once discovery is back, the list is there, the process is
-// ready and a request is served while the crowd stays. That holds for what the settings grant, and where the machine grants less.
+// TestIdleFill guards against idle clients that exhaust the descriptors. While discovery is down, idle connections,
+// some silent, some with half a request head and some after a request, fill all descriptors that they can get. The
+// control address must answer all the while, and once discovery is back the process must get the list, become ready and
+// serve a request while the idle clients stay. This must hold both for the limit in the settings and for a lower limit
+// of the machine.
 func TestIdleFill(t *testing.T) {
 	for _, files := range []int{0, 160, 96, 64} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
@@ -25,7 +27,7 @@
 			down := r.StartLink("n", "discovery", targets.Discovery)
 			down.Set(Impairment{Hold: true}, Impairment{Hold: true})
 			n := r.StartInstance("n", InstanceOptions{Targets: &Targets{Discovery: down.Addr}, Peers: 1, MaxFiles: files}, 0)
-			most := 256 // as Instance has it
+			most := 256 // the limit that StartInstance sets
 			if files > 0 {
 				most = files
 			}
@@ -58,7 +60,7 @@
 				resp.Body.Close()
 				return resp.StatusCode
 			}
-			// The crowd has what it gets, and goes on.
+			// The idle clients have taken all descriptors that they get, and keep trying.
 			filled := 0
 			require.Eventually(t, func() bool {
 				fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.cmd.Process.Pid))
@@ -77,7 +79,7 @@
 			down.Heal()
 			began := time.Now()
 			require.Eventually(t, func() bool { return status("http://"+n.Control+"/v1/readyz") == 200 }, 10*time.Second, 10*time.Millisecond)
-			t.Logf("%d descriptors taken, ready after %v", filled, time.Since(began))
+			t.Logf("%d descriptors in use, ready after %v", filled, time.Since(began))
 			require.Eventually(t, func() bool { return status("http://"+n.Listen+"/-/ready") == 200 }, 10*time.Second, 10*time.Millisecond)
 			require.Eventually(t, func() bool {
 				n.sendRequest(ctx, client, fmt.Sprint(time.Now().UnixNano()), 0)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -10,7 +10,7 @@
 
 func TestMain(m *testing.M) { Main(m) }
 
-// echo is a server that sends back what comes.
+// echo starts a server that sends back what it receives, and returns its address.
 func echo(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,17 +32,17 @@
 	return l.Addr().String()
 }
 
-// TestLink checks that each fault of a link is that fault: what is held does not pass until it is taken back, what is
-// dropped never does, a delay is that delay in that direction, a rate is no more than that rate, a cut ends connections.
-func TestLink(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestLink checks the faults of a link: held traffic does not pass until it is released, dropped traffic never does, a
+// delay applies to its direction only, a rate is not exceeded, and a cut ends connections.
+func TestLink(t *testing.T) { //nolint:gocognit // one sequential scenario
 	const short, long = 150 * time.Millisecond, 30 * time.Second
 	text := []byte("twelve bytes")
 	for _, c := range []struct {
 		name        string
 		there, back Impairment
-		least       time.Duration // until the echo is there
-		never       bool          // it must not come until the link is healed
-		after       bool          // it comes then
+		least       time.Duration // earliest arrival of the echo
+		never       bool          // no echo before the link is healed
+		after       bool          // the echo arrives after that
 	}{
 		{name: "open"},
 		{name: "delay there", there: Impairment{Delay: short}, least: short},
@@ -79,7 +79,7 @@
 			_, err = io.ReadFull(conn, got)
 			if c.never && !c.after {
 				if err == nil {
-					t.Error("what was dropped came after all")
+					t.Error("dropped traffic arrived")
 				}
 				return
 			}
@@ -108,19 +108,20 @@
 	k.Cut()
 	conn.SetReadDeadline(time.Now().Add(long))
 	if _, err := conn.Read(make([]byte, 1)); err == nil {
-		t.Error("a cut connection goes on")
+		t.Error("a connection survived the cut")
 	}
 	if c, err := net.Dial("tcp", k.Addr); err == nil {
 		c.SetReadDeadline(time.Now().Add(long))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Error("a cut link takes a new connection")
+			t.Error("a cut link accepted a new connection")
 		}
 		c.Close()
 	}
 }
 
-// TestSilentAgent has one agent of three stand still, the one named first or the leader: a call goes on to the others, within
-// an election and a second, on a machine that is as busy as it likes.
+// TestSilentAgent guards against commands that hang on an agent that does not respond: with one agent of three paused,
+// the first in the list or the leader, a command succeeds at the others, and with two paused its message names both. A
+// command may fail once while an election takes long on a busy machine.
 func TestSilentAgent(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
@@ -132,7 +133,7 @@
 	}{{"a follower, named first", other}, {"the leader", leader}} {
 		g.Procs[c.paused].Pause()
 		out, code, took := r.Run("config", "list", "--agents", g.AddrList(c.paused))
-		if code != 0 { // an election may take long where the machine is busy
+		if code != 0 { // an election may take long on a busy machine
 			out, code, took = r.Run("config", "list", "--agents", g.AddrList(c.paused))
 		}
 		t.Logf("%s paused: %v", c.name, took)
@@ -156,14 +157,14 @@
 	}
 }
 
-// TestSilentFollowed has an instance follow an agent that stands still: it hears of a new configuration from another long
-// before the 30 s that its watch once took.
+// TestSilentFollowed guards against an instance that waits on a paused agent: it must learn of a new configuration from
+// another agent long before the 30 s after which a watch request once timed out.
 func TestSilentFollowed(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
 	quiet := (g.Leader() + 1) % 3
 	p := r.Start("n1", []string{"PROXY_NAME=n1"}, "serve", "--agents", g.AddrList(quiet))
-	time.Sleep(300 * time.Millisecond) // its watch is open
+	time.Sleep(300 * time.Millisecond) // its watch request is open
 	g.Procs[quiet].Pause()
 	addrs := FreeAddrs(t, 2)
 	file := r.WriteFile("n1.json", `{"name":"n1","listen":"`+addrs[0]+`","discovery":"`+addrs[1]+`","settings":{"peersTotal":1,"tickUs":2000,
@@ -173,9 +174,9 @@
 		t.Fatal(out)
 	}
 	took := r.WaitFor("configuration taken", func() bool { return bytes.Contains([]byte(p.Log()), []byte("configuration taken")) })
-	t.Logf("told %v after", took)
+	t.Logf("configuration taken after %v", took)
 	if took > 15*time.Second {
-		t.Errorf("told only after %v", took)
+		t.Errorf("configuration taken only after %v", took)
 	}
 	g.Procs[quiet].Resume()
 }
--- a/internal/testbed/faults/fleet.go
+++ b/internal/testbed/faults/fleet.go
@@ -75,8 +75,8 @@
 	return n
 }
 
-// DropAgentTraffic drops the traffic between the instance and the agents: what it sends if asked, what it receives if
-// told.
+// DropAgentTraffic drops the traffic between the instance and the agents: what it sends if outgoing, what it receives
+// if incoming.
 func (n *Instance) DropAgentTraffic(outgoing, incoming bool) {
 	n.setLinks(Impairment{Drop: outgoing}, Impairment{Drop: incoming})()
 }
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -21,12 +21,12 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// steps of an act that processes are stopped at.
+// operationSteps are the failpoints in an operation at which processes are stopped.
 var operationSteps = []string{"act.begun", "act.opened", "act.checked", "act.taken", "place.link", "place.linked", "act.ending"}
 
-// TestLeasesScheduled plays faults at random, by a seed, and has members stop inside acts for longer than leases all the time, by aims. By
-// hand it goes on for as long as SPINDLEHITCH_FAULTS says (such as 10m), with twenty members and thirty shards; SPINDLEHITCH_SEED
-// is another seed.
+// TestLeasesScheduled runs random faults by a seed, and all the while stops members inside operations for longer than
+// their lease, through failpoints. Operations on one shard must not overlap. In manual runs SPINDLEHITCH_FAULTS sets
+// the length (such as 10m), with twenty members and thirty shards, and SPINDLEHITCH_SEED another seed.
 func TestLeasesScheduled(t *testing.T) {
 	t.Parallel()
 	length, members, shards, seed := 15*time.Second, 5, 8, uint64(1)
@@ -35,11 +35,11 @@
 	}
 	seed = seedFromEnv(seed)
 	d := newLeaseFleet(t, members, shards, 1.0005, 0, 0.9995)
-	// What is paused is paused inside an act here.
+	// Members are paused inside operations only, by failpoints.
 	plan := slices.DeleteFunc(Schedule(seed, members, 3, length, 8*time.Second/time.Duration(members)), func(e Fault) bool { return e.Kind == "pause" })
 	if path := os.Getenv("SPINDLEHITCH_RECORD"); path != "" {
 		if b, err := EncodeSchedule(plan); err != nil || os.WriteFile(path, b, 0o644) != nil {
-			t.Fatal("the schedule can't be written")
+			t.Fatal("failed to write the schedule")
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 21))
@@ -53,11 +53,11 @@
 			for end := time.Now().Add(2 * time.Second); !n.FailpointHit(step) && time.Now().Before(end) && ctx.Err() == nil; time.Sleep(5 * time.Millisecond) {
 			}
 			if n.DisarmFailpoint(step) || !n.FailpointHit(step) {
-				continue // it held nothing, or was dead
+				continue // it held no shard or was dead
 			}
 			time.Sleep(leaseTTL + time.Duration(rng.Float64()*float64(leaseTTL)))
 			if n.Stopped() {
-				inside++ // for all of that time
+				inside++ // it was stopped for all of that time
 			}
 			n.Resume()
 		}
@@ -65,22 +65,22 @@
 	counts := d.RunSchedule(plan, d.instances, d.agents)
 	stop()
 	aiming.Wait()
-	d.waitBalanced("once all faults have ended every shard is held, evenly", members)
+	d.waitBalanced("all shards to be held evenly after the faults", members)
 	seen := d.checkWitness()
-	t.Logf("seed %d, %v, %d members, %d shards: %v, %d pauses inside an act for longer than a lease, no overlap", seed, length, members, shards, counts, inside)
+	t.Logf("seed %d, %v, %d members, %d shards: %v, %d pauses inside an operation for longer than a lease", seed, length, members, shards, counts, inside)
 	if inside < int(length/(8*time.Second)) {
-		t.Errorf("only %d pauses fell inside an act", inside)
+		t.Errorf("only %d pauses were inside an operation", inside)
 	}
 	if seen.Tokens < shards {
 		t.Errorf("%d tokens for %d shards", seen.Tokens, shards)
 	}
 }
 
-// TestMeasureLeases measures what docs/leases-operators.md tells: gaps after a kill, a cut, a leave and an orderly hand-over, and how many
-// shards move; by hand, with SPINDLEHITCH_FAULTS set.
+// TestMeasureLeases measures the figures in docs/leases-operators.md: gaps after a kill, a cut, a shutdown and a
+// release, and how many shards move. Manual only, with SPINDLEHITCH_FAULTS set.
 func TestMeasureLeases(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	d := newLeaseFleet(t, 20, 30)
 	tokens := func() map[int]uint64 {
@@ -90,9 +90,9 @@
 		}
 		return all
 	}
-	// gap is, over what moved, from a moment to the first call under the new token.
+	// The gap of a moved shard is the time from a moment to the first call under the new token.
 	round := func(what string, n *Instance, do func()) {
-		d.waitBalanced("before "+what, len(d.instances))
+		d.waitBalanced("balance before "+what, len(d.instances))
 		time.Sleep(time.Second)
 		had, mine := tokens(), 0
 		for _, l := range d.leases() {
@@ -125,7 +125,7 @@
 			gaps = append(gaps, (first-from).Seconds()/leaseTTL.Seconds())
 		}
 		slices.Sort(gaps)
-		t.Logf("%s: %d shards of the one, %d moved, the next act after %.3f leases", what, mine, moved, gaps)
+		t.Logf("%s: %d shards held by the member, %d moved, the next operation after %.3f lease durations", what, mine, moved, gaps)
 	}
 	for i := range 3 {
 		n := d.instances[3*i]
@@ -135,16 +135,16 @@
 		round("a cut", n, func() { n.DropAgentTraffic(true, true) })
 		n.Heal()
 		n = d.instances[3*i+2]
-		round("a leave in order, from its end on", nil, func() { n.Stop(20 * time.Second) })
+		round("a shutdown, from its end on", nil, func() { n.Stop(20 * time.Second) })
 		n.Restart()
 		round("a release", nil, func() { d.mustRun("lease", "release", "drill", fmt.Sprint(i)) })
 	}
 	d.checkWitness()
 }
 
-// TestLeaseOperations has members in this process claim, give back, move and look at leases through agents that are hurt, and holds the
-// history against a register that is granted under growing tokens.
-func TestLeaseOperations(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestLeaseOperations has members in this process claim, release, move and read leases through faulty agents, and
+// checks that the history of each shard is linearizable as a register of growing tokens.
+func TestLeaseOperations(t *testing.T) { //nolint:gocognit // one sequential scenario
 	t.Parallel()
 	r := New(t)
 	g := r.StartAgents(3)
@@ -179,7 +179,7 @@
 			}
 			m := lessee.New([]string{"t"})
 			has := map[int]uint64{}
-			before := time.Since(began) // when the claim before the last was begun: what is new was granted after that was decided
+			before := time.Since(began) // start of the claim before the last one: a new lease was granted after that claim was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				begun := time.Since(began)
 				c := m.BeginRenewal(monotone.Now())
@@ -252,8 +252,8 @@
 		}
 	}
 	work.Wait()
-	// A grant is of a token greater than any before; who reads what the leader has sees the newest. A grant that nobody was told of may
-	// come between.
+	// A grant must have a greater token than any before. A read from the leader returns the newest token, which may be
+	// from a grant whose response was lost.
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
 		Step: func(state, in, out any) []any {
@@ -271,9 +271,9 @@
 	for shard, h := range history {
 		slices.SortFunc(h, func(a, b porcupine.Operation) int { return cmp.Compare(a.Call, b.Call) })
 		if got := porcupine.CheckOperationsTimeout(model.ToModel(), h, time.Minute); got != porcupine.Ok {
-			t.Errorf("shard %d: %d grants and looks are not those of one register: %s", shard, len(h), got)
+			t.Errorf("shard %d: %d grants and reads are not linearizable as one register: %s", shard, len(h), got)
 		}
-		t.Logf("shard %d: %d grants and looks", shard, len(h))
+		t.Logf("shard %d: %d grants and reads", shard, len(h))
 	}
 	if grants < 10 {
 		t.Errorf("only %d grants", grants)
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -13,12 +13,12 @@
 	"spindlehitch/internal/controlplane/lease/lessor"
 )
 
-// Seats of the lease runs: short leases, so that much happens in little time.
+// Quota settings of the lease tests. Leases are short, so that much happens in little time.
 const leaseQuotaHeader = "seats = 80\nrenew_ms = 200\npart_ms = 1000\nseat_s = 30\n"
 
 const leaseTTL = 1500 * time.Millisecond
 
-// drilled is agents and members that drill, with a witness.
+// leaseFleet is agents and members that run the drill task, with a witness of their calls.
 type leaseFleet struct {
 	*fleet
 	witness *Witness
@@ -31,7 +31,7 @@
 	r := New(t)
 	every := int64(400)
 	if members > 10 {
-		every = 1000 // each act is some syncs of the one disk
+		every = 1000 // each operation syncs the one disk several times
 	}
 	d := &leaseFleet{fleet: &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(1, nil)}, witness: r.StartWitness()}
 	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: shards, TTLMs: leaseTTL.Milliseconds(), OperationTimeoutMs: 500, IntervalMs: every, ProgressTimeoutMs: 3000,
@@ -48,7 +48,7 @@
 		d.instances = append(d.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members,
 			FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, clock))
 	}
-	d.waitBalanced("all have joined", members)
+	d.waitBalanced("all members to hold shards", members)
 	return d
 }
 
@@ -57,7 +57,7 @@
 		d.task.Shards, d.task.TTLMs, d.task.OperationTimeoutMs, d.task.IntervalMs, d.task.ProgressTimeoutMs, d.task.Dir, d.task.Witness)
 }
 
-// run runs a command at the agents that has to succeed.
+// mustRun runs a command against the agents, which must succeed, and returns its output.
 func (d *leaseFleet) mustRun(args ...string) string {
 	d.T.Helper()
 	out, code, _ := d.Run(append(args, "--agents", d.agents.AddrList())...)
@@ -76,7 +76,7 @@
 	return s.Leases
 }
 
-// even waits until so many members hold shards, evenly.
+// waitBalanced waits until this many members hold all shards, evenly.
 func (d *leaseFleet) waitBalanced(what string, members int) {
 	d.T.Helper()
 	d.WaitFor(what, func() bool {
@@ -95,12 +95,12 @@
 	})
 }
 
-// holder is who has a shard.
+// waitHolder waits until an instance of the fleet holds a shard, and returns it with its token.
 func (d *leaseFleet) waitHolder(shard int) (*Instance, uint64) {
 	d.T.Helper()
 	var found *Instance
 	var token uint64
-	d.WaitFor(fmt.Sprint("somebody holds shard ", shard), func() bool {
+	d.WaitFor(fmt.Sprint("a holder of shard ", shard), func() bool {
 		for _, l := range d.leases() {
 			if l.Shard == shard && l.State == "held" {
 				for _, n := range d.instances {
@@ -115,7 +115,7 @@
 	return found, token
 }
 
-// handed waits until a shard is acted on under a newer token.
+// waitNewToken waits until a call for a shard is accepted under a newer token.
 func (d *leaseFleet) waitNewToken(what string, shard int, token uint64) time.Duration {
 	d.T.Helper()
 	return d.WaitFor(what, func() bool {
@@ -130,7 +130,7 @@
 	})
 }
 
-// judge ends the run: what was done has to be in order.
+// checkWitness checks the calls of the run and logs a summary.
 func (d *leaseFleet) checkWitness() WitnessSummary {
 	d.T.Helper()
 	seen, err := d.witness.Check(d.task)
@@ -141,8 +141,9 @@
 	return seen
 }
 
-// TestActsPaused has holders stop at each step of an act, by an aim in the program, for longer than their lease; others act meanwhile. What
-// they do when they wake up is refused at the place.
+// TestActsPaused guards against a holder that resumes after its lease has expired: holders are stopped at each step of
+// an operation for longer than their lease, and their shards move to others. The guarded folder must reject what the
+// old holders do when they resume.
 func TestActsPaused(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0, 0.9995)
@@ -163,20 +164,21 @@
 			t.Fatalf("%s stopped at %s and held nothing", n.Name, step)
 		}
 		for shard, token := range held {
-			d.waitNewToken(fmt.Sprintf("%s stands still at %s: shard %d", n.Name, step, shard), shard, token)
+			d.waitNewToken(fmt.Sprintf("%s stopped at %s: a new token for shard %d", n.Name, step, shard), shard, token)
 		}
 		n.Resume()
-		d.waitBalanced(n.Name+" goes on", 3)
+		d.waitBalanced(n.Name+" to hold shards again", 3)
 	}
 	seen := d.checkWitness()
-	t.Logf("%d pauses inside an act", inside)
+	t.Logf("%d pauses inside an operation", inside)
 	if seen.Tokens < d.task.Shards+inside {
 		t.Errorf("%d tokens for %d pauses", seen.Tokens, inside)
 	}
 }
 
-// TestLeasesHurt drives the hard cases of members: cut off from the agents and not from the place, and the other way round; answers that come
-// late around a hand-over; a move in mid-act; a member that hangs and renews; one name twice; all restarted at once.
+// TestLeaseMemberFaults drives faults of members: cut off from the agents and not from the folder, and the other way
+// round; late responses around a handover; a move in the middle of an operation; an operation that hangs while the
+// member renews; a duplicate name; a restart of all.
 func TestLeaseMemberFaults(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 4, 6, 0.9995, 1.0005)
@@ -191,16 +193,16 @@
 		began := time.Now()
 		do()
 		for shard, token := range held {
-			d.waitNewToken(fmt.Sprintf("%s: shard %d", what, shard), shard, token)
+			d.waitNewToken(fmt.Sprintf("%s: a new token for shard %d", what, shard), shard, token)
 		}
-		t.Logf("%s: %d shards go on after %.2f leases", what, len(held), time.Since(began).Seconds()/leaseTTL.Seconds())
+		t.Logf("%s: %d shards held under new tokens after %.2f lease durations", what, len(held), time.Since(began).Seconds()/leaseTTL.Seconds())
 	}
 	n := d.instances[0]
-	gone("cut off from the agents, not from the place", n, func() { n.DropAgentTraffic(true, true) })
+	gone("cut off from the agents, not from the folder", n, func() { n.DropAgentTraffic(true, true) })
 	n.Heal()
-	d.waitBalanced("it hears the agents again", 4)
+	d.waitBalanced("balance after it reaches the agents again", 4)
 
-	gone("cut off from the place, not from the agents", n, func() {
+	gone("cut off from the folder, not from the agents", n, func() {
 		if err := n.limitFileSize(0); err != nil {
 			t.Fatal(err)
 		}
@@ -208,10 +210,10 @@
 	if err := n.FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	d.WaitFor("it lost them for want of progress", func() bool { return strings.Contains(n.Log(), "ACT_FAILED") })
+	d.WaitFor("operations to fail without progress", func() bool { return strings.Contains(n.Log(), "ACT_FAILED") })
 
 	n, token := d.waitHolder(0)
-	gone("its answers come late around a hand-over", n, func() {
+	gone("responses to it delayed around a handover", n, func() {
 		for _, k := range n.Links {
 			k.Set(Impairment{}, Impairment{Delay: 700 * time.Millisecond})
 		}
@@ -228,26 +230,26 @@
 		to = d.instances[1]
 	}
 	n.ArmFailpoint("act.opened", "stop")
-	d.WaitFor("an act is begun", func() bool { return n.FailpointHit("act.opened") })
+	d.WaitFor("an operation to begin", func() bool { return n.FailpointHit("act.opened") })
 	d.mustRun("lease", "move", "drill", "1", to.Name)
 	time.Sleep(300 * time.Millisecond)
 	n.Resume()
-	took := d.waitNewToken("moved in mid-act", 1, token)
-	// On a busy machine the one that it went to may have lost it again already: then it is moved once more.
-	d.WaitFor("it is where it was moved to", func() bool {
+	took := d.waitNewToken("the shard to be moved during an operation", 1, token)
+	// On a busy machine the new holder may have lost the shard again; then it is moved once more.
+	d.WaitFor("the shard to be held by the new holder", func() bool {
 		at, _ := d.waitHolder(1)
 		if at != to {
 			d.Run("lease", "move", "drill", "1", to.Name, "--agents", d.agents.AddrList())
 		}
 		return at == to
 	})
-	t.Logf("moved in mid-act: another acts %.3f leases after the holder goes on", took.Seconds()/leaseTTL.Seconds())
+	t.Logf("moved during an operation: the next operation %.3f lease durations after the holder resumed", took.Seconds()/leaseTTL.Seconds())
 
 	n, _ = d.waitHolder(2)
 	n.ArmFailpoint("act.begun", "hang")
-	d.WaitFor("an act hangs", func() bool { return n.FailpointHit("act.begun") })
+	d.WaitFor("an operation to hang", func() bool { return n.FailpointHit("act.begun") })
 	var hung int
-	d.WaitFor("what hangs goes on", func() bool {
+	d.WaitFor("the hanging shards to make progress elsewhere", func() bool {
 		hung = 0
 		for _, l := range d.leases() {
 			if l.HolderName == n.Name && l.ProgressMs > 2*d.task.ProgressTimeoutMs {
@@ -258,7 +260,7 @@
 	})
 
 	twin := d.StartInstance(n.Name, InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: 4, FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, 0)
-	d.WaitFor("a member under a name twice is turned away", func() bool { return strings.Contains(twin.Log(), "FLEET_NAME_TAKEN") })
+	d.WaitFor("the duplicate name to be rejected", func() bool { return strings.Contains(twin.Log(), "FLEET_NAME_TAKEN") })
 	twin.Kill()
 
 	for _, n := range d.instances {
@@ -268,13 +270,14 @@
 	for _, n := range d.instances {
 		n.Restart()
 	}
-	d.waitBalanced("all members restarted at once", 4)
-	t.Logf("all members restarted at once: even again after %.2f leases", time.Since(began).Seconds()/leaseTTL.Seconds())
+	d.waitBalanced("balance after all members restarted", 4)
+	t.Logf("all members restarted at once: balanced after %.2f lease durations", time.Since(began).Seconds()/leaseTTL.Seconds())
 	d.checkWitness()
 }
 
-// TestLeaseAgentsHurt drives the hard cases of agents: the leader killed between a grant and its answer, stopped there past all leases, alone
-// with a member that reaches no other; a disk that is full while something is granted; all gone for longer than leases last.
+// TestLeaseAgentsHurt drives faults of agents: the leader killed between a grant and its response, or stopped there
+// past all leases; an isolated leader with a member that reaches no other agent; a full disk during a grant; all agents
+// paused for longer than leases last.
 func TestLeaseAgentsHurt(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0.9995)
@@ -286,7 +289,7 @@
 	goesOn := func(what string) {
 		t.Helper()
 		had := acts()
-		d.WaitFor(what+": acts go on", func() bool { return acts() > had+20 })
+		d.WaitFor(what+": operations to continue", func() bool { return acts() > had+20 })
 		d.waitBalanced(what, 3)
 	}
 	for _, step := range []string{"agent.ordered", "agent.awarded", "agent.orders"} {
@@ -294,8 +297,8 @@
 		p := d.agents.Procs[leader]
 		_, token := d.waitHolder(0)
 		p.ArmFailpoint(step, "kill")
-		d.Run("lease", "release", "drill", "0", "--agents", d.agents.AddrList()) // perhaps by a leader that dies
-		d.WaitFor("the leader dies at "+step, func() bool { return !p.Alive() })
+		d.Run("lease", "release", "drill", "0", "--agents", d.agents.AddrList()) // its leader may die
+		d.WaitFor("the leader to die at "+step, func() bool { return !p.Alive() })
 		p.Restart()
 		d.waitNewToken("the leader killed at "+step, 0, token)
 		goesOn("killed at " + step)
@@ -304,13 +307,13 @@
 		p := d.agents.Procs[d.agents.Leader()]
 		p.ArmFailpoint(step, "stop")
 		d.Run("lease", "release", "drill", "1", "--agents", d.agents.AddrList())
-		d.WaitFor("the leader stops at "+step, func() bool { return p.FailpointHit(step) })
+		d.WaitFor("the leader to stop at "+step, func() bool { return p.FailpointHit(step) })
 		time.Sleep(2 * leaseTTL)
 		p.Resume()
 		goesOn("stopped at " + step)
 	}
 
-	// The minority's old leader, and a member that reaches nobody else.
+	// An isolated old leader, and a member that reaches no other agent.
 	leader := d.agents.Leader()
 	n, token := d.waitHolder(0)
 	held := []int{}
@@ -326,24 +329,24 @@
 		}
 	}
 	for _, shard := range held {
-		d.waitNewToken(fmt.Sprintf("the minority's leader renews nothing: shard %d", shard), shard, token)
+		d.waitNewToken(fmt.Sprintf("the isolated leader must renew nothing: a new token for shard %d", shard), shard, token)
 	}
 	d.agents.Reconnect(leader)
 	n.Heal()
-	goesOn("the minority's old leader")
+	goesOn("the old leader reconnected")
 
 	leader = d.agents.Leader()
 	if err := d.agents.Procs[leader].FillDisk(d.agents.Dirs[leader]); err != nil {
 		t.Fatal(err)
 	}
-	d.instances[2].Kill() // its shards are granted, by a log that can't grow for long
+	d.instances[2].Kill() // its shards are granted by a leader whose log cannot grow for long
 	d.instances[2].Restart()
 	had := acts()
-	d.WaitFor("a full disk: acts go on", func() bool { return acts() > had+60 })
+	d.WaitFor("operations to continue with a full disk", func() bool { return acts() > had+60 })
 	if err := d.agents.Procs[leader].FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	goesOn("a disk that was full")
+	goesOn("the disk no longer full")
 
 	for _, p := range d.agents.Procs {
 		p.Pause()
@@ -352,11 +355,11 @@
 	had = acts()
 	time.Sleep(leaseTTL)
 	if now := acts(); now != had {
-		t.Errorf("%d calls of places while no agent was there and all leases had ended", now-had)
+		t.Errorf("%d calls while all agents were paused and all leases had expired", now-had)
 	}
 	for _, p := range d.agents.Procs {
 		p.Resume()
 	}
-	goesOn("all agents gone")
+	goesOn("all agents resumed")
 	d.checkWitness()
 }
--- a/internal/testbed/faults/linearizability_test.go
+++ b/internal/testbed/faults/linearizability_test.go
@@ -13,7 +13,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyLifetime is how long clients use one set of keys: it bounds the operations that the checker has to order at once.
+// keyLifetime is how long clients use one set of keys. It bounds the number of operations that the checker has to order
+// at once.
 const keyLifetime = 3 * time.Second
 
 // Faults of agents.
@@ -21,10 +22,11 @@
 	faultKill        = "kill"
 	faultPause       = "pause"
 	faultIsolate     = "alone"        // cut off from the other agents
-	faultKillElected = "kill elected" // a kill, and another of the agent that is elected then, as soon as it is
+	faultKillElected = "kill elected" // kill an agent, and then the one that is elected in its place as soon as it is
 )
 
-// agentFaults hurts one agent after the other until the context ends, in these ways, and returns how often what happened.
+// agentFaults injects faults of these kinds into one agent after the other until the context ends, and counts them by
+// kind.
 func agentFaults(ctx context.Context, g *AgentGroup, seed uint64, kinds ...string) map[string]int {
 	rng := rand.New(rand.NewPCG(seed, 42))
 	counts := map[string]int{}
@@ -67,7 +69,7 @@
 	return counts
 }
 
-// runHistory has clients call a group of agents for that long, while agents are hurt in these ways.
+// runHistory has clients call a group of agents for that long under agent faults of these kinds.
 func runHistory(t *testing.T, g *AgentGroup, seed uint64, length time.Duration, kinds ...string) (*History, map[string]int) {
 	t.Helper()
 	const clients, keysAtOnce = 8, 3
@@ -107,8 +109,8 @@
 	return h, counts
 }
 
-// TestReadsLinearizable guards against reads, conditional writes and deletes that do not fit one order, while agents are killed, paused and
-// cut off. By hand it goes on for as long as SPINDLEHITCH_FAULTS says; SPINDLEHITCH_SEED is another seed.
+// TestReadsLinearizable guards against reads, conditional writes and deletes that fit no single order, while agents are
+// killed, paused and isolated. In manual runs SPINDLEHITCH_FAULTS sets the length and SPINDLEHITCH_SEED another seed.
 func TestReadsLinearizable(t *testing.T) {
 	length := 20 * time.Second
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
@@ -125,19 +127,19 @@
 	require.Positive(t, h.readsOK)
 }
 
-// TestMeasureWriteGap measures how long no write is acknowledged under kills and pauses of up to 1.2 s, and how much of the longest gap
-// passes without a leader; by hand, with SPINDLEHITCH_FAULTS set.
+// TestMeasureWriteGap measures the longest time without an acknowledged write under kills and pauses of up to 1.2 s,
+// and how much of it passes without a leader. Manual only, with SPINDLEHITCH_FAULTS set.
 func TestMeasureWriteGap(t *testing.T) {
 	length, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS"))
 	if err != nil {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	const lookInterval = 20 * time.Millisecond
 	r := New(t)
 	g := r.StartAgents(3)
 	g.Leader()
 	began := time.Now()
-	var leaderless []time.Duration // when no agent that answers led
+	var leaderless []time.Duration // times at which no responding agent was the leader
 	ctx, done := context.WithCancel(t.Context())
 	var watching sync.WaitGroup
 	watching.Go(func() {
@@ -160,5 +162,5 @@
 			last = at
 		}
 	}
-	t.Logf("%v; %v; within the longest gap no leader from %v to %v after its begin", h, counts, first-gap.From, last-gap.From)
+	t.Logf("%v; %v; no leader from %v to %v after the begin of the longest gap", h, counts, first-gap.From, last-gap.From)
 }
--- a/internal/testbed/faults/long_test.go
+++ b/internal/testbed/faults/long_test.go
@@ -15,8 +15,8 @@
 	"spindlehitch/internal/controlplane/quota/quotasession"
 )
 
-// TestScheduled plays faults at random, by a seed, under a budget of all work and one of connections. By hand it goes on for as long as
-// SPINDLEHITCH_FAULTS says (such as 10m), with twenty instances; SPINDLEHITCH_SEED is another seed.
+// TestScheduled runs random faults by a seed under a budget for all work and one for connections. In manual runs
+// SPINDLEHITCH_FAULTS sets the length (such as 10m), with twenty instances, and SPINDLEHITCH_SEED another seed.
 func TestScheduled(t *testing.T) {
 	length, instances, seed := 15*time.Second, 6, uint64(1)
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
@@ -25,7 +25,7 @@
 	seed = seedFromEnv(seed)
 	plan := Schedule(seed, instances, 3, length, 6*time.Second/time.Duration(instances))
 	if again := Schedule(seed, instances, 3, length, 6*time.Second/time.Duration(instances)); !slices.Equal(plan, again) {
-		t.Fatal("a seed names two schedules")
+		t.Fatal("the same seed gives two schedules")
 	}
 	budgets := fmt.Sprintf("seats = %d\nrenew_ms = 300\npart_ms = 1500\nseat_s = 5\n", 4*instances)
 	f := newFleet(t, instances, 2, budgets+`[[budget]]
@@ -46,28 +46,29 @@
 `, map[string]float64{"work": 300}, InstanceOptions{}, 1.0005, 0, 0.9995)
 	f.setLoad(2.5 * 300 / float64(instances))
 	counts := f.RunSchedule(plan, f.instances, f.agents)
-	f.WaitFor("the whole is used once all faults have ended", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 0.8*300 })
+	f.WaitFor("the capacity to be used after the faults", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 0.8*300 })
 	worst, conns := f.targets.Monitor.MaxExcess("work"), f.targets.MaxConns()
 	var served, lost int64
 	for _, n := range f.instances {
 		served += n.Served.Load()
 		lost += n.Unanswered.Load()
 	}
-	t.Logf("seed %d, %v, %d instances: %v; worst window %.1f beyond the rate, of 300; %d connections at most at a target, of 120; %d served, %d asked of a process that was dead or stood still",
+	t.Logf("seed %d, %v, %d instances: %v; largest excess of a window %.1f, limit 300; at most %d connections at a target, limit 120; %d requests served, %d sent to a process that was dead or paused",
 		seed, length, instances, counts, worst, conns, served, lost)
-	// A process that is paused between the look at its permit and the write sends one when it wakes up.
+	// A process that is paused between the check of its permit and the write sends one request when it resumes.
 	if most := 300 + float64(counts["pause"]); worst > most {
-		t.Errorf("a window saw %.1f beyond the rate, of %.0f", worst, most)
+		t.Errorf("a window exceeded the rate by %.1f, limit %.0f", worst, most)
 	}
 	if conns > 120 {
-		t.Errorf("%d connections were open at one target, of 120", conns)
+		t.Errorf("%d connections were open at one target, limit 120", conns)
 	}
 }
 
-// TestMeasure measures what docs/fleet-operators.md tells; by hand, with SPINDLEHITCH_FAULTS set.
+// TestMeasure measures the figures in docs/fleet-operators.md for work at a cold target. Manual only, with
+// SPINDLEHITCH_FAULTS set.
 func TestMeasure(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	rules := `{"coldShare":1,"warmWithinUs":600000000,"fallUs":1000000,"tipMultiple":1,"resendRatio":5,"extraFree":100,"resendSpanUs":1000000}`
 	cold := quotaHeader + `[[budget]]
@@ -100,14 +101,15 @@
 		}
 		time.Sleep(8 * time.Second)
 		three := f.targets.Monitor.Rate(3 * time.Second)[2]
-		t.Logf("fleet-wide budget %v: ten instances send a cold target %.1f a second of 40, three that are left %.1f", ours, all, three)
+		t.Logf("fleet-wide budget %v: ten instances send %.1f requests a second to a cold target, limit 40, the three that remain %.1f", ours, all, three)
 	}
 }
 
-// TestMeasureRepeats does the same for repeats, at a target that answers one request in three with an error; by hand.
+// TestMeasureRepeats measures retries at a target that answers one request in three with an error, with and without a
+// fleet-wide budget. Manual only.
 func TestMeasureRepeats(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	repeats := quotaHeader + `[[budget]]
 name = "repeats"
@@ -117,7 +119,7 @@
 least = 0.4
 least_burst = 1
 `
-	rules := `{"resendRatio":0,"extraFree":4,"resendSpanUs":1000000}` // 40 a second, by ten
+	rules := `{"resendRatio":0,"extraFree":4,"resendSpanUs":1000000}` // 40 a second for ten instances
 	for _, ours := range []bool{false, true} {
 		var f *fleet
 		if ours {
@@ -150,15 +152,15 @@
 		for _, n := range f.instances[:3] {
 			served += n.Served.Load()
 		}
-		t.Logf("fleet-wide budget %v: ten instances send %.1f repeats a second of 40, worst window %.1f, three that are left %.1f; 6 s after the cause is gone they serve %.0f a second of 90",
+		t.Logf("fleet-wide budget %v: ten instances send %.1f retries a second, limit 40, largest excess of a window %.1f, the three that remain %.1f; 6 s after the errors end they serve %.0f requests a second of 90",
 			ours, all, f.targets.Monitor.MaxExcess("repeat"), three, float64(served-before)/3)
 	}
 }
 
-// TestMoves measures how long it is until parts have moved, in renewals; by hand.
+// TestMoves measures how long, in renewals, it takes until allocations have moved. Manual only.
 func TestMoves(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	f := newFleet(t, 5, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	f.setLoad(150)
@@ -171,7 +173,7 @@
 		}
 		return 0
 	}
-	pool := workRate/1.001 - 20 // beyond the floors
+	pool := workRate/1.001 - 20 // above the floors
 	even := func(what string, of ...*Instance) {
 		t.Helper()
 		took := f.WaitFor(what, func() bool {
@@ -182,12 +184,12 @@
 			}
 			return true
 		})
-		t.Logf("%s: %.1f renewals until %d have their new parts", what, took.Seconds()/0.3, len(of))
+		t.Logf("%s: %.1f renewals until %d instances have their new allocation", what, took.Seconds()/0.3, len(of))
 	}
 	for round := range 3 {
 		even("all", f.instances...)
 		f.instances[4].Stop(30 * time.Second)
-		even("a leave", f.instances[:4]...)
+		even("a shutdown", f.instances[:4]...)
 		f.instances[4].Restart()
 		even("a join, from the process's start", f.instances...)
 		f.instances[3].Kill()
@@ -200,10 +202,10 @@
 	}
 }
 
-// TestManyMembers measures what renewals of many light members cost the leader; by hand.
+// TestManyMembers measures the cost of the renewals of many idle members at the leader. Manual only.
 func TestManyMembers(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	for _, n := range []int{20, 300, 1000} {
 		r := New(t)
@@ -219,7 +221,7 @@
 		for i := range n {
 			p := quotasession.New(quotasession.Options{Name: fmt.Sprint("m", i), Addr: "127.0.0.1:1", Agents: []string{link.Addr}, Weight: 1, Log: slog.New(slog.DiscardHandler)})
 			work.Go(func() {
-				time.Sleep(time.Duration(i) * 8 * time.Second / time.Duration(n)) // they don't all come in one moment
+				time.Sleep(time.Duration(i) * 8 * time.Second / time.Duration(n)) // spread over 8 s, so that they do not all join at once
 				p.Run(ctx)
 			})
 		}
@@ -228,7 +230,7 @@
 		there, back := link.BytesPassed()
 		time.Sleep(5 * time.Second)
 		t2, b2 := link.BytesPassed()
-		t.Logf("%d members: the leader uses %.3f of a core, %.0f bytes a renewal there, %.0f back", n, (g.Procs[leader].CPU()-cpu).Seconds()/5,
+		t.Logf("%d members: the leader uses %.3f of a core, %.0f bytes a renewal received, %.0f sent", n, (g.Procs[leader].CPU()-cpu).Seconds()/5,
 			float64(t2-there)/5/float64(n), float64(b2-back)/5/float64(n))
 		stop()
 		work.Wait()
--- a/internal/testbed/faults/members_test.go
+++ b/internal/testbed/faults/members_test.go
@@ -20,7 +20,8 @@
 
 const probeMs = 400
 
-// everyone tells whether all members that run, but for some, tell so of a name.
+// allReport reports whether is holds for the state of a name at all running members, except the named one, those that
+// are stopped and those in but.
 func (m *Mesh) allReport(name string, is func(membership.MemberView) bool, but ...int) bool {
 	for _, n := range m.Members {
 		if n.Running() && !n.Stopped() && n.Name() != name && !slices.Contains(but, n.Index) && !is(n.StateOf(name)) {
@@ -38,37 +39,38 @@
 	return s.Name != "" && !inState(membership.StateDead, membership.StateLeft)(s)
 }
 
-// TestMembers starts twenty instances without agents and plays, one after the other, what can happen to one of them and to the ways
-// between them. At no time is a member held dead that neither died nor stood still.
+// TestMembers starts twenty instances without agents and goes through faults of single members and of the paths between
+// them. At no time may a member be declared dead that neither ended nor was paused.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	r := New(t)
 	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.1, 0.9}, Zones: 2})
-	joined := r.WaitFor("all know each other", m.Converged)
+	joined := r.WaitFor("the views to converge", m.Converged)
 	ill := map[string]bool{"m3": true, "m4": true, "m5": true, "m6": true}
 	ctx, stop := context.WithCancel(context.Background())
 	falsely := m.CollectFalseVerdicts(ctx, func(name string) bool { return !ill[name] })
 	defer stop()
 
-	// Paused past its suspicion, buried, and back as the same life.
+	// Paused past its suspicion, declared dead, and back under the same ID.
 	birth := m.Members[3].StateOf("m3").ID
 	m.Members[3].Pause()
-	buried := r.WaitFor("a member that stands still is held dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
+	buried := r.WaitFor("the paused member to be declared dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
 	m.Members[3].Resume()
-	r.WaitFor("it is back", func() bool {
+	r.WaitFor("the paused member to be live again", func() bool {
 		return m.allReport("m3", func(s membership.MemberView) bool { return isLive(s) && s.ID == birth && s.Incarnation > 1 }) && m.Converged()
 	})
 	require.Contains(t, m.Members[3].Log()+m.Members[0].Log(), "MEMBER_DEAD")
 
-	// Killed, and started again: a later life.
+	// Killed and restarted: it joins under a new ID.
 	m.Members[4].Kill()
-	killed := r.WaitFor("a member that died is held dead", func() bool { return m.allReport("m4", inState(membership.StateDead)) })
+	killed := r.WaitFor("the killed member to be declared dead", func() bool { return m.allReport("m4", inState(membership.StateDead)) })
 	m.Members[4].Restart()
-	r.WaitFor("its later life is known", func() bool { return m.allReport("m4", isLive) && m.Converged() })
+	r.WaitFor("the restarted member to be live", func() bool { return m.allReport("m4", isLive) && m.Converged() })
 
-	// One way cut: named with its direction, taken back when it is mended, and nobody is held dead.
+	// One direction of a path cut: it is reported with its direction, the report is withdrawn when the path is healed,
+	// and no member is declared dead.
 	m.SetPath(0, 1, PathCut)
-	named := r.WaitFor("a way that is cut is named", func() bool {
+	named := r.WaitFor("the cut path to be reported", func() bool {
 		for _, at := range []int{0, 1, 9} {
 			v, _ := m.Members[at].View()
 			if !slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.From == "m0" && w.To == "m1" && w.Kind == "cut" }) {
@@ -81,39 +83,39 @@
 	require.Zero(t, code, out)
 	require.Contains(t, out, "m0    m1  cut")
 	m.Heal()
-	r.WaitFor("it is taken back", func() bool {
+	r.WaitFor("the report of the cut path to be withdrawn", func() bool {
 		v, _ := m.Members[9].View()
 		return len(v.Paths) == 0
 	})
 
-	// Its datagrams are blocked and streams pass: it lives, and it is told why it is hard to reach.
+	// Datagrams blocked and streams open: the member stays live, and the reason why it is hard to reach is reported.
 	for i := range m.Members {
 		m.SetPath(i, 7, PathImpairment{DropDatagrams: true})
 		m.SetPath(7, i, PathImpairment{DropDatagrams: true})
 	}
-	r.WaitFor("datagrams that are blocked are told", func() bool {
+	r.WaitFor("the blocked datagrams to be reported", func() bool {
 		v, _ := m.Members[7].View()
 		return slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.Kind == "datagrams cut" })
 	})
 	require.True(t, isLive(m.Members[0].StateOf("m7")))
 	m.Heal()
 
-	// A member that hears all and that nobody hears learns it, and judges nobody.
+	// A member that receives everything but reaches nobody detects that, and declares no member dead.
 	for i := range m.Members {
 		m.SetPath(5, i, PathCut)
 	}
-	r.WaitFor("a mute member knows it", func() bool {
+	r.WaitFor("the mute member to detect that no one receives from it", func() bool {
 		v, _ := m.Members[5].View()
 		return strings.Contains(v.Isolation, "none hears us")
 	})
-	r.WaitFor("the others hold it dead", func() bool { return m.allReport("m5", inState(membership.StateDead), 5) })
+	r.WaitFor("the others to declare the mute member dead", func() bool { return m.allReport("m5", inState(membership.StateDead), 5) })
 	v, _ := m.Members[5].View()
-	require.Equal(t, 20, v.Size, "who hears nobody judges nobody")
+	require.Equal(t, 20, v.Size, "an isolated member declares no member dead")
 	require.Contains(t, m.Members[5].Log(), "MEMBERS_ALONE")
 	m.Heal()
-	met := r.WaitFor("views meet", m.Converged)
+	met := r.WaitFor("the views to converge", m.Converged)
 
-	// Two halves, joined again.
+	// Two halves, cut off from each other and reconnected.
 	for i := range m.Members {
 		for j := range m.Members {
 			if i%2 != j%2 {
@@ -122,11 +124,11 @@
 		}
 	}
 	for _, n := range m.Members {
-		ill[n.Name()] = true // from here on all are held dead by somebody
+		ill[n.Name()] = true // from here on every member is declared dead by some other
 	}
 	stop()
 	require.Empty(t, falsely())
-	r.WaitFor("each half knows itself alone", func() bool {
+	r.WaitFor("each half to see only itself", func() bool {
 		a, _ := m.Members[0].View()
 		b, _ := m.Members[1].View()
 		return a.Size == 10 && b.Size == 10
@@ -134,24 +136,25 @@
 	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Equal(t, 5, code, out)
 	m.Heal()
-	halves := r.WaitFor("the halves know each other", m.Converged)
+	halves := r.WaitFor("the halves to converge", m.Converged)
 	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "know the same 20")
 
-	// Left in order.
+	// A member that shuts down leaves the group.
 	require.True(t, m.Members[6].Stop(20*time.Second))
-	r.WaitFor("a member that left is told so", func() bool { return m.allReport("m6", inState(membership.StateLeft)) })
+	r.WaitFor("the member to be seen as left", func() bool { return m.allReport("m6", inState(membership.StateLeft)) })
 	out, code, _ = r.Run("members", "--from", m.Members[0].Control, "--json")
 	require.Zero(t, code)
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
 	require.Equal(t, 19, v.Size)
-	t.Logf("in probes: joined %.1f, held dead after a pause %.1f, after a kill %.1f, a cut named %.1f, views meet after a mute member %.1f, after halves %.1f",
+	t.Logf("in probe intervals: joined %.1f, declared dead after a pause %.1f, after a kill %.1f, a cut path reported %.1f, views converged after a mute member %.1f, after two halves %.1f",
 		joined.Seconds()*1000/probeMs, buried.Seconds()*1000/probeMs, killed.Seconds()*1000/probeMs, named.Seconds()*1000/probeMs,
 		met.Seconds()*1000/probeMs, halves.Seconds()*1000/probeMs)
 }
 
-// TestMembersBadInput stops a start with one message that names file and field, and starts nothing.
+// TestMembersBadInput checks that a start with an invalid membership configuration fails with a message that names the
+// file or field, and that commands with missing or unreachable arguments fail.
 func TestMembersBadInput(t *testing.T) {
 	t.Parallel()
 	r := New(t)
@@ -166,7 +169,7 @@
  "classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":200000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, c.name, addrs[0], addrs[1]))
 		p := r.Start("bad", []string{"PROXY_CONFIG=" + file}, "serve", "--operator", r.WriteFile("c.toml", "[fleet.members]\n"+c.toml+"\n"))
-		r.WaitFor("it ends", func() bool { return !p.Alive() })
+		r.WaitFor("the process to exit", func() bool { return !p.Alive() })
 		require.Equal(t, 1, p.cmd.ProcessState.ExitCode())
 		require.Contains(t, p.Log(), c.want)
 		p.out.b = nil
@@ -178,8 +181,9 @@
 	require.Equal(t, 4, code)
 }
 
-// TestMembersScheduled pauses and kills members and spoils ways at random, by a seed, with messages lost, late and twice: no member that
-// neither died nor stood still is held dead, and views meet afterwards. By hand it goes on for as long as SPINDLEHITCH_FAULTS says.
+// TestMembersScheduled pauses and kills members and cuts paths at random, by a seed, with messages lost, delayed and
+// duplicated. No member that neither ended nor was paused may be declared dead, and the views must converge afterwards.
+// In manual runs SPINDLEHITCH_FAULTS sets the length.
 func TestMembersScheduled(t *testing.T) {
 	t.Parallel()
 	length, seed := 12*time.Second, uint64(1)
@@ -189,8 +193,8 @@
 	seed = seedFromEnv(seed)
 	r := New(t)
 	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.0005, 0.9995}, Zones: 2})
-	r.WaitFor("all know each other", m.Converged)
-	// The last six are paused and killed; the others are healthy throughout.
+	r.WaitFor("the views to converge", m.Converged)
+	// Only the last six are paused and killed; the others stay healthy.
 	const hurt = 14
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -227,19 +231,20 @@
 	stop()
 	require.Empty(t, falsely())
 	m.Heal()
-	met := r.WaitFor("views meet", func() bool { m.Heal(); return m.Converged() })
-	t.Logf("seed %d, %v: %v; views meet %.1f probes after", seed, length, counts, met.Seconds()*1000/probeMs)
+	met := r.WaitFor("the views to converge", func() bool { m.Heal(); return m.Converged() })
+	t.Logf("seed %d, %v: %v; views converged after %.1f probe intervals", seed, length, counts, met.Seconds()*1000/probeMs)
 }
 
-// TestMembersHard plays what is left of the hard cases, twelve instances each time.
+// TestMembersHard goes through further faults with twelve instances: a member that only two others receive from,
+// message loss, blocked streams, a restart of half the group, loss of all seeds, and an upgrade.
 func TestMembersHard(t *testing.T) {
 	t.Parallel()
 	r := New(t)
 	targets := r.StartTargets(1, nil)
 	m := r.StartMesh(MeshOptions{Size: 12, ProbeMs: probeMs, Seeds: []int{0, 11}, StartLater: []int{10, 11}, Targets: targets})
-	r.WaitFor("they join by the one seed that lives", m.Converged)
+	r.WaitFor("all to join through the one running seed", m.Converged)
 
-	// Heard by one alone: it lives, for all.
+	// Two members still receive from it: it stays live for all.
 	births := map[string]string{}
 	for i := range 10 {
 		births[m.Members[i].Name()] = m.Members[0].StateOf(m.Members[i].Name()).ID
@@ -253,16 +258,16 @@
 	}
 	m.Heal()
 
-	// Three in ten messages lost, and a kill: found all the same, and nobody else is.
+	// With 30 % of the messages lost a killed member is still declared dead, and no other is.
 	m.SetDefaultPath(PathImpairment{Loss: 0.3})
 	m.Members[9].Kill()
-	r.WaitFor("a death is found among losses", func() bool { return m.allReport("m9", inState(membership.StateDead)) })
+	r.WaitFor("the killed member to be declared dead despite losses", func() bool { return m.allReport("m9", inState(membership.StateDead)) })
 	for i := range 9 {
 		require.True(t, isLive(m.Members[0].StateOf(m.Members[i].Name())) || m.Members[0].StateOf(m.Members[i].Name()).Self)
 	}
 	m.Heal()
 
-	// Streams blocked and datagrams open: nothing happens.
+	// Streams blocked and datagrams open: nothing changes.
 	for i := range 10 {
 		m.SetPath(i, 2, PathImpairment{DropStreams: true})
 		m.SetPath(2, i, PathImpairment{DropStreams: true})
@@ -271,14 +276,14 @@
 	require.True(t, isLive(m.Members[3].StateOf("m2")))
 	m.Heal()
 
-	// Half of all started again at once, the seed among them: later lives, all known.
+	// Half of the members restarted at once, one of the seeds among them: all join under new IDs.
 	for i := range 5 {
 		m.Members[i].Kill()
 	}
 	for i := range 5 {
 		m.Members[i].Restart()
 	}
-	r.WaitFor("half of all are known as later lives", func() bool {
+	r.WaitFor("half of the members to join under new IDs", func() bool {
 		for i := range 5 {
 			if s := m.Members[7].StateOf(m.Members[i].Name()); !isLive(s) || s.ID == births[s.Name] {
 				return false
@@ -287,17 +292,18 @@
 		return m.Converged()
 	})
 
-	// All seeds dead: those who know each other go on, and one that starts knows nobody until a seed is back.
+	// All seeds down: the members that know each other keep running, and one that starts stays alone until a seed is
+	// back.
 	m.Members[0].Kill()
 	m.Members[10].Start()
-	r.WaitFor("the seed's death is known", func() bool { return m.allReport("m0", inState(membership.StateDead), 10) })
+	r.WaitFor("the seed to be declared dead", func() bool { return m.allReport("m0", inState(membership.StateDead), 10) })
 	v, ok := m.Members[10].View()
 	require.True(t, ok)
 	require.Equal(t, 1, v.Size)
 	m.Members[0].Restart()
-	r.WaitFor("it joins when a seed is back, and the seed is known again", m.Converged)
+	r.WaitFor("the lone member to join through the restarted seed", m.Converged)
 
-	// An upgrade: two processes of one name for a while.
+	// An upgrade: for a while two processes run under one name.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -305,16 +311,16 @@
 	require.NoError(t, err)
 	defer socket.Close()
 	elder := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
-	r.WaitFor("the elder is known", func() bool { return isLive(m.Members[1].StateOf("m11")) })
+	r.WaitFor("the predecessor to join", func() bool { return isLive(m.Members[1].StateOf("m11")) })
 	first := m.Members[1].StateOf("m11").ID
 	younger := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
-	r.WaitFor("the elder leaves by itself", func() bool { return !elder.Alive() })
-	r.WaitFor("the younger one is known, at the address of its name", func() bool {
+	r.WaitFor("the predecessor to exit by itself", func() bool { return !elder.Alive() })
+	r.WaitFor("the successor to join at the name's address", func() bool {
 		s := m.Members[1].StateOf("m11")
 		return isLive(s) && s.ID != first && s.Addr == m.Members[11].advertise
 	})
 	v, _ = m.Members[1].View()
-	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == first && s.State == membership.StateLeft }), "the elder has left")
+	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == first && s.State == membership.StateLeft }), "the predecessor has left")
 	require.Empty(t, v.DuplicateNames)
 	younger.Kill()
 }
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -13,7 +13,7 @@
 	"spindlehitch/internal/testbed/model/experiment"
 )
 
-// TestRecorded has a schedule of the rig played in the model: twenty instances, a minute, no promise broken.
+// TestRecorded runs a schedule of the rig in the model: twenty instances for a minute, without a violation.
 func TestRecorded(t *testing.T) {
 	plan := Schedule(7, 20, 3, time.Minute, 400*time.Millisecond)
 	b, err := EncodeSchedule(plan)
@@ -74,11 +74,11 @@
 	}
 }
 
-// TestModelAgrees plays one schedule with twenty processes and in the model, under the same budget and leases, and holds the two against each
-// other; by hand, with SPINDLEHITCH_FAULTS set. docs/model.md has what came of it.
-func TestModelAgrees(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestModelAgrees runs one schedule with twenty processes and in the model, under the same budget and leases, and
+// compares the results. Manual only, with SPINDLEHITCH_FAULTS set. docs/model.md has the results.
+func TestModelAgrees(t *testing.T) { //nolint:gocognit // one sequential scenario
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	const members, whole = 20, 300.0
 	text := fmt.Sprintf("seats = 60\nrenew_ms = 300\npart_ms = 1500\nseat_s = 20\n[[budget]]\nname = \"work\"\nuse = \"work\"\nwhole = %g\nburst = %g\nleast = 0.5\nleast_burst = 1\n", whole, whole)
@@ -92,7 +92,7 @@
 	for i := range members {
 		d.instances = append(d.instances, d.StartInstance(fmt.Sprint("m", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, FleetTOML: "uses = [\"work\"]\ntasks = [\"drill\"]\n"}, 0))
 	}
-	d.waitBalanced("all hold shards", members)
+	d.waitBalanced("all members to hold shards", members)
 	d.StartLoad(t.Context(), d.instances, 1)
 	for _, n := range d.instances {
 		n.SetLoad(2 * whole / members)
@@ -153,7 +153,7 @@
 		}
 		task := d.task
 		task.Kind, task.Dir, task.Witness = lease.EndpointProbe, "", ""
-		task.MaxPauseMs = 1 // a drill has none; a watch has to have one
+		task.MaxPauseMs = 1 // a drill has no pause limit; a probe task requires one
 		s := &model.Spec{Name: "agrees", LengthS: 36, StepS: 0.1, Fleet: model.Fleet{Instances: members}, Net: model.Net{DelayMs: 0.2, JitterMs: 0.2},
 			Load:    model.Load{Rate: 2 * whole, AimMs: 1000, PatienceS: 2, Alike: true, SurgeAtS: 16, SurgeForS: 100, Surge: float64(members) / float64(members-killed)},
 			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Config{Tasks: []lease.Task{task}},
@@ -185,7 +185,7 @@
 			sum[i] += x / seeds
 		}
 	}
-	for i, what := range []string{"work a second, all twenty", "s until 0.8 of the whole is used by six", "work a second, by six", "shards granted anew", "work a second, the leader paused"} {
+	for i, what := range []string{"work a second, all twenty", "s until six use 0.8 of the capacity", "work a second, by six", "shards granted again", "work a second, the leader paused"} {
 		t.Logf("%s: %.2f with processes, %.2f in the model, %+.1f %%", what, rig[i], sum[i], 100*(sum[i]/rig[i]-1))
 	}
 }
--- a/internal/testbed/faults/reads_test.go
+++ b/internal/testbed/faults/reads_test.go
@@ -18,14 +18,14 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// instanceConfig is the smallest configuration that an agent accepts for an instance, told apart by its port.
+// instanceConfig returns the smallest configuration of an instance that an agent accepts, distinguished by its port.
 func instanceConfig(name string, port int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":"127.0.0.1:1","discovery":"127.0.0.1:%d","settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
  "contracts":[{"name":"base","usualRate":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8}}}`, name, port)
 }
 
-// writeEverything writes what each kind of read answers with, once for each number.
+// writeEverything writes a value for each kind of read, once for each number.
 func writeEverything(t *testing.T, client *agent.Client, number int) {
 	t.Helper()
 	ctx := t.Context()
@@ -42,7 +42,8 @@
 	require.NoError(t, err)
 }
 
-// readsOf is each linearizable read of an agent, and what its answer contains once writeEverything is done with that number.
+// readsOf returns each linearizable read of an agent, and what its response contains after writeEverything with that
+// number.
 func readsOf(number int) map[string]string {
 	return map[string]string{
 		"/v1/instances":            fmt.Sprintf(`"n%d"`, number),
@@ -55,7 +56,7 @@
 	}
 }
 
-// get asks one agent, without following redirects; status 0 means that no answer came in time.
+// get sends a request to one agent without following redirects; status 0: no response in time.
 func get(ctx context.Context, addr, path string, within time.Duration) (status int, body string) {
 	ctx, done := context.WithTimeout(ctx, within)
 	defer done()
@@ -75,38 +76,40 @@
 	return resp.StatusCode, string(text)
 }
 
-// applyStep is the step before an agent applies an entry of the log.
+// applyStep is the failpoint before an agent applies an entry of the log.
 const applyStep = "agent.apply"
 
-// electBehind has a follower hold back the application of all that write does, kills the leader and has that follower elected.
+// electLaggingFollower makes a follower delay the application of what write does, kills the leader and has that
+// follower elected.
 func electLaggingFollower(t *testing.T, g *AgentGroup, write func(leader *agent.Client)) (behind int) {
 	t.Helper()
 	first := g.Leader()
 	behind, other := (first+1)%3, (first+2)%3
 	g.Procs[behind].ArmFailpoint(applyStep, "wait")
 	write(&agent.Client{Addrs: []string{g.API[first]}})
-	g.rig.WaitFor("the follower holds its log back", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
-	// Its log has all that is committed, or it could not be elected. What Raft counts as applied is handed to the state machine only.
-	g.rig.WaitFor("the follower's log has everything", func() bool {
+	g.rig.WaitFor("the follower to stop applying its log", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
+	// Its log must contain all committed entries, or it could not be elected. What Raft counts as applied has only been
+	// passed to the state machine.
+	g.rig.WaitFor("the follower's log to be complete", func() bool {
 		all := (&agent.Client{Addrs: []string{g.API[first], g.API[behind]}}).Status(t.Context())
 		return all[0].Applied > 0 && all[1].Applied >= all[0].Applied
 	})
-	// The other follower can vote, but nobody hears it ask for votes.
+	// The other follower can vote, but its requests for votes are held back.
 	g.raftLinks[other][behind].Set(Impairment{Hold: true}, Impairment{})
 	g.Procs[first].Kill()
 	require.Equal(t, behind, g.Leader(first))
 	return behind
 }
 
-// TestNewLeaderReadsAppliedLog guards against a leader that was just elected and answers reads before it has applied what earlier terms
-// committed: such a read misses writes that were acknowledged.
+// TestNewLeaderReadsAppliedLog guards against a newly elected leader that answers reads before it has applied the
+// entries committed in earlier terms: such reads miss acknowledged writes.
 func TestNewLeaderReadsAppliedLog(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
 	g.Leader()
 	writeEverything(t, &agent.Client{Addrs: g.API}, 1)
 	for _, addr := range g.API {
-		r.WaitFor("all have what comes first", func() bool {
+		r.WaitFor("all agents to apply the first writes", func() bool {
 			_, body := get(t.Context(), addr, "/v1/feed?stale", time.Second)
 			return strings.Contains(body, `"head":1`)
 		})
@@ -129,8 +132,8 @@
 	}
 }
 
-// TestNewLeaderKnowsFirstChange guards against a leader that was just elected, has not applied the first change of the watch stream, takes
-// the next one for the first, and refuses it while an agent is down.
+// TestNewLeaderKnowsFirstChange guards against a newly elected leader that has not applied the first change of the
+// watch stream, takes the next one for the first, and rejects it while an agent is down.
 func TestNewLeaderKnowsFirstChange(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
@@ -150,9 +153,9 @@
 	require.NoError(t, err)
 }
 
-// TestAgentBehindTellsItsAge guards against an agent that hears the leader, has not applied what it knows to be committed, and tells its
-// state to be as new as what it heard.
-func TestAgentBehindTellsItsAge(t *testing.T) {
+// TestLaggingAgentReportsAge guards against an agent that receives heartbeats but has not applied the entries known to
+// be committed, and reports its state as being as fresh as the last heartbeat.
+func TestLaggingAgentReportsAge(t *testing.T) {
 	const behindFor = 1500 * time.Millisecond
 	r := New(t)
 	g := r.StartAgents(3)
@@ -170,20 +173,20 @@
 	writeEverything(t, client, 1)
 	fields := map[string]string{"/v1/fleet?stale": "age_ms", "/v1/feed?stale": "old_ms"}
 	for path, field := range fields {
-		r.WaitFor("its state is new", func() bool {
+		r.WaitFor("its state to be fresh", func() bool {
 			status, body := get(t.Context(), g.API[behind], path, time.Second)
 			return status == http.StatusOK && strings.Contains(body, readsOf(1)[strings.TrimSuffix(path, "?stale")]) && age(path, field) < 1000
 		})
 	}
 	g.Procs[behind].ArmFailpoint(applyStep, "wait")
 	writeEverything(t, client, 2)
-	r.WaitFor("the agent holds its log back", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
+	r.WaitFor("the agent to stop applying its log", func() bool { return g.Procs[behind].FailpointHit(applyStep) })
 	time.Sleep(behindFor)
 	for path, field := range fields {
 		assert.GreaterOrEqual(t, age(path, field), 1000.0, "%s of an agent that lacks what was written %v ago", path, behindFor)
 	}
 	g.Procs[behind].ReleaseFailpoint(applyStep)
 	for path, field := range fields {
-		r.WaitFor("its state is new again", func() bool { return age(path, field) < 1000 })
+		r.WaitFor("its state to be fresh again", func() bool { return age(path, field) < 1000 })
 	}
 }
--- a/internal/testbed/faults/startup_test.go
+++ b/internal/testbed/faults/startup_test.go
@@ -14,11 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// turns is the list's one service for all initiators: calls in turn, 50 ms each, those given up too. One that would wait for over 2 s fails.
+// slowDiscovery is a discovery service that handles calls one at a time in 50 ms each, also calls that were given up. A
+// call that would wait for over 2 s fails. mu guards nextFree and down.
 type slowDiscovery struct {
 	mu       sync.Mutex
 	nextFree time.Time
-	down     bool // silent
+	down     bool // it does not respond
 }
 
 func (s *slowDiscovery) waitTurn() bool {
@@ -51,13 +52,14 @@
 	}
 }
 
-// TestStarts kills twelve processes at once among 120 that start together and ask one service: those that know a list are ready without it, also
-// where the service is down; of the others nine in ten within 10 s, though it needs 6 s for all.
-func TestStarts(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestStarts guards against slow starts after a common outage: of 120 processes that start at once at one slow
+// discovery service, twelve are real. Those with a known list are ready without the service, even while it is down; of
+// the others nine in ten are ready within 10 s, though the service needs 6 s for all.
+func TestStarts(t *testing.T) { //nolint:gocognit // one sequential scenario
 	const procs, all, within = 12, 120, 10 * time.Second
 	for _, c := range []struct {
 		name, known string
-		down        time.Duration // for how long before the service is back
+		down        time.Duration // time until the service is back
 	}{
 		{"known", `"known":{"version":5,"full":true,"servers":[{"id":"t","addr":"127.0.0.1:1","cell":0,"state":"SERVING"}]},`, time.Hour},
 		{"nothing known", "", 0},
@@ -88,7 +90,7 @@
 				members = append(members, r.Start(fmt.Sprint("n", i), []string{"PROXY_CONFIG=" + file}, "serve"))
 			}
 			for _, addr := range addrs {
-				r.WaitFor("first ready", ready(addr))
+				r.WaitFor("the process to be ready for the first time", ready(addr))
 			}
 			for _, p := range members {
 				p.Kill()
@@ -100,10 +102,10 @@
 				s.mu.Lock()
 				s.down = false
 				s.mu.Unlock()
-				for range all - procs { // the others, each until it is answered
+				for range all - procs { // the other processes, each until it gets the list
 					go func() {
 						for !s.waitTurn() {
-							time.Sleep(time.Duration(rand.Int64N(int64(4 * time.Second)))) // as these do
+							time.Sleep(time.Duration(rand.Int64N(int64(4 * time.Second)))) // the same backoff as the real processes
 						}
 					}()
 				}
@@ -125,7 +127,7 @@
 			}
 			wait.Wait()
 			slices.Sort(took)
-			t.Logf("ready after %.1f s, half %.1f s, last %.1f s", took[0].Seconds(), took[procs/2].Seconds(), took[procs-1].Seconds())
+			t.Logf("first ready after %.1f s, half after %.1f s, last after %.1f s", took[0].Seconds(), took[procs/2].Seconds(), took[procs-1].Seconds())
 			most := within
 			if c.known == "" {
 				most += c.down
--- a/internal/testbed/faults/stream_test.go
+++ b/internal/testbed/faults/stream_test.go
@@ -16,7 +16,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// fed is a fleet that takes the feed, with targets of which two share a shard, so that one may drain.
+// streamFleet is a fleet that subscribes to the watch stream. Each two targets share a shard, so that one of them may
+// drain.
 type streamFleet struct {
 	*Rig
 	*RelayNetwork
@@ -24,16 +25,17 @@
 	targets      *Targets
 	subscribers  []*Subscriber
 	drainChecker *DrainChecker
-	startedMs    map[string]int64 // of each target, in ms
+	startedMs    map[string]int64 // start time of each target, in ms
 	drained      map[string]bool
 }
 
-// sentBefore is how long a request that left before a drain was in force may take to be seen at its target. An initiator that goes on
-// sending does so as long as the target drains.
+// inFlightGrace is how long a request that was sent before a drain was applied may take to reach its target. An
+// initiator that goes on sending does so for as long as the target drains.
 const inFlightGrace = 2 * time.Second
 
-// newFed starts agents, two relays in each of two regions, targets for four shards and initiators. Discovery goes on to tell that all targets
-// serve as they did when the run began: it lags for good, and says so now and then.
+// newStreamFleet starts agents, two relays in each of two regions, targets for four shards, and initiators. Discovery
+// goes on to report that all targets serve as at the start of the run: it lags permanently, and publishes its list
+// again now and then.
 func newStreamFleet(t *testing.T, initiators int) *streamFleet {
 	t.Helper()
 	r := New(t)
@@ -45,7 +47,7 @@
 	var puts []watchstream.Put
 	for i, x := range f.targets.All {
 		x.Shard = i % 4
-		x.Started.Store(1000) // long ago
+		x.Started.Store(1000) // not cold
 		f.startedMs[x.ID] = 1000
 		puts = append(puts, f.targetPut(x, "SERVING"))
 	}
@@ -53,16 +55,16 @@
 	for i := range initiators {
 		f.subscribers = append(f.subscribers, f.StartSubscriber(fmt.Sprint("n", i), f.regions[i%2], InstanceOptions{Targets: f.targets, Peers: initiators}))
 	}
-	f.waitApplied("all initiators take the feed", 1, f.subscribers)
+	f.waitApplied("all initiators to apply the watch stream", 1, f.subscribers)
 	return f
 }
 
-// entry is a target as the feed tells it.
+// targetPut returns the change of a target's entry in the watch stream.
 func (f *streamFleet) targetPut(x *Target, state string) watchstream.Put {
 	return watchstream.Put{Kind: watchstream.Targets, Key: x.ID, Value: fmt.Appendf(nil, `{"id":%q,"addr":%q,"cell":%d,"state":%q,"started_ms":%d}`, x.ID, x.Addr, x.Shard, state, f.startedMs[x.ID])}
 }
 
-// until waits until these have a version in force, and tells how long that took.
+// waitApplied waits until these subscribers have applied a version, and returns how long that took.
 func (f *streamFleet) waitApplied(what string, version uint64, who []*Subscriber) time.Duration {
 	f.t.Helper()
 	return f.WaitFor(what, func() bool {
@@ -73,7 +75,7 @@
 	})
 }
 
-// turn drains a target whose partner serves, or has one serve again under another start.
+// toggleDrain drains a random target whose partner serves, or makes a drained one serve again with a later start time.
 func (f *streamFleet) toggleDrain(rng *rand.Rand) uint64 {
 	x := f.targets.All[rng.IntN(len(f.targets.All))]
 	partner := f.targets.All[(slices.Index(f.targets.All, x)+4)%8]
@@ -84,7 +86,7 @@
 		f.drained[x.ID] = false
 		return f.Put(f.targetPut(x, "SERVING"))
 	case f.drained[partner.ID]:
-		return f.Put(f.targetPut(partner, "DRAINING")) // once more: it changes nothing but the version
+		return f.Put(f.targetPut(partner, "DRAINING")) // drains it again: only the version changes
 	}
 	f.drained[x.ID] = true
 	version := f.Put(f.targetPut(x, "DRAINING"))
@@ -92,19 +94,20 @@
 	return version
 }
 
-// feedEvent is one fault of a run. What lasts ends by itself.
+// streamFault is one fault of a run. It ends by itself after Duration.
 type streamFault struct {
 	At, Duration time.Duration
-	Kind         string // relay-kill, relay-pause, agent-kill, agent-pause, region-cut, restart and pause (of an initiator)
+	Kind         string // relay-kill, relay-pause, agent-kill, agent-pause, region-cut, and restart and pause of an initiator
 	Index        int
 }
 
-// feedSchedule is faults at random: the same for the same seed and sizes. One agent is hurt and one region cut at a time, at most.
+// streamFaultSchedule returns random faults, the same for the same seed and sizes. At most one agent is faulty and one
+// region cut off at a time.
 func streamFaultSchedule(seed uint64, initiators int, length, every time.Duration) []streamFault {
 	rng := rand.New(rand.NewPCG(seed, 36))
 	var all []streamFault
 	free := map[string]time.Duration{}
-	// Each kind comes, however short the run.
+	// The first faults are one of each kind, however short the run.
 	kinds := []string{"relay-kill", "relay-pause", "agent-kill", "region-cut", "restart", "restart", "pause", "agent-pause", "relay-kill"}
 	for at, i := every, 0; at < length; at, i = at+time.Duration((0.5+rng.Float64())*float64(every)), i+1 {
 		e := streamFault{At: at, Duration: time.Duration((0.5 + 4*rng.Float64()) * float64(time.Second)), Kind: kinds[rng.IntN(len(kinds))]}
@@ -135,9 +138,11 @@
 	return all
 }
 
-// TestFeedScheduled plays faults at random, by a seed, while targets drain and serve again: relays are killed and stand still, an agent does,
-// a region is cut off and comes back, initiators stand still or are started again, and discovery says now and then that all serve. By hand it goes on for as long as SPINDLEHITCH_FAULTS says (such as 10m);
-// SPINDLEHITCH_SEED is another seed.
+// TestFeedScheduled runs random faults by a seed while targets drain and serve again: relays and agents are killed and
+// paused, a region is cut off and reconnected, initiators are paused and restarted, and discovery publishes now and
+// then that all targets serve. No request may reach a target after its drain was applied, no applied version may go
+// back, and no status may count more initiators than have a version. In manual runs SPINDLEHITCH_FAULTS sets the length
+// (such as 10m) and SPINDLEHITCH_SEED another seed.
 func TestFeedScheduled(t *testing.T) {
 	length, seed := 14*time.Second, uint64(1)
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
@@ -146,7 +151,7 @@
 	seed = seedFromEnv(seed)
 	const initiators = 12
 	plan := streamFaultSchedule(seed, initiators, length, 1400*time.Millisecond)
-	require.Equal(t, plan, streamFaultSchedule(seed, initiators, length, 1400*time.Millisecond), "a seed names one schedule")
+	require.Equal(t, plan, streamFaultSchedule(seed, initiators, length, 1400*time.Millisecond), "the same seed must give the same schedule")
 	f := newStreamFleet(t, initiators)
 	var instances []*Instance
 	for _, n := range f.subscribers {
@@ -227,14 +232,14 @@
 		}
 	}
 	version := f.Put(f.targetPut(f.targets.All[0], map[bool]string{true: "DRAINING", false: "SERVING"}[f.drained["t0"]]))
-	took := f.waitApplied("all have the last version in force after quiet", version, f.subscribers)
+	took := f.waitApplied("all to apply the last version after the faults", version, f.subscribers)
 	var known watchstream.Status
-	told := f.WaitFor("the fleet's answer is that all have it", func() bool {
+	told := f.WaitFor("the agents to report that all have applied it", func() bool {
 		s, ok := f.versionStatus(fmt.Sprint(version))
 		known = s
 		return ok && s.Applied == initiators
 	})
-	time.Sleep(inFlightGrace + time.Second) // the drains of now are judged for a while after all have them
+	time.Sleep(inFlightGrace + time.Second) // the current drains are checked for a while after all have applied them
 	close(ending)
 	counting.Wait()
 	var served, lost int64
@@ -245,21 +250,23 @@
 	f.drainChecker.mu.Lock()
 	held := f.drainChecker.DrainsApplied
 	f.drainChecker.mu.Unlock()
-	t.Logf("seed %d, %v: %v; %d changes; all at version %d after %v, known after %v more: %+v; %d times a drain was held against an initiator; %d answers on who has what held; %d served, %d asked of a process that was dead or stood still",
+	t.Logf("seed %d, %v: %v; %d changes; all at version %d after %v, reported after %v more: %+v; %d applied drains checked; %d statuses checked; %d requests served, %d sent to a process that was dead or paused",
 		seed, length, counts, changes, version, took.Round(time.Millisecond), told.Round(time.Millisecond), known, held, counted, served, lost)
 	mu.Lock()
 	defer mu.Unlock()
-	require.Empty(t, f.drainChecker.Violations(), "no first byte goes to a target whose drain is in force")
-	require.Empty(t, back, "no version goes back")
-	require.Empty(t, over, "no answer counts more than have it")
+	require.Empty(t, f.drainChecker.Violations(), "no request reaches a target after its drain was applied")
+	require.Empty(t, back, "no applied version goes back")
+	require.Empty(t, over, "no status counts more initiators than have applied the version")
 	require.Positive(t, held)
 	require.Positive(t, counted)
 	require.Positive(t, served)
-	require.Less(t, took, 30*time.Second, "all at one version after quiet")
+	require.Less(t, took, 30*time.Second, "time until all have the last version")
 }
 
-// overcounted asks the fleet how many have the latest version in force, and after that each initiator: what it has in force by then it does
-// not lose, but for one that was started again, whose last word counts until it is heard anew, or that can't be asked.
+// checkAppliedCount asks the agents how many initiators have applied the latest version, and then each initiator. An
+// initiator does not lose what it has applied, so the count must not be higher than what they report, except for
+// initiators that were restarted, whose last report counts until the next one, and those that do not answer. It returns
+// a message if the count is too high.
 func (f *streamFleet) checkAppliedCount() (said string, asked bool) {
 	s, ok := f.versionStatus("latest")
 	if !ok {
@@ -277,18 +284,19 @@
 		}
 	}
 	if s.Applied > have+unsure {
-		return fmt.Sprintf("version %d: %d have it by the fleet's answer, and %d by their own, with %d that can't say", s.Version, s.Applied, have, unsure), true
+		return fmt.Sprintf("version %d: %d have applied it by the agents' status, %d by their own metrics, %d unknown", s.Version, s.Applied, have, unsure), true
 	}
 	return "", true
 }
 
-// layer is one of a configuration.
+// configPut returns the change of one configuration layer.
 func configPut(key, value string, args ...any) watchstream.Put {
 	return watchstream.Put{Kind: watchstream.Config, Key: key, Value: fmt.Appendf(nil, value, args...)}
 }
 
-// TestFeedConfiguration has two initiators take their configuration from the feed in layers. One that can't be served is turned down by name
-// of its field, and known to be; the last good one goes on, also where the process is started again with no relay to ask.
+// TestFeedConfiguration has two initiators take their configuration in layers from the watch stream. An invalid one is
+// rejected with the name of its field, which the agents report; the last valid configuration stays in use, also if the
+// process is restarted while no relay runs.
 func TestFeedConfiguration(t *testing.T) {
 	r := New(t)
 	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(1, nil), startedMs: map[string]int64{"t0": 1000}}
@@ -303,36 +311,36 @@
  "contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":%d}}}`
 	version := f.Put(f.targetPut(f.targets.All[0], "SERVING"), configPut("shared", shared, f.targets.Discovery, 3), configPut("region/north", `{"limits":{"sockets":256}}`),
 		configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control), configPut("instance/n1", `{"listen":%q,"control":%q}`, f.subscribers[1].Listen, f.subscribers[1].Control))
-	f.waitApplied("both serve", version, f.subscribers)
+	f.waitApplied("both to serve", version, f.subscribers)
 	r.StartLoad(t.Context(), []*Instance{f.subscribers[0].Instance, f.subscribers[1].Instance}, 1)
 	serves := func(n *Subscriber) {
 		t.Helper()
 		had := n.Served.Load()
-		f.WaitFor(n.Name+" serves", func() bool { return n.Served.Load() > had+10 })
+		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > had+10 })
 	}
 	for _, n := range f.subscribers {
 		n.SetLoad(50)
 		serves(n)
 	}
 	version = f.Put(configPut("shared", shared, f.targets.Discovery, 4))
-	f.waitApplied("both have another configuration", version, f.subscribers)
+	f.waitApplied("both to apply another configuration", version, f.subscribers)
 	for _, n := range f.subscribers {
 		serves(n)
 		require.Equal(t, 2, strings.Count(n.Log(), "configuration taken"), "%s", n.Log())
-		require.Zero(t, n.Unanswered.Load(), "the predecessor answers what it took")
+		require.Zero(t, n.Unanswered.Load(), "the predecessor completes its requests")
 		require.Zero(t, n.OtherStatus.Load())
 	}
-	// What says the same again is no other configuration.
+	// A layer with the same content is not a new configuration.
 	version = f.Put(configPut("region/north", `{"limits": {"sockets": 256}}`))
-	f.waitApplied("both have what is the same", version, f.subscribers)
+	f.waitApplied("both to apply the version with the same content", version, f.subscribers)
 	require.Equal(t, 2, strings.Count(f.subscribers[0].Log(), "configuration taken"))
 
 	good := version
 	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":"nowhere"}`, f.subscribers[0].Listen))
-	f.waitApplied("n1 has it", version, f.subscribers[1:])
+	f.waitApplied("n1 to apply it", version, f.subscribers[1:])
 	turnedDown := func() {
 		t.Helper()
-		f.WaitFor("the fleet knows that n0 has turned it down", func() bool {
+		f.WaitFor("the agents to report that n0 has rejected it", func() bool {
 			s, ok := f.versionStatus(fmt.Sprint(version))
 			return ok && s.Applied == 1 && s.Rejected == 1 && len(s.Lagging) == 1 && s.Lagging[0].Name == "n0" && s.Lagging[0].Cause == watchstream.LagRejected &&
 				s.Lagging[0].Rejection != nil && strings.Contains(s.Lagging[0].Rejection.Reason, "control: ")
@@ -353,15 +361,15 @@
 	turnedDown()
 	serves(f.subscribers[0])
 	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control))
-	f.waitApplied("all have what can be served", version, f.subscribers)
-	f.WaitFor("the fleet knows", func() bool {
+	f.waitApplied("all to apply the valid configuration", version, f.subscribers)
+	f.WaitFor("the agents to report that all have applied it", func() bool {
 		s, ok := f.versionStatus(fmt.Sprint(version))
 		return ok && s.Applied == 2 && s.Rejected == 0
 	})
 	serves(f.subscribers[0])
 }
 
-// status is what the fleet knows of a version.
+// versionStatus returns the agents' status of a version; false if none of them answers.
 func (f *streamFleet) versionStatus(version string) (s watchstream.Status, ok bool) {
 	for _, a := range f.AgentGroup.API {
 		resp, err := f.client.Get("http://" + a + "/v1/feed/versions/" + version)
--- a/internal/testbed/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -17,7 +17,7 @@
 	"spindlehitch/internal/observability/accounts"
 )
 
-// newTasked starts agents, targets and members that run the tasks of a file.
+// newTaskFleet starts agents, targets and members that run the tasks of a file.
 func newTaskFleet(t *testing.T, members, targets int, file, runs string, more func(i int) string) *leaseFleet {
 	t.Helper()
 	r := New(t)
@@ -38,7 +38,7 @@
 		d.instances = append(d.instances, r.StartInstance(fmt.Sprint("n", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, FleetTOML: uses}, 0))
 	}
 	for _, n := range d.instances {
-		d.WaitFor(n.Name+" has joined", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
+		d.WaitFor(n.Name+" to join", func() bool { return strings.Contains(n.Log(), "FLEET_JOINED") })
 	}
 	r.StartLoad(t.Context(), d.instances, targets)
 	return d
@@ -46,8 +46,8 @@
 
 const watchTask = "[[task]]\nname = \"watch\"\nkind = \"watch\"\nshards = 4\nlease_ms = 1500\nact_ms = 600\nevery_ms = 300\nprogress_ms = 4000\npause_ms = 300\n"
 
-// TestWatching has a target answer everything with errors: all members avoid it, one tries it for all, also after that one dies, and all hear
-// when it is well again.
+// TestWatching has a target answer all requests with errors: the members eject it, one of them probes it for all,
+// another does after that one is killed, and all use the target once it is healthy.
 func TestWatching(t *testing.T) {
 	t.Parallel()
 	d := newTaskFleet(t, 4, 2, watchTask, `"watch"`, nil)
@@ -84,18 +84,19 @@
 		return
 	}
 	var token uint64
-	d.WaitFor("members avoid it, and one has tried it", func() bool {
+	d.WaitFor("members to eject the target and one to probe it", func() bool {
 		by, well, found, by1 := board()
 		token = by1
 		return by >= 2 && found && !well
 	})
 	before := bad.HealthChecks.Load()
 	time.Sleep(3 * time.Second)
-	// An act begins each 300 ms at the soonest; the board may lose a member that avoids it no more for a moment.
+	// Operations begin at most every 300 ms. A member may be missing from the status for a moment while it does not
+	// eject the target.
 	tries := bad.HealthChecks.Load() - before
-	t.Logf("%d tries in 3 s by one for all", tries)
+	t.Logf("%d probes in 3 s by one member for all", tries)
 	if tries < 1 || tries > 13 {
-		t.Errorf("%d tries in 3 s, wanted at most one each 0.3 s of the whole fleet", tries)
+		t.Errorf("%d probes in 3 s, want at most one every 0.3 s by the whole fleet", tries)
 	}
 	var holder *Instance
 	out := d.mustRun("lease", "show", "watch", "--json")
@@ -111,30 +112,30 @@
 		}
 	}
 	if holder == nil {
-		t.Fatalf("nobody holds token %d: %s", token, out)
+		t.Fatalf("no member holds token %d: %s", token, out)
 	}
 	holder.Kill()
-	d.WaitFor("another tries it", func() bool { _, _, found, next := board(); return found && next > token })
+	d.WaitFor("another member to probe the target", func() bool { _, _, found, next := board(); return found && next > token })
 	bad.Unhealthy.Store(false)
 	bad.FailEvery.Store(0)
-	d.WaitFor("all know that it is well", func() bool { by, well, _, _ := board(); return by == 0 || well })
+	d.WaitFor("all members to learn that the target is healthy", func() bool { by, well, _, _ := board(); return by == 0 || well })
 	served := bad.failCandidates.Load()
-	d.WaitFor("it is asked again", func() bool {
+	d.WaitFor("the target to receive requests again", func() bool {
 		return bad.failCandidates.Load() > served+20 || d.targets.Monitor.Rate(time.Second)[0] > 20
 	})
 }
 
 const accountTask = "[[task]]\nname = \"account\"\nkind = \"account\"\nlease_ms = 1500\nact_ms = 700\nevery_ms = 200\nprogress_ms = 4000\nwindow_s = 2\ndir = %q\n"
 
-// TestFleetAccount has the holder of the fleet's account die or stop at each line of the write of a report: each window has exactly one, whole,
-// with the instances that could not be asked.
-func TestFleetAccount(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestFleetAccount has the holder of the fleet's account killed or stopped at each step of writing a report. Each
+// window must have exactly one complete report, which names the instances that could not be asked.
+func TestFleetAccount(t *testing.T) { //nolint:gocognit // one sequential scenario
 	t.Parallel()
 	dir := filepath.Join(t.TempDir(), "reports")
 	listens := FreeAddrs(t, 3)
 	d := newTaskFleet(t, 3, 1, fmt.Sprintf(accountTask, dir), `"account"`, func(i int) string {
 		if i == 2 {
-			return "" // it keeps no accounts
+			return "" // without accounts
 		}
 		return fmt.Sprintf("[accounts]\nlisten = %q\nwindow_s = 2\n", listens[i])
 	})
@@ -155,7 +156,7 @@
 			n.ArmFailpoint(step, what)
 		}
 		var hit *Instance
-		d.WaitFor("the holder comes to "+step, func() bool {
+		d.WaitFor("the holder to reach "+step, func() bool {
 			for _, n := range d.instances {
 				if n.FailpointHit(step) {
 					hit = n
@@ -167,7 +168,7 @@
 		for _, n := range d.instances {
 			n.DisarmFailpoint(step)
 		}
-		d.WaitFor(fmt.Sprintf("%s at %s: another writes on", what, step), func() bool { return len(reports()) >= min(had+2, 1000) })
+		d.WaitFor(fmt.Sprintf("%s at %s: another member to continue the reports", what, step), func() bool { return len(reports()) >= min(had+2, 1000) })
 		if what == "kill" {
 			hit.Restart()
 		} else {
@@ -191,7 +192,7 @@
 		info, _ := f.Stat()
 		p, err := parquet.OpenFile(f, info.Size())
 		if err != nil {
-			t.Errorf("%s is not whole: %v", path, err)
+			t.Errorf("%s is incomplete: %v", path, err)
 			continue
 		}
 		missing, _ := p.Lookup("missing")
@@ -211,13 +212,14 @@
 	if code != 0 || strings.Count(out, "fleet-") != len(all) {
 		t.Errorf("report --fleet: exit code %d, %s", code, out)
 	}
-	t.Logf("%d windows, each with one whole report; %d requests in them; %d holders struck", len(all), served, struck)
+	t.Logf("%d windows, each with one complete report; %d requests in them; %d holders stopped or killed", len(all), served, struck)
 	if served == 0 {
-		t.Error("no request is in any report")
+		t.Error("the reports contain no request")
 	}
 }
 
-// TestLeaseCommands has commands and files refused, each by one message that names the field, and nothing done.
+// TestLeaseCommands checks that invalid commands and files are rejected with one message that names the field, and
+// change nothing.
 func TestLeaseCommands(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 2, 2)
@@ -257,17 +259,17 @@
 		}
 		out, code, _ := d.Run(c.args...)
 		if code != c.code || !strings.Contains(out, c.says) || strings.Count(strings.TrimSpace(out), "\n") > 0 && c.code == 1 {
-			t.Errorf("%s: exit code %d of %d, %q; wanted %q", c.what, code, c.code, out, c.says)
+			t.Errorf("%s: exit code %d, want %d; output %q, want %q", c.what, code, c.code, out, c.says)
 		}
 	}
 	for i, l := range d.leases() {
 		if l.Token != before[i].Token {
-			t.Errorf("%v has token %d after refusals, %d before", l.Key, l.Token, before[i].Token)
+			t.Errorf("%v has token %d after the rejections, %d before", l.Key, l.Token, before[i].Token)
 		}
 	}
-	// Off: everything is given back, and then the task may be changed.
+	// With the task off all shards are released, and the task may be changed.
 	d.mustRun("lease", "set", d.WriteFile("off.toml", task+"off = true\n"))
-	d.WaitFor("nothing is held", func() bool {
+	d.WaitFor("all shards to be released", func() bool {
 		for _, l := range d.leases() {
 			if l.State != "off" {
 				return false
@@ -277,7 +279,7 @@
 	})
 	d.mustRun("lease", "set", d.WriteFile("three.toml", strings.Replace(task, "shards = 2", "shards = 3", 1)))
 	d.task.Shards = 3
-	d.waitBalanced("three shards are held", 2)
+	d.waitBalanced("three shards to be held", 2)
 	out := d.mustRun("lease", "list")
 	if !strings.Contains(out, "drill") || !strings.Contains(out, "1.5s") {
 		t.Errorf("lease list: %s", out)
@@ -295,18 +297,18 @@
 	d.checkWitness()
 }
 
-// TestMeasureWatching measures tries at a target that is avoided and the time to know that it is well again, one for all against each for
-// itself; by hand, with SPINDLEHITCH_FAULTS set.
+// TestMeasureWatching measures the probes at an ejected target and the time until members learn that it is healthy
+// again, with one member probing for all against each on its own. Manual only, with SPINDLEHITCH_FAULTS set.
 func TestMeasureWatching(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	for _, file := range []string{"", watchTask} {
 		d := newTaskFleet(t, 10, 2, file, `"watch"`, nil)
 		bad := d.targets.All[1]
 		d.setLoad(8)
 		time.Sleep(2 * time.Second)
-		bad.ServiceTime.Store(int64(3 * time.Second)) // it stands still, its health call too
+		bad.ServiceTime.Store(int64(3 * time.Second)) // it stalls, health checks included
 		bad.Unhealthy.Store(true)
 		time.Sleep(6 * time.Second)
 		asked, probed := bad.requests.Load(), bad.HealthChecks.Load()
@@ -329,7 +331,7 @@
 		for _, k := range known {
 			sum, most = sum+k, max(most, k)
 		}
-		t.Logf("one for all %v: while it stood still %.1f requests and %.1f tries a second reached it; well again, %d of %d knew after %v on average, %v at most",
+		t.Logf("one member for all %v: while it stalled, %.1f requests and %.1f probes a second reached it; healthy again, %d of %d learned it after %v on average, %v at most",
 			file != "", float64(asked)/10, float64(probed)/10, len(known), len(d.instances), sum/time.Duration(max(1, len(known))), most)
 		for _, p := range append(d.agents.Procs, instanceProcs(d.instances)...) {
 			p.Kill()
@@ -344,7 +346,7 @@
 	return p
 }
 
-// avoided is how many targets an instance avoids, by its own numbers; -1 where it does not tell.
+// ejectedTargets returns how many targets an instance has ejected, by its metrics; -1 if it does not report them.
 func ejectedTargets(n *Instance) int {
 	var k int
 	for line := range strings.Lines(n.Metrics()) {
