--- a/internal/testbed/faults/agents.go
+++ b/internal/testbed/faults/agents.go
@@ -111,7 +111,7 @@
 	g.rig.T.Helper()
 	leader := -1
 	g.rig.WaitFor("all agents to name one leader", func() bool {
-		named := map[int]bool{}
+		leaders := map[int]bool{}
 		for i := range g.Procs {
 			if slices.Contains(but, i) {
 				continue
@@ -124,9 +124,9 @@
 			if slices.Contains(but, leader) {
 				leader = -1
 			}
-			named[leader] = true
+			leaders[leader] = true
 		}
-		return len(named) == 1 && leader >= 0
+		return len(leaders) == 1 && leader >= 0
 	})
 	return leader
 }
--- a/internal/testbed/faults/budget_test.go
+++ b/internal/testbed/faults/budget_test.go
@@ -256,37 +256,37 @@
 	small := strings.Replace(strings.Replace(quotaHeader, "seats = 20", "seats = 3", 1), "seat_s = 6", "seat_s = 2", 1)
 	f := newFleet(t, 1, 1, small+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	o := InstanceOptions{Agents: f.agents, Targets: f.targets, Peers: 3}
-	says := func(n *Instance, reason string, times int) {
+	waitReason := func(n *Instance, reason string, times int) {
 		t.Helper()
 		f.WaitFor(n.Name+": "+reason, func() bool { return strings.Count(n.Log(), "reason="+reason) >= times })
 	}
-	twin := f.StartInstance("n0", o, 0)
-	says(twin, "FLEET_NAME_TAKEN", 1)
-	twin.Kill()
+	duplicate := f.StartInstance("n0", o, 0)
+	waitReason(duplicate, "FLEET_NAME_TAKEN", 1)
+	duplicate.Kill()
 	socket, addr := listenSocket(t)
 	defer socket.Close()
 	o.ListenSocket, o.Listen = socket, addr
-	old := f.StartInstance("n1", o, 0)
-	says(old, "FLEET_JOINED", 1)
-	young := f.StartInstance("n1", o, 0)
-	says(young, "FLEET_JOINED", 1)
-	says(old, "FLEET_LEFT", 1) // the successor serves
-	f.WaitFor("the predecessor to exit", func() bool { return !old.Alive() })
+	predecessor := f.StartInstance("n1", o, 0)
+	waitReason(predecessor, "FLEET_JOINED", 1)
+	successor := f.StartInstance("n1", o, 0)
+	waitReason(successor, "FLEET_JOINED", 1)
+	waitReason(predecessor, "FLEET_LEFT", 1) // the successor serves
+	f.WaitFor("the predecessor to exit", func() bool { return !predecessor.Alive() })
 	o.ListenSocket, o.Listen = nil, ""
 	third := f.StartInstance("n2", o, 0)
-	says(third, "FLEET_JOINED", 1)
+	waitReason(third, "FLEET_JOINED", 1)
 	fourth := f.StartInstance("n3", o, 0)
-	says(fourth, "FLEET_NO_SEAT", 1)
+	waitReason(fourth, "FLEET_NO_SEAT", 1)
 	third.Pause()
-	says(fourth, "FLEET_JOINED", 1) // once the paused instance's session has expired
+	waitReason(fourth, "FLEET_JOINED", 1) // once the paused instance's session has expired
 	third.Resume()
-	says(third, "FLEET_SEAT_LOST", 1)
-	says(third, "FLEET_NO_SEAT", 1)
+	waitReason(third, "FLEET_SEAT_LOST", 1)
+	waitReason(third, "FLEET_NO_SEAT", 1)
 	if !strings.Contains(third.Metrics(), "edge_proxy.fleet.seated:0|g") {
 		t.Errorf("the metrics do not show that there is no session: %s", third.Metrics())
 	}
 	fourth.Stop(30 * time.Second)
-	says(third, "FLEET_JOINED", 2)
+	waitReason(third, "FLEET_JOINED", 2)
 }
 
 // TestAgentsHurt fills the disk of the leading agent while budgets are changed, restarts an agent with an empty folder,
@@ -317,14 +317,14 @@
 		t.Fatal(err)
 	}
 	f.WaitFor("budgets to be changed again", func() bool { _, code := set(200, 100); return code == 0 })
-	empty := (f.agents.Leader() + 1) % 3
-	f.agents.Procs[empty].Kill()
-	if err := os.RemoveAll(f.agents.Dirs[empty]); err != nil {
+	emptied := (f.agents.Leader() + 1) % 3
+	f.agents.Procs[emptied].Kill()
+	if err := os.RemoveAll(f.agents.Dirs[emptied]); err != nil {
 		t.Fatal(err)
 	}
-	f.agents.Procs[empty].Restart()
+	f.agents.Procs[emptied].Restart()
 	f.WaitFor("the emptied agent to replicate the state", func() bool {
-		out, _, _ := f.Run("config", "status", "--agents", f.agents.API[empty])
+		out, _, _ := f.Run("config", "status", "--agents", f.agents.API[emptied])
 		return strings.Contains(out, "Follower") && !strings.Contains(out, "applied=0")
 	})
 	f.WaitFor("the capacity to be reduced", func() bool { _, code := set(60, 80); return code == 0 })
@@ -410,15 +410,15 @@
 // must not use up all the time that a renewal has.
 func TestRenewPastSilent(t *testing.T) {
 	f := newFleet(t, 1, 1, strings.Replace(quotaHeader, "seat_s = 6", "seat_s = 600", 1)+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
-	taken := func() (n int) {
+	renewals := func() (n int) {
 		_, after, _ := strings.Cut(f.instances[0].Metrics(), "renewals.taken:")
 		_, _ = fmt.Sscanf(after, "%d", &n)
 		return n
 	}
-	f.WaitFor("the instance to renew", func() bool { return taken() > 0 })
+	f.WaitFor("the instance to renew", func() bool { return renewals() > 0 })
 	f.agents.Procs[0].Pause()
-	before := taken()
-	took := f.WaitFor("five renewals at another agent", func() bool { return taken() >= before+5 })
+	before := renewals()
+	took := f.WaitFor("five renewals at another agent", func() bool { return renewals() >= before+5 })
 	t.Logf("five more renewals after %v", took)
 	f.agents.Procs[0].Resume()
 }
--- a/internal/testbed/faults/configure_test.go
+++ b/internal/testbed/faults/configure_test.go
@@ -53,17 +53,17 @@
 		n.SetLoad(40)
 		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > 10 })
 	}
-	lost := func(of []*Instance) (n int64) {
+	failedRequests := func(of []*Instance) (n int64) {
 		for _, x := range of {
 			n += x.Unanswered.Load() + x.OtherStatus.Load()
 		}
 		return n
 	}
-	had := lost(all)
+	failedBefore := failedRequests(all)
 
 	rng := rand.New(rand.NewPCG(seedFromEnv(3), 15))
 	const changes = 60
-	var hurt sync.WaitGroup
+	var faultsRunning sync.WaitGroup
 	var last uint64
 	for i := 1; i <= changes; i++ {
 		switch i {
@@ -72,7 +72,7 @@
 			for _, k := range cut.Links {
 				k.Cut()
 			}
-			hurt.Go(func() {
+			faultsRunning.Go(func() {
 				time.Sleep(6 * time.Second)
 				for _, k := range cut.Links {
 					k.Heal()
@@ -84,7 +84,7 @@
 				paused, killed = killed, paused
 			}
 			paused.Pause()
-			hurt.Go(func() {
+			faultsRunning.Go(func() {
 				time.Sleep(2 * time.Second)
 				paused.Resume()
 				killed.Kill()
@@ -104,12 +104,12 @@
 		require.Equal(t, http.StatusOK, requestStatus(t, n.Listen, fmt.Sprint("plan", changes)), "%s reports the last configuration as applied", n.Name)
 		require.Equal(t, http.StatusUnprocessableEntity, requestStatus(t, n.Listen, fmt.Sprint("plan", changes-1)), "%s", n.Name)
 	}
-	hurt.Wait()
+	faultsRunning.Wait()
 	for _, n := range all {
 		served := n.Served.Load()
 		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > served+10 })
 	}
-	require.EqualValues(t, had, lost(all[:3]), "requests lost or refused at initiators that weren't killed")
+	require.EqualValues(t, failedBefore, failedRequests(all[:3]), "requests lost or refused at initiators that weren't killed")
 	for i, n := range f.subscribers {
 		log := n.Log()
 		if i == 3 {
--- a/internal/testbed/faults/descriptors_test.go
+++ b/internal/testbed/faults/descriptors_test.go
@@ -24,30 +24,30 @@
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
 			r := New(t)
 			targets := r.StartTargets(1, nil)
-			down := r.StartLink("n", "discovery", targets.Discovery)
-			down.Set(Impairment{Hold: true}, Impairment{Hold: true})
-			n := r.StartInstance("n", InstanceOptions{Targets: &Targets{Discovery: down.Addr}, Peers: 1, MaxFiles: files}, 0)
+			discoveryLink := r.StartLink("n", "discovery", targets.Discovery)
+			discoveryLink.Set(Impairment{Hold: true}, Impairment{Hold: true})
+			n := r.StartInstance("n", InstanceOptions{Targets: &Targets{Discovery: discoveryLink.Addr}, Peers: 1, MaxFiles: files}, 0)
 			most := 256 // the limit that StartInstance sets
 			if files > 0 {
 				most = files
 			}
 			ctx, stop := context.WithCancel(context.Background())
-			var crowd sync.WaitGroup
-			defer crowd.Wait()
+			var idleClients sync.WaitGroup
+			defer idleClients.Wait()
 			defer stop()
 			for i := range 2 * most {
-				crowd.Go(func() {
+				idleClients.Go(func() {
 					for ctx.Err() == nil {
 						c, err := net.Dial("tcp", n.Listen)
 						if err != nil {
 							time.Sleep(10 * time.Millisecond)
 							continue
 						}
-						gone := context.AfterFunc(ctx, func() { c.Close() })
+						stopClose := context.AfterFunc(ctx, func() { c.Close() })
 						_, _ = io.WriteString(c, []string{"", "GET /position-read/7f", "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"}[i%3])
 						_, _ = io.Copy(io.Discard, c)
 						c.Close()
-						gone()
+						stopClose()
 					}
 				})
 			}
@@ -61,14 +61,14 @@
 				return resp.StatusCode
 			}
 			// The idle clients have taken all descriptors that they get, and keep trying.
-			filled := 0
+			maxOpen := 0
 			require.Eventually(t, func() bool {
 				fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", n.cmd.Process.Pid))
-				if len(fds) > filled {
-					filled = len(fds)
+				if len(fds) > maxOpen {
+					maxOpen = len(fds)
 					return false
 				}
-				return filled > most/4
+				return maxOpen > most/4
 			}, 20*time.Second, 300*time.Millisecond)
 			for range 20 {
 				require.Equal(t, 503, status("http://"+n.Control+"/v1/readyz"))
@@ -76,10 +76,10 @@
 				require.NoError(t, err)
 				require.Less(t, len(fds), most)
 			}
-			down.Heal()
+			discoveryLink.Heal()
 			began := time.Now()
 			require.Eventually(t, func() bool { return status("http://"+n.Control+"/v1/readyz") == 200 }, 10*time.Second, 10*time.Millisecond)
-			t.Logf("%d descriptors in use, ready after %v", filled, time.Since(began))
+			t.Logf("%d descriptors in use, ready after %v", maxOpen, time.Since(began))
 			require.Eventually(t, func() bool { return status("http://"+n.Listen+"/-/ready") == 200 }, 10*time.Second, 10*time.Millisecond)
 			require.Eventually(t, func() bool {
 				n.sendRequest(ctx, client, fmt.Sprint(time.Now().UnixNano()), 0)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -162,10 +162,10 @@
 func TestSilentFollowed(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
-	quiet := (g.Leader() + 1) % 3
-	p := r.Start("n1", []string{"PROXY_NAME=n1"}, "serve", "--agents", g.AddrList(quiet))
+	silentAgent := (g.Leader() + 1) % 3
+	p := r.Start("n1", []string{"PROXY_NAME=n1"}, "serve", "--agents", g.AddrList(silentAgent))
 	time.Sleep(300 * time.Millisecond) // its watch request is open
-	g.Procs[quiet].Pause()
+	g.Procs[silentAgent].Pause()
 	addrs := FreeAddrs(t, 2)
 	file := r.WriteFile("n1.json", `{"name":"n1","listen":"`+addrs[0]+`","discovery":"`+addrs[1]+`","settings":{"peersTotal":1,"tickUs":2000,
  "classes":[{"name":"read","promiseUs":500000,"deadlineUs":2000000,"effect":"pure","worth":1}],
@@ -178,5 +178,5 @@
 	if took > 15*time.Second {
 		t.Errorf("configuration taken only after %v", took)
 	}
-	g.Procs[quiet].Resume()
+	g.Procs[silentAgent].Resume()
 }
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -43,10 +43,10 @@
 		}
 	}
 	rng := rand.New(rand.NewPCG(seed, 21))
-	inside := 0
+	pausesInside := 0
 	ctx, stop := context.WithCancel(t.Context())
-	var aiming sync.WaitGroup
-	aiming.Go(func() {
+	var failpointsRunning sync.WaitGroup
+	failpointsRunning.Go(func() {
 		for ctx.Err() == nil {
 			n, step := d.instances[rng.IntN(members)], operationSteps[rng.IntN(len(operationSteps))]
 			n.ArmFailpoint(step, "stop")
@@ -57,22 +57,22 @@
 			}
 			time.Sleep(leaseTTL + time.Duration(rng.Float64()*float64(leaseTTL)))
 			if n.Stopped() {
-				inside++ // it was stopped for all of that time
+				pausesInside++ // it was stopped for all of that time
 			}
 			n.Resume()
 		}
 	})
 	counts := d.RunSchedule(plan, d.instances, d.agents)
 	stop()
-	aiming.Wait()
+	failpointsRunning.Wait()
 	d.waitBalanced("all shards to be held evenly after the faults", members)
-	seen := d.checkWitness()
-	t.Logf("seed %d, %v, %d members, %d shards: %v, %d pauses inside an operation for longer than a lease", seed, length, members, shards, counts, inside)
-	if inside < int(length/(8*time.Second)) {
-		t.Errorf("only %d pauses were inside an operation", inside)
+	summary := d.checkWitness()
+	t.Logf("seed %d, %v, %d members, %d shards: %v, %d pauses inside an operation for longer than a lease", seed, length, members, shards, counts, pausesInside)
+	if pausesInside < int(length/(8*time.Second)) {
+		t.Errorf("only %d pauses were inside an operation", pausesInside)
 	}
-	if seen.Tokens < shards {
-		t.Errorf("%d tokens for %d shards", seen.Tokens, shards)
+	if summary.Tokens < shards {
+		t.Errorf("%d tokens for %d shards", summary.Tokens, shards)
 	}
 }
 
@@ -91,13 +91,13 @@
 		return all
 	}
 	// The gap of a moved shard is the time from a moment to the first call under the new token.
-	round := func(what string, n *Instance, do func()) {
+	measure := func(what string, n *Instance, do func()) {
 		d.waitBalanced("balance before "+what, len(d.instances))
 		time.Sleep(time.Second)
-		had, mine := tokens(), 0
+		tokensBefore, heldCount := tokens(), 0
 		for _, l := range d.leases() {
 			if n != nil && l.HolderName == n.Name {
-				mine++
+				heldCount++
 			}
 		}
 		from := time.Since(d.witness.began)
@@ -107,14 +107,14 @@
 		moved := 0
 		var gaps []float64
 		for shard, token := range tokens() {
-			if token == had[shard] {
+			if token == tokensBefore[shard] {
 				continue
 			}
 			moved++
 			first := time.Duration(0)
 			d.witness.mu.Lock()
 			for _, c := range d.witness.calls {
-				if c.Shard == shard && c.Token > had[shard] && (first == 0 || c.call < first) {
+				if c.Shard == shard && c.Token > tokensBefore[shard] && (first == 0 || c.call < first) {
 					first = c.call
 				}
 			}
@@ -125,19 +125,19 @@
 			gaps = append(gaps, (first-from).Seconds()/leaseTTL.Seconds())
 		}
 		slices.Sort(gaps)
-		t.Logf("%s: %d shards held by the member, %d moved, the next operation after %.3f lease durations", what, mine, moved, gaps)
+		t.Logf("%s: %d shards held by the member, %d moved, the next operation after %.3f lease durations", what, heldCount, moved, gaps)
 	}
 	for i := range 3 {
 		n := d.instances[3*i]
-		round("a kill", n, n.Kill)
+		measure("a kill", n, n.Kill)
 		n.Restart()
 		n = d.instances[3*i+1]
-		round("a cut", n, func() { n.DropAgentTraffic(true, true) })
+		measure("a cut", n, func() { n.DropAgentTraffic(true, true) })
 		n.Heal()
 		n = d.instances[3*i+2]
-		round("a shutdown, from its end on", nil, func() { n.Stop(20 * time.Second) })
+		measure("a shutdown, from its end on", nil, func() { n.Stop(20 * time.Second) })
 		n.Restart()
-		round("a release", nil, func() { d.mustRun("lease", "release", "drill", fmt.Sprint(i)) })
+		measure("a release", nil, func() { d.mustRun("lease", "release", "drill", fmt.Sprint(i)) })
 	}
 	d.checkWitness()
 }
@@ -160,7 +160,7 @@
 	defer stop()
 	var mu sync.Mutex
 	history := map[int][]porcupine.Operation{}
-	note := func(client, shard int, in, out any, call, end time.Duration) {
+	record := func(client, shard int, in, out any, call, end time.Duration) {
 		mu.Lock()
 		defer mu.Unlock()
 		history[shard] = append(history[shard], porcupine.Operation{ClientId: client, Input: in, Output: out, Call: int64(call), Return: int64(end)})
@@ -178,25 +178,25 @@
 				}
 			}
 			m := lessee.New([]string{"t"})
-			has := map[int]uint64{}
+			tokenOf := map[int]uint64{}
 			before := time.Since(began) // start of the claim before the last one: a new lease was granted after that claim was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
-				begun := time.Since(began)
+				renewalStart := time.Since(began)
 				c := m.BeginRenewal(monotone.Now())
 				call, done := context.WithTimeout(ctx, 400*time.Millisecond)
 				_, award, err := client.Renew(call, terms.RenewalRequest{ID: id, Seq: seq}, &c)
 				done()
 				if err == nil && award != nil && m.AcceptRenewal(monotone.Now(), *award) {
 					for _, h := range m.Status() {
-						if has[h.Shard] != h.Token {
-							has[h.Shard] = h.Token
-							note(i, h.Shard, registerOperation{"grant", h.Token}, nil, before, time.Since(began))
+						if tokenOf[h.Shard] != h.Token {
+							tokenOf[h.Shard] = h.Token
+							record(i, h.Shard, registerOperation{"grant", h.Token}, nil, before, time.Since(began))
 							mu.Lock()
 							grants++
 							mu.Unlock()
 						}
 					}
-					before = begun
+					before = renewalStart
 				}
 				if held := m.Held(monotone.Now()); len(held) > 0 && rng.IntN(4) == 0 {
 					m.Release(held[rng.IntN(len(held))])
@@ -216,15 +216,15 @@
 				done()
 				if err == nil && v.Leads {
 					for _, l := range v.Leases {
-						note(10+i, l.Shard, registerOperation{"read", 0}, l.Token, call, time.Since(began))
+						record(10+i, l.Shard, registerOperation{"read", 0}, l.Token, call, time.Since(began))
 					}
 				}
 				if rng.IntN(3) == 0 {
 					at, done := context.WithTimeout(ctx, time.Second)
 					err := client.MigrateLease(at, lease.Key{Task: "t", Shard: rng.IntN(2)}, fmt.Sprint("member-", rng.IntN(3)))
 					done()
-					var no *agent.RejectedError
-					if err != nil && ctx.Err() == nil && errors.As(err, &no) && no.Status != 422 {
+					var rejected *agent.RejectedError
+					if err != nil && ctx.Err() == nil && errors.As(err, &rejected) && rejected.Status != 422 {
 						t.Error(err)
 					}
 				}
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -80,18 +80,18 @@
 func (d *leaseFleet) waitBalanced(what string, members int) {
 	d.T.Helper()
 	d.WaitFor(what, func() bool {
-		has := map[string]int{}
+		heldBy := map[string]int{}
 		for _, l := range d.leases() {
 			if l.State != "held" {
 				return false
 			}
-			has[l.Holder]++
+			heldBy[l.Holder]++
 		}
 		least, most := d.task.Shards, 0
-		for _, n := range has {
+		for _, n := range heldBy {
 			least, most = min(least, n), max(most, n)
 		}
-		return len(has) == min(members, d.task.Shards) && most-least < 2
+		return len(heldBy) == min(members, d.task.Shards) && most-least < 2
 	})
 }
 
@@ -147,13 +147,13 @@
 func TestActsPaused(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0, 0.9995)
-	inside := 0
+	pausesInside := 0
 	for i, step := range []string{"act.begun", "act.opened", "act.checked", "act.taken", "place.link", "place.linked", "act.ending"} {
 		shard := i % d.task.Shards
 		n, _ := d.waitHolder(shard)
 		n.ArmFailpoint(step, "stop")
 		d.WaitFor(step, func() bool { return n.FailpointHit(step) })
-		inside++
+		pausesInside++
 		held := map[int]uint64{}
 		for _, l := range d.leases() {
 			if l.HolderName == n.Name {
@@ -169,10 +169,10 @@
 		n.Resume()
 		d.waitBalanced(n.Name+" to hold shards again", 3)
 	}
-	seen := d.checkWitness()
-	t.Logf("%d pauses inside an operation", inside)
-	if seen.Tokens < d.task.Shards+inside {
-		t.Errorf("%d tokens for %d pauses", seen.Tokens, inside)
+	summary := d.checkWitness()
+	t.Logf("%d pauses inside an operation", pausesInside)
+	if summary.Tokens < d.task.Shards+pausesInside {
+		t.Errorf("%d tokens for %d pauses", summary.Tokens, pausesInside)
 	}
 }
 
@@ -182,7 +182,7 @@
 func TestLeaseMemberFaults(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 4, 6, 0.9995, 1.0005)
-	gone := func(what string, n *Instance, do func()) {
+	shardsMove := func(what string, n *Instance, do func()) {
 		t.Helper()
 		held := map[int]uint64{}
 		for _, l := range d.leases() {
@@ -198,11 +198,11 @@
 		t.Logf("%s: %d shards held under new tokens after %.2f lease durations", what, len(held), time.Since(began).Seconds()/leaseTTL.Seconds())
 	}
 	n := d.instances[0]
-	gone("cut off from the agents, not from the folder", n, func() { n.DropAgentTraffic(true, true) })
+	shardsMove("cut off from the agents, not from the folder", n, func() { n.DropAgentTraffic(true, true) })
 	n.Heal()
 	d.waitBalanced("balance after it reaches the agents again", 4)
 
-	gone("cut off from the folder, not from the agents", n, func() {
+	shardsMove("cut off from the folder, not from the agents", n, func() {
 		if err := n.limitFileSize(0); err != nil {
 			t.Fatal(err)
 		}
@@ -213,7 +213,7 @@
 	d.WaitFor("operations to fail without progress", func() bool { return strings.Contains(n.Log(), "ACT_FAILED") })
 
 	n, token := d.waitHolder(0)
-	gone("responses to it delayed around a handover", n, func() {
+	shardsMove("responses to it delayed around a handover", n, func() {
 		for _, k := range n.Links {
 			k.Set(Impairment{}, Impairment{Delay: 700 * time.Millisecond})
 		}
@@ -248,20 +248,20 @@
 	n, _ = d.waitHolder(2)
 	n.ArmFailpoint("act.begun", "hang")
 	d.WaitFor("an operation to hang", func() bool { return n.FailpointHit("act.begun") })
-	var hung int
+	var hanging int
 	d.WaitFor("the hanging shards to make progress elsewhere", func() bool {
-		hung = 0
+		hanging = 0
 		for _, l := range d.leases() {
 			if l.HolderName == n.Name && l.ProgressMs > 2*d.task.ProgressTimeoutMs {
-				hung++
+				hanging++
 			}
 		}
-		return hung == 0
+		return hanging == 0
 	})
 
-	twin := d.StartInstance(n.Name, InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: 4, FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, 0)
-	d.WaitFor("the duplicate name to be rejected", func() bool { return strings.Contains(twin.Log(), "FLEET_NAME_TAKEN") })
-	twin.Kill()
+	duplicate := d.StartInstance(n.Name, InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: 4, FleetTOML: "uses = []\ntasks = [\"drill\"]\n"}, 0)
+	d.WaitFor("the duplicate name to be rejected", func() bool { return strings.Contains(duplicate.Log(), "FLEET_NAME_TAKEN") })
+	duplicate.Kill()
 
 	for _, n := range d.instances {
 		n.Kill()
@@ -281,15 +281,15 @@
 func TestLeaseAgentsHurt(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0.9995)
-	acts := func() int {
+	callCount := func() int {
 		d.witness.mu.Lock()
 		defer d.witness.mu.Unlock()
 		return len(d.witness.calls)
 	}
-	goesOn := func(what string) {
+	waitProgress := func(what string) {
 		t.Helper()
-		had := acts()
-		d.WaitFor(what+": operations to continue", func() bool { return acts() > had+20 })
+		callsBefore := callCount()
+		d.WaitFor(what+": operations to continue", func() bool { return callCount() > callsBefore+20 })
 		d.waitBalanced(what, 3)
 	}
 	for _, step := range []string{"agent.ordered", "agent.awarded", "agent.orders"} {
@@ -301,7 +301,7 @@
 		d.WaitFor("the leader to die at "+step, func() bool { return !p.Alive() })
 		p.Restart()
 		d.waitNewToken("the leader killed at "+step, 0, token)
-		goesOn("killed at " + step)
+		waitProgress("killed at " + step)
 	}
 	for _, step := range []string{"agent.awarded", "agent.ordered"} {
 		p := d.agents.Procs[d.agents.Leader()]
@@ -310,7 +310,7 @@
 		d.WaitFor("the leader to stop at "+step, func() bool { return p.FailpointHit(step) })
 		time.Sleep(2 * leaseTTL)
 		p.Resume()
-		goesOn("stopped at " + step)
+		waitProgress("stopped at " + step)
 	}
 
 	// An isolated old leader, and a member that reaches no other agent.
@@ -333,7 +333,7 @@
 	}
 	d.agents.Reconnect(leader)
 	n.Heal()
-	goesOn("the old leader reconnected")
+	waitProgress("the old leader reconnected")
 
 	leader = d.agents.Leader()
 	if err := d.agents.Procs[leader].FillDisk(d.agents.Dirs[leader]); err != nil {
@@ -341,25 +341,25 @@
 	}
 	d.instances[2].Kill() // its shards are granted by a leader whose log cannot grow for long
 	d.instances[2].Restart()
-	had := acts()
-	d.WaitFor("operations to continue with a full disk", func() bool { return acts() > had+60 })
+	callsBefore := callCount()
+	d.WaitFor("operations to continue with a full disk", func() bool { return callCount() > callsBefore+60 })
 	if err := d.agents.Procs[leader].FreeDisk(); err != nil {
 		t.Fatal(err)
 	}
-	goesOn("the disk no longer full")
+	waitProgress("the disk no longer full")
 
 	for _, p := range d.agents.Procs {
 		p.Pause()
 	}
 	time.Sleep(2 * leaseTTL)
-	had = acts()
+	callsBefore = callCount()
 	time.Sleep(leaseTTL)
-	if now := acts(); now != had {
-		t.Errorf("%d calls while all agents were paused and all leases had expired", now-had)
+	if now := callCount(); now != callsBefore {
+		t.Errorf("%d calls while all agents were paused and all leases had expired", now-callsBefore)
 	}
 	for _, p := range d.agents.Procs {
 		p.Resume()
 	}
-	goesOn("all agents resumed")
+	waitProgress("all agents resumed")
 	d.checkWitness()
 }
--- a/internal/testbed/faults/linearizability_test.go
+++ b/internal/testbed/faults/linearizability_test.go
@@ -36,7 +36,7 @@
 		case <-time.After(atLeast + time.Duration(rng.Float64()*float64(atMost-atLeast))):
 		}
 	}
-	hurt := func(what string, begin, end func()) {
+	inject := func(what string, begin, end func()) {
 		counts[what]++
 		begin()
 		sleep(200*time.Millisecond, 1200*time.Millisecond)
@@ -50,19 +50,19 @@
 		p := g.Procs[i]
 		switch kind := kinds[rng.IntN(len(kinds))]; kind {
 		case faultKill:
-			hurt(kind, p.Kill, p.Restart)
+			inject(kind, p.Kill, p.Restart)
 		case faultPause:
-			hurt(kind, p.Pause, p.Resume)
+			inject(kind, p.Pause, p.Resume)
 		case faultIsolate:
-			hurt(kind, func() { g.Isolate(i) }, func() { g.Reconnect(i) })
+			inject(kind, func() { g.Isolate(i) }, func() { g.Reconnect(i) })
 		case faultKillElected:
-			hurt(faultKill, p.Kill, p.Restart)
+			inject(faultKill, p.Kill, p.Restart)
 			next := -1
 			for ctx.Err() == nil && next < 0 {
 				next = g.currentLeader(ctx)
 			}
 			if next >= 0 {
-				hurt(kind, g.Procs[next].Kill, g.Procs[next].Restart)
+				inject(kind, g.Procs[next].Kill, g.Procs[next].Restart)
 			}
 		}
 	}
--- a/internal/testbed/faults/long_test.go
+++ b/internal/testbed/faults/long_test.go
@@ -80,9 +80,9 @@
 least = 0.4
 least_burst = 1
 `
-	for _, ours := range []bool{false, true} {
+	for _, fleetWide := range []bool{false, true} {
 		var f *fleet
-		if ours {
+		if fleetWide {
 			f = newFleet(t, 10, 1, cold, map[string]float64{"cold": 40}, InstanceOptions{Rules: rules})
 		} else {
 			r := New(t)
@@ -101,7 +101,7 @@
 		}
 		time.Sleep(8 * time.Second)
 		three := f.targets.Monitor.Rate(3 * time.Second)[2]
-		t.Logf("fleet-wide budget %v: ten instances send %.1f requests a second to a cold target, limit 40, the three that remain %.1f", ours, all, three)
+		t.Logf("fleet-wide budget %v: ten instances send %.1f requests a second to a cold target, limit 40, the three that remain %.1f", fleetWide, all, three)
 	}
 }
 
@@ -120,9 +120,9 @@
 least_burst = 1
 `
 	rules := `{"resendRatio":0,"extraFree":4,"resendSpanUs":1000000}` // 40 a second for ten instances
-	for _, ours := range []bool{false, true} {
+	for _, fleetWide := range []bool{false, true} {
 		var f *fleet
-		if ours {
+		if fleetWide {
 			f = newFleet(t, 10, 1, repeats, map[string]float64{"repeat": 40}, InstanceOptions{Rules: rules})
 		} else {
 			r := New(t)
@@ -153,7 +153,7 @@
 			served += n.Served.Load()
 		}
 		t.Logf("fleet-wide budget %v: ten instances send %.1f retries a second, limit 40, largest excess of a window %.1f, the three that remain %.1f; 6 s after the errors end they serve %.0f requests a second of 90",
-			ours, all, f.targets.Monitor.MaxExcess("repeat"), three, float64(served-before)/3)
+			fleetWide, all, f.targets.Monitor.MaxExcess("repeat"), three, float64(served-before)/3)
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	f := newFleet(t, 5, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	f.setLoad(150)
-	part := func(n *Instance) float64 {
+	allocation := func(n *Instance) float64 {
 		for line := range strings.Lines(n.Metrics()) {
 			if _, after, found := strings.Cut(line, "fleet.work.part:"); found {
 				x, _ := strconv.ParseFloat(strings.TrimSuffix(after, "|g\n"), 64)
@@ -174,11 +174,11 @@
 		return 0
 	}
 	pool := workRate/1.001 - 20 // above the floors
-	even := func(what string, of ...*Instance) {
+	waitEvenShares := func(what string, of ...*Instance) {
 		t.Helper()
 		took := f.WaitFor(what, func() bool {
 			for _, n := range of {
-				if share := 1 + pool/float64(len(of)); part(n) < 0.95*share {
+				if share := 1 + pool/float64(len(of)); allocation(n) < 0.95*share {
 					return false
 				}
 			}
@@ -187,17 +187,17 @@
 		t.Logf("%s: %.1f renewals until %d instances have their new allocation", what, took.Seconds()/0.3, len(of))
 	}
 	for round := range 3 {
-		even("all", f.instances...)
+		waitEvenShares("all", f.instances...)
 		f.instances[4].Stop(30 * time.Second)
-		even("a shutdown", f.instances[:4]...)
+		waitEvenShares("a shutdown", f.instances[:4]...)
 		f.instances[4].Restart()
-		even("a join, from the process's start", f.instances...)
+		waitEvenShares("a join, from the process's start", f.instances...)
 		f.instances[3].Kill()
-		even("a kill", f.instances[0], f.instances[1], f.instances[2], f.instances[4])
+		waitEvenShares("a kill", f.instances[0], f.instances[1], f.instances[2], f.instances[4])
 		f.instances[3].Restart()
-		even("all again", f.instances...)
+		waitEvenShares("all again", f.instances...)
 		f.instances[round%3].DropAgentTraffic(true, true)
-		even("a cut", slices.Concat(f.instances[:round%3], f.instances[round%3+1:])...)
+		waitEvenShares("a cut", slices.Concat(f.instances[:round%3], f.instances[round%3+1:])...)
 		f.instances[round%3].Heal()
 	}
 }
--- a/internal/testbed/faults/members_test.go
+++ b/internal/testbed/faults/members_test.go
@@ -46,15 +46,15 @@
 	r := New(t)
 	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.1, 0.9}, Zones: 2})
 	joined := r.WaitFor("the views to converge", m.Converged)
-	ill := map[string]bool{"m3": true, "m4": true, "m5": true, "m6": true}
+	unhealthy := map[string]bool{"m3": true, "m4": true, "m5": true, "m6": true}
 	ctx, stop := context.WithCancel(context.Background())
-	falsely := m.CollectFalseVerdicts(ctx, func(name string) bool { return !ill[name] })
+	falseVerdicts := m.CollectFalseVerdicts(ctx, func(name string) bool { return !unhealthy[name] })
 	defer stop()
 
 	// Paused past its suspicion, declared dead, and back under the same ID.
 	birth := m.Members[3].StateOf("m3").ID
 	m.Members[3].Pause()
-	buried := r.WaitFor("the paused member to be declared dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
+	declaredDead := r.WaitFor("the paused member to be declared dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
 	m.Members[3].Resume()
 	r.WaitFor("the paused member to be live again", func() bool {
 		return m.allReport("m3", func(s membership.MemberView) bool { return isLive(s) && s.ID == birth && s.Incarnation > 1 }) && m.Converged()
@@ -113,7 +113,7 @@
 	require.Equal(t, 20, v.Size, "an isolated member declares no member dead")
 	require.Contains(t, m.Members[5].Log(), "MEMBERS_ALONE")
 	m.Heal()
-	met := r.WaitFor("the views to converge", m.Converged)
+	convergedAfterMute := r.WaitFor("the views to converge", m.Converged)
 
 	// Two halves, cut off from each other and reconnected.
 	for i := range m.Members {
@@ -124,10 +124,10 @@
 		}
 	}
 	for _, n := range m.Members {
-		ill[n.Name()] = true // from here on every member is declared dead by some other
+		unhealthy[n.Name()] = true // from here on every member is declared dead by some other
 	}
 	stop()
-	require.Empty(t, falsely())
+	require.Empty(t, falseVerdicts())
 	r.WaitFor("each half to see only itself", func() bool {
 		a, _ := m.Members[0].View()
 		b, _ := m.Members[1].View()
@@ -136,7 +136,7 @@
 	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Equal(t, 5, code, out)
 	m.Heal()
-	halves := r.WaitFor("the halves to converge", m.Converged)
+	convergedAfterSplit := r.WaitFor("the halves to converge", m.Converged)
 	out, code, _ = r.Run("members", "--diff", m.Members[0].Control+","+m.Members[1].Control)
 	require.Zero(t, code, out)
 	require.Contains(t, out, "know the same 20")
@@ -149,8 +149,8 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
 	require.Equal(t, 19, v.Size)
 	t.Logf("in probe intervals: joined %.1f, declared dead after a pause %.1f, after a kill %.1f, a cut path reported %.1f, views converged after a mute member %.1f, after two halves %.1f",
-		joined.Seconds()*1000/probeMs, buried.Seconds()*1000/probeMs, killed.Seconds()*1000/probeMs, named.Seconds()*1000/probeMs,
-		met.Seconds()*1000/probeMs, halves.Seconds()*1000/probeMs)
+		joined.Seconds()*1000/probeMs, declaredDead.Seconds()*1000/probeMs, killed.Seconds()*1000/probeMs, named.Seconds()*1000/probeMs,
+		convergedAfterMute.Seconds()*1000/probeMs, convergedAfterSplit.Seconds()*1000/probeMs)
 }
 
 // TestMembersBadInput checks that a start with an invalid membership configuration fails with a message that names the
@@ -195,18 +195,18 @@
 	m := r.StartMesh(MeshOptions{Size: 20, ProbeMs: probeMs, ClockRates: []float64{1, 1.0005, 0.9995}, Zones: 2})
 	r.WaitFor("the views to converge", m.Converged)
 	// Only the last six are paused and killed; the others stay healthy.
-	const hurt = 14
+	const firstFaulty = 14
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	falsely := m.CollectFalseVerdicts(ctx, func(name string) bool {
+	falseVerdicts := m.CollectFalseVerdicts(ctx, func(name string) bool {
 		n, _ := strconv.Atoi(strings.TrimPrefix(name, "m"))
-		return n < hurt
+		return n < firstFaulty
 	})
 	m.SetDefaultPath(PathImpairment{Loss: 0.1, Duplication: 0.05, Delay: 2 * time.Millisecond, Jitter: 20 * time.Millisecond})
 	counts := map[string]int{}
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for end := time.Now().Add(length); time.Now().Before(end); {
-		n := m.Members[hurt+rng.IntN(len(m.Members)-hurt)]
+		n := m.Members[firstFaulty+rng.IntN(len(m.Members)-firstFaulty)]
 		switch what := rng.IntN(4); {
 		case what == 0 && n.Alive():
 			n.Kill()
@@ -229,10 +229,10 @@
 		time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 	}
 	stop()
-	require.Empty(t, falsely())
+	require.Empty(t, falseVerdicts())
 	m.Heal()
-	met := r.WaitFor("the views to converge", func() bool { m.Heal(); return m.Converged() })
-	t.Logf("seed %d, %v: %v; views converged after %.1f probe intervals", seed, length, counts, met.Seconds()*1000/probeMs)
+	convergedAfter := r.WaitFor("the views to converge", func() bool { m.Heal(); return m.Converged() })
+	t.Logf("seed %d, %v: %v; views converged after %.1f probe intervals", seed, length, counts, convergedAfter.Seconds()*1000/probeMs)
 }
 
 // TestMembersHard goes through further faults with twelve instances: a member that only two others receive from,
@@ -245,9 +245,9 @@
 	r.WaitFor("all to join through the one running seed", m.Converged)
 
 	// Two members still receive from it: it stays live for all.
-	births := map[string]string{}
+	idsBefore := map[string]string{}
 	for i := range 10 {
-		births[m.Members[i].Name()] = m.Members[0].StateOf(m.Members[i].Name()).ID
+		idsBefore[m.Members[i].Name()] = m.Members[0].StateOf(m.Members[i].Name()).ID
 		if i != 4 && i != 5 {
 			m.SetPath(4, i, PathCut)
 		}
@@ -285,7 +285,7 @@
 	}
 	r.WaitFor("half of the members to join under new IDs", func() bool {
 		for i := range 5 {
-			if s := m.Members[7].StateOf(m.Members[i].Name()); !isLive(s) || s.ID == births[s.Name] {
+			if s := m.Members[7].StateOf(m.Members[i].Name()); !isLive(s) || s.ID == idsBefore[s.Name] {
 				return false
 			}
 		}
@@ -310,17 +310,17 @@
 	socket, err := l.(*net.TCPListener).File()
 	require.NoError(t, err)
 	defer socket.Close()
-	elder := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
+	predecessor := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
 	r.WaitFor("the predecessor to join", func() bool { return isLive(m.Members[1].StateOf("m11")) })
-	first := m.Members[1].StateOf("m11").ID
-	younger := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
-	r.WaitFor("the predecessor to exit by itself", func() bool { return !elder.Alive() })
+	predecessorID := m.Members[1].StateOf("m11").ID
+	successor := m.Members[11].Upgrade(socket, FreeAddrs(t, 1)[0])
+	r.WaitFor("the predecessor to exit by itself", func() bool { return !predecessor.Alive() })
 	r.WaitFor("the successor to join at the name's address", func() bool {
 		s := m.Members[1].StateOf("m11")
-		return isLive(s) && s.ID != first && s.Addr == m.Members[11].advertise
+		return isLive(s) && s.ID != predecessorID && s.Addr == m.Members[11].advertise
 	})
 	v, _ = m.Members[1].View()
-	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == first && s.State == membership.StateLeft }), "the predecessor has left")
+	require.True(t, slices.ContainsFunc(v.Members, func(s membership.MemberView) bool { return s.ID == predecessorID && s.State == membership.StateLeft }), "the predecessor has left")
 	require.Empty(t, v.DuplicateNames)
-	younger.Kill()
+	successor.Kill()
 }
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -105,8 +105,8 @@
 	rate := func(over float64) float64 {
 		return d.targets.Monitor.Rate(time.Duration(over * float64(time.Second)))[0]
 	}
-	var rig [5]float64
-	rig[0] = rate(3)
+	var processResults [5]float64
+	processResults[0] = rate(3)
 	tokens := map[int]uint64{}
 	for _, l := range d.leases() {
 		tokens[l.Shard] = l.Token
@@ -121,23 +121,23 @@
 	for time.Since(began) < 20*time.Second {
 		time.Sleep(20 * time.Millisecond)
 		if time.Since(began) > 700*time.Millisecond && rate(0.5) >= 0.8*whole {
-			rig[1] = time.Since(began).Seconds()
+			processResults[1] = time.Since(began).Seconds()
 			break
 		}
 	}
 	step(10)
-	rig[2] = rate(3)
+	processResults[2] = rate(3)
 	moved := 0.0
 	for _, l := range d.leases() {
 		if l.Token != tokens[l.Shard] {
 			moved++
 		}
 	}
-	rig[3] = moved
+	processResults[3] = moved
 	step(12)
 	d.agents.Procs[leader].Pause()
 	step(18)
-	rig[4] = rate(5)
+	processResults[4] = rate(5)
 	d.agents.Procs[leader].Resume()
 
 	doc, err := config.ReadBudgets(budgets, nil)
@@ -147,9 +147,9 @@
 	var sum [5]float64
 	const seeds = 3
 	for seed := uint64(1); seed <= seeds; seed++ {
-		var on []int
+		var killedIndexes []int
 		for i := range killed {
-			on = append(on, i)
+			killedIndexes = append(killedIndexes, i)
 		}
 		task := d.task
 		task.Kind, task.Dir, task.Witness = lease.EndpointProbe, "", ""
@@ -157,7 +157,7 @@
 		s := &model.Spec{Name: "agrees", LengthS: 36, StepS: 0.1, Fleet: model.Fleet{Instances: members}, Net: model.Net{DelayMs: 0.2, JitterMs: 0.2},
 			Load:    model.Load{Rate: 2 * whole, AimMs: 1000, PatienceS: 2, Alike: true, SurgeAtS: 16, SurgeForS: 100, Surge: float64(members) / float64(members-killed)},
 			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Config{Tasks: []lease.Task{task}},
-			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: on}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
+			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: killedIndexes}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -186,6 +186,6 @@
 		}
 	}
 	for i, what := range []string{"work a second, all twenty", "s until six use 0.8 of the capacity", "work a second, by six", "shards granted again", "work a second, the leader paused"} {
-		t.Logf("%s: %.2f with processes, %.2f in the model, %+.1f %%", what, rig[i], sum[i], 100*(sum[i]/rig[i]-1))
+		t.Logf("%s: %.2f with processes, %.2f in the model, %+.1f %%", what, processResults[i], sum[i], 100*(sum[i]/processResults[i]-1))
 	}
 }
--- a/internal/testbed/faults/startup_test.go
+++ b/internal/testbed/faults/startup_test.go
@@ -98,7 +98,7 @@
 			s.mu.Lock()
 			s.down = c.down > 0
 			s.mu.Unlock()
-			back := time.AfterFunc(c.down, func() {
+			recovery := time.AfterFunc(c.down, func() {
 				s.mu.Lock()
 				s.down = false
 				s.mu.Unlock()
@@ -110,14 +110,14 @@
 					}()
 				}
 			})
-			defer back.Stop()
+			defer recovery.Stop()
 			began := time.Now()
 			took := make([]time.Duration, procs)
 			var wait sync.WaitGroup
 			for i, p := range members {
 				p.Restart()
 				wait.Go(func() {
-					for again := ready(addrs[i]); !again(); time.Sleep(20 * time.Millisecond) {
+					for isReady := ready(addrs[i]); !isReady(); time.Sleep(20 * time.Millisecond) {
 						if took[i] = time.Since(began); took[i] > time.Minute {
 							return
 						}
@@ -128,11 +128,11 @@
 			wait.Wait()
 			slices.Sort(took)
 			t.Logf("first ready after %.1f s, half after %.1f s, last after %.1f s", took[0].Seconds(), took[procs/2].Seconds(), took[procs-1].Seconds())
-			most := within
+			limit := within
 			if c.known == "" {
-				most += c.down
+				limit += c.down
 			}
-			require.Less(t, took[procs*9/10], most)
+			require.Less(t, took[procs*9/10], limit)
 		})
 	}
 }
--- a/internal/testbed/faults/stream_test.go
+++ b/internal/testbed/faults/stream_test.go
@@ -65,32 +65,32 @@
 }
 
 // waitApplied waits until these subscribers have applied a version, and returns how long that took.
-func (f *streamFleet) waitApplied(what string, version uint64, who []*Subscriber) time.Duration {
+func (f *streamFleet) waitApplied(what string, version uint64, subscribers []*Subscriber) time.Duration {
 	f.t.Helper()
 	return f.WaitFor(what, func() bool {
-		return !slices.ContainsFunc(who, func(n *Subscriber) bool {
-			says := n.StreamMetrics()
-			return says["in_force.targets"] < int64(version) || says["in_force.config"] < int64(version)
+		return !slices.ContainsFunc(subscribers, func(n *Subscriber) bool {
+			metrics := n.StreamMetrics()
+			return metrics["in_force.targets"] < int64(version) || metrics["in_force.config"] < int64(version)
 		})
 	})
 }
 
 // toggleDrain drains a random target whose partner serves, or makes a drained one serve again with a later start time.
 func (f *streamFleet) toggleDrain(rng *rand.Rand) uint64 {
-	x := f.targets.All[rng.IntN(len(f.targets.All))]
-	partner := f.targets.All[(slices.Index(f.targets.All, x)+4)%8]
+	target := f.targets.All[rng.IntN(len(f.targets.All))]
+	partner := f.targets.All[(slices.Index(f.targets.All, target)+4)%8]
 	switch {
-	case f.drained[x.ID]:
-		f.drainChecker.RecordServing(x.ID)
-		f.startedMs[x.ID] += 1000
-		f.drained[x.ID] = false
-		return f.Put(f.targetPut(x, "SERVING"))
+	case f.drained[target.ID]:
+		f.drainChecker.RecordServing(target.ID)
+		f.startedMs[target.ID] += 1000
+		f.drained[target.ID] = false
+		return f.Put(f.targetPut(target, "SERVING"))
 	case f.drained[partner.ID]:
 		return f.Put(f.targetPut(partner, "DRAINING")) // drains it again: only the version changes
 	}
-	f.drained[x.ID] = true
-	version := f.Put(f.targetPut(x, "DRAINING"))
-	f.drainChecker.RecordDrain(x.ID, version)
+	f.drained[target.ID] = true
+	version := f.Put(f.targetPut(target, "DRAINING"))
+	f.drainChecker.RecordDrain(target.ID, version)
 	return version
 }
 
@@ -106,7 +106,7 @@
 func streamFaultSchedule(seed uint64, initiators int, length, every time.Duration) []streamFault {
 	rng := rand.New(rand.NewPCG(seed, 36))
 	var all []streamFault
-	free := map[string]time.Duration{}
+	freeAt := map[string]time.Duration{}
 	// The first faults are one of each kind, however short the run.
 	kinds := []string{"relay-kill", "relay-pause", "agent-kill", "region-cut", "restart", "restart", "pause", "agent-pause", "relay-kill"}
 	for at, i := every, 0; at < length; at, i = at+time.Duration((0.5+rng.Float64())*float64(every)), i+1 {
@@ -129,10 +129,10 @@
 		} else if on == 4 {
 			key = fmt.Sprint("relay ", e.Index)
 		}
-		if at < free[key] {
+		if at < freeAt[key] {
 			continue
 		}
-		free[key] = at + e.Duration + 2*time.Second
+		freeAt[key] = at + e.Duration + 2*time.Second
 		all = append(all, e)
 	}
 	return all
@@ -162,26 +162,26 @@
 		n.SetLoad(15)
 	}
 	var mu sync.Mutex
-	var back, over []string
+	var wentBack, overcounts []string
 	f.PollApplied(t.Context(), f.subscribers, f.drainChecker, func(what string) {
 		mu.Lock()
 		defer mu.Unlock()
-		back = append(back, what)
+		wentBack = append(wentBack, what)
 	})
-	var counted int
-	var counting sync.WaitGroup
-	ending := make(chan struct{})
-	counting.Go(func() {
+	var statusChecks int
+	var checking sync.WaitGroup
+	stopChecks := make(chan struct{})
+	checking.Go(func() {
 		for {
 			select {
-			case <-ending:
+			case <-stopChecks:
 				return
 			case <-time.After(300 * time.Millisecond):
 			}
-			if said, asked := f.checkAppliedCount(); asked {
+			if overcount, asked := f.checkAppliedCount(); asked {
 				mu.Lock()
-				if counted++; said != "" {
-					over = append(over, said)
+				if statusChecks++; overcount != "" {
+					overcounts = append(overcounts, overcount)
 				}
 				mu.Unlock()
 			}
@@ -234,31 +234,31 @@
 	version := f.Put(f.targetPut(f.targets.All[0], map[bool]string{true: "DRAINING", false: "SERVING"}[f.drained["t0"]]))
 	took := f.waitApplied("all to apply the last version after the faults", version, f.subscribers)
 	var known watchstream.Status
-	told := f.WaitFor("the agents to report that all have applied it", func() bool {
+	reportedAfter := f.WaitFor("the agents to report that all have applied it", func() bool {
 		s, ok := f.versionStatus(fmt.Sprint(version))
 		known = s
 		return ok && s.Applied == initiators
 	})
 	time.Sleep(inFlightGrace + time.Second) // the current drains are checked for a while after all have applied them
-	close(ending)
-	counting.Wait()
+	close(stopChecks)
+	checking.Wait()
 	var served, lost int64
 	for _, n := range f.subscribers {
 		served += n.Served.Load()
 		lost += n.Unanswered.Load()
 	}
 	f.drainChecker.mu.Lock()
-	held := f.drainChecker.DrainsApplied
+	drainsChecked := f.drainChecker.DrainsApplied
 	f.drainChecker.mu.Unlock()
 	t.Logf("seed %d, %v: %v; %d changes; all at version %d after %v, reported after %v more: %+v; %d applied drains checked; %d statuses checked; %d requests served, %d sent to a process that was dead or paused",
-		seed, length, counts, changes, version, took.Round(time.Millisecond), told.Round(time.Millisecond), known, held, counted, served, lost)
+		seed, length, counts, changes, version, took.Round(time.Millisecond), reportedAfter.Round(time.Millisecond), known, drainsChecked, statusChecks, served, lost)
 	mu.Lock()
 	defer mu.Unlock()
 	require.Empty(t, f.drainChecker.Violations(), "no request reaches a target after its drain was applied")
-	require.Empty(t, back, "no applied version goes back")
-	require.Empty(t, over, "no status counts more initiators than have applied the version")
-	require.Positive(t, held)
-	require.Positive(t, counted)
+	require.Empty(t, wentBack, "no applied version goes back")
+	require.Empty(t, overcounts, "no status counts more initiators than have applied the version")
+	require.Positive(t, drainsChecked)
+	require.Positive(t, statusChecks)
 	require.Positive(t, served)
 	require.Less(t, took, 30*time.Second, "time until all have the last version")
 }
@@ -267,24 +267,24 @@
 // initiator does not lose what it has applied, so the count must not be higher than what they report, except for
 // initiators that were restarted, whose last report counts until the next one, and those that do not answer. It returns
 // a message if the count is too high.
-func (f *streamFleet) checkAppliedCount() (said string, asked bool) {
+func (f *streamFleet) checkAppliedCount() (overcount string, checked bool) {
 	s, ok := f.versionStatus("latest")
 	if !ok {
 		return "", false
 	}
-	have, unsure := 0, 0
+	applied, unknown := 0, 0
 	for _, n := range f.subscribers {
-		says := n.StreamMetrics()
-		life, up := n.currentGeneration()
+		metrics := n.StreamMetrics()
+		generation, up := n.currentGeneration()
 		switch {
-		case says != nil && min(says["in_force.targets"], says["in_force.config"]) >= int64(s.Version):
-			have++
-		case says == nil || !up || life > 1:
-			unsure++
+		case metrics != nil && min(metrics["in_force.targets"], metrics["in_force.config"]) >= int64(s.Version):
+			applied++
+		case metrics == nil || !up || generation > 1:
+			unknown++
 		}
 	}
-	if s.Applied > have+unsure {
-		return fmt.Sprintf("version %d: %d have applied it by the agents' status, %d by their own metrics, %d unknown", s.Version, s.Applied, have, unsure), true
+	if s.Applied > applied+unknown {
+		return fmt.Sprintf("version %d: %d have applied it by the agents' status, %d by their own metrics, %d unknown", s.Version, s.Applied, applied, unknown), true
 	}
 	return "", true
 }
@@ -313,19 +313,19 @@
 		configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control), configPut("instance/n1", `{"listen":%q,"control":%q}`, f.subscribers[1].Listen, f.subscribers[1].Control))
 	f.waitApplied("both to serve", version, f.subscribers)
 	r.StartLoad(t.Context(), []*Instance{f.subscribers[0].Instance, f.subscribers[1].Instance}, 1)
-	serves := func(n *Subscriber) {
+	waitServed := func(n *Subscriber) {
 		t.Helper()
-		had := n.Served.Load()
-		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > had+10 })
+		servedBefore := n.Served.Load()
+		f.WaitFor(n.Name+" to serve", func() bool { return n.Served.Load() > servedBefore+10 })
 	}
 	for _, n := range f.subscribers {
 		n.SetLoad(50)
-		serves(n)
+		waitServed(n)
 	}
 	version = f.Put(configPut("shared", shared, f.targets.Discovery, 4))
 	f.waitApplied("both to apply another configuration", version, f.subscribers)
 	for _, n := range f.subscribers {
-		serves(n)
+		waitServed(n)
 		require.Equal(t, 2, strings.Count(n.Log(), "configuration taken"), "%s", n.Log())
 		require.Zero(t, n.Unanswered.Load(), "the predecessor completes its requests")
 		require.Zero(t, n.OtherStatus.Load())
@@ -335,10 +335,10 @@
 	f.waitApplied("both to apply the version with the same content", version, f.subscribers)
 	require.Equal(t, 2, strings.Count(f.subscribers[0].Log(), "configuration taken"))
 
-	good := version
+	validVersion := version
 	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":"nowhere"}`, f.subscribers[0].Listen))
 	f.waitApplied("n1 to apply it", version, f.subscribers[1:])
-	turnedDown := func() {
+	waitRejected := func() {
 		t.Helper()
 		f.WaitFor("the agents to report that n0 has rejected it", func() bool {
 			s, ok := f.versionStatus(fmt.Sprint(version))
@@ -346,27 +346,27 @@
 				s.Lagging[0].Rejection != nil && strings.Contains(s.Lagging[0].Rejection.Reason, "control: ")
 		})
 	}
-	turnedDown()
+	waitRejected()
 	says := f.subscribers[0].StreamMetrics()
-	require.EqualValues(t, good, says["in_force.config"])
+	require.EqualValues(t, validVersion, says["in_force.config"])
 	require.Positive(t, says["refused.config"])
-	serves(f.subscribers[0])
+	waitServed(f.subscribers[0])
 
 	relay.Kill()
 	f.subscribers[0].Kill()
 	f.subscribers[0].Restart()
-	serves(f.subscribers[0])
+	waitServed(f.subscribers[0])
 	require.NotContains(t, f.subscribers[0].Log(), "FEED_NOT_KEPT")
 	relay.Restart()
-	turnedDown()
-	serves(f.subscribers[0])
+	waitRejected()
+	waitServed(f.subscribers[0])
 	version = f.Put(configPut("instance/n0", `{"listen":%q,"control":%q}`, f.subscribers[0].Listen, f.subscribers[0].Control))
 	f.waitApplied("all to apply the valid configuration", version, f.subscribers)
 	f.WaitFor("the agents to report that all have applied it", func() bool {
 		s, ok := f.versionStatus(fmt.Sprint(version))
 		return ok && s.Applied == 2 && s.Rejected == 0
 	})
-	serves(f.subscribers[0])
+	waitServed(f.subscribers[0])
 }
 
 // versionStatus returns the agents' status of a version; false if none of them answers.
--- a/internal/testbed/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -57,7 +57,7 @@
 	}
 	bad.FailEvery.Store(1)
 	bad.Unhealthy.Store(true)
-	board := func() (by int, well, found bool, token uint64) {
+	probeStatus := func() (ejectedBy int, healthy, found bool, token uint64) {
 		out, _, _ := d.Run("lease", "show", "watch", "--json", "--agents", d.agents.AddrList())
 		var s struct {
 			Leases []lessor.LeaseStatus
@@ -75,9 +75,9 @@
 		}
 		for _, b := range s.Board {
 			if b.Target == bad.ID {
-				by = b.By
+				ejectedBy = b.By
 				if b.Found != nil {
-					well, found, token = b.Found.Well, true, b.Found.Token
+					healthy, found, token = b.Found.Well, true, b.Found.Token
 				}
 			}
 		}
@@ -85,18 +85,18 @@
 	}
 	var token uint64
 	d.WaitFor("members to eject the target and one to probe it", func() bool {
-		by, well, found, by1 := board()
-		token = by1
-		return by >= 2 && found && !well
+		ejectedBy, healthy, found, currentToken := probeStatus()
+		token = currentToken
+		return ejectedBy >= 2 && found && !healthy
 	})
-	before := bad.HealthChecks.Load()
+	probesBefore := bad.HealthChecks.Load()
 	time.Sleep(3 * time.Second)
 	// Operations begin at most every 300 ms. A member may be missing from the status for a moment while it does not
 	// eject the target.
-	tries := bad.HealthChecks.Load() - before
-	t.Logf("%d probes in 3 s by one member for all", tries)
-	if tries < 1 || tries > 13 {
-		t.Errorf("%d probes in 3 s, want at most one every 0.3 s by the whole fleet", tries)
+	probes := bad.HealthChecks.Load() - probesBefore
+	t.Logf("%d probes in 3 s by one member for all", probes)
+	if probes < 1 || probes > 13 {
+		t.Errorf("%d probes in 3 s, want at most one every 0.3 s by the whole fleet", probes)
 	}
 	var holder *Instance
 	out := d.mustRun("lease", "show", "watch", "--json")
@@ -115,10 +115,10 @@
 		t.Fatalf("no member holds token %d: %s", token, out)
 	}
 	holder.Kill()
-	d.WaitFor("another member to probe the target", func() bool { _, _, found, next := board(); return found && next > token })
+	d.WaitFor("another member to probe the target", func() bool { _, _, found, next := probeStatus(); return found && next > token })
 	bad.Unhealthy.Store(false)
 	bad.FailEvery.Store(0)
-	d.WaitFor("all members to learn that the target is healthy", func() bool { by, well, _, _ := board(); return by == 0 || well })
+	d.WaitFor("all members to learn that the target is healthy", func() bool { by, well, _, _ := probeStatus(); return by == 0 || well })
 	served := bad.failCandidates.Load()
 	d.WaitFor("the target to receive requests again", func() bool {
 		return bad.failCandidates.Load() > served+20 || d.targets.Monitor.Rate(time.Second)[0] > 20
@@ -148,41 +148,41 @@
 		return all
 	}
 	d.WaitFor("the first report", func() bool { return len(reports()) > 0 })
-	struck := 0
+	holdersHit := 0
 	for i, step := range []string{"account.begun", "account.asked", "account.written", "account.synced", "place.link", "account.committed"} {
-		had := len(reports())
+		reportsBefore := len(reports())
 		what := []string{"stop", "kill"}[i%2]
 		for _, n := range d.instances {
 			n.ArmFailpoint(step, what)
 		}
-		var hit *Instance
+		var holder *Instance
 		d.WaitFor("the holder to reach "+step, func() bool {
 			for _, n := range d.instances {
 				if n.FailpointHit(step) {
-					hit = n
+					holder = n
 				}
 			}
-			return hit != nil
+			return holder != nil
 		})
-		struck++
+		holdersHit++
 		for _, n := range d.instances {
 			n.DisarmFailpoint(step)
 		}
-		d.WaitFor(fmt.Sprintf("%s at %s: another member to continue the reports", what, step), func() bool { return len(reports()) >= min(had+2, 1000) })
+		d.WaitFor(fmt.Sprintf("%s at %s: another member to continue the reports", what, step), func() bool { return len(reports()) >= min(reportsBefore+2, 1000) })
 		if what == "kill" {
-			hit.Restart()
+			holder.Restart()
 		} else {
-			hit.Resume()
+			holder.Resume()
 		}
 	}
 	all := reports()
-	seen := map[int64]bool{}
+	windows := map[int64]bool{}
 	served := uint64(0)
 	for i, w := range all {
-		if seen[w.Start] || i > 0 && (w.Start <= all[i-1].Start || w.Token < all[i-1].Token) {
+		if windows[w.Start] || i > 0 && (w.Start <= all[i-1].Start || w.Token < all[i-1].Token) {
 			t.Errorf("window %d after %d, token %d", w.Start, all[max(0, i-1)].Start, w.Token)
 		}
-		seen[w.Start] = true
+		windows[w.Start] = true
 		path := filepath.Join(dir, w.File)
 		f, err := os.Open(path)
 		if err != nil {
@@ -212,7 +212,7 @@
 	if code != 0 || strings.Count(out, "fleet-") != len(all) {
 		t.Errorf("report --fleet: exit code %d, %s", code, out)
 	}
-	t.Logf("%d windows, each with one complete report; %d requests in them; %d holders stopped or killed", len(all), served, struck)
+	t.Logf("%d windows, each with one complete report; %d requests in them; %d holders stopped or killed", len(all), served, holdersHit)
 	if served == 0 {
 		t.Error("the reports contain no request")
 	}
@@ -317,22 +317,22 @@
 		bad.ServiceTime.Store(0)
 		bad.Unhealthy.Store(false)
 		began := time.Now()
-		known := map[string]time.Duration{}
+		learnedAfter := map[string]time.Duration{}
 		ctx, stop := context.WithTimeout(t.Context(), 20*time.Second)
-		for len(known) < len(d.instances) && ctx.Err() == nil {
+		for len(learnedAfter) < len(d.instances) && ctx.Err() == nil {
 			for _, n := range d.instances {
-				if _, knows := known[n.Name]; !knows && ejectedTargets(n) == 0 {
-					known[n.Name] = time.Since(began)
+				if _, knows := learnedAfter[n.Name]; !knows && ejectedTargets(n) == 0 {
+					learnedAfter[n.Name] = time.Since(began)
 				}
 			}
 		}
 		stop()
 		var sum, most time.Duration
-		for _, k := range known {
+		for _, k := range learnedAfter {
 			sum, most = sum+k, max(most, k)
 		}
 		t.Logf("one member for all %v: while it stalled, %.1f requests and %.1f probes a second reached it; healthy again, %d of %d learned it after %v on average, %v at most",
-			file != "", float64(asked)/10, float64(probed)/10, len(known), len(d.instances), sum/time.Duration(max(1, len(known))), most)
+			file != "", float64(asked)/10, float64(probed)/10, len(learnedAfter), len(d.instances), sum/time.Duration(max(1, len(learnedAfter))), most)
 		for _, p := range append(d.agents.Procs, instanceProcs(d.instances)...) {
 			p.Kill()
 		}
--- a/internal/testbed/faults/witness.go
+++ b/internal/testbed/faults/witness.go
@@ -87,15 +87,15 @@
 	Init: func() any { return [3]uint64{} }, // newest token and operation that began; 1 while the operation is in progress
 	Step: func(state, in, out any) (bool, any) {
 		s, i := state.([3]uint64), in.(guardInput)
-		mine := s[0] == i.token && s[1] == i.operation && s[2] == 1
+		inProgress := s[0] == i.token && s[1] == i.operation && s[2] == 1
 		newer := i.token > s[0] || i.token == s[0] && i.operation > s[1]
-		can := mine
+		allowed := inProgress
 		if i.step == "begin" {
-			can = newer
+			allowed = newer
 		}
 		next := s
 		switch {
-		case !can:
+		case !allowed:
 		case i.step == "begin":
 			next = [3]uint64{i.token, i.operation, 1}
 		case i.step == "end":
@@ -103,9 +103,9 @@
 		}
 		switch out.(string) {
 		case "taken":
-			return can, next
+			return allowed, next
 		case "refused":
-			return !can, s
+			return !allowed, s
 		}
 		return true, next // unknown result: it was accepted if it could be, now or later
 	},
@@ -186,9 +186,9 @@
 		if !e.Accepted {
 			continue
 		}
-		mine := e.Token == p.Token && e.Operation == p.Operation && p.InProgress
+		inProgress := e.Token == p.Token && e.Operation == p.Operation && p.InProgress
 		newer := e.Token > p.Token || e.Token == p.Token && e.Operation > p.Operation
-		if i > 0 && p.Token > 0 && (e.Step == "begin" && !newer || e.Step != "begin" && !mine) {
+		if i > 0 && p.Token > 0 && (e.Step == "begin" && !newer || e.Step != "begin" && !inProgress) {
 			return fmt.Errorf("entry %d, %+v, was accepted after operation %d under token %d", i, e, p.Operation, p.Token)
 		}
 		p = fencing.Guard{Token: e.Token, Operation: e.Operation, InProgress: e.Step != "end"}
--- a/internal/testbed/issue/issue.go
+++ b/internal/testbed/issue/issue.go
@@ -1,4 +1,4 @@
-// Package issue makes certificates for tests: an authority of its own, good for this machine's loopback address.
+// Package issue creates certificates for tests: a certificate authority and a certificate that is valid for 127.0.0.1.
 package issue
 
 import (
@@ -18,8 +18,9 @@
 	"spindlehitch/internal/process/config"
 )
 
-// Into writes a new authority and a certificate of it, good for so long, into the folder, in place of what is there.
-func WriteCertificates(t testing.TB, dir string, good time.Duration) config.TLS {
+// WriteCertificates writes a new authority, and a certificate of it that is valid for the given time, into the folder.
+// It replaces the files that are there.
+func WriteCertificates(t testing.TB, dir string, validFor time.Duration) config.TLS {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -37,7 +38,7 @@
 	authority := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "test authority"}, NotBefore: from,
 		NotAfter: from.Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
 	leaf := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: "test"}, NotBefore: from,
-		NotAfter: time.Now().Add(good), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
+		NotAfter: time.Now().Add(validFor), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}}
 	caDER, err := x509.CreateCertificate(rand.Reader, authority, authority, ca.Public(), ca)
 	must(err)
--- a/internal/testbed/ports/ports.go
+++ b/internal/testbed/ports/ports.go
@@ -1,4 +1,5 @@
-// Package ports finds addresses of the loopback for processes that are told where to listen: in tests, fault runs and scale runs.
+// Package ports finds free loopback addresses for processes that must be given their listen address: in tests, fault
+// runs and scale runs.
 package ports
 
 import (
@@ -9,19 +10,19 @@
 	"sync/atomic"
 )
 
-// They are below those that the kernel gives to whoever names none: one of these, once let go, may be a connection's by the time a process
-// listens there.
+// The ports are below the kernel's ephemeral range. A port in that range, once closed, could be the local port of a
+// connection by the time a process listens on it.
 const (
 	firstPort = 10_000
 	portCount = 20_000
 )
 
-// next is the next port to try: each is given out once.
+// nextPort is the next port to try. Each port is returned once in a process, unless the range is used up.
 var nextPort atomic.Int64
 
-// Free returns so many addresses that nobody listens at, by TCP or UDP.
+// Free returns n addresses on which nothing listens, by TCP or UDP.
 func Free(n int) (addrs []string, err error) {
-	nextPort.CompareAndSwap(0, int64(os.Getpid())*131) // other processes look as well
+	nextPort.CompareAndSwap(0, int64(os.Getpid())*131) // other processes search the same range
 	for range portCount {
 		if len(addrs) == n {
 			return addrs, nil
--- a/internal/testbed/ports/ports_test.go
+++ b/internal/testbed/ports/ports_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestFree gives out each address once, none that somebody listens at, and none that the kernel would give to a connection.
+// TestFree checks that each address is returned once, is free, and is outside the kernel's ephemeral range.
 func TestFree(t *testing.T) {
 	text, err := os.ReadFile("/proc/sys/net/ipv4/ip_local_port_range")
 	require.NoError(t, err)
--- a/internal/testbed/scale/hollow/checker_test.go
+++ b/internal/testbed/scale/hollow/checker_test.go
@@ -14,7 +14,7 @@
 	return []listing.Entry{{ID: id, StartedMs: turn, State: state}}
 }
 
-// TestJournal holds the judge against what it has to find, and against what it has to let through.
+// TestJournal checks which histories the checker reports as violations and which it accepts.
 func TestJournal(t *testing.T) {
 	life, next := new(int), new(int)
 	for _, c := range []struct {
@@ -28,45 +28,48 @@
 			j.RecordApplied(Targets, 1, 3)
 			j.RecordApplied(Targets, 5, 4)
 			j.RecordTargets(entry("t", 1, "DRAINING"))
-			j.RecordTargets(entry("t", 2, serving))
-			j.RecordTargets(entry("u", 0, serving)) // as at the beginning
+			j.RecordTargets(entry("t", 2, stateServing))
+			j.RecordTargets(entry("u", 0, stateServing)) // state at the beginning
 			j.RecordSend("t")
 			j.RecordSend("u")
 			j.RecordSend("never told of")
 		}, 0},
-		{"an older version in force", func(j *Checker) { j.RecordApplied(Targets, 5, 1); j.RecordApplied(Targets, 4, 2) }, 1},
-		{"an older state of a target", func(j *Checker) { j.RecordTargets(entry("t", 2, "DRAINING")); j.RecordTargets(entry("t", 1, serving)) }, 1},
-		{"sent past a drain", func(j *Checker) { j.RecordTargets(entry("t", 1, "DRAINING")); j.RecordSend("t") }, 1},
-		{"sent to one that is gone", func(j *Checker) { j.RecordTargets(entry("t", 1, "DELETED")); j.RecordSend("t") }, 1},
-		{"an older state after a refusal of it", func(j *Checker) {
+		{"an older version applied", func(j *Checker) { j.RecordApplied(Targets, 5, 1); j.RecordApplied(Targets, 4, 2) }, 1},
+		{"an older state of a target", func(j *Checker) {
 			j.RecordTargets(entry("t", 2, "DRAINING"))
-			j.RecordTargets(entry("t", 1, serving)) // counted, and not taken over:
+			j.RecordTargets(entry("t", 1, stateServing))
+		}, 1},
+		{"sent after a drain", func(j *Checker) { j.RecordTargets(entry("t", 1, "DRAINING")); j.RecordSend("t") }, 1},
+		{"sent to a deleted target", func(j *Checker) { j.RecordTargets(entry("t", 1, "DELETED")); j.RecordSend("t") }, 1},
+		{"an older state after its rejection", func(j *Checker) {
+			j.RecordTargets(entry("t", 2, "DRAINING"))
+			j.RecordTargets(entry("t", 1, stateServing)) // counted, but not applied
 			j.RecordSend("t")
 		}, 2},
-		{"says less than before", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordReported(life, 5, 4) }, 1},
-		{"forgets all", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordReported(life, 0, 5) }, 1},
-		{"a new life that has not read its disk yet", func(j *Checker) {
+		{"reports less than before", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordReported(life, 5, 4) }, 1},
+		{"reports nothing after a version", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordReported(life, 0, 5) }, 1},
+		{"a new run that has not read its disk yet", func(j *Checker) {
 			j.RecordReported(life, 5, 5)
 			j.RecordRestart(true)
 			j.RecordReported(next, 0, 0)
 			j.RecordReported(next, 5, 5)
 		}, 0},
-		{"a new life with an older copy", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordRestart(true); j.RecordReported(next, 4, 5) }, 1},
-		{"a new life with an older list", func(j *Checker) {
+		{"a new run with an older copy", func(j *Checker) { j.RecordReported(life, 5, 5); j.RecordRestart(true); j.RecordReported(next, 4, 5) }, 1},
+		{"a new run with an older list", func(j *Checker) {
 			j.RecordApplied(Targets, 5, 1)
 			j.RecordRestart(true)
 			j.RecordApplied(Targets, 4, 2)
 		}, 1},
-		{"a new life without a disk", func(j *Checker) {
+		{"a new run without its disk", func(j *Checker) {
 			j.RecordApplied(Targets, 5, 1)
 			j.RecordReported(life, 5, 5)
 			j.RecordTargets(entry("t", 3, "DRAINING"))
 			j.RecordRestart(false)
 			j.RecordApplied(Targets, 1, 2)
 			j.RecordReported(next, 1, 0)
-			j.RecordTargets(entry("t", 1, serving))
+			j.RecordTargets(entry("t", 1, stateServing))
 		}, 0},
-		{"something else", func(j *Checker) { j.RecordViolation("of another kind") }, 1},
+		{"a violation found by the caller", func(j *Checker) { j.RecordViolation("of another kind") }, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			j := NewChecker("h1")
@@ -78,7 +81,7 @@
 	}
 }
 
-// TestWhen tells when a version came into force, also one that was jumped over.
+// TestWhen checks when a version was applied, also one that was skipped.
 func TestWhen(t *testing.T) {
 	j := NewChecker("h1")
 	j.RecordApplied(Targets, 3, 30*time.Millisecond)
@@ -95,7 +98,7 @@
 	require.Equal(t, uint64(7), j.Version(Targets))
 }
 
-// TestBounded keeps few texts of many broken promises, and counts all.
+// TestBounded checks that few texts are kept of many violations, and all are counted.
 func TestBounded(t *testing.T) {
 	j := NewChecker("h1")
 	for range 100 {
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -1,5 +1,6 @@
-// Package hollow is an initiator without clients and without sockets to targets: the real code for lists, configuration, members and the
-// module, some hundreds of them in a process. Nothing of it is linked into the initiator.
+// Package hollow implements an initiator without clients and without connections to targets. It runs the real code for
+// target lists, configuration, membership and policy, so that hundreds of initiators fit into one process. The program
+// does not link it.
 package hollow
 
 import (
@@ -16,49 +17,49 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// serving is the state of a target that takes requests, as lists have it.
-const serving = "SERVING"
+// stateServing is the state of a target that accepts requests, as written in lists.
+const stateServing = "SERVING"
 
-// Options say which parts an initiator has.
+// Options select the parts of an initiator.
 type Options struct {
 	Name, Region, Zone string
 	Seed               uint64
-	Discovery          string        // where the list is asked for; empty: it is not
-	Initiators         int           // how many ask there
-	LastKnown          *listing.List // the list as last had
-	Agents             []string      // whose configuration is followed; empty: none
-	Feed               *edge.Options // nil: it does not follow the feed
+	Discovery          string        // address of the discovery service; empty: none
+	Initiators         int           // number of initiators that use the discovery service
+	LastKnown          *listing.List // last known list
+	Agents             []string      // agents from which configuration is followed; empty: none
+	WatchStream        *edge.Options // nil: no watch stream
 	Members            *transport.Options
-	Policy             *policy.Settings // nil: it has no module
+	Policy             *policy.Settings // nil: no policy decisions
 	Log                *slog.Logger
 }
 
-// Initiator is one hollow initiator.
+// Initiator is one hollow initiator. Checker checks what it applies and sends.
 type Initiator struct {
 	Checker     *Checker
 	opt         Options
-	lifecycleMu sync.Mutex // held while it starts or stops
-	mu          sync.Mutex // of stop and feed
+	lifecycleMu sync.Mutex // serializes Start and Stop
+	mu          sync.Mutex // guards stop and the totals in stream
 	stop        context.CancelFunc
 	running     sync.WaitGroup
 	membership  *transport.Runner
-	feed        streamState
+	stream      streamState
 }
 
-// New returns an initiator that does nothing yet.
+// New returns an initiator that is not started.
 func New(opt Options) *Initiator { return &Initiator{Checker: NewChecker(opt.Name), opt: opt} }
 
-// Name is the initiator's.
+// Name returns the initiator's name.
 func (in *Initiator) Name() string { return in.opt.Name }
 
-// Running tells whether it was started and not stopped since.
+// Running reports whether the initiator has been started and not stopped since.
 func (in *Initiator) Running() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.stop != nil
 }
 
-// Start starts its parts.
+// Start starts the initiator's parts. Their goroutines end when Stop cancels their context.
 func (in *Initiator) Start() error {
 	in.lifecycleMu.Lock()
 	defer in.lifecycleMu.Unlock()
@@ -84,7 +85,7 @@
 		}
 		in.membership = p
 	}
-	if in.opt.Feed != nil {
+	if in.opt.WatchStream != nil {
 		run, err := in.newFollower(m)
 		if err != nil {
 			stop()
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// lists takes lists over: the module, where there is one, steps each before it counts as in force.
+// applyList returns a function that applies lists. With a policy loop a list counts as applied once the scheduler has
+// processed it.
 func (in *Initiator) applyList(m *policyLoop) func(*listing.List) {
 	return func(l *listing.List) {
 		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotone.Now()) }
@@ -122,7 +124,8 @@
 	}
 }
 
-// Stop ends its parts, without a word to others where abrupt.
+// Stop stops the initiator's parts and waits for their goroutines. If abrupt, it does not announce to the other members
+// that it leaves.
 func (in *Initiator) Stop(abrupt bool) {
 	in.lifecycleMu.Lock()
 	defer in.lifecycleMu.Unlock()
@@ -142,6 +145,6 @@
 	in.running.Wait()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.feed.endLife()
+	in.stream.addTotals()
 	in.stop = nil
 }
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -25,7 +25,7 @@
 
 var discardLog = slog.New(slog.DiscardHandler)
 
-// set is the least that a module takes.
+// testSettings returns the smallest settings of a scheduler.
 func testSettings(t *testing.T) policy.Settings {
 	t.Helper()
 	var o config.PlatformSettings
@@ -40,8 +40,8 @@
 	return listing.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Shard: &cell, State: state, StartedMs: turn}
 }
 
-// source serves a store of the feed.
-type source struct {
+// testSource serves a store of the watch stream. mu guards its fields.
+type testSource struct {
 	mu      sync.Mutex
 	store   *watchstream.Store
 	source  *watchstream.Source
@@ -49,7 +49,7 @@
 }
 
 // WithSource implements edge.Origin.
-func (s *source) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+func (s *testSource) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
@@ -58,7 +58,7 @@
 	return s.changed, true
 }
 
-func (s *source) put(t *testing.T, puts ...watchstream.Put) uint64 {
+func (s *testSource) put(t *testing.T, puts ...watchstream.Put) uint64 {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,9 +77,9 @@
 	return watchstream.Put{Kind: watchstream.Targets, Key: e.ID, Value: text}
 }
 
-func newSource(t *testing.T) (s *source, addr string) {
+func newSource(t *testing.T) (s *testSource, addr string) {
 	t.Helper()
-	s = &source{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
+	s = &testSource{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
 	s.source = watchstream.NewSource(s.store, watchstream.SourceOptions{}, 1)
 	mux := http.NewServeMux()
 	server := edge.NewServer(s, 0)
@@ -97,26 +97,26 @@
 	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
 }
 
-// TestFeed has a hollow initiator with a module and a copy on disk follow changes, and start again.
+// TestFeed has a hollow initiator with a policy and a copy on disk follow changes, stop, and start again.
 func TestFeed(t *testing.T) {
 	s, addr := newSource(t)
-	s.put(t, put(target("a", 0, 0, serving)), put(target("b", 1, 0, serving)))
+	s.put(t, put(target("a", 0, 0, stateServing)), put(target("b", 1, 0, stateServing)))
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
 	module := testSettings(t)
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Policy: &module, Log: discardLog,
-		Feed: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
+		WatchStream: &edge.Options{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
 	waitVersion(t, in, Targets, 1)
 	waitVersion(t, in, Config, 2)
 	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 1, "DRAINING"))))
-	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 2, serving)), put(target("b", 1, 1, "DRAINING"))))
+	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 2, stateServing)), put(target("b", 1, 1, "DRAINING"))))
 	in.Stop(true)
 	require.False(t, in.Running())
 	read, written, _ := in.TransferredBytes()
 	require.Positive(t, read)
 	require.Positive(t, written)
 	in.Checker.RecordRestart(true)
-	v := s.put(t, put(target("b", 1, 2, serving)))
+	v := s.put(t, put(target("b", 1, 2, stateServing)))
 	require.NoError(t, in.Start())
 	waitVersion(t, in, Targets, v)
 	in.Stop(false)
@@ -124,8 +124,8 @@
 	require.Zero(t, n, what)
 }
 
-// TestModuleSends shows that the judge sees what the module sends: once a target's drain is told, the module is tried at it and sends nothing
-// there; told by a list that the module never gets, it would be found out.
+// TestModuleSends checks that the checker sees what the policy sends: once a target's drain is applied the policy sends
+// nothing to it, and a drain that is hidden from the policy leads to violations.
 func TestModuleSends(t *testing.T) {
 	j := NewChecker("h1")
 	m, err := newPolicyLoop(testSettings(t), 1, j)
@@ -134,13 +134,13 @@
 	go m.run(ctx)
 	defer func() { stop(); <-m.ended }()
 	v := int64(1)
-	require.True(t, m.applyAndWait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
-	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
-	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, stateServing), target("b", 1, 0, stateServing)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, stateServing)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, stateServing)}}))
 	n, what := j.Violations()
 	require.Zero(t, n, what)
-	j.RecordTargets([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
-	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
+	j.RecordTargets([]listing.Entry{target("b", 1, 3, "DRAINING")}) // not passed to the policy
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: stateServing, Zone: "z", StartedMs: 2}}}))
 	n, what = j.Violations()
 	require.Positive(t, n, what)
 }
@@ -180,11 +180,11 @@
 	require.Zero(t, n, what)
 }
 
-// TestDeaf makes calls that a source answers, for one that does not read.
+// TestDeaf checks that a source accepts the pipelined requests of a client that never reads.
 func TestDeaf(t *testing.T) {
 	s, addr := newSource(t)
-	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: discardLog, Feed: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	s.put(t, put(target("a", 0, 0, stateServing)))
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: discardLog, WatchStream: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
 	to, request, err := in.PipelinedRequests("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
--- a/internal/testbed/scale/hollow/policy.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -11,11 +11,12 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// trial is how many requests at changed targets a module decides after each list.
+// probeRequests is how many requests to changed targets a policy loop decides after each list.
 const probeRequests = 4
 
-// module is the real module on a goroutine of its own. After each list it decides a few requests for what has changed: each first byte that it would have
-// go out is the judge's to see.
+// policyLoop runs the real policy scheduler on a goroutine of its own, which ends with the context of run. After each
+// list it decides a few requests for targets that have changed, and reports each send to the checker. run owns the
+// fields except inbox and ended; it closes ended when it returns.
 type policyLoop struct {
 	scheduler    *policy.Scheduler
 	settings     policy.Settings
@@ -24,7 +25,7 @@
 	inbox        *mailbox.Box[pendingList]
 	requestCount int
 	openRequests map[string]bool
-	timerAt      time.Time // of the timer; zero: none
+	timerAt      time.Time // when the scheduler's timer fires; zero: no timer
 	ended        chan struct{}
 }
 
@@ -43,7 +44,7 @@
 
 func (x *policyLoop) enqueue(l *listing.List, done func()) { x.inbox.Put(pendingList{l, done}) }
 
-// wait hands a list over and returns once it was stepped; false: the module has ended.
+// applyAndWait queues a list and returns once the scheduler has processed it; false: the loop has ended.
 func (x *policyLoop) applyAndWait(l *listing.List) bool {
 	done := make(chan struct{})
 	x.enqueue(l, func() { close(done) })
@@ -82,7 +83,7 @@
 	for i, e := range l.list.Targets {
 		nodes.Endpoints[i] = e.Endpoint()
 	}
-	x.checker.RecordTargets(l.list.Targets) // here, as a send decided before it is none past it
+	x.checker.RecordTargets(l.list.Targets) // before the step: sends decided earlier do not violate this list
 	x.step(nodes)
 	l.done()
 	if l.list.Full {
@@ -94,13 +95,13 @@
 		x.openRequests[id] = true
 		x.step(policy.Request{ID: id, Class: x.settings.Classes[0].Name, Plan: x.settings.Plans[0].Name, Volume: "v" + strconv.Itoa(n.Shard), Shard: n.Shard, Units: 1, VolumeInitiators: 1})
 	}
-	for id := range x.openRequests { // what found no target is not waited for
+	for id := range x.openRequests { // requests without a target do not wait
 		delete(x.openRequests, id)
 		x.step(policy.ClientGone{ID: id})
 	}
 }
 
-// step has the module decide, and ends each attempt that it makes at once: as served.
+// step passes one event to the scheduler and completes each attempt that it sends at once, as served.
 func (x *policyLoop) step(e policy.Event) {
 	now := time.Now()
 	actions := x.scheduler.Step(x.clock.At(now), []policy.Event{e})
--- a/internal/testbed/scale/hollow/stream.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -13,28 +13,29 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-var format = jsoniter.ConfigCompatibleWithStandardLibrary
+var jsonCodec = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// follower is an initiator's end of the feed, over all of its lives.
+// streamState is an initiator's watch stream follower, with totals over all its runs.
 type streamState struct {
-	current                         atomic.Pointer[edge.Follower] // nil: it does not run
-	earlierBytesIn, earlierBytesOut uint64                        // of earlier lives
+	current                         atomic.Pointer[edge.Follower] // nil: not running
+	earlierBytesIn, earlierBytesOut uint64                        // bytes read and written in earlier runs
 	earlierSwitches                 uint64
 }
 
-// start begins a life: what the copy on disk has first, then what changes.
+// newFollower creates the follower of the watch stream. It first applies its copy on disk, then changes.
 func (in *Initiator) newFollower(m *policyLoop) (run func(context.Context), err error) {
-	opt := *in.opt.Feed
+	opt := *in.opt.WatchStream
 	var f *edge.Follower
 	opt.OnChange = func(c edge.Update) error { return in.applyUpdate(f, m, c) }
 	if f, err = edge.NewFollower(opt); err != nil {
 		return nil, err
 	}
-	in.feed.current.Store(f)
+	in.stream.current.Store(f)
 	return f.Run, nil
 }
 
-// changed takes over what the feed has brought. What can't be read as a list is the run's own fault: it is told as broken.
+// applyUpdate applies an update of the watch stream. A target entry that cannot be decoded is a fault of the run itself
+// and is recorded as a violation.
 func (in *Initiator) applyUpdate(f *edge.Follower, m *policyLoop, c edge.Update) error {
 	v := int64(c.Position.Targets)
 	l := &listing.List{Version: &v, Full: c.Full}
@@ -58,7 +59,7 @@
 		if m == nil {
 			in.Checker.RecordTargets(l.Targets)
 		} else if !m.applyAndWait(l) {
-			return fmt.Errorf("stopped")
+			return fmt.Errorf("policy loop has ended")
 		}
 	}
 	if config {
@@ -66,8 +67,8 @@
 		if err != nil {
 			return err
 		}
-		if !format.Valid(merged) {
-			return fmt.Errorf("configuration: no JSON")
+		if !jsonCodec.Valid(merged) {
+			return fmt.Errorf("merged configuration is not valid JSON")
 		}
 	}
 	at := monotone.Now()
@@ -76,27 +77,28 @@
 	return nil
 }
 
-// end notes what a life took.
-func (x *streamState) endLife() {
+// addTotals adds the totals of the run that ends. The caller must hold mu of the initiator.
+func (x *streamState) addTotals() {
 	if f := x.current.Swap(nil); f != nil {
 		s := f.State()
 		x.earlierBytesIn, x.earlierBytesOut, x.earlierSwitches = x.earlierBytesIn+s.BytesIn, x.earlierBytesOut+s.BytesOut, x.earlierSwitches+s.Switches
 	}
 }
 
-// Poll asks the follower for what is in force, as it acknowledges it, and has the judge hold that against what it said before.
+// Poll reads the versions that the follower reports as applied, and has the checker compare them with earlier reports.
 func (in *Initiator) Poll() {
-	if f := in.feed.current.Load(); f != nil {
+	if f := in.stream.current.Load(); f != nil {
 		s := f.State()
 		in.Checker.RecordReported(f, s.Applied.Targets, s.Applied.Config)
 	}
 }
 
-// Wire is how many bytes its own transport has read and written; what goes through the process's transport is not in it.
+// TransferredBytes returns how many bytes the follower's own transport has read and written, and how often it switched
+// relays. Traffic through the process's default transport is not included.
 func (in *Initiator) TransferredBytes() (read, written, moves uint64) {
 	in.mu.Lock()
-	read, written, moves = in.feed.earlierBytesIn, in.feed.earlierBytesOut, in.feed.earlierSwitches
-	f := in.feed.current.Load()
+	read, written, moves = in.stream.earlierBytesIn, in.stream.earlierBytesOut, in.stream.earlierSwitches
+	f := in.stream.current.Load()
 	in.mu.Unlock()
 	if f != nil {
 		s := f.State()
@@ -105,26 +107,27 @@
 	return read, written, moves
 }
 
-// pipelined is how many calls one that never reads makes at once.
+// pipelinedRequests is how many requests a client that never reads sends at once.
 const pipelinedRequests = 64
 
-// Asks is calls as it makes them, for one that never reads an answer.
+// PipelinedRequests returns the requests of the initiator for a client that never reads a response, and the address to
+// send them to.
 func (in *Initiator) PipelinedRequests(name string) (addr string, request []byte, err error) {
-	if in.opt.Feed == nil {
+	if in.opt.WatchStream == nil {
 		addr = in.opt.Agents[0]
 		for range pipelinedRequests {
 			request = fmt.Appendf(request, "GET /v1/instances/%s?stale&wait_ms=60000&after=0 HTTP/1.1\r\nHost: %s\r\n\r\n", in.opt.Name, addr)
 		}
 		return addr, request, nil
 	}
-	addr = in.opt.Feed.Relays[0].Addr
-	for _, r := range in.opt.Feed.Relays {
+	addr = in.opt.WatchStream.Relays[0].Addr
+	for _, r := range in.opt.WatchStream.Relays {
 		if r.Region == in.opt.Region {
 			addr = r.Addr
 		}
 	}
 	for i := range pipelinedRequests {
-		text, err := format.Marshal(watchstream.SubscribeRequest{Fleet: in.opt.Feed.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Generation: 1, Seq: uint64(i + 1)})
+		text, err := jsonCodec.Marshal(watchstream.SubscribeRequest{Fleet: in.opt.WatchStream.Fleet, Scope: watchstream.Scope{Name: name, Region: in.opt.Region, Zone: in.opt.Zone}, Generation: 1, Seq: uint64(i + 1)})
 		if err != nil {
 			return "", nil, err
 		}
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -226,12 +226,12 @@
 		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Initiators: h.crowd, LastKnown: h.known, Agents: w.Agents,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 		if len(w.Relays) > 0 {
-			opt.Feed = &edge.Options{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
+			opt.WatchStream = &edge.Options{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
 			for _, r := range w.Relays {
-				opt.Feed.Relays = append(opt.Feed.Relays, watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr})
+				opt.WatchStream.Relays = append(opt.WatchStream.Relays, watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr})
 			}
 			if x.Disk {
-				opt.Feed.Dir = filepath.Join(h.dir, x.Name+".data")
+				opt.WatchStream.Dir = filepath.Join(h.dir, x.Name+".data")
 			}
 		}
 		if x.Module {
--- a/internal/testbed/seeded/seeded.go
+++ b/internal/testbed/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded runs a package's tests with a fixed seed for their random cuts: the verdict is the same each
-// time.
+// Package seeded runs a package's tests with a fixed seed for rapid's random checks, so that the result is the same
+// each time.
 package seeded
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Main is for TestMain.
+// Main is for TestMain. It sets the seed and runs the tests.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
--- a/internal/testbed/virtualtime/virtualtime.go
+++ b/internal/testbed/virtualtime/virtualtime.go
@@ -1,4 +1,5 @@
-// Package virtualtime runs tests in bubbles of testing/synctest, in which time passes only while all goroutines wait.
+// Package virtualtime runs tests in bubbles of testing/synctest, in which time advances only while all goroutines are
+// blocked.
 package virtualtime
 
 import (
@@ -7,9 +8,10 @@
 	"testing/synctest"
 )
 
-// Test runs f in a bubble, on one processor. In Go 1.26 all processors that fire a bubble's timer channels share one context of the
-// race detector (unlockAndRun in runtime/time.go), which crashes once two do so at a time. The detector goes by the order of
-// synchronization, not by what happens to run at the same moment, so it loses nothing. It must not run beside parallel tests.
+// Test runs f in a bubble with GOMAXPROCS 1. In Go 1.26 all processors that fire a bubble's timer channels share one
+// context of the race detector (unlockAndRun in runtime/time.go), which crashes if two of them do so at the same time.
+// The detector uses the order of synchronization, not what happens to run at the same moment, so a single processor
+// hides no race from it. Test must not run beside parallel tests, since GOMAXPROCS is global.
 func Test(t *testing.T, f func(*testing.T)) {
 	t.Helper()
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
--- a/internal/testbed/virtualtime/virtualtime_test.go
+++ b/internal/testbed/virtualtime/virtualtime_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestTimerChannelsTogether guards against a bubble whose timer channels fire on several processors, which crashes the race detector.
+// TestTimerChannelsTogether guards against a crash of the race detector when a bubble's timer channels fire on several
+// processors.
 func TestTimerChannelsTogether(t *testing.T) {
 	Test(t, func(*testing.T) {
 		var all sync.WaitGroup
