--- a/internal/testbed/reference/scheduler_test.go
+++ b/internal/testbed/reference/scheduler_test.go
@@ -1,9 +1,10 @@
 package reference
 
-// The interface (settings, events, actions, outcomes) is in api.go; what is kept, in state.go.
+// The types of the interface (settings, events, actions, outcomes) are those of package policy (doc_test.go); the state
+// is in state_test.go.
 //
-// Reading order: tagging, release, node health, attempts and final answers, rule guards,
-// placement. docs/design.md tells what is RFQ as published and what was added.
+// Reading order: tags, release, endpoint health, attempts and final answers, admission rules, placement. docs/design.md
+// separates RFQ as published from what was added.
 
 import (
 	"container/heap"
@@ -17,254 +18,263 @@
 )
 
 const (
-	// runLength bounds a run on one extent. Half saves less work, double passes others' deadlines.
-	runLength = 6
-	// latencyRise is how far above its base a node may answer before the depth shrinks: what waits there can
-	// no longer be ordered. At 1.25 the simulator's days lost 0.01, at 1.75 0.04.
-	latencyRise = 1.0
-	// calmAims is how many least aims without a lapsed or set-aside request make a node calm: it may have
-	// twice the depth. Half queues more between surges, double idles cores (without: quiet days lose 0.2).
-	calmAims   = 30
-	windowGain = 0.1  // part by which an answer moves depth and base. Half lags, double is noisy.
-	windowPush = 0.25 // depth that each initiator leans on a node with. Half adapts slowly, double queues.
-	errorPart  = 0.75 // forgiven of an error: quick ones cost little, so more of them mean trouble.
-	windowMost = 16   // bounds the depth, whatever the estimates. Half would bind a lone host.
-	// spellAims is how many least aims an answer stays telling: one after a longer gap outweighs all before,
-	// and the latency expected falls to the base. Half forgets others' queues, double believes them too long.
-	spellAims   = 4
-	beatParts   = 8   // how many timers fit in a least aim, so that own pauses show. Half misses some.
-	keepAims    = 60  // how many least aims what is idle stays known. Half forgets more, double holds more.
-	quietFactor = 4   // usual latencies without an answer that make a node quiet. Half takes pauses for it.
-	shareFloor  = 0.5 // least part of an even share that a host is taken to have. Double makes all even.
-	// loadFree is how many requests a node may report before they tell of a queue: what it serves at once is
-	// no wait, and reports are late. At 0, with the part below learned, the simulator's days lost 0.08.
-	loadFree = 4
-	// loadAdds is the part of the base latency that each one past them adds. Learned from answers it came out
-	// high, as few of those that met a report had met the load in it.
-	loadAdds = 0.25
-	// coldLoad is how many requests a cold node may report for a crowd of initiators to send the next. Half
-	// refuses what it would serve in time (0.903 on the fleet's days, 0.919 so), more is no better.
-	coldLoad   = 8
-	meterFresh = 5 // how many periods a reading of use is believed. Half drops seldom ones, double lags.
+	// maxExtentRun bounds the requests of one extent that are sent in a row. Half saves less work, double sends
+	// requests ahead of others' deadlines.
+	maxExtentRun = 6
+	// targetLatencyRatio is the ratio of latency to base latency above which the concurrency limit shrinks: requests
+	// that queue at the endpoint can no longer be reordered. At 1.25 the simulated days lost 0.01, at 1.75 0.04.
+	targetLatencyRatio = 1.0
+	// uncongestedObjectives is how many smallest objectives without an expired or deferred request allow an endpoint
+	// twice the concurrency limit. Half queues more between surges, double idles cores (without this rule quiet days
+	// lose 0.2).
+	uncongestedObjectives = 30
+	learningGain          = 0.1  // weight of one answer in concurrency limit and base latency; half lags, double is noisy
+	limitIncrease         = 0.25 // added to the limit's target by each initiator; half adapts slowly, double queues
+	errorFailureDiscount  = 0.75 // discount of an error answer: quick errors cost the endpoint little, so more of them are needed to mean a fault
+	maxConcurrencyLimit   = 16   // upper bound of the concurrency limit, whatever the estimates; half would limit a lone host
+	// freshnessObjectives is how many smallest objectives an observation keeps its weight: an answer after a longer gap
+	// outweighs all before, and the expected latency decays to the base. Half forgets the queues of other initiators,
+	// double overestimates their length.
+	freshnessObjectives = 4
+	timersPerObjective  = 8   // timers set within the smallest objective, so that pauses of this process are noticed; half misses some
+	idleObjectives      = 60  // smallest objectives after which idle state is dropped; half forgets more, double keeps more
+	silenceFactor       = 4   // multiple of the usual latency without an answer after which an endpoint is silent; half mistakes pauses for it
+	minUsageShare       = 0.5 // lower bound of an initiator's share of a volume, as a fraction of an even share; double makes all shares even
+	// freeLoad is how many reported requests indicate no queue: those that the endpoint serves at once do not wait, and
+	// reports are late. At 0, with latencyPerLoad learned, the simulated days lost 0.08.
+	freeLoad = 4
+	// latencyPerLoad is the latency that each reported request beyond freeLoad adds, as a fraction of the base latency.
+	// A value learned from answers was too high, as few of the requests that saw a report had met the reported load.
+	latencyPerLoad = 0.25
+	// maxColdLoad is up to how many reported requests a cold endpoint gets another one in a large fleet. Half rejects
+	// requests that would be served in time (0.903 on the fleet's simulated days, 0.919 at this value), more is no
+	// better.
+	maxColdLoad       = 8
+	usageFreshPeriods = 5 // usage periods for which a reported usage is used; half ignores rare reports, double lags
 )
 
 // Scheduler decides for one initiator. It is not safe for concurrent use.
 type Scheduler struct {
-	set      Settings
-	rng      *rand.Rand
-	now      time.Duration
-	classes  map[string]*Class
-	plans    map[string]*Plan
-	turned   map[ask]*request // turned away, and may come again
-	turnedAt []*request       // the same by time
-	leastAim time.Duration
-	index    int           // this one's number among the initiators, from 0
-	born     time.Duration // the first step
-	service  float64       // what a mean request takes at warm nodes, in seconds; 0: not known
-	atOnce   float64       // how many are there meanwhile
-	volumes  map[string]*volume
-	requests map[string]*request
-	lanes    []*lane
-	nodes    []*node
-	byID     map[string]*node
-	keys     map[string]*orderKey
-	dues     dueHeap
-	crew     crew
-	// For the attempt budget; the next timer and what it is for, the last sweep, how long this initiator
-	// stood still before this step (0: not), when to ask for the list and how long to wait after that.
-	taken, extra                                    []time.Duration
-	timerAt, wakeAt, swept, stalled, askAt, askWait time.Duration
-
-	ready   []*request // what the gate lets through at the lane in hand
-	actions []Action
-}
-
-// New returns a scheduler for the given settings, or an error if they cannot be served.
+	settings        Settings
+	rng             *rand.Rand
+	now             time.Duration
+	classes         map[string]*Class
+	plans           map[string]*Plan
+	rejected        map[requestIdentity]*request // rejected requests by identity, to recognize a client's retry
+	rejectedInOrder []*request                   // rejected requests, oldest first
+	minObjective    time.Duration
+	initiatorIndex  int           // this initiator's index in the fleet, from 0
+	startedAt       time.Duration // time of the first step
+	warmServiceTime float64       // mean service time at warm endpoints, in seconds; 0: unknown
+	warmConcurrency float64       // mean requests in flight at a warm endpoint
+	volumes         map[string]*volume
+	requests        map[string]*request
+	queues          []*shardQueue
+	endpoints       []*endpoint
+	byID            map[string]*endpoint
+	orderedExtents  map[string]*orderedExtent
+	deadlines       deadlineHeap
+	processes       processGroup
+	// Recent requests and retries, for the retry budget; when the next timer is due, when the next work is due, and
+	// when idle state was last dropped; how long this process was paused before this step (0: it was not); when to
+	// subscribe to the list, and the backoff after that.
+	recentRequests, recentRetries                                      []time.Duration
+	timerAt, wakeAt, sweptAt, pausedFor, subscribeAt, subscribeBackoff time.Duration
+
+	sendable []*request // scratch: requests of the current queue that may be sent now
+	actions  []Action
+}
+
+// New returns a scheduler for the given settings, or an error if they are invalid.
 func New(set Settings, seed uint64) (*Scheduler, error) {
 	if len(set.Classes) == 0 || len(set.Plans) == 0 {
 		return nil, errors.New("settings need at least one class and one plan")
 	}
 	if set.Initiators < 1 {
-		return nil, fmt.Errorf("settings name %d initiators", set.Initiators)
+		return nil, fmt.Errorf("settings have %d initiators, want at least 1", set.Initiators)
 	}
-	s := &Scheduler{set: clone(set), rng: rand.New(rand.NewPCG(seed, seed)), leastAim: never,
-		classes: map[string]*Class{}, plans: map[string]*Plan{}, turned: map[ask]*request{},
+	s := &Scheduler{settings: cloneSettings(set), rng: rand.New(rand.NewPCG(seed, seed)), minObjective: never,
+		classes: map[string]*Class{}, plans: map[string]*Plan{}, rejected: map[requestIdentity]*request{},
 		volumes: map[string]*volume{}, requests: map[string]*request{},
-		byID: map[string]*node{}, keys: map[string]*orderKey{},
-		timerAt: never, askAt: never, born: never, askWait: time.Second,
+		byID: map[string]*endpoint{}, orderedExtents: map[string]*orderedExtent{},
+		timerAt: never, subscribeAt: never, startedAt: never, subscribeBackoff: time.Second,
 	}
-	s.set.MeanUnits = max(set.MeanUnits, 1e-3)
-	if s.index = set.InitiatorIndex - 1; s.index < 0 {
-		s.index = s.rng.IntN(set.Initiators)
+	s.settings.MeanUnits = max(set.MeanUnits, 1e-3)
+	if s.initiatorIndex = set.InitiatorIndex - 1; s.initiatorIndex < 0 {
+		s.initiatorIndex = s.rng.IntN(set.Initiators)
 	}
 	if set.SubscribeToList {
-		s.askAt = 0
+		s.subscribeAt = 0
 	}
-	for i := range s.set.Classes {
-		c := &s.set.Classes[i]
+	for i := range s.settings.Classes {
+		c := &s.settings.Classes[i]
 		if c.LatencyObjective <= 0 || c.Deadline <= 0 {
-			return nil, fmt.Errorf("class %q needs an aim and a deadline", c.Name)
+			return nil, fmt.Errorf("class %q needs a latency objective and a deadline", c.Name)
 		}
 		s.classes[c.Name] = c
-		s.leastAim = min(s.leastAim, c.LatencyObjective)
+		s.minObjective = min(s.minObjective, c.LatencyObjective)
 	}
-	for i := range s.set.Plans {
-		s.plans[s.set.Plans[i].Name] = &s.set.Plans[i]
+	for i := range s.settings.Plans {
+		s.plans[s.settings.Plans[i].Name] = &s.settings.Plans[i]
 	}
 	return s, nil
 }
 
-// Step takes what happened up to now and returns what to do. The slice is valid until the next Step.
+// Step processes the events that happened up to now and returns the actions to carry out. The slice is valid until the
+// next Step.
 func (s *Scheduler) Step(now time.Duration, events []Event) []Action {
-	s.now, s.born, s.actions = now, min(s.born, now), s.actions[:0]
-	// A timer that comes late: this initiator stood still, and what it finds has waited here, at no node.
-	s.stalled = 0
-	if late := now - s.timerAt; late >= 0 {
+	s.now, s.startedAt, s.actions = now, min(s.startedAt, now), s.actions[:0]
+	// A timer that fires late means that this process was paused; the delay must not be attributed to endpoints.
+	s.pausedFor = 0
+	if delay := now - s.timerAt; delay >= 0 {
 		s.timerAt = never
-		if late > s.leastAim/beatParts {
-			s.stalled = late
+		if delay > s.minObjective/timersPerObjective {
+			s.pausedFor = delay
 		}
 	}
-	idle := now < s.wakeAt // but for what the events bring
+	idle := now < s.wakeAt // set to false below by any event but a timer
 	for _, e := range events {
-		_, beat := e.(Timer)
-		idle = idle && beat
+		_, isTimer := e.(TimerFired)
+		idle = idle && isTimer
 		switch e := e.(type) {
-		case NodeList:
-			s.onList(e)
+		case EndpointList:
+			s.handleList(e)
 		case Request:
-			s.onRequest(e)
+			s.handleRequest(e)
 		case Outcome:
-			s.onOutcome(e)
-		case StreamBegun:
-			if r := s.requests[e.ID]; r != nil && r.heapAt >= 0 {
-				heap.Remove(&s.dues, r.heapAt)
+			s.handleOutcome(e)
+		case ResponseStarted:
+			if r := s.requests[e.ID]; r != nil && r.heapIndex >= 0 {
+				heap.Remove(&s.deadlines, r.heapIndex)
 			}
-		case Departed:
-			if r := s.requests[e.ID]; r != nil && !r.done {
-				s.finish(r)
+		case ClientGone:
+			if r := s.requests[e.ID]; r != nil && !r.answered {
+				s.finishRequest(r)
 			}
-		case Shared:
-			s.crew.set(e.Processes, s.now, s.set.Rules.OverloadWindow)
-		case Watched:
-			s.watched(e)
-		case Timer: // also one a little early: whoever drives the module may round
+		case ProcessCount:
+			s.processes.resize(e.Processes, s.now, s.settings.Rules.OverloadWindow)
+		case ProbeResult:
+			s.applyProbeResult(e)
+		case TimerFired: // may be slightly early, since the driver may round
 			s.timerAt = never
 		}
 	}
 	if !idle {
-		s.answerDue()
-		s.replace()
-		for _, l := range s.lanes {
-			s.releaseLane(l)
+		s.answerExpired()
+		s.rebalanceNewObjects()
+		for _, l := range s.queues {
+			s.releaseQueue(l)
 		}
-		s.answerDue() // what has lapsed
+		s.answerExpired() // objectives may have expired during release
 	}
-	if now-s.swept > keepAims*s.leastAim {
-		s.sweep(s.swept) // what was idle for that long starts afresh, as after a synchronization point
-		s.swept = now
+	if now-s.sweptAt > idleObjectives*s.minObjective {
+		s.sweep(s.sweptAt) // what was idle for a whole period starts from fresh state, as after a synchronization point
+		s.sweptAt = now
 	}
-	s.setTimer()
+	s.scheduleTimer()
 	return s.actions
 }
 
-// ---- Tagging ----
+// ---- Tags ----
 
-// rho is the rate at which the volume's bucket fills here: the plan's rate times this initiator's share of
-// the volume's recent service, evenly while nothing fresh is known.
-func (s *Scheduler) rho(v *volume) float64 {
-	share := 1 / v.hosts
-	if s.set.UsagePeriod > 0 && v.totalAt > 0 && s.now-v.totalAt < meterFresh*s.set.UsagePeriod && v.total > 0 {
-		share = min(1, max(shareFloor/v.hosts, s.ownRate(v)/v.total))
+// refillRate is the rate at which the volume's bucket is refilled at this initiator (rho in the paper): the plan's rate
+// times this initiator's share of the volume's recent usage, or an even share while no recent usage report is known.
+func (s *Scheduler) refillRate(v *volume) float64 {
+	share := 1 / v.initiators
+	if s.settings.UsagePeriod > 0 && v.totalUsageAt > 0 && s.now-v.totalUsageAt < usageFreshPeriods*s.settings.UsagePeriod && v.totalUsage > 0 {
+		share = min(1, max(minUsageShare/v.initiators, s.ownUsageRate(v)/v.totalUsage))
 	}
 	return max(v.plan.Rate*share, 1e-3)
 }
 
-// sigma is the bucket's depth: a second of the reserve and one largest request, as worth is counted.
-func (s *Scheduler) sigma(v *volume) float64 {
-	return max(v.plan.ReservedRate, v.plan.Rate)/v.hosts + max(s.set.MaxUnits, s.set.MeanUnits)
+// bucketDepth is the capacity of the volume's bucket in units (sigma in the paper): one second of its rate and the
+// largest request, in the units by which value is counted.
+func (s *Scheduler) bucketDepth(v *volume) float64 {
+	return max(v.plan.ReservedRate, v.plan.Rate)/v.initiators + max(s.settings.MaxUnits, s.settings.MeanUnits)
 }
 
-func (s *Scheduler) ownRate(v *volume) float64 {
-	tau := 2 * s.set.UsagePeriod.Seconds()
-	return v.own * math.Exp(-(s.now-v.ownAt).Seconds()/tau)
+func (s *Scheduler) ownUsageRate(v *volume) float64 {
+	tau := 2 * s.settings.UsagePeriod.Seconds()
+	return v.ownUsage * math.Exp(-(s.now-v.ownUsageAt).Seconds()/tau)
 }
 
-// meter notes own service and what the answer tells of the volume's service everywhere.
-func (s *Scheduler) meter(v *volume, units float64, used int) {
-	if s.set.UsagePeriod <= 0 {
+// recordUsage adds a served request to the volume's own usage, and averages in the total usage that the endpoint
+// reported.
+func (s *Scheduler) recordUsage(v *volume, units float64, encodedUsage int) {
+	if s.settings.UsagePeriod <= 0 {
 		return
 	}
-	v.own, v.ownAt = s.ownRate(v)+units/(2*s.set.UsagePeriod.Seconds()), s.now
-	if told := float64(used-1) / 100 * v.plan.Rate; used > 0 {
-		if v.totalAt == 0 {
-			v.total = told
+	v.ownUsage, v.ownUsageAt = s.ownUsageRate(v)+units/(2*s.settings.UsagePeriod.Seconds()), s.now
+	if reported := float64(encodedUsage-1) / 100 * v.plan.Rate; encodedUsage > 0 {
+		if v.totalUsageAt == 0 {
+			v.totalUsage = reported
 		}
-		v.total, v.totalAt = v.total+(told-v.total)*0.3, s.now
+		v.totalUsage, v.totalUsageAt = v.totalUsage+(reported-v.totalUsage)*0.3, s.now
 	}
 }
 
-// tag gives the request its start and finish tag from the volume's bucket and the lane's tags.
-func (s *Scheduler) tag(r *request, l *lane) {
-	v, f, rho := r.vol, l.flow(r.vol), s.rho(r.vol)
-	v.tokens, v.filled = min(s.sigma(v), v.tokens+(s.now-v.filled).Seconds()*rho), s.now
+// assignTags assigns the request's start and finish tags from the volume's bucket and the queue's tags.
+func (s *Scheduler) assignTags(r *request, l *shardQueue) {
+	v, f, rho := r.volume, l.flow(r.volume), s.refillRate(r.volume)
+	v.tokens, v.tokensAt = min(s.bucketDepth(v), v.tokens+(s.now-v.tokensAt).Seconds()*rho), s.now
 	switch {
 	case v.tokens >= r.Units:
-		r.start = s.now
+		r.startTag = s.now
 	case v.tokens > 0:
-		r.start = s.now + seconds((r.Units-v.tokens)/rho)
+		r.startTag = s.now + toDuration((r.Units-v.tokens)/rho)
 	default:
-		r.start = max(f.maxS, s.now) + seconds(r.Units/rho)
+		r.startTag = max(f.maxStartTag, s.now) + toDuration(r.Units/rho)
 	}
-	f.maxS, r.finish = r.start, r.start+(r.fullAim-s.now)
+	f.maxStartTag, r.finishTag = r.startTag, r.startTag+(r.objectiveAt-s.now)
 	v.tokens -= r.Units
 }
 
-// untag gives back what a request drew that will not be served in time, so that it does not stand in
-// the way of its volume's later ones.
-func (s *Scheduler) untag(r *request) {
-	f := r.lane.flow(r.vol)
-	r.vol.tokens += r.Units
-	back := seconds(r.Units / s.rho(r.vol))
-	for _, q := range r.lane.held {
-		if q.vol == r.vol && q.start > r.start {
-			q.start, q.finish = q.start-back, q.finish-back
+// refundTags returns the units of a request that will not be served in time to the volume's bucket, and makes the
+// volume's later tags earlier, so that it does not delay them.
+func (s *Scheduler) refundTags(r *request) {
+	f := r.queue.flow(r.volume)
+	r.volume.tokens += r.Units
+	refund := toDuration(r.Units / s.refillRate(r.volume))
+	for _, q := range r.queue.requests {
+		if q.volume == r.volume && q.startTag > r.startTag {
+			q.startTag, q.finishTag = q.startTag-refund, q.finishTag-refund
 		}
 	}
-	f.maxS -= back
+	f.maxStartTag -= refund
 }
 
-// sync is a synchronization point of the lane: room and nothing eligible. All tags of the lane shift
-// back by the least gap, and volumes of the lane with no backlog at this initiator refill.
-func (s *Scheduler) sync(l *lane, gap time.Duration) {
-	for _, r := range l.held {
-		r.start, r.finish = r.start-gap, r.finish-gap
+// synchronize is a synchronization point of fair queuing: the endpoint has capacity and no request is eligible. All
+// tags of the queue become earlier by the smallest gap, and the buckets of its volumes without backlog at this
+// initiator are filled up.
+func (s *Scheduler) synchronize(l *shardQueue, gap time.Duration) {
+	for _, r := range l.requests {
+		r.startTag, r.finishTag = r.startTag-gap, r.finishTag-gap
 	}
 	for _, f := range l.flows {
-		if f.held > 0 {
-			f.maxS -= gap
+		if f.queued > 0 {
+			f.maxStartTag -= gap
 		}
-		if f.vol.backlog == 0 {
-			f.vol.tokens, f.vol.filled = s.sigma(f.vol), s.now
+		if f.volume.backlog == 0 {
+			f.volume.tokens, f.volume.tokensAt = s.bucketDepth(f.volume), s.now
 		}
 	}
 }
 
 // ---- Release ----
 
-// releaseLane sends while the lane's node has room.
-func (s *Scheduler) releaseLane(l *lane) {
-	l.wake = never
-	for l.node != nil && len(l.held) > 0 {
-		if wait := s.thrift(l); wait > s.now {
-			l.wake = min(l.wake, wait)
+// releaseQueue sends requests while the queue's endpoint has capacity.
+func (s *Scheduler) releaseQueue(l *shardQueue) {
+	l.wakeAt = never
+	for l.endpoint != nil && len(l.requests) > 0 {
+		if wait := s.reuseConnectionUntil(l); wait > s.now {
+			l.wakeAt = min(l.wakeAt, wait)
 			return
 		}
-		room := s.room(l.node, 0)
-		if !room && !(s.room(l.node, runLength-1) && slices.ContainsFunc(l.held, l.node.follows)) {
-			return // without a look at all that is held, which each event would cost where much is
+		hasSlot := s.hasCapacity(l.endpoint, 0)
+		if !hasSlot && !(s.hasCapacity(l.endpoint, maxExtentRun-1) && slices.ContainsFunc(l.requests, l.endpoint.continuesExtent)) {
+			return // without checking every queued request at each event
 		}
-		r := s.pick(l, room)
+		r := s.pickNext(l, hasSlot)
 		if r == nil {
 			return
 		}
@@ -272,733 +282,745 @@
 	}
 }
 
-// thrift tells until when the lane makes do with the connections it has to its node, where the settings price
-// a handshake: what can wait for one in use until half of its aim is over does so. Two thirds are no better.
-func (s *Scheduler) thrift(l *lane) time.Duration {
-	n, r := l.node, l.held[0]
-	if s.set.ConnectCost <= 0 || len(n.out) == 0 || len(n.out) < n.wide {
+// reuseConnectionUntil returns until when a queue waits for a connection that is in use instead of having another one
+// opened, if the settings give a new connection a cost. It lasts until half of the first request's objective has passed
+// at the latest; two thirds are no better.
+func (s *Scheduler) reuseConnectionUntil(l *shardQueue) time.Duration {
+	n, r := l.endpoint, l.requests[0]
+	if s.settings.ConnectCost <= 0 || len(n.inFlight) == 0 || len(n.inFlight) < n.maxInFlight {
 		return 0
 	}
-	return min(r.fullAim-seconds(2*s.expect(n)*s.size(r.Units)), r.fullAim-r.class.LatencyObjective/2)
+	return min(r.objectiveAt-toDuration(2*s.expectedLatency(n)*s.relativeSize(r.Units)), r.objectiveAt-r.class.LatencyObjective/2)
 }
 
-// follows tells whether the request may go on with the extent that the node was sent last.
-func (n *node) follows(r *request) bool {
-	return n.run < runLength && r.Extent != "" && r.Extent == n.last && r.sent == 0
+// continuesExtent reports whether the request may be sent ahead of others because it is for the extent of the last one
+// sent.
+func (n *endpoint) continuesExtent(r *request) bool {
+	return n.extentRun < maxExtentRun && r.Extent != "" && r.Extent == n.lastExtent && r.attempts == 0
 }
 
-// pick returns what leaves next: of what can make its aim the eligible request of least finish tag, or one of
-// the last extent; at a synchronization point the next to become eligible; on an idle node what is set aside.
-func (s *Scheduler) pick(l *lane, room bool) *request {
-	n := l.node
-	var best, ahead, aside, follow *request
-	s.sift(l)
-	for _, r := range s.ready {
+// pickNext returns the request to send next: of those that can meet their objective the eligible one with the smallest
+// finish tag, or one for the same extent as the last; at a synchronization point the one with the smallest start tag;
+// on an idle endpoint the deferred one with the largest value for a unit.
+func (s *Scheduler) pickNext(l *shardQueue, hasSlot bool) *request {
+	n := l.endpoint
+	var bestEligible, nextEligible, bestDeferred, sameExtent *request
+	s.filterSendable(l)
+	for _, r := range s.sendable {
 		switch {
-		case r.aside:
-			if aside == nil || r.earns > aside.earns {
-				aside = r
+		case r.deferred:
+			if bestDeferred == nil || r.valuePerUnit > bestDeferred.valuePerUnit {
+				bestDeferred = r
 			}
-		case r.start > s.now:
-			if ahead == nil || r.start < ahead.start || r.start == ahead.start && r.finish < ahead.finish {
-				ahead = r
+		case r.startTag > s.now:
+			if nextEligible == nil || r.startTag < nextEligible.startTag || r.startTag == nextEligible.startTag && r.finishTag < nextEligible.finishTag {
+				nextEligible = r
 			}
 		default:
-			if best == nil || r.finish < best.finish {
-				best = r
+			if bestEligible == nil || r.finishTag < bestEligible.finishTag {
+				bestEligible = r
 			}
-			if n.follows(r) && (follow == nil || r.finish < follow.finish) {
-				follow = r
+			if n.continuesExtent(r) && (sameExtent == nil || r.finishTag < sameExtent.finishTag) {
+				sameExtent = r
 			}
 		}
 	}
 	switch {
-	case follow != nil:
-		return follow
-	case !room:
+	case sameExtent != nil:
+		return sameExtent
+	case !hasSlot:
 		return nil
-	case best != nil:
-		return best
-	case ahead != nil:
-		s.sync(l, ahead.start-s.now)
-		return ahead
-	case aside != nil && len(n.out) == 0:
-		return aside
+	case bestEligible != nil:
+		return bestEligible
+	case nextEligible != nil:
+		s.synchronize(l, nextEligible.startTag-s.now)
+		return nextEligible
+	case bestDeferred != nil && len(n.inFlight) == 0:
+		return bestDeferred
 	}
 	return nil
 }
 
-// sift fills ready with the requests that the gate lets through. One that can no longer make its aim lapses;
-// where the rest cannot all make it, those that earn least for a unit are set aside for now: earliest
-// deadline first would serve each just too late. It harms where the latency is judged too high.
-func (s *Scheduler) sift(l *lane) {
-	n := l.node
-	s.ready = s.ready[:0]
-	usual, fresh := s.expect(n), s.fresh(n.heard)
-	work, each := 0.0, usual/n.window/s.set.MeanUnits
-	for _, r := range l.held { // in order of aim
-		if wait := s.gate(r, l); wait > s.now {
-			l.wake = min(l.wake, wait)
+// filterSendable fills sendable with the requests that may be sent now. One that cannot meet its objective any more
+// expires. If the rest cannot all meet theirs, those with the least value for a unit are deferred: in earliest-deadline
+// order all would be served slightly too late. This does harm where the latency is overestimated.
+func (s *Scheduler) filterSendable(l *shardQueue) {
+	n := l.endpoint
+	s.sendable = s.sendable[:0]
+	expected, baseWeight := s.expectedLatency(n), s.freshness(n.lastAnswerAt)
+	work, serviceTimePerUnit := 0.0, expected/n.concurrencyLimit/s.settings.MeanUnits
+	for _, r := range l.requests { // in order of objective
+		if wait := s.earliestSend(r, l); wait > s.now {
+			l.wakeAt = min(l.wakeAt, wait)
 			continue
 		}
-		// The base fades while no answer renews it: else one slow answer would bar a class for ever.
-		if s.now+seconds(n.base*fresh*s.size(r.Units)) > r.fullAim {
-			s.lapse(r)
+		// The base latency loses weight while no answer renews it. Otherwise one slow answer could expire a class for
+		// ever.
+		if s.now+toDuration(n.baseLatency*baseWeight*s.relativeSize(r.Units)) > r.objectiveAt {
+			s.expireObjective(r)
 		}
-		if r.late {
+		if r.pastObjective {
 			continue
 		}
-		s.ready = append(s.ready, r)
-		r.aside, r.earns = false, s.value(r)
-		alone := s.now + seconds(usual*s.size(r.Units))
+		s.sendable = append(s.sendable, r)
+		r.deferred, r.valuePerUnit = false, s.valuePerUnit(r)
+		finishAlone := s.now + toDuration(expected*s.relativeSize(r.Units))
 		work += r.Units
-		for alone+seconds((work-r.Units)*each) > r.fullAim && !r.aside {
+		for finishAlone+toDuration((work-r.Units)*serviceTimePerUnit) > r.objectiveAt && !r.deferred {
 			least := r
-			for _, q := range s.ready {
-				if !q.aside && q.earns < least.earns {
+			for _, q := range s.sendable {
+				if !q.deferred && q.valuePerUnit < least.valuePerUnit {
 					least = q
 				}
 			}
-			least.aside, n.pressed = true, s.now
+			least.deferred, n.congestedAt = true, s.now
 			work -= least.Units
 		}
 	}
 }
 
-// lapse gives up a request that can no longer make its aim: it is answered before the step is over. Waiting
-// on, it would hold a connection that its client needs for the next, and a late answer earns next to nothing.
-func (s *Scheduler) lapse(r *request) {
-	if r.late {
+// expireObjective marks a request that cannot meet its objective any more: it is answered before the step ends. Waiting
+// longer would hold a connection that its client needs for the next request, and a late answer has almost no value.
+func (s *Scheduler) expireObjective(r *request) {
+	if r.pastObjective {
 		return
 	}
-	r.late, r.by = true, s.now
-	if r.lane.node != nil {
-		r.lane.node.pressed = s.now
+	r.pastObjective, r.answerBy = true, s.now
+	if r.queue.endpoint != nil {
+		r.queue.endpoint.congestedAt = s.now
 	}
-	s.untag(r)
-	if r.heapAt >= 0 {
-		heap.Fix(&s.dues, r.heapAt)
+	s.refundTags(r)
+	if r.heapIndex >= 0 {
+		heap.Fix(&s.deadlines, r.heapIndex)
 	}
 }
 
-// size is how much longer than a mean request one of so many units takes.
-func (s *Scheduler) size(units float64) float64 { return (1 + units/s.set.MeanUnits) / 2 }
+// relativeSize is the service time of a request of that many units, relative to a request of mean size.
+func (s *Scheduler) relativeSize(units float64) float64 { return (1 + units/s.settings.MeanUnits) / 2 }
 
-// value is what a unit of the request earns: full while its volume's reserve is owed, the share's part
-// where its start tag says so, and less the further it is ahead.
-func (s *Scheduler) value(r *request) float64 {
-	v := r.class.PriorityWeight * r.vol.plan.PriorityFactor
+// valuePerUnit is the value of serving one unit of the request: full while its volume's reserved rate is not used up,
+// the fair-share value once its start tag has passed, and less the further in the future its start tag is.
+func (s *Scheduler) valuePerUnit(r *request) float64 {
+	v := r.class.PriorityWeight * r.volume.plan.PriorityFactor
 	switch {
-	case s.owed(r.vol) >= r.Units:
+	case s.reserveAvailable(r.volume) >= r.Units:
 		return v
-	case r.start <= s.now:
-		return v * s.set.FairSharePriority
+	case r.startTag <= s.now:
+		return v * s.settings.FairSharePriority
 	}
-	return v * (s.set.ExcessPriority + (s.set.FairSharePriority-s.set.ExcessPriority)/(1+(r.start-s.now).Seconds()))
+	return v * (s.settings.ExcessPriority + (s.settings.FairSharePriority-s.settings.ExcessPriority)/(1+(r.startTag-s.now).Seconds()))
 }
 
-// owed refills and returns what of its reserve the volume may still have served at full worth here.
-func (s *Scheduler) owed(v *volume) float64 {
-	rate := v.plan.ReservedRate * s.rho(v) / max(v.plan.Rate, 1e-3)
-	v.owed = min(rate+s.set.MaxUnits, v.owed+(s.now-v.owedAt).Seconds()*rate)
-	v.owedAt = s.now
-	return v.owed
+// reserveAvailable refills the bucket of the volume's reserved rate and returns its units: the work that still has its
+// full value here.
+func (s *Scheduler) reserveAvailable(v *volume) float64 {
+	rate := v.plan.ReservedRate * s.refillRate(v) / max(v.plan.Rate, 1e-3)
+	v.reserveTokens = min(rate+s.settings.MaxUnits, v.reserveTokens+(s.now-v.reserveTokensAt).Seconds()*rate)
+	v.reserveTokensAt = s.now
+	return v.reserveTokens
 }
 
-// room tells whether the node may have another attempt out now, extra of them past the bound. An attempt
-// overdue far beyond the usual no longer holds its slot: it was lost, or nothing else would get through.
-func (s *Scheduler) room(n *node, extra int) bool {
-	fresh := 0
-	for _, r := range n.out {
-		if s.now-r.outAt < s.quietAfter(n) {
-			fresh++
+// hasCapacity reports whether the endpoint may have another attempt in flight, with extra beyond its limit. An attempt
+// that is overdue far beyond the usual latency is not counted: it was lost, or no other request would be sent.
+func (s *Scheduler) hasCapacity(n *endpoint, extra int) bool {
+	active := 0
+	for _, r := range n.inFlight {
+		if s.now-r.attemptStartedAt < s.silenceTimeout(n) {
+			active++
 		}
 	}
-	if s.troubled(n) {
-		return fresh == 0
+	if s.isFaulty(n) {
+		return active == 0
 	}
-	return float64(fresh) < math.Floor(n.window)+float64(extra)
+	return float64(active) < math.Floor(n.concurrencyLimit)+float64(extra)
 }
 
-// send is the only way out: it sends r to the lane's node.
-func (s *Scheduler) send(r *request, l *lane) {
-	n := l.node
-	permit := s.permit(n, r)
-	r.unhold()
-	if n.last == r.Extent {
-		n.run++
+// send sends r to the queue's endpoint. No other function emits Send.
+func (s *Scheduler) send(r *request, l *shardQueue) {
+	n := l.endpoint
+	permit := s.reserveQuota(n, r)
+	r.dequeue()
+	if n.lastExtent == r.Extent {
+		n.extentRun++
 	} else {
-		n.last, n.run = r.Extent, 1
+		n.lastExtent, n.extentRun = r.Extent, 1
 	}
-	if r.sent > 0 {
-		s.extra = append(trim(s.extra, s.now-s.set.Rules.RetryBudgetWindow-2*s.set.MinStep), s.now)
+	if r.attempts > 0 {
+		s.recentRetries = append(dropOlderTimes(s.recentRetries, s.now-s.settings.Rules.RetryBudgetWindow-2*s.settings.MinStep), s.now)
 	} else {
-		r.vol.owed = max(0, s.owed(r.vol)-r.Units)
+		r.volume.reserveTokens = max(0, s.reserveAvailable(r.volume)-r.Units)
 	}
-	if !r.drawn {
-		r.vol.store, r.drawn = r.vol.store-r.Units, true
+	if !r.rateLimitCharged {
+		r.volume.rateLimitTokens, r.rateLimitCharged = r.volume.rateLimitTokens-r.Units, true
 	}
-	if s.set.Rules.OverloadWindow > 0 {
-		n.spend(s.now, r.Units, s.cold(n))
-		l.sent.add(s.now, r.Units, s.set.Rules.WarmUpTime)
+	if s.settings.Rules.OverloadWindow > 0 {
+		n.chargeCold(s.now, r.Units, s.isCold(n))
+		l.sentRate.add(s.now, r.Units, s.settings.Rules.WarmUpTime)
 	}
-	r.sent++
-	r.out, r.outAt = n, s.now
-	n.out = append(n.out, r)
-	n.wide = max(n.wide, len(n.out))
-	wait, within := min(s.patience(n, r), max(r.due-s.now, s.set.MinStep)), time.Duration(0)
-	if r.mayRun && r.class.Effect == Keyed {
-		within = max(s.repeatBy(r)-s.now, 1) // it may wait for a connection yet
+	r.attempts++
+	r.inFlightAt, r.attemptStartedAt = n, s.now
+	n.inFlight = append(n.inFlight, r)
+	n.maxInFlight = max(n.maxInFlight, len(n.inFlight))
+	wait, within := min(s.attemptTimeout(n, r), max(r.deadlineAt-s.now, s.settings.MinStep)), time.Duration(0)
+	if r.mayHaveRun && r.class.Effect == IdempotentWithKey {
+		within = max(s.dedupDeadline(r)-s.now, 1) // the attempt may have to wait for a connection
 	}
-	s.act(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, StartTagWait: r.ahead(s.now),
+	s.emit(Action{Kind: Send, Request: r.ID, Endpoint: n.ID, Wait: wait, StartTagWait: r.startTagWait(s.now),
 		Permit: permit, SendWithin: within})
 }
 
-// ---- Node health ----
+// ---- Endpoint health ----
 
-// onList applies the list. A draining or gone node gets nothing more from that moment on.
-func (s *Scheduler) onList(e NodeList) {
+// handleList applies the list. A draining or removed endpoint gets no new attempt from then on.
+func (s *Scheduler) handleList(e EndpointList) {
 	if e.Failed {
-		if s.set.SubscribeToList {
-			s.askAt, s.askWait = s.now+s.askWait, min(2*s.askWait, 8*time.Second)
+		if s.settings.SubscribeToList {
+			s.subscribeAt, s.subscribeBackoff = s.now+s.subscribeBackoff, min(2*s.subscribeBackoff, 8*time.Second)
 		}
 		return
 	}
-	s.askWait = time.Second
-	named := map[string]bool{}
-	for _, x := range e.Endpoints {
-		named[x.ID] = true
-		n := s.byID[x.ID]
+	s.subscribeBackoff = time.Second
+	listed := map[string]bool{}
+	for _, entry := range e.Endpoints {
+		listed[entry.ID] = true
+		n := s.byID[entry.ID]
 		if n == nil {
-			n = &node{Node: Node{ID: x.ID}, window: 2, heard: s.now, load: -1}
-			s.byID[x.ID] = n
-			s.nodes = append(s.nodes, n)
+			n = &endpoint{Endpoint: Endpoint{ID: entry.ID}, concurrencyLimit: 2, lastAnswerAt: s.now, reportedLoad: -1}
+			s.byID[entry.ID] = n
+			s.endpoints = append(s.endpoints, n)
 		}
-		if x.Started != n.Started && s.now-x.Started < s.set.Rules.WarmUpTime {
-			n.share = s.share(x.Shard) // by what was sent before
-			n.window, n.streak, n.latency, n.load, n.served = 1, 0, 0, -1, nil
+		if entry.Started != n.Started && s.now-entry.Started < s.settings.Rules.WarmUpTime {
+			n.trafficShare = s.estimateTrafficShare(entry.Shard) // by the traffic from before the restart
+			n.concurrencyLimit, n.failureStreak, n.latency, n.reportedLoad, n.coldCredit = 1, 0, 0, -1, nil
 		}
-		n.Node = x
+		n.Endpoint = entry
 	}
-	for _, n := range s.nodes {
-		if e.Full && !named[n.ID] {
+	for _, n := range s.endpoints {
+		if e.Full && !listed[n.ID] {
 			n.State = Removed
 		}
 		if n.State == Up && n.Shard >= 0 {
-			s.laneOf(n.Shard)
+			s.queueOf(n.Shard)
 		}
 	}
-	for _, l := range s.lanes {
-		l.node = nil
-		for _, n := range s.nodes {
-			if n.Shard == l.shard && n.State == Up && (l.node == nil || n.Started > l.node.Started) {
-				l.node = n
+	for _, l := range s.queues {
+		l.endpoint = nil
+		for _, n := range s.endpoints {
+			if n.Shard == l.shard && n.State == Up && (l.endpoint == nil || n.Started > l.endpoint.Started) {
+				l.endpoint = n
 			}
 		}
 	}
 }
 
-// quietAfter is how long a node may owe any answer before it counts as quiet.
-func (s *Scheduler) quietAfter(n *node) time.Duration {
-	return max(s.leastAim, seconds(quietFactor*n.latency))
+// silenceTimeout is how long an endpoint may not answer at all before it counts as silent.
+func (s *Scheduler) silenceTimeout(n *endpoint) time.Duration {
+	return max(s.minObjective, toDuration(silenceFactor*n.latency))
 }
 
-// expect is the latency to expect now: as answers or reports tell, falling to the base while none renews it,
-// so that one bad spell is not believed for ever by an initiator that holds back because of it.
-func (s *Scheduler) expect(n *node) float64 {
-	seen := (n.latency - n.base) * s.fresh(n.heard)
-	told := n.base * loadAdds * max(0, n.load-loadFree) * s.fresh(n.told)
-	return n.base + max(seen, told)
+// expectedLatency is the latency to expect now from answers or load reports. It decays to the base latency while
+// neither is renewed, so that an initiator that sends less after a slow phase does not do so for ever.
+func (s *Scheduler) expectedLatency(n *endpoint) float64 {
+	observed := (n.latency - n.baseLatency) * s.freshness(n.lastAnswerAt)
+	reported := n.baseLatency * latencyPerLoad * max(0, n.reportedLoad-freeLoad) * s.freshness(n.lastReportAt)
+	return n.baseLatency + max(observed, reported)
 }
 
-// fresh is how much of what was learned at that time is still believed.
-func (s *Scheduler) fresh(at time.Duration) float64 {
-	return math.Exp(-(s.now - at).Seconds() / (spellAims * s.leastAim.Seconds()))
+// freshness is the weight of an observation made at that time.
+func (s *Scheduler) freshness(at time.Duration) float64 {
+	return math.Exp(-(s.now - at).Seconds() / (freshnessObjectives * s.minObjective.Seconds()))
 }
 
-// onLoad takes a node's report for one more sign of its latency: what waits there is answered first. Where
-// reports are missing the answers have the word; absurd ones are ignored.
-func (s *Scheduler) onLoad(n *node, l *Load) {
-	if l == nil || n.latency == 0 {
+// handleLoadReport records an endpoint's load report as one more estimate of its latency: requests that queue there are
+// answered first. Where reports are missing the answers decide; implausible reports are ignored.
+func (s *Scheduler) handleLoadReport(n *endpoint, report *Load) {
+	if report == nil || n.latency == 0 {
 		return
 	}
-	load := l.InFlight
-	if l.Queued >= 0 {
-		load = l.Queued + loadFree
+	load := report.InFlight
+	if report.Queued >= 0 {
+		load = report.Queued + freeLoad
 	}
 	if load >= 0 && load < 1e6 {
-		n.load, n.told = load, s.now
+		n.reportedLoad, n.lastReportAt = load, s.now
 	}
 }
 
-// troubled tells whether the node is quiet (an attempt is overdue far beyond the usual and nothing was heard
-// since) or failed several times with nothing served between: whatever the cause, one trial at a time.
-func (s *Scheduler) troubled(n *node) bool {
-	if n.streak >= 3 {
+// isFaulty reports whether the endpoint is silent (an attempt is overdue far beyond the usual latency and no answer has
+// arrived since it was sent) or has failed several times in a row. Whatever the cause, a faulty endpoint gets one
+// attempt at a time.
+func (s *Scheduler) isFaulty(n *endpoint) bool {
+	if n.failureStreak >= 3 {
 		return true
 	}
-	for _, r := range n.out {
-		if s.now-r.outAt > s.quietAfter(n) && n.heard <= r.outAt {
+	for _, r := range n.inFlight {
+		if s.now-r.attemptStartedAt > s.silenceTimeout(n) && n.lastAnswerAt <= r.attemptStartedAt {
 			return true
 		}
 	}
 	return false
 }
 
-// patience is the time-out of an attempt. It is long: the data is nowhere else, so a premature second attempt
-// only adds load, even where answers get lost. It frees the slot of an attempt that was lost.
-func (s *Scheduler) patience(n *node, r *request) time.Duration {
-	return max(4*r.class.LatencyObjective, seconds(2*quietFactor*n.latency))
+// attemptTimeout is the timeout of an attempt. It is long: no other endpoint has the data, so a premature retry only
+// adds load, even where answers get lost. It frees the slot of an attempt that was lost.
+func (s *Scheduler) attemptTimeout(n *endpoint, r *request) time.Duration {
+	return max(4*r.class.LatencyObjective, toDuration(2*silenceFactor*n.latency))
 }
 
-// learn updates depth and latency from an attempt's end. The depth follows PARDA: it tends to where the
-// node answers in latencyRise times its base, and grows only while it is in use.
-func (s *Scheduler) learn(n *node, r *request, e Outcome) {
+// learnFromOutcome updates concurrency limit and latency from the end of an attempt. The limit follows PARDA: it is
+// adjusted towards a latency of targetLatencyRatio times the base latency, and grows only while it is used up.
+func (s *Scheduler) learnFromOutcome(n *endpoint, r *request, e Outcome) {
 	switch e.Code {
-	case Delivered:
-		if s.troubled(n) {
-			n.window = 1
+	case Served:
+		if s.isFaulty(n) {
+			n.concurrencyLimit = 1
 		}
-		n.streak, n.openAt = 0, 0
-		if s.set.Rules.OverloadWindow > 0 {
-			n.served = append(n.served, draw{s.now, r.Units})
+		n.failureStreak, n.blockedUntil = 0, 0
+		if s.settings.Rules.OverloadWindow > 0 {
+			n.coldCredit = append(n.coldCredit, timedUnits{s.now, r.Units})
 		}
-		took := e.Latency.Seconds() / s.size(r.Units)
-		if s.stalled > 0 {
-			n.heard = s.now
+		latencyPerRequest := e.Latency.Seconds() / s.relativeSize(r.Units)
+		if s.pausedFor > 0 {
+			n.lastAnswerAt = s.now
 			return
 		}
-		s.noteWarm(n, took, e.Load)
+		s.updateWarmEstimates(n, latencyPerRequest, e.Load)
 		if n.latency == 0 {
-			n.latency, n.base = took, took
+			n.latency, n.baseLatency = latencyPerRequest, latencyPerRequest
 		}
-		gain := max(windowGain, 1-s.fresh(n.heard))
-		if took < n.base {
-			n.base += (took - n.base) * gain
+		gain := max(learningGain, 1-s.freshness(n.lastAnswerAt))
+		if latencyPerRequest < n.baseLatency {
+			n.baseLatency += (latencyPerRequest - n.baseLatency) * gain
 		} else {
-			n.base += (took - n.base) * windowGain / 8
-		}
-		n.latency += (took - n.latency) * gain
-		n.heard = s.now
-		goal := latencyRise * n.base
-		if s.now-n.pressed > calmAims*s.leastAim {
-			goal *= 2 // what waits at the node need not be ordered
-		}
-		next := n.window*min(2, goal/max(n.latency, 1e-6)) + windowPush
-		if next < n.window || float64(len(n.out)) >= math.Floor(n.window) {
-			n.window += (next - n.window) * windowGain
-		}
-		// Where few share a node, each has its part of what it serves at once: two with one out each idled
-		// cores, most after each trouble, and a link that fell silent is one.
-		n.window = min(windowMost, max(1, loadFree/float64(s.set.Initiators), n.window))
-	case Full:
-		n.window = max(1, n.window/2)
-		n.heard = s.now
-		n.openAt = s.now + seconds(n.latency)
-	case Errored, NoConnection, Reset, Expired:
-		if e.Code == Expired && e.Latency < s.quietAfter(n) {
-			// The client's patience was short: it tells that the node takes at least this long, no more.
-			n.latency += max(0, e.Latency.Seconds()-n.latency) * windowGain
+			n.baseLatency += (latencyPerRequest - n.baseLatency) * learningGain / 8
+		}
+		n.latency += (latencyPerRequest - n.latency) * gain
+		n.lastAnswerAt = s.now
+		target := targetLatencyRatio * n.baseLatency
+		if s.now-n.congestedAt > uncongestedObjectives*s.minObjective {
+			target *= 2 // without congestion the order at the endpoint does not matter
+		}
+		next := n.concurrencyLimit*min(2, target/max(n.latency, 1e-6)) + limitIncrease
+		if next < n.concurrencyLimit || float64(len(n.inFlight)) >= math.Floor(n.concurrencyLimit) {
+			n.concurrencyLimit += (next - n.concurrencyLimit) * learningGain
+		}
+		// The limit is at least an even share of the requests that the endpoint serves at once: with two initiators at
+		// a limit of 1 cores idled, above all after a fault has lowered it, and a link that fell silent is one.
+		n.concurrencyLimit = min(maxConcurrencyLimit, max(1, freeLoad/float64(s.settings.Initiators), n.concurrencyLimit))
+	case Rejected:
+		n.concurrencyLimit = max(1, n.concurrencyLimit/2)
+		n.lastAnswerAt = s.now
+		n.blockedUntil = s.now + toDuration(n.latency)
+	case AnsweredError, NotConnected, ConnectionReset, TimedOut:
+		if e.Code == TimedOut && e.Latency < s.silenceTimeout(n) {
+			// The client's deadline was short: the endpoint's latency is at least this, but that is no failure.
+			n.latency += max(0, e.Latency.Seconds()-n.latency) * learningGain
 			return
 		}
-		n.streak++
-		if e.Code == Errored {
-			n.streak -= errorPart
+		n.failureStreak++
+		if e.Code == AnsweredError {
+			n.failureStreak -= errorFailureDiscount
 		}
-		if e.Code == Expired {
-			n.window = max(1, n.window/2)
+		if e.Code == TimedOut {
+			n.concurrencyLimit = max(1, n.concurrencyLimit/2)
 			return
 		}
-		n.heard = s.now
-		n.openAt = s.now + s.quietAfter(n)*time.Duration(max(0, min(n.streak, 4)-1)*16)/64
+		n.lastAnswerAt = s.now
+		n.blockedUntil = s.now + s.silenceTimeout(n)*time.Duration(max(0, min(n.failureStreak, 4)-1)*16)/64
 	}
 }
 
 // ---- Attempts and final answers ----
 
-func (s *Scheduler) onRequest(e Request) {
+func (s *Scheduler) handleRequest(e Request) {
 	if s.requests[e.ID] != nil {
 		return
 	}
-	s.taken = append(trim(s.taken, s.now-s.set.Rules.RetryBudgetWindow), s.now)
-	c, p := s.classes[e.Class], s.plans[e.Plan]
-	if c == nil || p == nil || e.TimeLeft <= 0 {
-		s.act(Action{Kind: Refuse, Request: e.ID})
+	s.recentRequests = append(dropOlderTimes(s.recentRequests, s.now-s.settings.Rules.RetryBudgetWindow), s.now)
+	class, plan := s.classes[e.Class], s.plans[e.Plan]
+	if class == nil || plan == nil || e.TimeLeft <= 0 {
+		s.emit(Action{Kind: Reject, Request: e.ID})
 		return
 	}
-	e.TimeLeft = min(e.TimeLeft, c.Deadline) // nobody's patience is longer
+	e.TimeLeft = min(e.TimeLeft, class.Deadline) // no client waits longer
 	v := s.volumes[e.Volume]
 	if v == nil {
-		v = &volume{plan: p, hosts: float64(max(1, e.VolumeInitiators)), filled: s.now, storeAt: s.now}
-		v.tokens = s.sigma(v)
+		v = &volume{plan: plan, initiators: float64(max(1, e.VolumeInitiators)), tokensAt: s.now, rateLimitTokensAt: s.now}
+		v.tokens = s.bucketDepth(v)
 		s.volumes[e.Volume] = v
 	}
-	v.hosts = float64(max(1, e.VolumeInitiators))
+	v.initiators = float64(max(1, e.VolumeInitiators))
 	e.Units = max(e.Units, 0)
-	r := &request{Request: e, class: c, vol: v, born: s.now, heldAt: s.now, due: s.now + e.TimeLeft}
-	r.by = s.now + max(e.TimeLeft/2-4*s.set.MinStep, s.set.MinStep)
-	r.fullAim = s.now + c.LatencyObjective
-	if waited := c.Deadline - e.TimeLeft; s.stalled > 0 && waited < s.stalled+s.leastAim/beatParts {
-		r.fullAim -= waited
-	}
-	// A later try of a client that this initiator turned away has spent part of its aim. It is known by
-	// asking for the same, within the whole patience; a short budget alone may be an impatient client's.
-	if first := s.turned[r.sameAs()]; first != nil && s.now+e.TimeLeft <= first.born+c.Deadline+2*s.set.MinStep {
-		r.born, r.fullAim = first.born, first.born+c.LatencyObjective
-		delete(s.turned, r.sameAs())
-	}
-	r.fullAim = min(r.fullAim, r.due-2*s.set.MinStep)
-	r.by = min(r.by, r.fullAim)
+	r := &request{Request: e, class: class, volume: v, firstSeenAt: s.now, queuedSince: s.now, deadlineAt: s.now + e.TimeLeft}
+	r.answerBy = s.now + max(e.TimeLeft/2-4*s.settings.MinStep, s.settings.MinStep)
+	r.objectiveAt = s.now + class.LatencyObjective
+	if waited := class.Deadline - e.TimeLeft; s.pausedFor > 0 && waited < s.pausedFor+s.minObjective/timersPerObjective {
+		r.objectiveAt -= waited
+	}
+	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized by its
+	// identity within the class's deadline: a short remaining time alone may mean a client with a short timeout.
+	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+class.Deadline+2*s.settings.MinStep {
+		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+class.LatencyObjective
+		delete(s.rejected, r.identity())
+	}
+	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-2*s.settings.MinStep)
+	r.answerBy = min(r.answerBy, r.objectiveAt)
 	s.requests[r.ID] = r
-	heap.Push(&s.dues, r)
+	heap.Push(&s.deadlines, r)
 	v.backlog++
-	if c.Ordered && r.Extent != "" {
-		k := s.keys[r.Extent]
+	if class.Ordered && r.Extent != "" {
+		k := s.orderedExtents[r.Extent]
 		if k == nil {
-			k = &orderKey{}
-			s.keys[r.Extent] = k
+			k = &orderedExtent{}
+			s.orderedExtents[r.Extent] = k
 		}
-		k.line = append(k.line, r)
+		k.queue = append(k.queue, r)
 	}
-	r.lane = s.place(r)
-	if r.fullAim <= s.now { // a later try of what was turned away, past its aim already
-		r.late = true // answered once all events are known: its client may have left
+	r.queue = s.placeRequest(r)
+	if r.objectiveAt <= s.now { // a retry that arrives after its objective
+		r.pastObjective = true // answered after all events of this step: its client may have disconnected
 		return
 	}
-	s.tag(r, r.lane)
-	r.lane.hold(r)
+	s.assignTags(r, r.queue)
+	r.queue.enqueue(r)
 }
 
-func (s *Scheduler) onOutcome(e Outcome) {
+func (s *Scheduler) handleOutcome(e Outcome) {
 	r := s.requests[e.ID]
-	if r == nil || r.out == nil || e.Attempt != r.sent-1 {
+	if r == nil || r.inFlightAt == nil || e.Attempt != r.attempts-1 {
 		return
 	}
-	n := r.out
-	s.learn(n, r, e)
-	s.onLoad(n, e.Load)
-	n.out = without(n.out, r)
-	r.out, r.heldAt = nil, s.now
-	if e.Code == Delivered {
-		s.meter(r.vol, r.Units, e.VolumeUsage)
+	n := r.inFlightAt
+	s.learnFromOutcome(n, r, e)
+	s.handleLoadReport(n, e.Load)
+	n.inFlight = removeRequest(n.inFlight, r)
+	r.inFlightAt, r.queuedSince = nil, s.now
+	if e.Code == Served {
+		s.recordUsage(r.volume, r.Units, e.VolumeUsage)
 	}
-	doubt := e.Code == Expired || e.Code == Reset || e.Code == Cancelled
-	if k := s.keys[r.Extent]; k != nil && r.class.Ordered && doubt {
-		k.rest = max(k.rest, s.now+s.set.Rules.OrderedQuietTime)
+	outcomeUncertain := e.Code == TimedOut || e.Code == ConnectionReset || e.Code == Cancelled
+	if k := s.orderedExtents[r.Extent]; k != nil && r.class.Ordered && outcomeUncertain {
+		k.quietUntil = max(k.quietUntil, s.now+s.settings.Rules.OrderedQuietTime)
 	}
-	if e.Code != NoConnection && e.Code != Moot {
-		r.by = r.fullAim // an attempt was written: its client is not held back for nothing
+	if e.Code != NotConnected && e.Code != NotSent {
+		r.answerBy = r.objectiveAt // an attempt was sent, so a retry is awaited up to the objective
 	}
-	if e.Code.MayHaveRun() && !r.mayRun {
-		r.mayRun, r.ranZone, r.ranShard, r.ranSince = true, n.Zone, n.Shard, r.outAt
+	if e.Code.MayHaveRun() && !r.mayHaveRun {
+		r.mayHaveRun, r.ranInZone, r.ranInShard, r.firstRanAt = true, n.Zone, n.Shard, r.attemptStartedAt
 	}
 	switch {
-	case r.done:
+	case r.answered:
 		s.forget(r)
 	case e.Final:
-		s.finish(r)
+		s.finishRequest(r)
 	default:
-		if !s.mayRepeat(r) {
-			r.by = s.now // answered once all events are known: its client may have left
-		}
-		// Further attempts wait a little longer each, the node's gate on top.
-		r.retryAt = s.now + s.quietAfter(n)*time.Duration(r.sent)/8
-		r.lane.hold(r)
-		if r.heapAt >= 0 {
-			heap.Fix(&s.dues, r.heapAt)
+		if !s.mayRetry(r) {
+			r.answerBy = s.now // answered after all events of this step: its client may have disconnected
+		}
+		// The backoff grows with each attempt. The endpoint may also be blocked for longer.
+		r.notBefore = s.now + s.silenceTimeout(n)*time.Duration(r.attempts)/8
+		r.queue.enqueue(r)
+		if r.heapIndex >= 0 {
+			heap.Fix(&s.deadlines, r.heapIndex)
 		} else {
-			heap.Push(&s.dues, r)
+			heap.Push(&s.deadlines, r)
 		}
 	}
 }
 
-// mayRepeat tells whether a further attempt of the request could ever be allowed.
-func (s *Scheduler) mayRepeat(r *request) bool {
-	if r.BoundEndpoint != "" || s.set.MaxAttempts > 0 && r.sent >= s.set.MaxAttempts { // its body is gone, or its tries
+// mayRetry reports whether a further attempt of the request could ever be allowed.
+func (s *Scheduler) mayRetry(r *request) bool {
+	if r.BoundEndpoint != "" || s.settings.MaxAttempts > 0 && r.attempts >= s.settings.MaxAttempts { // its body is gone, or it has no attempt left
 		return false
 	}
-	return !r.mayRun || r.class.Effect == Pure ||
-		r.class.Effect == Keyed && !r.MissingKey && s.now < s.repeatBy(r)
+	return !r.mayHaveRun || r.class.Effect == Idempotent ||
+		r.class.Effect == IdempotentWithKey && !r.MissingKey && s.now < s.dedupDeadline(r)
 }
 
-// repeatBy is until when nodes surely drop a repeat: under the window, since to write takes a while.
-func (s *Scheduler) repeatBy(r *request) time.Duration {
-	return r.ranSince + r.class.DedupWindow - 4*s.set.MinStep
+// dedupDeadline is the time until which endpoints are certain to drop a repeat: a little before the deduplication
+// window ends, since sending takes time.
+func (s *Scheduler) dedupDeadline(r *request) time.Duration {
+	return r.firstRanAt + r.class.DedupWindow - 4*s.settings.MinStep
 }
 
-// answer gives the final answer: a refusal where a client's retry is harmless, otherwise a failure.
-func (s *Scheduler) answer(r *request) {
-	c, kind, wait := r.class, Refuse, time.Duration(0)
-	if r.late {
-		wait = r.due - s.now // a further try of the same ask would come too late for its aim
-	} else if r.start > s.now {
-		wait = r.start - s.now // the volume is ahead of its rate until then
-	}
-	if r.mayRun && c.Effect != Pure && (c.Effect != Keyed || c.DedupScope != GroupAll || r.MissingKey) {
+// answerUnserved gives the final answer: Reject where a client's retry is safe, otherwise Fail.
+func (s *Scheduler) answerUnserved(r *request) {
+	c, kind, wait := r.class, Reject, time.Duration(0)
+	if r.pastObjective {
+		wait = r.deadlineAt - s.now // a retry would miss the objective as well
+	} else if r.startTag > s.now {
+		wait = r.startTag - s.now // the volume exceeds its rate until then
+	}
+	if r.mayHaveRun && c.Effect != Idempotent && (c.Effect != IdempotentWithKey || c.DedupScope != DedupFleet || r.MissingKey) {
 		kind, wait = Fail, 0
 	}
-	end := Action{Kind: kind, Request: r.ID, Wait: wait, StartTagWait: r.ahead(s.now)}
-	if r.lane.node != nil {
-		end.Endpoint = r.lane.node.ID
+	end := Action{Kind: kind, Request: r.ID, Wait: wait, StartTagWait: r.startTagWait(s.now)}
+	if r.queue.endpoint != nil {
+		end.Endpoint = r.queue.endpoint.ID
 	}
-	s.act(end)
-	s.turned[r.sameAs()] = r
-	s.turnedAt = append(s.turnedAt, r)
-	for len(s.turnedAt) > 0 && s.now > s.turnedAt[0].born+s.turnedAt[0].class.Deadline {
-		if old := s.turnedAt[0]; s.turned[old.sameAs()] == old {
-			delete(s.turned, old.sameAs())
+	s.emit(end)
+	s.rejected[r.identity()] = r
+	s.rejectedInOrder = append(s.rejectedInOrder, r)
+	for len(s.rejectedInOrder) > 0 && s.now > s.rejectedInOrder[0].firstSeenAt+s.rejectedInOrder[0].class.Deadline {
+		if old := s.rejectedInOrder[0]; s.rejected[old.identity()] == old {
+			delete(s.rejected, old.identity())
 		}
-		s.turnedAt = s.turnedAt[1:]
+		s.rejectedInOrder = s.rejectedInOrder[1:]
 	}
-	s.finish(r)
+	s.finishRequest(r)
 }
 
-// finish notes that the request has its final answer.
-func (s *Scheduler) finish(r *request) {
-	r.done = true
-	if r.heapAt >= 0 {
-		heap.Remove(&s.dues, r.heapAt)
-	}
-	if r.out == nil {
-		r.unhold()
+// finishRequest marks the request as answered. It is kept while an attempt is in flight.
+func (s *Scheduler) finishRequest(r *request) {
+	r.answered = true
+	if r.heapIndex >= 0 {
+		heap.Remove(&s.deadlines, r.heapIndex)
+	}
+	if r.inFlightAt == nil {
+		r.dequeue()
 		s.forget(r)
 	}
 }
 
-// answerDue ends the held requests that can no longer make their aim, and those of which half the time is
-// over without an attempt: what still comes of them earns next to nothing, and clients pay for being held.
-func (s *Scheduler) answerDue() {
-	for len(s.dues) > 0 {
-		r := s.dues[0]
-		if r.by > s.now {
+// answerExpired answers the queued requests that cannot meet their objective any more, and those without an attempt
+// after half of their time: serving them late has almost no value, and clients pay for the wait.
+func (s *Scheduler) answerExpired() {
+	for len(s.deadlines) > 0 {
+		r := s.deadlines[0]
+		if r.answerBy > s.now {
 			return
 		}
-		if r.out != nil {
-			// Its attempt was cut to end with the budget; the outcome brings the answer, or puts it back.
-			heap.Pop(&s.dues)
+		if r.inFlightAt != nil {
+			// The attempt times out at the deadline at the latest; its outcome answers or requeues the request.
+			heap.Pop(&s.deadlines)
 			continue
 		}
-		if s.now >= r.fullAim {
-			s.lapse(r)
+		if s.now >= r.objectiveAt {
+			s.expireObjective(r)
 		}
-		s.answer(r)
+		s.answerUnserved(r)
 	}
 }
 
-// setTimer asks to be woken when the next thing is due.
-func (s *Scheduler) setTimer() {
-	if s.askAt <= s.now {
-		s.askAt = never
-		s.act(Action{Kind: Subscribe})
-	}
-	next := s.askAt
-	if len(s.dues) > 0 {
-		next = min(next, s.dues[0].by)
-	}
-	for _, l := range s.lanes {
-		if len(l.held) > 0 {
-			next = min(next, l.wake)
+// scheduleTimer sets a timer for the next work that is due.
+func (s *Scheduler) scheduleTimer() {
+	if s.subscribeAt <= s.now {
+		s.subscribeAt = never
+		s.emit(Action{Kind: Subscribe})
+	}
+	next := s.subscribeAt
+	if len(s.deadlines) > 0 {
+		next = min(next, s.deadlines[0].answerBy)
+	}
+	for _, l := range s.queues {
+		if len(l.requests) > 0 {
+			next = min(next, l.wakeAt)
 		}
 	}
-	s.wakeAt, next = next, min(next, s.now+s.leastAim/beatParts)
+	s.wakeAt, next = next, min(next, s.now+s.minObjective/timersPerObjective)
 	if next < s.timerAt {
 		s.timerAt = next
-		s.act(Action{Kind: SetTimer, Wait: max(next-s.now, s.set.MinStep)})
+		s.emit(Action{Kind: SetTimer, Wait: max(next-s.now, s.settings.MinStep)})
 	}
 }
 
-// ---- Rule guards ----
+// ---- Admission rules ----
 
-// gate is the one gate that every send passes. It returns the time from which r may go to the lane's
-// node, or a later one at which to look again.
-func (s *Scheduler) gate(r *request, l *lane) time.Duration {
-	n := l.node
+// earliestSend is the single gate that every send passes. It returns the time from which r may be sent to the queue's
+// endpoint, or a later one at which to check again.
+func (s *Scheduler) earliestSend(r *request, l *shardQueue) time.Duration {
+	n := l.endpoint
 	if r.BoundEndpoint != "" && r.BoundEndpoint != n.ID {
-		s.lapse(r) // the rest of its body is elsewhere
+		s.expireObjective(r) // the rest of its body was sent to another endpoint
 		return never
 	}
-	at := max(r.retryAt, n.openAt, s.orderGate(r), s.coldGate(n, r), s.limitGate(r), s.rationGate(n, r))
-	if r.sent > 0 {
-		at = max(at, s.budgetGate(n, r))
+	at := max(r.notBefore, n.blockedUntil, s.orderGate(r), s.coldGate(n, r), s.rateLimitGate(r), s.quotaGate(n, r))
+	if r.attempts > 0 {
+		at = max(at, s.retryBudgetGate(n, r))
 		c := r.class
-		there := n.Zone == r.ranZone && (c.DedupScope == GroupZone || n.Shard == r.ranShard)
-		if r.mayRun && c.Effect == Keyed && c.DedupScope != GroupAll && !there || !s.mayRepeat(r) {
+		inDedupScope := n.Zone == r.ranInZone && (c.DedupScope == DedupZone || n.Shard == r.ranInShard)
+		if r.mayHaveRun && c.Effect == IdempotentWithKey && c.DedupScope != DedupFleet && !inDedupScope || !s.mayRetry(r) {
 			return never
 		}
 	}
 	return at
 }
 
-// orderGate keeps requests of one ordered extent in turn.
+// orderGate lets requests of an ordered extent run one at a time, in the order in which they arrived.
 func (s *Scheduler) orderGate(r *request) time.Duration {
-	k := s.keys[r.Extent]
+	k := s.orderedExtents[r.Extent]
 	if k == nil || !r.class.Ordered || r.Extent == "" {
 		return 0
 	}
-	if k.line[0] != r {
+	if k.queue[0] != r {
 		return never
 	}
-	return k.rest
+	return k.quietUntil
 }
 
-// coldGate keeps the sum of what all initiators send to a cold node within what it bears, whatever others do
-// (docs/design.md, Cold nodes): half by parts, which need no word from anybody, and half by answers, each of
-// which lets as much go once more. Where the even part is under one mean request, parts follow what was sent.
-func (s *Scheduler) coldGate(n *node, r *request) time.Duration {
-	ru, units := s.set.Rules, r.Units
-	// Also while it is warm: a start is told late.
-	n.recent = since(n.recent, s.now-ru.OverloadWindow-s.set.MinStep)
-	answers := time.Duration(float64(ru.OverloadWindow) * max(0, ru.OverloadFactor/2-1)) // they count for so long
-	n.served = since(n.served, s.now-answers+s.set.MinStep)
-	if !s.cold(n) {
-		return 0 // before the sums: every held request comes here at every step
-	}
-	if at, governed := s.rationed(ColdWork, n, r, units); governed {
+// coldGate keeps what all initiators together send to a cold endpoint within its capacity (docs/design.md, Cold nodes).
+// Half of the capacity is divided evenly, which needs no communication; the other half is earned: each answered unit
+// allows another one. Where an even share is less than one mean request, the shares follow the traffic.
+func (s *Scheduler) coldGate(n *endpoint, r *request) time.Duration {
+	ru, units := s.settings.Rules, r.Units
+	// Also while the endpoint is warm, since the list may announce a restart late.
+	n.coldSent = dropOlderUnits(n.coldSent, s.now-ru.OverloadWindow-s.settings.MinStep)
+	creditLifetime := time.Duration(float64(ru.OverloadWindow) * max(0, ru.OverloadFactor/2-1)) // how long an answered unit is credit
+	n.coldCredit = dropOlderUnits(n.coldCredit, s.now-creditLifetime+s.settings.MinStep)
+	if !s.isCold(n) {
+		return 0 // before the sums below, since this runs for every queued request in every step
+	}
+	if at, governed := s.quotaWait(ColdWork, n, r, units); governed {
 		return at
 	}
-	each, sum := s.crew.part(s.now)/float64(s.set.Initiators), total(n.recent)
-	part := s.set.ColdUnitsPerWindow * s.grown(n) * each
-	if answers > 0 {
-		part /= 2
+	evenFraction, sent := s.processes.fraction(s.now)/float64(s.settings.Initiators), sumUnits(n.coldSent)
+	share := s.settings.ColdUnitsPerWindow * s.warmUpGrowth(n) * evenFraction
+	if creditLifetime > 0 {
+		share /= 2
 	}
-	crowd := part < s.set.MeanUnits
-	few := len(n.out) == 0 && n.load >= 0 && n.load <= coldLoad && s.now-n.told < ru.OverloadWindow
-	if crowd && few || !crowd && total(n.served) >= units {
+	shareBelowRequest := share < s.settings.MeanUnits
+	reportsLittleLoad := len(n.inFlight) == 0 && n.reportedLoad >= 0 && n.reportedLoad <= maxColdLoad && s.now-n.lastReportAt < ru.OverloadWindow
+	if shareBelowRequest && reportsLittleLoad || !shareBelowRequest && sumUnits(n.coldCredit) >= units {
 		return 0
 	}
-	if n.Started < s.born && s.now-s.born < ru.OverloadWindow {
-		return s.born + ru.OverloadWindow // what was sent before this process began is not known
+	if n.Started < s.startedAt && s.now-s.startedAt < ru.OverloadWindow {
+		return s.startedAt + ru.OverloadWindow // it is unknown what the previous process sent
 	}
-	if crowd { // by what is sent from here; answers have as much as the node does in the span
-		part, n.served = s.bears(n)*(1-1/max(ru.OverloadFactor, 2))*each*n.share, nil
+	if shareBelowRequest { // shares follow the traffic; the answered units have as much as the endpoint serves in the window
+		share, n.coldCredit = s.coldCapacity(n)*(1-1/max(ru.OverloadFactor, 2))*evenFraction*n.trafficShare, nil
 	}
-	// One over the part goes from as few initiators as the part is of it, others at each node.
-	if sum+units <= part || sum == 0 && units*s.rank(n) <= part {
+	// If a request is larger than the share, only so many initiators send one that their requests fit into the shares
+	// of all. They are different ones for each endpoint.
+	if sent+units <= share || sent == 0 && units*s.initiatorRank(n) <= share {
 		return 0
 	}
 	return s.now + ru.OverloadWindow/16
 }
 
-// bears is the units that a cold node bears now in the span of the rule, from all: along the slowest ramp, by
-// the settings or, if that is more, by what warm nodes do (Little's law). It takes longer here while cold.
-func (s *Scheduler) bears(n *node) float64 {
-	ru, grown := s.set.Rules, s.grown(n)
-	told := s.set.ColdUnitsPerWindow * grown
-	if s.service <= 0 || ru.ColdCapacityFraction <= 0 {
-		return told
-	}
-	takes := max(n.latency, s.service/(ru.ColdCapacityFraction*grown)) / max(1, s.atOnce)
-	return max(told, s.set.MeanUnits*ru.OverloadFactor*ru.OverloadWindow.Seconds()/takes)
+// coldCapacity is the units that a cold endpoint can take within the overload window from all initiators, at the
+// slowest allowed warm-up: the configured value or, if larger, one computed from warm endpoints (Little's law).
+// Requests take longer while the endpoint is cold.
+func (s *Scheduler) coldCapacity(n *endpoint) float64 {
+	ru, grown := s.settings.Rules, s.warmUpGrowth(n)
+	configured := s.settings.ColdUnitsPerWindow * grown
+	if s.warmServiceTime <= 0 || ru.ColdCapacityFraction <= 0 {
+		return configured
+	}
+	serviceTime := max(n.latency, s.warmServiceTime/(ru.ColdCapacityFraction*grown)) / max(1, s.warmConcurrency)
+	return max(configured, s.settings.MeanUnits*ru.OverloadFactor*ru.OverloadWindow.Seconds()/serviceTime)
 }
 
-// share is this initiator's part of all that is sent to the shard, in even parts: what went from here of what
-// its node and warm ones had in hand for as long as one took. Little sent says little, so one request of each
-// in as many spans as a node takes to warm counts too. Its mean over all initiators is one.
-func (s *Scheduler) share(shard int) float64 {
-	if s.service <= 0 {
+// estimateTrafficShare estimates this initiator's traffic to a shard relative to an even share: what it sent, compared
+// with what its endpoint and warm ones had in flight in the same time. Little traffic means little, so a prior of one
+// request for each initiator in each overload window of a warm-up is added. The mean over all initiators is one.
+func (s *Scheduler) estimateTrafficShare(shard int) float64 {
+	if s.warmServiceTime <= 0 {
 		return 1
 	}
-	rate := max(1, s.atOnce) / s.service
-	for _, n := range s.nodes {
+	rate := max(1, s.warmConcurrency) / s.warmServiceTime
+	for _, n := range s.endpoints {
 		if n.Shard == shard && n.latency > 0 {
-			rate = max(rate, n.atOnce/n.latency)
+			rate = max(rate, n.reportedConcurrency/n.latency)
 		}
 	}
-	over, all := s.set.Rules.WarmUpTime, float64(s.set.Initiators)
-	sent := s.laneOf(max(shard, 0)).sent.now(s.now, over) / s.set.MeanUnits
-	little := s.set.Rules.OverloadWindow.Seconds() / over.Seconds() * all
-	rate *= over.Seconds() * (1 - math.Exp(-(s.now-s.born).Seconds()/over.Seconds())) // in its life
-	return (sent*all + little) / (rate + little)
+	window, initiatorCount := s.settings.Rules.WarmUpTime, float64(s.settings.Initiators)
+	sent := s.queueOf(max(shard, 0)).sentRate.current(s.now, window) / s.settings.MeanUnits
+	prior := s.settings.Rules.OverloadWindow.Seconds() / window.Seconds() * initiatorCount
+	rate *= window.Seconds() * (1 - math.Exp(-(s.now-s.startedAt).Seconds()/window.Seconds())) // since this process started
+	return (sent*initiatorCount + prior) / (rate + prior)
 }
 
-// rank is this initiator's place among all at a node, from 0 to 1, known without talk.
-func (s *Scheduler) rank(n *node) float64 {
+// initiatorRank is this initiator's rank among all for an endpoint, in (0, 1], known without communication.
+func (s *Scheduler) initiatorRank(n *endpoint) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(n.ID))
-	return (float64((uint32(s.index)+h.Sum32())%uint32(s.set.Initiators)) + 1) / float64(s.set.Initiators)
+	return (float64((uint32(s.initiatorIndex)+h.Sum32())%uint32(s.settings.Initiators)) + 1) / float64(s.settings.Initiators)
 }
 
-// budgetGate keeps further attempts within the ration, counted against us at both edges.
-func (s *Scheduler) budgetGate(n *node, r *request) time.Duration {
-	ru := s.set.Rules
-	if at, governed := s.rationed(Repeats, n, r, 1); governed {
+// retryBudgetGate keeps retries within the budget. Requests are counted over slightly less than the window and retries
+// over slightly more.
+func (s *Scheduler) retryBudgetGate(n *endpoint, r *request) time.Duration {
+	ru := s.settings.Rules
+	if at, governed := s.quotaWait(Retries, n, r, 1); governed {
 		return at
 	}
 	if !ru.RetryBudget {
 		return 0
 	}
-	s.taken = trim(s.taken, s.now-ru.RetryBudgetWindow+2*s.set.MinStep)
-	s.extra = trim(s.extra, s.now-ru.RetryBudgetWindow-2*s.set.MinStep)
-	if float64(len(s.extra)+1) <= ru.RetryBudgetFree*s.crew.part(s.now)+ru.RetryBudgetRatio*float64(len(s.taken)) {
+	s.recentRequests = dropOlderTimes(s.recentRequests, s.now-ru.RetryBudgetWindow+2*s.settings.MinStep)
+	s.recentRetries = dropOlderTimes(s.recentRetries, s.now-ru.RetryBudgetWindow-2*s.settings.MinStep)
+	if float64(len(s.recentRetries)+1) <= ru.RetryBudgetFree*s.processes.fraction(s.now)+ru.RetryBudgetRatio*float64(len(s.recentRequests)) {
 		return 0
 	}
 	return s.now + ru.RetryBudgetWindow/64
 }
 
-// limitGate keeps a volume within this initiator's even part of its plan's limit. The store starts
-// empty: an initiator that was restarted cannot know what it drew before.
-func (s *Scheduler) limitGate(r *request) time.Duration {
-	v := r.vol
-	if v.plan.RateLimit <= 0 || r.drawn {
+// rateLimitGate keeps a volume within this initiator's even share of its plan's rate limit. The bucket starts empty,
+// since after a restart it is unknown what the previous process sent.
+func (s *Scheduler) rateLimitGate(r *request) time.Duration {
+	v := r.volume
+	if v.plan.RateLimit <= 0 || r.rateLimitCharged {
 		return 0
 	}
-	hosts := v.hosts / s.crew.part(s.now)
-	v.store = min(v.plan.RateLimitBurst/hosts, v.store+(s.now-v.storeAt).Seconds()*v.plan.RateLimit/hosts)
-	v.storeAt = s.now
-	if v.store >= r.Units {
+	sharingProcesses := v.initiators / s.processes.fraction(s.now)
+	v.rateLimitTokens = min(v.plan.RateLimitBurst/sharingProcesses, v.rateLimitTokens+(s.now-v.rateLimitTokensAt).Seconds()*v.plan.RateLimit/sharingProcesses)
+	v.rateLimitTokensAt = s.now
+	if v.rateLimitTokens >= r.Units {
 		return 0
 	}
-	return s.now + seconds((r.Units-v.store)*hosts/v.plan.RateLimit) + s.set.MinStep
+	return s.now + toDuration((r.Units-v.rateLimitTokens)*sharingProcesses/v.plan.RateLimit) + s.settings.MinStep
 }
 
 // ---- Placement of new objects ----
 
-// place returns the lane for a request: its shard's, or for a new object the one of least expected wait.
-func (s *Scheduler) place(r *request) *lane {
+// placeRequest returns the queue for a request: its shard's, or for a new object the one with the smallest expected
+// wait.
+func (s *Scheduler) placeRequest(r *request) *shardQueue {
 	if n := s.byID[r.BoundEndpoint]; n != nil {
-		return s.laneOf(n.Shard)
+		return s.queueOf(n.Shard)
 	}
-	if r.Shard >= 0 || len(s.lanes) == 0 {
-		return s.laneOf(max(r.Shard, 0))
+	if r.Shard >= 0 || len(s.queues) == 0 {
+		return s.queueOf(max(r.Shard, 0))
 	}
-	var best *lane
-	least, from := math.Inf(1), s.rng.IntN(len(s.lanes))
-	for i := range s.lanes {
-		l := s.lanes[(from+i)%len(s.lanes)]
-		if w := s.wait(l); best == nil || w < least {
+	var best *shardQueue
+	least, from := math.Inf(1), s.rng.IntN(len(s.queues))
+	for i := range s.queues {
+		l := s.queues[(from+i)%len(s.queues)]
+		if w := s.expectedWait(l); best == nil || w < least {
 			best, least = l, w
 		}
 	}
 	return best
 }
 
-// wait estimates how long a request newly put in the lane would take.
-func (s *Scheduler) wait(l *lane) float64 {
-	n := l.node
+// expectedWait estimates how long a new request in the queue would take.
+func (s *Scheduler) expectedWait(l *shardQueue) float64 {
+	n := l.endpoint
 	if n == nil {
 		return math.Inf(1)
 	}
-	w := max(n.latency, 1e-3) * (1 + float64(len(l.held)+len(n.out))/n.window)
-	if s.troubled(n) || n.openAt > s.now {
-		w += 100 * s.leastAim.Seconds()
+	expected := max(n.latency, 1e-3) * (1 + float64(len(l.requests)+len(n.inFlight))/n.concurrencyLimit)
+	if s.isFaulty(n) || n.blockedUntil > s.now {
+		expected += 100 * s.minObjective.Seconds()
 	}
-	if n.Started > 0 && s.now-n.Started < s.set.Rules.WarmUpTime {
-		w *= 4
+	if n.Started > 0 && s.now-n.Started < s.settings.Rules.WarmUpTime {
+		expected *= 4
 	}
-	return w
+	return expected
 }
 
-// replace moves held new objects away from lanes that have become much worse than the best.
-func (s *Scheduler) replace() {
-	for _, l := range s.lanes {
-		for i := 0; i < len(l.held); i++ {
-			r := l.held[i]
-			if r.Shard >= 0 || r.mayRun || r.BoundEndpoint != "" {
+// rebalanceNewObjects moves queued new objects away from queues whose expected wait has become much larger than the
+// smallest.
+func (s *Scheduler) rebalanceNewObjects() {
+	for _, l := range s.queues {
+		for i := 0; i < len(l.requests); i++ {
+			r := l.requests[i]
+			if r.Shard >= 0 || r.mayHaveRun || r.BoundEndpoint != "" {
 				continue
 			}
-			if to := s.place(r); to != l && 2*s.wait(to) < s.wait(l) {
-				r.unhold()
-				to.hold(r)
+			if to := s.placeRequest(r); to != l && 2*s.expectedWait(to) < s.expectedWait(l) {
+				r.dequeue()
+				to.enqueue(r)
 				i--
 			}
 		}
--- a/internal/testbed/reference/state_test.go
+++ b/internal/testbed/reference/state_test.go
@@ -1,6 +1,6 @@
 package reference
 
-// What the module in scheduler.go keeps, and small helpers. No decision is taken here.
+// The state of the scheduler in scheduler_test.go, and small helpers. No decision is made here.
 
 import (
 	"cmp"
@@ -10,285 +10,291 @@
 	"time"
 )
 
-// never is a time that no clock reaches.
+// never is later than any time of the caller's clock.
 const never = time.Duration(math.MaxInt64)
 
-func seconds(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
+func toDuration(x float64) time.Duration { return time.Duration(min(x, 1e6) * float64(time.Second)) }
 
-// without returns the list with r taken out.
-func without(list []*request, r *request) []*request {
+// removeRequest returns the list without r.
+func removeRequest(list []*request, r *request) []*request {
 	if i := slices.Index(list, r); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-// request is a held or sent request; it stays known until it is answered and no attempt is out.
+// request is a queued or sent request. It is kept until it is answered and no attempt is in flight.
 type request struct {
 	Request
-	class    *Class
-	vol      *volume
-	lane     *lane
-	born     time.Duration // when its client first asked
-	fullAim  time.Duration // when the aim ends
-	due      time.Duration // when the client leaves
-	by       time.Duration // when it gets its answer, if nothing is out then
-	start    time.Duration // start tag
-	finish   time.Duration // finish tag
-	retryAt  time.Duration // no attempt before
-	heldAt   time.Duration // since when it is held, now or last
-	sent     int
-	out      *node // where its attempt is, if any
-	outAt    time.Duration
-	mayRun   bool          // an attempt may have run
-	ranZone  string        // where
-	ranShard int           // and at which shard
-	ranSince time.Duration // since when
-	drawn    bool          // its units were drawn from the volume's limit
-	late     bool          // can no longer be answered within the aim
-	earns    float64       // what a unit of it earns, as last looked at
-	aside    bool          // set aside: the node cannot do all in time, and this earns least
-	done     bool
-	heapAt   int // place among the times to answer by; -1: not there
-}
-
-// ask is what two tries of one client have in common.
-type ask struct {
+	class            *Class
+	volume           *volume
+	queue            *shardQueue
+	firstSeenAt      time.Duration // when it arrived; for a retry after a rejection, when the first try arrived
+	objectiveAt      time.Duration // end of its latency objective
+	deadlineAt       time.Duration // when its client gives up
+	answerBy         time.Duration // when it is answered without being served, unless an attempt is in flight
+	startTag         time.Duration // start tag
+	finishTag        time.Duration // finish tag
+	notBefore        time.Duration // no attempt is sent before
+	queuedSince      time.Duration // when it was last queued
+	attempts         int
+	inFlightAt       *endpoint // endpoint of the attempt in flight; nil: none
+	attemptStartedAt time.Duration
+	mayHaveRun       bool          // an attempt may have taken effect; of the first such attempt:
+	ranInZone        string        // zone
+	ranInShard       int           // shard
+	firstRanAt       time.Duration // when it started
+	rateLimitCharged bool          // its units were taken from the volume's rate limit
+	pastObjective    bool          // it cannot be answered within its objective any more
+	valuePerUnit     float64       // value of serving one unit, as last computed
+	deferred         bool          // the endpoint cannot serve all in time, and this one is among the least valuable
+	answered         bool
+	heapIndex        int // index in Scheduler.deadlines; -1: not in it
+}
+
+// requestIdentity is the fields that a rejected request and its client's retry have in common.
+type requestIdentity struct {
 	class, volume, extent string
 	units                 float64
 }
 
-func (r *request) sameAs() ask { return ask{r.Class, r.Volume, r.Extent, r.Units} }
+func (r *request) identity() requestIdentity {
+	return requestIdentity{r.Class, r.Volume, r.Extent, r.Units}
+}
 
-// volume is the client of RFQ: one bucket at this initiator.
+// volume is a client of fair queuing: one bucket at this initiator.
 type volume struct {
-	plan    *Plan
-	hosts   float64
-	tokens  float64
-	filled  time.Duration
-	backlog int // requests held or out here
-	own     float64
-	ownAt   time.Duration
-	total   float64
-	totalAt time.Duration
-	store   float64 // this initiator's part of the limit
-	storeAt time.Duration
-	owed    float64 // units of the reserve not yet served here
-	owedAt  time.Duration
-}
-
-// flow is a volume's tag state at one lane.
+	plan              *Plan
+	initiators        float64
+	tokens            float64
+	tokensAt          time.Duration
+	backlog           int // requests queued or in flight at this initiator
+	ownUsage          float64
+	ownUsageAt        time.Duration
+	totalUsage        float64
+	totalUsageAt      time.Duration
+	rateLimitTokens   float64 // bucket of this initiator's share of the rate limit
+	rateLimitTokensAt time.Duration
+	reserveTokens     float64 // bucket of the reserved rate, in units
+	reserveTokensAt   time.Duration
+}
+
+// flow is the tag state of one volume in one queue.
 type flow struct {
-	vol  *volume
-	maxS time.Duration
-	held int
-}
-
-// lane is the queue of one shard; its tags move together.
-type lane struct {
-	shard int
-	node  *node // where the shard is served now; nil: nowhere known
-	held  []*request
-	flows []*flow
-	byVol map[*volume]*flow
-	wake  time.Duration
-	sent  pace
-}
-
-// node is one server process.
-type node struct {
-	Node
-	out     []*request
-	window  float64
-	wide    int           // most requests ever out there at once: so many connections there are
-	latency float64       // smoothed, seconds for a request of mean size; 0: not known
-	base    float64       // a low quantile of it: what the node takes when little waits there
-	heard   time.Duration // when it last answered an attempt
-	told    time.Duration // when it last reported its load
-	atOnce  float64       // requests that it says to hold, smoothed
-	share   float64       // of what goes there, this initiator's over an even one, as its start was told
-	load    float64       // requests that it last said to hold or have waiting; -1: never told
-	pressed time.Duration // when a request here was last late or set aside
-	streak  float64       // bad outcomes since the last good one
-	openAt  time.Duration // no attempt before
-	last    string        // extent sent last
-	run     int           // how often in a row
-	recent  []draw        // units sent within the fall window that no answer stood for
-	served  []draw        // units answered that nothing was sent for yet
-}
-
-type draw struct {
+	volume      *volume
+	maxStartTag time.Duration
+	queued      int
+}
+
+// shardQueue is the queue of one shard. Its tags are shifted together.
+type shardQueue struct {
+	shard        int
+	endpoint     *endpoint // the endpoint that serves the shard now; nil: none is known
+	requests     []*request
+	flows        []*flow
+	flowByVolume map[*volume]*flow
+	wakeAt       time.Duration
+	sentRate     decayingRate
+}
+
+// endpoint is the state of one listed storage server process.
+type endpoint struct {
+	Endpoint
+	inFlight            []*request
+	concurrencyLimit    float64
+	maxInFlight         int           // most attempts ever in flight, hence the number of connections
+	latency             float64       // smoothed, in seconds for a request of mean size; 0: unknown
+	baseLatency         float64       // low quantile of the latency: the service time without a queue
+	lastAnswerAt        time.Duration // when an attempt was last answered
+	lastReportAt        time.Duration // when it last reported its load
+	reportedConcurrency float64       // requests in flight by its reports, smoothed
+	trafficShare        float64       // this initiator's traffic over an even share, estimated when the endpoint restarted
+	reportedLoad        float64       // requests queued or in flight by its last report; -1: none yet
+	congestedAt         time.Duration // when a request for it last expired or was deferred
+	failureStreak       float64       // failures since the last success
+	blockedUntil        time.Duration // no attempt is sent before
+	lastExtent          string        // extent of the last request sent
+	extentRun           int           // requests of that extent sent in a row
+	coldSent            []timedUnits  // units sent within the overload window that used no credit
+	coldCredit          []timedUnits  // units answered that no later send has used up
+}
+
+type timedUnits struct {
 	at    time.Duration
 	units float64
 }
 
-// spend notes that units are sent, for as many answered ones or as part of what may be sent unasked.
-func (n *node) spend(now time.Duration, units float64, cold bool) {
-	if !cold || total(n.served) < units {
-		n.recent = append(n.recent, draw{now, units})
+// chargeCold records units that are sent. At a cold endpoint they use up the credit of answered units if it is large
+// enough, and otherwise count against the even share.
+func (n *endpoint) chargeCold(now time.Duration, units float64, cold bool) {
+	if !cold || sumUnits(n.coldCredit) < units {
+		n.coldSent = append(n.coldSent, timedUnits{now, units})
 		return
 	}
-	for units > 0 && len(n.served) > 0 {
-		d := &n.served[0]
-		took := min(units, d.units)
-		d.units, units = d.units-took, units-took
+	for units > 0 && len(n.coldCredit) > 0 {
+		d := &n.coldCredit[0]
+		used := min(units, d.units)
+		d.units, units = d.units-used, units-used
 		if d.units <= 0 {
-			n.served = n.served[1:]
+			n.coldCredit = n.coldCredit[1:]
 		}
 	}
 }
 
-// pace is the units sent over about as long as it looks back.
-type pace struct {
+// decayingRate is an exponentially decaying sum of units, as of the time at.
+type decayingRate struct {
 	units float64
 	at    time.Duration
 }
 
-func (p *pace) now(now, over time.Duration) float64 {
+func (p *decayingRate) current(now, over time.Duration) float64 {
 	return p.units * math.Exp(-(now-p.at).Seconds()/max(over.Seconds(), 1e-3))
 }
 
-func (p *pace) add(now time.Duration, units float64, over time.Duration) {
-	p.units, p.at = p.now(now, over)+units, now
+func (p *decayingRate) add(now time.Duration, units float64, over time.Duration) {
+	p.units, p.at = p.current(now, over)+units, now
 }
 
-// noteWarm notes how long warm nodes take and how many they have in hand meanwhile.
-func (s *Scheduler) noteWarm(n *node, took float64, l *Load) {
-	if l == nil || !(l.InFlight >= 0 && l.InFlight < 1e6) || s.cold(n) {
+// updateWarmEstimates updates the mean service time and concurrency of warm endpoints.
+func (s *Scheduler) updateWarmEstimates(n *endpoint, serviceTime float64, load *Load) {
+	if load == nil || !(load.InFlight >= 0 && load.InFlight < 1e6) || s.isCold(n) {
 		return
 	}
-	s.service = cmp.Or(s.service, took)
-	s.service += (took - s.service) * windowGain / 8
-	s.atOnce += (l.InFlight - s.atOnce) * windowGain / 8
-	n.atOnce += (l.InFlight - n.atOnce) * windowGain
+	s.warmServiceTime = cmp.Or(s.warmServiceTime, serviceTime)
+	s.warmServiceTime += (serviceTime - s.warmServiceTime) * learningGain / 8
+	s.warmConcurrency += (load.InFlight - s.warmConcurrency) * learningGain / 8
+	n.reportedConcurrency += (load.InFlight - n.reportedConcurrency) * learningGain
 }
 
-// crew is the processes that act for this initiator: for the rules they are one.
-type crew struct {
-	size, before float64 // now, and until lately; 0: one
-	until        time.Duration
+// processGroup counts the processes that act as this initiator. They share the limits of one initiator.
+type processGroup struct {
+	size, previousSize float64 // number of processes now, and the one that applies until previousUntil; 0: one
+	previousUntil      time.Duration
 }
 
-// set takes over their number. What one that has gone sent counts for the span that the rule on cold nodes looks back.
-func (c *crew) set(size int, now, span time.Duration) {
+// resize sets the number of processes. After a process has exited, the larger number still applies for the window of
+// the cold start rule, in which its sends still count.
+func (c *processGroup) resize(size int, now, span time.Duration) {
 	if next := float64(size); next < c.size {
-		c.size, c.before, c.until = next, c.size, now+span
+		c.size, c.previousSize, c.previousUntil = next, c.size, now+span
 	} else {
 		c.size = next
 	}
 }
 
-// part is this process's part of what the rules allow them together.
-func (c *crew) part(now time.Duration) float64 {
-	if now < c.until {
-		return 1 / max(1, c.size, c.before)
+// fraction is this process's fraction of the initiator's limits.
+func (c *processGroup) fraction(now time.Duration) float64 {
+	if now < c.previousUntil {
+		return 1 / max(1, c.size, c.previousSize)
 	}
 	return 1 / max(1, c.size)
 }
 
-// since drops the draws before from.
-func since(list []draw, from time.Duration) []draw {
+// dropOlderUnits returns the ordered list without the entries before from.
+func dropOlderUnits(list []timedUnits, from time.Duration) []timedUnits {
 	for len(list) > 0 && list[0].at < from {
 		list = list[1:]
 	}
 	return list
 }
 
-// total sums the draws.
-func total(list []draw) (sum float64) {
+// sumUnits returns the total units of the entries.
+func sumUnits(list []timedUnits) (sum float64) {
 	for _, d := range list {
 		sum += d.units
 	}
 	return sum
 }
 
-// orderKey is the queue of one extent whose requests take turns.
-type orderKey struct {
-	line []*request
-	rest time.Duration
+// orderedExtent is an extent whose requests run one at a time.
+type orderedExtent struct {
+	queue      []*request
+	quietUntil time.Duration
 }
 
-func (l *lane) flow(v *volume) *flow {
-	f := l.byVol[v]
+func (l *shardQueue) flow(v *volume) *flow {
+	f := l.flowByVolume[v]
 	if f == nil {
-		f = &flow{vol: v}
-		l.byVol[v] = f
+		f = &flow{volume: v}
+		l.flowByVolume[v] = f
 		l.flows = append(l.flows, f)
 	}
 	return f
 }
 
-// hold queues the request at the lane, in order of aim.
-func (l *lane) hold(r *request) {
-	r.lane = l
-	at := len(l.held)
-	for at > 0 && l.held[at-1].fullAim > r.fullAim {
+// enqueue inserts the request in order of its objective.
+func (l *shardQueue) enqueue(r *request) {
+	r.queue = l
+	at := len(l.requests)
+	for at > 0 && l.requests[at-1].objectiveAt > r.objectiveAt {
 		at--
 	}
-	l.held = slices.Insert(l.held, at, r)
-	l.flow(r.vol).held++
+	l.requests = slices.Insert(l.requests, at, r)
+	l.flow(r.volume).queued++
 }
 
-// ahead is how much of the time that it has been held for its start tag lay ahead.
-func (r *request) ahead(now time.Duration) time.Duration { return max(0, min(r.start, now)-r.heldAt) }
+// startTagWait is how long, since it was last queued, the request has waited for its start tag.
+func (r *request) startTagWait(now time.Duration) time.Duration {
+	return max(0, min(r.startTag, now)-r.queuedSince)
+}
 
-// unhold takes the request out of its lane's queue, if it is there.
-func (r *request) unhold() {
-	l := r.lane
-	if i := slices.Index(l.held, r); i >= 0 {
-		l.held = slices.Delete(l.held, i, i+1)
-		l.flow(r.vol).held--
+// dequeue removes the request from its queue, if it is there.
+func (r *request) dequeue() {
+	l := r.queue
+	if i := slices.Index(l.requests, r); i >= 0 {
+		l.requests = slices.Delete(l.requests, i, i+1)
+		l.flow(r.volume).queued--
 	}
 }
 
-// clone copies what the settings share with their maker.
-func clone(set Settings) Settings {
+// cloneSettings copies the slices that the settings share with the caller.
+func cloneSettings(set Settings) Settings {
 	set.Classes, set.Plans = slices.Clone(set.Classes), slices.Clone(set.Plans)
 	return set
 }
 
-// sweep drops volumes that nothing was asked for since then, their flows and empty lanes, keys at rest, and nodes that
-// are gone.
+// sweep drops state that was not used after since: volumes and their flows, empty queues, ordered extents, and removed
+// endpoints.
 func (s *Scheduler) sweep(since time.Duration) {
-	idle := func(v *volume) bool { return v.backlog == 0 && v.filled < since && v.ownAt < since }
-	for _, l := range s.lanes {
+	idle := func(v *volume) bool { return v.backlog == 0 && v.tokensAt < since && v.ownUsageAt < since }
+	for _, l := range s.queues {
 		l.flows = slices.DeleteFunc(l.flows, func(f *flow) bool {
-			drop := f.held == 0 && idle(f.vol)
+			drop := f.queued == 0 && idle(f.volume)
 			if drop {
-				delete(l.byVol, f.vol)
+				delete(l.flowByVolume, f.volume)
 			}
 			return drop
 		})
 	}
-	// A lane of a shard that no known node holds, and nothing waits in, is what somebody once asked for in vain.
-	s.lanes = slices.DeleteFunc(s.lanes, func(l *lane) bool {
-		return len(l.held)+len(l.flows) == 0 && !slices.ContainsFunc(s.nodes, func(n *node) bool { return n.Shard == l.shard })
+	// An empty queue of a shard that no known endpoint serves was created by a request for an unknown shard.
+	s.queues = slices.DeleteFunc(s.queues, func(l *shardQueue) bool {
+		return len(l.requests)+len(l.flows) == 0 && !slices.ContainsFunc(s.endpoints, func(n *endpoint) bool { return n.Shard == l.shard })
 	})
 	maps.DeleteFunc(s.volumes, func(_ string, v *volume) bool { return idle(v) })
-	maps.DeleteFunc(s.keys, func(_ string, k *orderKey) bool { return len(k.line) == 0 && k.rest < since })
-	s.nodes = slices.DeleteFunc(s.nodes, func(n *node) bool {
-		gone := n.State == Removed && len(n.out) == 0 && n.heard < since
-		if gone {
+	maps.DeleteFunc(s.orderedExtents, func(_ string, k *orderedExtent) bool { return len(k.queue) == 0 && k.quietUntil < since })
+	s.endpoints = slices.DeleteFunc(s.endpoints, func(n *endpoint) bool {
+		drop := n.State == Removed && len(n.inFlight) == 0 && n.lastAnswerAt < since
+		if drop {
 			delete(s.byID, n.ID)
 		}
-		return gone
+		return drop
 	})
 }
 
-// laneOf returns the lane of a shard, made at first need.
-func (s *Scheduler) laneOf(shard int) *lane {
-	for _, l := range s.lanes {
+// queueOf returns the queue of a shard, created at first use.
+func (s *Scheduler) queueOf(shard int) *shardQueue {
+	for _, l := range s.queues {
 		if l.shard == shard {
 			return l
 		}
 	}
-	l := &lane{shard: shard, byVol: map[*volume]*flow{}}
-	s.lanes = append(s.lanes, l)
+	l := &shardQueue{shard: shard, flowByVolume: map[*volume]*flow{}}
+	s.queues = append(s.queues, l)
 	return l
 }
 
-// trim drops the times before from.
-func trim(list []time.Duration, from time.Duration) []time.Duration {
+// dropOlderTimes returns the ordered list without the times before from.
+func dropOlderTimes(list []time.Duration, from time.Duration) []time.Duration {
 	cut := 0
 	for cut < len(list) && list[cut] < from {
 		cut++
@@ -296,62 +302,62 @@
 	return list[cut:]
 }
 
-// dueHeap orders requests by when they must be answered.
-type dueHeap []*request
+// deadlineHeap orders requests by the time at which they must be answered.
+type deadlineHeap []*request
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].by < h[j].by || h[i].by == h[j].by && h[i].ID < h[j].ID
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
+	return h[i].answerBy < h[j].answerBy || h[i].answerBy == h[j].answerBy && h[i].ID < h[j].ID
 }
-func (h dueHeap) Swap(i, j int) {
+func (h deadlineHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].heapAt, h[j].heapAt = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
-func (h *dueHeap) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	r := x.(*request)
-	r.heapAt = len(*h)
+	r.heapIndex = len(*h)
 	*h = append(*h, r)
 }
-func (h *dueHeap) Pop() any {
+func (h *deadlineHeap) Pop() any {
 	old := *h
 	r := old[len(old)-1]
-	r.heapAt = -1
+	r.heapIndex = -1
 	*h = old[:len(old)-1]
 	return r
 }
 
-func (s *Scheduler) act(a Action) { s.actions = append(s.actions, a) }
+func (s *Scheduler) emit(a Action) { s.actions = append(s.actions, a) }
 
-// EjectedCount tells how many of the listed nodes get no request, or one trial at a time.
+// EjectedCount returns the number of listed endpoints that are draining or ejected.
 func (s *Scheduler) EjectedCount() (n int) {
-	for _, x := range s.nodes {
-		if x.State == Draining || s.avoids(x) {
+	for _, x := range s.endpoints {
+		if x.State == Draining || s.isEjected(x) {
 			n++
 		}
 	}
 	return n
 }
 
-// EndpointFor names the node that a request for the shard would go to now; empty: none. It is asked for where a
-// body must be on its way before the request can be decided on.
+// EndpointFor returns the ID of the endpoint that a request for the shard would go to now; empty: none. Callers use it
+// where a body must be streamed before the request can be decided on.
 func (s *Scheduler) EndpointFor(shard int) string {
 	r := &request{Request: Request{Shard: shard}}
-	if l := s.place(r); l.node != nil {
-		return l.node.ID
+	if l := s.placeRequest(r); l.endpoint != nil {
+		return l.endpoint.ID
 	}
 	return ""
 }
 
-// forget drops a finished request that has no attempt out.
+// forget drops an answered request that has no attempt in flight.
 func (s *Scheduler) forget(r *request) {
 	delete(s.requests, r.ID)
-	r.vol.backlog--
-	k := s.keys[r.Extent]
+	r.volume.backlog--
+	k := s.orderedExtents[r.Extent]
 	if k == nil || !r.class.Ordered {
 		return
 	}
-	k.line = without(k.line, r)
-	if len(k.line) == 0 && k.rest <= s.now {
-		delete(s.keys, r.Extent)
+	k.queue = removeRequest(k.queue, r)
+	if len(k.queue) == 0 && k.quietUntil <= s.now {
+		delete(s.orderedExtents, r.Extent)
 	}
 }
