--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -38,20 +38,20 @@
 	const short, long = 150 * time.Millisecond, 30 * time.Second
 	text := []byte("twelve bytes")
 	for _, c := range []struct {
-		name        string
-		there, back Impairment
-		least       time.Duration // earliest arrival of the echo
-		never       bool          // no echo before the link is healed
-		after       bool          // the echo arrives after that
+		name             string
+		forward, reverse Impairment
+		least            time.Duration // earliest arrival of the echo
+		never            bool          // no echo before the link is healed
+		after            bool          // the echo arrives after that
 	}{
 		{name: "open"},
-		{name: "delay there", there: Impairment{Delay: short}, least: short},
-		{name: "delay both", there: Impairment{Delay: short}, back: Impairment{Delay: short}, least: 2 * short},
-		{name: "rate", back: Impairment{Rate: 60}, least: 200 * time.Millisecond},
-		{name: "hold there", there: Impairment{Hold: true}, never: true, after: true},
-		{name: "hold back", back: Impairment{Hold: true}, never: true, after: true},
-		{name: "drop there", there: Impairment{Drop: true}, never: true},
-		{name: "drop back", back: Impairment{Drop: true}, never: true},
+		{name: "delay forward", forward: Impairment{Delay: short}, least: short},
+		{name: "delay both", forward: Impairment{Delay: short}, reverse: Impairment{Delay: short}, least: 2 * short},
+		{name: "rate", reverse: Impairment{Rate: 60}, least: 200 * time.Millisecond},
+		{name: "hold forward", forward: Impairment{Hold: true}, never: true, after: true},
+		{name: "hold reverse", reverse: Impairment{Hold: true}, never: true, after: true},
+		{name: "drop forward", forward: Impairment{Drop: true}, never: true},
+		{name: "drop reverse", reverse: Impairment{Drop: true}, never: true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			k, err := NewLink("a", "b", echo(t))
@@ -64,7 +64,7 @@
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			k.Set(c.there, c.back)
+			k.Set(c.forward, c.reverse)
 			began := time.Now()
 			_, _ = conn.Write(text)
 			got := make([]byte, len(text))
--- a/internal/testbed/scale/hollow/checker.go
+++ b/internal/testbed/scale/hollow/checker.go
@@ -66,20 +66,20 @@
 }
 
 // RecordApplied records that a version was applied.
-func (j *Checker) RecordApplied(lane Stream, version uint64, at time.Duration) {
+func (j *Checker) RecordApplied(stream Stream, version uint64, at time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	all := j.applied[lane]
+	all := j.applied[stream]
 	if len(all) > 0 {
 		switch last := all[len(all)-1].Version; {
 		case version < last:
-			j.recordViolation("%s: version %d applied after %d", lane, version, last)
+			j.recordViolation("%s: version %d applied after %d", stream, version, last)
 			return
 		case version == last:
 			return
 		}
 	}
-	j.applied[lane] = append(all, AppliedVersion{version, at})
+	j.applied[stream] = append(all, AppliedVersion{version, at})
 }
 
 // RecordTargets records entries of targets that were applied.
@@ -106,11 +106,11 @@
 	if j.life != life {
 		j.life, j.reportedThisLife = life, map[Stream]uint64{}
 	}
-	for lane, v := range map[Stream]uint64{Targets: targets, Config: config} {
-		if v < j.reportedThisLife[lane] || v > 0 && v < j.reported[lane] {
-			j.recordViolation("%s: reports version %d as applied after %d", lane, v, j.reported[lane])
+	for stream, v := range map[Stream]uint64{Targets: targets, Config: config} {
+		if v < j.reportedThisLife[stream] || v > 0 && v < j.reported[stream] {
+			j.recordViolation("%s: reports version %d as applied after %d", stream, v, j.reported[stream])
 		}
-		j.reportedThisLife[lane], j.reported[lane] = max(v, j.reportedThisLife[lane]), max(v, j.reported[lane])
+		j.reportedThisLife[stream], j.reported[stream] = max(v, j.reportedThisLife[stream]), max(v, j.reported[stream])
 	}
 }
 
@@ -145,21 +145,21 @@
 }
 
 // Version returns the newest version of a stream that is known to be applied; 0: none.
-func (j *Checker) Version(lane Stream) uint64 {
+func (j *Checker) Version(stream Stream) uint64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	v := j.reported[lane]
-	if all := j.applied[lane]; len(all) > 0 {
+	v := j.reported[stream]
+	if all := j.applied[stream]; len(all) > 0 {
 		v = max(v, all[len(all)-1].Version)
 	}
 	return v
 }
 
 // AppliedAt returns when a version, or the first one after it, was applied; false: none was.
-func (j *Checker) AppliedAt(lane Stream, version uint64) (time.Duration, bool) {
+func (j *Checker) AppliedAt(stream Stream, version uint64) (time.Duration, bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	all := j.applied[lane]
+	all := j.applied[stream]
 	i := sort.Search(len(all), func(i int) bool { return all[i].Version >= version })
 	if i == len(all) {
 		return 0, false
--- a/internal/testbed/scale/hollow/checker_test.go
+++ b/internal/testbed/scale/hollow/checker_test.go
@@ -14,8 +14,8 @@
 	return []listing.Entry{{ID: id, StartedMs: turn, State: state}}
 }
 
-// TestJournal checks which histories the checker reports as violations and which it accepts.
-func TestJournal(t *testing.T) {
+// TestChecker checks which histories the checker reports as violations and which it accepts.
+func TestChecker(t *testing.T) {
 	life, next := new(int), new(int)
 	for _, c := range []struct {
 		name   string
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestWhen checks when a version was applied, also one that was skipped.
-func TestWhen(t *testing.T) {
+// TestAppliedAt checks when a version was applied, also one that was skipped.
+func TestAppliedAt(t *testing.T) {
 	j := NewChecker("h1")
 	j.RecordApplied(Targets, 3, 30*time.Millisecond)
 	j.RecordApplied(Targets, 7, 70*time.Millisecond)
@@ -98,8 +98,8 @@
 	require.Equal(t, uint64(7), j.Version(Targets))
 }
 
-// TestBounded checks that few texts are kept of many violations, and all are counted.
-func TestBounded(t *testing.T) {
+// TestViolationTextsBounded checks that few texts are kept of many violations, and all are counted.
+func TestViolationTextsBounded(t *testing.T) {
 	j := NewChecker("h1")
 	for range 100 {
 		j.RecordViolation("again")
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -92,13 +92,13 @@
 	return s, strings.TrimPrefix(front.URL, "http://")
 }
 
-func waitVersion(t *testing.T, in *Initiator, lane Stream, v uint64) {
+func waitVersion(t *testing.T, in *Initiator, stream Stream, v uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
+	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(stream) >= v }, time.Minute, 5*time.Millisecond, "%s %d", stream, v)
 }
 
-// TestFeed has a hollow initiator with a policy and a copy on disk follow changes, stop, and start again.
-func TestFeed(t *testing.T) {
+// TestWatchStream has a hollow initiator with a policy and a copy on disk follow changes, stop, and start again.
+func TestWatchStream(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, stateServing)), put(target("b", 1, 0, stateServing)))
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
@@ -112,7 +112,7 @@
 	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 2, stateServing)), put(target("b", 1, 1, "DRAINING"))))
 	in.Stop(true)
 	require.False(t, in.Running())
-	read, written, _ := in.TransferredBytes()
+	read, written, _ := in.StreamTotals()
 	require.Positive(t, read)
 	require.Positive(t, written)
 	in.Checker.RecordRestart(true)
@@ -124,9 +124,9 @@
 	require.Zero(t, n, what)
 }
 
-// TestModuleSends checks that the checker sees what the policy sends: once a target's drain is applied the policy sends
+// TestCheckerSeesSends checks that the checker sees what the policy sends: once a target's drain is applied the policy sends
 // nothing to it, and a drain that is hidden from the policy leads to violations.
-func TestModuleSends(t *testing.T) {
+func TestCheckerSeesSends(t *testing.T) {
 	j := NewChecker("h1")
 	m, err := newPolicyLoop(testSettings(t), 1, j)
 	require.NoError(t, err)
@@ -180,8 +180,8 @@
 	require.Zero(t, n, what)
 }
 
-// TestDeaf checks that a source accepts the pipelined requests of a client that never reads.
-func TestDeaf(t *testing.T) {
+// TestNeverReadingClient checks that a source accepts the pipelined requests of a client that never reads.
+func TestNeverReadingClient(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, stateServing)))
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: discardLog, WatchStream: &edge.Options{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
--- a/internal/testbed/scale/hollow/policy.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -34,12 +34,12 @@
 	done func()
 }
 
-func newPolicyLoop(set policy.Settings, seed uint64, j *Checker) (*policyLoop, error) {
+func newPolicyLoop(set policy.Settings, seed uint64, checker *Checker) (*policyLoop, error) {
 	m, err := policy.New(set, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &policyLoop{scheduler: m, settings: set, clock: core.NewClock(), checker: j, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
+	return &policyLoop{scheduler: m, settings: set, clock: core.NewClock(), checker: checker, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
 }
 
 func (x *policyLoop) enqueue(l *listing.List, done func()) { x.inbox.Put(pendingList{l, done}) }
@@ -79,17 +79,17 @@
 }
 
 func (x *policyLoop) apply(l pendingList) {
-	nodes := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Targets))}
+	endpoints := policy.EndpointList{Full: l.list.Full, Endpoints: make([]policy.Endpoint, len(l.list.Targets))}
 	for i, e := range l.list.Targets {
-		nodes.Endpoints[i] = e.Endpoint()
+		endpoints.Endpoints[i] = e.Endpoint()
 	}
 	x.checker.RecordTargets(l.list.Targets) // before the step: sends decided earlier do not violate this list
-	x.step(nodes)
+	x.step(endpoints)
 	l.done()
 	if l.list.Full {
 		return
 	}
-	for _, n := range nodes.Endpoints[:min(probeRequests, len(nodes.Endpoints))] {
+	for _, n := range endpoints.Endpoints[:min(probeRequests, len(endpoints.Endpoints))] {
 		x.requestCount++
 		id := strconv.Itoa(x.requestCount)
 		x.openRequests[id] = true
--- a/internal/testbed/scale/hollow/stream.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -93,18 +93,18 @@
 	}
 }
 
-// TransferredBytes returns how many bytes the follower's own transport has read and written, and how often it switched
+// StreamTotals returns how many bytes the follower's own transport has read and written, and how often it switched
 // relays. Traffic through the process's default transport is not included.
-func (in *Initiator) TransferredBytes() (read, written, moves uint64) {
+func (in *Initiator) StreamTotals() (read, written, switches uint64) {
 	in.mu.Lock()
-	read, written, moves = in.stream.earlierBytesIn, in.stream.earlierBytesOut, in.stream.earlierSwitches
+	read, written, switches = in.stream.earlierBytesIn, in.stream.earlierBytesOut, in.stream.earlierSwitches
 	f := in.stream.current.Load()
 	in.mu.Unlock()
 	if f != nil {
 		s := f.State()
-		read, written, moves = read+s.BytesIn, written+s.BytesOut, moves+s.Switches
+		read, written, switches = read+s.BytesIn, written+s.BytesOut, switches+s.Switches
 	}
-	return read, written, moves
+	return read, written, switches
 }
 
 // pipelinedRequests is how many requests a client that never reads sends at once.
--- a/internal/testbed/scale/run/tell.go
+++ b/internal/testbed/scale/run/tell.go
@@ -30,7 +30,7 @@
 		} else if len(s.Lags) < 4 {
 			s.Lags = append(s.Lags, in.Name())
 		}
-		in, out, moves := in.TransferredBytes()
+		in, out, moves := in.StreamTotals()
 		s.In, s.Out, s.Moves = s.In+int64(in), s.Out+int64(out), s.Moves+moves
 	}
 	s.Pending = int(h.pending.Load())
