--- a/internal/testbed/faults/budget_test.go
+++ b/internal/testbed/faults/budget_test.go
@@ -196,8 +196,8 @@
 least = 0.5
 least_burst = 1
 `, map[string]float64{"repeat": repeats, "cold": cold}, InstanceOptions{Rules: rules})
-	for _, x := range f.targets.All {
-		x.ServiceTime.Store(int64(20 * time.Millisecond))
+	for _, target := range f.targets.All {
+		target.ServiceTime.Store(int64(20 * time.Millisecond))
 	}
 	f.setLoad(60)
 	f.WaitFor("the fleet to serve", func() bool { return f.targets.Monitor.Rate(time.Second)[0] > 200 })
@@ -250,9 +250,9 @@
 	}
 }
 
-// TestSeats checks the outcome for processes without a session: one whose name is taken, an upgrade under the same
+// TestSessions checks the outcome for processes without a session: one whose name is taken, an upgrade under the same
 // name, one for which no session is left, and one that resumes after its session has expired.
-func TestSeats(t *testing.T) {
+func TestSessions(t *testing.T) {
 	small := strings.Replace(strings.Replace(quotaHeader, "seats = 20", "seats = 3", 1), "seat_s = 6", "seat_s = 2", 1)
 	f := newFleet(t, 1, 1, small+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	o := InstanceOptions{Agents: f.agents, Targets: f.targets, Peers: 3}
@@ -289,9 +289,9 @@
 	waitReason(third, "FLEET_JOINED", 2)
 }
 
-// TestAgentsHurt fills the disk of the leading agent while budgets are changed, restarts an agent with an empty folder,
+// TestAgentFaults fills the disk of the leading agent while budgets are changed, restarts an agent with an empty folder,
 // and reduces a budget's capacity while all of it is allocated.
-func TestAgentsHurt(t *testing.T) {
+func TestAgentFaults(t *testing.T) {
 	f := newFleet(t, 3, 1, quotaHeader+workBudget, map[string]float64{"work": workRate}, InstanceOptions{})
 	f.setLoad(150)
 	f.waitServed("all capacity allocated", 0.8*workRate)
--- a/internal/testbed/faults/descriptors_test.go
+++ b/internal/testbed/faults/descriptors_test.go
@@ -14,12 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestIdleFill guards against idle clients that exhaust the descriptors. While discovery is down, idle connections,
+// TestIdleClientsFillDescriptors guards against idle clients that exhaust the descriptors. While discovery is down, idle connections,
 // some silent, some with half a request head and some after a request, fill all descriptors that they can get. The
 // control address must answer all the while, and once discovery is back the process must get the list, become ready and
 // serve a request while the idle clients stay. This must hold both for the limit in the settings and for a lower limit
 // of the machine.
-func TestIdleFill(t *testing.T) {
+func TestIdleClientsFillDescriptors(t *testing.T) {
 	for _, files := range []int{0, 160, 96, 64} {
 		t.Run(fmt.Sprint(files), func(t *testing.T) {
 			r := New(t)
--- a/internal/testbed/faults/faults_test.go
+++ b/internal/testbed/faults/faults_test.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestSilentFollowed guards against an instance that waits on a paused agent: it must learn of a new configuration from
+// TestFollowedAgentSilent guards against an instance that waits on a paused agent: it must learn of a new configuration from
 // another agent long before the 30 s after which a watch request once timed out.
-func TestSilentFollowed(t *testing.T) {
+func TestFollowedAgentSilent(t *testing.T) {
 	r := New(t)
 	g := r.StartAgents(3)
 	silentAgent := (g.Leader() + 1) % 3
--- a/internal/testbed/faults/lease_test.go
+++ b/internal/testbed/faults/lease_test.go
@@ -141,10 +141,10 @@
 	return seen
 }
 
-// TestActsPaused guards against a holder that resumes after its lease has expired: holders are stopped at each step of
+// TestOperationsPaused guards against a holder that resumes after its lease has expired: holders are stopped at each step of
 // an operation for longer than their lease, and their shards move to others. The guarded folder must reject what the
 // old holders do when they resume.
-func TestActsPaused(t *testing.T) {
+func TestOperationsPaused(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0, 0.9995)
 	pausesInside := 0
@@ -275,10 +275,10 @@
 	d.checkWitness()
 }
 
-// TestLeaseAgentsHurt drives faults of agents: the leader killed between a grant and its response, or stopped there
+// TestLeaseAgentFaults drives faults of agents: the leader killed between a grant and its response, or stopped there
 // past all leases; an isolated leader with a member that reaches no other agent; a full disk during a grant; all agents
 // paused for longer than leases last.
-func TestLeaseAgentsHurt(t *testing.T) {
+func TestLeaseAgentFaults(t *testing.T) {
 	t.Parallel()
 	d := newLeaseFleet(t, 3, 4, 1.0005, 0.9995)
 	callCount := func() int {
--- a/internal/testbed/faults/members_test.go
+++ b/internal/testbed/faults/members_test.go
@@ -52,12 +52,12 @@
 	defer stop()
 
 	// Paused past its suspicion, declared dead, and back under the same ID.
-	birth := m.Members[3].StateOf("m3").ID
+	idBefore := m.Members[3].StateOf("m3").ID
 	m.Members[3].Pause()
 	declaredDead := r.WaitFor("the paused member to be declared dead", func() bool { return m.allReport("m3", inState(membership.StateDead), 3) })
 	m.Members[3].Resume()
 	r.WaitFor("the paused member to be live again", func() bool {
-		return m.allReport("m3", func(s membership.MemberView) bool { return isLive(s) && s.ID == birth && s.Incarnation > 1 }) && m.Converged()
+		return m.allReport("m3", func(s membership.MemberView) bool { return isLive(s) && s.ID == idBefore && s.Incarnation > 1 }) && m.Converged()
 	})
 	require.Contains(t, m.Members[3].Log()+m.Members[0].Log(), "MEMBER_DEAD")
 
@@ -70,7 +70,7 @@
 	// One direction of a path cut: it is reported with its direction, the report is withdrawn when the path is healed,
 	// and no member is declared dead.
 	m.SetPath(0, 1, PathCut)
-	named := r.WaitFor("the cut path to be reported", func() bool {
+	reportedAfter := r.WaitFor("the cut path to be reported", func() bool {
 		for _, at := range []int{0, 1, 9} {
 			v, _ := m.Members[at].View()
 			if !slices.ContainsFunc(v.Paths, func(w membership.PathView) bool { return w.From == "m0" && w.To == "m1" && w.Kind == "cut" }) {
@@ -149,7 +149,7 @@
 	require.NoError(t, json.Unmarshal([]byte(out), &v))
 	require.Equal(t, 19, v.Size)
 	t.Logf("in probe intervals: joined %.1f, declared dead after a pause %.1f, after a kill %.1f, a cut path reported %.1f, views converged after a mute member %.1f, after two halves %.1f",
-		joined.Seconds()*1000/probeMs, declaredDead.Seconds()*1000/probeMs, killed.Seconds()*1000/probeMs, named.Seconds()*1000/probeMs,
+		joined.Seconds()*1000/probeMs, declaredDead.Seconds()*1000/probeMs, killed.Seconds()*1000/probeMs, reportedAfter.Seconds()*1000/probeMs,
 		convergedAfterMute.Seconds()*1000/probeMs, convergedAfterSplit.Seconds()*1000/probeMs)
 }
 
@@ -235,9 +235,9 @@
 	t.Logf("seed %d, %v: %v; views converged after %.1f probe intervals", seed, length, counts, convergedAfter.Seconds()*1000/probeMs)
 }
 
-// TestMembersHard goes through further faults with twelve instances: a member that only two others receive from,
+// TestMemberFaults goes through further faults with twelve instances: a member that only two others receive from,
 // message loss, blocked streams, a restart of half the group, loss of all seeds, and an upgrade.
-func TestMembersHard(t *testing.T) {
+func TestMemberFaults(t *testing.T) {
 	t.Parallel()
 	r := New(t)
 	targets := r.StartTargets(1, nil)
--- a/internal/testbed/faults/stream_test.go
+++ b/internal/testbed/faults/stream_test.go
@@ -138,12 +138,12 @@
 	return all
 }
 
-// TestFeedScheduled runs random faults by a seed while targets drain and serve again: relays and agents are killed and
+// TestStreamScheduled runs random faults by a seed while targets drain and serve again: relays and agents are killed and
 // paused, a region is cut off and reconnected, initiators are paused and restarted, and discovery publishes now and
 // then that all targets serve. No request may reach a target after its drain was applied, no applied version may go
 // back, and no status may count more initiators than have a version. In manual runs SPINDLEHITCH_FAULTS sets the length
 // (such as 10m) and SPINDLEHITCH_SEED another seed.
-func TestFeedScheduled(t *testing.T) {
+func TestStreamScheduled(t *testing.T) {
 	length, seed := 14*time.Second, uint64(1)
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length = d
@@ -294,10 +294,10 @@
 	return watchstream.Put{Kind: watchstream.Config, Key: key, Value: fmt.Appendf(nil, value, args...)}
 }
 
-// TestFeedConfiguration has two initiators take their configuration in layers from the watch stream. An invalid one is
+// TestStreamedConfiguration has two initiators take their configuration in layers from the watch stream. An invalid one is
 // rejected with the name of its field, which the agents report; the last valid configuration stays in use, also if the
 // process is restarted while no relay runs.
-func TestFeedConfiguration(t *testing.T) {
+func TestStreamedConfiguration(t *testing.T) {
 	r := New(t)
 	f := &streamFleet{Rig: r, t: t, targets: r.StartTargets(1, nil), startedMs: map[string]int64{"t0": 1000}}
 	agents := r.StartAgents(3)
--- a/internal/testbed/faults/task_test.go
+++ b/internal/testbed/faults/task_test.go
@@ -46,9 +46,9 @@
 
 const watchTask = "[[task]]\nname = \"watch\"\nkind = \"watch\"\nshards = 4\nlease_ms = 1500\nact_ms = 600\nevery_ms = 300\nprogress_ms = 4000\npause_ms = 300\n"
 
-// TestWatching has a target answer all requests with errors: the members eject it, one of them probes it for all,
+// TestSharedProbes has a target answer all requests with errors: the members eject it, one of them probes it for all,
 // another does after that one is killed, and all use the target once it is healthy.
-func TestWatching(t *testing.T) {
+func TestSharedProbes(t *testing.T) {
 	t.Parallel()
 	d := newTaskFleet(t, 4, 2, watchTask, `"watch"`, nil)
 	bad := d.targets.All[1]
@@ -297,9 +297,9 @@
 	d.checkWitness()
 }
 
-// TestMeasureWatching measures the probes at an ejected target and the time until members learn that it is healthy
+// TestMeasureSharedProbes measures the probes at an ejected target and the time until members learn that it is healthy
 // again, with one member probing for all against each on its own. Manual only, with SPINDLEHITCH_FAULTS set.
-func TestMeasureWatching(t *testing.T) {
+func TestMeasureSharedProbes(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
 		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
--- a/internal/testbed/scale/hollow/checker.go
+++ b/internal/testbed/scale/hollow/checker.go
@@ -30,15 +30,15 @@
 // specification, independently of the code under test: versions only grow; once a target's drain has been applied its
 // older state is never applied again, and nothing is sent to the target. mu guards all fields but name.
 type Checker struct {
-	name             string
-	mu               sync.Mutex
-	applied          map[Stream][]AppliedVersion
-	targets          map[string]targetState // newest applied state of each target that was changed
-	reported         map[Stream]uint64      // newest version reported, over all runs
-	reportedThisLife map[Stream]uint64      // newest version reported in this run
-	life             any
-	violations       []string
-	violationCount   int
+	name            string
+	mu              sync.Mutex
+	applied         map[Stream][]AppliedVersion
+	targets         map[string]targetState // newest applied state of each target that was changed
+	reported        map[Stream]uint64      // newest version reported, over all runs
+	reportedThisRun map[Stream]uint64      // newest version reported in this run
+	run             any
+	violations      []string
+	violationCount  int
 }
 
 // targetState is the newest applied state of a target. Scale runs number the changes of each target in its started_ms.
@@ -55,12 +55,12 @@
 	return &Checker{name: name, applied: map[Stream][]AppliedVersion{}, targets: map[string]targetState{}, reported: map[Stream]uint64{}}
 }
 
-// RecordRestart records that the initiator starts again. If kept is false it has lost its copy on disk, and versions
+// RecordRestart records that the initiator starts again. If diskKept is false it has lost its copy on disk, and versions
 // may start again.
-func (j *Checker) RecordRestart(kept bool) {
+func (j *Checker) RecordRestart(diskKept bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if !kept {
+	if !diskKept {
 		j.applied, j.targets, j.reported = map[Stream][]AppliedVersion{}, map[string]targetState{}, map[Stream]uint64{}
 	}
 }
@@ -90,50 +90,50 @@
 		if e.StartedMs == 0 {
 			continue // the state at the beginning of the run
 		}
-		if had, there := j.targets[e.ID]; there && e.StartedMs < had.changeNumber {
-			j.recordViolation("target %s: change %d (%s) applied after change %d (%s)", e.ID, e.StartedMs, e.State, had.changeNumber, had.state)
+		if previous, known := j.targets[e.ID]; known && e.StartedMs < previous.changeNumber {
+			j.recordViolation("target %s: change %d (%s) applied after change %d (%s)", e.ID, e.StartedMs, e.State, previous.changeNumber, previous.state)
 			continue
 		}
 		j.targets[e.ID] = targetState{e.StartedMs, e.State}
 	}
 }
 
-// RecordReported records the versions that one run of the initiator, identified by life, reports as applied. A new run
+// RecordReported records the versions that one run of the initiator, identified by run, reports as applied. A new run
 // reports 0 until it has read its copy on disk; from then on it must not report less than an earlier run.
-func (j *Checker) RecordReported(life any, targets, config uint64) {
+func (j *Checker) RecordReported(run any, targets, config uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.life != life {
-		j.life, j.reportedThisLife = life, map[Stream]uint64{}
+	if j.run != run {
+		j.run, j.reportedThisRun = run, map[Stream]uint64{}
 	}
 	for stream, v := range map[Stream]uint64{Targets: targets, Config: config} {
-		if v < j.reportedThisLife[stream] || v > 0 && v < j.reported[stream] {
+		if v < j.reportedThisRun[stream] || v > 0 && v < j.reported[stream] {
 			j.recordViolation("%s: reports version %d as applied after %d", stream, v, j.reported[stream])
 		}
-		j.reportedThisLife[stream], j.reported[stream] = max(v, j.reportedThisLife[stream]), max(v, j.reported[stream])
+		j.reportedThisRun[stream], j.reported[stream] = max(v, j.reportedThisRun[stream]), max(v, j.reported[stream])
 	}
 }
 
 // RecordViolation records a violation that the caller has found.
-func (j *Checker) RecordViolation(form string, about ...any) {
+func (j *Checker) RecordViolation(format string, args ...any) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.recordViolation(form, about...)
+	j.recordViolation(format, args...)
 }
 
 // RecordSend records that the policy sends a request to a target.
 func (j *Checker) RecordSend(target string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if t, there := j.targets[target]; there && t.state != stateServing {
+	if t, known := j.targets[target]; known && t.state != stateServing {
 		j.recordViolation("target %s: request sent to it in state %s", target, t.state)
 	}
 }
 
 // recordViolation records a violation. The caller must hold mu.
-func (j *Checker) recordViolation(form string, about ...any) {
+func (j *Checker) recordViolation(format string, args ...any) {
 	if j.violationCount++; len(j.violations) < maxViolationTexts {
-		j.violations = append(j.violations, j.name+": "+fmt.Sprintf(form, about...))
+		j.violations = append(j.violations, j.name+": "+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -86,13 +86,13 @@
 		in.membership = p
 	}
 	if in.opt.WatchStream != nil {
-		run, err := in.newFollower(m)
+		runFollower, err := in.newFollower(m)
 		if err != nil {
 			stop()
 			in.running.Wait()
 			return err
 		}
-		in.running.Go(func() { run(ctx) })
+		in.running.Go(func() { runFollower(ctx) })
 	}
 	in.mu.Lock()
 	in.stop = stop
--- a/internal/testbed/scale/hollow/policy.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -34,12 +34,12 @@
 	done func()
 }
 
-func newPolicyLoop(set policy.Settings, seed uint64, checker *Checker) (*policyLoop, error) {
-	m, err := policy.New(set, seed)
+func newPolicyLoop(settings policy.Settings, seed uint64, checker *Checker) (*policyLoop, error) {
+	m, err := policy.New(settings, seed)
 	if err != nil {
 		return nil, err
 	}
-	return &policyLoop{scheduler: m, settings: set, clock: core.NewClock(), checker: checker, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
+	return &policyLoop{scheduler: m, settings: settings, clock: core.NewClock(), checker: checker, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
 }
 
 func (x *policyLoop) enqueue(l *listing.List, done func()) { x.inbox.Put(pendingList{l, done}) }
