--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -17,7 +17,7 @@
 // at once, the target's backend, the target and its address.
 func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
 	t.Helper()
-	f := issue.Into(t, dir, time.Hour)
+	f := issue.WriteCertificates(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
 	hostKeys, err := keys.Load(f)
 	if err != nil {
@@ -82,7 +82,7 @@
 			t.Fatalf("write %d: %v", n, r.Code)
 		}
 		if time.Since(last) > 500*time.Millisecond {
-			issue.Into(t, dir, time.Hour)
+			issue.WriteCertificates(t, dir, time.Hour)
 			if err := k.Reload(); err != nil {
 				t.Fatal(err)
 			}
@@ -126,7 +126,7 @@
 func TestOldKeysAreRejected(t *testing.T) {
 	dir := t.TempDir()
 	k, backend, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
-	f := issue.Into(t, t.TempDir(), time.Hour) // from another certificate authority
+	f := issue.WriteCertificates(t, t.TempDir(), time.Hour) // from another certificate authority
 	otherCA, err := keys.Load(f)
 	if err != nil {
 		t.Fatal(err)
@@ -156,7 +156,7 @@
 		result <- r
 	}()
 	<-backend.received
-	issue.Into(t, dir, time.Hour)
+	issue.WriteCertificates(t, dir, time.Hour)
 	if err := k.Reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/faults/agents.go
+++ b/internal/testbed/faults/agents.go
@@ -13,21 +13,21 @@
 	"spindlehitch/internal/controlplane/agent"
 )
 
-// Agents is a group of agents, every directed pair of which has a link for Raft and one for calls.
-type Agents struct {
-	rig   *Rig
-	Procs []*Proc
-	Dirs  []string
-	Raft  []string  // where each listens, behind the links
-	API   []string  // the same for calls
-	links [][]*Link // from, to; nil on the diagonal: Raft
-	calls [][]*Link // the same for calls
+// AgentGroup is a group of agents. Every directed pair of agents has a link for Raft and one for API calls.
+type AgentGroup struct {
+	rig       *Rig
+	Procs     []*Proc
+	Dirs      []string
+	Raft      []string  // Raft address of each, behind the links
+	API       []string  // API address of each
+	raftLinks [][]*Link // Raft, by from and to; nil on the diagonal
+	apiLinks  [][]*Link // API, by from and to
 }
 
-// Agents starts n agents. Env is added to the environment of agent i, where it is given.
-func (r *Rig) Agents(n int, env ...[]string) *Agents {
+// StartAgents starts n agents. env[i], if given, is added to the environment of agent i.
+func (r *Rig) StartAgents(n int, env ...[]string) *AgentGroup {
 	r.T.Helper()
-	g := &Agents{rig: r}
+	g := &AgentGroup{rig: r}
 	addrs := FreeAddrs(r.T, 2*n)
 	g.Raft, g.API = addrs[:n], addrs[n:]
 	for i := range n {
@@ -38,58 +38,60 @@
 				continue
 			}
 			from, to := fmt.Sprint("agent-", i), fmt.Sprint("agent-", j)
-			raft = append(raft, r.Link(from, to, g.Raft[j]))
-			calls = append(calls, r.Link(from, to, g.API[j]))
+			raft = append(raft, r.StartLink(from, to, g.Raft[j]))
+			calls = append(calls, r.StartLink(from, to, g.API[j]))
 		}
-		g.links, g.calls = append(g.links, raft), append(g.calls, calls)
+		g.raftLinks, g.apiLinks = append(g.raftLinks, raft), append(g.apiLinks, calls)
 	}
 	for i := range n {
 		g.Dirs = append(g.Dirs, filepath.Join(r.Dir, fmt.Sprint("agent-", i)))
 		path := filepath.Join(r.Dir, fmt.Sprintf("agent-%d.toml", i))
-		if err := os.WriteFile(path, []byte(g.file(i)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(g.operatorFile(i)), 0o600); err != nil {
 			r.T.Fatal(err)
 		}
-		var more []string
+		var extraEnv []string
 		if i < len(env) {
-			more = env[i]
+			extraEnv = env[i]
 		}
-		g.Procs = append(g.Procs, r.Start(fmt.Sprint("agent-", i), more, "agent", "--operator", path))
+		g.Procs = append(g.Procs, r.Start(fmt.Sprint("agent-", i), extraEnv, "agent", "--operator", path))
 	}
 	return g
 }
 
-// file is agent i's operator's file: it reaches the others through its own links.
-func (g *Agents) file(i int) string {
+// operatorFile returns agent i's operator file, in which it reaches the others through its own links.
+func (g *AgentGroup) operatorFile(i int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[agent]\nid = \"agent-%d\"\ndir = %q\n", i, g.Dirs[i])
 	for j := range g.Raft {
 		raft, api := g.Raft[j], g.API[j]
 		if i != j {
-			raft, api = g.links[i][j].Addr, g.calls[i][j].Addr
+			raft, api = g.raftLinks[i][j].Addr, g.apiLinks[i][j].Addr
 		}
 		fmt.Fprintf(&b, "[[agent.peer]]\nid = \"agent-%d\"\nraft = %q\napi = %q\n", j, raft, api)
 	}
 	return b.String()
 }
 
-// Isolate cuts agent i off from the other agents, in both directions; Join ends it.
-func (g *Agents) Isolate(i int) { g.each(i, func(k *Link) { k.Set(Way{Hold: true}, Way{Hold: true}) }) }
+// Isolate holds all traffic between agent i and the other agents in both directions; Reconnect undoes it.
+func (g *AgentGroup) Isolate(i int) {
+	g.eachLink(i, func(k *Link) { k.Set(Impairment{Hold: true}, Impairment{Hold: true}) })
+}
 
-// Join lets agent i and the others hear one another again.
-func (g *Agents) Join(i int) { g.each(i, (*Link).Heal) }
+// Reconnect undoes Isolate.
+func (g *AgentGroup) Reconnect(i int) { g.eachLink(i, (*Link).Heal) }
 
-func (g *Agents) each(i int, do func(*Link)) {
+func (g *AgentGroup) eachLink(i int, do func(*Link)) {
 	for j := range g.Raft {
 		if i != j {
-			for _, k := range []*Link{g.links[i][j], g.links[j][i], g.calls[i][j], g.calls[j][i]} {
+			for _, k := range []*Link{g.raftLinks[i][j], g.raftLinks[j][i], g.apiLinks[i][j], g.apiLinks[j][i]} {
 				do(k)
 			}
 		}
 	}
 }
 
-// List is the agents' addresses as a flag has them, first the ones named.
-func (g *Agents) List(first ...int) string {
+// AddrList returns the agents' API addresses as flags take them, those of the agents first in front.
+func (g *AgentGroup) AddrList(first ...int) string {
 	var all []string
 	seen := map[int]bool{}
 	for _, i := range first {
@@ -103,12 +105,13 @@
 	return strings.Join(all, ",")
 }
 
-// Leader waits until all agents that are alive and not in but name one leader, and returns its number.
-func (g *Agents) Leader(but ...int) int {
+// Leader waits until all agents other than those in but name the same leader, and returns its number. The leader is not
+// one of but.
+func (g *AgentGroup) Leader(but ...int) int {
 	g.rig.T.Helper()
 	leader := -1
-	g.rig.Until("a leader", func() bool {
-		named := map[int]bool{}
+	g.rig.WaitFor("all agents to name one leader", func() bool {
+		leaders := map[int]bool{}
 		for i := range g.Procs {
 			if slices.Contains(but, i) {
 				continue
@@ -121,15 +124,15 @@
 			if slices.Contains(but, leader) {
 				leader = -1
 			}
-			named[leader] = true
+			leaders[leader] = true
 		}
-		return len(named) == 1 && leader >= 0
+		return len(leaders) == 1 && leader >= 0
 	})
 	return leader
 }
 
-// leading returns the number of the agent that says that it leads; -1: none does.
-func (g *Agents) leading(ctx context.Context) int {
+// currentLeader returns the number of the agent that reports to be the leader; -1: none does.
+func (g *AgentGroup) currentLeader(ctx context.Context) int {
 	for i, addr := range g.API {
 		if !g.Procs[i].Alive() || g.Procs[i].Stopped() {
 			continue
--- a/internal/testbed/faults/linearizability_test.go
+++ b/internal/testbed/faults/linearizability_test.go
@@ -13,19 +13,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// keyLifetime is how long clients use one set of keys: it bounds the operations that the checker has to order at once.
+// keyLifetime is how long clients use one set of keys. It bounds the number of operations that the checker has to order
+// at once.
 const keyLifetime = 3 * time.Second
 
 // Faults of agents.
 const (
 	faultKill        = "kill"
 	faultPause       = "pause"
-	faultAlone       = "alone"        // cut off from the other agents
-	faultKillElected = "kill elected" // a kill, and another of the agent that is elected then, as soon as it is
+	faultIsolate     = "alone"        // cut off from the other agents
+	faultKillElected = "kill elected" // kill an agent, and then the one that is elected in its place as soon as it is
 )
 
-// agentFaults hurts one agent after the other until the context ends, in these ways, and returns how often what happened.
-func agentFaults(ctx context.Context, g *Agents, seed uint64, kinds ...string) map[string]int {
+// agentFaults injects faults of these kinds into one agent after the other until the context ends, and counts them by
+// kind.
+func agentFaults(ctx context.Context, g *AgentGroup, seed uint64, kinds ...string) map[string]int {
 	rng := rand.New(rand.NewPCG(seed, 42))
 	counts := map[string]int{}
 	sleep := func(atLeast, atMost time.Duration) {
@@ -34,7 +36,7 @@
 		case <-time.After(atLeast + time.Duration(rng.Float64()*float64(atMost-atLeast))):
 		}
 	}
-	hurt := func(what string, begin, end func()) {
+	inject := func(what string, begin, end func()) {
 		counts[what]++
 		begin()
 		sleep(200*time.Millisecond, 1200*time.Millisecond)
@@ -43,32 +45,32 @@
 	for sleep(time.Second, 2*time.Second); ctx.Err() == nil; sleep(1500*time.Millisecond, 3*time.Second) {
 		i := rng.IntN(len(g.Procs))
 		if rng.IntN(3) > 0 {
-			i = max(0, g.leading(ctx))
+			i = max(0, g.currentLeader(ctx))
 		}
 		p := g.Procs[i]
 		switch kind := kinds[rng.IntN(len(kinds))]; kind {
 		case faultKill:
-			hurt(kind, p.Kill, p.Restart)
+			inject(kind, p.Kill, p.Restart)
 		case faultPause:
-			hurt(kind, p.Pause, p.Resume)
-		case faultAlone:
-			hurt(kind, func() { g.Isolate(i) }, func() { g.Join(i) })
+			inject(kind, p.Pause, p.Resume)
+		case faultIsolate:
+			inject(kind, func() { g.Isolate(i) }, func() { g.Reconnect(i) })
 		case faultKillElected:
-			hurt(faultKill, p.Kill, p.Restart)
+			inject(faultKill, p.Kill, p.Restart)
 			next := -1
 			for ctx.Err() == nil && next < 0 {
-				next = g.leading(ctx)
+				next = g.currentLeader(ctx)
 			}
 			if next >= 0 {
-				hurt(kind, g.Procs[next].Kill, g.Procs[next].Restart)
+				inject(kind, g.Procs[next].Kill, g.Procs[next].Restart)
 			}
 		}
 	}
 	return counts
 }
 
-// runHistory has clients call a group of agents for that long, while agents are hurt in these ways.
-func runHistory(t *testing.T, g *Agents, seed uint64, length time.Duration, kinds ...string) (*History, map[string]int) {
+// runHistory has clients call a group of agents for that long under agent faults of these kinds.
+func runHistory(t *testing.T, g *AgentGroup, seed uint64, length time.Duration, kinds ...string) (*History, map[string]int) {
 	t.Helper()
 	const clients, keysAtOnce = 8, 3
 	h := NewHistory()
@@ -107,47 +109,47 @@
 	return h, counts
 }
 
-// TestReadsLinearizable guards against reads, conditional writes and deletes that do not fit one order, while agents are killed, paused and
-// cut off. By hand it goes on for as long as SPINDLEHITCH_FAULTS says; SPINDLEHITCH_SEED is another seed.
+// TestReadsLinearizable guards against reads, conditional writes and deletes that fit no single order, while agents are
+// killed, paused and isolated. In manual runs SPINDLEHITCH_FAULTS sets the length and SPINDLEHITCH_SEED another seed.
 func TestReadsLinearizable(t *testing.T) {
 	length := 20 * time.Second
 	if d, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS")); err == nil {
 		length = d
 	}
-	seed := seedOf(42)
+	seed := seedFromEnv(42)
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
-	h, counts := runHistory(t, g, seed, length, faultKill, faultPause, faultAlone, faultKillElected)
+	h, counts := runHistory(t, g, seed, length, faultKill, faultPause, faultIsolate, faultKillElected)
 	t.Logf("seed %d: %v; %v", seed, h, counts)
 	require.NoError(t, h.Check(time.Minute), "seed %d", seed)
 	require.Positive(t, h.acked)
 	require.Positive(t, h.readsOK)
 }
 
-// TestMeasureWriteGap measures how long no write is acknowledged under kills and pauses of up to 1.2 s, and how much of the longest gap
-// passes without a leader; by hand, with SPINDLEHITCH_FAULTS set.
+// TestMeasureWriteGap measures the longest time without an acknowledged write under kills and pauses of up to 1.2 s,
+// and how much of it passes without a leader. Manual only, with SPINDLEHITCH_FAULTS set.
 func TestMeasureWriteGap(t *testing.T) {
 	length, err := time.ParseDuration(os.Getenv("SPINDLEHITCH_FAULTS"))
 	if err != nil {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	const lookInterval = 20 * time.Millisecond
 	r := New(t)
-	g := r.Agents(3)
+	g := r.StartAgents(3)
 	g.Leader()
 	began := time.Now()
-	var leaderless []time.Duration // when no agent that answers led
+	var leaderless []time.Duration // times at which no responding agent was the leader
 	ctx, done := context.WithCancel(t.Context())
 	var watching sync.WaitGroup
 	watching.Go(func() {
 		for ; ctx.Err() == nil; time.Sleep(lookInterval) {
-			if g.leading(ctx) < 0 {
+			if g.currentLeader(ctx) < 0 {
 				leaderless = append(leaderless, time.Since(began))
 			}
 		}
 	})
-	h, counts := runHistory(t, g, seedOf(42), length, faultKill, faultPause)
+	h, counts := runHistory(t, g, seedFromEnv(42), length, faultKill, faultPause)
 	done()
 	watching.Wait()
 	gap := h.LongestGap()
@@ -160,5 +162,5 @@
 			last = at
 		}
 	}
-	t.Logf("%v; %v; within the longest gap no leader from %v to %v after its begin", h, counts, first-gap.From, last-gap.From)
+	t.Logf("%v; %v; no leader from %v to %v after the begin of the longest gap", h, counts, first-gap.From, last-gap.From)
 }
--- a/internal/testbed/faults/link.go
+++ b/internal/testbed/faults/link.go
@@ -9,39 +9,40 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// Way is what a link does with what passes in one direction. The zero value lets it through.
-type Way struct {
-	Delay time.Duration // of each piece
-	Rate  int           // bytes a second; 0: any
-	Hold  bool          // nothing passes until it is taken back; what came meanwhile then does, late, as TCP's repeats would
-	Drop  bool          // what comes is lost; the connection cannot go on after that, and is reset once Drop is taken back
+// Impairment is how a link impairs the traffic in one direction. The zero value passes everything.
+type Impairment struct {
+	Delay time.Duration // of each chunk read
+	Rate  int           // bytes a second; 0: unlimited
+	Hold  bool          // traffic is held back and passes late once Hold is cleared, as TCP retransmissions would
+	Drop  bool          // traffic is lost; the connection cannot continue after that and is reset once Drop is cleared
 }
 
-// Link is a directed link between two processes: whoever dials Addr reaches the other through it. There is one for each
-// direction of dialling, and each has two ways, since what is asked and what is answered can fail apart.
+// Link is a proxy for one direction of dialing between two processes: a connection to Addr is forwarded to the other
+// process. The two directions of traffic are impaired separately, since requests and responses can fail separately. mu
+// guards the fields below it.
 type Link struct {
 	From, To string
 	Addr     string
 	to       string
-	l        net.Listener
+	listener net.Listener
 
 	mu      sync.Mutex
-	there   Way // from the one who dials
-	back    Way
+	forward Impairment // from the dialing side
+	reverse Impairment
 	cut     bool
-	conns   map[*passage]bool
-	changed chan struct{} // closed and renewed at each change
-	passed  [2]int64
+	conns   map[*linkConn]bool
+	changed chan struct{} // closed and replaced at each change, to wake waiting copies
+	bytes   [2]int64
 }
 
-// passage is one connection through a link.
-type passage struct {
-	near, far net.Conn
-	lost      bool // something of it was dropped
+// linkConn is one connection through a link.
+type linkConn struct {
+	dialer, server net.Conn
+	dropped        bool // some of its traffic was dropped
 }
 
-// Link returns a link to addr that lets everything through.
-func (r *Rig) Link(from, to, addr string) *Link {
+// StartLink returns a link to addr that passes everything; it ends with the test.
+func (r *Rig) StartLink(from, to, addr string) *Link {
 	r.T.Helper()
 	l, err := NewLink(from, to, addr)
 	if err != nil {
@@ -51,36 +52,37 @@
 	return l
 }
 
-// NewLink returns a link outside a test.
+// NewLink returns a link outside a test. The caller must close it.
 func NewLink(from, to, addr string) (*Link, error) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	k := &Link{From: from, To: to, Addr: at.Addr().String(), to: addr, l: at, conns: map[*passage]bool{}, changed: make(chan struct{})}
+	k := &Link{From: from, To: to, Addr: tcpListener.Addr().String(), to: addr, listener: tcpListener, conns: map[*linkConn]bool{}, changed: make(chan struct{})}
 	go k.accept()
 	return k, nil
 }
 
-// Set has the link treat the two ways so from now on, and lets new connections through.
-func (k *Link) Set(there, back Way) {
+// Set sets the impairments of both directions and undoes Cut. Connections that lost data are reset once it no longer
+// drops.
+func (k *Link) Set(forward, reverse Impairment) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.there.Drop && !there.Drop || k.back.Drop && !back.Drop {
+	if k.forward.Drop && !forward.Drop || k.reverse.Drop && !reverse.Drop {
 		for p := range k.conns {
-			if p.lost {
+			if p.dropped {
 				p.reset()
 			}
 		}
 	}
-	k.there, k.back, k.cut = there, back, false
-	k.announce()
+	k.forward, k.reverse, k.cut = forward, reverse, false
+	k.notifyChange()
 }
 
-// Heal lets everything through again.
-func (k *Link) Heal() { k.Set(Way{}, Way{}) }
+// Heal removes all impairments.
+func (k *Link) Heal() { k.Set(Impairment{}, Impairment{}) }
 
-// Cut resets all connections and takes no new ones.
+// Cut resets all connections and rejects new ones.
 func (k *Link) Cut() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -88,23 +90,23 @@
 	k.resetAll()
 }
 
-// Reset resets all connections; new ones are taken.
+// Reset resets all connections; new ones are accepted.
 func (k *Link) Reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.resetAll()
 }
 
-// Passed is how many bytes went through, from the one who dials and back.
-func (k *Link) Passed() (there, back int64) {
+// BytesPassed returns how many bytes passed from the dialing side and back.
+func (k *Link) BytesPassed() (forward, reverse int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.passed[0], k.passed[1]
+	return k.bytes[0], k.bytes[1]
 }
 
-// Close ends the link.
+// Close closes the listener and all connections.
 func (k *Link) Close() {
-	k.l.Close()
+	k.listener.Close()
 	k.Cut()
 }
 
@@ -112,16 +114,16 @@
 	for p := range k.conns {
 		p.reset()
 	}
-	k.announce()
+	k.notifyChange()
 }
 
-func (k *Link) announce() {
+func (k *Link) notifyChange() {
 	close(k.changed)
 	k.changed = make(chan struct{})
 }
 
-func (p *passage) reset() {
-	for _, c := range []net.Conn{p.near, p.far} {
+func (p *linkConn) reset() {
+	for _, c := range []net.Conn{p.dialer, p.server} {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 			t.Close()
@@ -131,19 +133,19 @@
 
 func (k *Link) accept() {
 	for {
-		near, err := k.l.Accept()
+		dialer, err := k.listener.Accept()
 		if err != nil {
 			return
 		}
-		go k.pass(near)
+		go k.serveConn(dialer)
 	}
 }
 
-func (k *Link) pass(near net.Conn) {
-	p := &passage{near: near}
-	far, err := net.DialTimeout("tcp", k.to, 5*time.Second)
+func (k *Link) serveConn(dialer net.Conn) {
+	p := &linkConn{dialer: dialer}
+	server, err := net.DialTimeout("tcp", k.to, 5*time.Second)
 	if err == nil {
-		p.far = far
+		p.server = server
 	}
 	k.mu.Lock()
 	if k.cut || err != nil {
@@ -154,78 +156,78 @@
 	k.conns[p] = true
 	k.mu.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { k.copy(p, 0) })
-	both.Go(func() { k.copy(p, 1) })
+	both.Go(func() { k.copyDirection(p, 0) })
+	both.Go(func() { k.copyDirection(p, 1) })
 	both.Wait()
-	near.Close()
-	far.Close()
+	dialer.Close()
+	server.Close()
 	k.mu.Lock()
 	delete(k.conns, p)
 	k.mu.Unlock()
 }
 
-// piece is what came at one time.
-type piece struct {
-	b  []byte
-	at time.Time
+// chunk is the data of one read and the time of the read.
+type chunk struct {
+	b       []byte
+	arrived time.Time
 }
 
-// copy carries one way of a connection. What is read waits in line with the time that it came, so that a delay is that
-// delay for each piece and not for the sum of them.
-func (k *Link) copy(p *passage, way int) {
-	from, to := p.near, p.far
-	if way == 1 {
-		from, to = p.far, p.near
+// copyDirection copies one direction of a connection. Chunks are queued with the time of their read, so that a delay
+// applies to each chunk and does not add up over them.
+func (k *Link) copyDirection(p *linkConn, direction int) {
+	from, to := p.dialer, p.server
+	if direction == 1 {
+		from, to = p.server, p.dialer
 	}
-	line := make(chan piece, 1024)
+	queue := make(chan chunk, 1024)
 	go func() {
-		defer close(line)
+		defer close(queue)
 		for {
 			b := make([]byte, 16<<10)
 			n, err := from.Read(b)
 			if n > 0 {
-				line <- piece{b[:n], time.Now()}
+				queue <- chunk{b[:n], time.Now()}
 			}
 			if err != nil {
 				return
 			}
 		}
 	}()
-	for c := range line {
-		if !k.wait(p, way, c) {
+	for c := range queue {
+		if !k.waitToPass(p, direction, c) {
 			continue
 		}
 		if _, err := to.Write(c.b); err != nil {
 			break
 		}
 		k.mu.Lock()
-		k.passed[way] += int64(len(c.b))
+		k.bytes[direction] += int64(len(c.b))
 		k.mu.Unlock()
 	}
 	if t, ok := to.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
-	for range line { // until the reader sees the end of it
+	for range queue { // drain the queue until the reading goroutine ends
 	}
 }
 
-// wait waits until a piece is to pass; false where it is lost.
-func (k *Link) wait(p *passage, way int, c piece) bool {
-	paid := time.Duration(0) // of the rate
+// waitToPass waits until a chunk may pass; false: it is dropped.
+func (k *Link) waitToPass(p *linkConn, direction int, c chunk) bool {
+	waited := time.Duration(0) // waited so far for the rate limit
 	for {
 		k.mu.Lock()
-		w, changed := [2]Way{k.there, k.back}[way], k.changed
+		w, changed := [2]Impairment{k.forward, k.reverse}[direction], k.changed
 		alive := k.conns[p] && !k.cut
 		if w.Drop {
-			p.lost = true
+			p.dropped = true
 		}
 		k.mu.Unlock()
 		if w.Drop || !alive {
 			return false
 		}
-		due := time.Until(c.at.Add(w.Delay))
+		due := time.Until(c.arrived.Add(w.Delay))
 		if w.Rate > 0 {
-			due = max(due, 0) + time.Duration(len(c.b))*time.Second/time.Duration(w.Rate) - paid
+			due = max(due, 0) + time.Duration(len(c.b))*time.Second/time.Duration(w.Rate) - waited
 		}
 		if !w.Hold && due <= 0 {
 			return true
@@ -237,14 +239,14 @@
 		began := time.Now()
 		select {
 		case <-time.After(due):
-			return !p.lost
+			return !p.dropped
 		case <-changed:
-			paid += time.Since(began)
+			waited += time.Since(began)
 		}
 	}
 }
 
-// FreeAddrs finds ports of the loopback that nobody listens on, each only once.
+// FreeAddrs returns n loopback addresses that nothing listens on; none is returned twice.
 func FreeAddrs(t testing.TB, n int) []string {
 	t.Helper()
 	addrs, err := ports.Free(n)
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -13,10 +13,10 @@
 	"spindlehitch/internal/testbed/model/experiment"
 )
 
-// TestRecorded has a schedule of the rig played in the model: twenty instances, a minute, no promise broken.
+// TestRecorded runs a schedule of the rig in the model: twenty instances for a minute, without a violation.
 func TestRecorded(t *testing.T) {
 	plan := Schedule(7, 20, 3, time.Minute, 400*time.Millisecond)
-	b, err := Record(plan)
+	b, err := EncodeSchedule(plan)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,68 +74,70 @@
 	}
 }
 
-// TestModelAgrees plays one schedule with twenty processes and in the model, under the same budget and leases, and holds the two against each
-// other; by hand, with SPINDLEHITCH_FAULTS set. docs/model.md has what came of it.
-func TestModelAgrees(t *testing.T) { //nolint:gocognit // one scenario, told in order
+// TestModelAgrees runs one schedule with twenty processes and in the model, under the same budget and leases, and
+// compares the results. Manual only, with SPINDLEHITCH_FAULTS set. docs/model.md has the results.
+func TestModelAgrees(t *testing.T) { //nolint:gocognit // one sequential scenario
 	if os.Getenv("SPINDLEHITCH_FAULTS") == "" {
-		t.Skip("by hand")
+		t.Skip("manual only: set SPINDLEHITCH_FAULTS")
 	}
 	const members, whole = 20, 300.0
 	text := fmt.Sprintf("seats = 60\nrenew_ms = 300\npart_ms = 1500\nseat_s = 20\n[[budget]]\nname = \"work\"\nuse = \"work\"\nwhole = %g\nburst = %g\nleast = 0.5\nleast_burst = 1\n", whole, whole)
 	r := New(t)
-	d := &drilled{fleet: &fleet{Rig: r, agents: r.Agents(3), targets: r.Targets(1, nil)}, witness: r.Witness()}
+	d := &leaseFleet{fleet: &fleet{Rig: r, agents: r.StartAgents(3), targets: r.StartTargets(1, nil)}, witness: r.StartWitness()}
 	d.task = lease.Task{Name: "drill", Kind: lease.Drill, Shards: 30, TTLMs: 2000, OperationTimeoutMs: 500, IntervalMs: 1000, ProgressTimeoutMs: 6000, Dir: filepath.Join(r.Dir, "drill"), Witness: d.witness.Addr}
 	d.agents.Leader()
-	budgets := r.File("work.toml", text)
-	d.run("budget", "set", budgets)
-	d.run("lease", "set", r.File("tasks.toml", d.file()))
+	budgets := r.WriteFile("work.toml", text)
+	d.mustRun("budget", "set", budgets)
+	d.mustRun("lease", "set", r.WriteFile("tasks.toml", d.taskFile()))
 	for i := range members {
-		d.all = append(d.all, d.Instance(fmt.Sprint("m", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, Uses: "uses = [\"work\"]\ntasks = [\"drill\"]\n"}, 0))
+		d.instances = append(d.instances, d.StartInstance(fmt.Sprint("m", i), InstanceOptions{Agents: d.agents, Targets: d.targets, Peers: members, FleetTOML: "uses = [\"work\"]\ntasks = [\"drill\"]\n"}, 0))
 	}
-	d.even("all hold shards", members)
-	d.Load(t.Context(), d.all, 1)
-	for _, n := range d.all {
-		n.Offer(2 * whole / members)
+	d.waitBalanced("all members to hold shards", members)
+	d.StartLoad(t.Context(), d.instances, 1)
+	for _, n := range d.instances {
+		n.SetLoad(2 * whole / members)
 	}
 	time.Sleep(6 * time.Second)
 	killed := 14
 	leader := d.agents.Leader()
 	began := time.Now()
 	step := func(at float64) { time.Sleep(time.Until(began.Add(time.Duration(at * float64(time.Second))))) }
-	rate := func(over float64) float64 { return d.targets.Judge.Rate(time.Duration(over * float64(time.Second)))[0] }
-	var rig [5]float64
-	rig[0] = rate(3)
+	rate := func(over float64) float64 {
+		return d.targets.Monitor.Rate(time.Duration(over * float64(time.Second)))[0]
+	}
+	var processResults [5]float64
+	processResults[0] = rate(3)
 	tokens := map[int]uint64{}
 	for _, l := range d.leases() {
 		tokens[l.Shard] = l.Token
 	}
 	began = time.Now()
-	for _, n := range d.all[:killed] {
+	for _, n := range d.instances[:killed] {
 		n.Kill()
 	}
-	for _, n := range d.all[killed:] {
-		n.Offer(2 * whole / float64(members-killed))
+	for _, n := range d.instances[killed:] {
+		n.SetLoad(2 * whole / float64(members-killed))
 	}
 	for time.Since(began) < 20*time.Second {
 		time.Sleep(20 * time.Millisecond)
 		if time.Since(began) > 700*time.Millisecond && rate(0.5) >= 0.8*whole {
-			rig[1] = time.Since(began).Seconds()
+			processResults[1] = time.Since(began).Seconds()
 			break
 		}
 	}
 	step(10)
-	rig[2] = rate(3)
+	processResults[2] = rate(3)
 	moved := 0.0
 	for _, l := range d.leases() {
 		if l.Token != tokens[l.Shard] {
 			moved++
 		}
 	}
-	rig[3] = moved
+	processResults[3] = moved
 	step(12)
 	d.agents.Procs[leader].Pause()
 	step(18)
-	rig[4] = rate(5)
+	processResults[4] = rate(5)
 	d.agents.Procs[leader].Resume()
 
 	doc, err := config.ReadBudgets(budgets, nil)
@@ -145,17 +147,17 @@
 	var sum [5]float64
 	const seeds = 3
 	for seed := uint64(1); seed <= seeds; seed++ {
-		var on []int
+		var killedIndexes []int
 		for i := range killed {
-			on = append(on, i)
+			killedIndexes = append(killedIndexes, i)
 		}
 		task := d.task
 		task.Kind, task.Dir, task.Witness = lease.EndpointProbe, "", ""
-		task.MaxPauseMs = 1 // a drill has none; a watch has to have one
+		task.MaxPauseMs = 1 // a drill has no pause limit; a probe task requires one
 		s := &model.Spec{Name: "agrees", LengthS: 36, StepS: 0.1, Fleet: model.Fleet{Instances: members}, Net: model.Net{DelayMs: 0.2, JitterMs: 0.2},
 			Load:    model.Load{Rate: 2 * whole, AimMs: 1000, PatienceS: 2, Alike: true, SurgeAtS: 16, SurgeForS: 100, Surge: float64(members) / float64(members-killed)},
 			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Config{Tasks: []lease.Task{task}},
-			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: on}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
+			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: killedIndexes}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -183,7 +185,7 @@
 			sum[i] += x / seeds
 		}
 	}
-	for i, what := range []string{"work a second, all twenty", "s until 0.8 of the whole is used by six", "work a second, by six", "shards granted anew", "work a second, the leader paused"} {
-		t.Logf("%s: %.2f with processes, %.2f in the model, %+.1f %%", what, rig[i], sum[i], 100*(sum[i]/rig[i]-1))
+	for i, what := range []string{"work a second, all twenty", "s until six use 0.8 of the capacity", "work a second, by six", "shards granted again", "work a second, the leader paused"} {
+		t.Logf("%s: %.2f with processes, %.2f in the model, %+.1f %%", what, processResults[i], sum[i], 100*(sum[i]/processResults[i]-1))
 	}
 }
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -1,5 +1,6 @@
-// Package hollow is an initiator without clients and without sockets to targets: the real code for lists, configuration, members and the
-// module, some hundreds of them in a process. Nothing of it is linked into the initiator.
+// Package hollow implements an initiator without clients and without connections to targets. It runs the real code for
+// target lists, configuration, membership and policy, so that hundreds of initiators fit into one process. The program
+// does not link it.
 package hollow
 
 import (
@@ -16,61 +17,61 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// serving is the state of a target that takes requests, as lists have it.
-const serving = "SERVING"
+// stateServing is the state of a target that accepts requests, as written in lists.
+const stateServing = "SERVING"
 
-// Options say which parts an initiator has.
+// Options select the parts of an initiator.
 type Options struct {
 	Name, Region, Zone string
 	Seed               uint64
-	Discovery          string                // where the list is asked for; empty: it is not
-	Crowd              int                   // how many ask there
-	Known              *listing.List         // the list as last had
-	Agents             []string              // whose configuration is followed; empty: none
-	Feed               *edge.FollowerOptions // nil: it does not follow the feed
+	Discovery          string                // address of the discovery service; empty: none
+	Initiators         int                   // number of initiators that use the discovery service
+	LastKnown          *listing.List         // last known list
+	Agents             []string              // agents from which configuration is followed; empty: none
+	WatchStream        *edge.FollowerOptions // nil: no watch stream
 	Members            *transport.Options
-	Module             *policy.Settings // nil: it has no module
+	Policy             *policy.Settings // nil: no policy decisions
 	Log                *slog.Logger
 }
 
-// Initiator is one hollow initiator.
+// Initiator is one hollow initiator. Checker checks what it applies and sends.
 type Initiator struct {
-	Journal *Journal
-	opt     Options
-	life    sync.Mutex // held while it starts or stops
-	mu      sync.Mutex // of stop and feed
-	stop    context.CancelFunc
-	all     sync.WaitGroup
-	peers   *transport.Runner
-	feed    follower
+	Checker     *Checker
+	opt         Options
+	lifecycleMu sync.Mutex // serializes Start and Stop
+	mu          sync.Mutex // guards stop and the totals in stream
+	stop        context.CancelFunc
+	running     sync.WaitGroup
+	membership  *transport.Runner
+	stream      streamState
 }
 
-// New returns an initiator that does nothing yet.
-func New(opt Options) *Initiator { return &Initiator{Journal: NewJournal(opt.Name), opt: opt} }
+// New returns an initiator that is not started.
+func New(opt Options) *Initiator { return &Initiator{Checker: NewChecker(opt.Name), opt: opt} }
 
-// Name is the initiator's.
+// Name returns the initiator's name.
 func (in *Initiator) Name() string { return in.opt.Name }
 
-// Running tells whether it was started and not stopped since.
+// Running reports whether the initiator has been started and not stopped since.
 func (in *Initiator) Running() bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	return in.stop != nil
 }
 
-// Start starts its parts.
+// Start starts the initiator's parts. Their goroutines end when Stop cancels their context.
 func (in *Initiator) Start() error {
-	in.life.Lock()
-	defer in.life.Unlock()
+	in.lifecycleMu.Lock()
+	defer in.lifecycleMu.Unlock()
 	ctx, stop := context.WithCancel(context.Background())
-	var m *module
-	if in.opt.Module != nil {
+	var m *policyLoop
+	if in.opt.Policy != nil {
 		var err error
-		if m, err = newModule(*in.opt.Module, in.opt.Seed, in.Journal); err != nil {
+		if m, err = newPolicyLoop(*in.opt.Policy, in.opt.Seed, in.Checker); err != nil {
 			stop()
 			return err
 		}
-		in.all.Go(func() { m.run(ctx) })
+		in.running.Go(func() { m.run(ctx) })
 	}
 	if in.opt.Members != nil {
 		p, err := transport.New(*in.opt.Members)
@@ -79,69 +80,71 @@
 		}
 		if err != nil {
 			stop()
-			in.all.Wait()
+			in.running.Wait()
 			return err
 		}
-		in.peers = p
+		in.membership = p
 	}
-	if in.opt.Feed != nil {
-		run, err := in.follow(m)
+	if in.opt.WatchStream != nil {
+		runFollower, err := in.newFollower(m)
 		if err != nil {
 			stop()
-			in.all.Wait()
+			in.running.Wait()
 			return err
 		}
-		in.all.Go(func() { run(ctx) })
+		in.running.Go(func() { runFollower(ctx) })
 	}
 	in.mu.Lock()
 	in.stop = stop
 	in.mu.Unlock()
 	if in.opt.Discovery != "" {
-		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.Known, Initiators: in.opt.Crowd, Seed: in.opt.Seed, Log: in.opt.Log}, in.lists(m))
-		in.all.Go(func() { w.Run(ctx) })
+		w := discovery.New(discovery.Options{Addr: in.opt.Discovery, LastKnown: in.opt.LastKnown, Initiators: in.opt.Initiators, Seed: in.opt.Seed, Log: in.opt.Log}, in.applyList(m))
+		in.running.Go(func() { w.Run(ctx) })
 	}
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
-		in.all.Go(func() {
-			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotone.Now()) })
+		in.running.Go(func() {
+			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Checker.RecordApplied(Config, e.Version, monotone.Now()) })
 		})
 	}
 	return nil
 }
 
-// lists takes lists over: the module, where there is one, steps each before it counts as in force.
-func (in *Initiator) lists(m *module) func(*listing.List) {
+// applyList returns a function that applies lists. With a policy loop a list counts as applied once the scheduler has
+// processed it.
+func (in *Initiator) applyList(m *policyLoop) func(*listing.List) {
 	return func(l *listing.List) {
-		done := func() { in.Journal.Heard(Targets, uint64(*l.Version), monotone.Now()) }
+		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotone.Now()) }
 		if m != nil {
-			m.list(l, done)
+			m.enqueue(l, done)
 			return
 		}
-		in.Journal.Told(l.Targets)
+		in.Checker.RecordTargets(l.Targets)
 		done()
 	}
 }
 
-// Stop ends its parts, without a word to others where abrupt.
+// Stop stops the initiator's parts and waits for their goroutines. If abrupt, it does not announce to the other members
+// that it leaves.
 func (in *Initiator) Stop(abrupt bool) {
-	in.life.Lock()
-	defer in.life.Unlock()
+	in.lifecycleMu.Lock()
+	defer in.lifecycleMu.Unlock()
 	if !in.Running() {
 		return
 	}
-	if in.peers != nil {
+	if in.membership != nil {
 		ctx, done := context.WithCancel(context.Background())
 		if abrupt {
 			done()
 		}
-		_ = in.peers.Stop(ctx)
+		_ = in.membership.Stop(ctx)
 		done()
-		in.peers = nil
+		in.membership = nil
 	}
 	in.stop()
-	in.all.Wait()
+	in.running.Wait()
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.feed.end()
+	in.stream.addTotals()
 	in.stop = nil
 }
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -23,10 +23,10 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// set is the least that a module takes.
-func set(t *testing.T) policy.Settings {
+// testSettings returns the smallest settings of a scheduler.
+func testSettings(t *testing.T) policy.Settings {
 	t.Helper()
 	var o config.PlatformSettings
 	require.NoError(t, json.Unmarshal([]byte(`{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,"effect":"pure","worth":3}],
@@ -40,8 +40,8 @@
 	return listing.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Shard: &cell, State: state, StartedMs: turn}
 }
 
-// source serves a store of the feed.
-type source struct {
+// testSource serves a store of the watch stream. mu guards its fields.
+type testSource struct {
 	mu      sync.Mutex
 	store   *watchstream.Store
 	source  *watchstream.Source
@@ -49,7 +49,7 @@
 }
 
 // WithSource implements edge.Origin.
-func (s *source) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+func (s *testSource) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := monotone.Now()
@@ -58,7 +58,7 @@
 	return s.changed, true
 }
 
-func (s *source) put(t *testing.T, puts ...watchstream.Put) uint64 {
+func (s *testSource) put(t *testing.T, puts ...watchstream.Put) uint64 {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,9 +77,9 @@
 	return watchstream.Put{Kind: watchstream.Targets, Key: e.ID, Value: text}
 }
 
-func newSource(t *testing.T) (s *source, addr string) {
+func newSource(t *testing.T) (s *testSource, addr string) {
 	t.Helper()
-	s = &source{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
+	s = &testSource{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
 	s.source = watchstream.NewSource(s.store, watchstream.SourceOptions{}, 1)
 	mux := http.NewServeMux()
 	server := edge.NewServer(s, 0)
@@ -92,56 +92,56 @@
 	return s, strings.TrimPrefix(front.URL, "http://")
 }
 
-func reaches(t *testing.T, in *Initiator, lane Lane, v uint64) {
+func waitVersion(t *testing.T, in *Initiator, stream Stream, v uint64) {
 	t.Helper()
-	require.Eventually(t, func() bool { in.Poll(); return in.Journal.At(lane) >= v }, time.Minute, 5*time.Millisecond, "%s %d", lane, v)
+	require.Eventually(t, func() bool { in.Poll(); return in.Checker.Version(stream) >= v }, time.Minute, 5*time.Millisecond, "%s %d", stream, v)
 }
 
-// TestFeed has a hollow initiator with a module and a copy on disk follow changes, and start again.
-func TestFeed(t *testing.T) {
+// TestWatchStream has a hollow initiator with a policy and a copy on disk follow changes, stop, and start again.
+func TestWatchStream(t *testing.T) {
 	s, addr := newSource(t)
-	s.put(t, put(target("a", 0, 0, serving)), put(target("b", 1, 0, serving)))
+	s.put(t, put(target("a", 0, 0, stateServing)), put(target("b", 1, 0, stateServing)))
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
-	module := set(t)
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Module: &module, Log: quiet,
-		Feed: &edge.FollowerOptions{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
+	module := testSettings(t)
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Policy: &module, Log: discardLog,
+		WatchStream: &edge.FollowerOptions{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
-	reaches(t, in, Targets, 1)
-	reaches(t, in, Config, 2)
-	reaches(t, in, Targets, s.put(t, put(target("a", 0, 1, "DRAINING"))))
-	reaches(t, in, Targets, s.put(t, put(target("a", 0, 2, serving)), put(target("b", 1, 1, "DRAINING"))))
+	waitVersion(t, in, Targets, 1)
+	waitVersion(t, in, Config, 2)
+	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 1, "DRAINING"))))
+	waitVersion(t, in, Targets, s.put(t, put(target("a", 0, 2, stateServing)), put(target("b", 1, 1, "DRAINING"))))
 	in.Stop(true)
 	require.False(t, in.Running())
-	read, written, _ := in.Wire()
+	read, written, _ := in.StreamTotals()
 	require.Positive(t, read)
 	require.Positive(t, written)
-	in.Journal.Lives(true)
-	v := s.put(t, put(target("b", 1, 2, serving)))
+	in.Checker.RecordRestart(true)
+	v := s.put(t, put(target("b", 1, 2, stateServing)))
 	require.NoError(t, in.Start())
-	reaches(t, in, Targets, v)
+	waitVersion(t, in, Targets, v)
 	in.Stop(false)
-	n, what := in.Journal.Broken()
+	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
 }
 
-// TestModuleSends shows that the judge sees what the module sends: once a target's drain is told, the module is tried at it and sends nothing
-// there; told by a list that the module never gets, it would be found out.
-func TestModuleSends(t *testing.T) {
-	j := NewJournal("h1")
-	m, err := newModule(set(t), 1, j)
+// TestCheckerSeesSends checks that the checker sees what the policy sends: once a target's drain is applied the policy sends
+// nothing to it, and a drain that is hidden from the policy leads to violations.
+func TestCheckerSeesSends(t *testing.T) {
+	j := NewChecker("h1")
+	m, err := newPolicyLoop(testSettings(t), 1, j)
 	require.NoError(t, err)
 	ctx, stop := context.WithCancel(context.Background())
 	go m.run(ctx)
 	defer func() { stop(); <-m.ended }()
 	v := int64(1)
-	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
-	n, what := j.Broken()
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, stateServing), target("b", 1, 0, stateServing)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, stateServing)}}))
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, stateServing)}}))
+	n, what := j.Violations()
 	require.Zero(t, n, what)
-	j.Told([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
-	n, what = j.Broken()
+	j.RecordTargets([]listing.Entry{target("b", 1, 3, "DRAINING")}) // not passed to the policy
+	require.True(t, m.applyAndWait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: stateServing, Zone: "z", StartedMs: 2}}}))
+	n, what = j.Violations()
 	require.Positive(t, n, what)
 }
 
@@ -169,23 +169,23 @@
 	}))
 	defer agents.Close()
 	at := func(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
-	in := New(Options{Name: "h1", Discovery: at(found), Agents: []string{at(agents)}, Log: quiet})
+	in := New(Options{Name: "h1", Discovery: at(found), Agents: []string{at(agents)}, Log: discardLog})
 	require.NoError(t, in.Start())
 	defer in.Stop(true)
-	reaches(t, in, Targets, 1)
-	reaches(t, in, Config, 7)
+	waitVersion(t, in, Targets, 1)
+	waitVersion(t, in, Config, 7)
 	close(changed)
-	reaches(t, in, Targets, 2)
-	n, what := in.Journal.Broken()
+	waitVersion(t, in, Targets, 2)
+	n, what := in.Checker.Violations()
 	require.Zero(t, n, what)
 }
 
-// TestDeaf makes calls that a source answers, for one that does not read.
-func TestDeaf(t *testing.T) {
+// TestNeverReadingClient checks that a source accepts the pipelined requests of a client that never reads.
+func TestNeverReadingClient(t *testing.T) {
 	s, addr := newSource(t)
-	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.FollowerOptions{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
-	to, request, err := in.Asks("deaf-1")
+	s.put(t, put(target("a", 0, 0, stateServing)))
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: discardLog, WatchStream: &edge.FollowerOptions{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	to, request, err := in.PipelinedRequests("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
 	c, err := net.Dial("tcp", to)
