--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -11,7 +11,7 @@
 )
 
 func main() {
-	asked, err := slope.Agent()
+	asked, err := slope.RunAgent()
 	if !asked {
 		err = command().Execute()
 	}
--- a/cmd/spindlehitch-scale/slopes.go
+++ b/cmd/spindlehitch-scale/slopes.go
@@ -25,7 +25,7 @@
 		if short && write {
 			return errors.New("--write: a short run is for a check, the table takes full ones")
 		}
-		probes, err := slope.Find(names)
+		probes, err := slope.FindProbes(names)
 		if err != nil {
 			return err
 		}
@@ -42,7 +42,7 @@
 		for _, p := range probes {
 			var list []slope.Slope
 			if short {
-				list, err = slope.Short(ctx, p, time.Now())
+				list, err = slope.MeasureShort(ctx, p, time.Now())
 			} else {
 				list, err = slope.Measure(ctx, p, p.Sizes, time.Now())
 			}
@@ -51,12 +51,12 @@
 			}
 			for _, s := range list {
 				if mended {
-					table.Mended(s.Name)
+					table.SetBefore(s.Name)
 				}
-				measured.Put(s)
-				table.Put(s)
+				measured.Set(s)
+				table.Set(s)
 			}
-			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Gives[0].Name, list[0].Lasts)
+			fmt.Fprintf(cmd.ErrOrStderr(), "%s: %.0f s\n", p.Metrics[0].Name, list[0].DurationSeconds)
 		}
 		if write {
 			if err := table.Check(); err != nil {
@@ -127,7 +127,7 @@
 		if s.Power == 2 {
 			per += " squared"
 		}
-		fmt.Fprintf(w, "%s\t%.4g\t%.2g\t%s\t%s\t%.4g\t%g to %g\t%+.0f%%\t%s\n", s.Name, s.Value, s.Error, s.Unit, per, s.Base, s.Least, s.Most, 100*s.Off, s.Of)
+		fmt.Fprintf(w, "%s\t%.4g\t%.2g\t%s\t%s\t%.4g\t%g to %g\t%+.0f%%\t%s\n", s.Name, s.Value, s.StdError, s.Unit, per, s.Base, s.MinSize, s.MaxSize, 100*s.PredictionError, s.Subject)
 	}
 	return w.Flush()
 }
--- a/internal/testbed/scale/run/run.go
+++ b/internal/testbed/scale/run/run.go
@@ -220,10 +220,10 @@
 				}
 			}
 			l, err := slope.Fit(points)
-			if err != nil || l.Base == 0 && l.Rise == 0 {
+			if err != nil || l.Base == 0 && l.Coefficient == 0 {
 				continue
 			}
-			r.Fits = append(r.Fits, Fit{c.name, d.of, l.Rise, l.Error, l.Base, l.Power, l.Off})
+			r.Fits = append(r.Fits, Fit{c.name, d.of, l.Coefficient, l.StdError, l.Base, l.Power, l.PredictionError})
 		}
 	}
 }
--- a/internal/testbed/scale/run/spec.go
+++ b/internal/testbed/scale/run/spec.go
@@ -235,11 +235,11 @@
 
 // Needs is what the run takes of memory by the slopes of the table, in bytes; ok is false where one that it takes was not measured.
 func (s *Spec) Needs(t *slope.Table) (bytes int64, ok bool) {
-	list := t.At("list.memory")
-	if replica := t.At(replicaMemory); s.Mechanism == "feed" && replica.Known() {
+	list := t.Lookup("list.memory")
+	if replica := t.Lookup(replicaMemory); s.Mechanism == "feed" && replica.Known() {
 		list = replica
 	}
-	module, members := t.At("module.memory"), t.At("members.memory")
+	module, members := t.Lookup("module.memory"), t.Lookup("members.memory")
 	ok = list.Known() && (module.Known() || s.Modules+s.Real == 0) && (members.Known() || s.Members == 0)
 	sum := float64(s.all() * eachTakes)
 	for _, part := range []struct {
@@ -247,7 +247,7 @@
 		n, size int
 	}{{list, s.all(), s.most()}, {module, s.Modules + s.Real, s.most()}, {members, s.Members, s.Members}} {
 		if part.s.Known() && part.n > 0 {
-			sum += float64(part.n) * part.s.At(float64(part.size)) * garbage
+			sum += float64(part.n) * part.s.Cost(float64(part.size)) * garbage
 		}
 	}
 	return int64(sum), ok
--- a/internal/testbed/scale/run/spec_test.go
+++ b/internal/testbed/scale/run/spec_test.go
@@ -124,7 +124,7 @@
 	s.Modules = 2
 	_, ok = s.Needs(table)
 	require.False(t, ok, "a module's slope was not measured")
-	table.Put(line("module.memory", 1<<20))
+	table.Set(line("module.memory", 1<<20))
 	need, ok = s.Needs(table)
 	require.True(t, ok)
 	require.Equal(t, int64((2+(8*20+2*20)*1.5)*(1<<20)), need)
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -29,13 +29,13 @@
 func agentProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	quiet := slog.New(slog.DiscardHandler)
 	return []Probe{{
-		About: "internal/controlplane/agent: a group of three, each a process; configurations of 2,000 bytes put 16 at a time, each of another instance",
-		Gives: []Gives{{Name: "agent.change.time", Unit: "us", Of: "changes, 16 at a time", Per: "change", Rough: true},
-			{Name: "agent.change.cpu", Unit: "us", Of: "the leader", Per: "change", Rough: true},
-			{Name: "agent.change.follower", Unit: "us", Of: "a follower", Per: "change", Rough: true},
-			{Name: "agent.change.disk", Unit: "B", Of: "an agent's folder", Per: "change", Rough: true},
-			{Name: "agent.memory", Unit: "B", Of: "a follower's heap", Per: "instance", Rough: true}},
-		Sizes: []float64{200, 400, 800, 1600, 3200}, Short: []float64{20, 40, 80, 160}, Turns: 3,
+		Description: "internal/controlplane/agent: a group of three, each a process; configurations of 2,000 bytes put 16 at a time, each of another instance",
+		Metrics: []Metric{{Name: "agent.change.time", Unit: "us", Subject: "changes, 16 at a time", Per: "change", Noisy: true},
+			{Name: "agent.change.cpu", Unit: "us", Subject: "the leader", Per: "change", Noisy: true},
+			{Name: "agent.change.follower", Unit: "us", Subject: "a follower", Per: "change", Noisy: true},
+			{Name: "agent.change.disk", Unit: "B", Subject: "an agent's folder", Per: "change", Noisy: true},
+			{Name: "agent.memory", Unit: "B", Subject: "a follower's heap", Per: "instance", Noisy: true}},
+		Sizes: []float64{200, 400, 800, 1600, 3200}, ShortSizes: []float64{20, 40, 80, 160}, Repeats: 3,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
 			g, err := newGroup(ctx)
 			if err != nil {
@@ -67,10 +67,10 @@
 				float64(g.disk(follower) - disk), after[follower].Heap - before[follower].Heap}, nil
 		},
 	}, {
-		About: "internal/controlplane/agent: one change of a configuration of that size, in the log of the group and at whoever asks for it",
-		Gives: []Gives{{Name: "agent.entry", Unit: "B", Of: "an entry of the log", Per: "byte of configuration", Exact: true},
-			{Name: "agent.answer", Unit: "B", Of: "an answer to an instance, HTTP's head included", Per: "byte of configuration", Exact: true}},
-		Sizes: []float64{500, 1000, 2000, 8000, 32_000}, Short: []float64{500, 1000, 2000, 4000}, Beside: true,
+		Description: "internal/controlplane/agent: one change of a configuration of that size, in the log of the group and at whoever asks for it",
+		Metrics: []Metric{{Name: "agent.entry", Unit: "B", Subject: "an entry of the log", Per: "byte of configuration", Exact: true},
+			{Name: "agent.answer", Unit: "B", Subject: "an answer to an instance, HTTP's head included", Per: "byte of configuration", Exact: true}},
+		Sizes: []float64{500, 1000, 2000, 8000, 32_000}, ShortSizes: []float64{500, 1000, 2000, 4000}, Concurrent: true,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
 			g, err := newGroup(ctx)
 			if err != nil {
@@ -104,14 +104,14 @@
 			return []float64{entry / changes, (after[leader].Out - before[leader].Out) / changes}, err
 		},
 	}, {
-		About: "internal/controlplane/agent: instances that follow their configurations at one agent of three, each agent a process: 4 s without a change, then 60 changes of another instance's",
-		Gives: []Gives{{Name: "agent.follow.wire", Unit: "B/s", Of: "watches without a change, both ways", Per: "instance", Rough: true},
-			{Name: "agent.follow.cpu", Unit: "us/s", Of: "the agent, watches without a change", Per: "instance", Rough: true},
-			{Name: "agent.follow.memory", Unit: "B", Of: "the agent's heap", Per: "instance", Rough: true},
-			{Name: "agent.wake.cpu", Unit: "us", Of: "the agent, a change that concerns none of them", Per: "instance", Rough: true},
-			{Name: "follower.cpu", Unit: "us/s", Of: "the instances, watches without a change", Per: "instance", Rough: true},
-			{Name: "agent.follow.connections", Unit: "connections", Of: "watches, at the agent named first", Per: "instance", Rough: true}},
-		Sizes: []float64{50, 100, 200, 400, 800}, Short: []float64{4, 8, 16, 32},
+		Description: "internal/controlplane/agent: instances that follow their configurations at one agent of three, each agent a process: 4 s without a change, then 60 changes of another instance's",
+		Metrics: []Metric{{Name: "agent.follow.wire", Unit: "B/s", Subject: "watches without a change, both ways", Per: "instance", Noisy: true},
+			{Name: "agent.follow.cpu", Unit: "us/s", Subject: "the agent, watches without a change", Per: "instance", Noisy: true},
+			{Name: "agent.follow.memory", Unit: "B", Subject: "the agent's heap", Per: "instance", Noisy: true},
+			{Name: "agent.wake.cpu", Unit: "us", Subject: "the agent, a change that concerns none of them", Per: "instance", Noisy: true},
+			{Name: "follower.cpu", Unit: "us/s", Subject: "the instances, watches without a change", Per: "instance", Noisy: true},
+			{Name: "agent.follow.connections", Unit: "connections", Subject: "watches, at the agent named first", Per: "instance", Noisy: true}},
+		Sizes: []float64{50, 100, 200, 400, 800}, ShortSizes: []float64{4, 8, 16, 32},
 		Run: func(ctx context.Context, size int) ([]float64, error) {
 			g, err := newGroup(ctx)
 			if err != nil {
@@ -171,14 +171,14 @@
 				to[0].Conns - before[0].Conns}, nil
 		},
 	}, {
-		About: "internal/controlplane/agent: members that renew once a second with four budgets and connections to eight targets each, at a group of three processes, for 4 s, after their joins",
-		Gives: []Gives{{Name: "leader.cpu", Unit: "us/s", Of: "the leader", Per: "member", Rough: true},
-			{Name: "leader.wire", Unit: "B/s", Of: "renewals and answers at the leader, both ways", Per: "member", Rough: true},
-			{Name: "leader.follower", Unit: "us/s", Of: "a follower", Per: "member", Rough: true},
-			{Name: "renewer.cpu", Unit: "us/s", Of: "the members, their loops and HTTP", Per: "member", Rough: true},
-			{Name: "leader.join", Unit: "us", Of: "the leader, joins", Per: "member", Rough: true},
-			{Name: "leader.joins", Unit: "us", Of: "joins, 16 at a time", Per: "member", Rough: true}},
-		Sizes: []float64{50, 100, 200, 400, 800}, Short: []float64{4, 8, 16, 32},
+		Description: "internal/controlplane/agent: members that renew once a second with four budgets and connections to eight targets each, at a group of three processes, for 4 s, after their joins",
+		Metrics: []Metric{{Name: "leader.cpu", Unit: "us/s", Subject: "the leader", Per: "member", Noisy: true},
+			{Name: "leader.wire", Unit: "B/s", Subject: "renewals and answers at the leader, both ways", Per: "member", Noisy: true},
+			{Name: "leader.follower", Unit: "us/s", Subject: "a follower", Per: "member", Noisy: true},
+			{Name: "renewer.cpu", Unit: "us/s", Subject: "the members, their loops and HTTP", Per: "member", Noisy: true},
+			{Name: "leader.join", Unit: "us", Subject: "the leader, joins", Per: "member", Noisy: true},
+			{Name: "leader.joins", Unit: "us", Subject: "joins, 16 at a time", Per: "member", Noisy: true}},
+		Sizes: []float64{50, 100, 200, 400, 800}, ShortSizes: []float64{4, 8, 16, 32},
 		Run: renewals,
 	}}
 }
--- a/internal/testbed/scale/slope/check.go
+++ b/internal/testbed/scale/slope/check.go
@@ -13,24 +13,24 @@
 
 // Steeper holds what a short run measured against the table: an error where it has become half as steep again. Counts and bytes are compared as they are. Times depend on
 // the machine and on what else it does: of them only the ratio is, of the largest size to the smallest of one run.
-func (t *Table) Steeper(now Slope) error {
-	then := t.At(now.Name)
+func (t *Table) CheckSlope(now Slope) error {
+	then := t.Lookup(now.Name)
 	if !then.Known() {
 		return fmt.Errorf("%s: the table has no such slope", now.Name)
 	}
 	lo, hi := now.Measured[0], now.Measured[len(now.Measured)-1]
 	if !now.Exact {
-		was, is := then.At(hi.Size)/then.At(lo.Size), hi.Cost/lo.Cost
+		was, is := then.Cost(hi.Size)/then.Cost(lo.Size), hi.Cost/lo.Cost
 		if was > 0 && is > half*max(1, was) {
 			return fmt.Errorf("%s: %v times as much at a size of %v as at %v, where the table has %v times", now.Name, number(is), hi.Size, lo.Size, number(was))
 		}
 		return nil
 	}
-	was, is := then.At(hi.Size)-then.At(lo.Size), hi.Cost-lo.Cost
-	if is > half*max(0, was)+hardly*then.At(hi.Size) {
+	was, is := then.Cost(hi.Size)-then.Cost(lo.Size), hi.Cost-lo.Cost
+	if is > half*max(0, was)+hardly*then.Cost(hi.Size) {
 		return fmt.Errorf("%s: from a size of %v to %v it grows by %s, where the table has %s", now.Name, lo.Size, hi.Size, amount(is, now.Unit), amount(was, now.Unit))
 	}
-	if is, was := hi.Cost, then.At(hi.Size); is > half*was {
+	if is, was := hi.Cost, then.Cost(hi.Size); is > half*was {
 		return fmt.Errorf("%s: %s at a size of %v, where the table has %s", now.Name, amount(is, now.Unit), hi.Size, amount(was, now.Unit))
 	}
 	return nil
@@ -38,7 +38,7 @@
 
 // Against holds a short run of probes against the table. What is compared by counts is measured once; a time that seems steeper is measured again, since whatever else the
 // machine does can only add.
-func (t *Table) Against(again int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
+func (t *Table) CheckProbes(again int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
 	var all []error
 	for _, p := range probes {
 		var steeper error
@@ -49,8 +49,8 @@
 			}
 			steeper = nil
 			for i, s := range list {
-				if !p.Gives[i].Rough {
-					steeper = errors.Join(steeper, t.Steeper(s))
+				if !p.Metrics[i].Noisy {
+					steeper = errors.Join(steeper, t.CheckSlope(s))
 				}
 			}
 			if steeper == nil {
--- a/internal/testbed/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configured.go
@@ -29,14 +29,14 @@
 func configuredProbes() []Probe {
 	const about = "internal/process/instance: an initiator that follows its configuration, without clients; "
 	return []Probe{{
-		About: about + "each of a hundred changes of a plan is taken over by what runs; the stand-ins' time is in it",
-		Gives: []Gives{{Name: "adopt.cpu", Unit: "us", Of: "a changed configuration", Per: "target", Rough: true}},
-		Sizes: targetSizes, Short: []float64{50, 100, 200, 400},
+		Description: about + "each of a hundred changes of a plan is taken over by what runs; the stand-ins' time is in it",
+		Metrics:     []Metric{{Name: "adopt.cpu", Unit: "us", Subject: "a changed configuration", Per: "target", Noisy: true}},
+		Sizes:       targetSizes, ShortSizes: []float64{50, 100, 200, 400},
 		Run: func(ctx context.Context, size int) ([]float64, error) { return configured(ctx, size, 100, false) },
 	}, {
-		About: about + "each of four changes of its address is served by a successor that reads the whole list anew; the stand-ins' time is in it",
-		Gives: []Gives{{Name: "successor.cpu", Unit: "us", Of: "a configuration that needs a new start", Per: "target", Rough: true}},
-		Sizes: targetSizes, Short: []float64{50, 100, 200, 400},
+		Description: about + "each of four changes of its address is served by a successor that reads the whole list anew; the stand-ins' time is in it",
+		Metrics:     []Metric{{Name: "successor.cpu", Unit: "us", Subject: "a configuration that needs a new start", Per: "target", Noisy: true}},
+		Sizes:       targetSizes, ShortSizes: []float64{50, 100, 200, 400},
 		Run: func(ctx context.Context, size int) ([]float64, error) { return configured(ctx, size, 4, true) },
 	}}
 }
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -190,14 +190,14 @@
 
 func edgeProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	return []Probe{{
-		About: "internal/datapath/discovery: watchers of one service that answers at once, over loopback, both ends in one process: 4 s without a change, then 20 changes of one entry; HTTP's bytes, without TCP's",
-		Gives: []Gives{{Name: "discovery.calls", Unit: "calls/s", Of: "watches without a change", Per: "initiator"},
-			{Name: "discovery.wire", Unit: "B/s", Of: "watches without a change, both ways", Per: "initiator", Exact: true},
-			{Name: "discovery.cpu", Unit: "us/s", Of: "watches without a change, both ends", Per: "initiator", Rough: true},
-			{Name: "discovery.change.wire", Unit: "B", Of: "a change of one entry, told to all, both ways", Per: "initiator", Exact: true},
-			{Name: "discovery.change.cpu", Unit: "us", Of: "a change of one entry, told to all, both ends", Per: "initiator", Rough: true},
-			{Name: "discovery.connections", Unit: "connections", Of: "watches", Per: "initiator", Exact: true}},
-		Sizes: []float64{25, 50, 100, 200, 400}, Short: []float64{4, 8, 16, 32}, Beside: true,
+		Description: "internal/datapath/discovery: watchers of one service that answers at once, over loopback, both ends in one process: 4 s without a change, then 20 changes of one entry; HTTP's bytes, without TCP's",
+		Metrics: []Metric{{Name: "discovery.calls", Unit: "calls/s", Subject: "watches without a change", Per: "initiator"},
+			{Name: "discovery.wire", Unit: "B/s", Subject: "watches without a change, both ways", Per: "initiator", Exact: true},
+			{Name: "discovery.cpu", Unit: "us/s", Subject: "watches without a change, both ends", Per: "initiator", Noisy: true},
+			{Name: "discovery.change.wire", Unit: "B", Subject: "a change of one entry, told to all, both ways", Per: "initiator", Exact: true},
+			{Name: "discovery.change.cpu", Unit: "us", Subject: "a change of one entry, told to all, both ends", Per: "initiator", Noisy: true},
+			{Name: "discovery.connections", Unit: "connections", Subject: "watches", Per: "initiator", Exact: true}},
+		Sizes: []float64{25, 50, 100, 200, 400}, ShortSizes: []float64{4, 8, 16, 32}, Concurrent: true,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
 			s, end, err := newService()
 			if err != nil {
@@ -235,10 +235,10 @@
 			return append(costs, float64(s.wire()-wire)/changes, float64((cpu()-used).Microseconds())/changes, float64(s.conns.Load())), nil
 		},
 	}, {
-		About: "internal/datapath/discovery: watchers of one service that all share, 50 ms for a call and 2.3 ms for a line as docs/standing.md has it: until the last has a change; and with all watches fallen silent",
-		Gives: []Gives{{Name: "discovery.told", Unit: "s", Of: "a change told to all, the last of them", Per: "initiator", Rough: true},
-			{Name: "discovery.silent", Unit: "s", Of: "a change told to all whose watches fell silent, the last of them", Per: "initiator", Rough: true}},
-		Sizes: []float64{15, 30, 60, 120, 240}, Short: []float64{2, 4, 6, 8},
+		Description: "internal/datapath/discovery: watchers of one service that all share, 50 ms for a call and 2.3 ms for a line as docs/standing.md has it: until the last has a change; and with all watches fallen silent",
+		Metrics: []Metric{{Name: "discovery.told", Unit: "s", Subject: "a change told to all, the last of them", Per: "initiator", Noisy: true},
+			{Name: "discovery.silent", Unit: "s", Subject: "a change told to all whose watches fell silent, the last of them", Per: "initiator", Noisy: true}},
+		Sizes: []float64{15, 30, 60, 120, 240}, ShortSizes: []float64{2, 4, 6, 8},
 		Run: func(ctx context.Context, size int) ([]float64, error) {
 			s, end, err := newShared()
 			if err != nil {
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -4,32 +4,32 @@
 
 // Event is something of the operators' list, and how long it takes until it is in force everywhere: at one discovery that all share, and by the feed.
 type Event struct {
-	Name, Seen, Told, Sent string
-	Off, On                Figure
+	Name, DetectedBy, DeliveredBy, Content string
+	Off, On                                Figure
 }
 
 // Events is all of them.
 func Events() []Event {
 	// told is how long one service that all share takes to tell so many initiators so many entries.
 	told := func(c costs, l Limits, initiators, entries float64) float64 {
-		return c.at("discovery.told", initiators) + initiators*(entries-1)*l.Line
+		return c.at("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
 	}
 	change := func(c costs, s Size) float64 {
 		return (c.at("module.change", s.Targets) + c.at("upstream.change", s.Targets)) / 1e6
 	}
-	force := func(_ costs, _ Size, l Limits) float64 { return l.InForce }
-	primary := func(_ costs, s Size, _ Limits) float64 { return s.PrimaryWithin }
-	back := func(_ costs, _ Size, l Limits) float64 { return l.Back }
+	force := func(_ costs, _ Size, l Limits) float64 { return l.ConfigInForce }
+	primary := func(_ costs, s Size, _ Limits) float64 { return s.PrimaryChangeLimit }
+	back := func(_ costs, _ Size, l Limits) float64 { return l.RestartWindow }
 	off := []string{"discovery.told", "module.change", "upstream.change"}
 	on := []string{"feed.told", "feed.owed.time", "agent.change.time", "module.change", "upstream.change"}
 	// fed is how long the feed takes for so many entries, which discovery tells `spindlehitch publish` alone: a change through the log, the ways, what the reader's
 	// bytes a second take beyond its burst.
 	fed := func(c costs, s Size, l Limits, entries float64) float64 {
-		return l.Call + entries*l.Line + c.each("agent.change.time")/1e6 + reach(c, s, l) + c.at("feed.owed.time", entries) + change(c, s)
+		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.each("agent.change.time")/1e6 + reach(c, s, l) + c.at("feed.owed.time", entries) + change(c, s)
 	}
 	list := "discovery, to each initiator's watch; by the feed to `spindlehitch publish` alone, then agents and relays"
 	each := func(of string, names []string, value, limit func(costs, Size, Limits) float64, untold string) Figure {
-		return Figure{Of: of, Unit: "s", Names: names, Value: value, Limit: limit, Untold: untold}
+		return Figure{Subject: of, Unit: "s", SlopeNames: names, Value: value, Limit: limit, MissingInput: untold}
 	}
 	entries := func(name, seen, sent string, entries func(Size, Limits) float64, limit func(costs, Size, Limits) float64) Event {
 		return Event{name, seen, list, sent,
@@ -45,31 +45,33 @@
 		entries("a machine fails, or is replaced", "discovery; initiators avoid it by their own errors before that", "an entry as it drains or is gone, one as another is up",
 			func(Size, Limits) float64 { return 1 }, force),
 		entries("a rack or a switch goes", "discovery; initiators by their own errors; members, of initiators in it", "its entries, in one answer where they change together",
-			func(_ Size, l Limits) float64 { return l.Rack }, force),
+			func(_ Size, l Limits) float64 { return l.RackTargets }, force),
 		entries("a zone goes, or is back", "discovery; members, of initiators in it", "its entries, in one answer where they change together",
 			func(s Size, _ Limits) float64 { return s.Targets / s.Zones }, force),
 		{"a region was cut for an hour, and is back", "members (halves bury each other); agents, by their leader; by the feed `change status`, which names who lags",
 			"discovery, to each watch of the region as it reaches it again; by the feed the region's relays, as they reach an agent",
 			"the hour's entries to each of its initiators; its configuration as it is now",
 			each("region", append([]string{"list.line"}, off...), func(c costs, s Size, l Limits) float64 {
-				return told(c, l, s.Initiators/s.Regions, s.ListRate()*hour) + s.ListRate()*hour*c.each("list.line")/l.Wire + change(c, s)
+				return told(c, l, s.Initiators/s.Regions, s.ListChangeRate()*hour) + s.ListChangeRate()*hour*c.each("list.line")/l.Wire + change(c, s)
 			}, force, ""),
 			each("region", on, func(c costs, s Size, l Limits) float64 {
-				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + reach(c, s, l) + c.at("feed.owed.time", s.ListRate()*hour) + change(c, s)
+				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + reach(c, s, l) + c.at("feed.owed.time", s.ListChangeRate()*hour) + change(c, s)
 			}, force, "")},
 		{"one initiator restarts", "members; the leader, by its join", "discovery, to its first call; by the feed its relay",
 			"all targets, where it has none; what came since what it has, where it has a list or a copy on disk",
-			each("start", []string{"module.whole", "list.decode"}, func(c costs, s Size, l Limits) float64 { return l.Call + s.Targets*l.Line + start(c, s) }, nil,
+			each("start", []string{"module.whole", "list.decode"}, func(c costs, s Size, l Limits) float64 {
+				return l.DiscoveryCall + s.Targets*l.DiscoveryEntry + start(c, s)
+			}, nil,
 				"how long one start may take"),
 			each("start", []string{"module.whole", "list.decode", "feed.whole.time"}, func(c costs, s Size, _ Limits) float64 { return c.at("feed.whole.time", s.Targets) + start(c, s) },
 				nil, "how long one start may take")},
 		{"a day's restarts of initiators, all within ten minutes", "members; the leader, by their joins", "discovery, to their first calls; by the feed their relays, which let so many in a second",
 			"all targets to each that has none; joins through the log",
 			each("starts", []string{"module.whole", "list.decode", "leader.joins"}, func(c costs, s Size, l Limits) float64 {
-				return s.InitiatorsBack*(l.Call+s.Targets*l.Line) + start(c, s) + s.InitiatorsBack*c.each("leader.joins")/1e6
+				return s.InitiatorRestarts*(l.DiscoveryCall+s.Targets*l.DiscoveryEntry) + start(c, s) + s.InitiatorRestarts*c.each("leader.joins")/1e6
 			}, back, ""),
 			each("starts", []string{"module.whole", "list.decode", "leader.joins", "feed.whole.time"}, func(c costs, s Size, l Limits) float64 {
-				return s.InitiatorsBack/relays(l)/watchstream.DefaultSourceOptions.AdmitRate + c.at("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorsBack*c.each("leader.joins")/1e6
+				return s.InitiatorRestarts/relays(l)/watchstream.DefaultSourceOptions.AdmitRate + c.at("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorRestarts*c.each("leader.joins")/1e6
 			}, back, "")},
 	}
 }
@@ -82,7 +84,7 @@
 		if off.Limit > 0 {
 			limit = amount(off.Limit, off.Unit)
 		}
-		lines = append(lines, []string{e.Name, e.Seen, e.Told, e.Sent, limit, amount(off.Value, off.Unit) + ", " + off.verdict(), amount(on.Value, on.Unit) + ", " + on.verdict()})
+		lines = append(lines, []string{e.Name, e.DetectedBy, e.DeliveredBy, e.Content, limit, amount(off.Value, off.Unit) + ", " + off.verdict(), amount(on.Value, on.Unit) + ", " + on.verdict()})
 	}
 	return rows([]string{"event", "who sees it", "who tells it", "what is sent when", "limit", "until all have it, one discovery that all share", "by the feed"}, lines)
 }
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -133,23 +133,23 @@
 
 func feedProbes() []Probe {
 	return []Probe{{
-		About: "internal/controlplane/watchstream/distribution: readers of one relay over loopback, both ends in one process, 200 targets: 4 s without a change; 10 changes of one target; 10 of a shared layer of 2,000 bytes; 20 of it a second for 3 s",
-		Gives: []Gives{{Name: "feed.poll.wire", Unit: "B/s", Of: "polls without a change, both ways", Per: "reader", Exact: true},
-			{Name: "feed.poll.cpu", Unit: "us/s", Of: "polls without a change, both ends", Per: "reader", Rough: true},
-			{Name: "feed.change.wire", Unit: "B", Of: "a change of one target, told to all, both ways", Per: "reader", Exact: true},
-			{Name: "feed.change.cpu", Unit: "us", Of: "a change of one target, told to all, both ends", Per: "reader", Rough: true},
-			{Name: "feed.told", Unit: "s", Of: "a change told to all readers of a relay, the last of them", Per: "reader", Rough: true},
-			{Name: "feed.layer.wire", Unit: "B", Of: "a change of a shared layer of 2,000 bytes, told to all, both ways", Per: "reader", Exact: true},
-			{Name: "feed.burst.wire", Unit: "B/s", Of: "20 changes a second of that layer, both ways", Per: "reader", Rough: true},
-			{Name: "feed.connections", Unit: "connections", Of: "polls", Per: "reader", Exact: true}},
-		Sizes: []float64{25, 50, 100, 200, 400}, Short: []float64{4, 8, 16, 32}, Beside: true,
+		Description: "internal/controlplane/watchstream/distribution: readers of one relay over loopback, both ends in one process, 200 targets: 4 s without a change; 10 changes of one target; 10 of a shared layer of 2,000 bytes; 20 of it a second for 3 s",
+		Metrics: []Metric{{Name: "feed.poll.wire", Unit: "B/s", Subject: "polls without a change, both ways", Per: "reader", Exact: true},
+			{Name: "feed.poll.cpu", Unit: "us/s", Subject: "polls without a change, both ends", Per: "reader", Noisy: true},
+			{Name: "feed.change.wire", Unit: "B", Subject: "a change of one target, told to all, both ways", Per: "reader", Exact: true},
+			{Name: "feed.change.cpu", Unit: "us", Subject: "a change of one target, told to all, both ends", Per: "reader", Noisy: true},
+			{Name: "feed.told", Unit: "s", Subject: "a change told to all readers of a relay, the last of them", Per: "reader", Noisy: true},
+			{Name: "feed.layer.wire", Unit: "B", Subject: "a change of a shared layer of 2,000 bytes, told to all, both ways", Per: "reader", Exact: true},
+			{Name: "feed.burst.wire", Unit: "B/s", Subject: "20 changes a second of that layer, both ways", Per: "reader", Noisy: true},
+			{Name: "feed.connections", Unit: "connections", Subject: "polls", Per: "reader", Exact: true}},
+		Sizes: []float64{25, 50, 100, 200, 400}, ShortSizes: []float64{4, 8, 16, 32}, Concurrent: true,
 		Run: readers,
 	}, {
-		About: "internal/controlplane/watchstream: an initiator's replica of so many targets, read from a copy; how long a reader that has nothing is brought up at 10 KB/s, in virtual time",
-		Gives: []Gives{{Name: "feed.replica.memory", Unit: "B", Of: "a reader's replica", Per: "target", Exact: true},
-			{Name: "feed.whole.time", Unit: "s", Of: "a reader brought up from nothing", Per: "target", Exact: true},
-			{Name: "feed.whole.wire", Unit: "B", Of: "the polls of that, packed", Per: "target", Exact: true}},
-		Sizes: []float64{5000, 8000, 12_000, 16_000, 20_000}, Short: []float64{5000, 6000, 7000, 8000},
+		Description: "internal/controlplane/watchstream: an initiator's replica of so many targets, read from a copy; how long a reader that has nothing is brought up at 10 KB/s, in virtual time",
+		Metrics: []Metric{{Name: "feed.replica.memory", Unit: "B", Subject: "a reader's replica", Per: "target", Exact: true},
+			{Name: "feed.whole.time", Unit: "s", Subject: "a reader brought up from nothing", Per: "target", Exact: true},
+			{Name: "feed.whole.wire", Unit: "B", Subject: "the polls of that, packed", Per: "target", Exact: true}},
+		Sizes: []float64{5000, 8000, 12_000, 16_000, 20_000}, ShortSizes: []float64{5000, 6000, 7000, 8000},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			o, err := newOrigin(size)
 			if err != nil {
@@ -176,9 +176,9 @@
 			return []float64{held, took.Seconds(), float64(bytes)}, err
 		},
 	}, {
-		About: "internal/controlplane/watchstream: how long a reader of 20,000 targets that missed so many entries is brought up at 10 KB/s, in virtual time",
-		Gives: []Gives{{Name: "feed.owed.time", Unit: "s", Of: "a reader brought up by what it missed", Per: "entry", Exact: true}},
-		Sizes: []float64{400, 800, 1600, 3200, 6400}, Short: []float64{400, 600, 800, 1000},
+		Description: "internal/controlplane/watchstream: how long a reader of 20,000 targets that missed so many entries is brought up at 10 KB/s, in virtual time",
+		Metrics:     []Metric{{Name: "feed.owed.time", Unit: "s", Subject: "a reader brought up by what it missed", Per: "entry", Exact: true}},
+		Sizes:       []float64{400, 800, 1600, 3200, 6400}, ShortSizes: []float64{400, 600, 800, 1000},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			o, err := newOrigin(20_000)
 			if err != nil {
@@ -197,12 +197,12 @@
 			return []float64{took.Seconds()}, err
 		},
 	}, {
-		About: "internal/controlplane/watchstream: a relay's source and the tally of the agents' leader, without sockets: a hello with the delta of a change; a report of all readers, each with news; their heaps",
-		Gives: []Gives{{Name: "feed.source.next", Unit: "us", Of: "one hello and its delta", Per: "reader"},
-			{Name: "feed.source.memory", Unit: "B", Of: "a relay's source", Per: "reader", Rough: true},
-			{Name: "feed.tally.take", Unit: "us", Of: "a report in which all readers have news", Per: "reader"},
-			{Name: "feed.report.wire", Unit: "B", Of: "that report, as JSON", Per: "reader", Exact: true}},
-		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
+		Description: "internal/controlplane/watchstream: a relay's source and the tally of the agents' leader, without sockets: a hello with the delta of a change; a report of all readers, each with news; their heaps",
+		Metrics: []Metric{{Name: "feed.source.next", Unit: "us", Subject: "one hello and its delta", Per: "reader"},
+			{Name: "feed.source.memory", Unit: "B", Subject: "a relay's source", Per: "reader", Noisy: true},
+			{Name: "feed.tally.take", Unit: "us", Subject: "a report in which all readers have news", Per: "reader"},
+			{Name: "feed.report.wire", Unit: "B", Subject: "that report, as JSON", Per: "reader", Exact: true}},
+		Sizes: memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: sources,
 	}}
 }
--- a/internal/testbed/scale/slope/figure.go
+++ b/internal/testbed/scale/slope/figure.go
@@ -9,14 +9,14 @@
 
 // Figure is one cost of a role at a size, held against its limit.
 type Figure struct {
-	Role, Of, When string // when: an ordinary day, the worst minute, ...
-	Unit           string
-	Names          []string // the slopes that it is reckoned from
-	Value          func(c costs, s Size, l Limits) float64
-	Limit          func(c costs, s Size, l Limits) float64 // nil: none is told
-	Mechanism      string
-	Untold         string // what has to be known for a verdict and was not told
-	Feed           Feed   // whether it is so without the feed, by it, or either way
+	Role, Subject, When string // when: an ordinary day, the worst minute, ...
+	Unit                string
+	SlopeNames          []string // the slopes that it is reckoned from
+	Value               func(c costs, s Size, l Limits) float64
+	Limit               func(c costs, s Size, l Limits) float64 // nil: none is told
+	Mechanism           string
+	MissingInput        string // what has to be known for a verdict and was not told
+	Feed                Feed   // whether it is so without the feed, by it, or either way
 }
 
 // Feed says by what changes get to all.
@@ -24,9 +24,9 @@
 
 // The mechanisms.
 const (
-	Either  Feed = ""    // it does not matter
-	Without Feed = "off" // discovery and the agents' configurations of each instance
-	By      Feed = "on"  // the feed of changes, internal/controlplane/watchstream/distribution
+	FeedAny Feed = ""    // it does not matter
+	FeedOff Feed = "off" // discovery and the agents' configurations of each instance
+	FeedOn  Feed = "on"  // the feed of changes, internal/controlplane/watchstream/distribution
 )
 
 // costs is what a figure is reckoned from.
@@ -38,52 +38,52 @@
 
 // at is the cost at a size.
 func (c costs) at(name string, size float64) float64 {
-	x := c.t.At(name)
-	if c.beyond != nil && size > x.Most {
+	x := c.t.Lookup(name)
+	if c.beyond != nil && size > x.MaxSize {
 		c.beyond[name] = true
 	}
-	return x.At(size)
+	return x.Cost(size)
 }
 
 // each is what one more costs, where the base is the fleet's own or the other end's. Where the slope is not above its own error that is not known.
 func (c costs) each(name string) float64 {
-	x := c.t.At(name)
+	x := c.t.Lookup(name)
 	if !x.Grows() && c.unsure != nil {
 		c.unsure[name] = true
 	}
 	if x.Power != 1 || !x.Grows() {
-		return x.At(x.Most) / x.Most
+		return x.Cost(x.MaxSize) / x.MaxSize
 	}
 	return x.Value
 }
 
 // most is the largest size that was measured.
-func (c costs) most(name string) float64 { return c.t.At(name).Most }
+func (c costs) most(name string) float64 { return c.t.Lookup(name).MaxSize }
 
 // Verdict is how a figure stands.
 type Verdict string
 
 // The verdicts.
 const (
-	Holds   Verdict = "holds"
-	Lacks   Verdict = "lacks"
-	Unknown Verdict = "not known"
+	WithinLimit  Verdict = "holds"
+	ExceedsLimit Verdict = "lacks"
+	Unknown      Verdict = "not known"
 )
 
 // Judged is a figure at the table's size.
-type Judged struct {
+type Evaluation struct {
 	Figure
-	Value   float64
-	Limit   float64 // 0: none is told
-	Verdict Verdict
-	Factor  float64  // value over limit
-	Breaks  float64  // the smallest fleet, in initiators with the same proportions, at which the limit is passed; 0: none up to ten times the size
-	Unsure  []string // slopes that are not above their error, and had to be: there is no verdict
-	Beyond  []string // slopes that were not measured at as large a size
+	Value         float64
+	Limit         float64 // 0: none is told
+	Verdict       Verdict
+	Factor        float64  // value over limit
+	BreakingSize  float64  // the smallest fleet, in initiators with the same proportions, at which the limit is passed; 0: none up to ten times the size
+	Insignificant []string // slopes that are not above their error, and had to be: there is no verdict
+	Extrapolated  []string // slopes that were not measured at as large a size
 }
 
 // Judge holds every figure against its limit.
-func (t *Table) Judge() (all []Judged) {
+func (t *Table) Evaluate() (all []Evaluation) {
 	for _, f := range Figures() {
 		all = append(all, t.judge(f))
 	}
@@ -93,10 +93,10 @@
 // mostTimes is how many times the size a limit is looked for.
 const mostTimes = 10
 
-func (t *Table) judge(f Figure) Judged {
-	j := Judged{Figure: f, Verdict: Unknown}
-	for _, n := range f.Names {
-		if !t.At(n).Known() {
+func (t *Table) judge(f Figure) Evaluation {
+	j := Evaluation{Figure: f, Verdict: Unknown}
+	for _, n := range f.SlopeNames {
+		if !t.Lookup(n).Known() {
 			return j
 		}
 	}
@@ -106,22 +106,22 @@
 		j.Limit = f.Limit(c, t.Size, t.Limits)
 		j.Factor = j.Value / j.Limit
 	}
-	j.Beyond, j.Unsure = slices.Sorted(maps.Keys(c.beyond)), slices.Sorted(maps.Keys(c.unsure))
-	if f.Limit == nil || f.Untold != "" || len(j.Unsure) > 0 {
+	j.Extrapolated, j.Insignificant = slices.Sorted(maps.Keys(c.beyond)), slices.Sorted(maps.Keys(c.unsure))
+	if f.Limit == nil || f.MissingInput != "" || len(j.Insignificant) > 0 {
 		return j
 	}
-	j.Verdict = Holds
+	j.Verdict = WithinLimit
 	if j.Factor > 1 {
-		j.Verdict = Lacks
+		j.Verdict = ExceedsLimit
 	}
-	j.Breaks = t.breaks(f)
+	j.BreakingSize = t.breaks(f)
 	return j
 }
 
 // breaks is the smallest fleet whose figure passes its limit.
 func (t *Table) breaks(f Figure) float64 {
 	passed := func(n float64) bool {
-		s, c := t.Size.Of(n), costs{t: t}
+		s, c := t.Size.Scaled(n), costs{t: t}
 		return f.Value(c, s, t.Limits) > f.Limit(c, s, t.Limits)
 	}
 	// The first of ever larger fleets, the size itself among them, and then between it and the one before.
@@ -145,16 +145,16 @@
 }
 
 // Rank is what the fleet's size does not bear without the feed or by it, the first to break first.
-func (t *Table) Rank(by Feed) []Judged {
-	all := slices.DeleteFunc(t.Judge(), func(j Judged) bool { return j.Verdict != Lacks || j.Feed != Either && j.Feed != by })
-	slices.SortStableFunc(all, func(a, b Judged) int { return cmp.Compare(a.Breaks, b.Breaks) })
+func (t *Table) RankExceeded(by Feed) []Evaluation {
+	all := slices.DeleteFunc(t.Evaluate(), func(j Evaluation) bool { return j.Verdict != ExceedsLimit || j.Feed != FeedAny && j.Feed != by })
+	slices.SortStableFunc(all, func(a, b Evaluation) int { return cmp.Compare(a.BreakingSize, b.BreakingSize) })
 	return all
 }
 
 // Missing is the mechanisms that are not there for the size, the one that breaks first first, each with the figure that breaks first.
-func (t *Table) Missing(by Feed) (all []Judged) {
-	for _, j := range t.Rank(by) {
-		if !slices.ContainsFunc(all, func(x Judged) bool { return x.Mechanism == j.Mechanism }) {
+func (t *Table) RankMechanisms(by Feed) (all []Evaluation) {
+	for _, j := range t.RankExceeded(by) {
+		if !slices.ContainsFunc(all, func(x Evaluation) bool { return x.Mechanism == j.Mechanism }) {
 			all = append(all, j)
 		}
 	}
--- a/internal/testbed/scale/slope/fit.go
+++ b/internal/testbed/scale/slope/fit.go
@@ -22,13 +22,13 @@
 
 // Line is what was fitted: Base + Rise x size^Power.
 type Line struct {
-	Base, Rise  float64
-	Error       float64 // standard error of Rise
-	Power       float64 // 1; 2 of a square; any where the points lie on no line and no square
-	Noise       float64 // residual of the points fitted, as a part of each; root of the mean square
-	Least, Most float64 // sizes measured, the one left out included
-	Foretold    float64 // at the largest size, which was left out
-	Off         float64 // Foretold less what was measured there, as a part of it
+	Base, Coefficient float64
+	StdError          float64 // standard error of Rise
+	Power             float64 // 1; 2 of a square; any where the points lie on no line and no square
+	Residual          float64 // residual of the points fitted, as a part of each; root of the mean square
+	MinSize, MaxSize  float64 // sizes measured, the one left out included
+	Predicted         float64 // at the largest size, which was left out
+	PredictionError   float64 // Foretold less what was measured there, as a part of it
 }
 
 // Fit fits what was measured at four sizes or more, the largest left out and foretold from the rest. It is a line, unless the points lie clearly nearer to a
@@ -54,17 +54,17 @@
 	}
 	rest, last := points[:len(points)-1], points[len(points)-1]
 	best := fit(rest, 1)
-	if best.Noise > bent {
+	if best.Residual > bent {
 		for _, other := range []Line{fit(rest, 2), power(rest)} {
-			if other.Rise > 0 && other.Noise < best.Noise/2 {
+			if other.Coefficient > 0 && other.Residual < best.Residual/2 {
 				best = other
 			}
 		}
 	}
-	best.Least, best.Most = rest[0].Size, last.Size
-	best.Foretold = best.Base + best.Rise*math.Pow(last.Size, best.Power)
+	best.MinSize, best.MaxSize = rest[0].Size, last.Size
+	best.Predicted = best.Base + best.Coefficient*math.Pow(last.Size, best.Power)
 	if last.Cost != 0 {
-		best.Off = (best.Foretold - last.Cost) / math.Abs(last.Cost)
+		best.PredictionError = (best.Predicted - last.Cost) / math.Abs(last.Cost)
 	}
 	return best, nil
 }
@@ -79,8 +79,8 @@
 		}
 	}
 	l := Line{Power: power}
-	l.Base, l.Rise = stat.LinearRegression(x, y, w, false)
-	l.Noise, l.Error = residual(x, y, w, l.Base, l.Rise)
+	l.Base, l.Coefficient = stat.LinearRegression(x, y, w, false)
+	l.Residual, l.StdError = residual(x, y, w, l.Base, l.Coefficient)
 	return l
 }
 
@@ -104,15 +104,15 @@
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
 		if p.Size <= 0 || p.Cost <= 0 {
-			return Line{Noise: math.Inf(1)}
+			return Line{Residual: math.Inf(1)}
 		}
 		x[i], y[i], w[i] = math.Log(p.Size), math.Log(p.Cost), 1
 	}
 	base, rise := stat.LinearRegression(x, y, w, false)
 	noise, _ := residual(x, y, w, base, rise)
-	l := Line{Rise: math.Exp(base), Power: rise, Noise: noise}
+	l := Line{Coefficient: math.Exp(base), Power: rise, Residual: noise}
 	if len(x) > 2 {
-		l.Error = l.Rise * noise / math.Sqrt(float64(len(x)-2))
+		l.StdError = l.Coefficient * noise / math.Sqrt(float64(len(x)-2))
 	}
 	return l
 }
--- a/internal/testbed/scale/slope/fit_test.go
+++ b/internal/testbed/scale/slope/fit_test.go
@@ -19,20 +19,20 @@
 func TestFit(t *testing.T) {
 	l, err := Fit(points(func(x float64) float64 { return 50 + 3*x }, 2000, 200, 20, 20_000))
 	require.NoError(t, err)
-	require.InDelta(t, 3, l.Rise, 1e-9)
+	require.InDelta(t, 3, l.Coefficient, 1e-9)
 	require.InDelta(t, 50, l.Base, 1e-6)
 	require.Equal(t, 1.0, l.Power)
-	require.Equal(t, [2]float64{20, 20_000}, [2]float64{l.Least, l.Most})
-	require.InDelta(t, 60_050, l.Foretold, 1e-3)
-	require.InDelta(t, 0, l.Off, 1e-9)
+	require.Equal(t, [2]float64{20, 20_000}, [2]float64{l.MinSize, l.MaxSize})
+	require.InDelta(t, 60_050, l.Predicted, 1e-3)
+	require.InDelta(t, 0, l.PredictionError, 1e-9)
 	l, err = Fit(points(func(x float64) float64 { return 1 + x*x/1000 }, 100, 300, 1000, 3000))
 	require.NoError(t, err)
 	require.Equal(t, 2.0, l.Power)
-	require.InDelta(t, 0.001, l.Rise, 1e-9)
+	require.InDelta(t, 0.001, l.Coefficient, 1e-9)
 	// A line that bends at the largest size is told by how far off it is.
 	l, err = Fit(append(points(func(x float64) float64 { return x }, 1, 2, 4), Point{8, 16}))
 	require.NoError(t, err)
-	require.InDelta(t, -0.5, l.Off, 1e-9)
+	require.InDelta(t, -0.5, l.PredictionError, 1e-9)
 }
 
 // TestFitError is within what noise of a known size gives.
@@ -43,7 +43,7 @@
 	for range rounds {
 		l, err := Fit(points(func(x float64) float64 { return 7 * x * (1 + 0.02*rng.NormFloat64()) }, 100, 200, 400, 800, 1600, 3200))
 		require.NoError(t, err)
-		if l.Power == 1 && math.Abs(l.Rise-7) < 3*l.Error {
+		if l.Power == 1 && math.Abs(l.Coefficient-7) < 3*l.StdError {
 			within++
 		}
 	}
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -49,12 +49,12 @@
 
 func fleetProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	return []Probe{{
-		About: "internal/controlplane/quota/allocator: renewals of members with four budgets and connections to eight targets each; the join of one more; its heap",
-		Gives: []Gives{{Name: "giver.renew", Unit: "us", Of: "one renewal", Per: "member"},
-			{Name: "giver.join", Unit: "us", Of: "one join", Per: "member"},
-			{Name: "giver.memory", Unit: "B", Of: "the giver's book", Per: "member", Rough: true},
-			{Name: "giver.renewals.wire", Unit: "B", Of: "a renewal of each and its answer, as JSON", Per: "member", Exact: true}},
-		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
+		Description: "internal/controlplane/quota/allocator: renewals of members with four budgets and connections to eight targets each; the join of one more; its heap",
+		Metrics: []Metric{{Name: "giver.renew", Unit: "us", Subject: "one renewal", Per: "member"},
+			{Name: "giver.join", Unit: "us", Subject: "one join", Per: "member"},
+			{Name: "giver.memory", Unit: "B", Subject: "the giver's book", Per: "member", Noisy: true},
+			{Name: "giver.renewals.wire", Unit: "B", Subject: "a renewal of each and its answer, as JSON", Per: "member", Exact: true}},
+		Sizes: memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			doc, err := budgets(size + 1)
 			if err != nil {
@@ -108,9 +108,9 @@
 			return []float64{cost, join, held, float64(wire)}, nil
 		},
 	}, {
-		About: "internal/controlplane/quota/quotaclient and giver: a renewal and its answer, as JSON, by targets that the member has connections to; 1,024 keys are the most that one member names",
-		Gives: []Gives{{Name: "renewal.wire", Unit: "B", Of: "a renewal and its answer", Per: "target used", Exact: true}},
-		Sizes: []float64{8, 32, 128, 512, 1000}, Short: []float64{8, 16, 32, 64},
+		Description: "internal/controlplane/quota/quotaclient and giver: a renewal and its answer, as JSON, by targets that the member has connections to; 1,024 keys are the most that one member names",
+		Metrics:     []Metric{{Name: "renewal.wire", Unit: "B", Subject: "a renewal and its answer", Per: "target used", Exact: true}},
+		Sizes:       []float64{8, 32, 128, 512, 1000}, ShortSizes: []float64{8, 16, 32, 64},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			doc, err := budgets(10)
 			if err != nil {
@@ -139,9 +139,9 @@
 			return []float64{float64(wire)}, nil
 		},
 	}, {
-		About: "internal/controlplane/lease/lessor: claims of 100 members that hold all shards of up to four tasks between them; what the log is asked to change, with nothing to do",
-		Gives: []Gives{{Name: "keeper.claim", Unit: "us", Of: "one claim", Per: "shard"}, {Name: "keeper.orders", Unit: "us", Of: "a look for orders, 100 members", Per: "shard"}},
-		Sizes: []float64{100, 250, 625, 1560, 3900}, Short: []float64{100, 250, 625, 1560}, Turns: 3,
+		Description: "internal/controlplane/lease/lessor: claims of 100 members that hold all shards of up to four tasks between them; what the log is asked to change, with nothing to do",
+		Metrics:     []Metric{{Name: "keeper.claim", Unit: "us", Subject: "one claim", Per: "shard"}, {Name: "keeper.orders", Unit: "us", Subject: "a look for orders, 100 members", Per: "shard"}},
+		Sizes:       []float64{100, 250, 625, 1560, 3900}, ShortSizes: []float64{100, 250, 625, 1560}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			k, now, claims, err := kept(100, size)
 			if err != nil {
@@ -162,9 +162,9 @@
 			return []float64{claim, orders}, err
 		},
 	}, {
-		About: "internal/controlplane/lease/lessor: a look for orders with 1,000 shards, with nothing to do; four a second and one after each change of the log",
-		Gives: []Gives{{Name: "keeper.looks", Unit: "us", Of: "a look for orders, 1,000 shards", Per: "member"}},
-		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
+		Description: "internal/controlplane/lease/lessor: a look for orders with 1,000 shards, with nothing to do; four a second and one after each change of the log",
+		Metrics:     []Metric{{Name: "keeper.looks", Unit: "us", Subject: "a look for orders, 1,000 shards", Per: "member"}},
+		Sizes:       memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			k, now, _, err := kept(size, 1000)
 			if err != nil {
@@ -173,9 +173,9 @@
 			return []float64{quickest(3, 200*time.Millisecond, func() { k.PendingEvents(now) })}, nil
 		},
 	}, {
-		About: "internal/controlplane/registry: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
-		Gives: []Gives{{Name: "register.copy", Unit: "us", Of: "a copy", Per: "member"}, {Name: "register.text", Unit: "B", Of: "its part of a snapshot", Per: "member", Exact: true}},
-		Sizes: memberSizes, Short: []float64{100, 232, 538, 1250}, Turns: 3,
+		Description: "internal/controlplane/registry: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
+		Metrics:     []Metric{{Name: "register.copy", Unit: "us", Subject: "a copy", Per: "member"}, {Name: "register.text", Unit: "B", Subject: "its part of a snapshot", Per: "member", Exact: true}},
+		Sizes:       memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			doc, err := budgets(size)
 			if err != nil {
@@ -189,9 +189,9 @@
 			return []float64{quickest(5, 50*time.Millisecond, func() { r.Clone() }), float64(len(t))}, err
 		},
 	}, {
-		About: "internal/observability/accounts: what an instance tells of a window, as JSON, with so many volumes used",
-		Gives: []Gives{{Name: "accounts.report", Unit: "B", Of: "an instance's accounts of a window", Per: "volume", Exact: true}, {Name: "accounts.memory", Unit: "B", Of: "an instance's book", Per: "volume", Rough: true}},
-		Sizes: []float64{64, 256, 1024, 4096}, Short: []float64{32, 64, 128, 256},
+		Description: "internal/observability/accounts: what an instance tells of a window, as JSON, with so many volumes used",
+		Metrics:     []Metric{{Name: "accounts.report", Unit: "B", Subject: "an instance's accounts of a window", Per: "volume", Exact: true}, {Name: "accounts.memory", Unit: "B", Subject: "an instance's book", Per: "volume", Noisy: true}},
+		Sizes:       []float64{64, 256, 1024, 4096}, ShortSizes: []float64{32, 64, 128, 256},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			before := heap()
 			b := accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 64})
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -48,7 +48,7 @@
 
 // Agent is the process that AgentEnv asks for: one agent until its input ends. Each line that it reads is answered by what it has used. It returns
 // false where nothing was asked for.
-func Agent() (bool, error) {
+func RunAgent() (bool, error) {
 	asked := os.Getenv(AgentEnv)
 	if asked == "" {
 		return false, nil
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -39,12 +39,12 @@
 
 func listProbes() []Probe {
 	return []Probe{{
-		About: "internal/datapath/listing: a whole list read and checked",
-		Gives: []Gives{{Name: "list.line", Unit: "B", Of: "a whole list on the wire", Per: "entry", Exact: true},
-			{Name: "list.decode", Unit: "us", Of: "reading a whole list", Per: "entry"},
-			{Name: "list.allocs", Unit: "allocs", Of: "reading a whole list", Per: "entry", Exact: true},
-			{Name: "list.memory", Unit: "B", Of: "a list as read", Per: "entry", Exact: true}},
-		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, Short: []float64{200, 500, 1250, 3200}, Turns: 3,
+		Description: "internal/datapath/listing: a whole list read and checked",
+		Metrics: []Metric{{Name: "list.line", Unit: "B", Subject: "a whole list on the wire", Per: "entry", Exact: true},
+			{Name: "list.decode", Unit: "us", Subject: "reading a whole list", Per: "entry"},
+			{Name: "list.allocs", Unit: "allocs", Subject: "reading a whole list", Per: "entry", Exact: true},
+			{Name: "list.memory", Unit: "B", Subject: "a list as read", Per: "entry", Exact: true}},
+		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, ShortSizes: []float64{200, 500, 1250, 3200}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			t := text(1, size, true)
 			held, l := holds(func() *listing.List {
@@ -57,7 +57,7 @@
 			if l == nil {
 				_, err := listing.Decode(t)
 				if errors.Is(err, listing.ErrTooManyEntries) {
-					err = ErrBeyond
+					err = ErrSizeUnsupported
 				}
 				return nil, err
 			}
@@ -66,10 +66,10 @@
 			return []float64{float64(len(t)), quickest(3, 200*time.Millisecond, read), objects, held}, nil
 		},
 	}, {
-		About: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
-		Gives: []Gives{{Name: "upstream.memory", Unit: "B", Of: "heap and stacks of the targets' actors", Per: "target", Rough: true},
-			{Name: "upstream.change", Unit: "us", Of: "a change of one entry", Per: "target"}},
-		Sizes: targetSizes, Short: []float64{200, 632, 2000, 6324}, Turns: 3,
+		Description: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
+		Metrics: []Metric{{Name: "upstream.memory", Unit: "B", Subject: "heap and stacks of the targets' actors", Per: "target", Noisy: true},
+			{Name: "upstream.change", Unit: "us", Subject: "a change of one entry", Per: "target"}},
+		Sizes: targetSizes, ShortSizes: []float64{200, 632, 2000, 6324}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			all := make([]upstream.Target, size)
 			for i := range all {
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -23,10 +23,10 @@
 func memberProbes() []Probe {
 	lasts := func(size int) time.Duration { return 20 * time.Second }
 	return []Probe{{
-		About: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
-		Gives: []Gives{{Name: "members.wire", Unit: "B/s", Of: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Of: "what a member sends", Per: "member", Exact: true},
-			{Name: "members.cpu", Unit: "us/s", Of: "a member's machine, its network's model included", Per: "member", Rough: true}, {Name: "members.memory", Unit: "B", Of: "a member's machine", Per: "member", Rough: true}},
-		Sizes: []float64{100, 200, 400, 800, 1600}, Short: []float64{25, 50, 100, 200},
+		Description: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
+		Metrics: []Metric{{Name: "members.wire", Unit: "B/s", Subject: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Subject: "what a member sends", Per: "member", Exact: true},
+			{Name: "members.cpu", Unit: "us/s", Subject: "a member's machine, its network's model included", Per: "member", Noisy: true}, {Name: "members.memory", Unit: "B", Subject: "a member's machine", Per: "member", Noisy: true}},
+		Sizes: []float64{100, 200, 400, 800, 1600}, ShortSizes: []float64{25, 50, 100, 200},
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			before := heap()
 			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.DefaultConfig, Delay: 2 * time.Millisecond, Joined: true})
--- a/internal/testbed/scale/slope/module.go
+++ b/internal/testbed/scale/slope/module.go
@@ -77,13 +77,13 @@
 
 func moduleProbes() []Probe {
 	return []Probe{{
-		About: "root package, each target a shard of its own: a list of one entry that drains or is up again; a request with its answer; a timer; a whole list as after a start; its heap",
-		Gives: []Gives{{Name: "module.change", Unit: "us", Of: "a change of one entry", Per: "target"},
-			{Name: "module.request", Unit: "us", Of: "a request and its answer", Per: "target"},
-			{Name: "module.timer", Unit: "us", Of: "a timer with nothing open", Per: "target", Rough: true},
-			{Name: "module.whole", Unit: "us", Of: "a whole list, with nothing known", Per: "target"},
-			{Name: "module.memory", Unit: "B", Of: "heap of a module", Per: "target", Exact: true}},
-		Sizes: targetSizes, Short: []float64{200, 400, 800, 1600}, Turns: 3,
+		Description: "root package, each target a shard of its own: a list of one entry that drains or is up again; a request with its answer; a timer; a whole list as after a start; its heap",
+		Metrics: []Metric{{Name: "module.change", Unit: "us", Subject: "a change of one entry", Per: "target"},
+			{Name: "module.request", Unit: "us", Subject: "a request and its answer", Per: "target"},
+			{Name: "module.timer", Unit: "us", Subject: "a timer with nothing open", Per: "target", Noisy: true},
+			{Name: "module.whole", Unit: "us", Subject: "a whole list, with nothing known", Per: "target"},
+			{Name: "module.memory", Unit: "B", Subject: "heap of a module", Per: "target", Exact: true}},
+		Sizes: targetSizes, ShortSizes: []float64{200, 400, 800, 1600}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			var err error
 			var m *module
@@ -112,9 +112,9 @@
 			runtime.KeepAlive(m)
 			return []float64{change, request, timer, whole, held}, nil
 		}}, {
-		About: "root package, 2,000 targets: other settings, all plans with other rates, while volumes are known that have been served lately",
-		Gives: []Gives{{Name: "module.adopt", Unit: "us", Of: "other settings", Per: "volume"}},
-		Sizes: []float64{64, 256, 1024, 4096, 16384}, Short: []float64{128, 256, 512, 1024}, Turns: 3,
+		Description: "root package, 2,000 targets: other settings, all plans with other rates, while volumes are known that have been served lately",
+		Metrics:     []Metric{{Name: "module.adopt", Unit: "us", Subject: "other settings", Per: "volume"}},
+		Sizes:       []float64{64, 256, 1024, 4096, 16384}, ShortSizes: []float64{128, 256, 512, 1024}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			m, err := newModule(2000)
 			if err != nil {
--- a/internal/testbed/scale/slope/page.go
+++ b/internal/testbed/scale/slope/page.go
@@ -103,26 +103,26 @@
 }
 
 // verdict tells it in plain words.
-func (j *Judged) verdict() string {
+func (j *Evaluation) verdict() string {
 	switch {
-	case j.Verdict == Holds && 1/j.Factor < 1.05:
+	case j.Verdict == WithinLimit && 1/j.Factor < 1.05:
 		return "*holds*, just"
-	case j.Verdict == Holds:
+	case j.Verdict == WithinLimit:
 		return "*holds*, " + number(1/j.Factor) + " times over"
-	case j.Verdict == Lacks:
+	case j.Verdict == ExceedsLimit:
 		return "*lacks by a factor of " + number(j.Factor) + "*"
-	case j.Untold != "" && j.Factor > 1:
-		return "*not known*: " + j.Untold + "; as it stands here it would lack by a factor of " + number(j.Factor)
-	case j.Untold != "":
-		return "*not known*: " + j.Untold
-	case len(j.Unsure) > 0:
-		return "*not known*: " + strings.Join(j.Unsure, ", ") + " is not above its error"
+	case j.MissingInput != "" && j.Factor > 1:
+		return "*not known*: " + j.MissingInput + "; as it stands here it would lack by a factor of " + number(j.Factor)
+	case j.MissingInput != "":
+		return "*not known*: " + j.MissingInput
+	case len(j.Insignificant) > 0:
+		return "*not known*: " + strings.Join(j.Insignificant, ", ") + " is not above its error"
 	}
 	return "*not known*: not measured"
 }
 
 func (t *Table) tables() map[string]string {
-	tables := map[string]string{"size": t.sizeTable(), "state": t.stateTable(), "messages": t.messageTable(), "events": t.eventTable(), "ranking": t.rankTable(Without), "ranking by the feed": t.rankTable(By),
+	tables := map[string]string{"size": t.sizeTable(), "state": t.stateTable(), "messages": t.messageTable(), "events": t.eventTable(), "ranking": t.rankTable(FeedOff), "ranking by the feed": t.rankTable(FeedOn),
 		"slopes": t.slopeTable(), "connections": t.connectionTable(), "before": t.beforeTable()}
 	for _, role := range []string{"initiator", "discovery", "agent", "relay", "target"} {
 		tables[role] = t.roleTable(role)
@@ -132,7 +132,7 @@
 
 func (t *Table) roleTable(role string) string {
 	var lines [][]string
-	for _, j := range t.Judge() {
+	for _, j := range t.Evaluate() {
 		if j.Role != role && !strings.HasPrefix(j.Role, role+",") {
 			continue
 		}
@@ -141,7 +141,7 @@
 			limit = amount(j.Limit, j.Unit)
 		}
 		value := amount(j.Value, j.Unit)
-		if len(j.Beyond) > 0 {
+		if len(j.Extrapolated) > 0 {
 			value += " (beyond what was measured)"
 		}
 		_, which, _ := strings.Cut(j.Role, ", ")
@@ -149,18 +149,18 @@
 			which = "the " + which + "; "
 		}
 		carried := "either"
-		if j.Feed != Either {
+		if j.Feed != FeedAny {
 			carried = string(j.Feed)
 		}
-		lines = append(lines, []string{which + j.Of, j.When, carried, strings.Join(j.Names, ", "), value, limit, j.verdict()})
+		lines = append(lines, []string{which + j.Subject, j.When, carried, strings.Join(j.SlopeNames, ", "), value, limit, j.verdict()})
 	}
 	return rows([]string{"what", "when", "feed", "slopes", "at the size", "limit", "verdict"}, lines)
 }
 
 func (t *Table) rankTable(by Feed) string {
 	var lines [][]string
-	for i, j := range t.Rank(by) {
-		lines = append(lines, []string{fmt.Sprint(i + 1), number(j.Breaks), j.Role, j.Of, j.When, number(j.Factor), j.Mechanism})
+	for i, j := range t.RankExceeded(by) {
+		lines = append(lines, []string{fmt.Sprint(i + 1), number(j.BreakingSize), j.Role, j.Subject, j.When, number(j.Factor), j.Mechanism})
 	}
 	return rows([]string{"", "breaks at so many initiators", "role", "what", "when", "at the size it lacks by", "mechanism that carries it"}, lines)
 }
@@ -175,8 +175,8 @@
 		case s.Power != 1:
 			per += ", to the power of " + number(s.Power)
 		}
-		lines = append(lines, []string{s.Name, s.Of, number(s.Value) + " " + s.Unit + " ± " + number(s.Error), per, number(s.Base), number(s.Least) + " to " + number(s.Most),
-			fmt.Sprintf("%+.0f %%", 100*s.Off), "`" + s.Command + "`, " + s.Date})
+		lines = append(lines, []string{s.Name, s.Subject, number(s.Value) + " " + s.Unit + " ± " + number(s.StdError), per, number(s.Base), number(s.MinSize) + " to " + number(s.MaxSize),
+			fmt.Sprintf("%+.0f %%", 100*s.PredictionError), "`" + s.Command + "`, " + s.Date})
 	}
 	return rows([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
 }
@@ -185,18 +185,18 @@
 func (t *Table) beforeTable() string {
 	var lines [][]string
 	for _, b := range t.Before {
-		now := t.At(b.Name)
+		now := t.Lookup(b.Name)
 		var sizes, then, since []string
 		mended := false
 		for _, p := range b.Measured {
-			if !now.Within(p.Size) {
+			if !now.InRange(p.Size) {
 				continue
 			}
-			sizes, then, since = append(sizes, number(p.Size)), append(then, amount(p.Cost, b.Unit)), append(since, amount(now.At(p.Size), now.Unit))
-			mended = mended || now.At(p.Size) < p.Cost/2
+			sizes, then, since = append(sizes, number(p.Size)), append(then, amount(p.Cost, b.Unit)), append(since, amount(now.Cost(p.Size), now.Unit))
+			mended = mended || now.Cost(p.Size) < p.Cost/2
 		}
 		if mended {
-			lines = append(lines, []string{b.Name, b.Of, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(then, "; "), strings.Join(since, "; ")})
+			lines = append(lines, []string{b.Name, b.Subject, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(then, "; "), strings.Join(since, "; ")})
 		}
 	}
 	return rows([]string{"slope", "of", "at", "before", "now"}, lines)
--- a/internal/testbed/scale/slope/parts.go
+++ b/internal/testbed/scale/slope/parts.go
@@ -12,18 +12,18 @@
 	return rows([]string{"what", "size"}, [][]string{
 		{"initiators; targets", n(s.Initiators) + "; " + n(s.Targets)},
 		{"client connections; requests a second", n(s.Clients) + "; " + n(s.Requests)},
-		{"at one initiator", n(s.Clients/s.Initiators) + " connections; " + n(s.RequestsEach()) + " requests a second, " + n(1e6/s.RequestsEach()) + " us for each"},
-		{"changes of primary", n(s.Primaries) + " a day, each over within " + n(s.PrimaryWithin) + " s"},
+		{"at one initiator", n(s.Clients/s.Initiators) + " connections; " + n(s.RequestsPerInitiator()) + " requests a second, " + n(1e6/s.RequestsPerInitiator()) + " us for each"},
+		{"changes of primary", n(s.PrimaryChanges) + " a day, each over within " + n(s.PrimaryChangeLimit) + " s"},
 		{"regions; zones", n(s.Regions) + "; " + n(s.Zones)},
-		{"changes of configuration", n(s.Changes) + " a day, " + n(s.ChangeRate()) + " a second; in the worst minute " + n(s.Burst) + " a second; in force everywhere within " + n(l.InForce) + " s"},
-		{"machines that fail; are restarted or replaced", n(s.Failures) + "; " + n(s.Restarts) + " a day: with " + n(s.Entries) + " entries each and two for a primary, " +
-			n(s.ListRate()*day) + " changes of the list"},
-		{"restarts of initiators", n(s.InitiatorsBack) + " a day, or all within " + n(l.Back) + " s"},
-		{"a rack (taken)", n(l.Rack) + " targets"},
+		{"changes of configuration", n(s.ConfigChanges) + " a day, " + n(s.ConfigChangeRate()) + " a second; in the worst minute " + n(s.ConfigBurst) + " a second; in force everywhere within " + n(l.ConfigInForce) + " s"},
+		{"machines that fail; are restarted or replaced", n(s.Failures) + "; " + n(s.Restarts) + " a day: with " + n(s.EntriesPerMachine) + " entries each and two for a primary, " +
+			n(s.ListChangeRate()*day) + " changes of the list"},
+		{"restarts of initiators", n(s.InitiatorRestarts) + " a day, or all within " + n(l.RestartWindow) + " s"},
+		{"a rack (taken)", n(l.RackTargets) + " targets"},
 		{"an initiator's control", n(l.Core) + " of a core, " + amount(l.Memory, "B") + ", " + amount(l.Wire, "B/s")},
-		{"set aside for control", n(l.Machines) + " machines (taken: of " + n(l.MachineOf) + " cores each)"},
-		{"one discovery that all share", n(l.Call*1000) + " ms for a call, " + n(l.Line*1000) + " ms for a line of its answer (docs/standing.md)"},
-		{"a configuration; accounts; shards of tasks (taken)", n(s.Config) + " bytes; " + n(s.Volumes) + " volumes at an initiator; " + n(s.Shards)},
+		{"set aside for control", n(l.Machines) + " machines (taken: of " + n(l.MachineCores) + " cores each)"},
+		{"one discovery that all share", n(l.DiscoveryCall*1000) + " ms for a call, " + n(l.DiscoveryEntry*1000) + " ms for a line of its answer (docs/standing.md)"},
+		{"a configuration; accounts; shards of tasks (taken)", n(s.ConfigBytes) + " bytes; " + n(s.VolumesPerInitiator) + " volumes at an initiator; " + n(s.TaskShards)},
 	})
 }
 
@@ -42,7 +42,7 @@
 		{"initiator", "the list as last had (internal/datapath/discovery, internal/datapath/listing)", "target's id", "list.memory", targets, "entries that are read of a list; 4 MB of its text"},
 		{"initiator", "an actor for each target, without connections (internal/datapath/upstream)", "target's id", "upstream.memory", targets, "the list"},
 		{"initiator", "the view of all members (internal/controlplane/membership)", "a life", "members.memory", initiators, "those that live, and 1,024 that ended"},
-		{"initiator", "accounts (internal/observability/accounts)", "volume", "accounts.memory", func(s Size) float64 { return s.Volumes }, "`[accounts] volumes`, the longest unused goes"},
+		{"initiator", "accounts (internal/observability/accounts)", "volume", "accounts.memory", func(s Size) float64 { return s.VolumesPerInitiator }, "`[accounts] volumes`, the longest unused goes"},
 		{"initiator, by the feed", "its replica (internal/controlplane/watchstream)", "target's id; its layers", "feed.replica.memory", targets, "65,536 targets, 16,384 that are gone"},
 		{"relay", "its replica, of all layers (internal/controlplane/watchstream)", "target's id; scope", "feed.replica.memory", targets, "the same, 16,384 layers"},
 		{"relay", "what each reader said last (internal/controlplane/watchstream)", "reader's name", "feed.source.memory", func(s Size) float64 { return s.Initiators / relays(t.Limits) }, "`readers`"},
@@ -51,19 +51,19 @@
 		{"agent", "seats, as text of a snapshot (internal/controlplane/registry)", "member's id", "register.text", initiators, "`seats`, 16,384 at most"},
 		{"agent, leader", "the book, with eight targets each (internal/controlplane/quota/allocator)", "budget, key, member", "giver.memory", initiators, "seats; 1,024 keys of a member"},
 	} {
-		x := t.At(k.slope)
+		x := t.Lookup(k.slope)
 		each, sum := "*not known*", "*not known*"
 		if x.Known() {
 			n := k.many(t.Size)
-			each, sum = amount(costs{t: t}.each(k.slope), x.Unit), amount(x.At(n), x.Unit)+" for "+number(n)
-			if n > x.Most {
+			each, sum = amount(costs{t: t}.each(k.slope), x.Unit), amount(x.Cost(n), x.Unit)+" for "+number(n)
+			if n > x.MaxSize {
 				sum += " (beyond what was measured)"
 			}
 		}
 		lines = append(lines, []string{k.role, k.what, k.key, each, sum, k.bound})
 	}
-	lines = append(lines, []string{"agent", "the log of changes, on disk (internal/controlplane/agent)", "index", amount(t.At("agent.entry").At(t.Size.Config), "B") + " with a configuration of " + number(t.Size.Config),
-		amount(t.Size.ChangeRate()*t.Size.Initiators*day*t.At("agent.entry").At(t.Size.Config), "B") + " a day", "the Raft library's snapshots"},
+	lines = append(lines, []string{"agent", "the log of changes, on disk (internal/controlplane/agent)", "index", amount(t.Lookup("agent.entry").Cost(t.Size.ConfigBytes), "B") + " with a configuration of " + number(t.Size.ConfigBytes),
+		amount(t.Size.ConfigChangeRate()*t.Size.Initiators*day*t.Lookup("agent.entry").Cost(t.Size.ConfigBytes), "B") + " a day", "the Raft library's snapshots"},
 		[]string{"agent", "the feed's records, and at the leader what each reader has (internal/controlplane/watchstream)", "target's id; scope; reader", "as a relay's replica; *not known*", "*not known*",
 			"65,536 targets, 16,384 layers and readers"},
 		[]string{"discovery", "the list; whose watch has what", "the operators'", "*not known*", "*not known*", "*not known*"},
@@ -89,60 +89,60 @@
 	var lines [][]string
 	for _, m := range []message{
 		{"discovery and each initiator", "a watch with nothing new", func(c costs, _ Size) float64 { return c.each("discovery.wire") / c.each("discovery.calls") }, "discovery.wire",
-			func(c costs, _ Size, _ Limits) [4]float64 { return always4(c.each("discovery.calls")) }, "internal/datapath/discovery", Without},
+			func(c costs, _ Size, _ Limits) [4]float64 { return always4(c.each("discovery.calls")) }, "internal/datapath/discovery", FeedOff},
 		{"discovery to each initiator", "an entry that changed", func(c costs, _ Size) float64 { return c.each("discovery.change.wire") }, "discovery.change.wire",
 			func(_ costs, s Size, l Limits) [4]float64 {
-				return [4]float64{s.ListRate(), s.ListRate() + l.Rack/minute, s.Targets / s.Zones / minute, s.ListRate() * hour / minute}
-			}, "internal/datapath/discovery", Without},
+				return [4]float64{s.ListChangeRate(), s.ListChangeRate() + l.RackTargets/minute, s.Targets / s.Zones / minute, s.ListChangeRate() * hour / minute}
+			}, "internal/datapath/discovery", FeedOff},
 		{"discovery to initiators that start, in all", "a whole list", func(c costs, s Size) float64 { return c.at("list.line", s.Targets) }, "list.line",
 			func(_ costs, s Size, l Limits) [4]float64 {
-				return [4]float64{s.InitiatorsBack / day, s.InitiatorsBack / l.Back, s.Initiators / s.Zones / minute, 0}
-			}, "internal/datapath/discovery, internal/datapath/listing", Without},
+				return [4]float64{s.InitiatorRestarts / day, s.InitiatorRestarts / l.RestartWindow, s.Initiators / s.Zones / minute, 0}
+			}, "internal/datapath/discovery, internal/datapath/listing", FeedOff},
 		{"an agent and each initiator", "a watch with nothing new", func(c costs, _ Size) float64 { return c.each("agent.follow.wire") }, "agent.follow.wire",
-			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/agent", Without},
-		{"an agent to each initiator", "its configuration, whole", func(c costs, s Size) float64 { return c.at("agent.answer", s.Config) }, "agent.answer",
+			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/agent", FeedOff},
+		{"an agent to each initiator", "its configuration, whole", func(c costs, s Size) float64 { return c.at("agent.answer", s.ConfigBytes) }, "agent.answer",
 			func(_ costs, s Size, _ Limits) [4]float64 {
-				return [4]float64{s.ChangeRate(), s.Burst, s.ChangeRate(), 1 / minute}
-			}, "internal/controlplane/agent", Without},
-		{"the leader to each follower", "an entry of the log", func(c costs, s Size) float64 { return c.at("agent.entry", s.Config) }, "agent.entry",
+				return [4]float64{s.ConfigChangeRate(), s.ConfigBurst, s.ConfigChangeRate(), 1 / minute}
+			}, "internal/controlplane/agent", FeedOff},
+		{"the leader to each follower", "an entry of the log", func(c costs, s Size) float64 { return c.at("agent.entry", s.ConfigBytes) }, "agent.entry",
 			func(_ costs, s Size, _ Limits) [4]float64 {
-				e := s.ChangeRate() * s.Initiators
-				return [4]float64{e, s.Burst * s.Initiators, e, e * hour / minute}
-			}, "internal/controlplane/agent", Without},
+				e := s.ConfigChangeRate() * s.Initiators
+				return [4]float64{e, s.ConfigBurst * s.Initiators, e, e * hour / minute}
+			}, "internal/controlplane/agent", FeedOff},
 		{"each initiator and the leader", "a renewal and its answer", func(c costs, _ Size) float64 { return c.each("leader.wire") }, "leader.wire",
-			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator", Either},
+			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator", FeedAny},
 		{"initiators and the leader, in all", "a join", nil, "", func(_ costs, s Size, l Limits) [4]float64 {
-			return [4]float64{s.InitiatorsBack / day, s.InitiatorsBack / l.Back, s.Initiators / s.Zones / minute, s.Initiators / s.Regions / minute}
-		}, "internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator", Either},
+			return [4]float64{s.InitiatorRestarts / day, s.InitiatorRestarts / l.RestartWindow, s.Initiators / s.Zones / minute, s.Initiators / s.Regions / minute}
+		}, "internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator", FeedAny},
 		{"each initiator to others", "ping, ack, confirm, comparison", func(c costs, s Size) float64 {
 			return c.at("members.wire", s.Initiators) / c.at("members.messages", s.Initiators)
 		}, "members.wire, members.messages", func(c costs, s Size, _ Limits) [4]float64 { return always4(c.at("members.messages", s.Initiators)) },
-			"internal/controlplane/membership/transport, internal/controlplane/membership", Either},
+			"internal/controlplane/membership/transport, internal/controlplane/membership", FeedAny},
 		{"a relay and each initiator", "a poll with nothing new", func(c costs, _ Size) float64 { return c.each("feed.poll.wire") }, "feed.poll.wire",
-			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/watchstream/distribution", By},
+			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/watchstream/distribution", FeedOn},
 		{"a relay to each initiator", "an entry that changed, with the poll", func(c costs, _ Size) float64 { return c.each("feed.change.wire") }, "feed.change.wire",
 			func(_ costs, s Size, l Limits) [4]float64 {
-				return [4]float64{s.ListRate(), s.ListRate() + l.Rack/minute, s.Targets / s.Zones / minute, s.ListRate() * hour / minute}
-			}, "internal/controlplane/watchstream/distribution", By},
+				return [4]float64{s.ListChangeRate(), s.ListChangeRate() + l.RackTargets/minute, s.Targets / s.Zones / minute, s.ListChangeRate() * hour / minute}
+			}, "internal/controlplane/watchstream/distribution", FeedOn},
 		{"a relay to each initiator", "a shared layer of the usual size, with the poll", func(c costs, _ Size) float64 { return c.each("feed.layer.wire") }, "feed.layer.wire",
 			func(_ costs, s Size, _ Limits) [4]float64 {
-				return [4]float64{s.ChangeRate(), min(s.Burst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds()), s.ChangeRate(), 1 / minute}
-			}, "internal/controlplane/watchstream/distribution", By},
+				return [4]float64{s.ConfigChangeRate(), min(s.ConfigBurst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds()), s.ConfigChangeRate(), 1 / minute}
+			}, "internal/controlplane/watchstream/distribution", FeedOn},
 		{"relays to initiators that start, in all", "all targets, packed", func(c costs, s Size) float64 { return c.at("feed.whole.wire", s.Targets) }, "feed.whole.wire",
 			func(_ costs, s Size, l Limits) [4]float64 {
-				return [4]float64{s.InitiatorsBack / day, s.InitiatorsBack / l.Back, s.Initiators / s.Zones / minute, 0}
-			}, "internal/controlplane/watchstream/distribution", By},
-		{"the leader to each follower, an agent to each relay", "a change, of a layer of the usual size", func(c costs, s Size) float64 { return c.at("agent.entry", s.Config) }, "agent.entry",
+				return [4]float64{s.InitiatorRestarts / day, s.InitiatorRestarts / l.RestartWindow, s.Initiators / s.Zones / minute, 0}
+			}, "internal/controlplane/watchstream/distribution", FeedOn},
+		{"the leader to each follower, an agent to each relay", "a change, of a layer of the usual size", func(c costs, s Size) float64 { return c.at("agent.entry", s.ConfigBytes) }, "agent.entry",
 			func(_ costs, s Size, l Limits) [4]float64 {
-				e := s.ChangeRate() + s.ListRate()
-				return [4]float64{e, s.Burst + l.Rack/minute, s.ChangeRate() + s.Targets/s.Zones/minute, e * hour / minute}
-			}, "internal/controlplane/agent, internal/controlplane/watchstream/distribution", By},
+				e := s.ConfigChangeRate() + s.ListChangeRate()
+				return [4]float64{e, s.ConfigBurst + l.RackTargets/minute, s.ConfigChangeRate() + s.Targets/s.Zones/minute, e * hour / minute}
+			}, "internal/controlplane/agent, internal/controlplane/watchstream/distribution", FeedOn},
 		{"each relay to the leader", "a report in which all its readers have news", func(c costs, s Size) float64 {
 			return c.at("feed.report.wire", s.Initiators/relays(t.Limits))
 		}, "feed.report.wire", func(_ costs, s Size, _ Limits) [4]float64 {
-			e := min(1, s.ChangeRate()+s.ListRate())
+			e := min(1, s.ConfigChangeRate()+s.ListChangeRate())
 			return [4]float64{e, 1, 1, e}
-		}, "internal/controlplane/watchstream/distribution", By},
+		}, "internal/controlplane/watchstream/distribution", FeedOn},
 	} {
 		c := costs{t: t}
 		size := "*not known*"
@@ -159,7 +159,7 @@
 			cells = append(cells, fmt.Sprintf("%s/s, %s", number(r), amount(r*m.bytes(c, t.Size), "B/s")))
 		}
 		by := "either"
-		if m.feed != Either {
+		if m.feed != FeedAny {
 			by = string(m.feed)
 		}
 		lines = append(lines, append(cells, m.mechanism, by))
@@ -170,8 +170,8 @@
 func (t *Table) connectionTable() string {
 	n, s := number, t.Size
 	watches := "*not known*"
-	if x := t.At("agent.follow.connections"); x.Known() {
-		watches = n(x.At(s.Initiators))
+	if x := t.Lookup("agent.follow.connections"); x.Known() {
+		watches = n(x.Cost(s.Initiators))
 	}
 	return rows([]string{"role", "with whom", "connections at the size, each a descriptor", "bounded by"}, [][]string{
 		{"initiator", "clients", n(s.Clients / s.Initiators), "what the process may open, less what control, discovery and targets take"},
@@ -181,10 +181,10 @@
 		{"initiator", "other members", "a socket for datagrams, a listener, 48 streams at most", "internal/controlplane/membership/transport"},
 		{"initiator, by the feed", "a relay", "1, 2 while it moves", "internal/controlplane/watchstream/distribution"},
 		{"relay", "its readers; an agent, the leader", n(s.Initiators/relays(t.Limits)) + ", twice as many with the other of its region gone; 2", "`readers`, and 64 more"},
-		{"agent", "instances' watches, where all name the same agent first", watches + " (" + n(t.At("agent.follow.connections").Most) + " measured)", "none"},
+		{"agent", "instances' watches, where all name the same agent first", watches + " (" + n(t.Lookup("agent.follow.connections").MaxSize) + " measured)", "none"},
 		{"agent, leader", "members' renewals", n(s.Initiators), "none"},
 		{"agent", "other agents", "3 to each for Raft, 4 for questions", "its pools"},
-		{"discovery", "initiators' watches", n(t.At("discovery.connections").Value * s.Initiators), "*not known*"},
+		{"discovery", "initiators' watches", n(t.Lookup("discovery.connections").Value * s.Initiators), "*not known*"},
 		{"target", "initiators that use it", n(s.Initiators) + ", if all do, with " + n(s.Requests/s.Targets/s.Initiators) + " requests a second on each", "stocks, where there are some"},
 	})
 }
--- a/internal/testbed/scale/slope/probe.go
+++ b/internal/testbed/scale/slope/probe.go
@@ -12,28 +12,28 @@
 )
 
 // Gives is one cost that a probe measures.
-type Gives struct {
-	Name, Unit, Of, Per string
-	Exact               bool // a count or bytes: the same in every run
-	Rough               bool // it depends on what else the machine does, so that no short run is held against it
+type Metric struct {
+	Name, Unit, Subject, Per string
+	Exact                    bool // a count or bytes: the same in every run
+	Noisy                    bool // it depends on what else the machine does, so that no short run is held against it
 }
 
 // Probe measures what something costs at several sizes.
 type Probe struct {
-	About string
-	Gives []Gives
-	Sizes []float64 // the largest is foretold from the rest
-	Short []float64 // of them, or smaller ones: for a short run
+	Description string
+	Metrics     []Metric
+	Sizes       []float64 // the largest is foretold from the rest
+	ShortSizes  []float64 // of them, or smaller ones: for a short run
 	// Turns is over all sizes, of which the least time counts: what else the machine does meets one size in one turn and another in the next. 0: one.
-	Turns int
+	Repeats int
 	// Beside says that a short run may measure all sizes at once: what is held against the table is each one's own, and most of the time is waiting.
-	Beside bool
+	Concurrent bool
 	// Run measures at one size, a cost for each of Gives. Where the program can't be given that size it returns ErrBeyond: the size is left out.
 	Run func(ctx context.Context, size int) ([]float64, error)
 }
 
 // ErrBeyond says that the program refuses a size.
-var ErrBeyond = errors.New("a size that the program refuses")
+var ErrSizeUnsupported = errors.New("a size that the program refuses")
 
 // Probes is all of them.
 func Probes() []Probe {
@@ -46,28 +46,28 @@
 }
 
 // Short runs a probe at its small sizes.
-func Short(ctx context.Context, p Probe, now time.Time) ([]Slope, error) {
+func MeasureShort(ctx context.Context, p Probe, now time.Time) ([]Slope, error) {
 	most := 1
-	if p.Beside {
-		most = len(p.Short)
+	if p.Concurrent {
+		most = len(p.ShortSizes)
 	}
-	return measure(ctx, p, p.Short, now, most)
+	return measure(ctx, p, p.ShortSizes, now, most)
 }
 
 func measure(ctx context.Context, p Probe, sizes []float64, now time.Time, most int) ([]Slope, error) {
 	began := time.Now()
 	costs := make([][]float64, len(sizes))
-	for range max(1, p.Turns) {
+	for range max(1, p.Repeats) {
 		if err := atOnce(len(sizes), most, func(i int) error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
 			c, err := p.Run(ctx, int(sizes[i]))
 			switch {
-			case errors.Is(err, ErrBeyond):
+			case errors.Is(err, ErrSizeUnsupported):
 				return nil
 			case err != nil:
-				return fmt.Errorf("%s at %v: %w", p.Gives[0].Name, sizes[i], err)
+				return fmt.Errorf("%s at %v: %w", p.Metrics[0].Name, sizes[i], err)
 			}
 			for k := range costs[i] {
 				c[k] = min(c[k], costs[i][k])
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 	}
-	all := make([][]Point, len(p.Gives))
+	all := make([][]Point, len(p.Metrics))
 	for i, list := range costs {
 		for k, c := range list {
 			all[k] = append(all[k], Point{sizes[i], round(c)})
@@ -86,14 +86,14 @@
 	}
 	lasted := time.Since(began).Seconds()
 	var slopes []Slope
-	for i, g := range p.Gives {
+	for i, g := range p.Metrics {
 		l, err := Fit(all[i])
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", g.Name, err)
 		}
-		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Of: g.Of, Per: g.Per, Value: round(l.Rise), Error: round(l.Error), Base: round(l.Base), Power: l.Power,
-			Least: l.Least, Most: l.Most, Off: round(l.Off), Noise: round(l.Noise), Command: "spindlehitch-scale slopes " + p.Gives[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
-			Lasts: math.Ceil(lasted), Measured: all[i], Exact: g.Exact, About: p.About})
+		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Subject: g.Subject, Per: g.Per, Value: round(l.Coefficient), StdError: round(l.StdError), Base: round(l.Base), Power: l.Power,
+			MinSize: l.MinSize, MaxSize: l.MaxSize, PredictionError: round(l.PredictionError), Residual: round(l.Residual), Command: "spindlehitch-scale slopes " + p.Metrics[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
+			DurationSeconds: math.Ceil(lasted), Measured: all[i], Exact: g.Exact, Description: p.Description})
 	}
 	return slopes, nil
 }
@@ -154,18 +154,18 @@
 }
 
 // Find returns the probes that give one of the names; all where there is none.
-func Find(names []string) ([]Probe, error) {
+func FindProbes(names []string) ([]Probe, error) {
 	all := Probes()
 	if len(names) == 0 {
 		return all, nil
 	}
 	var found []Probe
 	for _, n := range names {
-		i := slices.IndexFunc(all, func(p Probe) bool { return slices.ContainsFunc(p.Gives, func(g Gives) bool { return g.Name == n }) })
+		i := slices.IndexFunc(all, func(p Probe) bool { return slices.ContainsFunc(p.Metrics, func(g Metric) bool { return g.Name == n }) })
 		if i < 0 {
 			return nil, fmt.Errorf("no probe gives %q", n)
 		}
-		if !slices.ContainsFunc(found, func(p Probe) bool { return p.Gives[0].Name == all[i].Gives[0].Name }) {
+		if !slices.ContainsFunc(found, func(p Probe) bool { return p.Metrics[0].Name == all[i].Metrics[0].Name }) {
 			found = append(found, all[i])
 		}
 	}
--- a/internal/testbed/scale/slope/slope.go
+++ b/internal/testbed/scale/slope/slope.go
@@ -24,30 +24,30 @@
 
 // Slope is what something costs for each of what it grows by: beyond the sizes measured it costs Base + Value x size^Power.
 type Slope struct {
-	Name     string  `json:"name"`
-	Unit     string  `json:"unit"`     // of the cost: us, B, allocs, ...
-	Of       string  `json:"of"`       // what costs it
-	Per      string  `json:"per"`      // what it grows by
-	Value    float64 `json:"value"`    // units for each of Per
-	Error    float64 `json:"error"`    // standard error of Value
-	Base     float64 `json:"base"`     // units at a size of 0
-	Power    float64 `json:"power"`    // 1, or 2 where it grows with the square
-	Least    float64 `json:"least"`    // range of sizes measured
-	Most     float64 `json:"most"`     //
-	Off      float64 `json:"off"`      // the largest size, foretold from the rest, less what was measured there, as a part of that
-	Noise    float64 `json:"noise"`    // residual of the sizes fitted, as a part of each
-	Command  string  `json:"command"`  // what measured it
-	Date     string  `json:"date"`     // of that run, as in 2026-12-02
-	Cores    int     `json:"cores"`    // of the machine that it ran on
-	Lasts    float64 `json:"lasts_s"`  // of the probe, seconds
-	Measured []Point `json:"measured"` // what was fitted, and the largest
-	Exact    bool    `json:"exact"`    // counts or bytes: the same in every run
-	About    string  `json:"about"`    // what was run, in a line
+	Name            string  `json:"name"`
+	Unit            string  `json:"unit"`     // of the cost: us, B, allocs, ...
+	Subject         string  `json:"of"`       // what costs it
+	Per             string  `json:"per"`      // what it grows by
+	Value           float64 `json:"value"`    // units for each of Per
+	StdError        float64 `json:"error"`    // standard error of Value
+	Base            float64 `json:"base"`     // units at a size of 0
+	Power           float64 `json:"power"`    // 1, or 2 where it grows with the square
+	MinSize         float64 `json:"least"`    // range of sizes measured
+	MaxSize         float64 `json:"most"`     //
+	PredictionError float64 `json:"off"`      // the largest size, foretold from the rest, less what was measured there, as a part of that
+	Residual        float64 `json:"noise"`    // residual of the sizes fitted, as a part of each
+	Command         string  `json:"command"`  // what measured it
+	Date            string  `json:"date"`     // of that run, as in 2026-12-02
+	Cores           int     `json:"cores"`    // of the machine that it ran on
+	DurationSeconds float64 `json:"lasts_s"`  // of the probe, seconds
+	Measured        []Point `json:"measured"` // what was fitted, and the largest
+	Exact           bool    `json:"exact"`    // counts or bytes: the same in every run
+	Description     string  `json:"about"`    // what was run, in a line
 }
 
 // At is the cost at a size, never below 0. Between two sizes that were measured it lies on the power of the size that joins them; beyond all of them it is what
 // was fitted, or what was measured at most where nothing shows that it grows.
-func (s Slope) At(size float64) float64 {
+func (s Slope) Cost(size float64) float64 {
 	i, there := slices.BinarySearchFunc(s.Measured, size, func(p Point, size float64) int { return cmp.Compare(p.Size, size) })
 	fitted := s.Base + s.Value*math.Pow(size, s.Power)
 	switch {
@@ -70,13 +70,13 @@
 }
 
 // Grows tells whether the slope is above its own error: what one more costs is not known otherwise.
-func (s Slope) Grows() bool { return s.Value > s.Error }
+func (s Slope) Grows() bool { return s.Value > s.StdError }
 
 // Known tells whether it was measured.
 func (s Slope) Known() bool { return s.Name != "" }
 
 // Within tells whether a size lies in the range that was measured.
-func (s Slope) Within(size float64) bool { return s.Known() && size >= s.Least && size <= s.Most }
+func (s Slope) InRange(size float64) bool { return s.Known() && size >= s.MinSize && size <= s.MaxSize }
 
 // falls is how many errors below 0 a slope may be: nothing costs less the more there is.
 const falls = 3
@@ -90,7 +90,7 @@
 }
 
 // At returns the slope of that name; one that was not measured is not Known.
-func (t *Table) At(name string) Slope {
+func (t *Table) Lookup(name string) Slope {
 	if i, there := slices.BinarySearchFunc(t.Slopes, name, compareName); there {
 		return t.Slopes[i]
 	}
@@ -100,13 +100,13 @@
 func compareName(s Slope, name string) int { return strings.Compare(s.Name, name) }
 
 // Put takes a slope's latest figures over.
-func (t *Table) Put(s Slope) {
+func (t *Table) Set(s Slope) {
 	t.Slopes = put(t.Slopes, s)
 }
 
 // Mended notes a slope's figures as those from before what it measures was mended.
-func (t *Table) Mended(name string) {
-	if s := t.At(name); s.Known() {
+func (t *Table) SetBefore(name string) {
+	if s := t.Lookup(name); s.Known() {
 		t.Before = put(t.Before, s)
 	}
 }
@@ -174,7 +174,7 @@
 }
 
 func (s *Slope) check() error {
-	for _, f := range []struct{ field, value string }{{"name", s.Name}, {"unit", s.Unit}, {"of", s.Of}, {"per", s.Per}, {"command", s.Command}} {
+	for _, f := range []struct{ field, value string }{{"name", s.Name}, {"unit", s.Unit}, {"of", s.Subject}, {"per", s.Per}, {"command", s.Command}} {
 		if f.value == "" {
 			return fmt.Errorf("%s: is missing", f.field)
 		}
@@ -183,8 +183,8 @@
 		field string
 		value float64
 		least float64
-	}{{"value", s.Value, math.Inf(-1)}, {"base", s.Base, math.Inf(-1)}, {"off", s.Off, math.Inf(-1)}, {"error", s.Error, 0}, {"least", s.Least, 0}, {"most", s.Most, s.Least},
-		{"noise", s.Noise, 0}} {
+	}{{"value", s.Value, math.Inf(-1)}, {"base", s.Base, math.Inf(-1)}, {"off", s.PredictionError, math.Inf(-1)}, {"error", s.StdError, 0}, {"least", s.MinSize, 0}, {"most", s.MaxSize, s.MinSize},
+		{"noise", s.Residual, 0}} {
 		if math.IsNaN(f.value) || math.IsInf(f.value, 0) || f.value < f.least {
 			return fmt.Errorf("%s: %v is no number from %v on", f.field, f.value, f.least)
 		}
@@ -195,8 +195,8 @@
 	if len(s.Measured) < fewest {
 		return fmt.Errorf("measured: %d sizes, wanted %d or more", len(s.Measured), fewest)
 	}
-	if s.Value < -falls*s.Error {
-		return fmt.Errorf("value: %v ± %v: a cost that falls as the size grows was measured wrongly", s.Value, s.Error)
+	if s.Value < -falls*s.StdError {
+		return fmt.Errorf("value: %v ± %v: a cost that falls as the size grows was measured wrongly", s.Value, s.StdError)
 	}
 	for i, p := range s.Measured {
 		if !(p.Cost >= 0) {
--- a/internal/testbed/scale/slope/slope_test.go
+++ b/internal/testbed/scale/slope/slope_test.go
@@ -16,7 +16,7 @@
 
 // TestMain is also the agents of the probes.
 func TestMain(m *testing.M) {
-	asked, err := Agent()
+	asked, err := RunAgent()
 	switch {
 	case !asked:
 		os.Exit(m.Run())
@@ -104,7 +104,7 @@
 
 // made is a slope of so much for each, measured where it says.
 func made(name string, each float64, exact bool, sizes ...float64) Slope {
-	s := Slope{Name: name, Unit: "B", Of: "x", Per: "y", Value: each, Power: 1, Least: sizes[0], Most: sizes[len(sizes)-1], Command: "c", Date: "2026-12-02", Exact: exact}
+	s := Slope{Name: name, Unit: "B", Subject: "x", Per: "y", Value: each, Power: 1, MinSize: sizes[0], MaxSize: sizes[len(sizes)-1], Command: "c", Date: "2026-12-02", Exact: exact}
 	for _, n := range sizes {
 		s.Measured = append(s.Measured, Point{n, each * n})
 	}
@@ -116,70 +116,70 @@
 	s := made("a", 2, true, 10, 100, 1000, 10_000)
 	s.Measured[3].Cost = 200_000 // far above the fit
 	for _, c := range [][2]float64{{10, 20}, {30, 60}, {1000, 2000}, {10_000, 200_000}, {5, 10}, {20_000, 40_000}} {
-		require.InEpsilon(t, c[1], s.At(c[0]), 1e-9, "at %v", c[0])
+		require.InEpsilon(t, c[1], s.Cost(c[0]), 1e-9, "at %v", c[0])
 	}
-	require.InEpsilon(t, 20_000.0, s.At(3162.27766), 1e-6) // half way on the logarithms
+	require.InEpsilon(t, 20_000.0, s.Cost(3162.27766), 1e-6) // half way on the logarithms
 	s.Measured[1].Cost = 0
-	require.InDelta(t, 10, s.At(55), 1e-9)
+	require.InDelta(t, 10, s.Cost(55), 1e-9)
 }
 
 // TestNeverBelow has no cost below 0, wherever it is asked for, and no verdict by a slope that is not above its own error.
 func TestNeverBelow(t *testing.T) {
 	noise := made("noise", 1, false, 100, 200, 400, 800)
-	noise.Base, noise.Value, noise.Error = 221_100, -67, 580
+	noise.Base, noise.Value, noise.StdError = 221_100, -67, 580
 	for i, c := range []float64{260_000, 150_000, 240_000, 190_000} {
 		noise.Measured[i].Cost = c
 	}
 	require.False(t, noise.Grows())
 	for _, n := range []float64{0, 1, 50, 100, 150, 800, 1000, 1e4, 1e6} {
-		require.GreaterOrEqual(t, noise.At(n), 0.0, "at %v", n)
+		require.GreaterOrEqual(t, noise.Cost(n), 0.0, "at %v", n)
 	}
-	require.Equal(t, 260_000.0, noise.At(1e6), "nothing shows that it grows")
+	require.Equal(t, 260_000.0, noise.Cost(1e6), "nothing shows that it grows")
 	low := made("low", 1, true, 400, 800, 1600, 3200)
 	low.Base, low.Value = -350, 1
-	require.Equal(t, 40.0, low.At(40))
+	require.Equal(t, 40.0, low.Cost(40))
 
 	tab := table(t)
 	tab = &Table{Size: tab.Size, Limits: tab.Limits}
-	tab.Put(noise)
+	tab.Set(noise)
 	require.NoError(t, tab.Check())
-	f := Figure{Role: "r", Of: "x", Unit: "us", Names: []string{"noise"}, Value: func(costs, Size, Limits) float64 { return 1376 },
+	f := Figure{Role: "r", Subject: "x", Unit: "us", SlopeNames: []string{"noise"}, Value: func(costs, Size, Limits) float64 { return 1376 },
 		Limit: func(c costs, _ Size, _ Limits) float64 { return 1e6 / c.each("noise") }}
 	j := tab.judge(f)
 	require.Equal(t, Unknown, j.Verdict)
 	require.Equal(t, "*not known*: noise is not above its error", j.verdict())
 	require.Greater(t, j.Limit, 0.0)
-	require.Zero(t, j.Breaks)
+	require.Zero(t, j.BreakingSize)
 
-	noise.Error = 10
-	tab.Put(noise)
+	noise.StdError = 10
+	tab.Set(noise)
 	require.ErrorContains(t, tab.Check(), "slopes[0].value: -67 ± 10: a cost that falls")
-	noise.Error, noise.Measured[2].Cost = 580, -1
-	tab.Put(noise)
+	noise.StdError, noise.Measured[2].Cost = 580, -1
+	tab.Set(noise)
 	require.ErrorContains(t, tab.Check(), "slopes[0].measured[2].cost: -1 is below 0")
 }
 
 // TestVerdicts are holds, lacks and not known, and the smallest fleet is where the limit is passed.
 func TestVerdicts(t *testing.T) {
 	tab := &Table{Size: table(t).Size, Limits: table(t).Limits}
-	tab.Put(made("a", 3, true, 10, 100, 1000, 20_000))
-	f := Figure{Role: "initiator", Of: "x", Unit: "B", Names: []string{"a"}, Value: func(c costs, s Size, _ Limits) float64 { return c.at("a", s.Targets) },
+	tab.Set(made("a", 3, true, 10, 100, 1000, 20_000))
+	f := Figure{Role: "initiator", Subject: "x", Unit: "B", SlopeNames: []string{"a"}, Value: func(c costs, s Size, _ Limits) float64 { return c.at("a", s.Targets) },
 		Limit: func(costs, Size, Limits) float64 { return 30_000 }}
 	j := tab.judge(f)
-	require.Equal(t, Lacks, j.Verdict)
+	require.Equal(t, ExceedsLimit, j.Verdict)
 	require.InEpsilon(t, 2, j.Factor, 1e-9)
-	require.Equal(t, 1451.0, j.Breaks) // 10,000 targets and one initiator more
+	require.Equal(t, 1451.0, j.BreakingSize) // 10,000 targets and one initiator more
 	require.Equal(t, "*lacks by a factor of 2*", j.verdict())
 	f.Limit = func(costs, Size, Limits) float64 { return 120_000 }
 	j = tab.judge(f)
-	require.Equal(t, Holds, j.Verdict)
-	require.Equal(t, 5801.0, j.Breaks)
+	require.Equal(t, WithinLimit, j.Verdict)
+	require.Equal(t, 5801.0, j.BreakingSize)
 	require.Equal(t, "*holds*, 2 times over", j.verdict())
 	f.Limit = func(costs, Size, Limits) float64 { return 1e9 }
-	require.Zero(t, tab.judge(f).Breaks)
-	f.Untold = "what nobody told"
+	require.Zero(t, tab.judge(f).BreakingSize)
+	f.MissingInput = "what nobody told"
 	require.Equal(t, "*not known*: what nobody told", func() string { j := tab.judge(f); return j.verdict() }())
-	f.Untold, f.Names = "", []string{"a", "b"}
+	f.MissingInput, f.SlopeNames = "", []string{"a", "b"}
 	require.Equal(t, "*not known*: not measured", func() string { j := tab.judge(f); return j.verdict() }())
 	require.Zero(t, tab.judge(f).Value)
 }
@@ -187,35 +187,35 @@
 // TestRank has what breaks first first, and each mechanism once where they are told apart.
 func TestRank(t *testing.T) {
 	tab := table(t)
-	for _, by := range []Feed{Without, By} {
-		rank, last := tab.Rank(by), 0.0
+	for _, by := range []Feed{FeedOff, FeedOn} {
+		rank, last := tab.RankExceeded(by), 0.0
 		for _, j := range rank {
-			require.Equal(t, Lacks, j.Verdict)
-			require.GreaterOrEqual(t, j.Breaks, last)
-			require.LessOrEqual(t, j.Breaks, tab.Size.Initiators)
-			require.Contains(t, []Feed{Either, by}, j.Feed)
-			last = j.Breaks
+			require.Equal(t, ExceedsLimit, j.Verdict)
+			require.GreaterOrEqual(t, j.BreakingSize, last)
+			require.LessOrEqual(t, j.BreakingSize, tab.Size.Initiators)
+			require.Contains(t, []Feed{FeedAny, by}, j.Feed)
+			last = j.BreakingSize
 		}
 		seen := map[string]bool{}
-		for _, j := range tab.Missing(by) {
+		for _, j := range tab.RankMechanisms(by) {
 			require.False(t, seen[j.Mechanism], j.Mechanism)
 			seen[j.Mechanism] = true
 		}
 		if len(rank) > 0 {
-			require.Equal(t, rank[0].Of, tab.Missing(by)[0].Of)
+			require.Equal(t, rank[0].Subject, tab.RankMechanisms(by)[0].Subject)
 		}
 	}
 	// Without the feed nothing breaks before what gets changes to all: that is why it is there.
-	require.Equal(t, howLists, tab.Missing(Without)[0].Mechanism)
+	require.Equal(t, howLists, tab.RankMechanisms(FeedOff)[0].Mechanism)
 }
 
 // TestFiguresName every slope that they are reckoned from, and none that no probe gives.
 func TestFiguresName(t *testing.T) {
 	given := map[string]bool{}
 	for _, p := range Probes() {
-		require.GreaterOrEqual(t, len(p.Sizes), fewest, p.About)
-		require.GreaterOrEqual(t, len(p.Short), fewest, p.About)
-		for _, g := range p.Gives {
+		require.GreaterOrEqual(t, len(p.Sizes), fewest, p.Description)
+		require.GreaterOrEqual(t, len(p.ShortSizes), fewest, p.Description)
+		for _, g := range p.Metrics {
 			require.False(t, given[g.Name], g.Name)
 			given[g.Name] = true
 		}
@@ -229,16 +229,16 @@
 		all = append(all, e.Off, e.On)
 	}
 	for _, f := range all {
-		for _, n := range f.Names {
+		for _, n := range f.SlopeNames {
 			require.True(t, given[n], n)
-			require.True(t, tab.At(n).Known(), "%s was not measured", n)
+			require.True(t, tab.Lookup(n).Known(), "%s was not measured", n)
 		}
 		// With any of them missing there is no verdict.
-		for _, n := range f.Names {
+		for _, n := range f.SlopeNames {
 			less := &Table{Size: tab.Size, Limits: tab.Limits}
 			for _, s := range tab.Slopes {
 				if s.Name != n {
-					less.Put(s)
+					less.Set(s)
 				}
 			}
 			require.Equal(t, Unknown, less.judge(f).Verdict, n)
@@ -249,20 +249,20 @@
 // TestSteeper finds a slope that has become half as steep again, by counts and by ratios, and passes one that has not.
 func TestSteeper(t *testing.T) {
 	tab := &Table{}
-	tab.Put(made("count", 100, true, 10, 100, 1000, 10_000))
-	tab.Put(made("time", 100, false, 10, 100, 1000, 10_000))
+	tab.Set(made("count", 100, true, 10, 100, 1000, 10_000))
+	tab.Set(made("time", 100, false, 10, 100, 1000, 10_000))
 	flat := made("flat", 100, true, 10, 100, 1000, 10_000)
 	for i := range flat.Measured {
 		flat.Measured[i].Cost = 300 + float64(i)
 	}
 	flat.Base, flat.Value = 300, 0.0003
-	tab.Put(flat)
+	tab.Set(flat)
 	now := func(name string, exact bool, cost func(float64) float64) error {
 		s := made(name, 1, exact, 20, 40, 80, 160)
 		for i := range s.Measured {
 			s.Measured[i].Cost = cost(s.Measured[i].Size)
 		}
-		return tab.Steeper(s)
+		return tab.CheckSlope(s)
 	}
 	require.NoError(t, now("count", true, func(n float64) float64 { return 130 * n }))
 	require.ErrorContains(t, now("count", true, func(n float64) float64 { return 170 * n }), "count: from a size of 20 to 160 it grows by 23.8 KB, where the table has 14 KB")
@@ -277,11 +277,11 @@
 // TestAgainst measures again what seems steeper, and no more often than it may.
 func TestAgainst(t *testing.T) {
 	tab := &Table{}
-	tab.Put(made("time", 100, false, 10, 100, 1000, 10_000))
-	p := Probe{Gives: []Gives{{Name: "time"}}}
+	tab.Set(made("time", 100, false, 10, 100, 1000, 10_000))
+	p := Probe{Metrics: []Metric{{Name: "time"}}}
 	for _, c := range []struct{ bad, want int }{{0, 1}, {2, 3}, {9, 3}} {
 		runs := 0
-		err := tab.Against(3, func(Probe) ([]Slope, error) {
+		err := tab.CheckProbes(3, func(Probe) ([]Slope, error) {
 			runs++
 			s := made("time", 1, false, 20, 40, 80, 160)
 			if runs <= c.bad {
@@ -292,8 +292,8 @@
 		require.Equal(t, c.want, runs)
 		require.Equal(t, c.bad >= 3, err != nil)
 	}
-	p.Gives[0].Rough = true
-	require.NoError(t, tab.Against(1, func(Probe) ([]Slope, error) {
+	p.Metrics[0].Noisy = true
+	require.NoError(t, tab.CheckProbes(1, func(Probe) ([]Slope, error) {
 		s := made("time", 1, false, 20, 40, 80, 160)
 		s.Measured[3].Cost *= 10
 		return []Slope{s}, nil
@@ -302,15 +302,15 @@
 
 // TestMeasure leaves out a size that the program refuses, and fails where too few are left.
 func TestMeasure(t *testing.T) {
-	p := Probe{Gives: []Gives{{Name: "a", Unit: "B", Of: "x", Per: "y"}}, Run: func(_ context.Context, size int) ([]float64, error) {
+	p := Probe{Metrics: []Metric{{Name: "a", Unit: "B", Subject: "x", Per: "y"}}, Run: func(_ context.Context, size int) ([]float64, error) {
 		if size > 1000 {
-			return nil, ErrBeyond
+			return nil, ErrSizeUnsupported
 		}
 		return []float64{float64(size)}, nil
 	}}
 	list, err := Measure(t.Context(), p, []float64{10, 100, 500, 1000, 10_000}, time.Now())
 	require.NoError(t, err)
-	require.Equal(t, 1000.0, list[0].Most)
+	require.Equal(t, 1000.0, list[0].MaxSize)
 	_, err = Measure(t.Context(), p, []float64{10, 100, 500, 10_000}, time.Now())
 	require.Error(t, err)
 	p.Run = func(context.Context, int) ([]float64, error) { return nil, errors.New("broken") }
@@ -322,27 +322,27 @@
 // detector the probes that have goroutines run for its sake, and nothing is held against the table.
 func TestSlopes(t *testing.T) {
 	tab := table(t)
-	short := func(p Probe) ([]Slope, error) { return Short(t.Context(), p, time.Now()) }
+	short := func(p Probe) ([]Slope, error) { return MeasureShort(t.Context(), p, time.Now()) }
 	for _, p := range Probes() {
 		rough := true
-		for _, g := range p.Gives {
-			rough = rough && g.Rough
+		for _, g := range p.Metrics {
+			rough = rough && g.Noisy
 		}
 		if rough {
 			continue // nothing of it is held against a short run
 		}
-		t.Run(p.Gives[0].Name, func(t *testing.T) {
-			if p.Beside {
+		t.Run(p.Metrics[0].Name, func(t *testing.T) {
+			if p.Concurrent {
 				t.Parallel()
 			}
 			if raced {
-				if p.Beside {
+				if p.Concurrent {
 					_, err := short(p)
 					require.NoError(t, err)
 				}
 				return
 			}
-			require.NoError(t, tab.Against(5, short, p))
+			require.NoError(t, tab.CheckProbes(5, short, p))
 		})
 	}
 }
