--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -16,15 +16,15 @@
 )
 
 // configuration is one of so many bytes that passes for an instance's.
-func configuration(name string, bytes int) []byte {
+func paddedConfig(name string, bytes int) []byte {
 	head := fmt.Sprintf(`{"name":%q,"settings":"`, name)
 	return []byte(head + strings.Repeat("s", max(0, bytes-len(head)-2)) + `"}`)
 }
 
-func instance(i int) string { return fmt.Sprintf("instance-%05d", i) }
+func instanceName(i int) string { return fmt.Sprintf("instance-%05d", i) }
 
 // usual is what an instance's configuration takes in these probes.
-const usual = 2000
+const sampleConfigBytes = 2000
 
 func agentProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	quiet := slog.New(slog.DiscardHandler)
@@ -37,34 +37,34 @@
 			{Name: "agent.memory", Unit: "B", Subject: "a follower's heap", Per: "instance", Noisy: true}},
 		Sizes: []float64{200, 400, 800, 1600, 3200}, ShortSizes: []float64{20, 40, 80, 160}, Repeats: 3,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
-			g, err := newGroup(ctx)
+			g, err := newAgentGroup(ctx)
 			if err != nil {
 				return nil, err
 			}
-			defer g.stop()
-			if err := g.put(ctx, 16, usual, 16); err != nil { // connections are made
+			defer g.cleanup()
+			if err := g.putConfigs(ctx, 16, sampleConfigBytes, 16); err != nil { // connections are made
 				return nil, err
 			}
 			leader, follower, err := g.roles(ctx)
 			if err != nil {
 				return nil, err
 			}
-			before, err := g.look()
+			before, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
-			disk := g.disk(follower)
+			disk := g.diskUsage(follower)
 			began := time.Now()
-			if err := g.put(ctx, size, usual, 16); err != nil {
+			if err := g.putConfigs(ctx, size, sampleConfigBytes, 16); err != nil {
 				return nil, err
 			}
 			took := time.Since(began)
-			after, err := g.look()
+			after, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
 			return []float64{float64(took.Microseconds()), after[leader].CPU - before[leader].CPU, after[follower].CPU - before[follower].CPU,
-				float64(g.disk(follower) - disk), after[follower].Heap - before[follower].Heap}, nil
+				float64(g.diskUsage(follower) - disk), after[follower].Heap - before[follower].Heap}, nil
 		},
 	}, {
 		Description: "internal/controlplane/agent: one change of a configuration of that size, in the log of the group and at whoever asks for it",
@@ -72,35 +72,35 @@
 			{Name: "agent.answer", Unit: "B", Subject: "an answer to an instance, HTTP's head included", Per: "byte of configuration", Exact: true}},
 		Sizes: []float64{500, 1000, 2000, 8000, 32_000}, ShortSizes: []float64{500, 1000, 2000, 4000}, Concurrent: true,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
-			g, err := newGroup(ctx)
+			g, err := newAgentGroup(ctx)
 			if err != nil {
 				return nil, err
 			}
-			defer g.stop()
+			defer g.cleanup()
 			const changes = 8
-			if err := g.put(ctx, changes, size, 1); err != nil {
+			if err := g.putConfigs(ctx, changes, size, 1); err != nil {
 				return nil, err
 			}
 			leader, _, err := g.roles(ctx)
 			if err != nil {
 				return nil, err
 			}
-			before, err := g.look()
+			before, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
 			for i := range changes {
-				resp, err := http.Get("http://" + g.Addrs[leader] + "/v1/instances/" + instance(i) + "?stale")
+				resp, err := http.Get("http://" + g.Addrs[leader] + "/v1/instances/" + instanceName(i) + "?stale")
 				if err != nil {
 					return nil, err
 				}
 				resp.Body.Close()
 			}
-			after, err := g.look()
+			after, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
-			entry, err := g.entries(changes)
+			entry, err := g.entryBytes(changes)
 			return []float64{entry / changes, (after[leader].Out - before[leader].Out) / changes}, err
 		},
 	}, {
@@ -113,15 +113,15 @@
 			{Name: "agent.follow.connections", Unit: "connections", Subject: "watches, at the agent named first", Per: "instance", Noisy: true}},
 		Sizes: []float64{50, 100, 200, 400, 800}, ShortSizes: []float64{4, 8, 16, 32},
 		Run: func(ctx context.Context, size int) ([]float64, error) {
-			g, err := newGroup(ctx)
+			g, err := newAgentGroup(ctx)
 			if err != nil {
 				return nil, err
 			}
-			defer g.stop()
-			if err := g.put(ctx, size, usual, 16); err != nil {
+			defer g.cleanup()
+			if err := g.putConfigs(ctx, size, sampleConfigBytes, 16); err != nil {
 				return nil, err
 			}
-			before, err := g.look()
+			before, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
@@ -133,36 +133,36 @@
 			var told atomic.Int64
 			for i := range size {
 				c := agent.Client{Addrs: g.Addrs}
-				all.Go(func() { c.FollowConfig(watch, instance(i), quiet, func(agent.Entry) { told.Add(1) }) })
+				all.Go(func() { c.FollowConfig(watch, instanceName(i), quiet, func(agent.Entry) { told.Add(1) }) })
 			}
-			if err := until(ctx, "a configuration known to all", func() bool { return told.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a configuration known to all", func() bool { return told.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
-			if err := pause(ctx, 500*time.Millisecond); err != nil {
+			if err := sleep(ctx, 500*time.Millisecond); err != nil {
 				return nil, err
 			}
-			began, own := time.Now(), cpu()
-			from, err := g.look()
+			began, own := time.Now(), cpuTime()
+			from, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
-			if err := pause(ctx, idleFor); err != nil {
+			if err := sleep(ctx, idlePeriod); err != nil {
 				return nil, err
 			}
-			to, err := g.look()
+			to, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
-			lasted, mine := time.Since(began).Seconds(), float64((cpu() - own).Microseconds())
+			lasted, mine := time.Since(began).Seconds(), float64((cpuTime() - own).Microseconds())
 			idle := (to[0].CPU - from[0].CPU) / lasted
 			const changes = 60
 			began = time.Now()
 			for range changes {
-				if _, err := g.PutConfig(ctx, "another", configuration("another", usual), ""); err != nil {
+				if _, err := g.PutConfig(ctx, "another", paddedConfig("another", sampleConfigBytes), ""); err != nil {
 					return nil, err
 				}
 			}
-			end, err := g.look()
+			end, err := g.usage()
 			if err != nil {
 				return nil, err
 			}
@@ -179,11 +179,11 @@
 			{Name: "leader.join", Unit: "us", Subject: "the leader, joins", Per: "member", Noisy: true},
 			{Name: "leader.joins", Unit: "us", Subject: "joins, 16 at a time", Per: "member", Noisy: true}},
 		Sizes: []float64{50, 100, 200, 400, 800}, ShortSizes: []float64{4, 8, 16, 32},
-		Run: renewals,
+		Run: measureRenewals,
 	}}
 }
 
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -192,13 +192,13 @@
 	}
 }
 
-func renewals(ctx context.Context, size int) ([]float64, error) {
-	g, err := newGroup(ctx)
+func measureRenewals(ctx context.Context, size int) ([]float64, error) {
+	g, err := newAgentGroup(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer g.stop()
-	doc, err := budgets(size)
+	defer g.cleanup()
+	doc, err := quotaConfig(size)
 	if err != nil {
 		return nil, err
 	}
@@ -210,25 +210,25 @@
 	if err != nil {
 		return nil, err
 	}
-	before, err := g.look()
+	before, err := g.usage()
 	if err != nil {
 		return nil, err
 	}
 	clients := make([]agent.Client, size)
 	holders := make([]*quotaclient.Client, size)
 	began := time.Now()
-	if err := atOnce(size, 16, func(i int) error {
+	if err := parallel(size, 16, func(i int) error {
 		clients[i].Addrs = g.Addrs
-		m, d, err := clients[i].Join(ctx, member(i))
+		m, d, err := clients[i].Join(ctx, quotaMember(i))
 		if err == nil {
-			holders[i] = seated(monotone.Now(), m.ID, d)
+			holders[i] = newQuotaClient(monotone.Now(), m.ID, d)
 		}
 		return err
 	}); err != nil {
 		return nil, err
 	}
 	joined := time.Since(began)
-	from, err := g.look()
+	from, err := g.usage()
 	if err != nil {
 		return nil, err
 	}
@@ -243,7 +243,7 @@
 		for i := range size {
 			all.Go(func() {
 				for next := time.Now().Add(time.Duration(i) * time.Second / time.Duration(size)); next.Before(end); next = next.Add(time.Second) {
-					if pause(ctx, time.Until(next)) != nil {
+					if sleep(ctx, time.Until(next)) != nil {
 						return
 					}
 					call, done := context.WithTimeout(ctx, 5*time.Second)
@@ -260,14 +260,14 @@
 		all.Wait()
 	}
 	round(1500 * time.Millisecond)
-	warm, err := g.look()
+	warm, err := g.usage()
 	if err != nil {
 		return nil, err
 	}
-	start, own := time.Now(), cpu()
-	round(idleFor)
-	lasted, mine := time.Since(start).Seconds(), float64((cpu() - own).Microseconds())
-	to, err := g.look()
+	start, own := time.Now(), cpuTime()
+	round(idlePeriod)
+	lasted, mine := time.Since(start).Seconds(), float64((cpuTime() - own).Microseconds())
+	to, err := g.usage()
 	if err != nil {
 		return nil, err
 	}
@@ -279,7 +279,7 @@
 }
 
 // atOnce does something for each of n, so many at a time, and returns the first error.
-func atOnce(n, most int, do func(i int) error) error {
+func parallel(n, most int, do func(i int) error) error {
 	var next atomic.Int64
 	errs := make(chan error, most)
 	for range most {
--- a/internal/testbed/scale/slope/check.go
+++ b/internal/testbed/scale/slope/check.go
@@ -6,10 +6,10 @@
 )
 
 // half is how much steeper a slope may have become before a check fails.
-const half = 1.5
+const maxGrowthRatio = 1.5
 
 // hardly is the part of a cost that may pass for noise of what hardly grows.
-const hardly = 0.1
+const noiseFraction = 0.1
 
 // Steeper holds what a short run measured against the table: an error where it has become half as steep again. Counts and bytes are compared as they are. Times depend on
 // the machine and on what else it does: of them only the ratio is, of the largest size to the smallest of one run.
@@ -21,17 +21,17 @@
 	lo, hi := now.Measured[0], now.Measured[len(now.Measured)-1]
 	if !now.Exact {
 		was, is := then.Cost(hi.Size)/then.Cost(lo.Size), hi.Cost/lo.Cost
-		if was > 0 && is > half*max(1, was) {
-			return fmt.Errorf("%s: %v times as much at a size of %v as at %v, where the table has %v times", now.Name, number(is), hi.Size, lo.Size, number(was))
+		if was > 0 && is > maxGrowthRatio*max(1, was) {
+			return fmt.Errorf("%s: %v times as much at a size of %v as at %v, where the table has %v times", now.Name, formatNumber(is), hi.Size, lo.Size, formatNumber(was))
 		}
 		return nil
 	}
 	was, is := then.Cost(hi.Size)-then.Cost(lo.Size), hi.Cost-lo.Cost
-	if is > half*max(0, was)+hardly*then.Cost(hi.Size) {
-		return fmt.Errorf("%s: from a size of %v to %v it grows by %s, where the table has %s", now.Name, lo.Size, hi.Size, amount(is, now.Unit), amount(was, now.Unit))
+	if is > maxGrowthRatio*max(0, was)+noiseFraction*then.Cost(hi.Size) {
+		return fmt.Errorf("%s: from a size of %v to %v it grows by %s, where the table has %s", now.Name, lo.Size, hi.Size, formatAmount(is, now.Unit), formatAmount(was, now.Unit))
 	}
-	if is, was := hi.Cost, then.Cost(hi.Size); is > half*was {
-		return fmt.Errorf("%s: %s at a size of %v, where the table has %s", now.Name, amount(is, now.Unit), hi.Size, amount(was, now.Unit))
+	if is, was := hi.Cost, then.Cost(hi.Size); is > maxGrowthRatio*was {
+		return fmt.Errorf("%s: %s at a size of %v, where the table has %s", now.Name, formatAmount(is, now.Unit), hi.Size, formatAmount(was, now.Unit))
 	}
 	return nil
 }
--- a/internal/testbed/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configured.go
@@ -20,31 +20,35 @@
 )
 
 // served is a configuration that an initiator can be served by, at these addresses, with a plan of this rate.
-func served(name, listen, discovery string, rate uint64) []byte {
+func servedConfig(name, listen, discovery string, rate uint64) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"settings":{"peersTotal":1,"tickUs":2000,"classes":[{"name":"read","promiseUs":150000,"deadlineUs":300000,`+
 		`"effect":"pure","worth":1}],"contracts":[{"name":"base","usualRate":%d,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}}`,
 		name, listen, discovery, rate)
 }
 
-func configuredProbes() []Probe {
+func configChangeProbes() []Probe {
 	const about = "internal/process/instance: an initiator that follows its configuration, without clients; "
 	return []Probe{{
 		Description: about + "each of a hundred changes of a plan is taken over by what runs; the stand-ins' time is in it",
 		Metrics:     []Metric{{Name: "adopt.cpu", Unit: "us", Subject: "a changed configuration", Per: "target", Noisy: true}},
 		Sizes:       targetSizes, ShortSizes: []float64{50, 100, 200, 400},
-		Run: func(ctx context.Context, size int) ([]float64, error) { return configured(ctx, size, 100, false) },
+		Run: func(ctx context.Context, size int) ([]float64, error) {
+			return measureConfigChanges(ctx, size, 100, false)
+		},
 	}, {
 		Description: about + "each of four changes of its address is served by a successor that reads the whole list anew; the stand-ins' time is in it",
 		Metrics:     []Metric{{Name: "successor.cpu", Unit: "us", Subject: "a configuration that needs a new start", Per: "target", Noisy: true}},
 		Sizes:       targetSizes, ShortSizes: []float64{50, 100, 200, 400},
-		Run: func(ctx context.Context, size int) ([]float64, error) { return configured(ctx, size, 4, true) },
+		Run: func(ctx context.Context, size int) ([]float64, error) {
+			return measureConfigChanges(ctx, size, 4, true)
+		},
 	}}
 }
 
 // taken counts the configurations that a log says are taken.
-type taken struct{ n atomic.Int64 }
+type acceptedCounter struct{ n atomic.Int64 }
 
-func (t *taken) Write(b []byte) (int, error) {
+func (t *acceptedCounter) Write(b []byte) (int, error) {
 	if bytes.Contains(b, []byte("configuration taken")) {
 		t.n.Add(1)
 	}
@@ -52,13 +56,13 @@
 }
 
 // configured is the processor time of each of so many changed configurations, which need a new start or none.
-func configured(ctx context.Context, size, changes int, starts bool) ([]float64, error) {
-	list := text(1, size, true)
+func measureConfigChanges(ctx context.Context, size, changes int, starts bool) ([]float64, error) {
+	list := listJSON(1, size, true)
 	var wholes atomic.Int64
-	discovery, closed, err := standIn(func(w http.ResponseWriter, r *http.Request) {
+	discovery, closed, err := serveLoopback(func(w http.ResponseWriter, r *http.Request) {
 		if ms, err := strconv.Atoi(r.URL.Query().Get("wait_ms")); err == nil {
-			_ = pause(r.Context(), time.Duration(ms)*time.Millisecond)
-			_, _ = w.Write(text(1, 0, false))
+			_ = sleep(r.Context(), time.Duration(ms)*time.Millisecond)
+			_, _ = w.Write(listJSON(1, 0, false))
 			return
 		}
 		_, _ = w.Write(list)
@@ -75,7 +79,7 @@
 	}
 	var mu sync.Mutex
 	version, changed := uint64(1), make(chan struct{})
-	agents, closed, err := standIn(func(w http.ResponseWriter, r *http.Request) {
+	agents, closed, err := serveLoopback(func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 		mu.Lock()
 		now, wait := version, changed
@@ -95,13 +99,13 @@
 		if starts {
 			at, rate = addrs[now%2], 0
 		}
-		_ = json.NewEncoder(w).Encode(agent.Entry{Name: name, Version: now, Config: served(name, at, discovery, 1000+rate)})
+		_ = json.NewEncoder(w).Encode(agent.Entry{Name: name, Version: now, Config: servedConfig(name, at, discovery, 1000+rate)})
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer closed()
-	var log taken
+	var log acceptedCounter
 	serve, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
@@ -115,7 +119,7 @@
 	defer func() { stop(); <-ended }() //nolint:errcheck // the measurement is over
 	ready := func(what string, is func() bool) error {
 		var failed error
-		err := until(ctx, what, func() bool {
+		err := waitUntil(ctx, what, func() bool {
 			select {
 			case failed = <-ended:
 				ended <- failed
@@ -131,12 +135,12 @@
 		if err := ready("a successor with its list", func() bool { return wholes.Load() >= int64(lists) }); err != nil {
 			return err
 		}
-		return pause(ctx, time.Second)
+		return sleep(ctx, time.Second)
 	}
 	if err := listed(1); err != nil {
 		return nil, err
 	}
-	used := cpu()
+	used := cpuTime()
 	for i := range changes {
 		mu.Lock()
 		version++
@@ -155,11 +159,11 @@
 	if lists := wholes.Load(); !starts && lists > 1 {
 		return nil, fmt.Errorf("%d lists were read where none had to be", lists-1)
 	}
-	return []float64{float64((cpu() - used).Microseconds()) / float64(changes)}, nil
+	return []float64{float64((cpuTime() - used).Microseconds()) / float64(changes)}, nil
 }
 
 // standIn is a server on the loopback.
-func standIn(h http.HandlerFunc) (addr string, closed func(), err error) {
+func serveLoopback(h http.HandlerFunc) (addr string, closed func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -17,32 +17,32 @@
 	"spindlehitch/internal/policy"
 )
 
-func request(id string, volume int) policy.Request {
+func policyRequest(id string, volume int) policy.Request {
 	return policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}
 }
 
 // service is a discovery that pushes: a call waits for a change, or as long as it said.
-type service struct {
-	counted
+type pushDiscovery struct {
+	countingListener
 	calls   atomic.Int64
 	mu      sync.Mutex
 	version int
 	changed chan struct{}
 }
 
-func newService() (*service, func(), error) {
+func newPushDiscovery() (*pushDiscovery, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &service{counted: count(l), version: 1, changed: make(chan struct{})}
+	s := &pushDiscovery{countingListener: newCountingListener(l), version: 1, changed: make(chan struct{})}
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = srv.Serve(s.counted) }()
+	go func() { _ = srv.Serve(s.countingListener) }()
 	return s, func() { srv.Close() }, nil
 }
 
 // ServeHTTP implements http.Handler. A change is one entry.
-func (s *service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *pushDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	q := r.URL.Query()
 	after, err := strconv.Atoi(q.Get("after"))
@@ -60,10 +60,10 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text(version, version-after, false))
+	_, _ = w.Write(listJSON(version, version-after, false))
 }
 
-func (s *service) change() {
+func (s *pushDiscovery) bumpVersion() {
 	s.mu.Lock()
 	s.version++
 	close(s.changed)
@@ -72,7 +72,7 @@
 }
 
 // watching is so many watchers of one service, all of which know its list.
-func watching(ctx context.Context, at net.Addr, crowd, n int, told func(*listing.List)) func() {
+func startWatchers(ctx context.Context, at net.Addr, crowd, n int, told func(*listing.List)) func() {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	version := int64(1)
@@ -85,7 +85,7 @@
 }
 
 // until waits until a condition holds, within a long bound.
-func until(ctx context.Context, what string, done func() bool) error {
+func waitUntil(ctx context.Context, what string, done func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	for !done() {
@@ -98,68 +98,68 @@
 	return nil
 }
 
-const idleFor = 4 * time.Second
+const idlePeriod = 4 * time.Second
 
 // What a discovery takes that all initiators share, for a call and for each line that it writes: docs/standing.md.
 const (
-	turnWork = 50 * time.Millisecond
-	turnLine = 2300 * time.Microsecond
-	patience = 2 * time.Second // a call that would wait longer for its turn fails then
+	callCost     = 50 * time.Millisecond
+	entryCost    = 2300 * time.Microsecond
+	maxQueueWait = 2 * time.Second // a call that would wait longer for its turn fails then
 )
 
 // shared is such a discovery: it answers calls in turn, but a watch that goes on is free until it has news.
-type shared struct {
-	service
-	free time.Time // when what came so far is done
-	last map[string]time.Time
-	cut  chan struct{} // closed when what is open falls silent
+type serialDiscovery struct {
+	pushDiscovery
+	busyUntil   time.Time // when what came so far is done
+	lastAnswers map[string]time.Time
+	silenced    chan struct{} // closed when what is open falls silent
 }
 
-func newShared() (*shared, func(), error) {
+func newSerialDiscovery() (*serialDiscovery, func(), error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &shared{service: service{counted: count(l), version: 1, changed: make(chan struct{})}, last: map[string]time.Time{}, cut: make(chan struct{})}
+	s := &serialDiscovery{pushDiscovery: pushDiscovery{countingListener: newCountingListener(l), version: 1, changed: make(chan struct{})}, lastAnswers: map[string]time.Time{}, silenced: make(chan struct{})}
 	srv := &http.Server{Handler: s, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = srv.Serve(s.counted) }()
+	go func() { _ = srv.Serve(s.countingListener) }()
 	return s, func() { srv.Close() }, nil
 }
 
 // turn waits for a call's turn and until it is done.
-func (s *shared) turn(lines int) bool {
+func (s *serialDiscovery) awaitTurn(lines int) bool {
 	s.mu.Lock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	wait, cost := s.free.Sub(now), turnWork+time.Duration(lines)*turnLine
-	if wait > patience {
+	wait, cost := s.busyUntil.Sub(now), callCost+time.Duration(lines)*entryCost
+	if wait > maxQueueWait {
 		s.mu.Unlock()
-		time.Sleep(patience)
+		time.Sleep(maxQueueWait)
 		return false
 	}
-	s.free = s.free.Add(cost)
+	s.busyUntil = s.busyUntil.Add(cost)
 	s.mu.Unlock()
 	time.Sleep(wait + cost)
 	return true
 }
 
 // ServeHTTP implements http.Handler.
-func (s *shared) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *serialDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	s.mu.Lock()
-	version, changed, cut := s.version, s.changed, s.cut
-	goesOn := after == version && time.Since(s.last[r.RemoteAddr]) < 200*time.Millisecond
+	version, changed, cut := s.version, s.changed, s.silenced
+	goesOn := after == version && time.Since(s.lastAnswers[r.RemoteAddr]) < 200*time.Millisecond
 	s.mu.Unlock()
-	ok := goesOn || s.turn(version-after)
+	ok := goesOn || s.awaitTurn(version-after)
 	if ok && after == version {
 		select {
 		case <-changed:
 			version++
-			ok = s.turn(1)
+			ok = s.awaitTurn(1)
 		case <-cut:
 			<-r.Context().Done()
 			return
@@ -173,22 +173,22 @@
 		return
 	}
 	s.mu.Lock()
-	s.last[r.RemoteAddr] = time.Now()
+	s.lastAnswers[r.RemoteAddr] = time.Now()
 	s.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(text(version, version-after, false))
+	_, _ = w.Write(listJSON(version, version-after, false))
 }
 
 // silence has all that is open fall silent, with a change that nobody was told.
-func (s *shared) silence() {
+func (s *serialDiscovery) silenceWatches() {
 	s.mu.Lock()
 	s.version++
-	close(s.cut)
-	s.cut, s.changed = make(chan struct{}), make(chan struct{})
+	close(s.silenced)
+	s.silenced, s.changed = make(chan struct{}), make(chan struct{})
 	s.mu.Unlock()
 }
 
-func edgeProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
+func discoveryProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	return []Probe{{
 		Description: "internal/datapath/discovery: watchers of one service that answers at once, over loopback, both ends in one process: 4 s without a change, then 20 changes of one entry; HTTP's bytes, without TCP's",
 		Metrics: []Metric{{Name: "discovery.calls", Unit: "calls/s", Subject: "watches without a change", Per: "initiator"},
@@ -199,15 +199,15 @@
 			{Name: "discovery.connections", Unit: "connections", Subject: "watches", Per: "initiator", Exact: true}},
 		Sizes: []float64{25, 50, 100, 200, 400}, ShortSizes: []float64{4, 8, 16, 32}, Concurrent: true,
 		Run: func(ctx context.Context, size int) ([]float64, error) {
-			s, end, err := newService()
+			s, end, err := newPushDiscovery()
 			if err != nil {
 				return nil, err
 			}
 			defer end()
 			var told atomic.Int64
-			stop := watching(ctx, s.Addr(), 0, size, func(*listing.List) { told.Add(1) })
+			stop := startWatchers(ctx, s.Addr(), 0, size, func(*listing.List) { told.Add(1) })
 			defer stop()
-			if err := until(ctx, "a list known to all", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a list known to all", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			select { // from the middle of a watch: a whole number of them passes
@@ -215,24 +215,24 @@
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-			calls, wire, used, began := s.calls.Load(), s.wire(), cpu(), time.Now()
+			calls, wire, used, began := s.calls.Load(), s.totalBytes(), cpuTime(), time.Now()
 			select {
-			case <-time.After(idleFor):
+			case <-time.After(idlePeriod):
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 			lasted := time.Since(began).Seconds()
-			costs := []float64{float64(s.calls.Load()-calls) / lasted, float64(s.wire()-wire) / lasted, float64((cpu() - used).Microseconds()) / lasted}
+			costs := []float64{float64(s.calls.Load()-calls) / lasted, float64(s.totalBytes()-wire) / lasted, float64((cpuTime() - used).Microseconds()) / lasted}
 			const changes = 20
-			wire, used = s.wire(), cpu()
+			wire, used = s.totalBytes(), cpuTime()
 			for range changes {
 				before := told.Load()
-				s.change()
-				if err := until(ctx, "a change known to all", func() bool { return told.Load() >= before+int64(size) }); err != nil {
+				s.bumpVersion()
+				if err := waitUntil(ctx, "a change known to all", func() bool { return told.Load() >= before+int64(size) }); err != nil {
 					return nil, err
 				}
 			}
-			return append(costs, float64(s.wire()-wire)/changes, float64((cpu()-used).Microseconds())/changes, float64(s.conns.Load())), nil
+			return append(costs, float64(s.totalBytes()-wire)/changes, float64((cpuTime()-used).Microseconds())/changes, float64(s.conns.Load())), nil
 		},
 	}, {
 		Description: "internal/datapath/discovery: watchers of one service that all share, 50 ms for a call and 2.3 ms for a line as docs/standing.md has it: until the last has a change; and with all watches fallen silent",
@@ -240,44 +240,44 @@
 			{Name: "discovery.silent", Unit: "s", Subject: "a change told to all whose watches fell silent, the last of them", Per: "initiator", Noisy: true}},
 		Sizes: []float64{15, 30, 60, 120, 240}, ShortSizes: []float64{2, 4, 6, 8},
 		Run: func(ctx context.Context, size int) ([]float64, error) {
-			s, end, err := newShared()
+			s, end, err := newSerialDiscovery()
 			if err != nil {
 				return nil, err
 			}
 			defer end()
 			var known atomic.Int64
-			stop := watching(ctx, s.Addr(), size, size, func(l *listing.List) {
+			stop := startWatchers(ctx, s.Addr(), size, size, func(l *listing.List) {
 				if *l.Version > 1 { // the first is the one known before
 					known.Add(1)
 				}
 			})
 			defer stop()
 			// All are watching once each has been answered lately, and nobody waits for a turn.
-			if err := until(ctx, "a watch of each", func() bool {
+			if err := waitUntil(ctx, "a watch of each", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				lately := 0
-				for _, at := range s.last {
+				for _, at := range s.lastAnswers {
 					if time.Since(at) < 1100*time.Millisecond {
 						lately++
 					}
 				}
-				return lately >= size && time.Now().After(s.free)
+				return lately >= size && time.Now().After(s.busyUntil)
 			}); err != nil {
 				return nil, err
 			}
 			began := time.Now()
-			s.change()
-			if err := until(ctx, "a change known to all", func() bool { return known.Load() >= int64(size) }); err != nil {
+			s.bumpVersion()
+			if err := waitUntil(ctx, "a change known to all", func() bool { return known.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			told := time.Since(began).Seconds()
-			if err := pause(ctx, 2*time.Second); err != nil {
+			if err := sleep(ctx, 2*time.Second); err != nil {
 				return nil, err
 			}
 			began = time.Now()
-			s.silence()
-			if err := until(ctx, "a change known to all after a silence", func() bool { return known.Load() >= 2*int64(size) }); err != nil {
+			s.silenceWatches()
+			if err := waitUntil(ctx, "a change known to all after a silence", func() bool { return known.Load() >= 2*int64(size) }); err != nil {
 				return nil, err
 			}
 			return []float64{told, time.Since(began).Seconds()}, nil
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -11,33 +11,35 @@
 // Events is all of them.
 func Events() []Event {
 	// told is how long one service that all share takes to tell so many initiators so many entries.
-	told := func(c costs, l Limits, initiators, entries float64) float64 {
-		return c.at("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
+	told := func(c costModel, l Limits, initiators, entries float64) float64 {
+		return c.costAt("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
 	}
-	change := func(c costs, s Size) float64 {
-		return (c.at("module.change", s.Targets) + c.at("upstream.change", s.Targets)) / 1e6
+	change := func(c costModel, s Size) float64 {
+		return (c.costAt("module.change", s.Targets) + c.costAt("upstream.change", s.Targets)) / 1e6
 	}
-	force := func(_ costs, _ Size, l Limits) float64 { return l.ConfigInForce }
-	primary := func(_ costs, s Size, _ Limits) float64 { return s.PrimaryChangeLimit }
-	back := func(_ costs, _ Size, l Limits) float64 { return l.RestartWindow }
+	force := func(_ costModel, _ Size, l Limits) float64 { return l.ConfigInForce }
+	primary := func(_ costModel, s Size, _ Limits) float64 { return s.PrimaryChangeLimit }
+	back := func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }
 	off := []string{"discovery.told", "module.change", "upstream.change"}
 	on := []string{"feed.told", "feed.owed.time", "agent.change.time", "module.change", "upstream.change"}
 	// fed is how long the feed takes for so many entries, which discovery tells `spindlehitch publish` alone: a change through the log, the ways, what the reader's
 	// bytes a second take beyond its burst.
-	fed := func(c costs, s Size, l Limits, entries float64) float64 {
-		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.each("agent.change.time")/1e6 + reach(c, s, l) + c.at("feed.owed.time", entries) + change(c, s)
+	fed := func(c costModel, s Size, l Limits, entries float64) float64 {
+		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.perUnit("agent.change.time")/1e6 + propagationTime(c, s, l) + c.costAt("feed.owed.time", entries) + change(c, s)
 	}
 	list := "discovery, to each initiator's watch; by the feed to `spindlehitch publish` alone, then agents and relays"
-	each := func(of string, names []string, value, limit func(costs, Size, Limits) float64, untold string) Figure {
+	each := func(of string, names []string, value, limit func(costModel, Size, Limits) float64, untold string) Figure {
 		return Figure{Subject: of, Unit: "s", SlopeNames: names, Value: value, Limit: limit, MissingInput: untold}
 	}
-	entries := func(name, seen, sent string, entries func(Size, Limits) float64, limit func(costs, Size, Limits) float64) Event {
+	entries := func(name, seen, sent string, entries func(Size, Limits) float64, limit func(costModel, Size, Limits) float64) Event {
 		return Event{name, seen, list, sent,
-			each(name, off, func(c costs, s Size, l Limits) float64 { return told(c, l, s.Initiators, entries(s, l)) + change(c, s) }, limit, ""),
-			each(name, on, func(c costs, s Size, l Limits) float64 { return fed(c, s, l, entries(s, l)) }, limit, "")}
+			each(name, off, func(c costModel, s Size, l Limits) float64 {
+				return told(c, l, s.Initiators, entries(s, l)) + change(c, s)
+			}, limit, ""),
+			each(name, on, func(c costModel, s Size, l Limits) float64 { return fed(c, s, l, entries(s, l)) }, limit, "")}
 	}
-	start := func(c costs, s Size) float64 {
-		return (c.at("module.whole", s.Targets) + s.Targets*c.each("list.decode")) / 1e6
+	start := func(c costModel, s Size) float64 {
+		return (c.costAt("module.whole", s.Targets) + s.Targets*c.perUnit("list.decode")) / 1e6
 	}
 	return []Event{
 		entries("a change of primary", "the operators' discovery; an initiator only by errors of its own requests",
@@ -51,27 +53,29 @@
 		{"a region was cut for an hour, and is back", "members (halves bury each other); agents, by their leader; by the feed `change status`, which names who lags",
 			"discovery, to each watch of the region as it reaches it again; by the feed the region's relays, as they reach an agent",
 			"the hour's entries to each of its initiators; its configuration as it is now",
-			each("region", append([]string{"list.line"}, off...), func(c costs, s Size, l Limits) float64 {
-				return told(c, l, s.Initiators/s.Regions, s.ListChangeRate()*hour) + s.ListChangeRate()*hour*c.each("list.line")/l.Wire + change(c, s)
+			each("region", append([]string{"list.line"}, off...), func(c costModel, s Size, l Limits) float64 {
+				return told(c, l, s.Initiators/s.Regions, s.ListChangeRate()*hour) + s.ListChangeRate()*hour*c.perUnit("list.line")/l.Wire + change(c, s)
 			}, force, ""),
-			each("region", on, func(c costs, s Size, l Limits) float64 {
-				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + reach(c, s, l) + c.at("feed.owed.time", s.ListChangeRate()*hour) + change(c, s)
+			each("region", on, func(c costModel, s Size, l Limits) float64 {
+				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + propagationTime(c, s, l) + c.costAt("feed.owed.time", s.ListChangeRate()*hour) + change(c, s)
 			}, force, "")},
 		{"one initiator restarts", "members; the leader, by its join", "discovery, to its first call; by the feed its relay",
 			"all targets, where it has none; what came since what it has, where it has a list or a copy on disk",
-			each("start", []string{"module.whole", "list.decode"}, func(c costs, s Size, l Limits) float64 {
+			each("start", []string{"module.whole", "list.decode"}, func(c costModel, s Size, l Limits) float64 {
 				return l.DiscoveryCall + s.Targets*l.DiscoveryEntry + start(c, s)
 			}, nil,
 				"how long one start may take"),
-			each("start", []string{"module.whole", "list.decode", "feed.whole.time"}, func(c costs, s Size, _ Limits) float64 { return c.at("feed.whole.time", s.Targets) + start(c, s) },
+			each("start", []string{"module.whole", "list.decode", "feed.whole.time"}, func(c costModel, s Size, _ Limits) float64 {
+				return c.costAt("feed.whole.time", s.Targets) + start(c, s)
+			},
 				nil, "how long one start may take")},
 		{"a day's restarts of initiators, all within ten minutes", "members; the leader, by their joins", "discovery, to their first calls; by the feed their relays, which let so many in a second",
 			"all targets to each that has none; joins through the log",
-			each("starts", []string{"module.whole", "list.decode", "leader.joins"}, func(c costs, s Size, l Limits) float64 {
-				return s.InitiatorRestarts*(l.DiscoveryCall+s.Targets*l.DiscoveryEntry) + start(c, s) + s.InitiatorRestarts*c.each("leader.joins")/1e6
+			each("starts", []string{"module.whole", "list.decode", "leader.joins"}, func(c costModel, s Size, l Limits) float64 {
+				return s.InitiatorRestarts*(l.DiscoveryCall+s.Targets*l.DiscoveryEntry) + start(c, s) + s.InitiatorRestarts*c.perUnit("leader.joins")/1e6
 			}, back, ""),
-			each("starts", []string{"module.whole", "list.decode", "leader.joins", "feed.whole.time"}, func(c costs, s Size, l Limits) float64 {
-				return s.InitiatorRestarts/relays(l)/watchstream.DefaultSourceOptions.AdmitRate + c.at("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorRestarts*c.each("leader.joins")/1e6
+			each("starts", []string{"module.whole", "list.decode", "leader.joins", "feed.whole.time"}, func(c costModel, s Size, l Limits) float64 {
+				return s.InitiatorRestarts/relayCount(l)/watchstream.DefaultSourceOptions.AdmitRate + c.costAt("feed.whole.time", s.Targets) + start(c, s) + s.InitiatorRestarts*c.perUnit("leader.joins")/1e6
 			}, back, "")},
 	}
 }
@@ -79,12 +83,12 @@
 func (t *Table) eventTable() string {
 	var lines [][]string
 	for _, e := range Events() {
-		off, on := t.judge(e.Off), t.judge(e.On)
+		off, on := t.evaluate(e.Off), t.evaluate(e.On)
 		limit := "not told"
 		if off.Limit > 0 {
-			limit = amount(off.Limit, off.Unit)
+			limit = formatAmount(off.Limit, off.Unit)
 		}
-		lines = append(lines, []string{e.Name, e.DetectedBy, e.DeliveredBy, e.Content, limit, amount(off.Value, off.Unit) + ", " + off.verdict(), amount(on.Value, on.Unit) + ", " + on.verdict()})
+		lines = append(lines, []string{e.Name, e.DetectedBy, e.DeliveredBy, e.Content, limit, formatAmount(off.Value, off.Unit) + ", " + off.verdict(), formatAmount(on.Value, on.Unit) + ", " + on.verdict()})
 	}
-	return rows([]string{"event", "who sees it", "who tells it", "what is sent when", "limit", "until all have it, one discovery that all share", "by the feed"}, lines)
+	return markdownTable([]string{"event", "who sees it", "who tells it", "what is sent when", "limit", "until all have it, one discovery that all share", "by the feed"}, lines)
 }
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -18,10 +18,10 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-const ours = "fleet"
+const fleetName = "fleet"
 
 // origin is a store of the feed that readers are served from, as a relay has it.
-type origin struct {
+type feedOrigin struct {
 	mu      sync.Mutex
 	store   *watchstream.Store
 	source  *watchstream.Source
@@ -29,13 +29,13 @@
 }
 
 // newOrigin has so many targets and a shared layer of the usual size. Readers are let in as they come: how fast is the settings', not a cost.
-func newOrigin(targets int) (*origin, error) {
-	o := &origin{store: watchstream.NewStore(ours, watchstream.Limits{}), changed: make(chan struct{})}
+func newFeedOrigin(targets int) (*feedOrigin, error) {
+	o := &feedOrigin{store: watchstream.NewStore(fleetName, watchstream.Limits{}), changed: make(chan struct{})}
 	o.source = watchstream.NewSource(o.store, watchstream.SourceOptions{AdmitRate: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
-	puts := []watchstream.Put{layer(0)}
+	puts := []watchstream.Put{layerPut(0)}
 	for i := range targets {
-		if puts = append(puts, entry(i, "SERVING")); len(puts) == 1000 || i == targets-1 {
-			if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Epoch: "e", Puts: puts}); err != nil {
+		if puts = append(puts, targetPut(i, "SERVING")); len(puts) == 1000 || i == targets-1 {
+			if _, err := o.store.Apply(watchstream.Change{Fleet: fleetName, Epoch: "e", Puts: puts}); err != nil {
 				return nil, err
 			}
 			puts = nil
@@ -44,23 +44,23 @@
 	return o, nil
 }
 
-func entry(i int, state string) watchstream.Put {
-	return watchstream.Put{Kind: watchstream.Targets, Key: target(i), Value: json.RawMessage(line(i, state))}
+func targetPut(i int, state string) watchstream.Put {
+	return watchstream.Put{Kind: watchstream.Targets, Key: targetID(i), Value: json.RawMessage(entryJSON(i, state))}
 }
 
 // layer is a shared layer of configuration of the usual size.
-func layer(n int) watchstream.Put {
+func layerPut(n int) watchstream.Put {
 	head := fmt.Sprintf(`{"n":%d,"settings":"`, n)
-	text := make([]byte, 0, usual)
+	text := make([]byte, 0, sampleConfigBytes)
 	text = append(text, head...)
-	for i := 0; len(text) < usual-2; i++ { // no run of one letter, which packing would make nothing of
-		text = append(text, target((i+n)*7919)...)
+	for i := 0; len(text) < sampleConfigBytes-2; i++ { // no run of one letter, which packing would make nothing of
+		text = append(text, targetID((i+n)*7919)...)
 	}
-	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:usual-2]) + `"}`)}
+	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:sampleConfigBytes-2]) + `"}`)}
 }
 
 // WithSource implements edge.Origin.
-func (o *origin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
+func (o *feedOrigin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := monotone.Now()
@@ -69,25 +69,25 @@
 	return o.changed, true
 }
 
-func (o *origin) put(p ...watchstream.Put) (version uint64, err error) {
+func (o *feedOrigin) apply(p ...watchstream.Put) (version uint64, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	version, err = o.store.Apply(watchstream.Change{Fleet: ours, Epoch: "e", Puts: p})
+	version, err = o.store.Apply(watchstream.Change{Fleet: fleetName, Epoch: "e", Puts: p})
 	close(o.changed)
 	o.changed = make(chan struct{})
 	return version, err
 }
 
 // reading is so many readers of one relay.
-type reading struct {
-	*origin
-	counted
-	has  []atomic.Uint64 // the version that each has
-	stop func()
+type readerSet struct {
+	*feedOrigin
+	countingListener
+	versions []atomic.Uint64 // the version that each has
+	stop     func()
 }
 
-func newReading(ctx context.Context, targets, readers int) (*reading, error) {
-	o, err := newOrigin(targets)
+func newReaderSet(ctx context.Context, targets, readers int) (*readerSet, error) {
+	o, err := newFeedOrigin(targets)
 	if err != nil {
 		return nil, err
 	}
@@ -95,19 +95,19 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &reading{origin: o, counted: count(l), has: make([]atomic.Uint64, readers)}
+	r := &readerSet{feedOrigin: o, countingListener: newCountingListener(l), versions: make([]atomic.Uint64, readers)}
 	server := edge.NewServer(o, readers+64)
 	mux := http.NewServeMux()
 	server.Routes(mux)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = srv.Serve(r.counted) }()
+	go func() { _ = srv.Serve(r.countingListener) }()
 	ctx, end := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
-		f, err := edge.NewFollower(edge.Options{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
+		f, err := edge.NewFollower(edge.Options{Fleet: fleetName, Name: instanceName(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
 			OnChange: func(c edge.Update) error {
-				r.has[i].Store(c.Position.Min())
+				r.versions[i].Store(c.Position.Min())
 				return nil
 			}})
 		if err != nil {
@@ -116,14 +116,14 @@
 		}
 		all.Go(func() { f.Run(ctx) })
 	}
-	return r, r.all(ctx, o.store.Head())
+	return r, r.awaitAll(ctx, o.store.Head())
 }
 
 // all waits until all readers have a version.
-func (r *reading) all(ctx context.Context, version uint64) error {
-	return until(ctx, "a version at all readers", func() bool {
-		for i := range r.has {
-			if r.has[i].Load() < version {
+func (r *readerSet) awaitAll(ctx context.Context, version uint64) error {
+	return waitUntil(ctx, "a version at all readers", func() bool {
+		for i := range r.versions {
+			if r.versions[i].Load() < version {
 				return false
 			}
 		}
@@ -143,7 +143,7 @@
 			{Name: "feed.burst.wire", Unit: "B/s", Subject: "20 changes a second of that layer, both ways", Per: "reader", Noisy: true},
 			{Name: "feed.connections", Unit: "connections", Subject: "polls", Per: "reader", Exact: true}},
 		Sizes: []float64{25, 50, 100, 200, 400}, ShortSizes: []float64{4, 8, 16, 32}, Concurrent: true,
-		Run: readers,
+		Run: measureReaders,
 	}, {
 		Description: "internal/controlplane/watchstream: an initiator's replica of so many targets, read from a copy; how long a reader that has nothing is brought up at 10 KB/s, in virtual time",
 		Metrics: []Metric{{Name: "feed.replica.memory", Unit: "B", Subject: "a reader's replica", Per: "target", Exact: true},
@@ -151,7 +151,7 @@
 			{Name: "feed.whole.wire", Unit: "B", Subject: "the polls of that, packed", Per: "target", Exact: true}},
 		Sizes: []float64{5000, 8000, 12_000, 16_000, 20_000}, ShortSizes: []float64{5000, 6000, 7000, 8000},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			o, err := newOrigin(size)
+			o, err := newFeedOrigin(size)
 			if err != nil {
 				return nil, err
 			}
@@ -159,9 +159,9 @@
 			if err != nil {
 				return nil, err
 			}
-			held, r := holds(func() *watchstream.Replica {
+			held, r := retainedBytes(func() *watchstream.Replica {
 				var c watchstream.Snapshot
-				r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
+				r := watchstream.NewReplica(fleetName, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
 				if err = json.Unmarshal(text, &c); err == nil {
 					err = r.Restore(c)
 				}
@@ -172,7 +172,7 @@
 			}
 			runtime.KeepAlive(r)
 			runtime.KeepAlive(text) // or what it held would be taken off
-			took, bytes, err := o.bring(watchstream.NewReplica(ours, watchstream.Scope{Name: "new"}, 1, watchstream.Limits{}))
+			took, bytes, err := o.catchUp(watchstream.NewReplica(fleetName, watchstream.Scope{Name: "new"}, 1, watchstream.Limits{}))
 			return []float64{held, took.Seconds(), float64(bytes)}, err
 		},
 	}, {
@@ -180,20 +180,20 @@
 		Metrics:     []Metric{{Name: "feed.owed.time", Unit: "s", Subject: "a reader brought up by what it missed", Per: "entry", Exact: true}},
 		Sizes:       []float64{400, 800, 1600, 3200, 6400}, ShortSizes: []float64{400, 600, 800, 1000},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			o, err := newOrigin(20_000)
+			o, err := newFeedOrigin(20_000)
 			if err != nil {
 				return nil, err
 			}
-			r := watchstream.NewReplica(ours, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
+			r := watchstream.NewReplica(fleetName, watchstream.Scope{Name: "n"}, 1, watchstream.Limits{})
 			if err := r.Restore(o.store.Snapshot()); err != nil {
 				return nil, err
 			}
 			for i := range size {
-				if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Puts: []watchstream.Put{entry(i*3%20_000, "DRAINING")}}); err != nil {
+				if _, err := o.store.Apply(watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{targetPut(i*3%20_000, "DRAINING")}}); err != nil {
 					return nil, err
 				}
 			}
-			took, _, err := o.bring(r)
+			took, _, err := o.catchUp(r)
 			return []float64{took.Seconds()}, err
 		},
 	}, {
@@ -203,15 +203,15 @@
 			{Name: "feed.tally.take", Unit: "us", Subject: "a report in which all readers have news", Per: "reader"},
 			{Name: "feed.report.wire", Unit: "B", Subject: "that report, as JSON", Per: "reader", Exact: true}},
 		Sizes: memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
-		Run: sources,
+		Run: measureSource,
 	}}
 }
 
 // heads is about what HTTP's heads of a question and its answer take.
-const heads = 300
+const httpHeaderBytes = 300
 
 // packed is how many bytes a text takes as internal/controlplane/watchstream/distribution packs it.
-func packed(text []byte) (int, error) {
+func compressedSize(text []byte) (int, error) {
 	if len(text) < 1<<10 {
 		return len(text), nil
 	}
@@ -227,7 +227,7 @@
 }
 
 // bring brings a reader up to the store's head, in virtual time, and returns how long that took and the bytes on the wire.
-func (o *origin) bring(r *watchstream.Replica) (took time.Duration, wire int, err error) {
+func (o *feedOrigin) catchUp(r *watchstream.Replica) (took time.Duration, wire int, err error) {
 	now := time.Hour
 	source := watchstream.NewSource(o.store, watchstream.SourceOptions{}, 1)
 	for r.Consistent().Min() < o.store.Head() {
@@ -249,11 +249,11 @@
 		if err != nil {
 			return 0, 0, err
 		}
-		sent, err := packed(text)
+		sent, err := compressedSize(text)
 		if err != nil {
 			return 0, 0, err
 		}
-		sent += len(asked) + heads
+		sent += len(asked) + httpHeaderBytes
 		wire += sent
 		if _, err := r.ApplyDelta(d); err != nil {
 			return 0, 0, err
@@ -264,83 +264,83 @@
 	return now - time.Hour, wire, nil
 }
 
-func readers(ctx context.Context, size int) ([]float64, error) {
-	r, err := newReading(ctx, 200, size)
+func measureReaders(ctx context.Context, size int) ([]float64, error) {
+	r, err := newReaderSet(ctx, 200, size)
 	if err != nil {
 		return nil, err
 	}
 	defer r.stop()
-	if err := pause(ctx, 1500*time.Millisecond); err != nil { // what they have is acknowledged
+	if err := sleep(ctx, 1500*time.Millisecond); err != nil { // what they have is acknowledged
 		return nil, err
 	}
-	wire, used, began := r.wire(), cpu(), time.Now()
-	if err := pause(ctx, idleFor); err != nil {
+	wire, used, began := r.totalBytes(), cpuTime(), time.Now()
+	if err := sleep(ctx, idlePeriod); err != nil {
 		return nil, err
 	}
 	lasted := time.Since(began).Seconds()
-	costs := []float64{float64(r.wire()-wire) / lasted, float64((cpu() - used).Microseconds()) / lasted}
+	costs := []float64{float64(r.totalBytes()-wire) / lasted, float64((cpuTime() - used).Microseconds()) / lasted}
 	// change makes ten changes one after another, and tells their bytes, time of the processor and time until the last reader had one.
 	const changes = 10
 	change := func(p func(i int) watchstream.Put) (bytes, spent, last float64, err error) {
-		wire, used := r.wire(), cpu()
+		wire, used := r.totalBytes(), cpuTime()
 		for i := range changes {
 			began := time.Now()
-			v, err := r.put(p(i))
+			v, err := r.apply(p(i))
 			if err == nil {
-				err = r.all(ctx, v)
+				err = r.awaitAll(ctx, v)
 			}
 			if err != nil {
 				return 0, 0, 0, err
 			}
 			last += time.Since(began).Seconds() / changes
-			if err := pause(ctx, 300*time.Millisecond); err != nil { // no two go together
+			if err := sleep(ctx, 300*time.Millisecond); err != nil { // no two go together
 				return 0, 0, 0, err
 			}
 		}
-		return float64(r.wire()-wire) / changes, float64((cpu() - used).Microseconds()) / changes, last, nil
+		return float64(r.totalBytes()-wire) / changes, float64((cpuTime() - used).Microseconds()) / changes, last, nil
 	}
-	bytes, spent, last, err := change(func(i int) watchstream.Put { return entry(i%200, "DRAINING") })
+	bytes, spent, last, err := change(func(i int) watchstream.Put { return targetPut(i%200, "DRAINING") })
 	if err != nil {
 		return nil, err
 	}
 	costs = append(costs, bytes, spent, last)
-	if bytes, _, _, err = change(func(i int) watchstream.Put { return layer(i + 1) }); err != nil {
+	if bytes, _, _, err = change(func(i int) watchstream.Put { return layerPut(i + 1) }); err != nil {
 		return nil, err
 	}
 	costs = append(costs, bytes)
-	if err := pause(ctx, 5*time.Second); err != nil { // buckets fill
+	if err := sleep(ctx, 5*time.Second); err != nil { // buckets fill
 		return nil, err
 	}
-	wire, began = r.wire(), time.Now()
+	wire, began = r.totalBytes(), time.Now()
 	for i := range 60 {
-		if _, err := r.put(layer(100 + i)); err != nil {
+		if _, err := r.apply(layerPut(100 + i)); err != nil {
 			return nil, err
 		}
-		if err := pause(ctx, time.Until(began.Add(time.Duration(i+1)*50*time.Millisecond))); err != nil {
+		if err := sleep(ctx, time.Until(began.Add(time.Duration(i+1)*50*time.Millisecond))); err != nil {
 			return nil, err
 		}
 	}
-	return append(costs, float64(r.wire()-wire)/time.Since(began).Seconds(), float64(r.conns.Load())), nil
+	return append(costs, float64(r.totalBytes()-wire)/time.Since(began).Seconds(), float64(r.conns.Load())), nil
 }
 
-func sources(_ context.Context, size int) ([]float64, error) { //nolint:gocognit // to be split with its package, see docs/left.md
-	o, err := newOrigin(200)
+func measureSource(_ context.Context, size int) ([]float64, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+	o, err := newFeedOrigin(200)
 	if err != nil {
 		return nil, err
 	}
 	replicas := make([]*watchstream.Replica, size)
 	for i := range replicas {
-		replicas[i] = watchstream.NewReplica(ours, watchstream.Scope{Name: instance(i), Region: "r", Zone: "z"}, 1, watchstream.Limits{Buckets: 1 << 10})
+		replicas[i] = watchstream.NewReplica(fleetName, watchstream.Scope{Name: instanceName(i), Region: "r", Zone: "z"}, 1, watchstream.Limits{Buckets: 1 << 10})
 		if err := replicas[i].Restore(o.store.Snapshot()); err != nil {
 			return nil, err
 		}
 	}
-	before := heap()
+	before := heapBytes()
 	source := watchstream.NewSource(o.store, watchstream.SourceOptions{AdmitRate: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
 	now := time.Hour
 	serve := func() error {
 		now += time.Second
-		if _, err := o.store.Apply(watchstream.Change{Fleet: ours, Puts: []watchstream.Put{entry(int(now/time.Second)%200, "DRAINING")}}); err != nil {
+		if _, err := o.store.Apply(watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{targetPut(int(now/time.Second)%200, "DRAINING")}}); err != nil {
 			return err
 		}
 		for _, r := range replicas {
@@ -362,13 +362,13 @@
 	if err := serve(); err != nil {
 		return nil, err
 	}
-	held := max(0, heap()-before)
-	next := quickest(3, 100*time.Millisecond, func() {
+	held := max(0, heapBytes()-before)
+	next := minMicros(3, 100*time.Millisecond, func() {
 		if e := serve(); e != nil {
 			err = e
 		}
 	}) / float64(size)
-	tally := watchstream.NewAckTracker(ours, watchstream.AckTrackerOptions{})
+	tally := watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
 	wire := 0
 	best := 0.0
 	for round := range 6 {
@@ -385,7 +385,7 @@
 			wire = len(text)
 		}
 		var a watchstream.ReportResponse
-		took := quickest(1, 0, func() { a, err = tally.AddReport(now, rep) })
+		took := minMicros(1, 0, func() { a, err = tally.AddReport(now, rep) })
 		if err != nil {
 			return nil, err
 		}
--- a/internal/testbed/scale/slope/figure.go
+++ b/internal/testbed/scale/slope/figure.go
@@ -12,8 +12,8 @@
 	Role, Subject, When string // when: an ordinary day, the worst minute, ...
 	Unit                string
 	SlopeNames          []string // the slopes that it is reckoned from
-	Value               func(c costs, s Size, l Limits) float64
-	Limit               func(c costs, s Size, l Limits) float64 // nil: none is told
+	Value               func(c costModel, s Size, l Limits) float64
+	Limit               func(c costModel, s Size, l Limits) float64 // nil: none is told
 	Mechanism           string
 	MissingInput        string // what has to be known for a verdict and was not told
 	Feed                Feed   // whether it is so without the feed, by it, or either way
@@ -30,26 +30,26 @@
 )
 
 // costs is what a figure is reckoned from.
-type costs struct {
-	t      *Table
-	beyond map[string]bool // slopes that were not measured at as large a size; nil: nobody asks
-	unsure map[string]bool // those of which one more's cost was asked for and is not above its error
+type costModel struct {
+	table         *Table
+	extrapolated  map[string]bool // slopes that were not measured at as large a size; nil: nobody asks
+	insignificant map[string]bool // those of which one more's cost was asked for and is not above its error
 }
 
 // at is the cost at a size.
-func (c costs) at(name string, size float64) float64 {
-	x := c.t.Lookup(name)
-	if c.beyond != nil && size > x.MaxSize {
-		c.beyond[name] = true
+func (c costModel) costAt(name string, size float64) float64 {
+	x := c.table.Lookup(name)
+	if c.extrapolated != nil && size > x.MaxSize {
+		c.extrapolated[name] = true
 	}
 	return x.Cost(size)
 }
 
 // each is what one more costs, where the base is the fleet's own or the other end's. Where the slope is not above its own error that is not known.
-func (c costs) each(name string) float64 {
-	x := c.t.Lookup(name)
-	if !x.Grows() && c.unsure != nil {
-		c.unsure[name] = true
+func (c costModel) perUnit(name string) float64 {
+	x := c.table.Lookup(name)
+	if !x.Grows() && c.insignificant != nil {
+		c.insignificant[name] = true
 	}
 	if x.Power != 1 || !x.Grows() {
 		return x.Cost(x.MaxSize) / x.MaxSize
@@ -58,7 +58,7 @@
 }
 
 // most is the largest size that was measured.
-func (c costs) most(name string) float64 { return c.t.Lookup(name).MaxSize }
+func (c costModel) maxSize(name string) float64 { return c.table.Lookup(name).MaxSize }
 
 // Verdict is how a figure stands.
 type Verdict string
@@ -85,28 +85,28 @@
 // Judge holds every figure against its limit.
 func (t *Table) Evaluate() (all []Evaluation) {
 	for _, f := range Figures() {
-		all = append(all, t.judge(f))
+		all = append(all, t.evaluate(f))
 	}
 	return all
 }
 
 // mostTimes is how many times the size a limit is looked for.
-const mostTimes = 10
+const maxFleetFactor = 10
 
-func (t *Table) judge(f Figure) Evaluation {
+func (t *Table) evaluate(f Figure) Evaluation {
 	j := Evaluation{Figure: f, Verdict: Unknown}
 	for _, n := range f.SlopeNames {
 		if !t.Lookup(n).Known() {
 			return j
 		}
 	}
-	c := costs{t, map[string]bool{}, map[string]bool{}}
+	c := costModel{t, map[string]bool{}, map[string]bool{}}
 	j.Value = f.Value(c, t.Size, t.Limits)
 	if f.Limit != nil {
 		j.Limit = f.Limit(c, t.Size, t.Limits)
 		j.Factor = j.Value / j.Limit
 	}
-	j.Extrapolated, j.Insignificant = slices.Sorted(maps.Keys(c.beyond)), slices.Sorted(maps.Keys(c.unsure))
+	j.Extrapolated, j.Insignificant = slices.Sorted(maps.Keys(c.extrapolated)), slices.Sorted(maps.Keys(c.insignificant))
 	if f.Limit == nil || f.MissingInput != "" || len(j.Insignificant) > 0 {
 		return j
 	}
@@ -114,20 +114,20 @@
 	if j.Factor > 1 {
 		j.Verdict = ExceedsLimit
 	}
-	j.BreakingSize = t.breaks(f)
+	j.BreakingSize = t.breakingSize(f)
 	return j
 }
 
 // breaks is the smallest fleet whose figure passes its limit.
-func (t *Table) breaks(f Figure) float64 {
+func (t *Table) breakingSize(f Figure) float64 {
 	passed := func(n float64) bool {
-		s, c := t.Size.Scaled(n), costs{t: t}
+		s, c := t.Size.Scaled(n), costModel{table: t}
 		return f.Value(c, s, t.Limits) > f.Limit(c, s, t.Limits)
 	}
 	// The first of ever larger fleets, the size itself among them, and then between it and the one before.
 	lo, hi := 0.0, 1.0
 	for !passed(hi) {
-		if hi > mostTimes*t.Size.Initiators {
+		if hi > maxFleetFactor*t.Size.Initiators {
 			return 0
 		}
 		if lo, hi = hi, hi*1.1; lo < t.Size.Initiators && hi > t.Size.Initiators {
--- a/internal/testbed/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -7,171 +7,183 @@
 
 // When something is looked at.
 const (
-	ordinary = "ordinary day"
-	worst    = "worst minute"
-	zoneBack = "a zone is back"
-	cutOver  = "a region was cut for an hour"
-	starting = "restarts"
-	always   = "always"
+	ordinaryDay       = "ordinary day"
+	worstMinute       = "worst minute"
+	zoneReturned      = "a zone is back"
+	regionReconnected = "a region was cut for an hour"
+	restarting        = "restarts"
+	always            = "always"
 )
 
 // Mechanisms, as the ranking tells them apart.
 const (
-	howLists      = "how changes of the list get to all: internal/datapath/discovery"
-	howConfigs    = "how configurations get to all: internal/controlplane/agent"
-	howConfigured = "how a changed configuration comes into force: internal/process/instance"
-	howFeed       = "the feed: internal/controlplane/watchstream/distribution, internal/controlplane/watchstream"
-	howModule     = "what a change costs the module: root package"
-	howTurn       = "what a request costs the module: root package"
-	howLine       = "how a list is read: internal/datapath/listing"
-	howGiver      = "fleet-wide budgets: internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator"
-	howLeases     = "leases: internal/controlplane/lease/lessor"
-	howMembers    = "members: internal/controlplane/membership/transport, internal/controlplane/membership"
-	howTargets    = "targets' actors: internal/datapath/upstream"
-	howKept       = "what an initiator keeps"
+	mechListDelivery     = "how changes of the list get to all: internal/datapath/discovery"
+	mechConfigDelivery   = "how configurations get to all: internal/controlplane/agent"
+	mechConfigApply      = "how a changed configuration comes into force: internal/process/instance"
+	mechFeed             = "the feed: internal/controlplane/watchstream/distribution, internal/controlplane/watchstream"
+	mechSchedulerChange  = "what a change costs the module: root package"
+	mechSchedulerRequest = "what a request costs the module: root package"
+	mechListDecode       = "how a list is read: internal/datapath/listing"
+	mechQuota            = "fleet-wide budgets: internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator"
+	mechLeases           = "leases: internal/controlplane/lease/lessor"
+	mechMembership       = "members: internal/controlplane/membership/transport, internal/controlplane/membership"
+	mechTargetActors     = "targets' actors: internal/datapath/upstream"
+	mechInstanceState    = "what an initiator keeps"
 )
 
 // room is how much Go's collector lets the heap grow, of what lives there.
-const room = 2
+const gcHeapFactor = 2
 
 // Timers are asked for sixteen times a second at most, to see whether the module stood still.
-const timers = 16
+const timersPerSecond = 16
 
 // Figures is all of them.
 func Figures() []Figure {
-	core := func(_ costs, _ Size, l Limits) float64 { return l.Core }
-	wire := func(_ costs, _ Size, l Limits) float64 { return l.Wire }
-	force := func(_ costs, _ Size, l Limits) float64 { return l.ConfigInForce }
-	machine := func(_ costs, _ Size, l Limits) float64 { return l.MachineCores }
-	change := func(c costs, s Size) float64 {
-		return c.at("module.change", s.Targets) + c.at("upstream.change", s.Targets) + c.each("list.decode")
+	core := func(_ costModel, _ Size, l Limits) float64 { return l.Core }
+	wire := func(_ costModel, _ Size, l Limits) float64 { return l.Wire }
+	force := func(_ costModel, _ Size, l Limits) float64 { return l.ConfigInForce }
+	machine := func(_ costModel, _ Size, l Limits) float64 { return l.MachineCores }
+	change := func(c costModel, s Size) float64 {
+		return c.costAt("module.change", s.Targets) + c.costAt("upstream.change", s.Targets) + c.perUnit("list.decode")
 	}
 	// adopted is what a configuration that has changed costs an initiator that knows as many volumes as it keeps accounts of.
-	adopted := func(c costs, s Size) float64 {
-		return c.at("adopt.cpu", s.Targets) + c.at("module.adopt", s.VolumesPerInitiator)
+	adopted := func(c costModel, s Size) float64 {
+		return c.costAt("adopt.cpu", s.Targets) + c.costAt("module.adopt", s.VolumesPerInitiator)
 	}
 	// gathered is how many of a burst's changes come to an initiator in a second.
 	gathered := func(s Size) float64 {
 		return min(s.ConfigBurst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds())
 	}
-	taken := func(c costs, _ Size, _ Limits) float64 { return 1e6 / c.each("agent.change.time") }
+	taken := func(c costModel, _ Size, _ Limits) float64 { return 1e6 / c.perUnit("agent.change.time") }
 	entries := func(s Size) float64 { return s.ConfigChangeRate() * s.Initiators }
 	return append(feedFigures(), []Figure{
 		// The initiator.
-		{Role: "initiator", Subject: "processor: changes of the list", When: ordinary, Unit: "core", SlopeNames: []string{"module.change", "upstream.change", "list.decode"}, Mechanism: howModule,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.ListChangeRate() * change(c, s) / 1e6 }, Limit: core},
-		{Role: "initiator", Subject: "processor: changes of the list, one by one", When: zoneBack, Unit: "core", SlopeNames: []string{"module.change", "upstream.change", "list.decode"},
-			Mechanism: howModule,
-			Value:     func(c costs, s Size, _ Limits) float64 { return s.Targets / s.Zones / minute * change(c, s) / 1e6 }, Limit: core},
-		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs", When: ordinary, Unit: "core", SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: howConfigured,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.ConfigChangeRate() * adopted(c, s) / 1e6 }, Limit: core},
-		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs", When: worst, Unit: "core", SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: howConfigured,
+		{Role: "initiator", Subject: "processor: changes of the list", When: ordinaryDay, Unit: "core", SlopeNames: []string{"module.change", "upstream.change", "list.decode"}, Mechanism: mechSchedulerChange,
+			Value: func(c costModel, s Size, _ Limits) float64 { return s.ListChangeRate() * change(c, s) / 1e6 }, Limit: core},
+		{Role: "initiator", Subject: "processor: changes of the list, one by one", When: zoneReturned, Unit: "core", SlopeNames: []string{"module.change", "upstream.change", "list.decode"},
+			Mechanism: mechSchedulerChange,
+			Value:     func(c costModel, s Size, _ Limits) float64 { return s.Targets / s.Zones / minute * change(c, s) / 1e6 }, Limit: core},
+		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs", When: ordinaryDay, Unit: "core", SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: mechConfigApply,
+			Value: func(c costModel, s Size, _ Limits) float64 { return s.ConfigChangeRate() * adopted(c, s) / 1e6 }, Limit: core},
+		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs", When: worstMinute, Unit: "core", SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: mechConfigApply,
 			Feed:  FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.ConfigBurst * adopted(c, s) / 1e6 }, Limit: core},
-		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs, those gathered at the relay as one", When: worst, Unit: "core",
-			SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: howConfigured, Feed: FeedOn,
-			Value: func(c costs, s Size, _ Limits) float64 { return gathered(s) * adopted(c, s) / 1e6 }, Limit: core},
-		{Role: "initiator", Subject: "processor: each configuration, if all of them needed a new start", When: ordinary, Unit: "core", SlopeNames: []string{"successor.cpu"}, Mechanism: howConfigured,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return s.ConfigChangeRate() * c.at("successor.cpu", s.Targets) / 1e6
+			Value: func(c costModel, s Size, _ Limits) float64 { return s.ConfigBurst * adopted(c, s) / 1e6 }, Limit: core},
+		{Role: "initiator", Subject: "processor: each configuration, taken over by what runs, those gathered at the relay as one", When: worstMinute, Unit: "core",
+			SlopeNames: []string{"adopt.cpu", "module.adopt"}, Mechanism: mechConfigApply, Feed: FeedOn,
+			Value: func(c costModel, s Size, _ Limits) float64 { return gathered(s) * adopted(c, s) / 1e6 }, Limit: core},
+		{Role: "initiator", Subject: "processor: each configuration, if all of them needed a new start", When: ordinaryDay, Unit: "core", SlopeNames: []string{"successor.cpu"}, Mechanism: mechConfigApply,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.ConfigChangeRate() * c.costAt("successor.cpu", s.Targets) / 1e6
 			}, Limit: core,
 			MissingInput: "how many changes are of addresses or of the operator's file"},
 		{Role: "initiator", Subject: "processor: watches, renewals, members and timers, with nothing new", When: always, Unit: "core",
-			SlopeNames: []string{"discovery.cpu", "follower.cpu", "renewer.cpu", "members.cpu", "module.timer"}, Mechanism: howKept, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return (c.each("discovery.cpu") + c.each("follower.cpu") + c.each("renewer.cpu") + c.at("members.cpu", s.Initiators) +
-					timers*c.at("module.timer", s.Targets)) / 1e6
+			SlopeNames: []string{"discovery.cpu", "follower.cpu", "renewer.cpu", "members.cpu", "module.timer"}, Mechanism: mechInstanceState, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return (c.perUnit("discovery.cpu") + c.perUnit("follower.cpu") + c.perUnit("renewer.cpu") + c.costAt("members.cpu", s.Initiators) +
+					timersPerSecond*c.costAt("module.timer", s.Targets)) / 1e6
 			}, Limit: core},
-		{Role: "initiator", Subject: "time of the module for a request, of what there is for each", When: always, Unit: "us", SlopeNames: []string{"module.request"}, Mechanism: howTurn,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("module.request", s.Targets) }, Limit: func(_ costs, s Size, _ Limits) float64 { return 1e6 / s.RequestsPerInitiator() }},
+		{Role: "initiator", Subject: "time of the module for a request, of what there is for each", When: always, Unit: "us", SlopeNames: []string{"module.request"}, Mechanism: mechSchedulerRequest,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("module.request", s.Targets) }, Limit: func(_ costModel, s Size, _ Limits) float64 { return 1e6 / s.RequestsPerInitiator() }},
 		{Role: "initiator", Subject: "memory: module, list, targets' actors, members, accounts, with the collector's room", When: always, Unit: "B",
-			SlopeNames: []string{"module.memory", "list.memory", "upstream.memory", "members.memory", "accounts.memory"}, Mechanism: howKept, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return room * (c.at("module.memory", s.Targets) + c.at("list.memory", s.Targets) + c.at("upstream.memory", s.Targets) + c.at("members.memory", s.Initiators) +
-					c.at("accounts.memory", s.VolumesPerInitiator))
-			}, Limit: func(_ costs, _ Size, l Limits) float64 { return l.Memory }},
-		{Role: "initiator", Subject: "wire: watches, renewals with eight targets, members both ways", When: always, Unit: "B/s", Mechanism: howKept, Feed: FeedOff,
+			SlopeNames: []string{"module.memory", "list.memory", "upstream.memory", "members.memory", "accounts.memory"}, Mechanism: mechInstanceState, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return gcHeapFactor * (c.costAt("module.memory", s.Targets) + c.costAt("list.memory", s.Targets) + c.costAt("upstream.memory", s.Targets) + c.costAt("members.memory", s.Initiators) +
+					c.costAt("accounts.memory", s.VolumesPerInitiator))
+			}, Limit: func(_ costModel, _ Size, l Limits) float64 { return l.Memory }},
+		{Role: "initiator", Subject: "wire: watches, renewals with eight targets, members both ways", When: always, Unit: "B/s", Mechanism: mechInstanceState, Feed: FeedOff,
 			SlopeNames: []string{"discovery.wire", "agent.follow.wire", "leader.wire", "members.wire"},
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return c.each("discovery.wire") + c.each("agent.follow.wire") + c.each("leader.wire") + 2*c.at("members.wire", s.Initiators)
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return c.perUnit("discovery.wire") + c.perUnit("agent.follow.wire") + c.perUnit("leader.wire") + 2*c.costAt("members.wire", s.Initiators)
 			}, Limit: wire},
-		{Role: "initiator", Subject: "wire: changes of the list, one by one", When: ordinary, Unit: "B/s", SlopeNames: []string{"discovery.change.wire"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.ListChangeRate() * c.each("discovery.change.wire") }, Limit: wire},
-		{Role: "initiator", Subject: "wire: changes of the list, one by one", When: zoneBack, Unit: "B/s", SlopeNames: []string{"discovery.change.wire"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return s.Targets / s.Zones / minute * c.each("discovery.change.wire")
+		{Role: "initiator", Subject: "wire: changes of the list, one by one", When: ordinaryDay, Unit: "B/s", SlopeNames: []string{"discovery.change.wire"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.ListChangeRate() * c.perUnit("discovery.change.wire")
 			}, Limit: wire},
-		{Role: "initiator", Subject: "time of what an hour's changes of the list take at its bytes a second", When: cutOver, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, l Limits) float64 {
-				return s.ListChangeRate() * hour * c.each("list.line") / l.Wire
+		{Role: "initiator", Subject: "wire: changes of the list, one by one", When: zoneReturned, Unit: "B/s", SlopeNames: []string{"discovery.change.wire"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.Targets / s.Zones / minute * c.perUnit("discovery.change.wire")
+			}, Limit: wire},
+		{Role: "initiator", Subject: "time of what an hour's changes of the list take at its bytes a second", When: regionReconnected, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, l Limits) float64 {
+				return s.ListChangeRate() * hour * c.perUnit("list.line") / l.Wire
 			}, Limit: force},
-		{Role: "initiator", Subject: "wire: its configuration, whole, at each change", When: ordinary, Unit: "B/s", SlopeNames: []string{"agent.answer"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return s.ConfigChangeRate() * c.at("agent.answer", s.ConfigBytes)
+		{Role: "initiator", Subject: "wire: its configuration, whole, at each change", When: ordinaryDay, Unit: "B/s", SlopeNames: []string{"agent.answer"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.ConfigChangeRate() * c.costAt("agent.answer", s.ConfigBytes)
+			}, Limit: wire},
+		{Role: "initiator", Subject: "wire: its configuration, whole, at each change", When: worstMinute, Unit: "B/s", SlopeNames: []string{"agent.answer"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.ConfigBurst * c.costAt("agent.answer", s.ConfigBytes)
 			}, Limit: wire},
-		{Role: "initiator", Subject: "wire: its configuration, whole, at each change", When: worst, Unit: "B/s", SlopeNames: []string{"agent.answer"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.ConfigBurst * c.at("agent.answer", s.ConfigBytes) }, Limit: wire},
-		{Role: "initiator", Subject: "wire: renewals, with connections to every target", When: always, Unit: "B/s", SlopeNames: []string{"renewal.wire"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("renewal.wire", min(s.Targets, quota.MaxKeys)) }, Limit: wire,
+		{Role: "initiator", Subject: "wire: renewals, with connections to every target", When: always, Unit: "B/s", SlopeNames: []string{"renewal.wire"}, Mechanism: mechQuota,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return c.costAt("renewal.wire", min(s.Targets, quota.MaxKeys))
+			}, Limit: wire,
 			MissingInput: "how many targets an initiator's clients use"},
-		{Role: "initiator", Subject: "entries of a list, of as many as the probe had read", When: always, Unit: "entries", SlopeNames: []string{"list.line"}, Mechanism: howLine,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.Targets }, Limit: func(c costs, _ Size, _ Limits) float64 { return c.most("list.line") }},
-		{Role: "initiator", Subject: "time of a whole list at its bytes a second", When: starting, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, l Limits) float64 { return c.at("list.line", s.Targets) / l.Wire }, Limit: func(_ costs, _ Size, l Limits) float64 { return l.RestartWindow }},
-		{Role: "initiator", Subject: "descriptors: clients, a connection to each target, control", When: always, Unit: "descriptors", SlopeNames: []string{"discovery.connections"}, Mechanism: howKept,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.Clients/s.Initiators + s.Targets + 6 }, MissingInput: "the limit of a process"},
+		{Role: "initiator", Subject: "entries of a list, of as many as the probe had read", When: always, Unit: "entries", SlopeNames: []string{"list.line"}, Mechanism: mechListDecode,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return s.Targets }, Limit: func(c costModel, _ Size, _ Limits) float64 { return c.maxSize("list.line") }},
+		{Role: "initiator", Subject: "time of a whole list at its bytes a second", When: restarting, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, l Limits) float64 { return c.costAt("list.line", s.Targets) / l.Wire }, Limit: func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }},
+		{Role: "initiator", Subject: "descriptors: clients, a connection to each target, control", When: always, Unit: "descriptors", SlopeNames: []string{"discovery.connections"}, Mechanism: mechInstanceState,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return s.Clients/s.Initiators + s.Targets + 6 }, MissingInput: "the limit of a process"},
 		// Discovery.
-		{Role: "discovery", Subject: "time until all have heard of a change, at one service that all share", When: always, Unit: "s", SlopeNames: []string{"discovery.told"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("discovery.told", s.Initiators) }, Limit: force},
-		{Role: "discovery", Subject: "time until all have heard after all watches fell silent", When: worst, Unit: "s", SlopeNames: []string{"discovery.silent"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("discovery.silent", s.Initiators) }, Limit: force},
-		{Role: "discovery", Subject: "time for the whole lists of all that restart within ten minutes, at one service", When: starting, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(_ costs, s Size, l Limits) float64 {
+		{Role: "discovery", Subject: "time until all have heard of a change, at one service that all share", When: always, Unit: "s", SlopeNames: []string{"discovery.told"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("discovery.told", s.Initiators) }, Limit: force},
+		{Role: "discovery", Subject: "time until all have heard after all watches fell silent", When: worstMinute, Unit: "s", SlopeNames: []string{"discovery.silent"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("discovery.silent", s.Initiators) }, Limit: force},
+		{Role: "discovery", Subject: "time for the whole lists of all that restart within ten minutes, at one service", When: restarting, Unit: "s", SlopeNames: []string{"list.line"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(_ costModel, s Size, l Limits) float64 {
 				return s.InitiatorRestarts * (l.DiscoveryCall + s.Targets*l.DiscoveryEntry)
-			}, Limit: func(_ costs, _ Size, l Limits) float64 { return l.RestartWindow }},
-		{Role: "discovery", Subject: "processor: watches with nothing new, where it pushes, both ends", When: always, Unit: "core", SlopeNames: []string{"discovery.cpu"}, Mechanism: howLists, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("discovery.cpu", s.Initiators) / 1e6 }, Limit: machine},
+			}, Limit: func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }},
+		{Role: "discovery", Subject: "processor: watches with nothing new, where it pushes, both ends", When: always, Unit: "core", SlopeNames: []string{"discovery.cpu"}, Mechanism: mechListDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("discovery.cpu", s.Initiators) / 1e6 }, Limit: machine},
 		// Agents.
-		{Role: "agent, leader", Subject: "entries a second, of what a group of three takes", When: ordinary, Unit: "entries/s", SlopeNames: []string{"agent.change.time"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(_ costs, s Size, _ Limits) float64 { return entries(s) }, Limit: taken},
-		{Role: "agent, leader", Subject: "entries a second, of what a group of three takes", When: worst, Unit: "entries/s", SlopeNames: []string{"agent.change.time"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.ConfigBurst * s.Initiators }, Limit: taken},
-		{Role: "agent, leader", Subject: "processor: entries", When: ordinary, Unit: "core", SlopeNames: []string{"agent.change.cpu"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return entries(s) * c.each("agent.change.cpu") / 1e6 }, Limit: machine},
-		{Role: "agent, leader", Subject: "processor: renewals", When: always, Unit: "core", SlopeNames: []string{"leader.cpu"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("leader.cpu", s.Initiators) / 1e6 }, Limit: machine},
-		{Role: "agent, leader", Subject: "time of its one book for the renewals of a second", When: always, Unit: "s", SlopeNames: []string{"giver.renew"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.Initiators * c.at("giver.renew", s.Initiators) / 1e6 }, Limit: func(costs, Size, Limits) float64 { return 1 }},
-		{Role: "agent, leader", Subject: "time of its one book for the claims of a second", When: always, Unit: "s", SlopeNames: []string{"keeper.claim"}, Mechanism: howLeases,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return s.Initiators * c.at("keeper.claim", s.TaskShards) / 1e6
-			}, Limit: func(costs, Size, Limits) float64 { return 1 }},
-		{Role: "agent, leader", Subject: "time of its one book for four looks for orders a second, 1,000 shards", When: always, Unit: "s", SlopeNames: []string{"keeper.looks"}, Mechanism: howLeases,
-			Value: func(c costs, s Size, _ Limits) float64 { return 4 * c.at("keeper.looks", s.Initiators) / 1e6 }, Limit: func(costs, Size, Limits) float64 { return 1 }},
-		{Role: "agent, leader", Subject: "time for the joins of all that restart", When: starting, Unit: "s", SlopeNames: []string{"leader.joins"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return s.InitiatorRestarts * c.each("leader.joins") / 1e6 }, Limit: func(_ costs, _ Size, l Limits) float64 { return l.RestartWindow }},
-		{Role: "agent, leader", Subject: "seats, with a predecessor of each that restarts", When: starting, Unit: "seats", SlopeNames: []string{"leader.joins"}, Mechanism: howGiver,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.Initiators + s.InitiatorRestarts }, Limit: func(costs, Size, Limits) float64 { return quota.MaxSessions }},
-		{Role: "agent", Subject: "processor: watches with nothing new, all at the agent named first", When: always, Unit: "core", SlopeNames: []string{"agent.follow.cpu"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("agent.follow.cpu", s.Initiators) / 1e6 }, Limit: machine},
-		{Role: "agent", Subject: "processor: each entry wakes every watch", When: ordinary, Unit: "core", SlopeNames: []string{"agent.wake.cpu"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return entries(s) * c.at("agent.wake.cpu", s.Initiators) / 1e6
+		{Role: "agent, leader", Subject: "entries a second, of what a group of three takes", When: ordinaryDay, Unit: "entries/s", SlopeNames: []string{"agent.change.time"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return entries(s) }, Limit: taken},
+		{Role: "agent, leader", Subject: "entries a second, of what a group of three takes", When: worstMinute, Unit: "entries/s", SlopeNames: []string{"agent.change.time"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return s.ConfigBurst * s.Initiators }, Limit: taken},
+		{Role: "agent, leader", Subject: "processor: entries", When: ordinaryDay, Unit: "core", SlopeNames: []string{"agent.change.cpu"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 { return entries(s) * c.perUnit("agent.change.cpu") / 1e6 }, Limit: machine},
+		{Role: "agent, leader", Subject: "processor: renewals", When: always, Unit: "core", SlopeNames: []string{"leader.cpu"}, Mechanism: mechQuota,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("leader.cpu", s.Initiators) / 1e6 }, Limit: machine},
+		{Role: "agent, leader", Subject: "time of its one book for the renewals of a second", When: always, Unit: "s", SlopeNames: []string{"giver.renew"}, Mechanism: mechQuota,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.Initiators * c.costAt("giver.renew", s.Initiators) / 1e6
+			}, Limit: func(costModel, Size, Limits) float64 { return 1 }},
+		{Role: "agent, leader", Subject: "time of its one book for the claims of a second", When: always, Unit: "s", SlopeNames: []string{"keeper.claim"}, Mechanism: mechLeases,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.Initiators * c.costAt("keeper.claim", s.TaskShards) / 1e6
+			}, Limit: func(costModel, Size, Limits) float64 { return 1 }},
+		{Role: "agent, leader", Subject: "time of its one book for four looks for orders a second, 1,000 shards", When: always, Unit: "s", SlopeNames: []string{"keeper.looks"}, Mechanism: mechLeases,
+			Value: func(c costModel, s Size, _ Limits) float64 { return 4 * c.costAt("keeper.looks", s.Initiators) / 1e6 }, Limit: func(costModel, Size, Limits) float64 { return 1 }},
+		{Role: "agent, leader", Subject: "time for the joins of all that restart", When: restarting, Unit: "s", SlopeNames: []string{"leader.joins"}, Mechanism: mechQuota,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return s.InitiatorRestarts * c.perUnit("leader.joins") / 1e6
+			}, Limit: func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }},
+		{Role: "agent, leader", Subject: "seats, with a predecessor of each that restarts", When: restarting, Unit: "seats", SlopeNames: []string{"leader.joins"}, Mechanism: mechQuota,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return s.Initiators + s.InitiatorRestarts }, Limit: func(costModel, Size, Limits) float64 { return quota.MaxSessions }},
+		{Role: "agent", Subject: "processor: watches with nothing new, all at the agent named first", When: always, Unit: "core", SlopeNames: []string{"agent.follow.cpu"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("agent.follow.cpu", s.Initiators) / 1e6 }, Limit: machine},
+		{Role: "agent", Subject: "processor: each entry wakes every watch", When: ordinaryDay, Unit: "core", SlopeNames: []string{"agent.wake.cpu"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return entries(s) * c.costAt("agent.wake.cpu", s.Initiators) / 1e6
 			}, Limit: machine},
-		{Role: "agent, follower", Subject: "processor: entries", When: ordinary, Unit: "core", SlopeNames: []string{"agent.change.follower"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return entries(s) * c.each("agent.change.follower") / 1e6
+		{Role: "agent, follower", Subject: "processor: entries", When: ordinaryDay, Unit: "core", SlopeNames: []string{"agent.change.follower"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return entries(s) * c.perUnit("agent.change.follower") / 1e6
 			}, Limit: machine},
-		{Role: "agent, follower", Subject: "processor: renewals, the leader's questions for its term", When: always, Unit: "core", SlopeNames: []string{"leader.follower"}, Mechanism: howGiver,
-			Value: func(c costs, s Size, _ Limits) float64 { return c.at("leader.follower", s.Initiators) / 1e6 }, Limit: machine},
-		{Role: "agent", Subject: "memory: configurations and watches", When: always, Unit: "B", SlopeNames: []string{"agent.memory", "agent.follow.memory"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 {
-				return room * (c.at("agent.memory", s.Initiators) + c.at("agent.follow.memory", s.Initiators))
+		{Role: "agent, follower", Subject: "processor: renewals, the leader's questions for its term", When: always, Unit: "core", SlopeNames: []string{"leader.follower"}, Mechanism: mechQuota,
+			Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("leader.follower", s.Initiators) / 1e6 }, Limit: machine},
+		{Role: "agent", Subject: "memory: configurations and watches", When: always, Unit: "B", SlopeNames: []string{"agent.memory", "agent.follow.memory"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return gcHeapFactor * (c.costAt("agent.memory", s.Initiators) + c.costAt("agent.follow.memory", s.Initiators))
 			}, MissingInput: "a control machine's memory"},
-		{Role: "agent", Subject: "disk: the log of a day", When: ordinary, Unit: "B", SlopeNames: []string{"agent.entry"}, Mechanism: howConfigs, Feed: FeedOff,
-			Value: func(c costs, s Size, _ Limits) float64 { return entries(s) * day * c.at("agent.entry", s.ConfigBytes) }, MissingInput: "a control machine's disk"},
+		{Role: "agent", Subject: "disk: the log of a day", When: ordinaryDay, Unit: "B", SlopeNames: []string{"agent.entry"}, Mechanism: mechConfigDelivery, Feed: FeedOff,
+			Value: func(c costModel, s Size, _ Limits) float64 {
+				return entries(s) * day * c.costAt("agent.entry", s.ConfigBytes)
+			}, MissingInput: "a control machine's disk"},
 		// Targets.
-		{Role: "target", Subject: "connections, with one from each initiator", When: always, Unit: "connections", SlopeNames: []string{"discovery.connections"}, Mechanism: howTargets,
-			Value: func(_ costs, s Size, _ Limits) float64 { return s.Initiators }, MissingInput: "how many a target bears, and how many targets an initiator's clients use"},
+		{Role: "target", Subject: "connections, with one from each initiator", When: always, Unit: "connections", SlopeNames: []string{"discovery.connections"}, Mechanism: mechTargetActors,
+			Value: func(_ costModel, s Size, _ Limits) float64 { return s.Initiators }, MissingInput: "how many a target bears, and how many targets an initiator's clients use"},
 	}...)
 }
--- a/internal/testbed/scale/slope/fit.go
+++ b/internal/testbed/scale/slope/fit.go
@@ -9,10 +9,10 @@
 )
 
 // fewest is how many sizes a slope takes: three that are fitted and one that is foretold.
-const fewest = 4
+const minSizes = 4
 
 // bent is how far a line is from what was measured, as a part of it, for it to be clearly off.
-const bent = 0.1
+const poorFitResidual = 0.1
 
 // Point is what was measured at one size.
 type Point struct {
@@ -41,8 +41,8 @@
 		}
 		return 1
 	})
-	if len(points) < fewest {
-		return Line{}, fmt.Errorf("%d sizes are too few for a slope, %d are needed", len(points), fewest)
+	if len(points) < minSizes {
+		return Line{}, fmt.Errorf("%d sizes are too few for a slope, %d are needed", len(points), minSizes)
 	}
 	for i, p := range points {
 		if math.IsNaN(p.Cost) || math.IsInf(p.Cost, 0) || !(p.Size >= 0) {
@@ -53,9 +53,9 @@
 		}
 	}
 	rest, last := points[:len(points)-1], points[len(points)-1]
-	best := fit(rest, 1)
-	if best.Residual > bent {
-		for _, other := range []Line{fit(rest, 2), power(rest)} {
+	best := fitPower(rest, 1)
+	if best.Residual > poorFitResidual {
+		for _, other := range []Line{fitPower(rest, 2), fitPowerLaw(rest)} {
 			if other.Coefficient > 0 && other.Residual < best.Residual/2 {
 				best = other
 			}
@@ -70,7 +70,7 @@
 }
 
 // fit is a line through the sizes' powers.
-func fit(points []Point, power float64) Line {
+func fitPower(points []Point, power float64) Line {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
 		x[i], y[i], w[i] = math.Pow(p.Size, power), p.Cost, 1
@@ -100,7 +100,7 @@
 }
 
 // power is a line through the logarithms: a cost of Rise x size^Power. Its error is that of Rise at the sizes' middle.
-func power(points []Point) Line {
+func fitPowerLaw(points []Point) Line {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
 		if p.Size <= 0 || p.Cost <= 0 {
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -17,12 +17,12 @@
 )
 
 // used is how many targets each member of a probe holds connections to, beside the fleet's own wholes.
-const used = 8
+const connectedTargets = 8
 
 var memberSizes = []float64{100, 232, 538, 1250, 2900}
 
 // budgets is a set of four, for so many members.
-func budgets(seats int) (quota.Config, error) {
+func quotaConfig(seats int) (quota.Config, error) {
 	n := float64(seats)
 	d := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
 		{Name: "work", Resource: quota.AllWork, Capacity: 100 * n, Burst: 100 * n, FloorRate: 1, FloorBurst: 1},
@@ -32,22 +32,22 @@
 	return d, d.Validate()
 }
 
-func member(i int) quota.Member {
+func quotaMember(i int) quota.Member {
 	id := fmt.Sprintf("member-%05d", i)
 	return quota.Member{ID: id, Name: id, Addr: fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255), Weight: 1, Incarnation: uint64(i + 1)}
 }
 
 // seated is a holder with a seat and connections to some targets.
-func seated(now time.Duration, id string, doc quota.Config) *quotaclient.Client {
+func newQuotaClient(now time.Duration, id string, doc quota.Config) *quotaclient.Client {
 	h := quotaclient.New(quota.Resources)
 	h.Register(now, id, doc)
-	for k := range used {
-		h.OpenConnection(now, target(k))
+	for k := range connectedTargets {
+		h.OpenConnection(now, targetID(k))
 	}
 	return h
 }
 
-func fleetProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
+func controlProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
 	return []Probe{{
 		Description: "internal/controlplane/quota/allocator: renewals of members with four budgets and connections to eight targets each; the join of one more; its heap",
 		Metrics: []Metric{{Name: "giver.renew", Unit: "us", Subject: "one renewal", Per: "member"},
@@ -56,7 +56,7 @@
 			{Name: "giver.renewals.wire", Unit: "B", Subject: "a renewal of each and its answer, as JSON", Per: "member", Exact: true}},
 		Sizes: memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			doc, err := budgets(size + 1)
+			doc, err := quotaConfig(size + 1)
 			if err != nil {
 				return nil, err
 			}
@@ -64,8 +64,8 @@
 			holders := make([]*quotaclient.Client, size)
 			now := time.Hour
 			for i := range all {
-				all[i] = member(i)
-				holders[i] = seated(now, all[i].ID, doc)
+				all[i] = quotaMember(i)
+				holders[i] = newQuotaClient(now, all[i].ID, doc)
 			}
 			now += time.Minute
 			wire := 0
@@ -86,13 +86,13 @@
 				}
 				i++
 			}
-			before := heap()
+			before := heapBytes()
 			g = allocator.New(time.Hour, doc, all)
 			for range 2 * size {
 				renew()
 			}
-			held := max(0, heap()-before)
-			cost := quickest(3, 100*time.Millisecond, func() {
+			held := max(0, heapBytes()-before)
+			cost := minMicros(3, 100*time.Millisecond, func() {
 				for range size {
 					renew()
 				}
@@ -100,8 +100,8 @@
 			if err != nil {
 				return nil, err
 			}
-			more := append(all[:size:size], member(size))
-			join := quickest(3, 50*time.Millisecond, func() {
+			more := append(all[:size:size], quotaMember(size))
+			join := minMicros(3, 50*time.Millisecond, func() {
 				g.Update(now, doc, more)
 				g.Update(now, doc, all)
 			}) / 2
@@ -112,14 +112,14 @@
 		Metrics:     []Metric{{Name: "renewal.wire", Unit: "B", Subject: "a renewal and its answer", Per: "target used", Exact: true}},
 		Sizes:       []float64{8, 32, 128, 512, 1000}, ShortSizes: []float64{8, 16, 32, 64},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			doc, err := budgets(10)
+			doc, err := quotaConfig(10)
 			if err != nil {
 				return nil, err
 			}
-			now, m := time.Hour, member(0)
-			h := seated(now, m.ID, doc)
-			for k := used; k < size; k++ {
-				h.OpenConnection(now, target(k))
+			now, m := time.Hour, quotaMember(0)
+			h := newQuotaClient(now, m.ID, doc)
+			for k := connectedTargets; k < size; k++ {
+				h.OpenConnection(now, targetID(k))
 			}
 			g := allocator.New(now, doc, []quota.Member{m})
 			now += time.Minute
@@ -143,22 +143,22 @@
 		Metrics:     []Metric{{Name: "keeper.claim", Unit: "us", Subject: "one claim", Per: "shard"}, {Name: "keeper.orders", Unit: "us", Subject: "a look for orders, 100 members", Per: "shard"}},
 		Sizes:       []float64{100, 250, 625, 1560, 3900}, ShortSizes: []float64{100, 250, 625, 1560}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			k, now, claims, err := kept(100, size)
+			k, now, claims, err := newLessor(100, size)
 			if err != nil {
 				return nil, err
 			}
 			i := 0
-			claim := quickest(5, 100*time.Millisecond, func() {
+			claim := minMicros(5, 100*time.Millisecond, func() {
 				for range 100 {
 					c := &claims[i%100]
 					c.Seq++
-					if _, e := k.Renew(now, member(i%100).ID, *c); e != nil {
+					if _, e := k.Renew(now, quotaMember(i%100).ID, *c); e != nil {
 						err = e
 					}
 					i++
 				}
 			}) / 100
-			orders := quickest(5, 100*time.Millisecond, func() { k.PendingEvents(now) })
+			orders := minMicros(5, 100*time.Millisecond, func() { k.PendingEvents(now) })
 			return []float64{claim, orders}, err
 		},
 	}, {
@@ -166,44 +166,44 @@
 		Metrics:     []Metric{{Name: "keeper.looks", Unit: "us", Subject: "a look for orders, 1,000 shards", Per: "member"}},
 		Sizes:       memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			k, now, _, err := kept(size, 1000)
+			k, now, _, err := newLessor(size, 1000)
 			if err != nil {
 				return nil, err
 			}
-			return []float64{quickest(3, 200*time.Millisecond, func() { k.PendingEvents(now) })}, nil
+			return []float64{minMicros(3, 200*time.Millisecond, func() { k.PendingEvents(now) })}, nil
 		},
 	}, {
 		Description: "internal/controlplane/registry: the copy of what the log says of the fleet that the leader makes after each change of the log and four times a second, with a snapshot's text",
 		Metrics:     []Metric{{Name: "register.copy", Unit: "us", Subject: "a copy", Per: "member"}, {Name: "register.text", Unit: "B", Subject: "its part of a snapshot", Per: "member", Exact: true}},
 		Sizes:       memberSizes, ShortSizes: []float64{100, 232, 538, 1250}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			doc, err := budgets(size)
+			doc, err := quotaConfig(size)
 			if err != nil {
 				return nil, err
 			}
 			r := registry.Registry{QuotaConfig: doc}
 			for i := range size {
-				r.Members = append(r.Members, member(i))
+				r.Members = append(r.Members, quotaMember(i))
 			}
 			t, err := json.Marshal(r)
-			return []float64{quickest(5, 50*time.Millisecond, func() { r.Clone() }), float64(len(t))}, err
+			return []float64{minMicros(5, 50*time.Millisecond, func() { r.Clone() }), float64(len(t))}, err
 		},
 	}, {
 		Description: "internal/observability/accounts: what an instance tells of a window, as JSON, with so many volumes used",
 		Metrics:     []Metric{{Name: "accounts.report", Unit: "B", Subject: "an instance's accounts of a window", Per: "volume", Exact: true}, {Name: "accounts.memory", Unit: "B", Subject: "an instance's book", Per: "volume", Noisy: true}},
 		Sizes:       []float64{64, 256, 1024, 4096}, ShortSizes: []float64{32, 64, 128, 256},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			before := heap()
+			before := heapBytes()
 			b := accounts.New(accounts.Options{Volumes: 4096, Pairs: 4096, Open: 64})
-			m, err := newModule(64)
+			m, err := newSchedulerLoad(64)
 			if err != nil {
 				return nil, err
 			}
 			at := time.Minute
 			for i := range size * 20 {
 				at += time.Millisecond
-				id, node := fmt.Sprint("r", i), target(m.rng.IntN(64))
-				b.Arrive(at, request(id, i%size))
+				id, node := fmt.Sprint("r", i), targetID(m.rng.IntN(64))
+				b.Arrive(at, policyRequest(id, i%size))
 				b.Release(at+200*time.Microsecond, id, node, 50*time.Microsecond, true)
 				b.Begin(at+250*time.Microsecond, id)
 				b.Served(id)
@@ -211,7 +211,7 @@
 				b.End(at+6*time.Millisecond, id)
 				at += 6 * time.Millisecond
 			}
-			held := max(0, heap()-before)
+			held := max(0, heapBytes()-before)
 			day := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 			t, err := json.Marshal(b.Look("instance-00001", day, day.Add(time.Minute)))
 			runtime.KeepAlive(b)
@@ -220,15 +220,15 @@
 }
 
 // kept is a keeper all of whose shards are held by members that renew, and the claim of each of them.
-func kept(members, shards int) (*lessor.Lessor, time.Duration, []lease.RenewalRequest, error) {
-	doc, err := budgets(members)
+func newLessor(members, shards int) (*lessor.Lessor, time.Duration, []lease.RenewalRequest, error) {
+	doc, err := quotaConfig(members)
 	if err != nil {
 		return nil, 0, nil, err
 	}
 	r := &registry.Registry{QuotaConfig: doc, LeaseConfig: lease.Config{Version: 1}}
 	claims := make([]lease.RenewalRequest, members)
 	for i := range members {
-		r.Members = append(r.Members, member(i))
+		r.Members = append(r.Members, quotaMember(i))
 		claims[i] = lease.RenewalRequest{Seq: 1, ConfigVersion: 1}
 	}
 	for n, left := 0, shards; left > 0; n++ {
@@ -239,7 +239,7 @@
 			i := (left + s) % members
 			r.LastToken++
 			k := lease.Key{Task: t.Name, Shard: s}
-			r.Leases = append(r.Leases, lease.Lease{Key: k, Token: r.LastToken, Holder: member(i).ID})
+			r.Leases = append(r.Leases, lease.Lease{Key: k, Token: r.LastToken, Holder: quotaMember(i).ID})
 			claims[i].Held = append(claims[i].Held, lease.HolderStatus{Key: k, Token: r.LastToken, Completed: 1})
 		}
 	}
@@ -253,7 +253,7 @@
 		for _, t := range r.LeaseConfig.Tasks {
 			claims[i].Tasks = append(claims[i].Tasks, t.Name)
 		}
-		if _, err := k.Renew(now, member(i).ID, claims[i]); err != nil {
+		if _, err := k.Renew(now, quotaMember(i).ID, claims[i]); err != nil {
 			return nil, 0, nil, err
 		}
 	}
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -29,7 +29,7 @@
 const AgentEnv = "SPINDLEHITCH_SCALE_AGENT"
 
 // options is what such a process is told.
-type options struct {
+type agentOptions struct {
 	ID    string       `json:"id"`
 	Dir   string       `json:"dir"`
 	Peers []peerOption `json:"peers"`
@@ -38,7 +38,7 @@
 type peerOption struct{ ID, Raft, API string }
 
 // seen is what such a process tells of itself.
-type seen struct {
+type agentUsage struct {
 	CPU   float64 `json:"cpu_us"`
 	Heap  float64 `json:"heap"`
 	In    float64 `json:"in"`
@@ -53,7 +53,7 @@
 	if asked == "" {
 		return false, nil
 	}
-	var opt options
+	var opt agentOptions
 	if err := json.Unmarshal([]byte(asked), &opt); err != nil {
 		return true, fmt.Errorf("%s: %w", AgentEnv, err)
 	}
@@ -73,11 +73,11 @@
 	if err != nil {
 		return true, err
 	}
-	c := count(l)
+	c := newCountingListener(l)
 	go func() { _ = a.Serve(c) }()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-		s := seen{CPU: float64(cpu().Microseconds()), In: float64(c.in.Load()), Out: float64(c.out.Load()), Conns: float64(c.conns.Load())}
-		s.Heap = heap() // a collection: after the processor's time was read
+		s := agentUsage{CPU: float64(cpuTime().Microseconds()), In: float64(c.in.Load()), Out: float64(c.out.Load()), Conns: float64(c.conns.Load())}
+		s.Heap = heapBytes() // a collection: after the processor's time was read
 		if err := json.NewEncoder(os.Stdout).Encode(s); err != nil {
 			return true, err
 		}
@@ -86,41 +86,41 @@
 }
 
 // group is three agents, each a process, on the loopback.
-type group struct {
+type agentGroup struct {
 	agent.Client
-	dir  string
-	proc []*process
+	dir       string
+	processes []*agentProcess
 }
 
-type process struct {
+type agentProcess struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *bufio.Scanner
 }
 
 // pooled has instances that share this process's pool keep a connection each, as processes of their own do.
-var pooled = sync.OnceFunc(func() {
+var allowIdleConns = sync.OnceFunc(func() {
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
 		t.MaxIdleConns, t.MaxIdleConnsPerHost = 0, 4096
 	}
 })
 
-func newGroup(ctx context.Context) (_ *group, err error) {
-	pooled()
-	g := &group{}
+func newAgentGroup(ctx context.Context) (_ *agentGroup, err error) {
+	allowIdleConns()
+	g := &agentGroup{}
 	if g.dir, err = os.MkdirTemp("", "slopes"); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			g.stop()
+			g.cleanup()
 		}
 	}()
 	addrs, err := ports.Free(6)
 	if err != nil {
 		return nil, err
 	}
-	opt := options{}
+	opt := agentOptions{}
 	for i := range 3 {
 		opt.Peers = append(opt.Peers, peerOption{fmt.Sprint("agent-", i), addrs[2*i], addrs[2*i+1]})
 		g.Addrs = append(g.Addrs, addrs[2*i+1])
@@ -130,7 +130,7 @@
 			return nil, err
 		}
 	}
-	return g, until(ctx, "a leader known to all", func() bool {
+	return g, waitUntil(ctx, "a leader known to all", func() bool {
 		leaders := map[string]int{}
 		for _, s := range g.Status(ctx) {
 			leaders[s.Leader]++
@@ -140,7 +140,7 @@
 }
 
 // start begins one agent's process.
-func (g *group) start(opt options, id string) error {
+func (g *agentGroup) start(opt agentOptions, id string) error {
 	opt.ID, opt.Dir = id, filepath.Join(g.dir, id)
 	asked, err := json.Marshal(opt)
 	if err != nil {
@@ -164,26 +164,26 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	g.proc = append(g.proc, &process{cmd, in, bufio.NewScanner(out)})
+	g.processes = append(g.processes, &agentProcess{cmd, in, bufio.NewScanner(out)})
 	return nil
 }
 
 // end has the agents leave in order and waits for them. What they have on disk stays.
-func (g *group) end() (err error) {
-	for _, p := range g.proc {
+func (g *agentGroup) shutdown() (err error) {
+	for _, p := range g.processes {
 		p.in.Close()
 	}
-	for _, p := range g.proc {
+	for _, p := range g.processes {
 		late := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
 		err = errors.Join(err, p.cmd.Wait())
 		late.Stop()
 	}
-	g.proc = nil
+	g.processes = nil
 	return err
 }
 
-func (g *group) stop() {
-	_ = g.end()
+func (g *agentGroup) cleanup() {
+	_ = g.shutdown()
 	os.RemoveAll(g.dir)
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
 		t.CloseIdleConnections()
@@ -191,9 +191,9 @@
 }
 
 // look is what each agent has used so far.
-func (g *group) look() ([]seen, error) {
-	all := make([]seen, len(g.proc))
-	for i, p := range g.proc {
+func (g *agentGroup) usage() ([]agentUsage, error) {
+	all := make([]agentUsage, len(g.processes))
+	for i, p := range g.processes {
 		if _, err := io.WriteString(p.in, "\n"); err != nil {
 			return nil, err
 		}
@@ -208,7 +208,7 @@
 }
 
 // roles is who leads, and one that follows.
-func (g *group) roles(ctx context.Context) (leader, follower int, err error) {
+func (g *agentGroup) roles(ctx context.Context) (leader, follower int, err error) {
 	leader = -1
 	for i, s := range g.Status(ctx) {
 		if s.State == raft.Leader.String() {
@@ -218,19 +218,19 @@
 	if leader < 0 {
 		return 0, 0, errors.New("no agent leads")
 	}
-	return leader, (leader + 1) % len(g.proc), nil
+	return leader, (leader + 1) % len(g.processes), nil
 }
 
 // put writes so many instances' configurations of so many bytes.
-func (g *group) put(ctx context.Context, n, bytes, most int) error {
-	return atOnce(n, most, func(i int) error {
-		_, err := g.PutConfig(ctx, instance(i), configuration(instance(i), bytes), "")
+func (g *agentGroup) putConfigs(ctx context.Context, n, bytes, most int) error {
+	return parallel(n, most, func(i int) error {
+		_, err := g.PutConfig(ctx, instanceName(i), paddedConfig(instanceName(i), bytes), "")
 		return err
 	})
 }
 
 // disk is what an agent's folder takes.
-func (g *group) disk(i int) (all int64) {
+func (g *agentGroup) diskUsage(i int) (all int64) {
 	_ = filepath.WalkDir(filepath.Join(g.dir, fmt.Sprint("agent-", i)), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && !d.IsDir() {
 			if about, err := d.Info(); err == nil {
@@ -243,8 +243,8 @@
 }
 
 // entries ends the group and sums up the last n commands of its log, in bytes.
-func (g *group) entries(n int) (float64, error) {
-	if err := g.end(); err != nil {
+func (g *agentGroup) entryBytes(n int) (float64, error) {
+	if err := g.shutdown(); err != nil {
 		return 0, err
 	}
 	s, err := raftboltdb.NewBoltStore(filepath.Join(g.dir, "agent-0", "raft.db"))
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -17,21 +17,21 @@
 )
 
 // line is an entry as discovery writes it, with names of the length that operators use. Addresses and starts follow no order, or packing would make nothing of them.
-func line(i int, state string) string {
-	h := xxhash.Sum64String(target(i))
+func entryJSON(i int, state string) string {
+	h := xxhash.Sum64String(targetID(i))
 	return fmt.Sprintf(`{"id":%q,"addr":"10.%d.%d.%d:7000","zone":"zone-%d","kind":"data","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
-		target(i), byte(h), byte(h>>8), byte(h>>16), i%30, i, state, (h>>24)%1_000_000_000)
+		targetID(i), byte(h), byte(h>>8), byte(h>>16), i%30, i, state, (h>>24)%1_000_000_000)
 }
 
 // text is a list with so many entries.
-func text(version, entries int, full bool) []byte {
+func listJSON(version, entries int, full bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"full":%v,"servers":[`, version, full)
 	for i := range entries {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(line(i, "SERVING"))
+		b.WriteString(entryJSON(i, "SERVING"))
 	}
 	b.WriteString("]}")
 	return b.Bytes()
@@ -46,8 +46,8 @@
 			{Name: "list.memory", Unit: "B", Subject: "a list as read", Per: "entry", Exact: true}},
 		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, ShortSizes: []float64{200, 500, 1250, 3200}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			t := text(1, size, true)
-			held, l := holds(func() *listing.List {
+			t := listJSON(1, size, true)
+			held, l := retainedBytes(func() *listing.List {
 				l, err := listing.Decode(t)
 				if err != nil {
 					return nil
@@ -62,8 +62,8 @@
 				return nil, err
 			}
 			read := func() { _, _ = listing.Decode(t) }
-			objects, _ := allocated(read)
-			return []float64{float64(len(t)), quickest(3, 200*time.Millisecond, read), objects, held}, nil
+			objects, _ := allocations(read)
+			return []float64{float64(len(t)), minMicros(3, 200*time.Millisecond, read), objects, held}, nil
 		},
 	}, {
 		Description: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
@@ -73,9 +73,9 @@
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			all := make([]upstream.Target, size)
 			for i := range all {
-				all[i] = upstream.Target{ID: target(i), Addr: "127.0.0.1:1", State: policy.Up}
+				all[i] = upstream.Target{ID: targetID(i), Addr: "127.0.0.1:1", State: policy.Up}
 			}
-			held, g := holds(func() *upstream.Registry {
+			held, g := retainedBytes(func() *upstream.Registry {
 				g := upstream.NewRegistry(upstream.Options{MaxConnsPerTarget: 1, MaxConnsTotal: 1, IdleTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
 				g.Apply(all, true)
 				time.Sleep(50 * time.Millisecond) // each actor has its stack
@@ -83,7 +83,7 @@
 			})
 			defer g.Shutdown()
 			i := 0
-			change := quickest(5, 100*time.Millisecond, func() {
+			change := minMicros(5, 100*time.Millisecond, func() {
 				i++
 				x := all[i%size]
 				x.State = policy.EndpointState(i / size % 2)
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -12,7 +12,7 @@
 )
 
 // encoded is a message's size on the wire.
-func encoded(m *membership.Message) int {
+func encodedSize(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
@@ -28,15 +28,15 @@
 			{Name: "members.cpu", Unit: "us/s", Subject: "a member's machine, its network's model included", Per: "member", Noisy: true}, {Name: "members.memory", Unit: "B", Subject: "a member's machine", Per: "member", Noisy: true}},
 		Sizes: []float64{100, 200, 400, 800, 1600}, ShortSizes: []float64{25, 50, 100, 200},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			before := heap()
+			before := heapBytes()
 			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.DefaultConfig, Delay: 2 * time.Millisecond, Joined: true})
-			began := cpu()
+			began := cpuTime()
 			m.Run(lasts(size))
-			used := cpu() - began
-			held := max(0, heap()-before)
+			used := cpuTime() - began
+			held := max(0, heapBytes()-before)
 			each := float64(size) * lasts(size).Seconds()
 			bytes, sent := 0, 0
-			m.Bytes = encoded // counted apart, so that its cost is not the member's
+			m.Bytes = encodedSize // counted apart, so that its cost is not the member's
 			for _, n := range m.Nodes {
 				n.Sent = 0
 			}
--- a/internal/testbed/scale/slope/module.go
+++ b/internal/testbed/scale/slope/module.go
@@ -13,7 +13,7 @@
 var targetSizes = []float64{200, 632, 2000, 6324, 20_000}
 
 // settings are some of the shape that operators set: three classes, three plans, all rules on.
-func settings() policy.Settings {
+func sampleSettings() policy.Settings {
 	const ms = time.Millisecond
 	return policy.Settings{
 		Initiators: 2900, MinStep: ms, MaxAttempts: 3, MeanUnits: 1.5, MaxUnits: 16, ColdUnitsPerWindow: 40, FairSharePriority: 0.7, ExcessPriority: 0.4, ConnectCost: 0.2, UsagePeriod: time.Second,
@@ -27,47 +27,47 @@
 	}
 }
 
-func target(i int) string { return fmt.Sprintf("harbour-%05d-%04x", i, i*40503%65536) }
+func targetID(i int) string { return fmt.Sprintf("harbour-%05d-%04x", i, i*40503%65536) }
 
 // module is a scheduler that knows so many targets, each a shard of its own.
-type module struct {
+type schedulerLoad struct {
 	*policy.Scheduler
-	now     time.Duration
-	nodes   []policy.Endpoint
-	asked   int
-	volumes int
-	rng     *rand.Rand
+	now       time.Duration
+	endpoints []policy.Endpoint
+	requests  int
+	volumes   int
+	rng       *rand.Rand
 }
 
-func newModule(targets int) (*module, error) {
-	s, err := policy.New(settings(), 1)
+func newSchedulerLoad(targets int) (*schedulerLoad, error) {
+	s, err := policy.New(sampleSettings(), 1)
 	if err != nil {
 		return nil, err
 	}
-	m := &module{Scheduler: s, now: time.Minute, volumes: 4096, rng: rand.New(rand.NewPCG(1, uint64(targets)))}
+	m := &schedulerLoad{Scheduler: s, now: time.Minute, volumes: 4096, rng: rand.New(rand.NewPCG(1, uint64(targets)))}
 	for i := range targets {
-		m.nodes = append(m.nodes, policy.Endpoint{ID: target(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
+		m.endpoints = append(m.endpoints, policy.Endpoint{ID: targetID(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
 	}
 	s.Step(0, nil) // it has run for a minute: nothing that it sent before is unknown
-	s.Step(m.now, []policy.Event{policy.EndpointList{Full: true, Endpoints: m.nodes}})
+	s.Step(m.now, []policy.Event{policy.EndpointList{Full: true, Endpoints: m.endpoints}})
 	return m, nil
 }
 
 // change has one target drain, or be up again.
-func (m *module) change() {
-	n := &m.nodes[m.rng.IntN(len(m.nodes))]
+func (m *schedulerLoad) toggleEndpoint() {
+	n := &m.endpoints[m.rng.IntN(len(m.endpoints))]
 	n.State = policy.Draining - n.State
 	m.now += time.Millisecond
 	m.Step(m.now, []policy.Event{policy.EndpointList{Endpoints: []policy.Endpoint{*n}}})
 }
 
 // request has one asked, sent and answered.
-func (m *module) request() {
-	m.asked++
-	id := fmt.Sprint("r", m.asked)
+func (m *schedulerLoad) serveRequest() {
+	m.requests++
+	id := fmt.Sprint("r", m.requests)
 	m.now += 60 * time.Microsecond
-	for _, a := range m.Step(m.now, []policy.Event{policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprint("v", m.asked%m.volumes),
-		Shard: m.rng.IntN(len(m.nodes)), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}}) {
+	for _, a := range m.Step(m.now, []policy.Event{policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprint("v", m.requests%m.volumes),
+		Shard: m.rng.IntN(len(m.endpoints)), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}}) {
 		if a.Kind == policy.Send {
 			m.now += 60 * time.Microsecond
 			m.Step(m.now, []policy.Event{policy.Outcome{ID: a.Request, Endpoint: a.Endpoint, Code: policy.Served, Latency: 2 * time.Millisecond, Final: true}})
@@ -75,7 +75,7 @@
 	}
 }
 
-func moduleProbes() []Probe {
+func schedulerProbes() []Probe {
 	return []Probe{{
 		Description: "root package, each target a shard of its own: a list of one entry that drains or is up again; a request with its answer; a timer; a whole list as after a start; its heap",
 		Metrics: []Metric{{Name: "module.change", Unit: "us", Subject: "a change of one entry", Per: "target"},
@@ -86,24 +86,24 @@
 		Sizes: targetSizes, ShortSizes: []float64{200, 400, 800, 1600}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			var err error
-			var m *module
+			var m *schedulerLoad
 			began := time.Now()
-			held, _ := holds(func() *module {
-				m, err = newModule(size)
+			held, _ := retainedBytes(func() *schedulerLoad {
+				m, err = newSchedulerLoad(size)
 				return m
 			})
 			if err != nil {
 				return nil, err
 			}
 			took := time.Since(began)
-			whole := quickest(1, max(0, 300*time.Millisecond-took), func() { _, _ = newModule(size) })
-			change := quickest(2, 200*time.Millisecond, m.change)
-			request := quickest(5, 200*time.Millisecond, func() {
+			whole := minMicros(1, max(0, 300*time.Millisecond-took), func() { _, _ = newSchedulerLoad(size) })
+			change := minMicros(2, 200*time.Millisecond, m.toggleEndpoint)
+			request := minMicros(5, 200*time.Millisecond, func() {
 				for range 100 {
-					m.request()
+					m.serveRequest()
 				}
 			}) / 100
-			timer := quickest(5, 50*time.Millisecond, func() {
+			timer := minMicros(5, 50*time.Millisecond, func() {
 				for range 20 {
 					m.now += 20 * time.Millisecond
 					m.Step(m.now, []policy.Event{policy.TimerFired{}})
@@ -116,20 +116,20 @@
 		Metrics:     []Metric{{Name: "module.adopt", Unit: "us", Subject: "other settings", Per: "volume"}},
 		Sizes:       []float64{64, 256, 1024, 4096, 16384}, ShortSizes: []float64{128, 256, 512, 1024}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			m, err := newModule(2000)
+			m, err := newSchedulerLoad(2000)
 			if err != nil {
 				return nil, err
 			}
 			m.volumes = size
 			for range size {
-				m.request()
+				m.serveRequest()
 			}
-			other := [2]policy.Settings{settings(), settings()}
+			other := [2]policy.Settings{sampleSettings(), sampleSettings()}
 			for i := range other[1].Plans {
 				other[1].Plans[i].Rate *= 2
 			}
 			turn := 0
-			took := quickest(20, 100*time.Millisecond, func() {
+			took := minMicros(20, 100*time.Millisecond, func() {
 				turn++
 				m.now += time.Microsecond
 				m.Step(m.now, []policy.Event{other[turn%2]})
--- a/internal/testbed/scale/slope/norace_test.go
+++ b/internal/testbed/scale/slope/norace_test.go
@@ -2,4 +2,4 @@
 
 package slope
 
-const raced = false
+const raceEnabled = false
--- a/internal/testbed/scale/slope/page.go
+++ b/internal/testbed/scale/slope/page.go
@@ -12,15 +12,15 @@
 // PageFile is where the page stands, from the top of the repository.
 const PageFile = "docs/CAPACITY.md"
 
-var marked = regexp.MustCompile(`(?s)<!-- table: ([a-z ]+) -->\n.*?<!-- end -->`)
+var tableMarker = regexp.MustCompile(`(?s)<!-- table: ([a-z ]+) -->\n.*?<!-- end -->`)
 
 // Page returns the page with each of its tables as the figures give it. The page has every table once.
 func (t *Table) Page(old []byte) ([]byte, error) {
 	tables := t.tables()
 	seen := map[string]bool{}
 	var err error
-	page := marked.ReplaceAllFunc(old, func(b []byte) []byte {
-		name := string(marked.FindSubmatch(b)[1])
+	page := tableMarker.ReplaceAllFunc(old, func(b []byte) []byte {
+		name := string(tableMarker.FindSubmatch(b)[1])
 		text, there := tables[name]
 		switch {
 		case !there:
@@ -43,7 +43,7 @@
 }
 
 // rows writes a table of the page.
-func rows(head []string, lines [][]string) string {
+func markdownTable(head []string, lines [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(head)
@@ -55,7 +55,7 @@
 }
 
 // number tells a figure in three digits.
-func number(x float64) string {
+func formatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case a == 0:
 		return "0"
@@ -76,7 +76,7 @@
 }
 
 // amount tells a figure with its unit, in a size that can be read.
-func amount(x float64, unit string) string {
+func formatAmount(x float64, unit string) string {
 	base, per := strings.CutSuffix(unit, "/s")
 	scale := func(names []string, by float64) string {
 		i := 0
@@ -87,7 +87,7 @@
 		if per {
 			unit += "/s"
 		}
-		return number(x) + " " + unit
+		return formatNumber(x) + " " + unit
 	}
 	switch {
 	case base == "B":
@@ -95,11 +95,11 @@
 	case base == "us" && !per:
 		return scale([]string{"us", "ms", "s"}, 1000)
 	case unit == "core" && x > 1:
-		return number(x) + " cores"
+		return formatNumber(x) + " cores"
 	case unit == "core":
-		return number(x) + " of a core"
+		return formatNumber(x) + " of a core"
 	}
-	return number(x) + " " + unit
+	return formatNumber(x) + " " + unit
 }
 
 // verdict tells it in plain words.
@@ -108,11 +108,11 @@
 	case j.Verdict == WithinLimit && 1/j.Factor < 1.05:
 		return "*holds*, just"
 	case j.Verdict == WithinLimit:
-		return "*holds*, " + number(1/j.Factor) + " times over"
+		return "*holds*, " + formatNumber(1/j.Factor) + " times over"
 	case j.Verdict == ExceedsLimit:
-		return "*lacks by a factor of " + number(j.Factor) + "*"
+		return "*lacks by a factor of " + formatNumber(j.Factor) + "*"
 	case j.MissingInput != "" && j.Factor > 1:
-		return "*not known*: " + j.MissingInput + "; as it stands here it would lack by a factor of " + number(j.Factor)
+		return "*not known*: " + j.MissingInput + "; as it stands here it would lack by a factor of " + formatNumber(j.Factor)
 	case j.MissingInput != "":
 		return "*not known*: " + j.MissingInput
 	case len(j.Insignificant) > 0:
@@ -138,9 +138,9 @@
 		}
 		limit := "not told"
 		if j.Limit > 0 {
-			limit = amount(j.Limit, j.Unit)
+			limit = formatAmount(j.Limit, j.Unit)
 		}
-		value := amount(j.Value, j.Unit)
+		value := formatAmount(j.Value, j.Unit)
 		if len(j.Extrapolated) > 0 {
 			value += " (beyond what was measured)"
 		}
@@ -154,15 +154,15 @@
 		}
 		lines = append(lines, []string{which + j.Subject, j.When, carried, strings.Join(j.SlopeNames, ", "), value, limit, j.verdict()})
 	}
-	return rows([]string{"what", "when", "feed", "slopes", "at the size", "limit", "verdict"}, lines)
+	return markdownTable([]string{"what", "when", "feed", "slopes", "at the size", "limit", "verdict"}, lines)
 }
 
 func (t *Table) rankTable(by Feed) string {
 	var lines [][]string
 	for i, j := range t.RankExceeded(by) {
-		lines = append(lines, []string{fmt.Sprint(i + 1), number(j.BreakingSize), j.Role, j.Subject, j.When, number(j.Factor), j.Mechanism})
+		lines = append(lines, []string{fmt.Sprint(i + 1), formatNumber(j.BreakingSize), j.Role, j.Subject, j.When, formatNumber(j.Factor), j.Mechanism})
 	}
-	return rows([]string{"", "breaks at so many initiators", "role", "what", "when", "at the size it lacks by", "mechanism that carries it"}, lines)
+	return markdownTable([]string{"", "breaks at so many initiators", "role", "what", "when", "at the size it lacks by", "mechanism that carries it"}, lines)
 }
 
 func (t *Table) slopeTable() string {
@@ -173,12 +173,12 @@
 		case s.Power == 2:
 			per += ", squared"
 		case s.Power != 1:
-			per += ", to the power of " + number(s.Power)
+			per += ", to the power of " + formatNumber(s.Power)
 		}
-		lines = append(lines, []string{s.Name, s.Subject, number(s.Value) + " " + s.Unit + " ± " + number(s.StdError), per, number(s.Base), number(s.MinSize) + " to " + number(s.MaxSize),
+		lines = append(lines, []string{s.Name, s.Subject, formatNumber(s.Value) + " " + s.Unit + " ± " + formatNumber(s.StdError), per, formatNumber(s.Base), formatNumber(s.MinSize) + " to " + formatNumber(s.MaxSize),
 			fmt.Sprintf("%+.0f %%", 100*s.PredictionError), "`" + s.Command + "`, " + s.Date})
 	}
-	return rows([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
+	return markdownTable([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
 }
 
 // beforeTable has what was mended at least by half, at the sizes measured then and now.
@@ -192,12 +192,12 @@
 			if !now.InRange(p.Size) {
 				continue
 			}
-			sizes, then, since = append(sizes, number(p.Size)), append(then, amount(p.Cost, b.Unit)), append(since, amount(now.Cost(p.Size), now.Unit))
+			sizes, then, since = append(sizes, formatNumber(p.Size)), append(then, formatAmount(p.Cost, b.Unit)), append(since, formatAmount(now.Cost(p.Size), now.Unit))
 			mended = mended || now.Cost(p.Size) < p.Cost/2
 		}
 		if mended {
 			lines = append(lines, []string{b.Name, b.Subject, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(then, "; "), strings.Join(since, "; ")})
 		}
 	}
-	return rows([]string{"slope", "of", "at", "before", "now"}, lines)
+	return markdownTable([]string{"slope", "of", "at", "before", "now"}, lines)
 }
--- a/internal/testbed/scale/slope/probe.go
+++ b/internal/testbed/scale/slope/probe.go
@@ -37,7 +37,7 @@
 
 // Probes is all of them.
 func Probes() []Probe {
-	return slices.Concat(moduleProbes(), listProbes(), fleetProbes(), memberProbes(), edgeProbes(), agentProbes(), feedProbes(), configuredProbes())
+	return slices.Concat(schedulerProbes(), listProbes(), controlProbes(), memberProbes(), discoveryProbes(), agentProbes(), feedProbes(), configChangeProbes())
 }
 
 // Measure runs a probe at so many sizes, one after another, and fits what came.
@@ -58,7 +58,7 @@
 	began := time.Now()
 	costs := make([][]float64, len(sizes))
 	for range max(1, p.Repeats) {
-		if err := atOnce(len(sizes), most, func(i int) error {
+		if err := parallel(len(sizes), most, func(i int) error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
@@ -81,7 +81,7 @@
 	all := make([][]Point, len(p.Metrics))
 	for i, list := range costs {
 		for k, c := range list {
-			all[k] = append(all[k], Point{sizes[i], round(c)})
+			all[k] = append(all[k], Point{sizes[i], roundDigits(c)})
 		}
 	}
 	lasted := time.Since(began).Seconds()
@@ -91,15 +91,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", g.Name, err)
 		}
-		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Subject: g.Subject, Per: g.Per, Value: round(l.Coefficient), StdError: round(l.StdError), Base: round(l.Base), Power: l.Power,
-			MinSize: l.MinSize, MaxSize: l.MaxSize, PredictionError: round(l.PredictionError), Residual: round(l.Residual), Command: "spindlehitch-scale slopes " + p.Metrics[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
+		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Subject: g.Subject, Per: g.Per, Value: roundDigits(l.Coefficient), StdError: roundDigits(l.StdError), Base: roundDigits(l.Base), Power: l.Power,
+			MinSize: l.MinSize, MaxSize: l.MaxSize, PredictionError: roundDigits(l.PredictionError), Residual: roundDigits(l.Residual), Command: "spindlehitch-scale slopes " + p.Metrics[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
 			DurationSeconds: math.Ceil(lasted), Measured: all[i], Exact: g.Exact, Description: p.Description})
 	}
 	return slopes, nil
 }
 
 // round keeps four digits: more are noise.
-func round(x float64) float64 {
+func roundDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return x
 	}
@@ -108,7 +108,7 @@
 }
 
 // quickest is the least time that f takes, in us: of so many turns at least, and of as many as fit in a time. What else the machine does only adds.
-func quickest(least int, within time.Duration, f func()) float64 {
+func minMicros(least int, within time.Duration, f func()) float64 {
 	best := time.Duration(math.MaxInt64)
 	for end, i := time.Now().Add(within), 0; i < least || i < 1000 && time.Now().Before(end); i++ {
 		began := time.Now()
@@ -119,7 +119,7 @@
 }
 
 // heap is what lives there, after two collections: what the first finalizes the second frees.
-func heap() float64 {
+func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -128,15 +128,15 @@
 }
 
 // holds is the memory that what f returns holds.
-func holds[T any](f func() T) (float64, T) {
-	before := heap()
+func retainedBytes[T any](f func() T) (float64, T) {
+	before := heapBytes()
 	v := f()
-	after := heap()
+	after := heapBytes()
 	return max(0, after-before), v
 }
 
 // allocated is what f allocates: objects and bytes.
-func allocated(f func()) (objects, bytes float64) {
+func allocations(f func()) (objects, bytes float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	f()
@@ -145,7 +145,7 @@
 }
 
 // cpu is what this process has used so far.
-func cpu() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic("getrusage: " + err.Error()) // there is no process that it could fail for
--- a/internal/testbed/scale/slope/size.go
+++ b/internal/testbed/scale/slope/size.go
@@ -60,7 +60,7 @@
 	value float64
 }
 
-func positive(fields ...field) error {
+func checkPositive(fields ...field) error {
 	for _, f := range fields {
 		if !(f.value > 0 && f.value < 1e15) {
 			return fmt.Errorf("%s: %v is not over 0", f.name, f.value)
@@ -71,7 +71,7 @@
 
 // Check names the first field that can't be used.
 func (s Size) Check() error {
-	return positive(field{"initiators", s.Initiators}, field{"targets", s.Targets}, field{"client_connections", s.Clients}, field{"requests_s", s.Requests},
+	return checkPositive(field{"initiators", s.Initiators}, field{"targets", s.Targets}, field{"client_connections", s.Clients}, field{"requests_s", s.Requests},
 		field{"primary_changes_day", s.PrimaryChanges}, field{"primary_change_s", s.PrimaryChangeLimit}, field{"regions", s.Regions}, field{"zones", s.Zones},
 		field{"configuration_changes_day", s.ConfigChanges}, field{"failures_day", s.Failures}, field{"restarts_day", s.Restarts},
 		field{"initiator_restarts_day", s.InitiatorRestarts}, field{"burst_changes_s", s.ConfigBurst}, field{"entries_each", s.EntriesPerMachine},
@@ -80,7 +80,7 @@
 
 // Check names the first field that can't be used.
 func (l Limits) Check() error {
-	return positive(field{"initiator_core", l.Core}, field{"initiator_bytes", l.Memory}, field{"initiator_bytes_s", l.Wire}, field{"control_machines", l.Machines},
+	return checkPositive(field{"initiator_core", l.Core}, field{"initiator_bytes", l.Memory}, field{"initiator_bytes_s", l.Wire}, field{"control_machines", l.Machines},
 		field{"control_machine_cores", l.MachineCores}, field{"change_in_force_s", l.ConfigInForce}, field{"discovery_call_s", l.DiscoveryCall}, field{"discovery_line_s", l.DiscoveryEntry},
 		field{"rack_targets", l.RackTargets}, field{"restarts_back_s", l.RestartWindow})
 }
--- a/internal/testbed/scale/slope/slope.go
+++ b/internal/testbed/scale/slope/slope.go
@@ -79,7 +79,7 @@
 func (s Slope) InRange(size float64) bool { return s.Known() && size >= s.MinSize && size <= s.MaxSize }
 
 // falls is how many errors below 0 a slope may be: nothing costs less the more there is.
-const falls = 3
+const maxNegativeStdErrors = 3
 
 // Table is all that was measured, and the size that it is held against.
 type Table struct {
@@ -91,28 +91,28 @@
 
 // At returns the slope of that name; one that was not measured is not Known.
 func (t *Table) Lookup(name string) Slope {
-	if i, there := slices.BinarySearchFunc(t.Slopes, name, compareName); there {
+	if i, there := slices.BinarySearchFunc(t.Slopes, name, compareSlopeName); there {
 		return t.Slopes[i]
 	}
 	return Slope{}
 }
 
-func compareName(s Slope, name string) int { return strings.Compare(s.Name, name) }
+func compareSlopeName(s Slope, name string) int { return strings.Compare(s.Name, name) }
 
 // Put takes a slope's latest figures over.
 func (t *Table) Set(s Slope) {
-	t.Slopes = put(t.Slopes, s)
+	t.Slopes = upsert(t.Slopes, s)
 }
 
 // Mended notes a slope's figures as those from before what it measures was mended.
 func (t *Table) SetBefore(name string) {
 	if s := t.Lookup(name); s.Known() {
-		t.Before = put(t.Before, s)
+		t.Before = upsert(t.Before, s)
 	}
 }
 
-func put(all []Slope, s Slope) []Slope {
-	i, there := slices.BinarySearchFunc(all, s.Name, compareName)
+func upsert(all []Slope, s Slope) []Slope {
+	i, there := slices.BinarySearchFunc(all, s.Name, compareSlopeName)
 	if there {
 		all[i] = s
 		return all
@@ -123,12 +123,12 @@
 // Load returns the table that the program was built with.
 func Load() (*Table, error) { return Read(File, embedded) }
 
-var format = jsoniter.Config{EscapeHTML: false, SortMapKeys: true, DisallowUnknownFields: true}.Froze()
+var jsonFormat = jsoniter.Config{EscapeHTML: false, SortMapKeys: true, DisallowUnknownFields: true}.Froze()
 
 // Read reads a table and checks it; errors name the file and the field.
 func Read(file string, text []byte) (*Table, error) {
 	var t Table
-	d := format.NewDecoder(bytes.NewReader(text))
+	d := jsonFormat.NewDecoder(bytes.NewReader(text))
 	if err := d.Decode(&t); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
@@ -155,13 +155,13 @@
 	if err := t.Limits.Check(); err != nil {
 		return fmt.Errorf("limits.%w", err)
 	}
-	if err := check("slopes", t.Slopes); err != nil {
+	if err := checkSlopes("slopes", t.Slopes); err != nil {
 		return err
 	}
-	return check("before", t.Before)
+	return checkSlopes("before", t.Before)
 }
 
-func check(field string, all []Slope) error {
+func checkSlopes(field string, all []Slope) error {
 	for i, s := range all {
 		if err := s.check(); err != nil {
 			return fmt.Errorf("%s[%d].%w", field, i, err)
@@ -192,10 +192,10 @@
 	if !(s.Power > 0 && s.Power <= 5) {
 		return fmt.Errorf("power: %v is not over 0 and up to 5", s.Power)
 	}
-	if len(s.Measured) < fewest {
-		return fmt.Errorf("measured: %d sizes, wanted %d or more", len(s.Measured), fewest)
+	if len(s.Measured) < minSizes {
+		return fmt.Errorf("measured: %d sizes, wanted %d or more", len(s.Measured), minSizes)
 	}
-	if s.Value < -falls*s.StdError {
+	if s.Value < -maxNegativeStdErrors*s.StdError {
 		return fmt.Errorf("value: %v ± %v: a cost that falls as the size grows was measured wrongly", s.Value, s.StdError)
 	}
 	for i, p := range s.Measured {
--- a/internal/testbed/scale/slope/slope_test.go
+++ b/internal/testbed/scale/slope/slope_test.go
@@ -26,9 +26,9 @@
 	}
 }
 
-var top = filepath.Join("..", "..", "..", "..")
+var repoRoot = filepath.Join("..", "..", "..", "..")
 
-func table(t *testing.T) *Table {
+func loadTable(t *testing.T) *Table {
 	t.Helper()
 	tab, err := Load()
 	require.NoError(t, err)
@@ -37,17 +37,17 @@
 
 // TestPage holds the page's tables against the figures.
 func TestPage(t *testing.T) {
-	old, err := os.ReadFile(filepath.Join(top, PageFile))
+	old, err := os.ReadFile(filepath.Join(repoRoot, PageFile))
 	require.NoError(t, err)
-	page, err := table(t).Page(old)
+	page, err := loadTable(t).Page(old)
 	require.NoError(t, err)
 	require.Equal(t, string(page), string(old), "the page differs from the table: go run ./cmd/spindlehitch-scale page")
 }
 
 // TestPageCuts names what is wrong with a page.
 func TestPageCuts(t *testing.T) {
-	tab := table(t)
-	old, err := os.ReadFile(filepath.Join(top, PageFile))
+	tab := loadTable(t)
+	old, err := os.ReadFile(filepath.Join(repoRoot, PageFile))
 	require.NoError(t, err)
 	for _, c := range []struct{ from, to, want string }{
 		{"<!-- table: agent -->", "<!-- table: agents -->", `no table "agents"`},
@@ -63,7 +63,7 @@
 
 // TestText reads what it wrote.
 func TestText(t *testing.T) {
-	tab := table(t)
+	tab := loadTable(t)
 	text, err := tab.Text()
 	require.NoError(t, err)
 	require.Equal(t, string(embedded), string(text), "the table is not as `slopes --write` writes it")
@@ -103,7 +103,7 @@
 }
 
 // made is a slope of so much for each, measured where it says.
-func made(name string, each float64, exact bool, sizes ...float64) Slope {
+func linearSlope(name string, each float64, exact bool, sizes ...float64) Slope {
 	s := Slope{Name: name, Unit: "B", Subject: "x", Per: "y", Value: each, Power: 1, MinSize: sizes[0], MaxSize: sizes[len(sizes)-1], Command: "c", Date: "2026-12-02", Exact: exact}
 	for _, n := range sizes {
 		s.Measured = append(s.Measured, Point{n, each * n})
@@ -113,7 +113,7 @@
 
 // TestAt lies between what was measured, and goes on as it was fitted.
 func TestAt(t *testing.T) {
-	s := made("a", 2, true, 10, 100, 1000, 10_000)
+	s := linearSlope("a", 2, true, 10, 100, 1000, 10_000)
 	s.Measured[3].Cost = 200_000 // far above the fit
 	for _, c := range [][2]float64{{10, 20}, {30, 60}, {1000, 2000}, {10_000, 200_000}, {5, 10}, {20_000, 40_000}} {
 		require.InEpsilon(t, c[1], s.Cost(c[0]), 1e-9, "at %v", c[0])
@@ -125,7 +125,7 @@
 
 // TestNeverBelow has no cost below 0, wherever it is asked for, and no verdict by a slope that is not above its own error.
 func TestNeverBelow(t *testing.T) {
-	noise := made("noise", 1, false, 100, 200, 400, 800)
+	noise := linearSlope("noise", 1, false, 100, 200, 400, 800)
 	noise.Base, noise.Value, noise.StdError = 221_100, -67, 580
 	for i, c := range []float64{260_000, 150_000, 240_000, 190_000} {
 		noise.Measured[i].Cost = c
@@ -135,17 +135,17 @@
 		require.GreaterOrEqual(t, noise.Cost(n), 0.0, "at %v", n)
 	}
 	require.Equal(t, 260_000.0, noise.Cost(1e6), "nothing shows that it grows")
-	low := made("low", 1, true, 400, 800, 1600, 3200)
+	low := linearSlope("low", 1, true, 400, 800, 1600, 3200)
 	low.Base, low.Value = -350, 1
 	require.Equal(t, 40.0, low.Cost(40))
 
-	tab := table(t)
+	tab := loadTable(t)
 	tab = &Table{Size: tab.Size, Limits: tab.Limits}
 	tab.Set(noise)
 	require.NoError(t, tab.Check())
-	f := Figure{Role: "r", Subject: "x", Unit: "us", SlopeNames: []string{"noise"}, Value: func(costs, Size, Limits) float64 { return 1376 },
-		Limit: func(c costs, _ Size, _ Limits) float64 { return 1e6 / c.each("noise") }}
-	j := tab.judge(f)
+	f := Figure{Role: "r", Subject: "x", Unit: "us", SlopeNames: []string{"noise"}, Value: func(costModel, Size, Limits) float64 { return 1376 },
+		Limit: func(c costModel, _ Size, _ Limits) float64 { return 1e6 / c.perUnit("noise") }}
+	j := tab.evaluate(f)
 	require.Equal(t, Unknown, j.Verdict)
 	require.Equal(t, "*not known*: noise is not above its error", j.verdict())
 	require.Greater(t, j.Limit, 0.0)
@@ -161,32 +161,32 @@
 
 // TestVerdicts are holds, lacks and not known, and the smallest fleet is where the limit is passed.
 func TestVerdicts(t *testing.T) {
-	tab := &Table{Size: table(t).Size, Limits: table(t).Limits}
-	tab.Set(made("a", 3, true, 10, 100, 1000, 20_000))
-	f := Figure{Role: "initiator", Subject: "x", Unit: "B", SlopeNames: []string{"a"}, Value: func(c costs, s Size, _ Limits) float64 { return c.at("a", s.Targets) },
-		Limit: func(costs, Size, Limits) float64 { return 30_000 }}
-	j := tab.judge(f)
+	tab := &Table{Size: loadTable(t).Size, Limits: loadTable(t).Limits}
+	tab.Set(linearSlope("a", 3, true, 10, 100, 1000, 20_000))
+	f := Figure{Role: "initiator", Subject: "x", Unit: "B", SlopeNames: []string{"a"}, Value: func(c costModel, s Size, _ Limits) float64 { return c.costAt("a", s.Targets) },
+		Limit: func(costModel, Size, Limits) float64 { return 30_000 }}
+	j := tab.evaluate(f)
 	require.Equal(t, ExceedsLimit, j.Verdict)
 	require.InEpsilon(t, 2, j.Factor, 1e-9)
 	require.Equal(t, 1451.0, j.BreakingSize) // 10,000 targets and one initiator more
 	require.Equal(t, "*lacks by a factor of 2*", j.verdict())
-	f.Limit = func(costs, Size, Limits) float64 { return 120_000 }
-	j = tab.judge(f)
+	f.Limit = func(costModel, Size, Limits) float64 { return 120_000 }
+	j = tab.evaluate(f)
 	require.Equal(t, WithinLimit, j.Verdict)
 	require.Equal(t, 5801.0, j.BreakingSize)
 	require.Equal(t, "*holds*, 2 times over", j.verdict())
-	f.Limit = func(costs, Size, Limits) float64 { return 1e9 }
-	require.Zero(t, tab.judge(f).BreakingSize)
+	f.Limit = func(costModel, Size, Limits) float64 { return 1e9 }
+	require.Zero(t, tab.evaluate(f).BreakingSize)
 	f.MissingInput = "what nobody told"
-	require.Equal(t, "*not known*: what nobody told", func() string { j := tab.judge(f); return j.verdict() }())
+	require.Equal(t, "*not known*: what nobody told", func() string { j := tab.evaluate(f); return j.verdict() }())
 	f.MissingInput, f.SlopeNames = "", []string{"a", "b"}
-	require.Equal(t, "*not known*: not measured", func() string { j := tab.judge(f); return j.verdict() }())
-	require.Zero(t, tab.judge(f).Value)
+	require.Equal(t, "*not known*: not measured", func() string { j := tab.evaluate(f); return j.verdict() }())
+	require.Zero(t, tab.evaluate(f).Value)
 }
 
 // TestRank has what breaks first first, and each mechanism once where they are told apart.
 func TestRank(t *testing.T) {
-	tab := table(t)
+	tab := loadTable(t)
 	for _, by := range []Feed{FeedOff, FeedOn} {
 		rank, last := tab.RankExceeded(by), 0.0
 		for _, j := range rank {
@@ -206,21 +206,21 @@
 		}
 	}
 	// Without the feed nothing breaks before what gets changes to all: that is why it is there.
-	require.Equal(t, howLists, tab.RankMechanisms(FeedOff)[0].Mechanism)
+	require.Equal(t, mechListDelivery, tab.RankMechanisms(FeedOff)[0].Mechanism)
 }
 
 // TestFiguresName every slope that they are reckoned from, and none that no probe gives.
 func TestFiguresName(t *testing.T) {
 	given := map[string]bool{}
 	for _, p := range Probes() {
-		require.GreaterOrEqual(t, len(p.Sizes), fewest, p.Description)
-		require.GreaterOrEqual(t, len(p.ShortSizes), fewest, p.Description)
+		require.GreaterOrEqual(t, len(p.Sizes), minSizes, p.Description)
+		require.GreaterOrEqual(t, len(p.ShortSizes), minSizes, p.Description)
 		for _, g := range p.Metrics {
 			require.False(t, given[g.Name], g.Name)
 			given[g.Name] = true
 		}
 	}
-	tab := table(t)
+	tab := loadTable(t)
 	for _, s := range tab.Slopes {
 		require.True(t, given[s.Name], "%s: no probe gives it", s.Name)
 	}
@@ -241,7 +241,7 @@
 					less.Set(s)
 				}
 			}
-			require.Equal(t, Unknown, less.judge(f).Verdict, n)
+			require.Equal(t, Unknown, less.evaluate(f).Verdict, n)
 		}
 	}
 }
@@ -249,16 +249,16 @@
 // TestSteeper finds a slope that has become half as steep again, by counts and by ratios, and passes one that has not.
 func TestSteeper(t *testing.T) {
 	tab := &Table{}
-	tab.Set(made("count", 100, true, 10, 100, 1000, 10_000))
-	tab.Set(made("time", 100, false, 10, 100, 1000, 10_000))
-	flat := made("flat", 100, true, 10, 100, 1000, 10_000)
+	tab.Set(linearSlope("count", 100, true, 10, 100, 1000, 10_000))
+	tab.Set(linearSlope("time", 100, false, 10, 100, 1000, 10_000))
+	flat := linearSlope("flat", 100, true, 10, 100, 1000, 10_000)
 	for i := range flat.Measured {
 		flat.Measured[i].Cost = 300 + float64(i)
 	}
 	flat.Base, flat.Value = 300, 0.0003
 	tab.Set(flat)
 	now := func(name string, exact bool, cost func(float64) float64) error {
-		s := made(name, 1, exact, 20, 40, 80, 160)
+		s := linearSlope(name, 1, exact, 20, 40, 80, 160)
 		for i := range s.Measured {
 			s.Measured[i].Cost = cost(s.Measured[i].Size)
 		}
@@ -277,13 +277,13 @@
 // TestAgainst measures again what seems steeper, and no more often than it may.
 func TestAgainst(t *testing.T) {
 	tab := &Table{}
-	tab.Set(made("time", 100, false, 10, 100, 1000, 10_000))
+	tab.Set(linearSlope("time", 100, false, 10, 100, 1000, 10_000))
 	p := Probe{Metrics: []Metric{{Name: "time"}}}
 	for _, c := range []struct{ bad, want int }{{0, 1}, {2, 3}, {9, 3}} {
 		runs := 0
 		err := tab.CheckProbes(3, func(Probe) ([]Slope, error) {
 			runs++
-			s := made("time", 1, false, 20, 40, 80, 160)
+			s := linearSlope("time", 1, false, 20, 40, 80, 160)
 			if runs <= c.bad {
 				s.Measured[3].Cost *= 10
 			}
@@ -294,7 +294,7 @@
 	}
 	p.Metrics[0].Noisy = true
 	require.NoError(t, tab.CheckProbes(1, func(Probe) ([]Slope, error) {
-		s := made("time", 1, false, 20, 40, 80, 160)
+		s := linearSlope("time", 1, false, 20, 40, 80, 160)
 		s.Measured[3].Cost *= 10
 		return []Slope{s}, nil
 	}, p))
@@ -321,7 +321,7 @@
 // TestSlopes is the short run: it fails where a slope has become half as steep again. Probes that wait run beside one another once the others are through. With the race
 // detector the probes that have goroutines run for its sake, and nothing is held against the table.
 func TestSlopes(t *testing.T) {
-	tab := table(t)
+	tab := loadTable(t)
 	short := func(p Probe) ([]Slope, error) { return MeasureShort(t.Context(), p, time.Now()) }
 	for _, p := range Probes() {
 		rough := true
@@ -335,7 +335,7 @@
 			if p.Concurrent {
 				t.Parallel()
 			}
-			if raced {
+			if raceEnabled {
 				if p.Concurrent {
 					_, err := short(p)
 					require.NoError(t, err)
@@ -350,7 +350,7 @@
 // TestNotLinked keeps all of this out of what serves.
 func TestNotLinked(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "./cmd/spindlehitch")
-	cmd.Dir = top
+	cmd.Dir = repoRoot
 	out, err := cmd.Output()
 	require.NoError(t, err)
 	require.Contains(t, string(out), "spindlehitch/internal/process/instance\n")
