--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -15,7 +15,7 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// configuration is one of so many bytes that passes for an instance's.
+// paddedConfig returns a configuration padded to a size in bytes.
 func paddedConfig(name string, bytes int) []byte {
 	head := fmt.Sprintf(`{"name":%q,"settings":"`, name)
 	return []byte(head + strings.Repeat("s", max(0, bytes-len(head)-2)) + `"}`)
@@ -23,7 +23,7 @@
 
 func instanceName(i int) string { return fmt.Sprintf("instance-%05d", i) }
 
-// usual is what an instance's configuration takes in these probes.
+// sampleConfigBytes is the size of an instance's configuration in these probes.
 const sampleConfigBytes = 2000
 
 func agentProbes() []Probe { //nolint:gocognit // to be split with its package, see docs/left.md
@@ -42,7 +42,7 @@
 				return nil, err
 			}
 			defer g.cleanup()
-			if err := g.putConfigs(ctx, 16, sampleConfigBytes, 16); err != nil { // connections are made
+			if err := g.putConfigs(ctx, 16, sampleConfigBytes, 16); err != nil { // opens the connections
 				return nil, err
 			}
 			leader, follower, err := g.roles(ctx)
@@ -125,7 +125,7 @@
 			if err != nil {
 				return nil, err
 			}
-			http.DefaultTransport.(*http.Transport).CloseIdleConnections() // those that the changes were put on
+			http.DefaultTransport.(*http.Transport).CloseIdleConnections() // those that PutConfig opened
 			watch, stop := context.WithCancel(ctx)
 			var all sync.WaitGroup
 			defer all.Wait()
@@ -135,7 +135,7 @@
 				c := agent.Client{Addrs: g.Addrs}
 				all.Go(func() { c.FollowConfig(watch, instanceName(i), quiet, func(agent.Entry) { told.Add(1) }) })
 			}
-			if err := waitUntil(ctx, "a configuration known to all", func() bool { return told.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a configuration at all instances", func() bool { return told.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			if err := sleep(ctx, 500*time.Millisecond); err != nil {
@@ -233,9 +233,9 @@
 		return nil, err
 	}
 	if doc.Version == 0 {
-		return nil, fmt.Errorf("the budgets have no version")
+		return nil, fmt.Errorf("quota configuration has no version")
 	}
-	// A round before what is measured: connections are made, parts are out.
+	// A round before the measurement opens the connections and grants the allocations.
 	var failed atomic.Int64
 	round := func(last time.Duration) {
 		end := time.Now().Add(last)
@@ -278,7 +278,7 @@
 		(to[follower].CPU - warm[follower].CPU) / lasted, mine / lasted, from[leader].CPU - before[leader].CPU, float64(joined.Microseconds())}, nil
 }
 
-// atOnce does something for each of n, so many at a time, and returns the first error.
+// parallel calls do for 0 to n-1, up to most at a time, and returns the first error. A worker stops at its first error.
 func parallel(n, most int, do func(i int) error) error {
 	var next atomic.Int64
 	errs := make(chan error, most)
--- a/internal/testbed/scale/slope/check.go
+++ b/internal/testbed/scale/slope/check.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// half is how much steeper a slope may have become before a check fails.
+// maxGrowthRatio is how much steeper a slope may become before a check fails.
 const maxGrowthRatio = 1.5
 
-// hardly is the part of a cost that may pass for noise of what hardly grows.
+// noiseFraction is the part of a cost that counts as noise, so that a nearly flat slope does not fail for a tiny growth.
 const noiseFraction = 0.1
 
-// Steeper holds what a short run measured against the table: an error where it has become half as steep again. Counts and bytes are compared as they are. Times depend on
-// the machine and on what else it does: of them only the ratio is, of the largest size to the smallest of one run.
+// CheckSlope compares a slope measured by a short run with the table and returns an error if it is more than maxGrowthRatio as steep. Counts and bytes are compared
+// directly. Times depend on the machine and its other load, so only the ratio of the largest size to the smallest one of the same run is compared.
 func (t *Table) CheckSlope(now Slope) error {
 	then := t.Lookup(now.Name)
 	if !then.Known() {
-		return fmt.Errorf("%s: the table has no such slope", now.Name)
+		return fmt.Errorf("%s: no such slope in the table", now.Name)
 	}
 	lo, hi := now.Measured[0], now.Measured[len(now.Measured)-1]
 	if !now.Exact {
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// Against holds a short run of probes against the table. What is compared by counts is measured once; a time that seems steeper is measured again, since whatever else the
-// machine does can only add.
+// CheckProbes compares a short run of probes with the table. A probe with a slope that seems steeper is measured up to again times, since other load on the
+// machine can only increase a time.
 func (t *Table) CheckProbes(again int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
 	var all []error
 	for _, p := range probes {
--- a/internal/testbed/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configured.go
@@ -19,7 +19,7 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// served is a configuration that an initiator can be served by, at these addresses, with a plan of this rate.
+// servedConfig returns a configuration that an initiator can start with, at these addresses, with a plan of this rate.
 func servedConfig(name, listen, discovery string, rate uint64) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":%q,"discovery":%q,"settings":{"peersTotal":1,"tickUs":2000,"classes":[{"name":"read","promiseUs":150000,"deadlineUs":300000,`+
 		`"effect":"pure","worth":1}],"contracts":[{"name":"base","usualRate":%d,"reservation":1000,"parts":1,"pays":1}],"extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}}`,
@@ -45,7 +45,7 @@
 	}}
 }
 
-// taken counts the configurations that a log says are taken.
+// acceptedCounter is a log output that counts the records of accepted configurations.
 type acceptedCounter struct{ n atomic.Int64 }
 
 func (t *acceptedCounter) Write(b []byte) (int, error) {
@@ -55,7 +55,7 @@
 	return len(b), nil
 }
 
-// configured is the processor time of each of so many changed configurations, which need a new start or none.
+// measureConfigChanges measures the processor time of each of a number of configuration changes, which all need a successor process (starts) or none do.
 func measureConfigChanges(ctx context.Context, size, changes int, starts bool) ([]float64, error) {
 	list := listJSON(1, size, true)
 	var wholes atomic.Int64
@@ -116,23 +116,23 @@
 			return ""
 		}, "", slog.New(slog.NewTextHandler(&log, nil)))
 	}()
-	defer func() { stop(); <-ended }() //nolint:errcheck // the measurement is over
+	defer func() { stop(); <-ended }() //nolint:errcheck // the measurement is complete
 	ready := func(what string, is func() bool) error {
 		var failed error
 		err := waitUntil(ctx, what, func() bool {
 			select {
 			case failed = <-ended:
 				ended <- failed
-				failed = fmt.Errorf("it ended: %w", failed)
+				failed = fmt.Errorf("instance ended: %w", failed)
 			default:
 			}
 			return failed != nil || is()
 		})
 		return errors.Join(err, failed)
 	}
-	// listed waits until one has read the list, and its predecessor, if it has one, is leaving.
+	// listed waits until that many whole lists have been read in all, and a second more for the predecessor, if there is one, to leave.
 	listed := func(lists int) error {
-		if err := ready("a successor with its list", func() bool { return wholes.Load() >= int64(lists) }); err != nil {
+		if err := ready("a successor reading its list", func() bool { return wholes.Load() >= int64(lists) }); err != nil {
 			return err
 		}
 		return sleep(ctx, time.Second)
@@ -150,19 +150,19 @@
 		if starts {
 			err = listed(2 + i)
 		} else {
-			err = ready("a configuration taken", func() bool { return log.n.Load() >= int64(2+i) })
+			err = ready("a configuration change being accepted", func() bool { return log.n.Load() >= int64(2+i) })
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
 	if lists := wholes.Load(); !starts && lists > 1 {
-		return nil, fmt.Errorf("%d lists were read where none had to be", lists-1)
+		return nil, fmt.Errorf("%d lists were read by successors, expected none", lists-1)
 	}
 	return []float64{float64((cpuTime() - used).Microseconds()) / float64(changes)}, nil
 }
 
-// standIn is a server on the loopback.
+// serveLoopback starts an HTTP server on the loopback interface; closed closes it.
 func serveLoopback(h http.HandlerFunc) (addr string, closed func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -21,7 +21,8 @@
 	return policy.Request{ID: id, Class: "read", Plan: "base", Volume: fmt.Sprintf("%016x", volume), Units: 1, VolumeInitiators: 1, TimeLeft: 2 * time.Second}
 }
 
-// service is a discovery that pushes: a call waits for a change, or as long as it said.
+// pushDiscovery is a discovery service that answers a call at once if there is a change, and otherwise at the next change or after the call's wait_ms. mu guards
+// version and changed, which is closed and replaced at each change.
 type pushDiscovery struct {
 	countingListener
 	calls   atomic.Int64
@@ -41,7 +42,7 @@
 	return s, func() { srv.Close() }, nil
 }
 
-// ServeHTTP implements http.Handler. A change is one entry.
+// ServeHTTP implements http.Handler. Each change is one entry.
 func (s *pushDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.calls.Add(1)
 	q := r.URL.Query()
@@ -71,7 +72,7 @@
 	s.mu.Unlock()
 }
 
-// watching is so many watchers of one service, all of which know its list.
+// startWatchers starts n watchers of one service that have its list already, and returns a function that stops them.
 func startWatchers(ctx context.Context, at net.Addr, crowd, n int, told func(*listing.List)) func() {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
@@ -84,14 +85,14 @@
 	return func() { stop(); all.Wait() }
 }
 
-// until waits until a condition holds, within a long bound.
+// waitUntil polls until a condition holds, for a minute at most.
 func waitUntil(ctx context.Context, what string, done func() bool) error {
 	ctx, stop := context.WithTimeout(ctx, time.Minute)
 	defer stop()
 	for !done() {
 		select {
 		case <-ctx.Done():
-			return errors.New(what + " never came to be")
+			return errors.New("timed out waiting for " + what)
 		case <-time.After(time.Millisecond):
 		}
 	}
@@ -100,19 +101,20 @@
 
 const idlePeriod = 4 * time.Second
 
-// What a discovery takes that all initiators share, for a call and for each line that it writes: docs/standing.md.
+// Cost model of a discovery service that all initiators share, from docs/standing.md.
 const (
 	callCost     = 50 * time.Millisecond
 	entryCost    = 2300 * time.Microsecond
-	maxQueueWait = 2 * time.Second // a call that would wait longer for its turn fails then
+	maxQueueWait = 2 * time.Second // a call that would be queued for longer fails after this time
 )
 
-// shared is such a discovery: it answers calls in turn, but a watch that goes on is free until it has news.
+// serialDiscovery is a discovery service with that cost model: it processes calls one after another, but renewing a watch costs nothing until there is a change. mu, of
+// pushDiscovery, also guards its fields.
 type serialDiscovery struct {
 	pushDiscovery
-	busyUntil   time.Time // when what came so far is done
+	busyUntil   time.Time // when all calls queued so far are done
 	lastAnswers map[string]time.Time
-	silenced    chan struct{} // closed when what is open falls silent
+	silenced    chan struct{} // closed and replaced when the open watches go silent
 }
 
 func newSerialDiscovery() (*serialDiscovery, func(), error) {
@@ -126,7 +128,7 @@
 	return s, func() { srv.Close() }, nil
 }
 
-// turn waits for a call's turn and until it is done.
+// awaitTurn queues a call and returns when it is done, or returns false if the queue is too long.
 func (s *serialDiscovery) awaitTurn(lines int) bool {
 	s.mu.Lock()
 	now := time.Now()
@@ -179,7 +181,7 @@
 	_, _ = w.Write(listJSON(version, version-after, false))
 }
 
-// silence has all that is open fall silent, with a change that nobody was told.
+// silenceWatches makes a change and has all open watches go silent without being told of it.
 func (s *serialDiscovery) silenceWatches() {
 	s.mu.Lock()
 	s.version++
@@ -207,10 +209,10 @@
 			var told atomic.Int64
 			stop := startWatchers(ctx, s.Addr(), 0, size, func(*listing.List) { told.Add(1) })
 			defer stop()
-			if err := waitUntil(ctx, "a list known to all", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a list at all watchers", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
-			select { // from the middle of a watch: a whole number of them passes
+			select { // start in the middle of a watch, so that a whole number of them is counted
 			case <-time.After(500 * time.Millisecond):
 			case <-ctx.Done():
 				return nil, ctx.Err()
@@ -228,7 +230,7 @@
 			for range changes {
 				before := told.Load()
 				s.bumpVersion()
-				if err := waitUntil(ctx, "a change known to all", func() bool { return told.Load() >= before+int64(size) }); err != nil {
+				if err := waitUntil(ctx, "a change at all watchers", func() bool { return told.Load() >= before+int64(size) }); err != nil {
 					return nil, err
 				}
 			}
@@ -247,13 +249,13 @@
 			defer end()
 			var known atomic.Int64
 			stop := startWatchers(ctx, s.Addr(), size, size, func(l *listing.List) {
-				if *l.Version > 1 { // the first is the one known before
+				if *l.Version > 1 { // the first call is for the list that it started with
 					known.Add(1)
 				}
 			})
 			defer stop()
-			// All are watching once each has been answered lately, and nobody waits for a turn.
-			if err := waitUntil(ctx, "a watch of each", func() bool {
+			// All watch once each connection was answered recently and no call is queued.
+			if err := waitUntil(ctx, "a watch from each watcher", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				lately := 0
@@ -268,7 +270,7 @@
 			}
 			began := time.Now()
 			s.bumpVersion()
-			if err := waitUntil(ctx, "a change known to all", func() bool { return known.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a change at all watchers", func() bool { return known.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			told := time.Since(began).Seconds()
@@ -277,7 +279,7 @@
 			}
 			began = time.Now()
 			s.silenceWatches()
-			if err := waitUntil(ctx, "a change known to all after a silence", func() bool { return known.Load() >= 2*int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a change at all watchers after their watches went silent", func() bool { return known.Load() >= 2*int64(size) }); err != nil {
 				return nil, err
 			}
 			return []float64{told, time.Since(began).Seconds()}, nil
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -2,15 +2,16 @@
 
 import "spindlehitch/internal/controlplane/watchstream"
 
-// Event is something of the operators' list, and how long it takes until it is in force everywhere: at one discovery that all share, and by the feed.
+// Event is an event of the operators' list, with the time until it is in force everywhere: with one discovery service that all initiators share (Off), and with
+// the feed (On).
 type Event struct {
 	Name, DetectedBy, DeliveredBy, Content string
 	Off, On                                Figure
 }
 
-// Events is all of them.
+// Events returns all events of the page.
 func Events() []Event {
-	// told is how long one service that all share takes to tell so many initiators so many entries.
+	// shared is the time that one shared discovery service takes to send a number of entries to a number of initiators.
 	told := func(c costModel, l Limits, initiators, entries float64) float64 {
 		return c.costAt("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
 	}
@@ -22,8 +23,8 @@
 	back := func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }
 	off := []string{"discovery.told", "module.change", "upstream.change"}
 	on := []string{"feed.told", "feed.owed.time", "agent.change.time", "module.change", "upstream.change"}
-	// fed is how long the feed takes for so many entries, which discovery tells `spindlehitch publish` alone: a change through the log, the ways, what the reader's
-	// bytes a second take beyond its burst.
+	// fed is the time that the feed takes for a number of entries, which discovery sends to `spindlehitch publish` alone: the commit of a change, its propagation,
+	// and the transfer at the reader's bytes a second beyond its burst.
 	fed := func(c costModel, s Size, l Limits, entries float64) float64 {
 		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.perUnit("agent.change.time")/1e6 + propagationTime(c, s, l) + c.costAt("feed.owed.time", entries) + change(c, s)
 	}
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -20,7 +20,7 @@
 
 const fleetName = "fleet"
 
-// origin is a store of the feed that readers are served from, as a relay has it.
+// feedOrigin is a feed store and the source that serves readers from it, as in a relay. mu guards store and source; changed is closed and replaced at each change.
 type feedOrigin struct {
 	mu      sync.Mutex
 	store   *watchstream.Store
@@ -28,7 +28,8 @@
 	changed chan struct{}
 }
 
-// newOrigin has so many targets and a shared layer of the usual size. Readers are let in as they come: how fast is the settings', not a cost.
+// newFeedOrigin returns an origin with a number of targets and a shared layer of sample size. Readers are admitted without delay: the rate of admission is a
+// setting, not a cost.
 func newFeedOrigin(targets int) (*feedOrigin, error) {
 	o := &feedOrigin{store: watchstream.NewStore(fleetName, watchstream.Limits{}), changed: make(chan struct{})}
 	o.source = watchstream.NewSource(o.store, watchstream.SourceOptions{AdmitRate: 1e6, AdmitBurst: 1e6, MaxReaders: 1 << 14}, 1)
@@ -48,12 +49,12 @@
 	return watchstream.Put{Kind: watchstream.Targets, Key: targetID(i), Value: json.RawMessage(entryJSON(i, state))}
 }
 
-// layer is a shared layer of configuration of the usual size.
+// layerPut returns a shared configuration layer of sample size.
 func layerPut(n int) watchstream.Put {
 	head := fmt.Sprintf(`{"n":%d,"settings":"`, n)
 	text := make([]byte, 0, sampleConfigBytes)
 	text = append(text, head...)
-	for i := 0; len(text) < sampleConfigBytes-2; i++ { // no run of one letter, which packing would make nothing of
+	for i := 0; len(text) < sampleConfigBytes-2; i++ { // varied text, since compression would remove a repeated letter
 		text = append(text, targetID((i+n)*7919)...)
 	}
 	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:sampleConfigBytes-2]) + `"}`)}
@@ -78,11 +79,11 @@
 	return version, err
 }
 
-// reading is so many readers of one relay.
+// readerSet is a number of readers of one relay. stop ends the readers and the relay's server.
 type readerSet struct {
 	*feedOrigin
 	countingListener
-	versions []atomic.Uint64 // the version that each has
+	versions []atomic.Uint64 // the version that each reader has applied
 	stop     func()
 }
 
@@ -119,9 +120,9 @@
 	return r, r.awaitAll(ctx, o.store.Head())
 }
 
-// all waits until all readers have a version.
+// awaitAll waits until all readers have a version.
 func (r *readerSet) awaitAll(ctx context.Context, version uint64) error {
-	return waitUntil(ctx, "a version at all readers", func() bool {
+	return waitUntil(ctx, "all readers at the new version", func() bool {
 		for i := range r.versions {
 			if r.versions[i].Load() < version {
 				return false
@@ -171,7 +172,7 @@
 				return nil, err
 			}
 			runtime.KeepAlive(r)
-			runtime.KeepAlive(text) // or what it held would be taken off
+			runtime.KeepAlive(text) // keep text alive past the measurement, or freeing it would be subtracted from the replica's memory
 			took, bytes, err := o.catchUp(watchstream.NewReplica(fleetName, watchstream.Scope{Name: "new"}, 1, watchstream.Limits{}))
 			return []float64{held, took.Seconds(), float64(bytes)}, err
 		},
@@ -207,10 +208,10 @@
 	}}
 }
 
-// heads is about what HTTP's heads of a question and its answer take.
+// httpHeaderBytes is the approximate size of the HTTP headers of a request and its response.
 const httpHeaderBytes = 300
 
-// packed is how many bytes a text takes as internal/controlplane/watchstream/distribution packs it.
+// compressedSize returns the size of a text as internal/controlplane/watchstream/distribution compresses it.
 func compressedSize(text []byte) (int, error) {
 	if len(text) < 1<<10 {
 		return len(text), nil
@@ -226,7 +227,7 @@
 	return b.Len(), err
 }
 
-// bring brings a reader up to the store's head, in virtual time, and returns how long that took and the bytes on the wire.
+// catchUp brings a reader up to the store's head, in virtual time, and returns the time that it took and the bytes on the wire.
 func (o *feedOrigin) catchUp(r *watchstream.Replica) (took time.Duration, wire int, err error) {
 	now := time.Hour
 	source := watchstream.NewSource(o.store, watchstream.SourceOptions{}, 1)
@@ -238,7 +239,7 @@
 		d, wait := source.NextDelta(now, h.Name)
 		for ; d == nil; d, wait = source.NextDelta(now, h.Name) {
 			if now += wait; now > 2*time.Hour {
-				return 0, 0, fmt.Errorf("a reader is at %v of %d after an hour", r.Consistent(), o.store.Head())
+				return 0, 0, fmt.Errorf("reader is at version %v of %d after an hour", r.Consistent(), o.store.Head())
 			}
 		}
 		asked, err := json.Marshal(h)
@@ -270,7 +271,7 @@
 		return nil, err
 	}
 	defer r.stop()
-	if err := sleep(ctx, 1500*time.Millisecond); err != nil { // what they have is acknowledged
+	if err := sleep(ctx, 1500*time.Millisecond); err != nil { // until readers have acknowledged their versions
 		return nil, err
 	}
 	wire, used, began := r.totalBytes(), cpuTime(), time.Now()
@@ -279,7 +280,7 @@
 	}
 	lasted := time.Since(began).Seconds()
 	costs := []float64{float64(r.totalBytes()-wire) / lasted, float64((cpuTime() - used).Microseconds()) / lasted}
-	// change makes ten changes one after another, and tells their bytes, time of the processor and time until the last reader had one.
+	// change makes ten changes one after another and returns, for each of them, the bytes, the processor time and the time until the last reader has it.
 	const changes = 10
 	change := func(p func(i int) watchstream.Put) (bytes, spent, last float64, err error) {
 		wire, used := r.totalBytes(), cpuTime()
@@ -293,7 +294,7 @@
 				return 0, 0, 0, err
 			}
 			last += time.Since(began).Seconds() / changes
-			if err := sleep(ctx, 300*time.Millisecond); err != nil { // no two go together
+			if err := sleep(ctx, 300*time.Millisecond); err != nil { // so that no two are coalesced
 				return 0, 0, 0, err
 			}
 		}
@@ -308,7 +309,7 @@
 		return nil, err
 	}
 	costs = append(costs, bytes)
-	if err := sleep(ctx, 5*time.Second); err != nil { // buckets fill
+	if err := sleep(ctx, 5*time.Second); err != nil { // until the token buckets have refilled
 		return nil, err
 	}
 	wire, began = r.totalBytes(), time.Now()
@@ -350,7 +351,7 @@
 			}
 			d, _ := source.NextDelta(now, h.Name)
 			if d == nil {
-				return fmt.Errorf("nothing for %s", h.Name)
+				return fmt.Errorf("no delta for %s", h.Name)
 			}
 			if _, err := r.ApplyDelta(d); err != nil {
 				return err
--- a/internal/testbed/scale/slope/feedfigures.go
+++ b/internal/testbed/scale/slope/feedfigures.go
@@ -2,17 +2,18 @@
 
 import "spindlehitch/internal/controlplane/watchstream"
 
-// relays is how many machines carry the feed: those set aside for control, less three agents.
+// relayCount is the number of relays: the machines set aside for control, less three agents.
 func relayCount(l Limits) float64 { return l.Machines - 3 }
 
-// reach is how long a change takes from the log to the last initiator: an agent tells all relays, each its readers; what comes closely behind another change waits at both.
+// propagationTime is the time from the commit of a change to its arrival at the last initiator: an agent sends it to all relays, and each relay to its readers. A change
+// that follows another one closely is delayed by the coalescing interval at both.
 func propagationTime(c costModel, s Size, l Limits) float64 {
 	return c.costAt("feed.told", relayCount(l)) + c.costAt("feed.told", s.Initiators/relayCount(l)) + 2*watchstream.DefaultSourceOptions.CoalesceInterval.Seconds()
 }
 
 var propagationSlopes = []string{"feed.told"}
 
-// feedFigures are those of the feed of changes, where it is on.
+// feedFigures returns the figures that apply if the feed distributes changes.
 func feedFigures() []Figure {
 	core := func(_ costModel, _ Size, l Limits) float64 { return l.Core }
 	wire := func(_ costModel, _ Size, l Limits) float64 { return l.Wire }
--- a/internal/testbed/scale/slope/figure.go
+++ b/internal/testbed/scale/slope/figure.go
@@ -7,36 +7,36 @@
 	"slices"
 )
 
-// Figure is one cost of a role at a size, held against its limit.
+// Figure is one cost of a role at a fleet size, with the limit that it is compared with.
 type Figure struct {
-	Role, Subject, When string // when: an ordinary day, the worst minute, ...
+	Role, Subject, When string // When: an ordinary day, the worst minute, ...
 	Unit                string
-	SlopeNames          []string // the slopes that it is reckoned from
+	SlopeNames          []string // slopes that the figure is computed from
 	Value               func(c costModel, s Size, l Limits) float64
-	Limit               func(c costModel, s Size, l Limits) float64 // nil: none is told
+	Limit               func(c costModel, s Size, l Limits) float64 // nil if there is no limit
 	Mechanism           string
-	MissingInput        string // what has to be known for a verdict and was not told
-	Feed                Feed   // whether it is so without the feed, by it, or either way
+	MissingInput        string // input that a verdict needs and that the table lacks; empty if it lacks none
+	Feed                Feed   // whether it applies without the feed, with it, or both
 }
 
-// Feed says by what changes get to all.
+// Feed says which mechanism distributes changes to all initiators.
 type Feed string
 
-// The mechanisms.
+// Values of Feed.
 const (
-	FeedAny Feed = ""    // it does not matter
-	FeedOff Feed = "off" // discovery and the agents' configurations of each instance
-	FeedOn  Feed = "on"  // the feed of changes, internal/controlplane/watchstream/distribution
+	FeedAny Feed = ""    // the figure applies to both
+	FeedOff Feed = "off" // each instance watches discovery and its configuration at an agent
+	FeedOn  Feed = "on"  // the change feed of internal/controlplane/watchstream/distribution
 )
 
-// costs is what a figure is reckoned from.
+// costModel evaluates slopes for a figure and records which results are doubtful.
 type costModel struct {
 	table         *Table
-	extrapolated  map[string]bool // slopes that were not measured at as large a size; nil: nobody asks
-	insignificant map[string]bool // those of which one more's cost was asked for and is not above its error
+	extrapolated  map[string]bool // slopes used beyond their measured range; nil if not recorded
+	insignificant map[string]bool // slopes whose cost per unit was used but does not exceed its standard error; nil if not recorded
 }
 
-// at is the cost at a size.
+// costAt returns the cost of the named slope at a size.
 func (c costModel) costAt(name string, size float64) float64 {
 	x := c.table.Lookup(name)
 	if c.extrapolated != nil && size > x.MaxSize {
@@ -45,7 +45,8 @@
 	return x.Cost(size)
 }
 
-// each is what one more costs, where the base is the fleet's own or the other end's. Where the slope is not above its own error that is not known.
+// perUnit returns the cost of one more unit of size, for costs whose base belongs to the whole fleet or to the peer. If the slope does not exceed its standard
+// error, that cost is unknown: the slope is recorded as insignificant and the average cost is returned.
 func (c costModel) perUnit(name string) float64 {
 	x := c.table.Lookup(name)
 	if !x.Grows() && c.insignificant != nil {
@@ -57,32 +58,32 @@
 	return x.Value
 }
 
-// most is the largest size that was measured.
+// maxSize returns the largest size that was measured.
 func (c costModel) maxSize(name string) float64 { return c.table.Lookup(name).MaxSize }
 
-// Verdict is how a figure stands.
+// Verdict is the result of comparing a figure with its limit.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
 	WithinLimit  Verdict = "holds"
 	ExceedsLimit Verdict = "lacks"
 	Unknown      Verdict = "not known"
 )
 
-// Judged is a figure at the table's size.
+// Evaluation is a figure evaluated at the table's fleet size.
 type Evaluation struct {
 	Figure
 	Value         float64
-	Limit         float64 // 0: none is told
+	Limit         float64 // 0 if there is none
 	Verdict       Verdict
-	Factor        float64  // value over limit
-	BreakingSize  float64  // the smallest fleet, in initiators with the same proportions, at which the limit is passed; 0: none up to ten times the size
-	Insignificant []string // slopes that are not above their error, and had to be: there is no verdict
-	Extrapolated  []string // slopes that were not measured at as large a size
+	Factor        float64  // value divided by limit
+	BreakingSize  float64  // the smallest fleet, in initiators at the same proportions, that exceeds the limit; 0 if none up to maxFleetFactor times the size does
+	Insignificant []string // slopes that had to exceed their standard error and do not, so that there is no verdict
+	Extrapolated  []string // slopes used beyond the largest size measured
 }
 
-// Judge holds every figure against its limit.
+// Evaluate compares every figure with its limit.
 func (t *Table) Evaluate() (all []Evaluation) {
 	for _, f := range Figures() {
 		all = append(all, t.evaluate(f))
@@ -90,7 +91,7 @@
 	return all
 }
 
-// mostTimes is how many times the size a limit is looked for.
+// maxFleetFactor bounds the search for a breaking size, as a multiple of the table's fleet size.
 const maxFleetFactor = 10
 
 func (t *Table) evaluate(f Figure) Evaluation {
@@ -118,13 +119,13 @@
 	return j
 }
 
-// breaks is the smallest fleet whose figure passes its limit.
+// breakingSize returns the smallest fleet, in initiators, whose figure exceeds its limit; 0 if there is none within the search bound.
 func (t *Table) breakingSize(f Figure) float64 {
 	passed := func(n float64) bool {
 		s, c := t.Size.Scaled(n), costModel{table: t}
 		return f.Value(c, s, t.Limits) > f.Limit(c, s, t.Limits)
 	}
-	// The first of ever larger fleets, the size itself among them, and then between it and the one before.
+	// Grow the fleet by steps, one of them the table's size, until the limit is exceeded; then bisect the last step.
 	lo, hi := 0.0, 1.0
 	for !passed(hi) {
 		if hi > maxFleetFactor*t.Size.Initiators {
@@ -144,14 +145,14 @@
 	return math.Ceil(hi)
 }
 
-// Rank is what the fleet's size does not bear without the feed or by it, the first to break first.
+// RankExceeded returns the figures that exceed their limit with the given distribution mechanism, sorted by breaking size.
 func (t *Table) RankExceeded(by Feed) []Evaluation {
 	all := slices.DeleteFunc(t.Evaluate(), func(j Evaluation) bool { return j.Verdict != ExceedsLimit || j.Feed != FeedAny && j.Feed != by })
 	slices.SortStableFunc(all, func(a, b Evaluation) int { return cmp.Compare(a.BreakingSize, b.BreakingSize) })
 	return all
 }
 
-// Missing is the mechanisms that are not there for the size, the one that breaks first first, each with the figure that breaks first.
+// RankMechanisms returns, for each mechanism that exceeds a limit, the figure with the smallest breaking size, sorted by that size.
 func (t *Table) RankMechanisms(by Feed) (all []Evaluation) {
 	for _, j := range t.RankExceeded(by) {
 		if !slices.ContainsFunc(all, func(x Evaluation) bool { return x.Mechanism == j.Mechanism }) {
--- a/internal/testbed/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -5,7 +5,7 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// When something is looked at.
+// Values of Figure.When.
 const (
 	ordinaryDay       = "ordinary day"
 	worstMinute       = "worst minute"
@@ -15,7 +15,7 @@
 	always            = "always"
 )
 
-// Mechanisms, as the ranking tells them apart.
+// Values of Figure.Mechanism, the groups of the ranking.
 const (
 	mechListDelivery     = "how changes of the list get to all: internal/datapath/discovery"
 	mechConfigDelivery   = "how configurations get to all: internal/controlplane/agent"
@@ -31,13 +31,13 @@
 	mechInstanceState    = "what an initiator keeps"
 )
 
-// room is how much Go's collector lets the heap grow, of what lives there.
+// gcHeapFactor is the size to which Go's collector lets the heap grow, as a multiple of the live heap.
 const gcHeapFactor = 2
 
-// Timers are asked for sixteen times a second at most, to see whether the module stood still.
+// timersPerSecond is the most timers a second that the scheduler asks for, to detect that it was stalled.
 const timersPerSecond = 16
 
-// Figures is all of them.
+// Figures returns all figures of the page.
 func Figures() []Figure {
 	core := func(_ costModel, _ Size, l Limits) float64 { return l.Core }
 	wire := func(_ costModel, _ Size, l Limits) float64 { return l.Wire }
@@ -46,11 +46,11 @@
 	change := func(c costModel, s Size) float64 {
 		return c.costAt("module.change", s.Targets) + c.costAt("upstream.change", s.Targets) + c.perUnit("list.decode")
 	}
-	// adopted is what a configuration that has changed costs an initiator that knows as many volumes as it keeps accounts of.
+	// adopted is the cost of a changed configuration at an initiator whose scheduler knows as many volumes as it keeps accounts for.
 	adopted := func(c costModel, s Size) float64 {
 		return c.costAt("adopt.cpu", s.Targets) + c.costAt("module.adopt", s.VolumesPerInitiator)
 	}
-	// gathered is how many of a burst's changes come to an initiator in a second.
+	// gathered is how many changes a second reach an initiator in a burst, after the relay coalesced them.
 	gathered := func(s Size) float64 {
 		return min(s.ConfigBurst, 1/watchstream.DefaultSourceOptions.CoalesceInterval.Seconds())
 	}
--- a/internal/testbed/scale/slope/fit.go
+++ b/internal/testbed/scale/slope/fit.go
@@ -8,31 +8,31 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// fewest is how many sizes a slope takes: three that are fitted and one that is foretold.
+// minSizes is the fewest sizes that a slope needs: three to fit and one to check the prediction.
 const minSizes = 4
 
-// bent is how far a line is from what was measured, as a part of it, for it to be clearly off.
+// poorFitResidual is the relative residual above which a linear fit is rejected if another power fits clearly better.
 const poorFitResidual = 0.1
 
-// Point is what was measured at one size.
+// Point is the cost measured at one size.
 type Point struct {
 	Size float64 `json:"size"`
 	Cost float64 `json:"cost"`
 }
 
-// Line is what was fitted: Base + Rise x size^Power.
+// Line is a fitted cost: Base + Coefficient x size^Power.
 type Line struct {
 	Base, Coefficient float64
-	StdError          float64 // standard error of Rise
-	Power             float64 // 1; 2 of a square; any where the points lie on no line and no square
-	Residual          float64 // residual of the points fitted, as a part of each; root of the mean square
-	MinSize, MaxSize  float64 // sizes measured, the one left out included
-	Predicted         float64 // at the largest size, which was left out
-	PredictionError   float64 // Foretold less what was measured there, as a part of it
+	StdError          float64 // standard error of Coefficient
+	Power             float64 // 1 if linear, 2 if quadratic, any other value if neither fits
+	Residual          float64 // relative RMS residual of the points fitted
+	MinSize, MaxSize  float64 // range of sizes measured, including the one left out of the fit
+	Predicted         float64 // cost at the largest size, which is left out of the fit
+	PredictionError   float64 // relative error of Predicted
 }
 
-// Fit fits what was measured at four sizes or more, the largest left out and foretold from the rest. It is a line, unless the points lie clearly nearer to a
-// square or to another power of the size. Each counts by its distance as a part of itself, or the larger sizes would drown the smaller ones.
+// Fit fits costs measured at four sizes or more. The largest size is left out of the fit and predicted from it. The fit is linear unless the points lie clearly
+// closer to a quadratic or to another power of the size. Residuals are relative to each cost, or the larger sizes would outweigh the smaller ones.
 func Fit(points []Point) (Line, error) {
 	points = slices.Clone(points)
 	slices.SortFunc(points, func(a, b Point) int {
@@ -42,14 +42,14 @@
 		return 1
 	})
 	if len(points) < minSizes {
-		return Line{}, fmt.Errorf("%d sizes are too few for a slope, %d are needed", len(points), minSizes)
+		return Line{}, fmt.Errorf("%d sizes are too few for a slope, at least %d are required", len(points), minSizes)
 	}
 	for i, p := range points {
 		if math.IsNaN(p.Cost) || math.IsInf(p.Cost, 0) || !(p.Size >= 0) {
-			return Line{}, fmt.Errorf("point %d: %v at a size of %v is no measurement", i, p.Cost, p.Size)
+			return Line{}, fmt.Errorf("point %d: cost %v at size %v is not a valid measurement", i, p.Cost, p.Size)
 		}
 		if i > 0 && points[i-1].Size == p.Size {
-			return Line{}, fmt.Errorf("point %d: a size of %v is there twice", i, p.Size)
+			return Line{}, fmt.Errorf("point %d: size %v is a duplicate", i, p.Size)
 		}
 	}
 	rest, last := points[:len(points)-1], points[len(points)-1]
@@ -69,7 +69,7 @@
 	return best, nil
 }
 
-// fit is a line through the sizes' powers.
+// fitPower fits a line through the costs over size^power, weighted by the inverse square of each cost.
 func fitPower(points []Point, power float64) Line {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
@@ -84,7 +84,7 @@
 	return l
 }
 
-// residual is the root of the mean square of what a line is off by, weighted, and the standard error of its rise.
+// residual returns the weighted RMS residual of a line and the standard error of its coefficient.
 func residual(x, y, w []float64, base, rise float64) (noise, err float64) {
 	mean := stat.Mean(x, w)
 	square, spread := 0.0, 0.0
@@ -99,7 +99,7 @@
 	return math.Sqrt(square / float64(len(x))), err
 }
 
-// power is a line through the logarithms: a cost of Rise x size^Power. Its error is that of Rise at the sizes' middle.
+// fitPowerLaw fits Coefficient x size^Power by a line through the logarithms. StdError is that of Coefficient at the middle of the sizes.
 func fitPowerLaw(points []Point) Line {
 	x, y, w := make([]float64, len(points)), make([]float64, len(points)), make([]float64, len(points))
 	for i, p := range points {
--- a/internal/testbed/scale/slope/fit_test.go
+++ b/internal/testbed/scale/slope/fit_test.go
@@ -15,7 +15,7 @@
 	return all
 }
 
-// TestFit finds lines and squares, and foretells the largest size from the rest.
+// TestFit checks linear and quadratic fits and the prediction of the largest size.
 func TestFit(t *testing.T) {
 	l, err := Fit(points(func(x float64) float64 { return 50 + 3*x }, 2000, 200, 20, 20_000))
 	require.NoError(t, err)
@@ -29,13 +29,13 @@
 	require.NoError(t, err)
 	require.Equal(t, 2.0, l.Power)
 	require.InDelta(t, 0.001, l.Coefficient, 1e-9)
-	// A line that bends at the largest size is told by how far off it is.
+	// A cost that leaves the line at the largest size shows in the prediction error.
 	l, err = Fit(append(points(func(x float64) float64 { return x }, 1, 2, 4), Point{8, 16}))
 	require.NoError(t, err)
 	require.InDelta(t, -0.5, l.PredictionError, 1e-9)
 }
 
-// TestFitError is within what noise of a known size gives.
+// TestFitError checks the standard error of a fit against noise of a known variance.
 func TestFitError(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	within := 0
@@ -50,7 +50,7 @@
 	require.Greater(t, within, rounds*9/10)
 }
 
-func TestFitTurnsDown(t *testing.T) {
+func TestFitRejectsInvalidPoints(t *testing.T) {
 	for _, p := range [][]Point{nil, points(func(x float64) float64 { return x }, 1, 2, 3), {{1, 1}, {2, 2}, {2, 2}, {3, 3}}, {{1, 1}, {2, math.NaN()}, {3, 3}, {4, 4}},
 		{{-1, 1}, {2, 2}, {3, 3}, {4, 4}}} {
 		_, err := Fit(p)
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -16,12 +16,12 @@
 	"spindlehitch/internal/observability/accounts"
 )
 
-// used is how many targets each member of a probe holds connections to, beside the fleet's own wholes.
+// connectedTargets is the number of targets that each member of a probe holds connections to.
 const connectedTargets = 8
 
 var memberSizes = []float64{100, 232, 538, 1250, 2900}
 
-// budgets is a set of four, for so many members.
+// quotaConfig returns a configuration of four budgets for a number of members.
 func quotaConfig(seats int) (quota.Config, error) {
 	n := float64(seats)
 	d := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
@@ -37,7 +37,7 @@
 	return quota.Member{ID: id, Name: id, Addr: fmt.Sprintf("10.0.%d.%d:8080", i>>8, i&255), Weight: 1, Incarnation: uint64(i + 1)}
 }
 
-// seated is a holder with a seat and connections to some targets.
+// newQuotaClient returns a quota client with a session and connections to connectedTargets targets.
 func newQuotaClient(now time.Duration, id string, doc quota.Config) *quotaclient.Client {
 	h := quotaclient.New(quota.Resources)
 	h.Register(now, id, doc)
@@ -79,7 +79,7 @@
 					return
 				}
 				holders[i%size].AcceptRenewal(now, a)
-				if i/size == 1 { // the second round: parts are out
+				if i/size == 1 { // the second round: allocations have been granted
 					asked, _ := json.Marshal(r)
 					told, _ := json.Marshal(a)
 					wire += len(asked) + len(told)
@@ -219,7 +219,7 @@
 		}}}
 }
 
-// kept is a keeper all of whose shards are held by members that renew, and the claim of each of them.
+// newLessor returns a lessor whose shards are all leased to members that renew, the current time, and the renewal request of each member.
 func newLessor(members, shards int) (*lessor.Lessor, time.Duration, []lease.RenewalRequest, error) {
 	doc, err := quotaConfig(members)
 	if err != nil {
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -25,10 +25,11 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// AgentEnv names, for a process that is one agent of a probe, its options: so that an agent's processor time and memory are told from its instances'.
+// AgentEnv is the environment variable with the options of a process that runs one agent of a probe. Agents run in processes of their own so that their processor
+// time and memory are measured separately from the instances'.
 const AgentEnv = "SPINDLEHITCH_SCALE_AGENT"
 
-// options is what such a process is told.
+// agentOptions is the value of AgentEnv, as JSON.
 type agentOptions struct {
 	ID    string       `json:"id"`
 	Dir   string       `json:"dir"`
@@ -37,7 +38,7 @@
 
 type peerOption struct{ ID, Raft, API string }
 
-// seen is what such a process tells of itself.
+// agentUsage is the resource use that an agent process reports, as JSON.
 type agentUsage struct {
 	CPU   float64 `json:"cpu_us"`
 	Heap  float64 `json:"heap"`
@@ -46,8 +47,8 @@
 	Conns float64 `json:"conns"`
 }
 
-// Agent is the process that AgentEnv asks for: one agent until its input ends. Each line that it reads is answered by what it has used. It returns
-// false where nothing was asked for.
+// RunAgent runs the agent described by AgentEnv until standard input ends, and answers each line of input with its agentUsage. It returns false
+// if AgentEnv is not set.
 func RunAgent() (bool, error) {
 	asked := os.Getenv(AgentEnv)
 	if asked == "" {
@@ -77,7 +78,7 @@
 	go func() { _ = a.Serve(c) }()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
 		s := agentUsage{CPU: float64(cpuTime().Microseconds()), In: float64(c.in.Load()), Out: float64(c.out.Load()), Conns: float64(c.conns.Load())}
-		s.Heap = heapBytes() // a collection: after the processor's time was read
+		s.Heap = heapBytes() // collects garbage, so it comes after the processor time was read
 		if err := json.NewEncoder(os.Stdout).Encode(s); err != nil {
 			return true, err
 		}
@@ -85,7 +86,7 @@
 	return true, a.Stop()
 }
 
-// group is three agents, each a process, on the loopback.
+// agentGroup is three agents, each in a process of its own, on the loopback interface.
 type agentGroup struct {
 	agent.Client
 	dir       string
@@ -98,7 +99,7 @@
 	out *bufio.Scanner
 }
 
-// pooled has instances that share this process's pool keep a connection each, as processes of their own do.
+// allowIdleConns raises the idle limits of the shared HTTP transport, so that each instance in this process keeps a connection as it would in its own process.
 var allowIdleConns = sync.OnceFunc(func() {
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
 		t.MaxIdleConns, t.MaxIdleConnsPerHost = 0, 4096
@@ -130,7 +131,7 @@
 			return nil, err
 		}
 	}
-	return g, waitUntil(ctx, "a leader known to all", func() bool {
+	return g, waitUntil(ctx, "a leader that all agents agree on", func() bool {
 		leaders := map[string]int{}
 		for _, s := range g.Status(ctx) {
 			leaders[s.Leader]++
@@ -139,7 +140,7 @@
 	})
 }
 
-// start begins one agent's process.
+// start starts the process of one agent: this program with AgentEnv set.
 func (g *agentGroup) start(opt agentOptions, id string) error {
 	opt.ID, opt.Dir = id, filepath.Join(g.dir, id)
 	asked, err := json.Marshal(opt)
@@ -168,7 +169,7 @@
 	return nil
 }
 
-// end has the agents leave in order and waits for them. What they have on disk stays.
+// shutdown closes the agents' input, waits until they have exited, and kills one that takes over 20 s. Their files stay.
 func (g *agentGroup) shutdown() (err error) {
 	for _, p := range g.processes {
 		p.in.Close()
@@ -190,7 +191,7 @@
 	}
 }
 
-// look is what each agent has used so far.
+// usage returns the resource use of each agent so far.
 func (g *agentGroup) usage() ([]agentUsage, error) {
 	all := make([]agentUsage, len(g.processes))
 	for i, p := range g.processes {
@@ -198,7 +199,7 @@
 			return nil, err
 		}
 		if !p.out.Scan() {
-			return nil, fmt.Errorf("agent %d has ended", i)
+			return nil, fmt.Errorf("agent %d exited", i)
 		}
 		if err := json.Unmarshal(p.out.Bytes(), &all[i]); err != nil {
 			return nil, err
@@ -207,7 +208,7 @@
 	return all, nil
 }
 
-// roles is who leads, and one that follows.
+// roles returns the indexes of the leader and of one follower.
 func (g *agentGroup) roles(ctx context.Context) (leader, follower int, err error) {
 	leader = -1
 	for i, s := range g.Status(ctx) {
@@ -216,12 +217,12 @@
 		}
 	}
 	if leader < 0 {
-		return 0, 0, errors.New("no agent leads")
+		return 0, 0, errors.New("agents have no leader")
 	}
 	return leader, (leader + 1) % len(g.processes), nil
 }
 
-// put writes so many instances' configurations of so many bytes.
+// putConfigs writes configurations of a size for n instances, up to most at a time.
 func (g *agentGroup) putConfigs(ctx context.Context, n, bytes, most int) error {
 	return parallel(n, most, func(i int) error {
 		_, err := g.PutConfig(ctx, instanceName(i), paddedConfig(instanceName(i), bytes), "")
@@ -229,7 +230,7 @@
 	})
 }
 
-// disk is what an agent's folder takes.
+// diskUsage returns the bytes of the files in an agent's directory.
 func (g *agentGroup) diskUsage(i int) (all int64) {
 	_ = filepath.WalkDir(filepath.Join(g.dir, fmt.Sprint("agent-", i)), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && !d.IsDir() {
@@ -242,7 +243,7 @@
 	return all
 }
 
-// entries ends the group and sums up the last n commands of its log, in bytes.
+// entryBytes shuts the group down and returns the bytes of the last n commands of its log.
 func (g *agentGroup) entryBytes(n int) (float64, error) {
 	if err := g.shutdown(); err != nil {
 		return 0, err
@@ -268,7 +269,7 @@
 		}
 	}
 	if left > 0 {
-		return 0, fmt.Errorf("the log is %d commands short", left)
+		return 0, fmt.Errorf("log has %d commands fewer than expected", left)
 	}
 	return float64(sum), nil
 }
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -16,14 +16,15 @@
 	"spindlehitch/internal/policy"
 )
 
-// line is an entry as discovery writes it, with names of the length that operators use. Addresses and starts follow no order, or packing would make nothing of them.
+// entryJSON returns an entry as discovery encodes it, with names as long as the operators'. Addresses and start times are hashed, or compression would remove
+// them almost entirely.
 func entryJSON(i int, state string) string {
 	h := xxhash.Sum64String(targetID(i))
 	return fmt.Sprintf(`{"id":%q,"addr":"10.%d.%d.%d:7000","zone":"zone-%d","kind":"data","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
 		targetID(i), byte(h), byte(h>>8), byte(h>>16), i%30, i, state, (h>>24)%1_000_000_000)
 }
 
-// text is a list with so many entries.
+// listJSON returns a list with a number of entries.
 func listJSON(version, entries int, full bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"full":%v,"servers":[`, version, full)
@@ -78,7 +79,7 @@
 			held, g := retainedBytes(func() *upstream.Registry {
 				g := upstream.NewRegistry(upstream.Options{MaxConnsPerTarget: 1, MaxConnsTotal: 1, IdleTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
 				g.Apply(all, true)
-				time.Sleep(50 * time.Millisecond) // each actor has its stack
+				time.Sleep(50 * time.Millisecond) // until each actor runs and has its stack
 				return g
 			})
 			defer g.Shutdown()
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -11,7 +11,7 @@
 	"spindlehitch/internal/testbed/model/mesh"
 )
 
-// encoded is a message's size on the wire.
+// encodedSize returns the size of a message on the wire.
 func encodedSize(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
@@ -36,7 +36,7 @@
 			held := max(0, heapBytes()-before)
 			each := float64(size) * lasts(size).Seconds()
 			bytes, sent := 0, 0
-			m.Bytes = encodedSize // counted apart, so that its cost is not the member's
+			m.Bytes = encodedSize // counted in a second run, so that encoding costs are not attributed to the members
 			for _, n := range m.Nodes {
 				n.Sent = 0
 			}
--- a/internal/testbed/scale/slope/module.go
+++ b/internal/testbed/scale/slope/module.go
@@ -12,7 +12,7 @@
 
 var targetSizes = []float64{200, 632, 2000, 6324, 20_000}
 
-// settings are some of the shape that operators set: three classes, three plans, all rules on.
+// sampleSettings returns settings as operators typically have them: three classes, three plans, all rules on.
 func sampleSettings() policy.Settings {
 	const ms = time.Millisecond
 	return policy.Settings{
@@ -29,7 +29,7 @@
 
 func targetID(i int) string { return fmt.Sprintf("harbour-%05d-%04x", i, i*40503%65536) }
 
-// module is a scheduler that knows so many targets, each a shard of its own.
+// schedulerLoad drives a scheduler in virtual time, with a number of targets, each a shard of its own.
 type schedulerLoad struct {
 	*policy.Scheduler
 	now       time.Duration
@@ -48,12 +48,12 @@
 	for i := range targets {
 		m.endpoints = append(m.endpoints, policy.Endpoint{ID: targetID(i), Zone: fmt.Sprint("zone-", i%30), Shard: i})
 	}
-	s.Step(0, nil) // it has run for a minute: nothing that it sent before is unknown
+	s.Step(0, nil) // the scheduler has run for a minute, so it does not assume unfinished requests from before its start
 	s.Step(m.now, []policy.Event{policy.EndpointList{Full: true, Endpoints: m.endpoints}})
 	return m, nil
 }
 
-// change has one target drain, or be up again.
+// toggleEndpoint changes one target from up to draining or back.
 func (m *schedulerLoad) toggleEndpoint() {
 	n := &m.endpoints[m.rng.IntN(len(m.endpoints))]
 	n.State = policy.Draining - n.State
@@ -61,7 +61,7 @@
 	m.Step(m.now, []policy.Event{policy.EndpointList{Endpoints: []policy.Endpoint{*n}}})
 }
 
-// request has one asked, sent and answered.
+// serveRequest steps the scheduler through one request that is sent and answered.
 func (m *schedulerLoad) serveRequest() {
 	m.requests++
 	id := fmt.Sprint("r", m.requests)
--- a/internal/testbed/scale/slope/page.go
+++ b/internal/testbed/scale/slope/page.go
@@ -9,12 +9,12 @@
 	"strings"
 )
 
-// PageFile is where the page stands, from the top of the repository.
+// PageFile is the path of the page, relative to the root of the repository.
 const PageFile = "docs/CAPACITY.md"
 
 var tableMarker = regexp.MustCompile(`(?s)<!-- table: ([a-z ]+) -->\n.*?<!-- end -->`)
 
-// Page returns the page with each of its tables as the figures give it. The page has every table once.
+// Page returns the page with each of its tables regenerated. It is an error if a table is unknown, missing, unterminated or there more than once.
 func (t *Table) Page(old []byte) ([]byte, error) {
 	tables := t.tables()
 	seen := map[string]bool{}
@@ -24,25 +24,25 @@
 		text, there := tables[name]
 		switch {
 		case !there:
-			err = fmt.Errorf("%s: there is no table %q", PageFile, name)
+			err = fmt.Errorf("%s: unknown table %q", PageFile, name)
 		case seen[name]:
-			err = fmt.Errorf("%s: the table %q is there twice", PageFile, name)
+			err = fmt.Errorf("%s: table %q is a duplicate", PageFile, name)
 		}
 		seen[name] = true
 		return fmt.Appendf(nil, "<!-- table: %s -->\n%s<!-- end -->", name, text)
 	})
 	for name := range tables {
 		if !seen[name] && err == nil {
-			err = fmt.Errorf("%s: the table %q is missing", PageFile, name)
+			err = fmt.Errorf("%s: table %q is missing", PageFile, name)
 		}
 	}
 	if n := bytes.Count(page, []byte("<!-- table:")); n != len(seen) && err == nil {
-		err = fmt.Errorf("%s: a table has no end", PageFile)
+		err = fmt.Errorf("%s: a table has no end marker", PageFile)
 	}
 	return page, err
 }
 
-// rows writes a table of the page.
+// markdownTable formats a table of the page.
 func markdownTable(head []string, lines [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
@@ -54,7 +54,7 @@
 	return b.String()
 }
 
-// number tells a figure in three digits.
+// formatNumber formats a figure with three significant digits.
 func formatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case a == 0:
@@ -75,7 +75,7 @@
 	return strings.TrimSuffix(fmt.Sprintf("%.3g", x), ".0")
 }
 
-// amount tells a figure with its unit, in a size that can be read.
+// formatAmount formats a figure with its unit, scaled to a readable one.
 func formatAmount(x float64, unit string) string {
 	base, per := strings.CutSuffix(unit, "/s")
 	scale := func(names []string, by float64) string {
@@ -102,7 +102,7 @@
 	return formatNumber(x) + " " + unit
 }
 
-// verdict tells it in plain words.
+// verdict formats the verdict for the page.
 func (j *Evaluation) verdict() string {
 	switch {
 	case j.Verdict == WithinLimit && 1/j.Factor < 1.05:
@@ -181,7 +181,7 @@
 	return markdownTable([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
 }
 
-// beforeTable has what was mended at least by half, at the sizes measured then and now.
+// beforeTable lists the slopes whose cost fell by more than half at a size measured before and covered now.
 func (t *Table) beforeTable() string {
 	var lines [][]string
 	for _, b := range t.Before {
--- a/internal/testbed/scale/slope/parts.go
+++ b/internal/testbed/scale/slope/parts.go
@@ -27,7 +27,7 @@
 	})
 }
 
-// kept is a kind of state.
+// stateKind is a kind of state that a role keeps: a row of the state table.
 type stateKind struct {
 	role, description, key, slope string
 	count                         func(Size) float64
@@ -72,8 +72,8 @@
 	return markdownTable([]string{"role", "what is kept", "key", "for each", "at the size", "bounded by"}, lines)
 }
 
-// message is one kind: its bytes, both ways, and how many a second there are on an ordinary day, at the worst minute, in the minute after a zone came back, and
-// in that after a region was cut for an hour.
+// messageKind is a kind of message, a row of the message table: its bytes, both ways, and how many a second there are on an ordinary day, in the worst minute, in the
+// minute after a zone came back, and in the minute after a region was cut off for an hour.
 type messageKind struct {
 	parties, description string
 	bytes                func(c costModel, s Size) float64
@@ -178,7 +178,7 @@
 	return markdownTable([]string{"role", "with whom", "connections at the size, each a descriptor", "bounded by"}, [][]string{
 		{"initiator", "clients", n(s.Clients / s.Initiators), "what the process may open, less what control, discovery and targets take"},
 		{"initiator", "targets (one for each in use at least)", n(s.Targets) + ", if its clients use all", "`limits`, a pool's bound for one and for all, stocks"},
-		{"initiator", "discovery", "1, 5 while calls are overdue", "mostOpen in internal/datapath/discovery"},
+		{"initiator", "discovery", "1, 5 while calls are overdue", "maxOpenCalls in internal/datapath/discovery"},
 		{"initiator", "agents: configuration, renewals, leases", "3", ""},
 		{"initiator", "other members", "a socket for datagrams, a listener, 48 streams at most", "internal/controlplane/membership/transport"},
 		{"initiator, by the feed", "a relay", "1, 2 while it moves", "internal/controlplane/watchstream/distribution"},
--- a/internal/testbed/scale/slope/probe.go
+++ b/internal/testbed/scale/slope/probe.go
@@ -11,41 +11,42 @@
 	"time"
 )
 
-// Gives is one cost that a probe measures.
+// Metric is one cost that a probe measures.
 type Metric struct {
 	Name, Unit, Subject, Per string
-	Exact                    bool // a count or bytes: the same in every run
-	Noisy                    bool // it depends on what else the machine does, so that no short run is held against it
+	Exact                    bool // a count or a number of bytes, the same in every run
+	Noisy                    bool // it depends on the other load on the machine, so that short runs are not compared with it
 }
 
-// Probe measures what something costs at several sizes.
+// Probe measures costs at several sizes.
 type Probe struct {
 	Description string
 	Metrics     []Metric
-	Sizes       []float64 // the largest is foretold from the rest
-	ShortSizes  []float64 // of them, or smaller ones: for a short run
-	// Turns is over all sizes, of which the least time counts: what else the machine does meets one size in one turn and another in the next. 0: one.
+	Sizes       []float64 // the largest is predicted from the others
+	ShortSizes  []float64 // sizes of a short run
+	// Repeats is the number of passes over all sizes, of which the smallest cost of each size counts, so that a burst of other load on the machine does not
+	// distort one size. 0 means 1.
 	Repeats int
-	// Beside says that a short run may measure all sizes at once: what is held against the table is each one's own, and most of the time is waiting.
+	// Concurrent says that a short run may measure all sizes at once, because each compared metric is counted separately and most of the time is spent waiting.
 	Concurrent bool
-	// Run measures at one size, a cost for each of Gives. Where the program can't be given that size it returns ErrBeyond: the size is left out.
+	// Run measures one size and returns a cost for each of Metrics. It returns ErrSizeUnsupported if the program does not accept that size, which is then left out.
 	Run func(ctx context.Context, size int) ([]float64, error)
 }
 
-// ErrBeyond says that the program refuses a size.
-var ErrSizeUnsupported = errors.New("a size that the program refuses")
+// ErrSizeUnsupported is returned by Probe.Run for a size that the program does not accept.
+var ErrSizeUnsupported = errors.New("size not supported by the program")
 
-// Probes is all of them.
+// Probes returns all probes.
 func Probes() []Probe {
 	return slices.Concat(schedulerProbes(), listProbes(), controlProbes(), memberProbes(), discoveryProbes(), agentProbes(), feedProbes(), configChangeProbes())
 }
 
-// Measure runs a probe at so many sizes, one after another, and fits what came.
+// Measure runs a probe at the given sizes, one after another, and fits a slope for each metric.
 func Measure(ctx context.Context, p Probe, sizes []float64, now time.Time) ([]Slope, error) {
 	return measure(ctx, p, sizes, now, 1)
 }
 
-// Short runs a probe at its small sizes.
+// MeasureShort runs a probe at its short sizes, all at once if it is Concurrent.
 func MeasureShort(ctx context.Context, p Probe, now time.Time) ([]Slope, error) {
 	most := 1
 	if p.Concurrent {
@@ -98,7 +99,7 @@
 	return slopes, nil
 }
 
-// round keeps four digits: more are noise.
+// roundDigits rounds to four significant digits; more are noise.
 func roundDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return x
@@ -107,7 +108,8 @@
 	return math.Round(x*by) / by
 }
 
-// quickest is the least time that f takes, in us: of so many turns at least, and of as many as fit in a time. What else the machine does only adds.
+// minMicros returns the shortest time that f takes, in us, of at least least runs and of up to 1,000 that start within a period. Other load on the machine can only
+// increase a time.
 func minMicros(least int, within time.Duration, f func()) float64 {
 	best := time.Duration(math.MaxInt64)
 	for end, i := time.Now().Add(within), 0; i < least || i < 1000 && time.Now().Before(end); i++ {
@@ -118,7 +120,7 @@
 	return float64(best.Nanoseconds()) / 1e3
 }
 
-// heap is what lives there, after two collections: what the first finalizes the second frees.
+// heapBytes returns the bytes of the live heap and the stacks after two collections: the second frees what the first finalized.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -127,7 +129,7 @@
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
 }
 
-// holds is the memory that what f returns holds.
+// retainedBytes returns the memory retained by the result of f, and that result.
 func retainedBytes[T any](f func() T) (float64, T) {
 	before := heapBytes()
 	v := f()
@@ -135,7 +137,7 @@
 	return max(0, after-before), v
 }
 
-// allocated is what f allocates: objects and bytes.
+// allocations returns the number of objects and bytes that f allocates.
 func allocations(f func()) (objects, bytes float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -144,16 +146,16 @@
 	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// cpu is what this process has used so far.
+// cpuTime returns the processor time of this process so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic("getrusage: " + err.Error()) // there is no process that it could fail for
+		panic("getrusage: " + err.Error()) // can't fail for the process itself
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Find returns the probes that give one of the names; all where there is none.
+// FindProbes returns the probes that measure the named metrics, or all probes if no name is given.
 func FindProbes(names []string) ([]Probe, error) {
 	all := Probes()
 	if len(names) == 0 {
@@ -163,7 +165,7 @@
 	for _, n := range names {
 		i := slices.IndexFunc(all, func(p Probe) bool { return slices.ContainsFunc(p.Metrics, func(g Metric) bool { return g.Name == n }) })
 		if i < 0 {
-			return nil, fmt.Errorf("no probe gives %q", n)
+			return nil, fmt.Errorf("no probe measures %q", n)
 		}
 		if !slices.ContainsFunc(found, func(p Probe) bool { return p.Metrics[0].Name == all[i].Metrics[0].Name }) {
 			found = append(found, all[i])
--- a/internal/testbed/scale/slope/race_test.go
+++ b/internal/testbed/scale/slope/race_test.go
@@ -2,5 +2,5 @@
 
 package slope
 
-// raced tells that the race detector is in the program: what it costs, in time and in memory, is no slope.
+// raceEnabled reports whether the race detector is on. Its cost in time and memory would distort the slopes.
 const raced = true
--- a/internal/testbed/scale/slope/slope.go
+++ b/internal/testbed/scale/slope/slope.go
@@ -1,6 +1,6 @@
-// Package slope has what each role of a fleet costs by size: slopes that were measured, the size that decides the design, and the
-// figures and verdicts of docs/CAPACITY.md that follow from both. The table slopes.json is the only place of those figures. Nothing of it
-// is linked into the initiator.
+// Package slope models the cost of each role of a fleet as a function of its size: measured slopes, the fleet size that the design has to
+// support, and the figures and verdicts of docs/CAPACITY.md derived from both. slopes.json is the only source of those figures. The package
+// is not linked into the initiator.
 package slope
 
 import (
@@ -16,37 +16,37 @@
 	jsoniter "github.com/json-iterator/go"
 )
 
-// File is where the table stands, from the top of the repository.
+// File is the path of the table, relative to the root of the repository.
 const File = "internal/testbed/scale/slope/slopes.json"
 
 //go:embed slopes.json
 var embedded []byte
 
-// Slope is what something costs for each of what it grows by: beyond the sizes measured it costs Base + Value x size^Power.
+// Slope is a cost as a function of one size. Outside the range of the sizes measured it is Base + Value x size^Power.
 type Slope struct {
 	Name            string  `json:"name"`
-	Unit            string  `json:"unit"`     // of the cost: us, B, allocs, ...
-	Subject         string  `json:"of"`       // what costs it
-	Per             string  `json:"per"`      // what it grows by
-	Value           float64 `json:"value"`    // units for each of Per
+	Unit            string  `json:"unit"`     // unit of the cost: us, B, allocs, ...
+	Subject         string  `json:"of"`       // what has the cost
+	Per             string  `json:"per"`      // what the size counts
+	Value           float64 `json:"value"`    // units for each Per
 	StdError        float64 `json:"error"`    // standard error of Value
-	Base            float64 `json:"base"`     // units at a size of 0
-	Power           float64 `json:"power"`    // 1, or 2 where it grows with the square
-	MinSize         float64 `json:"least"`    // range of sizes measured
-	MaxSize         float64 `json:"most"`     //
-	PredictionError float64 `json:"off"`      // the largest size, foretold from the rest, less what was measured there, as a part of that
-	Residual        float64 `json:"noise"`    // residual of the sizes fitted, as a part of each
-	Command         string  `json:"command"`  // what measured it
-	Date            string  `json:"date"`     // of that run, as in 2026-12-02
-	Cores           int     `json:"cores"`    // of the machine that it ran on
-	DurationSeconds float64 `json:"lasts_s"`  // of the probe, seconds
-	Measured        []Point `json:"measured"` // what was fitted, and the largest
-	Exact           bool    `json:"exact"`    // counts or bytes: the same in every run
-	Description     string  `json:"about"`    // what was run, in a line
+	Base            float64 `json:"base"`     // cost at a size of 0
+	Power           float64 `json:"power"`    // exponent of the size: 1 for a linear cost, 2 for a quadratic one
+	MinSize         float64 `json:"least"`    // smallest size measured
+	MaxSize         float64 `json:"most"`     // largest size measured
+	PredictionError float64 `json:"off"`      // relative error of the cost predicted for the largest size from the others
+	Residual        float64 `json:"noise"`    // relative RMS residual over the sizes fitted
+	Command         string  `json:"command"`  // command that measured it
+	Date            string  `json:"date"`     // of that run, formatted as 2026-12-02
+	Cores           int     `json:"cores"`    // of the machine that measured it
+	DurationSeconds float64 `json:"lasts_s"`  // duration of the probe
+	Measured        []Point `json:"measured"` // the points fitted, and the largest size
+	Exact           bool    `json:"exact"`    // a count or a number of bytes, the same in every run
+	Description     string  `json:"about"`    // one line on what the probe runs
 }
 
-// At is the cost at a size, never below 0. Between two sizes that were measured it lies on the power of the size that joins them; beyond all of them it is what
-// was fitted, or what was measured at most where nothing shows that it grows.
+// Cost returns the cost at a size, never below 0. Between two measured sizes it interpolates with the power law through both; outside the measured range it
+// uses the fit, or above that range the largest measured cost if the slope is not significant.
 func (s Slope) Cost(size float64) float64 {
 	i, there := slices.BinarySearchFunc(s.Measured, size, func(p Point, size float64) int { return cmp.Compare(p.Size, size) })
 	fitted := s.Base + s.Value*math.Pow(size, s.Power)
@@ -55,7 +55,7 @@
 		return s.Measured[i].Cost
 	case len(s.Measured) == 0:
 		return max(0, fitted)
-	case i == 0 && fitted < 0: // the fit goes through 0 below the sizes measured
+	case i == 0 && fitted < 0: // the fit is negative below the sizes measured: scale the smallest one
 		return s.Measured[0].Cost * size / s.Measured[0].Size
 	case i == len(s.Measured) && !s.Grows():
 		return slices.MaxFunc(s.Measured, func(a, b Point) int { return cmp.Compare(a.Cost, b.Cost) }).Cost
@@ -69,27 +69,27 @@
 	return a.Cost * math.Pow(size/a.Size, math.Log(b.Cost/a.Cost)/math.Log(b.Size/a.Size))
 }
 
-// Grows tells whether the slope is above its own error: what one more costs is not known otherwise.
+// Grows reports whether the slope exceeds its standard error. Otherwise the cost of one more unit of size is unknown.
 func (s Slope) Grows() bool { return s.Value > s.StdError }
 
-// Known tells whether it was measured.
+// Known reports whether the slope was measured; the zero Slope was not.
 func (s Slope) Known() bool { return s.Name != "" }
 
-// Within tells whether a size lies in the range that was measured.
+// InRange reports whether a size lies in the measured range.
 func (s Slope) InRange(size float64) bool { return s.Known() && size >= s.MinSize && size <= s.MaxSize }
 
-// falls is how many errors below 0 a slope may be: nothing costs less the more there is.
+// maxNegativeStdErrors is how many standard errors a slope may lie below 0. No cost falls as the size grows, so one further below was measured wrongly.
 const maxNegativeStdErrors = 3
 
-// Table is all that was measured, and the size that it is held against.
+// Table is all measured slopes, with the fleet size and the limits that they are evaluated for.
 type Table struct {
 	Size   Size    `json:"size"`
 	Limits Limits  `json:"limits"`
-	Slopes []Slope `json:"slopes"`           // in order of their names
-	Before []Slope `json:"before,omitempty"` // as they were before what they measure was last mended
+	Slopes []Slope `json:"slopes"`           // sorted by name
+	Before []Slope `json:"before,omitempty"` // earlier measurements, from before the code they measure was last optimized
 }
 
-// At returns the slope of that name; one that was not measured is not Known.
+// Lookup returns the slope of that name, or a zero Slope, which is not Known, if there is none.
 func (t *Table) Lookup(name string) Slope {
 	if i, there := slices.BinarySearchFunc(t.Slopes, name, compareSlopeName); there {
 		return t.Slopes[i]
@@ -99,12 +99,12 @@
 
 func compareSlopeName(s Slope, name string) int { return strings.Compare(s.Name, name) }
 
-// Put takes a slope's latest figures over.
+// Set adds a slope or replaces the one of the same name.
 func (t *Table) Set(s Slope) {
 	t.Slopes = upsert(t.Slopes, s)
 }
 
-// Mended notes a slope's figures as those from before what it measures was mended.
+// SetBefore copies the current measurement of a slope to Before, for comparison after the code that it measures was optimized.
 func (t *Table) SetBefore(name string) {
 	if s := t.Lookup(name); s.Known() {
 		t.Before = upsert(t.Before, s)
@@ -120,12 +120,12 @@
 	return slices.Insert(all, i, s)
 }
 
-// Load returns the table that the program was built with.
+// Load returns the table embedded in the program.
 func Load() (*Table, error) { return Read(File, embedded) }
 
 var jsonFormat = jsoniter.Config{EscapeHTML: false, SortMapKeys: true, DisallowUnknownFields: true}.Froze()
 
-// Read reads a table and checks it; errors name the file and the field.
+// Read decodes and validates a table. Errors name the file and the field.
 func Read(file string, text []byte) (*Table, error) {
 	var t Table
 	d := jsonFormat.NewDecoder(bytes.NewReader(text))
@@ -133,7 +133,7 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if d.More() {
-		return nil, fmt.Errorf("%s: there is more behind the table", file)
+		return nil, fmt.Errorf("%s: unexpected data after the table", file)
 	}
 	if err := t.Check(); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
@@ -141,13 +141,13 @@
 	return &t, nil
 }
 
-// Text is the table as its file has it.
+// Text encodes the table as its file stores it.
 func (t *Table) Text() ([]byte, error) {
 	b, err := jsoniter.ConfigCompatibleWithStandardLibrary.MarshalIndent(t, "", "  ")
 	return append(b, '\n'), err
 }
 
-// Check names the first field that can't be used.
+// Check validates the table; the error names the first invalid field.
 func (t *Table) Check() error {
 	if err := t.Size.Check(); err != nil {
 		return fmt.Errorf("size.%w", err)
@@ -167,7 +167,7 @@
 			return fmt.Errorf("%s[%d].%w", field, i, err)
 		}
 		if i > 0 && all[i-1].Name >= s.Name {
-			return fmt.Errorf("%s[%d].name: %q is there twice or out of order", field, i, s.Name)
+			return fmt.Errorf("%s[%d].name: %q is a duplicate or not in sorted order", field, i, s.Name)
 		}
 	}
 	return nil
@@ -186,28 +186,28 @@
 	}{{"value", s.Value, math.Inf(-1)}, {"base", s.Base, math.Inf(-1)}, {"off", s.PredictionError, math.Inf(-1)}, {"error", s.StdError, 0}, {"least", s.MinSize, 0}, {"most", s.MaxSize, s.MinSize},
 		{"noise", s.Residual, 0}} {
 		if math.IsNaN(f.value) || math.IsInf(f.value, 0) || f.value < f.least {
-			return fmt.Errorf("%s: %v is no number from %v on", f.field, f.value, f.least)
+			return fmt.Errorf("%s: %v is not a finite number of at least %v", f.field, f.value, f.least)
 		}
 	}
 	if !(s.Power > 0 && s.Power <= 5) {
-		return fmt.Errorf("power: %v is not over 0 and up to 5", s.Power)
+		return fmt.Errorf("power: %v is not above 0 and at most 5", s.Power)
 	}
 	if len(s.Measured) < minSizes {
-		return fmt.Errorf("measured: %d sizes, wanted %d or more", len(s.Measured), minSizes)
+		return fmt.Errorf("measured: %d sizes, at least %d are required", len(s.Measured), minSizes)
 	}
 	if s.Value < -maxNegativeStdErrors*s.StdError {
-		return fmt.Errorf("value: %v ± %v: a cost that falls as the size grows was measured wrongly", s.Value, s.StdError)
+		return fmt.Errorf("value: %v ± %v: a cost that falls as the size grows is a measurement error", s.Value, s.StdError)
 	}
 	for i, p := range s.Measured {
 		if !(p.Cost >= 0) {
 			return fmt.Errorf("measured[%d].cost: %v is below 0", i, p.Cost)
 		}
 		if i > 0 && p.Size <= s.Measured[i-1].Size {
-			return fmt.Errorf("measured[%d].size: %v is not over the one before", i, p.Size)
+			return fmt.Errorf("measured[%d].size: %v is not larger than the previous one", i, p.Size)
 		}
 	}
 	if _, err := time.Parse(time.DateOnly, s.Date); err != nil {
-		return fmt.Errorf("date: %q is no date like 2026-12-02", s.Date)
+		return fmt.Errorf("date: %q is not a date like 2026-12-02", s.Date)
 	}
 	return nil
 }
--- a/internal/testbed/scale/slope/slope_test.go
+++ b/internal/testbed/scale/slope/slope_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain is also the agents of the probes.
+// TestMain also runs the agents of the probes: newAgentGroup starts this test binary again with AgentEnv set.
 func TestMain(m *testing.M) {
 	asked, err := RunAgent()
 	switch {
@@ -35,7 +35,7 @@
 	return tab
 }
 
-// TestPage holds the page's tables against the figures.
+// TestPage checks that the tables of the page match the figures.
 func TestPage(t *testing.T) {
 	old, err := os.ReadFile(filepath.Join(repoRoot, PageFile))
 	require.NoError(t, err)
@@ -44,14 +44,14 @@
 	require.Equal(t, string(page), string(old), "the page differs from the table: go run ./cmd/spindlehitch-scale page")
 }
 
-// TestPageCuts names what is wrong with a page.
+// TestPageCuts checks the errors for a page with an unknown, duplicate, missing or unterminated table.
 func TestPageCuts(t *testing.T) {
 	tab := loadTable(t)
 	old, err := os.ReadFile(filepath.Join(repoRoot, PageFile))
 	require.NoError(t, err)
 	for _, c := range []struct{ from, to, want string }{
-		{"<!-- table: agent -->", "<!-- table: agents -->", `no table "agents"`},
-		{"<!-- table: agent -->", "<!-- table: target -->", "twice"},
+		{"<!-- table: agent -->", "<!-- table: agents -->", `unknown table "agents"`},
+		{"<!-- table: agent -->", "<!-- table: target -->", "duplicate"},
 		{"<!-- table: size -->", "", `"size" is missing`},
 		{"<!-- end -->\n\nWhat is marked", "What is marked", "is missing"},
 	} {
@@ -61,22 +61,22 @@
 	}
 }
 
-// TestText reads what it wrote.
+// TestText checks that the embedded table is in canonical form and survives a round trip.
 func TestText(t *testing.T) {
 	tab := loadTable(t)
 	text, err := tab.Text()
 	require.NoError(t, err)
-	require.Equal(t, string(embedded), string(text), "the table is not as `slopes --write` writes it")
+	require.Equal(t, string(embedded), string(text), "the table differs from what `slopes --write` writes")
 	again, err := Read(File, text)
 	require.NoError(t, err)
 	require.Equal(t, tab, again)
 }
 
-// TestBadTable names file and field.
+// TestBadTable checks that the error for an invalid table names the file and the field.
 func TestBadTable(t *testing.T) {
 	good := string(embedded)
 	for _, c := range []struct{ from, to, want string }{
-		{`"initiators": 2900`, `"initiators": 0`, "size.initiators: 0 is not over 0"},
+		{`"initiators": 2900`, `"initiators": 0`, "size.initiators: 0 is not above 0"},
 		{`"initiators": 2900`, `"initiators": -3`, "size.initiators"},
 		{`"initiator_core"`, `"initiator_cores"`, "initiator_cores"},
 		{`"initiator_core": 0.016,`, ``, "limits.initiator_core"},
@@ -97,12 +97,12 @@
 		require.ErrorContains(t, err, c.want, c.to)
 	}
 	_, err := Read("a.json", []byte(good+"{}"))
-	require.ErrorContains(t, err, "there is more behind the table")
+	require.ErrorContains(t, err, "unexpected data after the table")
 	_, err = Read("a.json", nil)
 	require.ErrorContains(t, err, "a.json: ")
 }
 
-// made is a slope of so much for each, measured where it says.
+// linearSlope returns a slope of cost each x size, measured at the given sizes.
 func linearSlope(name string, each float64, exact bool, sizes ...float64) Slope {
 	s := Slope{Name: name, Unit: "B", Subject: "x", Per: "y", Value: each, Power: 1, MinSize: sizes[0], MaxSize: sizes[len(sizes)-1], Command: "c", Date: "2026-12-02", Exact: exact}
 	for _, n := range sizes {
@@ -111,20 +111,20 @@
 	return s
 }
 
-// TestAt lies between what was measured, and goes on as it was fitted.
-func TestAt(t *testing.T) {
+// TestCost checks interpolation between measured sizes and extrapolation by the fit.
+func TestCost(t *testing.T) {
 	s := linearSlope("a", 2, true, 10, 100, 1000, 10_000)
-	s.Measured[3].Cost = 200_000 // far above the fit
+	s.Measured[3].Cost = 200_000 // well above the fit
 	for _, c := range [][2]float64{{10, 20}, {30, 60}, {1000, 2000}, {10_000, 200_000}, {5, 10}, {20_000, 40_000}} {
 		require.InEpsilon(t, c[1], s.Cost(c[0]), 1e-9, "at %v", c[0])
 	}
-	require.InEpsilon(t, 20_000.0, s.Cost(3162.27766), 1e-6) // half way on the logarithms
+	require.InEpsilon(t, 20_000.0, s.Cost(3162.27766), 1e-6) // midpoint on a logarithmic scale
 	s.Measured[1].Cost = 0
 	require.InDelta(t, 10, s.Cost(55), 1e-9)
 }
 
-// TestNeverBelow has no cost below 0, wherever it is asked for, and no verdict by a slope that is not above its own error.
-func TestNeverBelow(t *testing.T) {
+// TestCostNotNegative guards against negative costs at any size, and against a verdict from a slope that does not exceed its standard error.
+func TestCostNotNegative(t *testing.T) {
 	noise := linearSlope("noise", 1, false, 100, 200, 400, 800)
 	noise.Base, noise.Value, noise.StdError = 221_100, -67, 580
 	for i, c := range []float64{260_000, 150_000, 240_000, 190_000} {
@@ -134,7 +134,7 @@
 	for _, n := range []float64{0, 1, 50, 100, 150, 800, 1000, 1e4, 1e6} {
 		require.GreaterOrEqual(t, noise.Cost(n), 0.0, "at %v", n)
 	}
-	require.Equal(t, 260_000.0, noise.Cost(1e6), "nothing shows that it grows")
+	require.Equal(t, 260_000.0, noise.Cost(1e6), "the slope is not significant, so the largest measured cost is used")
 	low := linearSlope("low", 1, true, 400, 800, 1600, 3200)
 	low.Base, low.Value = -350, 1
 	require.Equal(t, 40.0, low.Cost(40))
@@ -153,13 +153,13 @@
 
 	noise.StdError = 10
 	tab.Set(noise)
-	require.ErrorContains(t, tab.Check(), "slopes[0].value: -67 ± 10: a cost that falls")
+	require.ErrorContains(t, tab.Check(), "slopes[0].value: -67 ± 10: a cost that falls as the size grows is a measurement error")
 	noise.StdError, noise.Measured[2].Cost = 580, -1
 	tab.Set(noise)
 	require.ErrorContains(t, tab.Check(), "slopes[0].measured[2].cost: -1 is below 0")
 }
 
-// TestVerdicts are holds, lacks and not known, and the smallest fleet is where the limit is passed.
+// TestVerdicts checks each verdict, its text, and the breaking size of the fleet.
 func TestVerdicts(t *testing.T) {
 	tab := &Table{Size: loadTable(t).Size, Limits: loadTable(t).Limits}
 	tab.Set(linearSlope("a", 3, true, 10, 100, 1000, 20_000))
@@ -168,7 +168,7 @@
 	j := tab.evaluate(f)
 	require.Equal(t, ExceedsLimit, j.Verdict)
 	require.InEpsilon(t, 2, j.Factor, 1e-9)
-	require.Equal(t, 1451.0, j.BreakingSize) // 10,000 targets and one initiator more
+	require.Equal(t, 1451.0, j.BreakingSize) // the first fleet with over 10,000 targets
 	require.Equal(t, "*lacks by a factor of 2*", j.verdict())
 	f.Limit = func(costModel, Size, Limits) float64 { return 120_000 }
 	j = tab.evaluate(f)
@@ -177,14 +177,14 @@
 	require.Equal(t, "*holds*, 2 times over", j.verdict())
 	f.Limit = func(costModel, Size, Limits) float64 { return 1e9 }
 	require.Zero(t, tab.evaluate(f).BreakingSize)
-	f.MissingInput = "what nobody told"
-	require.Equal(t, "*not known*: what nobody told", func() string { j := tab.evaluate(f); return j.verdict() }())
+	f.MissingInput = "an input that the table lacks"
+	require.Equal(t, "*not known*: an input that the table lacks", func() string { j := tab.evaluate(f); return j.verdict() }())
 	f.MissingInput, f.SlopeNames = "", []string{"a", "b"}
 	require.Equal(t, "*not known*: not measured", func() string { j := tab.evaluate(f); return j.verdict() }())
 	require.Zero(t, tab.evaluate(f).Value)
 }
 
-// TestRank has what breaks first first, and each mechanism once where they are told apart.
+// TestRank checks that figures are ranked by breaking size and that RankMechanisms lists each mechanism once.
 func TestRank(t *testing.T) {
 	tab := loadTable(t)
 	for _, by := range []Feed{FeedOff, FeedOn} {
@@ -205,12 +205,12 @@
 			require.Equal(t, rank[0].Subject, tab.RankMechanisms(by)[0].Subject)
 		}
 	}
-	// Without the feed nothing breaks before what gets changes to all: that is why it is there.
+	// Without the feed, the distribution of list changes breaks first: that is the reason for the feed.
 	require.Equal(t, mechListDelivery, tab.RankMechanisms(FeedOff)[0].Mechanism)
 }
 
-// TestFiguresName every slope that they are reckoned from, and none that no probe gives.
-func TestFiguresName(t *testing.T) {
+// TestFigureSlopes checks that each figure and event names the slopes that it is computed from, and that a probe measures each of them.
+func TestFigureSlopes(t *testing.T) {
 	given := map[string]bool{}
 	for _, p := range Probes() {
 		require.GreaterOrEqual(t, len(p.Sizes), minSizes, p.Description)
@@ -222,7 +222,7 @@
 	}
 	tab := loadTable(t)
 	for _, s := range tab.Slopes {
-		require.True(t, given[s.Name], "%s: no probe gives it", s.Name)
+		require.True(t, given[s.Name], "%s: no probe measures it", s.Name)
 	}
 	all := Figures()
 	for _, e := range Events() {
@@ -233,7 +233,7 @@
 			require.True(t, given[n], n)
 			require.True(t, tab.Lookup(n).Known(), "%s was not measured", n)
 		}
-		// With any of them missing there is no verdict.
+		// Without any one of its slopes a figure has no verdict.
 		for _, n := range f.SlopeNames {
 			less := &Table{Size: tab.Size, Limits: tab.Limits}
 			for _, s := range tab.Slopes {
@@ -246,8 +246,8 @@
 	}
 }
 
-// TestSteeper finds a slope that has become half as steep again, by counts and by ratios, and passes one that has not.
-func TestSteeper(t *testing.T) {
+// TestCheckSlope checks that a slope over maxGrowthRatio as steep is found, by counts and by ratios of times, and that others pass.
+func TestCheckSlope(t *testing.T) {
 	tab := &Table{}
 	tab.Set(linearSlope("count", 100, true, 10, 100, 1000, 10_000))
 	tab.Set(linearSlope("time", 100, false, 10, 100, 1000, 10_000))
@@ -266,16 +266,16 @@
 	}
 	require.NoError(t, now("count", true, func(n float64) float64 { return 130 * n }))
 	require.ErrorContains(t, now("count", true, func(n float64) float64 { return 170 * n }), "count: from a size of 20 to 160 it grows by 23.8 KB, where the table has 14 KB")
-	require.NoError(t, now("time", false, func(n float64) float64 { return 900 * n }), "nine times slower, as another machine may be")
+	require.NoError(t, now("time", false, func(n float64) float64 { return 900 * n }), "nine times slower, as on another machine")
 	require.Error(t, now("time", false, func(n float64) float64 { return n * n }))
 	require.NoError(t, now("flat", true, func(n float64) float64 { return 310 }))
-	require.Error(t, now("flat", true, func(n float64) float64 { return 300 + n }), "it has begun to grow")
-	require.Error(t, now("flat", true, func(n float64) float64 { return 500 }), "it is flat, and much more")
-	require.ErrorContains(t, now("other", true, func(n float64) float64 { return n }), "no such slope")
+	require.Error(t, now("flat", true, func(n float64) float64 { return 300 + n }), "a flat cost now grows")
+	require.Error(t, now("flat", true, func(n float64) float64 { return 500 }), "still flat, but much higher")
+	require.ErrorContains(t, now("other", true, func(n float64) float64 { return n }), "no such slope in the table")
 }
 
-// TestAgainst measures again what seems steeper, and no more often than it may.
-func TestAgainst(t *testing.T) {
+// TestCheckProbes checks that a slope that seems steeper is measured again, at most as often as allowed, and that noisy metrics are not compared.
+func TestCheckProbes(t *testing.T) {
 	tab := &Table{}
 	tab.Set(linearSlope("time", 100, false, 10, 100, 1000, 10_000))
 	p := Probe{Metrics: []Metric{{Name: "time"}}}
@@ -300,7 +300,7 @@
 	}, p))
 }
 
-// TestMeasure leaves out a size that the program refuses, and fails where too few are left.
+// TestMeasure checks that sizes which the program does not support are left out, and that too few remaining sizes are an error.
 func TestMeasure(t *testing.T) {
 	p := Probe{Metrics: []Metric{{Name: "a", Unit: "B", Subject: "x", Per: "y"}}, Run: func(_ context.Context, size int) ([]float64, error) {
 		if size > 1000 {
@@ -318,8 +318,8 @@
 	require.ErrorContains(t, err, "a at 10: broken")
 }
 
-// TestSlopes is the short run: it fails where a slope has become half as steep again. Probes that wait run beside one another once the others are through. With the race
-// detector the probes that have goroutines run for its sake, and nothing is held against the table.
+// TestSlopes runs all probes at their short sizes and fails if a slope is more than maxGrowthRatio as steep as in the table. Concurrent probes mostly wait, so they run in
+// parallel after the others. With the race detector only these run, since they have goroutines, and nothing is compared with the table.
 func TestSlopes(t *testing.T) {
 	tab := loadTable(t)
 	short := func(p Probe) ([]Slope, error) { return MeasureShort(t.Context(), p, time.Now()) }
@@ -329,7 +329,7 @@
 			rough = rough && g.Noisy
 		}
 		if rough {
-			continue // nothing of it is held against a short run
+			continue // a short run compares none of its metrics
 		}
 		t.Run(p.Metrics[0].Name, func(t *testing.T) {
 			if p.Concurrent {
@@ -347,7 +347,7 @@
 	}
 }
 
-// TestNotLinked keeps all of this out of what serves.
+// TestNotLinked checks that the initiator does not link this package.
 func TestNotLinked(t *testing.T) {
 	cmd := exec.Command("go", "list", "-deps", "./cmd/spindlehitch")
 	cmd.Dir = repoRoot
--- a/internal/testbed/scale/slope/wire.go
+++ b/internal/testbed/scale/slope/wire.go
@@ -5,7 +5,7 @@
 	"sync/atomic"
 )
 
-// counted counts what passes over the connections that a listener takes.
+// countingListener counts its connections and the bytes that they transfer.
 type countingListener struct {
 	net.Listener
 	in, out, conns *atomic.Int64
@@ -44,5 +44,5 @@
 	return n, err
 }
 
-// wire is all bytes so far, both ways.
+// totalBytes returns the bytes transferred so far, both ways.
 func (l countingListener) totalBytes() int64 { return l.in.Load() + l.out.Load() }
