--- a/internal/testbed/scale/slope/check.go
+++ b/internal/testbed/scale/slope/check.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// CheckProbes compares a short run of probes with the table. A probe with a slope that seems steeper is measured up to again times, since other load on the
+// CheckProbes compares a short run of probes with the table. A probe with a slope that seems steeper is measured up to attempts times, since other load on the
 // machine can only increase a time.
 func (t *Table) CheckProbes(again int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
 	var all []error
--- a/internal/testbed/scale/slope/configured.go
+++ b/internal/testbed/scale/slope/configchange.go
@@ -55,7 +55,7 @@
 	return len(b), nil
 }
 
-// measureConfigChanges measures the processor time of each of a number of configuration changes, which all need a successor process (starts) or none do.
+// measureConfigChanges measures the processor time of each of a number of configuration changes, which all need a successor process (needRestart) or none do.
 func measureConfigChanges(ctx context.Context, size, changes int, starts bool) ([]float64, error) {
 	list := listJSON(1, size, true)
 	var wholes atomic.Int64
@@ -130,7 +130,7 @@
 		})
 		return errors.Join(err, failed)
 	}
-	// listed waits until that many whole lists have been read in all, and a second more for the predecessor, if there is one, to leave.
+	// awaitLists waits until that many whole lists have been read in all, and a second more for the predecessor, if there is one, to leave.
 	listed := func(lists int) error {
 		if err := ready("a successor reading its list", func() bool { return wholes.Load() >= int64(lists) }); err != nil {
 			return err
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -11,7 +11,7 @@
 
 // Events returns all events of the page.
 func Events() []Event {
-	// shared is the time that one shared discovery service takes to send a number of entries to a number of initiators.
+	// sharedTime is the time that one shared discovery service takes to send a number of entries to a number of initiators.
 	told := func(c costModel, l Limits, initiators, entries float64) float64 {
 		return c.costAt("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
 	}
@@ -23,7 +23,7 @@
 	back := func(_ costModel, _ Size, l Limits) float64 { return l.RestartWindow }
 	off := []string{"discovery.told", "module.change", "upstream.change"}
 	on := []string{"feed.told", "feed.owed.time", "agent.change.time", "module.change", "upstream.change"}
-	// fed is the time that the feed takes for a number of entries, which discovery sends to `spindlehitch publish` alone: the commit of a change, its propagation,
+	// feedTime is the time that the feed takes for a number of entries, which discovery sends to `spindlehitch publish` alone: the commit of a change, its propagation,
 	// and the transfer at the reader's bytes a second beyond its burst.
 	fed := func(c costModel, s Size, l Limits, entries float64) float64 {
 		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.perUnit("agent.change.time")/1e6 + propagationTime(c, s, l) + c.costAt("feed.owed.time", entries) + change(c, s)
