--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -130,18 +130,18 @@
 			var all sync.WaitGroup
 			defer all.Wait()
 			defer stop()
-			var told atomic.Int64
+			var notified atomic.Int64
 			for i := range size {
 				c := agent.Client{Addrs: g.Addrs}
-				all.Go(func() { c.FollowConfig(watch, instanceName(i), quiet, func(agent.Entry) { told.Add(1) }) })
+				all.Go(func() { c.FollowConfig(watch, instanceName(i), quiet, func(agent.Entry) { notified.Add(1) }) })
 			}
-			if err := waitUntil(ctx, "a configuration at all instances", func() bool { return told.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a configuration at all instances", func() bool { return notified.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			if err := sleep(ctx, 500*time.Millisecond); err != nil {
 				return nil, err
 			}
-			began, own := time.Now(), cpuTime()
+			phaseStart, ownBefore := time.Now(), cpuTime()
 			from, err := g.usage()
 			if err != nil {
 				return nil, err
@@ -153,10 +153,10 @@
 			if err != nil {
 				return nil, err
 			}
-			lasted, mine := time.Since(began).Seconds(), float64((cpuTime() - own).Microseconds())
-			idle := (to[0].CPU - from[0].CPU) / lasted
+			seconds, ownMicros := time.Since(phaseStart).Seconds(), float64((cpuTime() - ownBefore).Microseconds())
+			idle := (to[0].CPU - from[0].CPU) / seconds
 			const changes = 60
-			began = time.Now()
+			phaseStart = time.Now()
 			for range changes {
 				if _, err := g.PutConfig(ctx, "another", paddedConfig("another", sampleConfigBytes), ""); err != nil {
 					return nil, err
@@ -166,8 +166,8 @@
 			if err != nil {
 				return nil, err
 			}
-			woken := max(0, end[0].CPU-to[0].CPU-idle*time.Since(began).Seconds()) / changes
-			return []float64{(to[0].In + to[0].Out - from[0].In - from[0].Out) / lasted, idle, max(0, from[0].Heap-before[0].Heap), woken, mine / lasted,
+			wakeMicros := max(0, end[0].CPU-to[0].CPU-idle*time.Since(phaseStart).Seconds()) / changes
+			return []float64{(to[0].In + to[0].Out - from[0].In - from[0].Out) / seconds, idle, max(0, from[0].Heap-before[0].Heap), wakeMicros, ownMicros / seconds,
 				to[0].Conns - before[0].Conns}, nil
 		},
 	}, {
@@ -215,13 +215,13 @@
 		return nil, err
 	}
 	clients := make([]agent.Client, size)
-	holders := make([]*quotaclient.Client, size)
+	quotaClients := make([]*quotaclient.Client, size)
 	began := time.Now()
 	if err := parallel(size, 16, func(i int) error {
 		clients[i].Addrs = g.Addrs
 		m, d, err := clients[i].Join(ctx, quotaMember(i))
 		if err == nil {
-			holders[i] = newQuotaClient(monotone.Now(), m.ID, d)
+			quotaClients[i] = newQuotaClient(monotone.Now(), m.ID, d)
 		}
 		return err
 	}); err != nil {
@@ -237,8 +237,8 @@
 	}
 	// A round before the measurement opens the connections and grants the allocations.
 	var failed atomic.Int64
-	round := func(last time.Duration) {
-		end := time.Now().Add(last)
+	round := func(duration time.Duration) {
+		end := time.Now().Add(duration)
 		var all sync.WaitGroup
 		for i := range size {
 			all.Go(func() {
@@ -247,13 +247,13 @@
 						return
 					}
 					call, done := context.WithTimeout(ctx, 5*time.Second)
-					a, _, err := clients[i].Renew(call, holders[i].BeginRenewal(monotone.Now()), nil)
+					a, _, err := clients[i].Renew(call, quotaClients[i].BeginRenewal(monotone.Now()), nil)
 					done()
 					if err != nil {
 						failed.Add(1)
 						continue
 					}
-					holders[i].AcceptRenewal(monotone.Now(), a)
+					quotaClients[i].AcceptRenewal(monotone.Now(), a)
 				}
 			})
 		}
@@ -264,9 +264,9 @@
 	if err != nil {
 		return nil, err
 	}
-	start, own := time.Now(), cpuTime()
+	start, ownBefore := time.Now(), cpuTime()
 	round(idlePeriod)
-	lasted, mine := time.Since(start).Seconds(), float64((cpuTime() - own).Microseconds())
+	seconds, ownMicros := time.Since(start).Seconds(), float64((cpuTime() - ownBefore).Microseconds())
 	to, err := g.usage()
 	if err != nil {
 		return nil, err
@@ -274,8 +274,8 @@
 	if n := failed.Load(); n > int64(size)/10 {
 		return nil, fmt.Errorf("%d renewals of %d members failed", n, size)
 	}
-	return []float64{(to[leader].CPU - warm[leader].CPU) / lasted, (to[leader].In + to[leader].Out - warm[leader].In - warm[leader].Out) / lasted,
-		(to[follower].CPU - warm[follower].CPU) / lasted, mine / lasted, from[leader].CPU - before[leader].CPU, float64(joined.Microseconds())}, nil
+	return []float64{(to[leader].CPU - warm[leader].CPU) / seconds, (to[leader].In + to[leader].Out - warm[leader].In - warm[leader].Out) / seconds,
+		(to[follower].CPU - warm[follower].CPU) / seconds, ownMicros / seconds, from[leader].CPU - before[leader].CPU, float64(joined.Microseconds())}, nil
 }
 
 // parallel calls do for 0 to n-1, up to most at a time, and returns the first error. A worker stops at its first error.
--- a/internal/testbed/scale/slope/configchange.go
+++ b/internal/testbed/scale/slope/configchange.go
@@ -56,9 +56,9 @@
 }
 
 // measureConfigChanges measures the processor time of each of a number of configuration changes, which all need a successor process (needRestart) or none do.
-func measureConfigChanges(ctx context.Context, size, changes int, starts bool) ([]float64, error) {
+func measureConfigChanges(ctx context.Context, size, changes int, needRestart bool) ([]float64, error) {
 	list := listJSON(1, size, true)
-	var wholes atomic.Int64
+	var fullLists atomic.Int64
 	discovery, closed, err := serveLoopback(func(w http.ResponseWriter, r *http.Request) {
 		if ms, err := strconv.Atoi(r.URL.Query().Get("wait_ms")); err == nil {
 			_ = sleep(r.Context(), time.Duration(ms)*time.Millisecond)
@@ -66,7 +66,7 @@
 			return
 		}
 		_, _ = w.Write(list)
-		wholes.Add(1)
+		fullLists.Add(1)
 	})
 	if err != nil {
 		return nil, err
@@ -82,12 +82,12 @@
 	agents, closed, err := serveLoopback(func(w http.ResponseWriter, r *http.Request) {
 		after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 		mu.Lock()
-		now, wait := version, changed
+		current, nextChange := version, changed
 		mu.Unlock()
-		if now == after {
+		if current == after {
 			select {
-			case <-wait:
-				now++
+			case <-nextChange:
+				current++
 			case <-time.After(time.Second):
 				w.WriteHeader(http.StatusNoContent)
 				return
@@ -95,26 +95,26 @@
 				return
 			}
 		}
-		at, rate := addrs[0], now
-		if starts {
-			at, rate = addrs[now%2], 0
+		listen, rate := addrs[0], current
+		if needRestart {
+			listen, rate = addrs[current%2], 0
 		}
-		_ = json.NewEncoder(w).Encode(agent.Entry{Name: name, Version: now, Config: servedConfig(name, at, discovery, 1000+rate)})
+		_ = json.NewEncoder(w).Encode(agent.Entry{Name: name, Version: current, Config: servedConfig(name, listen, discovery, 1000+rate)})
 	})
 	if err != nil {
 		return nil, err
 	}
 	defer closed()
-	var log acceptedCounter
-	serve, stop := context.WithCancel(ctx)
+	var accepted acceptedCounter
+	serveCtx, stop := context.WithCancel(ctx)
 	ended := make(chan error, 1)
 	go func() {
-		ended <- serving.ServeFromAgents(serve, []string{agents}, func(key string) string {
+		ended <- serving.ServeFromAgents(serveCtx, []string{agents}, func(key string) string {
 			if key == "PROXY_NAME" {
 				return name
 			}
 			return ""
-		}, "", slog.New(slog.NewTextHandler(&log, nil)))
+		}, "", slog.New(slog.NewTextHandler(&accepted, nil)))
 	}()
 	defer func() { stop(); <-ended }() //nolint:errcheck // the measurement is complete
 	ready := func(what string, is func() bool) error {
@@ -131,13 +131,13 @@
 		return errors.Join(err, failed)
 	}
 	// awaitLists waits until that many whole lists have been read in all, and a second more for the predecessor, if there is one, to leave.
-	listed := func(lists int) error {
-		if err := ready("a successor reading its list", func() bool { return wholes.Load() >= int64(lists) }); err != nil {
+	awaitLists := func(lists int) error {
+		if err := ready("a successor reading its list", func() bool { return fullLists.Load() >= int64(lists) }); err != nil {
 			return err
 		}
 		return sleep(ctx, time.Second)
 	}
-	if err := listed(1); err != nil {
+	if err := awaitLists(1); err != nil {
 		return nil, err
 	}
 	used := cpuTime()
@@ -147,16 +147,16 @@
 		close(changed)
 		changed = make(chan struct{})
 		mu.Unlock()
-		if starts {
-			err = listed(2 + i)
+		if needRestart {
+			err = awaitLists(2 + i)
 		} else {
-			err = ready("a configuration change being accepted", func() bool { return log.n.Load() >= int64(2+i) })
+			err = ready("a configuration change being accepted", func() bool { return accepted.n.Load() >= int64(2+i) })
 		}
 		if err != nil {
 			return nil, err
 		}
 	}
-	if lists := wholes.Load(); !starts && lists > 1 {
+	if lists := fullLists.Load(); !needRestart && lists > 1 {
 		return nil, fmt.Errorf("%d lists were read by successors, expected none", lists-1)
 	}
 	return []float64{float64((cpuTime() - used).Microseconds()) / float64(changes)}, nil
--- a/internal/testbed/scale/slope/control.go
+++ b/internal/testbed/scale/slope/control.go
@@ -61,11 +61,11 @@
 				return nil, err
 			}
 			all := make([]quota.Member, size)
-			holders := make([]*quotaclient.Client, size)
+			quotaClients := make([]*quotaclient.Client, size)
 			now := time.Hour
 			for i := range all {
 				all[i] = quotaMember(i)
-				holders[i] = newQuotaClient(now, all[i].ID, doc)
+				quotaClients[i] = newQuotaClient(now, all[i].ID, doc)
 			}
 			now += time.Minute
 			wire := 0
@@ -73,16 +73,16 @@
 			var g *allocator.Allocator
 			renew := func() {
 				now += time.Second / time.Duration(size)
-				r := holders[i%size].BeginRenewal(now)
+				r := quotaClients[i%size].BeginRenewal(now)
 				var a quota.RenewalResponse
 				if a, err = g.Renew(now, r); err != nil {
 					return
 				}
-				holders[i%size].AcceptRenewal(now, a)
+				quotaClients[i%size].AcceptRenewal(now, a)
 				if i/size == 1 { // the second round: allocations have been granted
-					asked, _ := json.Marshal(r)
-					told, _ := json.Marshal(a)
-					wire += len(asked) + len(told)
+					requestText, _ := json.Marshal(r)
+					responseText, _ := json.Marshal(a)
+					wire += len(requestText) + len(responseText)
 				}
 				i++
 			}
@@ -132,9 +132,9 @@
 					return nil, err
 				}
 				h.AcceptRenewal(now, a)
-				asked, _ := json.Marshal(r)
-				told, _ := json.Marshal(a)
-				wire = len(asked) + len(told)
+				requestText, _ := json.Marshal(r)
+				responseText, _ := json.Marshal(a)
+				wire = len(requestText) + len(responseText)
 			}
 			return []float64{float64(wire)}, nil
 		},
--- a/internal/testbed/scale/slope/discovery.go
+++ b/internal/testbed/scale/slope/discovery.go
@@ -73,13 +73,13 @@
 }
 
 // startWatchers starts n watchers of one service that have its list already, and returns a function that stops them.
-func startWatchers(ctx context.Context, at net.Addr, crowd, n int, told func(*listing.List)) func() {
+func startWatchers(ctx context.Context, at net.Addr, initiators, n int, onList func(*listing.List)) func() {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	version := int64(1)
 	for i := range n {
-		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &listing.List{Version: &version}, Initiators: crowd, Seed: uint64(i + 1),
-			Log: slog.New(slog.DiscardHandler)}, told)
+		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &listing.List{Version: &version}, Initiators: initiators, Seed: uint64(i + 1),
+			Log: slog.New(slog.DiscardHandler)}, onList)
 		all.Go(func() { w.Run(ctx) })
 	}
 	return func() { stop(); all.Wait() }
@@ -154,9 +154,9 @@
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	s.mu.Lock()
 	version, changed, cut := s.version, s.changed, s.silenced
-	goesOn := after == version && time.Since(s.lastAnswers[r.RemoteAddr]) < 200*time.Millisecond
+	renewed := after == version && time.Since(s.lastAnswers[r.RemoteAddr]) < 200*time.Millisecond
 	s.mu.Unlock()
-	ok := goesOn || s.awaitTurn(version-after)
+	ok := renewed || s.awaitTurn(version-after)
 	if ok && after == version {
 		select {
 		case <-changed:
@@ -206,10 +206,10 @@
 				return nil, err
 			}
 			defer end()
-			var told atomic.Int64
-			stop := startWatchers(ctx, s.Addr(), 0, size, func(*listing.List) { told.Add(1) })
+			var notified atomic.Int64
+			stop := startWatchers(ctx, s.Addr(), 0, size, func(*listing.List) { notified.Add(1) })
 			defer stop()
-			if err := waitUntil(ctx, "a list at all watchers", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a list at all watchers", func() bool { return notified.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
 			select { // start in the middle of a watch, so that a whole number of them is counted
@@ -223,14 +223,14 @@
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
-			lasted := time.Since(began).Seconds()
-			costs := []float64{float64(s.calls.Load()-calls) / lasted, float64(s.totalBytes()-wire) / lasted, float64((cpuTime() - used).Microseconds()) / lasted}
+			seconds := time.Since(began).Seconds()
+			costs := []float64{float64(s.calls.Load()-calls) / seconds, float64(s.totalBytes()-wire) / seconds, float64((cpuTime() - used).Microseconds()) / seconds}
 			const changes = 20
 			wire, used = s.totalBytes(), cpuTime()
 			for range changes {
-				before := told.Load()
+				before := notified.Load()
 				s.bumpVersion()
-				if err := waitUntil(ctx, "a change at all watchers", func() bool { return told.Load() >= before+int64(size) }); err != nil {
+				if err := waitUntil(ctx, "a change at all watchers", func() bool { return notified.Load() >= before+int64(size) }); err != nil {
 					return nil, err
 				}
 			}
@@ -247,10 +247,10 @@
 				return nil, err
 			}
 			defer end()
-			var known atomic.Int64
+			var notified atomic.Int64
 			stop := startWatchers(ctx, s.Addr(), size, size, func(l *listing.List) {
 				if *l.Version > 1 { // the first call is for the list that it started with
-					known.Add(1)
+					notified.Add(1)
 				}
 			})
 			defer stop()
@@ -258,30 +258,30 @@
 			if err := waitUntil(ctx, "a watch from each watcher", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				lately := 0
+				recent := 0
 				for _, at := range s.lastAnswers {
 					if time.Since(at) < 1100*time.Millisecond {
-						lately++
+						recent++
 					}
 				}
-				return lately >= size && time.Now().After(s.busyUntil)
+				return recent >= size && time.Now().After(s.busyUntil)
 			}); err != nil {
 				return nil, err
 			}
 			began := time.Now()
 			s.bumpVersion()
-			if err := waitUntil(ctx, "a change at all watchers", func() bool { return known.Load() >= int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a change at all watchers", func() bool { return notified.Load() >= int64(size) }); err != nil {
 				return nil, err
 			}
-			told := time.Since(began).Seconds()
+			propagation := time.Since(began).Seconds()
 			if err := sleep(ctx, 2*time.Second); err != nil {
 				return nil, err
 			}
 			began = time.Now()
 			s.silenceWatches()
-			if err := waitUntil(ctx, "a change at all watchers after their watches went silent", func() bool { return known.Load() >= 2*int64(size) }); err != nil {
+			if err := waitUntil(ctx, "a change at all watchers after their watches went silent", func() bool { return notified.Load() >= 2*int64(size) }); err != nil {
 				return nil, err
 			}
-			return []float64{told, time.Since(began).Seconds()}, nil
+			return []float64{propagation, time.Since(began).Seconds()}, nil
 		}}}
 }
--- a/internal/testbed/scale/slope/event.go
+++ b/internal/testbed/scale/slope/event.go
@@ -12,7 +12,7 @@
 // Events returns all events of the page.
 func Events() []Event {
 	// sharedTime is the time that one shared discovery service takes to send a number of entries to a number of initiators.
-	told := func(c costModel, l Limits, initiators, entries float64) float64 {
+	sharedTime := func(c costModel, l Limits, initiators, entries float64) float64 {
 		return c.costAt("discovery.told", initiators) + initiators*(entries-1)*l.DiscoveryEntry
 	}
 	change := func(c costModel, s Size) float64 {
@@ -25,7 +25,7 @@
 	on := []string{"feed.told", "feed.owed.time", "agent.change.time", "module.change", "upstream.change"}
 	// feedTime is the time that the feed takes for a number of entries, which discovery sends to `spindlehitch publish` alone: the commit of a change, its propagation,
 	// and the transfer at the reader's bytes a second beyond its burst.
-	fed := func(c costModel, s Size, l Limits, entries float64) float64 {
+	feedTime := func(c costModel, s Size, l Limits, entries float64) float64 {
 		return l.DiscoveryCall + entries*l.DiscoveryEntry + c.perUnit("agent.change.time")/1e6 + propagationTime(c, s, l) + c.costAt("feed.owed.time", entries) + change(c, s)
 	}
 	list := "discovery, to each initiator's watch; by the feed to `spindlehitch publish` alone, then agents and relays"
@@ -35,9 +35,9 @@
 	entries := func(name, seen, sent string, entries func(Size, Limits) float64, limit func(costModel, Size, Limits) float64) Event {
 		return Event{name, seen, list, sent,
 			each(name, off, func(c costModel, s Size, l Limits) float64 {
-				return told(c, l, s.Initiators, entries(s, l)) + change(c, s)
+				return sharedTime(c, l, s.Initiators, entries(s, l)) + change(c, s)
 			}, limit, ""),
-			each(name, on, func(c costModel, s Size, l Limits) float64 { return fed(c, s, l, entries(s, l)) }, limit, "")}
+			each(name, on, func(c costModel, s Size, l Limits) float64 { return feedTime(c, s, l, entries(s, l)) }, limit, "")}
 	}
 	start := func(c costModel, s Size) float64 {
 		return (c.costAt("module.whole", s.Targets) + s.Targets*c.perUnit("list.decode")) / 1e6
@@ -55,7 +55,7 @@
 			"discovery, to each watch of the region as it reaches it again; by the feed the region's relays, as they reach an agent",
 			"the hour's entries to each of its initiators; its configuration as it is now",
 			each("region", append([]string{"list.line"}, off...), func(c costModel, s Size, l Limits) float64 {
-				return told(c, l, s.Initiators/s.Regions, s.ListChangeRate()*hour) + s.ListChangeRate()*hour*c.perUnit("list.line")/l.Wire + change(c, s)
+				return sharedTime(c, l, s.Initiators/s.Regions, s.ListChangeRate()*hour) + s.ListChangeRate()*hour*c.perUnit("list.line")/l.Wire + change(c, s)
 			}, force, ""),
 			each("region", on, func(c costModel, s Size, l Limits) float64 {
 				return watchstream.DefaultRelaySelectorOptions.RetryMax.Seconds() + propagationTime(c, s, l) + c.costAt("feed.owed.time", s.ListChangeRate()*hour) + change(c, s)
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -242,19 +242,19 @@
 				return 0, 0, fmt.Errorf("reader is at version %v of %d after an hour", r.Consistent(), o.store.Head())
 			}
 		}
-		asked, err := json.Marshal(h)
+		requestText, err := json.Marshal(h)
 		if err != nil {
 			return 0, 0, err
 		}
-		text, err := json.Marshal(d)
+		deltaText, err := json.Marshal(d)
 		if err != nil {
 			return 0, 0, err
 		}
-		sent, err := compressedSize(text)
+		sent, err := compressedSize(deltaText)
 		if err != nil {
 			return 0, 0, err
 		}
-		sent += len(asked) + httpHeaderBytes
+		sent += len(requestText) + httpHeaderBytes
 		wire += sent
 		if _, err := r.ApplyDelta(d); err != nil {
 			return 0, 0, err
@@ -278,11 +278,11 @@
 	if err := sleep(ctx, idlePeriod); err != nil {
 		return nil, err
 	}
-	lasted := time.Since(began).Seconds()
-	costs := []float64{float64(r.totalBytes()-wire) / lasted, float64((cpuTime() - used).Microseconds()) / lasted}
+	seconds := time.Since(began).Seconds()
+	costs := []float64{float64(r.totalBytes()-wire) / seconds, float64((cpuTime() - used).Microseconds()) / seconds}
 	// change makes ten changes one after another and returns, for each of them, the bytes, the processor time and the time until the last reader has it.
 	const changes = 10
-	change := func(p func(i int) watchstream.Put) (bytes, spent, last float64, err error) {
+	change := func(p func(i int) watchstream.Put) (bytes, cpuMicros, last float64, err error) {
 		wire, used := r.totalBytes(), cpuTime()
 		for i := range changes {
 			began := time.Now()
@@ -300,11 +300,11 @@
 		}
 		return float64(r.totalBytes()-wire) / changes, float64((cpuTime() - used).Microseconds()) / changes, last, nil
 	}
-	bytes, spent, last, err := change(func(i int) watchstream.Put { return targetPut(i%200, "DRAINING") })
+	bytes, cpuMicros, last, err := change(func(i int) watchstream.Put { return targetPut(i%200, "DRAINING") })
 	if err != nil {
 		return nil, err
 	}
-	costs = append(costs, bytes, spent, last)
+	costs = append(costs, bytes, cpuMicros, last)
 	if bytes, _, _, err = change(func(i int) watchstream.Put { return layerPut(i + 1) }); err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -50,23 +50,23 @@
 // RunAgent runs the agent described by AgentEnv until standard input ends, and answers each line of input with its agentUsage. It returns false
 // if AgentEnv is not set.
 func RunAgent() (bool, error) {
-	asked := os.Getenv(AgentEnv)
-	if asked == "" {
+	value := os.Getenv(AgentEnv)
+	if value == "" {
 		return false, nil
 	}
 	var opt agentOptions
-	if err := json.Unmarshal([]byte(asked), &opt); err != nil {
+	if err := json.Unmarshal([]byte(value), &opt); err != nil {
 		return true, fmt.Errorf("%s: %w", AgentEnv, err)
 	}
 	var peers agent.Peers
-	at := ""
+	listen := ""
 	for _, p := range opt.Peers {
 		peers = append(peers, config.Peer{ID: p.ID, Raft: p.Raft, API: p.API})
 		if p.ID == opt.ID {
-			at = p.API
+			listen = p.API
 		}
 	}
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return true, err
 	}
@@ -143,7 +143,7 @@
 // start starts the process of one agent: this program with AgentEnv set.
 func (g *agentGroup) start(opt agentOptions, id string) error {
 	opt.ID, opt.Dir = id, filepath.Join(g.dir, id)
-	asked, err := json.Marshal(opt)
+	optionText, err := json.Marshal(opt)
 	if err != nil {
 		return err
 	}
@@ -152,7 +152,7 @@
 		return err
 	}
 	cmd := exec.Command(program)
-	cmd.Env = append(os.Environ(), AgentEnv+"="+string(asked))
+	cmd.Env = append(os.Environ(), AgentEnv+"="+string(optionText))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
--- a/internal/testbed/scale/slope/page.go
+++ b/internal/testbed/scale/slope/page.go
@@ -21,9 +21,9 @@
 	var err error
 	page := tableMarker.ReplaceAllFunc(old, func(b []byte) []byte {
 		name := string(tableMarker.FindSubmatch(b)[1])
-		text, there := tables[name]
+		text, known := tables[name]
 		switch {
-		case !there:
+		case !known:
 			err = fmt.Errorf("%s: unknown table %q", PageFile, name)
 		case seen[name]:
 			err = fmt.Errorf("%s: table %q is a duplicate", PageFile, name)
@@ -185,18 +185,18 @@
 func (t *Table) beforeTable() string {
 	var lines [][]string
 	for _, b := range t.Before {
-		now := t.Lookup(b.Name)
-		var sizes, then, since []string
-		mended := false
+		current := t.Lookup(b.Name)
+		var sizes, before, after []string
+		improved := false
 		for _, p := range b.Measured {
-			if !now.InRange(p.Size) {
+			if !current.InRange(p.Size) {
 				continue
 			}
-			sizes, then, since = append(sizes, formatNumber(p.Size)), append(then, formatAmount(p.Cost, b.Unit)), append(since, formatAmount(now.Cost(p.Size), now.Unit))
-			mended = mended || now.Cost(p.Size) < p.Cost/2
+			sizes, before, after = append(sizes, formatNumber(p.Size)), append(before, formatAmount(p.Cost, b.Unit)), append(after, formatAmount(current.Cost(p.Size), current.Unit))
+			improved = improved || current.Cost(p.Size) < p.Cost/2
 		}
-		if mended {
-			lines = append(lines, []string{b.Name, b.Subject, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(then, "; "), strings.Join(since, "; ")})
+		if improved {
+			lines = append(lines, []string{b.Name, b.Subject, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(before, "; "), strings.Join(after, "; ")})
 		}
 	}
 	return markdownTable([]string{"slope", "of", "at", "before", "now"}, lines)
--- a/internal/testbed/scale/slope/probe.go
+++ b/internal/testbed/scale/slope/probe.go
@@ -85,7 +85,7 @@
 			all[k] = append(all[k], Point{sizes[i], roundDigits(c)})
 		}
 	}
-	lasted := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	var slopes []Slope
 	for i, g := range p.Metrics {
 		l, err := Fit(all[i])
@@ -94,7 +94,7 @@
 		}
 		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Subject: g.Subject, Per: g.Per, Value: roundDigits(l.Coefficient), StdError: roundDigits(l.StdError), Base: roundDigits(l.Base), Power: l.Power,
 			MinSize: l.MinSize, MaxSize: l.MaxSize, PredictionError: roundDigits(l.PredictionError), Residual: roundDigits(l.Residual), Command: "spindlehitch-scale slopes " + p.Metrics[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
-			DurationSeconds: math.Ceil(lasted), Measured: all[i], Exact: g.Exact, Description: p.Description})
+			DurationSeconds: math.Ceil(seconds), Measured: all[i], Exact: g.Exact, Description: p.Description})
 	}
 	return slopes, nil
 }
--- a/internal/testbed/scale/slope/slope.go
+++ b/internal/testbed/scale/slope/slope.go
@@ -48,10 +48,10 @@
 // Cost returns the cost at a size, never below 0. Between two measured sizes it interpolates with the power law through both; outside the measured range it
 // uses the fit, or above that range the largest measured cost if the slope is not significant.
 func (s Slope) Cost(size float64) float64 {
-	i, there := slices.BinarySearchFunc(s.Measured, size, func(p Point, size float64) int { return cmp.Compare(p.Size, size) })
+	i, found := slices.BinarySearchFunc(s.Measured, size, func(p Point, size float64) int { return cmp.Compare(p.Size, size) })
 	fitted := s.Base + s.Value*math.Pow(size, s.Power)
 	switch {
-	case there:
+	case found:
 		return s.Measured[i].Cost
 	case len(s.Measured) == 0:
 		return max(0, fitted)
@@ -91,7 +91,7 @@
 
 // Lookup returns the slope of that name, or a zero Slope, which is not Known, if there is none.
 func (t *Table) Lookup(name string) Slope {
-	if i, there := slices.BinarySearchFunc(t.Slopes, name, compareSlopeName); there {
+	if i, found := slices.BinarySearchFunc(t.Slopes, name, compareSlopeName); found {
 		return t.Slopes[i]
 	}
 	return Slope{}
@@ -112,8 +112,8 @@
 }
 
 func upsert(all []Slope, s Slope) []Slope {
-	i, there := slices.BinarySearchFunc(all, s.Name, compareSlopeName)
-	if there {
+	i, found := slices.BinarySearchFunc(all, s.Name, compareSlopeName)
+	if found {
 		all[i] = s
 		return all
 	}
--- a/internal/testbed/scale/slope/slope_test.go
+++ b/internal/testbed/scale/slope/slope_test.go
@@ -16,9 +16,9 @@
 
 // TestMain also runs the agents of the probes: newAgentGroup starts this test binary again with AgentEnv set.
 func TestMain(m *testing.M) {
-	asked, err := RunAgent()
+	isAgent, err := RunAgent()
 	switch {
-	case !asked:
+	case !isAgent:
 		os.Exit(m.Run())
 	case err != nil:
 		fmt.Fprintln(os.Stderr, err)
@@ -257,21 +257,21 @@
 	}
 	flat.Base, flat.Value = 300, 0.0003
 	tab.Set(flat)
-	now := func(name string, exact bool, cost func(float64) float64) error {
+	checkMade := func(name string, exact bool, cost func(float64) float64) error {
 		s := linearSlope(name, 1, exact, 20, 40, 80, 160)
 		for i := range s.Measured {
 			s.Measured[i].Cost = cost(s.Measured[i].Size)
 		}
 		return tab.CheckSlope(s)
 	}
-	require.NoError(t, now("count", true, func(n float64) float64 { return 130 * n }))
-	require.ErrorContains(t, now("count", true, func(n float64) float64 { return 170 * n }), "count: from a size of 20 to 160 it grows by 23.8 KB, where the table has 14 KB")
-	require.NoError(t, now("time", false, func(n float64) float64 { return 900 * n }), "nine times slower, as on another machine")
-	require.Error(t, now("time", false, func(n float64) float64 { return n * n }))
-	require.NoError(t, now("flat", true, func(n float64) float64 { return 310 }))
-	require.Error(t, now("flat", true, func(n float64) float64 { return 300 + n }), "a flat cost now grows")
-	require.Error(t, now("flat", true, func(n float64) float64 { return 500 }), "still flat, but much higher")
-	require.ErrorContains(t, now("other", true, func(n float64) float64 { return n }), "no such slope in the table")
+	require.NoError(t, checkMade("count", true, func(n float64) float64 { return 130 * n }))
+	require.ErrorContains(t, checkMade("count", true, func(n float64) float64 { return 170 * n }), "count: from a size of 20 to 160 it grows by 23.8 KB, where the table has 14 KB")
+	require.NoError(t, checkMade("time", false, func(n float64) float64 { return 900 * n }), "nine times slower, as on another machine")
+	require.Error(t, checkMade("time", false, func(n float64) float64 { return n * n }))
+	require.NoError(t, checkMade("flat", true, func(n float64) float64 { return 310 }))
+	require.Error(t, checkMade("flat", true, func(n float64) float64 { return 300 + n }), "a flat cost now grows")
+	require.Error(t, checkMade("flat", true, func(n float64) float64 { return 500 }), "still flat, but much higher")
+	require.ErrorContains(t, checkMade("other", true, func(n float64) float64 { return n }), "no such slope in the table")
 }
 
 // TestCheckProbes checks that a slope that seems steeper is measured again, at most as often as allowed, and that noisy metrics are not compared.
