--- a/cmd/spindlehitch-scale/run.go
+++ b/cmd/spindlehitch-scale/run.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				return err
 			}
-			if err := run.Fits(spec, table); err != nil {
+			if err := run.CheckMemory(spec, table); err != nil {
 				return err
 			}
 			self, err := os.Executable()
@@ -54,7 +54,7 @@
 			}
 			r.Cores = runtime.NumCPU()
 			if plots != "" {
-				if err := r.Plots(plots, "scale-"+spec.Name); err != nil {
+				if err := r.WritePlots(plots, "scale-"+spec.Name); err != nil {
 					return err
 				}
 			}
@@ -65,7 +65,7 @@
 					return err
 				}
 				fmt.Fprintln(cmd.ErrOrStderr(), r.Verdict())
-			} else if err := r.Table(cmd.OutOrStdout()); err != nil {
+			} else if err := r.WriteTable(cmd.OutOrStdout()); err != nil {
 				return err
 			}
 			for _, c := range r.Checks {
@@ -95,11 +95,11 @@
 			return fmt.Errorf("%s: %w", args[0], err)
 		}
 		if plots != "" {
-			if err := r.Plots(plots, "scale-"+r.Name); err != nil {
+			if err := r.WritePlots(plots, "scale-"+r.Name); err != nil {
 				return err
 			}
 		}
-		return r.Table(cmd.OutOrStdout())
+		return r.WriteTable(cmd.OutOrStdout())
 	}}
 	cmd.Flags().StringVar(&plots, "plots", "", "draw into this folder")
 	return cmd
@@ -116,6 +116,6 @@
 			<-ctx.Done()
 			os.Stdin.Close()
 		}()
-		return run.Host(ctx, os.Stdin, os.Stdout)
+		return run.ServeHost(ctx, os.Stdin, os.Stdout)
 	}}
 }
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -16,28 +16,28 @@
 )
 
 // writer makes changes at a rate, and keeps a mark of each.
-type writer struct {
-	f      *fleet
-	rng    *rand.Rand
-	mu     sync.Mutex
-	marks  []mark
-	failed int // changes that nobody confirmed
-	made   int
+type changeWriter struct {
+	f       *fleet
+	rng     *rand.Rand
+	mu      sync.Mutex
+	marks   []changeMark
+	failed  int // changes that nobody confirmed
+	changes int
 }
 
-func (f *fleet) newWriter(seed uint64) *writer {
-	return &writer{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, seed))}
+func (f *fleet) newChangeWriter(seed uint64) *changeWriter {
+	return &changeWriter{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, seed))}
 }
 
 // atOnce is how many changes are under way at a time: what is late has those behind it wait then.
-const atOnce = 32
+const maxConcurrentChanges = 32
 
 // run makes changes until so long is over or ctx ends, and returns once all are confirmed or failed.
-func (w *writer) run(ctx context.Context, rate float64, length time.Duration) {
+func (w *changeWriter) run(ctx context.Context, rate float64, length time.Duration) {
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
-	room := make(chan struct{}, atOnce)
+	room := make(chan struct{}, maxConcurrentChanges)
 	for k := 0; ; k++ {
 		at := began.Add(time.Duration((float64(k) + 0.5) / rate * float64(time.Second)))
 		if at.Sub(began) >= length {
@@ -51,31 +51,31 @@
 		if time.Since(began) >= length {
 			return
 		}
-		do := w.next(ctx)
+		do := w.nextChange(ctx)
 		room <- struct{}{}
 		all.Go(func() {
 			defer func() { <-room }()
-			w.note(ctx, do)
+			w.record(ctx, do)
 		})
 	}
 }
 
 // next decides on a change, by turns of a target (a drain, a return, or a change of primary) and of configuration, and returns what makes it.
-func (w *writer) next(ctx context.Context) func() (mark, error) {
-	if w.made++; w.made%2 == 1 {
-		e, primary := w.choose()
-		return func() (mark, error) { return w.target(ctx, e, primary) }
+func (w *changeWriter) nextChange(ctx context.Context) func() (changeMark, error) {
+	if w.changes++; w.changes%2 == 1 {
+		e, primary := w.chooseTargets()
+		return func() (changeMark, error) { return w.changeTargets(ctx, e, primary) }
 	}
-	if !w.f.byFeed() {
-		turn := w.made
-		return func() (mark, error) { return w.each(ctx, turn) }
+	if !w.f.usesFeed() {
+		turn := w.changes
+		return func() (changeMark, error) { return w.changeEachConfig(ctx, turn) }
 	}
-	layer := w.layer(false)
-	return func() (mark, error) { return layer(ctx) }
+	layer := w.layerChange(false)
+	return func() (changeMark, error) { return layer(ctx) }
 }
 
 // note keeps what came of a change.
-func (w *writer) note(ctx context.Context, do func() (mark, error)) {
+func (w *changeWriter) record(ctx context.Context, do func() (changeMark, error)) {
 	m, err := do()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -88,58 +88,58 @@
 }
 
 // one makes a single change of a target.
-func (w *writer) one(ctx context.Context) (mark, error) {
-	e, primary := w.choose()
-	return w.target(ctx, e, primary)
+func (w *changeWriter) changeOneTarget(ctx context.Context) (changeMark, error) {
+	e, primary := w.chooseTargets()
+	return w.changeTargets(ctx, e, primary)
 }
 
 // choose takes a target to drain or to have back; every fourth time one takes another's place: a change of primary. Of one target only one
 // change is under way at a time, or the older could come into force after the newer.
-func (w *writer) choose() (e []listing.Entry, primary bool) {
+func (w *changeWriter) chooseTargets() (e []listing.Entry, primary bool) {
 	f := w.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	free := func(i int) (int, bool) {
 		for range f.entries {
-			if i = f.drains(i % len(f.entries)); !f.busy[i] {
+			if i = f.drainable(i % len(f.entries)); !f.changing[i] {
 				return i, true
 			}
 			i += 2
 		}
 		return 0, false
 	}
-	if primary = w.made%8 == 1; primary {
+	if primary = w.changes%8 == 1; primary {
 		if i, some := free(w.rng.IntN(len(f.entries))); some {
-			e = append(e, f.turn(i))
+			e = append(e, f.toggleTarget(i))
 		}
 	}
 	if i, some := free(w.rng.IntN(len(f.entries))); some {
-		e = append(e, f.turn(i))
+		e = append(e, f.toggleTarget(i))
 	}
 	return e, primary && len(e) == 2
 }
 
 // target makes a change of targets.
-func (w *writer) target(ctx context.Context, e []listing.Entry, primary bool) (mark, error) {
+func (w *changeWriter) changeTargets(ctx context.Context, e []listing.Entry, primary bool) (changeMark, error) {
 	f := w.f
 	if len(e) == 0 {
-		return mark{}, errAllBusy
+		return changeMark{}, errAllChanging
 	}
 	at := monotone.Now()
-	version, err := f.put(ctx, e)
+	version, err := f.publish(ctx, e)
 	f.mu.Lock()
 	for _, e := range e {
-		delete(f.busy, number(e.ID))
+		delete(f.changing, targetIndex(e.ID))
 	}
 	f.mu.Unlock()
 	for _, e := range e {
-		f.targets.tell(e.ID, e.State)
+		f.targets.setState(e.ID, e.State)
 	}
-	return mark{Lane: hollow.Targets, Version: version, At: at, Primary: primary}, err
+	return changeMark{Lane: hollow.Targets, Version: version, At: at, Primary: primary}, err
 }
 
 // number is the number of a target.
-func number(id string) (i int) {
+func targetIndex(id string) (i int) {
 	if _, err := fmt.Sscanf(id, "t%d", &i); err != nil {
 		return -1
 	}
@@ -148,7 +148,7 @@
 
 // drains is the target whose state is changed in place of one that has to stay: of those that answer each second one does, so that its shard, which
 // it has in common with the one before, is always served.
-func (f *fleet) drains(i int) int {
+func (f *fleet) drainable(i int) int {
 	if i < len(f.targets.addrs) {
 		return i &^ 1
 	}
@@ -156,11 +156,11 @@
 }
 
 // turn changes a target's state, which is under way from then on. Its caller holds mu.
-func (f *fleet) turn(i int) listing.Entry {
+func (f *fleet) toggleTarget(i int) listing.Entry {
 	e := &f.entries[i]
-	f.turns[i]++
-	f.busy[i] = true
-	if e.StartedMs = f.turns[i]; e.State == "SERVING" {
+	f.stateChanges[i]++
+	f.changing[i] = true
+	if e.StartedMs = f.stateChanges[i]; e.State == "SERVING" {
 		e.State = "DRAINING"
 	} else {
 		e.State = "SERVING"
@@ -169,45 +169,45 @@
 }
 
 // tell has the judge know a target's state.
-func (a *answering) tell(id, state string) {
-	i := number(id)
+func (a *targetServers) setState(id, state string) {
+	i := targetIndex(id)
 	switch {
-	case i < 0 || i >= len(a.drained):
+	case i < 0 || i >= len(a.drainedSince):
 	case state == "SERVING":
-		a.drained[i].Store(0)
+		a.drainedSince[i].Store(0)
 	default:
-		a.drained[i].Store(time.Now().UnixMilli())
+		a.drainedSince[i].Store(time.Now().UnixMilli())
 	}
 }
 
 // putsAtOnce is how many configurations are written at a time.
-const putsAtOnce = 16
+const maxConcurrentPuts = 16
 
 // config changes the configuration of all.
-func (w *writer) config(ctx context.Context) (mark, error) {
-	if w.f.byFeed() {
-		return w.layer(true)(ctx)
+func (w *changeWriter) changeConfig(ctx context.Context) (changeMark, error) {
+	if w.f.usesFeed() {
+		return w.layerChange(true)(ctx)
 	}
-	return w.each(ctx, w.made)
+	return w.changeEachConfig(ctx, w.changes)
 }
 
 // each changes the configuration of all where each has one of its own: a change for each.
-func (w *writer) each(ctx context.Context, turn int) (mark, error) {
+func (w *changeWriter) changeEachConfig(ctx context.Context, turn int) (changeMark, error) {
 	f := w.f
-	m := mark{Lane: hollow.Config, At: monotone.Now(), By: map[string]uint64{}}
+	m := changeMark{Lane: hollow.Config, At: monotone.Now(), VersionByName: map[string]uint64{}}
 	var mu sync.Mutex
 	var failed error
 	var all sync.WaitGroup
-	room := make(chan struct{}, putsAtOnce)
-	for i := range f.hollow {
+	room := make(chan struct{}, maxConcurrentPuts)
+	for i := range f.hollowCount {
 		room <- struct{}{}
 		all.Go(func() {
 			defer func() { <-room }()
-			name := nameOf(i)
+			name := hollowName(i)
 			e, err := f.client.PutConfig(ctx, name, f.configOf(name, turn), "")
 			mu.Lock()
 			defer mu.Unlock()
-			if m.By[name] = e.Version; err != nil {
+			if m.VersionByName[name] = e.Version; err != nil {
 				failed = err
 			}
 		})
@@ -218,23 +218,23 @@
 
 // configOf is a configuration as an initiator has it.
 func (f *fleet) configOf(name string, turn int) []byte {
-	return fmt.Appendf(nil, `{"name":%q,"listen":"127.0.0.1:9","discovery":%q,"limits":{"sockets":%d},"settings":%s}`, name, f.service.addr, 1024+turn%1024,
-		fmt.Sprintf(settings, f.spec.all()))
+	return fmt.Appendf(nil, `{"name":%q,"listen":"127.0.0.1:9","discovery":%q,"limits":{"sockets":%d},"settings":%s}`, name, f.discovery.addr, 1024+turn%1024,
+		fmt.Sprintf(settingsTemplate, f.spec.maxInitiators()))
 }
 
 // errAllBusy says that changes of all targets are under way.
-var errAllBusy = errors.New("changes of all targets are under way")
+var errAllChanging = errors.New("changes of all targets are under way")
 
 // errNobody says that there is nobody to be measured.
-var errNobody = errors.New("no hollow initiators")
+var errNoInitiators = errors.New("no hollow initiators")
 
 // waits waits until all have the marks, and tells how long that took and who had not when the time was over.
-func (f *fleet) reached(marks []mark, within time.Duration) (took time.Duration, s state, err error) {
+func (f *fleet) awaitMarks(marks []changeMark, within time.Duration) (took time.Duration, s hostState, err error) {
 	if len(marks) == 0 {
 		return 0, s, nil
 	}
 	// The last of each lane says it of those before. By the feed all come to the same version, also those that a change says nothing to.
-	newest := map[hollow.Lane]mark{}
+	newest := map[hollow.Lane]changeMark{}
 	for _, m := range marks {
 		m.Region, m.Zone, m.Name = "", "", ""
 		if m.Version >= newest[m.Lane].Version {
@@ -244,16 +244,16 @@
 	asked := slices.Collect(maps.Values(newest))
 	began := time.Now()
 	for {
-		if s, err = f.each(order{Do: "state", Marks: asked}); err != nil {
+		if s, err = f.broadcast(hostOrder{Action: "state", Marks: asked}); err != nil {
 			return 0, s, err
 		}
-		if !s.lacks(f.hollow) {
+		if !s.incomplete(f.hollowCount) {
 			return time.Since(began), s, nil
 		}
 		if took = time.Since(began); took > within {
 			return took, s, nil
 		}
-		if !f.pause(100 * time.Millisecond) {
+		if !f.sleep(100 * time.Millisecond) {
 			return 0, s, f.ctx.Err()
 		}
 	}
--- a/internal/testbed/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -20,7 +20,7 @@
 const fleetName = "scale"
 
 // byFeed tells whether the feed carries changes.
-func (f *fleet) byFeed() bool { return f.spec.Mechanism == "feed" }
+func (f *fleet) usesFeed() bool { return f.spec.Mechanism == "feed" }
 
 // startAgents starts them and waits for a leader.
 func (f *fleet) startAgents() error {
@@ -28,13 +28,13 @@
 	if err != nil {
 		return err
 	}
-	f.apis = addrs[:f.spec.Agents]
-	for i := range f.apis {
+	f.agentAddrs = addrs[:f.spec.Agents]
+	for i := range f.agentAddrs {
 		var b strings.Builder
 		dir := filepath.Join(f.dir, fmt.Sprint("agent-", i, ".data"))
-		f.dirs = append(f.dirs, dir)
+		f.agentDirs = append(f.agentDirs, dir)
 		fmt.Fprintf(&b, "[agent]\nid = \"agent-%d\"\ndir = %q\n", i, dir)
-		for j := range f.apis {
+		for j := range f.agentAddrs {
 			fmt.Fprintf(&b, "[[agent.peer]]\nid = \"agent-%d\"\nraft = %q\napi = %q\n", j, addrs[f.spec.Agents+j], addrs[j])
 		}
 		path := filepath.Join(f.dir, fmt.Sprintf("agent-%d.toml", i))
@@ -47,14 +47,14 @@
 			return err
 		}
 	}
-	f.client = &agent.Client{Addrs: f.apis}
-	_, err = f.leader()
+	f.client = &agent.Client{Addrs: f.agentAddrs}
+	_, err = f.awaitLeader()
 	return err
 }
 
 // leader waits until an agent leads, and tells which.
-func (f *fleet) leader() (leader int, err error) {
-	err = f.until("a leader of the agents", long, func() bool {
+func (f *fleet) awaitLeader() (leader int, err error) {
+	err = f.waitUntil("a leader of the agents", setupTimeout, func() bool {
 		for i, s := range f.client.Status(f.ctx) {
 			if s.State == "Leader" {
 				leader = i
@@ -73,16 +73,16 @@
 		return err
 	}
 	for i, listen := range addrs {
-		at := relayAt{ID: fmt.Sprint("relay-", i), Region: f.region(i).Name, Addr: listen}
+		at := relayAddr{ID: fmt.Sprint("relay-", i), Region: f.region(i).Name, Addr: listen}
 		var agents []string
-		for k, a := range f.apis {
-			way, err := f.way(at.Region, fmt.Sprint("agent-", k), a)
+		for k, a := range f.agentAddrs {
+			way, err := f.newLink(at.Region, fmt.Sprint("agent-", k), a)
 			if err != nil {
 				return err
 			}
 			agents = append(agents, fmt.Sprintf("%q", way))
 		}
-		f.toAgents = append(f.toAgents, slices.Clone(f.links[at.Region][len(f.links[at.Region])-len(f.apis):]))
+		f.agentLinks = append(f.agentLinks, slices.Clone(f.links[at.Region][len(f.links[at.Region])-len(f.agentAddrs):]))
 		text := fmt.Sprintf("[relay]\nid = %q\nfleet = %q\nregion = %q\nlisten = %q\nagents = [%s]\ndir = %q\n", at.ID, fleetName, at.Region, listen,
 			strings.Join(agents, ", "), filepath.Join(f.dir, at.ID+".data"))
 		path := filepath.Join(f.dir, at.ID+".toml")
@@ -90,13 +90,13 @@
 			return err
 		}
 		p := &proc{name: at.ID, path: f.opt.Program, args: []string{"relay", "--operator", path}, dir: f.dir}
-		f.relays, f.relayAt = append(f.relays, p), append(f.relayAt, at)
+		f.relays, f.relayAddrs = append(f.relays, p), append(f.relayAddrs, at)
 		if err := p.start(false); err != nil {
 			return err
 		}
 	}
-	for i, at := range f.relayAt {
-		if err := f.until(f.relays[i].name+" answers", long, func() bool { return answers("http://" + at.Addr + "/v1/feed") }); err != nil {
+	for i, at := range f.relayAddrs {
+		if err := f.waitUntil(f.relays[i].name+" answers", setupTimeout, func() bool { return respondsOK("http://" + at.Addr + "/v1/feed") }); err != nil {
 			return err
 		}
 	}
@@ -104,10 +104,10 @@
 }
 
 // relaysFrom is the relays as a region meets them: its own at their addresses, the others by links of that region.
-func (f *fleet) relaysFrom(region string) (all []relayAt, err error) {
-	for _, at := range f.relayAt {
+func (f *fleet) relaysSeenFrom(region string) (all []relayAddr, err error) {
+	for _, at := range f.relayAddrs {
 		if at.Region != region {
-			if at.Addr, err = f.way(region, at.ID, at.Addr); err != nil {
+			if at.Addr, err = f.newLink(region, at.ID, at.Addr); err != nil {
 				return nil, err
 			}
 		}
@@ -117,16 +117,16 @@
 }
 
 // putsOf is how many targets go in one change where many come: a change goes to a reader in one piece.
-const putsOf = 50
+const putsPerChange = 50
 
 // put has targets changed, and tells the version with which all of it is.
-func (f *fleet) put(ctx context.Context, e []listing.Entry) (version uint64, err error) {
-	if !f.byFeed() {
-		version, _ = f.service.change(e...)
+func (f *fleet) publish(ctx context.Context, e []listing.Entry) (version uint64, err error) {
+	if !f.usesFeed() {
+		version, _ = f.discovery.publish(e...)
 		return version, nil
 	}
 	for len(e) > 0 {
-		some := e[:min(putsOf, len(e))]
+		some := e[:min(putsPerChange, len(e))]
 		e = e[len(some):]
 		c := watchstream.Change{Fleet: fleetName}
 		for _, x := range some {
@@ -144,12 +144,12 @@
 }
 
 // layer decides on a layer of the configuration and returns what changes it: one change, whatever it reaches.
-func (w *writer) layer(shared bool) func(context.Context) (mark, error) {
+func (w *changeWriter) layerChange(shared bool) func(context.Context) (changeMark, error) {
 	f := w.f
-	m := mark{Lane: hollow.Config}
+	m := changeMark{Lane: hollow.Config}
 	key := "shared"
 	if !shared {
-		i := w.rng.IntN(max(1, f.hollow))
+		i := w.rng.IntN(max(1, f.hollowCount))
 		switch w.rng.IntN(4) {
 		case 0:
 			m.Region = f.region(i).Name
@@ -158,12 +158,12 @@
 			m.Zone = f.zone(i)
 			key = "zone/" + m.Zone
 		case 2:
-			m.Name = nameOf(i)
+			m.Name = hollowName(i)
 			key = "instance/" + m.Name
 		}
 	}
-	value := fmt.Appendf(nil, `{"limits":{"sockets":%d}}`, 1024+w.made%1024)
-	return func(ctx context.Context) (_ mark, err error) {
+	value := fmt.Appendf(nil, `{"limits":{"sockets":%d}}`, 1024+w.changes%1024)
+	return func(ctx context.Context) (_ changeMark, err error) {
 		m.At = monotone.Now()
 		m.Version, err = f.client.PutChange(ctx, watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{{Kind: watchstream.Config, Key: key, Value: value}}})
 		return m, err
@@ -171,4 +171,4 @@
 }
 
 // nameOf is the name of the hollow initiator of a number.
-func nameOf(i int) string { return fmt.Sprintf("h%04d", i) }
+func hollowName(i int) string { return fmt.Sprintf("h%04d", i) }
--- a/internal/testbed/scale/run/load.go
+++ b/internal/testbed/scale/run/load.go
@@ -13,19 +13,19 @@
 
 const contSignal = syscall.SIGCONT
 
-func rawText(s string) json.RawMessage { return json.RawMessage(s) }
+func rawJSON(s string) json.RawMessage { return json.RawMessage(s) }
 
 // load is a light one on the real initiators.
 type load struct {
-	cancel context.CancelFunc
-	all    sync.WaitGroup
-	asked  atomic.Int64
-	served atomic.Int64
-	other  atomic.Int64
+	cancel   context.CancelFunc
+	all      sync.WaitGroup
+	requests atomic.Int64
+	served   atomic.Int64
+	failed   atomic.Int64
 }
 
 // loadEvery is the time between two requests at an initiator.
-const loadEvery = 100 * time.Millisecond
+const loadInterval = 100 * time.Millisecond
 
 // start has each initiator asked for each of so many shards in turn.
 func (l *load) start(ends []string, shards int) {
@@ -38,7 +38,7 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-time.After(loadEvery):
+				case <-time.After(loadInterval):
 				}
 				req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+"/position-read/7f3a9c21e0b4d655", nil)
 				if err != nil {
@@ -48,11 +48,11 @@
 				req.Header.Set("Tier", "base")
 				req.Header.Set("Request-Timeout-Ms", "8000")
 				req.Header.Set("IO-Info", fmt.Sprintf("volume=%016x,units=1,shard=%d,hosts=1", i%shards, i%shards))
-				l.asked.Add(1)
+				l.requests.Add(1)
 				resp, err := c.Do(req)
 				if err != nil {
 					if ctx.Err() == nil {
-						l.other.Add(1)
+						l.failed.Add(1)
 					}
 					continue
 				}
@@ -60,7 +60,7 @@
 				if resp.StatusCode == http.StatusOK {
 					l.served.Add(1)
 				} else {
-					l.other.Add(1)
+					l.failed.Add(1)
 				}
 			}
 		})
--- a/internal/testbed/scale/run/measure.go
+++ b/internal/testbed/scale/run/measure.go
@@ -13,7 +13,7 @@
 
 // Row is what was measured at one size, or under one fault.
 type Row struct {
-	Of         string  `json:"of"` // initiators, targets, changes, agreement, or the fault
+	Series     string  `json:"of"` // initiators, targets, changes, agreement, or the fault
 	Initiators int     `json:"initiators"`
 	Targets    int     `json:"targets"`
 	Rate       float64 `json:"changes_s"` // asked for
@@ -21,45 +21,45 @@
 	Changes    int     `json:"changes"` // confirmed
 	Failed     int     `json:"changes_failed"`
 	// In force, from the moment in which the change was asked for.
-	Half        float64 `json:"half_ms"`
-	Most        float64 `json:"ninety_nine_ms"`
-	Last        float64 `json:"last_ms"`
-	Who         string  `json:"last_who"`
-	Primary     float64 `json:"primary_last_ms"`
-	LastTargets float64 `json:"targets_last_ms"`
-	LastConfig  float64 `json:"config_last_ms"`
-	Missing     int     `json:"missing"`   // initiators times changes that were not in force when the wait was over
-	Settled     float64 `json:"settled_s"` // after the last change, or the fault's end, until all had the newest; -1: they had not
-	Lags        string  `json:"lags,omitempty"`
+	Median        float64 `json:"half_ms"`
+	P99           float64 `json:"ninety_nine_ms"`
+	Last          float64 `json:"last_ms"`
+	LastInitiator string  `json:"last_who"`
+	LastPrimary   float64 `json:"primary_last_ms"`
+	LastTargets   float64 `json:"targets_last_ms"`
+	LastConfig    float64 `json:"config_last_ms"`
+	Missing       int     `json:"missing"`   // initiators times changes that were not in force when the wait was over
+	Settled       float64 `json:"settled_s"` // after the last change, or the fault's end, until all had the newest; -1: they had not
+	Behind        string  `json:"lags,omitempty"`
 	// For each hollow initiator.
-	Kinds    map[kind]Each `json:"kinds,omitempty"`
-	CoreIdle float64       `json:"core_off"` // switched off, part of a core
-	In       float64       `json:"in_b_s"`
-	Out      float64       `json:"out_b_s"`
-	Moves    uint64        `json:"moves"` // to other relays, of all
+	Kinds      map[hostKind]InitiatorUsage `json:"kinds,omitempty"`
+	CoreIdle   float64                     `json:"core_off"` // switched off, part of a core
+	In         float64                     `json:"in_b_s"`
+	Out        float64                     `json:"out_b_s"`
+	RelayMoves uint64                      `json:"moves"` // to other relays, of all
 	// Of control.
-	Leader   Role    `json:"leader"`
-	Follower Role    `json:"follower"`     // the dearest
-	Relay    Role    `json:"relay"`        // the dearest
-	LogBytes float64 `json:"log_b_change"` // growth of an agent's folder for each change
+	Leader   ProcessUsage `json:"leader"`
+	Follower ProcessUsage `json:"follower"`     // the dearest
+	Relay    ProcessUsage `json:"relay"`        // the dearest
+	LogBytes float64      `json:"log_b_change"` // growth of an agent's folder for each change
 }
 
 // Each is what each hollow initiator of a kind takes.
-type Each struct {
+type InitiatorUsage struct {
 	Number int     `json:"number"`
 	Core   float64 `json:"core"` // part of one, beyond what it takes switched off
 	Memory float64 `json:"memory_b"`
 }
 
 // dearest is the most that an initiator of any kind takes, and usual what one takes of the kind that most are of.
-func (r *Row) dearest() (e Each) {
+func (r *Row) maxUsage() (e InitiatorUsage) {
 	for _, k := range r.Kinds {
 		e.Core, e.Memory = max(e.Core, k.Core), max(e.Memory, k.Memory)
 	}
 	return e
 }
 
-func (r *Row) usual() (e Each) {
+func (r *Row) typicalUsage() (e InitiatorUsage) {
 	for _, k := range r.Kinds {
 		if k.Number > e.Number {
 			e = k
@@ -69,7 +69,7 @@
 }
 
 // Role is what a process of control has taken.
-type Role struct {
+type ProcessUsage struct {
 	Core   float64 `json:"core"`
 	Memory int64   `json:"memory_b"`
 	In     float64 `json:"in_b_s"`
@@ -78,63 +78,63 @@
 }
 
 // snapshot is what all processes have used so far.
-type snapshot struct {
-	at      time.Time
-	hosts   []use
-	agents  []use
-	relays  []use
-	moves   uint64
-	in, out int64 // of hollow initiators
-	folder  int64
+type usageSnapshot struct {
+	at         time.Time
+	hosts      []procStats
+	agents     []procStats
+	relays     []procStats
+	relayMoves uint64
+	in, out    int64 // of hollow initiators
+	logDir     int64
 }
 
-func (f *fleet) snapshot() (s snapshot, err error) {
-	st, err := f.each(order{Do: "state"})
-	s.at, s.in, s.out, s.moves = time.Now(), st.In, st.Out, st.Moves
-	s.in, s.out = s.in+f.service.bytes.out.Load(), s.out+f.service.bytes.in.Load()
+func (f *fleet) takeSnapshot() (s usageSnapshot, err error) {
+	st, err := f.broadcast(hostOrder{Action: "state"})
+	s.at, s.in, s.out, s.relayMoves = time.Now(), st.In, st.Out, st.RelayMoves
+	s.in, s.out = s.in+f.discovery.traffic.out.Load(), s.out+f.discovery.traffic.in.Load()
 	for _, g := range []struct {
 		p    []*proc
-		into *[]use
+		into *[]procStats
 	}{{f.hosts, &s.hosts}, {f.agents, &s.agents}, {f.relays, &s.relays}} {
 		for _, p := range g.p {
-			*g.into = append(*g.into, p.used())
+			*g.into = append(*g.into, p.stats())
 		}
 	}
-	for _, dir := range f.dirs {
-		s.folder = max(s.folder, folderSize(dir))
+	for _, dir := range f.agentDirs {
+		s.logDir = max(s.logDir, dirSize(dir))
 	}
 	return s, err
 }
 
 // role is what a process took between two snapshots.
-func role(a, b use, seconds float64) Role {
+func usageBetween(a, b procStats, seconds float64) ProcessUsage {
 	if b.CPU < a.CPU || b.In < a.In { // started again meanwhile
-		a = use{}
+		a = procStats{}
 	}
-	return Role{Core: (b.CPU - a.CPU).Seconds() / seconds, Memory: b.RSS, In: float64(b.In-a.In) / seconds, Out: float64(b.Out-a.Out) / seconds, FDs: b.FDs}
+	return ProcessUsage{Core: (b.CPU - a.CPU).Seconds() / seconds, Memory: b.RSS, In: float64(b.In-a.In) / seconds, Out: float64(b.Out-a.Out) / seconds, FDs: b.FDs}
 }
 
-func (r *Role) most(o Role) {
+func (r *ProcessUsage) raise(o ProcessUsage) {
 	r.Core, r.Memory, r.In, r.Out, r.FDs = max(r.Core, o.Core), max(r.Memory, o.Memory), max(r.In, o.In), max(r.Out, o.Out), max(r.FDs, o.FDs)
 }
 
 // between fills in what all took between two snapshots.
-func (f *fleet) between(a, b snapshot, r *Row) {
+func (f *fleet) fillUsage(a, b usageSnapshot, r *Row) {
 	r.Seconds = b.at.Sub(a.at).Seconds()
-	r.Kinds = map[kind]Each{}
+	r.Kinds = map[hostKind]InitiatorUsage{}
 	for i := range b.hosts {
-		x := role(a.hosts[i], b.hosts[i], r.Seconds)
-		e := r.Kinds[f.kinds[i]]
-		e.Number, e.Core, e.Memory = e.Number+f.counts[i], e.Core+x.Core, e.Memory+float64(x.Memory)
-		r.Kinds[f.kinds[i]] = e
+		x := usageBetween(a.hosts[i], b.hosts[i], r.Seconds)
+		e := r.Kinds[f.hostKinds[i]]
+		e.Number, e.Core, e.Memory = e.Number+f.hostSizes[i], e.Core+x.Core, e.Memory+float64(x.Memory)
+		r.Kinds[f.hostKinds[i]] = e
 	}
 	for k, e := range r.Kinds {
 		e.Core, e.Memory = e.Core/float64(e.Number)-r.CoreIdle, e.Memory/float64(e.Number)
 		r.Kinds[k] = e
 	}
-	n := float64(max(1, f.hollow))
+	n := float64(max(1, f.hollowCount))
 	r.In, r.Out = float64(b.in-a.in)/r.Seconds/n, float64(b.out-a.out)/r.Seconds/n
-	r.Moves = b.moves - a.moves
+	r.RelayMoves = b.relayMoves - a.relayMoves
 	leader := -1
 	for i, s := range f.client.Status(f.ctx) {
 		if s.State == "Leader" {
@@ -142,66 +142,66 @@
 		}
 	}
 	for i := range b.agents {
-		x := role(a.agents[i], b.agents[i], r.Seconds)
+		x := usageBetween(a.agents[i], b.agents[i], r.Seconds)
 		if i == leader {
 			r.Leader = x
 		} else {
-			r.Follower.most(x)
+			r.Follower.raise(x)
 		}
 	}
 	for i := range b.relays {
-		r.Relay.most(role(a.relays[i], b.relays[i], r.Seconds))
+		r.Relay.raise(usageBetween(a.relays[i], b.relays[i], r.Seconds))
 	}
-	r.LogBytes = float64(b.folder-a.folder) / max(1, float64(r.Changes))
+	r.LogBytes = float64(b.logDir-a.logDir) / max(1, float64(r.Changes))
 }
 
 // settle is how long is waited for all to have what was changed.
-const settle = 60 * time.Second
+const settleTimeout = 60 * time.Second
 
 // idle is how long the initiators are measured switched off.
-const idle = 2 * time.Second
+const idlePeriod = 2 * time.Second
 
 // measure makes changes at a rate for a while, and tells what came of it. CoreIdle is of the same initiators, switched off.
-func (f *fleet) measure(of string, rate, coreIdle float64) (Row, error) {
-	r := Row{Of: of, Initiators: f.hollow, Targets: len(f.entries), Rate: rate, CoreIdle: coreIdle}
-	w := f.newWriter(uint64(len(of)) + uint64(f.hollow))
-	a, err := f.snapshot()
+func (f *fleet) measureRow(of string, rate, coreIdle float64) (Row, error) {
+	r := Row{Series: of, Initiators: f.hollowCount, Targets: len(f.entries), Rate: rate, CoreIdle: coreIdle}
+	w := f.newChangeWriter(uint64(len(of)) + uint64(f.hollowCount))
+	a, err := f.takeSnapshot()
 	if err != nil {
 		return r, err
 	}
-	w.run(f.ctx, rate, time.Duration(f.spec.ForS*float64(time.Second)))
-	b, err := f.snapshot()
+	w.run(f.ctx, rate, time.Duration(f.spec.DurationS*float64(time.Second)))
+	b, err := f.takeSnapshot()
 	if err != nil {
 		return r, err
 	}
 	r.Changes, r.Failed = len(w.marks), w.failed
-	f.between(a, b, &r)
-	return r, f.finish(&r, w.marks)
+	f.fillUsage(a, b, &r)
+	return r, f.awaitAndFill(&r, w.marks)
 }
 
 // finish waits until all have the marks and tells when they had them.
-func (f *fleet) finish(r *Row, marks []mark) error {
-	took, s, err := f.reached(marks, settle)
+func (f *fleet) awaitAndFill(r *Row, marks []changeMark) error {
+	took, s, err := f.awaitMarks(marks, settleTimeout)
 	if err != nil {
 		return err
 	}
-	if r.Settled = took.Seconds(); s.lacks(f.hollow) {
-		r.Settled, r.Lags = -1, strings.Join(s.Lags[:min(3, len(s.Lags))], " ")
+	if r.Settled = took.Seconds(); s.incomplete(f.hollowCount) {
+		r.Settled, r.Behind = -1, strings.Join(s.Behind[:min(3, len(s.Behind))], " ")
 	}
-	if s, err = f.each(order{Do: "collect", Marks: marks}); err != nil {
+	if s, err = f.broadcast(hostOrder{Action: "collect", Marks: marks}); err != nil {
 		return err
 	}
 	r.Missing = s.Missing
-	r.quantiles(s)
-	f.say("%s: %s", r.Of, r.line())
+	r.fillQuantiles(s)
+	f.logf("%s: %s", r.Series, r.summary())
 	return nil
 }
 
 // quantiles are those of all pairs of a change and an initiator.
-func (r *Row) quantiles(s state) {
+func (r *Row) fillQuantiles(s hostState) {
 	at := map[int]int{}
 	var all int
-	for k, n := range s.Done {
+	for k, n := range s.Latencies {
 		_, ms, _ := strings.Cut(k, " ")
 		i, _ := strconv.Atoi(ms)
 		at[i] += n
@@ -213,20 +213,20 @@
 		keys = append(keys, ms)
 	}
 	slices.Sort(keys)
-	r.Half, r.Most, r.Last, r.Who, r.LastTargets, r.LastConfig, r.Primary = -1, -1, 0, "", 0, 0, 0
+	r.Median, r.P99, r.Last, r.LastInitiator, r.LastTargets, r.LastConfig, r.LastPrimary = -1, -1, 0, "", 0, 0, 0
 	n := 0
 	for _, ms := range keys {
 		n += at[ms]
-		if r.Half < 0 && n*2 >= all {
-			r.Half = float64(ms)
+		if r.Median < 0 && n*2 >= all {
+			r.Median = float64(ms)
 		}
-		if r.Most < 0 && n*100 >= all*99 {
-			r.Most = float64(ms)
+		if r.P99 < 0 && n*100 >= all*99 {
+			r.P99 = float64(ms)
 		}
 	}
 	for _, l := range s.Last {
 		if l.Ms > r.Last {
-			r.Last, r.Who = l.Ms, l.Who
+			r.Last, r.LastInitiator = l.Ms, l.Initiator
 		}
 		if l.Lane == hollow.Targets {
 			r.LastTargets = max(r.LastTargets, l.Ms)
@@ -234,18 +234,18 @@
 			r.LastConfig = max(r.LastConfig, l.Ms)
 		}
 		if l.Primary {
-			r.Primary = max(r.Primary, l.Ms)
+			r.LastPrimary = max(r.LastPrimary, l.Ms)
 		}
 	}
 }
 
-func (r *Row) line() string {
+func (r *Row) summary() string {
 	return fmt.Sprintf("%d initiators, %d targets, %.3g changes/s: %d in force at half %.0f, 99%% %.0f, last %.0f ms (%s; targets %.0f, configuration %.0f), %d missing; each %s, %.2f+%.2f KB/s; leader %.2f, relay %.2f core",
-		r.Initiators, r.Targets, r.Rate, r.Changes, r.Half, r.Most, r.Last, r.Who, r.LastTargets, r.LastConfig, r.Missing, r.kinds(), r.In/1e3, r.Out/1e3, r.Leader.Core, r.Relay.Core)
+		r.Initiators, r.Targets, r.Rate, r.Changes, r.Median, r.P99, r.Last, r.LastInitiator, r.LastTargets, r.LastConfig, r.Missing, r.kindSummary(), r.In/1e3, r.Out/1e3, r.Leader.Core, r.Relay.Core)
 }
 
 // kinds tells what each takes, by kind.
-func (r *Row) kinds() string {
+func (r *Row) kindSummary() string {
 	var all []string
 	for _, k := range slices.Sorted(maps.Keys(r.Kinds)) {
 		all = append(all, fmt.Sprintf("%s %.3f%% core %.1f MB", k, 100*r.Kinds[k].Core, r.Kinds[k].Memory/1e6))
@@ -254,26 +254,26 @@
 }
 
 // off measures hosts from one on, whose initiators are all switched off: what their processes take anyway, as a part of a core for each.
-func (f *fleet) off(from int) (float64, error) {
+func (f *fleet) measureIdle(from int) (float64, error) {
 	n := 0
-	for _, some := range f.counts[from:] {
+	for _, some := range f.hostSizes[from:] {
 		n += some
 	}
 	if n == 0 {
-		return 0, errNobody
+		return 0, errNoInitiators
 	}
 	for _, p := range f.hosts[from:] {
-		if err := p.tell(order{Do: "gc"}, nil); err != nil {
+		if err := p.call(hostOrder{Action: "gc"}, nil); err != nil {
 			return 0, err
 		}
 	}
 	used := func() (cpu time.Duration) {
 		for _, p := range f.hosts[from:] {
-			cpu += p.used().CPU
+			cpu += p.stats().CPU
 		}
 		return cpu
 	}
 	before, began := used(), time.Now()
-	f.pause(idle)
+	f.sleep(idlePeriod)
 	return (used() - before).Seconds() / time.Since(began).Seconds() / float64(n), nil
 }
--- a/internal/testbed/scale/run/proc.go
+++ b/internal/testbed/scale/run/proc.go
@@ -18,16 +18,16 @@
 
 // proc is one process of a run. It ends with the run, also where the run is killed.
 type proc struct {
-	name  string
-	path  string
-	args  []string
-	env   []string
-	dir   string
-	cmd   *exec.Cmd
-	in    io.WriteCloser // of a host
-	out   *bufio.Reader
-	talk  sync.Mutex
-	ended chan struct{}
+	name   string
+	path   string
+	args   []string
+	env    []string
+	dir    string
+	cmd    *exec.Cmd
+	in     io.WriteCloser // of a host
+	out    *bufio.Reader
+	callMu sync.Mutex
+	ended  chan struct{}
 }
 
 // spawn starts commands from a thread that lives as long as this process: children are told to die with the thread that started them.
@@ -116,9 +116,9 @@
 }
 
 // tell has a host do something and reads its answer.
-func (p *proc) tell(order, answer any) error {
-	p.talk.Lock()
-	defer p.talk.Unlock()
+func (p *proc) call(order, answer any) error {
+	p.callMu.Lock()
+	defer p.callMu.Unlock()
 	text, err := format.Marshal(order)
 	if err == nil {
 		_, err = p.in.Write(append(text, '\n'))
@@ -144,7 +144,7 @@
 }
 
 // use is what a process has used so far, by the kernel's count.
-type use struct {
+type procStats struct {
 	CPU     time.Duration // user and system
 	RSS     int64         // bytes, now
 	Peak    int64         // bytes, at most
@@ -156,14 +156,14 @@
 const tick = 10 * time.Millisecond // USER_HZ
 
 // used reads it; a process that has ended has used nothing.
-func (p *proc) used() (u use) {
+func (p *proc) stats() (u procStats) {
 	if !p.alive() {
 		return u
 	}
-	return usedBy(p.cmd.Process.Pid)
+	return readProcStats(p.cmd.Process.Pid)
 }
 
-func usedBy(pid int) (u use) {
+func readProcStats(pid int) (u procStats) {
 	at := fmt.Sprintf("/proc/%d/", pid)
 	b, _ := os.ReadFile(at + "stat")
 	if _, after, found := strings.Cut(string(b), ") "); found {
@@ -194,7 +194,7 @@
 }
 
 // halfOfMemory is half of the machine's, in bytes.
-func halfOfMemory() (int64, error) {
+func halfMemory() (int64, error) {
 	b, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
 		return 0, err
@@ -207,7 +207,7 @@
 }
 
 // folderSize is how many bytes the files below a folder have.
-func folderSize(dir string) (n int64) {
+func dirSize(dir string) (n int64) {
 	_ = filepath.WalkDir(dir, func(_ string, e os.DirEntry, err error) error {
 		if err == nil && !e.IsDir() {
 			if i, err := e.Info(); err == nil {
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -32,18 +32,18 @@
 	if err != nil {
 		return err
 	}
-	ways, err := f.waysOf()
+	ways, err := f.controlAddrs()
 	if err != nil {
 		return err
 	}
 	for i := range f.spec.Real {
 		r := &realInitiator{listen: addrs[2*i], control: addrs[2*i+1], spec: hollowSpec{Name: fmt.Sprint("real-", i), Region: f.region(i).Name, Zone: f.zone(i)}}
-		found, err := f.way(r.spec.Region, "discovery", f.service.addr)
+		found, err := f.newLink(r.spec.Region, "discovery", f.discovery.addr)
 		if err != nil {
 			return err
 		}
-		text, err := format.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": found, "known": f.service.list(),
-			"settings": rawText(fmt.Sprintf(settings, f.spec.Real))})
+		text, err := format.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": found, "known": f.discovery.list(),
+			"settings": rawJSON(fmt.Sprintf(settingsTemplate, f.spec.Real))})
 		path := filepath.Join(f.dir, r.spec.Name+".json")
 		if err == nil {
 			err = os.WriteFile(path, text, 0o600)
@@ -52,9 +52,9 @@
 			return err
 		}
 		r.proc = &proc{name: r.spec.Name, path: f.opt.Program, args: []string{"serve"}, env: []string{"PROXY_CONFIG=" + path}, dir: f.dir}
-		if f.byFeed() {
+		if f.usesFeed() {
 			operator := filepath.Join(f.dir, r.spec.Name+".toml")
-			if err := os.WriteFile(operator, []byte(f.operator(r.spec, ways[r.spec.Region].Relays)), 0o600); err != nil {
+			if err := os.WriteFile(operator, []byte(f.operatorFile(r.spec, ways[r.spec.Region].Relays)), 0o600); err != nil {
 				return err
 			}
 			r.args = append(r.args, "--operator", operator)
@@ -65,7 +65,7 @@
 		}
 	}
 	for _, r := range f.reals {
-		if err := f.until(r.name+" is ready", long, func() bool { return answers("http://" + r.listen + "/-/ready") }); err != nil {
+		if err := f.waitUntil(r.name+" is ready", setupTimeout, func() bool { return respondsOK("http://" + r.listen + "/-/ready") }); err != nil {
 			return err
 		}
 	}
@@ -73,7 +73,7 @@
 }
 
 // operator is the operator's file of an initiator that takes the feed.
-func (f *fleet) operator(x hollowSpec, relays []relayAt) string {
+func (f *fleet) operatorFile(x hollowSpec, relays []relayAddr) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[feed]\nfleet = %q\nregion = %q\nzone = %q\ndir = %q\n", fleetName, x.Region, x.Zone, filepath.Join(f.dir, x.Name+".data"))
 	for _, r := range relays {
@@ -83,7 +83,7 @@
 }
 
 // figures are the numbers that it tells, by name; nil: it does not answer.
-func (r *realInitiator) figures(ctx context.Context) map[string]float64 {
+func (r *realInitiator) metrics(ctx context.Context) map[string]float64 {
 	ctx, done := context.WithTimeout(ctx, 5*time.Second)
 	defer done()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+r.control+"/v1/metrics", nil)
@@ -111,10 +111,10 @@
 }
 
 // lookEvery is how often real initiators are asked what they have in force, while that is measured.
-const lookEvery = 20 * time.Millisecond
+const pollInterval = 20 * time.Millisecond
 
 // look asks all real initiators what they have in force until ctx ends, and notes when what came.
-func (f *fleet) look(ctx context.Context) []*hollow.Journal {
+func (f *fleet) pollReals(ctx context.Context) []*hollow.Journal {
 	var all sync.WaitGroup
 	var journals []*hollow.Journal
 	for _, r := range f.reals {
@@ -123,13 +123,13 @@
 		all.Go(func() {
 			for ctx.Err() == nil {
 				// The moment of asking: it may have been in force for a while by the answer.
-				if n := r.figures(ctx); n != nil {
+				if n := r.metrics(ctx); n != nil {
 					at := monotone.Now()
 					j.Heard(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
 					j.Heard(hollow.Config, uint64(n["feed.in_force.config"]), at)
 				}
 				select {
-				case <-time.After(lookEvery):
+				case <-time.After(pollInterval):
 				case <-ctx.Done():
 				}
 			}
@@ -140,9 +140,9 @@
 }
 
 // took is what all real initiators together have taken so far.
-func (f *fleet) took() (u use) {
+func (f *fleet) realUsage() (u procStats) {
 	for _, r := range f.reals {
-		x, n := r.used(), r.figures(f.ctx)
+		x, n := r.stats(), r.metrics(f.ctx)
 		u.CPU, u.RSS, u.In, u.Out = u.CPU+x.CPU, u.RSS+x.RSS, u.In+int64(n["feed.bytes.in"]), u.Out+int64(n["feed.bytes.out"])
 	}
 	return u
@@ -150,62 +150,62 @@
 
 // agreement holds as many hollow initiators against real ones, under the same changes and without load: first what each kind takes, then when
 // changes are in force at each.
-func (f *fleet) agreement(r *Result) error {
+func (f *fleet) compareReal(r *Result) error {
 	if f.spec.Real == 0 {
 		return nil
 	}
 	if err := f.startReals(); err != nil {
 		return err
 	}
-	idle, err := f.size(f.spec.Real, r)
+	idle, err := f.scaleInitiators(f.spec.Real, r)
 	if err != nil {
 		return err
 	}
-	f.pause(time.Second)
-	had, began := f.took(), time.Now()
-	h, err := f.measure("hollow", f.spec.Changes[len(f.spec.Changes)-1], idle)
+	f.sleep(time.Second)
+	had, began := f.realUsage(), time.Now()
+	h, err := f.measureRow("hollow", f.spec.Changes[len(f.spec.Changes)-1], idle)
 	if err != nil {
 		return err
 	}
-	has, n, took := f.took(), float64(f.spec.Real), time.Since(began).Seconds()
-	x := Row{Of: "real", Initiators: f.spec.Real, Targets: h.Targets, Rate: h.Rate, Seconds: took, Changes: h.Changes, Half: -1, Most: -1, Last: -1,
+	has, n, took := f.realUsage(), float64(f.spec.Real), time.Since(began).Seconds()
+	x := Row{Series: "real", Initiators: f.spec.Real, Targets: h.Targets, Rate: h.Rate, Seconds: took, Changes: h.Changes, Median: -1, P99: -1, Last: -1,
 		In: float64(has.In-had.In) / took / n, Out: float64(has.Out-had.Out) / took / n,
-		Kinds: map[kind]Each{"real": {f.spec.Real, (has.CPU - had.CPU).Seconds() / took / n, float64(has.RSS) / n}}}
-	if f.byFeed() {
-		if err := f.agreeInForce(&h, &x); err != nil {
+		Kinds: map[hostKind]InitiatorUsage{"real": {f.spec.Real, (has.CPU - had.CPU).Seconds() / took / n, float64(has.RSS) / n}}}
+	if f.usesFeed() {
+		if err := f.compareInForce(&h, &x); err != nil {
 			return err
 		}
 	}
 	r.Rows = append(r.Rows, h, x)
-	f.say("hollow and real, %d each: read %.0f and %.0f, written %.0f and %.0f B/s each, %s and %s, in force at half %.0f and %.0f ms, last %.0f and %.0f ms", f.spec.Real, h.In, x.In,
-		h.Out, x.Out, h.kinds(), x.kinds(), h.Half, x.Half, h.Last, x.Last)
+	f.logf("hollow and real, %d each: read %.0f and %.0f, written %.0f and %.0f B/s each, %s and %s, in force at half %.0f and %.0f ms, last %.0f and %.0f ms", f.spec.Real, h.In, x.In,
+		h.Out, x.Out, h.kindSummary(), x.kindSummary(), h.Median, x.Median, h.Last, x.Last)
 	var ends []string
 	for _, r := range f.reals {
 		ends = append(ends, r.listen)
 	}
-	f.load.start(ends, f.spec.Answering/2)
+	f.load.start(ends, f.spec.AnsweringTargets/2)
 	return nil
 }
 
 // agreeInForce measures when changes are in force at hollow and at real initiators, side by side.
-func (f *fleet) agreeInForce(h, x *Row) error {
+func (f *fleet) compareInForce(h, x *Row) error {
 	ctx, stop := context.WithCancel(f.ctx)
 	defer stop()
-	w := f.newWriter(7)
+	w := f.newChangeWriter(7)
 	looked := make(chan []*hollow.Journal, 1)
-	go func() { looked <- f.look(ctx) }()
-	w.run(f.ctx, min(2, f.spec.Changes[len(f.spec.Changes)-1]), time.Duration(f.spec.ForS*float64(time.Second)))
-	f.pause(2 * time.Second)
+	go func() { looked <- f.pollReals(ctx) }()
+	w.run(f.ctx, min(2, f.spec.Changes[len(f.spec.Changes)-1]), time.Duration(f.spec.DurationS*float64(time.Second)))
+	f.sleep(2 * time.Second)
 	stop()
 	journals := <-looked
-	if err := f.finish(h, w.marks); err != nil {
+	if err := f.awaitAndFill(h, w.marks); err != nil {
 		return err
 	}
-	s := state{Done: map[string]int{}}
+	s := hostState{Latencies: map[string]int{}}
 	for _, m := range w.marks {
-		l := last{Lane: m.Lane, Primary: m.Primary}
+		l := lastArrival{Lane: m.Lane, Primary: m.Primary}
 		for i, r := range f.reals {
-			if _, there := m.of(r.spec); !there {
+			if _, there := m.versionFor(r.spec); !there {
 				continue
 			}
 			at, done := journals[i].When(m.Lane, m.Version)
@@ -214,33 +214,33 @@
 				continue
 			}
 			ms := max(0, float64(at-m.At)/float64(time.Millisecond))
-			s.Done[fmt.Sprintf("%s %d", m.Lane, int(ms))]++
-			if l.Who == "" || ms > l.Ms {
-				l.Who, l.Ms = r.spec.Name, ms
+			s.Latencies[fmt.Sprintf("%s %d", m.Lane, int(ms))]++
+			if l.Initiator == "" || ms > l.Ms {
+				l.Initiator, l.Ms = r.spec.Name, ms
 			}
 		}
 		s.Last = append(s.Last, l)
 	}
 	x.Missing = s.Missing
-	x.quantiles(s)
+	x.fillQuantiles(s)
 	broken := 0
 	for _, j := range journals {
 		n, _ := j.Broken()
 		broken += n
 	}
-	f.backwards += broken
+	f.regressions += broken
 	return nil
 }
 
 // apart is how far two figures are apart, as a part of the second.
-func apart(a, b float64) float64 { return math.Abs(a-b) / b }
+func relativeDiff(a, b float64) float64 { return math.Abs(a-b) / b }
 
 // agree are the checks of hollow against real initiators.
-func (r *Result) agree(s *Spec) []Check {
+func (r *Result) agreementChecks(s *Spec) []Check {
 	bytes := Check{Name: "agreement of hollow and real in bytes", Unit: "of the real ones'", Limit: s.Limits.Agreement}
-	i := slices.IndexFunc(r.Rows, func(x Row) bool { return x.Of == "real" })
+	i := slices.IndexFunc(r.Rows, func(x Row) bool { return x.Series == "real" })
 	if i > 0 && s.Mechanism == "feed" {
-		bytes.take(apart(r.Rows[i-1].In+r.Rows[i-1].Out, r.Rows[i].In+r.Rows[i].Out))
+		bytes.record(relativeDiff(r.Rows[i-1].In+r.Rows[i-1].Out, r.Rows[i].In+r.Rows[i].Out))
 	}
 	return []Check{bytes}
 }
--- a/internal/testbed/scale/run/service.go
+++ b/internal/testbed/scale/run/service.go
@@ -17,74 +17,74 @@
 
 // What the one discovery service that all initiators ask costs, as docs/standing.md has met it.
 const (
-	callTakes  = 50 * time.Millisecond
-	lineTakes  = 2300 * time.Microsecond
-	patience   = 2 * time.Second        // a call that would wait longer for its turn fails
-	goesOnFor  = 200 * time.Millisecond // a watch that is called again within that goes on, and is free until it has news
-	mostWaited = time.Minute
+	callCost      = 50 * time.Millisecond
+	entryCost     = 2300 * time.Microsecond
+	maxQueueWait  = 2 * time.Second        // a call that would wait longer for its turn fails
+	renewalWindow = 200 * time.Millisecond // a watch that is called again within that goes on, and is free until it has news
+	maxWatch      = time.Minute
 )
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // service is a stand-in for that service: it does one call at a time, also those that were given up.
-type service struct {
-	mu      sync.Mutex
-	free    time.Time // when what came so far is done
-	version int64
-	entries []listing.Entry
-	at      map[string]int       // of each target's entry
-	since   []int64              // the version that brought each entry
-	changed chan struct{}        // closed and renewed at each change
-	last    map[string]time.Time // each connection's last answer
-	took    int
-	failed  int
-	bytes   counted
-	http    http.Server
-	addr    string
+type discoveryService struct {
+	mu            sync.Mutex
+	busyUntil     time.Time // when what came so far is done
+	version       int64
+	entries       []listing.Entry
+	index         map[string]int       // of each target's entry
+	entryVersions []int64              // the version that brought each entry
+	changed       chan struct{}        // closed and renewed at each change
+	lastAnswers   map[string]time.Time // each connection's last answer
+	accepted      int
+	failed        int
+	traffic       byteCounter
+	http          http.Server
+	addr          string
 }
 
 // counted counts bytes.
-type counted struct{ in, out atomic.Int64 }
+type byteCounter struct{ in, out atomic.Int64 }
 
 // countedConn is a connection whose bytes are counted.
-type countedConn struct {
+type countingConn struct {
 	net.Conn
-	c *counted
+	counter *byteCounter
 }
 
 // Read implements net.Conn.
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.c.in.Add(int64(n))
+	c.counter.in.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.c.out.Add(int64(n))
+	c.counter.out.Add(int64(n))
 	return n, err
 }
 
 // countedListener counts the bytes of all its connections.
-type countedListener struct {
+type countingListener struct {
 	net.Listener
-	c *counted
+	counter *byteCounter
 }
 
 // Accept implements net.Listener.
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, l.c}, nil
+	return countingConn{c, l.counter}, nil
 }
 
-func newService(entries []listing.Entry) (*service, error) {
-	s := &service{version: 1, at: map[string]int{}, changed: make(chan struct{}), last: map[string]time.Time{}}
+func newDiscoveryService(entries []listing.Entry) (*discoveryService, error) {
+	s := &discoveryService{version: 1, index: map[string]int{}, changed: make(chan struct{}), lastAnswers: map[string]time.Time{}}
 	for _, e := range entries {
-		s.put(e)
+		s.setEntry(e)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,31 +95,31 @@
 	s.http.ConnState = func(c net.Conn, st http.ConnState) {
 		if st == http.StateClosed {
 			s.mu.Lock()
-			delete(s.last, c.RemoteAddr().String())
+			delete(s.lastAnswers, c.RemoteAddr().String())
 			s.mu.Unlock()
 		}
 	}
-	go func() { _ = s.http.Serve(countedListener{l, &s.bytes}) }()
+	go func() { _ = s.http.Serve(countingListener{l, &s.traffic}) }()
 	return s, nil
 }
 
 // put takes an entry over. Its caller holds mu, but at the start.
-func (s *service) put(e listing.Entry) {
-	if i, there := s.at[e.ID]; there {
-		s.entries[i], s.since[i] = e, s.version
+func (s *discoveryService) setEntry(e listing.Entry) {
+	if i, there := s.index[e.ID]; there {
+		s.entries[i], s.entryVersions[i] = e, s.version
 		return
 	}
-	s.at[e.ID] = len(s.entries)
-	s.entries, s.since = append(s.entries, e), append(s.since, s.version)
+	s.index[e.ID] = len(s.entries)
+	s.entries, s.entryVersions = append(s.entries, e), append(s.entryVersions, s.version)
 }
 
 // change makes the next version and tells it, and when.
-func (s *service) change(e ...listing.Entry) (uint64, time.Duration) {
+func (s *discoveryService) publish(e ...listing.Entry) (uint64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
 	for _, e := range e {
-		s.put(e)
+		s.setEntry(e)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -127,7 +127,7 @@
 }
 
 // list is the whole list as it is now.
-func (s *service) list() *listing.List {
+func (s *discoveryService) list() *listing.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.version
@@ -135,29 +135,29 @@
 }
 
 // turn waits for a call's turn and until it is done.
-func (s *service) turn(cost time.Duration) bool {
+func (s *discoveryService) awaitTurn(cost time.Duration) bool {
 	s.mu.Lock()
 	now := time.Now()
-	if s.free.Before(now) {
-		s.free = now
+	if s.busyUntil.Before(now) {
+		s.busyUntil = now
 	}
-	wait := s.free.Sub(now)
-	if wait > patience {
+	wait := s.busyUntil.Sub(now)
+	if wait > maxQueueWait {
 		s.failed++
 		s.mu.Unlock()
-		time.Sleep(patience)
+		time.Sleep(maxQueueWait)
 		return false
 	}
-	s.took++
-	s.free = s.free.Add(cost)
+	s.accepted++
+	s.busyUntil = s.busyUntil.Add(cost)
 	s.mu.Unlock()
 	time.Sleep(wait + cost)
 	return true
 }
 
 // news is what came after a version. Its caller holds mu.
-func (s *service) news(after int64) (l []listing.Entry) {
-	for i, v := range s.since {
+func (s *discoveryService) changedSince(after int64) (l []listing.Entry) {
+	for i, v := range s.entryVersions {
 		if v > after {
 			l = append(l, s.entries[i])
 		}
@@ -165,20 +165,20 @@
 	return l
 }
 
-func (s *service) serve(w http.ResponseWriter, r *http.Request) {
+func (s *discoveryService) serve(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
 	whole := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	s.mu.Lock()
 	changed, version := s.changed, s.version
-	goesOn := !whole && time.Since(s.last[r.RemoteAddr]) < goesOnFor
+	goesOn := !whole && time.Since(s.lastAnswers[r.RemoteAddr]) < renewalWindow
 	lines := len(s.entries)
 	if !whole {
-		lines = len(s.news(after))
+		lines = len(s.changedSince(after))
 	}
 	s.mu.Unlock()
-	cost := func(lines int) time.Duration { return callTakes + time.Duration(lines)*lineTakes }
-	if !(goesOn && after == version) && !s.turn(cost(lines)) {
+	cost := func(lines int) time.Duration { return callCost + time.Duration(lines)*entryCost }
+	if !(goesOn && after == version) && !s.awaitTurn(cost(lines)) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
@@ -187,21 +187,21 @@
 		case <-r.Context().Done():
 			return
 		case <-changed:
-			if !s.turn(cost(1)) {
+			if !s.awaitTurn(cost(1)) {
 				http.Error(w, "busy", http.StatusServiceUnavailable)
 				return
 			}
-		case <-time.After(min(time.Duration(wait)*time.Millisecond, mostWaited)):
+		case <-time.After(min(time.Duration(wait)*time.Millisecond, maxWatch)):
 		}
 	}
 	s.mu.Lock()
 	answer := listing.List{Version: new(int64), Full: whole, Targets: s.entries}
 	*answer.Version = s.version
 	if !whole {
-		answer.Targets = s.news(after)
+		answer.Targets = s.changedSince(after)
 	}
 	text, err := format.Marshal(answer)
-	s.last[r.RemoteAddr] = time.Now()
+	s.lastAnswers[r.RemoteAddr] = time.Now()
 	s.mu.Unlock()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -211,4 +211,4 @@
 	_, _ = w.Write(text)
 }
 
-func (s *service) close() { s.http.Close() }
+func (s *discoveryService) close() { s.http.Close() }
--- a/internal/testbed/scale/run/spec_test.go
+++ b/internal/testbed/scale/run/spec_test.go
@@ -116,19 +116,19 @@
 	require.NoError(t, err)
 	line := func(name string, each float64) slope.Slope { return slope.Slope{Name: name, Value: each, Power: 1} }
 	table := &slope.Table{Slopes: []slope.Slope{line("list.memory", 1<<20)}}
-	need, ok := s.Needs(table)
+	need, ok := s.MemoryNeeded(table)
 	require.True(t, ok)
 	require.Equal(t, int64((2+8*20*1.5)*(1<<20)), need)
-	require.NoError(t, s.Fits(table, 242<<20))
-	require.EqualError(t, s.Fits(table, 242<<20-1), "my.toml: initiators: 8 with 20 targets take 242 MB by the slopes, half of this machine's memory is 241 MB")
+	require.NoError(t, s.CheckMemory(table, 242<<20))
+	require.EqualError(t, s.CheckMemory(table, 242<<20-1), "my.toml: initiators: 8 with 20 targets take 242 MB by the slopes, half of this machine's memory is 241 MB")
 	s.Modules = 2
-	_, ok = s.Needs(table)
+	_, ok = s.MemoryNeeded(table)
 	require.False(t, ok, "a module's slope was not measured")
 	table.Set(line("module.memory", 1<<20))
-	need, ok = s.Needs(table)
+	need, ok = s.MemoryNeeded(table)
 	require.True(t, ok)
 	require.Equal(t, int64((2+(8*20+2*20)*1.5)*(1<<20)), need)
-	half, err := halfOfMemory()
+	half, err := halfMemory()
 	require.NoError(t, err)
 	require.Greater(t, half, int64(1<<28))
 }
--- a/internal/testbed/scale/run/suffer.go
+++ b/internal/testbed/scale/run/suffer.go
@@ -12,10 +12,10 @@
 	"spindlehitch/internal/testbed/faults"
 )
 
-func (x Fault) name() string {
-	name := x.What
+func (x Fault) label() string {
+	name := x.Kind
 	if x.Number > 0 {
-		name = fmt.Sprint(x.What, " ", x.Number)
+		name = fmt.Sprint(x.Kind, " ", x.Number)
 	}
 	for _, s := range []string{x.Region, x.Zone} {
 		if s != "" {
@@ -29,12 +29,12 @@
 }
 
 // faultRow names the row of a fault.
-func faultRow(i int, x Fault) string { return fmt.Sprint("fault ", i, " ", x.name()) }
+func faultRow(i int, x Fault) string { return fmt.Sprint("fault ", i, " ", x.label()) }
 
 // suffer plays the faults, one after the other, while changes go on.
-func (f *fleet) suffer(r *Result) error {
+func (f *fleet) runFaults(r *Result) error {
 	for i, x := range f.spec.Faults {
-		row, err := f.fault(i, x)
+		row, err := f.runFault(i, x)
 		if err != nil {
 			return err
 		}
@@ -44,61 +44,61 @@
 }
 
 // after is how long changes go on once a fault has ended.
-const after = 2 * time.Second
+const afterFault = 2 * time.Second
 
-func (f *fleet) fault(i int, x Fault) (Row, error) {
+func (f *fleet) runFault(i int, x Fault) (Row, error) {
 	rate := x.Changes
 	if rate == 0 {
 		rate = f.spec.Changes[0]
 	}
-	r := Row{Of: faultRow(i, x), Initiators: f.hollow, Targets: len(f.entries), Rate: rate}
+	r := Row{Series: faultRow(i, x), Initiators: f.hollowCount, Targets: len(f.entries), Rate: rate}
 	seed := f.spec.Seed + uint64(i)
 	rng := rand.New(rand.NewPCG(seed, 3))
-	w := f.newWriter(100 + uint64(i))
+	w := f.newChangeWriter(100 + uint64(i))
 	ctx, stop := context.WithCancel(f.ctx)
 	defer stop()
-	a, err := f.snapshot()
+	a, err := f.takeSnapshot()
 	if err != nil {
 		return r, err
 	}
 	var writing sync.WaitGroup
 	writing.Go(func() { w.run(ctx, rate, time.Hour) })
-	for w.count() == 0 && f.pause(10*time.Millisecond) {
+	for w.attempts() == 0 && f.sleep(10*time.Millisecond) {
 	}
-	end, err := f.strike(x, seed, rng)
+	end, err := f.injectFault(x, seed, rng)
 	if err != nil {
 		stop()
 		writing.Wait()
 		return r, err
 	}
-	length := time.Duration(x.ForS * float64(time.Second))
-	f.pause(length)
+	length := time.Duration(x.DurationS * float64(time.Second))
+	f.sleep(length)
 	if err := end(); err != nil {
 		return r, err
 	}
 	// Changes go on until all have those that were made before the end.
-	took, up, err := f.reached(w.all(), settle)
+	took, up, err := f.awaitMarks(w.currentMarks(), settleTimeout)
 	if err != nil {
 		return r, err
 	}
 	r.Settled = took.Seconds()
-	if up.lacks(f.hollow) {
+	if up.incomplete(f.hollowCount) {
 		r.Settled = -1
 	}
-	f.pause(after)
+	f.sleep(afterFault)
 	stop()
 	writing.Wait()
 	if x.Region != "" {
 		f.targets.judgeFrom(time.Now()) // what was not heard there is heard soon
 	}
-	b, err := f.snapshot()
+	b, err := f.takeSnapshot()
 	if err != nil {
 		return r, err
 	}
 	r.Changes, r.Failed = len(w.marks), w.failed
-	f.between(a, b, &r)
+	f.fillUsage(a, b, &r)
 	healed := r.Settled
-	if err := f.finish(&r, w.marks); err != nil {
+	if err := f.awaitAndFill(&r, w.marks); err != nil {
 		return r, err
 	}
 	if r.Settled >= 0 {
@@ -108,20 +108,20 @@
 }
 
 // all are the marks so far.
-func (w *writer) all() []mark {
+func (w *changeWriter) currentMarks() []changeMark {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.marks)
 }
 
-func (w *writer) count() int {
+func (w *changeWriter) attempts() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.marks) + w.failed
 }
 
 // strike begins a fault and returns what ends it.
-func (f *fleet) strike(x Fault, seed uint64, rng *rand.Rand) (end func() error, err error) {
+func (f *fleet) injectFault(x Fault, seed uint64, rng *rand.Rand) (end func() error, err error) {
 	nothing := func() error { return nil }
 	some := func(of []*proc, n int) (hit []*proc) {
 		for _, i := range rng.Perm(len(of))[:n] {
@@ -141,47 +141,47 @@
 	}
 	started := func(p *proc) error { return p.start(false) }
 	resumed := func(p *proc) error { p.signal(syscall.SIGCONT); return nil }
-	switch x.What {
+	switch x.Kind {
 	case "kill-relays", "kill-agent":
-		hit, err := f.hit(x, some)
+		hit, err := f.faultProcesses(x, some)
 		for _, p := range hit {
-			f.say("%s is killed", p.name)
+			f.logf("%s is killed", p.name)
 			p.kill()
 		}
 		return back(hit, started), err
 	case "pause-relays", "pause-agent":
-		hit, err := f.hit(x, some)
+		hit, err := f.faultProcesses(x, some)
 		for _, p := range hit {
-			f.say("%s is paused", p.name)
+			f.logf("%s is paused", p.name)
 			p.signal(syscall.SIGSTOP)
 		}
 		return back(hit, resumed), err
 	case "cut-region":
 		f.targets.judgeFrom(time.Now().Add(time.Hour))
-		return held(f.links[x.Region]), nil
+		return holdLinks(f.links[x.Region]), nil
 	case "cut-relays": // they answer still
 		var of []*faults.Link
 		for _, i := range rng.Perm(len(f.relays))[:x.Number] {
-			f.say("%s is cut off from the agents", f.relays[i].name)
-			of = append(of, f.toAgents[i]...)
+			f.logf("%s is cut off from the agents", f.relays[i].name)
+			of = append(of, f.agentLinks[i]...)
 		}
-		return held(of), nil
+		return holdLinks(of), nil
 	case "restart", "restart-all", "restart-zone":
-		o := order{Do: "restart", Number: x.Number, Zone: x.Zone, Seed: seed}
-		if x.What == "restart-all" { // over the whole time
-			o.SpreadS = x.ForS
+		o := hostOrder{Action: "restart", Number: x.Number, Zone: x.Zone, Seed: seed}
+		if x.Kind == "restart-all" { // over the whole time
+			o.SpreadS = x.DurationS
 		}
-		_, err := f.each(o)
+		_, err := f.broadcast(o)
 		return nothing, err
 	case "deaf":
-		_, err := f.each(order{Do: "deaf", Number: max(1, x.Number/max(1, len(f.hosts)))})
-		return func() error { _, err := f.each(order{Do: "hear"}); return err }, err
+		_, err := f.broadcast(hostOrder{Action: "deaf", Number: max(1, x.Number/max(1, len(f.hosts)))})
+		return func() error { _, err := f.broadcast(hostOrder{Action: "hear"}); return err }, err
 	}
 	return nothing, nil // a burst is its changes alone
 }
 
 // held has links hold all that comes, until it ends.
-func held(links []*faults.Link) (end func() error) {
+func holdLinks(links []*faults.Link) (end func() error) {
 	for _, l := range links {
 		l.Set(faults.Way{Hold: true}, faults.Way{Hold: true})
 	}
@@ -194,11 +194,11 @@
 }
 
 // hit is the processes that a fault is about: of the agents the leader.
-func (f *fleet) hit(x Fault, some func([]*proc, int) []*proc) ([]*proc, error) {
-	if x.What == "kill-relays" || x.What == "pause-relays" {
+func (f *fleet) faultProcesses(x Fault, some func([]*proc, int) []*proc) ([]*proc, error) {
+	if x.Kind == "kill-relays" || x.Kind == "pause-relays" {
 		return some(f.relays, x.Number), nil
 	}
-	i, err := f.leader()
+	i, err := f.awaitLeader()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/scale/run/tell.go
+++ b/internal/testbed/scale/run/tell.go
@@ -9,10 +9,10 @@
 )
 
 // state tells who has what is asked about, and what was broken.
-func (h *host) state(o *order, s *state) {
-	for _, in := range h.all {
+func (h *host) reportState(o *hostOrder, s *hostState) {
+	for _, in := range h.initiators {
 		if n, what := in.Journal.Broken(); n > 0 {
-			s.Broken, s.What = s.Broken+n, append(s.What, what...)
+			s.Violations, s.ViolationTexts = s.Violations+n, append(s.ViolationTexts, what...)
 		}
 		if !in.Running() {
 			continue
@@ -21,45 +21,45 @@
 		s.Running++
 		has := true
 		for _, m := range o.Marks {
-			if v, there := m.of(h.spec[in.Name()]); there && in.Journal.At(m.Lane) < v {
+			if v, there := m.versionFor(h.specs[in.Name()]); there && in.Journal.At(m.Lane) < v {
 				has = false
 			}
 		}
 		if has {
 			s.Reached++
-		} else if len(s.Lags) < 4 {
-			s.Lags = append(s.Lags, in.Name())
+		} else if len(s.Behind) < 4 {
+			s.Behind = append(s.Behind, in.Name())
 		}
 		in, out, moves := in.Wire()
-		s.In, s.Out, s.Moves = s.In+int64(in), s.Out+int64(out), s.Moves+moves
+		s.In, s.Out, s.RelayMoves = s.In+int64(in), s.Out+int64(out), s.RelayMoves+moves
 	}
-	s.Pending = int(h.pending.Load())
-	s.What = s.What[:min(len(s.What), 8)]
-	s.In, s.Out = s.In+h.wire.in.Load(), s.Out+h.wire.out.Load()
+	s.Pending = int(h.pendingRestarts.Load())
+	s.ViolationTexts = s.ViolationTexts[:min(len(s.ViolationTexts), 8)]
+	s.In, s.Out = s.In+h.traffic.in.Load(), s.Out+h.traffic.out.Load()
 }
 
 // collect tells when each change came into force.
-func (h *host) collect(o *order, s *state) {
-	s.Done = map[string]int{}
+func (h *host) reportLatencies(o *hostOrder, s *hostState) {
+	s.Latencies = map[string]int{}
 	for _, m := range o.Marks {
-		l := last{Lane: m.Lane, Primary: m.Primary}
-		for _, in := range h.all {
-			v, there := m.of(h.spec[in.Name()])
+		l := lastArrival{Lane: m.Lane, Primary: m.Primary}
+		for _, in := range h.initiators {
+			v, there := m.versionFor(h.specs[in.Name()])
 			if !there || !in.Running() {
 				continue
 			}
 			at, done := in.Journal.When(m.Lane, v)
 			if !done {
 				s.Missing++
-				if len(s.Lags) < 4 {
-					s.Lags = append(s.Lags, in.Name())
+				if len(s.Behind) < 4 {
+					s.Behind = append(s.Behind, in.Name())
 				}
 				continue
 			}
 			ms := float64(max(0, at-m.At)) / float64(time.Millisecond)
-			s.Done[fmt.Sprintf("%s %d", m.Lane, int(ms))]++
-			if cmp.Compare(ms, l.Ms) > 0 || l.Who == "" {
-				l.Who, l.Ms = in.Name(), ms
+			s.Latencies[fmt.Sprintf("%s %d", m.Lane, int(ms))]++
+			if cmp.Compare(ms, l.Ms) > 0 || l.Initiator == "" {
+				l.Initiator, l.Ms = in.Name(), ms
 			}
 		}
 		s.Last = append(s.Last, l)
@@ -67,9 +67,9 @@
 }
 
 // deafen opens calls that are never read from, as many as asked for.
-func (h *host) deafen(o *order) error {
+func (h *host) openUnreadConns(o *hostOrder) error {
 	for i := range o.Number {
-		in := h.all[i%len(h.all)]
+		in := h.initiators[i%len(h.initiators)]
 		addr, request, err := in.Asks(fmt.Sprint("deaf-", os.Getpid(), "-", i))
 		if err != nil {
 			return err
@@ -78,7 +78,7 @@
 		if err != nil {
 			return err
 		}
-		h.deaf = append(h.deaf, c)
+		h.unreadConns = append(h.unreadConns, c)
 		go func() { _, _ = c.Write(request) }() // the other end may stop reading, as this one does
 	}
 	return nil
