--- a/internal/testbed/scale/run/answering.go
+++ b/internal/testbed/scale/run/answering.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// answering is the targets that answer.
+// targetServers are the targets that answer requests. It counts requests that arrive too long after their target was drained.
 type targetServers struct {
 	addrs        []string
 	servers      []*http.Server
 	requests     []atomic.Int64
-	drainedSince []atomic.Int64 // since when it is, in Unix milliseconds; 0: it is not
-	lateRequests atomic.Int64   // requests longer after a drain than any initiator may be without it
-	judgedFrom   atomic.Int64   // requests are judged since then, in Unix milliseconds
+	drainedSince []atomic.Int64 // Unix milliseconds since which each target is drained; 0 if it is not
+	lateRequests atomic.Int64   // requests later than drainDeadline after a drain
+	judgedFrom   atomic.Int64   // Unix milliseconds since which requests are checked
 }
 
-// drainBy is when all are told of a drain where nothing is cut off.
+// drainDeadline is the time after a drain within which all initiators that are not cut off have to stop using the target.
 const drainDeadline = 15 * time.Second
 
 func newTargetServers(n int) (*targetServers, error) {
@@ -43,7 +43,7 @@
 	return a, nil
 }
 
-// judgeFrom has requests be judged from then on.
+// judgeFrom sets the time from which drains count for the check of late requests.
 func (a *targetServers) judgeFrom(at time.Time) { a.judgedFrom.Store(at.UnixMilli()) }
 
 func (a *targetServers) total() (n int64) {
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -15,13 +15,13 @@
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
-// writer makes changes at a rate, and keeps a mark of each.
+// changeWriter makes changes at a rate and keeps a mark of each. mu guards marks and failed; changes belongs to the goroutine that calls run.
 type changeWriter struct {
 	f       *fleet
 	rng     *rand.Rand
 	mu      sync.Mutex
 	marks   []changeMark
-	failed  int // changes that nobody confirmed
+	failed  int // changes that were not confirmed
 	changes int
 }
 
@@ -29,10 +29,10 @@
 	return &changeWriter{f: f, rng: rand.New(rand.NewPCG(f.spec.Seed, seed))}
 }
 
-// atOnce is how many changes are under way at a time: what is late has those behind it wait then.
+// maxConcurrentChanges bounds the changes in progress; further ones wait for a slot.
 const maxConcurrentChanges = 32
 
-// run makes changes until so long is over or ctx ends, and returns once all are confirmed or failed.
+// run makes changes for a period or until ctx ends, and returns once all are confirmed or failed.
 func (w *changeWriter) run(ctx context.Context, rate float64, length time.Duration) {
 	began := time.Now()
 	var all sync.WaitGroup
@@ -60,7 +60,7 @@
 	}
 }
 
-// next decides on a change, by turns of a target (a drain, a return, or a change of primary) and of configuration, and returns what makes it.
+// nextChange chooses the next change, alternately of a target (a drain, a return, or a change of primary) and of configuration, and returns a function that makes it.
 func (w *changeWriter) nextChange(ctx context.Context) func() (changeMark, error) {
 	if w.changes++; w.changes%2 == 1 {
 		e, primary := w.chooseTargets()
@@ -74,7 +74,7 @@
 	return func() (changeMark, error) { return layer(ctx) }
 }
 
-// note keeps what came of a change.
+// record makes a change and records its mark or its failure.
 func (w *changeWriter) record(ctx context.Context, do func() (changeMark, error)) {
 	m, err := do()
 	w.mu.Lock()
@@ -87,14 +87,14 @@
 	}
 }
 
-// one makes a single change of a target.
+// changeOneTarget makes a single change of a target.
 func (w *changeWriter) changeOneTarget(ctx context.Context) (changeMark, error) {
 	e, primary := w.chooseTargets()
 	return w.changeTargets(ctx, e, primary)
 }
 
-// choose takes a target to drain or to have back; every fourth time one takes another's place: a change of primary. Of one target only one
-// change is under way at a time, or the older could come into force after the newer.
+// chooseTargets chooses a target to drain or to return to service; every fourth time it chooses two, for a change of primary. Only one change of
+// a target is in progress at a time, or the older one could come into force after the newer one.
 func (w *changeWriter) chooseTargets() (e []listing.Entry, primary bool) {
 	f := w.f
 	f.mu.Lock()
@@ -119,7 +119,7 @@
 	return e, primary && len(e) == 2
 }
 
-// target makes a change of targets.
+// changeTargets publishes a change of targets that chooseTargets chose.
 func (w *changeWriter) changeTargets(ctx context.Context, e []listing.Entry, primary bool) (changeMark, error) {
 	f := w.f
 	if len(e) == 0 {
@@ -138,7 +138,7 @@
 	return changeMark{Lane: hollow.Targets, Version: version, At: at, Primary: primary}, err
 }
 
-// number is the number of a target.
+// targetIndex returns the index of a target, or -1.
 func targetIndex(id string) (i int) {
 	if _, err := fmt.Sscanf(id, "t%d", &i); err != nil {
 		return -1
@@ -146,8 +146,8 @@
 	return i
 }
 
-// drains is the target whose state is changed in place of one that has to stay: of those that answer each second one does, so that its shard, which
-// it has in common with the one before, is always served.
+// drainable returns the target to change in place of one that must keep serving. Of the two answering targets that share a shard, only the first is
+// ever drained, so that the shard is always served.
 func (f *fleet) drainable(i int) int {
 	if i < len(f.targets.addrs) {
 		return i &^ 1
@@ -155,7 +155,7 @@
 	return i
 }
 
-// turn changes a target's state, which is under way from then on. Its caller holds mu.
+// toggleTarget changes the state of a target and marks its change as in progress. The caller must hold mu.
 func (f *fleet) toggleTarget(i int) listing.Entry {
 	e := &f.entries[i]
 	f.stateChanges[i]++
@@ -168,7 +168,7 @@
 	return *e
 }
 
-// tell has the judge know a target's state.
+// setState records a target's state, for the check of late requests.
 func (a *targetServers) setState(id, state string) {
 	i := targetIndex(id)
 	switch {
@@ -180,10 +180,10 @@
 	}
 }
 
-// putsAtOnce is how many configurations are written at a time.
+// maxConcurrentPuts bounds the configurations written concurrently.
 const maxConcurrentPuts = 16
 
-// config changes the configuration of all.
+// changeConfig changes the configuration of all initiators.
 func (w *changeWriter) changeConfig(ctx context.Context) (changeMark, error) {
 	if w.f.usesFeed() {
 		return w.layerChange(true)(ctx)
@@ -191,7 +191,7 @@
 	return w.changeEachConfig(ctx, w.changes)
 }
 
-// each changes the configuration of all where each has one of its own: a change for each.
+// changeEachConfig changes the configuration of each initiator at the agents, for fleets without the feed.
 func (w *changeWriter) changeEachConfig(ctx context.Context, turn int) (changeMark, error) {
 	f := w.f
 	m := changeMark{Lane: hollow.Config, At: monotone.Now(), VersionByName: map[string]uint64{}}
@@ -216,24 +216,24 @@
 	return m, failed
 }
 
-// configOf is a configuration as an initiator has it.
+// configOf returns the configuration of an initiator.
 func (f *fleet) configOf(name string, turn int) []byte {
 	return fmt.Appendf(nil, `{"name":%q,"listen":"127.0.0.1:9","discovery":%q,"limits":{"sockets":%d},"settings":%s}`, name, f.discovery.addr, 1024+turn%1024,
 		fmt.Sprintf(settingsTemplate, f.spec.maxInitiators()))
 }
 
-// errAllBusy says that changes of all targets are under way.
-var errAllChanging = errors.New("changes of all targets are under way")
+// errAllChanging means that a change of each target is in progress.
+var errAllChanging = errors.New("a change of each target is in progress")
 
-// errNobody says that there is nobody to be measured.
+// errNoInitiators means that there are no initiators to measure.
 var errNoInitiators = errors.New("no hollow initiators")
 
-// waits waits until all have the marks, and tells how long that took and who had not when the time was over.
+// awaitMarks waits until all initiators have the marks, and returns the time that it took and the state, which is incomplete after a timeout.
 func (f *fleet) awaitMarks(marks []changeMark, within time.Duration) (took time.Duration, s hostState, err error) {
 	if len(marks) == 0 {
 		return 0, s, nil
 	}
-	// The last of each lane says it of those before. By the feed all come to the same version, also those that a change says nothing to.
+	// Reaching the newest mark of a lane implies the earlier ones. With the feed all initiators reach the same version, also those that a change does not concern.
 	newest := map[hollow.Lane]changeMark{}
 	for _, m := range marks {
 		m.Region, m.Zone, m.Name = "", "", ""
--- a/internal/testbed/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -16,13 +16,13 @@
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
-// fleetName is the run's.
+// fleetName is the fleet name of the feed in a run.
 const fleetName = "scale"
 
-// byFeed tells whether the feed carries changes.
+// usesFeed reports whether the feed distributes changes.
 func (f *fleet) usesFeed() bool { return f.spec.Mechanism == "feed" }
 
-// startAgents starts them and waits for a leader.
+// startAgents starts the agents and waits for a leader.
 func (f *fleet) startAgents() error {
 	addrs, err := ports.Free(2 * f.spec.Agents)
 	if err != nil {
@@ -52,7 +52,7 @@
 	return err
 }
 
-// leader waits until an agent leads, and tells which.
+// awaitLeader waits for a leader and returns its index.
 func (f *fleet) awaitLeader() (leader int, err error) {
 	err = f.waitUntil("a leader of the agents", setupTimeout, func() bool {
 		for i, s := range f.client.Status(f.ctx) {
@@ -66,7 +66,7 @@
 	return leader, err
 }
 
-// startRelays starts them, spread over the regions; each meets the agents by its region's links.
+// startRelays starts the relays, spread over the regions. Each connects to the agents by links of its own.
 func (f *fleet) startRelays() error {
 	addrs, err := ports.Free(f.spec.Relays)
 	if err != nil {
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// relaysFrom is the relays as a region meets them: its own at their addresses, the others by links of that region.
+// relaysSeenFrom returns the relays with the addresses that a region uses: its own directly, the others by links of that region.
 func (f *fleet) relaysSeenFrom(region string) (all []relayAddr, err error) {
 	for _, at := range f.relayAddrs {
 		if at.Region != region {
@@ -116,10 +116,10 @@
 	return all, nil
 }
 
-// putsOf is how many targets go in one change where many come: a change goes to a reader in one piece.
+// putsPerChange is the most targets in one change: a change is sent to a reader in one piece.
 const putsPerChange = 50
 
-// put has targets changed, and tells the version with which all of it is.
+// publish publishes changed targets and returns the version that includes all of them.
 func (f *fleet) publish(ctx context.Context, e []listing.Entry) (version uint64, err error) {
 	if !f.usesFeed() {
 		version, _ = f.discovery.publish(e...)
@@ -143,7 +143,7 @@
 	return version, nil
 }
 
-// layer decides on a layer of the configuration and returns what changes it: one change, whatever it reaches.
+// layerChange chooses a configuration layer and returns a function that changes it, by one change for all initiators that it applies to.
 func (w *changeWriter) layerChange(shared bool) func(context.Context) (changeMark, error) {
 	f := w.f
 	m := changeMark{Lane: hollow.Config}
@@ -170,5 +170,5 @@
 	}
 }
 
-// nameOf is the name of the hollow initiator of a number.
+// hollowName returns the name of the hollow initiator with an index.
 func hollowName(i int) string { return fmt.Sprintf("h%04d", i) }
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -28,23 +28,23 @@
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
-// A host is a process with some hundreds of hollow initiators. It takes orders, one a line, and answers each with one line.
+// A host is a process with some hundreds of hollow initiators. It reads orders as JSON, one a line, and answers each with one line.
 
-// hollowSpec is one of its initiators.
+// hollowSpec describes one hollow initiator.
 type hollowSpec struct {
 	Name, Region, Zone string
 	Seed               uint64
 	Module             bool
-	Disk               bool   // it keeps a copy there
-	Bind               string // as a member; empty: it is none
+	Disk               bool   // whether it keeps a copy on disk
+	Bind               string // its address as a member; empty if it is none
 	Seeds              []string
 }
 
-// order is what a host is to do.
+// hostOrder is an order to a host, with the parameters of its action.
 type hostOrder struct {
 	Action       string `json:"Do"`
 	Add          []hollowSpec
-	ControlAddrs map[string]controlAddrs `json:"Ways"` // by region: where control is met from there
+	ControlAddrs map[string]controlAddrs `json:"Ways"` // by region
 	Initiators   int                     `json:"Crowd"`
 	LastKnown    *listing.List           `json:"Known"`
 	Dir          string
@@ -56,7 +56,7 @@
 	Marks        []changeMark
 }
 
-// ways is how a region's initiators meet control.
+// controlAddrs are the addresses of the control plane as a region's initiators use them.
 type controlAddrs struct {
 	Discovery string
 	Agents    []string
@@ -65,19 +65,19 @@
 
 type relayAddr struct{ ID, Region, Addr string }
 
-// mark is a change whose way to all is told.
+// changeMark is a change whose arrival at each initiator is measured.
 type changeMark struct {
 	Lane          hollow.Lane
 	Version       uint64
-	VersionByName map[string]uint64 `json:"By,omitempty"` // where each initiator has a version of its own
-	Region        string            `json:",omitempty"`   // whom it is for: of a region, a zone, of that name; empty: all
+	VersionByName map[string]uint64 `json:"By,omitempty"` // by initiator, if each has a version of its own
+	Region        string            `json:",omitempty"`   // Region, Zone and Name restrict the initiators that it is for; empty: all
 	Zone          string            `json:",omitempty"`
 	Name          string            `json:",omitempty"`
-	At            time.Duration     // when it was made
+	At            time.Duration     // when the change was requested
 	Primary       bool
 }
 
-// of is the version of an initiator that a mark is for.
+// versionFor returns the version that the change has at an initiator, and false if it is not for that one.
 func (m changeMark) versionFor(x hollowSpec) (uint64, bool) {
 	if m.Region != "" && m.Region != x.Region || m.Zone != "" && m.Zone != x.Zone || m.Name != "" && m.Name != x.Name {
 		return 0, false
@@ -89,24 +89,24 @@
 	return v, there
 }
 
-// state is a host's answer to most orders.
+// hostState is a host's answer to an order.
 type hostState struct {
 	Error          string
 	Running        int
 	Pending        int            // restarts to come
-	Reached        int            // of those that run, how many have all marks asked about
-	Behind         []string       `json:"Lags"`   // some that have not
-	Violations     int            `json:"Broken"` // promises
-	ViolationTexts []string       `json:"What"`   // the first of them
-	Names          []string       // whom the order was about
-	In, Out        int64          // bytes through the clients of all its initiators
-	RelayMoves     uint64         `json:"Moves"` // to other relays
-	Latencies      map[string]int `json:"Done"`  // by lane and whole milliseconds: how many had a change by then
-	Last           []lastArrival  // by mark
-	Missing        int            // pairs of initiator and mark that were not reached
+	Reached        int            // running initiators that have all marks of the order
+	Behind         []string       `json:"Lags"`   // names of some that have not
+	Violations     int            `json:"Broken"` // number of violations in the journals
+	ViolationTexts []string       `json:"What"`   // descriptions of the first of them
+	Names          []string       // initiators that the order applies to
+	In, Out        int64          // bytes transferred by the clients of all its initiators
+	RelayMoves     uint64         `json:"Moves"` // connection moves to other relays
+	Latencies      map[string]int `json:"Done"`  // number of arrivals by lane and latency in whole milliseconds
+	Last           []lastArrival  // one for each mark
+	Missing        int            // pairs of an initiator and a mark that it has not reached
 }
 
-// last is who had a mark last.
+// lastArrival is the initiator that a mark reached last.
 type lastArrival struct {
 	Initiator string `json:"Who"`
 	Ms        float64
@@ -114,7 +114,7 @@
 	Primary   bool
 }
 
-// host is such a process.
+// host is the state of a host process.
 type host struct {
 	ctx             context.Context
 	initiators      []*hollow.Initiator
@@ -130,16 +130,16 @@
 	moduleSettings  policy.Settings
 }
 
-// settings is a configuration's, as light as one can be.
+// settingsTemplate is the settings part of a configuration, as small as possible.
 const settingsTemplate = `{"peersTotal":%d,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":5000000,"deadlineUs":20000000,
  "effect":"pure","worth":3}],"contracts":[{"name":"base","usualRate":1000,"reservation":1000,"parts":1,"pays":1}],
  "registryMode":"on_request","extra":{"meanUnits":1,"largest":8},"limits":{"sendCap":3}}`
 
-// Host runs one until its orders end.
+// ServeHost runs a host until its orders end.
 func ServeHost(ctx context.Context, orders io.Reader, answers io.Writer) error {
 	h := &host{ctx: ctx, specs: map[string]hollowSpec{}}
-	debug.SetGCPercent(50) // processor time for memory: the run is bounded by memory first
-	// All initiators of the process share this transport, where a process of its own would have one for each.
+	debug.SetGCPercent(50) // trades processor time for memory, since memory limits the size of a run
+	// All initiators of the process share this transport; real initiators, each in a process of its own, have one each.
 	http.DefaultTransport = &http.Transport{MaxIdleConns: 0, MaxIdleConnsPerHost: 1 << 16, IdleConnTimeout: 90 * time.Second,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			c, err := (&net.Dialer{Timeout: 5 * time.Second}).DialContext(ctx, network, addr)
@@ -153,7 +153,7 @@
 	for {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			return nil // whoever gives the orders has ended
+			return nil // the run has ended
 		}
 		var o hostOrder
 		s := hostState{}
@@ -180,7 +180,7 @@
 		err = h.start(h.stopped(), o.SpreadS, o.Seed)
 	case "off":
 		h.stop(h.initiators, false)
-	case "restart": // those that have something on disk first, as initiators do that are restarted
+	case "restart": // those with a copy on disk first, as real initiators have one when they restart
 		some := h.pick(o)
 		for _, in := range some {
 			s.Names = append(s.Names, in.Name())
@@ -201,7 +201,7 @@
 		runtime.GC()
 		debug.FreeOSMemory()
 	default:
-		err = fmt.Errorf("order %q is not known", o.Action)
+		err = fmt.Errorf("unknown order %q", o.Action)
 	}
 	return err
 }
@@ -221,7 +221,7 @@
 	for _, x := range o.Add {
 		w, there := h.addrs[x.Region]
 		if !there {
-			return fmt.Errorf("region %q is not known", x.Region)
+			return fmt.Errorf("unknown region %q", x.Region)
 		}
 		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Crowd: h.fleetSize, Known: h.lastKnown, Agents: w.Agents,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
@@ -255,7 +255,7 @@
 	return some
 }
 
-// some are initiators by chance, of a zone where one is named.
+// pick returns random running initiators, of a zone if the order names one, those with a copy on disk first.
 func (h *host) pick(o *hostOrder) (some []*hollow.Initiator) {
 	for _, in := range h.initiators {
 		if in.Running() && (o.Zone == "" || h.specs[in.Name()].Zone == o.Zone) {
@@ -272,7 +272,7 @@
 	return some
 }
 
-// start starts initiators, spread over a time; none: all at once.
+// start starts initiators at random times within spread seconds; 0 starts all at once.
 func (h *host) start(some []*hollow.Initiator, spread float64, seed uint64) error {
 	for i, at := range randomTimes(len(some), spread, seed) {
 		if !h.sleepUntil(at) {
@@ -285,7 +285,7 @@
 	return nil
 }
 
-// moments are so many by chance within a time from now on, in order.
+// randomTimes returns n random times within spread seconds from now, sorted.
 func randomTimes(n int, spread float64, seed uint64) []time.Time {
 	rng, now := rand.New(rand.NewPCG(seed, 2)), time.Now()
 	at := make([]time.Time, n)
@@ -305,7 +305,8 @@
 	}
 }
 
-// restart has initiators end and start again, each at its moment; what they had on disk is kept. It goes on after it has returned.
+// restart stops and starts initiators, each at a random time within spread seconds. Copies on disk are kept. It returns at once; a goroutine for each initiator waits for
+// its time and ends after the restart or with the context.
 func (h *host) restart(some []*hollow.Initiator, spread float64, seed uint64) {
 	h.pendingRestarts.Add(int64(len(some)))
 	for i, at := range randomTimes(len(some), spread, seed) {
--- a/internal/testbed/scale/run/load.go
+++ b/internal/testbed/scale/run/load.go
@@ -15,7 +15,7 @@
 
 func rawJSON(s string) json.RawMessage { return json.RawMessage(s) }
 
-// load is a light one on the real initiators.
+// load sends a light load of requests to the real initiators. A goroutine for each initiator ends when stop cancels it.
 type load struct {
 	cancel   context.CancelFunc
 	all      sync.WaitGroup
@@ -24,10 +24,10 @@
 	failed   atomic.Int64
 }
 
-// loadEvery is the time between two requests at an initiator.
+// loadInterval is the time between two requests to an initiator.
 const loadInterval = 100 * time.Millisecond
 
-// start has each initiator asked for each of so many shards in turn.
+// start sends requests to each initiator, for each of a number of shards in turn.
 func (l *load) start(ends []string, shards int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
--- a/internal/testbed/scale/run/measure.go
+++ b/internal/testbed/scale/run/measure.go
@@ -11,16 +11,16 @@
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
-// Row is what was measured at one size, or under one fault.
+// Row is the measurement at one size or during one fault.
 type Row struct {
 	Series     string  `json:"of"` // initiators, targets, changes, agreement, or the fault
 	Initiators int     `json:"initiators"`
 	Targets    int     `json:"targets"`
-	Rate       float64 `json:"changes_s"` // asked for
+	Rate       float64 `json:"changes_s"` // requested rate
 	Seconds    float64 `json:"seconds"`
-	Changes    int     `json:"changes"` // confirmed
+	Changes    int     `json:"changes"` // changes confirmed
 	Failed     int     `json:"changes_failed"`
-	// In force, from the moment in which the change was asked for.
+	// Time until a change is in force, from the moment at which it was requested.
 	Median        float64 `json:"half_ms"`
 	P99           float64 `json:"ninety_nine_ms"`
 	Last          float64 `json:"last_ms"`
@@ -28,30 +28,30 @@
 	LastPrimary   float64 `json:"primary_last_ms"`
 	LastTargets   float64 `json:"targets_last_ms"`
 	LastConfig    float64 `json:"config_last_ms"`
-	Missing       int     `json:"missing"`   // initiators times changes that were not in force when the wait was over
-	Settled       float64 `json:"settled_s"` // after the last change, or the fault's end, until all had the newest; -1: they had not
+	Missing       int     `json:"missing"`   // pairs of an initiator and a change that was not in force there at the timeout
+	Settled       float64 `json:"settled_s"` // from the last change, or the fault's end, until all had the newest version; -1 if not within the timeout
 	Behind        string  `json:"lags,omitempty"`
-	// For each hollow initiator.
+	// Averages for each hollow initiator.
 	Kinds      map[hostKind]InitiatorUsage `json:"kinds,omitempty"`
-	CoreIdle   float64                     `json:"core_off"` // switched off, part of a core
+	CoreIdle   float64                     `json:"core_off"` // while stopped, as a fraction of a core
 	In         float64                     `json:"in_b_s"`
 	Out        float64                     `json:"out_b_s"`
-	RelayMoves uint64                      `json:"moves"` // to other relays, of all
-	// Of control.
+	RelayMoves uint64                      `json:"moves"` // connection moves to other relays, of all initiators
+	// Control processes.
 	Leader   ProcessUsage `json:"leader"`
-	Follower ProcessUsage `json:"follower"`     // the dearest
-	Relay    ProcessUsage `json:"relay"`        // the dearest
-	LogBytes float64      `json:"log_b_change"` // growth of an agent's folder for each change
+	Follower ProcessUsage `json:"follower"`     // the largest values of any
+	Relay    ProcessUsage `json:"relay"`        // the largest values of any
+	LogBytes float64      `json:"log_b_change"` // growth of an agent's directory for each change
 }
 
-// Each is what each hollow initiator of a kind takes.
+// InitiatorUsage is the average resource use of the hollow initiators of one kind.
 type InitiatorUsage struct {
 	Number int     `json:"number"`
-	Core   float64 `json:"core"` // part of one, beyond what it takes switched off
+	Core   float64 `json:"core"` // fraction of a core, beyond the use while stopped
 	Memory float64 `json:"memory_b"`
 }
 
-// dearest is the most that an initiator of any kind takes, and usual what one takes of the kind that most are of.
+// maxUsage returns the largest use of any kind, and typicalUsage that of the kind with the most initiators.
 func (r *Row) maxUsage() (e InitiatorUsage) {
 	for _, k := range r.Kinds {
 		e.Core, e.Memory = max(e.Core, k.Core), max(e.Memory, k.Memory)
@@ -68,7 +68,7 @@
 	return e
 }
 
-// Role is what a process of control has taken.
+// ProcessUsage is the resource use of a control process.
 type ProcessUsage struct {
 	Core   float64 `json:"core"`
 	Memory int64   `json:"memory_b"`
@@ -77,7 +77,7 @@
 	FDs    int     `json:"descriptors"`
 }
 
-// snapshot is what all processes have used so far.
+// usageSnapshot is the resource use of all processes so far.
 type usageSnapshot struct {
 	at         time.Time
 	hosts      []procStats
@@ -106,9 +106,9 @@
 	return s, err
 }
 
-// role is what a process took between two snapshots.
+// usageBetween returns the resource use of a process between two snapshots.
 func usageBetween(a, b procStats, seconds float64) ProcessUsage {
-	if b.CPU < a.CPU || b.In < a.In { // started again meanwhile
+	if b.CPU < a.CPU || b.In < a.In { // restarted in between
 		a = procStats{}
 	}
 	return ProcessUsage{Core: (b.CPU - a.CPU).Seconds() / seconds, Memory: b.RSS, In: float64(b.In-a.In) / seconds, Out: float64(b.Out-a.Out) / seconds, FDs: b.FDs}
@@ -118,7 +118,7 @@
 	r.Core, r.Memory, r.In, r.Out, r.FDs = max(r.Core, o.Core), max(r.Memory, o.Memory), max(r.In, o.In), max(r.Out, o.Out), max(r.FDs, o.FDs)
 }
 
-// between fills in what all took between two snapshots.
+// fillUsage sets the resource use of a row between two snapshots.
 func (f *fleet) fillUsage(a, b usageSnapshot, r *Row) {
 	r.Seconds = b.at.Sub(a.at).Seconds()
 	r.Kinds = map[hostKind]InitiatorUsage{}
@@ -155,13 +155,13 @@
 	r.LogBytes = float64(b.logDir-a.logDir) / max(1, float64(r.Changes))
 }
 
-// settle is how long is waited for all to have what was changed.
+// settleTimeout bounds the wait until all initiators have the last change.
 const settleTimeout = 60 * time.Second
 
-// idle is how long the initiators are measured switched off.
+// idlePeriod is how long stopped initiators are measured.
 const idlePeriod = 2 * time.Second
 
-// measure makes changes at a rate for a while, and tells what came of it. CoreIdle is of the same initiators, switched off.
+// measureRow makes changes at a rate for the run's duration and returns the row. coreIdle is the use of the same initiators while stopped.
 func (f *fleet) measureRow(of string, rate, coreIdle float64) (Row, error) {
 	r := Row{Series: of, Initiators: f.hollowCount, Targets: len(f.entries), Rate: rate, CoreIdle: coreIdle}
 	w := f.newChangeWriter(uint64(len(of)) + uint64(f.hollowCount))
@@ -179,7 +179,7 @@
 	return r, f.awaitAndFill(&r, w.marks)
 }
 
-// finish waits until all have the marks and tells when they had them.
+// awaitAndFill waits until all initiators have the marks and sets the arrival times of a row.
 func (f *fleet) awaitAndFill(r *Row, marks []changeMark) error {
 	took, s, err := f.awaitMarks(marks, settleTimeout)
 	if err != nil {
@@ -197,7 +197,7 @@
 	return nil
 }
 
-// quantiles are those of all pairs of a change and an initiator.
+// fillQuantiles sets the quantiles over all pairs of a change and an initiator; pairs that were not reached count as slowest.
 func (r *Row) fillQuantiles(s hostState) {
 	at := map[int]int{}
 	var all int
@@ -244,7 +244,7 @@
 		r.Initiators, r.Targets, r.Rate, r.Changes, r.Median, r.P99, r.Last, r.LastInitiator, r.LastTargets, r.LastConfig, r.Missing, r.kindSummary(), r.In/1e3, r.Out/1e3, r.Leader.Core, r.Relay.Core)
 }
 
-// kinds tells what each takes, by kind.
+// kindSummary formats the resource use by kind.
 func (r *Row) kindSummary() string {
 	var all []string
 	for _, k := range slices.Sorted(maps.Keys(r.Kinds)) {
@@ -253,7 +253,8 @@
 	return strings.Join(all, ", ")
 }
 
-// off measures hosts from one on, whose initiators are all switched off: what their processes take anyway, as a part of a core for each.
+// measureIdle measures the hosts from an index on, whose initiators are all stopped, and returns the base use of their processes as a fraction of a core for each
+// initiator.
 func (f *fleet) measureIdle(from int) (float64, error) {
 	n := 0
 	for _, some := range f.hostSizes[from:] {
--- a/internal/testbed/scale/run/print.go
+++ b/internal/testbed/scale/run/print.go
@@ -16,7 +16,7 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Verdict is the run's last line.
+// Verdict returns the last line of a run's output.
 func (r *Result) Verdict() string {
 	held := 0
 	for _, c := range r.Checks {
@@ -27,7 +27,7 @@
 	return fmt.Sprintf("scale: %d of %d limits held", held, len(r.Checks))
 }
 
-// Table writes what was found, and last of all how many limits are held.
+// WriteTable writes the result as tables, followed by the limits and the verdict.
 func (r *Result) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%s, by %s, %s, seed %d: %d processes of hollow initiators, %d of these run the module and %d are members; %.0f s on %d cores\n\n", r.Name, r.Mechanism, r.Date, r.Seed,
 		r.Hosts, r.Modules, r.Members, r.Seconds, r.Cores)
@@ -80,7 +80,7 @@
 	return err
 }
 
-// Plots draws what was found into a folder, as SVG: files that begin with the prefix.
+// WritePlots writes plots of the result as SVG into a directory, in files that begin with the prefix.
 func (r *Result) WritePlots(dir, prefix string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/testbed/scale/run/proc.go
+++ b/internal/testbed/scale/run/proc.go
@@ -16,7 +16,8 @@
 	"time"
 )
 
-// proc is one process of a run. It ends with the run, also where the run is killed.
+// proc is a process of a run. It is killed with the run, even if the run itself is killed. callMu serializes calls on in and out; ended is closed by a
+// goroutine of start when the process has exited.
 type proc struct {
 	name   string
 	path   string
@@ -24,13 +25,14 @@
 	env    []string
 	dir    string
 	cmd    *exec.Cmd
-	in     io.WriteCloser // of a host
+	in     io.WriteCloser // pipes of a host
 	out    *bufio.Reader
 	callMu sync.Mutex
 	ended  chan struct{}
 }
 
-// spawn starts commands from a thread that lives as long as this process: children are told to die with the thread that started them.
+// spawn returns a channel of functions to run on a thread that lives as long as this process. Commands must be started there, because Pdeathsig kills a child when the
+// thread that started it exits.
 var spawn = sync.OnceValue(func() chan<- func() {
 	work := make(chan func())
 	go func() {
@@ -42,7 +44,7 @@
 	return work
 })
 
-// start starts it, or starts it again after it has ended. What it writes is appended to NAME.log; with pipes it is spoken to.
+// start starts the process, or starts it again after it has ended. Its output is appended to NAME.log; with pipes, standard input and output are used by call instead.
 func (p *proc) start(pipes bool) error {
 	log, err := os.OpenFile(p.log(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -72,7 +74,7 @@
 	ended, cmd := make(chan struct{}), p.cmd
 	p.ended = ended
 	go func() {
-		if pipes { // Wait would close what is still to be read
+		if pipes { // Cmd.Wait would close the pipe before the rest was read
 			_, _ = cmd.Process.Wait()
 		} else {
 			_ = cmd.Wait()
@@ -99,13 +101,13 @@
 	}
 }
 
-// kill ends it by SIGKILL and waits until it is gone.
+// kill sends SIGKILL and waits until the process has exited.
 func (p *proc) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// stop ends it in order, or kills it after within.
+// stop sends SIGTERM, and kills the process if it has not exited in time.
 func (p *proc) stop(within time.Duration) {
 	p.signal(syscall.SIGTERM)
 	select {
@@ -115,7 +117,7 @@
 	}
 }
 
-// tell has a host do something and reads its answer.
+// call sends an order to a host and decodes its answer.
 func (p *proc) call(order, answer any) error {
 	p.callMu.Lock()
 	defer p.callMu.Unlock()
@@ -143,19 +145,19 @@
 	return nil
 }
 
-// use is what a process has used so far, by the kernel's count.
+// procStats is the resource use of a process so far, from /proc.
 type procStats struct {
 	CPU     time.Duration // user and system
-	RSS     int64         // bytes, now
-	Peak    int64         // bytes, at most
+	RSS     int64         // bytes, current
+	Peak    int64         // bytes, maximum
 	In, Out int64         // bytes read and written, files included
 	FDs     int
-	Writes  int64 // bytes for the disk
+	Writes  int64 // bytes written to disk
 }
 
 const tick = 10 * time.Millisecond // USER_HZ
 
-// used reads it; a process that has ended has used nothing.
+// stats returns the resource use, which is zero for a process that has ended.
 func (p *proc) stats() (u procStats) {
 	if !p.alive() {
 		return u
@@ -193,7 +195,7 @@
 	return u
 }
 
-// halfOfMemory is half of the machine's, in bytes.
+// halfMemory returns half of the machine's memory in bytes.
 func halfMemory() (int64, error) {
 	b, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -206,7 +208,7 @@
 	return kB << 10 / 2, nil
 }
 
-// folderSize is how many bytes the files below a folder have.
+// dirSize returns the bytes of all files below a directory.
 func dirSize(dir string) (n int64) {
 	_ = filepath.WalkDir(dir, func(_ string, e os.DirEntry, err error) error {
 		if err == nil && !e.IsDir() {
--- a/internal/testbed/scale/run/process_test.go
+++ b/internal/testbed/scale/run/process_test.go
@@ -19,7 +19,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// children are the processes that one has started.
+// children returns the ids of the child processes of a process.
 func children(pid int) (pids []int) {
 	all, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range all {
@@ -37,15 +37,15 @@
 	return pids
 }
 
-// gone tells whether a process has ended.
+// gone reports whether a process has ended.
 func gone(pid int) bool {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, state, found := strings.Cut(string(b), ") ")
 	return err != nil || found && state[0] == 'Z'
 }
 
-// TestEndsWhatItBegan interrupts a run, and kills one, with agents, relays and a host there: nothing of it is left.
-func TestEndsWhatItBegan(t *testing.T) {
+// TestStopsItsProcesses checks that no process is left of a run that is interrupted, or killed, while its agents, relays and hosts run.
+func TestStopsItsProcesses(t *testing.T) {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin, "spindlehitch/cmd/spindlehitch", "spindlehitch/cmd/spindlehitch-scale").CombinedOutput()
 	require.NoError(t, err, string(out))
@@ -70,9 +70,9 @@
 			go func() { ended <- cmd.Wait() }()
 			select {
 			case err := <-ended:
-				require.Error(t, err, "an interrupted run holds no limits")
+				require.Error(t, err, "an interrupted run reports no limits as held")
 			case <-time.After(time.Minute):
-				t.Fatal("not within a minute")
+				t.Fatal("the run did not end within a minute")
 			}
 			require.Eventually(t, func() bool {
 				for _, pid := range begun {
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -19,14 +19,14 @@
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
-// realInitiator is one initiator as it is: spindlehitch serve.
+// realInitiator is a process of spindlehitch serve.
 type realInitiator struct {
 	*proc
 	listen, control string
-	spec            hollowSpec // whose name, region and zone it has
+	spec            hollowSpec // its name, region and zone
 }
 
-// startReals starts them, with the whole list as last known.
+// startReals starts the real initiators with the full list as the last known one, and waits until they are ready.
 func (f *fleet) startReals() error {
 	addrs, err := ports.Free(2 * f.spec.Real)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// operator is the operator's file of an initiator that takes the feed.
+// operatorFile returns the operator's file of an initiator that reads the feed.
 func (f *fleet) operatorFile(x hollowSpec, relays []relayAddr) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[feed]\nfleet = %q\nregion = %q\nzone = %q\ndir = %q\n", fleetName, x.Region, x.Zone, filepath.Join(f.dir, x.Name+".data"))
@@ -82,7 +82,7 @@
 	return b.String()
 }
 
-// figures are the numbers that it tells, by name; nil: it does not answer.
+// metrics returns its metrics by name, or nil if it does not answer.
 func (r *realInitiator) metrics(ctx context.Context) map[string]float64 {
 	ctx, done := context.WithTimeout(ctx, 5*time.Second)
 	defer done()
@@ -110,10 +110,10 @@
 	return all
 }
 
-// lookEvery is how often real initiators are asked what they have in force, while that is measured.
+// pollInterval is the interval at which real initiators are polled for the versions that they have in force.
 const pollInterval = 20 * time.Millisecond
 
-// look asks all real initiators what they have in force until ctx ends, and notes when what came.
+// pollReals polls all real initiators for the versions that they have in force until ctx ends, and returns a journal of each.
 func (f *fleet) pollReals(ctx context.Context) []*hollow.Journal {
 	var all sync.WaitGroup
 	var journals []*hollow.Journal
@@ -122,7 +122,7 @@
 		journals = append(journals, j)
 		all.Go(func() {
 			for ctx.Err() == nil {
-				// The moment of asking: it may have been in force for a while by the answer.
+				// The version may have been in force for up to a poll interval by now.
 				if n := r.metrics(ctx); n != nil {
 					at := monotone.Now()
 					j.Heard(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
@@ -139,7 +139,7 @@
 	return journals
 }
 
-// took is what all real initiators together have taken so far.
+// realUsage returns the resource use of all real initiators together so far.
 func (f *fleet) realUsage() (u procStats) {
 	for _, r := range f.reals {
 		x, n := r.stats(), r.metrics(f.ctx)
@@ -148,8 +148,8 @@
 	return u
 }
 
-// agreement holds as many hollow initiators against real ones, under the same changes and without load: first what each kind takes, then when
-// changes are in force at each.
+// compareReal compares an equal number of hollow and real initiators, under the same changes and without requests: first their resource use, then the
+// time until changes are in force.
 func (f *fleet) compareReal(r *Result) error {
 	if f.spec.Real == 0 {
 		return nil
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// agreeInForce measures when changes are in force at hollow and at real initiators, side by side.
+// compareInForce measures the time until changes are in force at hollow and at real initiators, concurrently.
 func (f *fleet) compareInForce(h, x *Row) error {
 	ctx, stop := context.WithCancel(f.ctx)
 	defer stop()
@@ -232,10 +232,10 @@
 	return nil
 }
 
-// apart is how far two figures are apart, as a part of the second.
+// relativeDiff returns the difference of two values relative to the second.
 func relativeDiff(a, b float64) float64 { return math.Abs(a-b) / b }
 
-// agree are the checks of hollow against real initiators.
+// agreementChecks returns the checks that compare hollow with real initiators.
 func (r *Result) agreementChecks(s *Spec) []Check {
 	bytes := Check{Name: "agreement of hollow and real in bytes", Unit: "of the real ones'", Limit: s.Limits.Agreement}
 	i := slices.IndexFunc(r.Rows, func(x Row) bool { return x.Series == "real" })
--- a/internal/testbed/scale/run/run.go
+++ b/internal/testbed/scale/run/run.go
@@ -11,7 +11,7 @@
 	"spindlehitch/internal/testbed/scale/slope"
 )
 
-// Result is what a run has found.
+// Result is the result of a run.
 type Result struct {
 	Name            string           `json:"name"`
 	Mechanism       string           `json:"mechanism"`
@@ -20,45 +20,45 @@
 	Cores           int              `json:"cores"`
 	Seconds         float64          `json:"seconds"`
 	Hosts           int              `json:"hosts"`
-	Modules         int              `json:"modules"` // hollow initiators that ran the module
+	Modules         int              `json:"modules"` // hollow initiators that ran the scheduler
 	Members         int              `json:"members"`
 	Rows            []Row            `json:"rows"`
 	Startups        []Startup        `json:"ups"`
 	TargetIncreases []TargetIncrease `json:"mores"`
 	Fits            []Fit            `json:"fits"`
 	Checks          []Check          `json:"limits"`
-	Violations      int              `json:"broken"` // promises, by the judge
+	Violations      int              `json:"broken"` // violations in the journals: a version that went backwards, or a request sent to a target that was draining
 	ViolationTexts  []string         `json:"what,omitempty"`
 	Load            Load             `json:"load"`
 	Notes           []string         `json:"notes,omitempty"`
-	idleCore        float64          // what an initiator takes switched off, at the last size
+	idleCore        float64          // processor time of a stopped initiator at the last size, as a fraction of a core
 }
 
-// Up is how long a number of initiators took to come up.
+// Startup is the time that a number of initiators took to start.
 type Startup struct {
 	Initiators int     `json:"initiators"`
-	Seconds    float64 `json:"seconds"` // until the last had the newest versions; -1: not within the wait
+	Seconds    float64 `json:"seconds"` // until the last one had the newest versions; -1 if not within the timeout
 }
 
-// More is how long it took until all had targets that came in one go, at the rate that each may be sent.
+// TargetIncrease is the time until all initiators had targets that were added at once, at the byte rate allowed for each reader.
 type TargetIncrease struct {
 	Targets    int     `json:"targets"`
 	Initiators int     `json:"initiators"`
 	Seconds    float64 `json:"seconds"`
-	Missing    int     `json:"without"`  // that had not all of them when the wait was over
-	NextChange float64 `json:"behind_s"` // that a single change made right after them took to all
+	Missing    int     `json:"without"`  // initiators that did not have all of them at the timeout
+	NextChange float64 `json:"behind_s"` // time until all had a single change made right after them
 }
 
-// Load is what became of the load on real initiators.
+// Load is the outcome of the requests sent to real initiators.
 type Load struct {
 	Requests       int64 `json:"asked"`
 	Served         int64 `json:"served"`
 	Failed         int64 `json:"other"`
-	LateRequests   int64 `json:"late"`    // first bytes at targets whose drain all were told of
-	TargetRequests int64 `json:"targets"` // requests that came to targets
+	LateRequests   int64 `json:"late"`    // first bytes at a target later than drainDeadline after its drain
+	TargetRequests int64 `json:"targets"` // requests received by targets
 }
 
-// Fit is a slope over the rows of one dimension.
+// Fit is a slope fitted over the rows of one series.
 type Fit struct {
 	Quantity        string  `json:"of"`
 	Per             string  `json:"per"`
@@ -66,10 +66,10 @@
 	StdError        float64 `json:"error"`
 	Base            float64 `json:"base"`
 	Power           float64 `json:"power"`
-	PredictionError float64 `json:"off"` // the largest size, foretold from the rest, less what was measured, as a part of that
+	PredictionError float64 `json:"off"` // relative error of the value predicted for the largest size from the others
 }
 
-// Run makes a run. It ends whatever it began, also when ctx ends.
+// Run executes a run. It stops all processes that it started before it returns, also if ctx ends.
 func Run(ctx context.Context, spec *Spec, opt Options) (*Result, error) {
 	f, err := newFleet(ctx, spec, opt)
 	if err != nil {
@@ -94,10 +94,10 @@
 	return r, nil
 }
 
-// bringUp is how long is waited for initiators that have to be sent all there is.
+// startupTimeout bounds the wait for initiators that have to receive the full state.
 const startupTimeout = 10 * time.Minute
 
-// size brings the fleet to so many hollow initiators, measures them switched off and has them come up.
+// scaleInitiators increases the fleet to n hollow initiators, measures the new ones while they are stopped, and starts them.
 func (f *fleet) scaleInitiators(n int, r *Result) (coreIdle float64, err error) {
 	from := len(f.hosts)
 	if err := f.startHosts(n); err != nil {
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// more has so many targets in all, and waits until all initiators know them.
+// scaleTargets increases the targets to n in all and waits until all initiators have them.
 func (f *fleet) scaleTargets(n int, r *Result) error {
 	if n <= len(f.entries) {
 		return nil
@@ -159,7 +159,7 @@
 	if err != nil {
 		return err
 	}
-	// What each may be sent was used up by them: how long a single change takes behind them.
+	// The new targets used up the byte budget of each reader, so measure how long a single change takes after them.
 	m, err := f.newChangeWriter(uint64(n)).changeOneTarget(f.ctx)
 	if err != nil {
 		return err
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// fit fits slopes where a dimension has sizes enough.
+// fitSlopes fits a slope for each series with enough sizes.
 func (r *Result) fitSlopes() {
 	for _, d := range []struct {
 		of   string
@@ -228,7 +228,7 @@
 	}
 }
 
-// check holds what was measured against the limits.
+// evaluateLimits compares the measured values with the limits.
 func (r *Result) evaluateLimits(s *Spec) {
 	for _, rate := range slices.Compact([]float64{s.Changes[0], s.Changes[len(s.Changes)-1]}) {
 		c := Check{Name: fmt.Sprintf("in force at %g changes/s", rate), Unit: "s", Limit: s.Limits.InForce}
@@ -294,7 +294,7 @@
 	r.Checks = append(append(r.Checks, missing, broken, late, unserved), r.agreementChecks(s)...)
 }
 
-// never stands for what had not come when the wait for it was over.
+// never is the value, in seconds, of an event that had not happened at its timeout.
 const never = 1e9
 
 func secondsOrNever(s float64) float64 {
@@ -304,7 +304,7 @@
 	return s
 }
 
-// lastOrMissing is when the last one had a change, in seconds.
+// lastOrNever returns the time until the last initiator had a change, in seconds, or never if one did not get it.
 func (r *Row) lastOrNever() float64 {
 	if r.Missing > 0 {
 		return never
@@ -312,7 +312,7 @@
 	return r.Last / 1000
 }
 
-// Check is a limit, and whether it is held.
+// Check compares a measured value with a limit.
 type Check struct {
 	Name     string  `json:"name"`
 	Value    float64 `json:"value"`
@@ -321,14 +321,14 @@
 	Measured bool    `json:"measured"`
 }
 
-// take takes a value over, the worst of all.
+// record keeps the largest of the recorded values.
 func (c *Check) record(v float64) {
 	if !c.Measured || v > c.Value {
 		c.Value, c.Measured = v, true
 	}
 }
 
-// Held tells whether it is.
+// Held reports whether the value was measured and is within the limit.
 func (c Check) Held() bool { return c.Measured && c.Value <= c.Limit }
 
 func (c Check) String() string {
--- a/internal/testbed/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -29,7 +29,7 @@
 	r = Row{}
 	r.fillQuantiles(hostState{Latencies: map[string]int{"targets 5": 1}, Missing: 1})
 	require.Equal(t, float64(5), r.Median)
-	require.Equal(t, float64(-1), r.P99, "half of them never had it")
+	require.Equal(t, float64(-1), r.P99, "half of the arrivals are missing")
 }
 
 func TestChecks(t *testing.T) {
@@ -86,8 +86,8 @@
 	require.Equal(t, []int{0, 30, 0, 0}, f.distribute(30))
 }
 
-// TestService holds the stand-in against what docs/standing.md says of the service: one call at a time, what an answer costs, and a watch that goes on.
-func TestService(t *testing.T) {
+// TestDiscoveryService checks the cost model of the stand-in against docs/standing.md: calls one at a time, the cost of an answer, and a renewed watch.
+func TestDiscoveryService(t *testing.T) {
 	s, err := newDiscoveryService([]listing.Entry{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}, {ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}})
 	require.NoError(t, err)
 	defer s.close()
@@ -109,7 +109,7 @@
 	require.Positive(t, s.traffic.out.Load())
 }
 
-// TestHost gives a host its orders, as a run does, and has it answer.
+// TestHost sends a host the orders of a run and checks its answers.
 func TestHost(t *testing.T) {
 	h := &host{ctx: context.Background(), specs: map[string]hollowSpec{}}
 	known := &listing.List{Version: new(int64), Full: true, Targets: listing.Entries{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}}}
@@ -117,8 +117,8 @@
 	s := &hostState{}
 	require.NoError(t, h.handle(&hostOrder{Action: "add", ControlAddrs: map[string]controlAddrs{"north": {Discovery: "127.0.0.1:9"}}, Initiators: 2, LastKnown: known,
 		Add: []hollowSpec{{Name: "h1", Region: "north", Zone: "n-1"}, {Name: "h2", Region: "north", Zone: "n-2", Module: true}}}, s))
-	require.ErrorContains(t, h.handle(&hostOrder{Action: "add", Add: []hollowSpec{{Name: "h3", Region: "west"}}}, s), `region "west"`)
-	require.ErrorContains(t, h.handle(&hostOrder{Action: "dance"}, s), "not known")
+	require.ErrorContains(t, h.handle(&hostOrder{Action: "add", Add: []hollowSpec{{Name: "h3", Region: "west"}}}, s), `unknown region "west"`)
+	require.ErrorContains(t, h.handle(&hostOrder{Action: "dance"}, s), `unknown order "dance"`)
 	require.NoError(t, h.handle(&hostOrder{Action: "on"}, s))
 	defer h.stop(h.initiators, true)
 	asked := []changeMark{{Lane: hollow.Targets, Version: 4}}
@@ -129,7 +129,7 @@
 	require.Equal(t, 2, s.Running)
 	s = &hostState{}
 	require.NoError(t, h.handle(&hostOrder{Action: "collect", Marks: append(asked, changeMark{Lane: hollow.Targets, Version: 5, At: monotone.Now()})}, s))
-	require.Equal(t, 2, s.Missing, "nobody has version 5")
+	require.Equal(t, 2, s.Missing, "no initiator has version 5")
 	require.Len(t, s.Last, 2)
 	s = &hostState{}
 	require.NoError(t, h.handle(&hostOrder{Action: "restart", Zone: "n-2", Number: 5}, s))
@@ -145,8 +145,8 @@
 	require.Zero(t, s.Violations, s.ViolationTexts)
 }
 
-// TestPrinted draws and writes a result.
-func TestPrinted(t *testing.T) {
+// TestOutput writes a result as tables and plots.
+func TestOutput(t *testing.T) {
 	r := &Result{Name: "x", Date: "2026-12-02"}
 	for i := range 4 {
 		n := 100 * (i + 1)
@@ -175,14 +175,14 @@
 	require.Equal(t, InitiatorUsage{Core: 0.5, Memory: 2e7}, r.Rows[3].maxUsage())
 }
 
-// TestChangesOfTargets counts each target's changes, so that the judge can tell an older state from a newer one.
-func TestChangesOfTargets(t *testing.T) {
+// TestTargetChanges checks that the changes of each target are numbered, so that journals can order its states, and that only one is in progress at a time.
+func TestTargetChanges(t *testing.T) {
 	f := &fleet{spec: &Spec{}, entries: []listing.Entry{{ID: "a", State: "SERVING"}}, stateChanges: []int64{0}, targets: &targetServers{}, changing: map[int]bool{}}
 	require.Equal(t, listing.Entry{ID: "a", State: "DRAINING", StartedMs: 1}, f.toggleTarget(0))
 	require.Equal(t, listing.Entry{ID: "a", State: "SERVING", StartedMs: 2}, f.toggleTarget(0))
 	w := f.newChangeWriter(1)
 	e, _ := w.chooseTargets()
-	require.Empty(t, e, "a change of the only one is under way")
+	require.Empty(t, e, "a change of the only target is in progress")
 	delete(f.changing, 0)
 	e, primary := w.chooseTargets()
 	require.Len(t, e, 1)
--- a/internal/testbed/scale/run/service.go
+++ b/internal/testbed/scale/run/service.go
@@ -15,27 +15,28 @@
 	"spindlehitch/internal/process/monotone"
 )
 
-// What the one discovery service that all initiators ask costs, as docs/standing.md has met it.
+// Cost model of the discovery service shared by all initiators, from docs/standing.md.
 const (
 	callCost      = 50 * time.Millisecond
 	entryCost     = 2300 * time.Microsecond
-	maxQueueWait  = 2 * time.Second        // a call that would wait longer for its turn fails
-	renewalWindow = 200 * time.Millisecond // a watch that is called again within that goes on, and is free until it has news
+	maxQueueWait  = 2 * time.Second        // a call that would be queued for longer fails after this time
+	renewalWindow = 200 * time.Millisecond // a watch that is renewed within this time costs nothing until there is a change
 	maxWatch      = time.Minute
 )
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
 
-// service is a stand-in for that service: it does one call at a time, also those that were given up.
+// discoveryService is a stand-in for that service. It processes one call at a time, including calls that the client gave up. mu guards all fields from busyUntil
+// to failed.
 type discoveryService struct {
 	mu            sync.Mutex
-	busyUntil     time.Time // when what came so far is done
+	busyUntil     time.Time // when all calls queued so far are done
 	version       int64
 	entries       []listing.Entry
-	index         map[string]int       // of each target's entry
-	entryVersions []int64              // the version that brought each entry
-	changed       chan struct{}        // closed and renewed at each change
-	lastAnswers   map[string]time.Time // each connection's last answer
+	index         map[string]int       // of each target in entries
+	entryVersions []int64              // the version in which each entry last changed
+	changed       chan struct{}        // closed and replaced at each change
+	lastAnswers   map[string]time.Time // time of the last answer on each connection
 	accepted      int
 	failed        int
 	traffic       byteCounter
@@ -43,10 +44,10 @@
 	addr          string
 }
 
-// counted counts bytes.
+// byteCounter counts the bytes of a set of connections.
 type byteCounter struct{ in, out atomic.Int64 }
 
-// countedConn is a connection whose bytes are counted.
+// countingConn counts the bytes of a connection.
 type countingConn struct {
 	net.Conn
 	counter *byteCounter
@@ -66,7 +67,7 @@
 	return n, err
 }
 
-// countedListener counts the bytes of all its connections.
+// countingListener counts the bytes of all its connections.
 type countingListener struct {
 	net.Listener
 	counter *byteCounter
@@ -103,7 +104,7 @@
 	return s, nil
 }
 
-// put takes an entry over. Its caller holds mu, but at the start.
+// setEntry adds or replaces an entry. The caller must hold mu, except before the service is started.
 func (s *discoveryService) setEntry(e listing.Entry) {
 	if i, there := s.index[e.ID]; there {
 		s.entries[i], s.entryVersions[i] = e, s.version
@@ -113,7 +114,7 @@
 	s.entries, s.entryVersions = append(s.entries, e), append(s.entryVersions, s.version)
 }
 
-// change makes the next version and tells it, and when.
+// publish makes the next version from changed entries, and returns it with the time.
 func (s *discoveryService) publish(e ...listing.Entry) (uint64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,7 +127,7 @@
 	return uint64(s.version), monotone.Now()
 }
 
-// list is the whole list as it is now.
+// list returns the current full list.
 func (s *discoveryService) list() *listing.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +135,7 @@
 	return &listing.List{Version: &v, Full: true, Targets: append(listing.Entries(nil), s.entries...)}
 }
 
-// turn waits for a call's turn and until it is done.
+// awaitTurn queues a call and returns when it is done, or returns false if the queue is too long.
 func (s *discoveryService) awaitTurn(cost time.Duration) bool {
 	s.mu.Lock()
 	now := time.Now()
@@ -155,7 +156,7 @@
 	return true
 }
 
-// news is what came after a version. Its caller holds mu.
+// changedSince returns the entries that changed after a version. The caller must hold mu.
 func (s *discoveryService) changedSince(after int64) (l []listing.Entry) {
 	for i, v := range s.entryVersions {
 		if v > after {
--- a/internal/testbed/scale/run/spec.go
+++ b/internal/testbed/scale/run/spec.go
@@ -1,5 +1,5 @@
-// Package run is the scale run: hollow initiators in a few processes beside real ones, agents and relays, under changes and faults, with a judge
-// that reports whatever goes against a promise. Nothing of it is linked into the initiator.
+// Package run implements the scale run: hollow initiators in a few processes beside real ones, agents and relays, under changes and faults, with checks
+// that report violated guarantees and limits. It is not linked into the initiator.
 package run
 
 import (
@@ -18,67 +18,67 @@
 //go:embed short.toml full.toml wide.toml burst.toml before.toml
 var builtinSpecs embed.FS
 
-// Spec is a run's file.
+// Spec is the file that describes a run.
 type Spec struct {
 	File             string    `toml:"-"`
 	Name             string    `toml:"name"`
-	Mechanism        string    `toml:"mechanism"` // discovery: one service for lists, agents with a configuration each; feed: agents and relays
+	Mechanism        string    `toml:"mechanism"` // discovery: one service sends lists and the agents a configuration to each initiator; feed: agents and relays send both
 	Seed             uint64    `toml:"seed"`
-	Initiators       []int     `toml:"initiators"` // sizes, ascending; the last is the run's
-	Targets          []int     `toml:"targets"`    // the same
-	Changes          []float64 `toml:"changes"`    // a second, the same
-	DurationS        float64   `toml:"for_s"`      // each size is measured for so long
-	Real             int       `toml:"real"`       // spindlehitch serve
-	AnsweringTargets int       `toml:"answering"`  // targets that answer, an even number
+	Initiators       []int     `toml:"initiators"` // sizes, ascending; the last is the full size of the run
+	Targets          []int     `toml:"targets"`    // sizes, likewise
+	Changes          []float64 `toml:"changes"`    // rates a second, likewise
+	DurationS        float64   `toml:"for_s"`      // duration of the measurement of each size
+	Real             int       `toml:"real"`       // number of spindlehitch serve processes
+	AnsweringTargets int       `toml:"answering"`  // targets that answer requests, an even number
 	Agents           int       `toml:"agents"`
 	Relays           int       `toml:"relays"`
-	PerProcess       int       `toml:"per_process"` // hollow initiators that share one
-	Modules          int       `toml:"modules"`     // hollow initiators that run the module
-	DiskCopies       int       `toml:"disk"`        // hollow initiators that keep a copy on disk, where the feed carries changes
-	Members          int       `toml:"members"`     // hollow initiators that are members
+	PerProcess       int       `toml:"per_process"` // hollow initiators in each host process
+	Modules          int       `toml:"modules"`     // hollow initiators that run the scheduler
+	DiskCopies       int       `toml:"disk"`        // hollow initiators that keep a copy on disk, with the feed only
+	Members          int       `toml:"members"`     // hollow initiators that join the membership group
 	Regions          []Region  `toml:"region"`
 	Faults           []Fault   `toml:"fault"`
 	Limits           Limits    `toml:"limits"`
 }
 
-// Region is one of the fleet's.
+// Region is a region of the fleet with its zones.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
 }
 
-// Fault is something that goes wrong, one after the other: changes go on meanwhile.
+// Fault is a fault to inject. Faults follow one another, and changes continue meanwhile.
 type Fault struct {
-	Kind      string  `toml:"what"` // one of faults
+	Kind      string  `toml:"what"` // one of faultKinds
 	Region    string  `toml:"region"`
 	Zone      string  `toml:"zone"`
-	Number    int     `toml:"number"`    // how many of them
-	DurationS float64 `toml:"for_s"`     // how long
-	Changes   float64 `toml:"changes"`   // a second, meanwhile; 0: the least of the run's
-	RecoveryS float64 `toml:"healed_in"` // all at one version so long after it, in seconds; 0: the run's in_force
+	Number    int     `toml:"number"`    // number of affected processes, initiators or connections
+	DurationS float64 `toml:"for_s"`     // duration
+	Changes   float64 `toml:"changes"`   // rate a second meanwhile; 0: the lowest of the run
+	RecoveryS float64 `toml:"healed_in"` // limit for all initiators to be at one version after it, in seconds; 0: the run's in_force_s
 }
 
-// faults are the kinds, and which of their fields they need.
+// faultKinds are the kinds of faults, with the fields that each requires.
 var faultKinds = map[string]struct{ number, region bool }{
 	"kill-relays": {number: true}, "pause-relays": {number: true}, "kill-agent": {}, "pause-agent": {}, "cut-region": {region: true}, "cut-relays": {number: true},
 	"restart": {number: true}, "restart-all": {}, "restart-zone": {}, "burst": {}, "deaf": {number: true},
 }
 
-// Limits are those that are held or not.
+// Limits are the limits that a run is checked against.
 type Limits struct {
-	InForce   float64 `toml:"in_force_s"`    // the last one has a change
-	Primary   float64 `toml:"primary_s"`     // the last one has a change of primary
-	Core      float64 `toml:"core"`          // of an initiator, for control; a part
+	InForce   float64 `toml:"in_force_s"`    // until the last initiator has a change
+	Primary   float64 `toml:"primary_s"`     // until the last initiator has a change of primary
+	Core      float64 `toml:"core"`          // of an initiator, for control; a fraction of a core
 	Memory    float64 `toml:"memory_mb"`     // of an initiator
 	Wire      float64 `toml:"wire_kb_s"`     // of an initiator, both ways
 	AgentCore float64 `toml:"agent_core"`    // of the leader
 	RelayCore float64 `toml:"relay_core"`    // of each relay
 	RelayMB   float64 `toml:"relay_mb"`      //
-	Agreement float64 `toml:"agreement"`     // of hollow and real initiators: the most that bytes of the one differ by, as a part of the other's
-	Restart   float64 `toml:"restart_all_s"` // all of them restarted
+	Agreement float64 `toml:"agreement"`     // largest relative difference of the bytes of hollow and real initiators
+	Restart   float64 `toml:"restart_all_s"` // for a restart of all initiators
 }
 
-// Read reads a run's file, or one of those that the program has.
+// Read reads a run's file, or a builtin one by its name.
 func Read(path string) (*Spec, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) && !slices.ContainsFunc([]byte(path), func(b byte) bool { return b == '/' || b == '.' }) {
@@ -90,7 +90,7 @@
 	return Parse(path, string(text))
 }
 
-// Parse reads the text of a run's file and checks it; errors name the file and the field.
+// Parse decodes and validates the text of a run's file. Errors name the file and the field.
 func Parse(file, text string) (*Spec, error) {
 	s := &Spec{File: file}
 	meta, err := toml.Decode(text, s)
@@ -113,12 +113,12 @@
 	specChangesMax    = 100
 	specProcessesMax  = 300
 	specPerProcessMax = 500
-	specRealMax       = 20 // real processes
-	// mostListed is what a whole list may have of targets where discovery tells it (internal/datapath/listing).
+	specRealMax       = 20 // of spindlehitch serve
+	// specListMax is the most targets in a list that discovery sends (internal/datapath/listing).
 	specListMax = 1 << 13
 )
 
-// Check names the first field that can't be used.
+// Check validates the spec; the error names the first invalid field.
 func (s *Spec) Check() error { //nolint:gocognit // to be split with its package, see docs/left.md
 	if s.Name == "" {
 		return errors.New("name: is missing")
@@ -131,7 +131,7 @@
 		return firstError(err)
 	}
 	if s.Mechanism == "discovery" && s.maxTargets() > specListMax {
-		return fmt.Errorf("targets: %d in a list that discovery tells, %d at most", s.maxTargets(), specListMax)
+		return fmt.Errorf("targets: %d in a list sent by discovery, at most %d are allowed", s.maxTargets(), specListMax)
 	}
 	for _, f := range []struct {
 		name        string
@@ -140,63 +140,63 @@
 	}{{"real", s.Real, 0, specRealMax}, {"answering", s.AnsweringTargets, 2, 100}, {"agents", s.Agents, 1, 7}, {"relays", s.Relays, 0, 64}, {"per_process", s.PerProcess, 1, specPerProcessMax},
 		{"modules", s.Modules, 0, s.maxInitiators()}, {"members", s.Members, 0, s.maxInitiators()}, {"disk", s.DiskCopies, 0, s.maxInitiators()}, {"answering", s.AnsweringTargets, 2, s.Targets[0]}} {
 		if f.n < f.least || f.n > f.most {
-			return fmt.Errorf("%s: %d is not within %d and %d", f.name, f.n, f.least, f.most)
+			return fmt.Errorf("%s: %d is not between %d and %d", f.name, f.n, f.least, f.most)
 		}
 	}
 	if s.AnsweringTargets%2 != 0 {
 		return fmt.Errorf("answering: %d is odd", s.AnsweringTargets)
 	}
 	if !(s.DurationS > 0 && s.DurationS <= 600) {
-		return fmt.Errorf("for_s: %v is not over 0 and at most 600", s.DurationS)
+		return fmt.Errorf("for_s: %v is not above 0 and at most 600", s.DurationS)
 	}
 	if s.Mechanism == "feed" && s.Relays < len(s.Regions) {
 		return fmt.Errorf("relays: %d are too few for %d regions", s.Relays, len(s.Regions))
 	}
 	if n := s.maxInitiators()/s.PerProcess + 1 + s.Real + s.Agents + s.Relays; n > specProcessesMax {
-		return fmt.Errorf("per_process: %d takes %d processes, %d at most", s.PerProcess, n, specProcessesMax)
+		return fmt.Errorf("per_process: %d requires %d processes, at most %d are allowed", s.PerProcess, n, specProcessesMax)
 	}
 	regions, zones := map[string]bool{}, map[string]bool{}
 	for i, r := range s.Regions {
 		if r.Name == "" || regions[r.Name] {
-			return fmt.Errorf("region[%d].name: %q is missing or there twice", i, r.Name)
+			return fmt.Errorf("region[%d].name: %q is empty or a duplicate", i, r.Name)
 		}
 		regions[r.Name] = true
 		if len(r.Zones) == 0 {
-			return fmt.Errorf("region[%d].zones: there are none", i)
+			return fmt.Errorf("region[%d].zones: empty", i)
 		}
 		for k, z := range r.Zones {
 			if z == "" || zones[z] {
-				return fmt.Errorf("region[%d].zones[%d]: %q is missing or there twice", i, k, z)
+				return fmt.Errorf("region[%d].zones[%d]: %q is empty or a duplicate", i, k, z)
 			}
 			zones[z] = true
 		}
 	}
 	if len(s.Regions) == 0 {
-		return errors.New("region: there is none")
+		return errors.New("region: at least one is required")
 	}
 	for i, f := range s.Faults {
 		kind, known := faultKinds[f.Kind]
 		switch {
 		case !known:
-			return fmt.Errorf("fault[%d].what: %q is not known", i, f.Kind)
+			return fmt.Errorf("fault[%d].what: unknown fault %q", i, f.Kind)
 		case f.Region != "" && !regions[f.Region], kind.region && f.Region == "":
-			return fmt.Errorf("fault[%d].region: %q is no region", i, f.Region)
+			return fmt.Errorf("fault[%d].region: unknown region %q", i, f.Region)
 		case f.Zone != "" && !zones[f.Zone], f.Kind == "restart-zone" && f.Zone == "":
-			return fmt.Errorf("fault[%d].zone: %q is no zone", i, f.Zone)
+			return fmt.Errorf("fault[%d].zone: unknown zone %q", i, f.Zone)
 		case kind.number && f.Number < 1:
-			return fmt.Errorf("fault[%d].number: %d is not over 0", i, f.Number)
+			return fmt.Errorf("fault[%d].number: %d is not above 0", i, f.Number)
 		case !(f.DurationS >= 0 && f.DurationS <= 3600), f.Changes < 0, f.RecoveryS < 0:
-			return fmt.Errorf("fault[%d]: for_s, changes and healed_in can't be below 0, for_s is 3600 at most", i)
+			return fmt.Errorf("fault[%d]: for_s, changes and healed_in can't be below 0, and for_s can't be above 3600", i)
 		case f.Kind == "kill-relays" || f.Kind == "pause-relays" || f.Kind == "cut-relays":
 			if s.Mechanism != "feed" || f.Number >= s.Relays {
-				return fmt.Errorf("fault[%d].number: %d of %d relays", i, f.Number, s.Relays)
+				return fmt.Errorf("fault[%d].number: %d of %d relays: one has to remain, and the mechanism has to be feed", i, f.Number, s.Relays)
 			}
 		}
 	}
 	return nil
 }
 
-// firstOf is the first of joined errors: one message at a time.
+// firstError returns the first of joined errors, so that one message is reported at a time.
 func firstError(err error) error {
 	if many, ok := err.(interface{ Unwrap() []error }); ok {
 		return many.Unwrap()[0]
@@ -206,34 +206,34 @@
 
 func ascending[N int | float64](name string, sizes []N, most N) error {
 	if len(sizes) == 0 {
-		return fmt.Errorf("%s: there is none", name)
+		return fmt.Errorf("%s: at least one is required", name)
 	}
 	for i, n := range sizes {
 		switch {
 		case !(n > 0 && n <= most):
-			return fmt.Errorf("%s[%d]: %v is not over 0 and at most %v", name, i, n, most)
+			return fmt.Errorf("%s[%d]: %v is not above 0 and at most %v", name, i, n, most)
 		case i > 0 && sizes[i-1] >= n:
-			return fmt.Errorf("%s[%d]: %v comes after %v", name, i, n, sizes[i-1])
+			return fmt.Errorf("%s[%d]: %v is not above the preceding %v", name, i, n, sizes[i-1])
 		}
 	}
 	return nil
 }
 
-// all is how many hollow initiators the run has at its largest, most how many targets.
+// maxInitiators and maxTargets return the largest numbers of hollow initiators and targets in the run.
 func (s *Spec) maxInitiators() int { return s.Initiators[len(s.Initiators)-1] }
 func (s *Spec) maxTargets() int    { return s.Targets[len(s.Targets)-1] }
 
 const (
-	// eachTakes is what a hollow initiator takes without a single target, in bytes: its goroutines, connections and buffers. Measured by the run itself.
+	// initiatorBaseBytes is the memory of a hollow initiator without targets, for its goroutines, connections and buffers, as measured by the run itself.
 	initiatorBaseBytes = 256 << 10
-	// garbage is what a host's collector leaves beside what lives, as a factor: it runs at half as much again.
+	// gcOverhead is the heap of a host relative to the live heap, as its collector runs at 50% growth.
 	gcOverhead = 1.5
 )
 
-// replicaMemory is the slope of what an initiator keeps of each target that it hears of by the feed.
+// replicaMemory is the name of the slope for the memory of each target in an initiator's replica of the feed.
 const replicaMemory = "feed.replica.memory"
 
-// Needs is what the run takes of memory by the slopes of the table, in bytes; ok is false where one that it takes was not measured.
+// MemoryNeeded estimates the memory of the run from the slopes of the table, in bytes; ok is false if a slope that it needs was not measured.
 func (s *Spec) MemoryNeeded(t *slope.Table) (bytes int64, ok bool) {
 	list := t.Lookup("list.memory")
 	if replica := t.Lookup(replicaMemory); s.Mechanism == "feed" && replica.Known() {
@@ -253,15 +253,15 @@
 	return int64(sum), ok
 }
 
-// Fits tells whether the run takes less than half of the machine's memory.
+// CheckMemory returns an error if the run needs more than half of the machine's memory.
 func (s *Spec) CheckMemory(t *slope.Table, half int64) error {
 	if need, _ := s.MemoryNeeded(t); need > half {
-		return fmt.Errorf("%s: initiators: %d with %d targets take %d MB by the slopes, half of this machine's memory is %d MB", s.File, s.maxInitiators(), s.maxTargets(), need>>20, half>>20)
+		return fmt.Errorf("%s: initiators: %d with %d targets need about %d MB, half of this machine's memory is %d MB", s.File, s.maxInitiators(), s.maxTargets(), need>>20, half>>20)
 	}
 	return nil
 }
 
-// Fits holds a run against half of this machine's memory.
+// CheckMemory compares the memory that a run needs with half of this machine's memory.
 func CheckMemory(s *Spec, t *slope.Table) error {
 	half, err := halfMemory()
 	if err != nil {
--- a/internal/testbed/scale/run/suffer.go
+++ b/internal/testbed/scale/run/suffer.go
@@ -28,10 +28,10 @@
 	return name
 }
 
-// faultRow names the row of a fault.
+// faultRow returns the series name of a fault's row.
 func faultRow(i int, x Fault) string { return fmt.Sprint("fault ", i, " ", x.label()) }
 
-// suffer plays the faults, one after the other, while changes go on.
+// runFaults runs the faults one after another, while changes continue.
 func (f *fleet) runFaults(r *Result) error {
 	for i, x := range f.spec.Faults {
 		row, err := f.runFault(i, x)
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// after is how long changes go on once a fault has ended.
+// afterFault is how long changes continue after a fault has ended and all initiators have caught up.
 const afterFault = 2 * time.Second
 
 func (f *fleet) runFault(i int, x Fault) (Row, error) {
@@ -76,7 +76,7 @@
 	if err := end(); err != nil {
 		return r, err
 	}
-	// Changes go on until all have those that were made before the end.
+	// Changes continue until all initiators have those made before the end of the fault.
 	took, up, err := f.awaitMarks(w.currentMarks(), settleTimeout)
 	if err != nil {
 		return r, err
@@ -89,7 +89,7 @@
 	stop()
 	writing.Wait()
 	if x.Region != "" {
-		f.targets.judgeFrom(time.Now()) // what was not heard there is heard soon
+		f.targets.judgeFrom(time.Now()) // a region that was cut off learns of earlier drains only now
 	}
 	b, err := f.takeSnapshot()
 	if err != nil {
@@ -107,7 +107,7 @@
 	return r, nil
 }
 
-// all are the marks so far.
+// currentMarks returns the marks so far.
 func (w *changeWriter) currentMarks() []changeMark {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,7 +120,7 @@
 	return len(w.marks) + w.failed
 }
 
-// strike begins a fault and returns what ends it.
+// injectFault starts a fault and returns a function that ends it.
 func (f *fleet) injectFault(x Fault, seed uint64, rng *rand.Rand) (end func() error, err error) {
 	nothing := func() error { return nil }
 	some := func(of []*proc, n int) (hit []*proc) {
@@ -159,7 +159,7 @@
 	case "cut-region":
 		f.targets.judgeFrom(time.Now().Add(time.Hour))
 		return holdLinks(f.links[x.Region]), nil
-	case "cut-relays": // they answer still
+	case "cut-relays": // they still answer their readers
 		var of []*faults.Link
 		for _, i := range rng.Perm(len(f.relays))[:x.Number] {
 			f.logf("%s is cut off from the agents", f.relays[i].name)
@@ -168,7 +168,7 @@
 		return holdLinks(of), nil
 	case "restart", "restart-all", "restart-zone":
 		o := hostOrder{Action: "restart", Number: x.Number, Zone: x.Zone, Seed: seed}
-		if x.Kind == "restart-all" { // over the whole time
+		if x.Kind == "restart-all" { // spread over the duration of the fault
 			o.SpreadS = x.DurationS
 		}
 		_, err := f.broadcast(o)
@@ -177,10 +177,10 @@
 		_, err := f.broadcast(hostOrder{Action: "deaf", Number: max(1, x.Number/max(1, len(f.hosts)))})
 		return func() error { _, err := f.broadcast(hostOrder{Action: "hear"}); return err }, err
 	}
-	return nothing, nil // a burst is its changes alone
+	return nothing, nil // a burst consists of its rate of changes alone
 }
 
-// held has links hold all that comes, until it ends.
+// holdLinks makes links hold back all data until the returned function is called.
 func holdLinks(links []*faults.Link) (end func() error) {
 	for _, l := range links {
 		l.Set(faults.Way{Hold: true}, faults.Way{Hold: true})
@@ -193,7 +193,7 @@
 	}
 }
 
-// hit is the processes that a fault is about: of the agents the leader.
+// faultProcesses returns the processes that a fault affects: random relays, or the leader of the agents.
 func (f *fleet) faultProcesses(x Fault, some func([]*proc, int) []*proc) ([]*proc, error) {
 	if x.Kind == "kill-relays" || x.Kind == "pause-relays" {
 		return some(f.relays, x.Number), nil
--- a/internal/testbed/scale/run/tell.go
+++ b/internal/testbed/scale/run/tell.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// state tells who has what is asked about, and what was broken.
+// reportState counts the running initiators that have the marks of an order, and sums up violations and traffic.
 func (h *host) reportState(o *hostOrder, s *hostState) {
 	for _, in := range h.initiators {
 		if n, what := in.Journal.Broken(); n > 0 {
@@ -38,7 +38,7 @@
 	s.In, s.Out = s.In+h.traffic.in.Load(), s.Out+h.traffic.out.Load()
 }
 
-// collect tells when each change came into force.
+// reportLatencies reports when each change came into force.
 func (h *host) reportLatencies(o *hostOrder, s *hostState) {
 	s.Latencies = map[string]int{}
 	for _, m := range o.Marks {
@@ -66,7 +66,7 @@
 	}
 }
 
-// deafen opens calls that are never read from, as many as asked for.
+// openUnreadConns sends requests on a number of new connections that are never read from.
 func (h *host) openUnreadConns(o *hostOrder) error {
 	for i := range o.Number {
 		in := h.initiators[i%len(h.initiators)]
@@ -79,7 +79,7 @@
 			return err
 		}
 		h.unreadConns = append(h.unreadConns, c)
-		go func() { _, _ = c.Write(request) }() // the other end may stop reading, as this one does
+		go func() { _, _ = c.Write(request) }() // in a goroutine, since the peer may stop reading as well; closing the connection ends it
 	}
 	return nil
 }
--- a/internal/testbed/scale/run/topology.go
+++ b/internal/testbed/scale/run/topology.go
@@ -17,15 +17,15 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// Options are what a run is told beside its file.
+// Options are the parameters of a run that are not in its file.
 type Options struct {
-	Self    string    // the program of the run, which its hosts run as well
-	Program string    // spindlehitch
-	Dir     string    // for logs and state; empty: a folder that goes with the run
-	Log     io.Writer // what is under way
+	Self    string    // path of the program of the run, which the hosts run as well
+	Program string    // path of spindlehitch
+	Dir     string    // directory for logs and state; if empty, a temporary one that is removed after the run
+	Log     io.Writer // receives progress messages
 }
 
-// fleet is all processes of a run, and what stands in for the rest.
+// fleet is all processes of a run and the stand-ins for discovery and the targets. mu guards entries, stateChanges and changing while changes are being made.
 type fleet struct {
 	spec         *Spec
 	opt          Options
@@ -35,29 +35,29 @@
 	discovery    *discoveryService
 	targets      *targetServers
 	agents       []*proc
-	agentAddrs   []string // the agents'
-	agentDirs    []string // the agents'
+	agentAddrs   []string
+	agentDirs    []string
 	relays       []*proc
 	relayAddrs   []relayAddr
 	addrs        map[string]controlAddrs
 	hosts        []*proc
-	hostKinds    []hostKind // of each host's initiators
-	hostSizes    []int      // how many each has
-	hollowCount  int        // initiators in hosts
-	memberSeeds  []string   // members that others begin with
+	hostKinds    []hostKind // of the initiators of each host
+	hostSizes    []int      // number of initiators in each host
+	hollowCount  int        // hollow initiators in all hosts
+	memberSeeds  []string   // addresses of the members that new members join through
 	reals        []*realInitiator
-	regressions  int                       // times that a real one said that an older version is in force
-	links        map[string][]*faults.Link // of each region, to all that is outside it
-	agentLinks   [][]*faults.Link          // of each relay, among those
+	regressions  int                       // times that a real initiator reported an older version than before
+	links        map[string][]*faults.Link // by region, to everything outside it
+	agentLinks   [][]*faults.Link          // by relay, the subset of links that leads to the agents
 	client       *agent.Client
 	entries      []listing.Entry
-	stateChanges []int64      // changes of each
-	changing     map[int]bool // a change of it is under way
+	stateChanges []int64      // number of state changes of each entry
+	changing     map[int]bool // indexes of the entries with a change in progress
 	mu           sync.Mutex
 	load         load
 }
 
-// newFleet starts discovery, targets, agents and what else there is before the first initiator.
+// newFleet starts discovery, targets, agents and relays, but no initiator.
 func newFleet(ctx context.Context, spec *Spec, opt Options) (f *fleet, err error) {
 	f = &fleet{spec: spec, opt: opt, ctx: ctx, dir: opt.Dir, began: time.Now(), links: map[string][]*faults.Link{}, changing: map[int]bool{}}
 	if f.dir == "" {
@@ -88,12 +88,13 @@
 	return f, f.startRelays()
 }
 
-// say tells what is under way.
+// logf writes a progress message.
 func (f *fleet) logf(form string, about ...any) {
 	fmt.Fprintf(f.opt.Log, "%6.1f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(form, about...))
 }
 
-// grow makes more targets and returns them, each a shard of its own. The first few answer: two of these have a shard in common.
+// addTargets creates targets up to a number in all and returns the new ones. The first few answer requests and share a shard in pairs; each other target is a shard of
+// its own.
 func (f *fleet) addTargets(to int) []listing.Entry {
 	from := len(f.entries)
 	for i := from; i < to; i++ {
@@ -106,17 +107,17 @@
 	return f.entries[from:]
 }
 
-// region and zone are those of the initiator, relay or target of a number: spread evenly.
+// region and zone return those of the initiator, relay or target with an index, which are spread evenly.
 func (f *fleet) region(i int) Region { return f.spec.Regions[i%len(f.spec.Regions)] }
 func (f *fleet) zone(i int) string {
 	r := f.region(i)
 	return r.Zones[i/len(f.spec.Regions)%len(r.Zones)]
 }
 
-// long is a bound for whatever a busy machine needs time for.
+// setupTimeout bounds each step of the setup, long enough for a busy machine.
 const setupTimeout = 2 * time.Minute
 
-// until waits until done.
+// waitUntil polls until done returns true.
 func (f *fleet) waitUntil(what string, within time.Duration, done func() bool) error {
 	for end := time.Now().Add(within); !done(); {
 		if time.Now().After(end) {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-// pause waits; false: the run is interrupted.
+// sleep waits for d and returns false if the run is interrupted.
 func (f *fleet) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
@@ -139,7 +140,7 @@
 	}
 }
 
-// way makes a link from a region to something outside it.
+// newLink creates a link from a region to an address outside it and returns the link's address.
 func (f *fleet) newLink(region, to, addr string) (string, error) {
 	l, err := faults.NewLink(region, to, addr)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return l.Addr, nil
 }
 
-// waysOf is how each region meets control: by the relays, or where discovery carries the changes by the service and the agents.
+// controlAddrs returns the control addresses of each region: the relays with the feed, and otherwise the discovery service and the agents, by links.
 func (f *fleet) controlAddrs() (_ map[string]controlAddrs, err error) {
 	if f.addrs != nil {
 		return f.addrs, nil
@@ -181,24 +182,24 @@
 	return all, nil
 }
 
-// kind is what a host's initiators have beside the rest: each kind is measured by itself.
+// hostKind is the optional part that a host's initiators run. Each kind is measured separately.
 type hostKind string
 
 const (
 	plain      hostKind = "plain"
-	withDisk   hostKind = "disk"   // they keep a copy of what they have
-	withModule hostKind = "module" // they run the module
-	withBoth   hostKind = "whole"  // both: as many as there are real ones, to be held against them
-	asMember   hostKind = "member" // they know each other
+	withDisk   hostKind = "disk"   // they keep a copy of their state on disk
+	withModule hostKind = "module" // they run the scheduler
+	withBoth   hostKind = "whole"  // both disk and scheduler: as many as there are real initiators, for comparison
+	asMember   hostKind = "member" // they are members of the membership group
 )
 
-// mostSeeds is how many members others are told of at their start.
+// maxSeeds is the most member addresses that a new member gets.
 const maxSeeds = 8
 
-// beside keeps those with a copy on disk from being the members, where there are as many of both.
+// diskOffset shifts the selection of initiators with a copy on disk, so that they are not the members if there are as many of both.
 const diskOffset = 7
 
-// kindOf is that of the initiator of a number: kinds are spread evenly, so that each size has its share.
+// kindOf returns the kind of the initiator with an index. Kinds are spread evenly, so that each size has its share of them.
 func (f *fleet) kindOf(i int) hostKind {
 	switch {
 	case i < f.spec.Real:
@@ -213,7 +214,7 @@
 	return plain
 }
 
-// scale starts hosts until so many hollow initiators are there, off as yet.
+// startHosts starts hosts until there are a number of hollow initiators, which are not started yet.
 func (f *fleet) startHosts(to int) error {
 	ways, err := f.controlAddrs()
 	if err != nil {
@@ -255,10 +256,10 @@
 	return nil
 }
 
-// every tells whether the i-th of all is one of so many, spread evenly.
+// evenlyChosen reports whether the i-th of all items is one of a number of items that are spread evenly.
 func evenlyChosen(i, some, all int) bool { return i*some/all != (i+1)*some/all }
 
-// shares shares out so many of all initiators over the hosts: those with a copy on disk first, as initiators have one.
+// distribute assigns a number of initiators to the hosts, those with a copy on disk first, as real initiators have one.
 func (f *fleet) distribute(n int) []int {
 	shares := make([]int, len(f.hosts))
 	for _, first := range []bool{true, false} {
@@ -272,7 +273,7 @@
 	return shares
 }
 
-// each has all hosts do something at a time and adds up their answers.
+// broadcast sends an order to all hosts concurrently and returns the sum of their states.
 func (f *fleet) broadcast(o hostOrder) (sum hostState, err error) {
 	answers, errs := make([]hostState, len(f.hosts)), make([]error, len(f.hosts))
 	shares := f.distribute(o.Number)
@@ -301,7 +302,7 @@
 	return 0
 }
 
-// add adds what another host has answered.
+// add adds the state of another host.
 func (s *hostState) add(a hostState) {
 	s.Running, s.Pending, s.Reached, s.Violations, s.Missing = s.Running+a.Running, s.Pending+a.Pending, s.Reached+a.Reached, s.Violations+a.Violations, s.Missing+a.Missing
 	s.In, s.Out, s.RelayMoves = s.In+a.In, s.Out+a.Out, s.RelayMoves+a.RelayMoves
@@ -321,7 +322,7 @@
 	}
 }
 
-// lacks tells whether, of so many, one does not run or has not what was asked about.
+// incomplete reports whether fewer than a number of initiators run, one is yet to restart, or one has not reached all marks.
 func (s *hostState) incomplete(of int) bool {
 	return s.Pending > 0 || s.Running < of || s.Reached < s.Running
 }
@@ -336,12 +337,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// close ends whatever was begun.
+// close stops all processes, links and servers of the run.
 func (f *fleet) close() {
 	f.load.stop()
 	for _, p := range f.hosts {
 		if p.alive() {
-			p.in.Close() // it ends by itself then
+			p.in.Close() // the host exits when its input ends
 		}
 	}
 	var all sync.WaitGroup
@@ -355,7 +356,7 @@
 				continue
 			}
 			all.Go(func() {
-				p.signal(contSignal) // a paused one hears nothing else
+				p.signal(contSignal) // a paused process does not handle other signals
 				p.stop([]time.Duration{6 * time.Second, 3 * time.Second, 3 * time.Second, 10 * time.Second}[i])
 			})
 		}
