--- a/internal/testbed/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -126,11 +126,11 @@
 		return version, nil
 	}
 	for len(e) > 0 {
-		some := e[:min(putsPerChange, len(e))]
-		e = e[len(some):]
+		batch := e[:min(putsPerChange, len(e))]
+		e = e[len(batch):]
 		c := watchstream.Change{Fleet: fleetName}
-		for _, x := range some {
-			text, err := format.Marshal(x)
+		for _, x := range batch {
+			text, err := jsonFormat.Marshal(x)
 			if err != nil {
 				return 0, err
 			}
--- a/internal/testbed/scale/run/service.go
+++ b/internal/testbed/scale/run/discovery.go
@@ -24,7 +24,7 @@
 	maxWatch      = time.Minute
 )
 
-var format = jsoniter.ConfigCompatibleWithStandardLibrary
+var jsonFormat = jsoniter.ConfigCompatibleWithStandardLibrary
 
 // discoveryService is a stand-in for that service. It processes one call at a time, including calls that the client gave up. mu guards all fields from busyUntil
 // to failed.
@@ -106,7 +106,7 @@
 
 // setEntry adds or replaces an entry. The caller must hold mu, except before the service is started.
 func (s *discoveryService) setEntry(e listing.Entry) {
-	if i, there := s.index[e.ID]; there {
+	if i, found := s.index[e.ID]; found {
 		s.entries[i], s.entryVersions[i] = e, s.version
 		return
 	}
@@ -168,22 +168,22 @@
 
 func (s *discoveryService) serve(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseInt(r.URL.Query().Get("after"), 10, 64)
-	whole := err != nil
+	full := err != nil
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	s.mu.Lock()
 	changed, version := s.changed, s.version
-	goesOn := !whole && time.Since(s.lastAnswers[r.RemoteAddr]) < renewalWindow
-	lines := len(s.entries)
-	if !whole {
-		lines = len(s.changedSince(after))
+	renewed := !full && time.Since(s.lastAnswers[r.RemoteAddr]) < renewalWindow
+	entryCount := len(s.entries)
+	if !full {
+		entryCount = len(s.changedSince(after))
 	}
 	s.mu.Unlock()
 	cost := func(lines int) time.Duration { return callCost + time.Duration(lines)*entryCost }
-	if !(goesOn && after == version) && !s.awaitTurn(cost(lines)) {
+	if !(renewed && after == version) && !s.awaitTurn(cost(entryCount)) {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
-	if !whole && after == version {
+	if !full && after == version {
 		select {
 		case <-r.Context().Done():
 			return
@@ -196,12 +196,12 @@
 		}
 	}
 	s.mu.Lock()
-	answer := listing.List{Version: new(int64), Full: whole, Targets: s.entries}
+	answer := listing.List{Version: new(int64), Full: full, Targets: s.entries}
 	*answer.Version = s.version
-	if !whole {
+	if !full {
 		answer.Targets = s.changedSince(after)
 	}
-	text, err := format.Marshal(answer)
+	text, err := jsonFormat.Marshal(answer)
 	s.lastAnswers[r.RemoteAddr] = time.Now()
 	s.mu.Unlock()
 	if err != nil {
--- a/internal/testbed/scale/run/suffer.go
+++ b/internal/testbed/scale/run/faults.go
@@ -123,13 +123,13 @@
 // injectFault starts a fault and returns a function that ends it.
 func (f *fleet) injectFault(x Fault, seed uint64, rng *rand.Rand) (end func() error, err error) {
 	nothing := func() error { return nil }
-	some := func(of []*proc, n int) (hit []*proc) {
+	randomProcs := func(of []*proc, n int) (hit []*proc) {
 		for _, i := range rng.Perm(len(of))[:n] {
 			hit = append(hit, of[i])
 		}
 		return hit
 	}
-	back := func(hit []*proc, do func(*proc) error) func() error {
+	forEach := func(hit []*proc, do func(*proc) error) func() error {
 		return func() error {
 			for _, p := range hit {
 				if err := do(p); err != nil {
@@ -143,19 +143,19 @@
 	resumed := func(p *proc) error { p.signal(syscall.SIGCONT); return nil }
 	switch x.Kind {
 	case "kill-relays", "kill-agent":
-		hit, err := f.faultProcesses(x, some)
-		for _, p := range hit {
+		affected, err := f.faultProcesses(x, randomProcs)
+		for _, p := range affected {
 			f.logf("%s is killed", p.name)
 			p.kill()
 		}
-		return back(hit, started), err
+		return forEach(affected, started), err
 	case "pause-relays", "pause-agent":
-		hit, err := f.faultProcesses(x, some)
-		for _, p := range hit {
+		affected, err := f.faultProcesses(x, randomProcs)
+		for _, p := range affected {
 			f.logf("%s is paused", p.name)
 			p.signal(syscall.SIGSTOP)
 		}
-		return back(hit, resumed), err
+		return forEach(affected, resumed), err
 	case "cut-region":
 		f.targets.judgeFrom(time.Now().Add(time.Hour))
 		return holdLinks(f.links[x.Region]), nil
@@ -194,9 +194,9 @@
 }
 
 // faultProcesses returns the processes that a fault affects: random relays, or the leader of the agents.
-func (f *fleet) faultProcesses(x Fault, some func([]*proc, int) []*proc) ([]*proc, error) {
+func (f *fleet) faultProcesses(x Fault, choose func([]*proc, int) []*proc) ([]*proc, error) {
 	if x.Kind == "kill-relays" || x.Kind == "pause-relays" {
-		return some(f.relays, x.Number), nil
+		return choose(f.relays, x.Number), nil
 	}
 	i, err := f.awaitLeader()
 	if err != nil {
--- a/internal/testbed/scale/run/topology.go
+++ b/internal/testbed/scale/run/fleet.go
@@ -89,15 +89,15 @@
 }
 
 // logf writes a progress message.
-func (f *fleet) logf(form string, about ...any) {
-	fmt.Fprintf(f.opt.Log, "%6.1f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(form, about...))
+func (f *fleet) logf(layout string, args ...any) {
+	fmt.Fprintf(f.opt.Log, "%6.1f s  %s\n", time.Since(f.began).Seconds(), fmt.Sprintf(layout, args...))
 }
 
 // addTargets creates targets up to a number in all and returns the new ones. The first few answer requests and share a shard in pairs; each other target is a shard of
 // its own.
-func (f *fleet) addTargets(to int) []listing.Entry {
+func (f *fleet) addTargets(total int) []listing.Entry {
 	from := len(f.entries)
-	for i := from; i < to; i++ {
+	for i := from; i < total; i++ {
 		e := listing.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
 		if *e.Shard = i; i < len(f.targets.addrs) {
 			e.Addr, *e.Shard = f.targets.addrs[i], i/2
@@ -215,13 +215,13 @@
 }
 
 // startHosts starts hosts until there are a number of hollow initiators, which are not started yet.
-func (f *fleet) startHosts(to int) error {
+func (f *fleet) startHosts(total int) error {
 	ways, err := f.controlAddrs()
 	if err != nil {
 		return err
 	}
 	groups := map[hostKind][]hollowSpec{}
-	for i := f.hollowCount; i < to; i++ {
+	for i := f.hollowCount; i < total; i++ {
 		k := f.kindOf(i)
 		x := hollowSpec{Name: hollowName(i), Region: f.region(i).Name, Zone: f.zone(i), Seed: f.spec.Seed + uint64(i), Module: k == withModule || k == withBoth, Disk: k == withDisk || k == withBoth}
 		if k == asMember {
@@ -252,12 +252,12 @@
 			}
 		}
 	}
-	f.hollowCount = max(f.hollowCount, to)
+	f.hollowCount = max(f.hollowCount, total)
 	return nil
 }
 
 // evenlyChosen reports whether the i-th of all items is one of a number of items that are spread evenly.
-func evenlyChosen(i, some, all int) bool { return i*some/all != (i+1)*some/all }
+func evenlyChosen(i, chosen, all int) bool { return i*chosen/all != (i+1)*chosen/all }
 
 // distribute assigns a number of initiators to the hosts, those with a copy on disk first, as real initiators have one.
 func (f *fleet) distribute(n int) []int {
@@ -279,14 +279,14 @@
 	shares := f.distribute(o.Number)
 	var all sync.WaitGroup
 	for i, p := range f.hosts {
-		mine := o
-		mine.Seed += uint64(i)
+		hostCopy := o
+		hostCopy.Seed += uint64(i)
 		if o.Action == "restart" && o.Number > 0 {
-			if mine.Number = shares[i]; mine.Number == 0 {
+			if hostCopy.Number = shares[i]; hostCopy.Number == 0 {
 				continue
 			}
 		}
-		all.Go(func() { errs[i] = p.call(mine, &answers[i]) })
+		all.Go(func() { errs[i] = p.call(hostCopy, &answers[i]) })
 	}
 	all.Wait()
 	for _, a := range answers {
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -85,8 +85,8 @@
 	if m.VersionByName == nil {
 		return m.Version, true
 	}
-	v, there := m.VersionByName[x.Name]
-	return v, there
+	v, found := m.VersionByName[x.Name]
+	return v, found
 }
 
 // hostState is a host's answer to an order.
@@ -157,12 +157,12 @@
 		}
 		var o hostOrder
 		s := hostState{}
-		if err := format.Unmarshal(line, &o); err != nil {
+		if err := jsonFormat.Unmarshal(line, &o); err != nil {
 			s.Error = err.Error()
 		} else if err := h.handle(&o, &s); err != nil {
 			s.Error = err.Error()
 		}
-		text, err := format.Marshal(s)
+		text, err := jsonFormat.Marshal(s)
 		if err != nil {
 			return err
 		}
@@ -210,7 +210,7 @@
 	if o.ControlAddrs != nil {
 		h.addrs, h.fleetSize, h.lastKnown, h.dir, h.fleet = o.ControlAddrs, o.Initiators, o.LastKnown, o.Dir, o.Fleet
 		var f config.PlatformSettings
-		if err := format.Unmarshal(fmt.Appendf(nil, settingsTemplate, max(1, o.Initiators)), &f); err != nil {
+		if err := jsonFormat.Unmarshal(fmt.Appendf(nil, settingsTemplate, max(1, o.Initiators)), &f); err != nil {
 			return err
 		}
 		var err error
@@ -219,8 +219,8 @@
 		}
 	}
 	for _, x := range o.Add {
-		w, there := h.addrs[x.Region]
-		if !there {
+		w, found := h.addrs[x.Region]
+		if !found {
 			return fmt.Errorf("unknown region %q", x.Region)
 		}
 		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Crowd: h.fleetSize, Known: h.lastKnown, Agents: w.Agents,
--- a/internal/testbed/scale/run/tell.go
+++ b/internal/testbed/scale/run/hoststate.go
@@ -19,13 +19,13 @@
 		}
 		in.Poll()
 		s.Running++
-		has := true
+		reached := true
 		for _, m := range o.Marks {
-			if v, there := m.versionFor(h.specs[in.Name()]); there && in.Journal.At(m.Lane) < v {
-				has = false
+			if v, applies := m.versionFor(h.specs[in.Name()]); applies && in.Journal.At(m.Lane) < v {
+				reached = false
 			}
 		}
-		if has {
+		if reached {
 			s.Reached++
 		} else if len(s.Behind) < 4 {
 			s.Behind = append(s.Behind, in.Name())
@@ -44,8 +44,8 @@
 	for _, m := range o.Marks {
 		l := lastArrival{Lane: m.Lane, Primary: m.Primary}
 		for _, in := range h.initiators {
-			v, there := m.versionFor(h.specs[in.Name()])
-			if !there || !in.Running() {
+			v, applies := m.versionFor(h.specs[in.Name()])
+			if !applies || !in.Running() {
 				continue
 			}
 			at, done := in.Journal.When(m.Lane, v)
--- a/internal/testbed/scale/run/load.go
+++ b/internal/testbed/scale/run/load.go
@@ -28,10 +28,10 @@
 const loadInterval = 100 * time.Millisecond
 
 // start sends requests to each initiator, for each of a number of shards in turn.
-func (l *load) start(ends []string, shards int) {
+func (l *load) start(addrs []string, shards int) {
 	ctx, cancel := context.WithCancel(context.Background())
 	l.cancel = cancel
-	for k, at := range ends {
+	for k, at := range addrs {
 		l.all.Go(func() {
 			c := http.Client{Transport: &http.Transport{}, Timeout: 10 * time.Second}
 			for i := k; ; i++ {
--- a/internal/testbed/scale/run/measure.go
+++ b/internal/testbed/scale/run/measure.go
@@ -162,9 +162,9 @@
 const idlePeriod = 2 * time.Second
 
 // measureRow makes changes at a rate for the run's duration and returns the row. coreIdle is the use of the same initiators while stopped.
-func (f *fleet) measureRow(of string, rate, coreIdle float64) (Row, error) {
-	r := Row{Series: of, Initiators: f.hollowCount, Targets: len(f.entries), Rate: rate, CoreIdle: coreIdle}
-	w := f.newChangeWriter(uint64(len(of)) + uint64(f.hollowCount))
+func (f *fleet) measureRow(series string, rate, coreIdle float64) (Row, error) {
+	r := Row{Series: series, Initiators: f.hollowCount, Targets: len(f.entries), Rate: rate, CoreIdle: coreIdle}
+	w := f.newChangeWriter(uint64(len(series)) + uint64(f.hollowCount))
 	a, err := f.takeSnapshot()
 	if err != nil {
 		return r, err
--- a/internal/testbed/scale/run/proc.go
+++ b/internal/testbed/scale/run/process.go
@@ -121,7 +121,7 @@
 func (p *proc) call(order, answer any) error {
 	p.callMu.Lock()
 	defer p.callMu.Unlock()
-	text, err := format.Marshal(order)
+	text, err := jsonFormat.Marshal(order)
 	if err == nil {
 		_, err = p.in.Write(append(text, '\n'))
 	}
@@ -129,15 +129,15 @@
 	if err == nil {
 		line, err = p.out.ReadBytes('\n')
 	}
-	var said struct{ Error string }
+	var answerError struct{ Error string }
 	if err == nil {
-		err = format.Unmarshal(line, &said)
+		err = jsonFormat.Unmarshal(line, &answerError)
 	}
-	if err == nil && said.Error != "" {
-		err = errors.New(said.Error)
+	if err == nil && answerError.Error != "" {
+		err = errors.New(answerError.Error)
 	}
 	if err == nil && answer != nil {
-		err = format.Unmarshal(line, answer)
+		err = jsonFormat.Unmarshal(line, answer)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w (see %s)", p.name, err, p.log())
--- a/internal/testbed/scale/run/process_test.go
+++ b/internal/testbed/scale/run/process_test.go
@@ -54,18 +54,18 @@
 	for _, by := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(by.String(), func(t *testing.T) {
 			cmd := exec.Command(filepath.Join(bin, "spindlehitch-scale"), "run", file, "--dir", t.TempDir())
-			told, err := cmd.StderrPipe()
+			stderr, err := cmd.StderrPipe()
 			require.NoError(t, err)
 			require.NoError(t, cmd.Start())
 			defer func() { _ = cmd.Process.Kill() }()
-			lines := bufio.NewScanner(told)
+			lines := bufio.NewScanner(stderr)
 			for lines.Scan() && !strings.Contains(lines.Text(), "initiators up") {
 			}
 			require.NoError(t, lines.Err())
 			begun := children(cmd.Process.Pid)
 			require.Len(t, begun, 1+2+1, "an agent, two relays, a host")
 			require.NoError(t, cmd.Process.Signal(by))
-			go func() { _, _ = io.Copy(io.Discard, told) }()
+			go func() { _, _ = io.Copy(io.Discard, stderr) }()
 			ended := make(chan error, 1)
 			go func() { ended <- cmd.Wait() }()
 			select {
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := format.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": found, "known": f.discovery.list(),
+		text, err := jsonFormat.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": found, "known": f.discovery.list(),
 			"settings": rawJSON(fmt.Sprintf(settingsTemplate, f.spec.Real))})
 		path := filepath.Join(f.dir, r.spec.Name+".json")
 		if err == nil {
@@ -162,15 +162,15 @@
 		return err
 	}
 	f.sleep(time.Second)
-	had, began := f.realUsage(), time.Now()
+	usageBefore, began := f.realUsage(), time.Now()
 	h, err := f.measureRow("hollow", f.spec.Changes[len(f.spec.Changes)-1], idle)
 	if err != nil {
 		return err
 	}
-	has, n, took := f.realUsage(), float64(f.spec.Real), time.Since(began).Seconds()
-	x := Row{Series: "real", Initiators: f.spec.Real, Targets: h.Targets, Rate: h.Rate, Seconds: took, Changes: h.Changes, Median: -1, P99: -1, Last: -1,
-		In: float64(has.In-had.In) / took / n, Out: float64(has.Out-had.Out) / took / n,
-		Kinds: map[hostKind]InitiatorUsage{"real": {f.spec.Real, (has.CPU - had.CPU).Seconds() / took / n, float64(has.RSS) / n}}}
+	usageAfter, n, seconds := f.realUsage(), float64(f.spec.Real), time.Since(began).Seconds()
+	x := Row{Series: "real", Initiators: f.spec.Real, Targets: h.Targets, Rate: h.Rate, Seconds: seconds, Changes: h.Changes, Median: -1, P99: -1, Last: -1,
+		In: float64(usageAfter.In-usageBefore.In) / seconds / n, Out: float64(usageAfter.Out-usageBefore.Out) / seconds / n,
+		Kinds: map[hostKind]InitiatorUsage{"real": {f.spec.Real, (usageAfter.CPU - usageBefore.CPU).Seconds() / seconds / n, float64(usageAfter.RSS) / n}}}
 	if f.usesFeed() {
 		if err := f.compareInForce(&h, &x); err != nil {
 			return err
@@ -192,12 +192,12 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	defer stop()
 	w := f.newChangeWriter(7)
-	looked := make(chan []*hollow.Journal, 1)
-	go func() { looked <- f.pollReals(ctx) }()
+	polled := make(chan []*hollow.Journal, 1)
+	go func() { polled <- f.pollReals(ctx) }()
 	w.run(f.ctx, min(2, f.spec.Changes[len(f.spec.Changes)-1]), time.Duration(f.spec.DurationS*float64(time.Second)))
 	f.sleep(2 * time.Second)
 	stop()
-	journals := <-looked
+	journals := <-polled
 	if err := f.awaitAndFill(h, w.marks); err != nil {
 		return err
 	}
@@ -205,7 +205,7 @@
 	for _, m := range w.marks {
 		l := lastArrival{Lane: m.Lane, Primary: m.Primary}
 		for i, r := range f.reals {
-			if _, there := m.versionFor(r.spec); !there {
+			if _, applies := m.versionFor(r.spec); !applies {
 				continue
 			}
 			at, done := journals[i].When(m.Lane, m.Version)
--- a/internal/testbed/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -62,8 +62,8 @@
 		{changeMark{VersionByName: map[string]uint64{"h1": 9}}, true, 9},
 		{changeMark{VersionByName: map[string]uint64{"h2": 9}}, false, 0},
 	} {
-		v, is := c.m.versionFor(x)
-		require.Equal(t, c.is, is, "%+v", c.m)
+		v, applies := c.m.versionFor(x)
+		require.Equal(t, c.is, applies, "%+v", c.m)
 		require.Equal(t, c.has, v)
 	}
 	n := 0
@@ -121,14 +121,14 @@
 	require.ErrorContains(t, h.handle(&hostOrder{Action: "dance"}, s), `unknown order "dance"`)
 	require.NoError(t, h.handle(&hostOrder{Action: "on"}, s))
 	defer h.stop(h.initiators, true)
-	asked := []changeMark{{Lane: hollow.Targets, Version: 4}}
+	marks := []changeMark{{Lane: hollow.Targets, Version: 4}}
 	require.Eventually(t, func() bool {
 		s = &hostState{}
-		return h.handle(&hostOrder{Action: "state", Marks: asked}, s) == nil && s.Reached == 2
+		return h.handle(&hostOrder{Action: "state", Marks: marks}, s) == nil && s.Reached == 2
 	}, time.Minute, 5*time.Millisecond)
 	require.Equal(t, 2, s.Running)
 	s = &hostState{}
-	require.NoError(t, h.handle(&hostOrder{Action: "collect", Marks: append(asked, changeMark{Lane: hollow.Targets, Version: 5, At: monotone.Now()})}, s))
+	require.NoError(t, h.handle(&hostOrder{Action: "collect", Marks: append(marks, changeMark{Lane: hollow.Targets, Version: 5, At: monotone.Now()})}, s))
 	require.Equal(t, 2, s.Missing, "no initiator has version 5")
 	require.Len(t, s.Last, 2)
 	s = &hostState{}
@@ -136,7 +136,7 @@
 	require.Equal(t, []string{"h2"}, s.Names)
 	require.Eventually(t, func() bool {
 		s = &hostState{}
-		return h.handle(&hostOrder{Action: "state", Marks: asked}, s) == nil && s.Pending == 0 && s.Reached == 2
+		return h.handle(&hostOrder{Action: "state", Marks: marks}, s) == nil && s.Pending == 0 && s.Reached == 2
 	}, time.Minute, 5*time.Millisecond)
 	require.NoError(t, h.handle(&hostOrder{Action: "off"}, s))
 	s = &hostState{}
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/writer.go
@@ -37,7 +37,7 @@
 	began := time.Now()
 	var all sync.WaitGroup
 	defer all.Wait()
-	room := make(chan struct{}, maxConcurrentChanges)
+	slots := make(chan struct{}, maxConcurrentChanges)
 	for k := 0; ; k++ {
 		at := began.Add(time.Duration((float64(k) + 0.5) / rate * float64(time.Second)))
 		if at.Sub(began) >= length {
@@ -52,9 +52,9 @@
 			return
 		}
 		do := w.nextChange(ctx)
-		room <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			w.record(ctx, do)
 		})
 	}
@@ -99,7 +99,7 @@
 	f := w.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	free := func(i int) (int, bool) {
+	idleFrom := func(i int) (int, bool) {
 		for range f.entries {
 			if i = f.drainable(i % len(f.entries)); !f.changing[i] {
 				return i, true
@@ -109,11 +109,11 @@
 		return 0, false
 	}
 	if primary = w.changes%8 == 1; primary {
-		if i, some := free(w.rng.IntN(len(f.entries))); some {
+		if i, found := idleFrom(w.rng.IntN(len(f.entries))); found {
 			e = append(e, f.toggleTarget(i))
 		}
 	}
-	if i, some := free(w.rng.IntN(len(f.entries))); some {
+	if i, found := idleFrom(w.rng.IntN(len(f.entries))); found {
 		e = append(e, f.toggleTarget(i))
 	}
 	return e, primary && len(e) == 2
@@ -198,11 +198,11 @@
 	var mu sync.Mutex
 	var failed error
 	var all sync.WaitGroup
-	room := make(chan struct{}, maxConcurrentPuts)
+	slots := make(chan struct{}, maxConcurrentPuts)
 	for i := range f.hollowCount {
-		room <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			name := hollowName(i)
 			e, err := f.client.PutConfig(ctx, name, f.configOf(name, turn), "")
 			mu.Lock()
@@ -241,10 +241,10 @@
 			newest[m.Lane] = m
 		}
 	}
-	asked := slices.Collect(maps.Values(newest))
+	newestMarks := slices.Collect(maps.Values(newest))
 	began := time.Now()
 	for {
-		if s, err = f.broadcast(hostOrder{Action: "state", Marks: asked}); err != nil {
+		if s, err = f.broadcast(hostOrder{Action: "state", Marks: newestMarks}); err != nil {
 			return 0, s, err
 		}
 		if !s.incomplete(f.hollowCount) {
