--- a/internal/testbed/scale/slope/configchange.go
+++ b/internal/testbed/scale/slope/configchange.go
@@ -117,7 +117,7 @@
 		}, "", slog.New(slog.NewTextHandler(&accepted, nil)))
 	}()
 	defer func() { stop(); <-ended }() //nolint:errcheck // the measurement is complete
-	ready := func(what string, is func() bool) error {
+	ready := func(what string, done func() bool) error {
 		var failed error
 		err := waitUntil(ctx, what, func() bool {
 			select {
@@ -126,7 +126,7 @@
 				failed = fmt.Errorf("instance ended: %w", failed)
 			default:
 			}
-			return failed != nil || is()
+			return failed != nil || done()
 		})
 		return errors.Join(err, failed)
 	}
--- a/internal/testbed/scale/slope/discovery.go
+++ b/internal/testbed/scale/slope/discovery.go
@@ -129,13 +129,13 @@
 }
 
 // awaitTurn queues a call and returns when it is done, or returns false if the queue is too long.
-func (s *serialDiscovery) awaitTurn(lines int) bool {
+func (s *serialDiscovery) awaitTurn(entries int) bool {
 	s.mu.Lock()
 	now := time.Now()
 	if s.busyUntil.Before(now) {
 		s.busyUntil = now
 	}
-	wait, cost := s.busyUntil.Sub(now), callCost+time.Duration(lines)*entryCost
+	wait, cost := s.busyUntil.Sub(now), callCost+time.Duration(entries)*entryCost
 	if wait > maxQueueWait {
 		s.mu.Unlock()
 		time.Sleep(maxQueueWait)
@@ -153,7 +153,7 @@
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	s.mu.Lock()
-	version, changed, cut := s.version, s.changed, s.silenced
+	version, changed, silenced := s.version, s.changed, s.silenced
 	renewed := after == version && time.Since(s.lastAnswers[r.RemoteAddr]) < 200*time.Millisecond
 	s.mu.Unlock()
 	ok := renewed || s.awaitTurn(version-after)
@@ -162,7 +162,7 @@
 		case <-changed:
 			version++
 			ok = s.awaitTurn(1)
-		case <-cut:
+		case <-silenced:
 			<-r.Context().Done()
 			return
 		case <-time.After(time.Duration(ms) * time.Millisecond):
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -21,7 +21,7 @@
 }
 
 func memberProbes() []Probe {
-	duration := func(size int) time.Duration { return 20 * time.Second }
+	period := func(size int) time.Duration { return 20 * time.Second }
 	return []Probe{{
 		Description: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
 		Metrics: []Metric{{Name: "members.wire", Unit: "B/s", Subject: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Subject: "what a member sends", Per: "member", Exact: true},
@@ -31,10 +31,10 @@
 			before := heapBytes()
 			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.DefaultConfig, Delay: 2 * time.Millisecond, Joined: true})
 			began := cpuTime()
-			m.Run(duration(size))
+			m.Run(period(size))
 			used := cpuTime() - began
 			held := max(0, heapBytes()-before)
-			each := float64(size) * duration(size).Seconds()
+			each := float64(size) * period(size).Seconds()
 			bytes, sent := 0, 0
 			m.Bytes = encodedSize // counted in a second run, so that encoding costs are not attributed to the members
 			for _, n := range m.Nodes {
