--- a/internal/testbed/scale/run/discovery.go
+++ b/internal/testbed/scale/run/discovery.go
@@ -21,7 +21,7 @@
 	entryCost     = 2300 * time.Microsecond
 	maxQueueWait  = 2 * time.Second        // a call that would be queued for longer fails after this time
 	renewalWindow = 200 * time.Millisecond // a watch that is renewed within this time costs nothing until there is a change
-	maxWatch      = time.Minute
+	maxWatch      = time.Minute            // bounds the wait_ms that a watch may ask for
 )
 
 var jsonFormat = jsoniter.ConfigCompatibleWithStandardLibrary
--- a/internal/testbed/scale/run/fleet.go
+++ b/internal/testbed/scale/run/fleet.go
@@ -39,7 +39,7 @@
 	agentDirs    []string
 	relays       []*proc
 	relayAddrs   []relayAddr
-	addrs        map[string]controlAddrs
+	addrs        map[string]controlAddrs // by region, set by controlAddrs on its first call
 	hosts        []*proc
 	hostKinds    []hostKind // of the initiators of each host
 	hostSizes    []int      // number of initiators in each host
@@ -216,7 +216,7 @@
 
 // startHosts starts hosts until there are a number of hollow initiators, which are not started yet.
 func (f *fleet) startHosts(total int) error {
-	ways, err := f.controlAddrs()
+	regionAddrs, err := f.controlAddrs()
 	if err != nil {
 		return err
 	}
@@ -237,13 +237,13 @@
 		groups[k] = append(groups[k], x)
 	}
 	for _, k := range []hostKind{plain, withDisk, asMember, withModule, withBoth} {
-		for some := range slices.Chunk(groups[k], f.spec.PerProcess) {
+		for specs := range slices.Chunk(groups[k], f.spec.PerProcess) {
 			p := &proc{name: fmt.Sprint("host-", len(f.hosts)), path: f.opt.Self, args: []string{"host"}, dir: f.dir}
 			if err := p.start(true); err != nil {
 				return err
 			}
-			f.hosts, f.hostKinds, f.hostSizes = append(f.hosts, p), append(f.hostKinds, k), append(f.hostSizes, len(some))
-			o := hostOrder{Action: "add", Add: some, ControlAddrs: ways, Initiators: f.spec.maxInitiators(), Dir: f.dir, Fleet: fleetName}
+			f.hosts, f.hostKinds, f.hostSizes = append(f.hosts, p), append(f.hostKinds, k), append(f.hostSizes, len(specs))
+			o := hostOrder{Action: "add", Add: specs, ControlAddrs: regionAddrs, Initiators: f.spec.maxInitiators(), Dir: f.dir, Fleet: fleetName}
 			if !f.usesFeed() {
 				o.LastKnown = f.discovery.list()
 			}
@@ -279,14 +279,14 @@
 	shares := f.distribute(o.Number)
 	var all sync.WaitGroup
 	for i, p := range f.hosts {
-		hostCopy := o
-		hostCopy.Seed += uint64(i)
+		orderForHost := o
+		orderForHost.Seed += uint64(i)
 		if o.Action == "restart" && o.Number > 0 {
-			if hostCopy.Number = shares[i]; hostCopy.Number == 0 {
+			if orderForHost.Number = shares[i]; orderForHost.Number == 0 {
 				continue
 			}
 		}
-		all.Go(func() { errs[i] = p.call(hostCopy, &answers[i]) })
+		all.Go(func() { errs[i] = p.call(orderForHost, &answers[i]) })
 	}
 	all.Wait()
 	for _, a := range answers {
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -114,20 +114,20 @@
 	Primary   bool
 }
 
-// host is the state of a host process.
+// host is the state of a host process. Orders are handled one at a time by ServeHost. The goroutines of restart read ctx and specs and count in pendingRestarts; connections count in traffic.
 type host struct {
-	ctx             context.Context
-	initiators      []*hollow.Initiator
-	specs           map[string]hollowSpec
-	addrs           map[string]controlAddrs
-	fleetSize       int
-	lastKnown       *listing.List
-	dir             string
-	fleet           string
-	traffic         byteCounter
-	unreadConns     []net.Conn
-	pendingRestarts atomic.Int64 // restarts to come
-	moduleSettings  policy.Settings
+	ctx               context.Context
+	initiators        []*hollow.Initiator
+	specs             map[string]hollowSpec
+	addrs             map[string]controlAddrs
+	fleetSize         int
+	lastKnown         *listing.List
+	dir               string
+	fleet             string
+	traffic           byteCounter
+	unreadConns       []net.Conn
+	pendingRestarts   atomic.Int64 // restarts to come
+	schedulerSettings policy.Settings
 }
 
 // settingsTemplate is the settings part of a configuration, as small as possible.
@@ -214,7 +214,7 @@
 			return err
 		}
 		var err error
-		if h.moduleSettings, err = f.PolicySettings(); err != nil {
+		if h.schedulerSettings, err = f.PolicySettings(); err != nil {
 			return err
 		}
 	}
@@ -235,7 +235,7 @@
 			}
 		}
 		if x.Module {
-			opt.Module = &h.moduleSettings
+			opt.Module = &h.schedulerSettings
 		}
 		if x.Bind != "" {
 			opt.Members = &transport.Options{Name: x.Name, Bind: x.Bind, Zone: x.Zone, FleetKey: h.fleet, Seeds: x.Seeds, Config: membership.DefaultConfig, Log: opt.Log}
--- a/internal/testbed/scale/run/measure.go
+++ b/internal/testbed/scale/run/measure.go
@@ -114,6 +114,7 @@
 	return ProcessUsage{Core: (b.CPU - a.CPU).Seconds() / seconds, Memory: b.RSS, In: float64(b.In-a.In) / seconds, Out: float64(b.Out-a.Out) / seconds, FDs: b.FDs}
 }
 
+// raise raises each value to that of o if that is larger.
 func (r *ProcessUsage) raise(o ProcessUsage) {
 	r.Core, r.Memory, r.In, r.Out, r.FDs = max(r.Core, o.Core), max(r.Memory, o.Memory), max(r.In, o.In), max(r.Out, o.Out), max(r.FDs, o.FDs)
 }
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -32,17 +32,17 @@
 	if err != nil {
 		return err
 	}
-	ways, err := f.controlAddrs()
+	regionAddrs, err := f.controlAddrs()
 	if err != nil {
 		return err
 	}
 	for i := range f.spec.Real {
 		r := &realInitiator{listen: addrs[2*i], control: addrs[2*i+1], spec: hollowSpec{Name: fmt.Sprint("real-", i), Region: f.region(i).Name, Zone: f.zone(i)}}
-		found, err := f.newLink(r.spec.Region, "discovery", f.discovery.addr)
+		discovery, err := f.newLink(r.spec.Region, "discovery", f.discovery.addr)
 		if err != nil {
 			return err
 		}
-		text, err := jsonFormat.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": found, "known": f.discovery.list(),
+		text, err := jsonFormat.Marshal(map[string]any{"name": r.spec.Name, "listen": r.listen, "control": r.control, "discovery": discovery, "known": f.discovery.list(),
 			"settings": rawJSON(fmt.Sprintf(settingsTemplate, f.spec.Real))})
 		path := filepath.Join(f.dir, r.spec.Name+".json")
 		if err == nil {
@@ -54,7 +54,7 @@
 		r.proc = &proc{name: r.spec.Name, path: f.opt.Program, args: []string{"serve"}, env: []string{"PROXY_CONFIG=" + path}, dir: f.dir}
 		if f.usesFeed() {
 			operator := filepath.Join(f.dir, r.spec.Name+".toml")
-			if err := os.WriteFile(operator, []byte(f.operatorFile(r.spec, ways[r.spec.Region].Relays)), 0o600); err != nil {
+			if err := os.WriteFile(operator, []byte(f.operatorFile(r.spec, regionAddrs[r.spec.Region].Relays)), 0o600); err != nil {
 				return err
 			}
 			r.args = append(r.args, "--operator", operator)
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -183,6 +183,7 @@
 	}}
 }
 
+// sleep waits for d and returns an error if ctx ends before.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
@@ -192,6 +193,7 @@
 	}
 }
 
+// measureRenewals measures joins, and then renewals of all members once a second for idlePeriod.
 func measureRenewals(ctx context.Context, size int) ([]float64, error) {
 	g, err := newAgentGroup(ctx)
 	if err != nil {
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -265,6 +265,7 @@
 	return now - time.Hour, wire, nil
 }
 
+// measureReaders measures polls without a change, and then changes of a target and of the shared layer, one by one and in a burst.
 func measureReaders(ctx context.Context, size int) ([]float64, error) {
 	r, err := newReaderSet(ctx, 200, size)
 	if err != nil {
@@ -324,6 +325,7 @@
 	return append(costs, float64(r.totalBytes()-wire)/time.Since(began).Seconds(), float64(r.conns.Load())), nil
 }
 
+// measureSource measures a source and the tally of acknowledgements, without sockets, in virtual time.
 func measureSource(_ context.Context, size int) ([]float64, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	o, err := newFeedOrigin(200)
 	if err != nil {
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -36,6 +36,7 @@
 	Peers []peerOption `json:"peers"`
 }
 
+// peerOption is one agent of the group with its two addresses.
 type peerOption struct{ ID, Raft, API string }
 
 // agentUsage is the resource use that an agent process reports, as JSON.
@@ -93,6 +94,7 @@
 	processes []*agentProcess
 }
 
+// agentProcess is the process of one agent, with pipes to its standard input and output.
 type agentProcess struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
@@ -183,6 +185,7 @@
 	return err
 }
 
+// cleanup shuts the group down and removes its directory.
 func (g *agentGroup) cleanup() {
 	_ = g.shutdown()
 	os.RemoveAll(g.dir)
