--- a/cmd/spindlehitch-scale/main.go
+++ b/cmd/spindlehitch-scale/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	isAgent, err := slope.Agent()
+	isAgent, err := slope.RunAgent()
 	if !isAgent {
 		err = rootCommand().Execute()
 	}
--- a/internal/testbed/scale/slope/check.go
+++ b/internal/testbed/scale/slope/check.go
@@ -5,52 +5,52 @@
 	"fmt"
 )
 
-// half is how much steeper a slope may have become before a check fails.
-const half = 1.5
+// maxGrowthRatio is how much steeper a slope may become before a check fails.
+const maxGrowthRatio = 1.5
 
-// hardly is the part of a cost that may pass for noise of what hardly grows.
-const hardly = 0.1
+// noiseFraction is the part of a cost that counts as noise, so that a nearly flat slope does not fail for a tiny growth.
+const noiseFraction = 0.1
 
-// Steeper holds what a short run measured against the table: an error where it has become half as steep again. Counts and bytes are compared as they are. Times depend on
-// the machine and on what else it does: of them only the ratio is, of the largest size to the smallest of one run.
-func (t *Table) Steeper(now Slope) error {
-	then := t.At(now.Name)
-	if !then.Known() {
-		return fmt.Errorf("%s: the table has no such slope", now.Name)
+// CheckSlope compares a slope measured by a short run with the table and returns an error if it is more than maxGrowthRatio as steep. Counts and bytes are compared
+// directly. Times depend on the machine and its other load, so only the ratio of the largest size to the smallest one of the same run is compared.
+func (t *Table) CheckSlope(current Slope) error {
+	recorded := t.Lookup(current.Name)
+	if !recorded.Known() {
+		return fmt.Errorf("%s: no such slope in the table", current.Name)
 	}
-	lo, hi := now.Measured[0], now.Measured[len(now.Measured)-1]
-	if !now.Exact {
-		was, is := then.At(hi.Size)/then.At(lo.Size), hi.Cost/lo.Cost
-		if was > 0 && is > half*max(1, was) {
-			return fmt.Errorf("%s: %v times as much at a size of %v as at %v, where the table has %v times", now.Name, number(is), hi.Size, lo.Size, number(was))
+	lo, hi := current.Measured[0], current.Measured[len(current.Measured)-1]
+	if !current.Exact {
+		recordedRatio, ratio := recorded.Cost(hi.Size)/recorded.Cost(lo.Size), hi.Cost/lo.Cost
+		if recordedRatio > 0 && ratio > maxGrowthRatio*max(1, recordedRatio) {
+			return fmt.Errorf("%s: %v times as much at a size of %v as at %v, where the table has %v times", current.Name, formatNumber(ratio), hi.Size, lo.Size, formatNumber(recordedRatio))
 		}
 		return nil
 	}
-	was, is := then.At(hi.Size)-then.At(lo.Size), hi.Cost-lo.Cost
-	if is > half*max(0, was)+hardly*then.At(hi.Size) {
-		return fmt.Errorf("%s: from a size of %v to %v it grows by %s, where the table has %s", now.Name, lo.Size, hi.Size, amount(is, now.Unit), amount(was, now.Unit))
+	recordedGrowth, growth := recorded.Cost(hi.Size)-recorded.Cost(lo.Size), hi.Cost-lo.Cost
+	if growth > maxGrowthRatio*max(0, recordedGrowth)+noiseFraction*recorded.Cost(hi.Size) {
+		return fmt.Errorf("%s: from a size of %v to %v it grows by %s, where the table has %s", current.Name, lo.Size, hi.Size, formatAmount(growth, current.Unit), formatAmount(recordedGrowth, current.Unit))
 	}
-	if is, was := hi.Cost, then.At(hi.Size); is > half*was {
-		return fmt.Errorf("%s: %s at a size of %v, where the table has %s", now.Name, amount(is, now.Unit), hi.Size, amount(was, now.Unit))
+	if cost, recordedCost := hi.Cost, recorded.Cost(hi.Size); cost > maxGrowthRatio*recordedCost {
+		return fmt.Errorf("%s: %s at a size of %v, where the table has %s", current.Name, formatAmount(cost, current.Unit), hi.Size, formatAmount(recordedCost, current.Unit))
 	}
 	return nil
 }
 
-// Against holds a short run of probes against the table. What is compared by counts is measured once; a time that seems steeper is measured again, since whatever else the
-// machine does can only add.
-func (t *Table) Against(again int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
+// CheckProbes compares a short run of probes with the table. A probe with a slope that seems steeper is measured up to attempts times, since other load on the
+// machine can only increase a time.
+func (t *Table) CheckProbes(attempts int, measure func(Probe) ([]Slope, error), probes ...Probe) error {
 	var all []error
 	for _, p := range probes {
 		var steeper error
-		for range again {
+		for range attempts {
 			list, err := measure(p)
 			if err != nil {
 				return err
 			}
 			steeper = nil
 			for i, s := range list {
-				if !p.Gives[i].Rough {
-					steeper = errors.Join(steeper, t.Steeper(s))
+				if !p.Metrics[i].Noisy {
+					steeper = errors.Join(steeper, t.CheckSlope(s))
 				}
 			}
 			if steeper == nil {
--- a/internal/testbed/scale/slope/figure.go
+++ b/internal/testbed/scale/slope/figure.go
@@ -7,127 +7,128 @@
 	"slices"
 )
 
-// Figure is one cost of a role at a size, held against its limit.
+// Figure is one cost of a role at a fleet size, with the limit that it is compared with.
 type Figure struct {
-	Role, Of, When string // when: an ordinary day, the worst minute, ...
-	Unit           string
-	Names          []string // the slopes that it is reckoned from
-	Value          func(c costs, s Size, l Limits) float64
-	Limit          func(c costs, s Size, l Limits) float64 // nil: none is told
-	Mechanism      string
-	Untold         string // what has to be known for a verdict and was not told
-	Feed           Feed   // whether it is so without the feed, by it, or either way
+	Role, Subject, When string // When: an ordinary day, the worst minute, ...
+	Unit                string
+	SlopeNames          []string // slopes that the figure is computed from
+	Value               func(c costModel, s Size, l Limits) float64
+	Limit               func(c costModel, s Size, l Limits) float64 // nil if there is no limit
+	Mechanism           string
+	MissingInput        string // input that a verdict needs and that the table lacks; empty if it lacks none
+	Feed                Feed   // whether it applies without the feed, with it, or both
 }
 
-// Feed says by what changes get to all.
+// Feed says which mechanism distributes changes to all initiators.
 type Feed string
 
-// The mechanisms.
+// Values of Feed.
 const (
-	Either  Feed = ""    // it does not matter
-	Without Feed = "off" // discovery and the agents' configurations of each instance
-	By      Feed = "on"  // the feed of changes, internal/controlplane/watchstream/distribution
+	FeedAny Feed = ""    // the figure applies to both
+	FeedOff Feed = "off" // each instance watches discovery and its configuration at an agent
+	FeedOn  Feed = "on"  // the change feed of internal/controlplane/watchstream/distribution
 )
 
-// costs is what a figure is reckoned from.
-type costs struct {
-	t      *Table
-	beyond map[string]bool // slopes that were not measured at as large a size; nil: nobody asks
-	unsure map[string]bool // those of which one more's cost was asked for and is not above its error
+// costModel evaluates slopes for a figure and records which results are doubtful.
+type costModel struct {
+	table         *Table
+	extrapolated  map[string]bool // slopes used beyond their measured range; nil if not recorded
+	insignificant map[string]bool // slopes whose cost per unit was used but does not exceed its standard error; nil if not recorded
 }
 
-// at is the cost at a size.
-func (c costs) at(name string, size float64) float64 {
-	x := c.t.At(name)
-	if c.beyond != nil && size > x.Most {
-		c.beyond[name] = true
+// costAt returns the cost of the named slope at a size.
+func (c costModel) costAt(name string, size float64) float64 {
+	x := c.table.Lookup(name)
+	if c.extrapolated != nil && size > x.MaxSize {
+		c.extrapolated[name] = true
 	}
-	return x.At(size)
+	return x.Cost(size)
 }
 
-// each is what one more costs, where the base is the fleet's own or the other end's. Where the slope is not above its own error that is not known.
-func (c costs) each(name string) float64 {
-	x := c.t.At(name)
-	if !x.Grows() && c.unsure != nil {
-		c.unsure[name] = true
+// perUnit returns the cost of one more unit of size, for costs whose base belongs to the whole fleet or to the peer. If the slope does not exceed its standard
+// error, that cost is unknown: the slope is recorded as insignificant and the average cost is returned.
+func (c costModel) perUnit(name string) float64 {
+	x := c.table.Lookup(name)
+	if !x.Grows() && c.insignificant != nil {
+		c.insignificant[name] = true
 	}
 	if x.Power != 1 || !x.Grows() {
-		return x.At(x.Most) / x.Most
+		return x.Cost(x.MaxSize) / x.MaxSize
 	}
 	return x.Value
 }
 
-// most is the largest size that was measured.
-func (c costs) most(name string) float64 { return c.t.At(name).Most }
+// maxSize returns the largest size that was measured.
+func (c costModel) maxSize(name string) float64 { return c.table.Lookup(name).MaxSize }
 
-// Verdict is how a figure stands.
+// Verdict is the result of comparing a figure with its limit.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
-	Holds   Verdict = "holds"
-	Lacks   Verdict = "lacks"
-	Unknown Verdict = "not known"
+	WithinLimit  Verdict = "holds"
+	ExceedsLimit Verdict = "lacks"
+	Unknown      Verdict = "not known"
 )
 
-// Judged is a figure at the table's size.
-type Judged struct {
+// Evaluation is a figure evaluated at the table's fleet size.
+type Evaluation struct {
 	Figure
-	Value   float64
-	Limit   float64 // 0: none is told
-	Verdict Verdict
-	Factor  float64  // value over limit
-	Breaks  float64  // the smallest fleet, in initiators with the same proportions, at which the limit is passed; 0: none up to ten times the size
-	Unsure  []string // slopes that are not above their error, and had to be: there is no verdict
-	Beyond  []string // slopes that were not measured at as large a size
+	Value         float64
+	Limit         float64 // 0 if there is none
+	Verdict       Verdict
+	Factor        float64  // value divided by limit
+	BreakingSize  float64  // the smallest fleet, in initiators at the same proportions, that exceeds the limit; 0 if none up to maxFleetFactor times the size does
+	Insignificant []string // slopes that had to exceed their standard error and do not, so that there is no verdict
+	Extrapolated  []string // slopes used beyond the largest size measured
 }
 
-// Judge holds every figure against its limit.
-func (t *Table) Judge() (all []Judged) {
+// Evaluate compares every figure with its limit.
+func (t *Table) Evaluate() (all []Evaluation) {
 	for _, f := range Figures() {
-		all = append(all, t.judge(f))
+		all = append(all, t.evaluate(f))
 	}
 	return all
 }
 
-// mostTimes is how many times the size a limit is looked for.
-const mostTimes = 10
+// maxFleetFactor bounds the search for a breaking size, as a multiple of the table's fleet size.
+const maxFleetFactor = 10
 
-func (t *Table) judge(f Figure) Judged {
-	j := Judged{Figure: f, Verdict: Unknown}
-	for _, n := range f.Names {
-		if !t.At(n).Known() {
+func (t *Table) evaluate(f Figure) Evaluation {
+	j := Evaluation{Figure: f, Verdict: Unknown}
+	for _, n := range f.SlopeNames {
+		if !t.Lookup(n).Known() {
 			return j
 		}
 	}
-	c := costs{t, map[string]bool{}, map[string]bool{}}
+	c := costModel{t, map[string]bool{}, map[string]bool{}}
 	j.Value = f.Value(c, t.Size, t.Limits)
 	if f.Limit != nil {
 		j.Limit = f.Limit(c, t.Size, t.Limits)
 		j.Factor = j.Value / j.Limit
 	}
-	j.Beyond, j.Unsure = slices.Sorted(maps.Keys(c.beyond)), slices.Sorted(maps.Keys(c.unsure))
-	if f.Limit == nil || f.Untold != "" || len(j.Unsure) > 0 {
+	j.Extrapolated, j.Insignificant = slices.Sorted(maps.Keys(c.extrapolated)), slices.Sorted(maps.Keys(c.insignificant))
+	if f.Limit == nil || f.MissingInput != "" || len(j.Insignificant) > 0 {
 		return j
 	}
-	j.Verdict = Holds
+	j.Verdict = WithinLimit
 	if j.Factor > 1 {
-		j.Verdict = Lacks
+		j.Verdict = ExceedsLimit
 	}
-	j.Breaks = t.breaks(f)
+	j.BreakingSize = t.breakingSize(f)
 	return j
 }
 
-// breaks is the smallest fleet whose figure passes its limit.
-func (t *Table) breaks(f Figure) float64 {
+// breakingSize returns the smallest fleet, in initiators, whose figure exceeds its limit; 0 if there is none within the search bound.
+func (t *Table) breakingSize(f Figure) float64 {
 	passed := func(n float64) bool {
-		s, c := t.Size.Of(n), costs{t: t}
+		s, c := t.Size.Scaled(n), costModel{table: t}
 		return f.Value(c, s, t.Limits) > f.Limit(c, s, t.Limits)
 	}
-	// The first of ever larger fleets, the size itself among them, and then between it and the one before.
+	// Grow the fleet by steps, one of them the table's size, until the limit is exceeded; then bisect the last step.
 	lo, hi := 0.0, 1.0
 	for !passed(hi) {
-		if hi > mostTimes*t.Size.Initiators {
+		if hi > maxFleetFactor*t.Size.Initiators {
 			return 0
 		}
 		if lo, hi = hi, hi*1.1; lo < t.Size.Initiators && hi > t.Size.Initiators {
@@ -144,17 +145,17 @@
 	return math.Ceil(hi)
 }
 
-// Rank is what the fleet's size does not bear without the feed or by it, the first to break first.
-func (t *Table) Rank(by Feed) []Judged {
-	all := slices.DeleteFunc(t.Judge(), func(j Judged) bool { return j.Verdict != Lacks || j.Feed != Either && j.Feed != by })
-	slices.SortStableFunc(all, func(a, b Judged) int { return cmp.Compare(a.Breaks, b.Breaks) })
+// RankExceeded returns the figures that exceed their limit with the given distribution mechanism, sorted by breaking size.
+func (t *Table) RankExceeded(by Feed) []Evaluation {
+	all := slices.DeleteFunc(t.Evaluate(), func(j Evaluation) bool { return j.Verdict != ExceedsLimit || j.Feed != FeedAny && j.Feed != by })
+	slices.SortStableFunc(all, func(a, b Evaluation) int { return cmp.Compare(a.BreakingSize, b.BreakingSize) })
 	return all
 }
 
-// Missing is the mechanisms that are not there for the size, the one that breaks first first, each with the figure that breaks first.
-func (t *Table) Missing(by Feed) (all []Judged) {
-	for _, j := range t.Rank(by) {
-		if !slices.ContainsFunc(all, func(x Judged) bool { return x.Mechanism == j.Mechanism }) {
+// RankMechanisms returns, for each mechanism that exceeds a limit, the figure with the smallest breaking size, sorted by that size.
+func (t *Table) RankMechanisms(by Feed) (all []Evaluation) {
+	for _, j := range t.RankExceeded(by) {
+		if !slices.ContainsFunc(all, func(x Evaluation) bool { return x.Mechanism == j.Mechanism }) {
 			all = append(all, j)
 		}
 	}
--- a/internal/testbed/scale/slope/group.go
+++ b/internal/testbed/scale/slope/group.go
@@ -25,20 +25,22 @@
 	"spindlehitch/internal/testbed/ports"
 )
 
-// AgentEnv names, for a process that is one agent of a probe, its options: so that an agent's processor time and memory are told from its instances'.
+// AgentEnv is the environment variable with the options of a process that runs one agent of a probe. Agents run in processes of their own so that their processor
+// time and memory are measured separately from the instances'.
 const AgentEnv = "SPINDLEHITCH_SCALE_AGENT"
 
-// options is what such a process is told.
-type options struct {
+// agentOptions is the value of AgentEnv, as JSON.
+type agentOptions struct {
 	ID    string       `json:"id"`
 	Dir   string       `json:"dir"`
 	Peers []peerOption `json:"peers"`
 }
 
+// peerOption is one agent of the group with its two addresses.
 type peerOption struct{ ID, Raft, API string }
 
-// seen is what such a process tells of itself.
-type seen struct {
+// agentUsage is the resource use that an agent process reports, as JSON.
+type agentUsage struct {
 	CPU   float64 `json:"cpu_us"`
 	Heap  float64 `json:"heap"`
 	In    float64 `json:"in"`
@@ -46,26 +48,26 @@
 	Conns float64 `json:"conns"`
 }
 
-// Agent is the process that AgentEnv asks for: one agent until its input ends. Each line that it reads is answered by what it has used. It returns
-// false where nothing was asked for.
-func Agent() (bool, error) {
-	asked := os.Getenv(AgentEnv)
-	if asked == "" {
+// RunAgent runs the agent described by AgentEnv until standard input ends, and answers each line of input with its agentUsage. It returns false
+// if AgentEnv is not set.
+func RunAgent() (bool, error) {
+	value := os.Getenv(AgentEnv)
+	if value == "" {
 		return false, nil
 	}
-	var opt options
-	if err := json.Unmarshal([]byte(asked), &opt); err != nil {
+	var opt agentOptions
+	if err := json.Unmarshal([]byte(value), &opt); err != nil {
 		return true, fmt.Errorf("%s: %w", AgentEnv, err)
 	}
 	var peers agent.Peers
-	at := ""
+	listen := ""
 	for _, p := range opt.Peers {
 		peers = append(peers, config.Peer{ID: p.ID, Raft: p.Raft, API: p.API})
 		if p.ID == opt.ID {
-			at = p.API
+			listen = p.API
 		}
 	}
-	l, err := net.Listen("tcp", at)
+	l, err := net.Listen("tcp", listen)
 	if err != nil {
 		return true, err
 	}
@@ -73,11 +75,11 @@
 	if err != nil {
 		return true, err
 	}
-	c := count(l)
+	c := newCountingListener(l)
 	go func() { _ = a.Serve(c) }()
 	for in := bufio.NewScanner(os.Stdin); in.Scan(); {
-		s := seen{CPU: float64(cpu().Microseconds()), In: float64(c.in.Load()), Out: float64(c.out.Load()), Conns: float64(c.conns.Load())}
-		s.Heap = heap() // a collection: after the processor's time was read
+		s := agentUsage{CPU: float64(cpuTime().Microseconds()), In: float64(c.in.Load()), Out: float64(c.out.Load()), Conns: float64(c.conns.Load())}
+		s.Heap = heapBytes() // collects garbage, so it comes after the processor time was read
 		if err := json.NewEncoder(os.Stdout).Encode(s); err != nil {
 			return true, err
 		}
@@ -85,42 +87,43 @@
 	return true, a.Stop()
 }
 
-// group is three agents, each a process, on the loopback.
-type group struct {
+// agentGroup is three agents, each in a process of its own, on the loopback interface.
+type agentGroup struct {
 	agent.Client
-	dir  string
-	proc []*process
+	dir       string
+	processes []*agentProcess
 }
 
-type process struct {
+// agentProcess is the process of one agent, with pipes to its standard input and output.
+type agentProcess struct {
 	cmd *exec.Cmd
 	in  io.WriteCloser
 	out *bufio.Scanner
 }
 
-// pooled has instances that share this process's pool keep a connection each, as processes of their own do.
-var pooled = sync.OnceFunc(func() {
+// allowIdleConns raises the idle limits of the shared HTTP transport, so that each instance in this process keeps a connection as it would in its own process.
+var allowIdleConns = sync.OnceFunc(func() {
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
 		t.MaxIdleConns, t.MaxIdleConnsPerHost = 0, 4096
 	}
 })
 
-func newGroup(ctx context.Context) (_ *group, err error) {
-	pooled()
-	g := &group{}
+func newAgentGroup(ctx context.Context) (_ *agentGroup, err error) {
+	allowIdleConns()
+	g := &agentGroup{}
 	if g.dir, err = os.MkdirTemp("", "slopes"); err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			g.stop()
+			g.cleanup()
 		}
 	}()
 	addrs, err := ports.Free(6)
 	if err != nil {
 		return nil, err
 	}
-	opt := options{}
+	opt := agentOptions{}
 	for i := range 3 {
 		opt.Peers = append(opt.Peers, peerOption{fmt.Sprint("agent-", i), addrs[2*i], addrs[2*i+1]})
 		g.Addrs = append(g.Addrs, addrs[2*i+1])
@@ -130,7 +133,7 @@
 			return nil, err
 		}
 	}
-	return g, until(ctx, "a leader known to all", func() bool {
+	return g, waitUntil(ctx, "a leader that all agents agree on", func() bool {
 		leaders := map[string]int{}
 		for _, s := range g.Status(ctx) {
 			leaders[s.Leader]++
@@ -139,10 +142,10 @@
 	})
 }
 
-// start begins one agent's process.
-func (g *group) start(opt options, id string) error {
+// start starts the process of one agent: this program with AgentEnv set.
+func (g *agentGroup) start(opt agentOptions, id string) error {
 	opt.ID, opt.Dir = id, filepath.Join(g.dir, id)
-	asked, err := json.Marshal(opt)
+	optionText, err := json.Marshal(opt)
 	if err != nil {
 		return err
 	}
@@ -151,7 +154,7 @@
 		return err
 	}
 	cmd := exec.Command(program)
-	cmd.Env = append(os.Environ(), AgentEnv+"="+string(asked))
+	cmd.Env = append(os.Environ(), AgentEnv+"="+string(optionText))
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -164,41 +167,42 @@
 	if err := cmd.Start(); err != nil {
 		return err
 	}
-	g.proc = append(g.proc, &process{cmd, in, bufio.NewScanner(out)})
+	g.processes = append(g.processes, &agentProcess{cmd, in, bufio.NewScanner(out)})
 	return nil
 }
 
-// end has the agents leave in order and waits for them. What they have on disk stays.
-func (g *group) end() (err error) {
-	for _, p := range g.proc {
+// shutdown closes the agents' input, waits until they have exited, and kills one that takes over 20 s. Their files stay.
+func (g *agentGroup) shutdown() (err error) {
+	for _, p := range g.processes {
 		p.in.Close()
 	}
-	for _, p := range g.proc {
+	for _, p := range g.processes {
 		late := time.AfterFunc(20*time.Second, func() { _ = p.cmd.Process.Kill() })
 		err = errors.Join(err, p.cmd.Wait())
 		late.Stop()
 	}
-	g.proc = nil
+	g.processes = nil
 	return err
 }
 
-func (g *group) stop() {
-	_ = g.end()
+// cleanup shuts the group down and removes its directory.
+func (g *agentGroup) cleanup() {
+	_ = g.shutdown()
 	os.RemoveAll(g.dir)
 	if t, ok := http.DefaultTransport.(*http.Transport); ok {
 		t.CloseIdleConnections()
 	}
 }
 
-// look is what each agent has used so far.
-func (g *group) look() ([]seen, error) {
-	all := make([]seen, len(g.proc))
-	for i, p := range g.proc {
+// usage returns the resource use of each agent so far.
+func (g *agentGroup) usage() ([]agentUsage, error) {
+	all := make([]agentUsage, len(g.processes))
+	for i, p := range g.processes {
 		if _, err := io.WriteString(p.in, "\n"); err != nil {
 			return nil, err
 		}
 		if !p.out.Scan() {
-			return nil, fmt.Errorf("agent %d has ended", i)
+			return nil, fmt.Errorf("agent %d exited", i)
 		}
 		if err := json.Unmarshal(p.out.Bytes(), &all[i]); err != nil {
 			return nil, err
@@ -207,8 +211,8 @@
 	return all, nil
 }
 
-// roles is who leads, and one that follows.
-func (g *group) roles(ctx context.Context) (leader, follower int, err error) {
+// roles returns the indexes of the leader and of one follower.
+func (g *agentGroup) roles(ctx context.Context) (leader, follower int, err error) {
 	leader = -1
 	for i, s := range g.Status(ctx) {
 		if s.State == raft.Leader.String() {
@@ -216,21 +220,21 @@
 		}
 	}
 	if leader < 0 {
-		return 0, 0, errors.New("no agent leads")
+		return 0, 0, errors.New("agents have no leader")
 	}
-	return leader, (leader + 1) % len(g.proc), nil
+	return leader, (leader + 1) % len(g.processes), nil
 }
 
-// put writes so many instances' configurations of so many bytes.
-func (g *group) put(ctx context.Context, n, bytes, most int) error {
-	return atOnce(n, most, func(i int) error {
-		_, err := g.PutConfig(ctx, instance(i), configuration(instance(i), bytes), "")
+// putConfigs writes configurations of a size for n instances, up to most at a time.
+func (g *agentGroup) putConfigs(ctx context.Context, n, bytes, most int) error {
+	return parallel(n, most, func(i int) error {
+		_, err := g.PutConfig(ctx, instanceName(i), paddedConfig(instanceName(i), bytes), "")
 		return err
 	})
 }
 
-// disk is what an agent's folder takes.
-func (g *group) disk(i int) (all int64) {
+// diskUsage returns the bytes of the files in an agent's directory.
+func (g *agentGroup) diskUsage(i int) (all int64) {
 	_ = filepath.WalkDir(filepath.Join(g.dir, fmt.Sprint("agent-", i)), func(_ string, d fs.DirEntry, err error) error {
 		if err == nil && !d.IsDir() {
 			if about, err := d.Info(); err == nil {
@@ -242,9 +246,9 @@
 	return all
 }
 
-// entries ends the group and sums up the last n commands of its log, in bytes.
-func (g *group) entries(n int) (float64, error) {
-	if err := g.end(); err != nil {
+// entryBytes shuts the group down and returns the bytes of the last n commands of its log.
+func (g *agentGroup) entryBytes(n int) (float64, error) {
+	if err := g.shutdown(); err != nil {
 		return 0, err
 	}
 	s, err := raftboltdb.NewBoltStore(filepath.Join(g.dir, "agent-0", "raft.db"))
@@ -268,7 +272,7 @@
 		}
 	}
 	if left > 0 {
-		return 0, fmt.Errorf("the log is %d commands short", left)
+		return 0, fmt.Errorf("log has %d commands fewer than expected", left)
 	}
 	return float64(sum), nil
 }
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -16,22 +16,23 @@
 	"spindlehitch/internal/policy"
 )
 
-// line is an entry as discovery writes it, with names of the length that operators use. Addresses and starts follow no order, or packing would make nothing of them.
-func line(i int, state string) string {
-	h := xxhash.Sum64String(target(i))
+// entryJSON returns an entry as discovery encodes it, with names as long as the operators'. Addresses and start times are hashed, or compression would remove
+// them almost entirely.
+func entryJSON(i int, state string) string {
+	h := xxhash.Sum64String(targetID(i))
 	return fmt.Sprintf(`{"id":%q,"addr":"10.%d.%d.%d:7000","zone":"zone-%d","kind":"data","cell":%d,"state":%q,"weight":1.0,"started_ms":%d}`,
-		target(i), byte(h), byte(h>>8), byte(h>>16), i%30, i, state, (h>>24)%1_000_000_000)
+		targetID(i), byte(h), byte(h>>8), byte(h>>16), i%30, i, state, (h>>24)%1_000_000_000)
 }
 
-// text is a list with so many entries.
-func text(version, entries int, full bool) []byte {
+// listJSON returns a list with a number of entries.
+func listJSON(version, entries int, full bool) []byte {
 	var b bytes.Buffer
 	fmt.Fprintf(&b, `{"version":%d,"full":%v,"servers":[`, version, full)
 	for i := range entries {
 		if i > 0 {
 			b.WriteByte(',')
 		}
-		b.WriteString(line(i, "SERVING"))
+		b.WriteString(entryJSON(i, "SERVING"))
 	}
 	b.WriteString("]}")
 	return b.Bytes()
@@ -39,15 +40,15 @@
 
 func listProbes() []Probe {
 	return []Probe{{
-		About: "internal/datapath/listing: a whole list read and checked",
-		Gives: []Gives{{Name: "list.line", Unit: "B", Of: "a whole list on the wire", Per: "entry", Exact: true},
-			{Name: "list.decode", Unit: "us", Of: "reading a whole list", Per: "entry"},
-			{Name: "list.allocs", Unit: "allocs", Of: "reading a whole list", Per: "entry", Exact: true},
-			{Name: "list.memory", Unit: "B", Of: "a list as read", Per: "entry", Exact: true}},
-		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, Short: []float64{200, 500, 1250, 3200}, Turns: 3,
+		Description: "internal/datapath/listing: a whole list read and checked",
+		Metrics: []Metric{{Name: "list.line", Unit: "B", Subject: "a whole list on the wire", Per: "entry", Exact: true},
+			{Name: "list.decode", Unit: "us", Subject: "reading a whole list", Per: "entry"},
+			{Name: "list.allocs", Unit: "allocs", Subject: "reading a whole list", Per: "entry", Exact: true},
+			{Name: "list.memory", Unit: "B", Subject: "a list as read", Per: "entry", Exact: true}},
+		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, ShortSizes: []float64{200, 500, 1250, 3200}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			t := text(1, size, true)
-			held, l := holds(func() *listing.List {
+			t := listJSON(1, size, true)
+			held, l := retainedBytes(func() *listing.List {
 				l, err := listing.Decode(t)
 				if err != nil {
 					return nil
@@ -57,33 +58,33 @@
 			if l == nil {
 				_, err := listing.Decode(t)
 				if errors.Is(err, listing.ErrTooManyEntries) {
-					err = ErrBeyond
+					err = ErrSizeUnsupported
 				}
 				return nil, err
 			}
 			read := func() { _, _ = listing.Decode(t) }
-			objects, _ := allocated(read)
-			return []float64{float64(len(t)), quickest(3, 200*time.Millisecond, read), objects, held}, nil
+			objects, _ := allocations(read)
+			return []float64{float64(len(t)), minMicros(3, 200*time.Millisecond, read), objects, held}, nil
 		},
 	}, {
-		About: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
-		Gives: []Gives{{Name: "upstream.memory", Unit: "B", Of: "heap and stacks of the targets' actors", Per: "target", Rough: true},
-			{Name: "upstream.change", Unit: "us", Of: "a change of one entry", Per: "target"}},
-		Sizes: targetSizes, Short: []float64{200, 632, 2000, 6324}, Turns: 3,
+		Description: "internal/datapath/upstream: a registry with an actor for each target and no connection; a change of one entry",
+		Metrics: []Metric{{Name: "upstream.memory", Unit: "B", Subject: "heap and stacks of the targets' actors", Per: "target", Noisy: true},
+			{Name: "upstream.change", Unit: "us", Subject: "a change of one entry", Per: "target"}},
+		Sizes: targetSizes, ShortSizes: []float64{200, 632, 2000, 6324}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			all := make([]upstream.Target, size)
 			for i := range all {
-				all[i] = upstream.Target{ID: target(i), Addr: "127.0.0.1:1", State: policy.Up}
+				all[i] = upstream.Target{ID: targetID(i), Addr: "127.0.0.1:1", State: policy.Up}
 			}
-			held, g := holds(func() *upstream.Registry {
+			held, g := retainedBytes(func() *upstream.Registry {
 				g := upstream.NewRegistry(upstream.Options{MaxConnsPerTarget: 1, MaxConnsTotal: 1, IdleTimeout: time.Minute, Log: slog.New(slog.DiscardHandler)}, func(core.Result) {})
 				g.Apply(all, true)
-				time.Sleep(50 * time.Millisecond) // each actor has its stack
+				time.Sleep(50 * time.Millisecond) // until each actor runs and has its stack
 				return g
 			})
 			defer g.Shutdown()
 			i := 0
-			change := quickest(5, 100*time.Millisecond, func() {
+			change := minMicros(5, 100*time.Millisecond, func() {
 				i++
 				x := all[i%size]
 				x.State = policy.EndpointState(i / size % 2)
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -11,8 +11,8 @@
 	"spindlehitch/internal/testbed/model/mesh"
 )
 
-// encoded is a message's size on the wire.
-func encoded(m *membership.Message) int {
+// encodedSize returns the size of a message on the wire.
+func encodedSize(m *membership.Message) int {
 	b, err := cbor.Marshal(m)
 	if err != nil {
 		return 0
@@ -21,22 +21,22 @@
 }
 
 func memberProbes() []Probe {
-	lasts := func(size int) time.Duration { return 20 * time.Second }
+	period := func(size int) time.Duration { return 20 * time.Second }
 	return []Probe{{
-		About: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
-		Gives: []Gives{{Name: "members.wire", Unit: "B/s", Of: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Of: "what a member sends", Per: "member", Exact: true},
-			{Name: "members.cpu", Unit: "us/s", Of: "a member's machine, its network's model included", Per: "member", Rough: true}, {Name: "members.memory", Unit: "B", Of: "a member's machine", Per: "member", Rough: true}},
-		Sizes: []float64{100, 200, 400, 800, 1600}, Short: []float64{25, 50, 100, 200},
+		Description: "internal/testbed/model/mesh: members that all know all, 8 zones, 2 ms a message, without trouble, for 20 s of virtual time",
+		Metrics: []Metric{{Name: "members.wire", Unit: "B/s", Subject: "what a member sends", Per: "member", Exact: true}, {Name: "members.messages", Unit: "messages/s", Subject: "what a member sends", Per: "member", Exact: true},
+			{Name: "members.cpu", Unit: "us/s", Subject: "a member's machine, its network's model included", Per: "member", Noisy: true}, {Name: "members.memory", Unit: "B", Subject: "a member's machine", Per: "member", Noisy: true}},
+		Sizes: []float64{100, 200, 400, 800, 1600}, ShortSizes: []float64{25, 50, 100, 200},
 		Run: func(_ context.Context, size int) ([]float64, error) {
-			before := heap()
+			before := heapBytes()
 			m := mesh.New(mesh.Spec{Size: size, Zones: 8, Seed: 1, Settings: membership.DefaultConfig, Delay: 2 * time.Millisecond, Joined: true})
-			began := cpu()
-			m.Run(lasts(size))
-			used := cpu() - began
-			held := max(0, heap()-before)
-			each := float64(size) * lasts(size).Seconds()
+			began := cpuTime()
+			m.Run(period(size))
+			used := cpuTime() - began
+			held := max(0, heapBytes()-before)
+			each := float64(size) * period(size).Seconds()
 			bytes, sent := 0, 0
-			m.Bytes = encoded // counted apart, so that its cost is not the member's
+			m.Bytes = encodedSize // counted in a second run, so that encoding costs are not attributed to the members
 			for _, n := range m.Nodes {
 				n.Sent = 0
 			}
--- a/internal/testbed/scale/slope/page.go
+++ b/internal/testbed/scale/slope/page.go
@@ -9,41 +9,41 @@
 	"strings"
 )
 
-// PageFile is where the page stands, from the top of the repository.
+// PageFile is the path of the page, relative to the root of the repository.
 const PageFile = "docs/CAPACITY.md"
 
-var marked = regexp.MustCompile(`(?s)<!-- table: ([a-z ]+) -->\n.*?<!-- end -->`)
+var tableMarker = regexp.MustCompile(`(?s)<!-- table: ([a-z ]+) -->\n.*?<!-- end -->`)
 
-// Page returns the page with each of its tables as the figures give it. The page has every table once.
+// Page returns the page with each of its tables regenerated. It is an error if a table is unknown, missing, unterminated or there more than once.
 func (t *Table) Page(old []byte) ([]byte, error) {
 	tables := t.tables()
 	seen := map[string]bool{}
 	var err error
-	page := marked.ReplaceAllFunc(old, func(b []byte) []byte {
-		name := string(marked.FindSubmatch(b)[1])
-		text, there := tables[name]
+	page := tableMarker.ReplaceAllFunc(old, func(b []byte) []byte {
+		name := string(tableMarker.FindSubmatch(b)[1])
+		text, known := tables[name]
 		switch {
-		case !there:
-			err = fmt.Errorf("%s: there is no table %q", PageFile, name)
+		case !known:
+			err = fmt.Errorf("%s: unknown table %q", PageFile, name)
 		case seen[name]:
-			err = fmt.Errorf("%s: the table %q is there twice", PageFile, name)
+			err = fmt.Errorf("%s: table %q is a duplicate", PageFile, name)
 		}
 		seen[name] = true
 		return fmt.Appendf(nil, "<!-- table: %s -->\n%s<!-- end -->", name, text)
 	})
 	for name := range tables {
 		if !seen[name] && err == nil {
-			err = fmt.Errorf("%s: the table %q is missing", PageFile, name)
+			err = fmt.Errorf("%s: table %q is missing", PageFile, name)
 		}
 	}
 	if n := bytes.Count(page, []byte("<!-- table:")); n != len(seen) && err == nil {
-		err = fmt.Errorf("%s: a table has no end", PageFile)
+		err = fmt.Errorf("%s: a table has no end marker", PageFile)
 	}
 	return page, err
 }
 
-// rows writes a table of the page.
-func rows(head []string, lines [][]string) string {
+// markdownTable formats a table of the page.
+func markdownTable(head []string, lines [][]string) string {
 	var b strings.Builder
 	line := func(cells []string) { b.WriteString("| " + strings.Join(cells, " | ") + " |\n") }
 	line(head)
@@ -54,8 +54,8 @@
 	return b.String()
 }
 
-// number tells a figure in three digits.
-func number(x float64) string {
+// formatNumber formats a figure with three significant digits.
+func formatNumber(x float64) string {
 	switch a := math.Abs(x); {
 	case a == 0:
 		return "0"
@@ -75,8 +75,8 @@
 	return strings.TrimSuffix(fmt.Sprintf("%.3g", x), ".0")
 }
 
-// amount tells a figure with its unit, in a size that can be read.
-func amount(x float64, unit string) string {
+// formatAmount formats a figure with its unit, scaled to a readable one.
+func formatAmount(x float64, unit string) string {
 	base, per := strings.CutSuffix(unit, "/s")
 	scale := func(names []string, by float64) string {
 		i := 0
@@ -87,7 +87,7 @@
 		if per {
 			unit += "/s"
 		}
-		return number(x) + " " + unit
+		return formatNumber(x) + " " + unit
 	}
 	switch {
 	case base == "B":
@@ -95,34 +95,34 @@
 	case base == "us" && !per:
 		return scale([]string{"us", "ms", "s"}, 1000)
 	case unit == "core" && x > 1:
-		return number(x) + " cores"
+		return formatNumber(x) + " cores"
 	case unit == "core":
-		return number(x) + " of a core"
+		return formatNumber(x) + " of a core"
 	}
-	return number(x) + " " + unit
+	return formatNumber(x) + " " + unit
 }
 
-// verdict tells it in plain words.
-func (j *Judged) verdict() string {
+// verdict formats the verdict for the page.
+func (j *Evaluation) verdict() string {
 	switch {
-	case j.Verdict == Holds && 1/j.Factor < 1.05:
+	case j.Verdict == WithinLimit && 1/j.Factor < 1.05:
 		return "*holds*, just"
-	case j.Verdict == Holds:
-		return "*holds*, " + number(1/j.Factor) + " times over"
-	case j.Verdict == Lacks:
-		return "*lacks by a factor of " + number(j.Factor) + "*"
-	case j.Untold != "" && j.Factor > 1:
-		return "*not known*: " + j.Untold + "; as it stands here it would lack by a factor of " + number(j.Factor)
-	case j.Untold != "":
-		return "*not known*: " + j.Untold
-	case len(j.Unsure) > 0:
-		return "*not known*: " + strings.Join(j.Unsure, ", ") + " is not above its error"
+	case j.Verdict == WithinLimit:
+		return "*holds*, " + formatNumber(1/j.Factor) + " times over"
+	case j.Verdict == ExceedsLimit:
+		return "*lacks by a factor of " + formatNumber(j.Factor) + "*"
+	case j.MissingInput != "" && j.Factor > 1:
+		return "*not known*: " + j.MissingInput + "; as it stands here it would lack by a factor of " + formatNumber(j.Factor)
+	case j.MissingInput != "":
+		return "*not known*: " + j.MissingInput
+	case len(j.Insignificant) > 0:
+		return "*not known*: " + strings.Join(j.Insignificant, ", ") + " is not above its error"
 	}
 	return "*not known*: not measured"
 }
 
 func (t *Table) tables() map[string]string {
-	tables := map[string]string{"size": t.sizeTable(), "state": t.stateTable(), "messages": t.messageTable(), "events": t.eventTable(), "ranking": t.rankTable(Without), "ranking by the feed": t.rankTable(By),
+	tables := map[string]string{"size": t.sizeTable(), "state": t.stateTable(), "messages": t.messageTable(), "events": t.eventTable(), "ranking": t.rankTable(FeedOff), "ranking by the feed": t.rankTable(FeedOn),
 		"slopes": t.slopeTable(), "connections": t.connectionTable(), "before": t.beforeTable()}
 	for _, role := range []string{"initiator", "discovery", "agent", "relay", "target"} {
 		tables[role] = t.roleTable(role)
@@ -132,16 +132,16 @@
 
 func (t *Table) roleTable(role string) string {
 	var lines [][]string
-	for _, j := range t.Judge() {
+	for _, j := range t.Evaluate() {
 		if j.Role != role && !strings.HasPrefix(j.Role, role+",") {
 			continue
 		}
 		limit := "not told"
 		if j.Limit > 0 {
-			limit = amount(j.Limit, j.Unit)
+			limit = formatAmount(j.Limit, j.Unit)
 		}
-		value := amount(j.Value, j.Unit)
-		if len(j.Beyond) > 0 {
+		value := formatAmount(j.Value, j.Unit)
+		if len(j.Extrapolated) > 0 {
 			value += " (beyond what was measured)"
 		}
 		_, which, _ := strings.Cut(j.Role, ", ")
@@ -149,20 +149,20 @@
 			which = "the " + which + "; "
 		}
 		carried := "either"
-		if j.Feed != Either {
+		if j.Feed != FeedAny {
 			carried = string(j.Feed)
 		}
-		lines = append(lines, []string{which + j.Of, j.When, carried, strings.Join(j.Names, ", "), value, limit, j.verdict()})
+		lines = append(lines, []string{which + j.Subject, j.When, carried, strings.Join(j.SlopeNames, ", "), value, limit, j.verdict()})
 	}
-	return rows([]string{"what", "when", "feed", "slopes", "at the size", "limit", "verdict"}, lines)
+	return markdownTable([]string{"what", "when", "feed", "slopes", "at the size", "limit", "verdict"}, lines)
 }
 
 func (t *Table) rankTable(by Feed) string {
 	var lines [][]string
-	for i, j := range t.Rank(by) {
-		lines = append(lines, []string{fmt.Sprint(i + 1), number(j.Breaks), j.Role, j.Of, j.When, number(j.Factor), j.Mechanism})
+	for i, j := range t.RankExceeded(by) {
+		lines = append(lines, []string{fmt.Sprint(i + 1), formatNumber(j.BreakingSize), j.Role, j.Subject, j.When, formatNumber(j.Factor), j.Mechanism})
 	}
-	return rows([]string{"", "breaks at so many initiators", "role", "what", "when", "at the size it lacks by", "mechanism that carries it"}, lines)
+	return markdownTable([]string{"", "breaks at so many initiators", "role", "what", "when", "at the size it lacks by", "mechanism that carries it"}, lines)
 }
 
 func (t *Table) slopeTable() string {
@@ -173,31 +173,31 @@
 		case s.Power == 2:
 			per += ", squared"
 		case s.Power != 1:
-			per += ", to the power of " + number(s.Power)
+			per += ", to the power of " + formatNumber(s.Power)
 		}
-		lines = append(lines, []string{s.Name, s.Of, number(s.Value) + " " + s.Unit + " ± " + number(s.Error), per, number(s.Base), number(s.Least) + " to " + number(s.Most),
-			fmt.Sprintf("%+.0f %%", 100*s.Off), "`" + s.Command + "`, " + s.Date})
+		lines = append(lines, []string{s.Name, s.Subject, formatNumber(s.Value) + " " + s.Unit + " ± " + formatNumber(s.StdError), per, formatNumber(s.Base), formatNumber(s.MinSize) + " to " + formatNumber(s.MaxSize),
+			fmt.Sprintf("%+.0f %%", 100*s.PredictionError), "`" + s.Command + "`, " + s.Date})
 	}
-	return rows([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
+	return markdownTable([]string{"slope", "of", "value", "for each", "at a size of 0", "sizes", "largest, foretold", "measured by"}, lines)
 }
 
-// beforeTable has what was mended at least by half, at the sizes measured then and now.
+// beforeTable lists the slopes whose cost fell by more than half at a size measured before and covered now.
 func (t *Table) beforeTable() string {
 	var lines [][]string
 	for _, b := range t.Before {
-		now := t.At(b.Name)
-		var sizes, then, since []string
-		mended := false
+		current := t.Lookup(b.Name)
+		var sizes, before, after []string
+		improved := false
 		for _, p := range b.Measured {
-			if !now.Within(p.Size) {
+			if !current.InRange(p.Size) {
 				continue
 			}
-			sizes, then, since = append(sizes, number(p.Size)), append(then, amount(p.Cost, b.Unit)), append(since, amount(now.At(p.Size), now.Unit))
-			mended = mended || now.At(p.Size) < p.Cost/2
+			sizes, before, after = append(sizes, formatNumber(p.Size)), append(before, formatAmount(p.Cost, b.Unit)), append(after, formatAmount(current.Cost(p.Size), current.Unit))
+			improved = improved || current.Cost(p.Size) < p.Cost/2
 		}
-		if mended {
-			lines = append(lines, []string{b.Name, b.Of, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(then, "; "), strings.Join(since, "; ")})
+		if improved {
+			lines = append(lines, []string{b.Name, b.Subject, strings.Join(sizes, "; ") + " x " + b.Per, strings.Join(before, "; "), strings.Join(after, "; ")})
 		}
 	}
-	return rows([]string{"slope", "of", "at", "before", "now"}, lines)
+	return markdownTable([]string{"slope", "of", "at", "before", "now"}, lines)
 }
--- a/internal/testbed/scale/slope/probe.go
+++ b/internal/testbed/scale/slope/probe.go
@@ -11,63 +11,64 @@
 	"time"
 )
 
-// Gives is one cost that a probe measures.
-type Gives struct {
-	Name, Unit, Of, Per string
-	Exact               bool // a count or bytes: the same in every run
-	Rough               bool // it depends on what else the machine does, so that no short run is held against it
+// Metric is one cost that a probe measures.
+type Metric struct {
+	Name, Unit, Subject, Per string
+	Exact                    bool // a count or a number of bytes, the same in every run
+	Noisy                    bool // it depends on the other load on the machine, so that short runs are not compared with it
 }
 
-// Probe measures what something costs at several sizes.
+// Probe measures costs at several sizes.
 type Probe struct {
-	About string
-	Gives []Gives
-	Sizes []float64 // the largest is foretold from the rest
-	Short []float64 // of them, or smaller ones: for a short run
-	// Turns is over all sizes, of which the least time counts: what else the machine does meets one size in one turn and another in the next. 0: one.
-	Turns int
-	// Beside says that a short run may measure all sizes at once: what is held against the table is each one's own, and most of the time is waiting.
-	Beside bool
-	// Run measures at one size, a cost for each of Gives. Where the program can't be given that size it returns ErrBeyond: the size is left out.
+	Description string
+	Metrics     []Metric
+	Sizes       []float64 // the largest is predicted from the others
+	ShortSizes  []float64 // sizes of a short run
+	// Repeats is the number of passes over all sizes, of which the smallest cost of each size counts, so that a burst of other load on the machine does not
+	// distort one size. 0 means 1.
+	Repeats int
+	// Concurrent says that a short run may measure all sizes at once, because each compared metric is counted separately and most of the time is spent waiting.
+	Concurrent bool
+	// Run measures one size and returns a cost for each of Metrics. It returns ErrSizeUnsupported if the program does not accept that size, which is then left out.
 	Run func(ctx context.Context, size int) ([]float64, error)
 }
 
-// ErrBeyond says that the program refuses a size.
-var ErrBeyond = errors.New("a size that the program refuses")
+// ErrSizeUnsupported is returned by Probe.Run for a size that the program does not accept.
+var ErrSizeUnsupported = errors.New("size not supported by the program")
 
-// Probes is all of them.
+// Probes returns all probes.
 func Probes() []Probe {
-	return slices.Concat(moduleProbes(), listProbes(), fleetProbes(), memberProbes(), edgeProbes(), agentProbes(), feedProbes(), configuredProbes())
+	return slices.Concat(schedulerProbes(), listProbes(), controlProbes(), memberProbes(), discoveryProbes(), agentProbes(), feedProbes(), configChangeProbes())
 }
 
-// Measure runs a probe at so many sizes, one after another, and fits what came.
+// Measure runs a probe at the given sizes, one after another, and fits a slope for each metric.
 func Measure(ctx context.Context, p Probe, sizes []float64, now time.Time) ([]Slope, error) {
 	return measure(ctx, p, sizes, now, 1)
 }
 
-// Short runs a probe at its small sizes.
-func Short(ctx context.Context, p Probe, now time.Time) ([]Slope, error) {
+// MeasureShort runs a probe at its short sizes, all at once if it is Concurrent.
+func MeasureShort(ctx context.Context, p Probe, now time.Time) ([]Slope, error) {
 	most := 1
-	if p.Beside {
-		most = len(p.Short)
+	if p.Concurrent {
+		most = len(p.ShortSizes)
 	}
-	return measure(ctx, p, p.Short, now, most)
+	return measure(ctx, p, p.ShortSizes, now, most)
 }
 
 func measure(ctx context.Context, p Probe, sizes []float64, now time.Time, most int) ([]Slope, error) {
 	began := time.Now()
 	costs := make([][]float64, len(sizes))
-	for range max(1, p.Turns) {
-		if err := atOnce(len(sizes), most, func(i int) error {
+	for range max(1, p.Repeats) {
+		if err := parallel(len(sizes), most, func(i int) error {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
 			c, err := p.Run(ctx, int(sizes[i]))
 			switch {
-			case errors.Is(err, ErrBeyond):
+			case errors.Is(err, ErrSizeUnsupported):
 				return nil
 			case err != nil:
-				return fmt.Errorf("%s at %v: %w", p.Gives[0].Name, sizes[i], err)
+				return fmt.Errorf("%s at %v: %w", p.Metrics[0].Name, sizes[i], err)
 			}
 			for k := range costs[i] {
 				c[k] = min(c[k], costs[i][k])
@@ -78,28 +79,28 @@
 			return nil, err
 		}
 	}
-	all := make([][]Point, len(p.Gives))
+	all := make([][]Point, len(p.Metrics))
 	for i, list := range costs {
 		for k, c := range list {
-			all[k] = append(all[k], Point{sizes[i], round(c)})
+			all[k] = append(all[k], Point{sizes[i], roundDigits(c)})
 		}
 	}
-	lasted := time.Since(began).Seconds()
+	seconds := time.Since(began).Seconds()
 	var slopes []Slope
-	for i, g := range p.Gives {
+	for i, g := range p.Metrics {
 		l, err := Fit(all[i])
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", g.Name, err)
 		}
-		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Of: g.Of, Per: g.Per, Value: round(l.Rise), Error: round(l.Error), Base: round(l.Base), Power: l.Power,
-			Least: l.Least, Most: l.Most, Off: round(l.Off), Noise: round(l.Noise), Command: "spindlehitch-scale slopes " + p.Gives[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
-			Lasts: math.Ceil(lasted), Measured: all[i], Exact: g.Exact, About: p.About})
+		slopes = append(slopes, Slope{Name: g.Name, Unit: g.Unit, Subject: g.Subject, Per: g.Per, Value: roundDigits(l.Coefficient), StdError: roundDigits(l.StdError), Base: roundDigits(l.Base), Power: l.Power,
+			MinSize: l.MinSize, MaxSize: l.MaxSize, PredictionError: roundDigits(l.PredictionError), Residual: roundDigits(l.Residual), Command: "spindlehitch-scale slopes " + p.Metrics[0].Name, Date: now.Format(time.DateOnly), Cores: runtime.NumCPU(),
+			DurationSeconds: math.Ceil(seconds), Measured: all[i], Exact: g.Exact, Description: p.Description})
 	}
 	return slopes, nil
 }
 
-// round keeps four digits: more are noise.
-func round(x float64) float64 {
+// roundDigits rounds to four significant digits; more are noise.
+func roundDigits(x float64) float64 {
 	if x == 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		return x
 	}
@@ -107,8 +108,9 @@
 	return math.Round(x*by) / by
 }
 
-// quickest is the least time that f takes, in us: of so many turns at least, and of as many as fit in a time. What else the machine does only adds.
-func quickest(least int, within time.Duration, f func()) float64 {
+// minMicros returns the shortest time that f takes, in us, of at least least runs and of up to 1,000 that start within a period. Other load on the machine can only
+// increase a time.
+func minMicros(least int, within time.Duration, f func()) float64 {
 	best := time.Duration(math.MaxInt64)
 	for end, i := time.Now().Add(within), 0; i < least || i < 1000 && time.Now().Before(end); i++ {
 		began := time.Now()
@@ -118,8 +120,8 @@
 	return float64(best.Nanoseconds()) / 1e3
 }
 
-// heap is what lives there, after two collections: what the first finalizes the second frees.
-func heap() float64 {
+// heapBytes returns the bytes of the live heap and the stacks after two collections: the second frees what the first finalized.
+func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -127,16 +129,16 @@
 	return float64(m.HeapAlloc) + float64(m.StackInuse)
 }
 
-// holds is the memory that what f returns holds.
-func holds[T any](f func() T) (float64, T) {
-	before := heap()
+// retainedBytes returns the memory retained by the result of f, and that result.
+func retainedBytes[T any](f func() T) (float64, T) {
+	before := heapBytes()
 	v := f()
-	after := heap()
+	after := heapBytes()
 	return max(0, after-before), v
 }
 
-// allocated is what f allocates: objects and bytes.
-func allocated(f func()) (objects, bytes float64) {
+// allocations returns the number of objects and bytes that f allocates.
+func allocations(f func()) (objects, bytes float64) {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	f()
@@ -144,28 +146,28 @@
 	return float64(after.Mallocs - before.Mallocs), float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// cpu is what this process has used so far.
-func cpu() time.Duration {
+// cpuTime returns the processor time of this process so far.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic("getrusage: " + err.Error()) // there is no process that it could fail for
+		panic("getrusage: " + err.Error()) // can't fail for the process itself
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Find returns the probes that give one of the names; all where there is none.
-func Find(names []string) ([]Probe, error) {
+// FindProbes returns the probes that measure the named metrics, or all probes if no name is given.
+func FindProbes(names []string) ([]Probe, error) {
 	all := Probes()
 	if len(names) == 0 {
 		return all, nil
 	}
 	var found []Probe
 	for _, n := range names {
-		i := slices.IndexFunc(all, func(p Probe) bool { return slices.ContainsFunc(p.Gives, func(g Gives) bool { return g.Name == n }) })
+		i := slices.IndexFunc(all, func(p Probe) bool { return slices.ContainsFunc(p.Metrics, func(g Metric) bool { return g.Name == n }) })
 		if i < 0 {
-			return nil, fmt.Errorf("no probe gives %q", n)
+			return nil, fmt.Errorf("no probe measures %q", n)
 		}
-		if !slices.ContainsFunc(found, func(p Probe) bool { return p.Gives[0].Name == all[i].Gives[0].Name }) {
+		if !slices.ContainsFunc(found, func(p Probe) bool { return p.Metrics[0].Name == all[i].Metrics[0].Name }) {
 			found = append(found, all[i])
 		}
 	}
