--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -13,7 +13,8 @@
 	"spindlehitch/internal/process/mailbox"
 )
 
-// Status is how a request ended.
+// Status is how a request ended for its client. How a single attempt ended is a policy.OutcomeCode, whose Served and
+// Rejected are a target's.
 type Status int
 
 const (
@@ -177,7 +178,7 @@
 
 // Options are the core's limits and callbacks.
 type Options struct {
-	MaxOpen          int            // open requests at a time, until ApplySettings
+	MaxOpen          int            // open requests at a time; ApplySettings changes it
 	Margin           time.Duration  // a response must be written this long before the client's timeout
 	RequestIDTTL     time.Duration  // how long at least the ID of a request that may have run is kept; ApplySettings may raise it
 	Observer         Observer       // nil: none
@@ -297,7 +298,7 @@
 // UpdateTargets passes a full or partial list of the targets to the scheduler.
 func (c *Core) UpdateTargets(l policy.EndpointList) { c.mailbox.Put(l) }
 
-// SetProcessCount tells the scheduler how many processes act as this initiator.
+// SetProcessCount passes to the scheduler how many processes act as this initiator.
 func (c *Core) SetProcessCount(n int) { c.mailbox.Put(policy.ProcessCount{Processes: n}) }
 
 // ApplySettings has the scheduler change to other settings, in order with the requests submitted before and after. maxOpenRequests takes effect at
@@ -310,7 +311,7 @@
 	return ch
 }
 
-// NotifyQuotaChanged tells the scheduler that this initiator's part of the fleet-wide quotas has changed.
+// NotifyQuotaChanged notifies the scheduler that this initiator's part of the fleet-wide quotas has changed.
 func (c *Core) NotifyQuotaChanged() { c.mailbox.Put(policy.QuotaChanged{}) }
 
 // ReportProbe passes to the scheduler the result of another fleet member's probe of a target.
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -275,8 +275,8 @@
 	return Result{RequestID: a.RequestID, Number: a.Number, Target: a.Target, Code: code}
 }
 
-// TestAttemptMaySend checks what an attempt itself knows just before its first byte: whether its client has disconnected, even if the
-// core has not processed the cancellation, and until when a retry with an idempotency key may be sent.
+// TestAttemptMaySend checks MaySend, which is called just before the first byte: it is false once the client has disconnected, even if the
+// core has not processed the cancellation, and after the time until which a retry with an idempotency key may be sent.
 func TestAttemptMaySend(t *testing.T) {
 	h := newSteppedCore(t)
 	var responses []Response
@@ -409,7 +409,7 @@
 	h.step(h.now, []any{Result{RequestID: h.fake.sent[0].RequestID, Target: "n", Code: policy.Served, SendStarted: sendStarted}})
 	h.step(h.now, []any{responseWritten{h.fake.sent[0].RequestID, h.now.Add(2 * time.Millisecond)}})
 	if responses[0].OnWritten == nil {
-		t.Fatal("OnWritten is not set: the observer would not learn that the response was written")
+		t.Fatal("OnWritten is not set: the observer would not be notified that the response was written")
 	}
 	a := book.Account("v")
 	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.AtTarget: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
--- a/internal/datapath/front/body.go
+++ b/internal/datapath/front/body.go
@@ -90,7 +90,7 @@
 	return nil, nil, release
 }
 
-// readBuffered reads a body of a known length, or one of an unknown length (-1) up to upstream.MaxHeld bytes.
+// readBuffered reads a body of a known length, or one of an unknown length (-1) up to upstream.MaxBufferedBody bytes.
 func readBuffered(body io.Reader, length int64) (buf []byte, complete bool, err error) {
 	if length >= 0 {
 		buf = make([]byte, length)
@@ -139,7 +139,7 @@
 // noTargetResponse rejects a request if there is no target for its body, or if the upload failed.
 var noTargetResponse = core.Response{Status: core.Rejected}
 
-// forwardPieces writes a body to the upload, except for the last piece, which it passes to Upload.Last. It returns a requestError for a
+// forwardPieces writes a body to the upload, except for the last piece, which it passes to Upload.HoldLastPiece. It returns a requestError for a
 // failure on the client's side, an error for one on the target's.
 func forwardPieces(up *upstream.Upload, body *pacedReader, buffered, next, spare []byte) (*requestError, error) {
 	last := buffered
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -222,7 +222,7 @@
 	c.aheadBuf = nil
 }
 
-// clientClosed reports whether the client has closed or reset the connection, as far as the kernel knows. bodyRead says whether the
+// clientClosed reports whether the client has closed or reset the connection, as far as the kernel knows. bodyRead is whether the
 // current request has been read to the end of its body.
 func (c *clientConn) clientClosed(bodyRead bool) bool {
 	if c.raw == nil {
@@ -299,10 +299,10 @@
 	return c.readStopped
 }
 
-// shutIfInPhase ends the connection if it is still in the phase and has no unread bytes, which may be a request that is just arriving.
-// An idle connection is half-closed at once. If a request has begun, only reading stops: a request that was received whole is answered,
-// a partial one is dropped.
-func (c *clientConn) shutIfInPhase(phase int32) bool {
+// endIfInPhase ends the connection if it is still in the phase and has no unread bytes, which may be a request that is just arriving;
+// in phaseDraining they are the rest of a rejected body and do not count. An idle connection is half-closed at once. If a request has
+// begun, only reading stops: a request that was received completely is answered, a partial one is dropped.
+func (c *clientConn) endIfInPhase(phase int32) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.readStopped || len(c.aheadBuf) > 0 || phase != phaseDraining && !upstream.OpenAndIdle(c.Conn) {
@@ -559,9 +559,10 @@
 	}
 }
 
-// evict ends a connection if it is still in the phase, which must not be phaseActive. The caller holds t.mu.
+// evict ends a connection if it is still in the phase, which must not be phaseActive. It returns false if endIfInPhase does not end it.
+// The caller holds t.mu.
 func (t *connTable) evict(c *clientConn, phase int32, reason string) bool {
-	if !c.shutIfInPhase(phase) {
+	if !c.endIfInPhase(phase) {
 		return false
 	}
 	c.setEndReason(reason)
@@ -648,6 +649,7 @@
 		if shuttingDown {
 			reason = "LEAVING"
 		}
+		// CLIENT_READ_FAILED is not logged: it may be a read that failed because the connection was closed here.
 		if p := cc.endReason.Load(); p != nil && *p != "CLIENT_READ_FAILED" {
 			reason = *p
 		}
@@ -663,8 +665,8 @@
 	t.mu.Unlock()
 }
 
-// closeServed closes the idle connections that have had a response, and returns how many of the others have or may still
-// send a request.
+// closeServed closes the idle connections that have had a response, and returns how many others have an open request or may
+// still send one.
 func (t *connTable) closeServed() (remaining int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -314,7 +314,8 @@
 const rejectedText = "refused: trying again is harmless"
 
 // rejectAndDrain responds to a request that was not accepted before the rest of its body has arrived, and then reads and discards
-// that within limits. Status 503 means lack of capacity or of a target; with any other status a retry would fail again.
+// that within limits. Status 503 means that the request was valid and a retry is safe: there was no capacity or no target, or reading was
+// stopped. Any other status means that the request itself, or the way it was sent, is at fault.
 func rejectAndDrain(w http.ResponseWriter, r *http.Request, conn *clientConn, reqErr *requestError) {
 	rc := http.NewResponseController(w)
 	// Without full duplex net/http would read the body before it responds, and the body may never arrive.
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -103,8 +103,8 @@
 	return len(retryDelays)
 }
 
-// statusOf maps the core's final response to a status. It is retryable exactly if the policy module rejected the command,
-// when a retry is harmless. A command that may have been executed has DNR set, so that no host retries it on its own.
+// statusOf maps the core's final response to a status. It is retryable exactly if the command was rejected, by the policy module or
+// for lack of capacity: then a retry is harmless. A command that may have been executed has DNR set, so that no host retries it on its own.
 func statusOf(r core.Response, sendDelay bool) status {
 	switch r.Status {
 	case core.Served:
--- a/internal/datapath/upstream/http.go
+++ b/internal/datapath/upstream/http.go
@@ -126,7 +126,7 @@
 		raw = append(appendHead(make([]byte, 0, 256+len(req.Body)), req, c.host, wait, int64(len(req.Body))), req.Body...)
 	}
 	// Check once more before the first byte: the target's state may have changed during the dial. An upload's first byte is already
-	// written, but the target has not started the request: only the permit counts then.
+	// written, so the target's state does not matter, but the target has not started the request: MaySend is still required.
 	if !mayStart() && (req.Upload == nil || !a.MaySend()) {
 		r.Code = policy.NotSent
 		return r, false, "TARGET_LEAVES"
--- a/internal/datapath/upstream/registry.go
+++ b/internal/datapath/upstream/registry.go
@@ -11,7 +11,7 @@
 	"spindlehitch/internal/policy"
 )
 
-// Target is an entry of discovery's list.
+// Target is an entry of the target list.
 type Target struct {
 	ID    string
 	Addr  string
--- a/internal/datapath/upstream/target.go
+++ b/internal/datapath/upstream/target.go
@@ -210,17 +210,17 @@
 	return c, c != nil
 }
 
-// takeIdle takes the most recently used of the connections that have been idle for ReuseDelay. If there is none and allowResting is
-// set, it takes the one that has been idle for longest, on which a duplicate answer is the least likely to be still on its way.
-func (t *target) takeIdle(allowResting bool) *conn {
-	for restedBefore := time.Now().Add(-t.opt.ReuseDelay); len(t.idle) > 0; {
-		i := slices.IndexFunc(t.idle, func(c *conn) bool { return c.idleSince.After(restedBefore) }) // idle is ordered by idleSince
+// takeIdle takes the most recently used of the connections that have been idle for ReuseDelay. If there is none and ignoreReuseDelay
+// is set, it takes the one that has been idle for longest, on which a duplicate answer is the least likely to be still on its way.
+func (t *target) takeIdle(ignoreReuseDelay bool) *conn {
+	for reusableBefore := time.Now().Add(-t.opt.ReuseDelay); len(t.idle) > 0; {
+		i := slices.IndexFunc(t.idle, func(c *conn) bool { return c.idleSince.After(reusableBefore) }) // idle is ordered by idleSince
 		switch {
 		case i < 0:
 			i = len(t.idle) - 1
 		case i > 0:
 			i--
-		case !allowResting:
+		case !ignoreReuseDelay:
 			return nil
 		}
 		c := t.idle[i]
@@ -333,7 +333,7 @@
 // closed before that, so that the target never has two attempts of a request from here at a time.
 func (t *target) runAttempt(active *activeAttempt, c *conn) {
 	var r core.Result
-	var again *conn
+	var reusable *conn
 	var reason string
 	var used int
 	unsolicited := false
@@ -346,7 +346,7 @@
 			}
 		}
 		r, used = core.Result{Code: policy.NotConnected}, c.requests+1
-		again, reason = t.exchange(active, c, &r)
+		reusable, reason = t.exchange(active, c, &r)
 		unsolicited = unsolicited || t.hasUnsolicited(c)
 		if uncorrelated, ok := c.Session.(UncorrelatedSession); ok && uncorrelated.InvalidReport() && !c.reportLogged {
 			c.reportLogged = true // one line per connection
@@ -361,15 +361,16 @@
 		c = nil
 	}
 	r.RequestID, r.Number, r.Target = active.RequestID, active.Number, t.id
-	endConn := func(again *conn, reason string) {
-		if again == nil {
+	// endConn gives the connection back to the pool; a nil one has been closed or not been opened.
+	endConn := func(pooled *conn, reason string) {
+		if pooled == nil {
 			if c != nil {
 				c.Close()
 			}
 			t.logConnEnd(used, reason)
 		}
 		// The actor gets the connection before the outcome is reported, so that a send decided on the outcome finds it idle.
-		t.inbox.Put(doneMsg{active, again, unsolicited || c != nil && t.hasUnsolicited(c)})
+		t.inbox.Put(doneMsg{active, pooled, unsolicited || c != nil && t.hasUnsolicited(c)})
 	}
 	if s, ok := r.Payload.(*Stream); ok {
 		s.setNotify(func(reuse bool, reason string) {
@@ -380,7 +381,7 @@
 			}
 		})
 	} else {
-		endConn(again, reason)
+		endConn(reusable, reason)
 	}
 	t.report(r)
 }
--- a/internal/datapath/upstream/upload.go
+++ b/internal/datapath/upstream/upload.go
@@ -26,9 +26,9 @@
 	target        *target
 
 	mu        sync.Mutex
-	conn      *conn // set before ready is closed; nil: failed
+	conn      *conn // set before ready is closed, and not changed after that; nil: failed
 	state     uploadState
-	lastPiece []byte // with its framing
+	lastPiece []byte // with its framing; set before the request is submitted to the core
 }
 
 type uploadState int
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -5,11 +5,12 @@
 )
 
 // earliestSend is the single gate that every send passes. It returns the time from which the request
-// may be sent to the queue's endpoint, or a time at which to check again; never: it may not be sent.
+// may be sent to the queue's endpoint, or a time at which to check again; never: it may not be sent. It
+// marks a request unservable whose body is at another endpoint than the queue's.
 func (s *Scheduler) earliestSend(r *request, q *shardQueue) time.Duration {
 	ep := q.endpoint
 	if r.BoundEndpoint != "" && r.BoundEndpoint != ep.ID {
-		s.expireObjective(r) // most of its body was sent to another endpoint
+		s.markUnservable(r) // most of its body was sent to an endpoint that no longer serves this shard
 		return never
 	}
 	at := max(r.notBefore, ep.blockedUntil, s.orderGate(r), s.coldGate(ep, r), s.rateLimitGate(r), s.quotaGate(ep, r))
--- a/internal/policy/attempts.go
+++ b/internal/policy/attempts.go
@@ -26,7 +26,7 @@
 	s.joinOrderedExtent(r)
 	r.queue = s.placeRequest(r)
 	if r.objectiveAt <= s.now { // a retry that arrives after its objective
-		r.pastObjective = true // answered after all events of this step: its client may have disconnected
+		r.unservable = true // answered after all events of this step: its client may have disconnected
 		return
 	}
 	s.assignTags(r, r.queue)
@@ -57,13 +57,13 @@
 	r.answerBy = s.now + max(e.TimeLeft/2-sendMarginSteps*s.settings.MinStep, s.settings.MinStep)
 	r.objectiveAt = s.now + c.LatencyObjective
 	if waited := c.Deadline - e.TimeLeft; s.pausedFor > 0 && waited < s.pausedFor+s.minObjective/timersPerObjective {
-		r.objectiveAt -= waited // it waited while this process was paused
+		r.objectiveAt -= waited // it arrived during the pause of this process: its objective includes the time that it waited
 	}
-	// The retry of a request that this initiator rejected has used up part of its objective. It is recognized
+	// The retry of a request that this initiator did not serve has used up part of its objective. It is recognized
 	// by its identity within the class's deadline: a short remaining time alone may mean a client with a short timeout.
-	if first := s.rejected[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+clockMarginSteps*s.settings.MinStep {
+	if first := s.unserved[r.identity()]; first != nil && s.now+e.TimeLeft <= first.firstSeenAt+c.Deadline+clockMarginSteps*s.settings.MinStep {
 		r.firstSeenAt, r.objectiveAt = first.firstSeenAt, first.firstSeenAt+c.LatencyObjective
-		delete(s.rejected, r.identity())
+		delete(s.unserved, r.identity())
 	}
 	r.objectiveAt = min(r.objectiveAt, r.deadlineAt-clockMarginSteps*s.settings.MinStep)
 	r.answerBy = min(r.answerBy, r.objectiveAt)
--- a/internal/policy/invariants_test.go
+++ b/internal/policy/invariants_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// requestRecord is what the checker knows about one request, from events and actions alone.
+// requestRecord is the checker's record of one request, from events and actions alone.
 type requestRecord struct {
 	req         Request
 	class       Class
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// Requests that are not served are answered in this file, by answerUnserved. There are five reasons:
+// answerUnserved answers the requests that are not served, except those with an unknown class or plan or
+// with no time left, which handleRequest rejects at arrival. A request is answered unserved if:
 //
-//   - Its class or plan is unknown, or it has no time left: rejected at arrival (handleRequest).
-//   - The endpoint's base latency alone would exceed its latency objective (filterSendable), or the
-//     objective has passed (answerExpired): expireObjective marks it, and it is answered in this step.
+//   - It cannot meet its latency objective: the endpoint's base latency alone would exceed it
+//     (filterSendable), it has passed (answerExpired), or it had passed when the request, a client's
+//     retry, arrived (handleRequest). The request is marked unservable and answered in the same step.
 //   - Half of its time has passed without an attempt (answerExpired): its client should have time to
 //     retry elsewhere. After an attempt it waits until its objective instead (request.answerBy).
 //   - An attempt failed and no further one is allowed (handleOutcome, mayRetry).
-//   - Its body was sent to an endpoint that no longer serves its shard (earliestSend).
+//   - Most of its body was sent to an endpoint that no longer serves its shard (earliestSend). It is
+//     marked unservable too.
 //
 // The answer is Reject, after which a retry is safe, unless the request may have run and its class does
 // not allow a repeat: then it is Fail.
 
-// requestIdentity is the fields that a rejected request and its client's retry have in common. The
+// requestIdentity is the fields that an unserved request and its client's retry have in common. The
 // request id is not part of it, since clients generate a new one for a retry.
 type requestIdentity struct {
 	class, volume, extent string
@@ -30,14 +32,14 @@
 	return requestIdentity{r.Class, r.Volume, r.Extent, r.Units}
 }
 
-// expireObjective marks a request that cannot meet its latency objective any more: it is answered
-// before the step ends. Waiting longer would block its client's connection, and a late answer has
-// almost no value.
-func (s *Scheduler) expireObjective(r *request) {
-	if r.pastObjective {
+// markUnservable marks a request that cannot be served any more, in most cases because it cannot meet
+// its latency objective: it is answered before the step ends. Waiting longer would block its client's
+// connection, and a late answer has almost no value.
+func (s *Scheduler) markUnservable(r *request) {
+	if r.unservable {
 		return
 	}
-	r.pastObjective, r.answerBy = true, s.now
+	r.unservable, r.answerBy = true, s.now
 	if r.queue.endpoint != nil {
 		r.queue.endpoint.congestedAt = s.now
 	}
@@ -48,10 +50,10 @@
 }
 
 // answerUnserved ends a request that was not served: with Reject where a retry is safe, otherwise with
-// Fail. It also drops rejected requests whose retries are no longer recognized.
+// Fail. It also drops the unserved requests whose retries are no longer recognized.
 func (s *Scheduler) answerUnserved(r *request) {
 	c, kind, wait := r.class, Reject, time.Duration(0)
-	if r.pastObjective {
+	if r.unservable {
 		wait = r.deadlineAt - s.now // a retry would miss the objective as well
 	} else if r.startTag > s.now {
 		wait = r.startTag - s.now // the volume exceeds its rate until then
@@ -64,13 +66,13 @@
 		end.Endpoint = r.queue.endpoint.ID
 	}
 	s.emit(end)
-	s.rejected[r.identity()] = r
-	s.rejectedInOrder = append(s.rejectedInOrder, r)
-	for len(s.rejectedInOrder) > 0 && s.now > s.rejectedInOrder[0].firstSeenAt+s.rejectedInOrder[0].class.Deadline {
-		if old := s.rejectedInOrder[0]; s.rejected[old.identity()] == old {
-			delete(s.rejected, old.identity())
+	s.unserved[r.identity()] = r
+	s.unservedInOrder = append(s.unservedInOrder, r)
+	for len(s.unservedInOrder) > 0 && s.now > s.unservedInOrder[0].firstSeenAt+s.unservedInOrder[0].class.Deadline {
+		if old := s.unservedInOrder[0]; s.unserved[old.identity()] == old {
+			delete(s.unserved, old.identity())
 		}
-		s.rejectedInOrder = s.rejectedInOrder[1:]
+		s.unservedInOrder = s.unservedInOrder[1:]
 	}
 	s.finishRequest(r)
 }
@@ -101,7 +103,7 @@
 			continue
 		}
 		if s.now >= r.objectiveAt {
-			s.expireObjective(r)
+			s.markUnservable(r)
 		}
 		s.answerUnserved(r)
 	}
--- a/internal/policy/release.go
+++ b/internal/policy/release.go
@@ -86,7 +86,7 @@
 }
 
 // filterSendable fills s.sendable with the requests that may be sent now. A request that cannot meet
-// its objective any more expires. If the rest cannot all meet theirs, those with the least value for a
+// its objective any more is marked unservable. If the rest cannot all meet theirs, those with the least value for a
 // unit are deferred: in earliest-deadline order all of them would be served slightly too late.
 func (s *Scheduler) filterSendable(q *shardQueue) {
 	ep := q.endpoint
@@ -98,12 +98,12 @@
 			q.wakeAt = min(q.wakeAt, wait)
 			continue
 		}
-		// The base latency loses weight while no new answer arrives. Otherwise one slow answer could expire
-		// every later request of a class with a short objective, and no answer would ever correct it.
+		// The base latency loses weight while no new answer arrives. Otherwise one slow answer could make every
+		// later request of a class with a short objective unservable, and no answer would ever correct it.
 		if s.now+toDuration(ep.baseLatency*baseWeight*s.relativeSize(r.Units)) > r.objectiveAt {
-			s.expireObjective(r)
+			s.markUnservable(r)
 		}
-		if r.pastObjective {
+		if r.unservable {
 			continue
 		}
 		s.sendable = append(s.sendable, r)
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -27,7 +27,7 @@
 	ranInShard       int
 	firstRanAt       time.Duration
 	rateLimitCharged bool    // its units were taken from the volume's rate limit
-	pastObjective    bool    // it cannot be answered within its objective any more
+	unservable       bool    // it cannot be served any more and is answered in this step (markUnservable)
 	valuePerUnit     float64 // value of serving one unit, as of the last filterSendable
 	deferred         bool    // the endpoint cannot serve all in time, and this one is among the least valuable
 	answered         bool    // its final answer was given
--- a/internal/policy/scheduler.go
+++ b/internal/policy/scheduler.go
@@ -77,8 +77,8 @@
 	now             time.Duration // time of the current step
 	classes         map[string]*Class
 	plans           map[string]*Plan
-	rejected        map[requestIdentity]*request // rejected requests by identity, to recognize a client's retry
-	rejectedInOrder []*request                   // rejected requests, oldest first
+	unserved        map[requestIdentity]*request // requests that answerUnserved has ended, by identity, to recognize a client's retry
+	unservedInOrder []*request                   // the same requests, oldest first
 	minObjective    time.Duration                // smallest latency objective of all classes; unit of many constants above
 	initiatorIndex  int                          // this initiator's index in the fleet, from 0
 	// time of the first step, or of settings that tighten the cold start limits
@@ -112,7 +112,7 @@
 	if err := set.Validate(); err != nil {
 		return nil, err
 	}
-	s := &Scheduler{rng: rand.New(rand.NewPCG(seed, seed)), rejected: map[requestIdentity]*request{},
+	s := &Scheduler{rng: rand.New(rand.NewPCG(seed, seed)), unserved: map[requestIdentity]*request{},
 		volumes: map[string]*volume{}, requests: map[string]*request{},
 		endpointIndex: newEndpointIndex(), orderedExtents: map[string]*orderedExtent{},
 		timerAt: never, subscribeAt: never, startedAt: never, subscribeBackoff: time.Second,
--- a/internal/policy/scheduler_test.go
+++ b/internal/policy/scheduler_test.go
@@ -180,7 +180,7 @@
 	if got := h.sentIDs(); got[len(got)-1] != "next" {
 		t.Fatalf("sent %v, want the next request sent at once", got)
 	}
-	if h.s.requests["next"].pastObjective {
+	if h.s.requests["next"].unservable {
 		t.Fatal("the next request counts as past its objective")
 	}
 }
@@ -454,7 +454,7 @@
 		}
 		s := h.s
 		for name, size := range map[string]int{"requests": len(s.requests), "recent requests": len(s.recentRequests), "recent retries": len(s.recentRetries),
-			"rejected": len(s.rejected), "rejected in order": len(s.rejectedInOrder), "deadlines": len(s.deadlines)} {
+			"unserved": len(s.unserved), "unserved in order": len(s.unservedInOrder), "deadlines": len(s.deadlines)} {
 			if size > 10 {
 				t.Errorf("budget %v: %d %s kept", budget, size, name)
 			}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -12,7 +12,7 @@
 
 // Effects.
 const (
-	Idempotent        Effect = iota // may be retried and rejected freely
+	Idempotent        Effect = iota // may be repeated: retried here, or rejected so that its client retries it
 	IdempotentWithKey               // may be retried only among endpoints that drop the repeat by its key
 	NonIdempotent                   // may be retried only if no earlier attempt can have run
 )
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -21,7 +21,7 @@
 )
 
 // accountsRecorder keeps a running instance's latency accounts, and writes, logs and serves them window by window. Only the
-// core's goroutine touches book and since.
+// core's goroutine uses book and since.
 type accountsRecorder struct {
 	book            *accounts.Recorder
 	opt             config.Accounts
@@ -168,7 +168,7 @@
 	http.Error(w, "no such window is kept here", http.StatusNotFound)
 }
 
-// OnTargetList implements targetListener: a full list drops what the book knows of targets that it doesn't have.
+// OnTargetList implements targetListener: a full list drops the accounts of targets that it doesn't contain.
 func (a *accountsRecorder) OnTargetList(list *listing.List) {
 	if !list.Full {
 		return
--- a/internal/process/instance/component.go
+++ b/internal/process/instance/component.go
@@ -1,5 +1,5 @@
 // Package instance assembles one initiator from its components and runs it. Each component has a start and a stop, and may
-// listen to target lists, apply configuration changes and emit metrics. Only this package knows which components there are.
+// listen to target lists, apply configuration changes and emit metrics. The list of components is private to this package.
 package instance
 
 import (
--- a/internal/process/instance/config_change.go
+++ b/internal/process/instance/config_change.go
@@ -44,7 +44,7 @@
 		a.instance.core.Inspect(func() { a.accounts.book.SetWorth(requestPriority(cfg)) })
 	}
 	select {
-	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestNameRetention(cfg)):
+	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestIDTTL(cfg)):
 	case <-a.dataPath.done: // the scheduler has ended
 	}
 	a.front.SetAdmission(frontAdmission(cfg))
--- a/internal/process/instance/deployments_test.go
+++ b/internal/process/instance/deployments_test.go
@@ -190,7 +190,7 @@
 	second := runDeployment(t, "nextcust", `{"cores":1,"memory_mb":96,"sockets":512}`, classes("side_effect", "nextcust-class")+"1}}", func(d *deployment) {
 		require.Equal(t, 1, runtime.GOMAXPROCS(0))
 		require.EqualValues(t, 96<<20*7/10, debug.SetMemoryLimit(-1))
-		d.requireServed("PUT", "/item/0000000000000001", "one", "nextcust body") // a name that the first instance has used
+		d.requireServed("PUT", "/item/0000000000000001", "one", "nextcust body") // a Request-Id that the first instance has used
 		d.requireServed("PUT", "/nextcust-class/0000000000000002", "two", longBody(d.mark, 100<<10+77))
 		status, answer := d.request("GET", "/item/"+failsOnceExtent, "shared", "same", "")
 		require.Equal(t, http.StatusBadGateway, status, "a request of a class that must not run twice was retried")
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -23,7 +23,7 @@
 	source  targetmerge.Source
 	list    *listing.List
 	partial bool          // from a source that has not sent a full list yet
-	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: nobody waits
+	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: not needed
 }
 
 // targetMerger merges the lists of discovery and of the feed into one. It has a goroutine of its own, so that listeners get lists in order and
--- a/internal/process/instance/fronts.go
+++ b/internal/process/instance/fronts.go
@@ -113,9 +113,9 @@
 // Stop implements Component.
 func (p *controlPages) Stop(context.Context) error { return p.Close() }
 
-// stopTimeout bounds a stop, where clients wait maxWait at most. A request accepted early may be open for longer than the
-// platform lets the process live after SIGTERM. Being killed with it open is then no fault of this program, but exiting
-// before it is answered would be.
+// stopTimeout bounds a stop, given the longest time that the client of an open request waits. That may be longer than the
+// platform lets the process run after SIGTERM. The process still waits for the response and may be killed while it waits: a
+// request whose process exits before it is answered is a fault of this program, one whose process is killed is not.
 func stopTimeout(maxWait time.Duration) time.Duration {
 	return max(maxWait, 3*time.Second) + 600*time.Millisecond
 }
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -31,8 +31,8 @@
 	"spindlehitch/internal/process/handover"
 )
 
-// answerMargin is how long before the client's deadline a request's answer must be decided.
-const answerMargin = 12 * time.Millisecond
+// responseMargin is how long before the client's timeout a response must be decided, so that it is written in time.
+const responseMargin = 12 * time.Millisecond
 
 // connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more than it was asked for: HTTP answers
 // name no request, so a duplicate would be taken for the answer to the next request.
@@ -48,8 +48,8 @@
 	feed        *feedStream   // shared by the process; nil: the instance has its own, if its operator's file has a feed
 }
 
-// Serve runs an instance until ctx ends, and then until all accepted requests are answered. If ctx ends during the start, what
-// has started is stopped again.
+// Serve runs an instance until ctx ends, a front fails or a younger process serves, and then until all accepted requests have their
+// responses, within stopTimeout. If ctx ends during the start, the components that have started are stopped again.
 func Serve(ctx context.Context, cfg *config.Config, op *config.OperatorFile, opt Options) error {
 	runtime.GOMAXPROCS(maxThreads(cfg))
 	in, err := assemble(cfg, op, opt)
@@ -160,7 +160,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	byteBudget := budget.New(0) // divider gives it its bytes
+	byteBudget := budget.New(0) // divider sets its size
 	var certs *keys.Store
 	var wire upstream.Dialer = upstream.NewHTTPDialer(byteBudget)
 	reuseDelay := connReuseDelay
@@ -178,7 +178,7 @@
 		upstreamOptions.Quota = session
 	}
 	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
-	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: metrics.SetEjected}
+	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: responseMargin, RequestIDTTL: requestIDTTL(cfg), OnEjectedCount: metrics.SetEjected}
 	if tasks != nil {
 		coreOptions.OnEjectedTargets = tasks.runner.SetEjected
 	}
@@ -272,7 +272,7 @@
 	in.fronts.bound = append(in.fronts.bound, e)
 }
 
-// newFleetComponents returns the instance's session for fleet-wide budgets and its fleet-wide tasks; nil if the operator's file has none.
+// newFleetComponents returns the instance's session for the fleet-wide quotas and its fleet-wide tasks; nil if the operator's file has none.
 func newFleetComponents(cfg *config.Config, op *config.OperatorFile, members *transport.Runner, openCount func() uint16, log *slog.Logger) (session *quotasession.Session, tasks *fleetTasks) {
 	if op.Fleet == nil || len(op.Fleet.Agents) == 0 {
 		return nil, nil
@@ -311,9 +311,9 @@
 	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
 }
 
-// requestNameRetention is how long a request's name stays taken, so that it isn't used again: an attempt lasts no longer than its client
-// waits, and targets remember keyed requests for the deduplication window.
-func requestNameRetention(cfg *config.Config) time.Duration {
+// requestIDTTL is how long the ID of a request that may have run is kept, so that another request with it is rejected: an attempt lasts
+// no longer than its client waits, and targets remember idempotency keys for the deduplication window.
+func requestIDTTL(cfg *config.Config) time.Duration {
 	d := maxDeadline(cfg)
 	for _, c := range cfg.Policy.Classes {
 		if c.Effect == policy.IdempotentWithKey {
@@ -362,7 +362,8 @@
 // EmitMetrics implements metricsEmitter.
 func (d *dataPath) EmitMetrics(to statsd.ExtendedStatSender) { d.metrics.EmitMetrics(to) }
 
-// quotaComponent is the instance's quota session at the agents, released once no request is served any more.
+// quotaComponent is the instance's quota session at the agents. It is stopped once no request is served any more: it has the targets'
+// connections closed, which count against the quotas, and gives the allocations back.
 type quotaComponent struct {
 	loop
 	session *quotasession.Session
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -241,19 +241,19 @@
 			total := l.clientConns() + l.targetConns() + reservedFiles + control.MaxFiles
 			require.LessOrEqual(t, total, l.Sockets, "%d sockets for %d processes", sockets, processes)
 			require.LessOrEqual(t, l.connsPerTarget(), l.targetConns())
-			require.Less(t, l.idleClientConns(), l.Sockets/4)
+			require.Less(t, l.softMaxClientConns(), l.Sockets/4)
 		}
 	}
 }
 
-// TestRequestNameRetention checks that a request's name stays taken for the longest deadline or deduplication window of a keyed class.
-func TestRequestNameRetention(t *testing.T) {
+// TestRequestIDTTL checks that request IDs are kept for the longest deadline, or the longest deduplication window of a keyed class if that is longer.
+func TestRequestIDTTL(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
 	cfg.Policy.Classes = classes
-	require.Equal(t, 2*time.Second, requestNameRetention(cfg))
+	require.Equal(t, 2*time.Second, requestIDTTL(cfg))
 	classes[1].DedupWindow = 9 * time.Second
-	require.Equal(t, 9*time.Second, requestNameRetention(cfg))
+	require.Equal(t, 9*time.Second, requestIDTTL(cfg))
 }
 
 // TestTargetConnectionsCloseWithInstance stops an instance in a process that goes on: its connections to targets are closed.
--- a/internal/process/instance/layered_config.go
+++ b/internal/process/instance/layered_config.go
@@ -57,11 +57,11 @@
 	return errors.Join(err, followLoop.Stop(stopCtx))
 }
 
-// layered is a configuration of layers, as the feed brings it.
+// layeredConfig merges the configuration's layers, as the feed has them, and offers the result to serveGenerations.
 type layeredConfig struct {
 	name, fleet, dir string
 	log              *slog.Logger
-	sourceCtx        context.Context // until the instance leaves
+	sourceCtx        context.Context // ends once configurations are no longer accepted
 	offers           chan<- configOffer
 	applied          []byte
 }
--- a/internal/process/instance/limits.go
+++ b/internal/process/instance/limits.go
@@ -25,7 +25,7 @@
 // clientConnBytes is the approximate memory of a client connection: buffers, a goroutine's stack, a request.
 const clientConnBytes = 24 << 10
 
-// resourceLimits divides what the machine grants the process among client connections, target connections and held bytes.
+// resourceLimits divides what the machine grants the process among client connections, target connections and buffered bytes.
 type resourceLimits config.Limits
 
 // effectiveLimits returns the configured limits, with the descriptors lowered to RLIMIT_NOFILE where that is less.
@@ -50,9 +50,9 @@
 	return max(n, minClientConns)
 }
 
-// idleClientConns is the limit on client connections without a request: half of the third of all descriptors that
-// clients hold at most.
-func (l resourceLimits) idleClientConns() int { return l.Sockets / 6 }
+// softMaxClientConns is the number of client connections above which those without a request are evicted: a sixth of all
+// descriptors, which is half of the third that clients hold at most.
+func (l resourceLimits) softMaxClientConns() int { return l.Sockets / 6 }
 
 // connsPerTarget is the limit on one target's connection pool. Where the descriptors allow it, that is more than the
 // scheduler ever has outstanding at a target, including overdue attempts and responses that are streamed slowly.
@@ -63,8 +63,8 @@
 	return max(min(l.Sockets*3/10, l.Sockets-reservedFiles-control.MaxFiles-minClientConns), minTargetConns)
 }
 
-// heldBytes is the limit on the bytes of bodies that are buffered at a time: a quarter of the memory.
-func (l resourceLimits) heldBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
+// bufferedBytes is the limit on the bytes of bodies that are buffered at a time: a quarter of the memory.
+func (l resourceLimits) bufferedBytes() int64 { return int64(l.MemoryMB) << 20 / 4 }
 
 // limitDivider applies the limits to everything that they bound. Processes of one process group share the limits equally.
 type limitDivider struct {
@@ -74,9 +74,9 @@
 	front      *front.Server
 	core       *core.Core
 
-	mu         sync.Mutex // guards limits and the fields below, and orders the calls of apply
-	processes  int        // live processes that share the limits
-	givenBytes int64      // added to byteBudget so far
+	mu           sync.Mutex // guards limits and the fields below, and orders the calls of apply
+	processes    int        // live processes that share the limits
+	grantedBytes int64      // added to byteBudget so far
 }
 
 // setProcesses limits this process to its share where n processes share the limits.
@@ -101,9 +101,9 @@
 func (d *limitDivider) apply() {
 	own := d.limits.forProcesses(d.processes)
 	debug.SetMemoryLimit(int64(own.MemoryMB) << 20 * 7 / 10)
-	d.byteBudget.Release(own.heldBytes() - d.givenBytes)
-	d.givenBytes = own.heldBytes()
+	d.byteBudget.Release(own.bufferedBytes() - d.grantedBytes)
+	d.grantedBytes = own.bufferedBytes()
 	d.up.SetConnLimits(own.connsPerTarget(), own.targetConns())
-	d.front.SetConnLimits(own.clientConns(), own.idleClientConns())
+	d.front.SetConnLimits(own.clientConns(), own.softMaxClientConns())
 	d.core.SetProcessCount(d.processes)
 }
--- a/internal/process/instance/load.go
+++ b/internal/process/instance/load.go
@@ -23,9 +23,9 @@
 }
 
 // ReloadOnSignal reads the configuration and the operator's file again at each signal (SIGHUP) and sends the address of
-// discovery and the namespaces on the returned channel; everything else in the files takes effect at the next start. An
-// invalid configuration is logged and changes nothing. The goroutine ends when hup is closed; a change waits there until
-// it is received. The returned channel is never closed.
+// discovery and the namespaces on the returned channel. With a change, certificateReloader also reads the certificate files
+// again; everything else takes effect at the next start. An invalid configuration is logged and changes nothing. The
+// goroutine ends when hup is closed; a change waits there until it is received. The returned channel is never closed.
 func ReloadOnSignal(hup <-chan os.Signal, getenv func(string) string, discovery, operator string, log *slog.Logger) <-chan Change {
 	changes := make(chan Change)
 	go func() {
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -24,12 +24,12 @@
 }
 
 // nvmeControllerOptions configures this initiator as the NVMe controller that hosts connect to. The bounds on connections
-// and on held data derive from the process's limits.
-func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Metrics, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
+// and on buffered data derive from the process's limits.
+func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Metrics, shutdown core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	limits := resourceLimits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
-		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.heldBytes(), Timeouts: map[string]time.Duration{},
-		Log: log, Keys: certs, Figures: metrics, Shutdown: leave}
+		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.bufferedBytes(), Timeouts: map[string]time.Duration{},
+		Log: log, Keys: certs, Figures: metrics, Shutdown: shutdown}
 	for _, k := range c.Policy.Classes {
 		o.Timeouts[k.Name] = k.Deadline
 	}
--- a/internal/process/instance/process_group.go
+++ b/internal/process/instance/process_group.go
@@ -10,7 +10,7 @@
 )
 
 // processGroup is this process's membership in the process group of its initiator: during an upgrade the processes share the
-// initiator's limits, and an older process learns that a younger one serves. There can only be several processes if they
+// initiator's limits, and an older process stops once a younger one serves. There can only be several processes if they
 // inherit the clients' listening socket. If the group's folder can't be used, the process runs as if it were alone.
 type processGroup struct {
 	name           string
@@ -48,7 +48,7 @@
 	return g.loop.Stop(ctx)
 }
 
-// logFailure logs that the other processes don't see this process's state.
+// logFailure logs that this process could not join the group or publish its phase.
 func (g *processGroup) logFailure(err error) {
 	g.log.Warn("handover not told", slog.String("reason", "HANDOVER_FAILED"), slog.Any("error", err))
 }
