--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -18,7 +18,7 @@
 type Status int
 
 const (
-	// Served means that the response carries the target's reply.
+	// Served means that the response carries a target's answer.
 	Served Status = iota
 	// Rejected means that a retry by the client is harmless.
 	Rejected
--- a/internal/policy/endpoint.go
+++ b/internal/policy/endpoint.go
@@ -26,5 +26,5 @@
 	coldCredit          []timedUnits  // units answered that no later send has used up
 
 	serial                                   uint32 // order in which endpoints were first listed
-	listedChanged, listedUsed, listedRemoved bool   // which lists of the index it is on
+	inChangedList, inUsedList, inRemovedList bool   // which lists of the index it is on
 }
--- a/internal/policy/events.go
+++ b/internal/policy/events.go
@@ -57,10 +57,10 @@
 	AnsweredError                      // answered with an error; it may have run
 	Rejected                           // the endpoint rejected it before it ran
 	TimedOut                           // no answer within the timeout; it may have run
-	NotConnected                       // the endpoint was not reached
-	ConnectionReset                    // the connection was lost; it may have run
+	NotConnected                       // no connection, or lost before the whole request was written; it cannot have run
+	ConnectionReset                    // the connection was lost, or the answer unusable; it may have run
 	Cancelled                          // it was cancelled; it may have run
-	NotSent                            // no byte of it was sent
+	NotSent                            // withheld by this initiator, for example since its endpoint has begun to drain; it cannot have run
 )
 
 // MayHaveRun reports whether an attempt with this outcome may have taken effect.
--- a/internal/policy/health.go
+++ b/internal/policy/health.go
@@ -166,8 +166,8 @@
 // listed. Draining ones are included, since they may be listed as up again.
 func (s *Scheduler) activeEndpoints() []*endpoint {
 	s.usedEndpoints = slices.DeleteFunc(s.usedEndpoints, func(ep *endpoint) bool {
-		ep.listedUsed = s.byID[ep.ID] == ep && (len(ep.inFlight) > 0 || ep.blockedUntil > s.now || s.isFaulty(ep))
-		return !ep.listedUsed
+		ep.inUsedList = s.byID[ep.ID] == ep && (len(ep.inFlight) > 0 || ep.blockedUntil > s.now || s.isFaulty(ep))
+		return !ep.inUsedList
 	})
 	slices.SortFunc(s.usedEndpoints, compareSerial)
 	return s.usedEndpoints
--- a/internal/policy/index.go
+++ b/internal/policy/index.go
@@ -41,12 +41,12 @@
 	return endpointIndex{byID: map[string]*endpoint{}, shardEntries: map[int]*shardEntry{}}
 }
 
-// appendOnce appends x to the list and sets x's flag listed, unless the flag is set already.
-func appendOnce[T any](list []T, x T, listed *bool) []T {
-	if *listed {
+// appendOnce appends x to the list and sets x's flag for that list, unless the flag is set already.
+func appendOnce[T any](list []T, x T, included *bool) []T {
+	if *included {
 		return list
 	}
-	*listed = true
+	*included = true
 	return append(list, x)
 }
 
@@ -78,9 +78,9 @@
 	if e.queue == nil {
 		return
 	}
-	ix.staleQueues = appendOnce(ix.staleQueues, e.queue, &e.queue.listedStale)
+	ix.staleQueues = appendOnce(ix.staleQueues, e.queue, &e.queue.inStaleList)
 	if len(e.endpoints) == 0 {
-		ix.orphanedQueues = appendOnce(ix.orphanedQueues, e.queue, &e.queue.listedOrphaned)
+		ix.orphanedQueues = appendOnce(ix.orphanedQueues, e.queue, &e.queue.inOrphanedList)
 	}
 }
 
@@ -98,7 +98,7 @@
 	e := ix.entryOf(ep.Shard)
 	at, _ := slices.BinarySearchFunc(e.endpoints, ep, compareSerial)
 	e.endpoints = slices.Insert(e.endpoints, at, ep)
-	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.listedChanged)
+	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.inChangedList)
 	ix.markStale(e)
 }
 
@@ -130,7 +130,7 @@
 	if entry.Shard != previous.Shard {
 		ix.linkEndpoint(ep)
 	}
-	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.listedChanged)
+	ix.changedEndpoints = appendOnce(ix.changedEndpoints, ep, &ep.inChangedList)
 	ix.markStale(ix.shardEntries[ep.Shard])
 	if previous.State == Draining {
 		ix.drainingCount--
@@ -139,7 +139,7 @@
 	case Draining:
 		ix.drainingCount++
 	case Removed:
-		ix.removedEndpoints = appendOnce(ix.removedEndpoints, ep, &ep.listedRemoved)
+		ix.removedEndpoints = appendOnce(ix.removedEndpoints, ep, &ep.inRemovedList)
 	}
 }
 
@@ -150,7 +150,7 @@
 	ix.changedEndpoints = ix.changedEndpoints[:0]
 	slices.SortFunc(changed, compareSerial)
 	for _, ep := range changed {
-		ep.listedChanged = false
+		ep.inChangedList = false
 	}
 	return changed
 }
@@ -160,7 +160,7 @@
 	stale := ix.staleQueues
 	ix.staleQueues = ix.staleQueues[:0]
 	for _, q := range stale {
-		q.listedStale = false
+		q.inStaleList = false
 		q.markWaitDirty()
 	}
 	return stale
@@ -181,7 +181,7 @@
 // markUsed records that an attempt at the endpoint starts or ends, or that a probe result of it has
 // arrived: it may become ejected, and its queue's wait may change.
 func (ix *endpointIndex) markUsed(ep *endpoint) {
-	ix.usedEndpoints = appendOnce(ix.usedEndpoints, ep, &ep.listedUsed)
+	ix.usedEndpoints = appendOnce(ix.usedEndpoints, ep, &ep.inUsedList)
 	if e := ix.shardEntries[ep.Shard]; e != nil && e.queue != nil {
 		e.queue.markWaitDirty()
 	}
@@ -212,8 +212,8 @@
 	if ix.hasEmptyQueues {
 		ix.hasEmptyQueues = false
 		ix.waitingQueues = slices.DeleteFunc(ix.waitingQueues, func(q *shardQueue) bool {
-			q.listedWaiting = len(q.requests) > 0
-			return !q.listedWaiting
+			q.inWaitingList = len(q.requests) > 0
+			return !q.inWaitingList
 		})
 	}
 	if len(ix.newlyWaiting) > 0 {
@@ -251,22 +251,22 @@
 func (ix *endpointIndex) dropUnused(expired func(*endpoint) bool) {
 	ix.compactWaiting()
 	ix.queuesWithFlows = slices.DeleteFunc(ix.queuesWithFlows, func(q *shardQueue) bool {
-		q.listedWithFlows = len(q.flows) > 0
-		if !q.listedWithFlows && len(q.requests) == 0 {
+		q.inWithFlowsList = len(q.flows) > 0
+		if !q.inWithFlowsList && len(q.requests) == 0 {
 			q.flows, q.requests, q.flowByVolume = nil, nil, nil
 		}
-		return !q.listedWithFlows
+		return !q.inWithFlowsList
 	})
 	dropped := false
 	ix.orphanedQueues = slices.DeleteFunc(ix.orphanedQueues, func(q *shardQueue) bool {
 		e := ix.shardEntries[q.shard]
-		q.listedOrphaned = len(e.endpoints) == 0
-		if q.listedOrphaned && len(q.requests)+len(q.flows) == 0 {
+		q.inOrphanedList = len(e.endpoints) == 0
+		if q.inOrphanedList && len(q.requests)+len(q.flows) == 0 {
 			dropped, e.queue = true, nil
 			ix.dropEmptyShard(q.shard)
 			return true
 		}
-		return !q.listedOrphaned
+		return !q.inOrphanedList
 	})
 	if dropped {
 		detached := func(q *shardQueue) bool {
@@ -280,13 +280,13 @@
 		ix.waitTree = minWaitTree{}
 	}
 	ix.removedEndpoints = slices.DeleteFunc(ix.removedEndpoints, func(ep *endpoint) bool {
-		if ep.listedRemoved = ep.State == Removed; ep.listedRemoved && expired(ep) {
+		if ep.inRemovedList = ep.State == Removed; ep.inRemovedList && expired(ep) {
 			delete(ix.byID, ep.ID)
 			at, _ := slices.BinarySearchFunc(ix.endpoints, ep, compareSerial)
 			ix.endpoints = slices.Delete(ix.endpoints, at, at+1)
 			ix.unlinkEndpoint(ep)
 			return true
 		}
-		return !ep.listedRemoved
+		return !ep.inRemovedList
 	})
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -18,7 +18,7 @@
 	index    *endpointIndex
 	position int // in the index's list of queues
 	// Whether it is on the index's list of that name (see appendOnce).
-	listedWaiting, listedWithFlows, listedOrphaned, listedStale, listedDirty, listedTimeDependent bool
+	inWaitingList, inWithFlowsList, inOrphanedList, inStaleList, inDirtyList, inTimeDependentList bool
 }
 
 // flow returns the volume's tag state in this queue, created at first use.
@@ -30,7 +30,7 @@
 			q.flowByVolume = map[*volume]*flow{}
 		}
 		q.flowByVolume[v] = f
-		q.index.queuesWithFlows = appendOnce(q.index.queuesWithFlows, q, &q.listedWithFlows)
+		q.index.queuesWithFlows = appendOnce(q.index.queuesWithFlows, q, &q.inWithFlowsList)
 		q.flows = append(q.flows, f)
 	}
 	return f
@@ -44,7 +44,7 @@
 		at--
 	}
 	q.requests = slices.Insert(q.requests, at, r)
-	q.index.newlyWaiting = appendOnce(q.index.newlyWaiting, q, &q.listedWaiting)
+	q.index.newlyWaiting = appendOnce(q.index.newlyWaiting, q, &q.inWaitingList)
 	q.markWaitDirty()
 	q.flow(r.volume).queued++
 }
--- a/internal/policy/wait_tree.go
+++ b/internal/policy/wait_tree.go
@@ -18,7 +18,7 @@
 // markWaitDirty records that the queue's expected wait may have changed.
 func (q *shardQueue) markWaitDirty() {
 	if t := &q.index.waitTree; t.leaves > 0 {
-		t.dirty = appendOnce(t.dirty, q, &q.listedDirty)
+		t.dirty = appendOnce(t.dirty, q, &q.inDirtyList)
 	}
 }
 
@@ -28,7 +28,7 @@
 	if t.refreshedAt != s.now {
 		t.refreshedAt = s.now
 		for _, q := range t.timeDependent {
-			q.listedTimeDependent = false
+			q.inTimeDependentList = false
 			q.markWaitDirty()
 		}
 		t.timeDependent = t.timeDependent[:0]
@@ -37,7 +37,7 @@
 		s.rebuildWaitTree()
 	}
 	for _, q := range t.dirty {
-		q.listedDirty = false
+		q.inDirtyList = false
 		s.updateWaitLeaf(q)
 		for node := (t.leaves + q.position) / 2; node > 0; node /= 2 {
 			smallest := min(t.minima[2*node], t.minima[2*node+1])
@@ -66,7 +66,7 @@
 	}
 	t.dirty, t.timeDependent = t.dirty[:0], t.timeDependent[:0]
 	for _, q := range s.queues {
-		q.listedDirty, q.listedTimeDependent = false, false
+		q.inDirtyList, q.inTimeDependentList = false, false
 		s.updateWaitLeaf(q)
 	}
 	for at := t.leaves - 1; at > 0; at-- {
@@ -80,7 +80,7 @@
 	t, ep := &s.waitTree, q.endpoint
 	t.minima[t.leaves+q.position] = s.expectedWait(q)
 	if ep != nil && (len(ep.inFlight) > 0 || ep.blockedUntil > s.now || ep.Started > 0 && s.now-ep.Started < s.settings.Rules.WarmUpTime) {
-		t.timeDependent = appendOnce(t.timeDependent, q, &q.listedTimeDependent)
+		t.timeDependent = appendOnce(t.timeDependent, q, &q.inTimeDependentList)
 	}
 }
 
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -99,8 +99,8 @@
 	}
 }
 
-// feedStream follows the feed of changes for all generations of this process: while a generation replaces another, the two count as one
-// reader at the relays.
+// feedStream follows the feed of changes, the watch stream of package watchstream, for all generations of this process: while a generation
+// replaces another, the two count as one reader at the relays.
 type feedStream struct {
 	follower    *edge.Follower
 	log         *slog.Logger
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -216,6 +216,7 @@
 		}
 		in.components = append(in.components, recorder)
 	}
+	// Only one goroutine calls onList: that of discoveryComp, or with a feed that of feedComp's merger.
 	onList := func(l *listing.List) {
 		in.components.onTargetList(l)
 		hasList.Store(true)
