--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -23,7 +23,7 @@
 	source  targetmerge.Source
 	list    *listing.List
 	partial bool          // from a source that has not sent a full list yet
-	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: nobody waits
+	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: not needed
 }
 
 // targetMerger merges the lists of discovery and of the feed into one. It has a goroutine of its own, so that listeners get lists in order and
@@ -99,8 +99,8 @@
 	}
 }
 
-// feedStream follows the feed of changes for all generations of this process: while a generation replaces another, the two count as one
-// reader at the relays.
+// feedStream follows the feed of changes, the watch stream of package watchstream, for all generations of this process: while a generation
+// replaces another, the two count as one reader at the relays.
 type feedStream struct {
 	follower    *edge.Follower
 	log         *slog.Logger
