--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -10,7 +10,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/membership/transport"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/policy"
@@ -28,7 +28,7 @@
 	Initiators         int                   // number of initiators that use the discovery service
 	LastKnown          *listing.List         // last known list
 	Agents             []string              // agents from which configuration is followed; empty: none
-	WatchStream        *edge.FollowerOptions // nil: no watch stream
+	WatchStream        *distribution.FollowerOptions // nil: no watch stream
 	Members            *transport.Options
 	Policy             *policy.Settings // nil: no policy decisions
 	Log                *slog.Logger
--- a/internal/testbed/scale/hollow/stream.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/process/monotone"
 )
@@ -17,7 +17,7 @@
 
 // streamState is an initiator's watch stream follower, with totals over all its runs.
 type streamState struct {
-	current                         atomic.Pointer[edge.Follower] // nil: not running
+	current                         atomic.Pointer[distribution.Follower] // nil: not running
 	earlierBytesIn, earlierBytesOut uint64                        // bytes read and written in earlier runs
 	earlierSwitches                 uint64
 }
@@ -25,9 +25,9 @@
 // newFollower creates the follower of the watch stream. It first applies its copy on disk, then changes.
 func (in *Initiator) newFollower(m *policyLoop) (run func(context.Context), err error) {
 	opt := *in.opt.WatchStream
-	var f *edge.Follower
-	opt.OnChange = func(c edge.Update) error { return in.applyUpdate(f, m, c) }
-	if f, err = edge.NewFollower(opt); err != nil {
+	var f *distribution.Follower
+	opt.OnChange = func(c distribution.Update) error { return in.applyUpdate(f, m, c) }
+	if f, err = distribution.NewFollower(opt); err != nil {
 		return nil, err
 	}
 	in.stream.current.Store(f)
@@ -36,7 +36,7 @@
 
 // applyUpdate applies an update of the watch stream. A target entry that cannot be decoded is a fault of the run itself
 // and is recorded as a violation.
-func (in *Initiator) applyUpdate(f *edge.Follower, m *policyLoop, c edge.Update) error {
+func (in *Initiator) applyUpdate(f *distribution.Follower, m *policyLoop, c distribution.Update) error {
 	v := int64(c.Position.Targets)
 	l := &listing.List{Version: &v, Full: c.Full}
 	config := c.Full
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/process/monotone"
 )
 
@@ -60,7 +60,7 @@
 	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:sampleConfigBytes-2]) + `"}`)}
 }
 
-// WithSource implements edge.Origin.
+// WithSource implements distribution.Origin.
 func (o *feedOrigin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	r := &readerSet{feedOrigin: o, countingListener: newCountingListener(l), versions: make([]atomic.Uint64, readers)}
-	server := edge.NewServer(o, readers+64)
+	server := distribution.NewServer(o, readers+64)
 	mux := http.NewServeMux()
 	server.Routes(mux)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -106,8 +106,8 @@
 	var all sync.WaitGroup
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
-		f, err := edge.NewFollower(edge.FollowerOptions{Fleet: fleetName, Name: instanceName(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
-			OnChange: func(c edge.Update) error {
+		f, err := distribution.NewFollower(distribution.FollowerOptions{Fleet: fleetName, Name: instanceName(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
+			OnChange: func(c distribution.Update) error {
 				r.versions[i].Store(c.Position.Min())
 				return nil
 			}})
