--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/listing/listing.go
@@ -77,7 +77,7 @@
 	for i, e := range l.Targets {
 		previous, seen := indexByID[e.ID]
 		if seen && (e.Endpoint() != l.Targets[previous].Endpoint() || e.Addr != l.Targets[previous].Addr) {
-			return &l, fmt.Errorf("list: servers[%d].id: servers[%d] has the same id but differs", i, previous)
+			return &l, fmt.Errorf("list: servers[%d].id: servers[%d] says otherwise", i, previous)
 		}
 		indexByID[e.ID] = i
 	}
--- a/internal/datapath/listing/listing_test.go
+++ b/internal/datapath/listing/listing_test.go
@@ -29,7 +29,7 @@
 		{"no id", listJSON(1, true, strings.Replace(entryJSON, `"id":"a",`, "", 1)), "servers[0].id"},
 		{"no cell", listJSON(1, true, entryJSON, strings.Replace(entryJSON, `"cell":3,`, "", 1)), "servers[1].cell"},
 		{"unknown state", listJSON(1, true, strings.Replace(entryJSON, "SERVING", "ODD", 1)), `unknown state "ODD"`},
-		{"two different entries for one target", listJSON(1, true, entryJSON, entryJSON, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "servers[2].id: servers[1] has the same id but differs"},
+		{"two different entries for one target", listJSON(1, true, entryJSON, entryJSON, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "servers[2].id: servers[1] says otherwise"},
 		{"not a list", `{"version":1,"full":true,"servers":{}}`, "servers"},
 		{"wrong types", `{"version":1,"full":true,"servers":[{"id":7}]}`, "id"},
 		{"invalid address", listJSON(1, true, strings.Replace(entryJSON, "127.0.0.1:1", "here", 1)), "servers[0].addr"},
--- a/internal/observability/accounts/disk/disk.go
+++ b/internal/observability/accounts/disk/disk.go
@@ -30,12 +30,12 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of files that cannot be used.
+// Errors of files that cannot be used. The texts are quoted in the operators' pages.
 var (
-	ErrNotAccounts = errors.New("not an accounts file")
-	ErrVersion     = errors.New("unsupported version")
-	ErrTruncated   = errors.New("truncated")
-	ErrCorrupt     = errors.New("corrupt")
+	ErrNotAccounts = errors.New("not a file of accounts")
+	ErrVersion     = errors.New("of another version")
+	ErrTruncated   = errors.New("cut short")
+	ErrCorrupt     = errors.New("damaged")
 )
 
 // Write writes a snapshot to a new file of the folder, named by its instances and its end, and removes all but the latest keep
--- a/internal/process/config/change.go
+++ b/internal/process/config/change.go
@@ -135,7 +135,7 @@
 	case e.Shard == nil:
 		return fmt.Errorf("value.cell: %w", ErrMissingField)
 	case e.State != "SERVING" && e.State != "DRAINING":
-		return fmt.Errorf("value.state: %q is neither SERVING nor DRAINING; a target is removed with gone = true", e.State)
+		return fmt.Errorf("value.state: %q is neither SERVING nor DRAINING; a target is taken away by gone = true", e.State)
 	}
 	if _, _, err := net.SplitHostPort(e.Addr); err != nil {
 		return fmt.Errorf("value.addr: %w", err)
--- a/internal/process/config/config_test.go
+++ b/internal/process/config/config_test.go
@@ -62,7 +62,7 @@
 		{`"deadlineUs":1200000,`, "", "settings.classes[1].deadlineUs: 0 is not over 0"},
 		{`"peersTotal":3`, `"peersTotal":0`, "settings.peersTotal: 0 is under 1"},
 		{`"sendCap":3`, `"sendCap":0`, "settings.limits.sendCap: 0 is under 1"},
-		{`"event-write"`, `"position-read"`, "settings.classes: name is not unique"},
+		{`"event-write"`, `"position-read"`, "settings.classes: name there twice"},
 		{`"classes":[`, `"classes":[],"others":[`, "settings.classes: at least 1"},
 		{`"contracts":[`, `"others":[`, "settings.contracts: required"},
 	} {
@@ -164,7 +164,7 @@
 		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"b\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.id: \"a\" is none of the peers"},
 		{"[nvme]", "[agent]\nid = \"a\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h\"}]\n[nvme]", "agent.peer[0].api: "},
 		{"[nvme]", "[agent]\nid = \"a\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h\"}]\n[nvme]", "agent.dir: required"}, // besides the error of the case above
-		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h:2\"},{id=\"a\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.peer: id is not unique"},
+		{"[nvme]", "[agent]\nid = \"a\"\ndir = \"d\"\npeer = [{id=\"a\",raft=\"h:1\",api=\"h:2\"},{id=\"a\",raft=\"h:1\",api=\"h:2\"}]\n[nvme]", "agent.peer: id there twice"},
 	} {
 		if _, err := read(strings.Replace(string(raw), x.old, x.new, 1)); err == nil || !strings.Contains(err.Error(), x.want) {
 			t.Errorf("%s: %v, want %q", x.new, err, x.want)
--- a/internal/process/config/feed_test.go
+++ b/internal/process/config/feed_test.go
@@ -26,10 +26,10 @@
 		{"feed.toml", `region = "north"`, `region = "North"`, `feed.region: "North" is none of the regions`},
 		{"feed.toml", `zone = "north-a"`, `zone = "south-a"`, `feed.zone: "south-a" is none of the zones of north`},
 		{"feed.toml", `zone = "north-a"`, `zone = "west"`, `feed.zone: "west" is none of the zones of north`},
-		{"feed.toml", `name = "south"`, `name = "north"`, "feed.regions: name is not unique"},
+		{"feed.toml", `name = "south"`, `name = "north"`, "feed.regions: name there twice"},
 		{"feed.toml", `["south-a"]`, `["north-b"]`, `feed.regions[1].zones[0]: "north-b" is a zone of north as well`},
 		{"feed.toml", `["south-a"]`, `["south-a", "south-a"]`, "feed.regions[1].zones: "},
-		{"feed.toml", `id = "relay-3"`, `id = "relay-1"`, "feed.relay: id is not unique"},
+		{"feed.toml", `id = "relay-3"`, `id = "relay-1"`, "feed.relay: id there twice"},
 		{"feed.toml", "region = \"south\"\naddr", "region = \"east\"\naddr", `feed.relay[2].region: "east" is none of the regions`},
 		{"feed.toml", "127.0.0.1:7712", "127.0.0.1", "feed.relay[1].addr: "},
 		{"feed.toml", "zone = \"north-a\"", "rate = 0", "feed.rate: unknown field"}, // a field of relays only
--- a/internal/process/config/rules.go
+++ b/internal/process/config/rules.go
@@ -58,31 +58,32 @@
 // configKey is the context key of the configuration that names in an operator's file are checked against.
 type configKey struct{}
 
-// ruleMessages are the error texts of the rules, with placeholders for the value and the rule's parameter.
+// ruleMessages are the error texts of the rules, with placeholders for the value and the rule's parameter. They are quoted in the
+// operators' pages and sent to clients in response bodies, so their wording must not change.
 var ruleMessages = map[string]string{
-	"nqn":           "must have 1 to 223 bytes",
-	"name":          "must have 1 to " + strconv.Itoa(quota.MaxNameBytes) + " bytes",
-	"use":           "unknown resource {value}",
+	"nqn":           "wanted 1 to 223 bytes",
+	"name":          "wanted 1 to " + strconv.Itoa(quota.MaxNameBytes) + " bytes",
+	"use":           "unknown use {value}",
 	"hex64":         "{value} is not a hexadecimal number of 64 bits",
 	"class":         "class {value} is not in the settings",
 	"plan":          "plan {value} is not in the settings",
 	"peer":          "{value} is none of the peers",
 	"hexadecimal":   "{value} is not in hexadecimal digits",
-	"len":           "must have {bound} digits",
+	"len":           "wanted {bound} digits",
 	"oneof":         "unknown: {value} is none of {bound}",
-	"unique":        "{bound} is not unique",
+	"unique":        "{bound} there twice",
 	"ltfield":       "{value} is not under probe_ms",
 	"gtfield":       "{value} is not over probe_ms",
 	"no_region":     "{value} is none of the regions",
 	"no_zone":       "{value} is none of the zones of {bound}",
 	"two_regions":   "{value} is a zone of {bound} as well",
-	"required_with": "required if {bound} is set",
+	"required_with": "required where {bound} is set",
 	"gt":            "{value} is not over {bound}",
 	"gte":           "{value} is under {bound}",
 	"lt":            "{value} is not under {bound}",
 	"lte":           "{value} is over {bound}",
-	"min":           "at least {bound} required",
-	"max":           "too many or too long, at most {bound}",
+	"min":           "at least {bound}",
+	"max":           "too many or too long, {bound} at most",
 }
 
 // validate sets the defaults of missing fields, and returns an error for each invalid field. Names of classes and plans are only
