--- a/internal/controlplane/agent/stream_service_test.go
+++ b/internal/controlplane/agent/stream_service_test.go
@@ -140,8 +140,11 @@
 	v := g.putChange(changeOf(targetAt(0, 1)))
 	f := g.startFollower("i0", g.startRelay("relay-0", g.Addrs...))
 	g.eventually("the follower has applied the version", func() bool { return f.State().Applied.Min() >= v })
-	for i, a := range g.agents {
+	// All agents must have the change before the first one stops: an agent learns of the commit only while there is a quorum.
+	for _, a := range g.agents {
 		g.eventually("the agent has applied the change", func() bool { _, ok := a.stream.replicaStatus(); return ok })
+	}
+	for i, a := range g.agents {
 		require.NoError(t, a.raft.Snapshot().Error())
 		g.stop(i)
 	}
