--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"encoding/binary"
 	"net"
 	"testing"
 	"time"
@@ -77,7 +78,8 @@
 	last, n := began, 0
 	for ; time.Since(began) < 2*time.Second; n++ {
 		drainReceived(backend)
-		data[0], data[1], data[2] = byte(n), byte(n>>8), 1
+		binary.LittleEndian.PutUint32(data, uint32(n))
+		data[4] = 1 // not zero, since the store trims trailing zeros
 		if r := do(t, h, addr, &idle, &IO{Write: true, NSID: 1, Blocks: 1, Bytes: blockSize, Data: append([]byte(nil), data...)}); r.Code != 0 {
 			t.Fatalf("write %d: %v", n, r.Code)
 		}
