--- a/cmd/spindlehitch/change_test.go
+++ b/cmd/spindlehitch/change_test.go
@@ -15,7 +15,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/process/config"
 )
 
@@ -99,7 +99,7 @@
 		require.Error(t, err)
 	}
 
-	follower, err := edge.NewFollower(edge.FollowerOptions{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: relayAddr}}})
+	follower, err := distribution.NewFollower(distribution.FollowerOptions{Fleet: "campus", Name: "n1", Region: "north", Zone: "north-a", Relays: []watchstream.Relay{{ID: "relay-1", Region: "north", Addr: relayAddr}}})
 	require.NoError(t, err)
 	go follower.Run(ctx)
 	require.Eventually(t, func() bool {
--- a/cmd/spindlehitch/publish.go
+++ b/cmd/spindlehitch/publish.go
@@ -13,7 +13,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
 )
 
@@ -50,7 +50,7 @@
 // run publishes the targets that discovery lists until runCtx is cancelled.
 func (o *publishOptions) run(runCtx context.Context, log *slog.Logger) {
 	client := &agent.Client{Addrs: o.agents}
-	p := edge.NewPublisher(edge.PublisherOptions{Fleet: o.fleet, Put: client.PutChange, AllowShrink: o.allowShrink, Log: log,
+	p := distribution.NewPublisher(distribution.PublisherOptions{Fleet: o.fleet, Put: client.PutChange, AllowShrink: o.allowShrink, Log: log,
 		Records: func(ctx context.Context) ([]watchstream.Record, error) {
 			return client.Records(ctx, watchstream.Targets, "")
 		}})
--- a/cmd/spindlehitch/relay.go
+++ b/cmd/spindlehitch/relay.go
@@ -13,7 +13,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/process/config"
 )
 
@@ -44,7 +44,7 @@
 		return fmt.Errorf("relay.listen: %w", err)
 	}
 	client := &agent.Client{Addrs: cfg.Agents}
-	r, err := edge.NewRelay(edge.RelayOptions{ID: cfg.ID, Fleet: cfg.Fleet, Region: cfg.Region, Agents: cfg.Agents, Dir: cfg.Dir, Report: client.SendReport, Log: log,
+	r, err := distribution.NewRelay(distribution.RelayOptions{ID: cfg.ID, Fleet: cfg.Fleet, Region: cfg.Region, Agents: cfg.Agents, Dir: cfg.Dir, Report: client.SendReport, Log: log,
 		Source: watchstream.SourceOptions{ReaderRate: float64(*cfg.Rate), ReaderBurst: float64(*cfg.Burst), AdmitRate: float64(*cfg.Admit), AdmitBurst: float64(2 * *cfg.Admit),
 			MaxReaders: *cfg.Readers}})
 	if err != nil {
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -13,7 +13,7 @@
 	"github.com/hashicorp/raft"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/process/monotone"
 )
 
@@ -30,7 +30,7 @@
 // applied which versions.
 type streamService struct {
 	agent  *Agent
-	server *edge.Server
+	server *distribution.Server
 	ctx    context.Context // cancelled by stop; ends the loop
 	cancel context.CancelFunc
 	loops  sync.WaitGroup
@@ -45,7 +45,7 @@
 // newStreamService returns the service. Its loop does not run until start.
 func newStreamService(a *Agent) *streamService {
 	s := &streamService{agent: a}
-	s.server = edge.NewServer(s, 0)
+	s.server = distribution.NewServer(s, 0)
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	return s
 }
--- a/internal/controlplane/agent/stream_service_test.go
+++ b/internal/controlplane/agent/stream_service_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 )
 
 const testFleet = "campus"
@@ -51,7 +51,7 @@
 // startRelay runs a relay until the test ends, and returns its address.
 func (g *testGroup) startRelay(id string, agents ...string) string {
 	g.t.Helper()
-	r, err := edge.NewRelay(edge.RelayOptions{ID: id, Fleet: testFleet, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).SendReport,
+	r, err := distribution.NewRelay(distribution.RelayOptions{ID: id, Fleet: testFleet, Region: "north", Agents: agents, Report: (&Client{Addrs: g.Addrs}).SendReport,
 		Source: watchstream.SourceOptions{AdmitRate: 1000, AdmitBurst: 1000}})
 	require.NoError(g.t, err)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -69,13 +69,13 @@
 	g.t.Cleanup(func() { end(); work.Wait() })
 }
 
-func (g *testGroup) startFollower(name string, relays ...string) *edge.Follower {
+func (g *testGroup) startFollower(name string, relays ...string) *distribution.Follower {
 	g.t.Helper()
 	var list []watchstream.Relay
 	for i, addr := range relays {
 		list = append(list, watchstream.Relay{ID: fmt.Sprint("relay-", i), Region: "north", Addr: addr})
 	}
-	f, err := edge.NewFollower(edge.FollowerOptions{Fleet: testFleet, Name: name, Region: "north", Relays: list})
+	f, err := distribution.NewFollower(distribution.FollowerOptions{Fleet: testFleet, Name: name, Region: "north", Relays: list})
 	require.NoError(g.t, err)
 	g.runInBackground(f.Run)
 	return f
@@ -89,7 +89,7 @@
 	v := g.putChange(changeOf(targetAt(0, 1), targetAt(1, 1), sharedConfig(`{"a":1}`)))
 	require.Equal(t, uint64(1), v)
 	relays := []string{g.startRelay("relay-0", g.Addrs...), g.startRelay("relay-1", g.Addrs[2], g.Addrs[1], g.Addrs[0])}
-	var readers []*edge.Follower
+	var readers []*distribution.Follower
 	for i := range followers {
 		readers = append(readers, g.startFollower(fmt.Sprint("i", i), relays...))
 	}
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -11,7 +11,7 @@
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/controlplane/watchstream/targetmerge"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/process/config"
@@ -102,7 +102,7 @@
 // feedStream follows the feed of changes for all generations of this process: while a generation replaces another, the two count as one
 // reader at the relays.
 type feedStream struct {
-	follower    *edge.Follower
+	follower    *distribution.Follower
 	log         *slog.Logger
 	applyConfig func([]watchstream.Record, uint64) error // nil: the configuration comes from another source
 
@@ -121,7 +121,7 @@
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
 	}
 	var err error
-	s.follower, err = edge.NewFollower(edge.FollowerOptions{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.onUpdate})
+	s.follower, err = distribution.NewFollower(distribution.FollowerOptions{Fleet: f.Fleet, Name: name, Region: f.Region, Zone: f.Zone, Relays: relays, Dir: f.Dir, Log: log, OnChange: s.onUpdate})
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: feed: %w", err)
 	}
@@ -129,7 +129,7 @@
 }
 
 // onUpdate passes an update on, targets first. When it returns, the update is in force, except for the configuration if it returns an error.
-func (s *feedStream) onUpdate(update edge.Update) error {
+func (s *feedStream) onUpdate(update distribution.Update) error {
 	var configs []watchstream.Record
 	l := &listing.List{Full: update.Full}
 	for _, r := range update.Records {
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/controlplane/watchstream/targetmerge"
 	"spindlehitch/internal/datapath/listing"
 )
@@ -95,21 +95,21 @@
 	}
 	a, b := startMerger(t, recordInto(one)), startMerger(t, recordInto(two))
 	s.subscribe(a)
-	require.NoError(t, s.onUpdate(edge.Update{Full: true}))
+	require.NoError(t, s.onUpdate(distribution.Update{Full: true}))
 	require.Empty(t, one, "an empty feed published a list")
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
+	require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Full: true, Records: []watchstream.Record{recordOf(1, "a", "SERVING", 5), recordOf(2, "b", "SERVING", 5)}}))
 	require.Equal(t, received{"": ".", "a": "SERVING", "b": "SERVING"}, one)
 	invalid := recordOf(4, "b", "SLEEPING", 6)
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), invalid}}))
+	require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 4, Config: 2}, Records: []watchstream.Record{recordOf(3, "a", "DRAINING", 5), invalid}}))
 	require.Equal(t, received{"": "..", "a": "DRAINING", "b": "SERVING"}, one)
 	s.subscribe(b)
 	require.Equal(t, received{"": ".", "a": "DRAINING", "b": "SERVING"}, two)
 	s.unsubscribe(a)
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
+	require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 5, Config: 2}, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "a", Version: 5, Deleted: true}}}))
 	require.Equal(t, "DRAINING", one["a"])
 	require.Equal(t, "DELETED", two["a"])
 	// A full update with an invalid entry: the previous entry of that target stays.
-	require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{invalid}}))
+	require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 6, Config: 2}, Full: true, Records: []watchstream.Record{invalid}}))
 	require.Equal(t, "SERVING", two["b"])
 	require.EqualValues(t, 2, s.badTargets)
 }
@@ -127,12 +127,12 @@
 			}
 		})
 		s.subscribe(m)
-		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
+		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if withDiscovery {
 			m.box.Put(targetUpdate{source: targetmerge.Discovery, list: &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5)}}})
 		}
-		require.NoError(t, s.onUpdate(edge.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
-		require.NoError(t, s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
+		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
+		require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
 		if withDiscovery {
 			require.Equal(t, []string{"true 1", "false 1", "false 1"}, lists)
 			require.Equal(t, "DRAINING", first.Targets[0].State, "the first list already has the feed's state")
@@ -253,7 +253,7 @@
 	s.subscribe(m)
 	oldList := &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
 	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
-	_ = s.onUpdate(edge.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
+	_ = s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
 	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
 	m.applyFeed(&listing.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
--- a/internal/testbed/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/feed.go
@@ -8,7 +8,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/process/monotone"
 )
@@ -17,17 +17,17 @@
 
 // follower is an initiator's end of the feed, over all of its lives.
 type follower struct {
-	now     atomic.Pointer[edge.Follower] // nil: it does not run
-	in, out uint64                        // of earlier lives
+	now     atomic.Pointer[distribution.Follower] // nil: it does not run
+	in, out uint64                                // of earlier lives
 	moves   uint64
 }
 
 // start begins a life: what the copy on disk has first, then what changes.
 func (in *Initiator) follow(m *module) (run func(context.Context), err error) {
 	opt := *in.opt.Feed
-	var f *edge.Follower
-	opt.OnChange = func(c edge.Update) error { return in.changed(f, m, c) }
-	if f, err = edge.NewFollower(opt); err != nil {
+	var f *distribution.Follower
+	opt.OnChange = func(c distribution.Update) error { return in.changed(f, m, c) }
+	if f, err = distribution.NewFollower(opt); err != nil {
 		return nil, err
 	}
 	in.feed.now.Store(f)
@@ -35,7 +35,7 @@
 }
 
 // changed takes over what the feed has brought. What can't be read as a list is the run's own fault: it is told as broken.
-func (in *Initiator) changed(f *edge.Follower, m *module, c edge.Update) error {
+func (in *Initiator) changed(f *distribution.Follower, m *module, c distribution.Update) error {
 	v := int64(c.Position.Targets)
 	l := &listing.List{Version: &v, Full: c.Full}
 	config := c.Full
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -9,7 +9,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/membership/transport"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/policy"
@@ -23,11 +23,11 @@
 type Options struct {
 	Name, Region, Zone string
 	Seed               uint64
-	Discovery          string                // where the list is asked for; empty: it is not
-	Crowd              int                   // how many ask there
-	Known              *listing.List         // the list as last had
-	Agents             []string              // whose configuration is followed; empty: none
-	Feed               *edge.FollowerOptions // nil: it does not follow the feed
+	Discovery          string                        // where the list is asked for; empty: it is not
+	Crowd              int                           // how many ask there
+	Known              *listing.List                 // the list as last had
+	Agents             []string                      // whose configuration is followed; empty: none
+	Feed               *distribution.FollowerOptions // nil: it does not follow the feed
 	Members            *transport.Options
 	Module             *policy.Settings // nil: it has no module
 	Log                *slog.Logger
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
@@ -48,7 +48,7 @@
 	changed chan struct{}
 }
 
-// WithSource implements edge.Origin.
+// WithSource implements distribution.Origin.
 func (s *source) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	s = &source{store: watchstream.NewStore("f", watchstream.Limits{}), changed: make(chan struct{})}
 	s.source = watchstream.NewSource(s.store, watchstream.SourceOptions{}, 1)
 	mux := http.NewServeMux()
-	server := edge.NewServer(s, 0)
+	server := distribution.NewServer(s, 0)
 	server.Routes(mux)
 	front := httptest.NewServer(mux)
 	t.Cleanup(func() {
@@ -104,7 +104,7 @@
 	s.put(t, watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: []byte(`{"limits":{"sockets":100}}`)})
 	module := set(t)
 	in := New(Options{Name: "h1", Region: "r", Zone: "z", Module: &module, Log: quiet,
-		Feed: &edge.FollowerOptions{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
+		Feed: &distribution.FollowerOptions{Fleet: "f", Name: "h1", Region: "r", Zone: "z", Dir: t.TempDir(), Relays: []watchstream.Relay{{ID: "r1", Region: "r", Addr: addr}}}})
 	require.NoError(t, in.Start())
 	reaches(t, in, Targets, 1)
 	reaches(t, in, Config, 2)
@@ -184,7 +184,7 @@
 func TestDeaf(t *testing.T) {
 	s, addr := newSource(t)
 	s.put(t, put(target("a", 0, 0, serving)))
-	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &edge.FollowerOptions{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
+	in := New(Options{Name: "h1", Region: "r", Zone: "z", Log: quiet, Feed: &distribution.FollowerOptions{Fleet: "f", Relays: []watchstream.Relay{{ID: "r0", Region: "q", Addr: "127.0.0.1:9"}, {ID: "r1", Region: "r", Addr: addr}}}})
 	to, request, err := in.Asks("deaf-1")
 	require.NoError(t, err)
 	require.Equal(t, addr, to)
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -21,7 +21,7 @@
 	"spindlehitch/internal/controlplane/membership"
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
@@ -226,7 +226,7 @@
 		opt := hollow.Options{Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Discovery: w.Discovery, Crowd: h.crowd, Known: h.known, Agents: w.Agents,
 			Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError}))}
 		if len(w.Relays) > 0 {
-			opt.Feed = &edge.FollowerOptions{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
+			opt.Feed = &distribution.FollowerOptions{Fleet: h.fleet, Name: x.Name, Region: x.Region, Zone: x.Zone, Seed: x.Seed, Log: opt.Log}
 			for _, r := range w.Relays {
 				opt.Feed.Relays = append(opt.Feed.Relays, watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr})
 			}
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	edge "spindlehitch/internal/controlplane/watchstream/distribution"
+	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/process/monotone"
 )
 
@@ -59,7 +59,7 @@
 	return watchstream.Put{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(string(text[:usual-2]) + `"}`)}
 }
 
-// WithSource implements edge.Origin.
+// WithSource implements distribution.Origin.
 func (o *origin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	r := &reading{origin: o, counted: count(l), has: make([]atomic.Uint64, readers)}
-	server := edge.NewServer(o, readers+64)
+	server := distribution.NewServer(o, readers+64)
 	mux := http.NewServeMux()
 	server.Routes(mux)
 	srv := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
@@ -105,8 +105,8 @@
 	var all sync.WaitGroup
 	r.stop = func() { end(); server.Stop(); all.Wait(); srv.Close() }
 	for i := range readers {
-		f, err := edge.NewFollower(edge.FollowerOptions{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
-			OnChange: func(c edge.Update) error {
+		f, err := distribution.NewFollower(distribution.FollowerOptions{Fleet: ours, Name: instance(i), Region: "r", Zone: "z", Relays: []watchstream.Relay{{ID: "relay", Region: "r", Addr: l.Addr().String()}},
+			OnChange: func(c distribution.Update) error {
 				r.has[i].Store(c.Position.Min())
 				return nil
 			}})
