--- a/internal/controlplane/agent/age.go
+++ b/internal/controlplane/agent/age.go
@@ -8,7 +8,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // appliedState records when this agent's state machine last contained everything that the leader had committed.
@@ -22,7 +22,7 @@
 // committed, by the commit index that the leader had sent; negative: never. The caller must hold
 // neither the store's lock nor the leader service's.
 func (a *Agent) stateAge() (age, now time.Duration) {
-	now = monotone.Now()
+	now = monotonic.Now()
 	contactAt := a.lastLeaderContact(now) // read before the commit index, which only grows
 	a.applied.mu.Lock()
 	defer a.applied.mu.Unlock()
--- a/internal/controlplane/agent/fleet_view.go
+++ b/internal/controlplane/agent/fleet_view.go
@@ -9,7 +9,7 @@
 	"spindlehitch/internal/controlplane/lease/outlierboard"
 	"spindlehitch/internal/controlplane/quota"
 	"spindlehitch/internal/controlplane/quota/allocator"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // FleetView is the response to GET /v1/fleet: the fleet's state at one agent.
@@ -88,7 +88,7 @@
 // addLeaderState adds the state of the allocator, the lessor and the probe results, which only the
 // leader has. The caller holds mu.
 func (s *leaderService) addLeaderState(v *FleetView) {
-	now := monotone.Now()
+	now := monotonic.Now()
 	v.Members, v.Ledger = s.allocator.Members(now), s.allocator.Ledger(now, "")
 	v.Leases, v.Board = s.lessor.Status(now), s.board.Entries(now)
 	for i := range v.QuotaConfig.Budgets {
--- a/internal/controlplane/agent/leader_service.go
+++ b/internal/controlplane/agent/leader_service.go
@@ -18,7 +18,7 @@
 	"spindlehitch/internal/controlplane/readindex"
 	"spindlehitch/internal/controlplane/registry"
 	"spindlehitch/internal/process/failpoint"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Timeouts and intervals of the leader's service.
@@ -113,7 +113,7 @@
 	var events []lease.Event
 	var highestToken uint64
 	if s.lessor != nil {
-		events, highestToken = s.lessor.PendingEvents(monotone.Now())
+		events, highestToken = s.lessor.PendingEvents(monotonic.Now())
 	}
 	s.mu.Unlock()
 	if len(events) == 0 && highestToken == 0 {
@@ -152,7 +152,7 @@
 	}
 	s.mu.Lock()
 	reg, _ := s.agent.store.registry() // read with mu held, so that concurrent calls cannot pass older state after newer
-	now := monotone.Now()
+	now := monotonic.Now()
 	switch {
 	case s.term == term:
 		s.allocator.Update(now, reg.QuotaConfig, reg.Members)
--- a/internal/controlplane/agent/leases.go
+++ b/internal/controlplane/agent/leases.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/lease"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // renewLeases handles a lease renewal: it renews the member's leases at the lessor and exchanges probe
@@ -72,7 +72,7 @@
 	var e lease.Event
 	err := errNotLeading
 	if s.lessor != nil {
-		e, err = s.lessor.Migrate(monotone.Now(), migration.Key, migration.Member)
+		e, err = s.lessor.Migrate(monotonic.Now(), migration.Key, migration.Member)
 	}
 	s.mu.Unlock()
 	var rejected lease.RejectionError
--- a/internal/controlplane/agent/sessions.go
+++ b/internal/controlplane/agent/sessions.go
@@ -7,7 +7,7 @@
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/quota"
 	"spindlehitch/internal/process/failpoint"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // handleRenew serves POST /v1/fleet/renew.
@@ -25,7 +25,7 @@
 		writeError(w, errNotLeading)
 		return
 	}
-	now := monotone.Now()
+	now := monotonic.Now()
 	resp, err := s.allocator.Renew(now, renewal.RenewalRequest)
 	combined := renewalResponse{RenewalResponse: resp}
 	if err == nil && renewal.Leases != nil {
@@ -66,7 +66,7 @@
 	if s.allocator == nil {
 		err = errNotLeading
 	} else {
-		err = s.allocator.Admit(monotone.Now(), m)
+		err = s.allocator.Admit(monotonic.Now(), m)
 	}
 	s.mu.Unlock()
 	if err != nil {
--- a/internal/controlplane/agent/stream_service.go
+++ b/internal/controlplane/agent/stream_service.go
@@ -14,7 +14,7 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Limits and intervals of the stream service.
@@ -224,7 +224,7 @@
 		return watchstream.ReportResponse{}, errNotTracking
 	}
 	defer s.mu.Unlock()
-	return t.AddReport(monotone.Now(), report)
+	return t.AddReport(monotonic.Now(), report)
 }
 
 // reportLoop reports the state of the readers that follow this agent directly, as in groups without
--- a/internal/controlplane/agent/stream_state.go
+++ b/internal/controlplane/agent/stream_state.go
@@ -6,7 +6,7 @@
 	"github.com/hashicorp/raft"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // maxCommitTimes bounds the commit times that are kept: those of the newest maxCommitTimes versions, and of
@@ -40,7 +40,7 @@
 	if s.store == nil {
 		s.startSource(store)
 	}
-	committedAt := monotone.Now()
+	committedAt := monotonic.Now()
 	if !l.AppendedAt.IsZero() { // an agent replays older entries when it starts
 		committedAt -= max(0, time.Since(l.AppendedAt))
 	}
--- a/internal/controlplane/agent/stream_status.go
+++ b/internal/controlplane/agent/stream_status.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // StreamStatus is the response to GET /v1/feed and GET /v1/feed/versions/{version}: the stream's state at
@@ -73,7 +73,7 @@
 			writeError(w, errNotTracking)
 			return
 		}
-		status.Status, status.Leads = t.Status(monotone.Now(), status.Version), true
+		status.Status, status.Leads = t.Status(monotonic.Now(), status.Version), true
 		s.mu.Unlock()
 	}
 	if status.Version > status.Head {
--- a/internal/controlplane/lease/leasework/endpoint_probe.go
+++ b/internal/controlplane/lease/leasework/endpoint_probe.go
@@ -10,7 +10,7 @@
 
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/process/failpoint"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // ConnectionQuota counts connections to targets against the fleet's quota (package quotasession).
@@ -70,7 +70,7 @@
 			return errExpired
 		}
 		failpoint.Hit("probe.checked")
-		startedAt := monotone.Now()
+		startedAt := monotonic.Now()
 		healthy := p.probe(ctx, op, addr)
 		if p.Connections != nil {
 			p.Connections.Close(target)
@@ -78,7 +78,7 @@
 		if ctx.Err() != nil {
 			return errExpired // the probe was cut short by the operation's end, so it has no result
 		}
-		p.runner.addResult(lease.ProbeResult{Task: op.Key.Task, Target: target, Token: op.Token, Healthy: healthy, LatencyUs: (monotone.Now() - startedAt).Microseconds()})
+		p.runner.addResult(lease.ProbeResult{Task: op.Key.Task, Target: target, Token: op.Token, Healthy: healthy, LatencyUs: (monotonic.Now() - startedAt).Microseconds()})
 	}
 	return nil
 }
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -10,7 +10,7 @@
 	"spindlehitch/internal/controlplane/lease/fencing"
 	"spindlehitch/internal/controlplane/lease/lessee"
 	"spindlehitch/internal/process/failpoint"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Operation is a running operation with its task.
@@ -25,7 +25,7 @@
 func (op *Operation) MayProceed() bool {
 	op.runner.mu.Lock()
 	defer op.runner.mu.Unlock()
-	return op.runner.lessee.MayProceed(monotone.Now(), op.Operation)
+	return op.runner.lessee.MayProceed(monotonic.Now(), op.Operation)
 }
 
 // errExpired is returned by a Job whose operation or lease ended before its work was complete.
@@ -42,7 +42,7 @@
 func (r *Runner) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		r.mu.Lock()
-		now := monotone.Now()
+		now := monotonic.Now()
 		next := now + time.Second
 		for _, k := range r.lessee.Held(now) {
 			op, ok := r.lessee.StartOperation(now, k)
@@ -69,7 +69,7 @@
 // runOperation runs one operation and records its outcome.
 func (r *Runner) runOperation(ctx context.Context, op *Operation) {
 	failpoint.Hit("act.begun")
-	ctx, cancel := context.WithTimeout(ctx, op.Deadline-monotone.Now())
+	ctx, cancel := context.WithTimeout(ctx, op.Deadline-monotonic.Now())
 	defer cancel()
 	err := errors.New("no job for tasks of this kind")
 	if job := r.opt.Jobs[op.Task.Kind]; job != nil {
--- a/internal/controlplane/lease/leasework/runner.go
+++ b/internal/controlplane/lease/leasework/runner.go
@@ -10,7 +10,7 @@
 
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/lessee"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Options configure an instance's tasks.
@@ -65,7 +65,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.results) < lease.MaxTargets {
-		r.results, r.resultTimes = append(r.results, x), append(r.resultTimes, monotone.Now())
+		r.results, r.resultTimes = append(r.results, x), append(r.resultTimes, monotonic.Now())
 	}
 }
 
--- a/internal/controlplane/membership/transport/runner.go
+++ b/internal/controlplane/membership/transport/runner.go
@@ -17,7 +17,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"spindlehitch/internal/controlplane/membership"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Bounds and timeouts of the sockets.
@@ -109,7 +109,7 @@
 		return fmt.Errorf("operator's file: fleet.members.bind: %w", err)
 	}
 	r.id = rand.Uint64() | 1
-	now := monotone.Now()
+	now := monotonic.Now()
 	r.node = membership.New(r.opt.Config, r.id, membership.Info{Name: r.opt.Name, Addr: addr, Zone: r.opt.Zone}, r.opt.Seeds, now,
 		rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	r.done = make(chan struct{})
@@ -141,10 +141,10 @@
 			r.sockets.close()
 			return
 		case <-timer.C:
-			r.send(r.node.Tick(monotone.Now()))
+			r.send(r.node.Tick(monotonic.Now()))
 		case x := <-r.incoming:
 			// Tick first if it is due: after a pause, a queued message must not be processed as if it had just arrived.
-			if now := monotone.Now(); now >= r.node.NextTick() {
+			if now := monotonic.Now(); now >= r.node.NextTick() {
 				r.send(r.node.Tick(now))
 			}
 			if x.FleetID != r.opt.Config.FleetID {
@@ -152,7 +152,7 @@
 					r.opt.Log.Warn("messages of another fleet", slog.String("reason", "MEMBERS_FOREIGN"), slog.String("from", x.From.Info.Addr))
 				})
 			}
-			r.send(r.node.Receive(monotone.Now(), x.Message, x.channel))
+			r.send(r.node.Receive(monotonic.Now(), x.Message, x.channel))
 		case f := <-r.calls:
 			f()
 		case <-publishTicker.C:
@@ -169,7 +169,7 @@
 			}
 		}
 		r.logEvents()
-		timer.Reset(max(0, r.node.NextTick()-monotone.Now()))
+		timer.Reset(max(0, r.node.NextTick()-monotonic.Now()))
 	}
 }
 
@@ -182,7 +182,7 @@
 
 // logEvents logs new changes of the view, and the start and end of isolation.
 func (r *Runner) logEvents() {
-	now := monotone.Now()
+	now := monotonic.Now()
 	events, ever := r.node.Events()
 	for _, e := range events[max(0, len(events)-(ever-r.loggedEvents)):] {
 		level, reason := slog.LevelInfo, "MEMBER_"
@@ -210,7 +210,7 @@
 func (r *Runner) onLoop(f func(now time.Duration)) bool {
 	done := make(chan struct{})
 	select {
-	case r.calls <- func() { f(monotone.Now()); close(done) }:
+	case r.calls <- func() { f(monotonic.Now()); close(done) }:
 		<-done
 		return true
 	case <-r.done:
--- a/internal/controlplane/quota/quotasession/metrics.go
+++ b/internal/controlplane/quota/quotasession/metrics.go
@@ -3,14 +3,14 @@
 import (
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // EmitMetrics writes the metrics of the session and its allocations.
 func (s *Session) EmitMetrics(to statsd.ExtendedStatSender) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := monotone.Now()
+	now := monotonic.Now()
 	registered := int64(0)
 	if s.client.Registered(now) {
 		registered = 1
--- a/internal/controlplane/quota/quotasession/renew.go
+++ b/internal/controlplane/quota/quotasession/renew.go
@@ -11,7 +11,7 @@
 
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/quota"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Times of joining and leaving.
@@ -39,7 +39,7 @@
 	id := rand.Text()
 	retryBackoff := backoff.ExponentialBackOff{InitialInterval: joinRetryMin, RandomizationFactor: 0.25, Multiplier: 2, MaxInterval: joinRetryMax}
 	for {
-		startedAt := monotone.Now()
+		startedAt := monotonic.Now()
 		m, quotaConfig, err := s.agents.Join(ctx, quota.Member{ID: id, Name: s.opt.Name, Addr: s.opt.Addr, Weight: s.opt.Weight, Accounts: s.opt.AccountsAddr})
 		if err == nil {
 			s.mu.Lock()
@@ -121,7 +121,7 @@
 func (s *Session) waitForRenewal(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		s.mu.Lock()
-		due := s.client.NextRenewal() - monotone.Now()
+		due := s.client.NextRenewal() - monotonic.Now()
 		if s.renewNow {
 			due = 0
 		}
@@ -143,12 +143,12 @@
 // whether all allocations have expired because renewals failed, which is logged once.
 func (s *Session) renewOnce(ctx context.Context, allocationsExpired *bool) (lost bool) {
 	s.mu.Lock()
-	if !s.client.Registered(monotone.Now()) {
+	if !s.client.Registered(monotonic.Now()) {
 		s.loseSession("SEAT_ENDED")
 		s.mu.Unlock()
 		return true
 	}
-	startedAt := monotone.Now() // before it is sent: the allocation's TTL counts from here
+	startedAt := monotonic.Now() // before it is sent: the allocation's TTL counts from here
 	request := s.client.BeginRenewal(startedAt)
 	timeout := s.client.RenewTimeout()
 	s.renewNow = false
@@ -160,7 +160,7 @@
 	case errors.Is(err, quota.ErrUnknownMember):
 		s.loseSession(err.Error())
 		return true
-	case err == nil && s.client.AcceptRenewal(monotone.Now(), response):
+	case err == nil && s.client.AcceptRenewal(monotonic.Now(), response):
 		s.counts.renewed++
 		if *allocationsExpired {
 			*allocationsExpired, s.status = false, ""
@@ -168,7 +168,7 @@
 		}
 	default:
 		s.counts.failed++
-		if !*allocationsExpired && monotone.Now() >= s.client.AllocationsEnd() && ctx.Err() == nil {
+		if !*allocationsExpired && monotonic.Now() >= s.client.AllocationsEnd() && ctx.Err() == nil {
 			*allocationsExpired, s.status = true, "CUT_OFF"
 			s.opt.Log.Warn("allocations expired: only the floor is left", slog.String("reason", "FLEET_CUT_OFF"), slog.Any("error", err))
 		}
@@ -186,7 +186,7 @@
 	defer cancel()
 	response, leaseResponse, err := s.agents.Renew(ctx, request, leaseRequest)
 	if err == nil && leaseResponse != nil && s.opt.LeaseWorker != nil {
-		s.opt.LeaseWorker.AcceptRenewal(monotone.Now(), leaseResponse)
+		s.opt.LeaseWorker.AcceptRenewal(monotonic.Now(), leaseResponse)
 	}
 	return response, err
 }
@@ -205,7 +205,7 @@
 // either takes longer than connectionCloseTimeout, the session is left to expire. Run must have ended.
 func (s *Session) Leave(ctx context.Context) {
 	s.mu.Lock()
-	registered, id := s.client.Registered(monotone.Now()), s.client.MemberID()
+	registered, id := s.client.Registered(monotonic.Now()), s.client.MemberID()
 	s.client.Leave()
 	s.mu.Unlock()
 	if s.opt.LeaseWorker != nil && !s.opt.LeaseWorker.Stop(connectionCloseTimeout) {
--- a/internal/controlplane/quota/quotasession/reserve.go
+++ b/internal/controlplane/quota/quotasession/reserve.go
@@ -5,7 +5,7 @@
 
 	"spindlehitch/internal/controlplane/quota"
 	"spindlehitch/internal/policy"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // toReservation converts a reservation of package policy to one of package quota.
@@ -19,7 +19,7 @@
 func (s *Session) Wait(res policy.Reservation) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wait, governed := s.client.Wait(monotone.Now(), toReservation(res))
+	wait, governed := s.client.Wait(monotonic.Now(), toReservation(res))
 	if wait > 0 {
 		s.counts.denied++
 		s.wakeRenewal()
@@ -36,7 +36,7 @@
 	for i, res := range reservations {
 		all[i] = toReservation(res)
 	}
-	return permit{s, s.client.Reserve(monotone.Now(), all...)}
+	return permit{s, s.client.Reserve(monotonic.Now(), all...)}
 }
 
 // permit allows a send until a time on the monotonic clock.
@@ -47,7 +47,7 @@
 
 // Valid implements policy.Permit.
 func (p permit) Valid() bool {
-	valid := monotone.Now() < p.until
+	valid := monotonic.Now() < p.until
 	if !valid {
 		p.session.mu.Lock()
 		p.session.counts.lapsed++
@@ -60,7 +60,7 @@
 func (s *Session) Open(target string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	allowed := s.client.OpenConnection(monotone.Now(), target)
+	allowed := s.client.OpenConnection(monotonic.Now(), target)
 	if !allowed {
 		s.counts.denied++
 		s.wakeRenewal()
@@ -79,5 +79,5 @@
 func (s *Session) Excess(target string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.client.ExcessConnections(monotone.Now(), target)
+	return s.client.ExcessConnections(monotonic.Now(), target)
 }
--- a/internal/controlplane/watchstream/distribution/distribution_test.go
+++ b/internal/controlplane/watchstream/distribution/distribution_test.go
@@ -22,7 +22,7 @@
 	"pgregory.net/rapid"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/seeded"
 )
 
@@ -65,7 +65,7 @@
 func (agent *fakeAgent) WithSource(do func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	agent.mu.Lock()
 	defer agent.mu.Unlock()
-	now := monotone.Now()
+	now := monotonic.Now()
 	if !agent.noLeader {
 		agent.source.MarkFresh(now)
 	}
--- a/internal/controlplane/watchstream/distribution/follower.go
+++ b/internal/controlplane/watchstream/distribution/follower.go
@@ -17,7 +17,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Times and bounds of a follower.
@@ -152,8 +152,8 @@
 	f.applySnapshot()
 	lastID := ""
 	for ctx.Err() == nil {
-		relay, at := f.selector.NextCall(monotone.Now())
-		if !sleep(ctx, at-monotone.Now()) {
+		relay, at := f.selector.NextCall(monotonic.Now())
+		if !sleep(ctx, at-monotonic.Now()) {
 			break
 		}
 		if relay.ID != lastID {
@@ -164,7 +164,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		f.selector.CallEnded(monotone.Now(), outcome, retryAfter, age)
+		f.selector.CallEnded(monotonic.Now(), outcome, retryAfter, age)
 		f.saveSnapshot(false)
 	}
 	f.saveSnapshot(true)
@@ -210,7 +210,7 @@
 	s.Rejected = maps.Clone(s.Rejected)
 	s.BytesIn, s.BytesOut = f.traffic.in.Load(), f.traffic.out.Load()
 	if s.AgeMs = -1; f.freshAt > 0 {
-		s.AgeMs = max(0, (monotone.Now() - f.freshAt).Milliseconds())
+		s.AgeMs = max(0, (monotonic.Now() - f.freshAt).Milliseconds())
 	}
 	return s
 }
--- a/internal/controlplane/watchstream/distribution/poll.go
+++ b/internal/controlplane/watchstream/distribution/poll.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // poll calls a relay once and applies the answer. retryAfter is the relay's, for CallBusy; age is an
@@ -23,7 +23,7 @@
 	f.state.Polls++
 	f.mu.Unlock()
 	req.WaitMs = pollWait.Milliseconds()
-	began := monotone.Now()
+	began := monotonic.Now()
 	status, age, body, err := f.roundTrip(ctx, relay.Addr, &req)
 	switch {
 	case ctx.Err() != nil:
@@ -39,7 +39,7 @@
 		return outcome, 0, age
 	case status == http.StatusNoContent:
 		f.noteAnswer(relay, age)
-		if monotone.Now()-began < minPollInterval {
+		if monotonic.Now()-began < minPollInterval {
 			sleep(ctx, minPollInterval) // the relay is shutting down or does not wait for changes
 		}
 		return watchstream.CallAnswered, 0, age
@@ -162,7 +162,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.state.Relay, f.state.Region = relay.ID, relay.Region
-	f.freshAt = max(f.freshAt, monotone.Now()-age)
+	f.freshAt = max(f.freshAt, monotonic.Now()-age)
 }
 
 // pollFailed counts and logs a poll without a usable answer.
--- a/internal/controlplane/watchstream/distribution/publisher.go
+++ b/internal/controlplane/watchstream/distribution/publisher.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // Times and bounds of a publisher.
@@ -36,21 +36,21 @@
 	opt  PublisherOptions
 	wake chan struct{} // holds one token once SetList has changed the list; never closed
 
-	mu            sync.Mutex               // guards the following fields
-	want          map[string]listing.Entry // the list, by id
-	hasFullList   bool                     // a full list has arrived
-	dirty         map[string]bool          // ids to compare with the stream
-	unpublishable map[string]listing.Entry // invalid entries by id, already logged, until they change
+	mu            sync.Mutex                  // guards the following fields
+	want          map[string]targetlist.Entry // the list, by id
+	hasFullList   bool                        // a full list has arrived
+	dirty         map[string]bool             // ids to compare with the stream
+	unpublishable map[string]targetlist.Entry // invalid entries by id, already logged, until they change
 }
 
 // NewPublisher returns a publisher without a list.
 func NewPublisher(opt PublisherOptions) *Publisher {
-	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]listing.Entry{}, dirty: map[string]bool{}, unpublishable: map[string]listing.Entry{}}
+	return &Publisher{opt: opt, wake: make(chan struct{}, 1), want: map[string]targetlist.Entry{}, dirty: map[string]bool{}, unpublishable: map[string]targetlist.Entry{}}
 }
 
 // SetList stores a full list from discovery or applies a change to it. Changes before the first full list
 // are ignored.
-func (p *Publisher) SetList(l *listing.List) {
+func (p *Publisher) SetList(l *targetlist.List) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if l.Full && !p.replaceAll(l) || !l.Full && !p.hasFullList {
@@ -72,7 +72,7 @@
 
 // replaceAll removes the targets that a full list does not name. It reports false, and changes nothing, if
 // the list would remove too many (see minTargetsToGuard). The caller holds mu.
-func (p *Publisher) replaceAll(l *listing.List) bool {
+func (p *Publisher) replaceAll(l *targetlist.List) bool {
 	listed := make(map[string]bool, len(l.Targets))
 	for _, e := range l.Targets {
 		listed[e.ID] = e.State != "DELETED"
@@ -99,7 +99,7 @@
 
 // Run publishes the list and its changes until ctx ends.
 func (p *Publisher) Run(ctx context.Context) {
-	var published map[string]listing.Entry
+	var published map[string]targetlist.Entry
 	for ctx.Err() == nil {
 		if !p.receivedFullList() {
 			p.wait(ctx)
@@ -160,16 +160,16 @@
 }
 
 // loadPublished reads the targets in the stream and marks all of them and of the list for comparison.
-func (p *Publisher) loadPublished(ctx context.Context) (map[string]listing.Entry, error) {
+func (p *Publisher) loadPublished(ctx context.Context) (map[string]targetlist.Entry, error) {
 	records, err := p.opt.Records(ctx)
 	if err != nil {
 		return nil, err
 	}
-	published := make(map[string]listing.Entry, len(records))
+	published := make(map[string]targetlist.Entry, len(records))
 	for i := range records {
 		e, err := entryOf(records[i].Value)
 		if err != nil {
-			e = listing.Entry{} // differs from every listed entry, so the target is put again
+			e = targetlist.Entry{} // differs from every listed entry, so the target is put again
 		}
 		published[records[i].Key] = e
 	}
@@ -188,12 +188,12 @@
 }
 
 // entryOf decodes a target's value.
-func entryOf(value []byte) (e listing.Entry, err error) {
+func entryOf(value []byte) (e targetlist.Entry, err error) {
 	return e, jsonCodec.Unmarshal(value, &e)
 }
 
 // sameEntry reports whether two entries are equal.
-func sameEntry(a, b listing.Entry) bool {
+func sameEntry(a, b targetlist.Entry) bool {
 	if (a.Shard == nil) != (b.Shard == nil) || a.Shard != nil && *a.Shard != *b.Shard {
 		return false
 	}
@@ -203,7 +203,7 @@
 
 // nextChange returns a change with the differences between the list and the published targets,
 // maxTargetsPerChange at most, and removes their ids from dirty.
-func (p *Publisher) nextChange(published map[string]listing.Entry) watchstream.Change {
+func (p *Publisher) nextChange(published map[string]targetlist.Entry) watchstream.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := watchstream.Change{Fleet: p.opt.Fleet}
--- a/internal/controlplane/watchstream/distribution/publisher_test.go
+++ b/internal/controlplane/watchstream/distribution/publisher_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // testPublisher is a running publisher to a fakeAgent.
@@ -78,16 +78,18 @@
 	}, fmt.Sprint("the stream has ", want))
 }
 
-func entries(from, to, port int) (list listing.Entries) {
+func entries(from, to, port int) (list targetlist.Entries) {
 	for i := from; i < to; i++ {
-		list = append(list, listing.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Shard: &i, State: "SERVING"})
+		list = append(list, targetlist.Entry{ID: fmt.Sprint("t-", i), Addr: fmt.Sprint("127.0.0.1:", port), Shard: &i, State: "SERVING"})
 	}
 	return list
 }
 
-func fullList(list listing.Entries) *listing.List { return &listing.List{Full: true, Targets: list} }
+func fullList(list targetlist.Entries) *targetlist.List {
+	return &targetlist.List{Full: true, Targets: list}
+}
 
-func partialList(list listing.Entries) *listing.List { return &listing.List{Targets: list} }
+func partialList(list targetlist.Entries) *targetlist.List { return &targetlist.List{Targets: list} }
 
 // TestPublish checks that only the differences between a list and the stream are published, and that a target is not put
 // again after a lost response.
--- a/internal/controlplane/watchstream/distribution/relay.go
+++ b/internal/controlplane/watchstream/distribution/relay.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Times and bounds of a relay.
@@ -80,7 +80,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r.source.MarkFresh(f.freshAt)
-	do(monotone.Now(), r.source)
+	do(monotonic.Now(), r.source)
 	return f.changed, true
 }
 
--- a/internal/controlplane/watchstream/distribution/relay_test.go
+++ b/internal/controlplane/watchstream/distribution/relay_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/ports"
 )
 
@@ -75,7 +75,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker = watchstream.NewAckTracker(fleet, watchstream.AckTrackerOptions{})
-	l.tracker.NoteCommit(monotone.Now(), "first", 1)
+	l.tracker.NoteCommit(monotonic.Now(), "first", 1)
 }
 
 func (l *fakeLeader) report(_ context.Context, r watchstream.Report) (watchstream.ReportResponse, error) {
@@ -84,13 +84,13 @@
 	if l.unavailable {
 		return watchstream.ReportResponse{}, fmt.Errorf("no leader")
 	}
-	return l.tracker.AddReport(monotone.Now(), r)
+	return l.tracker.AddReport(monotonic.Now(), r)
 }
 
 func (l *fakeLeader) status(v uint64) watchstream.Status {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tracker.Status(monotone.Now(), v)
+	return l.tracker.Status(monotonic.Now(), v)
 }
 
 // TestRelayKilled kills one of three relays while the leader changes. Its followers switch to the others and miss no change,
--- a/internal/controlplane/watchstream/distribution/server.go
+++ b/internal/controlplane/watchstream/distribution/server.go
@@ -11,7 +11,7 @@
 	jsoniter "github.com/json-iterator/go"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // jsonCodec encodes and decodes all messages.
@@ -151,7 +151,7 @@
 // waitForDelta waits for a reader's next delta. It returns nil once the request's wait is over, the reader
 // has disconnected or the server is stopped.
 func (s *Server) waitForDelta(r *http.Request, req watchstream.SubscribeRequest) (d *watchstream.Delta, age time.Duration) {
-	until := monotone.Now() + min(time.Duration(max(req.WaitMs, 0))*time.Millisecond, maxPollWait)
+	until := monotonic.Now() + min(time.Duration(max(req.WaitMs, 0))*time.Millisecond, maxPollWait)
 	var timer *time.Timer
 	for {
 		var wait, checkedAt time.Duration
--- a/internal/controlplane/watchstream/distribution/snapshot.go
+++ b/internal/controlplane/watchstream/distribution/snapshot.go
@@ -15,7 +15,7 @@
 	"github.com/google/renameio/v2"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // The snapshot is one file: a magic number, the length and the checksum (xxhash) of the body, and the body. It is replaced
@@ -165,7 +165,7 @@
 // saveSnapshot writes the snapshot if it is due, or if final is set and anything has changed. It is written
 // less often if only the position has changed, since an empty delta then brings an old one up to date.
 func (f *Follower) saveSnapshot(final bool) {
-	now := monotone.Now()
+	now := monotonic.Now()
 	due := f.recordsChanged && now >= f.nextSaveAt || f.positionChanged && now-f.lastSaveAt >= positionSaveInterval || final && (f.recordsChanged || f.positionChanged)
 	if f.opt.Dir == "" || !due {
 		return
@@ -177,7 +177,7 @@
 	if err == nil {
 		err = writeSnapshot(f.opt.Dir, body)
 	}
-	duration := monotone.Now() - now
+	duration := monotonic.Now() - now
 	f.lastSaveAt, f.nextSaveAt = now, now+max(saveInterval, saveCostFactor*duration)
 	if err != nil {
 		f.log.Warn("snapshot not written", slog.String("reason", "FEED_COPY_FAILED"), slog.String("dir", f.opt.Dir), slog.Any("error", err))
--- a/internal/controlplane/watchstream/targetmerge/targetmerge.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge.go
@@ -17,7 +17,7 @@
 	"slices"
 	"strings"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // Source identifies where a list comes from.
@@ -48,7 +48,7 @@
 // sourceEntry is the join of one source's entries for a target: its latest start with the highest state
 // of that start.
 type sourceEntry struct {
-	listing.Entry
+	targetlist.Entry
 	changedAt uint64 // sequence number of its last change
 	listed    bool   // whether the source still lists the target
 }
@@ -64,12 +64,12 @@
 // target is a target that a source lists or has listed.
 type target struct {
 	entries   [sourceCount]*sourceEntry
-	published *listing.Entry // its entry in the merged list; nil: not in the list
-	removed   *list.Element  // element of View.removed; nil: a source lists the target
+	published *targetlist.Entry // its entry in the merged list; nil: not in the list
+	removed   *list.Element     // element of View.removed; nil: a source lists the target
 }
 
 // effectiveEntry returns the join of both sources' entries.
-func (t *target) effectiveEntry() (e listing.Entry) {
+func (t *target) effectiveEntry() (e targetlist.Entry) {
 	var from *sourceEntry
 	for _, entry := range t.entries {
 		if entry != nil && (from == nil || supersedes(entry, from)) {
@@ -119,7 +119,7 @@
 }
 
 // Full returns the merged list as a full list, sorted by id.
-func (v *View) Full() *listing.List {
+func (v *View) Full() *targetlist.List {
 	l := v.newList()
 	l.Full = true
 	for _, t := range v.targets {
@@ -127,20 +127,20 @@
 			l.Targets = append(l.Targets, *t.published)
 		}
 	}
-	slices.SortFunc(l.Targets, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(l.Targets, func(a, b targetlist.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
 // newList returns an empty list with the current version.
-func (v *View) newList() *listing.List {
+func (v *View) newList() *targetlist.List {
 	version := v.version
-	return &listing.List{Version: &version}
+	return &targetlist.List{Version: &version}
 }
 
 // Merge joins a validated list, full or partial, of one source and returns the changes of the merged list;
 // nil: no changes. A DELETED entry without a start, or with an older start than the source's entry, only
 // means that the source no longer lists the target.
-func (v *View) Merge(from Source, l *listing.List) *listing.List {
+func (v *View) Merge(from Source, l *targetlist.List) *targetlist.List {
 	var touched []string // ids, each once
 	named := make(map[string]bool, len(l.Targets))
 	for _, e := range l.Targets {
@@ -161,7 +161,7 @@
 		slices.Sort(dropped) // makes the result independent of map order
 		touched = append(touched, dropped...)
 	}
-	var changed listing.Entries
+	var changed targetlist.Entries
 	for _, id := range touched {
 		if t := v.targets[id]; t != nil {
 			if e, differs := v.publish(t); differs {
@@ -180,7 +180,7 @@
 }
 
 // mergeEntry joins an entry to the previous entry of its source.
-func (v *View) mergeEntry(from Source, e listing.Entry) {
+func (v *View) mergeEntry(from Source, e targetlist.Entry) {
 	t := v.targets[e.ID]
 	if t == nil {
 		t = &target{}
@@ -218,7 +218,7 @@
 }
 
 // publish updates a target's published entry and reports whether it changed.
-func (v *View) publish(t *target) (listing.Entry, bool) {
+func (v *View) publish(t *target) (targetlist.Entry, bool) {
 	e := t.effectiveEntry()
 	switch {
 	case e.State == deleted && t.published == nil, t.published != nil && sameEntry(e, *t.published):
@@ -251,7 +251,7 @@
 }
 
 // sameEntry reports whether two entries are equal.
-func sameEntry(a, b listing.Entry) bool {
+func sameEntry(a, b targetlist.Entry) bool {
 	if (a.Shard == nil) != (b.Shard == nil) || a.Shard != nil && *a.Shard != *b.Shard {
 		return false
 	}
--- a/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
+++ b/internal/controlplane/watchstream/targetmerge/targetmerge_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/testbed/seeded"
 )
 
@@ -18,7 +18,7 @@
 // sourceList is a list from one source.
 type sourceList struct {
 	from Source
-	list *listing.List
+	list *targetlist.List
 }
 
 // drawLists draws lists of two sources with few targets and few starts, so that these coincide often. They include lists
@@ -26,11 +26,11 @@
 func drawLists(t *rapid.T) []sourceList {
 	var all []sourceList
 	for range rapid.IntRange(1, 30).Draw(t, "lists") {
-		l := &listing.List{Full: rapid.IntRange(0, 3).Draw(t, "full") == 0}
+		l := &targetlist.List{Full: rapid.IntRange(0, 3).Draw(t, "full") == 0}
 		has := map[string]bool{}
 		for range rapid.IntRange(0, 4).Draw(t, "entries") {
 			cell := rapid.IntRange(0, 1).Draw(t, "cell")
-			e := listing.Entry{ID: fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "id")), Addr: fmt.Sprint("10.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Zone: "z",
+			e := targetlist.Entry{ID: fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "id")), Addr: fmt.Sprint("10.0.0.1:", rapid.IntRange(1, 3).Draw(t, "port")), Zone: "z",
 				Shard: &cell, State: rapid.SampledFrom([]string{serving, serving, draining, deleted}).Draw(t, "state"), StartedMs: int64(rapid.IntRange(0, 3).Draw(t, "started"))}
 			if l.Full && has[e.ID] {
 				continue // a full list names a target once
@@ -44,9 +44,9 @@
 }
 
 // mergedList is the merged list, by id, as a receiver of its changes reconstructs it.
-type mergedList map[string]listing.Entry
+type mergedList map[string]targetlist.Entry
 
-func (s mergedList) apply(l *listing.List) {
+func (s mergedList) apply(l *targetlist.List) {
 	if l == nil {
 		return
 	}
@@ -234,15 +234,15 @@
 	})
 }
 
-func targetEntry(state string, started int64, addr string) listing.Entry {
+func targetEntry(state string, started int64, addr string) targetlist.Entry {
 	cell := 0
-	return listing.Entry{ID: "t", Addr: addr, Zone: "z", Shard: &cell, State: state, StartedMs: started}
+	return targetlist.Entry{ID: "t", Addr: addr, Zone: "z", Shard: &cell, State: state, StartedMs: started}
 }
 
 // TestMergeCases checks single cases.
 func TestMergeCases(t *testing.T) {
-	change := func(e ...listing.Entry) *listing.List { return &listing.List{Targets: e} }
-	full := func(e ...listing.Entry) *listing.List { return &listing.List{Full: true, Targets: e} }
+	change := func(e ...targetlist.Entry) *targetlist.List { return &targetlist.List{Targets: e} }
+	full := func(e ...targetlist.Entry) *targetlist.List { return &targetlist.List{Full: true, Targets: e} }
 	for _, c := range []struct {
 		name string
 		all  []sourceList
@@ -258,10 +258,10 @@
 		{"no longer listed at an older start", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 6, "a:1"))}, {Discovery, full()}}, "SERVING 6 a:1"},
 		{"empty list by mistake", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {Discovery, full()}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
 		{"drain kept while not listed", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {Discovery, full()}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "DRAINING 5 a:1"},
-		{"deleted in the stream", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(listing.Entry{ID: "t", State: deleted})}}, ""},
+		{"deleted in the stream", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetlist.Entry{ID: "t", State: deleted})}}, ""},
 		{"deleted at that start, still listed by the lagging source", []sourceList{{WatchStream, change(targetEntry(deleted, 5, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, ""},
 		{"deleted at an older start", []sourceList{{WatchStream, change(targetEntry(deleted, 4, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 a:1"},
-		{"deleted without having been listed", []sourceList{{WatchStream, change(listing.Entry{ID: "t", State: deleted})}, {WatchStream, change(targetEntry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
+		{"deleted without having been listed", []sourceList{{WatchStream, change(targetlist.Entry{ID: "t", State: deleted})}, {WatchStream, change(targetEntry(serving, 0, "a:1"))}}, "SERVING 0 a:1"},
 		{"address changed: last change wins", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "b:1"))}}, "SERVING 5 b:1"},
 		{"address changed: a repeated list is no change", []sourceList{{Discovery, full(targetEntry(serving, 5, "a:1"))}, {WatchStream, change(targetEntry(serving, 5, "b:1"))}, {Discovery, full(targetEntry(serving, 5, "a:1"))}}, "SERVING 5 b:1"},
 		{"address changed while draining", []sourceList{{Discovery, full(targetEntry(draining, 5, "a:1"))}, {Discovery, full(targetEntry(serving, 5, "b:1"))}}, "DRAINING 5 b:1"},
@@ -284,10 +284,10 @@
 // removals are forgotten first, and a target that is listed again is kept.
 func TestRemovedTargetsBounded(t *testing.T) {
 	v := New(8)
-	at := func(id, state string, started int64) *listing.List {
+	at := func(id, state string, started int64) *targetlist.List {
 		e := targetEntry(state, started, "a:1")
 		e.ID = id
-		return &listing.List{Targets: listing.Entries{e}}
+		return &targetlist.List{Targets: targetlist.Entries{e}}
 	}
 	for i := range 100 {
 		id := fmt.Sprint("t", i)
--- a/internal/datapath/keys/keys.go
+++ b/internal/datapath/certs/certs.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/tls"
--- a/internal/datapath/keys/keys_test.go
+++ b/internal/datapath/certs/certs_test.go
@@ -1,4 +1,4 @@
-package keys_test
+package certs_test
 
 import (
 	"crypto/tls"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/datapath/keys"
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/issue"
 )
@@ -34,7 +34,7 @@
 	dir := t.TempDir()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = 300
-	k, err := keys.Load(f)
+	k, err := certs.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 	if k.VerifyClient(tls.ConnectionState{}) == nil {
 		t.Error("a peer without a certificate is accepted")
 	}
-	if err := k.VerifyClient(firstPeer); !errors.Is(err, keys.ErrPeerRejected) {
+	if err := k.VerifyClient(firstPeer); !errors.Is(err, certs.ErrPeerRejected) {
 		t.Errorf("rejected with %v, want ErrPeerRejected", err)
 	}
 }
@@ -74,7 +74,7 @@
 // TestExpiredCertificateIsRejected checks that an expired certificate is rejected although its authority is current.
 func TestExpiredCertificateIsRejected(t *testing.T) {
 	f := issue.Into(t, t.TempDir(), -time.Second)
-	k, err := keys.Load(f)
+	k, err := certs.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,7 +86,7 @@
 // TestInvalidFilesKeepTheCurrentCertificates checks that a failed reload names the invalid file and changes nothing.
 func TestInvalidFilesKeepTheCurrentCertificates(t *testing.T) {
 	f := issue.Into(t, t.TempDir(), time.Hour)
-	k, err := keys.Load(f)
+	k, err := certs.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/datapath/keys/rotation.go
+++ b/internal/datapath/certs/rotation.go
@@ -1,7 +1,7 @@
-// Package keys holds the certificates for listeners and for connections to targets, and rotates them in service: after a
+// Package certs holds the certificates for listeners and for connections to targets, and rotates them in service: after a
 // rotation the previous ones stay accepted for a limited overlap. TLS 1.3 takes pre-shared keys or certificates; Go's TLS
 // library does not accept external pre-shared keys, so both sides use certificates.
-package keys
+package certs
 
 import (
 	"crypto/tls"
--- a/internal/datapath/discovery/deadline_test.go
+++ b/internal/datapath/discovery/deadline_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // fakeService is a fake discovery service whose list changes, with the faults that the operators' delivery requirements name.
@@ -150,11 +150,11 @@
 			delivered := make(chan int64, 64)
 			opt := Options{Addr: s.addr(), Initiators: c.initiators, Seed: 7, Log: discardLog}
 			if c.known {
-				l, err := listing.Decode([]byte(listJSON(1, true, entryJSON)))
+				l, err := targetlist.Decode([]byte(listJSON(1, true, entryJSON)))
 				require.NoError(t, err)
 				opt.LastKnown = l
 			}
-			w := New(opt, func(l *listing.List) { delivered <- *l.Version })
+			w := New(opt, func(l *targetlist.List) { delivered <- *l.Version })
 			go w.Run(ctx)
 			for range 1 + c.initiators/4 {
 				<-s.requests // a watch is open
@@ -195,11 +195,11 @@
 			delivered := make(chan int64, 64)
 			opt := Options{Addr: oldService.addr(), Log: discardLog}
 			if c.known {
-				l, err := listing.Decode([]byte(listJSON(12, true, entryJSON))) // a higher version than the new service's
+				l, err := targetlist.Decode([]byte(listJSON(12, true, entryJSON))) // a higher version than the new service's
 				require.NoError(t, err)
 				opt.LastKnown = l
 			}
-			w := New(opt, func(l *listing.List) { delivered <- *l.Version })
+			w := New(opt, func(l *targetlist.List) { delivered <- *l.Version })
 			go w.Run(ctx)
 			<-oldService.requests
 			time.Sleep(c.after)
--- a/internal/datapath/discovery/discovery.go
+++ b/internal/datapath/discovery/discovery.go
@@ -17,7 +17,7 @@
 
 	"github.com/cenkalti/backoff/v5"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/process/mailbox"
 )
 
@@ -77,11 +77,11 @@
 // does not delay the next call, which must follow the last answer within 200 ms.
 type Watcher struct {
 	opt        Options
-	deliver    func(*listing.List)
+	deliver    func(*targetlist.List)
 	log        *slog.Logger
 	rng        *rand.Rand
 	client     http.Client
-	lists      *mailbox.Box[*listing.List]
+	lists      *mailbox.Box[*targetlist.List]
 	addrs      *mailbox.Box[string]
 	initiators atomic.Int64
 	version    int64 // of the list received last; -1: none
@@ -91,17 +91,17 @@
 // Options are a watcher's settings at its start.
 type Options struct {
 	Addr       string
-	LastKnown  *listing.List // the list received in an earlier run; nil: none
-	Initiators int           // see SetInitiators
-	Seed       uint64        // of the random pauses
+	LastKnown  *targetlist.List // the list received in an earlier run; nil: none
+	Initiators int              // see SetInitiators
+	Seed       uint64           // of the random pauses
 	Log        *slog.Logger
 }
 
 // New returns a watcher. It first delivers the last known list as a full one, if there is one, however old, and then every
 // list that discovery sends.
-func New(opt Options, deliver func(*listing.List)) *Watcher {
+func New(opt Options, deliver func(*targetlist.List)) *Watcher {
 	w := &Watcher{opt: opt, deliver: deliver, log: opt.Log, rng: rand.New(rand.NewPCG(opt.Seed, opt.Seed)),
-		lists: mailbox.New[*listing.List](), addrs: mailbox.New[string](), version: -1,
+		lists: mailbox.New[*targetlist.List](), addrs: mailbox.New[string](), version: -1,
 		retryDelay: backoff.ExponentialBackOff{InitialInterval: retryInitial, RandomizationFactor: 0.5, Multiplier: 2, MaxInterval: retryMax}}
 	w.SetInitiators(opt.Initiators)
 	if known := opt.LastKnown; known != nil {
@@ -172,7 +172,7 @@
 // callResult is the outcome of a call.
 type callResult struct {
 	call *call
-	list *listing.List
+	list *targetlist.List
 	err  error
 }
 
@@ -325,7 +325,7 @@
 }
 
 // fetch makes one call and decodes its answer. A complete answer with an unusable list is an errInvalidList.
-func (w *Watcher) fetch(ctx context.Context, url string, timeout time.Duration) (*listing.List, error) {
+func (w *Watcher) fetch(ctx context.Context, url string, timeout time.Duration) (*targetlist.List, error) {
 	ctx, stop := context.WithTimeout(ctx, timeout)
 	defer stop()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -344,7 +344,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("status %d", resp.StatusCode)
 	}
-	l, err := listing.Decode(body)
+	l, err := targetlist.Decode(body)
 	if err != nil {
 		err = fmt.Errorf("%w: %w", errInvalidList, err)
 	}
--- a/internal/datapath/discovery/discovery_test.go
+++ b/internal/datapath/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -57,11 +57,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	delivered := make(chan int64, 64)
-	known, err := listing.Decode([]byte(listJSON(3, false, entryJSON)))
+	known, err := targetlist.Decode([]byte(listJSON(3, false, entryJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: discardLog}, func(l *listing.List) { delivered <- *l.Version })
+	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: discardLog}, func(l *targetlist.List) { delivered <- *l.Version })
 	go w.Run(ctx)
 	for i, a := range answers {
 		if got := <-requests; got != a.ask {
@@ -101,7 +101,7 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Log: discardLog}, func(*listing.List) {})
+	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Log: discardLog}, func(*targetlist.List) {})
 	go w.Run(ctx)
 	<-requests
 	<-requests
@@ -140,7 +140,7 @@
 		answered <- r.RemoteAddr
 	}))
 	defer s.Close()
-	known, err := listing.Decode([]byte(listJSON(3, false, entryJSON)))
+	known, err := targetlist.Decode([]byte(listJSON(3, false, entryJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	for seed := range uint64(initiators) {
 		delivered := make(chan int64, 4)
 		w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Initiators: initiators, Seed: seed, Log: discardLog},
-			func(l *listing.List) { delivered <- *l.Version })
+			func(l *targetlist.List) { delivered <- *l.Version })
 		watchCtx, stopWatcher := context.WithCancel(ctx)
 		all.Go(func() {
 			defer stopWatcher() // after its first list: a continued watch costs the service nothing
@@ -217,7 +217,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	delivered := make(chan int64, 64)
-	w := New(Options{Addr: strings.TrimPrefix(first.URL, "http://"), Log: discardLog}, func(l *listing.List) { delivered <- *l.Version })
+	w := New(Options{Addr: strings.TrimPrefix(first.URL, "http://"), Log: discardLog}, func(l *targetlist.List) { delivered <- *l.Version })
 	go w.Run(ctx)
 	for _, want := range []string{"/api/targets", "/api/targets?after=9&wait_ms=1000"} {
 		if got := <-firstRequests; got != want {
--- a/internal/datapath/discovery/faults_test.go
+++ b/internal/datapath/discovery/faults_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/testbed/virtualtime"
 )
 
@@ -203,16 +203,16 @@
 func newFaultySetup(t *testing.T, initiators int, seed uint64, hasList bool) (service *faultyService, deliveredWithin func(int64) time.Duration, log *bytes.Buffer, w *Watcher) {
 	service = &faultyService{sharedService: newSharedService(time.Minute)}
 	service.serve(service)
-	var known *listing.List
+	var known *targetlist.List
 	if hasList {
 		var err error
-		known, err = listing.Decode([]byte(listJSON(5, true, entryJSON)))
+		known, err = targetlist.Decode([]byte(listJSON(5, true, entryJSON)))
 		require.NoError(t, err)
 	}
 	delivered := make(chan int64, 64)
 	log = &bytes.Buffer{}
 	w = New(Options{Addr: "all", LastKnown: known, Initiators: initiators, Seed: seed, Log: slog.New(slog.NewTextHandler(log, nil))},
-		func(l *listing.List) { delivered <- *l.Version })
+		func(l *targetlist.List) { delivered <- *l.Version })
 	w.client.Transport.(*http.Transport).DialContext = service.Dial
 	t.Cleanup(func() {
 		time.Sleep(time.Minute) // for the watcher to end
--- a/internal/datapath/discovery/shared_test.go
+++ b/internal/datapath/discovery/shared_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/testbed/virtualtime"
 )
 
@@ -181,11 +181,11 @@
 	run := func(i int) {
 		opt := Options{Addr: "all", Initiators: n, Seed: uint64(i), Log: discardLog}
 		if known {
-			l, err := listing.Decode([]byte(listJSON(5, true, entryJSON)))
+			l, err := targetlist.Decode([]byte(listJSON(5, true, entryJSON)))
 			require.NoError(t, err)
 			opt.LastKnown = l
 		}
-		w := New(opt, func(l *listing.List) {
+		w := New(opt, func(l *targetlist.List) {
 			timesMu.Lock()
 			defer timesMu.Unlock()
 			if *l.Version == 6 {
--- a/internal/datapath/front/front.go
+++ b/internal/datapath/front/front.go
@@ -19,7 +19,7 @@
 	"spindlehitch/internal/datapath/budget"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/upstream"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/process/listen"
 )
 
@@ -51,7 +51,7 @@
 	SoftMaxConns int         // above this number, those without a request are evicted
 	Ready        func() bool // whether requests can be forwarded; nil: always
 	ReadyOnly    bool        // serve /-/ready only: requests come in through another front
-	Figures      *figures.Metrics
+	Metrics      *metrics.Metrics
 	BufferBudget *budget.Bytes // for bodies and pieces of them
 	// OpenUpload opens an upload to a target, for a body that is too large to be buffered.
 	OpenUpload func(ctx context.Context, target string, m *upstream.Request, length int64, wait time.Duration) (*upstream.Upload, error)
@@ -183,7 +183,7 @@
 		default:
 			w.Header().Set("Connection", "close")
 			s.writeResponse(w, core.Overloaded)
-			s.opt.Figures.CountOutcome(classOf(r), figures.Overload)
+			s.opt.Metrics.CountOutcome(classOf(r), metrics.Overload)
 		}
 		return
 	}
@@ -196,11 +196,11 @@
 	defer func() { release() }()
 	switch {
 	case reqErr != nil:
-		s.opt.Figures.CountOutcome(classOf(r), figures.Failure)
+		s.opt.Metrics.CountOutcome(classOf(r), metrics.Failure)
 		rejectAndDrain(w, r, conn, reqErr)
 		return
 	case rejection != nil:
-		s.opt.Figures.CountOutcome(j.Class, figures.Overload)
+		s.opt.Metrics.CountOutcome(j.Class, metrics.Overload)
 		rejectAndDrain(w, r, conn, &requestError{retryAfter: rejection.RetryAfter, status: http.StatusServiceUnavailable, text: rejectedText})
 		return
 	}
@@ -212,8 +212,8 @@
 	if r.ContentLength != 0 {
 		arrived = conn.lastArrival()
 	}
-	counted := s.opt.Figures.StartRequest(j.Class)
-	defer counted.End(figures.Failure) // unless another ending has been counted by then
+	counted := s.opt.Metrics.StartRequest(j.Class)
+	defer counted.End(metrics.Failure) // unless another ending has been counted by then
 	// The read deadline for the body must not expire while the request is open.
 	if r.ContentLength != 0 && http.NewResponseController(w).SetReadDeadline(time.Time{}) != nil {
 		panic(http.ErrAbortHandler)
@@ -232,7 +232,7 @@
 			w.Header().Set("Connection", "close")
 		}
 		s.writeResponse(w, core.Overloaded)
-		counted.End(figures.Overload)
+		counted.End(metrics.Overload)
 		return
 	}
 	select {
@@ -246,7 +246,7 @@
 		if !s.writeResponse(w, resp) {
 			panic(http.ErrAbortHandler) // shows the client that the response is incomplete
 		}
-		counted.End(figuresEnding(resp))
+		counted.End(metricsOutcome(resp))
 		if resp.OnWritten != nil {
 			http.NewResponseController(w).Flush()
 			resp.OnWritten()
@@ -332,15 +332,15 @@
 	}
 }
 
-// figuresEnding returns the ending that a response is counted under.
-func figuresEnding(resp core.Response) figures.Outcome {
+// metricsOutcome returns the outcome that a response is counted under.
+func metricsOutcome(resp core.Response) metrics.Outcome {
 	switch resp.Status {
 	case core.Served:
-		return figures.Success
+		return metrics.Success
 	case core.Rejected:
-		return figures.Overload
+		return metrics.Overload
 	}
-	return figures.Failure
+	return metrics.Failure
 }
 
 func setRetryAfter(w http.ResponseWriter, wait time.Duration) {
--- a/internal/datapath/front/front_test.go
+++ b/internal/datapath/front/front_test.go
@@ -26,7 +26,7 @@
 	"spindlehitch/internal/datapath/budget"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/upstream"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/testbed/seeded"
 )
 
@@ -61,7 +61,7 @@
 	t.Helper()
 	b := &fakeCore{jobs: make(chan *core.Job, 64), cancelled: make(chan *core.Job, 64)}
 	s := New(b, Options{Admission: testAdmission, MaxConns: maxConns, SoftMaxConns: maxConns,
-		Figures: figures.New([]string{"get", "put"}), BufferBudget: budget.New(testBufferBudget),
+		Metrics: metrics.New([]string{"get", "put"}), BufferBudget: budget.New(testBufferBudget),
 		Log: slog.New(slog.DiscardHandler)})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -649,9 +649,9 @@
 	}
 }
 
-// TestFiguresCountEachRequest checks that each request is counted once, however it ends, and none as open afterwards: served,
+// TestMetricsCountEachRequest checks that each request is counted once, however it ends, and none as open afterwards: served,
 // rejected, failed, invalid, without buffer budget, and cancelled by its client.
-func TestFiguresCountEachRequest(t *testing.T) {
+func TestMetricsCountEachRequest(t *testing.T) {
 	s, b, addr := newFront(t, 64)
 	for _, status := range []core.Status{core.Served, core.Rejected, core.Failed, core.Conflict} {
 		go func() { (<-b.jobs).Done(core.Response{Status: status, Payload: []byte("x")}) }()
@@ -665,7 +665,7 @@
 	}
 	_, _ = io.WriteString(closedConn, validRequest)
 	<-b.jobs
-	if got := string(figures.Render(s.opt.Figures.EmitMetrics)); !strings.Contains(got, "concurrent:1|") {
+	if got := string(metrics.Render(s.opt.Metrics.EmitMetrics)); !strings.Contains(got, "concurrent:1|") {
 		t.Errorf("with one open:\n%s", got)
 	}
 	closedConn.Close()
@@ -676,7 +676,7 @@
 	}
 	want := []string{"put.success:1|", "put.overload:2|", "put.error:4|", "get.error:0|", "concurrent:0|"}
 	require.EventuallyWithT(t, func(t *assert.CollectT) {
-		got := string(figures.Render(s.opt.Figures.EmitMetrics))
+		got := string(metrics.Render(s.opt.Metrics.EmitMetrics))
 		for _, w := range want {
 			assert.Contains(t, got, w)
 		}
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/policy"
 )
 
@@ -121,15 +121,15 @@
 	return stInternal | dnr
 }
 
-// endingOf returns the figure under which a command with this status is counted.
-func endingOf(st status) figures.Outcome {
+// endingOf returns the outcome under which a command with this status is counted.
+func endingOf(st status) metrics.Outcome {
 	switch {
 	case st == stOK, st.code() == stCompareFailure:
-		return figures.Success
+		return metrics.Success
 	case st.code() == stNSNotReady && st&dnr == 0:
-		return figures.Overload
+		return metrics.Overload
 	}
-	return figures.Failure
+	return metrics.Failure
 }
 
 // outcomeOf maps a target's status to an outcome. Only Namespace Not Ready without DNR proves that the command was not started.
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -14,9 +14,9 @@
 	"sync/atomic"
 	"time"
 
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/keys"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/process/listen"
 	"spindlehitch/internal/process/mailbox"
 )
@@ -28,9 +28,9 @@
 	QueueDepth       int
 	MaxConns         int                      // hosts' connections at a time
 	MaxBufferedBytes int64                    // data of all open commands
-	Keys             *keys.Store              // TLS certificates; nil: no TLS
+	Certs            *certs.Store             // TLS certificates; nil: no TLS
 	Timeouts         map[string]time.Duration // of the commands of each class, as NVMe commands carry no deadline of their own
-	Figures          *figures.Metrics         // nil: commands are not counted
+	Metrics          *metrics.Metrics         // nil: commands are not counted
 	Shutdown         core.ShutdownSchedule
 	Log              *slog.Logger
 }
@@ -138,7 +138,7 @@
 	jobs        []*core.Job      // the command's parts, once they are submitted to the core
 	unanswered  int              // jobs without a response
 	responses   []core.Response  // to jobs, in their order
-	stats       *figures.Request // nil: not counted
+	stats       *metrics.Request // nil: not counted
 }
 
 // Serve accepts connections until Stop closes the listener.
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	s.listener = l
 	s.mu.Unlock()
-	if s.opt.Keys != nil {
+	if s.opt.Certs != nil {
 		stopped := make(chan struct{})
 		defer close(stopped)
 		go s.retireOldKeys(stopped)
@@ -160,8 +160,8 @@
 			time.Sleep(10 * time.Millisecond) // for example out of descriptors: open connections are still served
 			continue
 		}
-		if s.opt.Keys != nil {
-			c = tls.Server(c, s.opt.Keys.ServerConfig())
+		if s.opt.Certs != nil {
+			c = tls.Server(c, s.opt.Certs.ServerConfig())
 		}
 		q := &queue{server: s, conn: c, outgoing: mailbox.New[[]byte](), closed: make(chan struct{}),
 			cmds: map[uint16]*pending{}, acceptedAt: time.Now()}
@@ -198,7 +198,7 @@
 		}
 		s.mu.Lock()
 		for q := range s.queues {
-			if c := q.conn.(*tls.Conn); !q.keyRetired.Load() && q.connected.Load() && s.opt.Keys.VerifyClient(c.ConnectionState()) != nil {
+			if c := q.conn.(*tls.Conn); !q.keyRetired.Load() && q.connected.Load() && s.opt.Certs.VerifyClient(c.ConnectionState()) != nil {
 				q.keyRetired.Store(true)
 			}
 			if q.keyRetired.Load() && q.idle() {
@@ -354,7 +354,7 @@
 
 // release returns what an open command holds: its timer, its bytes and its place among the open commands.
 func (q *queue) release(p *pending) {
-	p.stats.End(figures.Failure) // no effect if complete has counted it: otherwise its connection was closed
+	p.stats.End(metrics.Failure) // no effect if complete has counted it: otherwise its connection was closed
 	if p.dataTimer != nil {
 		p.dataTimer.Stop()
 	}
@@ -383,7 +383,7 @@
 		reason = "HOST_TERMINATED"
 	case errors.As(err, &timeout) && timeout.Timeout():
 		reason = "HANDSHAKE_SLOW"
-	case errors.Is(err, keys.ErrPeerRejected), errors.As(err, &notTLS):
+	case errors.Is(err, certs.ErrPeerRejected), errors.As(err, &notTLS):
 		reason = "TLS_REFUSED"
 	case err != nil && err.Error() != "EOF":
 		reason = "HOST_RESET"
@@ -655,8 +655,8 @@
 		q.mu.Unlock()
 		return
 	}
-	if f := q.server.opt.Figures; f != nil {
-		p.stats = f.StartRequest(jobs[0].Class)
+	if m := q.server.opt.Metrics; m != nil {
+		p.stats = m.StartRequest(jobs[0].Class)
 	}
 	p.jobs, p.unanswered, p.responses = jobs, len(jobs), make([]core.Response, len(jobs))
 	q.server.openCommands.Add(1)
--- a/internal/datapath/nvme/host.go
+++ b/internal/datapath/nvme/host.go
@@ -16,8 +16,8 @@
 
 	"github.com/cenkalti/backoff/v5"
 
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/keys"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/policy"
 )
@@ -28,16 +28,16 @@
 	HostNQN   string
 	HostID    [16]byte
 	KeepAlive time.Duration
-	Digests   bool        // request header and data digests
-	Keys      *keys.Store // TLS certificates; nil: no TLS
+	Digests   bool         // request header and data digests
+	Certs     *certs.Store // TLS certificates; nil: no TLS
 }
 
 // keyGeneration returns the generation of the TLS certificates that new connections use.
 func (o *HostOptions) keyGeneration() int {
-	if o.Keys == nil {
+	if o.Certs == nil {
 		return 0
 	}
-	return o.Keys.Generation()
+	return o.Certs.Generation()
 }
 
 // peer is a target's address and the generation of the TLS certificates of its connections. After a rotation, a new
@@ -149,9 +149,9 @@
 	if err != nil {
 		return nil, err
 	}
-	if h.opt.Keys != nil {
+	if h.opt.Certs != nil {
 		host, _, _ := net.SplitHostPort(addr)
-		tlsConn := tls.Client(c, h.opt.Keys.ClientConfig(host))
+		tlsConn := tls.Client(c, h.opt.Certs.ClientConfig(host))
 		if err := tlsConn.HandshakeContext(ctx); err != nil {
 			c.Close()
 			return nil, err
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -22,7 +22,7 @@
 
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/upstream"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/testbed/seeded"
 )
@@ -52,7 +52,7 @@
 	}
 	s := New(c, Options{Subsystem: subsystem, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64,
 		MaxBufferedBytes: 8 << 20, Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Shutdown: core.NewShutdownSchedule(2 * time.Second),
-		Figures: figures.New([]string{"position-read", "event-write"}), Log: discardLog})
+		Metrics: metrics.New([]string{"position-read", "event-write"}), Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
 	return s, l.Addr().String()
@@ -779,8 +779,8 @@
 	}
 }
 
-// TestFigures checks that each command is counted once, by its status, and none as concurrent once its connection is closed.
-func TestFigures(t *testing.T) {
+// TestMetrics checks that each command is counted once, by its status, and none as concurrent once its connection is closed.
+func TestMetrics(t *testing.T) {
 	backend := newStore()
 	s, addr := newServer(t, backend, poolNQN)
 	c := newClient(t, addr, false)
@@ -802,18 +802,18 @@
 	for range 5 {
 		<-backend.received
 	}
-	expectFigures := func(want ...string) {
+	expectMetrics := func(want ...string) {
 		t.Helper()
 		require.EventuallyWithT(t, func(t *assert.CollectT) {
-			got := string(figures.Render(s.opt.Figures.EmitMetrics))
+			got := string(metrics.Render(s.opt.Metrics.EmitMetrics))
 			for _, w := range want {
 				assert.Contains(t, got, w)
 			}
 		}, 20*time.Second, time.Millisecond)
 	}
-	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
+	expectMetrics("position-read.success:1|", "position-read.overload:1|", "position-read.error:0|", "concurrent:3|")
 	c.io.Close()
-	expectFigures("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
+	expectMetrics("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
 }
 
 // TestUnusedAssociationsAreRemoved dials targets that are gone: their associations are removed once they were not used for a
--- a/internal/datapath/nvme/tls_test.go
+++ b/internal/datapath/nvme/tls_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/keys"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/issue"
@@ -16,11 +16,11 @@
 
 // newTLSTarget starts a fake target with TLS. It returns the certificate store that host and target share, so that both rotate
 // at once, the target's backend, the target and its address.
-func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*keys.Store, *store, *Server, string) {
+func newTLSTarget(t *testing.T, dir string, overlap time.Duration) (*certs.Store, *store, *Server, string) {
 	t.Helper()
 	f := issue.Into(t, dir, time.Hour)
 	f.OverlapMs = int(overlap.Milliseconds())
-	hostKeys, err := keys.Load(f)
+	hostCerts, err := certs.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,15 +30,15 @@
 	}
 	backend := newStore()
 	s := New(backend, Options{Subsystem: targetNQN, Namespaces: []Namespace{testNamespace()}, QueueDepth: 8, MaxConns: 64, MaxBufferedBytes: 8 << 20,
-		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Keys: hostKeys, Log: discardLog})
+		Timeouts: map[string]time.Duration{"position-read": testTimeout, "event-write": testTimeout}, Certs: hostCerts, Log: discardLog})
 	go func() { _ = s.Serve(l) }()
 	t.Cleanup(func() { l.Close() })
-	return hostKeys, backend, s, l.Addr().String()
+	return hostCerts, backend, s, l.Addr().String()
 }
 
 // newTLSHost returns a host that connects to such a target with the certificates in k.
-func newTLSHost(k *keys.Store) *Host {
-	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Keys: k})
+func newTLSHost(k *certs.Store) *Host {
+	return NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: 200 * time.Millisecond, Certs: k})
 }
 
 // do executes one command on the idle session if it is alive, or on a new one, as a target's connection pool does. It stores
@@ -129,7 +129,7 @@
 	dir := t.TempDir()
 	k, backend, _, addr := newTLSTarget(t, dir, 200*time.Millisecond)
 	f := issue.Into(t, t.TempDir(), time.Hour) // from another certificate authority
-	otherCA, err := keys.Load(f)
+	otherCA, err := certs.Load(f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -141,7 +141,7 @@
 	if _, err := NewHost(HostOptions{Subsystem: targetNQN, HostNQN: "nqn.2026-12.example.test:client", KeepAlive: time.Minute}).Dial(ctx, addr); err == nil {
 		t.Error("a host without TLS was accepted")
 	}
-	old, err := keys.Load(config.TLS{Cert: dir + "/cert.pem", Key: dir + "/key.pem", CA: dir + "/ca.pem"})
+	old, err := certs.Load(config.TLS{Cert: dir + "/cert.pem", Key: dir + "/key.pem", CA: dir + "/ca.pem"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/datapath/listing/listing.go
+++ b/internal/datapath/targetlist/targetlist.go
@@ -1,5 +1,5 @@
-// Package listing decodes the list of targets that discovery sends, either full or as a change.
-package listing
+// Package targetlist decodes the list of targets that discovery sends, either full or as a change.
+package targetlist
 
 import (
 	"bytes"
--- a/internal/datapath/listing/listing_test.go
+++ b/internal/datapath/targetlist/targetlist_test.go
@@ -1,4 +1,4 @@
-package listing
+package targetlist
 
 import (
 	"fmt"
--- a/internal/observability/figures/figures.go
+++ b/internal/observability/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package figures holds the metrics of a running initiator, and renders them in statsd's line format. It does no I/O, and
+// Package metrics holds the metrics of a running initiator, and renders them in statsd's line format. It does no I/O, and
 // reading metrics never blocks. Each event is counted once, where it happens.
-package figures
+package metrics
 
 import (
 	"maps"
--- a/internal/observability/figures/figures_test.go
+++ b/internal/observability/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package figures
+package metrics
 
 import (
 	"strings"
--- a/internal/process/config/change.go
+++ b/internal/process/config/change.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // changeFile is a file with a change of the feed, as an operator writes it.
@@ -125,7 +125,7 @@
 	if p.Deleted {
 		return nil
 	}
-	var e listing.Entry
+	var e targetlist.Entry
 	if err := json.Unmarshal(p.Value, &e); err != nil {
 		return fmt.Errorf("value: %w", err)
 	}
--- a/internal/process/config/config.go
+++ b/internal/process/config/config.go
@@ -8,7 +8,7 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 )
 
@@ -28,7 +28,7 @@
 	Discovery        string
 	Seed             uint64
 	Limits           Limits
-	LastKnownTargets *listing.List // the target list to start with; nil: none
+	LastKnownTargets *targetlist.List // the target list to start with; nil: none
 	Policy           policy.Settings
 	MaxOpenRequests  int
 	ConnIdleTimeout  time.Duration
@@ -44,7 +44,7 @@
 	Discovery string            `json:"discovery" validate:"required,addr"`
 	Seed      string            `json:"seed" validate:"omitempty,hex64"`
 	Limits    Limits            `json:"limits"`
-	Known     *listing.List     `json:"known" validate:"-"` // checked by List.Check
+	Known     *targetlist.List  `json:"known" validate:"-"` // checked by List.Check
 	Settings  *PlatformSettings `json:"settings" validate:"required"`
 }
 
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/observability/accounts"
 	"spindlehitch/internal/observability/accounts/disk"
 	"spindlehitch/internal/policy"
@@ -169,7 +169,7 @@
 }
 
 // OnTargetList implements targetListener: a full list drops what the book knows of targets that it doesn't have.
-func (a *accountsRecorder) OnTargetList(list *listing.List) {
+func (a *accountsRecorder) OnTargetList(list *targetlist.List) {
 	if !list.Full {
 		return
 	}
--- a/internal/process/instance/component.go
+++ b/internal/process/instance/component.go
@@ -9,7 +9,7 @@
 
 	"github.com/cactus/go-statsd-client/v5/statsd"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/process/config"
 )
 
@@ -25,7 +25,7 @@
 // Optional interfaces of a component, found by type assertion and called in the order of the components: for each target
 // list, for each configuration change, and for each read of the metrics.
 type (
-	targetListener interface{ OnTargetList(*listing.List) }
+	targetListener interface{ OnTargetList(*targetlist.List) }
 	changeApplier  interface{ ApplyChange(Change) error }
 	metricsEmitter interface {
 		EmitMetrics(statsd.ExtendedStatSender)
@@ -72,7 +72,7 @@
 }
 
 // onTargetList passes a target list to all targetListeners.
-func (p components) onTargetList(l *listing.List) {
+func (p components) onTargetList(l *targetlist.List) {
 	for _, x := range p {
 		if x, ok := x.(targetListener); ok {
 			x.OnTargetList(l)
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -13,7 +13,7 @@
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/controlplane/watchstream/targetmerge"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/process/mailbox"
 )
@@ -21,7 +21,7 @@
 // targetUpdate is a list of targets from one source.
 type targetUpdate struct {
 	source  targetmerge.Source
-	list    *listing.List
+	list    *targetlist.List
 	partial bool          // from a source that has not sent a full list yet
 	applied chan struct{} // closed by mergeUpdates once all listeners have applied the update; nil: nobody waits
 }
@@ -32,19 +32,19 @@
 	loop
 	box          *mailbox.Box[targetUpdate]
 	view         *targetmerge.View
-	publish      func(*listing.List)
-	heldPartials []*listing.List // partial lists of the feed before the first full list: they alone don't make the instance ready
-	published    bool            // a full list has been published
+	publish      func(*targetlist.List)
+	heldPartials []*targetlist.List // partial lists of the feed before the first full list: they alone don't make the instance ready
+	published    bool               // a full list has been published
 }
 
-func newTargetMerger(publish func(*listing.List)) *targetMerger {
+func newTargetMerger(publish func(*targetlist.List)) *targetMerger {
 	m := &targetMerger{box: mailbox.New[targetUpdate](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), publish: publish}
 	m.run = m.mergeUpdates
 	return m
 }
 
 // putDiscovery queues a list of discovery.
-func (m *targetMerger) putDiscovery(l *listing.List) {
+func (m *targetMerger) putDiscovery(l *targetlist.List) {
 	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: l})
 }
 
@@ -90,7 +90,7 @@
 
 // applyFeed queues a list of the feed and returns once all listeners have applied it, so that no new request is sent to a target that the
 // list has draining. It also returns if the merger has stopped, since then no request can be sent.
-func (m *targetMerger) applyFeed(l *listing.List, isPartial bool) {
+func (m *targetMerger) applyFeed(l *targetlist.List, isPartial bool) {
 	u := targetUpdate{targetmerge.WatchStream, l, isPartial, make(chan struct{})}
 	m.box.Put(u)
 	select {
@@ -106,16 +106,16 @@
 	log         *slog.Logger
 	applyConfig func([]watchstream.Record, uint64) error // nil: the configuration comes from another source
 
-	mu         sync.Mutex               // guards the fields below; also held while an update is passed to the mergers
-	mergers    []*targetMerger          // subscribed
-	targets    map[string]listing.Entry // the feed's current entries
-	complete   bool                     // targets has all entries of the feed
-	badTargets int64                    // entries that could not be decoded
+	mu         sync.Mutex                  // guards the fields below; also held while an update is passed to the mergers
+	mergers    []*targetMerger             // subscribed
+	targets    map[string]targetlist.Entry // the feed's current entries
+	complete   bool                        // targets has all entries of the feed
+	badTargets int64                       // entries that could not be decoded
 }
 
 // newFeedStream returns a stream that receives nothing before its follower runs.
 func newFeedStream(f *config.Feed, name string, log *slog.Logger, applyConfig func([]watchstream.Record, uint64) error) (*feedStream, error) {
-	s := &feedStream{log: log, applyConfig: applyConfig, targets: map[string]listing.Entry{}}
+	s := &feedStream{log: log, applyConfig: applyConfig, targets: map[string]targetlist.Entry{}}
 	relays := make([]watchstream.Relay, len(f.Relays))
 	for i, r := range f.Relays {
 		relays[i] = watchstream.Relay{ID: r.ID, Region: r.Region, Addr: r.Addr}
@@ -131,16 +131,16 @@
 // onUpdate passes an update on, targets first. When it returns, the update is in force, except for the configuration if it returns an error.
 func (s *feedStream) onUpdate(update distribution.Update) error {
 	var configs []watchstream.Record
-	l := &listing.List{Full: update.Full}
+	l := &targetlist.List{Full: update.Full}
 	for _, r := range update.Records {
 		if r.Kind == watchstream.Config {
 			configs = append(configs, r)
 			continue
 		}
-		e := listing.Entry{ID: r.Key, State: "DELETED"}
+		e := targetlist.Entry{ID: r.Key, State: "DELETED"}
 		if !r.Deleted {
 			var err error
-			if e, err = listing.DecodeEntry(r.Value); err != nil || e.ID != r.Key {
+			if e, err = targetlist.DecodeEntry(r.Value); err != nil || e.ID != r.Key {
 				s.rejectTarget(r, err)
 				if known, found := s.target(r.Key); update.Full && found {
 					l.Targets = append(l.Targets, known)
@@ -176,7 +176,7 @@
 	}
 }
 
-func (s *feedStream) target(id string) (listing.Entry, bool) {
+func (s *feedStream) target(id string) (targetlist.Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, found := s.targets[id]
@@ -184,7 +184,7 @@
 }
 
 // applyTargets passes a list to all mergers. Until the feed has all targets, the lists are partial.
-func (s *feedStream) applyTargets(l *listing.List, at watchstream.Position) {
+func (s *feedStream) applyTargets(l *targetlist.List, at watchstream.Position) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.Full {
@@ -211,12 +211,12 @@
 }
 
 // fullList lists the feed's current entries. The caller holds mu.
-func (s *feedStream) fullList() *listing.List {
-	l := &listing.List{Full: true}
+func (s *feedStream) fullList() *targetlist.List {
+	l := &targetlist.List{Full: true}
 	for _, e := range s.targets {
 		l.Targets = append(l.Targets, e)
 	}
-	slices.SortFunc(l.Targets, func(a, b listing.Entry) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(l.Targets, func(a, b targetlist.Entry) int { return strings.Compare(a.ID, b.ID) })
 	return l
 }
 
@@ -275,7 +275,7 @@
 }
 
 // newFeedComponent returns the component. ProcessFeed is the process's stream; nil: the instance gets its own.
-func newFeedComponent(f *config.Feed, processFeed *feedStream, name string, log *slog.Logger, publish func(*listing.List)) (*feedComponent, error) {
+func newFeedComponent(f *config.Feed, processFeed *feedStream, name string, log *slog.Logger, publish func(*targetlist.List)) (*feedComponent, error) {
 	c := &feedComponent{targetMerger: newTargetMerger(publish), stream: processFeed}
 	if processFeed == nil {
 		var err error
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -18,12 +18,12 @@
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/controlplane/watchstream/targetmerge"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
-func entryOf(id, state string, started int64) listing.Entry {
+func entryOf(id, state string, started int64) targetlist.Entry {
 	cell := 0
-	return listing.Entry{ID: id, Addr: "127.0.0.1:1", Shard: &cell, State: state, StartedMs: started}
+	return targetlist.Entry{ID: id, Addr: "127.0.0.1:1", Shard: &cell, State: state, StartedMs: started}
 }
 
 func recordOf(version uint64, id, state string, started int64) watchstream.Record {
@@ -31,7 +31,7 @@
 }
 
 // startMerger starts a merger that runs until the test ends.
-func startMerger(t *testing.T, publish func(*listing.List)) *targetMerger {
+func startMerger(t *testing.T, publish func(*targetlist.List)) *targetMerger {
 	m := newTargetMerger(publish)
 	require.NoError(t, m.Start(t.Context()))
 	t.Cleanup(func() { require.NoError(t, m.Stop(context.Background())) })
@@ -41,10 +41,10 @@
 // TestTargetMerger has both sources send lists at the same time: the listener gets one list after the other, first a full one, and has applied
 // a list of the feed when applyFeed returns.
 func TestTargetMerger(t *testing.T) {
-	view := map[string]listing.Entry{}
+	view := map[string]targetlist.Entry{}
 	lists := 0        // without a lock: only the merger's goroutine calls publish
 	var mu sync.Mutex // guards view, which this test reads too
-	m := startMerger(t, func(l *listing.List) {
+	m := startMerger(t, func(l *targetlist.List) {
 		if l.Full != (lists == 0) {
 			t.Errorf("list %d: full is %v", lists, l.Full)
 		}
@@ -58,13 +58,13 @@
 	var sources sync.WaitGroup
 	sources.Go(func() {
 		for i := range 200 {
-			m.putDiscovery(&listing.List{Targets: listing.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
+			m.putDiscovery(&targetlist.List{Targets: targetlist.Entries{entryOf(fmt.Sprint("t", i), "SERVING", 1)}})
 		}
 	})
 	sources.Go(func() {
 		for i := range 200 {
 			id := fmt.Sprint("t", i)
-			m.applyFeed(&listing.List{Targets: listing.Entries{entryOf(id, "DRAINING", 1)}}, false)
+			m.applyFeed(&targetlist.List{Targets: targetlist.Entries{entryOf(id, "DRAINING", 1)}}, false)
 			mu.Lock()
 			if view[id].State != "DRAINING" {
 				t.Errorf("%s is draining in the feed, but %q at the listener", id, view[id].State)
@@ -73,7 +73,7 @@
 		}
 	})
 	sources.Wait()
-	m.applyFeed(&listing.List{}, false) // when it returns, all earlier updates have been applied
+	m.applyFeed(&targetlist.List{}, false) // when it returns, all earlier updates have been applied
 	for id, e := range view {
 		require.Equal(t, "DRAINING", e.State, id)
 	}
@@ -82,11 +82,11 @@
 
 // TestFeedStream passes a process's feed to two instances, one of which subscribes later.
 func TestFeedStream(t *testing.T) {
-	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
+	s := &feedStream{log: discardLog, targets: map[string]targetlist.Entry{}}
 	type received map[string]string
 	one, two := received{}, received{}
-	recordInto := func(into received) func(*listing.List) {
-		return func(l *listing.List) {
+	recordInto := func(into received) func(*targetlist.List) {
+		return func(l *targetlist.List) {
 			into[""] += "."
 			for _, e := range l.Targets {
 				into[e.ID] = e.State
@@ -118,10 +118,10 @@
 // targets that discovery lists take effect at once.
 func TestPartialLists(t *testing.T) {
 	for _, withDiscovery := range []bool{false, true} {
-		s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
+		s := &feedStream{log: discardLog, targets: map[string]targetlist.Entry{}}
 		var lists []string
-		var first *listing.List
-		m := startMerger(t, func(l *listing.List) {
+		var first *targetlist.List
+		m := startMerger(t, func(l *targetlist.List) {
 			if lists = append(lists, fmt.Sprint(l.Full, len(l.Targets))); first == nil {
 				first = l
 			}
@@ -129,7 +129,7 @@
 		s.subscribe(m)
 		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if withDiscovery {
-			m.box.Put(targetUpdate{source: targetmerge.Discovery, list: &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5)}}})
+			m.box.Put(targetUpdate{source: targetmerge.Discovery, list: &targetlist.List{Full: true, Targets: targetlist.Entries{entryOf("a", "SERVING", 5)}}})
 		}
 		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
 		require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
@@ -243,18 +243,18 @@
 
 // TestMergeDiscoveryAndFeed merges a short history of the feed with a discovery service that lags behind.
 func TestMergeDiscoveryAndFeed(t *testing.T) {
-	s := &feedStream{log: discardLog, targets: map[string]listing.Entry{}}
+	s := &feedStream{log: discardLog, targets: map[string]targetlist.Entry{}}
 	state := map[string]string{}
-	m := startMerger(t, func(l *listing.List) {
+	m := startMerger(t, func(l *targetlist.List) {
 		for _, e := range l.Targets {
 			state[e.ID] = fmt.Sprint(e.State, e.StartedMs)
 		}
 	})
 	s.subscribe(m)
-	oldList := &listing.List{Full: true, Targets: listing.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
+	oldList := &targetlist.List{Full: true, Targets: targetlist.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
 	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
 	_ = s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
 	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
-	m.applyFeed(&listing.List{}, false)
+	m.applyFeed(&targetlist.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
 }
--- a/internal/process/instance/fleet_tasks.go
+++ b/internal/process/instance/fleet_tasks.go
@@ -10,7 +10,7 @@
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/leasework"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 )
@@ -51,7 +51,7 @@
 func (t *fleetTasks) EmitMetrics(to statsd.ExtendedStatSender) { t.runner.EmitMetrics(to) }
 
 // OnTargetList implements targetListener.
-func (t *fleetTasks) OnTargetList(l *listing.List) {
+func (t *fleetTasks) OnTargetList(l *targetlist.List) {
 	addrs := make(map[string]string, len(l.Targets))
 	for _, e := range l.Targets {
 		addrs[e.ID] = e.Addr
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -17,15 +17,15 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/quota/quotasession"
 	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/front"
-	"spindlehitch/internal/datapath/keys"
-	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/datapath/nvme"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/observability/control"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/process/handover"
@@ -161,24 +161,24 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	byteBudget := budget.New(0) // divider gives it its bytes
-	var certs *keys.Store
+	var certStore *certs.Store
 	var wire upstream.Dialer = upstream.NewHTTPDialer(byteBudget)
 	reuseDelay := connReuseDelay
 	if op.NVMe != nil {
 		if op.NVMe.TLS != nil {
-			if certs, err = keys.Load(*op.NVMe.TLS); err != nil {
+			if certStore, err = certs.Load(*op.NVMe.TLS); err != nil {
 				return nil, fmt.Errorf("operator's file: nvme.tls.%w", err)
 			}
 		}
-		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certs)), 0 // NVMe answers name their commands
+		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certStore)), 0 // NVMe answers name their commands
 	}
-	metrics := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
-	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: metrics.CountDispatch, Log: log}
+	dataPathMetrics := metrics.New(slices.Collect(maps.Keys(cfg.ClassNames())))
+	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: dataPathMetrics.CountDispatch, Log: log}
 	if session != nil {
 		upstreamOptions.Quota = session
 	}
 	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
-	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: metrics.SetEjected}
+	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: dataPathMetrics.SetEjected}
 	if tasks != nil {
 		coreOptions.OnEjectedTargets = tasks.runner.SetEjected
 	}
@@ -190,13 +190,13 @@
 	in.core = core.New(scheduler, up, core.NewClock(), coreOptions)
 	var hasList atomic.Bool
 	httpFront := front.New(in.core, front.Options{Admission: frontAdmission(cfg), Ready: hasList.Load,
-		ReadyOnly: op.NVMe != nil, Figures: metrics, BufferBudget: byteBudget, OpenUpload: up.StartUpload, Log: log})
+		ReadyOnly: op.NVMe != nil, Metrics: dataPathMetrics, BufferBudget: byteBudget, OpenUpload: up.StartUpload, Log: log})
 	// Only the divider sets bounds on connections and bytes: now, and whenever the limits or the number of processes change.
 	divider := &limitDivider{limits: effectiveLimits(cfg.Limits), byteBudget: byteBudget, up: up, front: httpFront, core: in.core}
 	divider.setProcesses(1)
 	in.fronts = &fronts{name: cfg.Name, log: log, listKnown: make(chan struct{})}
 
-	dp := &dataPath{loop: loop{run: in.core.Run}, core: in.core, up: up, metrics: metrics}
+	dp := &dataPath{loop: loop{run: in.core.Run}, core: in.core, up: up, metrics: dataPathMetrics}
 	in.components = components{dp}
 	if members != nil {
 		members.OnLocalState(localState(in.core, session))
@@ -216,7 +216,7 @@
 		}
 		in.components = append(in.components, recorder)
 	}
-	onList := func(l *listing.List) {
+	onList := func(l *targetlist.List) {
 		in.components.onTargetList(l)
 		hasList.Store(true)
 		in.fronts.listKnownOnce.Do(func() { close(in.fronts.listKnown) })
@@ -239,15 +239,15 @@
 	// With NVMe, the HTTP front only serves the readiness page, since a target speaks only one protocol.
 	in.addFront(&boundFront{frontServer: httpFront, addr: cfg.Listen, inheritedFD: cfg.InheritedFD, reusePort: reusePort})
 	if op.NVMe != nil {
-		controller := nvme.New(in.core, nvmeControllerOptions(op.NVMe, cfg, certs, metrics, core.NewShutdownSchedule(maxDeadline(cfg)), log))
+		controller := nvme.New(in.core, nvmeControllerOptions(op.NVMe, cfg, certStore, dataPathMetrics, core.NewShutdownSchedule(maxDeadline(cfg)), log))
 		in.components = append(in.components, namespaceUpdater{front: controller})
 		in.addFront(&boundFront{frontServer: controller, addr: op.NVMe.Listen, reusePort: reusePort})
 	}
-	if certs != nil {
-		in.components = append(in.components, certificateReloader{keys: certs})
+	if certStore != nil {
+		in.components = append(in.components, certificateReloader{certs: certStore})
 	}
 	if cfg.Control != "" {
-		controlOptions := control.Options{Ready: httpFront.Ready, Metrics: func() []byte { return figures.Render(in.components.emitMetrics) }, Log: log}
+		controlOptions := control.Options{Ready: httpFront.Ready, Metrics: func() []byte { return metrics.Render(in.components.emitMetrics) }, Log: log}
 		if members != nil {
 			controlOptions.Members = func() any {
 				v, _ := members.View()
@@ -336,12 +336,12 @@
 	loop
 	core    *core.Core
 	up      *upstream.Registry
-	metrics *figures.Metrics
+	metrics *metrics.Metrics
 }
 
 // OnTargetList implements targetListener. The connection pools get the list before the scheduler, so that an attempt that was decided on the
 // older list is checked against the newer one.
-func (d *dataPath) OnTargetList(l *listing.List) {
+func (d *dataPath) OnTargetList(l *targetlist.List) {
 	targets := make([]upstream.Target, len(l.Targets))
 	endpoints := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Targets))}
 	for i, e := range l.Targets {
@@ -394,7 +394,7 @@
 	watcher *discovery.Watcher
 }
 
-func newDiscoveryWatch(cfg *config.Config, log *slog.Logger, onList func(*listing.List)) *discoveryWatch {
+func newDiscoveryWatch(cfg *config.Config, log *slog.Logger, onList func(*targetlist.List)) *discoveryWatch {
 	watcher := discovery.New(discovery.Options{Addr: cfg.Discovery, LastKnown: cfg.LastKnownTargets, Initiators: discoverySharers(cfg), Seed: cfg.Seed, Log: log}, onList)
 	return &discoveryWatch{loop{run: watcher.Run}, watcher}
 }
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -20,10 +20,10 @@
 
 	"spindlehitch/internal/datapath/budget"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/observability/control"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/ports"
@@ -50,7 +50,7 @@
 	return c.startErr
 }
 func (c *fakeComponent) Stop(context.Context) error               { c.record("stop"); return c.stopErr }
-func (c *fakeComponent) OnTargetList(*listing.List)               { c.record("list") }
+func (c *fakeComponent) OnTargetList(*targetlist.List)            { c.record("list") }
 func (c *fakeComponent) ApplyChange(Change) error                 { c.record("reload"); return c.applyErr }
 func (c *fakeComponent) EmitMetrics(to statsd.ExtendedStatSender) { to.Inc(c.name, 1, 1) }
 
@@ -99,10 +99,10 @@
 	failing := &fakeComponent{name: "a", calls: &calls, applyErr: bad}
 	p := components{failing, certificateReloader{}, &fakeComponent{name: "b", calls: &calls}}[:1]
 	p = append(p, passive{}, &fakeComponent{name: "b", calls: &calls})
-	p.onTargetList(&listing.List{})
+	p.onTargetList(&targetlist.List{})
 	require.ErrorIs(t, p.applyChange(Change{}), bad)
 	require.Equal(t, "list a list b reload a reload b", strings.Join(calls, " "))
-	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(figures.Render(p.emitMetrics)))
+	require.Equal(t, "edge_proxy.a:1|c\nedge_proxy.b:1|c\n", string(metrics.Render(p.emitMetrics)))
 }
 
 const settings = `{"peersTotal":1,"tickUs":2000,"classes":[{"name":"position-read","promiseUs":100000,"deadlineUs":500000,
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -7,17 +7,17 @@
 	"log/slog"
 	"time"
 
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/keys"
 	"spindlehitch/internal/datapath/nvme"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/process/config"
 )
 
 // nvmeHostOptions configures this initiator as an NVMe host of its targets.
-func nvmeHostOptions(n *config.NVMe, certs *keys.Store) nvme.HostOptions {
+func nvmeHostOptions(n *config.NVMe, certStore *certs.Store) nvme.HostOptions {
 	h := nvme.HostOptions{Subsystem: n.TargetSubsystem, HostNQN: n.HostNQN, Digests: n.Digests,
-		KeepAlive: time.Duration(n.KeepAliveMs) * time.Millisecond, Keys: certs}
+		KeepAlive: time.Duration(n.KeepAliveMs) * time.Millisecond, Certs: certStore}
 	id, _ := hex.DecodeString(n.HostID)
 	copy(h.HostID[:], id)
 	return h
@@ -25,11 +25,11 @@
 
 // nvmeControllerOptions configures this initiator as the NVMe controller that hosts connect to. The bounds on connections
 // and on held data derive from the process's limits.
-func nvmeControllerOptions(n *config.NVMe, c *config.Config, certs *keys.Store, metrics *figures.Metrics, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
+func nvmeControllerOptions(n *config.NVMe, c *config.Config, certStore *certs.Store, dataPathMetrics *metrics.Metrics, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	limits := resourceLimits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.heldBytes(), Timeouts: map[string]time.Duration{},
-		Log: log, Keys: certs, Figures: metrics, Shutdown: leave}
+		Log: log, Certs: certStore, Metrics: dataPathMetrics, Shutdown: leave}
 	for _, k := range c.Policy.Classes {
 		o.Timeouts[k.Name] = k.Deadline
 	}
@@ -70,12 +70,12 @@
 // certificateReloader reads the certificate files again at each configuration change.
 type certificateReloader struct {
 	passive
-	keys *keys.Store
+	certs *certs.Store
 }
 
 // ApplyChange implements changeApplier.
 func (r certificateReloader) ApplyChange(Change) error {
-	if err := r.keys.Reload(); err != nil {
+	if err := r.certs.Reload(); err != nil {
 		return fmt.Errorf("nvme.tls.%w", err)
 	}
 	return nil
--- a/internal/process/monotone/monotone.go
+++ b/internal/process/monotonic/monotonic.go
@@ -1,6 +1,6 @@
-// Package monotone reads the clock that the expiry of allocations and leases is measured by: it never steps, and it goes on
+// Package monotonic reads the clock that the expiry of allocations and leases is measured by: it never steps, and it goes on
 // while the machine is suspended (CLOCK_BOOTTIME of clock_gettime(2)). Readings of two machines share nothing but their rate.
-package monotone
+package monotonic
 
 import (
 	"time"
@@ -13,7 +13,7 @@
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Without this clock the expiry of allocations can't be guaranteed. Linux has had it since 2.6.39.
-		panic("monotone: CLOCK_BOOTTIME is not available: " + err.Error())
+		panic("monotonic: CLOCK_BOOTTIME is not available: " + err.Error())
 	}
 	return scaleClock(time.Duration(ts.Nano()))
 }
--- a/internal/process/monotone/scaled.go
+++ b/internal/process/monotonic/scaled.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package monotone
+package monotonic
 
 import (
 	"os"
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -18,7 +18,7 @@
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/lessee"
 	terms "spindlehitch/internal/controlplane/quota"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // steps of an act that processes are stopped at.
@@ -182,11 +182,11 @@
 			before := time.Since(began) // when the claim before the last was begun: what is new was granted after that was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				begun := time.Since(began)
-				c := m.BeginRenewal(monotone.Now())
+				c := m.BeginRenewal(monotonic.Now())
 				call, done := context.WithTimeout(ctx, 400*time.Millisecond)
 				_, award, err := client.Renew(call, terms.RenewalRequest{ID: id, Seq: seq}, &c)
 				done()
-				if err == nil && award != nil && m.AcceptRenewal(monotone.Now(), *award) {
+				if err == nil && award != nil && m.AcceptRenewal(monotonic.Now(), *award) {
 					for _, h := range m.Status() {
 						if has[h.Shard] != h.Token {
 							has[h.Shard] = h.Token
@@ -198,7 +198,7 @@
 					}
 					before = begun
 				}
-				if held := m.Held(monotone.Now()); len(held) > 0 && rng.IntN(4) == 0 {
+				if held := m.Held(monotonic.Now()); len(held) > 0 && rng.IntN(4) == 0 {
 					m.Release(held[rng.IntN(len(held))])
 				}
 				time.Sleep(time.Duration(rng.IntN(80)) * time.Millisecond)
--- a/internal/testbed/scale/hollow/feed.go
+++ b/internal/testbed/scale/hollow/feed.go
@@ -9,8 +9,8 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 )
 
 var format = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -37,17 +37,17 @@
 // changed takes over what the feed has brought. What can't be read as a list is the run's own fault: it is told as broken.
 func (in *Initiator) changed(f *distribution.Follower, m *module, c distribution.Update) error {
 	v := int64(c.Position.Targets)
-	l := &listing.List{Version: &v, Full: c.Full}
+	l := &targetlist.List{Version: &v, Full: c.Full}
 	config := c.Full
 	for _, r := range c.Records {
 		if r.Kind == watchstream.Config {
 			config = true
 			continue
 		}
-		e := listing.Entry{ID: r.Key, State: "DELETED"}
+		e := targetlist.Entry{ID: r.Key, State: "DELETED"}
 		if !r.Deleted {
 			var err error
-			if e, err = listing.DecodeEntry(r.Value); err != nil {
+			if e, err = targetlist.DecodeEntry(r.Value); err != nil {
 				in.Journal.Breaks("target %s: %v", r.Key, err)
 				continue
 			}
@@ -70,7 +70,7 @@
 			return fmt.Errorf("configuration: no JSON")
 		}
 	}
-	at := monotone.Now()
+	at := monotonic.Now()
 	in.Journal.Heard(Targets, c.Position.Targets, at)
 	in.Journal.Heard(Config, c.Position.Config, at)
 	return nil
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -11,9 +11,9 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // serving is the state of a target that takes requests, as lists have it.
@@ -25,7 +25,7 @@
 	Seed               uint64
 	Discovery          string                        // where the list is asked for; empty: it is not
 	Crowd              int                           // how many ask there
-	Known              *listing.List                 // the list as last had
+	Known              *targetlist.List              // the list as last had
 	Agents             []string                      // whose configuration is followed; empty: none
 	Feed               *distribution.FollowerOptions // nil: it does not follow the feed
 	Members            *transport.Options
@@ -103,16 +103,16 @@
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
 		in.all.Go(func() {
-			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotone.Now()) })
+			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Journal.Heard(Config, e.Version, monotonic.Now()) })
 		})
 	}
 	return nil
 }
 
 // lists takes lists over: the module, where there is one, steps each before it counts as in force.
-func (in *Initiator) lists(m *module) func(*listing.List) {
-	return func(l *listing.List) {
-		done := func() { in.Journal.Heard(Targets, uint64(*l.Version), monotone.Now()) }
+func (in *Initiator) lists(m *module) func(*targetlist.List) {
+	return func(l *targetlist.List) {
+		done := func() { in.Journal.Heard(Targets, uint64(*l.Version), monotonic.Now()) }
 		if m != nil {
 			m.list(l, done)
 			return
--- a/internal/testbed/scale/hollow/hollow_test.go
+++ b/internal/testbed/scale/hollow/hollow_test.go
@@ -17,10 +17,10 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
@@ -36,8 +36,8 @@
 	return s
 }
 
-func target(id string, cell int, turn int64, state string) listing.Entry {
-	return listing.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Shard: &cell, State: state, StartedMs: turn}
+func target(id string, cell int, turn int64, state string) targetlist.Entry {
+	return targetlist.Entry{ID: id, Addr: "127.0.0.1:9", Zone: "z", Shard: &cell, State: state, StartedMs: turn}
 }
 
 // source serves a store of the feed.
@@ -52,7 +52,7 @@
 func (s *source) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	now := monotone.Now()
+	now := monotonic.Now()
 	s.source.MarkFresh(now)
 	f(now, s.source)
 	return s.changed, true
@@ -69,7 +69,7 @@
 	return v
 }
 
-func put(e listing.Entry) watchstream.Put {
+func put(e targetlist.Entry) watchstream.Put {
 	text, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
@@ -134,13 +134,13 @@
 	go m.run(ctx)
 	defer func() { stop(); <-m.ended }()
 	v := int64(1)
-	require.True(t, m.wait(&listing.List{Version: &v, Full: true, Targets: listing.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{target("b", 1, 2, serving)}}))
+	require.True(t, m.wait(&targetlist.List{Version: &v, Full: true, Targets: targetlist.Entries{target("a", 0, 0, serving), target("b", 1, 0, serving)}}))
+	require.True(t, m.wait(&targetlist.List{Version: &v, Targets: targetlist.Entries{target("a", 0, 1, "DRAINING"), target("b", 1, 1, serving)}}))
+	require.True(t, m.wait(&targetlist.List{Version: &v, Targets: targetlist.Entries{target("b", 1, 2, serving)}}))
 	n, what := j.Broken()
 	require.Zero(t, n, what)
-	j.Told([]listing.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
-	require.True(t, m.wait(&listing.List{Version: &v, Targets: listing.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
+	j.Told([]targetlist.Entry{target("b", 1, 3, "DRAINING")}) // which the module does not hear
+	require.True(t, m.wait(&targetlist.List{Version: &v, Targets: targetlist.Entries{{ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: serving, Zone: "z", StartedMs: 2}}}))
 	n, what = j.Broken()
 	require.Positive(t, n, what)
 }
--- a/internal/testbed/scale/hollow/journal.go
+++ b/internal/testbed/scale/hollow/journal.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // Lane is one of the streams that an initiator follows.
@@ -19,7 +19,7 @@
 	Config  Lane = "config"
 )
 
-// Reached is a version that came into force, and when: by the clock of internal/process/monotone, which all processes of a machine share.
+// Reached is a version that came into force, and when: by the clock of internal/process/monotonic, which all processes of a machine share.
 type Reached struct {
 	Version uint64
 	At      time.Duration
@@ -80,7 +80,7 @@
 }
 
 // Told notes what is in force of targets.
-func (j *Journal) Told(entries []listing.Entry) {
+func (j *Journal) Told(entries []targetlist.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range entries {
--- a/internal/testbed/scale/hollow/journal_test.go
+++ b/internal/testbed/scale/hollow/journal_test.go
@@ -7,11 +7,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
-func entry(id string, turn int64, state string) []listing.Entry {
-	return []listing.Entry{{ID: id, StartedMs: turn, State: state}}
+func entry(id string, turn int64, state string) []targetlist.Entry {
+	return []targetlist.Entry{{ID: id, StartedMs: turn, State: state}}
 }
 
 // TestJournal holds the judge against what it has to find, and against what it has to let through.
--- a/internal/testbed/scale/hollow/module.go
+++ b/internal/testbed/scale/hollow/module.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/mailbox"
 )
@@ -29,7 +29,7 @@
 }
 
 type lists struct {
-	list *listing.List
+	list *targetlist.List
 	done func()
 }
 
@@ -41,10 +41,10 @@
 	return &module{m: m, set: set, clock: core.NewClock(), journal: j, box: mailbox.New[lists](), open: map[string]bool{}, ended: make(chan struct{})}, nil
 }
 
-func (x *module) list(l *listing.List, done func()) { x.box.Put(lists{l, done}) }
+func (x *module) list(l *targetlist.List, done func()) { x.box.Put(lists{l, done}) }
 
 // wait hands a list over and returns once it was stepped; false: the module has ended.
-func (x *module) wait(l *listing.List) bool {
+func (x *module) wait(l *targetlist.List) bool {
 	done := make(chan struct{})
 	x.list(l, func() { close(done) })
 	select {
--- a/internal/testbed/scale/run/change.go
+++ b/internal/testbed/scale/run/change.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
@@ -95,7 +95,7 @@
 
 // choose takes a target to drain or to have back; every fourth time one takes another's place: a change of primary. Of one target only one
 // change is under way at a time, or the older could come into force after the newer.
-func (w *writer) choose() (e []listing.Entry, primary bool) {
+func (w *writer) choose() (e []targetlist.Entry, primary bool) {
 	f := w.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,12 +120,12 @@
 }
 
 // target makes a change of targets.
-func (w *writer) target(ctx context.Context, e []listing.Entry, primary bool) (mark, error) {
+func (w *writer) target(ctx context.Context, e []targetlist.Entry, primary bool) (mark, error) {
 	f := w.f
 	if len(e) == 0 {
 		return mark{}, errAllBusy
 	}
-	at := monotone.Now()
+	at := monotonic.Now()
 	version, err := f.put(ctx, e)
 	f.mu.Lock()
 	for _, e := range e {
@@ -156,7 +156,7 @@
 }
 
 // turn changes a target's state, which is under way from then on. Its caller holds mu.
-func (f *fleet) turn(i int) listing.Entry {
+func (f *fleet) turn(i int) targetlist.Entry {
 	e := &f.entries[i]
 	f.turns[i]++
 	f.busy[i] = true
@@ -194,7 +194,7 @@
 // each changes the configuration of all where each has one of its own: a change for each.
 func (w *writer) each(ctx context.Context, turn int) (mark, error) {
 	f := w.f
-	m := mark{Lane: hollow.Config, At: monotone.Now(), By: map[string]uint64{}}
+	m := mark{Lane: hollow.Config, At: monotonic.Now(), By: map[string]uint64{}}
 	var mu sync.Mutex
 	var failed error
 	var all sync.WaitGroup
--- a/internal/testbed/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -10,8 +10,8 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/ports"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
@@ -120,7 +120,7 @@
 const putsOf = 50
 
 // put has targets changed, and tells the version with which all of it is.
-func (f *fleet) put(ctx context.Context, e []listing.Entry) (version uint64, err error) {
+func (f *fleet) put(ctx context.Context, e []targetlist.Entry) (version uint64, err error) {
 	if !f.byFeed() {
 		version, _ = f.service.change(e...)
 		return version, nil
@@ -164,7 +164,7 @@
 	}
 	value := fmt.Appendf(nil, `{"limits":{"sockets":%d}}`, 1024+w.made%1024)
 	return func(ctx context.Context) (_ mark, err error) {
-		m.At = monotone.Now()
+		m.At = monotonic.Now()
 		m.Version, err = f.client.PutChange(ctx, watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{{Kind: watchstream.Config, Key: key, Value: value}}})
 		return m, err
 	}
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -22,7 +22,7 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/scale/hollow"
@@ -46,7 +46,7 @@
 	Add     []hollowSpec
 	Ways    map[string]ways // by region: where control is met from there
 	Crowd   int
-	Known   *listing.List
+	Known   *targetlist.List
 	Dir     string
 	Fleet   string
 	Number  int
@@ -121,7 +121,7 @@
 	spec    map[string]hollowSpec
 	ways    map[string]ways
 	crowd   int
-	known   *listing.List
+	known   *targetlist.List
 	dir     string
 	fleet   string
 	wire    counted
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/ports"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
@@ -124,7 +124,7 @@
 			for ctx.Err() == nil {
 				// The moment of asking: it may have been in force for a while by the answer.
 				if n := r.figures(ctx); n != nil {
-					at := monotone.Now()
+					at := monotonic.Now()
 					j.Heard(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
 					j.Heard(hollow.Config, uint64(n["feed.in_force.config"]), at)
 				}
--- a/internal/testbed/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
@@ -88,7 +88,7 @@
 
 // TestService holds the stand-in against what docs/standing.md says of the service: one call at a time, what an answer costs, and a watch that goes on.
 func TestService(t *testing.T) {
-	s, err := newService([]listing.Entry{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}, {ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}})
+	s, err := newService([]targetlist.Entry{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}, {ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}})
 	require.NoError(t, err)
 	defer s.close()
 	in := hollow.New(hollow.Options{Name: "h", Discovery: s.addr, Crowd: 1, Log: quiet})
@@ -100,7 +100,7 @@
 	}
 	reached(1)
 	require.GreaterOrEqual(t, time.Since(began), callTakes+2*lineTakes)
-	v, at := s.change(listing.Entry{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "DRAINING", StartedMs: 1})
+	v, at := s.change(targetlist.Entry{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "DRAINING", StartedMs: 1})
 	reached(v)
 	got, done := in.Journal.When(hollow.Targets, v)
 	require.True(t, done)
@@ -112,7 +112,7 @@
 // TestHost gives a host its orders, as a run does, and has it answer.
 func TestHost(t *testing.T) {
 	h := &host{ctx: context.Background(), spec: map[string]hollowSpec{}}
-	known := &listing.List{Version: new(int64), Full: true, Targets: listing.Entries{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}}}
+	known := &targetlist.List{Version: new(int64), Full: true, Targets: targetlist.Entries{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}}}
 	*known.Version = 4
 	s := &state{}
 	require.NoError(t, h.do(&order{Do: "add", Ways: map[string]ways{"north": {Discovery: "127.0.0.1:9"}}, Crowd: 2, Known: known,
@@ -128,7 +128,7 @@
 	}, time.Minute, 5*time.Millisecond)
 	require.Equal(t, 2, s.Running)
 	s = &state{}
-	require.NoError(t, h.do(&order{Do: "collect", Marks: append(asked, mark{Lane: hollow.Targets, Version: 5, At: monotone.Now()})}, s))
+	require.NoError(t, h.do(&order{Do: "collect", Marks: append(asked, mark{Lane: hollow.Targets, Version: 5, At: monotonic.Now()})}, s))
 	require.Equal(t, 2, s.Missing, "nobody has version 5")
 	require.Len(t, s.Last, 2)
 	s = &state{}
@@ -177,9 +177,9 @@
 
 // TestChangesOfTargets counts each target's changes, so that the judge can tell an older state from a newer one.
 func TestChangesOfTargets(t *testing.T) {
-	f := &fleet{spec: &Spec{}, entries: []listing.Entry{{ID: "a", State: "SERVING"}}, turns: []int64{0}, targets: &answering{}, busy: map[int]bool{}}
-	require.Equal(t, listing.Entry{ID: "a", State: "DRAINING", StartedMs: 1}, f.turn(0))
-	require.Equal(t, listing.Entry{ID: "a", State: "SERVING", StartedMs: 2}, f.turn(0))
+	f := &fleet{spec: &Spec{}, entries: []targetlist.Entry{{ID: "a", State: "SERVING"}}, turns: []int64{0}, targets: &answering{}, busy: map[int]bool{}}
+	require.Equal(t, targetlist.Entry{ID: "a", State: "DRAINING", StartedMs: 1}, f.turn(0))
+	require.Equal(t, targetlist.Entry{ID: "a", State: "SERVING", StartedMs: 2}, f.turn(0))
 	w := f.newWriter(1)
 	e, _ := w.choose()
 	require.Empty(t, e, "a change of the only one is under way")
--- a/internal/testbed/scale/run/service.go
+++ b/internal/testbed/scale/run/service.go
@@ -11,8 +11,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // What the one discovery service that all initiators ask costs, as docs/standing.md has met it.
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	free    time.Time // when what came so far is done
 	version int64
-	entries []listing.Entry
+	entries []targetlist.Entry
 	at      map[string]int       // of each target's entry
 	since   []int64              // the version that brought each entry
 	changed chan struct{}        // closed and renewed at each change
@@ -81,7 +81,7 @@
 	return countedConn{c, l.c}, nil
 }
 
-func newService(entries []listing.Entry) (*service, error) {
+func newService(entries []targetlist.Entry) (*service, error) {
 	s := &service{version: 1, at: map[string]int{}, changed: make(chan struct{}), last: map[string]time.Time{}}
 	for _, e := range entries {
 		s.put(e)
@@ -104,7 +104,7 @@
 }
 
 // put takes an entry over. Its caller holds mu, but at the start.
-func (s *service) put(e listing.Entry) {
+func (s *service) put(e targetlist.Entry) {
 	if i, there := s.at[e.ID]; there {
 		s.entries[i], s.since[i] = e, s.version
 		return
@@ -114,7 +114,7 @@
 }
 
 // change makes the next version and tells it, and when.
-func (s *service) change(e ...listing.Entry) (uint64, time.Duration) {
+func (s *service) change(e ...targetlist.Entry) (uint64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -123,15 +123,15 @@
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return uint64(s.version), monotone.Now()
+	return uint64(s.version), monotonic.Now()
 }
 
 // list is the whole list as it is now.
-func (s *service) list() *listing.List {
+func (s *service) list() *targetlist.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.version
-	return &listing.List{Version: &v, Full: true, Targets: append(listing.Entries(nil), s.entries...)}
+	return &targetlist.List{Version: &v, Full: true, Targets: append(targetlist.Entries(nil), s.entries...)}
 }
 
 // turn waits for a call's turn and until it is done.
@@ -156,7 +156,7 @@
 }
 
 // news is what came after a version. Its caller holds mu.
-func (s *service) news(after int64) (l []listing.Entry) {
+func (s *service) news(after int64) (l []targetlist.Entry) {
 	for i, v := range s.since {
 		if v > after {
 			l = append(l, s.entries[i])
@@ -195,7 +195,7 @@
 		}
 	}
 	s.mu.Lock()
-	answer := listing.List{Version: new(int64), Full: whole, Targets: s.entries}
+	answer := targetlist.List{Version: new(int64), Full: whole, Targets: s.entries}
 	*answer.Version = s.version
 	if !whole {
 		answer.Targets = s.news(after)
--- a/internal/testbed/scale/run/spec.go
+++ b/internal/testbed/scale/run/spec.go
@@ -114,7 +114,7 @@
 	mostProcesses  = 300
 	mostShared     = 500
 	mostTogether   = 20 // real processes
-	// mostListed is what a whole list may have of targets where discovery tells it (internal/datapath/listing).
+	// mostListed is what a whole list may have of targets where discovery tells it (internal/datapath/targetlist).
 	mostListed = 1 << 13
 )
 
--- a/internal/testbed/scale/run/topology.go
+++ b/internal/testbed/scale/run/topology.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/agent"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/testbed/faults"
 	"spindlehitch/internal/testbed/ports"
 )
@@ -50,7 +50,7 @@
 	links     map[string][]*faults.Link // of each region, to all that is outside it
 	toAgents  [][]*faults.Link          // of each relay, among those
 	client    *agent.Client
-	entries   []listing.Entry
+	entries   []targetlist.Entry
 	turns     []int64      // changes of each
 	busy      map[int]bool // a change of it is under way
 	mu        sync.Mutex
@@ -94,10 +94,10 @@
 }
 
 // grow makes more targets and returns them, each a shard of its own. The first few answer: two of these have a shard in common.
-func (f *fleet) grow(to int) []listing.Entry {
+func (f *fleet) grow(to int) []targetlist.Entry {
 	from := len(f.entries)
 	for i := from; i < to; i++ {
-		e := listing.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
+		e := targetlist.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
 		if *e.Shard = i; i < len(f.targets.addrs) {
 			e.Addr, *e.Shard = f.targets.addrs[i], i/2
 		}
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -12,7 +12,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/quota/quotaclient"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // configuration is one of so many bytes that passes for an instance's.
@@ -221,7 +221,7 @@
 		clients[i].Addrs = g.Addrs
 		m, d, err := clients[i].Join(ctx, member(i))
 		if err == nil {
-			holders[i] = seated(monotone.Now(), m.ID, d)
+			holders[i] = seated(monotonic.Now(), m.ID, d)
 		}
 		return err
 	}); err != nil {
@@ -247,13 +247,13 @@
 						return
 					}
 					call, done := context.WithTimeout(ctx, 5*time.Second)
-					a, _, err := clients[i].Renew(call, holders[i].BeginRenewal(monotone.Now()), nil)
+					a, _, err := clients[i].Renew(call, holders[i].BeginRenewal(monotonic.Now()), nil)
 					done()
 					if err != nil {
 						failed.Add(1)
 						continue
 					}
-					holders[i].AcceptRenewal(monotone.Now(), a)
+					holders[i].AcceptRenewal(monotonic.Now(), a)
 				}
 			})
 		}
--- a/internal/testbed/scale/slope/edge.go
+++ b/internal/testbed/scale/slope/edge.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/discovery"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 )
 
@@ -72,12 +72,12 @@
 }
 
 // watching is so many watchers of one service, all of which know its list.
-func watching(ctx context.Context, at net.Addr, crowd, n int, told func(*listing.List)) func() {
+func watching(ctx context.Context, at net.Addr, crowd, n int, told func(*targetlist.List)) func() {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	version := int64(1)
 	for i := range n {
-		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &listing.List{Version: &version}, Initiators: crowd, Seed: uint64(i + 1),
+		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &targetlist.List{Version: &version}, Initiators: crowd, Seed: uint64(i + 1),
 			Log: slog.New(slog.DiscardHandler)}, told)
 		all.Go(func() { w.Run(ctx) })
 	}
@@ -205,7 +205,7 @@
 			}
 			defer end()
 			var told atomic.Int64
-			stop := watching(ctx, s.Addr(), 0, size, func(*listing.List) { told.Add(1) })
+			stop := watching(ctx, s.Addr(), 0, size, func(*targetlist.List) { told.Add(1) })
 			defer stop()
 			if err := until(ctx, "a list known to all", func() bool { return told.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
 				return nil, err
@@ -246,7 +246,7 @@
 			}
 			defer end()
 			var known atomic.Int64
-			stop := watching(ctx, s.Addr(), size, size, func(l *listing.List) {
+			stop := watching(ctx, s.Addr(), size, size, func(l *targetlist.List) {
 				if *l.Version > 1 { // the first is the one known before
 					known.Add(1)
 				}
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -15,7 +15,7 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 const ours = "fleet"
@@ -63,7 +63,7 @@
 func (o *origin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	now := monotone.Now()
+	now := monotonic.Now()
 	o.source.MarkFresh(now)
 	f(now, o.source)
 	return o.changed, true
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/policy"
 )
@@ -39,7 +39,7 @@
 
 func listProbes() []Probe {
 	return []Probe{{
-		About: "internal/datapath/listing: a whole list read and checked",
+		About: "internal/datapath/targetlist: a whole list read and checked",
 		Gives: []Gives{{Name: "list.line", Unit: "B", Of: "a whole list on the wire", Per: "entry", Exact: true},
 			{Name: "list.decode", Unit: "us", Of: "reading a whole list", Per: "entry"},
 			{Name: "list.allocs", Unit: "allocs", Of: "reading a whole list", Per: "entry", Exact: true},
@@ -47,21 +47,21 @@
 		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, Short: []float64{200, 500, 1250, 3200}, Turns: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			t := text(1, size, true)
-			held, l := holds(func() *listing.List {
-				l, err := listing.Decode(t)
+			held, l := holds(func() *targetlist.List {
+				l, err := targetlist.Decode(t)
 				if err != nil {
 					return nil
 				}
 				return l
 			})
 			if l == nil {
-				_, err := listing.Decode(t)
-				if errors.Is(err, listing.ErrTooManyEntries) {
+				_, err := targetlist.Decode(t)
+				if errors.Is(err, targetlist.ErrTooManyEntries) {
 					err = ErrBeyond
 				}
 				return nil, err
 			}
-			read := func() { _, _ = listing.Decode(t) }
+			read := func() { _, _ = targetlist.Decode(t) }
 			objects, _ := allocated(read)
 			return []float64{float64(len(t)), quickest(3, 200*time.Millisecond, read), objects, held}, nil
 		},
--- a/internal/testbed/scale/slope/parts.go
+++ b/internal/testbed/scale/slope/parts.go
@@ -39,7 +39,7 @@
 	var lines [][]string
 	for _, k := range []keeps{
 		{"initiator", "nodes, lanes and what was learned of them (root package)", "target's id, shard", "module.memory", targets, "the list"},
-		{"initiator", "the list as last had (internal/datapath/discovery, internal/datapath/listing)", "target's id", "list.memory", targets, "entries that are read of a list; 4 MB of its text"},
+		{"initiator", "the list as last had (internal/datapath/discovery, internal/datapath/targetlist)", "target's id", "list.memory", targets, "entries that are read of a list; 4 MB of its text"},
 		{"initiator", "an actor for each target, without connections (internal/datapath/upstream)", "target's id", "upstream.memory", targets, "the list"},
 		{"initiator", "the view of all members (internal/controlplane/membership)", "a life", "members.memory", initiators, "those that live, and 1,024 that ended"},
 		{"initiator", "accounts (internal/observability/accounts)", "volume", "accounts.memory", func(s Size) float64 { return s.Volumes }, "`[accounts] volumes`, the longest unused goes"},
@@ -97,7 +97,7 @@
 		{"discovery to initiators that start, in all", "a whole list", func(c costs, s Size) float64 { return c.at("list.line", s.Targets) }, "list.line",
 			func(_ costs, s Size, l Limits) [4]float64 {
 				return [4]float64{s.InitiatorsBack / day, s.InitiatorsBack / l.Back, s.Initiators / s.Zones / minute, 0}
-			}, "internal/datapath/discovery, internal/datapath/listing", Without},
+			}, "internal/datapath/discovery, internal/datapath/targetlist", Without},
 		{"an agent and each initiator", "a watch with nothing new", func(c costs, _ Size) float64 { return c.each("agent.follow.wire") }, "agent.follow.wire",
 			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/agent", Without},
 		{"an agent to each initiator", "its configuration, whole", func(c costs, s Size) float64 { return c.at("agent.answer", s.Config) }, "agent.answer",
