--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -145,13 +145,13 @@
 }
 
 // Observer is notified of each step of a request and has no influence on it. Its methods are called from the core's goroutine
-// and in order of time, except Begin (the first byte of an attempt was written), which is called just before Answer (the attempt
-// ended; responded: by a reply from the target). Served is called with the final response, if a target produced it.
+// and in order of time, except AttemptStarted (the first byte of an attempt was written), which is called just before
+// AttemptEnded (the attempt ended; responded: by a reply from the target). Served is called with the final response, if a target produced it.
 type Observer interface {
 	Arrive(at time.Duration, r policy.Request)
 	Release(at time.Duration, id, target string, tagLead time.Duration, sent bool)
-	Begin(at time.Duration, id string)
-	Answer(at time.Duration, id string, responded bool)
+	AttemptStarted(at time.Duration, id string)
+	AttemptEnded(at time.Duration, id string, responded bool)
 	Served(id string)
 	End(at time.Duration, id string)
 }
@@ -463,9 +463,9 @@
 	}
 	if o := c.opt.Observer; o != nil {
 		if !r.SendStarted.IsZero() {
-			o.Begin(c.clock.At(r.SendStarted), r.RequestID) // earlier than observerTime: events of other requests may have been reported since
+			o.AttemptStarted(c.clock.At(r.SendStarted), r.RequestID) // earlier than observerTime: events of other requests may have been reported since
 		}
-		o.Answer(c.observerTime(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.Rejected)
+		o.AttemptEnded(c.observerTime(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.Rejected)
 	}
 	e.inFlight, e.lastOutcome = false, r.Code
 	e.mayHaveRun = e.mayHaveRun || r.Code.MayHaveRun()
--- a/internal/observability/accounts/accounts_test.go
+++ b/internal/observability/accounts/accounts_test.go
@@ -46,9 +46,9 @@
 			case 1:
 				rec.Release(now, id, target, time.Duration(rapid.IntRange(-50, 500).Draw(t, "tag lead"))*ms, rapid.Bool().Draw(t, "sent"))
 			case 2:
-				rec.Begin(now, id)
+				rec.AttemptStarted(now, id)
 			case 3:
-				rec.Answer(now, id, rapid.Bool().Draw(t, "answered"))
+				rec.AttemptEnded(now, id, rapid.Bool().Draw(t, "answered"))
 			case 4:
 				if rec.open[id] != nil {
 					total[volume[id]] += now - arrived[id]
@@ -130,14 +130,14 @@
 					i++
 					continue
 				}
-				rec.Answer(now, out[i].id, true)
+				rec.AttemptEnded(now, out[i].id, true)
 				rec.End(now, out[i].id)
 				out = slices.Delete(out, i, i+1)
 			}
 		}
 		for len(out) < 4 && len(held) > 0 {
 			rec.Release(now, held[0].id, "node", 0, true)
-			rec.Begin(now, held[0].id)
+			rec.AttemptStarted(now, held[0].id)
 			out, held = append(out, held[0]), held[1:]
 		}
 	}
@@ -250,7 +250,7 @@
 	rec.End(30*ms, "held")
 	rec.Arrive(30*ms, policy.Request{ID: "out", Volume: "v"})
 	rec.Release(40*ms, "out", "n", 4*ms, true)
-	rec.Begin(42*ms, "out")
+	rec.AttemptStarted(42*ms, "out")
 	rec.End(60*ms, "out")
 	want := Times{BucketWait: 4 * ms, LimitWait: 6 * ms, Connect: 2 * ms, AtTarget: 18 * ms, Reply: 30 * ms}
 	if a := rec.Account("v"); a == nil || a.Times != want || a.Requests != 2 {
--- a/internal/observability/accounts/disk/disk_test.go
+++ b/internal/observability/accounts/disk/disk_test.go
@@ -23,8 +23,8 @@
 	b := accounts.New(accounts.Options{MaxVolumes: 4, MaxPairs: 4, MaxOpen: 4})
 	b.Arrive(0, policy.Request{ID: "a", Volume: "v1"})
 	b.Release(10*time.Millisecond, "a", "n1", 3*time.Millisecond, true)
-	b.Begin(11*time.Millisecond, "a")
-	b.Answer(40*time.Millisecond, "a", true)
+	b.AttemptStarted(11*time.Millisecond, "a")
+	b.AttemptEnded(40*time.Millisecond, "a", true)
 	b.End(41*time.Millisecond, "a")
 	return b.SnapshotAndReset(instance, day.Add(time.Duration(minute)*time.Minute), day.Add(time.Duration(minute+1)*time.Minute))
 }
--- a/internal/observability/accounts/recorder.go
+++ b/internal/observability/accounts/recorder.go
@@ -168,8 +168,8 @@
 	return state
 }
 
-// Begin records when the attempt's first byte was written; the event may be reported late.
-func (rec *Recorder) Begin(at time.Duration, id string) {
+// AttemptStarted records when the attempt's first byte was written; the event may be reported late.
+func (rec *Recorder) AttemptStarted(at time.Duration, id string) {
 	if e := rec.open[id]; e != nil && e.target != "" && !e.firstByteWritten {
 		at = max(at, e.accountedUntil)
 		e.times[Connect] += at - e.accountedUntil
@@ -177,8 +177,8 @@
 	}
 }
 
-// Answer ends an attempt; answered reports whether an answer of the target ended it.
-func (rec *Recorder) Answer(at time.Duration, id string, answered bool) {
+// AttemptEnded ends an attempt; answered reports whether an answer of the target ended it.
+func (rec *Recorder) AttemptEnded(at time.Duration, id string, answered bool) {
 	e := rec.open[id]
 	if e == nil || e.target == "" {
 		return
@@ -201,7 +201,7 @@
 		return
 	}
 	if e.target != "" {
-		rec.Answer(at, id, false)
+		rec.AttemptEnded(at, id, false)
 	}
 	delete(rec.open, id)
 	e.times[Reply] += at - e.accountedUntil
--- a/internal/testbed/scale/slope/fleet.go
+++ b/internal/testbed/scale/slope/fleet.go
@@ -205,9 +205,9 @@
 				id, node := fmt.Sprint("r", i), target(m.rng.IntN(64))
 				b.Arrive(at, request(id, i%size))
 				b.Release(at+200*time.Microsecond, id, node, 50*time.Microsecond, true)
-				b.Begin(at+250*time.Microsecond, id)
+				b.AttemptStarted(at+250*time.Microsecond, id)
 				b.Served(id)
-				b.Answer(at+time.Duration(500+m.rng.IntN(5000))*time.Microsecond, id, true)
+				b.AttemptEnded(at+time.Duration(500+m.rng.IntN(5000))*time.Microsecond, id, true)
 				b.End(at+6*time.Millisecond, id)
 				at += 6 * time.Millisecond
 			}
