--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -90,31 +90,31 @@
 // Job is a request as submitted by a front. The core sets ID and TimeLeft.
 type Job struct {
 	policy.Request
-	ClientRequestID string         // the ID that the client gave it, unique to this request; may be empty
-	Arrived         time.Time      // when its last byte was received
-	Timeout         time.Duration  // how long the client waits, from Arrived
-	Payload         any            // for the upstream
-	Done            func(Response) // called at most once, from the core's goroutine; must not block
-	clientGone      atomic.Bool    // set by Cancel at once, while the core's goroutine may still have to process the cancellation
+	ClientRequestID    string         // the ID that the client gave it, unique to this request; may be empty
+	Arrived            time.Time      // when its last byte was received
+	Timeout            time.Duration  // how long the client waits, from Arrived
+	Payload            any            // for the upstream
+	Done               func(Response) // called at most once, from the core's goroutine; must not block
+	clientDisconnected atomic.Bool    // set by Cancel at once, while the core's goroutine may still have to process the cancellation
 }
 
 // Attempt is one try of a request at a target.
 type Attempt struct {
-	RequestID  string
-	Number     int
-	Target     string
-	Deadline   time.Time // abandoned at this time
-	Payload    any
-	OnSent     func() // called by NotifySent; nil: not needed
-	Permit     policy.Permit
-	SendBefore time.Time    // its bytes may be written until then; zero: until Deadline
-	ClientGone *atomic.Bool // set once the client has disconnected; nil: not tracked
+	RequestID          string
+	Number             int
+	Target             string
+	Deadline           time.Time // abandoned at this time
+	Payload            any
+	OnSent             func() // called by NotifySent; nil: not needed
+	Permit             policy.Permit
+	SendBefore         time.Time    // its bytes may be written until then; zero: until Deadline
+	ClientDisconnected *atomic.Bool // set once the client has disconnected; nil: not tracked
 }
 
 // MaySend reports whether the attempt may still be made. It is checked just before the first byte is written, since the
 // attempt may have waited for its connection for any length of time.
 func (a *Attempt) MaySend() bool {
-	return (a.ClientGone == nil || !a.ClientGone.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
+	return (a.ClientDisconnected == nil || !a.ClientDisconnected.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
 }
 
 // WriteDeadline returns the time until which the attempt's bytes may be written.
@@ -270,7 +270,7 @@
 
 // Cancel reports that the job's client has disconnected. Its Done may still be called, if the response came first.
 func (c *Core) Cancel(j *Job) {
-	j.clientGone.Store(true)
+	j.clientDisconnected.Store(true)
 	c.mailbox.Put(j)
 }
 
@@ -297,7 +297,7 @@
 // UpdateTargets passes a full or partial list of the targets to the scheduler.
 func (c *Core) UpdateTargets(l policy.EndpointList) { c.mailbox.Put(l) }
 
-// SetProcessCount tells the scheduler how many processes act as this initiator.
+// SetProcessCount passes the number of processes that act as this initiator to the scheduler.
 func (c *Core) SetProcessCount(n int) { c.mailbox.Put(policy.ProcessCount{Processes: n}) }
 
 // ApplySettings has the scheduler change to other settings, in order with the requests submitted before and after. maxOpenRequests takes effect at
@@ -310,7 +310,7 @@
 	return ch
 }
 
-// NotifyQuotaChanged tells the scheduler that this initiator's part of the fleet-wide quotas has changed.
+// NotifyQuotaChanged notifies the scheduler that this initiator's part of the fleet-wide quotas has changed.
 func (c *Core) NotifyQuotaChanged() { c.mailbox.Put(policy.QuotaChanged{}) }
 
 // ReportProbe passes to the scheduler the result of another fleet member's probe of a target.
@@ -505,7 +505,7 @@
 		e.inFlight, e.target, e.sentAt = true, a.Endpoint, now
 		e.attempts++
 		next := Attempt{RequestID: a.Request, Number: e.attempts - 1, Target: a.Endpoint,
-			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientGone: &e.job.clientGone}
+			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientDisconnected: &e.job.clientDisconnected}
 		if a.SendWithin > 0 {
 			next.SendBefore = now.Add(a.SendWithin)
 		}
--- a/internal/datapath/core/core_test.go
+++ b/internal/datapath/core/core_test.go
@@ -399,8 +399,8 @@
 // that is rejected is accounted for, each under the part where it was spent, and none stays open.
 func TestObserver(t *testing.T) {
 	h := &steppedCore{fake: &fakeUpstream{}, now: time.Now()}
-	book := accounts.New(accounts.Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
-	h.Core = New(newScheduler(t), h.fake, NewClock(), Options{MaxOpen: 100, Observer: book})
+	recorder := accounts.New(accounts.Options{MaxVolumes: 10, MaxPairs: 10, MaxOpen: 10})
+	h.Core = New(newScheduler(t), h.fake, NewClock(), Options{MaxOpen: 100, Observer: recorder})
 	h.step(h.now, []any{policy.EndpointList{Full: true, Endpoints: []policy.Endpoint{{ID: "n"}}}})
 	var responses []Response
 	h.step(h.now, []any{submitted{newJob("get", h.now, &responses)}})
@@ -411,7 +411,7 @@
 	if responses[0].OnWritten == nil {
 		t.Fatal("OnWritten is not set: the observer would not learn that the response was written")
 	}
-	a := book.Account("v")
+	a := recorder.Account("v")
 	want := accounts.Times{accounts.Connect: 3 * time.Millisecond, accounts.AtTarget: 37 * time.Millisecond, accounts.Reply: 2 * time.Millisecond}
 	if a == nil || a.Requests != 1 || a.Times != want {
 		t.Fatalf("%+v, want %v", a, want)
@@ -431,7 +431,7 @@
 	if a.Requests != 3 || a.Times[accounts.LimitWait] < 100*time.Millisecond {
 		t.Errorf("%+v: want 3 requests, the third with its time in the queue", a)
 	}
-	if n := book.OpenRequests(); n != 0 {
+	if n := recorder.OpenRequests(); n != 0 {
 		t.Errorf("%d requests stay open", n)
 	}
 }
--- a/internal/datapath/discovery/discovery.go
+++ b/internal/datapath/discovery/discovery.go
@@ -37,8 +37,8 @@
 // At a shared service the calls queued ahead come on top, 50 ms each: when all watches fall silent together, 80 initiators have the
 // change after 5 s, 100 after 6.5 s, and of 300 90 % after 15 s and the last after 17 s, where the optimum is 14.7 and 16.3 s.
 const (
-	// watchWait is the wait of a long poll. It is short, since until it is over a silent connection cannot be told from a list
-	// that does not change: with 20 s, requests still went to targets that had long been replaced.
+	// watchWait is the wait of a long poll. It is short, since until it is over a silent connection cannot be distinguished from a
+	// list that does not change: with 20 s, requests still went to targets that had long been replaced.
 	watchWait = time.Second
 	// openWait is the wait of the call that opens a watch at a shared service, apart from its time in the queue. It is short so
 	// that a silent connection is detected soon; the following calls of the watch wait for watchWait.
--- a/internal/datapath/discovery/discovery_test.go
+++ b/internal/datapath/discovery/discovery_test.go
@@ -26,9 +26,9 @@
 // last version, also after a failed call, and after an invalid answer the full list is requested.
 func TestWatchSequence(t *testing.T) {
 	answers := []struct {
-		status int
-		body   string
-		ask    string // the request it answers
+		status  int
+		body    string
+		request string // the request it answers
 	}{
 		{200, listJSON(5, true, entryJSON), "/api/targets?after=3&wait_ms=1000"},
 		{200, listJSON(6, false, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "/api/targets?after=5&wait_ms=1000"},
@@ -64,8 +64,8 @@
 	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: discardLog}, func(l *targetlist.List) { delivered <- *l.Version })
 	go w.Run(ctx)
 	for i, a := range answers {
-		if got := <-requests; got != a.ask {
-			t.Fatalf("call %d requested %q, want %q", i, got, a.ask)
+		if got := <-requests; got != a.request {
+			t.Fatalf("call %d requested %q, want %q", i, got, a.request)
 		}
 	}
 	<-requests
--- a/internal/datapath/front/conns.go
+++ b/internal/datapath/front/conns.go
@@ -300,7 +300,7 @@
 }
 
 // shutIfInPhase ends the connection if it is still in the phase and has no unread bytes, which may be a request that is just arriving.
-// An idle connection is half-closed at once. If a request has begun, only reading stops: a request that was received whole is answered,
+// An idle connection is half-closed at once. If a request has begun, only reading stops: a completely received request is answered,
 // a partial one is dropped.
 func (c *clientConn) shutIfInPhase(phase int32) bool {
 	c.mu.Lock()
--- a/internal/datapath/nvme/command.go
+++ b/internal/datapath/nvme/command.go
@@ -121,8 +121,8 @@
 	return stInternal | dnr
 }
 
-// endingOf returns the outcome under which a command with this status is counted.
-func endingOf(st status) metrics.Outcome {
+// metricsOutcome returns the outcome under which a command with this status is counted.
+func metricsOutcome(st status) metrics.Outcome {
 	switch {
 	case st == stOK, st.code() == stCompareFailure:
 		return metrics.Success
--- a/internal/datapath/nvme/controller.go
+++ b/internal/datapath/nvme/controller.go
@@ -468,7 +468,7 @@
 		q.send(typeC2HData, flags, dataHead(cid, 0, uint32(at), uint32(len(part))), part)
 	}
 	q.send(typeResp, 0, completion{result: result, sqhd: q.sqhd, sqid: q.qid, cid: cid, status: st}.head(), nil)
-	p.stats.End(endingOf(st))
+	p.stats.End(metricsOutcome(st))
 	q.release(p) // once the completion is in the mailbox: Stop closes connections as soon as no command is open
 	q.mu.Unlock()
 	return true
--- a/internal/datapath/nvme/nvme_test.go
+++ b/internal/datapath/nvme/nvme_test.go
@@ -816,8 +816,8 @@
 	expectMetrics("position-read.success:1|", "position-read.overload:1|", "position-read.error:3|", "concurrent:0|")
 }
 
-// TestUnusedAssociationsAreRemoved dials targets that are gone: their associations are removed once they were not used for a
-// while.
+// TestUnusedAssociationsAreRemoved dials targets that no longer exist: their associations are dropped once they have been unused
+// for a while.
 func TestUnusedAssociationsAreRemoved(t *testing.T) {
 	h := NewHost(HostOptions{KeepAlive: time.Second})
 	dialClosedPort := func() {
--- a/internal/datapath/upstream/races_test.go
+++ b/internal/datapath/upstream/races_test.go
@@ -209,7 +209,7 @@
 			b.Cancel("n", a.RequestID)
 			<-dialEnded
 		}, policy.NotConnected},
-		{"the client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.ClientGone.Store(true) }, policy.NotSent},
+		{"the client has left", func(_ *harness, a *core.Attempt, _ <-chan struct{}) { a.ClientDisconnected.Store(true) }, policy.NotSent},
 		{"the target drains", func(b *harness, _ *core.Attempt, _ <-chan struct{}) {
 			b.Apply([]Target{{ID: "n", Addr: addr, State: policy.Draining}}, false)
 		}, policy.NotSent},
@@ -221,7 +221,7 @@
 			quota := &fakeQuota{}
 			quota.limit.Store(4)
 			b, h := newBlockingHarness(addr, Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4, Quota: quota, OnSent: func() { sent.Add(1) }})
-			a := core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), ClientGone: new(atomic.Bool), SendBefore: time.Now().Add(10 * time.Second),
+			a := core.Attempt{RequestID: "x", Target: "n", Deadline: time.Now().Add(10 * time.Second), ClientDisconnected: new(atomic.Bool), SendBefore: time.Now().Add(10 * time.Second),
 				Payload: &Request{Method: "GET", URI: "/r/1", ID: "id"}}
 			switch x.name {
 			case "past its deadline":
@@ -303,7 +303,7 @@
 	require.Eventually(t, func() bool { return b.limits.open.Load() == 0 }, 10*time.Second, time.Millisecond)
 }
 
-// TestUploadEnds ends uploads at inconvenient moments: their client leaves during the dial, their target is removed and another one has its
+// TestUploadEnds ends uploads at inconvenient moments: their client disconnects during the dial, their target is removed and another one has its
 // ID, they are closed just before the attempt, or are answered before their last piece. The attempt uses the upload's connection or none, has
 // exactly one result, and nothing stays counted.
 func TestUploadEnds(t *testing.T) {
@@ -327,7 +327,7 @@
 		}
 	}()
 	b, h := newBlockingHarness(l.Addr().String(), Options{MaxConnsPerTarget: 4, MaxConnsTotal: 4})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, disconnect := context.WithCancel(context.Background())
 	startUpload := func() (*Upload, error) {
 		return b.StartUpload(ctx, "n", &Request{Method: "PUT", URI: "/w/1", ID: "id"}, 4, time.Second)
 	}
@@ -357,7 +357,7 @@
 
 	go func() {
 		d := <-h.dials
-		leave()
+		disconnect()
 		close(d.proceed)
 	}()
 	_, err = startUpload()
--- a/internal/process/instance/accounts.go
+++ b/internal/process/instance/accounts.go
@@ -21,9 +21,9 @@
 )
 
 // accountsRecorder keeps a running instance's latency accounts, and writes, logs and serves them window by window. Only the
-// core's goroutine touches book and since.
+// core's goroutine touches rec and since.
 type accountsRecorder struct {
-	book            *accounts.Recorder
+	rec             *accounts.Recorder
 	opt             config.Accounts
 	name            string
 	log             *slog.Logger
@@ -45,7 +45,7 @@
 }
 
 func newAccountsRecorder(opt config.Accounts, name string, priority func(policy.Request) float64, log *slog.Logger) *accountsRecorder {
-	a := &accountsRecorder{book: accounts.New(accounts.Options{MaxVolumes: opt.Volumes, MaxPairs: opt.Pairs, MaxOpen: opt.Open, Worth: priority}), opt: opt, name: name,
+	a := &accountsRecorder{rec: accounts.New(accounts.Options{MaxVolumes: opt.Volumes, MaxPairs: opt.Pairs, MaxOpen: opt.Open, Worth: priority}), opt: opt, name: name,
 		log: log, since: time.Now()}
 	a.run = a.writeWindows
 	return a
@@ -57,10 +57,10 @@
 	a.core.Inspect(func() {
 		now := time.Now()
 		if !cut {
-			done <- a.book.Snapshot(a.name, a.since, now)
+			done <- a.rec.Snapshot(a.name, a.since, now)
 			return
 		}
-		done <- a.book.SnapshotAndReset(a.name, a.since, now)
+		done <- a.rec.SnapshotAndReset(a.name, a.since, now)
 		a.since = now
 	})
 	select {
@@ -168,7 +168,7 @@
 	http.Error(w, "no such window is kept here", http.StatusNotFound)
 }
 
-// OnTargetList implements targetListener: a full list drops what the book knows of targets that it doesn't have.
+// OnTargetList implements targetListener: after a full list the accounts of targets that are not in it are dropped.
 func (a *accountsRecorder) OnTargetList(list *targetlist.List) {
 	if !list.Full {
 		return
@@ -177,5 +177,5 @@
 	for _, e := range list.Targets {
 		listed[e.ID] = true
 	}
-	a.core.Inspect(func() { a.book.ForgetUnlisted(func(id string) bool { return listed[id] }) })
+	a.core.Inspect(func() { a.rec.ForgetUnlisted(func(id string) bool { return listed[id] }) })
 }
--- a/internal/process/instance/config_change.go
+++ b/internal/process/instance/config_change.go
@@ -41,7 +41,7 @@
 	a.dataPath.metrics.AddClasses(slices.Collect(maps.Keys(cfg.ClassNames())))
 	a.discovery.watcher.SetInitiators(discoverySharers(cfg))
 	if a.accounts != nil {
-		a.instance.core.Inspect(func() { a.accounts.book.SetWorth(requestPriority(cfg)) })
+		a.instance.core.Inspect(func() { a.accounts.rec.SetWorth(requestPriority(cfg)) })
 	}
 	select {
 	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestNameRetention(cfg)):
--- a/internal/process/instance/feed.go
+++ b/internal/process/instance/feed.go
@@ -27,10 +27,10 @@
 }
 
 // targetMerger merges the lists of discovery and of the feed into one. It has a goroutine of its own, so that listeners get lists in order and
-// from a single goroutine, whichever source an update came from. Only that goroutine uses the fields below box.
+// from a single goroutine, whichever source an update came from. Only that goroutine uses the fields below updates.
 type targetMerger struct {
 	loop
-	box          *mailbox.Box[targetUpdate]
+	updates      *mailbox.Box[targetUpdate]
 	view         *targetmerge.View
 	publish      func(*targetlist.List)
 	heldPartials []*targetlist.List // partial lists of the feed before the first full list: they alone don't make the instance ready
@@ -38,14 +38,14 @@
 }
 
 func newTargetMerger(publish func(*targetlist.List)) *targetMerger {
-	m := &targetMerger{box: mailbox.New[targetUpdate](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), publish: publish}
+	m := &targetMerger{updates: mailbox.New[targetUpdate](), view: targetmerge.New(targetmerge.DefaultMaxRemoved), publish: publish}
 	m.run = m.mergeUpdates
 	return m
 }
 
 // putDiscovery queues a list of discovery.
 func (m *targetMerger) putDiscovery(l *targetlist.List) {
-	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: l})
+	m.updates.Put(targetUpdate{source: targetmerge.Discovery, list: l})
 }
 
 // mergeUpdates merges the queued updates until the context ends.
@@ -55,9 +55,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.box.Wake():
+		case <-m.updates.Wake():
 		}
-		all := m.box.Take(spare)
+		all := m.updates.Take(spare)
 		for _, u := range all {
 			m.merge(u)
 			if u.applied != nil {
@@ -92,7 +92,7 @@
 // list has draining. It also returns if the merger has stopped, since then no request can be sent.
 func (m *targetMerger) applyFeed(l *targetlist.List, isPartial bool) {
 	u := targetUpdate{targetmerge.WatchStream, l, isPartial, make(chan struct{})}
-	m.box.Put(u)
+	m.updates.Put(u)
 	select {
 	case <-u.applied:
 	case <-m.done:
--- a/internal/process/instance/feed_test.go
+++ b/internal/process/instance/feed_test.go
@@ -129,7 +129,7 @@
 		s.subscribe(m)
 		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5)}}))
 		if withDiscovery {
-			m.box.Put(targetUpdate{source: targetmerge.Discovery, list: &targetlist.List{Full: true, Targets: targetlist.Entries{entryOf("a", "SERVING", 5)}}})
+			m.updates.Put(targetUpdate{source: targetmerge.Discovery, list: &targetlist.List{Full: true, Targets: targetlist.Entries{entryOf("a", "SERVING", 5)}}})
 		}
 		require.NoError(t, s.onUpdate(distribution.Update{Records: []watchstream.Record{recordOf(2, "b", "SERVING", 5)}}))
 		require.NoError(t, s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 3}, Records: []watchstream.Record{recordOf(3, "c", "SERVING", 5)}}))
@@ -252,9 +252,9 @@
 	})
 	s.subscribe(m)
 	oldList := &targetlist.List{Full: true, Targets: targetlist.Entries{entryOf("a", "SERVING", 5), entryOf("b", "SERVING", 5)}}
-	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
+	m.updates.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
 	_ = s.onUpdate(distribution.Update{Position: watchstream.Position{Targets: 2, Config: 2}, Records: []watchstream.Record{recordOf(1, "a", "DRAINING", 5), recordOf(2, "b", "SERVING", 6)}})
-	m.box.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
+	m.updates.Put(targetUpdate{source: targetmerge.Discovery, list: oldList})
 	m.applyFeed(&targetlist.List{}, false)
 	require.Equal(t, map[string]string{"a": "DRAINING5", "b": "SERVING6"}, state)
 }
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -34,7 +34,7 @@
 // answerMargin is how long before the client's deadline a request's answer must be decided.
 const answerMargin = 12 * time.Millisecond
 
-// connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more than it was asked for: HTTP answers
+// connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more data than the request called for: HTTP answers
 // name no request, so a duplicate would be taken for the answer to the next request.
 const connReuseDelay = 50 * time.Millisecond
 
@@ -185,7 +185,7 @@
 	var recorder *accountsRecorder
 	if op.Accounts != nil {
 		recorder = newAccountsRecorder(*op.Accounts, cfg.Name, requestPriority(cfg), log)
-		coreOptions.Observer = recorder.book
+		coreOptions.Observer = recorder.rec
 	}
 	in.core = core.New(scheduler, up, core.NewClock(), coreOptions)
 	var hasList atomic.Bool
--- a/internal/process/instance/layered_config.go
+++ b/internal/process/instance/layered_config.go
@@ -61,7 +61,7 @@
 type layeredConfig struct {
 	name, fleet, dir string
 	log              *slog.Logger
-	sourceCtx        context.Context // until the instance leaves
+	sourceCtx        context.Context // ends when the instance stops
 	offers           chan<- configOffer
 	applied          []byte
 }
--- a/internal/process/instance/members.go
+++ b/internal/process/instance/members.go
@@ -41,7 +41,7 @@
 // openRequests is an instance's load: the number of its open requests.
 func openRequests(c *core.Core) uint16 { return uint16(min(c.OpenCount(), math.MaxUint16)) }
 
-// endedInstances are the names of the instances that the membership considers dead or gone, for the lease planner.
+// endedInstances are the names of the instances that are dead or have left according to the membership, for the lease planner.
 func endedInstances(members *transport.Runner) []string {
 	var names []string
 	for _, v := range members.EndedInstances() {
--- a/internal/process/instance/nvme.go
+++ b/internal/process/instance/nvme.go
@@ -25,11 +25,11 @@
 
 // nvmeControllerOptions configures this initiator as the NVMe controller that hosts connect to. The bounds on connections
 // and on held data derive from the process's limits.
-func nvmeControllerOptions(n *config.NVMe, c *config.Config, certStore *certs.Store, dataPathMetrics *metrics.Metrics, leave core.ShutdownSchedule, log *slog.Logger) nvme.Options {
+func nvmeControllerOptions(n *config.NVMe, c *config.Config, certStore *certs.Store, dataPathMetrics *metrics.Metrics, shutdown core.ShutdownSchedule, log *slog.Logger) nvme.Options {
 	limits := resourceLimits(c.Limits)
 	o := nvme.Options{Subsystem: n.Subsystem, Namespaces: nvmeNamespaces(n.Namespaces), QueueDepth: n.QueueDepth,
 		MaxConns: limits.clientConns(), MaxBufferedBytes: limits.heldBytes(), Timeouts: map[string]time.Duration{},
-		Log: log, Certs: certStore, Metrics: dataPathMetrics, Shutdown: leave}
+		Log: log, Certs: certStore, Metrics: dataPathMetrics, Shutdown: shutdown}
 	for _, k := range c.Policy.Classes {
 		o.Timeouts[k.Name] = k.Deadline
 	}
--- a/internal/process/instance/process_group.go
+++ b/internal/process/instance/process_group.go
@@ -48,7 +48,7 @@
 	return g.loop.Stop(ctx)
 }
 
-// logFailure logs that the other processes don't see this process's state.
+// logFailure logs that this process's state is not visible to the other processes.
 func (g *processGroup) logFailure(err error) {
 	g.log.Warn("handover not told", slog.String("reason", "HANDOVER_FAILED"), slog.Any("error", err))
 }
