--- a/internal/datapath/core/core.go
+++ b/internal/datapath/core/core.go
@@ -91,31 +91,31 @@
 // Job is a request as submitted by a front. The core sets ID and TimeLeft.
 type Job struct {
 	policy.Request
-	ClientRequestID string         // the ID that the client gave it, unique to this request; may be empty
-	Arrived         time.Time      // when its last byte was received
-	Timeout         time.Duration  // how long the client waits, from Arrived
-	Payload         any            // for the upstream
-	Done            func(Response) // called at most once, from the core's goroutine; must not block
-	clientGone      atomic.Bool    // set by Cancel at once, while the core's goroutine may still have to process the cancellation
+	ClientRequestID    string         // the ID that the client gave it, unique to this request; may be empty
+	Arrived            time.Time      // when its last byte was received
+	Timeout            time.Duration  // how long the client waits, from Arrived
+	Payload            any            // for the upstream
+	Done               func(Response) // called at most once, from the core's goroutine; must not block
+	clientDisconnected atomic.Bool    // set by Cancel at once, while the core's goroutine may still have to process the cancellation
 }
 
 // Attempt is one try of a request at a target.
 type Attempt struct {
-	RequestID  string
-	Number     int
-	Target     string
-	Deadline   time.Time // abandoned at this time
-	Payload    any
-	OnSent     func() // called by NotifySent; nil: not needed
-	Permit     policy.Permit
-	SendBefore time.Time    // its bytes may be written until then; zero: until Deadline
-	ClientGone *atomic.Bool // set once the client has disconnected; nil: not tracked
+	RequestID          string
+	Number             int
+	Target             string
+	Deadline           time.Time // abandoned at this time
+	Payload            any
+	OnSent             func() // called by NotifySent; nil: not needed
+	Permit             policy.Permit
+	SendBefore         time.Time    // its bytes may be written until then; zero: until Deadline
+	ClientDisconnected *atomic.Bool // set once the client has disconnected; nil: not tracked
 }
 
 // MaySend reports whether the attempt may still be made. It is checked just before the first byte is written, since the
 // attempt may have waited for its connection for any length of time.
 func (a *Attempt) MaySend() bool {
-	return (a.ClientGone == nil || !a.ClientGone.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
+	return (a.ClientDisconnected == nil || !a.ClientDisconnected.Load()) && time.Now().Before(a.WriteDeadline()) && (a.Permit == nil || a.Permit.Valid())
 }
 
 // WriteDeadline returns the time until which the attempt's bytes may be written.
@@ -146,13 +146,13 @@
 }
 
 // Observer is notified of each step of a request and has no influence on it. Its methods are called from the core's goroutine
-// and in order of time, except Begin (the first byte of an attempt was written), which is called just before Answer (the attempt
-// ended; responded: by a reply from the target). Served is called with the final response, if a target produced it.
+// and in order of time, except AttemptStarted (the first byte of an attempt was written), which is called just before
+// AttemptEnded (the attempt ended; responded: by a reply from the target). Served is called with the final response, if a target produced it.
 type Observer interface {
 	Arrive(at time.Duration, r policy.Request)
 	Release(at time.Duration, id, target string, tagLead time.Duration, sent bool)
-	Begin(at time.Duration, id string)
-	Answer(at time.Duration, id string, responded bool)
+	AttemptStarted(at time.Duration, id string)
+	AttemptEnded(at time.Duration, id string, responded bool)
 	Served(id string)
 	End(at time.Duration, id string)
 }
@@ -271,7 +271,7 @@
 
 // Cancel reports that the job's client has disconnected. Its Done may still be called, if the response came first.
 func (c *Core) Cancel(j *Job) {
-	j.clientGone.Store(true)
+	j.clientDisconnected.Store(true)
 	c.mailbox.Put(j)
 }
 
@@ -464,9 +464,9 @@
 	}
 	if o := c.opt.Observer; o != nil {
 		if !r.SendStarted.IsZero() {
-			o.Begin(c.clock.At(r.SendStarted), r.RequestID) // earlier than observerTime: events of other requests may have been reported since
+			o.AttemptStarted(c.clock.At(r.SendStarted), r.RequestID) // earlier than observerTime: events of other requests may have been reported since
 		}
-		o.Answer(c.observerTime(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.Rejected)
+		o.AttemptEnded(c.observerTime(now), r.RequestID, r.Code == policy.Served || r.Code == policy.AnsweredError || r.Code == policy.Rejected)
 	}
 	e.inFlight, e.lastOutcome = false, r.Code
 	e.mayHaveRun = e.mayHaveRun || r.Code.MayHaveRun()
@@ -506,7 +506,7 @@
 		e.inFlight, e.target, e.sentAt = true, a.Endpoint, now
 		e.attempts++
 		next := Attempt{RequestID: a.Request, Number: e.attempts - 1, Target: a.Endpoint,
-			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientGone: &e.job.clientGone}
+			Deadline: now.Add(a.Wait), Payload: e.job.Payload, Permit: a.Permit, ClientDisconnected: &e.job.clientDisconnected}
 		if a.SendWithin > 0 {
 			next.SendBefore = now.Add(a.SendWithin)
 		}
--- a/internal/datapath/discovery/discovery_test.go
+++ b/internal/datapath/discovery/discovery_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 var discardLog = slog.New(slog.DiscardHandler)
@@ -26,9 +26,9 @@
 // last version, also after a failed call, and after an invalid answer the full list is requested.
 func TestWatchSequence(t *testing.T) {
 	answers := []struct {
-		status int
-		body   string
-		ask    string // the request it answers
+		status  int
+		body    string
+		request string // the request it answers
 	}{
 		{200, listJSON(5, true, entryJSON), "/api/targets?after=3&wait_ms=1000"},
 		{200, listJSON(6, false, strings.Replace(entryJSON, "SERVING", "DRAINING", 1)), "/api/targets?after=5&wait_ms=1000"},
@@ -57,15 +57,15 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	delivered := make(chan int64, 64)
-	known, err := listing.Decode([]byte(listJSON(3, false, entryJSON)))
+	known, err := targetlist.Decode([]byte(listJSON(3, false, entryJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: discardLog}, func(l *listing.List) { delivered <- *l.Version })
+	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Log: discardLog}, func(l *targetlist.List) { delivered <- *l.Version })
 	go w.Run(ctx)
 	for i, a := range answers {
-		if got := <-requests; got != a.ask {
-			t.Fatalf("call %d requested %q, want %q", i, got, a.ask)
+		if got := <-requests; got != a.request {
+			t.Fatalf("call %d requested %q, want %q", i, got, a.request)
 		}
 	}
 	<-requests
@@ -101,7 +101,7 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Log: discardLog}, func(*listing.List) {})
+	w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), Log: discardLog}, func(*targetlist.List) {})
 	go w.Run(ctx)
 	<-requests
 	<-requests
@@ -140,7 +140,7 @@
 		answered <- r.RemoteAddr
 	}))
 	defer s.Close()
-	known, err := listing.Decode([]byte(listJSON(3, false, entryJSON)))
+	known, err := targetlist.Decode([]byte(listJSON(3, false, entryJSON)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 	for seed := range uint64(initiators) {
 		delivered := make(chan int64, 4)
 		w := New(Options{Addr: strings.TrimPrefix(s.URL, "http://"), LastKnown: known, Initiators: initiators, Seed: seed, Log: discardLog},
-			func(l *listing.List) { delivered <- *l.Version })
+			func(l *targetlist.List) { delivered <- *l.Version })
 		watchCtx, stopWatcher := context.WithCancel(ctx)
 		all.Go(func() {
 			defer stopWatcher() // after its first list: a continued watch costs the service nothing
@@ -217,7 +217,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	delivered := make(chan int64, 64)
-	w := New(Options{Addr: strings.TrimPrefix(first.URL, "http://"), Log: discardLog}, func(l *listing.List) { delivered <- *l.Version })
+	w := New(Options{Addr: strings.TrimPrefix(first.URL, "http://"), Log: discardLog}, func(l *targetlist.List) { delivered <- *l.Version })
 	go w.Run(ctx)
 	for _, want := range []string{"/api/targets", "/api/targets?after=9&wait_ms=1000"} {
 		if got := <-firstRequests; got != want {
--- a/internal/process/config/change.go
+++ b/internal/process/config/change.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // changeFile is a file with a change of the feed, as an operator writes it.
@@ -125,7 +125,7 @@
 	if p.Deleted {
 		return nil
 	}
-	var e listing.Entry
+	var e targetlist.Entry
 	if err := json.Unmarshal(p.Value, &e); err != nil {
 		return fmt.Errorf("value: %w", err)
 	}
@@ -135,7 +135,7 @@
 	case e.Shard == nil:
 		return fmt.Errorf("value.cell: %w", ErrMissingField)
 	case e.State != "SERVING" && e.State != "DRAINING":
-		return fmt.Errorf("value.state: %q is neither SERVING nor DRAINING; a target is removed with gone = true", e.State)
+		return fmt.Errorf("value.state: %q is neither SERVING nor DRAINING; a target is taken away by gone = true", e.State)
 	}
 	if _, _, err := net.SplitHostPort(e.Addr); err != nil {
 		return fmt.Errorf("value.addr: %w", err)
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -17,15 +17,15 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/quota/quotasession"
 	"spindlehitch/internal/datapath/budget"
+	"spindlehitch/internal/datapath/certs"
 	"spindlehitch/internal/datapath/core"
 	"spindlehitch/internal/datapath/discovery"
 	"spindlehitch/internal/datapath/front"
-	"spindlehitch/internal/datapath/keys"
-	"spindlehitch/internal/datapath/listing"
 	"spindlehitch/internal/datapath/nvme"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/observability/control"
-	"spindlehitch/internal/observability/figures"
+	"spindlehitch/internal/observability/metrics"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/process/handover"
@@ -34,7 +34,7 @@
 // responseMargin is how long before the client's timeout a response must be decided, so that it is written in time.
 const responseMargin = 12 * time.Millisecond
 
-// connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more than it was asked for: HTTP answers
+// connReuseDelay is how long a connection is not reused after an HTTP answer, if its target has sent more data than the request called for: HTTP answers
 // name no request, so a duplicate would be taken for the answer to the next request.
 const connReuseDelay = 50 * time.Millisecond
 
@@ -161,42 +161,42 @@
 		return nil, fmt.Errorf("settings: %w", err)
 	}
 	byteBudget := budget.New(0) // divider sets its size
-	var certs *keys.Store
+	var certStore *certs.Store
 	var wire upstream.Dialer = upstream.NewHTTPDialer(byteBudget)
 	reuseDelay := connReuseDelay
 	if op.NVMe != nil {
 		if op.NVMe.TLS != nil {
-			if certs, err = keys.Load(*op.NVMe.TLS); err != nil {
+			if certStore, err = certs.Load(*op.NVMe.TLS); err != nil {
 				return nil, fmt.Errorf("operator's file: nvme.tls.%w", err)
 			}
 		}
-		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certs)), 0 // NVMe answers name their commands
+		wire, reuseDelay = nvme.NewHost(nvmeHostOptions(op.NVMe, certStore)), 0 // NVMe answers name their commands
 	}
-	metrics := figures.New(slices.Collect(maps.Keys(cfg.ClassNames())))
-	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: metrics.CountDispatch, Log: log}
+	dataPathMetrics := metrics.New(slices.Collect(maps.Keys(cfg.ClassNames())))
+	upstreamOptions := upstream.Options{Dialer: wire, DialTimeout: cfg.DialTimeout, IdleTimeout: cfg.ConnIdleTimeout * 4 / 5, ReuseDelay: reuseDelay, OnSent: dataPathMetrics.CountDispatch, Log: log}
 	if session != nil {
 		upstreamOptions.Quota = session
 	}
 	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
-	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: responseMargin, RequestIDTTL: requestIDTTL(cfg), OnEjectedCount: metrics.SetEjected}
+	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: responseMargin, RequestIDTTL: requestIDTTL(cfg), OnEjectedCount: dataPathMetrics.SetEjected}
 	if tasks != nil {
 		coreOptions.OnEjectedTargets = tasks.runner.SetEjected
 	}
 	var recorder *accountsRecorder
 	if op.Accounts != nil {
 		recorder = newAccountsRecorder(*op.Accounts, cfg.Name, requestPriority(cfg), log)
-		coreOptions.Observer = recorder.book
+		coreOptions.Observer = recorder.rec
 	}
 	in.core = core.New(scheduler, up, core.NewClock(), coreOptions)
 	var hasList atomic.Bool
 	httpFront := front.New(in.core, front.Options{Admission: frontAdmission(cfg), Ready: hasList.Load,
-		ReadyOnly: op.NVMe != nil, Figures: metrics, BufferBudget: byteBudget, OpenUpload: up.StartUpload, Log: log})
+		ReadyOnly: op.NVMe != nil, Metrics: dataPathMetrics, BufferBudget: byteBudget, OpenUpload: up.StartUpload, Log: log})
 	// Only the divider sets bounds on connections and bytes: now, and whenever the limits or the number of processes change.
 	divider := &limitDivider{limits: effectiveLimits(cfg.Limits), byteBudget: byteBudget, up: up, front: httpFront, core: in.core}
 	divider.setProcesses(1)
 	in.fronts = &fronts{name: cfg.Name, log: log, listKnown: make(chan struct{})}
 
-	dp := &dataPath{loop: loop{run: in.core.Run}, core: in.core, up: up, metrics: metrics}
+	dp := &dataPath{loop: loop{run: in.core.Run}, core: in.core, up: up, metrics: dataPathMetrics}
 	in.components = components{dp}
 	if members != nil {
 		members.OnLocalState(localState(in.core, session))
@@ -217,7 +217,7 @@
 		in.components = append(in.components, recorder)
 	}
 	// Only one goroutine calls onList: that of discoveryComp, or with a feed that of feedComp's merger.
-	onList := func(l *listing.List) {
+	onList := func(l *targetlist.List) {
 		in.components.onTargetList(l)
 		hasList.Store(true)
 		in.fronts.listKnownOnce.Do(func() { close(in.fronts.listKnown) })
@@ -240,15 +240,15 @@
 	// With NVMe, the HTTP front only serves the readiness page, since a target speaks only one protocol.
 	in.addFront(&boundFront{frontServer: httpFront, addr: cfg.Listen, inheritedFD: cfg.InheritedFD, reusePort: reusePort})
 	if op.NVMe != nil {
-		controller := nvme.New(in.core, nvmeControllerOptions(op.NVMe, cfg, certs, metrics, core.NewShutdownSchedule(maxDeadline(cfg)), log))
+		controller := nvme.New(in.core, nvmeControllerOptions(op.NVMe, cfg, certStore, dataPathMetrics, core.NewShutdownSchedule(maxDeadline(cfg)), log))
 		in.components = append(in.components, namespaceUpdater{front: controller})
 		in.addFront(&boundFront{frontServer: controller, addr: op.NVMe.Listen, reusePort: reusePort})
 	}
-	if certs != nil {
-		in.components = append(in.components, certificateReloader{keys: certs})
+	if certStore != nil {
+		in.components = append(in.components, certificateReloader{certs: certStore})
 	}
 	if cfg.Control != "" {
-		controlOptions := control.Options{Ready: httpFront.Ready, Metrics: func() []byte { return figures.Render(in.components.emitMetrics) }, Log: log}
+		controlOptions := control.Options{Ready: httpFront.Ready, Metrics: func() []byte { return metrics.Render(in.components.emitMetrics) }, Log: log}
 		if members != nil {
 			controlOptions.Members = func() any {
 				v, _ := members.View()
@@ -337,12 +337,12 @@
 	loop
 	core    *core.Core
 	up      *upstream.Registry
-	metrics *figures.Metrics
+	metrics *metrics.Metrics
 }
 
 // OnTargetList implements targetListener. The connection pools get the list before the scheduler, so that an attempt that was decided on the
 // older list is checked against the newer one.
-func (d *dataPath) OnTargetList(l *listing.List) {
+func (d *dataPath) OnTargetList(l *targetlist.List) {
 	targets := make([]upstream.Target, len(l.Targets))
 	endpoints := policy.EndpointList{Full: l.Full, Endpoints: make([]policy.Endpoint, len(l.Targets))}
 	for i, e := range l.Targets {
@@ -396,7 +396,7 @@
 	watcher *discovery.Watcher
 }
 
-func newDiscoveryWatch(cfg *config.Config, log *slog.Logger, onList func(*listing.List)) *discoveryWatch {
+func newDiscoveryWatch(cfg *config.Config, log *slog.Logger, onList func(*targetlist.List)) *discoveryWatch {
 	watcher := discovery.New(discovery.Options{Addr: cfg.Discovery, LastKnown: cfg.LastKnownTargets, Initiators: discoverySharers(cfg), Seed: cfg.Seed, Log: log}, onList)
 	return &discoveryWatch{loop{run: watcher.Run}, watcher}
 }
--- a/internal/testbed/faults/lease_long_test.go
+++ b/internal/testbed/faults/lease_long_test.go
@@ -18,7 +18,7 @@
 	"spindlehitch/internal/controlplane/lease"
 	"spindlehitch/internal/controlplane/lease/lessee"
 	terms "spindlehitch/internal/controlplane/quota"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // operationSteps are the failpoints in an operation at which processes are stopped.
@@ -182,11 +182,11 @@
 			before := time.Since(began) // start of the claim before the last one: a new lease was granted after that claim was decided
 			for seq := uint64(1); ctx.Err() == nil; seq++ {
 				renewalStart := time.Since(began)
-				c := m.BeginRenewal(monotone.Now())
+				c := m.BeginRenewal(monotonic.Now())
 				call, done := context.WithTimeout(ctx, 400*time.Millisecond)
 				_, award, err := client.Renew(call, terms.RenewalRequest{ID: id, Seq: seq}, &c)
 				done()
-				if err == nil && award != nil && m.AcceptRenewal(monotone.Now(), *award) {
+				if err == nil && award != nil && m.AcceptRenewal(monotonic.Now(), *award) {
 					for _, h := range m.Status() {
 						if tokenOf[h.Shard] != h.Token {
 							tokenOf[h.Shard] = h.Token
@@ -198,7 +198,7 @@
 					}
 					before = renewalStart
 				}
-				if held := m.Held(monotone.Now()); len(held) > 0 && rng.IntN(4) == 0 {
+				if held := m.Held(monotonic.Now()); len(held) > 0 && rng.IntN(4) == 0 {
 					m.Release(held[rng.IntN(len(held))])
 				}
 				time.Sleep(time.Duration(rng.IntN(80)) * time.Millisecond)
--- a/internal/testbed/scale/hollow/checker.go
+++ b/internal/testbed/scale/hollow/checker.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 )
 
 // Stream is one of the two streams that an initiator follows.
@@ -19,7 +19,7 @@
 	Config  Stream = "config"
 )
 
-// AppliedVersion is a version that was applied, and when, by the clock of internal/process/monotone, which all
+// AppliedVersion is a version that was applied, and when, by the clock of internal/process/monotonic, which all
 // processes of a machine share.
 type AppliedVersion struct {
 	Version uint64
@@ -83,7 +83,7 @@
 }
 
 // RecordTargets records entries of targets that were applied.
-func (j *Checker) RecordTargets(entries []listing.Entry) {
+func (j *Checker) RecordTargets(entries []targetlist.Entry) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, e := range entries {
--- a/internal/testbed/scale/hollow/hollow.go
+++ b/internal/testbed/scale/hollow/hollow.go
@@ -12,9 +12,9 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
 	"spindlehitch/internal/datapath/discovery"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // stateServing is the state of a target that accepts requests, as written in lists.
@@ -24,10 +24,10 @@
 type Options struct {
 	Name, Region, Zone string
 	Seed               uint64
-	Discovery          string                // address of the discovery service; empty: none
-	Initiators         int                   // number of initiators that use the discovery service
-	LastKnown          *listing.List         // last known list
-	Agents             []string              // agents from which configuration is followed; empty: none
+	Discovery          string                        // address of the discovery service; empty: none
+	Initiators         int                           // number of initiators that use the discovery service
+	LastKnown          *targetlist.List              // last known list
+	Agents             []string                      // agents from which configuration is followed; empty: none
 	WatchStream        *distribution.FollowerOptions // nil: no watch stream
 	Members            *transport.Options
 	Policy             *policy.Settings // nil: no policy decisions
@@ -104,7 +104,7 @@
 	if len(in.opt.Agents) > 0 {
 		c := &agent.Client{Addrs: in.opt.Agents}
 		in.running.Go(func() {
-			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Checker.RecordApplied(Config, e.Version, monotone.Now()) })
+			c.FollowConfig(ctx, in.opt.Name, in.opt.Log, func(e agent.Entry) { in.Checker.RecordApplied(Config, e.Version, monotonic.Now()) })
 		})
 	}
 	return nil
@@ -112,9 +112,9 @@
 
 // applyList returns a function that applies lists. With a policy loop a list counts as applied once the scheduler has
 // processed it.
-func (in *Initiator) applyList(m *policyLoop) func(*listing.List) {
-	return func(l *listing.List) {
-		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotone.Now()) }
+func (in *Initiator) applyList(m *policyLoop) func(*targetlist.List) {
+	return func(l *targetlist.List) {
+		done := func() { in.Checker.RecordApplied(Targets, uint64(*l.Version), monotonic.Now()) }
 		if m != nil {
 			m.enqueue(l, done)
 			return
--- a/internal/testbed/scale/hollow/policy.go
+++ b/internal/testbed/scale/hollow/policy.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/mailbox"
 )
@@ -30,7 +30,7 @@
 }
 
 type pendingList struct {
-	list *listing.List
+	list *targetlist.List
 	done func()
 }
 
@@ -42,10 +42,10 @@
 	return &policyLoop{scheduler: m, settings: settings, clock: core.NewClock(), checker: checker, inbox: mailbox.New[pendingList](), openRequests: map[string]bool{}, ended: make(chan struct{})}, nil
 }
 
-func (x *policyLoop) enqueue(l *listing.List, done func()) { x.inbox.Put(pendingList{l, done}) }
+func (x *policyLoop) enqueue(l *targetlist.List, done func()) { x.inbox.Put(pendingList{l, done}) }
 
 // applyAndWait queues a list and returns once the scheduler has processed it; false: the loop has ended.
-func (x *policyLoop) applyAndWait(l *listing.List) bool {
+func (x *policyLoop) applyAndWait(l *targetlist.List) bool {
 	done := make(chan struct{})
 	x.enqueue(l, func() { close(done) })
 	select {
--- a/internal/testbed/scale/hollow/stream.go
+++ b/internal/testbed/scale/hollow/stream.go
@@ -9,8 +9,8 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 )
 
 var jsonCodec = jsoniter.ConfigCompatibleWithStandardLibrary
@@ -18,7 +18,7 @@
 // streamState is an initiator's watch stream follower, with totals over all its runs.
 type streamState struct {
 	current                         atomic.Pointer[distribution.Follower] // nil: not running
-	earlierBytesIn, earlierBytesOut uint64                        // bytes read and written in earlier runs
+	earlierBytesIn, earlierBytesOut uint64                                // bytes read and written in earlier runs
 	earlierSwitches                 uint64
 }
 
@@ -38,17 +38,17 @@
 // and is recorded as a violation.
 func (in *Initiator) applyUpdate(f *distribution.Follower, m *policyLoop, c distribution.Update) error {
 	v := int64(c.Position.Targets)
-	l := &listing.List{Version: &v, Full: c.Full}
+	l := &targetlist.List{Version: &v, Full: c.Full}
 	config := c.Full
 	for _, r := range c.Records {
 		if r.Kind == watchstream.Config {
 			config = true
 			continue
 		}
-		e := listing.Entry{ID: r.Key, State: "DELETED"}
+		e := targetlist.Entry{ID: r.Key, State: "DELETED"}
 		if !r.Deleted {
 			var err error
-			if e, err = listing.DecodeEntry(r.Value); err != nil {
+			if e, err = targetlist.DecodeEntry(r.Value); err != nil {
 				in.Checker.RecordViolation("target %s: %v", r.Key, err)
 				continue
 			}
@@ -71,7 +71,7 @@
 			return fmt.Errorf("merged configuration is not valid JSON")
 		}
 	}
-	at := monotone.Now()
+	at := monotonic.Now()
 	in.Checker.RecordApplied(Targets, c.Position.Targets, at)
 	in.Checker.RecordApplied(Config, c.Position.Config, at)
 	return nil
--- a/internal/testbed/scale/run/control.go
+++ b/internal/testbed/scale/run/control.go
@@ -10,8 +10,8 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/ports"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
@@ -120,7 +120,7 @@
 const putsPerChange = 50
 
 // publish publishes changed targets and returns the version that includes all of them.
-func (f *fleet) publish(ctx context.Context, e []listing.Entry) (version uint64, err error) {
+func (f *fleet) publish(ctx context.Context, e []targetlist.Entry) (version uint64, err error) {
 	if !f.usesFeed() {
 		version, _ = f.discovery.publish(e...)
 		return version, nil
@@ -164,7 +164,7 @@
 	}
 	value := fmt.Appendf(nil, `{"limits":{"sockets":%d}}`, 1024+w.changes%1024)
 	return func(ctx context.Context) (_ changeMark, err error) {
-		m.At = monotone.Now()
+		m.At = monotonic.Now()
 		m.Version, err = f.client.PutChange(ctx, watchstream.Change{Fleet: fleetName, Puts: []watchstream.Put{{Kind: watchstream.Config, Key: key, Value: value}}})
 		return m, err
 	}
--- a/internal/testbed/scale/run/discovery.go
+++ b/internal/testbed/scale/run/discovery.go
@@ -11,8 +11,8 @@
 
 	jsoniter "github.com/json-iterator/go"
 
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // Cost model of the discovery service shared by all initiators, from docs/standing.md.
@@ -32,7 +32,7 @@
 	mu            sync.Mutex
 	busyUntil     time.Time // when all calls queued so far are done
 	version       int64
-	entries       []listing.Entry
+	entries       []targetlist.Entry
 	index         map[string]int       // of each target in entries
 	entryVersions []int64              // the version in which each entry last changed
 	changed       chan struct{}        // closed and replaced at each change
@@ -82,7 +82,7 @@
 	return countingConn{c, l.counter}, nil
 }
 
-func newDiscoveryService(entries []listing.Entry) (*discoveryService, error) {
+func newDiscoveryService(entries []targetlist.Entry) (*discoveryService, error) {
 	s := &discoveryService{version: 1, index: map[string]int{}, changed: make(chan struct{}), lastAnswers: map[string]time.Time{}}
 	for _, e := range entries {
 		s.setEntry(e)
@@ -105,7 +105,7 @@
 }
 
 // setEntry adds or replaces an entry. The caller must hold mu, except before the service is started.
-func (s *discoveryService) setEntry(e listing.Entry) {
+func (s *discoveryService) setEntry(e targetlist.Entry) {
 	if i, found := s.index[e.ID]; found {
 		s.entries[i], s.entryVersions[i] = e, s.version
 		return
@@ -115,7 +115,7 @@
 }
 
 // publish makes the next version from changed entries, and returns it with the time.
-func (s *discoveryService) publish(e ...listing.Entry) (uint64, time.Duration) {
+func (s *discoveryService) publish(e ...targetlist.Entry) (uint64, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
@@ -124,15 +124,15 @@
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
-	return uint64(s.version), monotone.Now()
+	return uint64(s.version), monotonic.Now()
 }
 
 // list returns the current full list.
-func (s *discoveryService) list() *listing.List {
+func (s *discoveryService) list() *targetlist.List {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.version
-	return &listing.List{Version: &v, Full: true, Targets: append(listing.Entries(nil), s.entries...)}
+	return &targetlist.List{Version: &v, Full: true, Targets: append(targetlist.Entries(nil), s.entries...)}
 }
 
 // awaitTurn queues a call and returns when it is done, or returns false if the queue is too long.
@@ -157,7 +157,7 @@
 }
 
 // changedSince returns the entries that changed after a version. The caller must hold mu.
-func (s *discoveryService) changedSince(after int64) (l []listing.Entry) {
+func (s *discoveryService) changedSince(after int64) (l []targetlist.Entry) {
 	for i, v := range s.entryVersions {
 		if v > after {
 			l = append(l, s.entries[i])
@@ -196,7 +196,7 @@
 		}
 	}
 	s.mu.Lock()
-	answer := listing.List{Version: new(int64), Full: full, Targets: s.entries}
+	answer := targetlist.List{Version: new(int64), Full: full, Targets: s.entries}
 	*answer.Version = s.version
 	if !full {
 		answer.Targets = s.changedSince(after)
--- a/internal/testbed/scale/run/fleet.go
+++ b/internal/testbed/scale/run/fleet.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"spindlehitch/internal/controlplane/agent"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/testbed/faults"
 	"spindlehitch/internal/testbed/ports"
 )
@@ -50,7 +50,7 @@
 	links        map[string][]*faults.Link // by region, to everything outside it
 	agentLinks   [][]*faults.Link          // by relay, the subset of links that leads to the agents
 	client       *agent.Client
-	entries      []listing.Entry
+	entries      []targetlist.Entry
 	stateChanges []int64      // number of state changes of each entry
 	changing     map[int]bool // indexes of the entries with a change in progress
 	mu           sync.Mutex
@@ -95,10 +95,10 @@
 
 // addTargets creates targets up to a number in all and returns the new ones. The first few answer requests and share a shard in pairs; each other target is a shard of
 // its own.
-func (f *fleet) addTargets(total int) []listing.Entry {
+func (f *fleet) addTargets(total int) []targetlist.Entry {
 	from := len(f.entries)
 	for i := from; i < total; i++ {
-		e := listing.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
+		e := targetlist.Entry{ID: fmt.Sprintf("t%05d", i), Addr: "127.0.0.1:9", Zone: f.zone(i), Shard: new(int), State: "SERVING"}
 		if *e.Shard = i; i < len(f.targets.addrs) {
 			e.Addr, *e.Shard = f.targets.addrs[i], i/2
 		}
--- a/internal/testbed/scale/run/host.go
+++ b/internal/testbed/scale/run/host.go
@@ -22,7 +22,7 @@
 	"spindlehitch/internal/controlplane/membership/transport"
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 	"spindlehitch/internal/process/config"
 	"spindlehitch/internal/testbed/scale/hollow"
@@ -46,7 +46,7 @@
 	Add          []hollowSpec
 	ControlAddrs map[string]controlAddrs `json:"Ways"` // by region
 	Initiators   int                     `json:"Crowd"`
-	LastKnown    *listing.List           `json:"Known"`
+	LastKnown    *targetlist.List        `json:"Known"`
 	Dir          string
 	Fleet        string
 	Number       int
@@ -121,7 +121,7 @@
 	specs             map[string]hollowSpec
 	addrs             map[string]controlAddrs
 	fleetSize         int
-	lastKnown         *listing.List
+	lastKnown         *targetlist.List
 	dir               string
 	fleet             string
 	traffic           byteCounter
--- a/internal/testbed/scale/run/real.go
+++ b/internal/testbed/scale/run/real.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/ports"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
@@ -124,7 +124,7 @@
 			for ctx.Err() == nil {
 				// The version may have been in force for up to a poll interval by now.
 				if n := r.metrics(ctx); n != nil {
-					at := monotone.Now()
+					at := monotonic.Now()
 					j.RecordApplied(hollow.Targets, uint64(n["feed.in_force.targets"]), at)
 					j.RecordApplied(hollow.Config, uint64(n["feed.in_force.config"]), at)
 				}
--- a/internal/testbed/scale/run/run_test.go
+++ b/internal/testbed/scale/run/run_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 
 	"spindlehitch/internal/controlplane/watchstream"
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
@@ -88,7 +88,7 @@
 
 // TestDiscoveryService checks the cost model of the stand-in against docs/standing.md: calls one at a time, the cost of an answer, and a renewed watch.
 func TestDiscoveryService(t *testing.T) {
-	s, err := newDiscoveryService([]listing.Entry{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}, {ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}})
+	s, err := newDiscoveryService([]targetlist.Entry{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}, {ID: "b", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}})
 	require.NoError(t, err)
 	defer s.close()
 	in := hollow.New(hollow.Options{Name: "h", Discovery: s.addr, Initiators: 1, Log: quiet})
@@ -100,7 +100,7 @@
 	}
 	reached(1)
 	require.GreaterOrEqual(t, time.Since(began), callCost+2*entryCost)
-	v, at := s.publish(listing.Entry{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "DRAINING", StartedMs: 1})
+	v, at := s.publish(targetlist.Entry{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "DRAINING", StartedMs: 1})
 	reached(v)
 	got, done := in.Checker.AppliedAt(hollow.Targets, v)
 	require.True(t, done)
@@ -112,7 +112,7 @@
 // TestHost sends a host the orders of a run and checks its answers.
 func TestHost(t *testing.T) {
 	h := &host{ctx: context.Background(), specs: map[string]hollowSpec{}}
-	known := &listing.List{Version: new(int64), Full: true, Targets: listing.Entries{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}}}
+	known := &targetlist.List{Version: new(int64), Full: true, Targets: targetlist.Entries{{ID: "a", Addr: "127.0.0.1:9", Shard: new(int), State: "SERVING"}}}
 	*known.Version = 4
 	s := &hostState{}
 	require.NoError(t, h.handle(&hostOrder{Action: "add", ControlAddrs: map[string]controlAddrs{"north": {Discovery: "127.0.0.1:9"}}, Initiators: 2, LastKnown: known,
@@ -128,7 +128,7 @@
 	}, time.Minute, 5*time.Millisecond)
 	require.Equal(t, 2, s.Running)
 	s = &hostState{}
-	require.NoError(t, h.handle(&hostOrder{Action: "collect", Marks: append(marks, changeMark{Lane: hollow.Targets, Version: 5, At: monotone.Now()})}, s))
+	require.NoError(t, h.handle(&hostOrder{Action: "collect", Marks: append(marks, changeMark{Lane: hollow.Targets, Version: 5, At: monotonic.Now()})}, s))
 	require.Equal(t, 2, s.Missing, "no initiator has version 5")
 	require.Len(t, s.Last, 2)
 	s = &hostState{}
@@ -177,9 +177,9 @@
 
 // TestTargetChanges checks that the changes of each target are numbered, so that journals can order its states, and that only one is in progress at a time.
 func TestTargetChanges(t *testing.T) {
-	f := &fleet{spec: &Spec{}, entries: []listing.Entry{{ID: "a", State: "SERVING"}}, stateChanges: []int64{0}, targets: &targetServers{}, changing: map[int]bool{}}
-	require.Equal(t, listing.Entry{ID: "a", State: "DRAINING", StartedMs: 1}, f.toggleTarget(0))
-	require.Equal(t, listing.Entry{ID: "a", State: "SERVING", StartedMs: 2}, f.toggleTarget(0))
+	f := &fleet{spec: &Spec{}, entries: []targetlist.Entry{{ID: "a", State: "SERVING"}}, stateChanges: []int64{0}, targets: &targetServers{}, changing: map[int]bool{}}
+	require.Equal(t, targetlist.Entry{ID: "a", State: "DRAINING", StartedMs: 1}, f.toggleTarget(0))
+	require.Equal(t, targetlist.Entry{ID: "a", State: "SERVING", StartedMs: 2}, f.toggleTarget(0))
 	w := f.newChangeWriter(1)
 	e, _ := w.chooseTargets()
 	require.Empty(t, e, "a change of the only target is in progress")
--- a/internal/testbed/scale/run/spec.go
+++ b/internal/testbed/scale/run/spec.go
@@ -114,7 +114,7 @@
 	specProcessesMax  = 300
 	specPerProcessMax = 500
 	specRealMax       = 20 // of spindlehitch serve
-	// specListMax is the most targets in a list that discovery sends (internal/datapath/listing).
+	// specListMax is the most targets in a list that discovery sends (internal/datapath/targetlist).
 	specListMax = 1 << 13
 )
 
--- a/internal/testbed/scale/run/writer.go
+++ b/internal/testbed/scale/run/writer.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"spindlehitch/internal/datapath/listing"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/datapath/targetlist"
+	"spindlehitch/internal/process/monotonic"
 	"spindlehitch/internal/testbed/scale/hollow"
 )
 
@@ -95,7 +95,7 @@
 
 // chooseTargets chooses a target to drain or to return to service; every fourth time it chooses two, for a change of primary. Only one change of
 // a target is in progress at a time, or the older one could come into force after the newer one.
-func (w *changeWriter) chooseTargets() (e []listing.Entry, primary bool) {
+func (w *changeWriter) chooseTargets() (e []targetlist.Entry, primary bool) {
 	f := w.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -120,12 +120,12 @@
 }
 
 // changeTargets publishes a change of targets that chooseTargets chose.
-func (w *changeWriter) changeTargets(ctx context.Context, e []listing.Entry, primary bool) (changeMark, error) {
+func (w *changeWriter) changeTargets(ctx context.Context, e []targetlist.Entry, primary bool) (changeMark, error) {
 	f := w.f
 	if len(e) == 0 {
 		return changeMark{}, errAllChanging
 	}
-	at := monotone.Now()
+	at := monotonic.Now()
 	version, err := f.publish(ctx, e)
 	f.mu.Lock()
 	for _, e := range e {
@@ -156,7 +156,7 @@
 }
 
 // toggleTarget changes the state of a target and marks its change as in progress. The caller must hold mu.
-func (f *fleet) toggleTarget(i int) listing.Entry {
+func (f *fleet) toggleTarget(i int) targetlist.Entry {
 	e := &f.entries[i]
 	f.stateChanges[i]++
 	f.changing[i] = true
@@ -194,7 +194,7 @@
 // changeEachConfig changes the configuration of each initiator at the agents, for fleets without the feed.
 func (w *changeWriter) changeEachConfig(ctx context.Context, turn int) (changeMark, error) {
 	f := w.f
-	m := changeMark{Lane: hollow.Config, At: monotone.Now(), VersionByName: map[string]uint64{}}
+	m := changeMark{Lane: hollow.Config, At: monotonic.Now(), VersionByName: map[string]uint64{}}
 	var mu sync.Mutex
 	var failed error
 	var all sync.WaitGroup
--- a/internal/testbed/scale/slope/agent.go
+++ b/internal/testbed/scale/slope/agent.go
@@ -12,7 +12,7 @@
 
 	"spindlehitch/internal/controlplane/agent"
 	"spindlehitch/internal/controlplane/quota/quotaclient"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 // paddedConfig returns a configuration padded to a size in bytes.
@@ -223,7 +223,7 @@
 		clients[i].Addrs = g.Addrs
 		m, d, err := clients[i].Join(ctx, quotaMember(i))
 		if err == nil {
-			quotaClients[i] = newQuotaClient(monotone.Now(), m.ID, d)
+			quotaClients[i] = newQuotaClient(monotonic.Now(), m.ID, d)
 		}
 		return err
 	}); err != nil {
@@ -249,13 +249,13 @@
 						return
 					}
 					call, done := context.WithTimeout(ctx, 5*time.Second)
-					a, _, err := clients[i].Renew(call, quotaClients[i].BeginRenewal(monotone.Now()), nil)
+					a, _, err := clients[i].Renew(call, quotaClients[i].BeginRenewal(monotonic.Now()), nil)
 					done()
 					if err != nil {
 						failed.Add(1)
 						continue
 					}
-					quotaClients[i].AcceptRenewal(monotone.Now(), a)
+					quotaClients[i].AcceptRenewal(monotonic.Now(), a)
 				}
 			})
 		}
--- a/internal/testbed/scale/slope/discovery.go
+++ b/internal/testbed/scale/slope/discovery.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"spindlehitch/internal/datapath/discovery"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/policy"
 )
 
@@ -73,12 +73,12 @@
 }
 
 // startWatchers starts n watchers of one service that have its list already, and returns a function that stops them.
-func startWatchers(ctx context.Context, at net.Addr, initiators, n int, onList func(*listing.List)) func() {
+func startWatchers(ctx context.Context, at net.Addr, initiators, n int, onList func(*targetlist.List)) func() {
 	ctx, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	version := int64(1)
 	for i := range n {
-		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &listing.List{Version: &version}, Initiators: initiators, Seed: uint64(i + 1),
+		w := discovery.New(discovery.Options{Addr: at.String(), LastKnown: &targetlist.List{Version: &version}, Initiators: initiators, Seed: uint64(i + 1),
 			Log: slog.New(slog.DiscardHandler)}, onList)
 		all.Go(func() { w.Run(ctx) })
 	}
@@ -207,7 +207,7 @@
 			}
 			defer end()
 			var notified atomic.Int64
-			stop := startWatchers(ctx, s.Addr(), 0, size, func(*listing.List) { notified.Add(1) })
+			stop := startWatchers(ctx, s.Addr(), 0, size, func(*targetlist.List) { notified.Add(1) })
 			defer stop()
 			if err := waitUntil(ctx, "a list at all watchers", func() bool { return notified.Load() >= int64(size) && s.calls.Load() >= int64(size) }); err != nil {
 				return nil, err
@@ -248,7 +248,7 @@
 			}
 			defer end()
 			var notified atomic.Int64
-			stop := startWatchers(ctx, s.Addr(), size, size, func(l *listing.List) {
+			stop := startWatchers(ctx, s.Addr(), size, size, func(l *targetlist.List) {
 				if *l.Version > 1 { // the first call is for the list that it started with
 					notified.Add(1)
 				}
--- a/internal/testbed/scale/slope/feed.go
+++ b/internal/testbed/scale/slope/feed.go
@@ -15,7 +15,7 @@
 
 	"spindlehitch/internal/controlplane/watchstream"
 	"spindlehitch/internal/controlplane/watchstream/distribution"
-	"spindlehitch/internal/process/monotone"
+	"spindlehitch/internal/process/monotonic"
 )
 
 const fleetName = "fleet"
@@ -64,7 +64,7 @@
 func (o *feedOrigin) WithSource(f func(time.Duration, *watchstream.Source)) (<-chan struct{}, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	now := monotone.Now()
+	now := monotonic.Now()
 	o.source.MarkFresh(now)
 	f(now, o.source)
 	return o.changed, true
--- a/internal/testbed/scale/slope/list.go
+++ b/internal/testbed/scale/slope/list.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"spindlehitch/internal/datapath/core"
-	"spindlehitch/internal/datapath/listing"
+	"spindlehitch/internal/datapath/targetlist"
 	"spindlehitch/internal/datapath/upstream"
 	"spindlehitch/internal/policy"
 )
@@ -40,7 +40,7 @@
 
 func listProbes() []Probe {
 	return []Probe{{
-		Description: "internal/datapath/listing: a whole list read and checked",
+		Description: "internal/datapath/targetlist: a whole list read and checked",
 		Metrics: []Metric{{Name: "list.line", Unit: "B", Subject: "a whole list on the wire", Per: "entry", Exact: true},
 			{Name: "list.decode", Unit: "us", Subject: "reading a whole list", Per: "entry"},
 			{Name: "list.allocs", Unit: "allocs", Subject: "reading a whole list", Per: "entry", Exact: true},
@@ -48,21 +48,21 @@
 		Sizes: []float64{200, 500, 1250, 3200, 8000, 20_000, 50_000}, ShortSizes: []float64{200, 500, 1250, 3200}, Repeats: 3,
 		Run: func(_ context.Context, size int) ([]float64, error) {
 			t := listJSON(1, size, true)
-			held, l := retainedBytes(func() *listing.List {
-				l, err := listing.Decode(t)
+			held, l := retainedBytes(func() *targetlist.List {
+				l, err := targetlist.Decode(t)
 				if err != nil {
 					return nil
 				}
 				return l
 			})
 			if l == nil {
-				_, err := listing.Decode(t)
-				if errors.Is(err, listing.ErrTooManyEntries) {
+				_, err := targetlist.Decode(t)
+				if errors.Is(err, targetlist.ErrTooManyEntries) {
 					err = ErrSizeUnsupported
 				}
 				return nil, err
 			}
-			read := func() { _, _ = listing.Decode(t) }
+			read := func() { _, _ = targetlist.Decode(t) }
 			objects, _ := allocations(read)
 			return []float64{float64(len(t)), minMicros(3, 200*time.Millisecond, read), objects, held}, nil
 		},
