--- a/internal/datapath/upstream/requirements_test.go
+++ b/internal/datapath/upstream/requirements_test.go
@@ -22,12 +22,15 @@
 func TestLateDuplicateAnswer(t *testing.T) {
 	for _, delay := range []time.Duration{time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
 		t.Run(fmt.Sprint(delay), func(t *testing.T) {
+			firstDuplicate := make(chan struct{}) // closed by the target once it has written the first duplicate
 			s := newFakeTarget(t, func(n int32, _ *http.Request, c net.Conn) bool {
 				body := fmt.Sprint("answer ", n)
 				respond(c, "200 OK", body)
 				go func() {
 					time.Sleep(delay)
-					respond(c, "200 OK", body)
+					if respond(c, "200 OK", body) && n == 1 {
+						close(firstDuplicate)
+					}
 				}()
 				time.Sleep(2 * time.Millisecond) // the processing time of a request
 				return true
@@ -39,7 +42,11 @@
 				require.Equal(t, policy.Served, r.Code)
 				require.Equal(t, fmt.Sprint("answer ", s.requests.Load()), string(r.Payload.([]byte)))
 				if i == 0 {
-					time.Sleep(2 * delay)
+					select {
+					case <-firstDuplicate:
+					case <-time.After(10 * time.Second):
+						require.Fail(t, "the target has not written the first duplicate")
+					}
 				}
 				time.Sleep(time.Duration(i%3) * delay / 4)
 			}
