--- a/internal/process/instance/config_change.go
+++ b/internal/process/instance/config_change.go
@@ -12,8 +12,8 @@
 	"spindlehitch/internal/process/config"
 )
 
-// configApplier applies another configuration to the running components. Their state is kept: connections, requests, what was
-// learned about targets, outstanding attempts and the target list.
+// configApplier applies another configuration to the running components. Their state is kept: connections, requests, the
+// recorded health of targets, outstanding attempts and the target list.
 type configApplier struct {
 	passive
 	instance  *instance
@@ -44,7 +44,7 @@
 		a.instance.core.Inspect(func() { a.accounts.rec.SetWorth(requestPriority(cfg)) })
 	}
 	select {
-	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestNameRetention(cfg)):
+	case <-a.instance.core.ApplySettings(cfg.Policy, cfg.MaxOpenRequests, requestIDTTL(cfg)):
 	case <-a.dataPath.done: // the scheduler has ended
 	}
 	a.front.SetAdmission(frontAdmission(cfg))
--- a/internal/process/instance/instance.go
+++ b/internal/process/instance/instance.go
@@ -178,7 +178,7 @@
 		upstreamOptions.Quota = session
 	}
 	up := upstream.NewRegistry(upstreamOptions, func(r core.Result) { in.core.Report(r) })
-	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestNameRetention(cfg), OnEjectedCount: dataPathMetrics.SetEjected}
+	coreOptions := core.Options{MaxOpen: cfg.MaxOpenRequests, Margin: answerMargin, RequestIDTTL: requestIDTTL(cfg), OnEjectedCount: dataPathMetrics.SetEjected}
 	if tasks != nil {
 		coreOptions.OnEjectedTargets = tasks.runner.SetEjected
 	}
@@ -311,9 +311,9 @@
 	return func(r policy.Request) float64 { return classes[r.Class] * plans[r.Plan] }
 }
 
-// requestNameRetention is how long a request's name stays taken, so that it isn't used again: an attempt lasts no longer than its client
-// waits, and targets remember keyed requests for the deduplication window.
-func requestNameRetention(cfg *config.Config) time.Duration {
+// requestIDTTL is how long a request ID stays reserved, so that it isn't used again: an attempt lasts no longer than its client waits, and
+// targets remember keyed requests for the deduplication window.
+func requestIDTTL(cfg *config.Config) time.Duration {
 	d := maxDeadline(cfg)
 	for _, c := range cfg.Policy.Classes {
 		if c.Effect == policy.IdempotentWithKey {
--- a/internal/process/instance/instance_test.go
+++ b/internal/process/instance/instance_test.go
@@ -246,14 +246,14 @@
 	}
 }
 
-// TestRequestNameRetention checks that a request's name stays taken for the longest deadline or deduplication window of a keyed class.
-func TestRequestNameRetention(t *testing.T) {
+// TestRequestIDTTL checks that a request ID stays reserved for the longest deadline or deduplication window of a keyed class.
+func TestRequestIDTTL(t *testing.T) {
 	classes := []policy.Class{{Deadline: 2 * time.Second, DedupWindow: time.Hour}, {Deadline: time.Second, Effect: policy.IdempotentWithKey, DedupWindow: 700 * time.Millisecond}}
 	cfg := &config.Config{}
 	cfg.Policy.Classes = classes
-	require.Equal(t, 2*time.Second, requestNameRetention(cfg))
+	require.Equal(t, 2*time.Second, requestIDTTL(cfg))
 	classes[1].DedupWindow = 9 * time.Second
-	require.Equal(t, 9*time.Second, requestNameRetention(cfg))
+	require.Equal(t, 9*time.Second, requestIDTTL(cfg))
 }
 
 // TestTargetConnectionsCloseWithInstance stops an instance in a process that goes on: its connections to targets are closed.
--- a/internal/process/instance/layered_config.go
+++ b/internal/process/instance/layered_config.go
@@ -57,7 +57,7 @@
 	return errors.Join(err, followLoop.Stop(stopCtx))
 }
 
-// layered is a configuration of layers, as the feed brings it.
+// layeredConfig merges the configuration layers that the feed delivers, and offers the result to the instance.
 type layeredConfig struct {
 	name, fleet, dir string
 	log              *slog.Logger
