--- a/internal/testbed/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -23,7 +23,7 @@
 	howFeed       = "the feed: internal/controlplane/watchstream/distribution, internal/controlplane/watchstream"
 	howModule     = "what a change costs the module: root package"
 	howTurn       = "what a request costs the module: root package"
-	howLine       = "how a list is read: internal/datapath/targetlist"
+	howLine       = "how a list is read: internal/datapath/listing" // the earlier path of internal/datapath/targetlist; TestPage compares the text with docs/CAPACITY.md
 	howGiver      = "fleet-wide budgets: internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator"
 	howLeases     = "leases: internal/controlplane/lease/lessor"
 	howMembers    = "members: internal/controlplane/membership/transport, internal/controlplane/membership"
--- a/internal/testbed/scale/slope/parts.go
+++ b/internal/testbed/scale/slope/parts.go
@@ -97,7 +97,7 @@
 		{"discovery to initiators that start, in all", "a whole list", func(c costs, s Size) float64 { return c.at("list.line", s.Targets) }, "list.line",
 			func(_ costs, s Size, l Limits) [4]float64 {
 				return [4]float64{s.InitiatorsBack / day, s.InitiatorsBack / l.Back, s.Initiators / s.Zones / minute, 0}
-			}, "internal/datapath/discovery, internal/datapath/targetlist", Without},
+			}, "internal/datapath/discovery, internal/datapath/listing", Without}, // as in howLine
 		{"an agent and each initiator", "a watch with nothing new", func(c costs, _ Size) float64 { return c.each("agent.follow.wire") }, "agent.follow.wire",
 			func(costs, Size, Limits) [4]float64 { return always4(1) }, "internal/controlplane/agent", Without},
 		{"an agent to each initiator", "its configuration, whole", func(c costs, s Size) float64 { return c.at("agent.answer", s.Config) }, "agent.answer",
