--- a/internal/process/instance/config_change.go
+++ b/internal/process/instance/config_change.go
@@ -12,8 +12,8 @@
 	"spindlehitch/internal/process/config"
 )
 
-// configApplier applies another configuration to the running components. Their state is kept: connections, requests, what was
-// learned about targets, outstanding attempts and the target list.
+// configApplier applies another configuration to the running components. Their state is kept: connections, requests, the
+// recorded health of targets, outstanding attempts and the target list.
 type configApplier struct {
 	passive
 	instance  *instance
