--- a/internal/testbed/modelcheck/bench_test.go
+++ b/internal/testbed/modelcheck/bench_test.go
@@ -11,7 +11,7 @@
 	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
-func four(seats int) quota.Config {
+func fourBudgets(seats int) quota.Config {
 	c := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
 		{Name: "work", Resource: quota.AllWork, Capacity: 1e5, Burst: 1e5, FloorRate: 1, FloorBurst: 1}, {Name: "repeats", Resource: quota.Retries, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
 		{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
@@ -25,7 +25,7 @@
 // BenchmarkTake is what a send costs at an instance: the questions and the draw, under four budgets.
 func BenchmarkTake(b *testing.B) {
 	c := quotaclient.New(quota.Resources)
-	c.Register(time.Hour, "m", four(2000))
+	c.Register(time.Hour, "m", fourBudgets(2000))
 	req := c.BeginRenewal(time.Hour)
 	c.AcceptRenewal(time.Hour, quota.RenewalResponse{ID: "m", Seq: req.Seq, Allocations: []quota.Allocation{{Key: quota.Key{Budget: "work"}, Amount: quota.Amount{Rate: 1e4, Burst: 1e4}}}})
 	b.ReportAllocs()
@@ -43,7 +43,7 @@
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{20, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			doc := four(2000)
+			doc := fourBudgets(2000)
 			var members []quota.Member
 			var holders []*quotaclient.Client
 			for i := range n {
--- a/internal/testbed/modelcheck/explore/explore.go
+++ b/internal/testbed/modelcheck/explore/explore.go
@@ -21,19 +21,19 @@
 }
 
 // BrokenPromiseError is a broken promise and the steps that lead to it.
-type BrokenPromiseError struct {
+type ViolationError struct {
 	Case  string
 	Steps []string
 	Err   error
 }
 
-func (f *BrokenPromiseError) Error() string {
+func (f *ViolationError) Error() string {
 	return fmt.Sprintf("%s: %v, after / %s", f.Case, f.Err, strings.Join(f.Steps, " / "))
 }
 
 // Broken returns a BrokenPromiseError with these steps.
-func Broken[S fmt.Stringer](name string, steps []S, err error) *BrokenPromiseError {
-	f := &BrokenPromiseError{Case: name, Err: err}
+func NewViolation[S fmt.Stringer](name string, steps []S, err error) *ViolationError {
+	f := &ViolationError{Case: name, Err: err}
 	for _, s := range steps {
 		f.Steps = append(f.Steps, s.String())
 	}
@@ -48,7 +48,7 @@
 	}
 	for i, x := range steps {
 		if err := w.Do(x); err != nil {
-			return w, Broken(name, steps[:i+1], err)
+			return w, NewViolation(name, steps[:i+1], err)
 		}
 	}
 	return w, nil
@@ -58,7 +58,7 @@
 // It goes breadth first, so that what it finds is as short as possible. Beyond limit states it goes no
 // deeper; full tells whether it visited all. If also is given, one state in sixteen, always the same
 // ones, is passed to it.
-func Search[S fmt.Stringer, W World[S]](name string, first func() (W, error), depth, limit int, also func(W) error) (states int, full bool, err error) { //nolint:gocognit // to be split with its package, see docs/left.md
+func Search[S fmt.Stringer, W World[S]](name string, first func() (W, error), depth, limit int, checkState func(W) error) (states int, complete bool, err error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	seen := map[uint64]bool{}
 	level := [][]S{nil}
 	type next struct {
@@ -68,7 +68,7 @@
 	for range depth {
 		found := make([][]next, len(level))
 		var mu sync.Mutex
-		var broken *BrokenPromiseError
+		var broken *ViolationError
 		brokenAt := len(level)
 		var wg sync.WaitGroup
 		work := make(chan int)
@@ -84,15 +84,15 @@
 						w, err := Replay(name, first, steps)
 						var hash uint64
 						if err == nil {
-							if hash = xxhash.Sum64String(w.Print()); also != nil && hash%16 == 0 {
-								if err = also(w); err != nil {
-									err = Broken(name, steps, err)
+							if hash = xxhash.Sum64String(w.Print()); checkState != nil && hash%16 == 0 {
+								if err = checkState(w); err != nil {
+									err = NewViolation(name, steps, err)
 								}
 							}
 						}
 						if err != nil {
 							mu.Lock()
-							if f := (*BrokenPromiseError)(nil); errors.As(err, &f) && at < brokenAt {
+							if f := (*ViolationError)(nil); errors.As(err, &f) && at < brokenAt {
 								broken, brokenAt = f, at
 							}
 							mu.Unlock()
@@ -132,21 +132,21 @@
 // broke.
 func Walk[S fmt.Stringer, K comparable, W World[S]](name string, w W, t *rapid.T, n int, kind func(S) K, tick K, oneIn int) (steps []S, err error) {
 	for range n {
-		can := w.Steps()
-		k := kind(can[rapid.IntRange(0, len(can)-1).Draw(t, "kind")])
+		possible := w.Steps()
+		k := kind(possible[rapid.IntRange(0, len(possible)-1).Draw(t, "kind")])
 		if rapid.IntRange(0, oneIn-1).Draw(t, "time") == 0 {
 			k = tick
 		}
-		var of []S
-		for _, x := range can {
+		var candidates []S
+		for _, x := range possible {
 			if kind(x) == k {
-				of = append(of, x)
+				candidates = append(candidates, x)
 			}
 		}
-		x := of[rapid.IntRange(0, len(of)-1).Draw(t, "which")]
+		x := candidates[rapid.IntRange(0, len(candidates)-1).Draw(t, "which")]
 		steps = append(steps, x)
 		if err := w.Do(x); err != nil {
-			return steps, Broken(name, steps, err)
+			return steps, NewViolation(name, steps, err)
 		}
 	}
 	return steps, nil
--- a/internal/testbed/modelcheck/explore/plant.go
+++ b/internal/testbed/modelcheck/explore/plant.go
@@ -17,7 +17,7 @@
 type Mistake [5]string
 
 // Places separates several places in a Mistake.
-const Places = "\n----\n"
+const PlaceSeparator = "\n----\n"
 
 // Plant puts each mistake into the code below root and runs the tests of this folder that match run: a
 // mistake that they do not find is one that they would not find if somebody made it. It returns how
@@ -32,7 +32,7 @@
 		for _, m := range all {
 			t.Run(m[0], func(t *testing.T) {
 				t.Parallel()
-				files, rights, wrongs := strings.Split(m[1], Places), strings.Split(m[2], Places), strings.Split(m[3], Places)
+				files, rights, wrongs := strings.Split(m[1], PlaceSeparator), strings.Split(m[2], PlaceSeparator), strings.Split(m[3], PlaceSeparator)
 				dir := t.TempDir()
 				texts, replace := map[string]string{}, map[string]string{}
 				for i, right := range rights {
--- a/internal/testbed/modelcheck/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -22,15 +22,15 @@
 			return err
 		}
 	}
-	if w.told {
-		return w.checkTally()
+	if w.reportDelivered {
+		return w.checkTracker()
 	}
 	return nil
 }
 
 func (w *World) checkFollower(f *follower) error {
-	whole, have, epoch := f.r.Consistent(), f.r.Position(), f.r.Consistent().Epoch
-	h := holds(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config))
+	whole, have, epoch := f.replica.Consistent(), f.replica.Position(), f.replica.Consistent().Epoch
+	h := recordsByKey(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config))
 	if epoch == "" {
 		if len(h) > 0 {
 			return fmt.Errorf("broken: %s has something of no history", f.scope.Name)
@@ -38,68 +38,68 @@
 		return nil
 	}
 	// It never goes back.
-	if was := f.whole[epoch]; whole.Targets < was.Targets || whole.Config < was.Config {
+	if was := f.lastConsistent[epoch]; whole.Targets < was.Targets || whole.Config < was.Config {
 		return fmt.Errorf("broken: %s went back from %v to %v", f.scope.Name, was, whole.Position)
 	}
-	if was := f.have[epoch]; have.Targets < was.Targets || have.Config < was.Config {
+	if was := f.lastPosition[epoch]; have.Targets < was.Targets || have.Config < was.Config {
 		return fmt.Errorf("broken: %s went back from %v to %v in what it reads", f.scope.Name, was, have)
 	}
-	f.whole[epoch], f.have[epoch] = whole.Position, have
-	if f.tops[epoch] == nil {
-		f.tops[epoch] = map[key]top{}
+	f.lastConsistent[epoch], f.lastPosition[epoch] = whole.Position, have
+	if f.highest[epoch] == nil {
+		f.highest[epoch] = map[key]highestVersion{}
 	}
-	tops := f.tops[epoch]
+	tops := f.highest[epoch]
 	for k, r := range h {
-		if was := tops[k]; r.Version < was.version || was.went && r.Version == was.version {
+		if was := tops[k]; r.Version < was.version || was.deleted && r.Version == was.version {
 			return fmt.Errorf("broken: %s went back to version %d of %q", f.scope.Name, r.Version, r.Key)
 		}
-		tops[k] = top{r.Version, false}
-		if r.Version > w.past[epoch].head() || !bytes.Equal(w.past[epoch].states[r.Version][k].Value, r.Value) {
+		tops[k] = highestVersion{r.Version, false}
+		if r.Version > w.histories[epoch].head() || !bytes.Equal(w.histories[epoch].states[r.Version][k].Value, r.Value) {
 			return fmt.Errorf("broken: %s has %q at version %d as the log never had it", f.scope.Name, r.Key, r.Version)
 		}
 	}
 	for k, t := range tops {
 		if _, alive := h[k]; !alive {
-			tops[k] = top{t.version, true}
+			tops[k] = highestVersion{t.version, true}
 		}
 	}
 	// What it has is at least what the log had where it says to be.
-	if err := w.past[epoch].since(h, f.scope, whole.Position, false); err != nil {
+	if err := w.histories[epoch].checkSince(h, f.scope, whole.Position, false); err != nil {
 		return err
 	}
 	// A history takes the place of another only whole, as it was when the operator said so or later.
-	if word := w.past[epoch].words[f.was]; f.was != "" && f.was != epoch && (word == 0 || whole.Min() < word) {
-		return fmt.Errorf("broken: %s has %s at %v in place of %s, which it takes the place of from version %d on", f.scope.Name, epoch, whole.Position, f.was, word)
+	if word := w.histories[epoch].replacedAt[f.lastEpoch]; f.lastEpoch != "" && f.lastEpoch != epoch && (word == 0 || whole.Min() < word) {
+		return fmt.Errorf("broken: %s has %s at %v in place of %s, which it takes the place of from version %d on", f.scope.Name, epoch, whole.Position, f.lastEpoch, word)
 	}
-	f.was = epoch
+	f.lastEpoch = epoch
 	return nil
 }
 
 // checkForce has what a reader says to be in force be so.
-func (w *World) checkForce(f *follower, mark watchstream.Watermark) error {
+func (w *World) checkInForce(f *follower, mark watchstream.Watermark) error {
 	if mark.Epoch == "" || f.scope.All {
 		return nil
 	}
-	earlier := mark.Config == 0 && f.r.Rejection() != nil // the last good one is of the history before
-	if err := w.past[mark.Epoch].since(f.force, f.scope, mark.Position, earlier); err != nil {
+	earlier := mark.Config == 0 && f.replica.Rejection() != nil // the last good one is of the history before
+	if err := w.histories[mark.Epoch].checkSince(f.inForce, f.scope, mark.Position, earlier); err != nil {
 		return fmt.Errorf("%w, in force", err)
 	}
 	return nil
 }
 
 // checkTally has the tally count nobody for what it has not said, or that it said in an earlier turn than is known.
-func (w *World) checkTally() (err error) {
+func (w *World) checkTracker() (err error) {
 	seen := map[string]bool{}
-	w.tally.EachReader(func(relay string, c watchstream.Cursor) {
+	w.tracker.EachReader(func(relay string, c watchstream.Cursor) {
 		var f *follower
-		for _, x := range w.all {
+		for _, x := range w.followers {
 			if x.scope.Name == c.Name {
 				f = x
 			}
 		}
 		said, ok := watchstream.Watermark{}, false
 		if f != nil {
-			said, ok = f.said[c.Generation]
+			said, ok = f.appliedSent[c.Generation]
 		}
 		switch {
 		case err != nil:
@@ -107,21 +107,21 @@
 			err = fmt.Errorf("broken: %s is counted twice, or is no reader", c.Name)
 		case !ok || c.Applied.Epoch == said.Epoch && (c.Applied.Targets > said.Targets || c.Applied.Config > said.Config):
 			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", c.Name, c.Applied, c.Generation, said)
-		case c.Generation < w.counted[c.Name]:
-			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", c.Name, c.Generation, w.counted[c.Name])
-		case c.Generation == w.counted[c.Name] && c.Applied.Epoch == w.last[c.Name].Epoch && !reached(w.last[c.Name], c.Applied):
-			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", c.Name, c.Applied, w.last[c.Name])
+		case c.Generation < w.lastGeneration[c.Name]:
+			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", c.Name, c.Generation, w.lastGeneration[c.Name])
+		case c.Generation == w.lastGeneration[c.Name] && c.Applied.Epoch == w.lastApplied[c.Name].Epoch && !notAfter(w.lastApplied[c.Name], c.Applied):
+			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", c.Name, c.Applied, w.lastApplied[c.Name])
 		}
-		seen[c.Name], w.counted[c.Name], w.last[c.Name] = true, c.Generation, c.Applied
+		seen[c.Name], w.lastGeneration[c.Name], w.lastApplied[c.Name] = true, c.Generation, c.Applied
 	})
 	if err != nil {
 		return err
 	}
-	s := w.tally.Status(w.now, w.log.Head())
+	s := w.tracker.Status(w.now, w.log.Head())
 	said := 0
-	for _, f := range w.all {
-		for _, mark := range f.said {
-			if !f.scope.All && mark.Epoch == w.name() && mark.Min() >= w.log.Head() {
+	for _, f := range w.followers {
+		for _, mark := range f.appliedSent {
+			if !f.scope.All && mark.Epoch == w.epochName() && mark.Min() >= w.log.Head() {
 				said++
 				break
 			}
@@ -133,31 +133,31 @@
 	return nil
 }
 
-func reached(a, b watchstream.Watermark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
+func notAfter(a, b watchstream.Watermark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
 
 // judgeDelta holds what a source sends against a reader's bytes, and has targets go before configuration.
-func (w *World) judgeDelta(to int, at account, d *watchstream.Delta) error {
-	a, rate, burst := w.accts[at], w.set.Source.ReaderRate, w.set.Source.ReaderBurst
+func (w *World) checkDelta(to int, at readerAtSource, d *watchstream.Delta) error {
+	a, rate, burst := w.sent[at], w.setup.Source.ReaderRate, w.setup.Source.ReaderBurst
 	if d.Scope.All {
-		rate, burst = w.set.Source.RelayRate, w.set.Source.RelayBurst
+		rate, burst = w.setup.Source.RelayRate, w.setup.Source.RelayBurst
 	}
 	groups, configs := map[uint64]float64{}, 0.0
 	for _, r := range d.Records {
 		n := float64(r.Size())
-		if a.n += n; r.Kind == watchstream.Targets {
+		if a.total += n; r.Kind == watchstream.Targets {
 			groups[r.Version] += n
-			a.target = max(a.target, groups[r.Version])
+			a.maxTargets = max(a.maxTargets, groups[r.Version])
 		} else {
 			configs += n
 		}
 	}
-	a.configs = max(a.configs, configs)
+	a.maxConfig = max(a.maxConfig, configs)
 	for _, b := range d.Buckets {
 		n := float64(b.Size())
-		a.n, a.target = a.n+n, max(a.target, n)
+		a.total, a.maxTargets = a.total+n, max(a.maxTargets, n)
 	}
-	if most := burst + rate*(w.now-a.since).Seconds() + a.target + a.configs; rate > 0 && a.n > most {
-		return fmt.Errorf("broken: %s got %.0f bytes from %s, and %.0f at most are for it", at.reader, a.n, at.source, most)
+	if most := burst + rate*(w.now-a.since).Seconds() + a.maxTargets + a.maxConfig; rate > 0 && a.total > most {
+		return fmt.Errorf("broken: %s got %.0f bytes from %s, and %.0f at most are for it", at.reader, a.total, at.source, most)
 	}
 	if source, _, _ := w.source(to); d.To.Config != d.From.Config && d.To.Targets != d.Head.Targets || source.ReaderCount() == 0 {
 		return fmt.Errorf("broken: %s sends %s configuration while targets are owed", at.source, at.reader)
@@ -166,34 +166,34 @@
 }
 
 // admitted holds the number of readers that a source takes against its rate.
-func (w *World) admitted(at account) error {
-	a := w.admits[at]
+func (w *World) checkAdmission(at readerAtSource) error {
+	a := w.admissions[at]
 	if a == nil {
-		a = &spent{since: w.now}
-		w.admits[at] = a
+		a = &usage{since: w.now}
+		w.admissions[at] = a
 	}
-	a.n++
-	if most := w.set.Source.AdmitBurst + w.set.Source.AdmitRate*(w.now-a.since).Seconds(); w.set.Source.AdmitRate > 0 && a.n > most {
-		return fmt.Errorf("broken: %s took %.0f new readers, and %.1f at most may come", at.source, a.n, most)
+	a.total++
+	if most := w.setup.Source.AdmitBurst + w.setup.Source.AdmitRate*(w.now-a.since).Seconds(); w.setup.Source.AdmitRate > 0 && a.total > most {
+		return fmt.Errorf("broken: %s took %.0f new readers, and %.1f at most may come", at.source, a.total, most)
 	}
 	return nil
 }
 
 // wrong brings a follower deltas that nobody may take: each is refused, and changes nothing.
-func (w *World) wrong(i int) error {
-	f := w.all[i]
-	have, whole := f.r.Position(), f.r.Consistent()
-	req, err := w.hello(i)
+func (w *World) checkInvalidDeltas(i int) error {
+	f := w.followers[i]
+	have, whole := f.replica.Position(), f.replica.Consistent()
+	req, err := w.subscribe(i)
 	if err != nil {
 		return err
 	}
 	head := watchstream.Position{Targets: req.Seen.Targets + 1, Config: req.Seen.Config + 1}
 	good := func() *watchstream.Delta {
-		return &watchstream.Delta{Fleet: fleetName, Epoch: req.Epoch, Replaces: f.r.Store().Replaces(), Scope: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
+		return &watchstream.Delta{Fleet: fleetName, Epoch: req.Epoch, Replaces: f.replica.Store().Replaces(), Scope: f.scope, From: have, To: watchstream.Position{Targets: head.Targets, Config: have.Config},
 			Head: head, Records: []watchstream.Record{{Kind: watchstream.Targets, Key: "x", Version: head.Targets, Value: json.RawMessage(`{"x":0}`)}}}
 	}
 	buckets := func(d *watchstream.Delta) {
-		d.Records, d.Range = nil, &watchstream.BucketRange{Start: head.Targets, To: w.set.Limits.Buckets}
+		d.Records, d.Range = nil, &watchstream.BucketRange{Start: head.Targets, To: w.setup.Limits.Buckets}
 		d.To = watchstream.Position{Targets: head.Targets, Config: have.Config}
 	}
 	change := map[string]func(d *watchstream.Delta){
@@ -213,8 +213,8 @@
 			d.To.Targets, d.Records = have.Targets, nil
 		},
 		"over its size": func(d *watchstream.Delta) {
-			for i := range watchstream.MaxDeltaBytes / len(huge) {
-				d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: huge})
+			for i := range watchstream.MaxDeltaBytes / len(largestValue) {
+				d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: largestValue})
 			}
 		},
 		"a value cut in the midst": func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`{"x":`) },
@@ -227,14 +227,14 @@
 		"buckets without a span":   func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{Index: 0}} },
 		"the end of a run": func(d *watchstream.Delta) {
 			buckets(d)
-			d.Range.From = w.set.Limits.Buckets - 1
+			d.Range.From = w.setup.Limits.Buckets - 1
 			d.Range.Start++
 			d.Head.Targets++
 			d.To.Targets++
 		},
 		"a bucket past its span": func(d *watchstream.Delta) {
 			buckets(d)
-			d.Buckets = []watchstream.Bucket{{Index: w.set.Limits.Buckets}}
+			d.Buckets = []watchstream.Bucket{{Index: w.setup.Limits.Buckets}}
 		},
 		"another's layer": func(d *watchstream.Delta) {
 			d.To.Config = head.Config
@@ -253,15 +253,15 @@
 		if req.Epoch == "" {
 			break
 		}
-		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.set.Limits)
-		if err := scratch.Restore(f.r.Store().Snapshot()); err != nil {
+		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.setup.Limits)
+		if err := scratch.Restore(f.replica.Store().Snapshot()); err != nil {
 			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
 		}
 		if _, err := scratch.ApplyDelta(d); err != nil {
 			return fmt.Errorf("broken: %s doesn't take what is right: %w", f.scope.Name, err)
 		}
 	}
-	before := w.printOf(i)
+	before := w.printReplica(i)
 	for name, c := range change {
 		switch {
 		case req.Epoch == "" && (strings.HasPrefix(name, "another epoch") || name == "a source behind"), req.Seen.Targets == 0 && name == "a source behind",
@@ -270,76 +270,76 @@
 		}
 		d := good()
 		c(d)
-		if _, err := f.r.ApplyDelta(d); err == nil {
+		if _, err := f.replica.ApplyDelta(d); err == nil {
 			return fmt.Errorf("broken: %s took a delta with %s", f.scope.Name, name)
 		}
-		if w.printOf(i) != before {
+		if w.printReplica(i) != before {
 			return fmt.Errorf("broken: a delta with %s changed %s", name, f.scope.Name)
 		}
 	}
 	return nil
 }
 
-var huge = json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MaxTargetBytes-8) + `"}`)
+var largestValue = json.RawMessage(`{"x":"` + strings.Repeat("x", watchstream.MaxTargetBytes-8) + `"}`)
 
-func (w *World) printOf(i int) string {
+func (w *World) printReplica(i int) string {
 	var b strings.Builder
-	w.all[i].r.DebugPrint(&b)
+	w.followers[i].replica.DebugPrint(&b)
 	return b.String()
 }
 
 // Settle ends all faults and checks that everybody comes to have the log's state, those who talk in spite of one who doesn't, and that the
 // tally comes to know it.
 func (w *World) Settle() error {
-	w.mail = nil
+	w.inTransit = nil
 	if w.epoch > 1 && len(w.log.Replaces()) == 0 {
-		if err := w.word(); err != nil {
+		if err := w.replaceHistories(); err != nil {
 			return err
 		}
 	}
-	if err := w.change(watchstream.Change{Puts: []watchstream.Put{{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: watchstream.Config, Key: "region/r", Deleted: true},
-		{Kind: watchstream.Config, Key: "instance/" + w.all[len(w.all)-1].scope.Name, Deleted: true}, {Kind: watchstream.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
+	if err := w.commit(watchstream.Change{Puts: []watchstream.Put{{Kind: watchstream.Config, Key: "shared", Value: json.RawMessage(`{"last":1}`)}, {Kind: watchstream.Config, Key: "region/r", Deleted: true},
+		{Kind: watchstream.Config, Key: "instance/" + w.followers[len(w.followers)-1].scope.Name, Deleted: true}, {Kind: watchstream.Targets, Key: "last", Value: json.RawMessage(`{"last":1}`)}}}); err != nil {
 		return err
 	}
-	last := len(w.all) - 1
-	if err := w.level(last, 60); err != nil {
+	last := len(w.followers) - 1
+	if err := w.converge(last, 60); err != nil {
 		return fmt.Errorf("%w, while another is silent", err)
 	}
-	if err := w.level(len(w.all), 60); err != nil {
+	if err := w.converge(len(w.followers), 60); err != nil {
 		return err
 	}
-	if w.set.Relays == 0 {
+	if w.setup.Relays == 0 {
 		return nil // nobody reports
 	}
 	for range 2 { // another agent that leads knows nobody, and comes to know all
-		if err := w.reported(); err != nil {
+		if err := w.checkReported(); err != nil {
 			return err
 		}
 		if err := w.Do(Step{NewLeader, 0}); err != nil {
 			return err
 		}
 	}
-	return w.reported()
+	return w.checkReported()
 }
 
-func (w *World) reported() error {
+func (w *World) checkReported() error {
 	for range 3 {
-		for i := range w.set.Relays {
+		for i := range w.setup.Relays {
 			if err := w.Do(Step{Report, i}); err != nil {
 				return err
 			}
 		}
 	}
-	if s := w.tally.Status(w.now, w.log.Head()); s.Applied != w.set.Readers || s.Readers != w.set.Readers {
-		return fmt.Errorf("broken: all %d have version %d in force, and the tally tells of %d of %d: %+v", w.set.Readers, s.Version, s.Applied, s.Readers, s.Lagging)
+	if s := w.tracker.Status(w.now, w.log.Head()); s.Applied != w.setup.Readers || s.Readers != w.setup.Readers {
+		return fmt.Errorf("broken: all %d have version %d in force, and the tally tells of %d of %d: %+v", w.setup.Readers, s.Version, s.Applied, s.Readers, s.Lagging)
 	}
 	return nil
 }
 
-var errSlow = errors.New("broken: not all that talk come to be level")
+var errNotConverged = errors.New("broken: not all that talk come to be level")
 
 // level has all followers before the last so many exchange until they are level.
-func (w *World) level(most, rounds int) error {
+func (w *World) converge(most, rounds int) error {
 	for range rounds {
 		w.now += time.Second
 		all := true
@@ -349,42 +349,42 @@
 					return err
 				}
 			}
-			f := w.all[i]
+			f := w.followers[i]
 			if f.pending {
 				if err := w.Do(Step{Apply, i}); err != nil {
 					return err
 				}
 			}
-			mark := f.r.Consistent()
+			mark := f.replica.Consistent()
 			if !f.scope.All {
-				mark = f.r.Applied()
+				mark = f.replica.Applied()
 			}
-			if mark != (watchstream.Watermark{Epoch: w.name(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
+			if mark != (watchstream.Watermark{Epoch: w.epochName(), Position: watchstream.Position{Targets: w.log.Head(), Config: w.log.Head()}}) {
 				all = false
 			}
 		}
 		if all {
-			return w.exactly(most)
+			return w.checkExact(most)
 		}
 	}
-	for _, f := range w.all[:most] {
-		if f.r.Consistent().Min() != w.log.Head() || f.r.Consistent().Epoch != w.name() {
-			return fmt.Errorf("%w: %s has %v, and the log is at %s %d:\n%s", errSlow, f.scope.Name, f.r.Consistent(), w.name(), w.log.Head(), w.Print())
+	for _, f := range w.followers[:most] {
+		if f.replica.Consistent().Min() != w.log.Head() || f.replica.Consistent().Epoch != w.epochName() {
+			return fmt.Errorf("%w: %s has %v, and the log is at %s %d:\n%s", errNotConverged, f.scope.Name, f.replica.Consistent(), w.epochName(), w.log.Head(), w.Print())
 		}
 	}
-	return errSlow
+	return errNotConverged
 }
 
 // exactly has each of the first so many hold the log's state, and the readers have it in force.
-func (w *World) exactly(most int) error {
-	p := w.past[w.name()]
-	for _, f := range w.all[:most] {
+func (w *World) checkExact(most int) error {
+	p := w.histories[w.epochName()]
+	for _, f := range w.followers[:most] {
 		for _, kind := range watchstream.Kinds {
-			if err := p.exact(holds(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config)), f.scope, kind, p.head()); err != nil {
+			if err := p.checkExact(recordsByKey(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)), f.scope, kind, p.head()); err != nil {
 				return err
 			}
 			if !f.scope.All {
-				if err := p.exact(f.force, f.scope, kind, p.head()); err != nil {
+				if err := p.checkExact(f.inForce, f.scope, kind, p.head()); err != nil {
 					return fmt.Errorf("%w, in force", err)
 				}
 			}
--- a/internal/testbed/modelcheck/feed/feed_test.go
+++ b/internal/testbed/modelcheck/feed/feed_test.go
@@ -24,21 +24,21 @@
 	seeded.Main(m)
 }
 
-var value int
+var lastValue int
 
 // set is a put whose value is no other's.
-func set(kind watchstream.Kind, key string, more ...string) watchstream.Put {
-	value++
+func putUnique(kind watchstream.Kind, key string, more ...string) watchstream.Put {
+	lastValue++
 	bad := ""
 	if len(more) > 0 {
 		bad = `,"bad":1`
 	}
-	return watchstream.Put{Kind: kind, Key: key, Value: json.RawMessage(fmt.Sprintf(`{"v":%d%s}`, value, bad))}
+	return watchstream.Put{Kind: kind, Key: key, Value: json.RawMessage(fmt.Sprintf(`{"v":%d%s}`, lastValue, bad))}
 }
 
-func target(key string) watchstream.Put { return set(watchstream.Targets, key) }
+func putTarget(key string) watchstream.Put { return putUnique(watchstream.Targets, key) }
 
-func gone(key string) watchstream.Put {
+func deleteTarget(key string) watchstream.Put {
 	return watchstream.Put{Kind: watchstream.Targets, Key: key, Deleted: true}
 }
 
@@ -63,10 +63,10 @@
 
 // ample is a source that nothing waits for; scant gives one record at a time or so.
 var (
-	ample = watchstream.SourceOptions{ReaderRate: 1e6, ReaderBurst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
-	scant = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
-	tight = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 100, RelayBurst: 100, AdmitRate: 1, AdmitBurst: 1}
-	small = watchstream.Limits{Targets: 8, Tombstones: 1, Scopes: 8, Buckets: 3}
+	unlimited   = watchstream.SourceOptions{ReaderRate: 1e6, ReaderBurst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
+	slowReaders = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
+	slowAll     = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 100, RelayBurst: 100, AdmitRate: 1, AdmitBurst: 1}
+	smallLimits = watchstream.Limits{Targets: 8, Tombstones: 1, Scopes: 8, Buckets: 3}
 )
 
 type smallCase struct {
@@ -76,14 +76,14 @@
 
 // cases are the small cases that are searched, and how deep.
 func cases() (list []smallCase) {
-	value = 0
-	mixed := [][]watchstream.Put{{target("a"), target("b")}, {set(watchstream.Config, "shared"), set(watchstream.Config, "region/r")}, {gone("a")}, {target("a"), target("c")},
-		{set(watchstream.Config, "shared"), set(watchstream.Config, "instance/n1"), set(watchstream.Config, "instance/n2"), gone("b")}, {gone("c"), gone("a")}, {target("b")}}
-	bad := [][]watchstream.Put{{target("a"), set(watchstream.Config, "shared")}, {set(watchstream.Config, "shared", "bad")}, {target("b")}, {set(watchstream.Config, "instance/n1")}, {set(watchstream.Config, "shared")}}
+	lastValue = 0
+	mixed := [][]watchstream.Put{{putTarget("a"), putTarget("b")}, {putUnique(watchstream.Config, "shared"), putUnique(watchstream.Config, "region/r")}, {deleteTarget("a")}, {putTarget("a"), putTarget("c")},
+		{putUnique(watchstream.Config, "shared"), putUnique(watchstream.Config, "instance/n1"), putUnique(watchstream.Config, "instance/n2"), deleteTarget("b")}, {deleteTarget("c"), deleteTarget("a")}, {putTarget("b")}}
+	bad := [][]watchstream.Put{{putTarget("a"), putUnique(watchstream.Config, "shared")}, {putUnique(watchstream.Config, "shared", "bad")}, {putTarget("b")}, {putUnique(watchstream.Config, "instance/n1")}, {putUnique(watchstream.Config, "shared")}}
 	add := func(name string, depth int, s Setup, ops ...Op) {
 		s.Name, s.Ops = name, ops
 		if s.Limits.Buckets == 0 {
-			s.Limits = small
+			s.Limits = smallLimits
 		}
 		if s.TickMs == 0 {
 			s.TickMs = 500
@@ -93,39 +93,39 @@
 		}
 		list = append(list, smallCase{s, depth})
 	}
-	one := Setup{Relays: 1, Readers: 2, Changes: mixed, Source: ample}
-	two := Setup{Relays: 2, Readers: 2, Changes: mixed, Source: ample}
-	lone := Setup{Relays: 0, Readers: 1, Changes: mixed, Source: ample}
+	oneRelay := Setup{Relays: 1, Readers: 2, Changes: mixed, Source: unlimited}
+	twoRelays := Setup{Relays: 2, Readers: 2, Changes: mixed, Source: unlimited}
+	noRelay := Setup{Relays: 0, Readers: 1, Changes: mixed, Source: unlimited}
 	with := func(s Setup, on []int, source watchstream.SourceOptions, before ...Step) Setup {
-		s.On, s.Source, s.Before = on, source, before
+		s.Followers, s.Source, s.Before = on, source, before
 		return s
 	}
-	round := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}}
-	both := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}, {PollAtOnce, 3}}
-
-	add("a relay and two readers", 6, one, Put, PollAtOnce)
-	add("messages", 6, with(one, []int{1}, ample, steps(puts(2), round)...), Put, SendRequest, Deliver, DeliverAgain, Lose, Apply, PollAtOnce)
-	add("a relay's messages", 6, with(one, []int{0}, ample, Step{Put, 0}), Put, SendRequest, Deliver, DeliverAgain, Lose)
-	add("in parts", 7, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, PollAtOnce)
-	add("all in parts", 7, with(two, []int{0, 1, 2}, tight, puts(3)...), Put, PollAtOnce)
-	add("by digests", 7, with(one, []int{0, 1}, scant, puts(6)...), Put, PollAtOnce)
-	add("by digests, messages", 7, with(one, []int{1}, scant, steps(puts(3), round, puts(3), Step{PollAtOnce, 0})...), SendRequest, Deliver, DeliverAgain, Lose, Put, PollAtOnce)
-	add("moves", 6, with(two, []int{0, 1, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, SwitchRelay)
-	add("moves by digests", 6, with(two, []int{1, 2}, scant, steps(puts(3), both, puts(3), Step{PollAtOnce, 0})...), Put, PollAtOnce, SwitchRelay)
-	add("copies", 6, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, SaveSnapshot, Restart, SwitchRelay)
-	add("copies by digests", 7, with(two, []int{0, 2}, scant, steps(puts(3), both, Step{SaveSnapshot, 0}, Step{SaveSnapshot, 2})...), Put, PollAtOnce, Restart, SwitchRelay)
-	add("a lone reader", 7, with(lone, nil, scant), Put, SendRequest, Deliver, Apply, PollAtOnce)
-	add("what can't be served", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, ample, steps(puts(1), Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	pollThree := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}}
+	pollFour := []Step{{PollAtOnce, 0}, {PollAtOnce, 1}, {PollAtOnce, 2}, {PollAtOnce, 3}}
+
+	add("a relay and two readers", 6, oneRelay, Put, PollAtOnce)
+	add("messages", 6, with(oneRelay, []int{1}, unlimited, steps(puts(2), pollThree)...), Put, SendRequest, Deliver, DeliverAgain, Lose, Apply, PollAtOnce)
+	add("a relay's messages", 6, with(oneRelay, []int{0}, unlimited, Step{Put, 0}), Put, SendRequest, Deliver, DeliverAgain, Lose)
+	add("in parts", 7, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce)
+	add("all in parts", 7, with(twoRelays, []int{0, 1, 2}, slowAll, puts(3)...), Put, PollAtOnce)
+	add("by digests", 7, with(oneRelay, []int{0, 1}, slowReaders, puts(6)...), Put, PollAtOnce)
+	add("by digests, messages", 7, with(oneRelay, []int{1}, slowReaders, steps(puts(3), pollThree, puts(3), Step{PollAtOnce, 0})...), SendRequest, Deliver, DeliverAgain, Lose, Put, PollAtOnce)
+	add("moves", 6, with(twoRelays, []int{0, 1, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SwitchRelay)
+	add("moves by digests", 6, with(twoRelays, []int{1, 2}, slowReaders, steps(puts(3), pollFour, puts(3), Step{PollAtOnce, 0})...), Put, PollAtOnce, SwitchRelay)
+	add("copies", 6, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SaveSnapshot, Restart, SwitchRelay)
+	add("copies by digests", 7, with(twoRelays, []int{0, 2}, slowReaders, steps(puts(3), pollFour, Step{SaveSnapshot, 0}, Step{SaveSnapshot, 2})...), Put, PollAtOnce, Restart, SwitchRelay)
+	add("a lone reader", 7, with(noRelay, nil, slowReaders), Put, SendRequest, Deliver, Apply, PollAtOnce)
+	add("what can't be served", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, unlimited, steps(puts(1), Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		Put, PollAtOnce, Apply, SaveSnapshot, Restart)
-	add("a log that begins anew", 7, with(two, []int{0, 2}, ample, steps(puts(2), both)...), Put, PollAtOnce, EmptyLog, ReplaceHistory, SwitchRelay)
-	add("a log that begins anew, in parts", 7, with(two, []int{0, 2}, tight, steps(puts(1), both, Step{Tick, 0}, both, Step{EmptyLog, 0}, puts(4))...), Put, PollAtOnce, ReplaceHistory, SwitchRelay, Apply)
-	add("what nobody may take", 4, with(one, []int{0, 1}, scant, steps(puts(2), round)...), Put, PollAtOnce, SendInvalid, EmptyLog)
-	add("reports", 6, with(two, []int{2}, ample, steps(puts(1), both)...), Put, PollAtOnce, Report, SendReport, Deliver, DeliverAgain, SwitchRelay)
-	add("reports of those who move", 6, with(two, []int{2}, ample, steps(puts(1), both, both, Step{SendReport, 0}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	add("a log that begins anew", 7, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, EmptyLog, ReplaceHistory, SwitchRelay)
+	add("a log that begins anew, in parts", 7, with(twoRelays, []int{0, 2}, slowAll, steps(puts(1), pollFour, Step{Tick, 0}, pollFour, Step{EmptyLog, 0}, puts(4))...), Put, PollAtOnce, ReplaceHistory, SwitchRelay, Apply)
+	add("what nobody may take", 4, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce, SendInvalid, EmptyLog)
+	add("reports", 6, with(twoRelays, []int{2}, unlimited, steps(puts(1), pollFour)...), Put, PollAtOnce, Report, SendReport, Deliver, DeliverAgain, SwitchRelay)
+	add("reports of those who move", 6, with(twoRelays, []int{2}, unlimited, steps(puts(1), pollFour, pollFour, Step{SendReport, 0}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		PollAtOnce, Report, Deliver, SwitchRelay, NewLeader)
-	add("old hellos", 5, with(one, []int{1}, ample, steps(puts(1), round, Step{PollAtOnce, 1}, Step{SendRequest, 1}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	add("old hellos", 5, with(oneRelay, []int{1}, unlimited, steps(puts(1), pollThree, Step{PollAtOnce, 1}, Step{SendRequest, 1}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		PollAtOnce, Report, Deliver, DeliverAgain, SwitchRelay)
-	add("reports and restarts", 6, with(two, []int{0, 2}, ample, steps(puts(1), both, Step{Report, 0})...), Put, PollAtOnce, SendReport, Report, Deliver, Restart, NewLeader)
+	add("reports and restarts", 6, with(twoRelays, []int{0, 2}, unlimited, steps(puts(1), pollFour, Step{Report, 0})...), Put, PollAtOnce, SendReport, Report, Deliver, Restart, NewLeader)
 	return list
 }
 
@@ -141,9 +141,9 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		value = 0
+		lastValue = 0
 		s := Setup{Name: "long", Relays: rapid.IntRange(1, 2).Draw(t, "relays"), Readers: 2, MaxInTransit: 3, TickMs: rapid.SampledFrom([]int{50, 500, 3000}).Draw(t, "tick"),
-			Source: rapid.SampledFrom([]watchstream.SourceOptions{ample, scant, tight}).Draw(t, "source"),
+			Source: rapid.SampledFrom([]watchstream.SourceOptions{unlimited, slowReaders, slowAll}).Draw(t, "source"),
 			Limits: watchstream.Limits{Targets: 8, Scopes: 8, Tombstones: rapid.IntRange(1, 3).Draw(t, "tombstones"), Buckets: rapid.IntRange(2, 5).Draw(t, "buckets")}}
 		for range rapid.IntRange(5, 20).Draw(t, "changes") {
 			s.Changes = append(s.Changes, drawPuts(t))
@@ -162,26 +162,26 @@
 			t.Fatal(err)
 		}
 		if err := w.Settle(); err != nil {
-			t.Fatal(explore.Broken(s.Name, taken, fmt.Errorf("%w, while settling", err)))
+			t.Fatal(explore.NewViolation(s.Name, taken, fmt.Errorf("%w, while settling", err)))
 		}
 	})
 }
 
 // searched is how many states TestSearch went through.
-var searched int
+var statesSearched int
 
 // TestSearch goes through the states of the small cases; from one in sixteen it ends all faults, and has everybody come level.
 func TestSearch(t *testing.T) {
-	searched = 0
-	depth, most := 0, 60_000
+	statesSearched = 0
+	depth, maxStates := 0, 60_000
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
-		depth, most = -1, 2500 // a short one beside all other tests
+		depth, maxStates = -1, 2500 // a short one beside all other tests
 	}
 	for _, c := range cases() {
 		t.Run(c.Name, func(t *testing.T) {
 			began := time.Now()
-			n, full, err := explore.Search(c.Name, func() (*World, error) { return New(c.Setup) }, c.depth+depth, most, func(w *World) error { return w.Settle() })
-			searched += n
+			n, full, err := explore.Search(c.Name, func() (*World, error) { return New(c.Setup) }, c.depth+depth, maxStates, func(w *World) error { return w.Settle() })
+			statesSearched += n
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -200,13 +200,13 @@
 		used[k] = true
 		switch {
 		case len(k) == 1 && rapid.IntRange(0, 2).Draw(t, "gone") == 0:
-			list = append(list, gone(k))
+			list = append(list, deleteTarget(k))
 		case len(k) == 1:
-			list = append(list, target(k))
+			list = append(list, putTarget(k))
 		case k == "shared" && rapid.IntRange(0, 4).Draw(t, "bad") == 0:
-			list = append(list, set(watchstream.Config, k, "bad"))
+			list = append(list, putUnique(watchstream.Config, k, "bad"))
 		default:
-			list = append(list, set(watchstream.Config, k))
+			list = append(list, putUnique(watchstream.Config, k))
 		}
 	}
 	return list
--- a/internal/testbed/modelcheck/feed/judge.go
+++ b/internal/testbed/modelcheck/feed/judge.go
@@ -13,36 +13,36 @@
 }
 
 // past is what the judge knows of one history: the state of all keys at each version, by itself.
-type past struct {
-	states []map[key]watchstream.Record // by version; 0: nothing
-	words  map[string]uint64            // the versions at which it was said of another history that this one takes its place
+type history struct {
+	states     []map[key]watchstream.Record // by version; 0: nothing
+	replacedAt map[string]uint64            // the versions at which it was said of another history that this one takes its place
 }
 
-func newPast() *past {
-	return &past{states: []map[key]watchstream.Record{{}}, words: map[string]uint64{}}
+func newHistory() *history {
+	return &history{states: []map[key]watchstream.Record{{}}, replacedAt: map[string]uint64{}}
 }
 
-func (p *past) head() uint64 { return uint64(len(p.states)) - 1 }
+func (hist *history) head() uint64 { return uint64(len(hist.states)) - 1 }
 
-func (p *past) add(c watchstream.Change) {
+func (hist *history) add(c watchstream.Change) {
 	next := map[key]watchstream.Record{}
-	for k, r := range p.states[p.head()] {
+	for k, r := range hist.states[hist.head()] {
 		next[k] = r
 	}
 	for _, x := range c.Puts {
-		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Deleted: x.Deleted, Value: x.Value}
+		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: hist.head() + 1, Deleted: x.Deleted, Value: x.Value}
 	}
-	p.states = append(p.states, next)
+	hist.states = append(hist.states, next)
 	if c.Replaces != "" {
-		p.words[c.Replaces] = p.head()
+		hist.replacedAt[c.Replaces] = hist.head()
 	}
 }
 
 // held is live records by key.
-type held map[key]watchstream.Record
+type recordSet map[key]watchstream.Record
 
-func holds(records ...[]watchstream.Record) held {
-	h := held{}
+func recordsByKey(records ...[]watchstream.Record) recordSet {
+	h := recordSet{}
 	for _, list := range records {
 		for _, r := range list {
 			h[key{r.Kind, r.Key}] = r
@@ -53,21 +53,21 @@
 
 // at tells whether what is held of a key is what the history had at that version. Each change's values are its own; what was taken over from
 // an earlier history has that one's versions.
-func (p *past) at(h held, k key, v uint64) bool {
-	is, alive := h[k]
-	was, known := p.states[v][k]
-	known = known && !was.Deleted
-	return alive == known && (!alive || bytes.Equal(is.Value, was.Value))
+func (hist *history) matches(h recordSet, k key, v uint64) bool {
+	got, alive := h[k]
+	want, known := hist.states[v][k]
+	known = known && !want.Deleted
+	return alive == known && (!alive || bytes.Equal(got.Value, want.Value))
 }
 
 // since tells whether what is held of each key is what the history had at that version or at a later one; of configuration, of all keys
 // at one and the same, but for a relay's, which nobody has in force, and where it is said that what there is is of an earlier history.
-func (p *past) since(h held, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
-	if pos.Targets > p.head() || pos.Config > p.head() {
-		return fmt.Errorf("broken: %s is said to have %v, and the log is at %d", scope.Name, pos, p.head())
+func (hist *history) checkSince(h recordSet, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
+	if pos.Targets > hist.head() || pos.Config > hist.head() {
+		return fmt.Errorf("broken: %s is said to have %v, and the log is at %d", scope.Name, pos, hist.head())
 	}
 	keys := map[key]bool{}
-	for k := range p.states[p.head()] {
+	for k := range hist.states[hist.head()] {
 		keys[k] = true
 	}
 	for k := range h {
@@ -78,15 +78,15 @@
 		if k.kind == watchstream.Config {
 			from = pos.Config
 		}
-		for v := from; v <= p.head() && !ok; v++ {
-			ok = p.at(h, k, v)
+		for v := from; v <= hist.head() && !ok; v++ {
+			ok = hist.matches(h, k, v)
 		}
 		if !ok {
 			return fmt.Errorf("broken: %s has %v %q as the log never had it since version %d", scope.Name, k.kind, k.key, from)
 		}
 	}
-	for v := pos.Config; v <= p.head(); v++ {
-		if scope.All || earlier || p.config(h, scope, v) {
+	for v := pos.Config; v <= hist.head(); v++ {
+		if scope.All || earlier || hist.configMatches(h, scope, v) {
 			return nil
 		}
 	}
@@ -94,14 +94,14 @@
 }
 
 // config tells whether the layers of the scope are as the history had them at that version.
-func (p *past) config(h held, scope watchstream.Scope, v uint64) bool {
-	for k := range p.states[p.head()] {
-		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
+func (hist *history) configMatches(h recordSet, scope watchstream.Scope, v uint64) bool {
+	for k := range hist.states[hist.head()] {
+		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
 			return false
 		}
 	}
 	for k := range h {
-		if k.kind == watchstream.Config && !p.at(h, k, v) {
+		if k.kind == watchstream.Config && !hist.matches(h, k, v) {
 			return false
 		}
 	}
@@ -109,14 +109,14 @@
 }
 
 // exact tells whether what is held is the log's state of that version.
-func (p *past) exact(h held, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
-	for k := range p.states[p.head()] {
-		if k.kind == kind && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
+func (hist *history) checkExact(h recordSet, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
+	for k := range hist.states[hist.head()] {
+		if k.kind == kind && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
 			return fmt.Errorf("broken: %s is at version %d and doesn't have the log's state of %q", scope.Name, v, k.key)
 		}
 	}
 	for k := range h {
-		if k.kind == kind && !p.at(h, k, v) {
+		if k.kind == kind && !hist.matches(h, k, v) {
 			return fmt.Errorf("broken: %s is at version %d and has %q, which the log doesn't", scope.Name, v, k.key)
 		}
 	}
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -63,7 +63,7 @@
 	TickMs       int
 	MaxInTransit int // on their way at a time, at most
 	Ops          []Op
-	On           []int // the followers that ops are done to; nil: all
+	Followers    []int // the followers that ops are done to; nil: all
 	Before       []Step
 }
 
@@ -71,74 +71,74 @@
 
 // follower is a relay or a reader, with its edge.
 type follower struct {
-	scope   watchstream.Scope
-	r       *watchstream.Replica
-	source  *watchstream.Source // a relay's
-	copy    *watchstream.Snapshot
-	life    uint64
-	to      int // who it follows: -1 the agent, else a relay
-	changed []watchstream.Record
-	mark    watchstream.Watermark // of the last that it took and has not applied
-	config  []watchstream.Record
-	pending bool
-	force   held
+	scope       watchstream.Scope
+	replica     *watchstream.Replica
+	source      *watchstream.Source // a relay's
+	snapshot    *watchstream.Snapshot
+	incarnation uint64
+	upstream    int // who it follows: -1 the agent, else a relay
+	unapplied   []watchstream.Record
+	watermark   watchstream.Watermark // of the last that it took and has not applied
+	config      []watchstream.Record
+	pending     bool
+	inForce     recordSet
 
 	// What the judge remembers of this life.
-	whole map[string]watchstream.Position
-	have  map[string]watchstream.Position
-	tops  map[string]map[key]top
-	said  map[uint64]watchstream.Watermark // what was said to be in force, by turn
-	seq   uint64                           // of the last hello
-	was   string                           // the history that it had last
+	lastConsistent map[string]watchstream.Position
+	lastPosition   map[string]watchstream.Position
+	highest        map[string]map[key]highestVersion
+	appliedSent    map[uint64]watchstream.Watermark // what was said to be in force, by turn
+	lastSeq        uint64                           // of the last hello
+	lastEpoch      string                           // the history that it had last
 }
 
 // message is on its way.
 type message struct {
-	from, to int // followers; -1 is the agent
-	life     uint64
-	hello    *watchstream.SubscribeRequest
-	delta    *watchstream.Delta
-	report   *watchstream.Report
+	from, to    int // followers; -1 is the agent
+	incarnation uint64
+	request     *watchstream.SubscribeRequest
+	delta       *watchstream.Delta
+	report      *watchstream.Report
 }
 
 // World is one state of a small case.
 type World struct {
-	set     Setup
-	now     time.Duration
-	log     *watchstream.Store
-	agent   *watchstream.Source
-	life    uint64
-	tally   *watchstream.AckTracker
-	all     []*follower
-	past    map[string]*past
-	epoch   int
-	put     int
-	mail    []message
-	accts   map[account]*spent
-	counted map[string]uint64 // the turn that the tally had last of each
-	last    map[string]watchstream.Watermark
-	admits  map[account]*spent // without a reader
-	touched []*follower        // by this step
-	told    bool               // the tally was, by this step
+	setup           Setup
+	now             time.Duration
+	log             *watchstream.Store
+	agent           *watchstream.Source
+	incarnation     uint64
+	tracker         *watchstream.AckTracker
+	followers       []*follower
+	histories       map[string]*history
+	epoch           int
+	committed       int
+	inTransit       []message
+	sent            map[readerAtSource]*usage
+	lastGeneration  map[string]uint64 // the turn that the tally had last of each
+	lastApplied     map[string]watchstream.Watermark
+	admissions      map[readerAtSource]*usage // without a reader
+	touched         []*follower               // by this step
+	reportDelivered bool                      // the tally was, by this step
 }
 
 // account is of one reader at one source's life.
-type account struct {
+type readerAtSource struct {
 	source string
 	life   uint64
 	reader string
 }
 
-type spent struct {
-	since           time.Duration
-	n               float64
-	target, configs float64 // the largest that went whole
+type usage struct {
+	since                 time.Duration
+	total                 float64
+	maxTargets, maxConfig float64 // the largest that went whole
 }
 
 // top is the highest version at which a key was held alive, and whether it went since.
-type top struct {
+type highestVersion struct {
 	version uint64
-	went    bool
+	deleted bool
 }
 
 // New returns the first state of a case.
@@ -146,18 +146,18 @@
 	if s.Source.CoalesceInterval == 0 {
 		s.Source.CoalesceInterval = 1
 	}
-	w := &World{set: s, now: time.Hour, past: map[string]*past{}, accts: map[account]*spent{}, admits: map[account]*spent{}, counted: map[string]uint64{}, last: map[string]watchstream.Watermark{}}
-	w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
-	w.empty()
+	w := &World{setup: s, now: time.Hour, histories: map[string]*history{}, sent: map[readerAtSource]*usage{}, admissions: map[readerAtSource]*usage{}, lastGeneration: map[string]uint64{}, lastApplied: map[string]watchstream.Watermark{}}
+	w.tracker = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
+	w.startLog()
 	for i := range s.Relays + s.Readers {
-		f := &follower{scope: watchstream.Scope{Name: fmt.Sprint("n", i), Region: "r", Zone: "z"}, to: (i - s.Relays) % max(1, s.Relays)}
+		f := &follower{scope: watchstream.Scope{Name: fmt.Sprint("n", i), Region: "r", Zone: "z"}, upstream: (i - s.Relays) % max(1, s.Relays)}
 		if s.Relays == 0 {
-			f.to = -1
+			f.upstream = -1
 		}
 		if i < s.Relays {
-			f.scope, f.to = watchstream.Scope{Name: fmt.Sprint("relay", i), All: true}, -1
+			f.scope, f.upstream = watchstream.Scope{Name: fmt.Sprint("relay", i), All: true}, -1
 		}
-		w.all = append(w.all, f)
+		w.followers = append(w.followers, f)
 		if err := w.start(i); err != nil {
 			return nil, err
 		}
@@ -171,94 +171,94 @@
 }
 
 // empty begins a new log, with a change of its own in it.
-func (w *World) empty() {
+func (w *World) startLog() {
 	w.epoch++
-	w.life++
-	w.log = watchstream.NewStore(fleetName, w.set.Limits)
-	w.agent = watchstream.NewSource(w.log, w.set.Source, w.life)
-	w.past[w.name()] = newPast()
+	w.incarnation++
+	w.log = watchstream.NewStore(fleetName, w.setup.Limits)
+	w.agent = watchstream.NewSource(w.log, w.setup.Source, w.incarnation)
+	w.histories[w.epochName()] = newHistory()
 }
 
-func (w *World) name() string { return fmt.Sprint("e", w.epoch) }
+func (w *World) epochName() string { return fmt.Sprint("e", w.epoch) }
 
 // start begins a life of a follower, from its copy if it has one.
 func (w *World) start(i int) error {
-	f := w.all[i]
+	f := w.followers[i]
 	w.touched = append(w.touched, f)
-	f.life++
-	f.r = watchstream.NewReplica(fleetName, f.scope, f.life<<16, w.set.Limits)
-	if f.copy != nil {
-		if err := f.r.Restore(*f.copy); err != nil {
+	f.incarnation++
+	f.replica = watchstream.NewReplica(fleetName, f.scope, f.incarnation<<16, w.setup.Limits)
+	if f.snapshot != nil {
+		if err := f.replica.Restore(*f.snapshot); err != nil {
 			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
 		}
 	}
 	if f.scope.All {
-		f.source = watchstream.NewSource(f.r.Store(), w.set.Source, f.life)
+		f.source = watchstream.NewSource(f.replica.Store(), w.setup.Source, f.incarnation)
 	}
-	f.force, f.pending, f.changed = held{}, false, nil
-	f.whole, f.have, f.tops = map[string]watchstream.Position{}, map[string]watchstream.Position{}, map[string]map[key]top{}
-	if f.said == nil {
-		f.said = map[uint64]watchstream.Watermark{}
+	f.inForce, f.pending, f.unapplied = recordSet{}, false, nil
+	f.lastConsistent, f.lastPosition, f.highest = map[string]watchstream.Position{}, map[string]watchstream.Position{}, map[string]map[key]highestVersion{}
+	if f.appliedSent == nil {
+		f.appliedSent = map[uint64]watchstream.Watermark{}
 	}
-	f.was = ""
-	if f.copy != nil { // what the copy has is applied like what is taken
-		f.took(append(f.r.Records(watchstream.Targets), f.r.Records(watchstream.Config)...))
+	f.lastEpoch = ""
+	if f.snapshot != nil { // what the copy has is applied like what is taken
+		f.recordChanges(append(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)...))
 	}
 	return nil
 }
 
 // took notes what the edge is to apply.
-func (f *follower) took(changed []watchstream.Record) {
-	f.changed = append(f.changed, changed...)
-	f.mark, f.config, f.pending = f.r.Consistent(), f.r.Records(watchstream.Config), true
+func (f *follower) recordChanges(changed []watchstream.Record) {
+	f.unapplied = append(f.unapplied, changed...)
+	f.watermark, f.config, f.pending = f.replica.Consistent(), f.replica.Records(watchstream.Config), true
 }
 
 // apply has all that was taken in force. A layer with "bad" in it can't be served.
 func (f *follower) apply() {
-	for _, r := range f.changed {
+	for _, r := range f.unapplied {
 		if k := (key{r.Kind, r.Key}); r.Kind == watchstream.Targets {
-			if delete(f.force, k); !r.Deleted {
-				f.force[k] = r
+			if delete(f.inForce, k); !r.Deleted {
+				f.inForce[k] = r
 			}
 		}
 	}
 	merged, err := watchstream.MergeLayers(f.config)
 	if err != nil || strings.Contains(string(merged), "bad") {
-		f.r.RejectConfig(f.mark.Config, "bad")
+		f.replica.RejectConfig(f.watermark.Config, "bad")
 	} else {
-		for k := range f.force {
+		for k := range f.inForce {
 			if k.kind == watchstream.Config {
-				delete(f.force, k)
+				delete(f.inForce, k)
 			}
 		}
 		for _, r := range f.config {
-			f.force[key{r.Kind, r.Key}] = r
+			f.inForce[key{r.Kind, r.Key}] = r
 		}
 	}
-	f.r.MarkApplied(f.mark)
-	f.changed, f.pending = nil, false
+	f.replica.MarkApplied(f.watermark)
+	f.unapplied, f.pending = nil, false
 }
 
 func (w *World) source(i int) (*watchstream.Source, string, uint64) {
 	if i < 0 {
-		return w.agent, "agent", w.life
+		return w.agent, "agent", w.incarnation
 	}
-	return w.all[i].source, w.all[i].scope.Name, w.all[i].life
+	return w.followers[i].source, w.followers[i].scope.Name, w.followers[i].incarnation
 }
 
 // Steps are all that can happen next, in a fixed order.
 func (w *World) Steps() []Step { //nolint:gocognit // to be split with its package, see docs/left.md
 	steps := []Step{{Tick, 0}}
-	on := w.set.On
+	on := w.setup.Followers
 	if on == nil {
-		for i := range w.all {
+		for i := range w.followers {
 			on = append(on, i)
 		}
 	}
-	for _, op := range w.set.Ops {
+	for _, op := range w.setup.Ops {
 		switch op {
 		case Put:
-			if w.put < len(w.set.Changes) {
+			if w.committed < len(w.setup.Changes) {
 				steps = append(steps, Step{op, 0})
 			}
 		case PollAtOnce, SaveSnapshot, Restart, SendInvalid:
@@ -267,23 +267,23 @@
 			}
 		case SendRequest:
 			for _, i := range on {
-				if len(w.mail) < w.set.MaxInTransit {
+				if len(w.inTransit) < w.setup.MaxInTransit {
 					steps = append(steps, Step{op, i})
 				}
 			}
 		case Deliver, DeliverAgain, Lose:
-			for i := range w.mail {
+			for i := range w.inTransit {
 				steps = append(steps, Step{op, i})
 			}
 		case Apply, SwitchRelay:
 			for _, i := range on {
-				if f := w.all[i]; !f.scope.All && (op == SwitchRelay && w.set.Relays > 1 || op == Apply && f.pending) {
+				if f := w.followers[i]; !f.scope.All && (op == SwitchRelay && w.setup.Relays > 1 || op == Apply && f.pending) {
 					steps = append(steps, Step{op, i})
 				}
 			}
 		case Report, SendReport:
-			for i := range w.set.Relays {
-				if op == Report || len(w.mail) < w.set.MaxInTransit {
+			for i := range w.setup.Relays {
+				if op == Report || len(w.inTransit) < w.setup.MaxInTransit {
 					steps = append(steps, Step{op, i})
 				}
 			}
@@ -304,7 +304,7 @@
 
 // Do takes a step and holds what it touched against the promises.
 func (w *World) Do(s Step) error {
-	w.touched, w.told = w.touched[:0], false
+	w.touched, w.reportDelivered = w.touched[:0], false
 	w.now += time.Microsecond // nothing happens at once
 	if err := w.step(s); err != nil {
 		return err
@@ -315,107 +315,107 @@
 func (w *World) step(s Step) error {
 	switch s.Op {
 	case Tick:
-		w.now += time.Duration(w.set.TickMs) * time.Millisecond
+		w.now += time.Duration(w.setup.TickMs) * time.Millisecond
 	case Put:
-		w.put++
-		return w.change(watchstream.Change{Puts: w.set.Changes[w.put-1]})
+		w.committed++
+		return w.commit(watchstream.Change{Puts: w.setup.Changes[w.committed-1]})
 	case PollAtOnce:
-		return w.exchange(s.On, true)
+		return w.pollAtOnce(s.On, true)
 	case SendRequest:
-		req, err := w.hello(s.On)
+		req, err := w.subscribe(s.On)
 		if err != nil {
 			return err
 		}
-		w.mail = append(w.mail, message{from: s.On, to: w.all[s.On].to, hello: &req})
+		w.inTransit = append(w.inTransit, message{from: s.On, to: w.followers[s.On].upstream, request: &req})
 	case Deliver, DeliverAgain:
-		m := w.mail[s.On]
+		m := w.inTransit[s.On]
 		if s.Op == Deliver {
-			w.mail = append(w.mail[:s.On:s.On], w.mail[s.On+1:]...)
+			w.inTransit = append(w.inTransit[:s.On:s.On], w.inTransit[s.On+1:]...)
 		}
 		return w.deliver(m)
 	case Lose:
-		w.mail = append(w.mail[:s.On:s.On], w.mail[s.On+1:]...)
+		w.inTransit = append(w.inTransit[:s.On:s.On], w.inTransit[s.On+1:]...)
 	case Apply:
-		w.all[s.On].apply()
-		w.touched = append(w.touched, w.all[s.On])
+		w.followers[s.On].apply()
+		w.touched = append(w.touched, w.followers[s.On])
 	case SwitchRelay:
-		f := w.all[s.On]
+		f := w.followers[s.On]
 		w.touched = append(w.touched, f)
-		f.to = (f.to + 1) % w.set.Relays
-		f.r.SwitchSource()
+		f.upstream = (f.upstream + 1) % w.setup.Relays
+		f.replica.SwitchSource()
 	case SaveSnapshot:
-		snap := w.all[s.On].r.Store().Snapshot()
-		w.all[s.On].copy = &snap
+		snap := w.followers[s.On].replica.Store().Snapshot()
+		w.followers[s.On].snapshot = &snap
 	case Restart:
 		return w.start(s.On)
 	case Report:
-		rep := w.report(s.On)
-		return w.tell(rep, s.On)
+		rep := w.buildReport(s.On)
+		return w.deliverReport(rep, s.On)
 	case SendReport:
-		rep := w.report(s.On)
-		w.mail = append(w.mail, message{from: s.On, to: -1, life: w.all[s.On].life, report: &rep})
+		rep := w.buildReport(s.On)
+		w.inTransit = append(w.inTransit, message{from: s.On, to: -1, incarnation: w.followers[s.On].incarnation, report: &rep})
 	case NewLeader:
-		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
-		w.tally.NoteCommit(w.now, w.log.Epoch(), w.log.Head())
-		clear(w.counted)
-		clear(w.last)
+		w.tracker = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
+		w.tracker.NoteCommit(w.now, w.log.Epoch(), w.log.Head())
+		clear(w.lastGeneration)
+		clear(w.lastApplied)
 	case EmptyLog:
-		w.empty()
-		w.tally = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
-		clear(w.counted)
-		clear(w.last)
+		w.startLog()
+		w.tracker = watchstream.NewAckTracker(fleetName, watchstream.AckTrackerOptions{})
+		clear(w.lastGeneration)
+		clear(w.lastApplied)
 	case ReplaceHistory:
-		return w.word()
+		return w.replaceHistories()
 	case SendInvalid:
-		return w.wrong(s.On)
+		return w.checkInvalidDeltas(s.On)
 	}
 	return nil
 }
 
-func (w *World) change(c watchstream.Change) error {
-	c.Fleet, c.Epoch = fleetName, w.name()
+func (w *World) commit(c watchstream.Change) error {
+	c.Fleet, c.Epoch = fleetName, w.epochName()
 	v, err := w.log.Apply(c)
 	if err != nil {
 		return fmt.Errorf("broken: the log doesn't take %+v: %w", c, err)
 	}
-	p := w.past[w.name()]
+	p := w.histories[w.epochName()]
 	if p.add(c); p.head() != v {
 		return fmt.Errorf("broken: a change has version %d, and is the log's number %d", v, p.head())
 	}
-	w.tally.NoteCommit(w.now, w.name(), v)
+	w.tracker.NoteCommit(w.now, w.epochName(), v)
 	return nil
 }
 
 // word has the operator say that this log takes the place of all before.
-func (w *World) word() error {
+func (w *World) replaceHistories() error {
 	for e := 1; e < w.epoch; e++ {
-		if err := w.change(watchstream.Change{Replaces: fmt.Sprint("e", e)}); err != nil {
+		if err := w.commit(watchstream.Change{Replaces: fmt.Sprint("e", e)}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *World) hello(i int) (watchstream.SubscribeRequest, error) {
-	f := w.all[i]
+func (w *World) subscribe(i int) (watchstream.SubscribeRequest, error) {
+	f := w.followers[i]
 	w.touched = append(w.touched, f)
-	req := f.r.SubscribeRequest()
-	f.said[req.Generation], f.seq = req.Applied, req.Seq
-	return req, w.checkForce(f, req.Applied)
+	req := f.replica.SubscribeRequest()
+	f.appliedSent[req.Generation], f.lastSeq = req.Applied, req.Seq
+	return req, w.checkInForce(f, req.Applied)
 }
 
 // exchange has a follower say hello and take the answer, and have it in force if so wished.
-func (w *World) exchange(i int, apply bool) error {
-	f := w.all[i]
-	req, err := w.hello(i)
+func (w *World) pollAtOnce(i int, apply bool) error {
+	f := w.followers[i]
+	req, err := w.subscribe(i)
 	if err != nil {
 		return err
 	}
-	d, err := w.serve(f.to, req)
+	d, err := w.serve(f.upstream, req)
 	if err != nil || d == nil {
 		return err
 	}
-	if err = w.take(i, d); err == nil && apply && !f.scope.All {
+	if err = w.applyDelta(i, d); err == nil && apply && !f.scope.All {
 		f.apply()
 	}
 	return err
@@ -426,12 +426,12 @@
 	source, name, life := w.source(to)
 	readers := source.ReaderCount()
 	if err := source.Subscribe(w.now, req); err != nil {
-		return nil, w.refusal(err)
+		return nil, w.unlessRejected(err)
 	}
-	at := account{name, life, req.Name}
+	at := readerAtSource{name, life, req.Name}
 	if source.ReaderCount() > readers {
-		w.accts[at] = &spent{since: w.now}
-		if err := w.admitted(account{name, life, ""}); err != nil {
+		w.sent[at] = &usage{since: w.now}
+		if err := w.checkAdmission(readerAtSource{name, life, ""}); err != nil {
 			return nil, err
 		}
 	}
@@ -439,11 +439,11 @@
 	if d == nil {
 		return nil, nil
 	}
-	return d, w.judgeDelta(to, at, d)
+	return d, w.checkDelta(to, at, d)
 }
 
 // refusal passes what refusals are for, and nothing else.
-func (w *World) refusal(err error) error {
+func (w *World) unlessRejected(err error) error {
 	var r *watchstream.RejectedError
 	var b *watchstream.BusyError
 	if errors.As(err, &r) || errors.As(err, &b) {
@@ -452,74 +452,74 @@
 	return fmt.Errorf("broken: %w", err)
 }
 
-func (w *World) take(i int, d *watchstream.Delta) error {
-	f := w.all[i]
+func (w *World) applyDelta(i int, d *watchstream.Delta) error {
+	f := w.followers[i]
 	w.touched = append(w.touched, f)
-	changed, err := f.r.ApplyDelta(d)
+	changed, err := f.replica.ApplyDelta(d)
 	if err != nil {
-		return w.refusal(err)
+		return w.unlessRejected(err)
 	}
-	f.took(changed)
+	f.recordChanges(changed)
 	return nil
 }
 
 func (w *World) deliver(m message) error {
 	switch {
-	case m.hello != nil:
-		d, err := w.serve(m.to, *m.hello)
+	case m.request != nil:
+		d, err := w.serve(m.to, *m.request)
 		if d != nil {
-			w.mail = append(w.mail, message{from: m.to, to: m.from, delta: d})
+			w.inTransit = append(w.inTransit, message{from: m.to, to: m.from, delta: d})
 		}
 		return err
 	case m.delta != nil:
-		return w.take(m.to, m.delta)
+		return w.applyDelta(m.to, m.delta)
 	}
-	return w.tell(*m.report, m.from)
+	return w.deliverReport(*m.report, m.from)
 }
 
-func (w *World) report(i int) watchstream.Report {
-	return w.all[i].source.BuildReport(w.now, w.all[i].scope.Name, "r")
+func (w *World) buildReport(i int) watchstream.Report {
+	return w.followers[i].source.BuildReport(w.now, w.followers[i].scope.Name, "r")
 }
 
-func (w *World) tell(rep watchstream.Report, from int) error {
-	w.told = true
-	resp, err := w.tally.AddReport(w.now, rep)
+func (w *World) deliverReport(rep watchstream.Report, from int) error {
+	w.reportDelivered = true
+	resp, err := w.tracker.AddReport(w.now, rep)
 	if err != nil {
-		return w.refusal(err)
+		return w.unlessRejected(err)
 	}
-	w.all[from].source.ReportAcked(resp)
+	w.followers[from].source.ReportAcked(resp)
 	return nil
 }
 
 // Print implements explore.World.
 func (w *World) Print() string {
 	var b strings.Builder
-	fmt.Fprint(&b, w.epoch, w.put, len(w.log.Replaces()))
+	fmt.Fprint(&b, w.epoch, w.committed, len(w.log.Replaces()))
 	said := func(name string) uint64 {
-		for _, f := range w.all {
+		for _, f := range w.followers {
 			if f.scope.Name == name {
-				return f.seq
+				return f.lastSeq
 			}
 		}
 		return 0
 	}
 	w.agent.DebugPrint(&b, w.now, said)
-	w.tally.DebugPrint(&b)
-	for _, f := range w.all {
-		f.r.DebugPrint(&b)
+	w.tracker.DebugPrint(&b)
+	for _, f := range w.followers {
+		f.replica.DebugPrint(&b)
 		if f.source != nil {
 			f.source.DebugPrint(&b, w.now, said)
 		}
-		fmt.Fprint(&b, f.to, f.pending, f.mark, len(f.changed), f.copy != nil)
-		if f.copy != nil {
-			fmt.Fprint(&b, f.copy.Epoch, f.copy.Have, f.copy.Consistent, f.copy.NewestSeen, len(f.copy.Records))
+		fmt.Fprint(&b, f.upstream, f.pending, f.watermark, len(f.unapplied), f.snapshot != nil)
+		if f.snapshot != nil {
+			fmt.Fprint(&b, f.snapshot.Epoch, f.snapshot.Have, f.snapshot.Consistent, f.snapshot.NewestSeen, len(f.snapshot.Records))
 		}
 		fmt.Fprintln(&b)
 	}
-	for _, m := range w.mail {
+	for _, m := range w.inTransit {
 		switch {
-		case m.hello != nil:
-			fmt.Fprint(&b, m.from, m.to, m.hello.Have, m.hello.Applied, m.hello.Generation, w.all[m.from].seq-m.hello.Seq, m.hello.Progress, len(m.hello.Digests))
+		case m.request != nil:
+			fmt.Fprint(&b, m.from, m.to, m.request.Have, m.request.Applied, m.request.Generation, w.followers[m.from].lastSeq-m.request.Seq, m.request.Progress, len(m.request.Digests))
 		case m.delta != nil:
 			fmt.Fprint(&b, m.from, m.to, m.delta.Epoch, m.delta.From, m.delta.To, m.delta.Head, len(m.delta.Records), m.delta.Range, m.delta.WantDigests)
 		default:
--- a/internal/testbed/modelcheck/feed/wrong_test.go
+++ b/internal/testbed/modelcheck/feed/wrong_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	take    = "watchstream/take.go"
-	next    = "watchstream/next.go"
-	source  = "watchstream/source.go"
-	store   = "watchstream/store.go"
-	replica = "watchstream/replica.go"
-	tally   = "watchstream/tally.go"
-	report  = "watchstream/report.go"
-	mover   = "watchstream/mover.go"
-	and     = explore.Places
+	take        = "watchstream/take.go"
+	next        = "watchstream/next.go"
+	sourceFile  = "watchstream/source.go"
+	storeFile   = "watchstream/store.go"
+	replicaFile = "watchstream/replica.go"
+	tally       = "watchstream/tally.go"
+	reportFile  = "watchstream/report.go"
+	mover       = "watchstream/mover.go"
+	and         = explore.PlaceSeparator
 )
 
 var mistakes = []explore.Mistake{
@@ -44,10 +44,10 @@
 	{"a relay serves in the midst of its bring-up", "watchstream/delta.go", "\tcase !seen.notAfter(head) || !st.isConsistent(Targets): // step 4\n", "\tcase !seen.notAfter(head): // step 4\n", ""},
 	{"a version cut in two", "watchstream/delta.go", "if record.Version != to && len(list) > 0 && float64(total) >= limit {", "if len(list) > 0 && float64(total) >= limit {", ""},
 	{"past the end of a part", "watchstream/delta.go", "	if !truncated {\n		to = *s.store", "	if true {\n		to = *s.store", ""},
-	{"one that went not told of, and the floor not raised", store, "\t\ts.tombstoneFloor = max(s.tombstoneFloor, r.Version)\n", "", ""},
+	{"one that went not told of, and the floor not raised", storeFile, "\t\ts.tombstoneFloor = max(s.tombstoneFloor, r.Version)\n", "", ""},
 	{"the floor not raised by digests", "watchstream/apply.go", "\ts.tombstoneFloor = max(s.tombstoneFloor, d.Head.Targets)\n", "", ""},
-	{"a version that isn't in the digests", store, "	binary.LittleEndian.PutUint64(v[:], r.Version)\n", "	binary.LittleEndian.PutUint64(v[:], 0)\n", ""},
-	{"an ended run gone on with", source, "\tcase req.Progress == nil:\n", "\tcase false:\n", ""},
+	{"a version that isn't in the digests", storeFile, "	binary.LittleEndian.PutUint64(v[:], r.Version)\n", "	binary.LittleEndian.PutUint64(v[:], 0)\n", ""},
+	{"an ended run gone on with", sourceFile, "\tcase req.Progress == nil:\n", "\tcase false:\n", ""},
 	{"a run that ends at the head of its end", "watchstream/digest.go", "\t\td.To.Targets = r.resync.start\n", "\t\td.To.Targets = d.Head.Targets\n", ""},
 	{"configuration before targets", "watchstream/delta.go" + and + "watchstream/apply.go", "\tif to != d.Head.Targets || !st.isConsistent(Config) {\n" + and + "\tcase d.To.Config != d.From.Config && d.To.Targets != d.Head.Targets:\n",
 		"\tif !st.isConsistent(Config) {\n" + and + "\tcase false:\n", ""},
@@ -55,20 +55,20 @@
 		"\t\tlist, to, wait = s.pendingLayers(r, d)\n\t\tif len(list) > 1 {\n\t\t\tlist, to = list[:1], list[0].Version\n\t\t}\n" + and + "false", ""},
 	{"bytes not counted", "watchstream/pacing.go", "\tr.targetTokens.tokens -= n - fromShared\n", "", ""},
 	{"a lagging reader blocks the others", "watchstream/delta.go", "\thead := st.consistent\n", "\thead := st.consistent\n\tfor _, o := range s.readers {\n\t\tif o.request.Have.Min() < r.request.Have.Min() && o.request.Epoch == r.request.Epoch {\n\t\t\treturn nil, idleWait\n\t\t}\n\t}\n", ""},
-	{"readers taken without bounds", source, "\t\ts.admission.tokens--\n", "", ""},
+	{"readers taken without bounds", sourceFile, "\t\ts.admission.tokens--\n", "", ""},
 	// What counts as in force.
-	{"acknowledged what was not applied", replica, "Applied: r.applied, Generation", "Applied: r.Consistent(), Generation", ""},
-	{"in force what is only a part", replica, "\tif !next.notAfter(r.store.consistent) {\n\t\treturn\n\t}\n", "\tnext = r.store.have\n", ""},
-	{"in force what another history had", replica, "\tif w.Epoch != r.store.epoch {\n" + and + "\tr.applied = Watermark{w.Epoch, previous.later(next)}\n",
+	{"acknowledged what was not applied", replicaFile, "Applied: r.applied, Generation", "Applied: r.Consistent(), Generation", ""},
+	{"in force what is only a part", replicaFile, "\tif !next.notAfter(r.store.consistent) {\n\t\treturn\n\t}\n", "\tnext = r.store.have\n", ""},
+	{"in force what another history had", replicaFile, "\tif w.Epoch != r.store.epoch {\n" + and + "\tr.applied = Watermark{w.Epoch, previous.later(next)}\n",
 		"\tif false {\n" + and + "\tr.applied = Watermark{r.store.epoch, previous.later(next)}\n", "TestMarks"},
-	{"in force what was turned down", replica, "			next.Config = previous.Config\n", "", ""},
-	{"a move that is no new turn", replica, "\tr.generation++\n", "", ""},
-	{"an old hello heard", source, "req.Generation < r.request.Generation || req.Generation == r.request.Generation && req.Seq <= r.request.Seq", "false", ""},
+	{"in force what was turned down", replicaFile, "			next.Config = previous.Config\n", "", ""},
+	{"a move that is no new turn", replicaFile, "\tr.generation++\n", "", ""},
+	{"an old hello heard", sourceFile, "req.Generation < r.request.Generation || req.Generation == r.request.Generation && req.Seq <= r.request.Seq", "false", ""},
 	{"counted as in an earlier turn", "watchstream/ack_tracker.go", "\tcase cursor.Generation < r.Generation || cursor.Generation == r.Generation && relay != r.relay:\n", "\tcase false:\n", ""},
 	{"counted twice", "watchstream/ack_tracker.go", "\tr := t.readers[cursor.Name]\n", "\tcursor.Name += \"@\" + relay\n\tr := t.readers[cursor.Name]\n", ""},
 	{"an old report taken", "watchstream/ack_tracker.go", "report.Incarnation < previous.Incarnation || report.Incarnation == previous.Incarnation && report.Seq <= previous.Seq", "false", ""},
 	{"changes taken over a base that isn't had", "watchstream/ack_tracker.go", "\tcase !report.Full && (previous == nil || previous.Incarnation != report.Incarnation || report.Base > previous.UpTo):\n", "\tcase false:\n", ""},
-	{"what was reported not told again", report, "\tcase resp.WantFull:\n\t\ts.reportedSeq = 0\n", "\tcase resp.WantFull:\n", ""},
+	{"what was reported not told again", reportFile, "\tcase resp.WantFull:\n\t\ts.reportedSeq = 0\n", "\tcase resp.WantFull:\n", ""},
 	// Who calls whom.
 	{"all of a relay's readers to one other", "watchstream/relay_selector.go", "	_, _ = d.WriteString(reader)\n", "", "TestMoves"},
 	{"other regions first", "watchstream/relay_selector.go", "			if a.Region == region {\n				return -1\n			}\n			return 1\n", "			if a.Region == region {\n				return 1\n			}\n			return -1\n", "TestMoves"},
@@ -91,5 +91,5 @@
 		t.Skip("make proof runs it")
 	}
 	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch)$", mistakes)
-	fmt.Printf("proof: feed: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
+	fmt.Printf("proof: feed: %d states searched, %d of %d planted mistakes found\n", statesSearched, found, len(mistakes))
 }
--- a/internal/testbed/modelcheck/leaders/leaders.go
+++ b/internal/testbed/modelcheck/leaders/leaders.go
@@ -31,7 +31,7 @@
 func (l *Leader[B, L]) Round() uint64 { return l.round }
 
 // Put keeps an answer until a majority has confirmed.
-func (l *Leader[B, L]) Put(m L) { l.Confirmations.Add(l.Term, m) }
+func (l *Leader[B, L]) AwaitConfirmation(m L) { l.Confirmations.Add(l.Term, m) }
 
 // Group is the leaders, the last of whom is the current one, and the messages in transit.
 type Group[B fmt.Stringer, L Message] struct {
@@ -41,7 +41,7 @@
 }
 
 // Scaled is a true time as a clock of that rate shows it.
-func Scaled(t time.Duration, rate float64) time.Duration { return time.Duration(float64(t) * rate) }
+func LocalTime(t time.Duration, rate float64) time.Duration { return time.Duration(float64(t) * rate) }
 
 // Leader is the one that leads.
 func (g *Group[B, L]) Leader() *Leader[B, L] { return g.Leaders[len(g.Leaders)-1] }
@@ -88,18 +88,18 @@
 }
 
 // Question is a step of a round of questions to the majority.
-type Question int
+type RoundStep int
 
 // The steps.
 const (
-	StartRound      Question = iota
-	MajorityAnswers          // the majority answers
-	FinishRound              // the answers arrive
-	RoundAtOnce              // all of it at once
+	StartRound      RoundStep = iota
+	MajorityAnswers           // the majority answers
+	FinishRound               // the answers arrive
+	RoundAtOnce               // all of it at once
 )
 
 // PossibleSteps returns the leaders that can take a step.
-func (g *Group[B, L]) PossibleSteps(q Question) (on []int) {
+func (g *Group[B, L]) PossibleSteps(q RoundStep) (on []int) {
 	for j, l := range g.Leaders {
 		asks := l.round == 0 && len(l.Confirmations.Waiting()) > 0
 		if (q == StartRound || q == RoundAtOnce) && asks || q == MajorityAnswers && l.round != 0 && l.answeredTerm == 0 || q == FinishRound && l.answeredTerm != 0 {
@@ -110,7 +110,7 @@
 }
 
 // Step takes a step; answers that may be sent are in transit then.
-func (g *Group[B, L]) Step(q Question, on int) {
+func (g *Group[B, L]) Step(q RoundStep, on int) {
 	l := g.Leaders[on]
 	switch q {
 	case StartRound:
--- a/internal/testbed/modelcheck/leases/leases_test.go
+++ b/internal/testbed/modelcheck/leases/leases_test.go
@@ -24,24 +24,24 @@
 }
 
 var (
-	fast, slow = 1 + ppm/1e6, 1 - ppm/1e6
-	clocks     = [][2][]float64{{{slow, fast}, {fast, slow}}, {{fast, slow}, {slow, fast}}, {{slow}, {fast}}}
-	acting     = []Op{StartOperation, BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, EndOperation}
-	all        = append([]Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Propose, Commit, UpdateLeader, ProposeAndLearn, FullTurn, OperationAtOnce, Release, Migrate, Restart, Leave}, acting...)
+	fast, slow   = 1 + ppm/1e6, 1 - ppm/1e6
+	clocks       = [][2][]float64{{{slow, fast}, {fast, slow}}, {{fast, slow}, {slow, fast}}, {{slow}, {fast}}}
+	operationOps = []Op{StartOperation, BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, EndOperation}
+	allOps       = append([]Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Propose, Commit, UpdateLeader, ProposeAndUpdate, RenewAndOperate, OperationAtOnce, Release, Migrate, Restart, Leave}, operationOps...)
 )
 
-type small struct {
+type smallCase struct {
 	Setup
 	depth int
 }
 
 // cases are the small cases that are searched whole, and how deep.
-func cases() (list []small) {
+func cases() (list []smallCase) {
 	add := func(depth int, s Setup, ops ...Op) {
 		for i, c := range clocks {
 			s := s
-			s.Name, s.Rates, s.Leads, s.Ops = fmt.Sprintf("%s, clocks %d", s.Name, i), c[0], c[1], ops
-			list = append(list, small{s, depth})
+			s.Name, s.Rates, s.LeaderRates, s.Ops = fmt.Sprintf("%s, clocks %d", s.Name, i), c[0], c[1], ops
+			list = append(list, smallCase{s, depth})
 		}
 	}
 	two := Setup{Processes: 2, Shards: 1, MaxInTransit: 2, TickMs: 250}
@@ -57,58 +57,58 @@
 	}
 	join := func(all ...[]Step) []Step { return slices.Concat(all...) }
 	begun := []Step{{StartOperation, 0}, {BeginAtResource, 0}, {CheckLease, 0}}
-	led, three := two, two
-	led.Elections = 2
+	withElections, three := two, two
+	withElections.Elections = 2
 	three.Processes, three.Shards = 3, 2
 	// A holder is at the end of its lease in most of them: what is wrong shows within few steps.
-	add(6, with(two, "an act paused at each step", 250, join(begun, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, ProposeAndLearn, StartOperation, FullTurn)
-	add(5, with(two, "an act not yet open", 250, join([]Step{{StartOperation, 0}}, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, FullTurn, EndOperation)
-	add(5, with(two, "an act to the last moment", 70, ticks(7, Step{StartOperation, 0}, Step{BeginAtResource, 0}, Step{Tick, 0}, Step{Tick, 0})...), BeginAtResource, CheckLease, TouchUnguarded, FullTurn, OperationAtOnce)
-	add(7, with(two, "an act that begins late", 70, ticks(9)...), StartOperation, CheckLease, TouchUnguarded, FullTurn)
-	add(6, with(two, "an act under the token before", 250, join([]Step{{StartOperation, 0}}, ticks(4, Step{FullTurn, 1}, Step{Release, 1}, Step{RenewAtOnce, 1}))...), BeginAtResource, CheckLease, TouchUnguarded, ChangeResource, ProposeAndLearn, RenewAtOnce)
-	add(5, with(two, "an act from its start", 200), append([]Op{FullTurn, OperationAtOnce}, acting...)...)
-	add(4, with(three, "three and two shards", 400), FullTurn, ProposeAndLearn, OperationAtOnce, Release, Migrate, StartOperation, BeginAtResource, CheckLease, ChangeResource)
-	add(6, with(two, "letters", 350), Renew, Deliver, DeliverAgain, RoundAtOnce, FullTurn, OperationAtOnce)
-	add(5, with(two, "a late answer", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2))...), Renew, Deliver, DeliverAgain, FullTurn, OperationAtOnce)
-	add(5, with(two, "a late answer after another claim", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, FullTurn, OperationAtOnce, RenewAtOnce)
-	add(6, with(led, "leaders", 300), Elect, RenewAtOnce, ProposeAndLearn, FullTurn, OperationAtOnce)
-	add(6, with(led, "a leader in mid-act", 300, begun...), Elect, FullTurn, ChangeResource, TouchUnguarded, CheckLease, OperationAtOnce)
-	add(6, with(led, "an old leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, FullTurn, OperationAtOnce)
-	add(6, with(led, "an old leader that had asked", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
-		Deliver, FinishRound, FullTurn, OperationAtOnce)
+	add(6, with(two, "an act paused at each step", 250, join(begun, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, ProposeAndUpdate, StartOperation, RenewAndOperate)
+	add(5, with(two, "an act not yet open", 250, join([]Step{{StartOperation, 0}}, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, RenewAndOperate, EndOperation)
+	add(5, with(two, "an act to the last moment", 70, ticks(7, Step{StartOperation, 0}, Step{BeginAtResource, 0}, Step{Tick, 0}, Step{Tick, 0})...), BeginAtResource, CheckLease, TouchUnguarded, RenewAndOperate, OperationAtOnce)
+	add(7, with(two, "an act that begins late", 70, ticks(9)...), StartOperation, CheckLease, TouchUnguarded, RenewAndOperate)
+	add(6, with(two, "an act under the token before", 250, join([]Step{{StartOperation, 0}}, ticks(4, Step{RenewAndOperate, 1}, Step{Release, 1}, Step{RenewAtOnce, 1}))...), BeginAtResource, CheckLease, TouchUnguarded, ChangeResource, ProposeAndUpdate, RenewAtOnce)
+	add(5, with(two, "an act from its start", 200), append([]Op{RenewAndOperate, OperationAtOnce}, operationOps...)...)
+	add(4, with(three, "three and two shards", 400), RenewAndOperate, ProposeAndUpdate, OperationAtOnce, Release, Migrate, StartOperation, BeginAtResource, CheckLease, ChangeResource)
+	add(6, with(two, "letters", 350), Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	add(5, with(two, "a late answer", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2))...), Renew, Deliver, DeliverAgain, RenewAndOperate, OperationAtOnce)
+	add(5, with(two, "a late answer after another claim", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, RenewAndOperate, OperationAtOnce, RenewAtOnce)
+	add(6, with(withElections, "leaders", 300), Elect, RenewAtOnce, ProposeAndUpdate, RenewAndOperate, OperationAtOnce)
+	add(6, with(withElections, "a leader in mid-act", 300, begun...), Elect, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, OperationAtOnce)
+	add(6, with(withElections, "an old leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	add(6, with(withElections, "an old leader that had asked", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
+		Deliver, FinishRound, RenewAndOperate, OperationAtOnce)
 	add(6, with(two, "a log behind", 200, ticks(4, Step{RenewAtOnce, 1}, Step{Propose, 0})...), Propose, Commit, UpdateLeader, RenewAtOnce, OperationAtOnce)
 	add(6, with(two, "a log behind, asked twice", 350, ticks(3, Step{RenewAtOnce, 1}, Step{Propose, 0}, Step{Propose, 0}, Step{Commit, 0}, Step{UpdateLeader, 0}, Step{RenewAtOnce, 1})...),
-		Propose, Commit, UpdateLeader, RenewAtOnce, FullTurn, OperationAtOnce)
-	add(5, with(led, "given back", 250, Step{Release, 0}), RenewAtOnce, FullTurn, OperationAtOnce, Elect, Migrate, StartOperation, ChangeResource, BeginAtResource, CheckLease)
-	add(6, with(two, "given back, a late letter", 350, Step{Release, 0}, Step{Renew, 0}, Step{DeliverAgain, 0}, Step{ProposeAndLearn, 0}, Step{RenewAtOnce, 0}), Deliver, RoundAtOnce, ProposeAndLearn, FullTurn, OperationAtOnce)
-	add(6, with(led, "given back, late letters", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, DeliverAgain, RoundAtOnce, ProposeAndLearn, OperationAtOnce, FullTurn)
-	add(6, with(led, "moved in mid-act", 120, join(begun, []Step{{Migrate, 0}, {Migrate, 4}})...), RenewAtOnce, FullTurn, ChangeResource, TouchUnguarded, CheckLease, EndOperation, Elect)
-	add(6, with(led, "moved and cut off", 300, Step{Migrate, 0}, Step{Migrate, 4}, Step{RenewAtOnce, 0}), Renew, Deliver, RoundAtOnce, FullTurn, OperationAtOnce)
-	lies := led
-	lies.Lies = true
-	add(6, with(lies, "all say that the others are dead", 250, begun...), RenewAtOnce, ProposeAndLearn, FullTurn, ChangeResource, TouchUnguarded, CheckLease, Elect)
-	add(4, with(three, "three, and all say so", 400), FullTurn, ProposeAndLearn, OperationAtOnce, StartOperation, BeginAtResource, CheckLease, ChangeResource)
-	list[len(list)-1].Lies, list[len(list)-2].Lies, list[len(list)-3].Lies = true, true, true
-	add(5, with(led, "dies and leaves", 350), Restart, Leave, Release, FullTurn, OperationAtOnce, Elect)
-	var hangs []Step
+		Propose, Commit, UpdateLeader, RenewAtOnce, RenewAndOperate, OperationAtOnce)
+	add(5, with(withElections, "given back", 250, Step{Release, 0}), RenewAtOnce, RenewAndOperate, OperationAtOnce, Elect, Migrate, StartOperation, ChangeResource, BeginAtResource, CheckLease)
+	add(6, with(two, "given back, a late letter", 350, Step{Release, 0}, Step{Renew, 0}, Step{DeliverAgain, 0}, Step{ProposeAndUpdate, 0}, Step{RenewAtOnce, 0}), Deliver, RoundAtOnce, ProposeAndUpdate, RenewAndOperate, OperationAtOnce)
+	add(6, with(withElections, "given back, late letters", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, DeliverAgain, RoundAtOnce, ProposeAndUpdate, OperationAtOnce, RenewAndOperate)
+	add(6, with(withElections, "moved in mid-act", 120, join(begun, []Step{{Migrate, 0}, {Migrate, 4}})...), RenewAtOnce, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, EndOperation, Elect)
+	add(6, with(withElections, "moved and cut off", 300, Step{Migrate, 0}, Step{Migrate, 4}, Step{RenewAtOnce, 0}), Renew, Deliver, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	falseReports := withElections
+	falseReports.FalseDeathReports = true
+	add(6, with(falseReports, "all say that the others are dead", 250, begun...), RenewAtOnce, ProposeAndUpdate, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, Elect)
+	add(4, with(three, "three, and all say so", 400), RenewAndOperate, ProposeAndUpdate, OperationAtOnce, StartOperation, BeginAtResource, CheckLease, ChangeResource)
+	list[len(list)-1].FalseDeathReports, list[len(list)-2].FalseDeathReports, list[len(list)-3].FalseDeathReports = true, true, true
+	add(5, with(withElections, "dies and leaves", 350), Restart, Leave, Release, RenewAndOperate, OperationAtOnce, Elect)
+	var hungHolder []Step
 	for range 6 {
-		hangs = append(hangs, Step{Tick, 0}, Step{RenewAtOnce, 0}, Step{RenewAtOnce, 1}, Step{ProposeAndLearn, 0})
+		hungHolder = append(hungHolder, Step{Tick, 0}, Step{RenewAtOnce, 0}, Step{RenewAtOnce, 1}, Step{ProposeAndUpdate, 0})
 	}
-	add(5, with(led, "hangs and renews", 300, hangs...), RenewAtOnce, FullTurn, OperationAtOnce, StartOperation, CheckLease, TouchUnguarded, Elect)
+	add(5, with(withElections, "hangs and renews", 300, hungHolder...), RenewAtOnce, RenewAndOperate, OperationAtOnce, StartOperation, CheckLease, TouchUnguarded, Elect)
 	return list
 }
 
 // searched is how many states TestSearch went through.
-var searched int
+var statesSearched int
 
 // TestSearch goes through every state of the small cases.
 func TestSearch(t *testing.T) {
-	searched = 0
+	statesSearched = 0
 	for _, c := range cases() {
 		t.Run(c.Name, func(t *testing.T) {
 			began := time.Now()
-			n, full, err := explore.Search(c.Name, func() (*World, error) { return New(c.Setup) }, c.depth, 400_000, settles)
-			searched += n
+			n, full, err := explore.Search(c.Name, func() (*World, error) { return New(c.Setup) }, c.depth, 400_000, checkSettles)
+			statesSearched += n
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -122,24 +122,24 @@
 
 // bound is within which every shard is acted on once faults have ended: a lease with its pause by the slowest clock, the progress that a
 // hung one must be without, and some renewals.
-const bound = 4 * time.Second
+const settleBound = 4 * time.Second
 
 // settles ends all faults, and holds the time that it takes until all is acted on against the bound.
-func settles(w *World) error {
+func checkSettles(w *World) error {
 	took, err := w.Settle()
-	if err == nil && took > bound {
+	if err == nil && took > settleBound {
 		err = fmt.Errorf("broken: a shard was first acted on %v after all faults had ended", took)
 	}
 	return err
 }
 
 // walk takes a long random walk with two or three processes and one or two shards, and then ends all faults.
-func walk(t *rapid.T) time.Duration {
+func randomWalk(t *rapid.T) time.Duration {
 	c := clocks[rapid.IntRange(0, len(clocks)-1).Draw(t, "clocks")]
 	s := Setup{Name: "long", Processes: rapid.IntRange(2, 3).Draw(t, "processes"), Shards: rapid.IntRange(1, 2).Draw(t, "shards"), Elections: 3, MaxInTransit: 3,
-		TickMs: rapid.SampledFrom([]int{50, 120, 250}).Draw(t, "tick"), Rates: c[0], Leads: c[1], Fresh: rapid.Bool().Draw(t, "fresh")}
+		TickMs: rapid.SampledFrom([]int{50, 120, 250}).Draw(t, "tick"), Rates: c[0], LeaderRates: c[1], NoLeases: rapid.Bool().Draw(t, "fresh")}
 	// Of all that can happen a part, another each time: what takes several steps of one kind is met sooner.
-	for _, op := range all {
+	for _, op := range allOps {
 		if rapid.Bool().Draw(t, "op") {
 			s.Ops = append(s.Ops, op)
 		}
@@ -154,7 +154,7 @@
 	}
 	took, err := w.Settle()
 	if err != nil {
-		t.Fatal(explore.Broken(s.Name, steps, fmt.Errorf("%w, while settling", err)))
+		t.Fatal(explore.NewViolation(s.Name, steps, fmt.Errorf("%w, while settling", err)))
 	}
 	return took
 }
@@ -168,9 +168,9 @@
 	}
 	var worst time.Duration
 	rapid.Check(t, func(t *rapid.T) {
-		took := walk(t)
+		took := randomWalk(t)
 		worst = max(worst, took)
-		if took > bound {
+		if took > settleBound {
 			t.Fatalf("broken: a shard was first acted on %v after all faults had ended", took)
 		}
 	})
@@ -178,30 +178,30 @@
 }
 
 // TestHung has a process hold everything, renew and never act: it loses it, each time for longer, and another acts.
-func TestHung(t *testing.T) {
+func TestHungHolder(t *testing.T) {
 	for i, c := range clocks {
-		w, err := New(Setup{Name: "hung", Processes: 2, Shards: 2, TickMs: 100, Rates: c[0], Leads: c[1]})
+		w, err := New(Setup{Name: "hung", Processes: 2, Shards: 2, TickMs: 100, Rates: c[0], LeaderRates: c[1]})
 		if err != nil {
 			t.Fatal(err)
 		}
-		gap, last, acts := time.Duration(0), w.now, 0
+		gap, last, changes := time.Duration(0), w.now, 0
 		for range 200 {
-			for _, s := range []Step{{Tick, 0}, {RenewAtOnce, 0}, {RenewAtOnce, 1}, {ProposeAndLearn, 0}, {OperationAtOnce, 1}, {OperationAtOnce, 1}} {
+			for _, s := range []Step{{Tick, 0}, {RenewAtOnce, 0}, {RenewAtOnce, 1}, {ProposeAndUpdate, 0}, {OperationAtOnce, 1}, {OperationAtOnce, 1}} {
 				if err := w.Do(s); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if w.judge[0].acts+w.judge[1].acts > acts {
-				acts = w.judge[0].acts + w.judge[1].acts
+			if w.observed[0].changes+w.observed[1].changes > changes {
+				changes = w.observed[0].changes + w.observed[1].changes
 				gap, last = max(gap, w.now-last), w.now
 			}
 		}
 		gap = max(gap, w.now-last)
 		// The progress that is waited for, the lease's end, and what is spread evenly by then: the shard that stayed with it counts too.
-		if both := min(w.judge[0].acts, w.judge[1].acts); gap > 4*time.Second || both == 0 {
-			t.Fatalf("broken: clocks %d: a member that hangs kept a shard: %d and %d acts, none for %v", i, w.judge[0].acts, w.judge[1].acts, gap)
+		if both := min(w.observed[0].changes, w.observed[1].changes); gap > 4*time.Second || both == 0 {
+			t.Fatalf("broken: clocks %d: a member that hangs kept a shard: %d and %d acts, none for %v", i, w.observed[0].changes, w.observed[1].changes, gap)
 		}
-		t.Logf("clocks %d: %d and %d acts beside a member that hangs, none for %v at most", i, w.judge[0].acts, w.judge[1].acts, gap)
+		t.Logf("clocks %d: %d and %d acts beside a member that hangs, none for %v at most", i, w.observed[0].changes, w.observed[1].changes, gap)
 	}
 }
 
@@ -211,5 +211,5 @@
 		t.Skip("make proof runs it")
 	}
 	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch|TestHung)$", mistakes)
-	fmt.Printf("proof: leases: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
+	fmt.Printf("proof: leases: %d states searched, %d of %d planted mistakes found\n", statesSearched, found, len(mistakes))
 }
--- a/internal/testbed/modelcheck/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 		if err := w.Settle(); err != nil {
-			t.Fatal(explore.Broken(s.Name, steps, fmt.Errorf("%w, while settling", err)))
+			t.Fatal(explore.NewViolation(s.Name, steps, fmt.Errorf("%w, while settling", err)))
 		}
 	})
 }
--- a/internal/testbed/modelcheck/members/wrong_test.go
+++ b/internal/testbed/modelcheck/members/wrong_test.go
@@ -22,7 +22,7 @@
 	{"a death believed at one's word", "membership/suspicion.go", "if len(s.deathReporters) >= n.config.Confirmations && !n.isolated {", "if len(s.deathReporters) >= 1 && !n.isolated {", ""},
 	{"a pause that voids nothing", "membership/awareness.go", "\t\tn.adjustHealth(3)\n\t\tn.restartSuspicions(now)\n", "\t\tn.adjustHealth(3)\n", ""},
 	{"reporters kept over a pause", "membership/suspicion.go", "s.startedAt, s.reporters, s.deathReporters, s.restarted = now, nil, nil, true", "s.deathReporters, s.restarted = nil, true", ""},
-	{"who hears nobody judges", "membership/suspicion.go", "if n.isolated && !n.config.DisableLifeguard {\n\t\treturn" + explore.Places + "if n.lastHeardAt <= s.startedAt && !n.config.DisableLifeguard {", "if false {\n\t\treturn" + explore.Places + "if false {", ""},
+	{"who hears nobody judges", "membership/suspicion.go", "if n.isolated && !n.config.DisableLifeguard {\n\t\treturn" + explore.PlaceSeparator + "if n.lastHeardAt <= s.startedAt && !n.config.DisableLifeguard {", "if false {\n\t\treturn" + explore.PlaceSeparator + "if false {", ""},
 	{"an answer to nothing asked believed", "membership/node.go", "if msg.Echo == 0 || !known ||", "if msg.Echo == 0 && !known ||", ""},
 	{"a ping believed", "membership/probe.go", "\tif len(n.recentPings) >= maxRecentPings {", "\tn.mergeRecord(now, &msg.From)\n\tn.mergePiggyback(now, msg)\n\tif len(n.recentPings) >= maxRecentPings {", ""},
 	{"another fleet's messages read", "membership/node.go", "case msg.FleetID != n.config.FleetID:", "case false:", ""},
--- a/internal/testbed/modelcheck/proof_test.go
+++ b/internal/testbed/modelcheck/proof_test.go
@@ -24,7 +24,7 @@
 var (
 	fast, slow = 1 + ppm/1e6, 1 - ppm/1e6
 	clocks     = [][2][]float64{{{slow, fast}, {fast, slow}}, {{fast, slow}, {slow, fast}}, {{slow}, {fast}}}
-	all        = []Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Use, Shrink, Reshape, Join, JoinAnswerLost, Leave, ExpireSessions, Restart}
+	allOps     = []Op{Elect, Renew, Deliver, DeliverAgain, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAtOnce, Use, Shrink, Reshape, Join, JoinAnswerLost, Leave, ExpireSessions, Restart}
 )
 
 // cases are the small cases that are searched whole, and how deep.
@@ -43,17 +43,17 @@
 			}{s, depth})
 		}
 	}
-	three := []Step{{RenewAtOnce, 0}, {RenewAtOnce, 1}}
-	letters := []Op{Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAtOnce}
-	add(6, Setup{Name: "letters", Processes: 2, MaxSessions: 2, Registered: 2, MaxInTransit: 2, TickMs: 700, Ops: letters})
-	add(5, Setup{Name: "letters, three", Processes: 3, MaxSessions: 3, Registered: 3, MaxInTransit: 2, TickMs: 560, Ops: letters, Before: three})
+	bothRenewed := []Step{{RenewAtOnce, 0}, {RenewAtOnce, 1}}
+	messageOps := []Op{Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAtOnce}
+	add(6, Setup{Name: "letters", Processes: 2, MaxSessions: 2, Registered: 2, MaxInTransit: 2, TickMs: 700, Ops: messageOps})
+	add(5, Setup{Name: "letters, three", Processes: 3, MaxSessions: 3, Registered: 3, MaxInTransit: 2, TickMs: 560, Ops: messageOps, Before: bothRenewed})
 	add(5, Setup{Name: "leaders", Processes: 3, MaxSessions: 3, Registered: 3, Elections: 2, TickMs: 300, Ops: []Op{Elect, RenewAtOnce, Shrink, Reshape}})
 	add(6, Setup{Name: "a late letter to a new leader", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 2, MaxInTransit: 2, TickMs: 700,
 		Ops: []Op{Elect, Renew, Deliver, RoundAtOnce, RenewAtOnce}, Before: []Step{{RenewAtOnce, 0}, {Tick, 0}, {Renew, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
-	majority := []Op{Elect, Renew, Deliver, StartRound, MajorityAnswers, FinishRound, RenewAtOnce}
-	add(6, Setup{Name: "an old leader", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majority,
+	majorityOps := []Op{Elect, Renew, Deliver, StartRound, MajorityAnswers, FinishRound, RenewAtOnce}
+	add(6, Setup{Name: "an old leader", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majorityOps,
 		Before: []Step{{Elect, 0}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
-	add(5, Setup{Name: "an old leader that had asked", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majority,
+	add(5, Setup{Name: "an old leader that had asked", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, MaxInTransit: 2, TickMs: 700, Ops: majorityOps,
 		Before: []Step{{Renew, 0}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
 	add(6, Setup{Name: "uses", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 560, Ops: []Op{Elect, RenewAtOnce, Use, Shrink, Reshape}})
 	add(6, Setup{Name: "uses, saved up", Processes: 2, MaxSessions: 2, Registered: 2, TickMs: 700, Ops: []Op{RenewAtOnce, Use},
@@ -68,31 +68,31 @@
 		Before: []Step{{Use, 0}, {Use, 1}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}, {Tick, 0}, {Tick, 0}, {RenewAtOnce, 1}}})
 	add(5, Setup{Name: "stock", Processes: 2, MaxSessions: 3, Registered: 2, Elections: 1, TickMs: 560, ConcurrencyLimit: true, Ops: []Op{Elect, RenewAtOnce, Use, Leave, Restart}})
 	// A member that renewed just before an election dies with all its connections open, just before its part ends.
-	dies := []Step{{RenewAtOnce, 0}, {Use, 0}, {RenewAtOnce, 0}, {Use, 0}, {Elect, 0}}
+	crash := []Step{{RenewAtOnce, 0}, {Use, 0}, {RenewAtOnce, 0}, {Use, 0}, {Elect, 0}}
 	for i := range 11 {
-		dies = append(dies, Step{Tick, 0})
+		crash = append(crash, Step{Tick, 0})
 		if i%4 == 3 {
-			dies = append(dies, Step{Use, 1}, Step{RenewAtOnce, 1})
+			crash = append(crash, Step{Use, 1}, Step{RenewAtOnce, 1})
 		}
 	}
-	add(5, Setup{Name: "stock, a death and an election", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 96, ConcurrencyLimit: true, Ops: []Op{RenewAtOnce, Use, CrashWithConnections}, Before: dies})
+	add(5, Setup{Name: "stock, a death and an election", Processes: 2, MaxSessions: 2, Registered: 2, Elections: 1, TickMs: 96, ConcurrencyLimit: true, Ops: []Op{RenewAtOnce, Use, CrashWithConnections}, Before: crash})
 	add(5, Setup{Name: "stock, letters", Processes: 2, MaxSessions: 2, Registered: 2, MaxInTransit: 2, TickMs: 90, ConcurrencyLimit: true,
 		Ops: []Op{Renew, Deliver, RoundAtOnce, RenewAtOnce, Use}, Before: []Step{{RenewAtOnce, 0}, {Use, 0}}})
 	return list
 }
 
 // searched is how many states TestSearch went through.
-var searched int
+var statesSearched int
 
 // walk takes a long random walk with three processes on two seats or more, and then ends all faults. It tells what part of the whole is
 // held in the end.
-func walk(t *rapid.T) float64 {
+func randomWalk(t *rapid.T) float64 {
 	c := clocks[rapid.IntRange(0, len(clocks)-1).Draw(t, "clocks")]
 	s := Setup{Name: "long", Processes: 3, MaxSessions: rapid.IntRange(2, 4).Draw(t, "seats"), Registered: 2, Elections: 3, MaxInTransit: 3,
 		TickMs: rapid.SampledFrom([]int{90, 160, 350}).Draw(t, "tick"), ConcurrencyLimit: rapid.Bool().Draw(t, "stock"),
 		Rates: c[0], LeaderRates: c[1], NewTerm: rapid.Bool().Draw(t, "fresh")}
 	// Of all that can happen a part, another each time: what takes several steps of one kind is met sooner.
-	for _, op := range all {
+	for _, op := range allOps {
 		if rapid.Bool().Draw(t, "op") {
 			s.Ops = append(s.Ops, op)
 		}
@@ -107,12 +107,12 @@
 	}
 	held, err := w.Settle()
 	if err != nil {
-		t.Fatal(explore.Broken(s.Name, steps, fmt.Errorf("%w, while settling", err)))
+		t.Fatal(explore.NewViolation(s.Name, steps, fmt.Errorf("%w, while settling", err)))
 	}
 	return held
 }
 
-func walks(t *testing.T, n int, check func(*rapid.T)) {
+func checkWalks(t *testing.T, n int, check func(*rapid.T)) {
 	for name, value := range map[string]string{"rapid.checks": fmt.Sprint(n), "rapid.shrinktime": "2s"} {
 		if err := flag.Set(name, value); err != nil {
 			t.Fatal(err)
@@ -122,12 +122,12 @@
 }
 
 // TestLong takes random walks: the promise holds at each step.
-func TestLong(t *testing.T) { walks(t, 6000, func(t *rapid.T) { walk(t) }) }
+func TestLong(t *testing.T) { checkWalks(t, 6000, func(t *rapid.T) { randomWalk(t) }) }
 
 // TestSettle takes some more: once all faults have ended the whole is in use again.
 func TestSettle(t *testing.T) {
-	walks(t, 1000, func(t *rapid.T) {
-		if held := walk(t); held < 0.95 {
+	checkWalks(t, 1000, func(t *rapid.T) {
+		if held := randomWalk(t); held < 0.95 {
 			t.Fatalf("%.3f of the whole is held after all faults have ended", held)
 		}
 	})
@@ -135,11 +135,11 @@
 
 // TestSearch goes through every state of the small cases.
 func TestSearch(t *testing.T) {
-	searched = 0
+	statesSearched = 0
 	for _, c := range cases() {
 		began := time.Now()
 		n, full, err := explore.Search(c.Name, func() (*World, error) { return New(c.Setup) }, c.depth, 400_000, nil)
-		searched += n
+		statesSearched += n
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -78,22 +78,22 @@
 
 // Bounds of the small cases: parts of a second and clocks a tenth off, so that what is wrong shows within few steps.
 const (
-	partMs  = 1000
-	seatS   = 2
-	ppm     = 100_000
-	least   = 1
-	linger  = 200 * time.Millisecond
-	target  = "t"
-	wholeAt = 12 // at the beginning, with a depth of
-	depthAt = 6
-	smaller = 8
-	larger  = 16
+	allocationTTLMs   = 1000
+	sessionTTLS       = 2
+	ppm               = 100_000
+	floorRate         = 1
+	linger            = 200 * time.Millisecond
+	target            = "t"
+	initialCapacity   = 12 // at the beginning, with a depth of
+	initialBurst      = 6
+	reducedCapacity   = 8
+	increasedCapacity = 16
 )
 
 // Depths after a change.
 const (
-	depthSmaller = 4.0
-	depthLarger  = 4.5
+	reducedBurst   = 4.0
+	increasedBurst = 4.5
 )
 
 type process struct {
@@ -112,29 +112,29 @@
 }
 
 type message struct {
-	to      int // a process, for an answer
-	renewal *quota.RenewalRequest
-	answer  *quota.RenewalResponse
-	round   uint64 // the question that was out when it was decided
+	to       int // a process, for an answer
+	request  *quota.RenewalRequest
+	response *quota.RenewalResponse
+	round    uint64 // the question that was out when it was decided
 }
 
 // IsRequest implements leaders.Letter.
-func (m message) IsRequest() bool { return m.renewal != nil }
+func (m message) IsRequest() bool { return m.request != nil }
 
 // Print implements leaders.Letter.
 func (m message) Print(b []byte) []byte {
-	if m.renewal != nil {
-		return fmt.Appendf(b, "%d>%+v\n", m.to, *m.renewal)
+	if m.request != nil {
+		return fmt.Appendf(b, "%d>%+v\n", m.to, *m.request)
 	}
-	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.round, m.to, m.answer.ID, m.answer.Seq, m.answer.Allocations)
+	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.round, m.to, m.response.ID, m.response.Seq, m.response.Allocations)
 }
 
 // roundSteps are the steps of a leader's question.
-var roundSteps = map[Op]leaders.Question{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
+var roundSteps = map[Op]leaders.RoundStep{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
 
 // World is one state of a small case.
 type World struct {
-	set       Setup
+	setup     Setup
 	now       time.Duration
 	registry  registry.Registry
 	index     uint64
@@ -146,22 +146,22 @@
 	previousUntil   time.Duration     // until then that one may be met
 }
 
-var key = quota.Key{Budget: "b"}
+var fleetKey = quota.Key{Budget: "b"}
 
 func quotaConfig(s Setup, whole, depth float64) quota.Config {
 	b := quota.Budget{Name: "b", Resource: quota.AllWork, Scope: quota.PerFleet, Kind: "rate", Capacity: whole, Burst: whole*quota.MaxTransit.Seconds() + depth,
-		FloorRate: least, FloorBurst: 1}
+		FloorRate: floorRate, FloorBurst: 1}
 	if s.ConcurrencyLimit {
-		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: whole, FloorRate: least,
+		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: whole, FloorRate: floorRate,
 			LingerMs: linger.Milliseconds()}
 	}
-	return quota.Config{MaxSessions: s.MaxSessions, RenewIntervalMs: 100, AllocationTTLMs: partMs, SessionTTLS: seatS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
+	return quota.Config{MaxSessions: s.MaxSessions, RenewIntervalMs: 100, AllocationTTLMs: allocationTTLMs, SessionTTLS: sessionTTLS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
 }
 
 // New returns the first state of a case.
 func New(s Setup) (*World, error) {
-	w := &World{set: s, index: 1, now: time.Hour}
-	if err := w.registry.SetQuotaConfig(w.index, quotaConfig(s, wholeAt, depthAt)); err != nil {
+	w := &World{setup: s, index: 1, now: time.Hour}
+	if err := w.registry.SetQuotaConfig(w.index, quotaConfig(s, initialCapacity, initialBurst)); err != nil {
 		return nil, err
 	}
 	for i := range s.Processes {
@@ -176,25 +176,25 @@
 		began -= 10 * time.Second
 	}
 	rate := w.NextRate(s.LeaderRates)
-	w.Elect(rate, allocator.New(scaled(began, rate), w.registry.QuotaConfig, nil))
+	w.Elect(rate, allocator.New(localTime(began, rate), w.registry.QuotaConfig, nil))
 	w.updateLeader()
 	for i, x := range s.Before {
 		if err := w.Do(x); err != nil {
-			return nil, explore.Broken(s.Name, s.Before[:i+1], err)
+			return nil, explore.NewViolation(s.Name, s.Before[:i+1], err)
 		}
 	}
 	return w, nil
 }
 
-func scaled(t time.Duration, rate float64) time.Duration { return leaders.Scaled(t, rate) }
+func localTime(t time.Duration, rate float64) time.Duration { return leaders.LocalTime(t, rate) }
 
-func (w *World) clockOf(i int) time.Duration { return scaled(w.now, w.processes[i].rate) }
+func (w *World) clock(i int) time.Duration { return localTime(w.now, w.processes[i].rate) }
 
-func (w *World) key() quota.Key {
-	if w.set.ConcurrencyLimit {
+func (w *World) budgetKey() quota.Key {
+	if w.setup.ConcurrencyLimit {
 		return quota.Key{Budget: "b", Key: target}
 	}
-	return key
+	return fleetKey
 }
 
 func (w *World) start(i int) {
@@ -204,7 +204,7 @@
 	p.client = quotaclient.New([]quota.Resource{quota.AllWork, quota.Connections})
 }
 
-func (w *World) join(i int, heard bool) bool {
+func (w *World) join(i int, answerArrives bool) bool {
 	p := &w.processes[i]
 	if p.client.MemberID() == p.id { // it had a seat by this id, which has ended
 		p.starts++
@@ -212,8 +212,8 @@
 	}
 	w.index++
 	m, err := w.registry.Join(w.index, quota.Member{ID: p.id, Name: p.id, Weight: 1})
-	if err == nil && heard {
-		p.client.Register(w.clockOf(i), m.ID, w.registry.QuotaConfig)
+	if err == nil && answerArrives {
+		p.client.Register(w.clock(i), m.ID, w.registry.QuotaConfig)
 	}
 	return err == nil
 }
@@ -221,20 +221,20 @@
 // updateLeader has the leader hear of the log. One that no longer leads hears nothing.
 func (w *World) updateLeader() {
 	l := w.Leader()
-	l.State.Update(scaled(w.now, l.Rate), w.registry.QuotaConfig, w.registry.Members)
+	l.State.Update(localTime(w.now, l.Rate), w.registry.QuotaConfig, w.registry.Members)
 }
 
 // Steps are all that can happen next, in a fixed order.
 func (w *World) Steps() []Step {
 	steps := []Step{{Tick, 0}}
-	for _, op := range w.set.Ops {
+	for _, op := range w.setup.Ops {
 		switch op {
 		case Elect:
-			if int(w.Term) <= w.set.Elections {
+			if int(w.Term) <= w.setup.Elections {
 				steps = append(steps, Step{op, 0})
 			}
 		case Shrink, Reshape:
-			if w.registry.QuotaConfig.Budgets[0].Capacity == wholeAt {
+			if w.registry.QuotaConfig.Budgets[0].Capacity == initialCapacity {
 				steps = append(steps, Step{op, 0})
 			}
 		case ExpireSessions:
@@ -249,8 +249,8 @@
 			}
 		default:
 			for i := range w.processes {
-				seated := w.processes[i].client.Registered(w.clockOf(i))
-				if op == Renew && len(w.InTransit) >= w.set.MaxInTransit || op != Join && op != JoinAnswerLost && op != Restart && !seated || (op == Join || op == JoinAnswerLost) && seated {
+				registered := w.processes[i].client.Registered(w.clock(i))
+				if op == Renew && len(w.InTransit) >= w.setup.MaxInTransit || op != Join && op != JoinAnswerLost && op != Restart && !registered || (op == Join || op == JoinAnswerLost) && registered {
 					continue
 				}
 				steps = append(steps, Step{op, i})
@@ -266,14 +266,14 @@
 	case Tick:
 		w.advance()
 	case Elect:
-		rate := w.NextRate(w.set.LeaderRates)
-		w.Elect(rate, allocator.New(scaled(w.now, rate), w.registry.QuotaConfig, w.registry.Members))
+		rate := w.NextRate(w.setup.LeaderRates)
+		w.Elect(rate, allocator.New(localTime(w.now, rate), w.registry.QuotaConfig, w.registry.Members))
 	case Renew:
-		req := w.processes[s.On].client.BeginRenewal(w.clockOf(s.On))
-		w.InTransit = append(w.InTransit, message{to: s.On, renewal: &req})
+		req := w.processes[s.On].client.BeginRenewal(w.clock(s.On))
+		w.InTransit = append(w.InTransit, message{to: s.On, request: &req})
 	case Deliver, DeliverAgain:
 		if m, l := w.Receive(s.On, s.Op == DeliverAgain); l == nil {
-			w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
+			w.processes[m.to].client.AcceptRenewal(w.clock(m.to), *m.response)
 		} else {
 			w.decide(l, m)
 		}
@@ -288,19 +288,19 @@
 	case Shrink, Reshape:
 		w.index++
 		w.previousConfig = w.registry.Clone().QuotaConfig
-		next := quotaConfig(w.set, smaller, depthSmaller)
+		next := quotaConfig(w.setup, reducedCapacity, reducedBurst)
 		if s.Op == Reshape {
-			next = quotaConfig(w.set, larger, depthLarger)
+			next = quotaConfig(w.setup, increasedCapacity, increasedBurst)
 		}
 		if err := w.registry.SetQuotaConfig(w.index, next); err != nil {
 			return err
 		}
 		// In force once all that was given before has ended, by the slowest clocks.
-		w.previousUntil = w.now + 2*partMs*time.Millisecond + 2*linger
+		w.previousUntil = w.now + 2*allocationTTLMs*time.Millisecond + 2*linger
 		w.updateLeader()
 	case Join, JoinAnswerLost:
 		p, l := &w.processes[s.On], w.Leader()
-		if err := l.State.Admit(scaled(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); errors.Is(err, quota.ErrUnknownMember) {
+		if err := l.State.Admit(localTime(w.now, l.Rate), quota.Member{ID: p.id, Name: p.id}); errors.Is(err, quota.ErrUnknownMember) {
 			w.start(s.On)
 		} else if err == nil && w.join(s.On, s.Op == Join) {
 			w.updateLeader()
@@ -317,13 +317,13 @@
 		w.updateLeader()
 	case ExpireSessions:
 		l := w.Leader()
-		w.registry.Leave(l.State.Expire(scaled(w.now, l.Rate))...)
+		w.registry.Leave(l.State.Expire(localTime(w.now, l.Rate))...)
 		w.updateLeader()
 	case CrashWithConnections:
 		// linger_ms is from the end of the part on, which a death does not put off.
 		p, since := &w.processes[s.On], time.Duration(0)
-		if ended := p.client.AllocationsEnd(); ended <= w.clockOf(s.On) {
-			since = scaled(w.clockOf(s.On)-ended, 1/p.rate)
+		if ended := p.client.AllocationsEnd(); ended <= w.clock(s.On) {
+			since = localTime(w.clock(s.On)-ended, 1/p.rate)
 		}
 		w.deadConnections = append(w.deadConnections, deadConnections{p.client.OpenConnections(), w.now - since + linger})
 		w.start(s.On)
@@ -334,21 +334,21 @@
 }
 
 func (w *World) advance() {
-	w.now += time.Duration(w.set.TickMs) * time.Millisecond
-	w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*float64(w.set.TickMs)/1000)
-	if !w.set.ConcurrencyLimit {
+	w.now += time.Duration(w.setup.TickMs) * time.Millisecond
+	w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*float64(w.setup.TickMs)/1000)
+	if !w.setup.ConcurrencyLimit {
 		return
 	}
 	for i := range w.processes {
 		p := &w.processes[i]
-		n := p.client.ExcessConnections(w.clockOf(i), target)
+		n := p.client.ExcessConnections(w.clock(i), target)
 		ended := time.Duration(0) // by its clock, when what it had last ended
 		for _, at := range []time.Duration{p.client.AllocationsEnd(), p.client.SessionEnd()} {
-			if at <= w.clockOf(i) {
+			if at <= w.clock(i) {
 				ended = max(ended, at)
 			}
 		}
-		if w.now-scaled(ended, 1/p.rate) < linger/2 {
+		if w.now-localTime(ended, 1/p.rate) < linger/2 {
 			continue // an attempt goes on
 		}
 		for range n {
@@ -359,9 +359,9 @@
 
 // decide has a leader decide on a renewal; the answer waits for the majority.
 func (w *World) decide(l *leader, m message) {
-	resp, err := l.State.Renew(scaled(w.now, l.Rate), *m.renewal)
+	resp, err := l.State.Renew(localTime(w.now, l.Rate), *m.request)
 	if err == nil {
-		l.Put(message{to: m.to, answer: &resp, round: l.Round()})
+		l.AwaitConfirmation(message{to: m.to, response: &resp, round: l.Round()})
 	}
 }
 
@@ -372,17 +372,17 @@
 		return // a question is out
 	}
 	p := &w.processes[i]
-	req := p.client.BeginRenewal(w.clockOf(i))
-	w.decide(l, message{to: i, renewal: &req})
+	req := p.client.BeginRenewal(w.clock(i))
+	w.decide(l, message{to: i, request: &req})
 	for _, m := range w.ConfirmNow(l) {
-		w.processes[m.to].client.AcceptRenewal(w.clockOf(m.to), *m.answer)
+		w.processes[m.to].client.AcceptRenewal(w.clock(m.to), *m.response)
 	}
 }
 
 // use has a process use all that it may now.
 func (w *World) use(i int) error {
-	p, now := &w.processes[i], w.clockOf(i)
-	if w.set.ConcurrencyLimit {
+	p, now := &w.processes[i], w.clock(i)
+	if w.setup.ConcurrencyLimit {
 		for p.client.OpenConnection(now, target) {
 		}
 		return nil
@@ -400,9 +400,9 @@
 	}
 	p.client.Reserve(now, quota.Reservation{Resource: quota.AllWork, Units: units})
 	w.bucketLevel += units
-	most := w.maxBurst()
-	if w.bucketLevel > most+1e-6 {
-		return fmt.Errorf("broken: a window sees %.4f units beyond the rate, of %.4f", w.bucketLevel, most)
+	limit := w.maxBurst()
+	if w.bucketLevel > limit+1e-6 {
+		return fmt.Errorf("broken: a window sees %.4f units beyond the rate, of %.4f", w.bucketLevel, limit)
 	}
 	return nil
 }
@@ -419,11 +419,11 @@
 
 // currentRate is the rate that binds now, by true time.
 func (w *World) currentRate() float64 {
-	whole := w.registry.QuotaConfig.Budgets[0].Capacity
+	capacity := w.registry.QuotaConfig.Budgets[0].Capacity
 	if w.now < w.previousUntil {
-		whole = max(whole, w.previousConfig.Budgets[0].Capacity)
+		capacity = max(capacity, w.previousConfig.Budgets[0].Capacity)
 	}
-	return whole
+	return capacity
 }
 
 // maxBurst is how far a window that ends now may be over the rate. It may reach back to before a change.
@@ -440,8 +440,8 @@
 	var sum quota.Amount
 	for i := range w.processes {
 		p := &w.processes[i]
-		a := p.client.Limit(w.clockOf(i), w.key())
-		if w.set.ConcurrencyLimit {
+		a := p.client.Limit(w.clock(i), w.budgetKey())
+		if w.setup.ConcurrencyLimit {
 			a.Rate = max(a.Rate, float64(p.client.OpenConnections()))
 		} else {
 			a.Rate *= p.rate // by true time
@@ -449,14 +449,14 @@
 		sum.Rate += a.Rate
 		sum.Burst += a.Burst
 	}
-	for _, g := range w.deadConnections {
-		if w.now < g.until {
-			sum.Rate += float64(g.n)
+	for _, dead := range w.deadConnections {
+		if w.now < dead.until {
+			sum.Rate += float64(dead.n)
 		}
 	}
 	total := w.currentLimit()
-	if whole := w.currentRate(); sum.Rate > whole+1e-6 {
-		return fmt.Errorf("broken: parts sum to %.4f of %.4f", sum.Rate, whole)
+	if rate := w.currentRate(); sum.Rate > rate+1e-6 {
+		return fmt.Errorf("broken: parts sum to %.4f of %.4f", sum.Rate, rate)
 	}
 	if sum.Burst > total.Burst+1e-6 {
 		return fmt.Errorf("broken: bursts sum to %.4f of %.4f", sum.Burst, total.Burst)
@@ -472,10 +472,10 @@
 	w.InTransit = nil
 	l := w.Leader()
 	w.AbandonRound(l)
-	for range 4 * seatS * 1000 / 150 {
+	for range 4 * sessionTTLS * 1000 / 150 {
 		w.now += 150 * time.Millisecond
 		w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*0.15)
-		if w.set.ConcurrencyLimit {
+		if w.setup.ConcurrencyLimit {
 			w.advance()
 		}
 		if err := w.Do(Step{ExpireSessions, 0}); err != nil {
@@ -483,23 +483,23 @@
 		}
 		for i := range w.processes {
 			op := RenewAtOnce
-			if !w.processes[i].client.Registered(w.clockOf(i)) {
+			if !w.processes[i].client.Registered(w.clock(i)) {
 				op = Join
 			}
 			if err := w.Do(Step{op, i}); err != nil {
 				return 0, err
 			}
-			if w.set.ConcurrencyLimit { // connections are asked for by need
-				w.processes[i].client.OpenConnection(w.clockOf(i), target)
+			if w.setup.ConcurrencyLimit { // connections are asked for by need
+				w.processes[i].client.OpenConnection(w.clock(i), target)
 			}
 		}
 	}
 	sum := 0.0
 	for i := range w.processes {
-		sum += w.processes[i].client.Limit(w.clockOf(i), w.key()).Rate
+		sum += w.processes[i].client.Limit(w.clock(i), w.budgetKey()).Rate
 	}
 	c := w.registry.QuotaConfig
-	free := float64(c.MaxSessions-min(c.MaxSessions, len(w.processes))) * least
+	free := float64(c.MaxSessions-min(c.MaxSessions, len(w.processes))) * floorRate
 	return (sum + free) / c.EffectiveLimit(&c.Budgets[0]).Rate, nil
 }
 
--- a/internal/testbed/modelcheck/wrong_test.go
+++ b/internal/testbed/modelcheck/wrong_test.go
@@ -23,8 +23,8 @@
 	{"the clocks' bound not taken off a rate", "quota/config.go", "b.Capacity / (1 + c.drift())", "b.Capacity", ""},
 	{"more members than seats", "registry/registry.go", "len(r.Members) >= r.QuotaConfig.MaxSessions", "len(r.Members) > r.QuotaConfig.MaxSessions", ""},
 	{"a part that brings tokens", "quota/quotaclient/renewal.go", "alloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now)) // an allocation", "alloc.tokens = c.burstNow(b, alloc, now) // an allocation", ""},
-	{"saved tokens kept past the end", "quota/quotaclient/bucket.go", "\talloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now))\n\treturn alloc" + explore.Places + "alloc.tokens = min(a.Burst, alloc.tokens+",
-		"\treturn alloc" + explore.Places + "alloc.tokens = min(max(a.Burst, alloc.tokens), alloc.tokens+"},
+	{"saved tokens kept past the end", "quota/quotaclient/bucket.go", "\talloc.tokens = min(alloc.tokens, c.burstNow(b, alloc, now))\n\treturn alloc" + explore.PlaceSeparator + "alloc.tokens = min(a.Burst, alloc.tokens+",
+		"\treturn alloc" + explore.PlaceSeparator + "alloc.tokens = min(max(a.Burst, alloc.tokens), alloc.tokens+"},
 	{"buckets that start full", "quota/quotaclient/bucket.go", "allocation{tokensAt: c.registeredAt, lastUsedAt: now}", "allocation{tokensAt: 0, lastUsedAt: now}", ""},
 	{"a majority of one", "readindex/queue.go", "return 2*agree > agents", "return agree > 0", ""},
 	{"a later term agreed with", "readindex/queue.go", "if t <= ownTerm {", "if t > 0 {", ""},
@@ -49,5 +49,5 @@
 		t.Skip("make proof runs it")
 	}
 	found := explore.Plant(t, "../../controlplane", "^(TestLong|TestSearch)$", mistakes)
-	fmt.Printf("proof: budgets: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
+	fmt.Printf("proof: budgets: %d states searched, %d of %d planted mistakes found\n", statesSearched, found, len(mistakes))
 }
