--- a/cmd/spindlehitch-model/main.go
+++ b/cmd/spindlehitch-model/main.go
@@ -29,7 +29,7 @@
 func main() {
 	if err := command().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "spindlehitch model:", err)
-		if errors.Is(err, experiment.ErrBroken) {
+		if errors.Is(err, experiment.ErrViolation) {
 			os.Exit(exitBroken)
 		}
 		os.Exit(1)
@@ -134,7 +134,7 @@
 			r := model.Run(&spec, p.Seed, true)
 			if r.Broken == nil {
 				return printResult(cmd, r, func() error {
-					fmt.Fprintf(cmd.OutOrStdout(), "run %d, %s, seed %d: no promise is broken in %d events\n", n, p.Of(), p.Seed, r.Events)
+					fmt.Fprintf(cmd.OutOrStdout(), "run %d, %s, seed %d: no promise is broken in %d events\n", n, p.Setting(), p.Seed, r.Events)
 					return nil
 				})
 			}
@@ -159,7 +159,7 @@
 				}
 				return nil
 			})
-			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, p.Of(), p.Seed, experiment.ErrBroken, r.Broken))
+			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, p.Setting(), p.Seed, experiment.ErrViolation, r.Broken))
 		}}
 	replay.Flags().BoolVar(&shrink, "shrink", false, "cut the faults down to few that break the same promise")
 	replay.Flags().StringVar(&save, "save", "", "write what was run as an experiment of its own")
--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -28,7 +28,7 @@
 				if size < 5 {
 					return fmt.Errorf("--sizes: %d is under 5", size)
 				}
-				for _, t := range mesh.Troubles {
+				for _, t := range mesh.Conditions {
 					if len(troubles) > 0 && !slices.Contains(troubles, t.Name) {
 						continue
 					}
--- a/internal/testbed/model/experiment/experiment_test.go
+++ b/internal/testbed/model/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-const sound = `name = "try"
+const validExperiment = `name = "try"
 length_s = 4
 step_s = 0.5
 seeds = [1, 2]
@@ -67,7 +67,7 @@
 name = "fleet"
 `
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "x.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -76,7 +76,7 @@
 	return path
 }
 
-func outcome(t *testing.T, dir string) string {
+func readResults(t *testing.T, dir string) string {
 	t.Helper()
 	var all bytes.Buffer
 	for _, name := range []string{"results.parquet", "summary.json"} {
@@ -92,7 +92,7 @@
 // TestSameBytes has one experiment run on one core and on eight, and interrupted after each of its runs, with a file half written: what comes
 // of it is the same, byte for byte. Another program's runs are not taken over.
 func TestSameBytes(t *testing.T) { //nolint:gocognit // one scenario, told in order
-	x, err := Read(write(t, sound))
+	x, err := Read(writeFile(t, validExperiment))
 	if err != nil || len(x.Runs) != 8 {
 		t.Fatalf("%d runs, %v", len(x.Runs), err)
 	}
@@ -122,11 +122,11 @@
 	if err := run(cut, 2, t.Context(), nobody); err != nil {
 		t.Fatal(err)
 	}
-	if a := outcome(t, one); a != outcome(t, eight) || a != outcome(t, cut) {
+	if a := readResults(t, one); a != readResults(t, eight) || a != readResults(t, cut) {
 		t.Error("three ways to run it, not one outcome")
 	}
 	x.Program = 7
-	if _, had := load(one, x.Runs[0], x.sum(x.Runs[0])); had {
+	if _, had := load(one, x.Runs[0], x.checksum(x.Runs[0])); had {
 		t.Error("another program's run was taken over")
 	}
 	list, err := Summaries(one)
@@ -136,8 +136,8 @@
 	worse := Summarize(nil)
 	for _, s := range list {
 		f := s.Figures["served"]
-		g := Moved{f.Mean / 2, 0, []float64{f.Mean / 2, f.Mean / 2}}
-		figures := map[string]Moved{}
+		g := Estimate{f.Mean / 2, 0, []float64{f.Mean / 2, f.Mean / 2}}
+		figures := map[string]Estimate{}
 		for k, v := range s.Figures {
 			figures[k] = v
 		}
@@ -168,7 +168,7 @@
 }
 
 // TestBadFiles has files refused, each by one message with file, line and field.
-func TestBadFiles(t *testing.T) {
+func TestInvalidFiles(t *testing.T) {
 	for _, c := range []struct{ what, from, to, says string }{
 		{"unknown field", "rate = 60\n", "rate = 60\nraet = 3\n", ":14: load.raet: unknown field"},
 		{"a unit in a number", "delay_ms = 0.5", `delay_ms = "5ms"`, ":21: net.delay_ms: "},
@@ -186,11 +186,11 @@
 		{"no seeds", "seeds = [1, 2]", "seeds = []", ":4: seeds: at least one"},
 		{"no schedule there", "seeds = [1, 2]", "seeds = [1, 2]\nschedule = \"none.json\"", ":5: schedule: "},
 	} {
-		text := strings.Replace(sound, c.from, c.to, 1)
-		if text == sound {
+		text := strings.Replace(validExperiment, c.from, c.to, 1)
+		if text == validExperiment {
 			t.Fatalf("%s: nothing is changed", c.what)
 		}
-		path := write(t, text)
+		path := writeFile(t, text)
 		_, err := Read(path)
 		if err == nil || !strings.HasPrefix(err.Error(), path+":") || !strings.Contains(err.Error(), c.says) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v, wanted %q", c.what, err, c.says)
--- a/internal/testbed/model/experiment/file.go
+++ b/internal/testbed/model/experiment/file.go
@@ -21,17 +21,17 @@
 )
 
 // mostRuns bounds an experiment.
-const mostRuns = 20_000
+const maxRuns = 20_000
 
 // Experiment is a file: what every run has, and what is varied.
 type Experiment struct {
 	Name    string
 	Program uint64 // names the program that runs it: what another one did is not taken for this one's
-	Runs    []Planned
+	Runs    []PlannedRun
 }
 
 // Planned is one run.
-type Planned struct {
+type PlannedRun struct {
 	N       int               `json:"n"`
 	Variant string            `json:"variant"`
 	Varied  map[string]string `json:"varied,omitempty"` // by the field's path
@@ -41,7 +41,7 @@
 }
 
 // Of names what a run is one of, but for its seed.
-func (p *Planned) Of() string {
+func (p *PlannedRun) Setting() string {
 	parts := []string{p.Variant}
 	for _, k := range slices.Sorted(maps.Keys(p.Varied)) {
 		parts = append(parts, k+"="+p.Varied[k])
@@ -50,7 +50,7 @@
 }
 
 // head is what a file has beside the spec's fields.
-type head struct {
+type fileHeader struct {
 	Seeds    []uint64         `toml:"seeds"`
 	Schedule string           `toml:"schedule"` // a file of faults (JSON), recorded or written by hand
 	Vary     map[string][]any `toml:"vary"`
@@ -80,7 +80,7 @@
 	if err := toml.Unmarshal(raw, &all); err != nil {
 		return fail(err)
 	}
-	var h head
+	var h fileHeader
 	if _, err := toml.Decode(string(raw), &h); err != nil {
 		return fail(err)
 	}
@@ -107,8 +107,8 @@
 		if len(h.Vary[p]) == 0 {
 			return fail(fmt.Errorf("vary.%s: no values", p))
 		}
-		if size *= len(h.Vary[p]); size > mostRuns {
-			return fail(fmt.Errorf("vary.%s: more than %d runs", p, mostRuns))
+		if size *= len(h.Vary[p]); size > maxRuns {
+			return fail(fmt.Errorf("vary.%s: more than %d runs", p, maxRuns))
 		}
 	}
 	x := &Experiment{}
@@ -118,7 +118,7 @@
 		}
 		base := clone(all).(map[string]any)
 		for _, k := range v.Without {
-			if !take(base, k) {
+			if !removeKey(base, k) {
 				return fail(fmt.Errorf("variant[%d].without: the file has no %s", i, k))
 			}
 		}
@@ -158,7 +158,7 @@
 			}
 			x.Name = spec.Name
 			for _, seed := range h.Seeds {
-				x.Runs = append(x.Runs, Planned{len(x.Runs), v.Name, varied, seed, spec, text.String()})
+				x.Runs = append(x.Runs, PlannedRun{len(x.Runs), v.Name, varied, seed, spec, text.String()})
 			}
 		}
 	}
@@ -248,15 +248,15 @@
 	return nil
 }
 
-func take(from map[string]any, key string) bool {
+func removeKey(from map[string]any, key string) bool {
 	_, there := from[key]
 	delete(from, key)
 	return there
 }
 
 var lastKey = regexp.MustCompile(`last key "([^"]*)"\): (.*)`)
-var header = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
-var setting = regexp.MustCompile(`^\s*"?([A-Za-z0-9_.\-]+)"?\s*=`)
+var tableHeader = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
+var keyValue = regexp.MustCompile(`^\s*"?([A-Za-z0-9_.\-]+)"?\s*=`)
 
 // lineOf is the line of the field that a message begins with, such as "fault[1].on: ..."; where it is not there, of its table; else 1.
 func lineOf(text, message string) int {
@@ -265,7 +265,7 @@
 	table, found := "", 1
 	counts := map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
-		if m := header.FindStringSubmatch(line); m != nil {
+		if m := tableHeader.FindStringSubmatch(line); m != nil {
 			table = m[2]
 			if m[1] == "[[" {
 				table = fmt.Sprintf("%s[%d]", m[2], counts[m[2]])
@@ -276,7 +276,7 @@
 			}
 			continue
 		}
-		if m := setting.FindStringSubmatch(line); m != nil {
+		if m := keyValue.FindStringSubmatch(line); m != nil {
 			path := m[1]
 			if table != "" {
 				path = table + "." + m[1]
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -25,8 +25,8 @@
 )
 
 // Done is one run and what came of it, as its file has it.
-type Done struct {
-	Planned
+type CompletedRun struct {
+	PlannedRun
 	Sum    uint64       `json:"xxhash"` // of the spec and the program
 	Result model.Result `json:"result"`
 }
@@ -40,13 +40,15 @@
 	model.Point
 }
 
-func (x *Experiment) sum(p Planned) uint64 { return xxhash.Sum64String(p.text) ^ x.Program }
+func (x *Experiment) checksum(p PlannedRun) uint64 { return xxhash.Sum64String(p.text) ^ x.Program }
 
-func file(dir string, n int) string { return filepath.Join(dir, "runs", fmt.Sprintf("%06d.json", n)) }
+func runFile(dir string, n int) string {
+	return filepath.Join(dir, "runs", fmt.Sprintf("%06d.json", n))
+}
 
 // load reads a run's file; false: it is not there, not whole, or of another spec.
-func load(dir string, p Planned, sum uint64) (d Done, ok bool) {
-	b, err := os.ReadFile(file(dir, p.N))
+func load(dir string, p PlannedRun, sum uint64) (d CompletedRun, ok bool) {
+	b, err := os.ReadFile(runFile(dir, p.N))
 	if err != nil || json.Unmarshal(b, &d) != nil || d.Sum != sum || d.Seed != p.Seed {
 		return d, false
 	}
@@ -55,19 +57,19 @@
 }
 
 // save puts a run's file there whole.
-func save(dir string, d Done) error {
+func save(dir string, d CompletedRun) error {
 	b, err := json.Marshal(d)
 	if err != nil {
 		return err
 	}
-	return whole(file(dir, d.N), func(w io.Writer) error {
+	return writeAtomically(runFile(dir, d.N), func(w io.Writer) error {
 		_, err := w.Write(b)
 		return err
 	})
 }
 
 // whole writes a file under another name first.
-func whole(path string, write func(io.Writer) error) (err error) {
+func writeAtomically(path string, write func(io.Writer) error) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "writing-*")
 	if err != nil {
 		return err
@@ -84,18 +86,18 @@
 }
 
 // ErrBroken says that a promise was broken in some run.
-var ErrBroken = errors.New("a promise is broken")
+var ErrViolation = errors.New("a promise is broken")
 
 // Run takes all runs that the folder does not have yet, on so many cores (0: all), and then writes results.parquet and summary.json, which
 // depend on the file alone. told is called after each, from one goroutine at a time. Where ctx ends, what is done is kept.
-func (x *Experiment) Run(ctx context.Context, dir string, cores int, told func(done, all int)) ([]Done, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+func (x *Experiment) Run(ctx context.Context, dir string, cores int, told func(done, all int)) ([]CompletedRun, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	if err := os.MkdirAll(filepath.Join(dir, "runs"), 0o755); err != nil {
 		return nil, err
 	}
 	if cores <= 0 {
 		cores = runtime.GOMAXPROCS(0)
 	}
-	all := make([]Done, len(x.Runs))
+	all := make([]CompletedRun, len(x.Runs))
 	var mu sync.Mutex
 	var failed error
 	done := 0
@@ -105,9 +107,9 @@
 		work.Go(func() {
 			for i := range next {
 				p := x.Runs[i]
-				d, had := load(dir, p, x.sum(p))
+				d, had := load(dir, p, x.checksum(p))
 				if !had {
-					d = Done{Planned: p, Sum: x.sum(p), Result: model.Run(p.Spec, p.Seed, false)}
+					d = CompletedRun{PlannedRun: p, Sum: x.checksum(p), Result: model.Run(p.Spec, p.Seed, false)}
 					if err := save(dir, d); err != nil {
 						mu.Lock()
 						failed = errors.Join(failed, err)
@@ -135,12 +137,12 @@
 	if failed != nil || ctx.Err() != nil {
 		return nil, errors.Join(failed, ctx.Err())
 	}
-	err := whole(filepath.Join(dir, "results.parquet"), func(w io.Writer) error {
+	err := writeAtomically(filepath.Join(dir, "results.parquet"), func(w io.Writer) error {
 		p := parquet.NewGenericWriter[Row](w, parquet.Compression(&zstd.Codec{}))
 		for _, d := range all {
 			rows := make([]Row, 0, len(d.Result.Series))
 			for _, point := range d.Result.Series {
-				rows = append(rows, Row{int32(d.N), d.Of(), d.Variant, d.Seed, point})
+				rows = append(rows, Row{int32(d.N), d.Setting(), d.Variant, d.Seed, point})
 			}
 			if _, err := p.Write(rows); err != nil {
 				return err
@@ -151,50 +153,50 @@
 	if err != nil {
 		return all, err
 	}
-	err = whole(filepath.Join(dir, "summary.json"), func(w io.Writer) error {
+	err = writeAtomically(filepath.Join(dir, "summary.json"), func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
 		return e.Encode(Summarize(all))
 	})
 	for _, d := range all {
 		if d.Result.Broken != nil {
-			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Of(), d.Seed, ErrBroken, d.Result.Broken))
+			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Setting(), d.Seed, ErrViolation, d.Result.Broken))
 		}
 	}
 	return all, err
 }
 
 // measures are what a run is summed up by. Shares are of what was offered.
-var measures = []struct {
+var figures = []struct {
 	name string
-	of   func(d *Done) float64
+	of   func(d *CompletedRun) float64
 }{
-	{"served", func(d *Done) float64 { return total(d, served) / total(d, offered) }},
-	{"late", func(d *Done) float64 {
+	{"served", func(d *CompletedRun) float64 { return total(d, served) / total(d, offered) }},
+	{"late", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Late }) / total(d, offered)
 	}},
-	{"lost", func(d *Done) float64 {
+	{"lost", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Lost }) / total(d, offered)
 	}},
-	{"repeats", func(d *Done) float64 {
+	{"repeats", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Repeats }) / total(d, offered)
 	}},
-	{"attempts", func(d *Done) float64 {
+	{"attempts", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Attempts }) / total(d, offered)
 	}},
-	{"falls", func(d *Done) float64 { return total(d, func(p model.Point) float64 { return p.Falls }) }},
-	{"grants", func(d *Done) float64 { return total(d, func(p model.Point) float64 { return p.Grants }) }},
-	{"recover_s", recover9},
-	{"tail", tail},
-	{"p99_s", func(d *Done) float64 { return d.Result.P99 }},
-	{"worst_window", func(d *Done) float64 { return d.Result.Worst }},
-	{"events", func(d *Done) float64 { return float64(d.Result.Events) }},
+	{"falls", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Falls }) }},
+	{"grants", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Grants }) }},
+	{"recover_s", recoveryTime},
+	{"tail", tailShare},
+	{"p99_s", func(d *CompletedRun) float64 { return d.Result.P99 }},
+	{"worst_window", func(d *CompletedRun) float64 { return d.Result.Worst }},
+	{"events", func(d *CompletedRun) float64 { return float64(d.Result.Events) }},
 }
 
 func offered(p model.Point) float64 { return p.Offered }
 func served(p model.Point) float64  { return p.Served }
 
-func total(d *Done, of func(model.Point) float64) (sum float64) {
+func total(d *CompletedRun, of func(model.Point) float64) (sum float64) {
 	for _, p := range d.Result.Series {
 		sum += of(p)
 	}
@@ -202,7 +204,7 @@
 }
 
 // lastFault is when the last fault of the file begins; 0: there is none.
-func lastFault(d *Done) (at float64) {
+func lastFault(d *CompletedRun) (at float64) {
 	for _, f := range d.Spec.Faults {
 		at = max(at, f.AtS)
 	}
@@ -214,7 +216,7 @@
 
 // recover9 is how long after the beginning of the last fault nine tenths of what is offered are served in time again, and stay so for
 // five steps; the rest of the run where they never are.
-func recover9(d *Done) float64 {
+func recoveryTime(d *CompletedRun) float64 {
 	at, run := lastFault(d), 0
 	hurt := false
 	for _, p := range d.Result.Series {
@@ -240,7 +242,7 @@
 }
 
 // tail is the share served in time of what was offered in the run's last quarter.
-func tail(d *Done) float64 {
+func tailShare(d *CompletedRun) float64 {
 	var s, o float64
 	for _, p := range d.Result.Series {
 		if p.T > 0.75*d.Spec.LengthS {
@@ -252,29 +254,29 @@
 
 // Summary is one setting over all its seeds.
 type Summary struct {
-	Of      string           `json:"of"`
-	Runs    int              `json:"runs"`
-	Broken  int              `json:"broken"`
-	Stopped int              `json:"stopped"`
-	Figures map[string]Moved `json:"figures"`
+	Of      string              `json:"of"`
+	Runs    int                 `json:"runs"`
+	Broken  int                 `json:"broken"`
+	Stopped int                 `json:"stopped"`
+	Figures map[string]Estimate `json:"figures"`
 }
 
 // Moved is a figure's mean over the seeds, and its standard deviation.
-type Moved struct {
+type Estimate struct {
 	Mean float64   `json:"mean"`
 	SD   float64   `json:"sd"`
 	All  []float64 `json:"all"`
 }
 
 // Summarize sums runs up by setting, in the file's order.
-func Summarize(all []Done) (list []Summary) {
+func Summarize(all []CompletedRun) (list []Summary) {
 	at := map[string]int{}
 	for i := range all {
 		d := &all[i]
-		of := d.Of()
+		of := d.Setting()
 		if _, there := at[of]; !there {
 			at[of] = len(list)
-			list = append(list, Summary{Of: of, Figures: map[string]Moved{}})
+			list = append(list, Summary{Of: of, Figures: map[string]Estimate{}})
 		}
 		s := &list[at[of]]
 		s.Runs++
@@ -284,7 +286,7 @@
 		if d.Result.Stopped != "" {
 			s.Stopped++
 		}
-		for _, m := range measures {
+		for _, m := range figures {
 			v := m.of(d)
 			if math.IsNaN(v) || math.IsInf(v, 0) {
 				v = 0
@@ -310,13 +312,13 @@
 func Table(w io.Writer, list []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprint(t, "SETTING\tRUNS\tBROKEN")
-	for _, m := range measures {
+	for _, m := range figures {
 		fmt.Fprintf(t, "\t%s", strings.ToUpper(m.name))
 	}
 	fmt.Fprintln(t)
 	for _, s := range list {
 		fmt.Fprintf(t, "%s\t%d\t%d", s.Of, s.Runs, s.Broken)
-		for _, m := range measures {
+		for _, m := range figures {
 			fmt.Fprintf(t, "\t%.4g", s.Figures[m.name].Mean)
 		}
 		fmt.Fprintln(t)
@@ -353,7 +355,7 @@
 		if at < 0 {
 			continue
 		}
-		for _, m := range measures {
+		for _, m := range figures {
 			f, g := x.Figures[m.name], b[at].Figures[m.name]
 			se := math.Sqrt(f.SD*f.SD/float64(max(1, len(f.All))) + g.SD*g.SD/float64(max(1, len(g.All))))
 			d := Difference{x.Of, m.name, f.Mean, g.Mean, se, false}
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -16,83 +16,85 @@
 )
 
 // wire is from a decision to its first byte: the permit is looked at then.
-const wire = 50 * time.Microsecond
+const sendDelay = 50 * time.Microsecond
 
 // instance is one initiator: the real module, holder and tenant, on a clock of its own.
 type instance struct {
-	s      *Sim
-	id     int
-	name   string
-	zone   int
-	rng    *rand.Rand
-	load   *rand.Rand
-	rate   float64 // its clock's, against true time
-	share  float64 // of the load
-	alive  bool
-	born   int
-	paused time.Duration // until then it stands still; what comes waits
-	inbox  []func()
-	mute   bool // what it sends the agents is lost
-	deaf   bool // what they send is
-	lag    time.Duration
-	hung   bool // its tasks' acts never end
-
-	sched   *policy.Scheduler
-	timer   uint64        // the number of the timer that holds
-	beat    time.Duration // of an idle module: when its timer was due; 0: it has one that comes
-	reqs    map[string]*ask
-	version int    // of the list it has
-	listed  []bool // the targets there
-	asked   uint64
-
-	h       *quotaclient.Client
-	t       *lessee.Lessee
-	member  string
-	joining bool
-	renews  uint64 // the number of the renewal timer that holds
-	agent   int    // asked first
-	acting  map[lease.Key]bool
+	sim           *Sim
+	id            int
+	name          string
+	zone          int
+	rng           *rand.Rand
+	loadRNG       *rand.Rand
+	clockRate     float64 // its clock's, against true time
+	loadShare     float64 // of the load
+	alive         bool
+	starts        int
+	pausedUntil   time.Duration // until then it stands still; what comes waits
+	inbox         []func()
+	requestsLost  bool // what it sends the agents is lost
+	responsesLost bool // what they send is
+	extraDelay    time.Duration
+	hung          bool // its tasks' acts never end
+
+	scheduler    *policy.Scheduler
+	timerNumber  uint64        // the number of the timer that holds
+	skippedTimer time.Duration // of an idle module: when its timer was due; 0: it has one that comes
+	requests     map[string]*request
+	listVersion  int    // of the list it has
+	listed       []bool // the targets there
+	requestCount uint64
+
+	quota          *quotaclient.Client
+	lessee         *lessee.Lessee
+	memberID       string
+	joining        bool
+	renewalNumber  uint64 // the number of the renewal timer that holds
+	preferredAgent int    // asked first
+	operating      map[lease.Key]bool
 }
 
 // ask is a request that an instance owes an answer, for a client that may have come before.
-type ask struct {
-	id       string
-	client   *client
-	attempt  int
-	out      bool
-	answered bool
-	units    float64
+type request struct {
+	id         string
+	client     *clientRequest
+	attempts   int
+	inProgress bool
+	answered   bool
+	units      float64
 }
 
 // client is one client's request, over all its tries.
-type client struct {
-	came  time.Duration
-	tries int
-	shard int
-	units float64
-	ended bool
+type clientRequest struct {
+	arrivedAt time.Duration
+	tries     int
+	shard     int
+	units     float64
+	ended     bool
 }
 
 // epoch is what all clocks show at the beginning of a run: no process starts with its machine.
 const epoch = time.Hour
 
-func (n *instance) clock() time.Duration { return n.shows(n.s.now) }
+func (n *instance) clock() time.Duration { return n.localTime(n.sim.now) }
 
 // shows is what this clock shows at a true time.
-func (n *instance) shows(t time.Duration) time.Duration { return epoch + n.own(t) }
+func (n *instance) localTime(t time.Duration) time.Duration { return epoch + n.localDuration(t) }
 
 // truly is the true length of a time by this clock.
-func (n *instance) truly(t time.Duration) time.Duration { return time.Duration(float64(t) / n.rate) }
+func (n *instance) trueDuration(t time.Duration) time.Duration {
+	return time.Duration(float64(t) / n.clockRate)
+}
 
 // when does something at the instance: now, or once it stands still no more, in the order in which it came. What was for a process
 // that is gone is not done.
-func (n *instance) when(do func()) {
+func (n *instance) whenRunning(do func()) {
 	switch {
 	case !n.alive:
-	case n.s.now < n.paused:
-		born := n.born
+	case n.sim.now < n.pausedUntil:
+		born := n.starts
 		n.inbox = append(n.inbox, func() {
-			if n.alive && n.born == born {
+			if n.alive && n.starts == born {
 				do()
 			}
 		})
@@ -103,16 +105,16 @@
 
 // pause has it stand still; what comes waits.
 func (n *instance) pause(until time.Duration) {
-	if until <= n.paused {
+	if until <= n.pausedUntil {
 		return
 	}
-	n.paused = until
-	n.s.at(until, "instance goes on", n.id, func() {
-		if n.paused != until {
+	n.pausedUntil = until
+	n.sim.at(until, "instance goes on", n.id, func() {
+		if n.pausedUntil != until {
 			return
 		}
 		box := n.inbox
-		n.inbox, n.beat = nil, 0 // it did stand still
+		n.inbox, n.skippedTimer = nil, 0 // it did stand still
 		for _, do := range box {
 			do()
 		}
@@ -121,59 +123,59 @@
 
 // start begins a process: it knows nothing, and has its list a moment later.
 func (n *instance) start() {
-	n.alive, n.paused, n.inbox = true, 0, nil
-	n.born++
-	n.reqs, n.version, n.beat = map[string]*ask{}, 0, 0
-	n.hung, n.acting = false, map[lease.Key]bool{}
-	set := n.s.settings
-	if n.s.spec.Budgets != nil {
-		n.h = quotaclient.New(n.s.governed)
+	n.alive, n.pausedUntil, n.inbox = true, 0, nil
+	n.starts++
+	n.requests, n.listVersion, n.skippedTimer = map[string]*request{}, 0, 0
+	n.hung, n.operating = false, map[lease.Key]bool{}
+	set := n.sim.settings
+	if n.sim.spec.Budgets != nil {
+		n.quota = quotaclient.New(n.sim.governed)
 		set.Quota = modelQuota{n}
-		n.joining, n.member = false, ""
-		if n.s.spec.Tasks != nil {
-			n.t = lessee.New(n.s.runs)
+		n.joining, n.memberID = false, ""
+		if n.sim.spec.Tasks != nil {
+			n.lessee = lessee.New(n.sim.taskNames)
 		}
 	}
 	sched, err := policy.New(set, n.rng.Uint64())
 	if err != nil {
 		panic(err) // the settings are the model's own
 	}
-	n.sched = sched
-	n.timer++
-	n.hear()
-	if n.h != nil {
+	n.scheduler = sched
+	n.timerNumber++
+	n.receiveTargets()
+	if n.quota != nil {
 		n.join()
 	}
 }
 
 func (n *instance) kill() {
-	for _, a := range n.reqs {
+	for _, a := range n.requests {
 		if !a.answered {
-			n.s.lost(a.client)
+			n.sim.recordLost(a.client)
 		}
 	}
-	n.alive, n.reqs, n.inbox, n.member = false, nil, nil, ""
-	n.s.budgetGone(n)
+	n.alive, n.requests, n.inbox, n.memberID = false, nil, nil, ""
+	n.sim.dropAllocations(n)
 }
 
 // hear has it take the list as it is, after its way.
-func (n *instance) hear() {
-	born := n.born
-	n.s.after(n.s.way(n.rng), "list", n.id, func() {
-		n.when(func() {
-			if n.born != born || n.version == n.s.version {
+func (n *instance) receiveTargets() {
+	born := n.starts
+	n.sim.after(n.sim.networkDelay(n.rng), "list", n.id, func() {
+		n.whenRunning(func() {
+			if n.starts != born || n.listVersion == n.sim.listVersion {
 				return
 			}
-			n.version = n.s.version
-			nodes := make([]policy.Endpoint, 0, len(n.s.targets))
-			n.listed = make([]bool, len(n.s.targets))
-			for _, t := range n.s.targets {
+			n.listVersion = n.sim.listVersion
+			nodes := make([]policy.Endpoint, 0, len(n.sim.targets))
+			n.listed = make([]bool, len(n.sim.targets))
+			for _, t := range n.sim.targets {
 				if n.listed[t.id] = !t.down; n.listed[t.id] {
 					started := time.Duration(0)
 					if t.started > 0 {
-						started = n.shows(t.started)
+						started = n.localTime(t.started)
 					}
-					nodes = append(nodes, policy.Endpoint{ID: n.s.ids[t.id], Shard: t.id, Started: started})
+					nodes = append(nodes, policy.Endpoint{ID: n.sim.targetIDs[t.id], Shard: t.id, Started: started})
 				}
 			}
 			n.step(policy.EndpointList{Full: true, Endpoints: nodes})
@@ -185,197 +187,199 @@
 func (n *instance) step(events ...policy.Event) {
 	// A module that has nothing to do asks for a timer many times a second, to see whether it stood still. These are left out, and one is
 	// made up for just before something happens, so that it takes nothing for a pause that was none.
-	if n.beat > 0 && n.s.now > n.beat {
-		n.beat = 0
-		n.do(n.sched.Step(n.clock(), []policy.Event{policy.TimerFired{}}))
+	if n.skippedTimer > 0 && n.sim.now > n.skippedTimer {
+		n.skippedTimer = 0
+		n.perform(n.scheduler.Step(n.clock(), []policy.Event{policy.TimerFired{}}))
 	}
-	n.do(n.sched.Step(n.clock(), events))
-	if n.beat > 0 && len(n.reqs) > 0 {
-		n.wake(max(0, n.beat-n.s.now)) // the one that was left out has to come after all
+	n.perform(n.scheduler.Step(n.clock(), events))
+	if n.skippedTimer > 0 && len(n.requests) > 0 {
+		n.setTimer(max(0, n.skippedTimer-n.sim.now)) // the one that was left out has to come after all
 	}
 }
 
 // wake has the module's timer come.
-func (n *instance) wake(in time.Duration) {
-	n.beat = 0
-	mine, born := n.timer, n.born
-	n.s.after(in, "timer", n.id, func() {
-		n.when(func() {
-			if n.timer == mine && n.born == born {
+func (n *instance) setTimer(in time.Duration) {
+	n.skippedTimer = 0
+	mine, born := n.timerNumber, n.starts
+	n.sim.after(in, "timer", n.id, func() {
+		n.whenRunning(func() {
+			if n.timerNumber == mine && n.starts == born {
 				n.step(policy.TimerFired{})
 			}
 		})
 	})
 }
 
-func (n *instance) do(acts []policy.Action) {
+func (n *instance) perform(acts []policy.Action) {
 	for i := range acts {
 		a := acts[i]
 		switch a.Kind {
 		case policy.Send:
 			n.send(a)
 		case policy.Reject, policy.Fail:
-			n.answer(a.Request, a.Kind == policy.Reject, a.Wait)
+			n.finalAnswer(a.Request, a.Kind == policy.Reject, a.Wait)
 		case policy.SetTimer:
-			n.timer++
-			if len(n.reqs) == 0 {
-				n.beat = n.s.now + n.truly(a.Wait)
+			n.timerNumber++
+			if len(n.requests) == 0 {
+				n.skippedTimer = n.sim.now + n.trueDuration(a.Wait)
 				continue
 			}
-			n.wake(n.truly(a.Wait))
+			n.setTimer(n.trueDuration(a.Wait))
 		}
 	}
 }
 
 // arrive has the load's next request come.
-func (n *instance) arrive() {
-	rate := n.s.spec.Load.Rate * n.share * n.s.surge()
+func (n *instance) scheduleArrival() {
+	rate := n.sim.spec.Load.Rate * n.loadShare * n.sim.surge()
 	if rate <= 0 {
-		n.s.after(time.Second, "load", n.id, n.arrive)
+		n.sim.after(time.Second, "load", n.id, n.scheduleArrival)
 		return
 	}
-	n.s.cause = 0 // nothing has it come
-	n.s.after(secs(n.load.ExpFloat64()/rate), "load", n.id, func() {
-		cause := n.s.cause
-		n.arrive()
-		n.s.cause = cause
-		units := min(8*n.s.spec.Load.Units, max(0.05, n.load.ExpFloat64())*n.s.spec.Load.Units)
-		if n.s.spec.Load.Alike {
-			units = n.s.spec.Load.Units
+	n.sim.cause = 0 // nothing has it come
+	n.sim.after(seconds(n.loadRNG.ExpFloat64()/rate), "load", n.id, func() {
+		cause := n.sim.cause
+		n.scheduleArrival()
+		n.sim.cause = cause
+		units := min(8*n.sim.spec.Load.Units, max(0.05, n.loadRNG.ExpFloat64())*n.sim.spec.Load.Units)
+		if n.sim.spec.Load.Alike {
+			units = n.sim.spec.Load.Units
 		}
-		n.s.point.Offered++
-		n.ask(&client{came: n.s.now, shard: n.load.IntN(len(n.s.targets)), units: units})
+		n.sim.point.Offered++
+		n.submit(&clientRequest{arrivedAt: n.sim.now, shard: n.loadRNG.IntN(len(n.sim.targets)), units: units})
 	})
 }
 
 // ask has a client try, for the first time or again.
-func (n *instance) ask(c *client) {
-	left := secs(n.s.spec.Load.PatienceS) - (n.s.now - c.came)
+func (n *instance) submit(c *clientRequest) {
+	left := seconds(n.sim.spec.Load.PatienceS) - (n.sim.now - c.arrivedAt)
 	if c.ended || left <= 0 {
-		n.s.lost(c)
+		n.sim.recordLost(c)
 		return
 	}
 	c.tries++
 	if !n.alive {
 		to := n
-		if n.s.spec.Load.Moves {
-			to = n.s.insts[n.load.IntN(len(n.s.insts))]
+		if n.sim.spec.Load.Moves {
+			to = n.sim.instances[n.loadRNG.IntN(len(n.sim.instances))]
 		}
-		to.again(c, false, 0)
+		to.retryOrGiveUp(c, false, 0)
 		return
 	}
-	n.when(func() {
-		left := secs(n.s.spec.Load.PatienceS) - (n.s.now - c.came)
+	n.whenRunning(func() {
+		left := seconds(n.sim.spec.Load.PatienceS) - (n.sim.now - c.arrivedAt)
 		if left <= 0 {
-			n.s.lost(c) // it left while the instance stood still
+			n.sim.recordLost(c) // it left while the instance stood still
 			return
 		}
-		n.asked++
-		id := strconv.Itoa(n.id) + "-" + strconv.Itoa(n.born) + "-" + strconv.FormatUint(n.asked, 10)
-		a := &ask{id: id, client: c, units: c.units}
-		n.reqs[id] = a
-		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, VolumeInitiators: 1, TimeLeft: n.own(left)})
-		born := n.born
-		n.s.after(left+n.s.leaves, "deadline", n.id, func() { // the rules want an answer by the client's leaving
-			if n.alive && n.born == born && !a.answered && n.s.now >= n.paused+n.s.leaves {
-				n.s.breaks("final answers", n.id, fmt.Sprintf("request %s has none %v after its client left", id, n.s.leaves))
+		n.requestCount++
+		id := strconv.Itoa(n.id) + "-" + strconv.Itoa(n.starts) + "-" + strconv.FormatUint(n.requestCount, 10)
+		a := &request{id: id, client: c, units: c.units}
+		n.requests[id] = a
+		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, VolumeInitiators: 1, TimeLeft: n.localDuration(left)})
+		born := n.starts
+		n.sim.after(left+n.sim.answerGrace, "deadline", n.id, func() { // the rules want an answer by the client's leaving
+			if n.alive && n.starts == born && !a.answered && n.sim.now >= n.pausedUntil+n.sim.answerGrace {
+				n.sim.reportViolation("final answers", n.id, fmt.Sprintf("request %s has none %v after its client left", id, n.sim.answerGrace))
 			}
 		})
 	})
 }
 
 // own is a length of true time by this clock.
-func (n *instance) own(t time.Duration) time.Duration { return time.Duration(float64(t) * n.rate) }
+func (n *instance) localDuration(t time.Duration) time.Duration {
+	return time.Duration(float64(t) * n.clockRate)
+}
 
 // again has a client that was turned away, or met nobody, come again or give up.
-func (n *instance) again(c *client, refused bool, advice time.Duration) {
-	o := &n.s.spec.Load
+func (n *instance) retryOrGiveUp(c *clientRequest, refused bool, advice time.Duration) {
+	o := &n.sim.spec.Load
 	if c.tries >= o.Tries {
-		n.s.lost(c)
+		n.sim.recordLost(c)
 		return
 	}
-	wait := millis(o.AgainMs * (0.5 + n.load.Float64()))
+	wait := milliseconds(o.AgainMs * (0.5 + n.loadRNG.Float64()))
 	if refused && o.Heeds {
 		wait = max(wait, advice)
 	}
-	n.s.after(wait, "client again", n.id, func() { n.ask(c) })
+	n.sim.after(wait, "client again", n.id, func() { n.submit(c) })
 }
 
 // answer gives a request its final answer.
-func (n *instance) answer(id string, refused bool, advice time.Duration) {
-	a := n.reqs[id]
+func (n *instance) finalAnswer(id string, refused bool, advice time.Duration) {
+	a := n.requests[id]
 	if a == nil || a.answered {
-		n.s.breaks("final answers", n.id, "request "+id+" has two")
+		n.sim.reportViolation("final answers", n.id, "request "+id+" has two")
 		return
 	}
 	a.answered = true
-	if !a.out {
-		delete(n.reqs, id)
+	if !a.inProgress {
+		delete(n.requests, id)
 	}
 	if refused {
-		n.s.point.Refused++
+		n.sim.point.Refused++
 	} else {
-		n.s.point.Failed++
+		n.sim.point.Failed++
 	}
-	n.again(a.client, refused, advice)
+	n.retryOrGiveUp(a.client, refused, advice)
 }
 
 // send makes one attempt. The permit and the target's state are looked at just before the first byte.
 func (n *instance) send(a policy.Action) {
-	r := n.reqs[a.Request]
+	r := n.requests[a.Request]
 	if r == nil {
 		return
 	}
-	r.attempt++
-	r.out = true
-	attempt, born := r.attempt, n.born
-	t := n.s.targets[n.s.byID[a.Endpoint]]
-	sent := n.s.now
+	r.attempts++
+	r.inProgress = true
+	attempt, born := r.attempts, n.starts
+	t := n.sim.targets[n.sim.targetByID[a.Endpoint]]
+	sent := n.sim.now
 	if !n.listed[t.id] {
-		n.s.breaks("drains", n.id, "request "+r.id+" goes to "+a.Endpoint+", which its list does not have")
+		n.sim.reportViolation("drains", n.id, "request "+r.id+" goes to "+a.Endpoint+", which its list does not have")
 	}
 	over := false
 	end := func(code policy.OutcomeCode, load *policy.Load) {
-		if over || n.born != born {
+		if over || n.starts != born {
 			return
 		}
 		over = true
-		r.out = false
+		r.inProgress = false
 		closed := r.answered
 		if code == policy.Served && !closed {
 			r.answered, closed = true, true
-			n.s.served(r.client)
+			n.sim.recordServed(r.client)
 		}
 		if closed {
-			delete(n.reqs, r.id)
+			delete(n.requests, r.id)
 		}
-		n.step(policy.Outcome{ID: r.id, Attempt: attempt - 1, Endpoint: a.Endpoint, Code: code, Latency: n.own(n.s.now - sent), Final: closed, Load: load})
+		n.step(policy.Outcome{ID: r.id, Attempt: attempt - 1, Endpoint: a.Endpoint, Code: code, Latency: n.localDuration(n.sim.now - sent), Final: closed, Load: load})
 	}
-	n.s.after(wire, "first byte", n.id, func() {
-		n.when(func() {
-			if a.Permit != nil && !a.Permit.Valid() || n.s.version == n.version && t.down {
+	n.sim.after(sendDelay, "first byte", n.id, func() {
+		n.whenRunning(func() {
+			if a.Permit != nil && !a.Permit.Valid() || n.sim.listVersion == n.listVersion && t.down {
 				end(policy.NotSent, nil)
 				return
 			}
-			n.s.point.Attempts++
+			n.sim.point.Attempts++
 			if attempt > 1 {
-				n.s.point.Repeats++
+				n.sim.point.Repeats++
 			}
 			cold := t.isCold()
 			if cold {
-				n.s.point.Cold += r.units
+				n.sim.point.Cold += r.units
 			}
-			n.s.drew(n, t, attempt > 1, cold, r.units)
-			n.s.after(n.truly(a.Wait), "time-out", n.id, func() { n.when(func() { end(policy.TimedOut, nil) }) })
-			if n.s.apart(n.zone, t.id%n.s.spec.Fleet.Zones) {
+			n.sim.checkReservation(n, t, attempt > 1, cold, r.units)
+			n.sim.after(n.trueDuration(a.Wait), "time-out", n.id, func() { n.whenRunning(func() { end(policy.TimedOut, nil) }) })
+			if n.sim.zonesSeparated(n.zone, t.id%n.sim.spec.Fleet.Zones) {
 				return // lost on its way
 			}
-			n.s.after(n.s.way(n.rng), "request at target", t.id, func() {
-				t.take(job{r.units, func(code policy.OutcomeCode, load policy.Load) {
-					if n.s.apart(n.zone, t.id%n.s.spec.Fleet.Zones) {
+			n.sim.after(n.sim.networkDelay(n.rng), "request at target", t.id, func() {
+				t.receive(targetRequest{r.units, func(code policy.OutcomeCode, load policy.Load) {
+					if n.sim.zonesSeparated(n.zone, t.id%n.sim.spec.Fleet.Zones) {
 						return
 					}
-					n.s.after(n.s.way(t.rng), "answer", n.id, func() { n.when(func() { end(code, &load) }) })
+					n.sim.after(n.sim.networkDelay(t.rng), "answer", n.id, func() { n.whenRunning(func() { end(code, &load) }) })
 				}})
 			})
 		})
@@ -385,17 +389,17 @@
 // modelQuota is the instance's part of the fleet's wholes, for the module.
 type modelQuota struct{ n *instance }
 
-var uses = [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries, policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}
+var quotaResources = [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries, policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}
 
-func draw(d policy.Reservation) quota.Reservation {
-	return quota.Reservation{Resource: uses[d.Resource], Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
+func toReservation(d policy.Reservation) quota.Reservation {
+	return quota.Reservation{Resource: quotaResources[d.Resource], Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
 // Wait implements spindlehitch.Ration.
 func (r modelQuota) Wait(d policy.Reservation) (time.Duration, bool) {
-	wait, governed := r.n.h.Wait(r.n.clock(), draw(d))
-	if wait > 0 && r.n.h.HasUnmetDemand() {
-		r.n.schedule()
+	wait, governed := r.n.quota.Wait(r.n.clock(), toReservation(d))
+	if wait > 0 && r.n.quota.HasUnmetDemand() {
+		r.n.scheduleRenewal()
 	}
 	return wait, governed
 }
@@ -404,9 +408,9 @@
 func (r modelQuota) Reserve(draws []policy.Reservation) policy.Permit {
 	all := make([]quota.Reservation, len(draws))
 	for i, d := range draws {
-		all[i] = draw(d)
+		all[i] = toReservation(d)
 	}
-	return permit{r.n, r.n.h.Reserve(r.n.clock(), all...)}
+	return permit{r.n, r.n.quota.Reserve(r.n.clock(), all...)}
 }
 
 type permit struct {
@@ -420,8 +424,8 @@
 // Joining and renewing, as internal/controlplane/quota/quotasession does it.
 
 const (
-	joinAgain = 200 * time.Millisecond
-	tryWithin = 400 * time.Millisecond
+	joinRetryDelay = 200 * time.Millisecond
+	attemptTimeout = 400 * time.Millisecond
 )
 
 func (n *instance) join() {
@@ -429,41 +433,41 @@
 		return
 	}
 	n.joining = true
-	id := fmt.Sprintf("%s.%d.%d", n.name, n.born, n.asked)
-	born, began := n.born, n.clock()
-	n.call("join", 4*tryWithin, func(g *agents, by int, back func(any)) {
+	id := fmt.Sprintf("%s.%d.%d", n.name, n.starts, n.requestCount)
+	born, began := n.starts, n.clock()
+	n.call("join", 4*attemptTimeout, func(g *agents, by int, back func(any)) {
 		g.join(by, quota.Member{ID: id, Name: n.name, Addr: n.name, Weight: 1}, back)
 	}, func(answer any) {
 		n.joining = false
-		if n.born != born {
+		if n.starts != born {
 			return
 		}
 		doc, seated := answer.(quota.Config)
 		if !seated {
-			n.s.after(n.truly(joinAgain), "join again", n.id, func() { n.when(n.join) })
+			n.sim.after(n.trueDuration(joinRetryDelay), "join again", n.id, func() { n.whenRunning(n.join) })
 			return
 		}
-		n.member = id
-		n.h.Register(began, id, doc)
-		n.s.point.Joins++
-		n.schedule()
+		n.memberID = id
+		n.quota.Register(began, id, doc)
+		n.sim.point.Joins++
+		n.scheduleRenewal()
 	})
 }
 
 // schedule has the next renewal sent when it is due.
-func (n *instance) schedule() {
-	if n.member == "" || !n.alive {
+func (n *instance) scheduleRenewal() {
+	if n.memberID == "" || !n.alive {
 		return
 	}
-	due := n.h.NextRenewal() - n.clock()
-	if n.t != nil && n.t.NeedsRenewal() {
+	due := n.quota.NextRenewal() - n.clock()
+	if n.lessee != nil && n.lessee.NeedsRenewal() {
 		due = 0
 	}
-	n.renews++
-	mine, born := n.renews, n.born
-	n.s.after(n.truly(max(0, due)), "renewal due", n.id, func() {
-		n.when(func() {
-			if n.renews == mine && n.born == born && n.member != "" {
+	n.renewalNumber++
+	mine, born := n.renewalNumber, n.starts
+	n.sim.after(n.trueDuration(max(0, due)), "renewal due", n.id, func() {
+		n.whenRunning(func() {
+			if n.renewalNumber == mine && n.starts == born && n.memberID != "" {
 				n.renew()
 			}
 		})
@@ -472,51 +476,51 @@
 
 func (n *instance) renew() {
 	now := n.clock()
-	if !n.h.Registered(now) {
-		n.unseat()
+	if !n.quota.Registered(now) {
+		n.dropSession()
 		return
 	}
-	r := n.h.BeginRenewal(now)
+	r := n.quota.BeginRenewal(now)
 	var c *lease.RenewalRequest
-	if n.t != nil {
-		x := n.t.BeginRenewal(now)
+	if n.lessee != nil {
+		x := n.lessee.BeginRenewal(now)
 		c = &x
 	}
-	born, id := n.born, n.member
-	n.call("renewal", n.truly(n.h.RenewTimeout()), func(g *agents, by int, back func(any)) { g.renew(by, r, c, back) }, func(answer any) {
-		if n.born != born || n.member != id {
+	born, id := n.starts, n.memberID
+	n.call("renewal", n.trueDuration(n.quota.RenewTimeout()), func(g *agents, by int, back func(any)) { g.renew(by, r, c, back) }, func(answer any) {
+		if n.starts != born || n.memberID != id {
 			return
 		}
 		switch a := answer.(type) {
-		case renewed:
-			if a.award != nil && n.t != nil {
-				n.t.AcceptRenewal(n.clock(), *a.award)
-				n.act()
+		case renewalResponse:
+			if a.leases != nil && n.lessee != nil {
+				n.lessee.AcceptRenewal(n.clock(), *a.leases)
+				n.startOperations()
 			}
-			if n.h.AcceptRenewal(n.clock(), a.answer) {
-				n.s.accepted(n)
+			if n.quota.AcceptRenewal(n.clock(), a.quota) {
+				n.sim.checkAllocations(n)
 				n.step(policy.QuotaChanged{})
 			}
 		case error:
 			if errors.Is(a, quota.ErrUnknownMember) {
-				n.unseat()
+				n.dropSession()
 				return
 			}
-			n.s.point.Unheard++
+			n.sim.point.Unheard++
 		default:
-			n.s.point.Unheard++
+			n.sim.point.Unheard++
 		}
-		n.schedule()
+		n.scheduleRenewal()
 	})
 }
 
-func (n *instance) unseat() {
-	n.member = ""
-	n.h.Unregister()
-	if n.t != nil {
-		n.t.DropAll()
+func (n *instance) dropSession() {
+	n.memberID = ""
+	n.quota.Unregister()
+	if n.lessee != nil {
+		n.lessee.DropAll()
 	}
-	n.s.budgetGone(n)
+	n.sim.dropAllocations(n)
 	n.step(policy.QuotaChanged{})
 	n.join()
 }
@@ -530,38 +534,38 @@
 			then(answer)
 		}
 	}
-	n.s.after(within, what+" given up", n.id, func() { n.when(func() { finish(nil) }) })
-	end := n.s.now + within
+	n.sim.after(within, what+" given up", n.id, func() { n.whenRunning(func() { finish(nil) }) })
+	end := n.sim.now + within
 	var try func(turn int)
 	try = func(turn int) {
-		if over || turn > 3*len(n.s.agents.all) {
+		if over || turn > 3*len(n.sim.agents.all) {
 			return
 		}
-		at := n.agent
-		g := n.s.agents
-		patience := max(20*time.Millisecond, min(tryWithin, (end-n.s.now)/2))
+		at := n.preferredAgent
+		g := n.sim.agents
+		patience := max(20*time.Millisecond, min(attemptTimeout, (end-n.sim.now)/2))
 		answered := false
 		next := func(pause time.Duration) {
 			if !answered && !over {
 				answered = true
-				if n.agent == at {
-					n.agent = (at + 1) % len(g.all)
+				if n.preferredAgent == at {
+					n.preferredAgent = (at + 1) % len(g.all)
 				}
-				n.s.after(pause, what+" at the next", n.id, func() { n.when(func() { try(turn + 1) }) })
+				n.sim.after(pause, what+" at the next", n.id, func() { n.whenRunning(func() { try(turn + 1) }) })
 			}
 		}
-		n.s.after(patience, what+" unanswered", n.id, func() { n.when(func() { next(0) }) })
-		if n.mute || n.s.loses(n.rng) || n.s.cutOff(n.zone, at) {
+		n.sim.after(patience, what+" unanswered", n.id, func() { n.whenRunning(func() { next(0) }) })
+		if n.requestsLost || n.sim.drawLoss(n.rng) || n.sim.agentUnreachable(n.zone, at) {
 			return
 		}
-		n.s.after(n.s.way(n.rng)+n.lag, what, n.id, func() {
-			g.at(at, func(leads int) {
+		n.sim.after(n.sim.networkDelay(n.rng)+n.extraDelay, what, n.id, func() {
+			g.deliver(at, func(leads int) {
 				back := func(answer any) {
-					if n.deaf || n.s.loses(n.rng) || n.s.cutOff(n.zone, at) {
+					if n.responsesLost || n.sim.drawLoss(n.rng) || n.sim.agentUnreachable(n.zone, at) {
 						return
 					}
-					n.s.after(n.s.way(n.rng)+n.lag, what+" answered", n.id, func() {
-						n.when(func() {
+					n.sim.after(n.sim.networkDelay(n.rng)+n.extraDelay, what+" answered", n.id, func() {
+						n.whenRunning(func() {
 							if answered || over {
 								return
 							}
@@ -579,8 +583,8 @@
 					return
 				}
 				if leads != at {
-					n.agent = leads
-					n.s.after(2*n.s.way(n.rng), what+" redirected", n.id, func() { g.at(leads, func(int) { ask(g, leads, back) }) })
+					n.preferredAgent = leads
+					n.sim.after(2*n.sim.networkDelay(n.rng), what+" redirected", n.id, func() { g.deliver(leads, func(int) { ask(g, leads, back) }) })
 					return
 				}
 				ask(g, at, back)
@@ -591,73 +595,75 @@
 }
 
 // act begins what may begin on the shards held: an act changes its place once, and ends.
-func (n *instance) act() {
-	if n.t == nil || !n.alive {
+func (n *instance) startOperations() {
+	if n.lessee == nil || !n.alive {
 		return
 	}
-	for _, k := range n.t.Held(n.clock()) {
-		if n.acting[k] {
+	for _, k := range n.lessee.Held(n.clock()) {
+		if n.operating[k] {
 			continue
 		}
-		n.acting[k] = true
-		n.actAt(k)
+		n.operating[k] = true
+		n.scheduleOperation(k)
 	}
 }
 
-func (n *instance) actAt(k lease.Key) {
-	born := n.born
-	due := max(0, n.t.NextOperation(k)-n.clock())
-	n.s.after(n.truly(due), "act due", n.id, func() {
-		n.when(func() {
-			if n.born != born {
+func (n *instance) scheduleOperation(k lease.Key) {
+	born := n.starts
+	due := max(0, n.lessee.NextOperation(k)-n.clock())
+	n.sim.after(n.trueDuration(due), "act due", n.id, func() {
+		n.whenRunning(func() {
+			if n.starts != born {
 				return
 			}
-			a, ok := n.t.StartOperation(n.clock(), k)
+			a, ok := n.lessee.StartOperation(n.clock(), k)
 			if !ok {
-				delete(n.acting, k)
+				delete(n.operating, k)
 				return
 			}
 			if n.hung {
 				return
 			}
-			n.acts(a, born)
+			n.runOperation(a, born)
 		})
 	})
 }
 
 // acts takes an act through its steps; between any two of them the instance may stand still.
-func (n *instance) acts(a lessee.Operation, born int) {
-	place := n.s.places[a.Key]
+func (n *instance) runOperation(a lessee.Operation, born int) {
+	place := n.sim.guards[a.Key]
 	end := func(how lessee.Outcome) {
-		n.t.FinishOperation(a, how, place.Token)
-		if n.t.NeedsRenewal() {
-			n.schedule()
+		n.lessee.FinishOperation(a, how, place.Token)
+		if n.lessee.NeedsRenewal() {
+			n.scheduleRenewal()
 		}
-		n.actAt(a.Key)
+		n.scheduleOperation(a.Key)
 	}
-	unguarded := n.s.spec.Fleet.Planted == "early" // neither it nor the place looks
+	unguarded := n.sim.spec.Fleet.Planted == "early" // neither it nor the place looks
 	steps := []func() bool{
-		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.s.began(n, a) },
-		func() bool { return unguarded || n.t.MayProceed(n.clock(), a) },
-		func() bool { return (unguarded || place.CheckChange(a.Token, a.Number) == nil) && n.s.changed(n, a) },
+		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.sim.checkBegin(n, a) },
+		func() bool { return unguarded || n.lessee.MayProceed(n.clock(), a) },
+		func() bool {
+			return (unguarded || place.CheckChange(a.Token, a.Number) == nil) && n.sim.checkChange(n, a)
+		},
 		func() bool { return unguarded || place.End(a.Token, a.Number) == nil },
 	}
 	var next func(i int)
 	next = func(i int) {
 		if i == len(steps) {
-			n.s.point.Acts++
+			n.sim.point.Acts++
 			end(lessee.Completed)
 			return
 		}
-		took := time.Duration(n.rng.Float64() * float64(n.t.Task(a.Task).OperationTimeout()) / 6)
-		n.s.after(n.s.way(n.rng)+took, "act", n.id, func() {
-			n.when(func() {
+		took := time.Duration(n.rng.Float64() * float64(n.lessee.Task(a.Task).OperationTimeout()) / 6)
+		n.sim.after(n.sim.networkDelay(n.rng)+took, "act", n.id, func() {
+			n.whenRunning(func() {
 				switch {
-				case n.born != born:
+				case n.starts != born:
 				case steps[i]():
 					next(i + 1)
 				default:
-					n.s.point.Denied++
+					n.sim.point.Denied++
 					end(lessee.Fenced)
 				}
 			})
@@ -667,11 +673,11 @@
 }
 
 // floors is what a floor and a part are at an instance now, by true time.
-func (n *instance) limit(k quota.Key) float64 {
-	if n.h == nil || !n.alive {
+func (n *instance) quotaRate(k quota.Key) float64 {
+	if n.quota == nil || !n.alive {
 		return 0
 	}
-	return n.h.Limit(n.clock(), k).Rate * n.rate
+	return n.quota.Limit(n.clock(), k).Rate * n.clockRate
 }
 
 func lognormal(r *rand.Rand, sigma float64) float64 { return math.Exp(sigma * r.NormFloat64()) }
--- a/internal/testbed/model/mesh/measure.go
+++ b/internal/testbed/model/mesh/measure.go
@@ -9,7 +9,7 @@
 )
 
 // Trouble is what goes on through a measurement.
-type Trouble struct {
+type Condition struct {
 	Name   string
 	Loss   float64 // part of the datagrams
 	Paused float64 // part of the members that stand still for 0.2 to 5 s again and again
@@ -17,7 +17,7 @@
 }
 
 // Troubles are those that docs/members.md tells of.
-var Troubles = []Trouble{{Name: "none"}, {Name: "a fifth paused", Paused: 0.2}, {Name: "5% lost", Loss: 0.05}, {Name: "10% lost", Loss: 0.1},
+var Conditions = []Condition{{Name: "none"}, {Name: "a fifth paused", Paused: 0.2}, {Name: "5% lost", Loss: 0.05}, {Name: "10% lost", Loss: 0.1},
 	{Name: "20% lost", Loss: 0.2}, {Name: "a twentieth of the ways cut", Cut: 0.05}, {Name: "paused and 10% lost", Paused: 0.2, Loss: 0.1}}
 
 // Row is what came of one measurement.
@@ -38,10 +38,10 @@
 }
 
 // Measure runs a fleet under a trouble for so long, then kills some members one by one, and then ends the trouble.
-func Measure(s Spec, t Trouble, lasts time.Duration, kills int, size func(*membership.Message) int) (Row, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+func Measure(s Spec, t Condition, lasts time.Duration, kills int, size func(*membership.Message) int) (Row, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	s.Loss, s.Joined = t.Loss, true
 	m := New(s)
-	m.Bytes = size
+	m.MessageSize = size
 	row := Row{Trouble: t.Name, Size: s.Size, Plain: s.Settings.DisableLifeguard}
 	if t.Cut > 0 {
 		cut := map[[2]int]bool{}
@@ -52,28 +52,28 @@
 				}
 			}
 		}
-		m.Cut = func(from, to *Node, _ membership.Channel) bool { return cut[[2]int{from.N, to.N}] }
+		m.Cut = func(from, to *Node, _ membership.Channel) bool { return cut[[2]int{from.Number, to.Number}] }
 	}
 	name := map[string]*Node{}
 	for _, n := range m.Nodes {
-		name[addr(n.N)] = n
+		name[addr(n.Number)] = n
 	}
 	verdicts := map[int][]time.Duration{} // of the one that was killed
 	victim := -1
 	var killed time.Duration
 	// A verdict is false of one that lives and has never stood still.
 	for _, n := range m.Nodes {
-		n.Watch = func(now time.Duration, e membership.Event) {
+		n.OnEvent = func(now time.Duration, e membership.Event) {
 			if e.Status != "dead" {
 				return
 			}
 			of := name[e.Name]
 			switch {
-			case of.N == victim:
+			case of.Number == victim:
 				if n.Alive {
 					verdicts[victim] = append(verdicts[victim], now-killed)
 				}
-			case of.Alive && of.paused == 0:
+			case of.Alive && of.pausedUntil == 0:
 				row.False++
 			}
 		}
@@ -99,7 +99,7 @@
 	sent, bytes := 0, int64(0)
 	for _, n := range m.Nodes {
 		sent += n.Sent
-		bytes += n.SentB
+		bytes += n.SentBytes
 	}
 	each := float64(s.Size) * lasts.Seconds()
 	row.BytesS, row.MessageS, row.CPUUs = float64(bytes)/each, float64(sent)/each, float64(cpu.Microseconds())/each
@@ -130,7 +130,7 @@
 	ending = true
 	m.spec.Loss, m.Cut = 0, nil
 	m.Run(5 * time.Second)
-	took, ok := m.Until(s.Settings.ProbeInterval/2, 600*s.Settings.ProbeInterval, m.Level)
+	took, ok := m.Until(s.Settings.ProbeInterval/2, 600*s.Settings.ProbeInterval, m.Converged)
 	if row.MeetS = took.Seconds() + 5; !ok {
 		return row, fmt.Errorf("%s, size %d: views do not meet", t.Name, s.Size)
 	}
--- a/internal/testbed/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -21,38 +21,38 @@
 	Loss     float64       // part of the datagrams
 	Delay    time.Duration // mean way of a message; exponential besides a floor of half of it
 	Joined   bool          // all know all at the beginning; else they join by the first three
-	Seedless bool          // nobody has a seed
+	NoSeeds  bool          // nobody has a seed
 }
 
 // Mesh is a fleet at one time.
 type Mesh struct {
-	spec  Spec
-	now   time.Duration
-	rng   *rand.Rand
-	queue events
-	seq   uint64
-	Nodes []*Node
-	at    map[string]*Node
+	spec   Spec
+	now    time.Duration
+	rng    *rand.Rand
+	queue  events
+	seq    uint64
+	Nodes  []*Node
+	byAddr map[string]*Node
 	// Cut tells whether what goes from one to another is lost; nil: nothing is.
-	Cut   func(from, to *Node, via membership.Channel) bool
-	Bytes func(*membership.Message) int // the size of a message; nil: not counted
+	Cut         func(from, to *Node, via membership.Channel) bool
+	MessageSize func(*membership.Message) int // the size of a message; nil: not counted
 }
 
 // Node is one process.
 type Node struct {
-	N       int
-	Zone    int
-	M       *membership.Node
-	lives   int
-	Alive   bool
-	paused  time.Duration // until then
-	waiting []event       // came while it was paused
-	tick    time.Duration // for when its tick is scheduled; stale ones do nothing
-	Sent    int
-	SentB   int64
+	Number      int
+	Zone        int
+	Member      *membership.Node
+	starts      int
+	Alive       bool
+	pausedUntil time.Duration // until then
+	waiting     []event       // came while it was paused
+	tickAt      time.Duration // for when its tick is scheduled; stale ones do nothing
+	Sent        int
+	SentBytes   int64
 	// Changes, by this node's view, of the nodes that the run is about.
-	Watch func(now time.Duration, of membership.Event)
-	seen  int
+	OnEvent    func(now time.Duration, of membership.Event)
+	eventsSeen int
 }
 
 type event struct {
@@ -85,19 +85,19 @@
 // New returns a fleet at its beginning.
 func New(s Spec) *Mesh {
 	s.Zones = max(s.Zones, 1)
-	m := &Mesh{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), at: map[string]*Node{}}
+	m := &Mesh{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), byAddr: map[string]*Node{}}
 	var all []membership.Record
 	for i := range s.Size {
-		n := &Node{N: i, Zone: i % s.Zones}
+		n := &Node{Number: i, Zone: i % s.Zones}
 		m.Nodes = append(m.Nodes, n)
-		m.at[addr(i)] = n
+		m.byAddr[addr(i)] = n
 		m.Start(n)
-		all = append(all, n.M.Self())
+		all = append(all, n.Member.Self())
 	}
 	if s.Joined {
 		infos := membership.SharedInfos(all)
 		for _, n := range m.Nodes {
-			n.M.Preload(m.now, all, infos)
+			n.Member.Preload(m.now, all, infos)
 		}
 	}
 	return m
@@ -107,14 +107,14 @@
 
 // Start begins a life of a node, on a stream of draws of its own.
 func (m *Mesh) Start(n *Node) {
-	n.lives++
-	rng := rand.New(rand.NewPCG(m.spec.Seed, uint64(n.N)<<20|uint64(n.lives)<<8|2))
+	n.starts++
+	rng := rand.New(rand.NewPCG(m.spec.Seed, uint64(n.Number)<<20|uint64(n.starts)<<8|2))
 	seeds := []string{addr(0), addr(1), addr(2)}
-	if m.spec.Seedless {
+	if m.spec.NoSeeds {
 		seeds = nil
 	}
-	n.M = membership.New(m.spec.Settings, rng.Uint64()|1, membership.Info{Name: addr(n.N), Addr: addr(n.N), Zone: fmt.Sprint("z", n.Zone)}, seeds, m.now, rng)
-	n.Alive, n.waiting, n.seen, n.paused, n.tick = true, nil, 0, 0, -1
+	n.Member = membership.New(m.spec.Settings, rng.Uint64()|1, membership.Info{Name: addr(n.Number), Addr: addr(n.Number), Zone: fmt.Sprint("z", n.Zone)}, seeds, m.now, rng)
+	n.Alive, n.waiting, n.eventsSeen, n.pausedUntil, n.tickAt = true, nil, 0, 0, -1
 	m.schedule(n)
 }
 
@@ -123,7 +123,7 @@
 
 // Leave ends it in order: it lives on for a little, so that its word gets through.
 func (m *Mesh) Leave(n *Node) {
-	m.send(n, n.M.Leave(m.now))
+	m.send(n, n.Member.Leave(m.now))
 	m.After(m.spec.Settings.ProbeInterval, func() { n.Alive = false })
 }
 
@@ -132,9 +132,9 @@
 	if !n.Alive {
 		return
 	}
-	n.paused = max(n.paused, m.now+d)
+	n.pausedUntil = max(n.pausedUntil, m.now+d)
 	m.After(d, func() {
-		if !n.Alive || m.now < n.paused {
+		if !n.Alive || m.now < n.pausedUntil {
 			return
 		}
 		waiting := n.waiting
@@ -159,12 +159,12 @@
 }
 
 func (m *Mesh) schedule(n *Node) {
-	if at := max(n.M.NextTick(), m.now); n.tick != at {
-		n.tick = at
-		life := n.lives
+	if at := max(n.Member.NextTick(), m.now); n.tickAt != at {
+		n.tickAt = at
+		life := n.starts
 		m.push(event{at: at, do: func() {
-			if n.Alive && n.lives == life && n.tick == at && m.now >= n.paused {
-				n.tick = -1
+			if n.Alive && n.starts == life && n.tickAt == at && m.now >= n.pausedUntil {
+				n.tickAt = -1
 				m.tick(n)
 			}
 		}})
@@ -172,8 +172,8 @@
 }
 
 func (m *Mesh) tick(n *Node) {
-	m.send(n, n.M.Tick(m.now))
-	m.changes(n)
+	m.send(n, n.Member.Tick(m.now))
+	m.reportEvents(n)
 	m.schedule(n)
 }
 
@@ -182,35 +182,35 @@
 	if !n.Alive {
 		return
 	}
-	if m.now < n.paused {
+	if m.now < n.pausedUntil {
 		if n.waiting = append(n.waiting, e); len(n.waiting) > 256 {
 			n.waiting = n.waiting[1:]
 		}
 		return
 	}
-	m.send(n, n.M.Receive(m.now, e.msg, e.via))
-	m.changes(n)
+	m.send(n, n.Member.Receive(m.now, e.msg, e.via))
+	m.reportEvents(n)
 	m.schedule(n)
 }
 
-func (m *Mesh) changes(n *Node) {
-	if n.Watch == nil {
+func (m *Mesh) reportEvents(n *Node) {
+	if n.OnEvent == nil {
 		return
 	}
-	all, total := n.M.Events()
-	for i := max(0, len(all)-(total-n.seen)); i < len(all); i++ {
-		n.Watch(m.now, all[i])
+	all, total := n.Member.Events()
+	for i := max(0, len(all)-(total-n.eventsSeen)); i < len(all); i++ {
+		n.OnEvent(m.now, all[i])
 	}
-	n.seen = total
+	n.eventsSeen = total
 }
 
 func (m *Mesh) send(from *Node, list []membership.Outgoing) {
 	for _, s := range list {
 		from.Sent++
-		if m.Bytes != nil {
-			from.SentB += int64(m.Bytes(s.Message))
+		if m.MessageSize != nil {
+			from.SentBytes += int64(m.MessageSize(s.Message))
 		}
-		to := m.at[s.Addr]
+		to := m.byAddr[s.Addr]
 		if to == nil || s.Channel == membership.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Channel) {
 			continue
 		}
@@ -235,7 +235,7 @@
 }
 
 // Level tells whether all that live hold the same view, of all that live.
-func (m *Mesh) Level() bool {
+func (m *Mesh) Converged() bool {
 	var digest uint64
 	living := 0
 	for _, n := range m.Nodes {
@@ -249,9 +249,9 @@
 			continue
 		}
 		if first {
-			digest, first = n.M.AliveDigest(), false
+			digest, first = n.Member.AliveDigest(), false
 		}
-		if n.M.AliveDigest() != digest || n.M.Size() != living {
+		if n.Member.AliveDigest() != digest || n.Member.Size() != living {
 			return false
 		}
 	}
--- a/internal/testbed/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -10,7 +10,7 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-func usual() membership.Config {
+func testConfig() membership.Config {
 	s := membership.DefaultConfig
 	s.FleetID = 7
 	return s
@@ -18,12 +18,12 @@
 
 // TestLife has fleets join by seeds, lose one by a kill, take it back as a later life, and let one leave: views meet each time, within
 // a time that grows with the logarithm of the size.
-func TestLife(t *testing.T) {
+func TestLifecycle(t *testing.T) {
 	for _, size := range []int{3, 20, 100} {
-		m := New(Spec{Size: size, Seed: 1, Settings: usual(), Delay: time.Millisecond})
+		m := New(Spec{Size: size, Seed: 1, Settings: testConfig(), Delay: time.Millisecond})
 		meet := func(what string, periods float64) {
 			t.Helper()
-			took, ok := m.Until(100*time.Millisecond, 2*time.Minute, m.Level)
+			took, ok := m.Until(100*time.Millisecond, 2*time.Minute, m.Converged)
 			require.True(t, ok, what)
 			require.Less(t, took.Seconds(), periods, "%s, size %d", what, size)
 		}
@@ -41,11 +41,11 @@
 
 // TestAgainstPlain runs the same trouble with and without self-distrust and reporters: with them no healthy member is held dead, and a
 // death is found within one and a half times as long.
-func TestAgainstPlain(t *testing.T) {
-	for _, trouble := range []Trouble{Troubles[0], Troubles[1], Troubles[4], Troubles[6]} {
+func TestAgainstPlainSWIM(t *testing.T) {
+	for _, trouble := range []Condition{Conditions[0], Conditions[1], Conditions[4], Conditions[6]} {
 		var rows [2]Row
 		for i, plain := range []bool{false, true} {
-			s := usual()
+			s := testConfig()
 			s.DisableLifeguard = plain
 			row, err := Measure(Spec{Size: 40, Seed: 3, Settings: s, Delay: 2 * time.Millisecond}, trouble, 5*time.Minute, 8, nil)
 			require.NoError(t, err)
@@ -62,21 +62,21 @@
 }
 
 // TestHalves parts a fleet for a minute and joins it: all hold the same view again, and no incarnation is lost.
-func TestHalves(t *testing.T) {
-	m := New(Spec{Size: 20, Seed: 5, Settings: usual(), Delay: time.Millisecond, Joined: true})
-	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
+func TestPartition(t *testing.T) {
+	m := New(Spec{Size: 20, Seed: 5, Settings: testConfig(), Delay: time.Millisecond, Joined: true})
+	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.Number%2 != to.Number%2 }
 	m.Run(time.Minute)
-	require.Equal(t, 10, m.Nodes[0].M.Size())
+	require.Equal(t, 10, m.Nodes[0].Member.Size())
 	m.Cut = nil
-	took, ok := m.Until(100*time.Millisecond, time.Minute, m.Level)
+	took, ok := m.Until(100*time.Millisecond, time.Minute, m.Converged)
 	require.True(t, ok)
 	t.Log("views meet after", took)
 }
 
 // TestStorm has a whole fleet join at once: no member sends more than a stated rate.
-func TestStorm(t *testing.T) {
+func TestSimultaneousJoin(t *testing.T) {
 	const size = 200
-	m := New(Spec{Size: size, Seed: 5, Settings: usual(), Delay: time.Millisecond})
+	m := New(Spec{Size: size, Seed: 5, Settings: testConfig(), Delay: time.Millisecond})
 	for range 60 {
 		before := make([]int, size)
 		for i, n := range m.Nodes {
@@ -88,5 +88,5 @@
 			require.Less(t, n.Sent-before[i], 150, "messages of node %d in a second", i)
 		}
 	}
-	require.True(t, m.Level())
+	require.True(t, m.Converged())
 }
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -13,7 +13,7 @@
 )
 
 // small is a fleet of so many instances under budgets and leases, with all that can go wrong at random.
-func small(instances int, length float64) *Spec {
+func smallFleet(instances int, length float64) *Spec {
 	s := &Spec{Name: "small", LengthS: length,
 		Fleet:   Fleet{Instances: instances, Zones: 3, ClockPPM: 500, ColdUnits: 40, RestartS: 0.3},
 		Load:    Load{Rate: 40 * float64(instances), Units: 1, Uneven: 0.5, Tries: 3, Heeds: true},
@@ -29,9 +29,9 @@
 }
 
 // TestSound plays faults of all kinds at random, by some seeds: no promise is broken, and the fleet serves.
-func TestSound(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
-		s := small(8, 40)
+		s := smallFleet(8, 40)
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
@@ -52,8 +52,8 @@
 }
 
 // TestSame has one seed have one outcome, and another seed another.
-func TestSame(t *testing.T) {
-	s := small(5, 10)
+func TestDeterministic(t *testing.T) {
+	s := smallFleet(5, 10)
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -70,7 +70,7 @@
 // its chain of causes, and its faults are cut down to few that still do it.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct{ planted, what string }{{"greedy", "budget"}, {"early", "leases"}} {
-		s := small(4, 30)
+		s := smallFleet(4, 30)
 		s.Load.Rate, s.Fleet.Planted = 40, c.planted
 		if c.planted == "early" {
 			s.Random = &Random{EveryS: 0.3, MostS: 5, Kinds: []string{"pause"}} // in mid-act, now and then
@@ -79,21 +79,21 @@
 			t.Fatal(err)
 		}
 		var seed uint64
-		var first *BrokenError
+		var first *ViolationError
 		for seed = 1; seed <= 20 && first == nil; seed++ {
 			first = Run(s, seed, false).Broken
 		}
 		seed--
-		if first == nil || first.What != c.what {
+		if first == nil || first.Invariant != c.what {
 			t.Fatalf("%s: not found: %v", c.planted, first)
 		}
 		again := Run(s, seed, true).Broken
-		if again == nil || again.Event != first.Event || again.Says != first.Says || len(again.Chain) < 2 {
+		if again == nil || again.Event != first.Event || again.Message != first.Message || len(again.Chain) < 2 {
 			t.Errorf("%s: %v, and again %v", c.planted, first, again)
 		}
 		faults := len(Faults(s, seed))
 		less, broken, runs := Shrink(s, seed, 80)
-		if broken == nil || broken.What != c.what || len(less.Faults) >= faults/4 {
+		if broken == nil || broken.Invariant != c.what || len(less.Faults) >= faults/4 {
 			t.Errorf("%s: %d faults of %d are left after %d runs: %v", c.planted, len(less.Faults), faults, runs, broken)
 		}
 		t.Logf("%s: seed %d: %v; %d faults of %d, %d causes", c.planted, seed, broken, len(less.Faults), faults, len(again.Chain))
@@ -101,8 +101,8 @@
 }
 
 // TestEndless has a run that would go on for too long stopped, with the reason.
-func TestEndless(t *testing.T) {
-	s := small(5, 80_000)
+func TestMaxEvents(t *testing.T) {
+	s := smallFleet(5, 80_000)
 	s.MaxMEv = 0.02
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
--- a/internal/testbed/model/queue.go
+++ b/internal/testbed/model/queue.go
@@ -4,18 +4,20 @@
 
 // event is one thing that happens. Its cause is the number of the event that had it happen.
 type event struct {
-	at    time.Duration
-	n     uint64
-	cause uint64
-	what  string // a constant: what kind of thing
-	on    int32  // to whom
-	do    func()
+	at     time.Duration
+	number uint64
+	cause  uint64
+	what   string // a constant: what kind of thing
+	on     int32  // to whom
+	do     func()
 }
 
 // queue is a heap of events by time, and by number where times are equal.
 type queue []event
 
-func (q queue) less(i, j int) bool { return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n }
+func (q queue) less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+}
 
 func (q *queue) push(e event) {
 	*q = append(*q, e)
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -43,59 +43,59 @@
 
 // Result is what came of one run.
 type Result struct {
-	Series  []Point      `json:"series"`
-	Events  uint64       `json:"events"`
-	Broken  *BrokenError `json:"broken,omitempty"`
-	Stopped string       `json:"stopped,omitempty"` // why it did not go to its end
-	P50     float64      `json:"p50_s"`             // of what was served, from a client's first try
-	P99     float64      `json:"p99_s"`
-	Worst   float64      `json:"worst_window"` // of any budget: units beyond the rate, as a part of what may be
+	Series  []Point         `json:"series"`
+	Events  uint64          `json:"events"`
+	Broken  *ViolationError `json:"broken,omitempty"`
+	Stopped string          `json:"stopped,omitempty"` // why it did not go to its end
+	P50     float64         `json:"p50_s"`             // of what was served, from a client's first try
+	P99     float64         `json:"p99_s"`
+	Worst   float64         `json:"worst_window"` // of any budget: units beyond the rate, as a part of what may be
 }
 
 // BrokenError is a promise that was not kept.
-type BrokenError struct {
-	What  string   `json:"what"`
-	At    float64  `json:"at_s"`
-	On    int      `json:"on"`
-	Says  string   `json:"says"`
-	Event uint64   `json:"event"`
-	Chain []string `json:"chain,omitempty"` // of causes, the last first; where the run was traced
+type ViolationError struct {
+	Invariant string   `json:"what"`
+	At        float64  `json:"at_s"`
+	On        int      `json:"on"`
+	Message   string   `json:"says"`
+	Event     uint64   `json:"event"`
+	Chain     []string `json:"chain,omitempty"` // of causes, the last first; where the run was traced
 }
 
-func (b *BrokenError) Error() string {
-	return fmt.Sprintf("%s: broken at %.6f s, event %d: %s", b.What, b.At, b.Event, b.Says)
+func (b *ViolationError) Error() string {
+	return fmt.Sprintf("%s: broken at %.6f s, event %d: %s", b.Invariant, b.At, b.Event, b.Message)
 }
 
 // Sim is one run.
 type Sim struct {
-	spec     *Spec
-	seed     uint64
-	now      time.Duration
-	q        queue
-	n, cause uint64
-	limit    uint64
-	trace    map[uint64]traced // of a traced run
-
-	insts    []*instance
-	targets  []*target
-	agents   *agents // nil: none
-	version  int     // of the list
-	ids      []string
-	byID     map[string]int
-	settings policy.Settings
-	governed []quota.Resource
-	runs     []string
-	cuts     map[int]bool // zones that are cut off
-	leaves   time.Duration
-
-	point  Point
-	result Result
-	lat    *ddsketch.DDSketch
-	judge  judge
-	places map[lease.Key]*fencing.Guard
-}
-
-type traced struct {
+	spec             *Spec
+	seed             uint64
+	now              time.Duration
+	queue            queue
+	lastEvent, cause uint64
+	limit            uint64
+	trace            map[uint64]tracedEvent // of a traced run
+
+	instances   []*instance
+	targets     []*target
+	agents      *agents // nil: none
+	listVersion int     // of the list
+	targetIDs   []string
+	targetByID  map[string]int
+	settings    policy.Settings
+	governed    []quota.Resource
+	taskNames   []string
+	cutZones    map[int]bool // zones that are cut off
+	answerGrace time.Duration
+
+	point     Point
+	result    Result
+	latencies *ddsketch.DDSketch
+	checks    checkState
+	guards    map[lease.Key]*fencing.Guard
+}
+
+type tracedEvent struct {
 	cause uint64
 	what  string
 	on    int32
@@ -103,13 +103,13 @@
 }
 
 // judge holds what is done against the promises, and knows parts only as what may be used.
-type judge struct {
-	buckets map[quota.Key]*bucket
-	holds   map[quota.Key]map[int]hold // by instance
-	sums    map[quota.Key]float64
-	acts    map[lease.Key][2]uint64
-	by      map[lease.Key]string
-	last    map[lease.Key]time.Duration // when an act last changed the place
+type checkState struct {
+	buckets       map[quota.Key]*bucket
+	allocations   map[quota.Key]map[int]allocated // by instance
+	allocatedRate map[quota.Key]float64
+	lastOperation map[lease.Key][2]uint64
+	lastHolder    map[lease.Key]string
+	lastChange    map[lease.Key]time.Duration // when an act last changed the place
 }
 
 type bucket struct {
@@ -117,28 +117,28 @@
 	at                        time.Duration
 }
 
-type hold struct {
+type allocated struct {
 	rate  float64
 	until time.Duration // by true time
 }
 
 // Run takes one run to its end, to a broken promise, or to its bound of events. With trace a broken promise has its chain of causes.
 func Run(spec *Spec, seed uint64, trace bool) Result {
-	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), byID: map[string]int{}, cuts: map[int]bool{}, places: map[lease.Key]*fencing.Guard{},
-		leaves: 100 * time.Millisecond, version: 1}
+	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), targetByID: map[string]int{}, cutZones: map[int]bool{}, guards: map[lease.Key]*fencing.Guard{},
+		answerGrace: 100 * time.Millisecond, listVersion: 1}
 	if trace {
-		s.trace = map[uint64]traced{}
+		s.trace = map[uint64]tracedEvent{}
 	}
-	s.judge = judge{buckets: map[quota.Key]*bucket{}, holds: map[quota.Key]map[int]hold{}, sums: map[quota.Key]float64{}, acts: map[lease.Key][2]uint64{}, by: map[lease.Key]string{}, last: map[lease.Key]time.Duration{}}
-	s.lat, _ = ddsketch.NewDefaultDDSketch(0.01)
+	s.checks = checkState{buckets: map[quota.Key]*bucket{}, allocations: map[quota.Key]map[int]allocated{}, allocatedRate: map[quota.Key]float64{}, lastOperation: map[lease.Key][2]uint64{}, lastHolder: map[lease.Key]string{}, lastChange: map[lease.Key]time.Duration{}}
+	s.latencies, _ = ddsketch.NewDefaultDDSketch(0.01)
 	s.setUp()
-	end := secs(spec.LengthS)
-	step := secs(spec.StepS)
+	end := seconds(spec.LengthS)
+	step := seconds(spec.StepS)
 	next := step
-	for len(s.q) > 0 && s.result.Broken == nil {
-		at := s.q[0].at
+	for len(s.queue) > 0 && s.result.Broken == nil {
+		at := s.queue[0].at
 		for next <= min(at, end) {
-			s.series(next)
+			s.recordPoint(next)
 			next += step
 		}
 		if at > end {
@@ -148,18 +148,18 @@
 			s.result.Stopped = fmt.Sprintf("max_events: %d events at %.3f s of %v", s.limit, s.now.Seconds(), spec.LengthS)
 			break
 		}
-		e := s.q.pop()
-		s.now, s.cause = e.at, e.n
+		e := s.queue.pop()
+		s.now, s.cause = e.at, e.number
 		s.result.Events++
 		if s.trace != nil {
-			s.trace[e.n] = traced{e.cause, e.what, e.on, e.at}
+			s.trace[e.number] = tracedEvent{e.cause, e.what, e.on, e.at}
 		}
 		e.do()
 	}
-	if p, err := s.lat.GetValuesAtQuantiles([]float64{0.5, 0.99}); err == nil {
+	if p, err := s.latencies.GetValuesAtQuantiles([]float64{0.5, 0.99}); err == nil {
 		s.result.P50, s.result.P99 = p[0], p[1]
 	}
-	for _, b := range s.judge.buckets {
+	for _, b := range s.checks.buckets {
 		s.result.Worst = max(s.result.Worst, b.worst/b.burst)
 	}
 	return s.result
@@ -169,16 +169,16 @@
 	o := s.spec
 	s.settings = policy.Settings{Initiators: o.Fleet.Instances, MinStep: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, MaxUnits: 8 * o.Load.Units,
 		ColdUnitsPerWindow: o.Fleet.ColdUnits, FairSharePriority: 1, ExcessPriority: 1,
-		Classes: []policy.Class{{Name: "read", LatencyObjective: millis(o.Load.AimMs), Deadline: secs(o.Load.PatienceS), PriorityWeight: 1}},
+		Classes: []policy.Class{{Name: "read", LatencyObjective: milliseconds(o.Load.AimMs), Deadline: seconds(o.Load.PatienceS), PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Name: "base", Rate: 1e4, ReservedRate: 1e4, Weight: 1, PriorityFactor: 1}},
-		Rules: policy.Rules{ColdCapacityFraction: o.Targets.ColdShare, WarmUpTime: secs(o.Targets.WarmS), OverloadWindow: secs(o.Targets.FallS), OverloadFactor: 1,
-			RetryBudget: true, RetryBudgetRatio: o.Fleet.RetryShare, RetryBudgetFree: o.Fleet.RetryFree, RetryBudgetWindow: secs(o.Fleet.RetrySpanS)}}
+		Rules: policy.Rules{ColdCapacityFraction: o.Targets.ColdShare, WarmUpTime: seconds(o.Targets.WarmS), OverloadWindow: seconds(o.Targets.FallS), OverloadFactor: 1,
+			RetryBudget: true, RetryBudgetRatio: o.Fleet.RetryShare, RetryBudgetFree: o.Fleet.RetryFree, RetryBudgetWindow: seconds(o.Fleet.RetrySpanS)}}
 	for i := range o.Targets.Count {
 		id := fmt.Sprint("t", i)
-		s.ids, s.byID[id] = append(s.ids, id), i
-		t := &target{s: s, id: i, rng: s.stream("target", i)}
+		s.targetIDs, s.targetByID[id] = append(s.targetIDs, id), i
+		t := &target{sim: s, id: i, rng: s.stream("target", i)}
 		s.targets = append(s.targets, t)
-		t.stalls()
+		t.scheduleStall()
 	}
 	if o.Budgets != nil {
 		seen := map[quota.Resource]bool{}
@@ -190,9 +190,9 @@
 		}
 		if o.Tasks != nil {
 			for _, t := range o.Tasks.Tasks {
-				s.runs = append(s.runs, t.Name)
+				s.taskNames = append(s.taskNames, t.Name)
 				for shard := range t.Shards {
-					s.places[lease.Key{Task: t.Name, Shard: shard}] = &fencing.Guard{}
+					s.guards[lease.Key{Task: t.Name, Shard: shard}] = &fencing.Guard{}
 				}
 			}
 		}
@@ -200,20 +200,20 @@
 	}
 	sum := 0.0
 	for i := range o.Fleet.Instances {
-		n := &instance{s: s, id: i, name: fmt.Sprint("n", i), zone: i % o.Fleet.Zones, rng: s.stream("instance", i), load: s.stream("load", i), rate: s.clockRate(i + 1)}
-		n.share = lognormal(s.stream("share", i), o.Load.Uneven)
-		sum += n.share
+		n := &instance{sim: s, id: i, name: fmt.Sprint("n", i), zone: i % o.Fleet.Zones, rng: s.stream("instance", i), loadRNG: s.stream("load", i), clockRate: s.clockRate(i + 1)}
+		n.loadShare = lognormal(s.stream("share", i), o.Load.Uneven)
+		sum += n.loadShare
 		if s.agents != nil {
-			n.agent = i % len(s.agents.all)
+			n.preferredAgent = i % len(s.agents.all)
 		}
-		s.insts = append(s.insts, n)
+		s.instances = append(s.instances, n)
 	}
-	for _, n := range s.insts {
-		n.share /= sum
+	for _, n := range s.instances {
+		n.loadShare /= sum
 		s.after(time.Duration(n.rng.Float64()*float64(500*time.Millisecond)), "start", n.id, n.start)
-		n.arrive()
+		n.scheduleArrival()
 	}
-	s.faults()
+	s.scheduleFaults()
 }
 
 // stream is an actor's own source of draws.
@@ -227,24 +227,28 @@
 }
 
 func (s *Sim) at(at time.Duration, what string, on int, do func()) {
-	s.n++
-	s.q.push(event{max(at, s.now), s.n, s.cause, what, int32(on), do})
+	s.lastEvent++
+	s.queue.push(event{max(at, s.now), s.lastEvent, s.cause, what, int32(on), do})
 }
 
 func (s *Sim) after(d time.Duration, what string, on int, do func()) { s.at(s.now+d, what, on, do) }
 
 // way is how long one message takes.
-func (s *Sim) way(r *rand.Rand) time.Duration {
-	return millis(s.spec.Net.DelayMs + r.ExpFloat64()*s.spec.Net.JitterMs)
+func (s *Sim) networkDelay(r *rand.Rand) time.Duration {
+	return milliseconds(s.spec.Net.DelayMs + r.ExpFloat64()*s.spec.Net.JitterMs)
 }
 
-func (s *Sim) loses(r *rand.Rand) bool { return s.spec.Net.Loss > 0 && r.Float64() < s.spec.Net.Loss }
+func (s *Sim) drawLoss(r *rand.Rand) bool {
+	return s.spec.Net.Loss > 0 && r.Float64() < s.spec.Net.Loss
+}
 
 // cutOff tells whether a zone and an agent can't reach each other: agents are in zones as instances are.
-func (s *Sim) cutOff(zone, agent int) bool { return s.apart(zone, agent%s.spec.Fleet.Zones) }
+func (s *Sim) agentUnreachable(zone, agent int) bool {
+	return s.zonesSeparated(zone, agent%s.spec.Fleet.Zones)
+}
 
 // apart tells whether nothing passes between two zones.
-func (s *Sim) apart(a, b int) bool { return a != b && (s.cuts[a] || s.cuts[b]) }
+func (s *Sim) zonesSeparated(a, b int) bool { return a != b && (s.cutZones[a] || s.cutZones[b]) }
 
 func (s *Sim) surge() float64 {
 	l := &s.spec.Load
@@ -255,23 +259,23 @@
 }
 
 // list has all instances hear of the targets anew.
-func (s *Sim) list() {
-	s.version++
-	for _, n := range s.insts {
+func (s *Sim) publishTargets() {
+	s.listVersion++
+	for _, n := range s.instances {
 		if n.alive {
-			n.hear()
+			n.receiveTargets()
 		}
 	}
 }
 
 // heeds has a member claim at once: its lease has changed.
-func (s *Sim) heeds(id string) {
-	for _, n := range s.insts {
-		if n.alive && n.member == id {
-			born := n.born
-			s.after(s.way(n.rng), "lease changed", n.id, func() {
-				n.when(func() {
-					if n.born == born && n.member == id {
+func (s *Sim) notifyLeaseChange(id string) {
+	for _, n := range s.instances {
+		if n.alive && n.memberID == id {
+			born := n.starts
+			s.after(s.networkDelay(n.rng), "lease changed", n.id, func() {
+				n.whenRunning(func() {
+					if n.starts == born && n.memberID == id {
 						n.renew()
 					}
 				})
@@ -280,33 +284,33 @@
 	}
 }
 
-func (s *Sim) served(c *client) {
+func (s *Sim) recordServed(c *clientRequest) {
 	if c.ended {
 		return
 	}
 	c.ended = true
-	took := s.now - c.came
-	_ = s.lat.Add(took.Seconds())
-	if took <= millis(s.spec.Load.AimMs) {
+	took := s.now - c.arrivedAt
+	_ = s.latencies.Add(took.Seconds())
+	if took <= milliseconds(s.spec.Load.AimMs) {
 		s.point.Served++
 	} else {
 		s.point.Late++
 	}
 }
 
-func (s *Sim) lost(c *client) {
+func (s *Sim) recordLost(c *clientRequest) {
 	if !c.ended {
 		c.ended = true
 		s.point.Lost++
 	}
 }
 
-func (s *Sim) series(t time.Duration) {
+func (s *Sim) recordPoint(t time.Duration) {
 	s.point.T = t.Seconds()
-	for _, at := range s.judge.last {
+	for _, at := range s.checks.lastChange {
 		s.point.Gap = max(s.point.Gap, (t - at).Seconds())
 	}
-	for _, n := range s.insts {
+	for _, n := range s.instances {
 		if n.alive {
 			s.point.Alive++
 		}
@@ -315,10 +319,10 @@
 		b := &s.spec.Budgets.Budgets[0]
 		k := quota.Key{Budget: b.Name}
 		if b.Scope == quota.PerTarget {
-			k.Key = s.ids[0]
+			k.Key = s.targetIDs[0]
 		}
-		for _, n := range s.insts {
-			s.point.Held += n.limit(k)
+		for _, n := range s.instances {
+			s.point.Held += n.quotaRate(k)
 		}
 		s.point.Held /= b.Capacity
 	}
@@ -327,11 +331,11 @@
 }
 
 // breaks ends the run.
-func (s *Sim) breaks(what string, on int, says string) {
+func (s *Sim) reportViolation(what string, on int, says string) {
 	if s.result.Broken != nil {
 		return
 	}
-	b := &BrokenError{What: what, At: s.now.Seconds(), On: on, Says: says, Event: s.cause}
+	b := &ViolationError{Invariant: what, At: s.now.Seconds(), On: on, Message: says, Event: s.cause}
 	for n := s.cause; s.trace != nil && n != 0 && len(b.Chain) < 64; n = s.trace[n].cause {
 		e := s.trace[n]
 		b.Chain = append(b.Chain, fmt.Sprintf("%.6f s, event %d: %s (%d)", e.at.Seconds(), n, e.what, e.on))
@@ -341,7 +345,7 @@
 
 // drew holds a send against every budget that governs it: no window may see more than the whole's rate and its burst (step 8 of
 // docs/fleet-budgets.md).
-func (s *Sim) drew(n *instance, t *target, repeat, cold bool, units float64) {
+func (s *Sim) checkReservation(n *instance, t *target, repeat, cold bool, units float64) {
 	if s.agents == nil {
 		return
 	}
@@ -350,56 +354,56 @@
 		for _, d := range []struct {
 			is bool
 			quota.Reservation
-		}{{true, quota.Reservation{Resource: quota.AllWork, Units: units}}, {repeat, quota.Reservation{Resource: quota.Retries, Units: 1}}, {cold, quota.Reservation{Resource: quota.ColdWork, Units: units / t.grown()}}} {
-			d.Target, d.Plan, d.Class = s.ids[t.id], "base", "read"
+		}{{true, quota.Reservation{Resource: quota.AllWork, Units: units}}, {repeat, quota.Reservation{Resource: quota.Retries, Units: 1}}, {cold, quota.Reservation{Resource: quota.ColdWork, Units: units / t.warmUpFactor()}}} {
+			d.Target, d.Plan, d.Class = s.targetIDs[t.id], "base", "read"
 			if !d.is || !b.Covers(d.Reservation) {
 				continue
 			}
 			k := quota.Key{Budget: b.Name, Key: b.KeyOf(d.Reservation)}
-			x := s.judge.buckets[k]
+			x := s.checks.buckets[k]
 			if x == nil {
 				x = &bucket{rate: b.Capacity, burst: b.Burst}
-				s.judge.buckets[k] = x
+				s.checks.buckets[k] = x
 			}
 			x.level = max(0, x.level-x.rate*(s.now-x.at).Seconds()) + d.Units
 			x.at, x.worst = s.now, max(x.worst, x.level)
 			if x.level > x.burst+1e-6 {
-				s.breaks("budget", n.id, fmt.Sprintf("a window sees %.3f units of %v beyond the rate, of %v", x.level, k, x.burst))
+				s.reportViolation("budget", n.id, fmt.Sprintf("a window sees %.3f units of %v beyond the rate, of %v", x.level, k, x.burst))
 			}
 		}
 	}
 }
 
 // accepted holds what an instance may use from now on against the whole, together with what all others may.
-func (s *Sim) accepted(n *instance) {
-	for _, has := range n.h.Status(n.clock()) {
-		until := n.truly(has.GrantedUntil - epoch)
+func (s *Sim) checkAllocations(n *instance) {
+	for _, has := range n.quota.Status(n.clock()) {
+		until := n.trueDuration(has.GrantedUntil - epoch)
 		if s.spec.Fleet.Planted == "greedy" && n.id%3 == 0 {
-			until += secs(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it went on using what has ended
+			until += seconds(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it went on using what has ended
 		}
-		rate := has.Limit.Rate * n.rate
+		rate := has.Limit.Rate * n.clockRate
 		b := s.spec.Budgets.Budget(has.Budget)
 		if s.now < until {
-			rate -= b.FloorRate * n.rate
+			rate -= b.FloorRate * n.clockRate
 		} else {
 			rate = 0
 		}
-		s.holds(n, has.Key, hold{rate, until}, b)
+		s.checkAllocation(n, has.Key, allocated{rate, until}, b)
 	}
 }
 
-func (s *Sim) holds(n *instance, k quota.Key, h hold, b *quota.Budget) {
-	all := s.judge.holds[k]
+func (s *Sim) checkAllocation(n *instance, k quota.Key, h allocated, b *quota.Budget) {
+	all := s.checks.allocations[k]
 	if all == nil {
-		all = map[int]hold{}
-		s.judge.holds[k] = all
+		all = map[int]allocated{}
+		s.checks.allocations[k] = all
 	}
-	s.judge.sums[k] += h.rate - all[n.id].rate
+	s.checks.allocatedRate[k] += h.rate - all[n.id].rate
 	if all[n.id] = h; h.rate == 0 {
 		delete(all, n.id)
 	}
 	pool := b.Capacity - float64(s.spec.Budgets.MaxSessions)*b.FloorRate
-	if s.judge.sums[k] <= pool+1e-6*b.Capacity {
+	if s.checks.allocatedRate[k] <= pool+1e-6*b.Capacity {
 		return
 	}
 	// Some of it has ended: it is summed anew, in the instances' order.
@@ -416,36 +420,36 @@
 	for _, id := range ids {
 		sum += all[id].rate
 	}
-	s.judge.sums[k] = sum
+	s.checks.allocatedRate[k] = sum
 	if sum > pool+1e-6*b.Capacity {
-		s.breaks("budget", n.id, fmt.Sprintf("parts of %v sum to %.4f of %.4f", k, sum, pool))
+		s.reportViolation("budget", n.id, fmt.Sprintf("parts of %v sum to %.4f of %.4f", k, sum, pool))
 	}
 }
 
 // budgetGone forgets what a process had that is gone.
-func (s *Sim) budgetGone(n *instance) {
-	for k, all := range s.judge.holds {
+func (s *Sim) dropAllocations(n *instance) {
+	for k, all := range s.checks.allocations {
 		if x, there := all[n.id]; there {
-			s.judge.sums[k] -= x.rate
+			s.checks.allocatedRate[k] -= x.rate
 			delete(all, n.id)
 		}
 	}
 }
 
 // began and changed hold acts against the order of their tokens.
-func (s *Sim) began(n *instance, a lessee.Operation) bool {
-	last := s.judge.acts[a.Key]
-	if a.Token < last[0] || a.Token == last[0] && s.judge.by[a.Key] != n.member {
-		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s begins at %v under token %d after %s under %d", a.Number, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
+func (s *Sim) checkBegin(n *instance, a lessee.Operation) bool {
+	last := s.checks.lastOperation[a.Key]
+	if a.Token < last[0] || a.Token == last[0] && s.checks.lastHolder[a.Key] != n.memberID {
+		s.reportViolation("leases", n.id, fmt.Sprintf("act %d of %s begins at %v under token %d after %s under %d", a.Number, n.memberID, a.Key, a.Token, s.checks.lastHolder[a.Key], last[0]))
 	}
-	s.judge.acts[a.Key], s.judge.by[a.Key] = [2]uint64{a.Token, a.Number}, n.member
+	s.checks.lastOperation[a.Key], s.checks.lastHolder[a.Key] = [2]uint64{a.Token, a.Number}, n.memberID
 	return true
 }
 
-func (s *Sim) changed(n *instance, a lessee.Operation) bool {
-	s.judge.last[a.Key] = s.now
-	if last := s.judge.acts[a.Key]; last != [2]uint64{a.Token, a.Number} || s.judge.by[a.Key] != n.member {
-		s.breaks("leases", n.id, fmt.Sprintf("act %d of %s changes %v under token %d after %s began under %d", a.Number, n.member, a.Key, a.Token, s.judge.by[a.Key], last[0]))
+func (s *Sim) checkChange(n *instance, a lessee.Operation) bool {
+	s.checks.lastChange[a.Key] = s.now
+	if last := s.checks.lastOperation[a.Key]; last != [2]uint64{a.Token, a.Number} || s.checks.lastHolder[a.Key] != n.memberID {
+		s.reportViolation("leases", n.id, fmt.Sprintf("act %d of %s changes %v under token %d after %s began under %d", a.Number, n.memberID, a.Key, a.Token, s.checks.lastHolder[a.Key], last[0]))
 	}
 	return true
 }
@@ -459,7 +463,7 @@
 	}
 	names := r.Kinds
 	if len(names) == 0 {
-		for k, of := range kinds {
+		for k, of := range faultKinds {
 			if of != "zone" && (spec.Budgets != nil || of != "agent") {
 				names = append(names, k)
 			}
@@ -470,7 +474,7 @@
 	agentFree := 0.0
 	for at := r.EveryS; at < spec.LengthS; at += r.EveryS * (0.5 + rng.Float64()) {
 		f := Fault{AtS: at, What: names[rng.IntN(len(names))], ForS: 0.2 + (r.MostS-0.2)*rng.Float64(), Slow: 4}
-		f.On = []int{rng.IntN(spec.count(kinds[f.What]))}
+		f.On = []int{rng.IntN(spec.count(faultKinds[f.What]))}
 		if strings.HasPrefix(f.What, "agent") {
 			if at < agentFree {
 				continue // one agent at a time: a majority is always there
@@ -482,11 +486,11 @@
 	return all
 }
 
-func (s *Sim) faults() {
+func (s *Sim) scheduleFaults() {
 	for _, f := range Faults(s.spec, s.seed) {
 		rng := s.stream("fault "+f.String(), 0) // the same whichever others there are
 		on := f.On
-		if of := kinds[f.What]; len(on) == 0 && of != "zone" {
+		if of := faultKinds[f.What]; len(on) == 0 && of != "zone" {
 			for k := range s.spec.count(of) {
 				zone := k % s.spec.Fleet.Zones
 				if f.Zone != nil && zone == *f.Zone || f.Zone == nil && rng.Float64() < f.Share {
@@ -494,23 +498,23 @@
 				}
 			}
 		}
-		if kinds[f.What] == "zone" {
-			s.at(secs(f.AtS), f.What, *f.Zone, func() { s.cuts[*f.Zone] = true })
-			s.at(secs(f.AtS+f.ForS), f.What+" ends", *f.Zone, func() { delete(s.cuts, *f.Zone) })
+		if faultKinds[f.What] == "zone" {
+			s.at(seconds(f.AtS), f.What, *f.Zone, func() { s.cutZones[*f.Zone] = true })
+			s.at(seconds(f.AtS+f.ForS), f.What+" ends", *f.Zone, func() { delete(s.cutZones, *f.Zone) })
 			continue
 		}
 		for _, k := range on {
-			begin := secs(f.AtS + f.OverS*rng.Float64())
-			s.at(begin, f.What, k, func() { s.hurt(f, k, begin+secs(f.ForS), true) })
-			s.at(begin+secs(f.ForS), f.What+" ends", k, func() { s.hurt(f, k, 0, false) })
+			begin := seconds(f.AtS + f.OverS*rng.Float64())
+			s.at(begin, f.What, k, func() { s.applyFault(f, k, begin+seconds(f.ForS), true) })
+			s.at(begin+seconds(f.ForS), f.What+" ends", k, func() { s.applyFault(f, k, 0, false) })
 		}
 	}
 }
 
 // hurt begins a fault, or ends it.
-func (s *Sim) hurt(f Fault, k int, until time.Duration, begins bool) {
+func (s *Sim) applyFault(f Fault, k int, until time.Duration, begins bool) {
 	what, _ := strings.CutPrefix(f.What, "target-")
-	if kinds[f.What] == "target" {
+	if faultKinds[f.What] == "target" {
 		t := s.targets[k]
 		switch {
 		case what == "kill" && begins:
@@ -518,18 +522,18 @@
 		case what == "kill":
 			t.start()
 		case what == "stall" && begins:
-			t.still = max(t.still, until)
+			t.stalledUntil = max(t.stalledUntil, until)
 		case what == "slow":
-			t.slow = 1
+			t.slowdown = 1
 			if begins {
-				t.slow = max(f.Slow, 1)
+				t.slowdown = max(f.Slow, 1)
 			}
 		case what == "bad":
 			t.bad = begins
 		}
 		return
 	}
-	if kinds[f.What] == "agent" {
+	if faultKinds[f.What] == "agent" {
 		if s.agents == nil {
 			return
 		}
@@ -542,11 +546,11 @@
 		case f.What == "agent-pause" && begins:
 			s.agents.pause(k, until)
 		case f.What == "agent-alone":
-			a.alone = begins
+			a.isolated = begins
 		}
 		return
 	}
-	n := s.insts[k]
+	n := s.instances[k]
 	switch {
 	case f.What == "kill" && begins:
 		if n.alive {
@@ -554,7 +558,7 @@
 		}
 	case f.What == "kill":
 		if !n.alive {
-			s.after(secs(s.spec.Fleet.RestartS), "start", n.id, func() {
+			s.after(seconds(s.spec.Fleet.RestartS), "start", n.id, func() {
 				if !n.alive {
 					n.start()
 				}
@@ -563,20 +567,20 @@
 	case f.What == "pause" && begins:
 		n.pause(until)
 	case f.What == "cut":
-		n.mute, n.deaf = begins, begins
+		n.requestsLost, n.responsesLost = begins, begins
 	case f.What == "mute":
-		n.mute = begins
+		n.requestsLost = begins
 	case f.What == "deaf":
-		n.deaf = begins
+		n.responsesLost = begins
 	case f.What == "slow":
-		n.lag = 0
+		n.extraDelay = 0
 		if begins {
-			n.lag = secs(f.ForS / 16)
+			n.extraDelay = seconds(f.ForS / 16)
 		}
 	case f.What == "hang":
 		n.hung = begins
 		if !begins {
-			n.acting = map[lease.Key]bool{}
+			n.operating = map[lease.Key]bool{}
 		}
 	}
 }
--- a/internal/testbed/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -121,7 +121,7 @@
 }
 
 // kinds are what can be done, and to what.
-var kinds = map[string]string{"kill": "instance", "pause": "instance", "cut": "instance", "deaf": "instance", "mute": "instance", "slow": "instance", "hang": "instance",
+var faultKinds = map[string]string{"kill": "instance", "pause": "instance", "cut": "instance", "deaf": "instance", "mute": "instance", "slow": "instance", "hang": "instance",
 	"target-kill": "target", "target-stall": "target", "target-slow": "target", "target-bad": "target",
 	"agent-kill": "agent", "agent-pause": "agent", "agent-alone": "agent", "zone-cut": "zone"}
 
@@ -211,7 +211,7 @@
 			r.MostS = 3.5
 		}
 		for i, k := range r.Kinds {
-			if kinds[k] == "" || kinds[k] == "zone" {
+			if faultKinds[k] == "" || faultKinds[k] == "zone" {
 				return fmt.Errorf("random.kinds[%d]: unknown kind %q", i, k)
 			}
 		}
@@ -224,7 +224,7 @@
 }
 
 func (s *Spec) checkFault(f *Fault) error {
-	of := kinds[f.What]
+	of := faultKinds[f.What]
 	switch {
 	case of == "":
 		return fmt.Errorf("what: unknown kind %q", f.What)
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func secs(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
-func millis(x float64) time.Duration {
+func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
+func milliseconds(x float64) time.Duration {
 	return time.Duration(x * float64(time.Millisecond))
 }
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -9,42 +9,42 @@
 
 // target is a storage node: so many requests at once, a queue, a cold start, and what goes wrong with it.
 type target struct {
-	s       *Sim
-	id      int
-	rng     *rand.Rand
-	started time.Duration // 0: long ago
-	down    bool          // its process is gone
-	still   time.Duration // it stands still until then
-	slow    float64
-	bad     bool // it answers with errors at once
-	busy    int
-	waiting []job
-	cold    []work // units within the fall span, while it is cold
+	sim          *Sim
+	id           int
+	rng          *rand.Rand
+	started      time.Duration // 0: long ago
+	down         bool          // its process is gone
+	stalledUntil time.Duration // it stands still until then
+	slowdown     float64
+	bad          bool // it answers with errors at once
+	inProgress   int
+	queued       []targetRequest
+	coldWork     []receivedWork // units within the fall span, while it is cold
 }
 
-type work struct {
+type receivedWork struct {
 	at    time.Duration
 	units float64
 }
 
-type job struct {
+type targetRequest struct {
 	units  float64
 	answer func(code policy.OutcomeCode, load policy.Load)
 }
 
 func (t *target) isCold() bool {
-	return t.started > 0 && t.s.now-t.started < secs(t.s.spec.Targets.WarmS)
+	return t.started > 0 && t.sim.now-t.started < seconds(t.sim.spec.Targets.WarmS)
 }
 
 // grown is how much more it does than just after its start.
-func (t *target) grown() float64 {
-	o := &t.s.spec.Targets
-	return 1 + (1/o.ColdShare-1)*(t.s.now-t.started).Seconds()/o.WarmS
+func (t *target) warmUpFactor() float64 {
+	o := &t.sim.spec.Targets
+	return 1 + (1/o.ColdShare-1)*(t.sim.now-t.started).Seconds()/o.WarmS
 }
 
 // take has a request come. The answer is given at the target; it is the caller's to bring it back.
-func (t *target) take(j job) {
-	o := &t.s.spec.Targets
+func (t *target) receive(j targetRequest) {
+	o := &t.sim.spec.Targets
 	switch {
 	case t.down:
 		j.answer(policy.NotConnected, policy.Load{Queued: -1, InFlight: -1})
@@ -52,95 +52,95 @@
 	case t.bad:
 		j.answer(policy.AnsweredError, t.load())
 		return
-	case len(t.waiting) >= o.Queue:
+	case len(t.queued) >= o.Queue:
 		j.answer(policy.Rejected, t.load())
 		return
 	}
 	if t.isCold() && o.Bears > 0 {
-		t.cold = append(t.cold, work{t.s.now, j.units})
-		for len(t.cold) > 0 && t.cold[0].at < t.s.now-secs(o.FallS) {
-			t.cold = t.cold[1:]
+		t.coldWork = append(t.coldWork, receivedWork{t.sim.now, j.units})
+		for len(t.coldWork) > 0 && t.coldWork[0].at < t.sim.now-seconds(o.FallS) {
+			t.coldWork = t.coldWork[1:]
 		}
 		sum := 0.0
-		for _, w := range t.cold {
+		for _, w := range t.coldWork {
 			sum += w.units
 		}
-		if sum > o.Bears*t.grown() && t.s.now >= t.still {
-			t.still = t.s.now + secs(o.DownS)
-			t.s.point.Falls++
+		if sum > o.Bears*t.warmUpFactor() && t.sim.now >= t.stalledUntil {
+			t.stalledUntil = t.sim.now + seconds(o.DownS)
+			t.sim.point.Falls++
 		}
 	}
-	t.waiting = append(t.waiting, j)
-	t.work()
+	t.queued = append(t.queued, j)
+	t.startQueued()
 }
 
 func (t *target) load() policy.Load {
-	return policy.Load{Queued: float64(len(t.waiting)), InFlight: float64(t.busy + len(t.waiting))}
+	return policy.Load{Queued: float64(len(t.queued)), InFlight: float64(t.inProgress + len(t.queued))}
 }
 
 // work begins what may begin.
-func (t *target) work() {
-	o := &t.s.spec.Targets
-	if t.s.now < t.still {
-		if until := t.still; len(t.waiting) > 0 {
-			t.s.at(until, "target goes on", t.id, func() {
-				if t.still == until {
-					t.work()
+func (t *target) startQueued() {
+	o := &t.sim.spec.Targets
+	if t.sim.now < t.stalledUntil {
+		if until := t.stalledUntil; len(t.queued) > 0 {
+			t.sim.at(until, "target goes on", t.id, func() {
+				if t.stalledUntil == until {
+					t.startQueued()
 				}
 			})
 		}
 		return
 	}
-	for t.busy < o.Parallel && len(t.waiting) > 0 && !t.down {
-		j := t.waiting[0]
-		t.waiting = t.waiting[1:]
+	for t.inProgress < o.Parallel && len(t.queued) > 0 && !t.down {
+		j := t.queued[0]
+		t.queued = t.queued[1:]
 		rate := o.UnitsPerS / float64(o.Parallel)
 		if t.isCold() {
-			rate *= o.ColdShare * t.grown()
+			rate *= o.ColdShare * t.warmUpFactor()
 		}
-		if t.slow > 1 {
-			rate /= t.slow
+		if t.slowdown > 1 {
+			rate /= t.slowdown
 		}
-		t.busy++
+		t.inProgress++
 		born := t.started
-		t.s.after(secs(j.units/rate*(0.7+0.6*t.rng.Float64())), "target answers", t.id, func() { t.done(j, born) })
+		t.sim.after(seconds(j.units/rate*(0.7+0.6*t.rng.Float64())), "target answers", t.id, func() { t.finish(j, born) })
 	}
 }
 
 // done ends a request, once the target does not stand still any more.
-func (t *target) done(j job, born time.Duration) {
+func (t *target) finish(j targetRequest, born time.Duration) {
 	if t.down || t.started != born {
 		return // it died with its process; nobody answers
 	}
-	if t.s.now < t.still {
-		t.s.at(t.still, "target answers late", t.id, func() { t.done(j, born) })
+	if t.sim.now < t.stalledUntil {
+		t.sim.at(t.stalledUntil, "target answers late", t.id, func() { t.finish(j, born) })
 		return
 	}
-	t.busy--
+	t.inProgress--
 	j.answer(policy.Served, t.load())
-	t.work()
+	t.startQueued()
 }
 
 // kill ends its process; what it had is lost. start begins it anew, cold.
 func (t *target) kill() {
-	t.down, t.busy, t.waiting, t.cold = true, 0, nil, nil
-	t.s.list()
+	t.down, t.inProgress, t.queued, t.coldWork = true, 0, nil, nil
+	t.sim.publishTargets()
 }
 
 func (t *target) start() {
-	t.down, t.busy, t.waiting, t.cold, t.still = false, 0, nil, nil, 0
-	t.started = t.s.now
-	t.s.list()
+	t.down, t.inProgress, t.queued, t.coldWork, t.stalledUntil = false, 0, nil, nil, 0
+	t.started = t.sim.now
+	t.sim.publishTargets()
 }
 
 // stalls has it stand still now and then, as storage nodes do.
-func (t *target) stalls() {
-	o := &t.s.spec.Targets
+func (t *target) scheduleStall() {
+	o := &t.sim.spec.Targets
 	if o.StallMs <= 0 || o.StallEach <= 0 {
 		return
 	}
-	t.s.after(secs(t.rng.ExpFloat64()*o.StallEach), "target stands still", t.id, func() {
-		t.still = max(t.still, t.s.now+millis(o.StallMs))
-		t.stalls()
+	t.sim.after(seconds(t.rng.ExpFloat64()*o.StallEach), "target stands still", t.id, func() {
+		t.stalledUntil = max(t.stalledUntil, t.sim.now+milliseconds(o.StallMs))
+		t.scheduleStall()
 	})
 }
--- a/internal/testbed/modelcheck/bench_test.go
+++ b/internal/testbed/modelcheck/bench_test.go
@@ -11,8 +11,9 @@
 	"spindlehitch/internal/controlplane/quota/quotaclient"
 )
 
-func fourBudgets(seats int) quota.Config {
-	c := quota.Config{Version: 1, MaxSessions: seats, Budgets: []quota.Budget{
+// fourBudgets returns a configuration with four budgets for so many sessions.
+func fourBudgets(sessions int) quota.Config {
+	c := quota.Config{Version: 1, MaxSessions: sessions, Budgets: []quota.Budget{
 		{Name: "work", Resource: quota.AllWork, Capacity: 1e5, Burst: 1e5, FloorRate: 1, FloorBurst: 1}, {Name: "repeats", Resource: quota.Retries, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
 		{Name: "cold", Resource: quota.ColdWork, Scope: quota.PerTarget, Capacity: 1e4, Burst: 1e4, FloorRate: 1, FloorBurst: 1},
 		{Name: "conns", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: 5000, FloorRate: 1, LingerMs: 3000}}}
@@ -22,7 +23,7 @@
 	return c
 }
 
-// BenchmarkTake is what a send costs at an instance: the questions and the draw, under four budgets.
+// BenchmarkTake measures what quota checks add to a send at an instance: Wait and Reserve under four budgets.
 func BenchmarkTake(b *testing.B) {
 	c := quotaclient.New(quota.Resources)
 	c.Register(time.Hour, "m", fourBudgets(2000))
@@ -39,7 +40,7 @@
 	}
 }
 
-// BenchmarkRenew is what one renewal costs the leader, of so many members with eight targets each.
+// BenchmarkRenew measures what one renewal costs the leader, by the number of members, with eight targets each.
 func BenchmarkRenew(b *testing.B) {
 	for _, n := range []int{20, 300, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/testbed/modelcheck/explore/explore.go
+++ b/internal/testbed/modelcheck/explore/explore.go
@@ -1,5 +1,6 @@
-// Package explore searches the states of small worlds, breadth first or by random walks, and plants
-// mistakes into the code that the worlds run, to show that the searches find them.
+// Package explore searches the states of small models, breadth first or by random walks. To show that
+// a search detects faults, it also plants mistakes into the code under test and checks that each is
+// found.
 package explore
 
 import (
@@ -13,14 +14,14 @@
 	"pgregory.net/rapid"
 )
 
-// World is state machines in one state, with all messages between them.
+// World is one state of a model: the state machines with all messages in transit between them.
 type World[S fmt.Stringer] interface {
-	Steps() []S    // all that can happen next, in a fixed order
-	Do(S) error    // takes one of them and checks the promises
-	Print() string // equal states print alike
+	Steps() []S    // the steps that are possible next, in a fixed order
+	Do(S) error    // takes one of them and checks the invariants
+	Print() string // the state as text; equal states give equal texts
 }
 
-// BrokenPromiseError is a broken promise and the steps that lead to it.
+// ViolationError is a violated invariant and the steps that lead to it.
 type ViolationError struct {
 	Case  string
 	Steps []string
@@ -31,7 +32,7 @@
 	return fmt.Sprintf("%s: %v, after / %s", f.Case, f.Err, strings.Join(f.Steps, " / "))
 }
 
-// Broken returns a BrokenPromiseError with these steps.
+// NewViolation returns a ViolationError for the case of that name with these steps.
 func NewViolation[S fmt.Stringer](name string, steps []S, err error) *ViolationError {
 	f := &ViolationError{Case: name, Err: err}
 	for _, s := range steps {
@@ -40,7 +41,7 @@
 	return f
 }
 
-// Replay takes the steps from the first state.
+// Replay takes the steps, beginning at the initial state that first returns.
 func Replay[S fmt.Stringer, W World[S]](name string, first func() (W, error), steps []S) (W, error) {
 	w, err := first()
 	if err != nil {
@@ -54,10 +55,10 @@
 	return w, nil
 }
 
-// Search visits all states within depth steps of the first, each once, and returns how many there are.
-// It goes breadth first, so that what it finds is as short as possible. Beyond limit states it goes no
-// deeper; full tells whether it visited all. If also is given, one state in sixteen, always the same
-// ones, is passed to it.
+// Search visits all states within depth steps of the initial one, each once, and returns their number.
+// It is breadth first, so that a violation is found with as few steps as possible. It stops after the
+// level at which it has seen more than limit states; complete reports whether it visited all. If
+// checkState is not nil, it is called with one state in sixteen, selected by the state's hash.
 func Search[S fmt.Stringer, W World[S]](name string, first func() (W, error), depth, limit int, checkState func(W) error) (states int, complete bool, err error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	seen := map[uint64]bool{}
 	level := [][]S{nil}
@@ -77,7 +78,7 @@
 				for at := range work {
 					w, err := Replay(name, first, level[at])
 					if err != nil {
-						continue // told before
+						continue // reported at the previous level
 					}
 					for _, x := range w.Steps() {
 						steps := append(level[at][:len(level[at]):len(level[at])], x)
@@ -127,9 +128,9 @@
 	return len(seen), true, nil
 }
 
-// Walk takes n random steps, each kind with the same probability whatever the number of its steps;
-// time passes with one step in oneIn besides. It returns the steps, and the promise that one of them
-// broke.
+// Walk takes n random steps. It draws the kind of a step first, then one step of that kind, so that a
+// kind with many possible steps doesn't crowd out the others. In addition, one step in oneIn is of the
+// kind tick. It returns the steps, and a ViolationError if the last of them violates an invariant.
 func Walk[S fmt.Stringer, K comparable, W World[S]](name string, w W, t *rapid.T, n int, kind func(S) K, tick K, oneIn int) (steps []S, err error) {
 	for range n {
 		possible := w.Steps()
--- a/internal/testbed/modelcheck/explore/plant.go
+++ b/internal/testbed/modelcheck/explore/plant.go
@@ -11,17 +11,18 @@
 	"testing"
 )
 
-// Mistake is a mistake to plant: its name, the file, the correct text there, the wrong text, and the
-// tests that must find it if they are not those that Plant is given. Places separates several places,
-// of one file or of as many files.
+// Mistake is a mistake to plant: its name, the file, the correct text in it, the wrong text, and a
+// pattern of the tests that must find it (empty: the pattern that Plant is given). A mistake that
+// changes several places has their texts separated by PlaceSeparator; the file is then either one for
+// all places, or one for each place, separated likewise.
 type Mistake [5]string
 
-// Places separates several places in a Mistake.
+// PlaceSeparator separates the files and texts of the places of a Mistake.
 const PlaceSeparator = "\n----\n"
 
-// Plant puts each mistake into the code below root and runs the tests of this folder that match run: a
-// mistake that they do not find is one that they would not find if somebody made it. It returns how
-// many were found.
+// Plant builds the tests of the current package once with each mistake in the code below root, by an
+// overlay, and runs those that match run. A mistake that they don't find fails the test, since they
+// would not find it in the real code either. It returns the number of mistakes found.
 func Plant(t *testing.T, root, run string, all []Mistake) (found int) { //nolint:gocognit // to be split with its package, see docs/left.md
 	root, err := filepath.Abs(root)
 	if err != nil {
@@ -45,7 +46,7 @@
 						texts[path] = string(b)
 					}
 					if n := strings.Count(texts[path], right); n != 1 {
-						t.Fatalf("what is right there stands %d times in %s: %q", n, path, right)
+						t.Fatalf("the correct text occurs %d times in %s, want once: %q", n, path, right)
 					}
 					texts[path] = strings.Replace(texts[path], right, wrongs[i], 1)
 				}
@@ -64,10 +65,10 @@
 				cmd := exec.Command("go", "test", "-overlay", overlay, "-count=1", "-vet=off", "-failfast", "-run", run, ".")
 				cmd.Env = append(os.Environ(), "SPINDLEHITCH_PROOF=", "GOMAXPROCS=2")
 				out, err := cmd.CombinedOutput()
-				// Only a broken promise counts: not a build that fails, nor a limit that is not used up.
+				// Only a violated invariant counts, not a failed build or a test that fails for another reason.
 				at := strings.Index(string(out), "broken: ")
 				if err == nil || at < 0 {
-					t.Fatalf("not found: %.2000s", out)
+					t.Fatalf("mistake not found: %.2000s", out)
 				}
 				line, _, _ := strings.Cut(string(out[at:]), "\n")
 				t.Logf("%.300s", line)
--- a/internal/testbed/modelcheck/feed/check.go
+++ b/internal/testbed/modelcheck/feed/check.go
@@ -12,7 +12,7 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// check holds whom the step touched against the promises.
+// check checks the invariants of the followers that the step changed and, after a report, of the tracker.
 func (w *World) check() error {
 	for i, f := range w.touched {
 		if slices.Contains(w.touched[:i], f) {
@@ -28,66 +28,69 @@
 	return nil
 }
 
+// checkFollower checks that a follower's positions and versions never go back, that its records are those of the log, and
+// that it replaces a history only as permitted.
 func (w *World) checkFollower(f *follower) error {
-	whole, have, epoch := f.replica.Consistent(), f.replica.Position(), f.replica.Consistent().Epoch
+	consistent, position, epoch := f.replica.Consistent(), f.replica.Position(), f.replica.Consistent().Epoch
 	h := recordsByKey(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config))
 	if epoch == "" {
 		if len(h) > 0 {
-			return fmt.Errorf("broken: %s has something of no history", f.scope.Name)
+			return fmt.Errorf("broken: %s has records and no epoch", f.scope.Name)
 		}
 		return nil
 	}
-	// It never goes back.
-	if was := f.lastConsistent[epoch]; whole.Targets < was.Targets || whole.Config < was.Config {
-		return fmt.Errorf("broken: %s went back from %v to %v", f.scope.Name, was, whole.Position)
+	// Positions never go back.
+	if was := f.lastConsistent[epoch]; consistent.Targets < was.Targets || consistent.Config < was.Config {
+		return fmt.Errorf("broken: the consistent position of %s went back from %v to %v", f.scope.Name, was, consistent.Position)
 	}
-	if was := f.lastPosition[epoch]; have.Targets < was.Targets || have.Config < was.Config {
-		return fmt.Errorf("broken: %s went back from %v to %v in what it reads", f.scope.Name, was, have)
+	if was := f.lastPosition[epoch]; position.Targets < was.Targets || position.Config < was.Config {
+		return fmt.Errorf("broken: the position of %s went back from %v to %v", f.scope.Name, was, position)
 	}
-	f.lastConsistent[epoch], f.lastPosition[epoch] = whole.Position, have
+	f.lastConsistent[epoch], f.lastPosition[epoch] = consistent.Position, position
 	if f.highest[epoch] == nil {
 		f.highest[epoch] = map[key]highestVersion{}
 	}
-	tops := f.highest[epoch]
+	highest := f.highest[epoch]
 	for k, r := range h {
-		if was := tops[k]; r.Version < was.version || was.deleted && r.Version == was.version {
-			return fmt.Errorf("broken: %s went back to version %d of %q", f.scope.Name, r.Version, r.Key)
+		if was := highest[k]; r.Version < was.version || was.deleted && r.Version == was.version {
+			return fmt.Errorf("broken: %s has %[3]q again at the older or deleted version %[2]d", f.scope.Name, r.Version, r.Key)
 		}
-		tops[k] = highestVersion{r.Version, false}
+		highest[k] = highestVersion{r.Version, false}
 		if r.Version > w.histories[epoch].head() || !bytes.Equal(w.histories[epoch].states[r.Version][k].Value, r.Value) {
-			return fmt.Errorf("broken: %s has %q at version %d as the log never had it", f.scope.Name, r.Key, r.Version)
+			return fmt.Errorf("broken: %s has a value of %q at version %d that the log did not have", f.scope.Name, r.Key, r.Version)
 		}
 	}
-	for k, t := range tops {
+	for k, t := range highest {
 		if _, alive := h[k]; !alive {
-			tops[k] = highestVersion{t.version, true}
+			highest[k] = highestVersion{t.version, true}
 		}
 	}
-	// What it has is at least what the log had where it says to be.
-	if err := w.histories[epoch].checkSince(h, f.scope, whole.Position, false); err != nil {
+	// Its records are those of the log at its position or later.
+	if err := w.histories[epoch].checkSince(h, f.scope, consistent.Position, false); err != nil {
 		return err
 	}
-	// A history takes the place of another only whole, as it was when the operator said so or later.
-	if word := w.histories[epoch].replacedAt[f.lastEpoch]; f.lastEpoch != "" && f.lastEpoch != epoch && (word == 0 || whole.Min() < word) {
-		return fmt.Errorf("broken: %s has %s at %v in place of %s, which it takes the place of from version %d on", f.scope.Name, epoch, whole.Position, f.lastEpoch, word)
+	// A history replaces another only when it is complete up to the operator's declaration, or beyond.
+	if declaredAt := w.histories[epoch].replacedAt[f.lastEpoch]; f.lastEpoch != "" && f.lastEpoch != epoch && (declaredAt == 0 || consistent.Min() < declaredAt) {
+		return fmt.Errorf("broken: %s has %s at %v in place of %s, which it replaces from version %d on (0: never)", f.scope.Name, epoch, consistent.Position, f.lastEpoch, declaredAt)
 	}
 	f.lastEpoch = epoch
 	return nil
 }
 
-// checkForce has what a reader says to be in force be so.
+// checkInForce checks that a reader has in force what it acknowledges as applied.
 func (w *World) checkInForce(f *follower, mark watchstream.Watermark) error {
 	if mark.Epoch == "" || f.scope.All {
 		return nil
 	}
-	earlier := mark.Config == 0 && f.replica.Rejection() != nil // the last good one is of the history before
+	earlier := mark.Config == 0 && f.replica.Rejection() != nil // the last usable configuration is of the previous history
 	if err := w.histories[mark.Epoch].checkSince(f.inForce, f.scope, mark.Position, earlier); err != nil {
 		return fmt.Errorf("%w, in force", err)
 	}
 	return nil
 }
 
-// checkTally has the tally count nobody for what it has not said, or that it said in an earlier turn than is known.
+// checkTracker checks that the tracker counts each reader once, with no more than the reader has acknowledged, and never
+// goes back to an earlier generation or acknowledgement.
 func (w *World) checkTracker() (err error) {
 	seen := map[string]bool{}
 	w.tracker.EachReader(func(relay string, c watchstream.Cursor) {
@@ -97,20 +100,20 @@
 				f = x
 			}
 		}
-		said, ok := watchstream.Watermark{}, false
+		acked, ok := watchstream.Watermark{}, false
 		if f != nil {
-			said, ok = f.appliedSent[c.Generation]
+			acked, ok = f.appliedSent[c.Generation]
 		}
 		switch {
 		case err != nil:
 		case f == nil || f.scope.All || seen[c.Name]:
-			err = fmt.Errorf("broken: %s is counted twice, or is no reader", c.Name)
-		case !ok || c.Applied.Epoch == said.Epoch && (c.Applied.Targets > said.Targets || c.Applied.Config > said.Config):
-			err = fmt.Errorf("broken: %s counts with %v, and said in turn %d that it has %v in force", c.Name, c.Applied, c.Generation, said)
+			err = fmt.Errorf("broken: %s is counted twice, or is not a reader", c.Name)
+		case !ok || c.Applied.Epoch == acked.Epoch && (c.Applied.Targets > acked.Targets || c.Applied.Config > acked.Config):
+			err = fmt.Errorf("broken: %s counts with %v, but acknowledged %[4]v in generation %[3]d", c.Name, c.Applied, c.Generation, acked)
 		case c.Generation < w.lastGeneration[c.Name]:
-			err = fmt.Errorf("broken: %s counts as it was in turn %d, and turn %d was known", c.Name, c.Generation, w.lastGeneration[c.Name])
+			err = fmt.Errorf("broken: %s counts with generation %d after generation %d", c.Name, c.Generation, w.lastGeneration[c.Name])
 		case c.Generation == w.lastGeneration[c.Name] && c.Applied.Epoch == w.lastApplied[c.Name].Epoch && !notAfter(w.lastApplied[c.Name], c.Applied):
-			err = fmt.Errorf("broken: %s counts with %v, and said %v in that turn before", c.Name, c.Applied, w.lastApplied[c.Name])
+			err = fmt.Errorf("broken: %s counts with %v after %v in the same generation", c.Name, c.Applied, w.lastApplied[c.Name])
 		}
 		seen[c.Name], w.lastGeneration[c.Name], w.lastApplied[c.Name] = true, c.Generation, c.Applied
 	})
@@ -118,71 +121,73 @@
 		return err
 	}
 	s := w.tracker.Status(w.now, w.log.Head())
-	said := 0
+	acked := 0
 	for _, f := range w.followers {
 		for _, mark := range f.appliedSent {
 			if !f.scope.All && mark.Epoch == w.epochName() && mark.Min() >= w.log.Head() {
-				said++
+				acked++
 				break
 			}
 		}
 	}
-	if s.Applied > said && w.log.Head() > 0 {
-		return fmt.Errorf("broken: version %d counts as in force at %d, and %d said so", w.log.Head(), s.Applied, said)
+	if s.Applied > acked && w.log.Head() > 0 {
+		return fmt.Errorf("broken: version %d counts as applied by %d readers, but %d acknowledged it", w.log.Head(), s.Applied, acked)
 	}
 	return nil
 }
 
 func notAfter(a, b watchstream.Watermark) bool { return a.Targets <= b.Targets && a.Config <= b.Config }
 
-// judgeDelta holds what a source sends against a reader's bytes, and has targets go before configuration.
+// checkDelta checks that a source sends a reader no more bytes than its rate and burst permit, beyond what can't be
+// divided, and no new configuration before all targets.
 func (w *World) checkDelta(to int, at readerAtSource, d *watchstream.Delta) error {
-	a, rate, burst := w.sent[at], w.setup.Source.ReaderRate, w.setup.Source.ReaderBurst
+	sent, rate, burst := w.sent[at], w.setup.Source.ReaderRate, w.setup.Source.ReaderBurst
 	if d.Scope.All {
 		rate, burst = w.setup.Source.RelayRate, w.setup.Source.RelayBurst
 	}
 	groups, configs := map[uint64]float64{}, 0.0
 	for _, r := range d.Records {
 		n := float64(r.Size())
-		if a.total += n; r.Kind == watchstream.Targets {
+		if sent.total += n; r.Kind == watchstream.Targets {
 			groups[r.Version] += n
-			a.maxTargets = max(a.maxTargets, groups[r.Version])
+			sent.maxTargets = max(sent.maxTargets, groups[r.Version])
 		} else {
 			configs += n
 		}
 	}
-	a.maxConfig = max(a.maxConfig, configs)
+	sent.maxConfig = max(sent.maxConfig, configs)
 	for _, b := range d.Buckets {
 		n := float64(b.Size())
-		a.total, a.maxTargets = a.total+n, max(a.maxTargets, n)
+		sent.total, sent.maxTargets = sent.total+n, max(sent.maxTargets, n)
 	}
-	if most := burst + rate*(w.now-a.since).Seconds() + a.maxTargets + a.maxConfig; rate > 0 && a.total > most {
-		return fmt.Errorf("broken: %s got %.0f bytes from %s, and %.0f at most are for it", at.reader, a.total, at.source, most)
+	if most := burst + rate*(w.now-sent.since).Seconds() + sent.maxTargets + sent.maxConfig; rate > 0 && sent.total > most {
+		return fmt.Errorf("broken: %s received %.0f bytes from %s, limit %.0f", at.reader, sent.total, at.source, most)
 	}
 	if source, _, _ := w.source(to); d.To.Config != d.From.Config && d.To.Targets != d.Head.Targets || source.ReaderCount() == 0 {
-		return fmt.Errorf("broken: %s sends %s configuration while targets are owed", at.source, at.reader)
+		return fmt.Errorf("broken: %s sends %s configuration while targets are pending", at.source, at.reader)
 	}
 	return nil
 }
 
-// admitted holds the number of readers that a source takes against its rate.
+// checkAdmission checks that a source admits no more new readers than its rate and burst permit.
 func (w *World) checkAdmission(at readerAtSource) error {
-	a := w.admissions[at]
-	if a == nil {
-		a = &usage{since: w.now}
-		w.admissions[at] = a
+	admitted := w.admissions[at]
+	if admitted == nil {
+		admitted = &usage{since: w.now}
+		w.admissions[at] = admitted
 	}
-	a.total++
-	if most := w.setup.Source.AdmitBurst + w.setup.Source.AdmitRate*(w.now-a.since).Seconds(); w.setup.Source.AdmitRate > 0 && a.total > most {
-		return fmt.Errorf("broken: %s took %.0f new readers, and %.1f at most may come", at.source, a.total, most)
+	admitted.total++
+	if most := w.setup.Source.AdmitBurst + w.setup.Source.AdmitRate*(w.now-admitted.since).Seconds(); w.setup.Source.AdmitRate > 0 && admitted.total > most {
+		return fmt.Errorf("broken: %s admitted %.0f new readers, limit %.1f", at.source, admitted.total, most)
 	}
 	return nil
 }
 
-// wrong brings a follower deltas that nobody may take: each is refused, and changes nothing.
+// checkInvalidDeltas checks that a follower rejects each of a list of invalid deltas without changing its state, and that
+// it applies the valid deltas that they are made from.
 func (w *World) checkInvalidDeltas(i int) error {
 	f := w.followers[i]
-	have, whole := f.replica.Position(), f.replica.Consistent()
+	have, consistent := f.replica.Position(), f.replica.Consistent()
 	req, err := w.subscribe(i)
 	if err != nil {
 		return err
@@ -217,14 +222,14 @@
 				d.Records = append(d.Records, watchstream.Record{Kind: watchstream.Targets, Key: fmt.Sprint("y", i), Version: head.Targets, Value: largestValue})
 			}
 		},
-		"a value cut in the midst": func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`{"x":`) },
-		"a value that is no map":   func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`[]`) },
-		"past its end":             func(d *watchstream.Delta) { d.Records[0].Version++ },
-		"before its beginning":     func(d *watchstream.Delta) { d.Records[0].Version = have.Targets },
-		"past its source":          func(d *watchstream.Delta) { d.To.Targets++ },
-		"twice the same":           func(d *watchstream.Delta) { d.Records = append(d.Records, d.Records[0]) },
-		"configuration first":      func(d *watchstream.Delta) { d.To.Targets, d.To.Config, d.Records = have.Targets, head.Config, nil },
-		"buckets without a span":   func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{Index: 0}} },
+		"a truncated value":         func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`{"x":`) },
+		"a value that is no object": func(d *watchstream.Delta) { d.Records[0].Value = json.RawMessage(`[]`) },
+		"past its end":              func(d *watchstream.Delta) { d.Records[0].Version++ },
+		"before its beginning":      func(d *watchstream.Delta) { d.Records[0].Version = have.Targets },
+		"past its source":           func(d *watchstream.Delta) { d.To.Targets++ },
+		"twice the same":            func(d *watchstream.Delta) { d.Records = append(d.Records, d.Records[0]) },
+		"configuration first":       func(d *watchstream.Delta) { d.To.Targets, d.To.Config, d.Records = have.Targets, head.Config, nil },
+		"buckets without a span":    func(d *watchstream.Delta) { d.Buckets = []watchstream.Bucket{{Index: 0}} },
 		"the end of a run": func(d *watchstream.Delta) {
 			buckets(d)
 			d.Range.From = w.setup.Limits.Buckets - 1
@@ -244,8 +249,8 @@
 			}
 		},
 	}
-	if req.Epoch != whole.Epoch {
-		return nil // it builds another history up
+	if req.Epoch != consistent.Epoch {
+		return nil // it is receiving another history
 	}
 	run := good()
 	buckets(run)
@@ -255,26 +260,26 @@
 		}
 		scratch := watchstream.NewReplica(fleetName, f.scope, 1, w.setup.Limits)
 		if err := scratch.Restore(f.replica.Store().Snapshot()); err != nil {
-			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
+			return fmt.Errorf("broken: %s can't restore its own snapshot: %w", f.scope.Name, err)
 		}
 		if _, err := scratch.ApplyDelta(d); err != nil {
-			return fmt.Errorf("broken: %s doesn't take what is right: %w", f.scope.Name, err)
+			return fmt.Errorf("broken: %s rejects a valid delta: %w", f.scope.Name, err)
 		}
 	}
 	before := w.printReplica(i)
 	for name, c := range change {
 		switch {
 		case req.Epoch == "" && (strings.HasPrefix(name, "another epoch") || name == "a source behind"), req.Seen.Targets == 0 && name == "a source behind",
-			have.Targets == 0 && (name == "before where it is" || name == "another epoch"), whole.Epoch == "" && name != "another fleet" && name != "no epoch":
+			have.Targets == 0 && (name == "before where it is" || name == "another epoch"), consistent.Epoch == "" && name != "another fleet" && name != "no epoch":
 			continue
 		}
 		d := good()
 		c(d)
 		if _, err := f.replica.ApplyDelta(d); err == nil {
-			return fmt.Errorf("broken: %s took a delta with %s", f.scope.Name, name)
+			return fmt.Errorf("broken: %s applied an invalid delta: %s", f.scope.Name, name)
 		}
 		if w.printReplica(i) != before {
-			return fmt.Errorf("broken: a delta with %s changed %s", name, f.scope.Name)
+			return fmt.Errorf("broken: an invalid delta (%s) changed %s", name, f.scope.Name)
 		}
 	}
 	return nil
@@ -288,8 +293,8 @@
 	return b.String()
 }
 
-// Settle ends all faults and checks that everybody comes to have the log's state, those who talk in spite of one who doesn't, and that the
-// tally comes to know it.
+// Settle ends all faults and checks that all followers converge to the log's state, first while the last one is silent
+// and then with it, and that the tracker counts all readers.
 func (w *World) Settle() error {
 	w.inTransit = nil
 	if w.epoch > 1 && len(w.log.Replaces()) == 0 {
@@ -309,9 +314,9 @@
 		return err
 	}
 	if w.setup.Relays == 0 {
-		return nil // nobody reports
+		return nil // only relays send reports
 	}
-	for range 2 { // another agent that leads knows nobody, and comes to know all
+	for range 2 { // the tracker of a new leader is empty, and must come to count all readers
 		if err := w.checkReported(); err != nil {
 			return err
 		}
@@ -322,6 +327,7 @@
 	return w.checkReported()
 }
 
+// checkReported has all relays report, and checks that the tracker counts all readers as having applied the log's head.
 func (w *World) checkReported() error {
 	for range 3 {
 		for i := range w.setup.Relays {
@@ -331,19 +337,19 @@
 		}
 	}
 	if s := w.tracker.Status(w.now, w.log.Head()); s.Applied != w.setup.Readers || s.Readers != w.setup.Readers {
-		return fmt.Errorf("broken: all %d have version %d in force, and the tally tells of %d of %d: %+v", w.setup.Readers, s.Version, s.Applied, s.Readers, s.Lagging)
+		return fmt.Errorf("broken: all %d readers have version %d in force, but the tracker counts %d of %d: %+v", w.setup.Readers, s.Version, s.Applied, s.Readers, s.Lagging)
 	}
 	return nil
 }
 
-var errNotConverged = errors.New("broken: not all that talk come to be level")
+var errNotConverged = errors.New("broken: followers don't converge")
 
-// level has all followers before the last so many exchange until they are level.
-func (w *World) converge(most, rounds int) error {
+// converge has the first most followers poll and apply until they all have the log's state, for at most so many rounds.
+func (w *World) converge(count, rounds int) error {
 	for range rounds {
 		w.now += time.Second
 		all := true
-		for i := range most {
+		for i := range count {
 			for range 4 {
 				if err := w.Do(Step{PollAtOnce, i}); err != nil {
 					return err
@@ -364,10 +370,10 @@
 			}
 		}
 		if all {
-			return w.checkExact(most)
+			return w.checkExact(count)
 		}
 	}
-	for _, f := range w.followers[:most] {
+	for _, f := range w.followers[:count] {
 		if f.replica.Consistent().Min() != w.log.Head() || f.replica.Consistent().Epoch != w.epochName() {
 			return fmt.Errorf("%w: %s has %v, and the log is at %s %d:\n%s", errNotConverged, f.scope.Name, f.replica.Consistent(), w.epochName(), w.log.Head(), w.Print())
 		}
@@ -375,10 +381,10 @@
 	return errNotConverged
 }
 
-// exactly has each of the first so many hold the log's state, and the readers have it in force.
-func (w *World) checkExact(most int) error {
+// checkExact checks that each of the first most followers has exactly the log's state, and that readers have it in force.
+func (w *World) checkExact(count int) error {
 	p := w.histories[w.epochName()]
-	for _, f := range w.followers[:most] {
+	for _, f := range w.followers[:count] {
 		for _, kind := range watchstream.Kinds {
 			if err := p.checkExact(recordsByKey(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)), f.scope, kind, p.head()); err != nil {
 				return err
--- a/internal/testbed/modelcheck/feed/judge.go
+++ b/internal/testbed/modelcheck/feed/judge.go
@@ -12,10 +12,11 @@
 	key  string
 }
 
-// past is what the judge knows of one history: the state of all keys at each version, by itself.
+// history is the reference for one epoch of the log, recorded independently of the code under test: the state of all keys
+// at each version.
 type history struct {
-	states     []map[key]watchstream.Record // by version; 0: nothing
-	replacedAt map[string]uint64            // the versions at which it was said of another history that this one takes its place
+	states     []map[key]watchstream.Record // by version; at version 0 there are no keys
+	replacedAt map[string]uint64            // by the epoch of another history: the version at which it was declared that this one replaces it
 }
 
 func newHistory() *history {
@@ -38,7 +39,7 @@
 	}
 }
 
-// held is live records by key.
+// recordSet is live records by key.
 type recordSet map[key]watchstream.Record
 
 func recordsByKey(records ...[]watchstream.Record) recordSet {
@@ -51,8 +52,8 @@
 	return h
 }
 
-// at tells whether what is held of a key is what the history had at that version. Each change's values are its own; what was taken over from
-// an earlier history has that one's versions.
+// matches reports whether h has the same value of a key as the history at that version. Values are compared rather than
+// versions: each change writes unique values, and records taken over from an earlier history keep that one's versions.
 func (hist *history) matches(h recordSet, k key, v uint64) bool {
 	got, alive := h[k]
 	want, known := hist.states[v][k]
@@ -60,11 +61,12 @@
 	return alive == known && (!alive || bytes.Equal(got.Value, want.Value))
 }
 
-// since tells whether what is held of each key is what the history had at that version or at a later one; of configuration, of all keys
-// at one and the same, but for a relay's, which nobody has in force, and where it is said that what there is is of an earlier history.
+// checkSince checks that h has each key as the history had it at the position or at a later version. All configuration keys
+// must match at one common version, except at a relay, which has no configuration in force, and where earlier says that
+// the configuration in force is of an earlier history.
 func (hist *history) checkSince(h recordSet, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
 	if pos.Targets > hist.head() || pos.Config > hist.head() {
-		return fmt.Errorf("broken: %s is said to have %v, and the log is at %d", scope.Name, pos, hist.head())
+		return fmt.Errorf("broken: %s claims position %v, but the log is at %d", scope.Name, pos, hist.head())
 	}
 	keys := map[key]bool{}
 	for k := range hist.states[hist.head()] {
@@ -82,7 +84,7 @@
 			ok = hist.matches(h, k, v)
 		}
 		if !ok {
-			return fmt.Errorf("broken: %s has %v %q as the log never had it since version %d", scope.Name, k.kind, k.key, from)
+			return fmt.Errorf("broken: %s has a value of %v %q that the log did not have at version %d or later", scope.Name, k.kind, k.key, from)
 		}
 	}
 	for v := pos.Config; v <= hist.head(); v++ {
@@ -90,10 +92,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("broken: %s has a configuration that the log never had since version %d", scope.Name, pos.Config)
+	return fmt.Errorf("broken: %s has a configuration that the log did not have at version %d or later", scope.Name, pos.Config)
 }
 
-// config tells whether the layers of the scope are as the history had them at that version.
+// configMatches reports whether h has the configuration layers of the scope as the history had them at that version.
 func (hist *history) configMatches(h recordSet, scope watchstream.Scope, v uint64) bool {
 	for k := range hist.states[hist.head()] {
 		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
@@ -108,16 +110,16 @@
 	return true
 }
 
-// exact tells whether what is held is the log's state of that version.
+// checkExact checks that h has exactly the history's records of that kind in the scope at that version.
 func (hist *history) checkExact(h recordSet, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
 	for k := range hist.states[hist.head()] {
 		if k.kind == kind && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
-			return fmt.Errorf("broken: %s is at version %d and doesn't have the log's state of %q", scope.Name, v, k.key)
+			return fmt.Errorf("broken: %s is at version %d and has %q in another state than the log", scope.Name, v, k.key)
 		}
 	}
 	for k := range h {
 		if k.kind == kind && !hist.matches(h, k, v) {
-			return fmt.Errorf("broken: %s is at version %d and has %q, which the log doesn't", scope.Name, v, k.key)
+			return fmt.Errorf("broken: %s is at version %d and has %q, which the log does not have", scope.Name, v, k.key)
 		}
 	}
 	return nil
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -1,8 +1,8 @@
-// Package feed runs the state machines of the watch stream against each other in small worlds: a log,
-// relays, readers and the acknowledgement tracker, with messages that are lost, repeated and late,
-// relays and readers that restart from old snapshots or empty, readers that change their relay, and
-// logs that begin again. A judge that knows nothing of them looks at what they hold, send and
-// acknowledge after each step. It does no I/O.
+// Package feed runs the state machines of the watch stream against each other in small models: a log,
+// relays, readers and the acknowledgement tracker, with messages that are lost, duplicated and
+// delayed, relays and readers that restart empty or from old snapshots, readers that switch relays, and
+// logs that are replaced by empty ones. After each step, what they hold, send and acknowledge is
+// compared with a history that is recorded independently of them. It does no I/O.
 package feed
 
 import (
@@ -21,30 +21,30 @@
 const (
 	Tick           Op = iota // time passes
 	Put                      // the next change of the case is committed
-	PollAtOnce               // a follower's request and its answer, with nothing in between
+	PollAtOnce               // a follower's request and its response, with nothing in between
 	SendRequest              // a follower sends a request
 	Deliver                  // a message arrives
-	DeliverAgain             // a message arrives, and will arrive again
+	DeliverAgain             // a message arrives, and a duplicate stays in transit
 	Lose                     // a message is lost
-	Apply                    // a reader marks what it has as applied
-	SwitchRelay              // a reader goes to another relay
+	Apply                    // a reader applies what it has received, and marks it as applied
+	SwitchRelay              // a reader switches to another relay
 	SaveSnapshot             // a follower saves its snapshot
 	Restart                  // a follower restarts from its snapshot
-	Report                   // a relay's report and its answer, with nothing in between
+	Report                   // a relay's report and its response, with nothing in between
 	SendReport               // a relay sends a report
-	NewLeader                // another agent leads; its tracker knows no readers
-	EmptyLog                 // the agents begin with an empty log
-	ReplaceHistory           // an operator declares that this log replaces those before
-	SendInvalid              // a follower gets deltas that nobody may apply
+	NewLeader                // another agent leads, with an empty tracker
+	EmptyLog                 // the agents start over with an empty log
+	ReplaceHistory           // an operator declares that this log replaces the previous ones
+	SendInvalid              // a follower receives deltas that it must reject
 	ops
 )
 
 func (o Op) String() string {
-	return [...]string{"tick", "put", "exchange", "say", "deliver", "repeat", "lose", "apply", "move", "save", "restart", "report", "tell", "lead", "empty", "word",
-		"wrong"}[o]
+	return [...]string{"tick", "put", "poll at once", "send request", "deliver", "deliver again", "lose", "apply", "switch relay", "save snapshot", "restart", "report", "send report", "new leader", "empty log", "replace history",
+		"send invalid"}[o]
 }
 
-// Step is an op on the follower, relay or message of that number. Followers are the relays first, then the readers.
+// Step is an Op on the follower, relay or message of that number. Followers are numbered with the relays first, then the readers.
 type Step struct {
 	Op Op
 	On int
@@ -52,7 +52,7 @@
 
 func (s Step) String() string { return fmt.Sprintf("%v %d", s.Op, s.On) }
 
-// Setup is a small case.
+// Setup is a case to search: the size of the model and the steps that are possible.
 type Setup struct {
 	Name         string
 	Relays       int
@@ -61,87 +61,88 @@
 	Limits       watchstream.Limits
 	Source       watchstream.SourceOptions
 	TickMs       int
-	MaxInTransit int // on their way at a time, at most
+	MaxInTransit int // messages; none are sent beyond it
 	Ops          []Op
-	Followers    []int // the followers that ops are done to; nil: all
-	Before       []Step
+	Followers    []int  // the followers that Ops apply to; nil: all
+	Before       []Step // taken to reach the initial state
 }
 
 const fleetName = "f"
 
-// follower is a relay or a reader, with its edge.
+// follower is a relay or a reader, with the state that the reader's process has in force.
 type follower struct {
 	scope       watchstream.Scope
 	replica     *watchstream.Replica
-	source      *watchstream.Source // a relay's
-	snapshot    *watchstream.Snapshot
-	incarnation uint64
-	upstream    int // who it follows: -1 the agent, else a relay
-	unapplied   []watchstream.Record
-	watermark   watchstream.Watermark // of the last that it took and has not applied
-	config      []watchstream.Record
-	pending     bool
+	source      *watchstream.Source   // of a relay; nil for a reader
+	snapshot    *watchstream.Snapshot // saved last; nil: none
+	incarnation uint64                // counts its starts
+	upstream    int                   // the relay that it polls; -1: the agent
+	unapplied   []watchstream.Record  // received and not applied yet
+	watermark   watchstream.Watermark // of the last change received
+	config      []watchstream.Record  // configuration at the last change received
+	pending     bool                  // there is something to apply
 	inForce     recordSet
 
-	// What the judge remembers of this life.
+	// What the checks remember of this incarnation, by epoch where it is a map of positions or keys.
 	lastConsistent map[string]watchstream.Position
 	lastPosition   map[string]watchstream.Position
 	highest        map[string]map[key]highestVersion
-	appliedSent    map[uint64]watchstream.Watermark // what was said to be in force, by turn
-	lastSeq        uint64                           // of the last hello
-	lastEpoch      string                           // the history that it had last
+	appliedSent    map[uint64]watchstream.Watermark // acknowledged as applied, by generation
+	lastSeq        uint64                           // of the last request
+	lastEpoch      string                           // of the history that it had last
 }
 
-// message is on its way.
+// message is a message in transit: a request, a delta or a report.
 type message struct {
-	from, to    int // followers; -1 is the agent
+	from, to    int // numbers of followers; -1: the agent
 	incarnation uint64
 	request     *watchstream.SubscribeRequest
 	delta       *watchstream.Delta
 	report      *watchstream.Report
 }
 
-// World is one state of a small case.
+// World is one state of a case. It implements explore.World.
 type World struct {
 	setup           Setup
 	now             time.Duration
 	log             *watchstream.Store
 	agent           *watchstream.Source
-	incarnation     uint64
+	incarnation     uint64 // of the agent's source
 	tracker         *watchstream.AckTracker
 	followers       []*follower
-	histories       map[string]*history
-	epoch           int
-	committed       int
+	histories       map[string]*history // by epoch
+	epoch           int                 // number of the log's epoch
+	committed       int                 // changes of the case that are committed
 	inTransit       []message
 	sent            map[readerAtSource]*usage
-	lastGeneration  map[string]uint64 // the turn that the tally had last of each
+	lastGeneration  map[string]uint64 // of each reader, the generation that the tracker counted last
 	lastApplied     map[string]watchstream.Watermark
-	admissions      map[readerAtSource]*usage // without a reader
-	touched         []*follower               // by this step
-	reportDelivered bool                      // the tally was, by this step
+	admissions      map[readerAtSource]*usage // readers admitted by each source; the key's reader is empty
+	touched         []*follower               // followers that this step changed
+	reportDelivered bool                      // this step delivered a report to the tracker
 }
 
-// account is of one reader at one source's life.
+// readerAtSource identifies a reader at one incarnation of a source.
 type readerAtSource struct {
-	source string
-	life   uint64
-	reader string
+	source      string
+	incarnation uint64
+	reader      string
 }
 
+// usage counts the bytes sent to a reader, or the readers admitted by a source.
 type usage struct {
 	since                 time.Duration
 	total                 float64
-	maxTargets, maxConfig float64 // the largest that went whole
+	maxTargets, maxConfig float64 // largest version or bucket of targets, and largest configuration, sent undivided
 }
 
-// top is the highest version at which a key was held alive, and whether it went since.
+// highestVersion is the highest version at which a follower had a live record of a key, and whether it dropped the record since.
 type highestVersion struct {
 	version uint64
 	deleted bool
 }
 
-// New returns the first state of a case.
+// New returns the initial state of a case.
 func New(s Setup) (*World, error) {
 	if s.Source.CoalesceInterval == 0 {
 		s.Source.CoalesceInterval = 1
@@ -170,7 +171,7 @@
 	return w, nil
 }
 
-// empty begins a new log, with a change of its own in it.
+// startLog starts an empty log with an epoch of its own.
 func (w *World) startLog() {
 	w.epoch++
 	w.incarnation++
@@ -181,7 +182,7 @@
 
 func (w *World) epochName() string { return fmt.Sprint("e", w.epoch) }
 
-// start begins a life of a follower, from its copy if it has one.
+// start starts an incarnation of a follower, from its snapshot if it has one.
 func (w *World) start(i int) error {
 	f := w.followers[i]
 	w.touched = append(w.touched, f)
@@ -189,7 +190,7 @@
 	f.replica = watchstream.NewReplica(fleetName, f.scope, f.incarnation<<16, w.setup.Limits)
 	if f.snapshot != nil {
 		if err := f.replica.Restore(*f.snapshot); err != nil {
-			return fmt.Errorf("broken: %s can't read its own copy: %w", f.scope.Name, err)
+			return fmt.Errorf("broken: %s can't restore its own snapshot: %w", f.scope.Name, err)
 		}
 	}
 	if f.scope.All {
@@ -201,19 +202,19 @@
 		f.appliedSent = map[uint64]watchstream.Watermark{}
 	}
 	f.lastEpoch = ""
-	if f.snapshot != nil { // what the copy has is applied like what is taken
+	if f.snapshot != nil { // records of the snapshot have to be applied like those of deltas
 		f.recordChanges(append(f.replica.Records(watchstream.Targets), f.replica.Records(watchstream.Config)...))
 	}
 	return nil
 }
 
-// took notes what the edge is to apply.
+// recordChanges records what the reader has to apply.
 func (f *follower) recordChanges(changed []watchstream.Record) {
 	f.unapplied = append(f.unapplied, changed...)
 	f.watermark, f.config, f.pending = f.replica.Consistent(), f.replica.Records(watchstream.Config), true
 }
 
-// apply has all that was taken in force. A layer with "bad" in it can't be served.
+// apply puts all received changes in force. A configuration that contains "bad" is rejected.
 func (f *follower) apply() {
 	for _, r := range f.unapplied {
 		if k := (key{r.Kind, r.Key}); r.Kind == watchstream.Targets {
@@ -246,7 +247,7 @@
 	return w.followers[i].source, w.followers[i].scope.Name, w.followers[i].incarnation
 }
 
-// Steps are all that can happen next, in a fixed order.
+// Steps returns the steps that are possible next, in a fixed order.
 func (w *World) Steps() []Step { //nolint:gocognit // to be split with its package, see docs/left.md
 	steps := []Step{{Tick, 0}}
 	on := w.setup.Followers
@@ -302,10 +303,10 @@
 	return steps
 }
 
-// Do takes a step and holds what it touched against the promises.
+// Do takes a step and checks the invariants of what it changed.
 func (w *World) Do(s Step) error {
 	w.touched, w.reportDelivered = w.touched[:0], false
-	w.now += time.Microsecond // nothing happens at once
+	w.now += time.Microsecond // no two steps happen at the same time
 	if err := w.step(s); err != nil {
 		return err
 	}
@@ -376,17 +377,17 @@
 	c.Fleet, c.Epoch = fleetName, w.epochName()
 	v, err := w.log.Apply(c)
 	if err != nil {
-		return fmt.Errorf("broken: the log doesn't take %+v: %w", c, err)
+		return fmt.Errorf("broken: the log rejects %+v: %w", c, err)
 	}
 	p := w.histories[w.epochName()]
 	if p.add(c); p.head() != v {
-		return fmt.Errorf("broken: a change has version %d, and is the log's number %d", v, p.head())
+		return fmt.Errorf("broken: a change has version %d, want %d", v, p.head())
 	}
 	w.tracker.NoteCommit(w.now, w.epochName(), v)
 	return nil
 }
 
-// word has the operator say that this log takes the place of all before.
+// replaceHistories commits the operator's declaration that this log replaces all previous ones.
 func (w *World) replaceHistories() error {
 	for e := 1; e < w.epoch; e++ {
 		if err := w.commit(watchstream.Change{Replaces: fmt.Sprint("e", e)}); err != nil {
@@ -404,7 +405,7 @@
 	return req, w.checkInForce(f, req.Applied)
 }
 
-// exchange has a follower say hello and take the answer, and have it in force if so wished.
+// pollAtOnce has a follower send a request and receive the response; a reader applies it at once if apply is set.
 func (w *World) pollAtOnce(i int, apply bool) error {
 	f := w.followers[i]
 	req, err := w.subscribe(i)
@@ -421,7 +422,7 @@
 	return err
 }
 
-// serve has a source hear a hello, and returns what it sends for it.
+// serve has a source process a request, and returns the delta that it sends for it; nil: none.
 func (w *World) serve(to int, req watchstream.SubscribeRequest) (*watchstream.Delta, error) {
 	source, name, life := w.source(to)
 	readers := source.ReaderCount()
@@ -442,7 +443,8 @@
 	return d, w.checkDelta(to, at, d)
 }
 
-// refusal passes what refusals are for, and nothing else.
+// unlessRejected returns nil for an error by which a request is rejected or deferred, which is permitted; any other error
+// violates an invariant.
 func (w *World) unlessRejected(err error) error {
 	var r *watchstream.RejectedError
 	var b *watchstream.BusyError
@@ -495,7 +497,7 @@
 func (w *World) Print() string {
 	var b strings.Builder
 	fmt.Fprint(&b, w.epoch, w.committed, len(w.log.Replaces()))
-	said := func(name string) uint64 {
+	lastSeq := func(name string) uint64 {
 		for _, f := range w.followers {
 			if f.scope.Name == name {
 				return f.lastSeq
@@ -503,12 +505,12 @@
 		}
 		return 0
 	}
-	w.agent.DebugPrint(&b, w.now, said)
+	w.agent.DebugPrint(&b, w.now, lastSeq)
 	w.tracker.DebugPrint(&b)
 	for _, f := range w.followers {
 		f.replica.DebugPrint(&b)
 		if f.source != nil {
-			f.source.DebugPrint(&b, w.now, said)
+			f.source.DebugPrint(&b, w.now, lastSeq)
 		}
 		fmt.Fprint(&b, f.upstream, f.pending, f.watermark, len(f.unapplied), f.snapshot != nil)
 		if f.snapshot != nil {
--- a/internal/testbed/modelcheck/leaders/leaders.go
+++ b/internal/testbed/modelcheck/leaders/leaders.go
@@ -1,6 +1,6 @@
-// Package leaders is the part of the worlds that concerns leadership: terms, leaders that do not know
-// that they have been replaced, messages that are late or arrive twice, and the majority that a leader
-// asks before it answers.
+// Package leaders models leadership for the model checks: terms, leaders that have been replaced
+// without having learned of it, messages that are delayed or duplicated, and the read-index round by
+// which a leader confirms its term with a majority before it sends an answer.
 package leaders
 
 import (
@@ -11,45 +11,46 @@
 	"spindlehitch/internal/controlplane/readindex"
 )
 
-// Message is a request to a leader, or an answer.
+// Message is a request to a leader, or its response.
 type Message interface {
 	IsRequest() bool
-	Print([]byte) []byte // equal letters print alike
+	Print([]byte) []byte // appends the message as text; equal messages give equal texts
 }
 
-// Leader is one leader with its state.
+// Leader is an agent that believes to be the leader, with its state. B is the state machine that it
+// runs, L the type of the messages.
 type Leader[B any, L Message] struct {
 	State         B
 	Confirmations readindex.Queue[L]
 	Term          uint64
-	Rate          float64 // of its clock
-	round         uint64  // in progress; 0: none
-	answeredTerm  uint64  // term that the majority answered; 0: no answer yet
+	Rate          float64 // of its clock against true time
+	round         uint64  // number of the confirmation round in progress; 0: none
+	answeredTerm  uint64  // term that the majority answered in this round; 0: no answer yet
 }
 
-// Round is the round in progress; 0: none.
+// Round returns the number of the confirmation round in progress; 0: none.
 func (l *Leader[B, L]) Round() uint64 { return l.round }
 
-// Put keeps an answer until a majority has confirmed.
+// AwaitConfirmation queues a response until a majority has confirmed the leader's term.
 func (l *Leader[B, L]) AwaitConfirmation(m L) { l.Confirmations.Add(l.Term, m) }
 
-// Group is the leaders, the last of whom is the current one, and the messages in transit.
+// Group is the newest two leaders, of which the last is the current one, and the messages in transit.
 type Group[B fmt.Stringer, L Message] struct {
 	Leaders   []*Leader[B, L]
 	Term      uint64
 	InTransit []L
 }
 
-// Scaled is a true time as a clock of that rate shows it.
+// LocalTime converts a true time to the time that a clock of that rate shows.
 func LocalTime(t time.Duration, rate float64) time.Duration { return time.Duration(float64(t) * rate) }
 
-// Leader is the one that leads.
+// Leader returns the current leader.
 func (g *Group[B, L]) Leader() *Leader[B, L] { return g.Leaders[len(g.Leaders)-1] }
 
-// NextRate is the rate of the next leader's clock.
+// NextRate returns the rate of the next leader's clock.
 func (g *Group[B, L]) NextRate(rates []float64) float64 { return rates[int(g.Term)%len(rates)] }
 
-// Elect makes another agent the leader; the previous one does not know.
+// Elect makes another agent the leader. The previous leader is not notified and goes on as before.
 func (g *Group[B, L]) Elect(rate float64, book B) {
 	g.Term++
 	g.Leaders = append(g.Leaders, &Leader[B, L]{State: book, Term: g.Term, Rate: rate})
@@ -58,8 +59,8 @@
 	}
 }
 
-// Deliveries returns the numbers that Receive accepts: a message, and for a request the leader that
-// gets it.
+// Deliveries returns the numbers that Receive accepts: four times the message's index, plus the index
+// of the leader that receives it if it is a request.
 func (g *Group[B, L]) Deliveries() (on []int) {
 	for i, m := range g.InTransit {
 		for j := range g.Leaders {
@@ -74,8 +75,8 @@
 	return on
 }
 
-// Receive returns the message of that number, which stays in transit if it is to arrive again; to is
-// nil for an answer.
+// Receive returns the message of that number, and the leader that receives it (nil for a response).
+// The message is removed from those in transit unless it is to be delivered again.
 func (g *Group[B, L]) Receive(on int, again bool) (m L, to *Leader[B, L]) {
 	m = g.InTransit[on/4]
 	if !again {
@@ -87,18 +88,18 @@
 	return m, to
 }
 
-// Question is a step of a round of questions to the majority.
+// RoundStep is a step of a confirmation round, in which a leader asks the majority for their terms.
 type RoundStep int
 
 // The steps.
 const (
-	StartRound      RoundStep = iota
-	MajorityAnswers           // the majority answers
-	FinishRound               // the answers arrive
-	RoundAtOnce               // all of it at once
+	StartRound      RoundStep = iota // the leader sends the question
+	MajorityAnswers                  // the majority answers with its term
+	FinishRound                      // the answers arrive at the leader
+	RoundAtOnce                      // the three steps with nothing in between
 )
 
-// PossibleSteps returns the leaders that can take a step.
+// PossibleSteps returns the indices of the leaders that can take the step.
 func (g *Group[B, L]) PossibleSteps(q RoundStep) (on []int) {
 	for j, l := range g.Leaders {
 		asks := l.round == 0 && len(l.Confirmations.Waiting()) > 0
@@ -109,7 +110,7 @@
 	return on
 }
 
-// Step takes a step; answers that may be sent are in transit then.
+// Step takes a step of the leader's round. Responses that the round confirms are put in transit.
 func (g *Group[B, L]) Step(q RoundStep, on int) {
 	l := g.Leaders[on]
 	switch q {
@@ -128,7 +129,7 @@
 	}
 }
 
-// ConfirmNow runs a whole round, if none is in progress, and returns the answers that may be sent.
+// ConfirmNow runs a whole round, if one is due, and returns the responses that it confirms.
 func (g *Group[B, L]) ConfirmNow(l *Leader[B, L]) []L {
 	round, due := l.Confirmations.StartRound(l.Term)
 	if !due {
@@ -138,7 +139,7 @@
 	return g.finishRound(l)
 }
 
-// AbandonRound ends a round without sending answers.
+// AbandonRound ends the round in progress and drops the responses that it would have confirmed.
 func (g *Group[B, L]) AbandonRound(l *Leader[B, L]) {
 	if l.round != 0 {
 		l.answeredTerm = g.Term
@@ -146,7 +147,8 @@
 	}
 }
 
-// finishRound ends a round with what the majority of three agents answered.
+// finishRound ends the round and returns the responses that it confirms: none unless a majority of the
+// three agents answered with a term that agrees with the leader's.
 func (g *Group[B, L]) finishRound(l *Leader[B, L]) []L {
 	agreed := readindex.MajorityAgrees(l.Term, []uint64{l.answeredTerm}, 3)
 	done, _ := l.Confirmations.FinishRound(l.round)
@@ -157,7 +159,7 @@
 	return done
 }
 
-// Print writes the state as text.
+// Print appends the state as text.
 func (g *Group[B, L]) Print(b []byte) []byte {
 	for _, l := range g.Leaders {
 		b = fmt.Appendf(b, "%v %d %d %d", l.State, l.Term, l.round, l.answeredTerm)
--- a/internal/testbed/modelcheck/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -150,14 +150,14 @@
 	for i := 40; i < 60; i++ {
 		m.Kill(m.Nodes[i])
 	}
-	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
+	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.Number%2 != to.Number%2 }
 	m.Run(time.Minute)
 	for i := 40; i < 60; i++ {
 		m.Start(m.Nodes[i])
 	}
 	m.Run(time.Minute)
 	m.Cut = nil
-	if took, ok := m.Until(100*time.Millisecond, 20*set.ProbeInterval, m.Level); !ok {
+	if took, ok := m.Until(100*time.Millisecond, 20*set.ProbeInterval, m.Converged); !ok {
 		t.Fatal("broken: views do not meet within twenty periods")
 	} else {
 		t.Log("views meet after", took)
@@ -168,11 +168,11 @@
 func TestBuried(t *testing.T) {
 	set := membership.DefaultConfig
 	set.FleetID = key
-	m := mesh.New(mesh.Spec{Size: 20, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true, Seedless: true})
-	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
+	m := mesh.New(mesh.Spec{Size: 20, Seed: 4, Settings: set, Delay: time.Millisecond, Joined: true, NoSeeds: true})
+	m.Cut = func(from, to *mesh.Node, _ membership.Channel) bool { return from.Number%2 != to.Number%2 }
 	m.Run(time.Minute)
 	m.Cut = nil
-	if took, ok := m.Until(100*time.Millisecond, 60*set.ProbeInterval, m.Level); !ok {
+	if took, ok := m.Until(100*time.Millisecond, 60*set.ProbeInterval, m.Converged); !ok {
 		t.Fatal("broken: two halves that buried each other do not meet within sixty periods")
 	} else {
 		t.Log("views meet after", took)
--- a/internal/testbed/modelcheck/world.go
+++ b/internal/testbed/modelcheck/world.go
@@ -1,8 +1,8 @@
 // Package modelcheck runs the state machines of fleet-wide quotas against each other: the real
-// registry, allocators, read index queues and quota clients, with a network that delays, repeats,
-// loses and reorders messages, clocks at both ends of their bound, processes that are restarted, and
-// leaders that are replaced without knowing it. After each step it sums what all processes could use.
-// It does no I/O.
+// registry, allocators, read-index queues and quota clients, with a network that delays, duplicates,
+// loses and reorders messages, clocks at both ends of their drift bound, processes that restart, and
+// leaders that are replaced without having learned of it. After each step it sums what all processes
+// may use and compares the sum with the limit. It does no I/O.
 package modelcheck
 
 import (
@@ -24,34 +24,34 @@
 // The kinds of steps.
 const (
 	Tick            Op = iota // time passes
-	Elect                     // another agent becomes leader; the previous one does not know
+	Elect                     // another agent becomes leader; the previous one isn't notified
 	Renew                     // a process starts a renewal and sends it
 	Deliver                   // a message arrives
-	DeliverAgain              // a message arrives, and will arrive again
+	DeliverAgain              // a message arrives, and a duplicate stays in transit
 	StartRound                // a leader asks the majority for their terms
 	MajorityAnswers           // the majority answers
 	FinishRound               // the answers arrive
-	RenewAtOnce               // a renewal and its answer, with nothing in between
-	RoundAtOnce               // a whole round, with nothing in between
-	Use                       // a process uses all that it may
-	Shrink                    // the limit is made smaller
-	Reshape                   // the rate is made larger and the burst smaller
+	RenewAtOnce               // a renewal and its response, with nothing in between
+	RoundAtOnce               // a whole confirmation round, with nothing in between
+	Use                       // a process uses all that its allocation permits
+	Shrink                    // the limit is lowered
+	Reshape                   // the rate is raised and the burst lowered
 	Join                      // a process without a session joins
-	JoinAnswerLost            // the same, and the answer is lost
+	JoinAnswerLost            // the same, and the response is lost
 	Leave                     // a process leaves in order
 	ExpireSessions            // the leader removes expired sessions
-	Restart                   // a process dies and starts again
-	// the same, and its connections stay open at the target as long as they may
+	Restart                   // a process crashes and starts again
+	// a process crashes and starts again; its connections stay open at the target for the linger time
 	CrashWithConnections
 	ops
 )
 
 func (o Op) String() string {
-	return [...]string{"tick", "elect", "renew", "deliver", "repeat", "ask", "told", "heard", "exchange", "finish", "use", "shrink", "reshape", "join",
-		"unheard", "quit", "sweep", "reboot", "vanish"}[o]
+	return [...]string{"tick", "elect", "renew", "deliver", "deliver again", "start round", "majority answers", "finish round", "renew at once", "round at once", "use", "shrink", "reshape", "join",
+		"join, answer lost", "leave", "expire sessions", "restart", "crash with connections"}[o]
 }
 
-// Step is an op on the process, message or leader of that number.
+// Step is an Op on the process, delivery or leader of that number.
 type Step struct {
 	Op Op
 	On int
@@ -59,24 +59,24 @@
 
 func (s Step) String() string { return fmt.Sprintf("%v %d", s.Op, s.On) }
 
-// Setup is a small case.
+// Setup is a case to search: the size of the model and the steps that are possible.
 type Setup struct {
 	Name             string
 	Processes        int
 	MaxSessions      int
 	Rates            []float64 // of the processes' clocks against true time
 	LeaderRates      []float64 // of the agents' clocks, in the order in which they lead
-	Elections        int       // at most
-	MaxInTransit     int       // messages
-	ConcurrencyLimit bool      // connections at a target, instead of a rate
-	Ops              []Op      // beside Tick
+	Elections        int       // at most so many
+	MaxInTransit     int       // messages; Renew is not possible beyond it
+	ConcurrencyLimit bool      // the budget limits connections at a target instead of a rate
+	Ops              []Op      // in addition to Tick
 	TickMs           int
-	Registered       int // processes that have a session at the beginning
-	Before           []Step
-	NewTerm          bool // the first leader has just begun; else its recovery wait is over
+	Registered       int    // processes that have a session in the initial state
+	Before           []Step // taken to reach the initial state
+	NewTerm          bool   // the first leader's term begins in the initial state; otherwise its recovery wait is over
 }
 
-// Bounds of the small cases: parts of a second and clocks a tenth off, so that what is wrong shows within few steps.
+// Settings of the cases. Allocations of a second and clocks that are off by a tenth make a fault show within few steps.
 const (
 	allocationTTLMs   = 1000
 	sessionTTLS       = 2
@@ -84,44 +84,46 @@
 	floorRate         = 1
 	linger            = 200 * time.Millisecond
 	target            = "t"
-	initialCapacity   = 12 // at the beginning, with a depth of
+	initialCapacity   = 12 // in the initial state, with a burst of initialBurst
 	initialBurst      = 6
 	reducedCapacity   = 8
 	increasedCapacity = 16
 )
 
-// Depths after a change.
+// Bursts after Shrink and after Reshape.
 const (
 	reducedBurst   = 4.0
 	increasedBurst = 4.5
 )
 
+// process is one instance with its quota client.
 type process struct {
 	client *quotaclient.Client
-	rate   float64
-	id     string
-	starts int
+	rate   float64 // of its clock against true time
+	id     string  // of its member in the registry
+	starts int     // counts its identities
 }
 
 type leader = leaders.Leader[*allocator.Allocator, message]
 
-// deadConnections is connections of a dead process that are open at the target still.
+// deadConnections are connections of a crashed process that are still open at the target.
 type deadConnections struct {
 	n     int
 	until time.Duration // true time
 }
 
+// message is a renewal request on its way to a leader, or the response to one.
 type message struct {
-	to       int // a process, for an answer
+	to       int // the process that sent the request
 	request  *quota.RenewalRequest
 	response *quota.RenewalResponse
-	round    uint64 // the question that was out when it was decided
+	round    uint64 // the leader's confirmation round in progress when it decided; 0: none
 }
 
-// IsRequest implements leaders.Letter.
+// IsRequest implements leaders.Message.
 func (m message) IsRequest() bool { return m.request != nil }
 
-// Print implements leaders.Letter.
+// Print implements leaders.Message.
 func (m message) Print(b []byte) []byte {
 	if m.request != nil {
 		return fmt.Appendf(b, "%d>%+v\n", m.to, *m.request)
@@ -129,10 +131,10 @@
 	return fmt.Appendf(b, "%d %d<%s %d %+v\n", m.round, m.to, m.response.ID, m.response.Seq, m.response.Allocations)
 }
 
-// roundSteps are the steps of a leader's question.
+// roundSteps maps the Ops of a leader's confirmation round to its steps.
 var roundSteps = map[Op]leaders.RoundStep{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
 
-// World is one state of a small case.
+// World is one state of a case. It implements explore.World.
 type World struct {
 	setup     Setup
 	now       time.Duration
@@ -140,19 +142,19 @@
 	index     uint64
 	processes []process
 	leaders.Group[*allocator.Allocator, message]
-	bucketLevel     float64           // of a bucket that takes all uses, filled at the whole's rate
-	deadConnections []deadConnections // of processes that died
-	previousConfig  quota.Config      // the set of budgets before the one that holds
-	previousUntil   time.Duration     // until then that one may be met
+	bucketLevel     float64           // units of all uses in a bucket that drains at the budget's rate
+	deadConnections []deadConnections // of crashed processes
+	previousConfig  quota.Config      // the configuration before the current one
+	previousUntil   time.Duration     // true time until which allocations by previousConfig may last
 }
 
 var fleetKey = quota.Key{Budget: "b"}
 
-func quotaConfig(s Setup, whole, depth float64) quota.Config {
-	b := quota.Budget{Name: "b", Resource: quota.AllWork, Scope: quota.PerFleet, Kind: "rate", Capacity: whole, Burst: whole*quota.MaxTransit.Seconds() + depth,
+func quotaConfig(s Setup, capacity, burst float64) quota.Config {
+	b := quota.Budget{Name: "b", Resource: quota.AllWork, Scope: quota.PerFleet, Kind: "rate", Capacity: capacity, Burst: capacity*quota.MaxTransit.Seconds() + burst,
 		FloorRate: floorRate, FloorBurst: 1}
 	if s.ConcurrencyLimit {
-		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: whole, FloorRate: floorRate,
+		b = quota.Budget{Name: "b", Resource: quota.Connections, Scope: quota.PerTarget, Kind: "stock", Capacity: capacity, FloorRate: floorRate,
 			LingerMs: linger.Milliseconds()}
 	}
 	return quota.Config{MaxSessions: s.MaxSessions, RenewIntervalMs: 100, AllocationTTLMs: allocationTTLMs, SessionTTLS: sessionTTLS, ClockPPM: ppm, Budgets: []quota.Budget{b}}
@@ -206,7 +208,7 @@
 
 func (w *World) join(i int, answerArrives bool) bool {
 	p := &w.processes[i]
-	if p.client.MemberID() == p.id { // it had a seat by this id, which has ended
+	if p.client.MemberID() == p.id { // its session of this id has ended
 		p.starts++
 		p.id = fmt.Sprintf("p%d.%d", i, p.starts)
 	}
@@ -218,13 +220,13 @@
 	return err == nil
 }
 
-// updateLeader has the leader hear of the log. One that no longer leads hears nothing.
+// updateLeader passes the registry's state to the current leader. A replaced leader gets no updates.
 func (w *World) updateLeader() {
 	l := w.Leader()
 	l.State.Update(localTime(w.now, l.Rate), w.registry.QuotaConfig, w.registry.Members)
 }
 
-// Steps are all that can happen next, in a fixed order.
+// Steps returns the steps that are possible next, in a fixed order.
 func (w *World) Steps() []Step {
 	steps := []Step{{Tick, 0}}
 	for _, op := range w.setup.Ops {
@@ -260,7 +262,7 @@
 	return steps
 }
 
-// Do takes a step and checks the promise. The step must be one of Steps.
+// Do takes a step and checks the invariants. The step must be one of Steps.
 func (w *World) Do(s Step) error {
 	switch s.Op {
 	case Tick:
@@ -295,7 +297,7 @@
 		if err := w.registry.SetQuotaConfig(w.index, next); err != nil {
 			return err
 		}
-		// In force once all that was given before has ended, by the slowest clocks.
+		// The previous limit may be used until all allocations made under it have ended, by the slowest clocks.
 		w.previousUntil = w.now + 2*allocationTTLMs*time.Millisecond + 2*linger
 		w.updateLeader()
 	case Join, JoinAnswerLost:
@@ -320,7 +322,7 @@
 		w.registry.Leave(l.State.Expire(localTime(w.now, l.Rate))...)
 		w.updateLeader()
 	case CrashWithConnections:
-		// linger_ms is from the end of the part on, which a death does not put off.
+		// linger_ms counts from the end of the allocation, which a crash doesn't defer.
 		p, since := &w.processes[s.On], time.Duration(0)
 		if ended := p.client.AllocationsEnd(); ended <= w.clock(s.On) {
 			since = localTime(w.clock(s.On)-ended, 1/p.rate)
@@ -328,11 +330,12 @@
 		w.deadConnections = append(w.deadConnections, deadConnections{p.client.OpenConnections(), w.now - since + linger})
 		w.start(s.On)
 	case Restart:
-		w.start(s.On) // the kernel closes its connections; its seat lasts
+		w.start(s.On) // the kernel closes its connections; its session lasts
 	}
 	return w.check()
 }
 
+// advance lets time pass. Processes close connections in excess of their limit half the linger time after it ended.
 func (w *World) advance() {
 	w.now += time.Duration(w.setup.TickMs) * time.Millisecond
 	w.bucketLevel = max(0, w.bucketLevel-w.currentRate()*float64(w.setup.TickMs)/1000)
@@ -342,14 +345,14 @@
 	for i := range w.processes {
 		p := &w.processes[i]
 		n := p.client.ExcessConnections(w.clock(i), target)
-		ended := time.Duration(0) // by its clock, when what it had last ended
+		ended := time.Duration(0) // by its clock: the latest end of its allocation or session that has passed
 		for _, at := range []time.Duration{p.client.AllocationsEnd(), p.client.SessionEnd()} {
 			if at <= w.clock(i) {
 				ended = max(ended, at)
 			}
 		}
 		if w.now-localTime(ended, 1/p.rate) < linger/2 {
-			continue // an attempt goes on
+			continue // attempts in progress keep their connections
 		}
 		for range n {
 			p.client.CloseConnection(target)
@@ -357,7 +360,7 @@
 	}
 }
 
-// decide has a leader decide on a renewal; the answer waits for the majority.
+// decide has a leader process a renewal request. The response waits until a majority has confirmed the leader's term.
 func (w *World) decide(l *leader, m message) {
 	resp, err := l.State.Renew(localTime(w.now, l.Rate), *m.request)
 	if err == nil {
@@ -365,11 +368,11 @@
 	}
 }
 
-// renewAtOnce is a renewal at its best: nothing is late.
+// renewAtOnce does a whole renewal with the current leader, without any delay.
 func (w *World) renewAtOnce(i int) {
 	l := w.Leader()
 	if l.Round() != 0 {
-		return // a question is out
+		return // a round is in progress
 	}
 	p := &w.processes[i]
 	req := p.client.BeginRenewal(w.clock(i))
@@ -379,7 +382,7 @@
 	}
 }
 
-// use has a process use all that it may now.
+// use has a process use all that its allocation permits now, and checks the sum of all uses against rate and burst.
 func (w *World) use(i int) error {
 	p, now := &w.processes[i], w.clock(i)
 	if w.setup.ConcurrencyLimit {
@@ -388,7 +391,7 @@
 		return nil
 	}
 	var units float64
-	p.client.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // it is known from now on
+	p.client.Wait(now, quota.Reservation{Resource: quota.AllWork, Units: 1e-6}) // from now on the client has a bucket for this budget
 	for _, s := range p.client.Status(now) {
 		units = s.Tokens
 	}
@@ -402,12 +405,13 @@
 	w.bucketLevel += units
 	limit := w.maxBurst()
 	if w.bucketLevel > limit+1e-6 {
-		return fmt.Errorf("broken: a window sees %.4f units beyond the rate, of %.4f", w.bucketLevel, limit)
+		return fmt.Errorf("broken: the uses of a window exceed the rate by %.4f units, limit %.4f", w.bucketLevel, limit)
 	}
 	return nil
 }
 
-// currentLimit is what binds now; after a change also what did before, while what was given under it may last.
+// currentLimit returns the limit in force. After a change it is the larger of the new and the previous limit, for as long
+// as allocations under the previous one may last.
 func (w *World) currentLimit() quota.Amount {
 	t := w.registry.QuotaConfig.EffectiveLimit(&w.registry.QuotaConfig.Budgets[0])
 	if w.now < w.previousUntil {
@@ -417,7 +421,7 @@
 	return t
 }
 
-// currentRate is the rate that binds now, by true time.
+// currentRate returns the rate in force by true time, after a change the larger one as in currentLimit.
 func (w *World) currentRate() float64 {
 	capacity := w.registry.QuotaConfig.Budgets[0].Capacity
 	if w.now < w.previousUntil {
@@ -426,7 +430,8 @@
 	return capacity
 }
 
-// maxBurst is how far a window that ends now may be over the rate. It may reach back to before a change.
+// maxBurst returns by how many units the uses of a window that ends now may exceed the rate. The window may have begun
+// before a change.
 func (w *World) maxBurst() float64 {
 	b := w.currentLimit().Burst
 	if w.previousUntil != 0 {
@@ -435,7 +440,7 @@
 	return b
 }
 
-// check sums what all processes could use at this moment.
+// check compares what all processes together may use now with the limit, and the number of members with MaxSessions.
 func (w *World) check() error {
 	var sum quota.Amount
 	for i := range w.processes {
@@ -456,18 +461,19 @@
 	}
 	total := w.currentLimit()
 	if rate := w.currentRate(); sum.Rate > rate+1e-6 {
-		return fmt.Errorf("broken: parts sum to %.4f of %.4f", sum.Rate, rate)
+		return fmt.Errorf("broken: rates sum to %.4f, limit %.4f", sum.Rate, rate)
 	}
 	if sum.Burst > total.Burst+1e-6 {
-		return fmt.Errorf("broken: bursts sum to %.4f of %.4f", sum.Burst, total.Burst)
+		return fmt.Errorf("broken: bursts sum to %.4f, limit %.4f", sum.Burst, total.Burst)
 	}
 	if len(w.registry.Members) > w.registry.QuotaConfig.MaxSessions {
-		return fmt.Errorf("broken: %d members on %d seats", len(w.registry.Members), w.registry.QuotaConfig.MaxSessions)
+		return fmt.Errorf("broken: %d members, at most %d sessions", len(w.registry.Members), w.registry.QuotaConfig.MaxSessions)
 	}
 	return nil
 }
 
-// Settle ends all faults: whoever has no seat joins, everyone renews in time. It tells what part of the whole is held in the end.
+// Settle ends all faults: processes without a session join, and all renew in time. It returns the share of the limit that
+// is allocated in the end.
 func (w *World) Settle() (float64, error) {
 	w.InTransit = nil
 	l := w.Leader()
@@ -489,7 +495,7 @@
 			if err := w.Do(Step{op, i}); err != nil {
 				return 0, err
 			}
-			if w.setup.ConcurrencyLimit { // connections are asked for by need
+			if w.setup.ConcurrencyLimit { // a client requests connections only while it needs them
 				w.processes[i].client.OpenConnection(w.clock(i), target)
 			}
 		}
@@ -503,7 +509,7 @@
 	return (sum + free) / c.EffectiveLimit(&c.Budgets[0]).Rate, nil
 }
 
-// Print is the state as text: equal states print alike.
+// Print implements explore.World.
 func (w *World) Print() string {
 	b := fmt.Appendf(nil, "%d %d %.6f %v %v %v\n", w.now, w.Term, w.bucketLevel, w.previousUntil, w.registry, w.deadConnections)
 	for _, p := range w.processes {
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -36,13 +36,13 @@
 			held := max(0, heap()-before)
 			each := float64(size) * lasts(size).Seconds()
 			bytes, sent := 0, 0
-			m.Bytes = encoded // counted apart, so that its cost is not the member's
+			m.MessageSize = encoded // counted apart, so that its cost is not the member's
 			for _, n := range m.Nodes {
 				n.Sent = 0
 			}
 			m.Run(5 * time.Second)
 			for _, n := range m.Nodes {
-				bytes += int(n.SentB)
+				bytes += int(n.SentBytes)
 				sent += n.Sent
 			}
 			runtime.KeepAlive(m)
