--- a/internal/testbed/modelcheck/feed/feed_test.go
+++ b/internal/testbed/modelcheck/feed/feed_test.go
@@ -16,7 +16,7 @@
 	"spindlehitch/internal/testbed/seeded"
 )
 
-// TestMain lets other packages' tests go first, as the other searches do.
+// TestMain lowers the priority of the searches, which use all cores: tests of other packages wait for processes with deadlines.
 func TestMain(m *testing.M) {
 	if err := unix.Setpriority(unix.PRIO_PROCESS, 0, 10); err != nil {
 		panic(err)
@@ -24,9 +24,11 @@
 	seeded.Main(m)
 }
 
+// lastValue is the last value that putUnique wrote.
 var lastValue int
 
-// set is a put whose value is no other's.
+// putUnique returns a put with a unique value, so that a value identifies the change that wrote it. If there are further
+// arguments, the value contains "bad", which readers reject.
 func putUnique(kind watchstream.Kind, key string, more ...string) watchstream.Put {
 	lastValue++
 	bad := ""
@@ -61,7 +63,8 @@
 	return list
 }
 
-// ample is a source that nothing waits for; scant gives one record at a time or so.
+// Options of sources: unlimited never delays anything, slowReaders sends a reader about one record at a time, and slowAll
+// does so with relays too and admits one reader a second.
 var (
 	unlimited   = watchstream.SourceOptions{ReaderRate: 1e6, ReaderBurst: 1e6, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
 	slowReaders = watchstream.SourceOptions{ReaderRate: 100, ReaderBurst: 100, RelayRate: 1e6, RelayBurst: 1e6, AdmitRate: 100, AdmitBurst: 100}
@@ -74,7 +77,7 @@
 	depth int
 }
 
-// cases are the small cases that are searched, and how deep.
+// cases returns the cases to search, each with its depth.
 func cases() (list []smallCase) {
 	lastValue = 0
 	mixed := [][]watchstream.Put{{putTarget("a"), putTarget("b")}, {putUnique(watchstream.Config, "shared"), putUnique(watchstream.Config, "region/r")}, {deleteTarget("a")}, {putTarget("a"), putTarget("c")},
@@ -106,30 +109,31 @@
 	add("a relay and two readers", 6, oneRelay, Put, PollAtOnce)
 	add("messages", 6, with(oneRelay, []int{1}, unlimited, steps(puts(2), pollThree)...), Put, SendRequest, Deliver, DeliverAgain, Lose, Apply, PollAtOnce)
 	add("a relay's messages", 6, with(oneRelay, []int{0}, unlimited, Step{Put, 0}), Put, SendRequest, Deliver, DeliverAgain, Lose)
-	add("in parts", 7, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce)
-	add("all in parts", 7, with(twoRelays, []int{0, 1, 2}, slowAll, puts(3)...), Put, PollAtOnce)
+	add("partial deltas", 7, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce)
+	add("partial deltas, relays too", 7, with(twoRelays, []int{0, 1, 2}, slowAll, puts(3)...), Put, PollAtOnce)
 	add("by digests", 7, with(oneRelay, []int{0, 1}, slowReaders, puts(6)...), Put, PollAtOnce)
 	add("by digests, messages", 7, with(oneRelay, []int{1}, slowReaders, steps(puts(3), pollThree, puts(3), Step{PollAtOnce, 0})...), SendRequest, Deliver, DeliverAgain, Lose, Put, PollAtOnce)
-	add("moves", 6, with(twoRelays, []int{0, 1, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SwitchRelay)
-	add("moves by digests", 6, with(twoRelays, []int{1, 2}, slowReaders, steps(puts(3), pollFour, puts(3), Step{PollAtOnce, 0})...), Put, PollAtOnce, SwitchRelay)
-	add("copies", 6, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SaveSnapshot, Restart, SwitchRelay)
-	add("copies by digests", 7, with(twoRelays, []int{0, 2}, slowReaders, steps(puts(3), pollFour, Step{SaveSnapshot, 0}, Step{SaveSnapshot, 2})...), Put, PollAtOnce, Restart, SwitchRelay)
-	add("a lone reader", 7, with(noRelay, nil, slowReaders), Put, SendRequest, Deliver, Apply, PollAtOnce)
-	add("what can't be served", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, unlimited, steps(puts(1), Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	add("relay switches", 6, with(twoRelays, []int{0, 1, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SwitchRelay)
+	add("relay switches by digests", 6, with(twoRelays, []int{1, 2}, slowReaders, steps(puts(3), pollFour, puts(3), Step{PollAtOnce, 0})...), Put, PollAtOnce, SwitchRelay)
+	add("snapshots", 6, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, SaveSnapshot, Restart, SwitchRelay)
+	add("snapshots by digests", 7, with(twoRelays, []int{0, 2}, slowReaders, steps(puts(3), pollFour, Step{SaveSnapshot, 0}, Step{SaveSnapshot, 2})...), Put, PollAtOnce, Restart, SwitchRelay)
+	add("a reader without a relay", 7, with(noRelay, nil, slowReaders), Put, SendRequest, Deliver, Apply, PollAtOnce)
+	add("rejected configurations", 7, with(Setup{Relays: 1, Readers: 1, Changes: bad}, []int{0, 1}, unlimited, steps(puts(1), Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		Put, PollAtOnce, Apply, SaveSnapshot, Restart)
-	add("a log that begins anew", 7, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, EmptyLog, ReplaceHistory, SwitchRelay)
-	add("a log that begins anew, in parts", 7, with(twoRelays, []int{0, 2}, slowAll, steps(puts(1), pollFour, Step{Tick, 0}, pollFour, Step{EmptyLog, 0}, puts(4))...), Put, PollAtOnce, ReplaceHistory, SwitchRelay, Apply)
-	add("what nobody may take", 4, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce, SendInvalid, EmptyLog)
+	add("an empty log", 7, with(twoRelays, []int{0, 2}, unlimited, steps(puts(2), pollFour)...), Put, PollAtOnce, EmptyLog, ReplaceHistory, SwitchRelay)
+	add("an empty log, partial deltas", 7, with(twoRelays, []int{0, 2}, slowAll, steps(puts(1), pollFour, Step{Tick, 0}, pollFour, Step{EmptyLog, 0}, puts(4))...), Put, PollAtOnce, ReplaceHistory, SwitchRelay, Apply)
+	add("invalid deltas", 4, with(oneRelay, []int{0, 1}, slowReaders, steps(puts(2), pollThree)...), Put, PollAtOnce, SendInvalid, EmptyLog)
 	add("reports", 6, with(twoRelays, []int{2}, unlimited, steps(puts(1), pollFour)...), Put, PollAtOnce, Report, SendReport, Deliver, DeliverAgain, SwitchRelay)
-	add("reports of those who move", 6, with(twoRelays, []int{2}, unlimited, steps(puts(1), pollFour, pollFour, Step{SendReport, 0}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	add("reports and relay switches", 6, with(twoRelays, []int{2}, unlimited, steps(puts(1), pollFour, pollFour, Step{SendReport, 0}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		PollAtOnce, Report, Deliver, SwitchRelay, NewLeader)
-	add("old hellos", 5, with(oneRelay, []int{1}, unlimited, steps(puts(1), pollThree, Step{PollAtOnce, 1}, Step{SendRequest, 1}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
+	add("old requests", 5, with(oneRelay, []int{1}, unlimited, steps(puts(1), pollThree, Step{PollAtOnce, 1}, Step{SendRequest, 1}, Step{Put, 0}, Step{PollAtOnce, 0}, Step{PollAtOnce, 1})...),
 		PollAtOnce, Report, Deliver, DeliverAgain, SwitchRelay)
 	add("reports and restarts", 6, with(twoRelays, []int{0, 2}, unlimited, steps(puts(1), pollFour, Step{Report, 0})...), Put, PollAtOnce, SendReport, Report, Deliver, Restart, NewLeader)
 	return list
 }
 
-// TestLong takes long random walks with all that can happen, and has everybody come level at their end.
+// TestLong takes random walks of 60 steps with random settings and a random subset of the Ops, then ends all faults and
+// checks that all followers converge.
 func TestLong(t *testing.T) {
 	checks := "3000"
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
@@ -167,15 +171,15 @@
 	})
 }
 
-// searched is how many states TestSearch went through.
+// statesSearched is the number of states that TestSearch visited; TestPlanted prints it.
 var statesSearched int
 
-// TestSearch goes through the states of the small cases; from one in sixteen it ends all faults, and has everybody come level.
+// TestSearch visits the states of the cases; from one in sixteen it ends all faults and checks that all followers converge.
 func TestSearch(t *testing.T) {
 	statesSearched = 0
 	depth, maxStates := 0, 60_000
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
-		depth, maxStates = -1, 2500 // a short one beside all other tests
+		depth, maxStates = -1, 2500 // a shorter search for ordinary test runs
 	}
 	for _, c := range cases() {
 		t.Run(c.Name, func(t *testing.T) {
@@ -185,7 +189,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Logf("%d states to a depth of %d, whole %v, %v", n, c.depth+depth, full, time.Since(began).Round(time.Millisecond))
+			t.Logf("%d states to a depth of %d, complete %v, %v", n, c.depth+depth, full, time.Since(began).Round(time.Millisecond))
 		})
 	}
 }
--- a/internal/testbed/modelcheck/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -9,7 +9,8 @@
 	"spindlehitch/internal/controlplane/watchstream"
 )
 
-// TestMarks has what is of an earlier history never count as in force in a later one.
+// TestAppliedAcrossHistories checks that changes of an earlier history, marked as applied late, never count as applied in a
+// later one.
 func TestAppliedAcrossHistories(t *testing.T) {
 	w, err := New(Setup{Relays: 0, Readers: 1, Source: unlimited, Limits: smallLimits, Changes: [][]watchstream.Put{{putTarget("a")}, {putTarget("b")}, {putTarget("c")}}})
 	if err != nil {
@@ -21,7 +22,7 @@
 		}
 	}
 	f := w.followers[0]
-	late := f.replica.Consistent() // an edge that is slow to apply says it later
+	late := f.replica.Consistent() // a reader that is slow to apply marks it later
 	for _, s := range []Step{{EmptyLog, 0}, {Put, 0}, {ReplaceHistory, 0}} {
 		if err := w.Do(s); err != nil {
 			t.Fatal(err)
@@ -40,11 +41,11 @@
 	}
 	f.replica.MarkApplied(late)
 	if f.replica.Applied() != late && f.replica.Applied() != (watchstream.Watermark{}) {
-		t.Fatalf("broken: %+v was applied before the history ended, and %+v counts as in force", late, f.replica.Applied())
+		t.Fatalf("broken: %+v of the previous history was marked as applied, and %+v counts as applied", late, f.replica.Applied())
 	}
 }
 
-// relays are three of each of three regions.
+// relays returns three relays in each of three regions.
 func relays() (list []watchstream.Relay) {
 	for i := range 9 {
 		list = append(list, watchstream.Relay{ID: fmt.Sprint("relay/", i), Region: fmt.Sprint("r", i/3), Addr: fmt.Sprint("127.0.0.1:", 7000+i)})
@@ -52,7 +53,7 @@
 	return list
 }
 
-// call drives a mover until it has called n times, and returns whom it called and when.
+// runCalls drives a selector for n calls, each of 100 ms, and returns the relays called, the times, and the time after the last.
 func runCalls(s *watchstream.RelaySelector, now time.Duration, n int, answer func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration)) (ids []string, at []time.Duration, end time.Duration) {
 	for range n {
 		r, due := s.NextCall(now)
@@ -70,7 +71,8 @@
 
 var errBroken = errors.New("broken")
 
-// TestMoves has readers find their relays: spread, their region's first, several others with one gone, not before they are told, and home again.
+// TestMoves checks how readers select relays: those of their region first, spread evenly; if one fails, its readers spread
+// over the others; a busy relay isn't called before its retry time; and a reader returns home once its home relay is back.
 func TestMoves(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	const n = 900
 	homeOf, fallbackOf := map[string]int{}, map[string]map[string]int{}
@@ -79,7 +81,7 @@
 		order := watchstream.RankRelays(relays(), "r1", reader)
 		for j, r := range order {
 			if (r.Region == "r1") != (j < 3) {
-				t.Fatalf("%v: %s goes to %v, and is of r1", errBroken, reader, order)
+				t.Fatalf("%v: %s of region r1 ranks the relays %v", errBroken, reader, order)
 			}
 		}
 		homeOf[order[0].ID]++
@@ -87,7 +89,7 @@
 			fallbackOf[order[0].ID] = map[string]int{}
 		}
 		fallbackOf[order[0].ID][order[1].ID]++
-		// With one gone, only its readers move.
+		// If a relay is removed, only its readers switch.
 		var left []watchstream.Relay
 		for _, r := range relays() {
 			if r.ID != order[2].ID {
@@ -95,7 +97,7 @@
 			}
 		}
 		if without := watchstream.RankRelays(left, "r1", reader); without[0] != order[0] || without[1] != order[1] {
-			t.Fatalf("%v: %s moves since %s is gone", errBroken, reader, order[2].ID)
+			t.Fatalf("%v: %s switches since %s is removed", errBroken, reader, order[2].ID)
 		}
 	}
 	for id, readers := range homeOf {
@@ -104,7 +106,7 @@
 		}
 		for other, m := range fallbackOf[id] {
 			if m < readers*3/10 || m > readers*7/10 {
-				t.Fatalf("%v: %s gets %d of the %d readers of %s", errBroken, other, m, readers, id)
+				t.Fatalf("%v: %s is the fallback of %d of the %d readers of %s", errBroken, other, m, readers, id)
 			}
 		}
 	}
@@ -113,7 +115,7 @@
 		order := watchstream.RankRelays(relays(), "r1", reader)
 		home := order[0].ID
 		m := watchstream.NewRelaySelector(relays(), "r1", reader, seed, watchstream.RelaySelectorOptions{})
-		// Home is gone: another answers, and home is tried within its time and not sooner.
+		// Home fails: another relay answers, and home is retried between HomeRetryMin and HomeRetryMax.
 		ids, at, now := runCalls(m, time.Hour, 400, func(_ time.Duration, id string) (watchstream.CallOutcome, time.Duration) {
 			if id == home {
 				return watchstream.CallFailed, 0
@@ -130,30 +132,30 @@
 				continue
 			}
 			if gap := at[i+1] - homeTriedAt; gap < watchstream.DefaultRelaySelectorOptions.HomeRetryMin || gap > watchstream.DefaultRelaySelectorOptions.HomeRetryMax+time.Second {
-				t.Fatalf("%v: %s tries home %v after it was tried", errBroken, reader, gap)
+				t.Fatalf("%v: %s retries home after %v", errBroken, reader, gap)
 			}
 			homeTriedAt = at[i+1]
 		}
 		if at[len(at)-1]-homeTriedAt > watchstream.DefaultRelaySelectorOptions.HomeRetryMax+time.Second {
-			t.Fatalf("%v: %s doesn't go home", errBroken, reader)
+			t.Fatalf("%v: %s stopped retrying home", errBroken, reader)
 		}
 		// Home is back.
 		ids, _, now = runCalls(m, now, 400, func(time.Duration, string) (watchstream.CallOutcome, time.Duration) {
 			return watchstream.CallAnswered, 0
 		})
 		if ids[len(ids)-1] != home {
-			t.Fatalf("%v: %s is at %s, and %s is back", errBroken, reader, ids[len(ids)-1], home)
+			t.Fatalf("%v: %s is at %s, but its home %s is back", errBroken, reader, ids[len(ids)-1], home)
 		}
-		// Everybody is busy: it is patient with each.
+		// All relays are busy: none is called again before its retry time.
 		retryAt := map[string]time.Duration{}
 		_, _, now = runCalls(m, now, 20, func(now time.Duration, id string) (watchstream.CallOutcome, time.Duration) {
 			if now < retryAt[id] {
-				t.Fatalf("%v: %s asks %s again %v before its time", errBroken, reader, id, retryAt[id]-now)
+				t.Fatalf("%v: %s calls %s again %v before its retry time", errBroken, reader, id, retryAt[id]-now)
 			}
 			retryAt[id] = now + 700*time.Millisecond
 			return watchstream.CallBusy, 700 * time.Millisecond
 		})
-		// Nobody answers: there are fewer and fewer calls.
+		// No relay answers: calls back off.
 		_, at, _ = runCalls(m, now, 30, func(time.Duration, string) (watchstream.CallOutcome, time.Duration) {
 			return watchstream.CallTimedOut, 0
 		})
@@ -165,11 +167,11 @@
 	}
 }
 
-// regionReaders is how many readers region plays.
+// regionReaders is the number of readers that runRegion simulates.
 const regionReaders = 300
 
-// region plays the readers of r1 for so long: each polls for a second at who it is told to call, and hears how old that relay's state is.
-// It returns how many stay at each relay by id, and how many calls each relay had from readers that were at another.
+// runRegion simulates the readers of r1 for that long: each polls the selected relay for a second, and learns how old that
+// relay's state is. It returns the number of readers at each relay at the end, and how often readers switched.
 func runRegion(lasts time.Duration, ages func(id string, at time.Duration) time.Duration, busy func(id string, at time.Duration) bool, onCall func(reader int, id string, at time.Duration)) (readersAt map[string]int, moves int) {
 	readersAt = map[string]int{}
 	for i := range regionReaders {
@@ -197,8 +199,9 @@
 	return readersAt, moves
 }
 
-// TestAgedRelay has relays that answer and are cut from the log: their readers go where newer is known, soon, spread, and not all at once to one; the
-// others stay. Where all are cut off, everybody stays where it is, and asks about seldom.
+// TestAgedRelay has relays that answer but are cut off from the log, so that their state ages. Their readers must switch to
+// fresher relays soon and spread over them, and all other readers must stay. If all relays are cut off, readers must stay
+// and search rarely.
 func TestAgedRelay(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	const n, cut = regionReaders, 10 * time.Second
 	home := map[int]string{}
@@ -217,8 +220,8 @@
 	isCutOff := func(id string) bool { return id == "relay/4" }
 	inOwnRegion := func(id string) bool { return id == "relay/3" || id == "relay/4" || id == "relay/5" }
 
-	// One is cut off.
-	firstOtherCall := map[int]time.Duration{} // the first call of another, by reader
+	// One relay is cut off.
+	firstOtherCall := map[int]time.Duration{} // time of the first call of another relay, by reader
 	_, moved := runRegion(cut+8*time.Second, aged(isCutOff, time.Hour), never, func(i int, id string, at time.Duration) {
 		if id != home[i] && firstOtherCall[i] == 0 {
 			firstOtherCall[i] = at
@@ -230,32 +233,33 @@
 		case id == "relay/4":
 			readers++
 			if firstOtherCall[i] == 0 || firstOtherCall[i] > cut+watchstream.DefaultRelaySelectorOptions.StaleAfter+1100*time.Millisecond {
-				t.Fatalf("%v: n%d is at a relay that is cut off, and asks another after %v", errBroken, i, firstOtherCall[i]-cut)
+				t.Fatalf("%v: n%d is at a relay that is cut off, and calls another after %v", errBroken, i, firstOtherCall[i]-cut)
 			}
 		case firstOtherCall[i] != 0:
-			t.Fatalf("%v: n%d is at a relay that is not cut off, and asks another", errBroken, i)
+			t.Fatalf("%v: n%d is at a relay that is not cut off, and calls another", errBroken, i)
 		}
 	}
 	if moved != readers {
-		t.Fatalf("%v: %d moves of %d readers", errBroken, moved, readers)
+		t.Fatalf("%v: %d switches of %d readers", errBroken, moved, readers)
 	}
-	// It is cut off for long: home is tried, and not gone back to; then it is back.
+	// It is cut off for long: its readers retry it, but don't return before it is fresh again.
 	readersAt, moves := runRegion(3*time.Minute, aged(isCutOff, time.Hour), never, func(int, string, time.Duration) {})
-	if readersAt["relay/4"] > n/10 || moves != readers { // some are just trying it
-		t.Fatalf("%v: %d are at a relay that is cut off, after %d moves of %d readers: %v", errBroken, readersAt["relay/4"], moves, readers, readersAt)
+	if readersAt["relay/4"] > n/10 || moves != readers { // some are retrying it at that moment
+		t.Fatalf("%v: %d are at a relay that is cut off, after %d switches of %d readers: %v", errBroken, readersAt["relay/4"], moves, readers, readersAt)
 	}
 	readersAt, _ = runRegion(3*time.Minute, aged(isCutOff, time.Minute), never, func(int, string, time.Duration) {})
 	if readersAt["relay/4"] != readers {
 		t.Fatalf("%v: %d of %d are back: %v", errBroken, readersAt["relay/4"], readers, readersAt)
 	}
-	// Its region is cut off, and others aren't: all go to others, spread.
+	// Its region is cut off and others are not: all readers switch to the other regions and spread.
 	readersAt, _ = runRegion(cut+15*time.Second, aged(inOwnRegion, time.Hour), never, func(int, string, time.Duration) {})
 	for i := range 9 {
 		if id := fmt.Sprint("relay/", i); inOwnRegion(id) && readersAt[id] > 0 || !inOwnRegion(id) && (readersAt[id] < n/6/2 || readersAt[id] > n/6*2) {
-			t.Fatalf("%v: a region is cut off, and its readers are at %v", errBroken, readersAt)
+			t.Fatalf("%v: a region is cut off, and its readers are spread as %v", errBroken, readersAt)
 		}
 	}
-	// All are: nobody moves, and each asks four others in HomeLeast at most; one other region's relays know a part of them, not all.
+	// All relays are cut off: no reader switches, each searches at most once in HomeRetryMin with at most three calls, and a
+	// relay of another region is called by some of the readers, not all.
 	searches, callersOf := map[int]int{}, map[string]map[int]bool{}
 	const long = 5 * time.Minute
 	_, moves = runRegion(long, aged(func(string) bool { return true }, time.Hour), never, func(i int, id string, _ time.Duration) {
@@ -269,19 +273,19 @@
 		callersOf[id][i] = true
 	})
 	if moves != 0 {
-		t.Fatalf("%v: all are as old, and there are %d moves", errBroken, moves)
+		t.Fatalf("%v: all relays are equally old, and there are %d switches", errBroken, moves)
 	}
 	for i, times := range searches {
 		if most := 3 * (1 + int(long/watchstream.DefaultRelaySelectorOptions.HomeRetryMin)); times > most || times < 3 {
-			t.Fatalf("%v: n%d asks others %d times in %v", errBroken, i, times, long)
+			t.Fatalf("%v: n%d calls other relays %d times in %v", errBroken, i, times, long)
 		}
 	}
 	for id, readers := range callersOf {
 		if !inOwnRegion(id) && len(readers) > n/6*2 {
-			t.Fatalf("%v: %s is asked by %d of %d readers of another region", errBroken, id, len(readers), n)
+			t.Fatalf("%v: %s is called by %d of %d readers of another region", errBroken, id, len(readers), n)
 		}
 	}
-	// All others are busy: whoever is passed by goes on where it is, and is not kept from it.
+	// All other relays are busy: a search skips them, and doesn't keep the reader from polling its own relay.
 	calls := map[int]int{}
 	_, _ = runRegion(cut+20*time.Second, aged(isCutOff, time.Hour), func(id string, _ time.Duration) bool { return id != "relay/4" }, func(i int, id string, at time.Duration) {
 		if id == home[i] && at > cut+watchstream.DefaultRelaySelectorOptions.StaleAfter {
--- a/internal/testbed/modelcheck/leases/leases_test.go
+++ b/internal/testbed/modelcheck/leases/leases_test.go
@@ -15,7 +15,7 @@
 	"spindlehitch/internal/testbed/seeded"
 )
 
-// TestMain lets other packages' tests go first.
+// TestMain lowers the priority of the searches, which use all cores: tests of other packages wait for processes with deadlines.
 func TestMain(m *testing.M) {
 	if err := unix.Setpriority(unix.PRIO_PROCESS, 0, 10); err != nil {
 		panic(err)
@@ -35,7 +35,7 @@
 	depth int
 }
 
-// cases are the small cases that are searched whole, and how deep.
+// cases returns the cases that TestSearch visits completely, each with its depth and with three sets of clock rates.
 func cases() (list []smallCase) {
 	add := func(depth int, s Setup, ops ...Op) {
 		for i, c := range clocks {
@@ -60,36 +60,36 @@
 	withElections, three := two, two
 	withElections.Elections = 2
 	three.Processes, three.Shards = 3, 2
-	// A holder is at the end of its lease in most of them: what is wrong shows within few steps.
-	add(6, with(two, "an act paused at each step", 250, join(begun, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, ProposeAndUpdate, StartOperation, RenewAndOperate)
-	add(5, with(two, "an act not yet open", 250, join([]Step{{StartOperation, 0}}, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, RenewAndOperate, EndOperation)
-	add(5, with(two, "an act to the last moment", 70, ticks(7, Step{StartOperation, 0}, Step{BeginAtResource, 0}, Step{Tick, 0}, Step{Tick, 0})...), BeginAtResource, CheckLease, TouchUnguarded, RenewAndOperate, OperationAtOnce)
-	add(7, with(two, "an act that begins late", 70, ticks(9)...), StartOperation, CheckLease, TouchUnguarded, RenewAndOperate)
-	add(6, with(two, "an act under the token before", 250, join([]Step{{StartOperation, 0}}, ticks(4, Step{RenewAndOperate, 1}, Step{Release, 1}, Step{RenewAtOnce, 1}))...), BeginAtResource, CheckLease, TouchUnguarded, ChangeResource, ProposeAndUpdate, RenewAtOnce)
-	add(5, with(two, "an act from its start", 200), append([]Op{RenewAndOperate, OperationAtOnce}, operationOps...)...)
+	// In most cases a holder is near the end of its lease, so that a fault shows within few steps.
+	add(6, with(two, "an operation paused at each step", 250, join(begun, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, ProposeAndUpdate, StartOperation, RenewAndOperate)
+	add(5, with(two, "an operation not yet begun", 250, join([]Step{{StartOperation, 0}}, ticks(3))...), BeginAtResource, CheckLease, ChangeResource, TouchUnguarded, RenewAtOnce, RenewAndOperate, EndOperation)
+	add(5, with(two, "an operation to the last moment", 70, ticks(7, Step{StartOperation, 0}, Step{BeginAtResource, 0}, Step{Tick, 0}, Step{Tick, 0})...), BeginAtResource, CheckLease, TouchUnguarded, RenewAndOperate, OperationAtOnce)
+	add(7, with(two, "an operation that begins late", 70, ticks(9)...), StartOperation, CheckLease, TouchUnguarded, RenewAndOperate)
+	add(6, with(two, "an operation under the previous token", 250, join([]Step{{StartOperation, 0}}, ticks(4, Step{RenewAndOperate, 1}, Step{Release, 1}, Step{RenewAtOnce, 1}))...), BeginAtResource, CheckLease, TouchUnguarded, ChangeResource, ProposeAndUpdate, RenewAtOnce)
+	add(5, with(two, "an operation from its start", 200), append([]Op{RenewAndOperate, OperationAtOnce}, operationOps...)...)
 	add(4, with(three, "three and two shards", 400), RenewAndOperate, ProposeAndUpdate, OperationAtOnce, Release, Migrate, StartOperation, BeginAtResource, CheckLease, ChangeResource)
-	add(6, with(two, "letters", 350), Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAndOperate, OperationAtOnce)
-	add(5, with(two, "a late answer", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2))...), Renew, Deliver, DeliverAgain, RenewAndOperate, OperationAtOnce)
-	add(5, with(two, "a late answer after another claim", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, RenewAndOperate, OperationAtOnce, RenewAtOnce)
+	add(6, with(two, "messages", 350), Renew, Deliver, DeliverAgain, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	add(5, with(two, "a late response", 250, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2))...), Renew, Deliver, DeliverAgain, RenewAndOperate, OperationAtOnce)
+	add(5, with(two, "a late response after another renewal", 300, join([]Step{{Renew, 0}, {Deliver, 0}, {RoundAtOnce, 0}}, ticks(2, Step{Renew, 0}))...), Deliver, RenewAndOperate, OperationAtOnce, RenewAtOnce)
 	add(6, with(withElections, "leaders", 300), Elect, RenewAtOnce, ProposeAndUpdate, RenewAndOperate, OperationAtOnce)
-	add(6, with(withElections, "a leader in mid-act", 300, begun...), Elect, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, OperationAtOnce)
-	add(6, with(withElections, "an old leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAndOperate, OperationAtOnce)
-	add(6, with(withElections, "an old leader that had asked", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
+	add(6, with(withElections, "an election during an operation", 300, begun...), Elect, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, OperationAtOnce)
+	add(6, with(withElections, "a replaced leader", 250, join([]Step{{Elect, 0}}, ticks(3, Step{Renew, 0}))...), Deliver, StartRound, MajorityAnswers, FinishRound, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	add(6, with(withElections, "a replaced leader with a round in progress", 250, join([]Step{{Renew, 1}, {Deliver, 0}, {StartRound, 0}, {MajorityAnswers, 0}, {Elect, 0}}, ticks(3, Step{Renew, 0}))...),
 		Deliver, FinishRound, RenewAndOperate, OperationAtOnce)
-	add(6, with(two, "a log behind", 200, ticks(4, Step{RenewAtOnce, 1}, Step{Propose, 0})...), Propose, Commit, UpdateLeader, RenewAtOnce, OperationAtOnce)
-	add(6, with(two, "a log behind, asked twice", 350, ticks(3, Step{RenewAtOnce, 1}, Step{Propose, 0}, Step{Propose, 0}, Step{Commit, 0}, Step{UpdateLeader, 0}, Step{RenewAtOnce, 1})...),
+	add(6, with(two, "a delayed log", 200, ticks(4, Step{RenewAtOnce, 1}, Step{Propose, 0})...), Propose, Commit, UpdateLeader, RenewAtOnce, OperationAtOnce)
+	add(6, with(two, "a delayed log, proposed twice", 350, ticks(3, Step{RenewAtOnce, 1}, Step{Propose, 0}, Step{Propose, 0}, Step{Commit, 0}, Step{UpdateLeader, 0}, Step{RenewAtOnce, 1})...),
 		Propose, Commit, UpdateLeader, RenewAtOnce, RenewAndOperate, OperationAtOnce)
-	add(5, with(withElections, "given back", 250, Step{Release, 0}), RenewAtOnce, RenewAndOperate, OperationAtOnce, Elect, Migrate, StartOperation, ChangeResource, BeginAtResource, CheckLease)
-	add(6, with(two, "given back, a late letter", 350, Step{Release, 0}, Step{Renew, 0}, Step{DeliverAgain, 0}, Step{ProposeAndUpdate, 0}, Step{RenewAtOnce, 0}), Deliver, RoundAtOnce, ProposeAndUpdate, RenewAndOperate, OperationAtOnce)
-	add(6, with(withElections, "given back, late letters", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, DeliverAgain, RoundAtOnce, ProposeAndUpdate, OperationAtOnce, RenewAndOperate)
-	add(6, with(withElections, "moved in mid-act", 120, join(begun, []Step{{Migrate, 0}, {Migrate, 4}})...), RenewAtOnce, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, EndOperation, Elect)
-	add(6, with(withElections, "moved and cut off", 300, Step{Migrate, 0}, Step{Migrate, 4}, Step{RenewAtOnce, 0}), Renew, Deliver, RoundAtOnce, RenewAndOperate, OperationAtOnce)
+	add(5, with(withElections, "released", 250, Step{Release, 0}), RenewAtOnce, RenewAndOperate, OperationAtOnce, Elect, Migrate, StartOperation, ChangeResource, BeginAtResource, CheckLease)
+	add(6, with(two, "released, a late request", 350, Step{Release, 0}, Step{Renew, 0}, Step{DeliverAgain, 0}, Step{ProposeAndUpdate, 0}, Step{RenewAtOnce, 0}), Deliver, RoundAtOnce, ProposeAndUpdate, RenewAndOperate, OperationAtOnce)
+	add(6, with(withElections, "released, late requests", 250, Step{Renew, 0}, Step{Renew, 1}, Step{Release, 0}), Deliver, DeliverAgain, RoundAtOnce, ProposeAndUpdate, OperationAtOnce, RenewAndOperate)
+	add(6, with(withElections, "migrated during an operation", 120, join(begun, []Step{{Migrate, 0}, {Migrate, 4}})...), RenewAtOnce, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, EndOperation, Elect)
+	add(6, with(withElections, "migrated and unreachable", 300, Step{Migrate, 0}, Step{Migrate, 4}, Step{RenewAtOnce, 0}), Renew, Deliver, RoundAtOnce, RenewAndOperate, OperationAtOnce)
 	falseReports := withElections
 	falseReports.FalseDeathReports = true
-	add(6, with(falseReports, "all say that the others are dead", 250, begun...), RenewAtOnce, ProposeAndUpdate, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, Elect)
-	add(4, with(three, "three, and all say so", 400), RenewAndOperate, ProposeAndUpdate, OperationAtOnce, StartOperation, BeginAtResource, CheckLease, ChangeResource)
+	add(6, with(falseReports, "all report the others as dead", 250, begun...), RenewAtOnce, ProposeAndUpdate, RenewAndOperate, ChangeResource, TouchUnguarded, CheckLease, Elect)
+	add(4, with(three, "three, with false reports", 400), RenewAndOperate, ProposeAndUpdate, OperationAtOnce, StartOperation, BeginAtResource, CheckLease, ChangeResource)
 	list[len(list)-1].FalseDeathReports, list[len(list)-2].FalseDeathReports, list[len(list)-3].FalseDeathReports = true, true, true
-	add(5, with(withElections, "dies and leaves", 350), Restart, Leave, Release, RenewAndOperate, OperationAtOnce, Elect)
+	add(5, with(withElections, "crashes and leaves", 350), Restart, Leave, Release, RenewAndOperate, OperationAtOnce, Elect)
 	var hungHolder []Step
 	for range 6 {
 		hungHolder = append(hungHolder, Step{Tick, 0}, Step{RenewAtOnce, 0}, Step{RenewAtOnce, 1}, Step{ProposeAndUpdate, 0})
@@ -98,10 +98,10 @@
 	return list
 }
 
-// searched is how many states TestSearch went through.
+// statesSearched is the number of states that TestSearch visited; TestPlanted prints it.
 var statesSearched int
 
-// TestSearch goes through every state of the small cases.
+// TestSearch visits every state of the cases; from one in sixteen it ends all faults and checks that all shards are operated on.
 func TestSearch(t *testing.T) {
 	statesSearched = 0
 	for _, c := range cases() {
@@ -113,32 +113,33 @@
 				t.Fatal(err)
 			}
 			if !full {
-				t.Errorf("%s: not gone through whole", c.Name)
+				t.Errorf("%s: search stopped at the limit of states", c.Name)
 			}
 			t.Logf("%d states to a depth of %d, %v", n, c.depth, time.Since(began))
 		})
 	}
 }
 
-// bound is within which every shard is acted on once faults have ended: a lease with its pause by the slowest clock, the progress that a
-// hung one must be without, and some renewals.
+// settleBound is the time within which every shard is operated on once all faults have ended: a lease and the longest
+// pause by the slowest clock, the time after which a holder without progress loses its lease, and some renewals.
 const settleBound = 4 * time.Second
 
-// settles ends all faults, and holds the time that it takes until all is acted on against the bound.
+// checkSettles ends all faults, and checks that every shard is operated on within settleBound.
 func checkSettles(w *World) error {
 	took, err := w.Settle()
 	if err == nil && took > settleBound {
-		err = fmt.Errorf("broken: a shard was first acted on %v after all faults had ended", took)
+		err = fmt.Errorf("broken: a shard was first operated on %v after all faults had ended", took)
 	}
 	return err
 }
 
-// walk takes a long random walk with two or three processes and one or two shards, and then ends all faults.
+// randomWalk takes a random walk of 80 steps with two or three processes and one or two shards, then ends all faults. It
+// returns how long it takes until every shard is operated on.
 func randomWalk(t *rapid.T) time.Duration {
 	c := clocks[rapid.IntRange(0, len(clocks)-1).Draw(t, "clocks")]
 	s := Setup{Name: "long", Processes: rapid.IntRange(2, 3).Draw(t, "processes"), Shards: rapid.IntRange(1, 2).Draw(t, "shards"), Elections: 3, MaxInTransit: 3,
 		TickMs: rapid.SampledFrom([]int{50, 120, 250}).Draw(t, "tick"), Rates: c[0], LeaderRates: c[1], NoLeases: rapid.Bool().Draw(t, "fresh")}
-	// Of all that can happen a part, another each time: what takes several steps of one kind is met sooner.
+	// Each walk permits a random subset of the Ops: a fault that takes several steps of one kind is reached sooner.
 	for _, op := range allOps {
 		if rapid.Bool().Draw(t, "op") {
 			s.Ops = append(s.Ops, op)
@@ -159,7 +160,8 @@
 	return took
 }
 
-// TestLong takes random walks: the promises hold at each step, and once faults end every shard is acted on within a bound.
+// TestLong takes random walks and checks the invariants at each step, and that every shard is operated on within
+// settleBound once all faults have ended.
 func TestLong(t *testing.T) {
 	for name, value := range map[string]string{"rapid.checks": "4000", "rapid.shrinktime": "2s"} {
 		if err := flag.Set(name, value); err != nil {
@@ -171,13 +173,14 @@
 		took := randomWalk(t)
 		worst = max(worst, took)
 		if took > settleBound {
-			t.Fatalf("broken: a shard was first acted on %v after all faults had ended", took)
+			t.Fatalf("broken: a shard was first operated on %v after all faults had ended", took)
 		}
 	})
-	t.Logf("every shard was acted on within %v after all faults had ended", worst)
+	t.Logf("every shard was operated on within %v after all faults had ended", worst)
 }
 
-// TestHung has a process hold everything, renew and never act: it loses it, each time for longer, and another acts.
+// TestHungHolder has a process that holds leases and renews them, but never operates. It must lose them, each time for
+// longer, so that the other process operates on the shards.
 func TestHungHolder(t *testing.T) {
 	for i, c := range clocks {
 		w, err := New(Setup{Name: "hung", Processes: 2, Shards: 2, TickMs: 100, Rates: c[0], LeaderRates: c[1]})
@@ -197,19 +200,20 @@
 			}
 		}
 		gap = max(gap, w.now-last)
-		// The progress that is waited for, the lease's end, and what is spread evenly by then: the shard that stayed with it counts too.
+		// The bound covers the wait for progress, the end of the lease, and a rebalancing by which the shard that stayed with
+		// the hung process moves too.
 		if both := min(w.observed[0].changes, w.observed[1].changes); gap > 4*time.Second || both == 0 {
-			t.Fatalf("broken: clocks %d: a member that hangs kept a shard: %d and %d acts, none for %v", i, w.observed[0].changes, w.observed[1].changes, gap)
+			t.Fatalf("broken: clocks %d: a hung process kept a shard: %d and %d operations, none for %v", i, w.observed[0].changes, w.observed[1].changes, gap)
 		}
-		t.Logf("clocks %d: %d and %d acts beside a member that hangs, none for %v at most", i, w.observed[0].changes, w.observed[1].changes, gap)
+		t.Logf("clocks %d: %d and %d operations beside a hung process, none for %v at most", i, w.observed[0].changes, w.observed[1].changes, gap)
 	}
 }
 
-// TestPlanted puts each mistake into the code and has the searches look for it.
+// TestPlanted checks that the tests find each of the planted mistakes.
 func TestPlanted(t *testing.T) {
 	if os.Getenv("SPINDLEHITCH_PROOF") == "" {
 		t.Skip("make proof runs it")
 	}
-	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch|TestHung)$", mistakes)
+	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch|TestHungHolder)$", mistakes)
 	fmt.Printf("proof: leases: %d states searched, %d of %d planted mistakes found\n", statesSearched, found, len(mistakes))
 }
--- a/internal/testbed/modelcheck/leases/world.go
+++ b/internal/testbed/modelcheck/leases/world.go
@@ -1,8 +1,8 @@
 // Package leases runs the state machines of leases against each other: the real registry, lessors,
-// read index queues, lessees and fencing guards, with a network that delays, repeats, loses and
-// reorders messages, clocks at both ends of their bound, processes that pause between any two steps of
-// an operation, and leaders that are replaced without knowing it. A judge that knows nothing of them
-// looks at what the guarded resources accept. It does no I/O.
+// read-index queues, lessees and fencing guards, with a network that delays, duplicates, loses and
+// reorders messages, clocks at both ends of their drift bound, processes that pause between any two
+// steps of an operation, and leaders that are replaced without having learned of it. What the guarded
+// resources accept is checked against a record that is kept independently of them. It does no I/O.
 package leases
 
 import (
@@ -26,19 +26,19 @@
 // The kinds of steps.
 const (
 	Tick Op = iota // time passes
-	// another agent becomes leader, from a snapshot; the previous one does not know
+	// another agent becomes leader, from a snapshot; the previous one isn't notified
 	Elect
 	Renew            // a process starts a renewal and sends it
 	Deliver          // a message arrives
-	DeliverAgain     // a message arrives, and will arrive again
+	DeliverAgain     // a message arrives, and a duplicate stays in transit
 	StartRound       // a leader asks the majority for their terms
 	MajorityAnswers  // the majority answers
 	FinishRound      // the answers arrive
-	RoundAtOnce      // a whole round, with nothing in between
-	RenewAtOnce      // a renewal and its answer, with nothing in between
-	Propose          // a leader proposes events; they are on their way
+	RoundAtOnce      // a whole confirmation round, with nothing in between
+	RenewAtOnce      // a renewal and its response, with nothing in between
+	Propose          // a leader proposes the events that are pending
 	Commit           // the oldest proposal is committed
-	UpdateLeader     // the leader takes over the registry
+	UpdateLeader     // the current leader is updated from the registry
 	ProposeAndUpdate // all three
 	// a process renews, the leader proposes, the process renews again and operates
 	RenewAndOperate
@@ -46,22 +46,22 @@
 	BeginAtResource // the operation begins at the resource
 	CheckLease      // the process checks whether it may proceed
 	ChangeResource  // the resource is changed
-	TouchUnguarded  // something that cannot check tokens is changed
+	TouchUnguarded  // something that can't check fencing tokens is changed
 	EndOperation    // the operation ends
 	OperationAtOnce // an operation with nothing in between
 	Release         // a process releases its shards
 	Migrate         // an operator migrates a shard to a process
-	Restart         // a process dies and starts again
+	Restart         // a process crashes and starts again
 	Leave           // a process leaves in order
 	ops
 )
 
 func (o Op) String() string {
-	return [...]string{"tick", "elect", "renew", "deliver", "repeat", "ask", "told", "heard", "finish", "exchange", "propose", "commit", "learn", "sweep", "turn", "start",
-		"open", "check", "take", "touch", "end", "whole", "release", "move", "reboot", "quit"}[o]
+	return [...]string{"tick", "elect", "renew", "deliver", "deliver again", "start round", "majority answers", "finish round", "round at once", "renew at once", "propose", "commit", "update leader", "propose and update", "renew and operate", "start operation",
+		"begin at resource", "check lease", "change resource", "touch unguarded", "end operation", "operation at once", "release", "migrate", "restart", "leave"}[o]
 }
 
-// Step is an op on the process, message, leader or shard of that number.
+// Step is an Op on the process, delivery or leader of that number; for Migrate, four times the process plus the shard.
 type Step struct {
 	Op Op
 	On int
@@ -69,23 +69,23 @@
 
 func (s Step) String() string { return fmt.Sprintf("%v %d", s.Op, s.On) }
 
-// Setup is a small case.
+// Setup is a case to search: the size of the model and the steps that are possible.
 type Setup struct {
 	Name              string
 	Processes         int
 	Shards            int
 	Rates             []float64 // of the processes' clocks, against true time
 	LeaderRates       []float64 // of the agents' clocks, in the order in which they lead
-	Elections         int       // at most
-	MaxInTransit      int       // on their way at a time, at most
-	Ops               []Op      // beside Tick
+	Elections         int       // at most so many
+	MaxInTransit      int       // messages; Renew is not possible beyond it
+	Ops               []Op      // in addition to Tick
 	TickMs            int
 	Before            []Step
-	FalseDeathReports bool // every claim says that all others are dead
-	NoLeases          bool // nothing is held yet; else the shards are granted, and their holders know
+	FalseDeathReports bool // every renewal reports all other processes as dead
+	NoLeases          bool // no shard is leased in the initial state; otherwise all are, and their holders have been notified
 }
 
-// Times of the small cases: short, and clocks a tenth off, so that what is wrong shows within few steps.
+// Settings of the cases. Short times and clocks that are off by a tenth make a fault show within few steps.
 const (
 	ppm         = 100_000
 	renewMs     = 100
@@ -95,6 +95,7 @@
 	task        = "t"
 )
 
+// process is one instance with its lessee and the operation that it has in progress.
 type process struct {
 	lessee    *lessee.Lessee
 	rate      float64
@@ -102,14 +103,15 @@
 	starts    int
 	operation *lessee.Operation
 	begun     bool
-	checkedAt time.Duration // true time of the last look; 0: there was none since the last change
+	checkedAt time.Duration // true time of the last CheckLease; 0: none since the last change
 }
 
 type leader = leaders.Leader[*lessor.Lessor, message]
 
-// questions are the steps of a leader's question.
+// roundSteps maps the Ops of a leader's confirmation round to its steps.
 var roundSteps = map[Op]leaders.RoundStep{StartRound: leaders.StartRound, MajorityAnswers: leaders.MajorityAnswers, FinishRound: leaders.FinishRound, RoundAtOnce: leaders.RoundAtOnce}
 
+// message is a renewal request on its way to a leader, or the response to one.
 type message struct {
 	to       int
 	id       string
@@ -117,10 +119,10 @@
 	response *lease.RenewalResponse
 }
 
-// IsRequest implements leaders.Letter.
+// IsRequest implements leaders.Message.
 func (m message) IsRequest() bool { return m.request != nil }
 
-// Print implements leaders.Letter.
+// Print implements leaders.Message.
 func (m message) Print(b []byte) []byte {
 	if m.request != nil {
 		return fmt.Appendf(b, "%s>%+v\n", m.id, *m.request)
@@ -128,15 +130,15 @@
 	return fmt.Appendf(b, "%s<%d %v %v\n", m.id, m.response.Seq, m.response.Leases, m.response.Recalled)
 }
 
-// judged is what the judge knows of one shard.
+// resourceState records what happened at the resource of one shard, independently of its guard.
 type resourceState struct {
-	token, operation uint64 // of the newest act that the place let begin
-	holder           string // and whose it is
-	touchedToken     uint64 // the newest token that touched what can't check
+	token, operation uint64 // of the newest operation that the guard let begin
+	holder           string // the process that began it
+	touchedToken     uint64 // highest token under which the unguarded resource was changed
 	changes          int
 }
 
-// World is one state of a small case.
+// World is one state of a case. It implements explore.World.
 type World struct {
 	setup     Setup
 	now       time.Duration
@@ -144,17 +146,18 @@
 	index     uint64
 	processes []process
 	leaders.Group[*lessor.Lessor, message]
-	proposed [][]lease.Event // proposed, and not in the log yet
-	guards   []fencing.Guard
-	observed []resourceState
+	proposed [][]lease.Event // proposed and not committed
+	guards   []fencing.Guard // by shard
+	observed []resourceState // by shard
 }
 
+// configs returns the quota and lease configurations of a case.
 func configs(s Setup) (quota.Config, lease.Config) {
 	return quota.Config{MaxSessions: 64, RenewIntervalMs: renewMs, AllocationTTLMs: 1000, SessionTTLS: 4, ClockPPM: ppm},
 		lease.Config{Tasks: []lease.Task{{Name: task, Kind: lease.EndpointProbe, Shards: s.Shards, TTLMs: leaseMs, OperationTimeoutMs: operationMs, IntervalMs: 10, MaxPauseMs: maxPauseMs, MaxMoves: 1}}}
 }
 
-// claimOf begins a claim of a process; where the case has members lie, it holds all others dead.
+// beginRenewal begins a renewal of a process. With FalseDeathReports it reports all other processes as dead.
 func (w *World) beginRenewal(i int) lease.RenewalRequest {
 	req := w.processes[i].lessee.BeginRenewal(w.clock(i))
 	for j := range w.processes {
@@ -165,7 +168,7 @@
 	return req
 }
 
-// New returns the first state of a case.
+// New returns the initial state of a case.
 func New(s Setup) (*World, error) {
 	w := &World{setup: s, index: 2, now: time.Hour, guards: make([]fencing.Guard, s.Shards), observed: make([]resourceState, s.Shards)}
 	c, l := configs(s)
@@ -205,7 +208,7 @@
 
 func (w *World) clock(i int) time.Duration { return localTime(w.now, w.processes[i].rate) }
 
-// boot has a process start, and join: its member of before stays in the log.
+// start starts a process and has it join. The member of its previous incarnation stays in the registry.
 func (w *World) start(i int) {
 	p := &w.processes[i]
 	p.starts++
@@ -217,14 +220,15 @@
 	}
 }
 
+// updateLeader passes the registry's state to a leader, if it is the current one.
 func (w *World) updateLeader(l *leader) {
-	if l == w.Leader() { // one that no longer leads hears nothing
+	if l == w.Leader() { // a replaced leader gets no updates
 		r := w.registry.Clone()
 		l.State.Update(localTime(w.now, l.Rate), &r)
 	}
 }
 
-// propose has the log changed as a leader wants it; one of an earlier term can't, and what is on its way is lost with its term.
+// propose proposes the events that are pending at a leader. Proposals of a replaced leader have no effect.
 func (w *World) propose(l *leader) {
 	events, seen := l.State.PendingEvents(localTime(w.now, l.Rate))
 	if l == w.Leader() && (len(events) > 0 || seen > 0) {
@@ -232,6 +236,7 @@
 	}
 }
 
+// commit commits the oldest proposal, if there is one.
 func (w *World) commit() {
 	for _, events := range w.proposed[:min(1, len(w.proposed))] {
 		w.index++
@@ -240,6 +245,7 @@
 	}
 }
 
+// proposeAndUpdate has a leader propose, commits all proposals, and updates the leader.
 func (w *World) proposeAndUpdate(l *leader) {
 	w.propose(l)
 	for l == w.Leader() && len(w.proposed) > 0 {
@@ -248,7 +254,7 @@
 	w.updateLeader(l)
 }
 
-// Steps are all that can happen next, in a fixed order.
+// Steps returns the steps that are possible next, in a fixed order.
 func (w *World) Steps() []Step { //nolint:gocognit // to be split with its package, see docs/left.md
 	steps := []Step{{Tick, 0}}
 	for _, op := range w.setup.Ops {
@@ -317,13 +323,13 @@
 	return steps
 }
 
-// Do takes a step and checks the promises. The step must be one of Steps.
+// Do takes a step and checks the invariants. The step must be one of Steps.
 func (w *World) Do(s Step) error {
 	switch s.Op {
 	case Tick:
 		w.now += time.Duration(w.setup.TickMs) * time.Millisecond
 	case Elect:
-		// The new leader has what its snapshot and its log have; it goes through both here.
+		// The registry is encoded and decoded, as by a snapshot, so that state that a snapshot lacks is lost.
 		text, err := json.Marshal(w.registry)
 		if err != nil {
 			return err
@@ -395,7 +401,8 @@
 	return nil
 }
 
-// act takes one step of an act; whatever time goes by before the next is a pause.
+// operate takes one step of a process's operation, and checks that operations at a shard are in the order of their tokens.
+// Time that passes between two steps is a pause of the process.
 func (w *World) operate(op Op, i int) error { //nolint:gocognit // to be split with its package, see docs/left.md
 	p := &w.processes[i]
 	now := w.clock(i)
@@ -412,7 +419,7 @@
 		return nil
 	}
 	if p.operation == nil {
-		return nil // of whoever holds nothing, before a case begins
+		return nil // no lease, and so no operation: such steps occur in Setup.Before and in OperationAtOnce
 	}
 	operation := *p.operation
 	guard, state := &w.guards[operation.Shard], &w.observed[operation.Shard]
@@ -430,7 +437,7 @@
 		}
 		p.begun = true
 		if operation.Token < state.token || operation.Token == state.token && (operation.Number <= state.operation || p.id != state.holder) {
-			return fmt.Errorf("broken: act %d of %s begins under token %d after act %d of %s under %d", operation.Number, p.id, operation.Token, state.operation, state.holder, state.token)
+			return fmt.Errorf("broken: operation %d of %s begins under token %d after operation %d of %s under %d", operation.Number, p.id, operation.Token, state.operation, state.holder, state.token)
 		}
 		*state = resourceState{operation.Token, operation.Number, p.id, state.touchedToken, state.changes}
 	case CheckLease:
@@ -443,14 +450,14 @@
 			return nil
 		}
 		if state.token != operation.Token || state.operation != operation.Number || state.holder != p.id {
-			return fmt.Errorf("broken: a change of act %d of %s under token %d is taken after act %d of %s under %d has begun", operation.Number, p.id, operation.Token, state.operation, state.holder, state.token)
+			return fmt.Errorf("broken: a change by operation %d of %s under token %d is accepted after operation %d of %s under %d has begun", operation.Number, p.id, operation.Token, state.operation, state.holder, state.token)
 		}
 		state.changes++
 		p.checkedAt = 0
 	case TouchUnguarded:
-		// The bound on pauses is true time's.
+		// The bound on pauses is in true time.
 		if late := w.now - p.checkedAt; operation.Token < state.touchedToken && late <= maxPauseMs*time.Millisecond {
-			return fmt.Errorf("broken: %s touches under token %d after somebody did under %d, %v after it looked", p.id, operation.Token, state.touchedToken, late)
+			return fmt.Errorf("broken: %s changes the unguarded resource under token %d after a change under %d, %v after its check", p.id, operation.Token, state.touchedToken, late)
 		}
 		state.touchedToken = max(state.touchedToken, operation.Token)
 		p.checkedAt = 0
@@ -463,7 +470,7 @@
 	return nil
 }
 
-// decide has a leader answer a claim; the answer waits until a majority has confirmed.
+// decide has a leader process a renewal request. The response waits until a majority has confirmed the leader's term.
 func (w *World) decide(l *leader, m message) {
 	resp, err := l.State.Renew(localTime(w.now, l.Rate), m.id, *m.request)
 	if err == nil {
@@ -471,13 +478,14 @@
 	}
 }
 
+// acceptRenewal delivers a response, unless the process that sent the request has restarted since.
 func (w *World) acceptRenewal(m message) {
 	if p := &w.processes[m.to]; p.id == m.id {
 		p.lessee.AcceptRenewal(w.clock(m.to), *m.response)
 	}
 }
 
-// exchange is a claim and its answer by the leader that leads, at once.
+// renewAtOnce does a whole renewal with the current leader, without any delay.
 func (w *World) renewAtOnce(i int) {
 	p, l := &w.processes[i], w.Leader()
 	resp, err := l.State.Renew(localTime(w.now, l.Rate), p.id, w.beginRenewal(i))
@@ -486,7 +494,8 @@
 	}
 }
 
-// Settle ends all faults: everyone claims in time and acts. It tells how long it takes until each shard was acted on.
+// Settle ends all faults: all processes renew in time and operate on the shards that they hold. It returns how long it
+// takes until an operation has changed each shard's resource.
 func (w *World) Settle() (time.Duration, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	w.InTransit, w.proposed = nil, nil
 	began := w.now
@@ -529,10 +538,10 @@
 			return w.now - began, nil
 		}
 	}
-	return 0, fmt.Errorf("broken: a shard is not acted on %v after all faults have ended: %v", w.now-began, w.Print())
+	return 0, fmt.Errorf("broken: no operation on some shard within %v after all faults have ended: %v", w.now-began, w.Print())
 }
 
-// Print is the state as text: equal states print alike.
+// Print implements explore.World.
 func (w *World) Print() string {
 	b := fmt.Appendf(nil, "%d %d %v %v\n%v\n%v\n", w.now, w.Term, w.registry, w.proposed, w.guards, w.observed)
 	for _, p := range w.processes {
