--- a/cmd/spindlehitch-model/main.go
+++ b/cmd/spindlehitch-model/main.go
@@ -101,9 +101,9 @@
 				fmt.Fprintln(t, "SETTING\tFIGURE\tA\tB\tERROR")
 				n := 0
 				for _, d := range list {
-					if d.Larger {
+					if d.Significant {
 						n++
-						fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.2g\n", d.Of, d.Figure, d.A, d.B, d.SE)
+						fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.2g\n", d.Setting, d.Figure, d.A, d.B, d.SE)
 					}
 				}
 				fmt.Fprintf(t, "%d of %d figures differ by more than their seeds' spread\n", n, len(list))
@@ -132,7 +132,7 @@
 				spec = small
 			}
 			r := model.Run(&spec, p.Seed, true)
-			if r.Broken == nil {
+			if r.Violation == nil {
 				return printResult(cmd, r, func() error {
 					fmt.Fprintf(cmd.OutOrStdout(), "run %d, %s, seed %d: no promise is broken in %d events\n", n, p.Setting(), p.Seed, r.Events)
 					return nil
@@ -150,16 +150,16 @@
 					return err
 				}
 			}
-			err = printResult(cmd, r.Broken, func() error {
+			err = printResult(cmd, r.Violation, func() error {
 				for _, f := range spec.Faults {
 					fmt.Fprintln(cmd.OutOrStdout(), "fault:", f)
 				}
-				for _, line := range r.Broken.Chain {
+				for _, line := range r.Violation.Chain {
 					fmt.Fprintln(cmd.OutOrStdout(), "cause:", line)
 				}
 				return nil
 			})
-			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, p.Setting(), p.Seed, experiment.ErrViolation, r.Broken))
+			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, p.Setting(), p.Seed, experiment.ErrViolation, r.Violation))
 		}}
 	replay.Flags().BoolVar(&shrink, "shrink", false, "cut the faults down to few that break the same promise")
 	replay.Flags().StringVar(&save, "save", "", "write what was run as an experiment of its own")
--- a/cmd/spindlehitch-model/members.go
+++ b/cmd/spindlehitch-model/members.go
@@ -45,8 +45,8 @@
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', tabwriter.AlignRight)
 				fmt.Fprint(w, "trouble\tsize\tmember-hours\tfalse\tper hour\tfirst\thalf\tall\tB/s\tmessages/s\tCPU us/s\tviews meet s\t\n")
 				for _, r := range rows {
-					fmt.Fprintf(w, "%s\t%d\t%.1f\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t%.1f\t\n", r.Trouble, r.Size, r.Hours, r.False, r.PerHour, r.First, r.Half, r.All,
-						r.BytesS, r.MessageS, r.CPUUs, r.MeetS)
+					fmt.Fprintf(w, "%s\t%d\t%.1f\t%d\t%.3f\t%.1f\t%.1f\t%.1f\t%.0f\t%.1f\t%.0f\t%.1f\t\n", r.Trouble, r.Size, r.MemberHours, r.FalseVerdicts, r.FalsePerMemberHour, r.First, r.Half, r.All,
+						r.BytesS, r.MessagesS, r.CPUUs, r.ConvergeS)
 				}
 				return w.Flush()
 			})
--- a/internal/testbed/faults/model_test.go
+++ b/internal/testbed/faults/model_test.go
@@ -67,10 +67,10 @@
 	r := model.Run(x.Runs[0].Spec, 1, true)
 	var grants, acts float64
 	for _, p := range r.Series {
-		grants, acts = grants+p.Grants, acts+p.Acts
+		grants, acts = grants+p.Grants, acts+p.Operations
 	}
-	if r.Broken != nil || grants < 30 || acts < 500 {
-		t.Errorf("%v, %.0f grants, %.0f acts", r.Broken, grants, acts)
+	if r.Violation != nil || grants < 30 || acts < 500 {
+		t.Errorf("%v, %.0f grants, %.0f acts", r.Violation, grants, acts)
 	}
 }
 
@@ -153,15 +153,15 @@
 		task.Kind, task.Dir, task.Witness = lease.EndpointProbe, "", ""
 		task.MaxPauseMs = 1 // a drill has none; a watch has to have one
 		s := &model.Spec{Name: "agrees", LengthS: 36, StepS: 0.1, Fleet: model.Fleet{Instances: members}, Net: model.Net{DelayMs: 0.2, JitterMs: 0.2},
-			Load:    model.Load{Rate: 2 * whole, AimMs: 1000, PatienceS: 2, Alike: true, SurgeAtS: 16, SurgeForS: 100, Surge: float64(members) / float64(members-killed)},
+			Load:    model.Load{Rate: 2 * whole, LatencyObjectiveMs: 1000, ClientTimeoutS: 2, FixedSize: true, SurgeAtS: 16, SurgeForS: 100, SurgeFactor: float64(members) / float64(members-killed)},
 			Targets: model.Targets{Count: 1, UnitsPerS: 5000, Parallel: 64, Queue: 1000}, Budgets: &doc, Tasks: &lease.Config{Tasks: []lease.Task{task}},
-			Faults: []model.Fault{{AtS: 16, ForS: 60, What: "kill", On: on}, {AtS: 28, ForS: 6, What: "agent-pause", On: []int{0}}}}
+			Faults: []model.Fault{{AtS: 16, ForS: 60, Kind: "kill", On: on}, {AtS: 28, ForS: 6, Kind: "agent-pause", On: []int{0}}}}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
 		}
 		r := model.Run(s, seed, false)
-		if r.Broken != nil {
-			t.Fatal(r.Broken)
+		if r.Violation != nil {
+			t.Fatal(r.Violation)
 		}
 		mean := func(from, to float64, of func(model.Point) float64) (x float64) {
 			for _, p := range r.Series {
--- a/internal/testbed/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -51,7 +51,7 @@
 	var faults []model.Fault
 	for _, e := range all {
 		if e.What != "reset" {
-			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.For.Seconds(), What: e.What, On: []int{e.On}})
+			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.For.Seconds(), Kind: e.What, On: []int{e.On}})
 		}
 	}
 	return json.MarshalIndent(faults, "", " ")
--- a/internal/testbed/model/experiment/experiment_test.go
+++ b/internal/testbed/model/experiment/experiment_test.go
@@ -142,11 +142,11 @@
 			figures[k] = v
 		}
 		figures["served"] = g
-		worse = append(worse, Summary{Of: s.Of, Figures: figures})
+		worse = append(worse, Summary{Setting: s.Setting, Figures: figures})
 	}
 	differ := map[string]int{}
 	for _, d := range Compare(list, worse) {
-		if d.Larger {
+		if d.Significant {
 			differ[d.Figure]++
 		}
 	}
--- a/internal/testbed/model/experiment/file.go
+++ b/internal/testbed/model/experiment/file.go
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, f := range faults {
-		m := map[string]any{"at_s": f.AtS, "for_s": f.ForS, "what": f.What, "on": f.On, "slow": f.Slow}
+		m := map[string]any{"at_s": f.AtS, "for_s": f.ForS, "what": f.Kind, "on": f.On, "slow": f.Slowdown}
 		all = append(all, m)
 	}
 	return all, nil
--- a/internal/testbed/model/experiment/plot.go
+++ b/internal/testbed/model/experiment/plot.go
@@ -61,14 +61,14 @@
 		if per {
 			v /= max(1, r.Offered)
 		}
-		if lines[r.Of] == nil {
-			lines[r.Of] = map[float64]*stretch{}
-			order = append(order, r.Of)
+		if lines[r.Setting] == nil {
+			lines[r.Setting] = map[float64]*stretch{}
+			order = append(order, r.Setting)
 		}
-		s := lines[r.Of][r.T]
+		s := lines[r.Setting][r.T]
 		if s == nil {
 			s = &stretch{lo: v, hi: v}
-			lines[r.Of][r.T] = s
+			lines[r.Setting][r.T] = s
 		}
 		s.sum, s.n, s.lo, s.hi = s.sum+v, s.n+1, min(s.lo, v), max(s.hi, v)
 	}
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -34,7 +34,7 @@
 // Row is a line of the results: one step of one run.
 type Row struct {
 	Run     int32  `parquet:"run"`
-	Of      string `parquet:"of,dict"` // variant and what was varied
+	Setting string `parquet:"of,dict"` // variant and what was varied
 	Variant string `parquet:"variant,dict"`
 	Seed    uint64 `parquet:"seed"`
 	model.Point
@@ -159,8 +159,8 @@
 		return e.Encode(Summarize(all))
 	})
 	for _, d := range all {
-		if d.Result.Broken != nil {
-			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Setting(), d.Seed, ErrViolation, d.Result.Broken))
+		if d.Result.Violation != nil {
+			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Setting(), d.Seed, ErrViolation, d.Result.Violation))
 		}
 	}
 	return all, err
@@ -179,17 +179,17 @@
 		return total(d, func(p model.Point) float64 { return p.Lost }) / total(d, offered)
 	}},
 	{"repeats", func(d *CompletedRun) float64 {
-		return total(d, func(p model.Point) float64 { return p.Repeats }) / total(d, offered)
+		return total(d, func(p model.Point) float64 { return p.Retries }) / total(d, offered)
 	}},
 	{"attempts", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Attempts }) / total(d, offered)
 	}},
-	{"falls", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Falls }) }},
+	{"falls", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Overloads }) }},
 	{"grants", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Grants }) }},
 	{"recover_s", recoveryTime},
 	{"tail", tailShare},
 	{"p99_s", func(d *CompletedRun) float64 { return d.Result.P99 }},
-	{"worst_window", func(d *CompletedRun) float64 { return d.Result.Worst }},
+	{"worst_window", func(d *CompletedRun) float64 { return d.Result.WorstWindow }},
 	{"events", func(d *CompletedRun) float64 { return float64(d.Result.Events) }},
 }
 
@@ -254,7 +254,7 @@
 
 // Summary is one setting over all its seeds.
 type Summary struct {
-	Of      string              `json:"of"`
+	Setting string              `json:"of"`
 	Runs    int                 `json:"runs"`
 	Broken  int                 `json:"broken"`
 	Stopped int                 `json:"stopped"`
@@ -263,9 +263,9 @@
 
 // Moved is a figure's mean over the seeds, and its standard deviation.
 type Estimate struct {
-	Mean float64   `json:"mean"`
-	SD   float64   `json:"sd"`
-	All  []float64 `json:"all"`
+	Mean   float64   `json:"mean"`
+	SD     float64   `json:"sd"`
+	Values []float64 `json:"all"`
 }
 
 // Summarize sums runs up by setting, in the file's order.
@@ -276,11 +276,11 @@
 		of := d.Setting()
 		if _, there := at[of]; !there {
 			at[of] = len(list)
-			list = append(list, Summary{Of: of, Figures: map[string]Estimate{}})
+			list = append(list, Summary{Setting: of, Figures: map[string]Estimate{}})
 		}
 		s := &list[at[of]]
 		s.Runs++
-		if d.Result.Broken != nil {
+		if d.Result.Violation != nil {
 			s.Broken++
 		}
 		if d.Result.Stopped != "" {
@@ -292,14 +292,14 @@
 				v = 0
 			}
 			f := s.Figures[m.name]
-			f.All = append(f.All, v)
+			f.Values = append(f.Values, v)
 			s.Figures[m.name] = f
 		}
 	}
 	for i := range list {
 		for name, f := range list[i].Figures {
-			f.Mean, f.SD = stat.MeanStdDev(f.All, nil)
-			if len(f.All) < 2 {
+			f.Mean, f.SD = stat.MeanStdDev(f.Values, nil)
+			if len(f.Values) < 2 {
 				f.SD = 0
 			}
 			list[i].Figures[name] = f
@@ -317,7 +317,7 @@
 	}
 	fmt.Fprintln(t)
 	for _, s := range list {
-		fmt.Fprintf(t, "%s\t%d\t%d", s.Of, s.Runs, s.Broken)
+		fmt.Fprintf(t, "%s\t%d\t%d", s.Setting, s.Runs, s.Broken)
 		for _, m := range figures {
 			fmt.Fprintf(t, "\t%.4g", s.Figures[m.name].Mean)
 		}
@@ -340,29 +340,29 @@
 
 // Difference is one figure of one setting in two folders.
 type Difference struct {
-	Of     string  `json:"of"`
-	Figure string  `json:"figure"`
-	A      float64 `json:"a"`
-	B      float64 `json:"b"`
-	SE     float64 `json:"standard_error"`
-	Larger bool    `json:"larger_than_spread"` // than three standard errors (Welch, 1947, unequal variances)
+	Setting     string  `json:"of"`
+	Figure      string  `json:"figure"`
+	A           float64 `json:"a"`
+	B           float64 `json:"b"`
+	SE          float64 `json:"standard_error"`
+	Significant bool    `json:"larger_than_spread"` // than three standard errors (Welch, 1947, unequal variances)
 }
 
 // Compare tells which figures of the settings that two folders share differ by more than their seeds' spread.
 func Compare(a, b []Summary) (list []Difference) {
 	for _, x := range a {
-		at := slices.IndexFunc(b, func(y Summary) bool { return y.Of == x.Of })
+		at := slices.IndexFunc(b, func(y Summary) bool { return y.Setting == x.Setting })
 		if at < 0 {
 			continue
 		}
 		for _, m := range figures {
 			f, g := x.Figures[m.name], b[at].Figures[m.name]
-			se := math.Sqrt(f.SD*f.SD/float64(max(1, len(f.All))) + g.SD*g.SD/float64(max(1, len(g.All))))
-			d := Difference{x.Of, m.name, f.Mean, g.Mean, se, false}
-			d.Larger = math.Abs(f.Mean-g.Mean) > 3*se && f.Mean != g.Mean
+			se := math.Sqrt(f.SD*f.SD/float64(max(1, len(f.Values))) + g.SD*g.SD/float64(max(1, len(g.Values))))
+			d := Difference{x.Setting, m.name, f.Mean, g.Mean, se, false}
+			d.Significant = math.Abs(f.Mean-g.Mean) > 3*se && f.Mean != g.Mean
 			list = append(list, d)
 		}
 	}
-	slices.SortStableFunc(list, func(p, q Difference) int { return cmp.Compare(p.Of, q.Of) })
+	slices.SortStableFunc(list, func(p, q Difference) int { return cmp.Compare(p.Setting, q.Setting) })
 	return list
 }
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -67,10 +67,10 @@
 // client is one client's request, over all its tries.
 type clientRequest struct {
 	arrivedAt time.Duration
-	tries     int
+	tried     int
 	shard     int
 	units     float64
-	ended     bool
+	done      bool
 }
 
 // epoch is what all clocks show at the beginning of a run: no process starts with its machine.
@@ -242,7 +242,7 @@
 		n.scheduleArrival()
 		n.sim.cause = cause
 		units := min(8*n.sim.spec.Load.Units, max(0.05, n.loadRNG.ExpFloat64())*n.sim.spec.Load.Units)
-		if n.sim.spec.Load.Alike {
+		if n.sim.spec.Load.FixedSize {
 			units = n.sim.spec.Load.Units
 		}
 		n.sim.point.Offered++
@@ -252,12 +252,12 @@
 
 // ask has a client try, for the first time or again.
 func (n *instance) submit(c *clientRequest) {
-	left := seconds(n.sim.spec.Load.PatienceS) - (n.sim.now - c.arrivedAt)
-	if c.ended || left <= 0 {
+	left := seconds(n.sim.spec.Load.ClientTimeoutS) - (n.sim.now - c.arrivedAt)
+	if c.done || left <= 0 {
 		n.sim.recordLost(c)
 		return
 	}
-	c.tries++
+	c.tried++
 	if !n.alive {
 		to := n
 		if n.sim.spec.Load.Moves {
@@ -267,7 +267,7 @@
 		return
 	}
 	n.whenRunning(func() {
-		left := seconds(n.sim.spec.Load.PatienceS) - (n.sim.now - c.arrivedAt)
+		left := seconds(n.sim.spec.Load.ClientTimeoutS) - (n.sim.now - c.arrivedAt)
 		if left <= 0 {
 			n.sim.recordLost(c) // it left while the instance stood still
 			return
@@ -294,12 +294,12 @@
 // again has a client that was turned away, or met nobody, come again or give up.
 func (n *instance) retryOrGiveUp(c *clientRequest, refused bool, advice time.Duration) {
 	o := &n.sim.spec.Load
-	if c.tries >= o.Tries {
+	if c.tried >= o.MaxTries {
 		n.sim.recordLost(c)
 		return
 	}
-	wait := milliseconds(o.AgainMs * (0.5 + n.loadRNG.Float64()))
-	if refused && o.Heeds {
+	wait := milliseconds(o.RetryDelayMs * (0.5 + n.loadRNG.Float64()))
+	if refused && o.HonorRetryAfter {
 		wait = max(wait, advice)
 	}
 	n.sim.after(wait, "client again", n.id, func() { n.submit(c) })
@@ -363,11 +363,11 @@
 			}
 			n.sim.point.Attempts++
 			if attempt > 1 {
-				n.sim.point.Repeats++
+				n.sim.point.Retries++
 			}
 			cold := t.isCold()
 			if cold {
-				n.sim.point.Cold += r.units
+				n.sim.point.ColdUnits += r.units
 			}
 			n.sim.checkReservation(n, t, attempt > 1, cold, r.units)
 			n.sim.after(n.trueDuration(a.Wait), "time-out", n.id, func() { n.whenRunning(func() { end(policy.TimedOut, nil) }) })
@@ -506,9 +506,9 @@
 				n.dropSession()
 				return
 			}
-			n.sim.point.Unheard++
+			n.sim.point.FailedRenewals++
 		default:
-			n.sim.point.Unheard++
+			n.sim.point.FailedRenewals++
 		}
 		n.scheduleRenewal()
 	})
@@ -639,7 +639,7 @@
 		}
 		n.scheduleOperation(a.Key)
 	}
-	unguarded := n.sim.spec.Fleet.Planted == "early" // neither it nor the place looks
+	unguarded := n.sim.spec.Fleet.PlantedMistake == "early" // neither it nor the place looks
 	steps := []func() bool{
 		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.sim.checkBegin(n, a) },
 		func() bool { return unguarded || n.lessee.MayProceed(n.clock(), a) },
@@ -651,7 +651,7 @@
 	var next func(i int)
 	next = func(i int) {
 		if i == len(steps) {
-			n.sim.point.Acts++
+			n.sim.point.Operations++
 			end(lessee.Completed)
 			return
 		}
@@ -663,7 +663,7 @@
 				case steps[i]():
 					next(i + 1)
 				default:
-					n.sim.point.Denied++
+					n.sim.point.AbortedOperations++
 					end(lessee.Fenced)
 				}
 			})
--- a/internal/testbed/model/mesh/measure.go
+++ b/internal/testbed/model/mesh/measure.go
@@ -22,19 +22,19 @@
 
 // Row is what came of one measurement.
 type Row struct {
-	Trouble string  `json:"trouble"`
-	Size    int     `json:"size"`
-	Plain   bool    `json:"plain"`
-	Hours   float64 `json:"member_hours"`
-	False   int     `json:"false_verdicts"` // of members that lived and did not stand still
-	PerHour float64 `json:"false_per_member_hour"`
+	Trouble            string  `json:"trouble"`
+	Size               int     `json:"size"`
+	Plain              bool    `json:"plain"`
+	MemberHours        float64 `json:"member_hours"`
+	FalseVerdicts      int     `json:"false_verdicts"` // of members that lived and did not stand still
+	FalsePerMemberHour float64 `json:"false_per_member_hour"`
 	// In periods, from a kill: until the first member held it dead, half of them, and all.
 	First, Half, All float64
 	// Of a member, a second.
-	BytesS   float64 `json:"bytes_s"`
-	MessageS float64 `json:"messages_s"`
-	CPUUs    float64 `json:"cpu_us_s"` // microseconds
-	MeetS    float64 `json:"meet_s"`   // after the trouble ends, until all views are the same
+	BytesS    float64 `json:"bytes_s"`
+	MessagesS float64 `json:"messages_s"`
+	CPUUs     float64 `json:"cpu_us_s"` // microseconds
+	ConvergeS float64 `json:"meet_s"`   // after the trouble ends, until all views are the same
 }
 
 // Measure runs a fleet under a trouble for so long, then kills some members one by one, and then ends the trouble.
@@ -74,7 +74,7 @@
 					verdicts[victim] = append(verdicts[victim], now-killed)
 				}
 			case of.Alive && of.pausedUntil == 0:
-				row.False++
+				row.FalseVerdicts++
 			}
 		}
 	}
@@ -102,7 +102,7 @@
 		bytes += n.SentBytes
 	}
 	each := float64(s.Size) * lasts.Seconds()
-	row.BytesS, row.MessageS, row.CPUUs = float64(bytes)/each, float64(sent)/each, float64(cpu.Microseconds())/each
+	row.BytesS, row.MessagesS, row.CPUUs = float64(bytes)/each, float64(sent)/each, float64(cpu.Microseconds())/each
 	for k := range kills {
 		victim = 1 + k*(s.Size-pausing-2)/max(kills, 1)
 		killed = m.now
@@ -125,13 +125,13 @@
 		row.All += v[living-1].Seconds() / period
 	}
 	victim = -1
-	row.Hours = float64(s.Size) * m.now.Hours()
-	row.PerHour = float64(row.False) / row.Hours
+	row.MemberHours = float64(s.Size) * m.now.Hours()
+	row.FalsePerMemberHour = float64(row.FalseVerdicts) / row.MemberHours
 	ending = true
 	m.spec.Loss, m.Cut = 0, nil
 	m.Run(5 * time.Second)
 	took, ok := m.Until(s.Settings.ProbeInterval/2, 600*s.Settings.ProbeInterval, m.Converged)
-	if row.MeetS = took.Seconds() + 5; !ok {
+	if row.ConvergeS = took.Seconds() + 5; !ok {
 		return row, fmt.Errorf("%s, size %d: views do not meet", t.Name, s.Size)
 	}
 	return row, nil
--- a/internal/testbed/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -51,10 +51,10 @@
 			require.NoError(t, err)
 			rows[i] = row
 		}
-		require.Zero(t, rows[0].False, trouble.Name)
-		t.Logf("%s: %d false against %d, half after %.1f against %.1f", trouble.Name, rows[0].False, rows[1].False, rows[0].Half, rows[1].Half)
+		require.Zero(t, rows[0].FalseVerdicts, trouble.Name)
+		t.Logf("%s: %d false against %d, half after %.1f against %.1f", trouble.Name, rows[0].FalseVerdicts, rows[1].FalseVerdicts, rows[0].Half, rows[1].Half)
 		if trouble.Paused > 0 && trouble.Loss > 0 {
-			require.Greater(t, rows[1].False, 20, trouble.Name)
+			require.Greater(t, rows[1].FalseVerdicts, 20, trouble.Name)
 			continue // both at once cost more time: docs/members.md
 		}
 		require.Less(t, rows[0].Half, 1.5*rows[1].Half, trouble.Name)
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -16,8 +16,8 @@
 func smallFleet(instances int, length float64) *Spec {
 	s := &Spec{Name: "small", LengthS: length,
 		Fleet:   Fleet{Instances: instances, Zones: 3, ClockPPM: 500, ColdUnits: 40, RestartS: 0.3},
-		Load:    Load{Rate: 40 * float64(instances), Units: 1, Uneven: 0.5, Tries: 3, Heeds: true},
-		Targets: Targets{Count: 6, UnitsPerS: 20 * float64(instances), Bears: 30, WarmS: 5, StallMs: 240, StallEach: 10},
+		Load:    Load{Rate: 40 * float64(instances), Units: 1, ShareSigma: 0.5, MaxTries: 3, HonorRetryAfter: true},
+		Targets: Targets{Count: 6, UnitsPerS: 20 * float64(instances), OverloadUnits: 30, WarmUpS: 5, StallMs: 240, StallEveryS: 10},
 		Net:     Net{DelayMs: 0.3, JitterMs: 0.4, Loss: 0.01},
 		Budgets: &quota.Config{MaxSessions: 10 * instances, RenewIntervalMs: 300, AllocationTTLMs: 1500, SessionTTLS: 6, Budgets: []quota.Budget{
 			{Name: "work", Resource: quota.AllWork, Capacity: 30 * float64(instances), Burst: 20 * float64(instances), FloorRate: 0.5, FloorBurst: 1},
@@ -37,15 +37,15 @@
 		}
 		began := time.Now()
 		r := Run(s, seed, true)
-		if r.Broken != nil {
-			t.Fatalf("seed %d: %v\n%v", seed, r.Broken, r.Broken.Chain)
+		if r.Violation != nil {
+			t.Fatalf("seed %d: %v\n%v", seed, r.Violation, r.Violation.Chain)
 		}
 		var sum Point
 		for _, p := range r.Series {
-			sum.Offered, sum.Served, sum.Acts, sum.Grants, sum.Joins, sum.Elections = sum.Offered+p.Offered, sum.Served+p.Served, sum.Acts+p.Acts, sum.Grants+p.Grants, sum.Joins+p.Joins, sum.Elections+p.Elections
+			sum.Offered, sum.Served, sum.Operations, sum.Grants, sum.Joins, sum.Elections = sum.Offered+p.Offered, sum.Served+p.Served, sum.Operations+p.Operations, sum.Grants+p.Grants, sum.Joins+p.Joins, sum.Elections+p.Elections
 		}
-		t.Logf("seed %d: %d events in %v; %+v; worst window %.2f, p99 %.3f s", seed, r.Events, time.Since(began), sum, r.Worst, r.P99)
-		if sum.Served < 0.4*sum.Offered || sum.Acts < 100 || sum.Joins < 8 || len(r.Series) != 40 {
+		t.Logf("seed %d: %d events in %v; %+v; worst window %.2f, p99 %.3f s", seed, r.Events, time.Since(began), sum, r.WorstWindow, r.P99)
+		if sum.Served < 0.4*sum.Offered || sum.Operations < 100 || sum.Joins < 8 || len(r.Series) != 40 {
 			t.Errorf("seed %d: %d points, %+v", seed, len(r.Series), sum)
 		}
 	}
@@ -71,9 +71,9 @@
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct{ planted, what string }{{"greedy", "budget"}, {"early", "leases"}} {
 		s := smallFleet(4, 30)
-		s.Load.Rate, s.Fleet.Planted = 40, c.planted
+		s.Load.Rate, s.Fleet.PlantedMistake = 40, c.planted
 		if c.planted == "early" {
-			s.Random = &Random{EveryS: 0.3, MostS: 5, Kinds: []string{"pause"}} // in mid-act, now and then
+			s.Random = &Random{EveryS: 0.3, MaxForS: 5, Kinds: []string{"pause"}} // in mid-act, now and then
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
@@ -81,13 +81,13 @@
 		var seed uint64
 		var first *ViolationError
 		for seed = 1; seed <= 20 && first == nil; seed++ {
-			first = Run(s, seed, false).Broken
+			first = Run(s, seed, false).Violation
 		}
 		seed--
 		if first == nil || first.Invariant != c.what {
 			t.Fatalf("%s: not found: %v", c.planted, first)
 		}
-		again := Run(s, seed, true).Broken
+		again := Run(s, seed, true).Violation
 		if again == nil || again.Event != first.Event || again.Message != first.Message || len(again.Chain) < 2 {
 			t.Errorf("%s: %v, and again %v", c.planted, first, again)
 		}
@@ -103,7 +103,7 @@
 // TestEndless has a run that would go on for too long stopped, with the reason.
 func TestMaxEvents(t *testing.T) {
 	s := smallFleet(5, 80_000)
-	s.MaxMEv = 0.02
+	s.MaxMillionEvents = 0.02
 	if err := s.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +117,7 @@
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			for b.Loop() {
-				s := &Spec{Name: "size", LengthS: 30, Fleet: Fleet{Instances: n, Zones: 3, ClockPPM: 500, ColdUnits: 40}, Load: Load{Rate: 0.2 * float64(n), Tries: 1},
+				s := &Spec{Name: "size", LengthS: 30, Fleet: Fleet{Instances: n, Zones: 3, ClockPPM: 500, ColdUnits: 40}, Load: Load{Rate: 0.2 * float64(n), MaxTries: 1},
 					Targets: Targets{Count: max(5, n/20), UnitsPerS: 100}, Net: Net{DelayMs: 0.3, JitterMs: 0.4},
 					Budgets: &quota.Config{MaxSessions: n + n/2, RenewIntervalMs: 10_000, AllocationTTLMs: 40_000, SessionTTLS: 3600, Budgets: []quota.Budget{
 						{Name: "repeats", Resource: quota.Retries, Capacity: float64(n) / 50, Burst: float64(n), FloorRate: 0.0001, FloorBurst: 0},
@@ -133,8 +133,8 @@
 				r := Run(s, 1, false)
 				took := time.Since(began)
 				runtime.ReadMemStats(&after)
-				if r.Broken != nil {
-					b.Fatal(r.Broken)
+				if r.Violation != nil {
+					b.Fatal(r.Violation)
 				}
 				b.ReportMetric(float64(r.Events)/took.Seconds(), "events/s")
 				b.ReportMetric(float64(r.Events), "events")
--- a/internal/testbed/model/shrink.go
+++ b/internal/testbed/model/shrink.go
@@ -12,7 +12,7 @@
 		s := small
 		s.Faults = faults
 		runs++
-		return Run(&s, seed, false).Broken
+		return Run(&s, seed, false).Violation
 	}
 	if broken = try(small.Faults); broken == nil {
 		return small, nil, runs
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -19,37 +19,37 @@
 
 // Point is what happened within one step of the series. All are counts but those that say otherwise.
 type Point struct {
-	T         float64 `parquet:"t_s" json:"t_s"` // seconds, at its end
-	Offered   float64 `parquet:"offered" json:"offered"`
-	Served    float64 `parquet:"served" json:"served"`   // in time
-	Late      float64 `parquet:"late" json:"late"`       // served, and not in time
-	Refused   float64 `parquet:"refused" json:"refused"` // answers to tries
-	Failed    float64 `parquet:"failed" json:"failed"`
-	Lost      float64 `parquet:"lost" json:"lost"`           // clients that gave up
-	Attempts  float64 `parquet:"attempts" json:"attempts"`   // sent to targets
-	Repeats   float64 `parquet:"repeats" json:"repeats"`     // of them, not the first of their request
-	Cold      float64 `parquet:"cold" json:"cold"`           // units sent to cold targets
-	Falls     float64 `parquet:"falls" json:"falls"`         // cold targets that fell over
-	Joins     float64 `parquet:"joins" json:"joins"`         // seats taken
-	Unheard   float64 `parquet:"unheard" json:"unheard"`     // renewals without an answer
-	Elections float64 `parquet:"elections" json:"elections"` // leaders begun
-	Grants    float64 `parquet:"grants" json:"grants"`       // of leases
-	Acts      float64 `parquet:"acts" json:"acts"`           // ended
-	Denied    float64 `parquet:"denied" json:"denied"`       // acts cut short
-	Gap       float64 `parquet:"gap_s" json:"gap_s"`         // seconds since the last act at the shard that waits longest, at the step's end
-	Held      float64 `parquet:"held" json:"held"`           // part of the first budget's whole that may be used, at the step's end
-	Alive     float64 `parquet:"alive" json:"alive"`         // instances, at the step's end
+	T                 float64 `parquet:"t_s" json:"t_s"` // seconds, at its end
+	Offered           float64 `parquet:"offered" json:"offered"`
+	Served            float64 `parquet:"served" json:"served"`   // in time
+	Late              float64 `parquet:"late" json:"late"`       // served, and not in time
+	Refused           float64 `parquet:"refused" json:"refused"` // answers to tries
+	Failed            float64 `parquet:"failed" json:"failed"`
+	Lost              float64 `parquet:"lost" json:"lost"`           // clients that gave up
+	Attempts          float64 `parquet:"attempts" json:"attempts"`   // sent to targets
+	Retries           float64 `parquet:"repeats" json:"repeats"`     // of them, not the first of their request
+	ColdUnits         float64 `parquet:"cold" json:"cold"`           // units sent to cold targets
+	Overloads         float64 `parquet:"falls" json:"falls"`         // cold targets that fell over
+	Joins             float64 `parquet:"joins" json:"joins"`         // seats taken
+	FailedRenewals    float64 `parquet:"unheard" json:"unheard"`     // renewals without an answer
+	Elections         float64 `parquet:"elections" json:"elections"` // leaders begun
+	Grants            float64 `parquet:"grants" json:"grants"`       // of leases
+	Operations        float64 `parquet:"acts" json:"acts"`           // ended
+	AbortedOperations float64 `parquet:"denied" json:"denied"`       // acts cut short
+	LongestIdle       float64 `parquet:"gap_s" json:"gap_s"`         // seconds since the last act at the shard that waits longest, at the step's end
+	AllocatedShare    float64 `parquet:"held" json:"held"`           // part of the first budget's whole that may be used, at the step's end
+	Alive             float64 `parquet:"alive" json:"alive"`         // instances, at the step's end
 }
 
 // Result is what came of one run.
 type Result struct {
-	Series  []Point         `json:"series"`
-	Events  uint64          `json:"events"`
-	Broken  *ViolationError `json:"broken,omitempty"`
-	Stopped string          `json:"stopped,omitempty"` // why it did not go to its end
-	P50     float64         `json:"p50_s"`             // of what was served, from a client's first try
-	P99     float64         `json:"p99_s"`
-	Worst   float64         `json:"worst_window"` // of any budget: units beyond the rate, as a part of what may be
+	Series      []Point         `json:"series"`
+	Events      uint64          `json:"events"`
+	Violation   *ViolationError `json:"broken,omitempty"`
+	Stopped     string          `json:"stopped,omitempty"` // why it did not go to its end
+	P50         float64         `json:"p50_s"`             // of what was served, from a client's first try
+	P99         float64         `json:"p99_s"`
+	WorstWindow float64         `json:"worst_window"` // of any budget: units beyond the rate, as a part of what may be
 }
 
 // BrokenError is a promise that was not kept.
@@ -124,7 +124,7 @@
 
 // Run takes one run to its end, to a broken promise, or to its bound of events. With trace a broken promise has its chain of causes.
 func Run(spec *Spec, seed uint64, trace bool) Result {
-	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMEv * 1e6), targetByID: map[string]int{}, cutZones: map[int]bool{}, guards: map[lease.Key]*fencing.Guard{},
+	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMillionEvents * 1e6), targetByID: map[string]int{}, cutZones: map[int]bool{}, guards: map[lease.Key]*fencing.Guard{},
 		answerGrace: 100 * time.Millisecond, listVersion: 1}
 	if trace {
 		s.trace = map[uint64]tracedEvent{}
@@ -135,7 +135,7 @@
 	end := seconds(spec.LengthS)
 	step := seconds(spec.StepS)
 	next := step
-	for len(s.queue) > 0 && s.result.Broken == nil {
+	for len(s.queue) > 0 && s.result.Violation == nil {
 		at := s.queue[0].at
 		for next <= min(at, end) {
 			s.recordPoint(next)
@@ -160,7 +160,7 @@
 		s.result.P50, s.result.P99 = p[0], p[1]
 	}
 	for _, b := range s.checks.buckets {
-		s.result.Worst = max(s.result.Worst, b.worst/b.burst)
+		s.result.WorstWindow = max(s.result.WorstWindow, b.worst/b.burst)
 	}
 	return s.result
 }
@@ -169,10 +169,10 @@
 	o := s.spec
 	s.settings = policy.Settings{Initiators: o.Fleet.Instances, MinStep: time.Millisecond, MaxAttempts: o.Fleet.MaxAttempts, MeanUnits: o.Load.Units, MaxUnits: 8 * o.Load.Units,
 		ColdUnitsPerWindow: o.Fleet.ColdUnits, FairSharePriority: 1, ExcessPriority: 1,
-		Classes: []policy.Class{{Name: "read", LatencyObjective: milliseconds(o.Load.AimMs), Deadline: seconds(o.Load.PatienceS), PriorityWeight: 1}},
+		Classes: []policy.Class{{Name: "read", LatencyObjective: milliseconds(o.Load.LatencyObjectiveMs), Deadline: seconds(o.Load.ClientTimeoutS), PriorityWeight: 1}},
 		Plans:   []policy.Plan{{Name: "base", Rate: 1e4, ReservedRate: 1e4, Weight: 1, PriorityFactor: 1}},
-		Rules: policy.Rules{ColdCapacityFraction: o.Targets.ColdShare, WarmUpTime: seconds(o.Targets.WarmS), OverloadWindow: seconds(o.Targets.FallS), OverloadFactor: 1,
-			RetryBudget: true, RetryBudgetRatio: o.Fleet.RetryShare, RetryBudgetFree: o.Fleet.RetryFree, RetryBudgetWindow: seconds(o.Fleet.RetrySpanS)}}
+		Rules: policy.Rules{ColdCapacityFraction: o.Targets.ColdShare, WarmUpTime: seconds(o.Targets.WarmUpS), OverloadWindow: seconds(o.Targets.OverloadWindowS), OverloadFactor: 1,
+			RetryBudget: true, RetryBudgetRatio: o.Fleet.RetryRatio, RetryBudgetFree: o.Fleet.RetryFree, RetryBudgetWindow: seconds(o.Fleet.RetryWindowS)}}
 	for i := range o.Targets.Count {
 		id := fmt.Sprint("t", i)
 		s.targetIDs, s.targetByID[id] = append(s.targetIDs, id), i
@@ -201,7 +201,7 @@
 	sum := 0.0
 	for i := range o.Fleet.Instances {
 		n := &instance{sim: s, id: i, name: fmt.Sprint("n", i), zone: i % o.Fleet.Zones, rng: s.stream("instance", i), loadRNG: s.stream("load", i), clockRate: s.clockRate(i + 1)}
-		n.loadShare = lognormal(s.stream("share", i), o.Load.Uneven)
+		n.loadShare = lognormal(s.stream("share", i), o.Load.ShareSigma)
 		sum += n.loadShare
 		if s.agents != nil {
 			n.preferredAgent = i % len(s.agents.all)
@@ -253,7 +253,7 @@
 func (s *Sim) surge() float64 {
 	l := &s.spec.Load
 	if t := s.now.Seconds(); l.SurgeForS > 0 && t >= l.SurgeAtS && t < l.SurgeAtS+l.SurgeForS {
-		return l.Surge
+		return l.SurgeFactor
 	}
 	return 1
 }
@@ -285,13 +285,13 @@
 }
 
 func (s *Sim) recordServed(c *clientRequest) {
-	if c.ended {
+	if c.done {
 		return
 	}
-	c.ended = true
+	c.done = true
 	took := s.now - c.arrivedAt
 	_ = s.latencies.Add(took.Seconds())
-	if took <= milliseconds(s.spec.Load.AimMs) {
+	if took <= milliseconds(s.spec.Load.LatencyObjectiveMs) {
 		s.point.Served++
 	} else {
 		s.point.Late++
@@ -299,8 +299,8 @@
 }
 
 func (s *Sim) recordLost(c *clientRequest) {
-	if !c.ended {
-		c.ended = true
+	if !c.done {
+		c.done = true
 		s.point.Lost++
 	}
 }
@@ -308,7 +308,7 @@
 func (s *Sim) recordPoint(t time.Duration) {
 	s.point.T = t.Seconds()
 	for _, at := range s.checks.lastChange {
-		s.point.Gap = max(s.point.Gap, (t - at).Seconds())
+		s.point.LongestIdle = max(s.point.LongestIdle, (t - at).Seconds())
 	}
 	for _, n := range s.instances {
 		if n.alive {
@@ -322,9 +322,9 @@
 			k.Key = s.targetIDs[0]
 		}
 		for _, n := range s.instances {
-			s.point.Held += n.quotaRate(k)
+			s.point.AllocatedShare += n.quotaRate(k)
 		}
-		s.point.Held /= b.Capacity
+		s.point.AllocatedShare /= b.Capacity
 	}
 	s.result.Series = append(s.result.Series, s.point)
 	s.point = Point{}
@@ -332,7 +332,7 @@
 
 // breaks ends the run.
 func (s *Sim) reportViolation(what string, on int, says string) {
-	if s.result.Broken != nil {
+	if s.result.Violation != nil {
 		return
 	}
 	b := &ViolationError{Invariant: what, At: s.now.Seconds(), On: on, Message: says, Event: s.cause}
@@ -340,7 +340,7 @@
 		e := s.trace[n]
 		b.Chain = append(b.Chain, fmt.Sprintf("%.6f s, event %d: %s (%d)", e.at.Seconds(), n, e.what, e.on))
 	}
-	s.result.Broken = b
+	s.result.Violation = b
 }
 
 // drew holds a send against every budget that governs it: no window may see more than the whole's rate and its burst (step 8 of
@@ -378,7 +378,7 @@
 func (s *Sim) checkAllocations(n *instance) {
 	for _, has := range n.quota.Status(n.clock()) {
 		until := n.trueDuration(has.GrantedUntil - epoch)
-		if s.spec.Fleet.Planted == "greedy" && n.id%3 == 0 {
+		if s.spec.Fleet.PlantedMistake == "greedy" && n.id%3 == 0 {
 			until += seconds(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it went on using what has ended
 		}
 		rate := has.Limit.Rate * n.clockRate
@@ -473,9 +473,9 @@
 	rng := rand.New(rand.NewPCG(seed, xxhash.Sum64String("faults")))
 	agentFree := 0.0
 	for at := r.EveryS; at < spec.LengthS; at += r.EveryS * (0.5 + rng.Float64()) {
-		f := Fault{AtS: at, What: names[rng.IntN(len(names))], ForS: 0.2 + (r.MostS-0.2)*rng.Float64(), Slow: 4}
-		f.On = []int{rng.IntN(spec.count(faultKinds[f.What]))}
-		if strings.HasPrefix(f.What, "agent") {
+		f := Fault{AtS: at, Kind: names[rng.IntN(len(names))], ForS: 0.2 + (r.MaxForS-0.2)*rng.Float64(), Slowdown: 4}
+		f.On = []int{rng.IntN(spec.count(faultKinds[f.Kind]))}
+		if strings.HasPrefix(f.Kind, "agent") {
 			if at < agentFree {
 				continue // one agent at a time: a majority is always there
 			}
@@ -490,7 +490,7 @@
 	for _, f := range Faults(s.spec, s.seed) {
 		rng := s.stream("fault "+f.String(), 0) // the same whichever others there are
 		on := f.On
-		if of := faultKinds[f.What]; len(on) == 0 && of != "zone" {
+		if of := faultKinds[f.Kind]; len(on) == 0 && of != "zone" {
 			for k := range s.spec.count(of) {
 				zone := k % s.spec.Fleet.Zones
 				if f.Zone != nil && zone == *f.Zone || f.Zone == nil && rng.Float64() < f.Share {
@@ -498,23 +498,23 @@
 				}
 			}
 		}
-		if faultKinds[f.What] == "zone" {
-			s.at(seconds(f.AtS), f.What, *f.Zone, func() { s.cutZones[*f.Zone] = true })
-			s.at(seconds(f.AtS+f.ForS), f.What+" ends", *f.Zone, func() { delete(s.cutZones, *f.Zone) })
+		if faultKinds[f.Kind] == "zone" {
+			s.at(seconds(f.AtS), f.Kind, *f.Zone, func() { s.cutZones[*f.Zone] = true })
+			s.at(seconds(f.AtS+f.ForS), f.Kind+" ends", *f.Zone, func() { delete(s.cutZones, *f.Zone) })
 			continue
 		}
 		for _, k := range on {
-			begin := seconds(f.AtS + f.OverS*rng.Float64())
-			s.at(begin, f.What, k, func() { s.applyFault(f, k, begin+seconds(f.ForS), true) })
-			s.at(begin+seconds(f.ForS), f.What+" ends", k, func() { s.applyFault(f, k, 0, false) })
+			begin := seconds(f.AtS + f.SpreadS*rng.Float64())
+			s.at(begin, f.Kind, k, func() { s.applyFault(f, k, begin+seconds(f.ForS), true) })
+			s.at(begin+seconds(f.ForS), f.Kind+" ends", k, func() { s.applyFault(f, k, 0, false) })
 		}
 	}
 }
 
 // hurt begins a fault, or ends it.
 func (s *Sim) applyFault(f Fault, k int, until time.Duration, begins bool) {
-	what, _ := strings.CutPrefix(f.What, "target-")
-	if faultKinds[f.What] == "target" {
+	what, _ := strings.CutPrefix(f.Kind, "target-")
+	if faultKinds[f.Kind] == "target" {
 		t := s.targets[k]
 		switch {
 		case what == "kill" && begins:
@@ -526,37 +526,37 @@
 		case what == "slow":
 			t.slowdown = 1
 			if begins {
-				t.slowdown = max(f.Slow, 1)
+				t.slowdown = max(f.Slowdown, 1)
 			}
 		case what == "bad":
 			t.bad = begins
 		}
 		return
 	}
-	if faultKinds[f.What] == "agent" {
+	if faultKinds[f.Kind] == "agent" {
 		if s.agents == nil {
 			return
 		}
 		a := s.agents.all[k]
 		switch {
-		case f.What == "agent-kill" && begins:
+		case f.Kind == "agent-kill" && begins:
 			s.agents.kill(k)
-		case f.What == "agent-kill":
+		case f.Kind == "agent-kill":
 			a.up = true
-		case f.What == "agent-pause" && begins:
+		case f.Kind == "agent-pause" && begins:
 			s.agents.pause(k, until)
-		case f.What == "agent-alone":
+		case f.Kind == "agent-alone":
 			a.isolated = begins
 		}
 		return
 	}
 	n := s.instances[k]
 	switch {
-	case f.What == "kill" && begins:
+	case f.Kind == "kill" && begins:
 		if n.alive {
 			n.kill()
 		}
-	case f.What == "kill":
+	case f.Kind == "kill":
 		if !n.alive {
 			s.after(seconds(s.spec.Fleet.RestartS), "start", n.id, func() {
 				if !n.alive {
@@ -564,20 +564,20 @@
 				}
 			})
 		}
-	case f.What == "pause" && begins:
+	case f.Kind == "pause" && begins:
 		n.pause(until)
-	case f.What == "cut":
+	case f.Kind == "cut":
 		n.requestsLost, n.responsesLost = begins, begins
-	case f.What == "mute":
+	case f.Kind == "mute":
 		n.requestsLost = begins
-	case f.What == "deaf":
+	case f.Kind == "deaf":
 		n.responsesLost = begins
-	case f.What == "slow":
+	case f.Kind == "slow":
 		n.extraDelay = 0
 		if begins {
 			n.extraDelay = seconds(f.ForS / 16)
 		}
-	case f.What == "hang":
+	case f.Kind == "hang":
 		n.hung = begins
 		if !begins {
 			n.operating = map[lease.Key]bool{}
--- a/internal/testbed/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -15,19 +15,19 @@
 
 // Spec is one run, but for its seed. Lengths are in the unit that a field's name ends in.
 type Spec struct {
-	Name    string        `toml:"name"`
-	LengthS float64       `toml:"length_s"`
-	StepS   float64       `toml:"step_s"`     // of the series; 1 where it is not told
-	MaxMEv  float64       `toml:"max_events"` // millions; a run that needs more is stopped. 500 where it is not told
-	Fleet   Fleet         `toml:"fleet"`
-	Load    Load          `toml:"load"`
-	Targets Targets       `toml:"targets"`
-	Net     Net           `toml:"net"`
-	Agents  AgentSpec     `toml:"agents"`
-	Budgets *quota.Config `toml:"budgets"` // none: each instance keeps to the even parts of its settings
-	Tasks   *lease.Config `toml:"tasks"`   // none: no leases
-	Faults  []Fault       `toml:"fault"`
-	Random  *Random       `toml:"random"`
+	Name             string        `toml:"name"`
+	LengthS          float64       `toml:"length_s"`
+	StepS            float64       `toml:"step_s"`     // of the series; 1 where it is not told
+	MaxMillionEvents float64       `toml:"max_events"` // millions; a run that needs more is stopped. 500 where it is not told
+	Fleet            Fleet         `toml:"fleet"`
+	Load             Load          `toml:"load"`
+	Targets          Targets       `toml:"targets"`
+	Net              Net           `toml:"net"`
+	Agents           AgentSpec     `toml:"agents"`
+	Budgets          *quota.Config `toml:"budgets"` // none: each instance keeps to the even parts of its settings
+	Tasks            *lease.Config `toml:"tasks"`   // none: no leases
+	Faults           []Fault       `toml:"fault"`
+	Random           *Random       `toml:"random"`
 }
 
 // Fleet is the instances.
@@ -37,44 +37,44 @@
 	ClockPPM  float64 `toml:"clock_ppm"`
 	RestartS  float64 `toml:"restart_s"` // from a start to the first request taken
 	// The settings' even parts, where there is no budget.
-	ColdUnits   float64 `toml:"cold_units"`   // that a cold target bears within fall_s, from all
-	RetryShare  float64 `toml:"retry_share"`  // further attempts for each first one, of each instance
-	RetryFree   float64 `toml:"retry_free"`   // and so many besides
-	RetrySpanS  float64 `toml:"retry_span_s"` // within
-	MaxAttempts int     `toml:"max_attempts"`
-	Planted     string  `toml:"planted"` // a mistake, to try what finds it: early (leases are believed for longer), greedy (parts are)
+	ColdUnits      float64 `toml:"cold_units"`   // that a cold target bears within fall_s, from all
+	RetryRatio     float64 `toml:"retry_share"`  // further attempts for each first one, of each instance
+	RetryFree      float64 `toml:"retry_free"`   // and so many besides
+	RetryWindowS   float64 `toml:"retry_span_s"` // within
+	MaxAttempts    int     `toml:"max_attempts"`
+	PlantedMistake string  `toml:"planted"` // a mistake, to try what finds it: early (leases are believed for longer), greedy (parts are)
 }
 
 // Load is what clients ask.
 type Load struct {
-	Rate      float64 `toml:"rate"`        // requests a second of all clients
-	Uneven    float64 `toml:"uneven"`      // sigma of the instances' shares, lognormal; 0: all alike
-	AimMs     float64 `toml:"aim_ms"`      // an answer by then is in time
-	PatienceS float64 `toml:"patience_s"`  // the client leaves
-	Units     float64 `toml:"units"`       // mean size; exponential
-	Alike     bool    `toml:"alike"`       // all of that size
-	Tries     int     `toml:"tries"`       // of a client, the first among them
-	AgainMs   float64 `toml:"again_ms"`    // until the next, at least; the answer's advice where it has one and the client heeds it
-	Heeds     bool    `toml:"heeds"`       // Retry-After
-	Moves     bool    `toml:"moves"`       // a client whose instance is dead tries another next
-	SurgeAtS  float64 `toml:"surge_at_s"`  // from then on
-	SurgeForS float64 `toml:"surge_for_s"` // for so long
-	Surge     float64 `toml:"surge"`       // times the rate
+	Rate               float64 `toml:"rate"`        // requests a second of all clients
+	ShareSigma         float64 `toml:"uneven"`      // sigma of the instances' shares, lognormal; 0: all alike
+	LatencyObjectiveMs float64 `toml:"aim_ms"`      // an answer by then is in time
+	ClientTimeoutS     float64 `toml:"patience_s"`  // the client leaves
+	Units              float64 `toml:"units"`       // mean size; exponential
+	FixedSize          bool    `toml:"alike"`       // all of that size
+	MaxTries           int     `toml:"tries"`       // of a client, the first among them
+	RetryDelayMs       float64 `toml:"again_ms"`    // until the next, at least; the answer's advice where it has one and the client heeds it
+	HonorRetryAfter    bool    `toml:"heeds"`       // Retry-After
+	Moves              bool    `toml:"moves"`       // a client whose instance is dead tries another next
+	SurgeAtS           float64 `toml:"surge_at_s"`  // from then on
+	SurgeForS          float64 `toml:"surge_for_s"` // for so long
+	SurgeFactor        float64 `toml:"surge"`       // times the rate
 }
 
 // Targets are the storage nodes, one for each shard.
 type Targets struct {
-	Count     int     `toml:"count"`
-	UnitsPerS float64 `toml:"units_per_s"` // that one does when warm
-	Parallel  int     `toml:"parallel"`    // requests at once
-	Queue     int     `toml:"queue"`       // that wait; one more is turned away
-	ColdShare float64 `toml:"cold_share"`  // of its rate at its start
-	WarmS     float64 `toml:"warm_s"`      // until it is warm
-	FallS     float64 `toml:"fall_s"`      // the span over which work to a cold one is counted
-	Bears     float64 `toml:"bears"`       // units within that span, at its start, and more as it warms; with more it falls over
-	DownS     float64 `toml:"down_s"`      // and stands still for so long
-	StallMs   float64 `toml:"stall_ms"`    // now and then it stands still for so long
-	StallEach float64 `toml:"stall_every_s"`
+	Count           int     `toml:"count"`
+	UnitsPerS       float64 `toml:"units_per_s"` // that one does when warm
+	Parallel        int     `toml:"parallel"`    // requests at once
+	Queue           int     `toml:"queue"`       // that wait; one more is turned away
+	ColdShare       float64 `toml:"cold_share"`  // of its rate at its start
+	WarmUpS         float64 `toml:"warm_s"`      // until it is warm
+	OverloadWindowS float64 `toml:"fall_s"`      // the span over which work to a cold one is counted
+	OverloadUnits   float64 `toml:"bears"`       // units within that span, at its start, and more as it warms; with more it falls over
+	OverloadPauseS  float64 `toml:"down_s"`      // and stands still for so long
+	StallMs         float64 `toml:"stall_ms"`    // now and then it stands still for so long
+	StallEveryS     float64 `toml:"stall_every_s"`
 }
 
 // Net is the network. Each message is on its way for delay_ms and an exponential part with the mean jitter_ms, so they overtake
@@ -95,14 +95,14 @@
 
 // Fault is something that is done at a time, and undone after a while.
 type Fault struct {
-	AtS   float64 `toml:"at_s" json:"at_s"`
-	ForS  float64 `toml:"for_s" json:"for_s"`
-	What  string  `toml:"what" json:"what"`
-	On    []int   `toml:"on" json:"on,omitempty"`       // numbers of instances, targets or agents
-	Share float64 `toml:"share" json:"share,omitempty"` // in place of on: that part, drawn
-	Zone  *int    `toml:"zone" json:"zone,omitempty"`   // in place of on: all there
-	Slow  float64 `toml:"slow" json:"slow,omitempty"`   // times; of a target, or a network delay in s
-	OverS float64 `toml:"over_s" json:"over_s,omitempty"`
+	AtS      float64 `toml:"at_s" json:"at_s"`
+	ForS     float64 `toml:"for_s" json:"for_s"`
+	Kind     string  `toml:"what" json:"what"`
+	On       []int   `toml:"on" json:"on,omitempty"`       // numbers of instances, targets or agents
+	Share    float64 `toml:"share" json:"share,omitempty"` // in place of on: that part, drawn
+	Zone     *int    `toml:"zone" json:"zone,omitempty"`   // in place of on: all there
+	Slowdown float64 `toml:"slow" json:"slow,omitempty"`   // times; of a target, or a network delay in s
+	SpreadS  float64 `toml:"over_s" json:"over_s,omitempty"`
 }
 
 func (f Fault) String() string {
@@ -110,14 +110,14 @@
 	if f.Zone != nil {
 		on = fmt.Sprint("zone ", *f.Zone)
 	}
-	return fmt.Sprintf("%.2fs %s %s for %.2fs", f.AtS, f.What, on, f.ForS)
+	return fmt.Sprintf("%.2fs %s %s for %.2fs", f.AtS, f.Kind, on, f.ForS)
 }
 
 // Random adds faults at random: about one each every_s, of the kinds named.
 type Random struct {
-	EveryS float64  `toml:"every_s"`
-	Kinds  []string `toml:"kinds"`
-	MostS  float64  `toml:"most_s"` // that one lasts
+	EveryS  float64  `toml:"every_s"`
+	Kinds   []string `toml:"kinds"`
+	MaxForS float64  `toml:"most_s"` // that one lasts
 }
 
 // kinds are what can be done, and to what.
@@ -133,20 +133,20 @@
 		}
 	}
 	usual(&s.StepS, 1)
-	usual(&s.MaxMEv, 500)
+	usual(&s.MaxMillionEvents, 500)
 	usual(&s.Fleet.RestartS, 0.5)
-	usual(&s.Fleet.RetryShare, 0.1)
+	usual(&s.Fleet.RetryRatio, 0.1)
 	usual(&s.Fleet.RetryFree, 5)
-	usual(&s.Fleet.RetrySpanS, 10)
-	usual(&s.Load.AimMs, 500)
-	usual(&s.Load.PatienceS, 2)
+	usual(&s.Fleet.RetryWindowS, 10)
+	usual(&s.Load.LatencyObjectiveMs, 500)
+	usual(&s.Load.ClientTimeoutS, 2)
 	usual(&s.Load.Units, 1)
-	usual(&s.Load.Surge, 1)
-	usual(&s.Load.AgainMs, 200)
+	usual(&s.Load.SurgeFactor, 1)
+	usual(&s.Load.RetryDelayMs, 200)
 	usual(&s.Targets.UnitsPerS, 200)
 	usual(&s.Targets.ColdShare, 0.3)
-	usual(&s.Targets.FallS, 1)
-	usual(&s.Targets.DownS, 2)
+	usual(&s.Targets.OverloadWindowS, 1)
+	usual(&s.Targets.OverloadPauseS, 2)
 	usual(&s.Net.DelayMs, 0.3)
 	usual(&s.Agents.TimeoutMs, 1000)
 	usual(&s.Agents.DiskMs, 3)
@@ -154,7 +154,7 @@
 	for _, n := range []struct {
 		v *int
 		x int
-	}{{&s.Fleet.Zones, 1}, {&s.Fleet.MaxAttempts, 3}, {&s.Load.Tries, 1}, {&s.Targets.Parallel, 4}, {&s.Targets.Queue, 64}, {&s.Agents.Count, 3}} {
+	}{{&s.Fleet.Zones, 1}, {&s.Fleet.MaxAttempts, 3}, {&s.Load.MaxTries, 1}, {&s.Targets.Parallel, 4}, {&s.Targets.Queue, 64}, {&s.Agents.Count, 3}} {
 		if *n.v == 0 {
 			*n.v = n.x
 		}
@@ -163,11 +163,11 @@
 		field  string
 		v      float64
 		lo, hi float64
-	}{{"length_s", s.LengthS, 0.001, 86400}, {"step_s", s.StepS, 0.01, 3600}, {"max_events", s.MaxMEv, 0.001, 100_000}, {"fleet.instances", float64(s.Fleet.Instances), 1, 100_000},
+	}{{"length_s", s.LengthS, 0.001, 86400}, {"step_s", s.StepS, 0.01, 3600}, {"max_events", s.MaxMillionEvents, 0.001, 100_000}, {"fleet.instances", float64(s.Fleet.Instances), 1, 100_000},
 		{"fleet.zones", float64(s.Fleet.Zones), 1, 64}, {"fleet.clock_ppm", s.Fleet.ClockPPM, 0, 100_000}, {"fleet.restart_s", s.Fleet.RestartS, 0, 3600},
-		{"fleet.max_attempts", float64(s.Fleet.MaxAttempts), 1, 10}, {"load.rate", s.Load.Rate, 0, 1e6}, {"load.uneven", s.Load.Uneven, 0, 3}, {"load.aim_ms", s.Load.AimMs, 1, 60_000},
-		{"load.patience_s", s.Load.PatienceS, 0.001, 60}, {"load.units", s.Load.Units, 0.001, 1000}, {"load.tries", float64(s.Load.Tries), 1, 100}, {"load.again_ms", s.Load.AgainMs, 0, 60_000},
-		{"load.surge", s.Load.Surge, 0, 100}, {"targets.count", float64(s.Targets.Count), 1, 10_000}, {"targets.units_per_s", s.Targets.UnitsPerS, 0.001, 1e6},
+		{"fleet.max_attempts", float64(s.Fleet.MaxAttempts), 1, 10}, {"load.rate", s.Load.Rate, 0, 1e6}, {"load.uneven", s.Load.ShareSigma, 0, 3}, {"load.aim_ms", s.Load.LatencyObjectiveMs, 1, 60_000},
+		{"load.patience_s", s.Load.ClientTimeoutS, 0.001, 60}, {"load.units", s.Load.Units, 0.001, 1000}, {"load.tries", float64(s.Load.MaxTries), 1, 100}, {"load.again_ms", s.Load.RetryDelayMs, 0, 60_000},
+		{"load.surge", s.Load.SurgeFactor, 0, 100}, {"targets.count", float64(s.Targets.Count), 1, 10_000}, {"targets.units_per_s", s.Targets.UnitsPerS, 0.001, 1e6},
 		{"targets.cold_share", s.Targets.ColdShare, 0.001, 1}, {"targets.parallel", float64(s.Targets.Parallel), 1, 1000}, {"net.delay_ms", s.Net.DelayMs, 0.01, 10_000},
 		{"net.jitter_ms", s.Net.JitterMs, 0, 10_000}, {"net.loss", s.Net.Loss, 0, 0.9}, {"agents.count", float64(s.Agents.Count), 1, 9}, {"agents.timeout_ms", s.Agents.TimeoutMs, 1, 600_000}} {
 		if !(f.v >= f.lo && f.v <= f.hi) {
@@ -195,8 +195,8 @@
 			return fmt.Errorf("tasks.%w", err)
 		}
 	}
-	if !slices.Contains([]string{"", "early", "greedy"}, s.Fleet.Planted) {
-		return fmt.Errorf("fleet.planted: %q is neither early nor greedy", s.Fleet.Planted)
+	if !slices.Contains([]string{"", "early", "greedy"}, s.Fleet.PlantedMistake) {
+		return fmt.Errorf("fleet.planted: %q is neither early nor greedy", s.Fleet.PlantedMistake)
 	}
 	for i := range s.Faults {
 		if err := s.checkFault(&s.Faults[i]); err != nil {
@@ -207,8 +207,8 @@
 		if !(r.EveryS >= 0.001) {
 			return fmt.Errorf("random.every_s: %v is not a time over 0", r.EveryS)
 		}
-		if r.MostS == 0 {
-			r.MostS = 3.5
+		if r.MaxForS == 0 {
+			r.MaxForS = 3.5
 		}
 		for i, k := range r.Kinds {
 			if faultKinds[k] == "" || faultKinds[k] == "zone" {
@@ -224,10 +224,10 @@
 }
 
 func (s *Spec) checkFault(f *Fault) error {
-	of := faultKinds[f.What]
+	of := faultKinds[f.Kind]
 	switch {
 	case of == "":
-		return fmt.Errorf("what: unknown kind %q", f.What)
+		return fmt.Errorf("what: unknown kind %q", f.Kind)
 	case !(f.AtS >= 0 && f.AtS <= s.LengthS):
 		return fmt.Errorf("at_s: %v is not within the run's %v s", f.AtS, s.LengthS)
 	case !(f.ForS >= 0) || math.IsInf(f.ForS, 0):
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -33,13 +33,13 @@
 }
 
 func (t *target) isCold() bool {
-	return t.started > 0 && t.sim.now-t.started < seconds(t.sim.spec.Targets.WarmS)
+	return t.started > 0 && t.sim.now-t.started < seconds(t.sim.spec.Targets.WarmUpS)
 }
 
 // grown is how much more it does than just after its start.
 func (t *target) warmUpFactor() float64 {
 	o := &t.sim.spec.Targets
-	return 1 + (1/o.ColdShare-1)*(t.sim.now-t.started).Seconds()/o.WarmS
+	return 1 + (1/o.ColdShare-1)*(t.sim.now-t.started).Seconds()/o.WarmUpS
 }
 
 // take has a request come. The answer is given at the target; it is the caller's to bring it back.
@@ -56,18 +56,18 @@
 		j.answer(policy.Rejected, t.load())
 		return
 	}
-	if t.isCold() && o.Bears > 0 {
+	if t.isCold() && o.OverloadUnits > 0 {
 		t.coldWork = append(t.coldWork, receivedWork{t.sim.now, j.units})
-		for len(t.coldWork) > 0 && t.coldWork[0].at < t.sim.now-seconds(o.FallS) {
+		for len(t.coldWork) > 0 && t.coldWork[0].at < t.sim.now-seconds(o.OverloadWindowS) {
 			t.coldWork = t.coldWork[1:]
 		}
 		sum := 0.0
 		for _, w := range t.coldWork {
 			sum += w.units
 		}
-		if sum > o.Bears*t.warmUpFactor() && t.sim.now >= t.stalledUntil {
-			t.stalledUntil = t.sim.now + seconds(o.DownS)
-			t.sim.point.Falls++
+		if sum > o.OverloadUnits*t.warmUpFactor() && t.sim.now >= t.stalledUntil {
+			t.stalledUntil = t.sim.now + seconds(o.OverloadPauseS)
+			t.sim.point.Overloads++
 		}
 	}
 	t.queued = append(t.queued, j)
@@ -136,10 +136,10 @@
 // stalls has it stand still now and then, as storage nodes do.
 func (t *target) scheduleStall() {
 	o := &t.sim.spec.Targets
-	if o.StallMs <= 0 || o.StallEach <= 0 {
+	if o.StallMs <= 0 || o.StallEveryS <= 0 {
 		return
 	}
-	t.sim.after(seconds(t.rng.ExpFloat64()*o.StallEach), "target stands still", t.id, func() {
+	t.sim.after(seconds(t.rng.ExpFloat64()*o.StallEveryS), "target stands still", t.id, func() {
 		t.stalledUntil = max(t.stalledUntil, t.sim.now+milliseconds(o.StallMs))
 		t.scheduleStall()
 	})
