--- a/internal/testbed/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -13,9 +13,9 @@
 	"spindlehitch/internal/controlplane/registry"
 )
 
-// agents are the few that agree on a log. Raft itself is not modelled: an entry is in the log once a majority is up and hears the leader,
-// after a way there and back and a disk's time; a leader that a majority doesn't hear for a time-out is replaced. The giver, the keeper and
-// their question to a majority are the real ones.
+// agents models the agents that replicate the control state. Raft itself is simplified: an entry is committed after a round
+// trip and a disk write if a majority is connected to the leader; a leader without a majority for an election timeout is
+// replaced. Allocator, lessor and the read-index queue are the real ones.
 type agents struct {
 	sim           *Sim
 	rng           *rand.Rand
@@ -24,22 +24,23 @@
 	index         uint64
 	term          uint64
 	leader        int           // -1: none
-	noMajorityFor time.Duration // so long no majority has heard the leader
-	electionWait  float64       // of the agent that waits least, in time-outs
-	commitPending bool          // an order is on its way into the log
+	noMajorityFor time.Duration // how long the leader has had no majority
+	electionWait  float64       // of the agent that waits least, in election timeouts
+	commitPending bool          // the leader has proposed an entry that is not committed
 }
 
+// agentState is one agent.
 type agentState struct {
 	up          bool
 	pausedUntil time.Duration
-	isolated    bool // it hears no other agent
+	isolated    bool // disconnected from all other agents
 	inbox       []func()
-	leading     *leadership // it believes that it leads
+	leading     *leadership // non-nil while it believes that it leads
 	clockRate   float64
-	busyUntil   time.Duration // with renewals, until then
+	busyUntil   time.Duration // processing renewals until then
 }
 
-// lead is what an agent that believes to lead has.
+// leadership is the state of an agent that believes to be the leader.
 type leadership struct {
 	term          uint64
 	allocator     *allocator.Allocator
@@ -47,11 +48,13 @@
 	confirmations readindex.Queue[func(bool)]
 }
 
+// renewalResponse is the response to a renewal: of quotas and, for members with tasks, of leases.
 type renewalResponse struct {
 	quota  quota.RenewalResponse
 	leases *lease.RenewalResponse
 }
 
+// agentTick is the interval at which the leader's connections are checked and pending events are committed.
 const agentTick = 250 * time.Millisecond
 
 func newAgents(s *Sim) *agents {
@@ -61,7 +64,7 @@
 	}
 	g.index = 1
 	if err := g.registry.SetQuotaConfig(g.index, *s.spec.Budgets); err != nil {
-		panic(err) // checked before
+		panic(err) // Spec.Check has validated it
 	}
 	if s.spec.Tasks != nil {
 		g.index++
@@ -80,7 +83,7 @@
 
 func (g *agents) running(i int) bool { return g.all[i].up && g.sim.now >= g.all[i].pausedUntil }
 
-// heard is how many agents, itself included, hear the one of that number now.
+// connected returns how many agents are connected to agent i now, including itself.
 func (g *agents) connected(i int) (n int) {
 	for j := range g.all {
 		if j == i || g.running(j) && !g.all[j].isolated && !g.all[i].isolated {
@@ -92,7 +95,7 @@
 
 func (g *agents) majority(i int) bool { return g.running(i) && 2*g.connected(i) > len(g.all) }
 
-// elect has an agent lead: it begins after a barrier, with all that is in the log.
+// elect makes an agent the leader. It begins with the whole log applied, as after a barrier.
 func (g *agents) elect(i int) {
 	g.term++
 	g.leader, g.commitPending = i, false
@@ -102,7 +105,7 @@
 	a.leading = &leadership{term: g.term, allocator: allocator.New(g.clock(i), r.QuotaConfig, r.Members), lessor: lessor.New(g.clock(i), &r)}
 }
 
-// tick looks after who leads, and has the log changed as the leader wants it.
+// tick commits the leader's pending events, or elects another leader if it has had no majority for long enough.
 func (g *agents) tick() {
 	g.sim.after(agentTick, "agents sweep", 0, g.tick)
 	if g.leader >= 0 && g.majority(g.leader) {
@@ -111,7 +114,7 @@
 		return
 	}
 	if g.noMajorityFor += agentTick; g.noMajorityFor == agentTick {
-		// Each other agent waits for once to twice the time-out; the first asks for votes.
+		// Each other agent waits for one to two election timeouts; the first to time out becomes a candidate.
 		g.electionWait = 2
 		for range len(g.all) - 1 {
 			g.electionWait = min(g.electionWait, 1+g.rng.Float64())
@@ -132,8 +135,8 @@
 	}
 }
 
-// at has something reach an agent; what reaches one that stands still waits, one that is dead or cut off from the zone hears nothing. It is
-// told which agent leads, as far as this one knows.
+// deliver calls do at an agent with the number of the leader that the agent knows; -1: none. At a paused agent that waits
+// until it resumes; at a dead one nothing happens.
 func (g *agents) deliver(i int, do func(leads int)) {
 	a := g.all[i]
 	if !a.up {
@@ -151,6 +154,7 @@
 	})
 }
 
+// whenRunning calls do now, or once a paused agent resumes.
 func (g *agents) whenRunning(i int, do func()) {
 	a := g.all[i]
 	if g.sim.now < a.pausedUntil {
@@ -186,7 +190,8 @@
 	}
 }
 
-// commit has the log changed by the agent that leads, and then tells whether it was. One that no longer leads can't.
+// commit commits a change of the log by agent by, and then calls then with whether it was committed: an agent that is no
+// longer the leader, or has no majority, can't commit.
 func (g *agents) commit(by int, change func(index uint64), then func(bool)) {
 	l := g.all[by].leading
 	g.sim.after(2*g.sim.networkDelay(g.rng)+milliseconds(g.sim.spec.Agents.DiskMs), "log entry", by, func() {
@@ -203,7 +208,7 @@
 	})
 }
 
-// order is what the leader does by itself: seats that have ended, leases that go on.
+// commitEvents commits what the leader does by itself: it removes expired sessions, and grants and revokes leases.
 func (g *agents) commitEvents() {
 	l := g.all[g.leader].leading
 	if l == nil || g.commitPending {
@@ -235,7 +240,7 @@
 	}, func(bool) { g.commitPending = false })
 }
 
-// join gives a process a seat, or says why not.
+// join admits a process as a member. back is called with the quota configuration, an error, or nil if agent by can't commit.
 func (g *agents) join(by int, m quota.Member, back func(any)) {
 	l := g.all[by].leading
 	if l == nil {
@@ -261,7 +266,8 @@
 	})
 }
 
-// renew has the leader that was reached decide, and answers once a majority has told that no later term has begun.
+// renew has agent by process a renewal, and calls back with the response once a majority has confirmed that no later term
+// has begun; with an error if the renewal is rejected, or with nil if the agent isn't the leader.
 func (g *agents) renew(by int, r quota.RenewalRequest, c *lease.RenewalRequest, back func(any)) {
 	a := g.all[by]
 	l := a.leading
@@ -269,7 +275,7 @@
 		back(nil)
 		return
 	}
-	// One renewal after the other: a leader is one process.
+	// Renewals are processed one after the other, since a leader is one process.
 	a.busyUntil = max(a.busyUntil, g.sim.now) + time.Duration(g.sim.spec.Agents.RenewUs*1000)
 	g.sim.after(a.busyUntil-g.sim.now, "renewal decided", by, func() {
 		g.whenRunning(by, func() {
@@ -306,7 +312,7 @@
 	})
 }
 
-// ask has a majority tell their terms, one question at a time.
+// confirmTerm asks a majority for their terms, one round at a time, and calls the callbacks that the round covers.
 func (g *agents) confirmTerm(by int, l *leadership) {
 	round, due := l.confirmations.StartRound(l.term)
 	if !due {
@@ -323,7 +329,7 @@
 				k(false)
 			}
 			if !agreed && g.leader != by {
-				g.all[by].leading = nil // it has heard of a later term, or will be told nothing more
+				g.all[by].leading = nil // it has learned of a later term, or can't reach a majority any more
 			}
 			g.confirmTerm(by, l)
 		})
--- a/internal/testbed/model/model_test.go
+++ b/internal/testbed/model/model_test.go
@@ -12,7 +12,7 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// small is a fleet of so many instances under budgets and leases, with all that can go wrong at random.
+// smallFleet returns the spec of a fleet with budgets and leases, and random faults of all kinds.
 func smallFleet(instances int, length float64) *Spec {
 	s := &Spec{Name: "small", LengthS: length,
 		Fleet:   Fleet{Instances: instances, Zones: 3, ClockPPM: 500, ColdUnits: 40, RestartS: 0.3},
@@ -28,7 +28,7 @@
 	return s
 }
 
-// TestSound plays faults of all kinds at random, by some seeds: no promise is broken, and the fleet serves.
+// TestRandomFaults runs a fleet with random faults of all kinds: no invariant is violated, and the fleet serves requests.
 func TestRandomFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 6; seed++ {
 		s := smallFleet(8, 40)
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestSame has one seed have one outcome, and another seed another.
+// TestDeterministic checks that runs of one seed have equal results, and runs of different seeds don't.
 func TestDeterministic(t *testing.T) {
 	s := smallFleet(5, 10)
 	if err := s.Check(); err != nil {
@@ -62,18 +62,18 @@
 		return string(b)
 	}
 	if one := text(1); one != text(1) || one == text(2) {
-		t.Error("outcomes are not their seeds'")
+		t.Error("results are not determined by the seed")
 	}
 }
 
-// TestPlanted has the fleet break its promises by mistakes that are planted in the model: each is found, found again by the same seed with
-// its chain of causes, and its faults are cut down to few that still do it.
+// TestPlanted plants mistakes in the model that violate invariants. Each must be found, and found again with its chain of
+// causes by a run of the same seed; its faults must shrink to few that still cause it.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct{ planted, what string }{{"greedy", "budget"}, {"early", "leases"}} {
 		s := smallFleet(4, 30)
 		s.Load.Rate, s.Fleet.PlantedMistake = 40, c.planted
 		if c.planted == "early" {
-			s.Random = &Random{EveryS: 0.3, MaxForS: 5, Kinds: []string{"pause"}} // in mid-act, now and then
+			s.Random = &Random{EveryS: 0.3, MaxForS: 5, Kinds: []string{"pause"}} // some of them during operations
 		}
 		if err := s.Check(); err != nil {
 			t.Fatal(err)
@@ -89,18 +89,18 @@
 		}
 		again := Run(s, seed, true).Violation
 		if again == nil || again.Event != first.Event || again.Message != first.Message || len(again.Chain) < 2 {
-			t.Errorf("%s: %v, and again %v", c.planted, first, again)
+			t.Errorf("%s: %v, and %v when repeated", c.planted, first, again)
 		}
 		faults := len(Faults(s, seed))
 		less, broken, runs := Shrink(s, seed, 80)
 		if broken == nil || broken.Invariant != c.what || len(less.Faults) >= faults/4 {
-			t.Errorf("%s: %d faults of %d are left after %d runs: %v", c.planted, len(less.Faults), faults, runs, broken)
+			t.Errorf("%s: %d faults of %d remain after %d runs: %v", c.planted, len(less.Faults), faults, runs, broken)
 		}
 		t.Logf("%s: seed %d: %v; %d faults of %d, %d causes", c.planted, seed, broken, len(less.Faults), faults, len(again.Chain))
 	}
 }
 
-// TestEndless has a run that would go on for too long stopped, with the reason.
+// TestMaxEvents checks that a run that needs too many events is stopped and says so.
 func TestMaxEvents(t *testing.T) {
 	s := smallFleet(5, 80_000)
 	s.MaxMillionEvents = 0.02
@@ -112,7 +112,7 @@
 	}
 }
 
-// BenchmarkFleet is what a second of the fleet's time costs as the fleet grows: events a second, memory for each instance.
+// BenchmarkFleet measures events per second and memory per instance by the size of the fleet.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/testbed/model/queue.go
+++ b/internal/testbed/model/queue.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// event is one thing that happens. Its cause is the number of the event that had it happen.
+// event is a callback that is scheduled for a time. Its cause is the number of the event that scheduled it.
 type event struct {
 	at     time.Duration
 	number uint64
 	cause  uint64
-	what   string // a constant: what kind of thing
-	on     int32  // to whom
+	what   string // kind of event, for traces; a constant
+	on     int32  // number of the instance, target or agent
 	do     func()
 }
 
-// queue is a heap of events by time, and by number where times are equal.
+// queue is a 4-ary min-heap of events ordered by time, and by number where times are equal.
 type queue []event
 
 func (q queue) less(i, j int) bool {
--- a/internal/testbed/model/shrink.go
+++ b/internal/testbed/model/shrink.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Shrink cuts a run's faults down to few that break the same promise, by halves and then by ever smaller parts (Zeller and Hildebrandt,
-// 2002, delta debugging), with at most so many runs. The run has to break something; the spec that is returned has the faults alone, none
-// at random.
+// Shrink reduces a run's faults to few that violate the same invariant, by delta debugging (Zeller and Hildebrandt, 2002):
+// it removes halves and then ever smaller parts, with at most most runs. broken is nil if the run violates nothing. The
+// returned spec lists all its faults and adds none at random.
 func Shrink(spec *Spec, seed uint64, most int) (small Spec, broken *ViolationError, runs int) {
 	small = *spec
 	small.Faults, small.Random = Faults(spec, seed), nil
--- a/internal/testbed/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -1,6 +1,6 @@
-// Package model is a fleet in virtual time: the real decision module, holders, tenants, givers and keepers, with clients, targets, agents and a
-// network around them that are simple and say so (docs/model.md). One seed, one outcome: nothing in it reads a clock, and each actor
-// draws from a stream of its own, so that taking one fault away changes no other draw.
+// Package model simulates a fleet in virtual time: the real scheduler, quota clients, lessees, allocators and lessors, with
+// simplified clients, targets, agents and a network around them (docs/model.md). A run is determined by its spec and seed:
+// nothing reads a clock, and each actor has a random stream of its own, so that removing one fault changes no other draw.
 package model
 
 import (
@@ -13,94 +13,94 @@
 	"spindlehitch/internal/controlplane/quota"
 )
 
-// Spec is one run, but for its seed. Lengths are in the unit that a field's name ends in.
+// Spec describes a run, except for its seed. Durations are in the unit that the field's name ends in.
 type Spec struct {
 	Name             string        `toml:"name"`
 	LengthS          float64       `toml:"length_s"`
-	StepS            float64       `toml:"step_s"`     // of the series; 1 where it is not told
-	MaxMillionEvents float64       `toml:"max_events"` // millions; a run that needs more is stopped. 500 where it is not told
+	StepS            float64       `toml:"step_s"`     // of the series; default 1
+	MaxMillionEvents float64       `toml:"max_events"` // in millions; a run that needs more is stopped; default 500
 	Fleet            Fleet         `toml:"fleet"`
 	Load             Load          `toml:"load"`
 	Targets          Targets       `toml:"targets"`
 	Net              Net           `toml:"net"`
 	Agents           AgentSpec     `toml:"agents"`
-	Budgets          *quota.Config `toml:"budgets"` // none: each instance keeps to the even parts of its settings
-	Tasks            *lease.Config `toml:"tasks"`   // none: no leases
+	Budgets          *quota.Config `toml:"budgets"` // nil: each instance keeps to its even share of the settings' limits
+	Tasks            *lease.Config `toml:"tasks"`   // nil: no leases
 	Faults           []Fault       `toml:"fault"`
 	Random           *Random       `toml:"random"`
 }
 
-// Fleet is the instances.
+// Fleet describes the instances.
 type Fleet struct {
 	Instances int     `toml:"instances"`
-	Zones     int     `toml:"zones"` // 1 where it is not told
+	Zones     int     `toml:"zones"` // default 1
 	ClockPPM  float64 `toml:"clock_ppm"`
 	RestartS  float64 `toml:"restart_s"` // from a start to the first request taken
-	// The settings' even parts, where there is no budget.
-	ColdUnits      float64 `toml:"cold_units"`   // that a cold target bears within fall_s, from all
-	RetryRatio     float64 `toml:"retry_share"`  // further attempts for each first one, of each instance
-	RetryFree      float64 `toml:"retry_free"`   // and so many besides
-	RetryWindowS   float64 `toml:"retry_span_s"` // within
+	// Limits that are divided evenly between the instances where there is no budget.
+	ColdUnits      float64 `toml:"cold_units"`   // that a cold target tolerates within fall_s, from all instances
+	RetryRatio     float64 `toml:"retry_share"`  // retries per first attempt, of each instance
+	RetryFree      float64 `toml:"retry_free"`   // retries in addition
+	RetryWindowS   float64 `toml:"retry_span_s"` // window of both
 	MaxAttempts    int     `toml:"max_attempts"`
-	PlantedMistake string  `toml:"planted"` // a mistake, to try what finds it: early (leases are believed for longer), greedy (parts are)
+	PlantedMistake string  `toml:"planted"` // a mistake that the checks must find: early (leases are used after their end), greedy (allocations are)
 }
 
-// Load is what clients ask.
+// Load describes the clients' requests.
 type Load struct {
-	Rate               float64 `toml:"rate"`        // requests a second of all clients
-	ShareSigma         float64 `toml:"uneven"`      // sigma of the instances' shares, lognormal; 0: all alike
-	LatencyObjectiveMs float64 `toml:"aim_ms"`      // an answer by then is in time
-	ClientTimeoutS     float64 `toml:"patience_s"`  // the client leaves
-	Units              float64 `toml:"units"`       // mean size; exponential
-	FixedSize          bool    `toml:"alike"`       // all of that size
-	MaxTries           int     `toml:"tries"`       // of a client, the first among them
-	RetryDelayMs       float64 `toml:"again_ms"`    // until the next, at least; the answer's advice where it has one and the client heeds it
+	Rate               float64 `toml:"rate"`        // requests per second of all clients
+	ShareSigma         float64 `toml:"uneven"`      // sigma of the lognormal distribution of the instances' shares; 0: equal shares
+	LatencyObjectiveMs float64 `toml:"aim_ms"`      // a response within it is in time
+	ClientTimeoutS     float64 `toml:"patience_s"`  // the client gives up after it
+	Units              float64 `toml:"units"`       // mean size; exponentially distributed
+	FixedSize          bool    `toml:"alike"`       // all requests have the mean size
+	MaxTries           int     `toml:"tries"`       // of a client, including the first
+	RetryDelayMs       float64 `toml:"again_ms"`    // mean delay before the next try; at least the response's Retry-After if the client honours it
 	HonorRetryAfter    bool    `toml:"heeds"`       // Retry-After
-	Moves              bool    `toml:"moves"`       // a client whose instance is dead tries another next
-	SurgeAtS           float64 `toml:"surge_at_s"`  // from then on
-	SurgeForS          float64 `toml:"surge_for_s"` // for so long
-	SurgeFactor        float64 `toml:"surge"`       // times the rate
+	Moves              bool    `toml:"moves"`       // a client whose instance is dead sends its next try to another
+	SurgeAtS           float64 `toml:"surge_at_s"`  // begin of the surge
+	SurgeForS          float64 `toml:"surge_for_s"` // its length
+	SurgeFactor        float64 `toml:"surge"`       // by which the rate is multiplied
 }
 
-// Targets are the storage nodes, one for each shard.
+// Targets describes the storage targets, one for each shard.
 type Targets struct {
 	Count           int     `toml:"count"`
-	UnitsPerS       float64 `toml:"units_per_s"` // that one does when warm
-	Parallel        int     `toml:"parallel"`    // requests at once
-	Queue           int     `toml:"queue"`       // that wait; one more is turned away
-	ColdShare       float64 `toml:"cold_share"`  // of its rate at its start
-	WarmUpS         float64 `toml:"warm_s"`      // until it is warm
-	OverloadWindowS float64 `toml:"fall_s"`      // the span over which work to a cold one is counted
-	OverloadUnits   float64 `toml:"bears"`       // units within that span, at its start, and more as it warms; with more it falls over
-	OverloadPauseS  float64 `toml:"down_s"`      // and stands still for so long
-	StallMs         float64 `toml:"stall_ms"`    // now and then it stands still for so long
+	UnitsPerS       float64 `toml:"units_per_s"` // throughput of a warm target
+	Parallel        int     `toml:"parallel"`    // requests that a target processes concurrently
+	Queue           int     `toml:"queue"`       // bound of waiting requests; further ones are rejected
+	ColdShare       float64 `toml:"cold_share"`  // share of the throughput that a target has at its start
+	WarmUpS         float64 `toml:"warm_s"`      // time until it is warm
+	OverloadWindowS float64 `toml:"fall_s"`      // window over which work sent to a cold target is counted
+	OverloadUnits   float64 `toml:"bears"`       // units within that window, at its start, that a cold target tolerates; more as it warms up
+	OverloadPauseS  float64 `toml:"down_s"`      // an overloaded cold target stalls for so long
+	StallMs         float64 `toml:"stall_ms"`    // length of random stalls, on average every stall_every_s
 	StallEveryS     float64 `toml:"stall_every_s"`
 }
 
-// Net is the network. Each message is on its way for delay_ms and an exponential part with the mean jitter_ms, so they overtake
-// one another.
+// Net describes the network. The delay of a message is delay_ms plus an exponentially distributed part with the mean
+// jitter_ms, so messages are reordered.
 type Net struct {
 	DelayMs  float64 `toml:"delay_ms"`
 	JitterMs float64 `toml:"jitter_ms"`
-	Loss     float64 `toml:"loss"` // part of the messages between instances and agents
+	Loss     float64 `toml:"loss"` // share of the messages between instances and agents
 }
 
-// AgentSpec is the agents.
+// AgentSpec describes the agents.
 type AgentSpec struct {
 	Count     int     `toml:"count"`
 	TimeoutMs float64 `toml:"timeout_ms"` // of elections
-	DiskMs    float64 `toml:"disk_ms"`    // of one entry of the log
-	RenewUs   float64 `toml:"renew_us"`   // that a renewal takes of the leader
+	DiskMs    float64 `toml:"disk_ms"`    // to write one log entry
+	RenewUs   float64 `toml:"renew_us"`   // of the leader's processing time for a renewal
 }
 
-// Fault is something that is done at a time, and undone after a while.
+// Fault is a fault that begins at AtS and ends ForS later.
 type Fault struct {
 	AtS      float64 `toml:"at_s" json:"at_s"`
 	ForS     float64 `toml:"for_s" json:"for_s"`
 	Kind     string  `toml:"what" json:"what"`
 	On       []int   `toml:"on" json:"on,omitempty"`       // numbers of instances, targets or agents
-	Share    float64 `toml:"share" json:"share,omitempty"` // in place of on: that part, drawn
-	Zone     *int    `toml:"zone" json:"zone,omitempty"`   // in place of on: all there
+	Share    float64 `toml:"share" json:"share,omitempty"` // instead of on: a random share of them
+	Zone     *int    `toml:"zone" json:"zone,omitempty"`   // instead of on: all in that zone
 	Slowdown float64 `toml:"slow" json:"slow,omitempty"`   // times; of a target, or a network delay in s
 	SpreadS  float64 `toml:"over_s" json:"over_s,omitempty"`
 }
@@ -113,19 +113,19 @@
 	return fmt.Sprintf("%.2fs %s %s for %.2fs", f.AtS, f.Kind, on, f.ForS)
 }
 
-// Random adds faults at random: about one each every_s, of the kinds named.
+// Random adds random faults of the kinds given (empty: all but zone-cut), about one every every_s.
 type Random struct {
 	EveryS  float64  `toml:"every_s"`
 	Kinds   []string `toml:"kinds"`
-	MaxForS float64  `toml:"most_s"` // that one lasts
+	MaxForS float64  `toml:"most_s"` // longest duration of one
 }
 
-// kinds are what can be done, and to what.
+// faultKinds maps each kind of fault to what it affects.
 var faultKinds = map[string]string{"kill": "instance", "pause": "instance", "cut": "instance", "deaf": "instance", "mute": "instance", "slow": "instance", "hang": "instance",
 	"target-kill": "target", "target-stall": "target", "target-slow": "target", "target-bad": "target",
 	"agent-kill": "agent", "agent-pause": "agent", "agent-alone": "agent", "zone-cut": "zone"}
 
-// Check names the first field that can't be served; index is of a fault, or -1.
+// Check sets defaults and returns an error that names the first invalid field.
 func (s *Spec) Check() error { //nolint:gocognit // to be split with its package, see docs/left.md
 	usual := func(v *float64, x float64) {
 		if *v == 0 {
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -7,26 +7,28 @@
 	"spindlehitch/internal/policy"
 )
 
-// target is a storage node: so many requests at once, a queue, a cold start, and what goes wrong with it.
+// target models a storage target: a bounded number of concurrent requests, a queue, a cold start, and its faults.
 type target struct {
 	sim          *Sim
 	id           int
 	rng          *rand.Rand
-	started      time.Duration // 0: long ago
-	down         bool          // its process is gone
-	stalledUntil time.Duration // it stands still until then
+	started      time.Duration // 0: long ago, so it is warm
+	down         bool          // its process has been killed
+	stalledUntil time.Duration // until then it finishes no requests
 	slowdown     float64
-	bad          bool // it answers with errors at once
+	bad          bool // it responds with errors at once
 	inProgress   int
 	queued       []targetRequest
-	coldWork     []receivedWork // units within the fall span, while it is cold
+	coldWork     []receivedWork // received within the overload window, while it is cold
 }
 
+// receivedWork is the size and time of a request that a cold target received.
 type receivedWork struct {
 	at    time.Duration
 	units float64
 }
 
+// targetRequest is a request at a target. answer is called once, when the target responds.
 type targetRequest struct {
 	units  float64
 	answer func(code policy.OutcomeCode, load policy.Load)
@@ -36,13 +38,13 @@
 	return t.started > 0 && t.sim.now-t.started < seconds(t.sim.spec.Targets.WarmUpS)
 }
 
-// grown is how much more it does than just after its start.
+// warmUpFactor returns by how much a cold target's throughput has grown since its start.
 func (t *target) warmUpFactor() float64 {
 	o := &t.sim.spec.Targets
 	return 1 + (1/o.ColdShare-1)*(t.sim.now-t.started).Seconds()/o.WarmUpS
 }
 
-// take has a request come. The answer is given at the target; it is the caller's to bring it back.
+// receive processes an incoming request. answer is called at the target; the caller models the way back.
 func (t *target) receive(j targetRequest) {
 	o := &t.sim.spec.Targets
 	switch {
@@ -78,7 +80,7 @@
 	return policy.Load{Queued: float64(len(t.queued)), InFlight: float64(t.inProgress + len(t.queued))}
 }
 
-// work begins what may begin.
+// startQueued starts queued requests, up to the number of concurrent ones. A stalled target starts them when the stall ends.
 func (t *target) startQueued() {
 	o := &t.sim.spec.Targets
 	if t.sim.now < t.stalledUntil {
@@ -107,10 +109,10 @@
 	}
 }
 
-// done ends a request, once the target does not stand still any more.
+// finish ends a request, or defers that to the end of a stall.
 func (t *target) finish(j targetRequest, born time.Duration) {
 	if t.down || t.started != born {
-		return // it died with its process; nobody answers
+		return // the process was killed with the request in progress; no response
 	}
 	if t.sim.now < t.stalledUntil {
 		t.sim.at(t.stalledUntil, "target answers late", t.id, func() { t.finish(j, born) })
@@ -121,7 +123,7 @@
 	t.startQueued()
 }
 
-// kill ends its process; what it had is lost. start begins it anew, cold.
+// kill ends the target's process; its requests are lost. start starts a new one, which is cold.
 func (t *target) kill() {
 	t.down, t.inProgress, t.queued, t.coldWork = true, 0, nil, nil
 	t.sim.publishTargets()
@@ -133,7 +135,7 @@
 	t.sim.publishTargets()
 }
 
-// stalls has it stand still now and then, as storage nodes do.
+// scheduleStall schedules the target's next random stall, as storage servers have them.
 func (t *target) scheduleStall() {
 	o := &t.sim.spec.Targets
 	if o.StallMs <= 0 || o.StallEveryS <= 0 {
