--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -15,10 +15,10 @@
 	"spindlehitch/internal/policy"
 )
 
-// wire is from a decision to its first byte: the permit is looked at then.
+// sendDelay is the time between a decision to send and the first byte, when the permit is checked again.
 const sendDelay = 50 * time.Microsecond
 
-// instance is one initiator: the real module, holder and tenant, on a clock of its own.
+// instance is one initiator: the real scheduler, quota client and lessee, with a clock of its own.
 type instance struct {
 	sim           *Sim
 	id            int
@@ -26,35 +26,35 @@
 	zone          int
 	rng           *rand.Rand
 	loadRNG       *rand.Rand
-	clockRate     float64 // its clock's, against true time
-	loadShare     float64 // of the load
+	clockRate     float64 // of its clock against true time
+	loadShare     float64 // its share of the clients' requests
 	alive         bool
 	starts        int
-	pausedUntil   time.Duration // until then it stands still; what comes waits
+	pausedUntil   time.Duration // until then it is paused; what arrives waits in inbox
 	inbox         []func()
-	requestsLost  bool // what it sends the agents is lost
-	responsesLost bool // what they send is
+	requestsLost  bool // messages to the agents are lost
+	responsesLost bool // messages from the agents are lost
 	extraDelay    time.Duration
-	hung          bool // its tasks' acts never end
+	hung          bool // its leases' operations never end
 
 	scheduler    *policy.Scheduler
-	timerNumber  uint64        // the number of the timer that holds
-	skippedTimer time.Duration // of an idle module: when its timer was due; 0: it has one that comes
+	timerNumber  uint64        // of the timer set last; earlier ones are ignored
+	skippedTimer time.Duration // of an idle scheduler: when its skipped timer was due; 0: none is skipped
 	requests     map[string]*request
-	listVersion  int    // of the list it has
-	listed       []bool // the targets there
+	listVersion  int    // of the target list that it has
+	listed       []bool // by target: whether it is on that list
 	requestCount uint64
 
 	quota          *quotaclient.Client
 	lessee         *lessee.Lessee
 	memberID       string
 	joining        bool
-	renewalNumber  uint64 // the number of the renewal timer that holds
-	preferredAgent int    // asked first
+	renewalNumber  uint64 // of the renewal timer set last; earlier ones are ignored
+	preferredAgent int    // the agent to call first
 	operating      map[lease.Key]bool
 }
 
-// ask is a request that an instance owes an answer, for a client that may have come before.
+// request is a request that an instance has accepted: one try of a client.
 type request struct {
 	id         string
 	client     *clientRequest
@@ -64,7 +64,7 @@
 	units      float64
 }
 
-// client is one client's request, over all its tries.
+// clientRequest is a client's request, over all its tries.
 type clientRequest struct {
 	arrivedAt time.Duration
 	tried     int
@@ -73,21 +73,21 @@
 	done      bool
 }
 
-// epoch is what all clocks show at the beginning of a run: no process starts with its machine.
+// epoch is the time that all clocks show at the beginning of a run; it isn't 0, since no process starts with its machine.
 const epoch = time.Hour
 
 func (n *instance) clock() time.Duration { return n.localTime(n.sim.now) }
 
-// shows is what this clock shows at a true time.
+// localTime returns what this clock shows at a true time.
 func (n *instance) localTime(t time.Duration) time.Duration { return epoch + n.localDuration(t) }
 
-// truly is the true length of a time by this clock.
+// trueDuration converts a duration by this clock to true time.
 func (n *instance) trueDuration(t time.Duration) time.Duration {
 	return time.Duration(float64(t) / n.clockRate)
 }
 
-// when does something at the instance: now, or once it stands still no more, in the order in which it came. What was for a process
-// that is gone is not done.
+// whenRunning calls do at the instance: now, or once a paused instance resumes, in order of arrival. It isn't called if the
+// process has ended by then.
 func (n *instance) whenRunning(do func()) {
 	switch {
 	case !n.alive:
@@ -103,7 +103,7 @@
 	}
 }
 
-// pause has it stand still; what comes waits.
+// pause pauses the instance; what arrives meanwhile waits in its inbox.
 func (n *instance) pause(until time.Duration) {
 	if until <= n.pausedUntil {
 		return
@@ -114,14 +114,14 @@
 			return
 		}
 		box := n.inbox
-		n.inbox, n.skippedTimer = nil, 0 // it did stand still
+		n.inbox, n.skippedTimer = nil, 0 // the scheduler has to notice this pause
 		for _, do := range box {
 			do()
 		}
 	})
 }
 
-// start begins a process: it knows nothing, and has its list a moment later.
+// start starts a process without any state. It receives the target list a moment later.
 func (n *instance) start() {
 	n.alive, n.pausedUntil, n.inbox = true, 0, nil
 	n.starts++
@@ -138,7 +138,7 @@
 	}
 	sched, err := policy.New(set, n.rng.Uint64())
 	if err != nil {
-		panic(err) // the settings are the model's own
+		panic(err) // the model's settings are valid
 	}
 	n.scheduler = sched
 	n.timerNumber++
@@ -158,7 +158,7 @@
 	n.sim.dropAllocations(n)
 }
 
-// hear has it take the list as it is, after its way.
+// receiveTargets delivers the current target list after a network delay.
 func (n *instance) receiveTargets() {
 	born := n.starts
 	n.sim.after(n.sim.networkDelay(n.rng), "list", n.id, func() {
@@ -183,21 +183,21 @@
 	})
 }
 
-// step has the module decide, and does what it says.
+// step passes events to the scheduler and performs its actions.
 func (n *instance) step(events ...policy.Event) {
-	// A module that has nothing to do asks for a timer many times a second, to see whether it stood still. These are left out, and one is
-	// made up for just before something happens, so that it takes nothing for a pause that was none.
+	// An idle scheduler sets a timer many times a second to detect pauses of its process. These timers are skipped to save
+	// events, and one is fired just before the next event, so that the scheduler doesn't detect a pause.
 	if n.skippedTimer > 0 && n.sim.now > n.skippedTimer {
 		n.skippedTimer = 0
 		n.perform(n.scheduler.Step(n.clock(), []policy.Event{policy.TimerFired{}}))
 	}
 	n.perform(n.scheduler.Step(n.clock(), events))
 	if n.skippedTimer > 0 && len(n.requests) > 0 {
-		n.setTimer(max(0, n.skippedTimer-n.sim.now)) // the one that was left out has to come after all
+		n.setTimer(max(0, n.skippedTimer-n.sim.now)) // it isn't idle any more, so the skipped timer has to fire
 	}
 }
 
-// wake has the module's timer come.
+// setTimer has the scheduler's timer fire after in.
 func (n *instance) setTimer(in time.Duration) {
 	n.skippedTimer = 0
 	mine, born := n.timerNumber, n.starts
@@ -229,14 +229,14 @@
 	}
 }
 
-// arrive has the load's next request come.
+// scheduleArrival schedules the next client request.
 func (n *instance) scheduleArrival() {
 	rate := n.sim.spec.Load.Rate * n.loadShare * n.sim.surge()
 	if rate <= 0 {
 		n.sim.after(time.Second, "load", n.id, n.scheduleArrival)
 		return
 	}
-	n.sim.cause = 0 // nothing has it come
+	n.sim.cause = 0 // arrivals have no cause
 	n.sim.after(seconds(n.loadRNG.ExpFloat64()/rate), "load", n.id, func() {
 		cause := n.sim.cause
 		n.scheduleArrival()
@@ -250,7 +250,7 @@
 	})
 }
 
-// ask has a client try, for the first time or again.
+// submit has a client send its request, for the first time or again.
 func (n *instance) submit(c *clientRequest) {
 	left := seconds(n.sim.spec.Load.ClientTimeoutS) - (n.sim.now - c.arrivedAt)
 	if c.done || left <= 0 {
@@ -269,7 +269,7 @@
 	n.whenRunning(func() {
 		left := seconds(n.sim.spec.Load.ClientTimeoutS) - (n.sim.now - c.arrivedAt)
 		if left <= 0 {
-			n.sim.recordLost(c) // it left while the instance stood still
+			n.sim.recordLost(c) // it gave up while the instance was paused
 			return
 		}
 		n.requestCount++
@@ -278,7 +278,7 @@
 		n.requests[id] = a
 		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, VolumeInitiators: 1, TimeLeft: n.localDuration(left)})
 		born := n.starts
-		n.sim.after(left+n.sim.answerGrace, "deadline", n.id, func() { // the rules want an answer by the client's leaving
+		n.sim.after(left+n.sim.answerGrace, "deadline", n.id, func() { // every request needs a final answer by the time its client gives up
 			if n.alive && n.starts == born && !a.answered && n.sim.now >= n.pausedUntil+n.sim.answerGrace {
 				n.sim.reportViolation("final answers", n.id, fmt.Sprintf("request %s has none %v after its client left", id, n.sim.answerGrace))
 			}
@@ -286,12 +286,12 @@
 	})
 }
 
-// own is a length of true time by this clock.
+// localDuration converts a duration of true time to one by this clock.
 func (n *instance) localDuration(t time.Duration) time.Duration {
 	return time.Duration(float64(t) * n.clockRate)
 }
 
-// again has a client that was turned away, or met nobody, come again or give up.
+// retryOrGiveUp has a client whose request was rejected or failed, or whose instance is dead, retry or give up.
 func (n *instance) retryOrGiveUp(c *clientRequest, refused bool, advice time.Duration) {
 	o := &n.sim.spec.Load
 	if c.tried >= o.MaxTries {
@@ -305,7 +305,7 @@
 	n.sim.after(wait, "client again", n.id, func() { n.submit(c) })
 }
 
-// answer gives a request its final answer.
+// finalAnswer gives a request its final answer: rejected or failed.
 func (n *instance) finalAnswer(id string, refused bool, advice time.Duration) {
 	a := n.requests[id]
 	if a == nil || a.answered {
@@ -324,7 +324,7 @@
 	n.retryOrGiveUp(a.client, refused, advice)
 }
 
-// send makes one attempt. The permit and the target's state are looked at just before the first byte.
+// send makes one attempt. The permit and the target's state are checked just before the first byte.
 func (n *instance) send(a policy.Action) {
 	r := n.requests[a.Request]
 	if r == nil {
@@ -372,7 +372,7 @@
 			n.sim.checkReservation(n, t, attempt > 1, cold, r.units)
 			n.sim.after(n.trueDuration(a.Wait), "time-out", n.id, func() { n.whenRunning(func() { end(policy.TimedOut, nil) }) })
 			if n.sim.zonesSeparated(n.zone, t.id%n.sim.spec.Fleet.Zones) {
-				return // lost on its way
+				return // lost in the network
 			}
 			n.sim.after(n.sim.networkDelay(n.rng), "request at target", t.id, func() {
 				t.receive(targetRequest{r.units, func(code policy.OutcomeCode, load policy.Load) {
@@ -386,7 +386,7 @@
 	})
 }
 
-// modelQuota is the instance's part of the fleet's wholes, for the module.
+// modelQuota gives the scheduler access to the instance's quota client.
 type modelQuota struct{ n *instance }
 
 var quotaResources = [...]quota.Resource{policy.ColdWork: quota.ColdWork, policy.Retries: quota.Retries, policy.Connections: quota.Connections, policy.AllWork: quota.AllWork}
@@ -395,7 +395,7 @@
 	return quota.Reservation{Resource: quotaResources[d.Resource], Target: d.Endpoint, Plan: d.Plan, Class: d.Class, Units: d.Units}
 }
 
-// Wait implements spindlehitch.Ration.
+// Wait implements policy.Quota.
 func (r modelQuota) Wait(d policy.Reservation) (time.Duration, bool) {
 	wait, governed := r.n.quota.Wait(r.n.clock(), toReservation(d))
 	if wait > 0 && r.n.quota.HasUnmetDemand() {
@@ -404,7 +404,7 @@
 	return wait, governed
 }
 
-// Reserve implements spindlehitch.Ration.
+// Reserve implements policy.Quota.
 func (r modelQuota) Reserve(draws []policy.Reservation) policy.Permit {
 	all := make([]quota.Reservation, len(draws))
 	for i, d := range draws {
@@ -413,15 +413,16 @@
 	return permit{r.n, r.n.quota.Reserve(r.n.clock(), all...)}
 }
 
+// permit is a reservation that is valid until a time by the instance's clock.
 type permit struct {
 	n     *instance
 	until time.Duration
 }
 
-// Valid implements spindlehitch.Permit.
+// Valid implements policy.Permit.
 func (p permit) Valid() bool { return p.n.clock() < p.until }
 
-// Joining and renewing, as internal/controlplane/quota/quotasession does it.
+// Joining and renewing follow internal/controlplane/quota/quotasession.
 
 const (
 	joinRetryDelay = 200 * time.Millisecond
@@ -454,7 +455,7 @@
 	})
 }
 
-// schedule has the next renewal sent when it is due.
+// scheduleRenewal schedules the next renewal for when it is due.
 func (n *instance) scheduleRenewal() {
 	if n.memberID == "" || !n.alive {
 		return
@@ -525,7 +526,8 @@
 	n.join()
 }
 
-// call asks the agents in turn, from the one that answered last on, each for a while, within a time in all; then is told nil.
+// call calls the agents in turn, beginning with the preferred one, and follows redirects to the leader. Each has a share of
+// the time that remains of within. then is called once, with the answer, or with nil if there is none in time.
 func (n *instance) call(what string, within time.Duration, ask func(*agents, int, func(any)), then func(any)) { //nolint:gocognit // to be split with its package, see docs/left.md
 	over := false
 	finish := func(answer any) {
@@ -579,7 +581,7 @@
 					})
 				}
 				if leads < 0 {
-					back(nil) // it knows no leader
+					back(nil) // the agent knows no leader
 					return
 				}
 				if leads != at {
@@ -594,7 +596,7 @@
 	try(0)
 }
 
-// act begins what may begin on the shards held: an act changes its place once, and ends.
+// startOperations schedules operations on the shards held. An operation changes its resource once, and ends.
 func (n *instance) startOperations() {
 	if n.lessee == nil || !n.alive {
 		return
@@ -629,7 +631,7 @@
 	})
 }
 
-// acts takes an act through its steps; between any two of them the instance may stand still.
+// runOperation takes an operation through its steps. The instance may be paused between any two of them.
 func (n *instance) runOperation(a lessee.Operation, born int) {
 	place := n.sim.guards[a.Key]
 	end := func(how lessee.Outcome) {
@@ -639,7 +641,7 @@
 		}
 		n.scheduleOperation(a.Key)
 	}
-	unguarded := n.sim.spec.Fleet.PlantedMistake == "early" // neither it nor the place looks
+	unguarded := n.sim.spec.Fleet.PlantedMistake == "early" // neither the lessee nor the guard checks
 	steps := []func() bool{
 		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.sim.checkBegin(n, a) },
 		func() bool { return unguarded || n.lessee.MayProceed(n.clock(), a) },
@@ -672,7 +674,7 @@
 	next(0)
 }
 
-// floors is what a floor and a part are at an instance now, by true time.
+// quotaRate returns the rate that the instance may use now of a budget, floor and allocation, by true time.
 func (n *instance) quotaRate(k quota.Key) float64 {
 	if n.quota == nil || !n.alive {
 		return 0
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -17,56 +17,56 @@
 	"spindlehitch/internal/policy"
 )
 
-// Point is what happened within one step of the series. All are counts but those that say otherwise.
+// Point is one step of a run's time series. Values are counts within the step unless they say otherwise.
 type Point struct {
 	T                 float64 `parquet:"t_s" json:"t_s"` // seconds, at its end
 	Offered           float64 `parquet:"offered" json:"offered"`
 	Served            float64 `parquet:"served" json:"served"`   // in time
-	Late              float64 `parquet:"late" json:"late"`       // served, and not in time
-	Refused           float64 `parquet:"refused" json:"refused"` // answers to tries
+	Late              float64 `parquet:"late" json:"late"`       // served, but not in time
+	Refused           float64 `parquet:"refused" json:"refused"` // tries that were rejected
 	Failed            float64 `parquet:"failed" json:"failed"`
 	Lost              float64 `parquet:"lost" json:"lost"`           // clients that gave up
 	Attempts          float64 `parquet:"attempts" json:"attempts"`   // sent to targets
-	Retries           float64 `parquet:"repeats" json:"repeats"`     // of them, not the first of their request
+	Retries           float64 `parquet:"repeats" json:"repeats"`     // attempts after the first of a request
 	ColdUnits         float64 `parquet:"cold" json:"cold"`           // units sent to cold targets
-	Overloads         float64 `parquet:"falls" json:"falls"`         // cold targets that fell over
-	Joins             float64 `parquet:"joins" json:"joins"`         // seats taken
-	FailedRenewals    float64 `parquet:"unheard" json:"unheard"`     // renewals without an answer
-	Elections         float64 `parquet:"elections" json:"elections"` // leaders begun
+	Overloads         float64 `parquet:"falls" json:"falls"`         // stalls of cold targets by overload
+	Joins             float64 `parquet:"joins" json:"joins"`         // sessions begun
+	FailedRenewals    float64 `parquet:"unheard" json:"unheard"`     // renewals without a response
+	Elections         float64 `parquet:"elections" json:"elections"` // leaders elected
 	Grants            float64 `parquet:"grants" json:"grants"`       // of leases
-	Operations        float64 `parquet:"acts" json:"acts"`           // ended
-	AbortedOperations float64 `parquet:"denied" json:"denied"`       // acts cut short
-	LongestIdle       float64 `parquet:"gap_s" json:"gap_s"`         // seconds since the last act at the shard that waits longest, at the step's end
-	AllocatedShare    float64 `parquet:"held" json:"held"`           // part of the first budget's whole that may be used, at the step's end
-	Alive             float64 `parquet:"alive" json:"alive"`         // instances, at the step's end
+	Operations        float64 `parquet:"acts" json:"acts"`           // operations completed
+	AbortedOperations float64 `parquet:"denied" json:"denied"`       // operations fenced or out of time
+	LongestIdle       float64 `parquet:"gap_s" json:"gap_s"`         // longest time in seconds since the last operation on a shard, at the step's end
+	AllocatedShare    float64 `parquet:"held" json:"held"`           // share of the first budget's limit that instances may use, at the step's end
+	Alive             float64 `parquet:"alive" json:"alive"`         // running instances, at the step's end
 }
 
-// Result is what came of one run.
+// Result is the result of one run.
 type Result struct {
 	Series      []Point         `json:"series"`
 	Events      uint64          `json:"events"`
 	Violation   *ViolationError `json:"broken,omitempty"`
-	Stopped     string          `json:"stopped,omitempty"` // why it did not go to its end
-	P50         float64         `json:"p50_s"`             // of what was served, from a client's first try
+	Stopped     string          `json:"stopped,omitempty"` // why it was stopped before its end
+	P50         float64         `json:"p50_s"`             // latency of served requests, from a client's first try
 	P99         float64         `json:"p99_s"`
-	WorstWindow float64         `json:"worst_window"` // of any budget: units beyond the rate, as a part of what may be
+	WorstWindow float64         `json:"worst_window"` // over all budgets: the most units beyond the rate in a window, as a share of the burst
 }
 
-// BrokenError is a promise that was not kept.
+// ViolationError is a violated invariant.
 type ViolationError struct {
 	Invariant string   `json:"what"`
 	At        float64  `json:"at_s"`
 	On        int      `json:"on"`
 	Message   string   `json:"says"`
 	Event     uint64   `json:"event"`
-	Chain     []string `json:"chain,omitempty"` // of causes, the last first; where the run was traced
+	Chain     []string `json:"chain,omitempty"` // of causing events, the last first; only of a traced run
 }
 
 func (b *ViolationError) Error() string {
 	return fmt.Sprintf("%s: broken at %.6f s, event %d: %s", b.Invariant, b.At, b.Event, b.Message)
 }
 
-// Sim is one run.
+// Sim is one run. It is not safe for concurrent use.
 type Sim struct {
 	spec             *Spec
 	seed             uint64
@@ -74,19 +74,19 @@
 	queue            queue
 	lastEvent, cause uint64
 	limit            uint64
-	trace            map[uint64]tracedEvent // of a traced run
+	trace            map[uint64]tracedEvent // by event number; nil: the run isn't traced
 
 	instances   []*instance
 	targets     []*target
-	agents      *agents // nil: none
-	listVersion int     // of the list
+	agents      *agents // nil: there are no budgets
+	listVersion int     // of the target list
 	targetIDs   []string
 	targetByID  map[string]int
 	settings    policy.Settings
 	governed    []quota.Resource
 	taskNames   []string
-	cutZones    map[int]bool // zones that are cut off
-	answerGrace time.Duration
+	cutZones    map[int]bool // zones that are disconnected from all others
+	answerGrace time.Duration // after a client gives up, until its request must have a final answer
 
 	point     Point
 	result    Result
@@ -102,14 +102,14 @@
 	at    time.Duration
 }
 
-// judge holds what is done against the promises, and knows parts only as what may be used.
+// checkState is what the invariants are checked against. Of allocations it has only what instances may use.
 type checkState struct {
 	buckets       map[quota.Key]*bucket
 	allocations   map[quota.Key]map[int]allocated // by instance
 	allocatedRate map[quota.Key]float64
 	lastOperation map[lease.Key][2]uint64
 	lastHolder    map[lease.Key]string
-	lastChange    map[lease.Key]time.Duration // when an act last changed the place
+	lastChange    map[lease.Key]time.Duration // when an operation last changed the resource
 }
 
 type bucket struct {
@@ -122,7 +122,8 @@
 	until time.Duration // by true time
 }
 
-// Run takes one run to its end, to a broken promise, or to its bound of events. With trace a broken promise has its chain of causes.
+// Run runs a spec to its end, to a violated invariant, or to its limit of events. With trace, a violation has its chain of
+// causing events.
 func Run(spec *Spec, seed uint64, trace bool) Result {
 	s := &Sim{spec: spec, seed: seed, limit: uint64(spec.MaxMillionEvents * 1e6), targetByID: map[string]int{}, cutZones: map[int]bool{}, guards: map[lease.Key]*fencing.Guard{},
 		answerGrace: 100 * time.Millisecond, listVersion: 1}
@@ -216,12 +217,12 @@
 	s.scheduleFaults()
 }
 
-// stream is an actor's own source of draws.
+// stream returns an actor's own random stream.
 func (s *Sim) stream(of string, i int) *rand.Rand {
 	return rand.New(rand.NewPCG(s.seed, xxhash.Sum64String(fmt.Sprint(of, "/", i))))
 }
 
-// clockRate is that of the i'th clock: they are spread over the whole bound.
+// clockRate returns the rate of the i-th clock. The rates are spread over the whole drift bound.
 func (s *Sim) clockRate(i int) float64 {
 	return 1 + s.spec.Fleet.ClockPPM/1e6*float64(i%3-1)
 }
@@ -233,7 +234,7 @@
 
 func (s *Sim) after(d time.Duration, what string, on int, do func()) { s.at(s.now+d, what, on, do) }
 
-// way is how long one message takes.
+// networkDelay draws the delay of one message.
 func (s *Sim) networkDelay(r *rand.Rand) time.Duration {
 	return milliseconds(s.spec.Net.DelayMs + r.ExpFloat64()*s.spec.Net.JitterMs)
 }
@@ -242,12 +243,13 @@
 	return s.spec.Net.Loss > 0 && r.Float64() < s.spec.Net.Loss
 }
 
-// cutOff tells whether a zone and an agent can't reach each other: agents are in zones as instances are.
+// agentUnreachable reports whether a zone and an agent can't reach each other. Agents are spread over the zones as
+// instances are.
 func (s *Sim) agentUnreachable(zone, agent int) bool {
 	return s.zonesSeparated(zone, agent%s.spec.Fleet.Zones)
 }
 
-// apart tells whether nothing passes between two zones.
+// zonesSeparated reports whether two zones are disconnected from each other.
 func (s *Sim) zonesSeparated(a, b int) bool { return a != b && (s.cutZones[a] || s.cutZones[b]) }
 
 func (s *Sim) surge() float64 {
@@ -258,7 +260,7 @@
 	return 1
 }
 
-// list has all instances hear of the targets anew.
+// publishTargets sends all running instances a new target list.
 func (s *Sim) publishTargets() {
 	s.listVersion++
 	for _, n := range s.instances {
@@ -268,7 +270,7 @@
 	}
 }
 
-// heeds has a member claim at once: its lease has changed.
+// notifyLeaseChange has a member renew at once, since its lease has changed.
 func (s *Sim) notifyLeaseChange(id string) {
 	for _, n := range s.instances {
 		if n.alive && n.memberID == id {
@@ -330,7 +332,7 @@
 	s.point = Point{}
 }
 
-// breaks ends the run.
+// reportViolation records the first violation, which ends the run.
 func (s *Sim) reportViolation(what string, on int, says string) {
 	if s.result.Violation != nil {
 		return
@@ -343,8 +345,8 @@
 	s.result.Violation = b
 }
 
-// drew holds a send against every budget that governs it: no window may see more than the whole's rate and its burst (step 8 of
-// docs/fleet-budgets.md).
+// checkReservation checks a send against every budget that covers it: in no window may the fleet exceed the rate by more
+// than the burst (step 8 of docs/fleet-budgets.md).
 func (s *Sim) checkReservation(n *instance, t *target, repeat, cold bool, units float64) {
 	if s.agents == nil {
 		return
@@ -374,12 +376,13 @@
 	}
 }
 
-// accepted holds what an instance may use from now on against the whole, together with what all others may.
+// checkAllocations checks that what an instance may use from now on, together with all others' allocations, is within the
+// limit.
 func (s *Sim) checkAllocations(n *instance) {
 	for _, has := range n.quota.Status(n.clock()) {
 		until := n.trueDuration(has.GrantedUntil - epoch)
 		if s.spec.Fleet.PlantedMistake == "greedy" && n.id%3 == 0 {
-			until += seconds(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it went on using what has ended
+			until += seconds(float64(s.spec.Budgets.AllocationTTLMs) / 1000 * 4) // as if it used the allocation after its end
 		}
 		rate := has.Limit.Rate * n.clockRate
 		b := s.spec.Budgets.Budget(has.Budget)
@@ -406,7 +409,7 @@
 	if s.checks.allocatedRate[k] <= pool+1e-6*b.Capacity {
 		return
 	}
-	// Some of it has ended: it is summed anew, in the instances' order.
+	// Some allocations have ended: they are removed and the rest is summed again, in the order of the instances.
 	sum := 0.0
 	ids := make([]int, 0, len(all))
 	for id, x := range all {
@@ -426,7 +429,7 @@
 	}
 }
 
-// budgetGone forgets what a process had that is gone.
+// dropAllocations removes the allocations of a process that has ended or lost its session.
 func (s *Sim) dropAllocations(n *instance) {
 	for k, all := range s.checks.allocations {
 		if x, there := all[n.id]; there {
@@ -436,7 +439,7 @@
 	}
 }
 
-// began and changed hold acts against the order of their tokens.
+// checkBegin and checkChange check that operations on a shard are in the order of their fencing tokens.
 func (s *Sim) checkBegin(n *instance, a lessee.Operation) bool {
 	last := s.checks.lastOperation[a.Key]
 	if a.Token < last[0] || a.Token == last[0] && s.checks.lastHolder[a.Key] != n.memberID {
@@ -454,7 +457,7 @@
 	return true
 }
 
-// Faults is the whole schedule of a run: what the file has, and what is drawn.
+// Faults returns all faults of a run: those of the spec, and those drawn at random.
 func Faults(spec *Spec, seed uint64) []Fault {
 	all := slices.Clone(spec.Faults)
 	r := spec.Random
@@ -477,7 +480,7 @@
 		f.On = []int{rng.IntN(spec.count(faultKinds[f.Kind]))}
 		if strings.HasPrefix(f.Kind, "agent") {
 			if at < agentFree {
-				continue // one agent at a time: a majority is always there
+				continue // one agent at a time, so that there is always a majority
 			}
 			agentFree = at + f.ForS + 3
 		}
@@ -488,7 +491,7 @@
 
 func (s *Sim) scheduleFaults() {
 	for _, f := range Faults(s.spec, s.seed) {
-		rng := s.stream("fault "+f.String(), 0) // the same whichever others there are
+		rng := s.stream("fault "+f.String(), 0) // independent of the other faults
 		on := f.On
 		if of := faultKinds[f.Kind]; len(on) == 0 && of != "zone" {
 			for k := range s.spec.count(of) {
@@ -511,7 +514,7 @@
 	}
 }
 
-// hurt begins a fault, or ends it.
+// applyFault begins a fault, or ends it.
 func (s *Sim) applyFault(f Fault, k int, until time.Duration, begins bool) {
 	what, _ := strings.CutPrefix(f.Kind, "target-")
 	if faultKinds[f.Kind] == "target" {
