--- a/internal/testbed/model/experiment/experiment_test.go
+++ b/internal/testbed/model/experiment/experiment_test.go
@@ -89,8 +89,8 @@
 	return all.String()
 }
 
-// TestSameBytes has one experiment run on one core and on eight, and interrupted after each of its runs, with a file half written: what comes
-// of it is the same, byte for byte. Another program's runs are not taken over.
+// TestSameBytes runs an experiment on one core, on eight, and interrupted after each run with an incomplete file: the results
+// must be equal byte for byte. Results of another program must not be reused.
 func TestSameBytes(t *testing.T) { //nolint:gocognit // one scenario, told in order
 	x, err := Read(writeFile(t, validExperiment))
 	if err != nil || len(x.Runs) != 8 {
@@ -123,11 +123,11 @@
 		t.Fatal(err)
 	}
 	if a := readResults(t, one); a != readResults(t, eight) || a != readResults(t, cut) {
-		t.Error("three ways to run it, not one outcome")
+		t.Error("results differ between one core, eight cores and interrupted runs")
 	}
 	x.Program = 7
 	if _, had := load(one, x.Runs[0], x.checksum(x.Runs[0])); had {
-		t.Error("another program's run was taken over")
+		t.Error("another program's run was reused")
 	}
 	list, err := Summaries(one)
 	if err != nil || len(list) != 4 || list[0].Figures["served"].Mean < 0.3 {
@@ -151,7 +151,7 @@
 		}
 	}
 	if len(differ) != 1 || differ["served"] < 2 {
-		t.Errorf("what differs: %v", differ)
+		t.Errorf("figures that differ: %v, want served alone", differ)
 	}
 	for _, name := range []string{"plot.svg", "plot.png"} {
 		out := filepath.Join(one, name)
@@ -167,28 +167,28 @@
 	}
 }
 
-// TestBadFiles has files refused, each by one message with file, line and field.
+// TestInvalidFiles checks that invalid files are rejected with a message of one line that names file, line and field.
 func TestInvalidFiles(t *testing.T) {
 	for _, c := range []struct{ what, from, to, says string }{
 		{"unknown field", "rate = 60\n", "rate = 60\nraet = 3\n", ":14: load.raet: unknown field"},
 		{"a unit in a number", "delay_ms = 0.5", `delay_ms = "5ms"`, ":21: net.delay_ms: "},
-		{"no number", "length_s = 4", "length_s = x", ":2: "},
+		{"not a number", "length_s = 4", "length_s = x", ":2: "},
 		{"out of bounds", "instances = 6", "instances = 0", ":7: fleet.instances: 0 is not from 1"},
 		{"a million runs", "[60, 90]", "[" + strings.Repeat("60, ", 30_000) + "60]", ":48: vary.load.rate: more than 20000 runs"},
-		{"a grid over nothing", `"load.rate"`, `"lode.rate"`, "vary.lode.rate: lode.rate: there is no lode"},
-		{"a fault on nobody", "on = [0, 1]", "on = [0, 9]", ":39: fault[0].on: there is no instance 9"},
+		{"an unknown field varied", `"load.rate"`, `"lode.rate"`, "vary.lode.rate: lode.rate: there is no lode"},
+		{"a fault on a missing instance", "on = [0, 1]", "on = [0, 9]", ":39: fault[0].on: there is no instance 9"},
 		{"an unknown fault", `"agent-pause"`, `"agent-nap"`, ":44: fault[1].what: unknown kind"},
 		{"a fault after the end", "at_s = 2", "at_s = 20", ":42: fault[1].at_s: 20 is not within"},
 		{"clocks past the fleet's bound", "clock_ppm = 200", "clock_ppm = 2000", ":9: fleet.clock_ppm: 2000 is over"},
 		{"a bad budget", "burst = 60", "burst = 10", "budgets.budget[0].burst: 10 holds no unit"},
 		{"two variants of a name", `name = "fleet"`, `name = "even"`, "variant[1].name: missing or there twice"},
-		{"a variant without nothing", `["budgets"]`, `["budget"]`, "variant[0].without: the file has no budget"},
+		{"a variant that removes a missing field", `["budgets"]`, `["budget"]`, "variant[0].without: the file has no budget"},
 		{"no seeds", "seeds = [1, 2]", "seeds = []", ":4: seeds: at least one"},
-		{"no schedule there", "seeds = [1, 2]", "seeds = [1, 2]\nschedule = \"none.json\"", ":5: schedule: "},
+		{"a missing schedule", "seeds = [1, 2]", "seeds = [1, 2]\nschedule = \"none.json\"", ":5: schedule: "},
 	} {
 		text := strings.Replace(validExperiment, c.from, c.to, 1)
 		if text == validExperiment {
-			t.Fatalf("%s: nothing is changed", c.what)
+			t.Fatalf("%s: the replaced text is missing", c.what)
 		}
 		path := writeFile(t, text)
 		_, err := Read(path)
--- a/internal/testbed/model/experiment/file.go
+++ b/internal/testbed/model/experiment/file.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiments on a modelled fleet from files, runs them, keeps what came of each run, and tells, draws and
-// compares it. docs/model-operators.md is the page for it.
+// Package experiment reads experiments on a simulated fleet from files, runs them, stores the result of each run, and
+// summarizes, plots and compares results. docs/model-operators.md describes its use.
 package experiment
 
 import (
@@ -20,27 +20,27 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// mostRuns bounds an experiment.
+// maxRuns bounds the runs of an experiment.
 const maxRuns = 20_000
 
-// Experiment is a file: what every run has, and what is varied.
+// Experiment is an experiment read from a file, with all its runs.
 type Experiment struct {
 	Name    string
-	Program uint64 // names the program that runs it: what another one did is not taken for this one's
+	Program uint64 // identifies the program; results of another program are not reused
 	Runs    []PlannedRun
 }
 
-// Planned is one run.
+// PlannedRun is one run of an experiment.
 type PlannedRun struct {
 	N       int               `json:"n"`
 	Variant string            `json:"variant"`
 	Varied  map[string]string `json:"varied,omitempty"` // by the field's path
 	Seed    uint64            `json:"seed"`
 	Spec    *model.Spec       `json:"-"`
-	text    string            // of the spec: what it was run with
+	text    string            // of the spec, as TOML
 }
 
-// Of names what a run is one of, but for its seed.
+// Setting names the run's variant and varied values, without its seed.
 func (p *PlannedRun) Setting() string {
 	parts := []string{p.Variant}
 	for _, k := range slices.Sorted(maps.Keys(p.Varied)) {
@@ -49,21 +49,21 @@
 	return strings.Join(parts, " ")
 }
 
-// head is what a file has beside the spec's fields.
+// fileHeader is the part of a file that isn't the spec.
 type fileHeader struct {
 	Seeds    []uint64         `toml:"seeds"`
-	Schedule string           `toml:"schedule"` // a file of faults (JSON), recorded or written by hand
+	Schedule string           `toml:"schedule"` // a JSON file of faults, recorded or written by hand
 	Vary     map[string][]any `toml:"vary"`
 	Variants []variant        `toml:"variant"`
 }
 
 type variant struct {
 	Name    string         `toml:"name"`
-	Without []string       `toml:"without"` // fields of the file that this one does not have
+	Without []string       `toml:"without"` // fields of the file that this variant removes
 	Set     map[string]any `toml:"set"`     // by path, such as "budgets.renew_ms" or "budgets.budget.0.whole"
 }
 
-// Read reads an experiment. Errors name file, line and field, and nothing was run.
+// Read reads an experiment and validates it. Errors name file, line and field.
 func Read(path string) (*Experiment, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -145,7 +145,7 @@
 			spec := &model.Spec{}
 			meta, err := toml.Decode(text.String(), spec)
 			if err != nil {
-				if m := lastKey.FindStringSubmatch(err.Error()); m != nil { // its line is that of this run's own text
+				if m := lastKey.FindStringSubmatch(err.Error()); m != nil { // the line would be one of the run's generated text
 					err = fmt.Errorf("%s: %s", m[1], m[2])
 				}
 				return fail(err)
@@ -258,7 +258,8 @@
 var tableHeader = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
 var keyValue = regexp.MustCompile(`^\s*"?([A-Za-z0-9_.\-]+)"?\s*=`)
 
-// lineOf is the line of the field that a message begins with, such as "fault[1].on: ..."; where it is not there, of its table; else 1.
+// lineOf returns the line of the field that a message begins with, such as "fault[1].on: ..."; if the file doesn't have the
+// field, that of its table, or else 1.
 func lineOf(text, message string) int {
 	field, _, _ := strings.Cut(message, ": ")
 	field = strings.Trim(field, "'")
--- a/internal/testbed/model/experiment/plot.go
+++ b/internal/testbed/model/experiment/plot.go
@@ -20,17 +20,17 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// Metrics names what a series can be drawn of: a point's fields, by their names in the results.
+// Metrics returns the names of the metrics that can be plotted: a point's fields, by their names in the results.
 func Metrics() (names []string) {
 	t := reflect.TypeFor[model.Point]()
 	for i := range t.NumField() {
 		name, _, _ := strings.Cut(t.Field(i).Tag.Get("json"), ",")
 		names = append(names, name)
 	}
-	return names[1:] // but for the time
+	return names[1:] // the first is the time
 }
 
-// Results reads a folder's series.
+// Results reads the time series of a folder's runs.
 func Results(dir string) ([]Row, error) {
 	rows, err := parquet.ReadFile[Row](filepath.Join(dir, "results.parquet"))
 	if err != nil && !errors.Is(err, io.EOF) {
@@ -39,8 +39,8 @@
 	return rows, nil
 }
 
-// Plot draws a metric over time, a line for each setting (the mean of its seeds) with a band from the least to the greatest; a share
-// of what was offered where per is true. The ending of the file's name says how: svg or png.
+// Plot plots a metric over time, for each setting a line (the mean of its seeds) with a band from the minimum to the maximum.
+// If per is set, values are divided by the requests offered. The file's extension selects the format: .svg or .png.
 func Plot(dir, metric string, per bool, title, out string) error {
 	at := slices.Index(Metrics(), metric)
 	if at < 0 {
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -24,17 +24,17 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// Done is one run and what came of it, as its file has it.
+// CompletedRun is a run with its result, as its file has it.
 type CompletedRun struct {
 	PlannedRun
-	Sum    uint64       `json:"xxhash"` // of the spec and the program
+	Sum    uint64       `json:"xxhash"` // hash of the spec and the program
 	Result model.Result `json:"result"`
 }
 
-// Row is a line of the results: one step of one run.
+// Row is a row of results.parquet: one step of one run.
 type Row struct {
 	Run     int32  `parquet:"run"`
-	Setting string `parquet:"of,dict"` // variant and what was varied
+	Setting string `parquet:"of,dict"` // variant and varied values
 	Variant string `parquet:"variant,dict"`
 	Seed    uint64 `parquet:"seed"`
 	model.Point
@@ -46,7 +46,7 @@
 	return filepath.Join(dir, "runs", fmt.Sprintf("%06d.json", n))
 }
 
-// load reads a run's file; false: it is not there, not whole, or of another spec.
+// load reads a run's file; ok is false if it is missing, incomplete, or of another spec or program.
 func load(dir string, p PlannedRun, sum uint64) (d CompletedRun, ok bool) {
 	b, err := os.ReadFile(runFile(dir, p.N))
 	if err != nil || json.Unmarshal(b, &d) != nil || d.Sum != sum || d.Seed != p.Seed {
@@ -56,7 +56,7 @@
 	return d, true
 }
 
-// save puts a run's file there whole.
+// save writes a run's file atomically.
 func save(dir string, d CompletedRun) error {
 	b, err := json.Marshal(d)
 	if err != nil {
@@ -68,7 +68,7 @@
 	})
 }
 
-// whole writes a file under another name first.
+// writeAtomically writes a file under a temporary name, and renames it when it is complete.
 func writeAtomically(path string, write func(io.Writer) error) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "writing-*")
 	if err != nil {
@@ -85,11 +85,12 @@
 	return os.Rename(f.Name(), path)
 }
 
-// ErrBroken says that a promise was broken in some run.
-var ErrViolation = errors.New("a promise is broken")
+// ErrViolation means that a run violated an invariant.
+var ErrViolation = errors.New("a run violates an invariant")
 
-// Run takes all runs that the folder does not have yet, on so many cores (0: all), and then writes results.parquet and summary.json, which
-// depend on the file alone. told is called after each, from one goroutine at a time. Where ctx ends, what is done is kept.
+// Run executes all runs that the folder doesn't have yet, on so many cores (0: all), and then writes results.parquet and
+// summary.json, which depend on the file alone. told is called after each run, by one goroutine at a time. If ctx ends,
+// completed runs are kept.
 func (x *Experiment) Run(ctx context.Context, dir string, cores int, told func(done, all int)) ([]CompletedRun, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	if err := os.MkdirAll(filepath.Join(dir, "runs"), 0o755); err != nil {
 		return nil, err
@@ -166,7 +167,7 @@
 	return all, err
 }
 
-// measures are what a run is summed up by. Shares are of what was offered.
+// figures are the figures of a run's summary. Shares are of the requests offered.
 var figures = []struct {
 	name string
 	of   func(d *CompletedRun) float64
@@ -203,7 +204,7 @@
 	return sum
 }
 
-// lastFault is when the last fault of the file begins; 0: there is none.
+// lastFault returns when the last fault or surge of the spec begins; 0: there is none.
 func lastFault(d *CompletedRun) (at float64) {
 	for _, f := range d.Spec.Faults {
 		at = max(at, f.AtS)
@@ -214,8 +215,8 @@
 	return at
 }
 
-// recover9 is how long after the beginning of the last fault nine tenths of what is offered are served in time again, and stay so for
-// five steps; the rest of the run where they never are.
+// recoveryTime returns how long after the beginning of the last fault nine tenths of the requests are served in time again,
+// for five steps in a row; the rest of the run if they never are.
 func recoveryTime(d *CompletedRun) float64 {
 	at, run := lastFault(d), 0
 	hurt := false
@@ -226,7 +227,7 @@
 		if p.Served >= 0.9*p.Offered {
 			if run++; run == 5 {
 				if !hurt && p.T < at+10*d.Spec.StepS {
-					run = 4 // not hurt yet, perhaps
+					run = 4 // the fault may not have had its effect yet
 					continue
 				}
 				return max(0, p.T-5*d.Spec.StepS-at)
@@ -241,7 +242,7 @@
 	return d.Spec.LengthS - at
 }
 
-// tail is the share served in time of what was offered in the run's last quarter.
+// tailShare returns the share of requests served in time in the run's last quarter.
 func tailShare(d *CompletedRun) float64 {
 	var s, o float64
 	for _, p := range d.Result.Series {
@@ -252,7 +253,7 @@
 	return s / max(o, 1)
 }
 
-// Summary is one setting over all its seeds.
+// Summary summarizes the runs of one setting.
 type Summary struct {
 	Setting string              `json:"of"`
 	Runs    int                 `json:"runs"`
@@ -261,14 +262,14 @@
 	Figures map[string]Estimate `json:"figures"`
 }
 
-// Moved is a figure's mean over the seeds, and its standard deviation.
+// Estimate is a figure's mean over the seeds, and its standard deviation.
 type Estimate struct {
 	Mean   float64   `json:"mean"`
 	SD     float64   `json:"sd"`
 	Values []float64 `json:"all"`
 }
 
-// Summarize sums runs up by setting, in the file's order.
+// Summarize summarizes runs by setting, in the file's order.
 func Summarize(all []CompletedRun) (list []Summary) {
 	at := map[string]int{}
 	for i := range all {
@@ -308,7 +309,7 @@
 	return list
 }
 
-// Table writes summaries for a person.
+// Table writes summaries as a table.
 func Table(w io.Writer, list []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprint(t, "SETTING\tRUNS\tBROKEN")
@@ -326,7 +327,7 @@
 	return t.Flush()
 }
 
-// Summaries reads a folder's.
+// Summaries reads a folder's summary.json.
 func Summaries(dir string) (list []Summary, err error) {
 	b, err := os.ReadFile(filepath.Join(dir, "summary.json"))
 	if err != nil {
@@ -338,17 +339,18 @@
 	return list, nil
 }
 
-// Difference is one figure of one setting in two folders.
+// Difference compares one figure of one setting in two folders.
 type Difference struct {
 	Setting     string  `json:"of"`
 	Figure      string  `json:"figure"`
 	A           float64 `json:"a"`
 	B           float64 `json:"b"`
 	SE          float64 `json:"standard_error"`
-	Significant bool    `json:"larger_than_spread"` // than three standard errors (Welch, 1947, unequal variances)
+	Significant bool    `json:"larger_than_spread"` // by more than three standard errors (Welch, 1947, unequal variances)
 }
 
-// Compare tells which figures of the settings that two folders share differ by more than their seeds' spread.
+// Compare compares all figures of the settings that two folders share, and marks those that differ by more than the spread
+// of their seeds.
 func Compare(a, b []Summary) (list []Difference) {
 	for _, x := range a {
 		at := slices.IndexFunc(b, func(y Summary) bool { return y.Setting == x.Setting })
--- a/internal/testbed/model/mesh/measure.go
+++ b/internal/testbed/model/mesh/measure.go
@@ -8,36 +8,38 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// Trouble is what goes on through a measurement.
+// Condition is the network and process faults during a measurement.
 type Condition struct {
 	Name   string
-	Loss   float64 // part of the datagrams
-	Paused float64 // part of the members that stand still for 0.2 to 5 s again and again
-	Cut    float64 // part of the ways, one way each
+	Loss   float64 // share of the datagrams
+	Paused float64 // share of the members that are paused again and again, for 0.2 to 5 s
+	Cut    float64 // share of the directed paths between members
 }
 
-// Troubles are those that docs/members.md tells of.
+// Conditions are those whose measurements docs/members.md reports.
 var Conditions = []Condition{{Name: "none"}, {Name: "a fifth paused", Paused: 0.2}, {Name: "5% lost", Loss: 0.05}, {Name: "10% lost", Loss: 0.1},
 	{Name: "20% lost", Loss: 0.2}, {Name: "a twentieth of the ways cut", Cut: 0.05}, {Name: "paused and 10% lost", Paused: 0.2, Loss: 0.1}}
 
-// Row is what came of one measurement.
+// Row is the result of one measurement.
 type Row struct {
 	Trouble            string  `json:"trouble"`
 	Size               int     `json:"size"`
 	Plain              bool    `json:"plain"`
 	MemberHours        float64 `json:"member_hours"`
-	FalseVerdicts      int     `json:"false_verdicts"` // of members that lived and did not stand still
+	FalseVerdicts      int     `json:"false_verdicts"` // of members that were alive and not paused
 	FalsePerMemberHour float64 `json:"false_per_member_hour"`
-	// In periods, from a kill: until the first member held it dead, half of them, and all.
+	// Mean time from a kill until the first member, half of the members and all members held the killed one dead, in probe
+	// intervals.
 	First, Half, All float64
-	// Of a member, a second.
+	// Per member and second.
 	BytesS    float64 `json:"bytes_s"`
 	MessagesS float64 `json:"messages_s"`
 	CPUUs     float64 `json:"cpu_us_s"` // microseconds
-	ConvergeS float64 `json:"meet_s"`   // after the trouble ends, until all views are the same
+	ConvergeS float64 `json:"meet_s"`   // seconds from the end of the condition until all views are equal
 }
 
-// Measure runs a fleet under a trouble for so long, then kills some members one by one, and then ends the trouble.
+// Measure runs a fleet under a condition for the time lasts, then kills some members one by one, and then ends the condition
+// and waits until all views are equal. size returns the encoded size of a message; nil: bytes are not counted.
 func Measure(s Spec, t Condition, lasts time.Duration, kills int, size func(*membership.Message) int) (Row, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	s.Loss, s.Joined = t.Loss, true
 	m := New(s)
@@ -58,10 +60,10 @@
 	for _, n := range m.Nodes {
 		name[addr(n.Number)] = n
 	}
-	verdicts := map[int][]time.Duration{} // of the one that was killed
+	verdicts := map[int][]time.Duration{} // by killed member: the time from the kill to each other member's verdict
 	victim := -1
 	var killed time.Duration
-	// A verdict is false of one that lives and has never stood still.
+	// A verdict is false if the member is alive and has never been paused.
 	for _, n := range m.Nodes {
 		n.OnEvent = func(now time.Duration, e membership.Event) {
 			if e.Status != "dead" {
@@ -116,7 +118,7 @@
 		_, ok := m.Until(s.Settings.ProbeInterval/4, 300*s.Settings.ProbeInterval, func() bool { return len(verdicts[victim]) >= living })
 		v := verdicts[victim]
 		if !ok {
-			return row, fmt.Errorf("%s, size %d: %d of %d have found the death of %d", t.Name, s.Size, len(v), living, victim)
+			return row, fmt.Errorf("%s, size %d: %d of %d members have detected the death of member %d", t.Name, s.Size, len(v), living, victim)
 		}
 		slices.Sort(v)
 		period := s.Settings.ProbeInterval.Seconds() * float64(kills)
@@ -132,7 +134,7 @@
 	m.Run(5 * time.Second)
 	took, ok := m.Until(s.Settings.ProbeInterval/2, 600*s.Settings.ProbeInterval, m.Converged)
 	if row.ConvergeS = took.Seconds() + 5; !ok {
-		return row, fmt.Errorf("%s, size %d: views do not meet", t.Name, s.Size)
+		return row, fmt.Errorf("%s, size %d: views do not converge", t.Name, s.Size)
 	}
 	return row, nil
 }
--- a/internal/testbed/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -1,5 +1,6 @@
-// Package mesh is a fleet of members in virtual time: the real membership machines, and between them a network that loses, delays and
-// cuts one way, and processes that pause and die. One seed, one outcome. It measures what docs/members.md tells.
+// Package mesh simulates a membership group in virtual time: the real membership nodes, with a network that loses and delays
+// messages and whose paths can be cut in one direction, and processes that pause and die. A run is determined by its seed.
+// It measures the figures of docs/members.md.
 package mesh
 
 import (
@@ -12,19 +13,19 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-// Spec is one run.
+// Spec describes a run.
 type Spec struct {
 	Size     int
-	Zones    int // 1 where it is not told
+	Zones    int // default 1
 	Seed     uint64
 	Settings membership.Config
-	Loss     float64       // part of the datagrams
-	Delay    time.Duration // mean way of a message; exponential besides a floor of half of it
-	Joined   bool          // all know all at the beginning; else they join by the first three
-	NoSeeds  bool          // nobody has a seed
+	Loss     float64       // share of the datagrams
+	Delay    time.Duration // mean delay of a message: half of it fixed, half exponentially distributed
+	Joined   bool          // all members know all others at the beginning; otherwise they join by the first three as seeds
+	NoSeeds  bool          // members have no seeds
 }
 
-// Mesh is a fleet at one time.
+// Mesh is a simulated group. It is not safe for concurrent use.
 type Mesh struct {
 	spec   Spec
 	now    time.Duration
@@ -33,9 +34,9 @@
 	seq    uint64
 	Nodes  []*Node
 	byAddr map[string]*Node
-	// Cut tells whether what goes from one to another is lost; nil: nothing is.
+	// Cut reports whether messages from one node to another are lost; nil: none are.
 	Cut         func(from, to *Node, via membership.Channel) bool
-	MessageSize func(*membership.Message) int // the size of a message; nil: not counted
+	MessageSize func(*membership.Message) int // returns the encoded size of a message; nil: bytes are not counted
 }
 
 // Node is one process.
@@ -45,16 +46,17 @@
 	Member      *membership.Node
 	starts      int
 	Alive       bool
-	pausedUntil time.Duration // until then
-	waiting     []event       // came while it was paused
-	tickAt      time.Duration // for when its tick is scheduled; stale ones do nothing
+	pausedUntil time.Duration // paused until then
+	waiting     []event       // messages that arrived during a pause
+	tickAt      time.Duration // when its next tick is scheduled; tick events of other times are stale and ignored
 	Sent        int
 	SentBytes   int64
-	// Changes, by this node's view, of the nodes that the run is about.
+	// OnEvent, if not nil, is called with each change in this node's view of the group.
 	OnEvent    func(now time.Duration, of membership.Event)
 	eventsSeen int
 }
 
+// event is the delivery of msg to a node or, if do is not nil, a scheduled call.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -64,6 +66,7 @@
 	do  func()
 }
 
+// events is a heap of events by time, and by sequence number where times are equal.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -82,7 +85,7 @@
 	return last
 }
 
-// New returns a fleet at its beginning.
+// New returns a group in its initial state.
 func New(s Spec) *Mesh {
 	s.Zones = max(s.Zones, 1)
 	m := &Mesh{spec: s, rng: rand.New(rand.NewPCG(s.Seed, 1)), byAddr: map[string]*Node{}}
@@ -105,7 +108,7 @@
 
 func addr(i int) string { return fmt.Sprint("n", i) }
 
-// Start begins a life of a node, on a stream of draws of its own.
+// Start starts an incarnation of a node, with a random stream of its own.
 func (m *Mesh) Start(n *Node) {
 	n.starts++
 	rng := rand.New(rand.NewPCG(m.spec.Seed, uint64(n.Number)<<20|uint64(n.starts)<<8|2))
@@ -118,16 +121,16 @@
 	m.schedule(n)
 }
 
-// Kill ends a life without a word.
+// Kill ends a node's process without notice.
 func (m *Mesh) Kill(n *Node) { n.Alive = false }
 
-// Leave ends it in order: it lives on for a little, so that its word gets through.
+// Leave has a node leave in order. It runs for another probe interval, so that its message spreads.
 func (m *Mesh) Leave(n *Node) {
 	m.send(n, n.Member.Leave(m.now))
 	m.After(m.spec.Settings.ProbeInterval, func() { n.Alive = false })
 }
 
-// Pause has a node stand still for a time; what comes meanwhile waits for it, the last 256 of it.
+// Pause pauses a node. The last 256 messages that arrive meanwhile wait for it.
 func (m *Mesh) Pause(n *Node, d time.Duration) {
 	if !n.Alive {
 		return
@@ -139,17 +142,17 @@
 		}
 		waiting := n.waiting
 		n.waiting = nil
-		m.tick(n) // the clock first, as an instance does it
+		m.tick(n) // before the messages, as an instance does
 		for _, e := range waiting {
 			m.deliver(e)
 		}
 	})
 }
 
-// After does something later.
+// After schedules a call.
 func (m *Mesh) After(d time.Duration, do func()) { m.push(event{at: m.now + d, do: do}) }
 
-// Now is the time.
+// Now returns the virtual time.
 func (m *Mesh) Now() time.Duration { return m.now }
 
 func (m *Mesh) push(e event) {
@@ -219,7 +222,7 @@
 	}
 }
 
-// Run goes on for so long.
+// Run runs the simulation for that long.
 func (m *Mesh) Run(d time.Duration) {
 	end := m.now + d
 	for len(m.queue) > 0 && m.queue[0].at <= end {
@@ -234,7 +237,7 @@
 	m.now = end
 }
 
-// Level tells whether all that live hold the same view, of all that live.
+// Converged reports whether all living nodes have the same view, and it consists of all living nodes.
 func (m *Mesh) Converged() bool {
 	var digest uint64
 	living := 0
@@ -258,7 +261,8 @@
 	return true
 }
 
-// Until runs until a condition holds, looked at every step, and returns how long that took; ok is false where it did not within most.
+// Until runs the simulation until done returns true, which it checks every step, and returns how long that took; ok is
+// false if it took longer than most.
 func (m *Mesh) Until(step, most time.Duration, done func() bool) (took time.Duration, ok bool) {
 	began := m.now
 	for m.now-began < most {
--- a/internal/testbed/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -16,8 +16,8 @@
 	return s
 }
 
-// TestLife has fleets join by seeds, lose one by a kill, take it back as a later life, and let one leave: views meet each time, within
-// a time that grows with the logarithm of the size.
+// TestLifecycle has groups join by seeds, then one node is killed, restarted and leaves. Views must converge each time,
+// within a time that grows with the logarithm of the size.
 func TestLifecycle(t *testing.T) {
 	for _, size := range []int{3, 20, 100} {
 		m := New(Spec{Size: size, Seed: 1, Settings: testConfig(), Delay: time.Millisecond})
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestAgainstPlain runs the same trouble with and without self-distrust and reporters: with them no healthy member is held dead, and a
-// death is found within one and a half times as long.
+// TestAgainstPlainSWIM runs the same conditions with and without Lifeguard's extensions (health score and reporters). With
+// them no healthy member is held dead, and a death is detected within one and a half times the time.
 func TestAgainstPlainSWIM(t *testing.T) {
 	for _, trouble := range []Condition{Conditions[0], Conditions[1], Conditions[4], Conditions[6]} {
 		var rows [2]Row
@@ -55,13 +55,13 @@
 		t.Logf("%s: %d false against %d, half after %.1f against %.1f", trouble.Name, rows[0].FalseVerdicts, rows[1].FalseVerdicts, rows[0].Half, rows[1].Half)
 		if trouble.Paused > 0 && trouble.Loss > 0 {
 			require.Greater(t, rows[1].FalseVerdicts, 20, trouble.Name)
-			continue // both at once cost more time: docs/members.md
+			continue // pauses and loss together take more time: docs/members.md
 		}
 		require.Less(t, rows[0].Half, 1.5*rows[1].Half, trouble.Name)
 	}
 }
 
-// TestHalves parts a fleet for a minute and joins it: all hold the same view again, and no incarnation is lost.
+// TestPartition partitions a group for a minute: after it heals, all have the same view of all members again.
 func TestPartition(t *testing.T) {
 	m := New(Spec{Size: 20, Seed: 5, Settings: testConfig(), Delay: time.Millisecond, Joined: true})
 	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.Number%2 != to.Number%2 }
@@ -70,10 +70,10 @@
 	m.Cut = nil
 	took, ok := m.Until(100*time.Millisecond, time.Minute, m.Converged)
 	require.True(t, ok)
-	t.Log("views meet after", took)
+	t.Log("views converge after", took)
 }
 
-// TestStorm has a whole fleet join at once: no member sends more than a stated rate.
+// TestSimultaneousJoin has a whole group join at once: no member sends more than 150 messages per second.
 func TestSimultaneousJoin(t *testing.T) {
 	const size = 200
 	m := New(Spec{Size: size, Seed: 5, Settings: testConfig(), Delay: time.Millisecond})
@@ -84,7 +84,7 @@
 		}
 		m.Run(time.Second)
 		for i, n := range m.Nodes {
-			// Answers to four comparisons of eight pages, as many of our own, and the probes.
+			// Responses to four syncs of eight pages, as many syncs of its own, and the probes.
 			require.Less(t, n.Sent-before[i], 150, "messages of node %d in a second", i)
 		}
 	}
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -85,7 +85,7 @@
 	settings    policy.Settings
 	governed    []quota.Resource
 	taskNames   []string
-	cutZones    map[int]bool // zones that are disconnected from all others
+	cutZones    map[int]bool  // zones that are disconnected from all others
 	answerGrace time.Duration // after a client gives up, until its request must have a final answer
 
 	point     Point
