--- a/internal/testbed/modelcheck/members/wrong_test.go
+++ b/internal/testbed/modelcheck/members/wrong_test.go
@@ -41,5 +41,5 @@
 		t.Skip("make proof runs it")
 	}
 	found := explore.Plant(t, "../../../controlplane", "^(TestLong|TestSearch|TestCuts|TestFar)$", mistakes)
-	fmt.Printf("proof: members: %d states searched, %d of %d planted mistakes found\n", searched, found, len(mistakes))
+	fmt.Printf("proof: members: %d states searched, %d of %d planted mistakes found\n", statesSearched, found, len(mistakes))
 }
