--- a/internal/testbed/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -137,7 +137,7 @@
 
 // deliver calls do at an agent with the number of the leader that the agent knows; -1: none. At a paused agent that waits
 // until it resumes; at a dead one nothing happens.
-func (g *agents) deliver(i int, do func(leads int)) {
+func (g *agents) deliver(i int, do func(leader int)) {
 	a := g.all[i]
 	if !a.up {
 		return
@@ -174,9 +174,9 @@
 		if a.pausedUntil != until || !a.up {
 			return
 		}
-		box := a.inbox
+		waiting := a.inbox
 		a.inbox = nil
-		for _, do := range box {
+		for _, do := range waiting {
 			do()
 		}
 	})
@@ -215,18 +215,18 @@
 		return
 	}
 	now := g.clock(g.leader)
-	if gone := l.allocator.Expire(now); len(gone) > 0 {
+	if expired := l.allocator.Expire(now); len(expired) > 0 {
 		g.commitPending = true
-		g.commit(g.leader, func(uint64) { g.registry.Leave(gone...) }, func(bool) { g.commitPending = false })
+		g.commit(g.leader, func(uint64) { g.registry.Leave(expired...) }, func(bool) { g.commitPending = false })
 		return
 	}
-	orders, seen := l.lessor.PendingEvents(now)
-	if len(orders) == 0 && seen == 0 {
+	events, seen := l.lessor.PendingEvents(now)
+	if len(events) == 0 && seen == 0 {
 		return
 	}
 	g.commitPending = true
 	g.commit(g.leader, func(index uint64) {
-		for _, o := range g.registry.ApplyEvents(index, seen, orders) {
+		for _, o := range g.registry.ApplyEvents(index, seen, events) {
 			if o.Kind == lease.EventGrant {
 				g.sim.point.Grants++
 				g.sim.notifyLeaseChange(o.Member)
@@ -321,11 +321,11 @@
 	g.sim.after(2*g.sim.networkDelay(g.rng), "terms told", by, func() {
 		g.whenRunning(by, func() {
 			agreed := g.majority(by) && readindex.MajorityAgrees(l.term, []uint64{g.term}, 3)
-			done, void := l.confirmations.FinishRound(round)
-			for _, k := range done {
+			covered, stale := l.confirmations.FinishRound(round)
+			for _, k := range covered {
 				k(agreed)
 			}
-			for _, k := range void {
+			for _, k := range stale {
 				k(false)
 			}
 			if !agreed && g.leader != by {
--- a/internal/testbed/model/experiment/experiment_test.go
+++ b/internal/testbed/model/experiment/experiment_test.go
@@ -91,18 +91,18 @@
 
 // TestSameBytes runs an experiment on one core, on eight, and interrupted after each run with an incomplete file: the results
 // must be equal byte for byte. Results of another program must not be reused.
-func TestSameBytes(t *testing.T) { //nolint:gocognit // one scenario, told in order
+func TestSameBytes(t *testing.T) { //nolint:gocognit // one scenario in order
 	x, err := Read(writeFile(t, validExperiment))
 	if err != nil || len(x.Runs) != 8 {
 		t.Fatalf("%d runs, %v", len(x.Runs), err)
 	}
-	run := func(dir string, cores int, ctx context.Context, told func(int, int)) error {
-		_, err := x.Run(ctx, dir, cores, told)
+	run := func(dir string, cores int, ctx context.Context, progress func(int, int)) error {
+		_, err := x.Run(ctx, dir, cores, progress)
 		return err
 	}
-	nobody := func(int, int) {}
+	ignoreProgress := func(int, int) {}
 	one, eight, cut := t.TempDir(), t.TempDir(), t.TempDir()
-	if err := errors.Join(run(one, 1, t.Context(), nobody), run(eight, 8, t.Context(), nobody)); err != nil {
+	if err := errors.Join(run(one, 1, t.Context(), ignoreProgress), run(eight, 8, t.Context(), ignoreProgress)); err != nil {
 		t.Fatal(err)
 	}
 	for n := 1; ; n++ {
@@ -119,7 +119,7 @@
 		}
 	}
 	os.Remove(filepath.Join(cut, "runs", "000007.json"))
-	if err := run(cut, 2, t.Context(), nobody); err != nil {
+	if err := run(cut, 2, t.Context(), ignoreProgress); err != nil {
 		t.Fatal(err)
 	}
 	if a := readResults(t, one); a != readResults(t, eight) || a != readResults(t, cut) {
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -89,9 +89,9 @@
 var ErrViolation = errors.New("a run violates an invariant")
 
 // Run executes all runs that the folder doesn't have yet, on so many cores (0: all), and then writes results.parquet and
-// summary.json, which depend on the file alone. told is called after each run, by one goroutine at a time. If ctx ends,
+// summary.json, which depend on the file alone. progress is called after each run, by one goroutine at a time. If ctx ends,
 // completed runs are kept.
-func (x *Experiment) Run(ctx context.Context, dir string, cores int, told func(done, all int)) ([]CompletedRun, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+func (x *Experiment) Run(ctx context.Context, dir string, cores int, progress func(done, all int)) ([]CompletedRun, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	if err := os.MkdirAll(filepath.Join(dir, "runs"), 0o755); err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 				mu.Lock()
 				all[i] = d
 				done++
-				told(done, len(x.Runs))
+				progress(done, len(x.Runs))
 				mu.Unlock()
 			}
 		})
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -92,9 +92,9 @@
 	switch {
 	case !n.alive:
 	case n.sim.now < n.pausedUntil:
-		born := n.starts
+		incarnation := n.starts
 		n.inbox = append(n.inbox, func() {
-			if n.alive && n.starts == born {
+			if n.alive && n.starts == incarnation {
 				do()
 			}
 		})
@@ -113,9 +113,9 @@
 		if n.pausedUntil != until {
 			return
 		}
-		box := n.inbox
+		waiting := n.inbox
 		n.inbox, n.skippedTimer = nil, 0 // the scheduler has to notice this pause
-		for _, do := range box {
+		for _, do := range waiting {
 			do()
 		}
 	})
@@ -160,10 +160,10 @@
 
 // receiveTargets delivers the current target list after a network delay.
 func (n *instance) receiveTargets() {
-	born := n.starts
+	incarnation := n.starts
 	n.sim.after(n.sim.networkDelay(n.rng), "list", n.id, func() {
 		n.whenRunning(func() {
-			if n.starts != born || n.listVersion == n.sim.listVersion {
+			if n.starts != incarnation || n.listVersion == n.sim.listVersion {
 				return
 			}
 			n.listVersion = n.sim.listVersion
@@ -200,19 +200,19 @@
 // setTimer has the scheduler's timer fire after in.
 func (n *instance) setTimer(in time.Duration) {
 	n.skippedTimer = 0
-	mine, born := n.timerNumber, n.starts
+	number, incarnation := n.timerNumber, n.starts
 	n.sim.after(in, "timer", n.id, func() {
 		n.whenRunning(func() {
-			if n.timerNumber == mine && n.starts == born {
+			if n.timerNumber == number && n.starts == incarnation {
 				n.step(policy.TimerFired{})
 			}
 		})
 	})
 }
 
-func (n *instance) perform(acts []policy.Action) {
-	for i := range acts {
-		a := acts[i]
+func (n *instance) perform(actions []policy.Action) {
+	for i := range actions {
+		a := actions[i]
 		switch a.Kind {
 		case policy.Send:
 			n.send(a)
@@ -277,9 +277,9 @@
 		a := &request{id: id, client: c, units: c.units}
 		n.requests[id] = a
 		n.step(policy.Request{ID: id, Class: "read", Plan: "base", Volume: n.name, Shard: c.shard, Units: c.units, VolumeInitiators: 1, TimeLeft: n.localDuration(left)})
-		born := n.starts
+		incarnation := n.starts
 		n.sim.after(left+n.sim.answerGrace, "deadline", n.id, func() { // every request needs a final answer by the time its client gives up
-			if n.alive && n.starts == born && !a.answered && n.sim.now >= n.pausedUntil+n.sim.answerGrace {
+			if n.alive && n.starts == incarnation && !a.answered && n.sim.now >= n.pausedUntil+n.sim.answerGrace {
 				n.sim.reportViolation("final answers", n.id, fmt.Sprintf("request %s has none %v after its client left", id, n.sim.answerGrace))
 			}
 		})
@@ -332,7 +332,7 @@
 	}
 	r.attempts++
 	r.inProgress = true
-	attempt, born := r.attempts, n.starts
+	attempt, incarnation := r.attempts, n.starts
 	t := n.sim.targets[n.sim.targetByID[a.Endpoint]]
 	sent := n.sim.now
 	if !n.listed[t.id] {
@@ -340,7 +340,7 @@
 	}
 	over := false
 	end := func(code policy.OutcomeCode, load *policy.Load) {
-		if over || n.starts != born {
+		if over || n.starts != incarnation {
 			return
 		}
 		over = true
@@ -435,16 +435,16 @@
 	}
 	n.joining = true
 	id := fmt.Sprintf("%s.%d.%d", n.name, n.starts, n.requestCount)
-	born, began := n.starts, n.clock()
+	incarnation, began := n.starts, n.clock()
 	n.call("join", 4*attemptTimeout, func(g *agents, by int, back func(any)) {
 		g.join(by, quota.Member{ID: id, Name: n.name, Addr: n.name, Weight: 1}, back)
 	}, func(answer any) {
 		n.joining = false
-		if n.starts != born {
+		if n.starts != incarnation {
 			return
 		}
-		doc, seated := answer.(quota.Config)
-		if !seated {
+		doc, joined := answer.(quota.Config)
+		if !joined {
 			n.sim.after(n.trueDuration(joinRetryDelay), "join again", n.id, func() { n.whenRunning(n.join) })
 			return
 		}
@@ -465,10 +465,10 @@
 		due = 0
 	}
 	n.renewalNumber++
-	mine, born := n.renewalNumber, n.starts
+	number, incarnation := n.renewalNumber, n.starts
 	n.sim.after(n.trueDuration(max(0, due)), "renewal due", n.id, func() {
 		n.whenRunning(func() {
-			if n.renewalNumber == mine && n.starts == born && n.memberID != "" {
+			if n.renewalNumber == number && n.starts == incarnation && n.memberID != "" {
 				n.renew()
 			}
 		})
@@ -487,9 +487,9 @@
 		x := n.lessee.BeginRenewal(now)
 		c = &x
 	}
-	born, id := n.starts, n.memberID
+	incarnation, id := n.starts, n.memberID
 	n.call("renewal", n.trueDuration(n.quota.RenewTimeout()), func(g *agents, by int, back func(any)) { g.renew(by, r, c, back) }, func(answer any) {
-		if n.starts != born || n.memberID != id {
+		if n.starts != incarnation || n.memberID != id {
 			return
 		}
 		switch a := answer.(type) {
@@ -611,11 +611,11 @@
 }
 
 func (n *instance) scheduleOperation(k lease.Key) {
-	born := n.starts
+	incarnation := n.starts
 	due := max(0, n.lessee.NextOperation(k)-n.clock())
 	n.sim.after(n.trueDuration(due), "act due", n.id, func() {
 		n.whenRunning(func() {
-			if n.starts != born {
+			if n.starts != incarnation {
 				return
 			}
 			a, ok := n.lessee.StartOperation(n.clock(), k)
@@ -626,16 +626,16 @@
 			if n.hung {
 				return
 			}
-			n.runOperation(a, born)
+			n.runOperation(a, incarnation)
 		})
 	})
 }
 
 // runOperation takes an operation through its steps. The instance may be paused between any two of them.
-func (n *instance) runOperation(a lessee.Operation, born int) {
-	place := n.sim.guards[a.Key]
+func (n *instance) runOperation(a lessee.Operation, incarnation int) {
+	guard := n.sim.guards[a.Key]
 	end := func(how lessee.Outcome) {
-		n.lessee.FinishOperation(a, how, place.Token)
+		n.lessee.FinishOperation(a, how, guard.Token)
 		if n.lessee.NeedsRenewal() {
 			n.scheduleRenewal()
 		}
@@ -643,12 +643,12 @@
 	}
 	unguarded := n.sim.spec.Fleet.PlantedMistake == "early" // neither the lessee nor the guard checks
 	steps := []func() bool{
-		func() bool { return (place.Begin(a.Token, a.Number) == nil || unguarded) && n.sim.checkBegin(n, a) },
+		func() bool { return (guard.Begin(a.Token, a.Number) == nil || unguarded) && n.sim.checkBegin(n, a) },
 		func() bool { return unguarded || n.lessee.MayProceed(n.clock(), a) },
 		func() bool {
-			return (unguarded || place.CheckChange(a.Token, a.Number) == nil) && n.sim.checkChange(n, a)
+			return (unguarded || guard.CheckChange(a.Token, a.Number) == nil) && n.sim.checkChange(n, a)
 		},
-		func() bool { return unguarded || place.End(a.Token, a.Number) == nil },
+		func() bool { return unguarded || guard.End(a.Token, a.Number) == nil },
 	}
 	var next func(i int)
 	next = func(i int) {
@@ -661,7 +661,7 @@
 		n.sim.after(n.sim.networkDelay(n.rng)+took, "act", n.id, func() {
 			n.whenRunning(func() {
 				switch {
-				case n.starts != born:
+				case n.starts != incarnation:
 				case steps[i]():
 					next(i + 1)
 				default:
--- a/internal/testbed/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -164,9 +164,9 @@
 func (m *Mesh) schedule(n *Node) {
 	if at := max(n.Member.NextTick(), m.now); n.tickAt != at {
 		n.tickAt = at
-		life := n.starts
+		incarnation := n.starts
 		m.push(event{at: at, do: func() {
-			if n.Alive && n.starts == life && n.tickAt == at && m.now >= n.pausedUntil {
+			if n.Alive && n.starts == incarnation && n.tickAt == at && m.now >= n.pausedUntil {
 				n.tickAt = -1
 				m.tick(n)
 			}
@@ -217,8 +217,8 @@
 		if to == nil || s.Channel == membership.Datagram && m.rng.Float64() < m.spec.Loss || m.Cut != nil && m.Cut(from, to, s.Channel) {
 			continue
 		}
-		way := time.Duration(float64(m.spec.Delay) * (0.5 - 0.5*math.Log(1-m.rng.Float64())))
-		m.push(event{at: m.now + way, to: to, msg: s.Message, via: s.Channel})
+		delay := time.Duration(float64(m.spec.Delay) * (0.5 - 0.5*math.Log(1-m.rng.Float64())))
+		m.push(event{at: m.now + delay, to: to, msg: s.Message, via: s.Channel})
 	}
 }
 
@@ -262,10 +262,10 @@
 }
 
 // Until runs the simulation until done returns true, which it checks every step, and returns how long that took; ok is
-// false if it took longer than most.
-func (m *Mesh) Until(step, most time.Duration, done func() bool) (took time.Duration, ok bool) {
+// false if it took longer than timeout.
+func (m *Mesh) Until(step, timeout time.Duration, done func() bool) (took time.Duration, ok bool) {
 	began := m.now
-	for m.now-began < most {
+	for m.now-began < timeout {
 		if done() {
 			return m.now - began, true
 		}
--- a/internal/testbed/model/shrink.go
+++ b/internal/testbed/model/shrink.go
@@ -3,9 +3,9 @@
 import "slices"
 
 // Shrink reduces a run's faults to few that violate the same invariant, by delta debugging (Zeller and Hildebrandt, 2002):
-// it removes halves and then ever smaller parts, with at most most runs. broken is nil if the run violates nothing. The
+// it removes halves and then ever smaller parts, with at most maxRuns runs. broken is nil if the run violates nothing. The
 // returned spec lists all its faults and adds none at random.
-func Shrink(spec *Spec, seed uint64, most int) (small Spec, broken *ViolationError, runs int) {
+func Shrink(spec *Spec, seed uint64, maxRuns int) (small Spec, broken *ViolationError, runs int) {
 	small = *spec
 	small.Faults, small.Random = Faults(spec, seed), nil
 	try := func(faults []Fault) *ViolationError {
@@ -18,13 +18,13 @@
 		return small, nil, runs
 	}
 	what := broken.Invariant
-	for parts := 2; len(small.Faults) > 0 && runs < most; {
+	for parts := 2; len(small.Faults) > 0 && runs < maxRuns; {
 		size := (len(small.Faults) + parts - 1) / parts
 		cut := false
-		for from := 0; from < len(small.Faults) && runs < most; from += size {
-			less := slices.Concat(small.Faults[:from], small.Faults[min(from+size, len(small.Faults)):])
-			if b := try(less); b != nil && b.Invariant == what {
-				small.Faults, broken, cut = less, b, true
+		for from := 0; from < len(small.Faults) && runs < maxRuns; from += size {
+			remaining := slices.Concat(small.Faults[:from], small.Faults[min(from+size, len(small.Faults)):])
+			if b := try(remaining); b != nil && b.Invariant == what {
+				small.Faults, broken, cut = remaining, b, true
 				break
 			}
 		}
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -274,10 +274,10 @@
 func (s *Sim) notifyLeaseChange(id string) {
 	for _, n := range s.instances {
 		if n.alive && n.memberID == id {
-			born := n.starts
+			incarnation := n.starts
 			s.after(s.networkDelay(n.rng), "lease changed", n.id, func() {
 				n.whenRunning(func() {
-					if n.starts == born && n.memberID == id {
+					if n.starts == incarnation && n.memberID == id {
 						n.renew()
 					}
 				})
--- a/internal/testbed/model/spec.go
+++ b/internal/testbed/model/spec.go
@@ -127,30 +127,30 @@
 
 // Check sets defaults and returns an error that names the first invalid field.
 func (s *Spec) Check() error { //nolint:gocognit // to be split with its package, see docs/left.md
-	usual := func(v *float64, x float64) {
+	setDefault := func(v *float64, x float64) {
 		if *v == 0 {
 			*v = x
 		}
 	}
-	usual(&s.StepS, 1)
-	usual(&s.MaxMillionEvents, 500)
-	usual(&s.Fleet.RestartS, 0.5)
-	usual(&s.Fleet.RetryRatio, 0.1)
-	usual(&s.Fleet.RetryFree, 5)
-	usual(&s.Fleet.RetryWindowS, 10)
-	usual(&s.Load.LatencyObjectiveMs, 500)
-	usual(&s.Load.ClientTimeoutS, 2)
-	usual(&s.Load.Units, 1)
-	usual(&s.Load.SurgeFactor, 1)
-	usual(&s.Load.RetryDelayMs, 200)
-	usual(&s.Targets.UnitsPerS, 200)
-	usual(&s.Targets.ColdShare, 0.3)
-	usual(&s.Targets.OverloadWindowS, 1)
-	usual(&s.Targets.OverloadPauseS, 2)
-	usual(&s.Net.DelayMs, 0.3)
-	usual(&s.Agents.TimeoutMs, 1000)
-	usual(&s.Agents.DiskMs, 3)
-	usual(&s.Agents.RenewUs, 70)
+	setDefault(&s.StepS, 1)
+	setDefault(&s.MaxMillionEvents, 500)
+	setDefault(&s.Fleet.RestartS, 0.5)
+	setDefault(&s.Fleet.RetryRatio, 0.1)
+	setDefault(&s.Fleet.RetryFree, 5)
+	setDefault(&s.Fleet.RetryWindowS, 10)
+	setDefault(&s.Load.LatencyObjectiveMs, 500)
+	setDefault(&s.Load.ClientTimeoutS, 2)
+	setDefault(&s.Load.Units, 1)
+	setDefault(&s.Load.SurgeFactor, 1)
+	setDefault(&s.Load.RetryDelayMs, 200)
+	setDefault(&s.Targets.UnitsPerS, 200)
+	setDefault(&s.Targets.ColdShare, 0.3)
+	setDefault(&s.Targets.OverloadWindowS, 1)
+	setDefault(&s.Targets.OverloadPauseS, 2)
+	setDefault(&s.Net.DelayMs, 0.3)
+	setDefault(&s.Agents.TimeoutMs, 1000)
+	setDefault(&s.Agents.DiskMs, 3)
+	setDefault(&s.Agents.RenewUs, 70)
 	for _, n := range []struct {
 		v *int
 		x int
@@ -189,7 +189,7 @@
 	}
 	if s.Tasks != nil {
 		if s.Budgets == nil {
-			return fmt.Errorf("tasks: there are none without [budgets]: members have seats there")
+			return fmt.Errorf("tasks: [budgets] is missing, which the members' sessions need")
 		}
 		if err := s.Tasks.Validate(s.Budgets); err != nil {
 			return fmt.Errorf("tasks.%w", err)
@@ -237,9 +237,9 @@
 	case f.Zone != nil && (*f.Zone < 0 || *f.Zone >= s.Fleet.Zones):
 		return fmt.Errorf("zone: there is no zone %d", *f.Zone)
 	case f.Zone == nil && of == "zone":
-		return fmt.Errorf("zone: which?")
+		return fmt.Errorf("zone: missing")
 	case f.Zone == nil && len(f.On) == 0 && f.Share == 0:
-		return fmt.Errorf("on: whom? on, share or zone")
+		return fmt.Errorf("on: one of on, share and zone is required")
 	}
 	for _, n := range f.On {
 		if n < 0 || n >= s.count(of) {
--- a/internal/testbed/model/target.go
+++ b/internal/testbed/model/target.go
@@ -104,18 +104,18 @@
 			rate /= t.slowdown
 		}
 		t.inProgress++
-		born := t.started
-		t.sim.after(seconds(j.units/rate*(0.7+0.6*t.rng.Float64())), "target answers", t.id, func() { t.finish(j, born) })
+		incarnation := t.started
+		t.sim.after(seconds(j.units/rate*(0.7+0.6*t.rng.Float64())), "target answers", t.id, func() { t.finish(j, incarnation) })
 	}
 }
 
 // finish ends a request, or defers that to the end of a stall.
-func (t *target) finish(j targetRequest, born time.Duration) {
-	if t.down || t.started != born {
+func (t *target) finish(j targetRequest, incarnation time.Duration) {
+	if t.down || t.started != incarnation {
 		return // the process was killed with the request in progress; no response
 	}
 	if t.sim.now < t.stalledUntil {
-		t.sim.at(t.stalledUntil, "target answers late", t.id, func() { t.finish(j, born) })
+		t.sim.at(t.stalledUntil, "target answers late", t.id, func() { t.finish(j, incarnation) })
 		return
 	}
 	t.inProgress--
--- a/internal/testbed/modelcheck/feed/moves_test.go
+++ b/internal/testbed/modelcheck/feed/moves_test.go
@@ -73,7 +73,7 @@
 
 // TestMoves checks how readers select relays: those of their region first, spread evenly; if one fails, its readers spread
 // over the others; a busy relay isn't called before its retry time; and a reader returns home once its home relay is back.
-func TestMoves(t *testing.T) { //nolint:gocognit // one scenario, told in order
+func TestMoves(t *testing.T) { //nolint:gocognit // one scenario in order
 	const n = 900
 	homeOf, fallbackOf := map[string]int{}, map[string]map[string]int{}
 	for i := range n {
@@ -172,7 +172,7 @@
 
 // runRegion simulates the readers of r1 for that long: each polls the selected relay for a second, and learns how old that
 // relay's state is. It returns the number of readers at each relay at the end, and how often readers switched.
-func runRegion(lasts time.Duration, ages func(id string, at time.Duration) time.Duration, busy func(id string, at time.Duration) bool, onCall func(reader int, id string, at time.Duration)) (readersAt map[string]int, moves int) {
+func runRegion(lasts time.Duration, ages func(id string, at time.Duration) time.Duration, busy func(id string, at time.Duration) bool, onCall func(reader int, id string, at time.Duration)) (readersAt map[string]int, switches int) {
 	readersAt = map[string]int{}
 	for i := range regionReaders {
 		reader := fmt.Sprint("n", i)
@@ -194,15 +194,15 @@
 			s.CallEnded(now, watchstream.CallAnswered, 0, ages(r.ID, now))
 		}
 		readersAt[last]++
-		moves += int(s.Switches())
+		switches += int(s.Switches())
 	}
-	return readersAt, moves
+	return readersAt, switches
 }
 
 // TestAgedRelay has relays that answer but are cut off from the log, so that their state ages. Their readers must switch to
 // fresher relays soon and spread over them, and all other readers must stay. If all relays are cut off, readers must stay
 // and search rarely.
-func TestAgedRelay(t *testing.T) { //nolint:gocognit // one scenario, told in order
+func TestAgedRelay(t *testing.T) { //nolint:gocognit // one scenario in order
 	const n, cut = regionReaders, 10 * time.Second
 	home := map[int]string{}
 	for i := range n {
@@ -243,9 +243,9 @@
 		t.Fatalf("%v: %d switches of %d readers", errBroken, moved, readers)
 	}
 	// It is cut off for long: its readers retry it, but don't return before it is fresh again.
-	readersAt, moves := runRegion(3*time.Minute, aged(isCutOff, time.Hour), never, func(int, string, time.Duration) {})
-	if readersAt["relay/4"] > n/10 || moves != readers { // some are retrying it at that moment
-		t.Fatalf("%v: %d are at a relay that is cut off, after %d switches of %d readers: %v", errBroken, readersAt["relay/4"], moves, readers, readersAt)
+	readersAt, switches := runRegion(3*time.Minute, aged(isCutOff, time.Hour), never, func(int, string, time.Duration) {})
+	if readersAt["relay/4"] > n/10 || switches != readers { // some are retrying it at that moment
+		t.Fatalf("%v: %d are at a relay that is cut off, after %d switches of %d readers: %v", errBroken, readersAt["relay/4"], switches, readers, readersAt)
 	}
 	readersAt, _ = runRegion(3*time.Minute, aged(isCutOff, time.Minute), never, func(int, string, time.Duration) {})
 	if readersAt["relay/4"] != readers {
@@ -262,7 +262,7 @@
 	// relay of another region is called by some of the readers, not all.
 	searches, callersOf := map[int]int{}, map[string]map[int]bool{}
 	const long = 5 * time.Minute
-	_, moves = runRegion(long, aged(func(string) bool { return true }, time.Hour), never, func(i int, id string, _ time.Duration) {
+	_, switches = runRegion(long, aged(func(string) bool { return true }, time.Hour), never, func(i int, id string, _ time.Duration) {
 		if id == home[i] {
 			return
 		}
@@ -272,8 +272,8 @@
 		}
 		callersOf[id][i] = true
 	})
-	if moves != 0 {
-		t.Fatalf("%v: all relays are equally old, and there are %d switches", errBroken, moves)
+	if switches != 0 {
+		t.Fatalf("%v: all relays are equally old, and there are %d switches", errBroken, switches)
 	}
 	for i, times := range searches {
 		if most := 3 * (1 + int(long/watchstream.DefaultRelaySelectorOptions.HomeRetryMin)); times > most || times < 3 {
--- a/internal/testbed/modelcheck/feed/world.go
+++ b/internal/testbed/modelcheck/feed/world.go
@@ -424,15 +424,15 @@
 
 // serve has a source process a request, and returns the delta that it sends for it; nil: none.
 func (w *World) serve(to int, req watchstream.SubscribeRequest) (*watchstream.Delta, error) {
-	source, name, life := w.source(to)
+	source, name, incarnation := w.source(to)
 	readers := source.ReaderCount()
 	if err := source.Subscribe(w.now, req); err != nil {
 		return nil, w.unlessRejected(err)
 	}
-	at := readerAtSource{name, life, req.Name}
+	at := readerAtSource{name, incarnation, req.Name}
 	if source.ReaderCount() > readers {
 		w.sent[at] = &usage{since: w.now}
-		if err := w.checkAdmission(readerAtSource{name, life, ""}); err != nil {
+		if err := w.checkAdmission(readerAtSource{name, incarnation, ""}); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/testbed/modelcheck/members/members_test.go
+++ b/internal/testbed/modelcheck/members/members_test.go
@@ -106,7 +106,7 @@
 
 // TestCuts cuts each path between three members for a while: all members must report it with its direction, and withdraw the
 // report once it is restored.
-func TestCuts(t *testing.T) { //nolint:gocognit // one scenario, told in order
+func TestCuts(t *testing.T) { //nolint:gocognit // one scenario in order
 	for from := range 3 {
 		for to := range 3 {
 			if from == to {
--- a/internal/testbed/modelcheck/members/world.go
+++ b/internal/testbed/modelcheck/members/world.go
@@ -19,7 +19,7 @@
 
 // The kinds of steps.
 const (
-	Round          Op = iota // a probe interval passes, and messages arrive where they can
+	Round          Op = iota // a probe interval passes, and messages arrive unless their path is cut
 	HalfRound                // half a probe interval passes
 	Silence                  // a probe interval passes, and all messages are lost
 	Cut                      // the path from one member to another is cut
