--- a/internal/testbed/model/agents.go
+++ b/internal/testbed/model/agents.go
@@ -93,6 +93,7 @@
 	return n
 }
 
+// majority reports whether agent i is running and connected to a majority.
 func (g *agents) majority(i int) bool { return g.running(i) && 2*g.connected(i) > len(g.all) }
 
 // elect makes an agent the leader. It begins with the whole log applied, as after a barrier.
@@ -164,6 +165,7 @@
 	do()
 }
 
+// pause pauses an agent; what arrives meanwhile waits in its inbox.
 func (g *agents) pause(i int, until time.Duration) {
 	a := g.all[i]
 	if until <= a.pausedUntil {
@@ -182,6 +184,7 @@
 	})
 }
 
+// kill ends an agent's process; it loses its leadership.
 func (g *agents) kill(i int) {
 	a := g.all[i]
 	a.up, a.leading, a.inbox, a.pausedUntil = false, nil, nil, 0
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -99,10 +99,10 @@
 		cores = runtime.GOMAXPROCS(0)
 	}
 	all := make([]CompletedRun, len(x.Runs))
-	var mu sync.Mutex
+	var mu sync.Mutex // guards all, failed and done, and calls of progress
 	var failed error
 	done := 0
-	next := make(chan int)
+	next := make(chan int) // indices of runs; closed once all are sent or ctx has ended, which ends the workers
 	var work sync.WaitGroup
 	for range cores {
 		work.Go(func() {
--- a/internal/testbed/model/instance.go
+++ b/internal/testbed/model/instance.go
@@ -148,6 +148,7 @@
 	}
 }
 
+// kill ends the process. Its clients' requests are lost.
 func (n *instance) kill() {
 	for _, a := range n.requests {
 		if !a.answered {
@@ -210,6 +211,7 @@
 	})
 }
 
+// perform performs the scheduler's actions.
 func (n *instance) perform(actions []policy.Action) {
 	for i := range actions {
 		a := actions[i]
@@ -429,6 +431,7 @@
 	attemptTimeout = 400 * time.Millisecond
 )
 
+// join requests a session, and retries until it has one.
 func (n *instance) join() {
 	if n.joining || !n.alive {
 		return
@@ -475,6 +478,7 @@
 	})
 }
 
+// renew renews the session, its allocations and its leases.
 func (n *instance) renew() {
 	now := n.clock()
 	if !n.quota.Registered(now) {
@@ -515,6 +519,7 @@
 	})
 }
 
+// dropSession ends a session that has expired or that the agents don't know, and joins again.
 func (n *instance) dropSession() {
 	n.memberID = ""
 	n.quota.Unregister()
@@ -610,6 +615,7 @@
 	}
 }
 
+// scheduleOperation schedules the next operation on a shard.
 func (n *instance) scheduleOperation(k lease.Key) {
 	incarnation := n.starts
 	due := max(0, n.lessee.NextOperation(k)-n.clock())
--- a/internal/testbed/model/mesh/mesh.go
+++ b/internal/testbed/model/mesh/mesh.go
@@ -161,6 +161,7 @@
 	heap.Push(&m.queue, e)
 }
 
+// schedule schedules the node's next tick, unless it is scheduled already.
 func (m *Mesh) schedule(n *Node) {
 	if at := max(n.Member.NextTick(), m.now); n.tickAt != at {
 		n.tickAt = at
@@ -180,6 +181,7 @@
 	m.schedule(n)
 }
 
+// deliver delivers a message, or queues it at a paused node.
 func (m *Mesh) deliver(e event) {
 	n := e.to
 	if !n.Alive {
@@ -196,6 +198,7 @@
 	m.schedule(n)
 }
 
+// reportEvents passes events that the node recorded since the last call to OnEvent.
 func (m *Mesh) reportEvents(n *Node) {
 	if n.OnEvent == nil {
 		return
@@ -207,6 +210,7 @@
 	n.eventsSeen = total
 }
 
+// send schedules the delivery of messages, except those that are lost.
 func (m *Mesh) send(from *Node, list []membership.Outgoing) {
 	for _, s := range list {
 		from.Sent++
--- a/internal/testbed/model/sim.go
+++ b/internal/testbed/model/sim.go
@@ -95,6 +95,7 @@
 	guards    map[lease.Key]*fencing.Guard
 }
 
+// tracedEvent is what a trace keeps of an event.
 type tracedEvent struct {
 	cause uint64
 	what  string
@@ -112,11 +113,13 @@
 	lastChange    map[lease.Key]time.Duration // when an operation last changed the resource
 }
 
+// bucket holds the units sent under a budget and drains at its rate. level is beyond burst if the limit is exceeded.
 type bucket struct {
 	rate, burst, level, worst float64
 	at                        time.Duration
 }
 
+// allocated is what an instance may use of a budget beyond its floor.
 type allocated struct {
 	rate  float64
 	until time.Duration // by true time
@@ -227,11 +230,13 @@
 	return 1 + s.spec.Fleet.ClockPPM/1e6*float64(i%3-1)
 }
 
+// at schedules do for a time; what and on describe the event in traces.
 func (s *Sim) at(at time.Duration, what string, on int, do func()) {
 	s.lastEvent++
 	s.queue.push(event{max(at, s.now), s.lastEvent, s.cause, what, int32(on), do})
 }
 
+// after schedules do for a time from now.
 func (s *Sim) after(d time.Duration, what string, on int, do func()) { s.at(s.now+d, what, on, do) }
 
 // networkDelay draws the delay of one message.
@@ -239,6 +244,7 @@
 	return milliseconds(s.spec.Net.DelayMs + r.ExpFloat64()*s.spec.Net.JitterMs)
 }
 
+// drawLoss draws whether a message between an instance and an agent is lost.
 func (s *Sim) drawLoss(r *rand.Rand) bool {
 	return s.spec.Net.Loss > 0 && r.Float64() < s.spec.Net.Loss
 }
@@ -252,6 +258,7 @@
 // zonesSeparated reports whether two zones are disconnected from each other.
 func (s *Sim) zonesSeparated(a, b int) bool { return a != b && (s.cutZones[a] || s.cutZones[b]) }
 
+// surge returns the factor by which the load is raised now.
 func (s *Sim) surge() float64 {
 	l := &s.spec.Load
 	if t := s.now.Seconds(); l.SurgeForS > 0 && t >= l.SurgeAtS && t < l.SurgeAtS+l.SurgeForS {
@@ -307,6 +314,7 @@
 	}
 }
 
+// recordPoint adds the step that ends at t to the series, and begins the next.
 func (s *Sim) recordPoint(t time.Duration) {
 	s.point.T = t.Seconds()
 	for _, at := range s.checks.lastChange {
--- a/internal/testbed/modelcheck/explore/explore.go
+++ b/internal/testbed/modelcheck/explore/explore.go
@@ -68,11 +68,11 @@
 	}
 	for range depth {
 		found := make([][]next, len(level))
-		var mu sync.Mutex
+		var mu sync.Mutex // guards broken and brokenAt
 		var broken *ViolationError
 		brokenAt := len(level)
 		var wg sync.WaitGroup
-		work := make(chan int)
+		work := make(chan int) // indices into level; closed once all are sent, which ends the workers
 		for range runtime.GOMAXPROCS(0) {
 			wg.Go(func() {
 				for at := range work {
--- a/internal/testbed/modelcheck/explore/plant.go
+++ b/internal/testbed/modelcheck/explore/plant.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var mu sync.Mutex
+	var mu sync.Mutex // guards found
 	t.Run("each", func(t *testing.T) {
 		for _, m := range all {
 			t.Run(m[0], func(t *testing.T) {
