--- a/cmd/spindlehitch-model/main.go
+++ b/cmd/spindlehitch-model/main.go
@@ -29,7 +29,7 @@
 func main() {
 	if err := rootCommand().Execute(); err != nil {
 		fmt.Fprintln(os.Stderr, "spindlehitch model:", err)
-		if errors.Is(err, experiment.ErrBroken) {
+		if errors.Is(err, experiment.ErrViolation) {
 			os.Exit(exitInvariantViolated)
 		}
 		os.Exit(1)
@@ -101,9 +101,9 @@
 				fmt.Fprintln(t, "SETTING\tFIGURE\tA\tB\tERROR")
 				larger := 0
 				for _, d := range differences {
-					if d.Larger {
+					if d.Significant {
 						larger++
-						fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.2g\n", d.Of, d.Figure, d.A, d.B, d.SE)
+						fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.2g\n", d.Setting, d.Figure, d.A, d.B, d.SE)
 					}
 				}
 				fmt.Fprintf(t, "%d of %d figures differ by more than their seeds' spread\n", larger, len(differences))
@@ -132,9 +132,9 @@
 				spec = shrunk
 			}
 			r := model.Run(&spec, planned.Seed, true)
-			if r.Broken == nil {
+			if r.Violation == nil {
 				return printResult(cmd, r, func() error {
-					fmt.Fprintf(cmd.OutOrStdout(), "run %d, %s, seed %d: no promise is broken in %d events\n", n, planned.Of(), planned.Seed, r.Events)
+					fmt.Fprintf(cmd.OutOrStdout(), "run %d, %s, seed %d: no promise is broken in %d events\n", n, planned.Setting(), planned.Seed, r.Events)
 					return nil
 				})
 			}
@@ -150,16 +150,16 @@
 					return err
 				}
 			}
-			err = printResult(cmd, r.Broken, func() error {
+			err = printResult(cmd, r.Violation, func() error {
 				for _, f := range spec.Faults {
 					fmt.Fprintln(cmd.OutOrStdout(), "fault:", f)
 				}
-				for _, line := range r.Broken.Chain {
+				for _, line := range r.Violation.Chain {
 					fmt.Fprintln(cmd.OutOrStdout(), "cause:", line)
 				}
 				return nil
 			})
-			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, planned.Of(), planned.Seed, experiment.ErrBroken, r.Broken))
+			return errors.Join(err, fmt.Errorf("run %d, %s, seed %d: %w: %w", n, planned.Setting(), planned.Seed, experiment.ErrViolation, r.Violation))
 		}}
 	replay.Flags().BoolVar(&shrink, "shrink", false, "cut the faults down to few that break the same promise")
 	replay.Flags().StringVar(&save, "save", "", "write what was run as an experiment of its own")
--- a/internal/testbed/faults/schedule.go
+++ b/internal/testbed/faults/schedule.go
@@ -52,7 +52,7 @@
 	var faults []model.Fault
 	for _, e := range all {
 		if e.Kind != "reset" {
-			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.Duration.Seconds(), What: e.Kind, On: []int{e.Index}})
+			faults = append(faults, model.Fault{AtS: e.At.Seconds(), ForS: e.Duration.Seconds(), Kind: e.Kind, On: []int{e.Index}})
 		}
 	}
 	return json.MarshalIndent(faults, "", " ")
--- a/internal/testbed/model/experiment/file.go
+++ b/internal/testbed/model/experiment/file.go
@@ -1,5 +1,5 @@
-// Package experiment reads experiments on a modelled fleet from files, runs them, keeps what came of each run, and tells, draws and
-// compares it. docs/model-operators.md is the page for it.
+// Package experiment reads experiments on a simulated fleet from files, runs them, stores the result of each run, and
+// summarizes, plots and compares results. docs/model-operators.md describes its use.
 package experiment
 
 import (
@@ -20,28 +20,28 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// mostRuns bounds an experiment.
-const mostRuns = 20_000
+// maxRuns bounds the runs of an experiment.
+const maxRuns = 20_000
 
-// Experiment is a file: what every run has, and what is varied.
+// Experiment is an experiment read from a file, with all its runs.
 type Experiment struct {
 	Name    string
-	Program uint64 // names the program that runs it: what another one did is not taken for this one's
-	Runs    []Planned
+	Program uint64 // identifies the program; results of another program are not reused
+	Runs    []PlannedRun
 }
 
-// Planned is one run.
-type Planned struct {
+// PlannedRun is one run of an experiment.
+type PlannedRun struct {
 	N       int               `json:"n"`
 	Variant string            `json:"variant"`
 	Varied  map[string]string `json:"varied,omitempty"` // by the field's path
 	Seed    uint64            `json:"seed"`
 	Spec    *model.Spec       `json:"-"`
-	text    string            // of the spec: what it was run with
+	text    string            // of the spec, as TOML
 }
 
-// Of names what a run is one of, but for its seed.
-func (p *Planned) Of() string {
+// Setting names the run's variant and varied values, without its seed.
+func (p *PlannedRun) Setting() string {
 	parts := []string{p.Variant}
 	for _, k := range slices.Sorted(maps.Keys(p.Varied)) {
 		parts = append(parts, k+"="+p.Varied[k])
@@ -49,21 +49,21 @@
 	return strings.Join(parts, " ")
 }
 
-// head is what a file has beside the spec's fields.
-type head struct {
+// fileHeader is the part of a file that isn't the spec.
+type fileHeader struct {
 	Seeds    []uint64         `toml:"seeds"`
-	Schedule string           `toml:"schedule"` // a file of faults (JSON), recorded or written by hand
+	Schedule string           `toml:"schedule"` // a JSON file of faults, recorded or written by hand
 	Vary     map[string][]any `toml:"vary"`
 	Variants []variant        `toml:"variant"`
 }
 
 type variant struct {
 	Name    string         `toml:"name"`
-	Without []string       `toml:"without"` // fields of the file that this one does not have
+	Without []string       `toml:"without"` // fields of the file that this variant removes
 	Set     map[string]any `toml:"set"`     // by path, such as "budgets.renew_ms" or "budgets.budget.0.whole"
 }
 
-// Read reads an experiment. Errors name file, line and field, and nothing was run.
+// Read reads an experiment and validates it. Errors name file, line and field.
 func Read(path string) (*Experiment, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -80,7 +80,7 @@
 	if err := toml.Unmarshal(raw, &all); err != nil {
 		return fail(err)
 	}
-	var h head
+	var h fileHeader
 	if _, err := toml.Decode(string(raw), &h); err != nil {
 		return fail(err)
 	}
@@ -107,8 +107,8 @@
 		if len(h.Vary[p]) == 0 {
 			return fail(fmt.Errorf("vary.%s: no values", p))
 		}
-		if size *= len(h.Vary[p]); size > mostRuns {
-			return fail(fmt.Errorf("vary.%s: more than %d runs", p, mostRuns))
+		if size *= len(h.Vary[p]); size > maxRuns {
+			return fail(fmt.Errorf("vary.%s: more than %d runs", p, maxRuns))
 		}
 	}
 	x := &Experiment{}
@@ -118,7 +118,7 @@
 		}
 		base := clone(all).(map[string]any)
 		for _, k := range v.Without {
-			if !take(base, k) {
+			if !removeKey(base, k) {
 				return fail(fmt.Errorf("variant[%d].without: the file has no %s", i, k))
 			}
 		}
@@ -145,7 +145,7 @@
 			spec := &model.Spec{}
 			meta, err := toml.Decode(text.String(), spec)
 			if err != nil {
-				if m := lastKey.FindStringSubmatch(err.Error()); m != nil { // its line is that of this run's own text
+				if m := lastKey.FindStringSubmatch(err.Error()); m != nil { // the line would be one of the run's generated text
 					err = fmt.Errorf("%s: %s", m[1], m[2])
 				}
 				return fail(err)
@@ -158,7 +158,7 @@
 			}
 			x.Name = spec.Name
 			for _, seed := range h.Seeds {
-				x.Runs = append(x.Runs, Planned{len(x.Runs), v.Name, varied, seed, spec, text.String()})
+				x.Runs = append(x.Runs, PlannedRun{len(x.Runs), v.Name, varied, seed, spec, text.String()})
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, f := range faults {
-		m := map[string]any{"at_s": f.AtS, "for_s": f.ForS, "what": f.What, "on": f.On, "slow": f.Slow}
+		m := map[string]any{"at_s": f.AtS, "for_s": f.ForS, "what": f.Kind, "on": f.On, "slow": f.Slowdown}
 		all = append(all, m)
 	}
 	return all, nil
@@ -248,24 +248,25 @@
 	return nil
 }
 
-func take(from map[string]any, key string) bool {
+func removeKey(from map[string]any, key string) bool {
 	_, there := from[key]
 	delete(from, key)
 	return there
 }
 
 var lastKey = regexp.MustCompile(`last key "([^"]*)"\): (.*)`)
-var header = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
-var setting = regexp.MustCompile(`^\s*"?([A-Za-z0-9_.\-]+)"?\s*=`)
+var tableHeader = regexp.MustCompile(`^\s*(\[\[?)\s*([^\]]+?)\s*\]`)
+var keyValue = regexp.MustCompile(`^\s*"?([A-Za-z0-9_.\-]+)"?\s*=`)
 
-// lineOf is the line of the field that a message begins with, such as "fault[1].on: ..."; where it is not there, of its table; else 1.
+// lineOf returns the line of the field that a message begins with, such as "fault[1].on: ..."; if the file doesn't have the
+// field, that of its table, or else 1.
 func lineOf(text, message string) int {
 	field, _, _ := strings.Cut(message, ": ")
 	field = strings.Trim(field, "'")
 	table, found := "", 1
 	counts := map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
-		if m := header.FindStringSubmatch(line); m != nil {
+		if m := tableHeader.FindStringSubmatch(line); m != nil {
 			table = m[2]
 			if m[1] == "[[" {
 				table = fmt.Sprintf("%s[%d]", m[2], counts[m[2]])
@@ -276,7 +277,7 @@
 			}
 			continue
 		}
-		if m := setting.FindStringSubmatch(line); m != nil {
+		if m := keyValue.FindStringSubmatch(line); m != nil {
 			path := m[1]
 			if table != "" {
 				path = table + "." + m[1]
--- a/internal/testbed/model/experiment/run.go
+++ b/internal/testbed/model/experiment/run.go
@@ -24,29 +24,31 @@
 	"spindlehitch/internal/testbed/model"
 )
 
-// Done is one run and what came of it, as its file has it.
-type Done struct {
-	Planned
-	Sum    uint64       `json:"xxhash"` // of the spec and the program
+// CompletedRun is a run with its result, as its file has it.
+type CompletedRun struct {
+	PlannedRun
+	Sum    uint64       `json:"xxhash"` // hash of the spec and the program
 	Result model.Result `json:"result"`
 }
 
-// Row is a line of the results: one step of one run.
+// Row is a row of results.parquet: one step of one run.
 type Row struct {
 	Run     int32  `parquet:"run"`
-	Of      string `parquet:"of,dict"` // variant and what was varied
+	Setting string `parquet:"of,dict"` // variant and varied values
 	Variant string `parquet:"variant,dict"`
 	Seed    uint64 `parquet:"seed"`
 	model.Point
 }
 
-func (x *Experiment) sum(p Planned) uint64 { return xxhash.Sum64String(p.text) ^ x.Program }
+func (x *Experiment) checksum(p PlannedRun) uint64 { return xxhash.Sum64String(p.text) ^ x.Program }
 
-func file(dir string, n int) string { return filepath.Join(dir, "runs", fmt.Sprintf("%06d.json", n)) }
+func runFile(dir string, n int) string {
+	return filepath.Join(dir, "runs", fmt.Sprintf("%06d.json", n))
+}
 
-// load reads a run's file; false: it is not there, not whole, or of another spec.
-func load(dir string, p Planned, sum uint64) (d Done, ok bool) {
-	b, err := os.ReadFile(file(dir, p.N))
+// load reads a run's file; ok is false if it is missing, incomplete, or of another spec or program.
+func load(dir string, p PlannedRun, sum uint64) (d CompletedRun, ok bool) {
+	b, err := os.ReadFile(runFile(dir, p.N))
 	if err != nil || json.Unmarshal(b, &d) != nil || d.Sum != sum || d.Seed != p.Seed {
 		return d, false
 	}
@@ -54,20 +56,20 @@
 	return d, true
 }
 
-// save puts a run's file there whole.
-func save(dir string, d Done) error {
+// save writes a run's file atomically.
+func save(dir string, d CompletedRun) error {
 	b, err := json.Marshal(d)
 	if err != nil {
 		return err
 	}
-	return whole(file(dir, d.N), func(w io.Writer) error {
+	return writeAtomically(runFile(dir, d.N), func(w io.Writer) error {
 		_, err := w.Write(b)
 		return err
 	})
 }
 
-// whole writes a file under another name first.
-func whole(path string, write func(io.Writer) error) (err error) {
+// writeAtomically writes a file under a temporary name, and renames it when it is complete.
+func writeAtomically(path string, write func(io.Writer) error) (err error) {
 	f, err := os.CreateTemp(filepath.Dir(path), "writing-*")
 	if err != nil {
 		return err
@@ -83,31 +85,32 @@
 	return os.Rename(f.Name(), path)
 }
 
-// ErrBroken says that a promise was broken in some run.
-var ErrBroken = errors.New("a promise is broken")
+// ErrViolation means that a run violated an invariant.
+var ErrViolation = errors.New("a run violates an invariant")
 
-// Run takes all runs that the folder does not have yet, on so many cores (0: all), and then writes results.parquet and summary.json, which
-// depend on the file alone. told is called after each, from one goroutine at a time. Where ctx ends, what is done is kept.
-func (x *Experiment) Run(ctx context.Context, dir string, cores int, told func(done, all int)) ([]Done, error) { //nolint:gocognit // to be split with its package, see docs/left.md
+// Run executes all runs that the folder doesn't have yet, on so many cores (0: all), and then writes results.parquet and
+// summary.json, which depend on the file alone. progress is called after each run, by one goroutine at a time. If ctx ends,
+// completed runs are kept.
+func (x *Experiment) Run(ctx context.Context, dir string, cores int, progress func(done, all int)) ([]CompletedRun, error) { //nolint:gocognit // to be split with its package, see docs/left.md
 	if err := os.MkdirAll(filepath.Join(dir, "runs"), 0o755); err != nil {
 		return nil, err
 	}
 	if cores <= 0 {
 		cores = runtime.GOMAXPROCS(0)
 	}
-	all := make([]Done, len(x.Runs))
-	var mu sync.Mutex
+	all := make([]CompletedRun, len(x.Runs))
+	var mu sync.Mutex // guards all, failed and done, and calls of progress
 	var failed error
 	done := 0
-	next := make(chan int)
+	next := make(chan int) // indices of runs; closed once all are sent or ctx has ended, which ends the workers
 	var work sync.WaitGroup
 	for range cores {
 		work.Go(func() {
 			for i := range next {
 				p := x.Runs[i]
-				d, had := load(dir, p, x.sum(p))
+				d, had := load(dir, p, x.checksum(p))
 				if !had {
-					d = Done{Planned: p, Sum: x.sum(p), Result: model.Run(p.Spec, p.Seed, false)}
+					d = CompletedRun{PlannedRun: p, Sum: x.checksum(p), Result: model.Run(p.Spec, p.Seed, false)}
 					if err := save(dir, d); err != nil {
 						mu.Lock()
 						failed = errors.Join(failed, err)
@@ -117,7 +120,7 @@
 				mu.Lock()
 				all[i] = d
 				done++
-				told(done, len(x.Runs))
+				progress(done, len(x.Runs))
 				mu.Unlock()
 			}
 		})
@@ -135,12 +138,12 @@
 	if failed != nil || ctx.Err() != nil {
 		return nil, errors.Join(failed, ctx.Err())
 	}
-	err := whole(filepath.Join(dir, "results.parquet"), func(w io.Writer) error {
+	err := writeAtomically(filepath.Join(dir, "results.parquet"), func(w io.Writer) error {
 		p := parquet.NewGenericWriter[Row](w, parquet.Compression(&zstd.Codec{}))
 		for _, d := range all {
 			rows := make([]Row, 0, len(d.Result.Series))
 			for _, point := range d.Result.Series {
-				rows = append(rows, Row{int32(d.N), d.Of(), d.Variant, d.Seed, point})
+				rows = append(rows, Row{int32(d.N), d.Setting(), d.Variant, d.Seed, point})
 			}
 			if _, err := p.Write(rows); err != nil {
 				return err
@@ -151,58 +154,58 @@
 	if err != nil {
 		return all, err
 	}
-	err = whole(filepath.Join(dir, "summary.json"), func(w io.Writer) error {
+	err = writeAtomically(filepath.Join(dir, "summary.json"), func(w io.Writer) error {
 		e := json.NewEncoder(w)
 		e.SetIndent("", "  ")
 		return e.Encode(Summarize(all))
 	})
 	for _, d := range all {
-		if d.Result.Broken != nil {
-			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Of(), d.Seed, ErrBroken, d.Result.Broken))
+		if d.Result.Violation != nil {
+			return all, errors.Join(err, fmt.Errorf("run %d (%s, seed %d): %w: %w", d.N, d.Setting(), d.Seed, ErrViolation, d.Result.Violation))
 		}
 	}
 	return all, err
 }
 
-// measures are what a run is summed up by. Shares are of what was offered.
-var measures = []struct {
+// figures are the figures of a run's summary. Shares are of the requests offered.
+var figures = []struct {
 	name string
-	of   func(d *Done) float64
+	of   func(d *CompletedRun) float64
 }{
-	{"served", func(d *Done) float64 { return total(d, served) / total(d, offered) }},
-	{"late", func(d *Done) float64 {
+	{"served", func(d *CompletedRun) float64 { return total(d, served) / total(d, offered) }},
+	{"late", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Late }) / total(d, offered)
 	}},
-	{"lost", func(d *Done) float64 {
+	{"lost", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Lost }) / total(d, offered)
 	}},
-	{"repeats", func(d *Done) float64 {
-		return total(d, func(p model.Point) float64 { return p.Repeats }) / total(d, offered)
+	{"repeats", func(d *CompletedRun) float64 {
+		return total(d, func(p model.Point) float64 { return p.Retries }) / total(d, offered)
 	}},
-	{"attempts", func(d *Done) float64 {
+	{"attempts", func(d *CompletedRun) float64 {
 		return total(d, func(p model.Point) float64 { return p.Attempts }) / total(d, offered)
 	}},
-	{"falls", func(d *Done) float64 { return total(d, func(p model.Point) float64 { return p.Falls }) }},
-	{"grants", func(d *Done) float64 { return total(d, func(p model.Point) float64 { return p.Grants }) }},
-	{"recover_s", recover9},
-	{"tail", tail},
-	{"p99_s", func(d *Done) float64 { return d.Result.P99 }},
-	{"worst_window", func(d *Done) float64 { return d.Result.Worst }},
-	{"events", func(d *Done) float64 { return float64(d.Result.Events) }},
+	{"falls", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Overloads }) }},
+	{"grants", func(d *CompletedRun) float64 { return total(d, func(p model.Point) float64 { return p.Grants }) }},
+	{"recover_s", recoveryTime},
+	{"tail", tailShare},
+	{"p99_s", func(d *CompletedRun) float64 { return d.Result.P99 }},
+	{"worst_window", func(d *CompletedRun) float64 { return d.Result.WorstWindow }},
+	{"events", func(d *CompletedRun) float64 { return float64(d.Result.Events) }},
 }
 
 func offered(p model.Point) float64 { return p.Offered }
 func served(p model.Point) float64  { return p.Served }
 
-func total(d *Done, of func(model.Point) float64) (sum float64) {
+func total(d *CompletedRun, of func(model.Point) float64) (sum float64) {
 	for _, p := range d.Result.Series {
 		sum += of(p)
 	}
 	return sum
 }
 
-// lastFault is when the last fault of the file begins; 0: there is none.
-func lastFault(d *Done) (at float64) {
+// lastFault returns when the last fault or surge of the spec begins; 0: there is none.
+func lastFault(d *CompletedRun) (at float64) {
 	for _, f := range d.Spec.Faults {
 		at = max(at, f.AtS)
 	}
@@ -212,9 +215,9 @@
 	return at
 }
 
-// recover9 is how long after the beginning of the last fault nine tenths of what is offered are served in time again, and stay so for
-// five steps; the rest of the run where they never are.
-func recover9(d *Done) float64 {
+// recoveryTime returns how long after the beginning of the last fault nine tenths of the requests are served in time again,
+// for five steps in a row; the rest of the run if they never are.
+func recoveryTime(d *CompletedRun) float64 {
 	at, run := lastFault(d), 0
 	hurt := false
 	for _, p := range d.Result.Series {
@@ -224,7 +227,7 @@
 		if p.Served >= 0.9*p.Offered {
 			if run++; run == 5 {
 				if !hurt && p.T < at+10*d.Spec.StepS {
-					run = 4 // not hurt yet, perhaps
+					run = 4 // the fault may not have had its effect yet
 					continue
 				}
 				return max(0, p.T-5*d.Spec.StepS-at)
@@ -239,8 +242,8 @@
 	return d.Spec.LengthS - at
 }
 
-// tail is the share served in time of what was offered in the run's last quarter.
-func tail(d *Done) float64 {
+// tailShare returns the share of requests served in time in the run's last quarter.
+func tailShare(d *CompletedRun) float64 {
 	var s, o float64
 	for _, p := range d.Result.Series {
 		if p.T > 0.75*d.Spec.LengthS {
@@ -250,54 +253,54 @@
 	return s / max(o, 1)
 }
 
-// Summary is one setting over all its seeds.
+// Summary summarizes the runs of one setting.
 type Summary struct {
-	Of      string           `json:"of"`
-	Runs    int              `json:"runs"`
-	Broken  int              `json:"broken"`
-	Stopped int              `json:"stopped"`
-	Figures map[string]Moved `json:"figures"`
+	Setting string              `json:"of"`
+	Runs    int                 `json:"runs"`
+	Broken  int                 `json:"broken"`
+	Stopped int                 `json:"stopped"`
+	Figures map[string]Estimate `json:"figures"`
 }
 
-// Moved is a figure's mean over the seeds, and its standard deviation.
-type Moved struct {
-	Mean float64   `json:"mean"`
-	SD   float64   `json:"sd"`
-	All  []float64 `json:"all"`
+// Estimate is a figure's mean over the seeds, and its standard deviation.
+type Estimate struct {
+	Mean   float64   `json:"mean"`
+	SD     float64   `json:"sd"`
+	Values []float64 `json:"all"`
 }
 
-// Summarize sums runs up by setting, in the file's order.
-func Summarize(all []Done) (list []Summary) {
+// Summarize summarizes runs by setting, in the file's order.
+func Summarize(all []CompletedRun) (list []Summary) {
 	at := map[string]int{}
 	for i := range all {
 		d := &all[i]
-		of := d.Of()
+		of := d.Setting()
 		if _, there := at[of]; !there {
 			at[of] = len(list)
-			list = append(list, Summary{Of: of, Figures: map[string]Moved{}})
+			list = append(list, Summary{Setting: of, Figures: map[string]Estimate{}})
 		}
 		s := &list[at[of]]
 		s.Runs++
-		if d.Result.Broken != nil {
+		if d.Result.Violation != nil {
 			s.Broken++
 		}
 		if d.Result.Stopped != "" {
 			s.Stopped++
 		}
-		for _, m := range measures {
+		for _, m := range figures {
 			v := m.of(d)
 			if math.IsNaN(v) || math.IsInf(v, 0) {
 				v = 0
 			}
 			f := s.Figures[m.name]
-			f.All = append(f.All, v)
+			f.Values = append(f.Values, v)
 			s.Figures[m.name] = f
 		}
 	}
 	for i := range list {
 		for name, f := range list[i].Figures {
-			f.Mean, f.SD = stat.MeanStdDev(f.All, nil)
-			if len(f.All) < 2 {
+			f.Mean, f.SD = stat.MeanStdDev(f.Values, nil)
+			if len(f.Values) < 2 {
 				f.SD = 0
 			}
 			list[i].Figures[name] = f
@@ -306,17 +309,17 @@
 	return list
 }
 
-// Table writes summaries for a person.
+// Table writes summaries as a table.
 func Table(w io.Writer, list []Summary) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprint(t, "SETTING\tRUNS\tBROKEN")
-	for _, m := range measures {
+	for _, m := range figures {
 		fmt.Fprintf(t, "\t%s", strings.ToUpper(m.name))
 	}
 	fmt.Fprintln(t)
 	for _, s := range list {
-		fmt.Fprintf(t, "%s\t%d\t%d", s.Of, s.Runs, s.Broken)
-		for _, m := range measures {
+		fmt.Fprintf(t, "%s\t%d\t%d", s.Setting, s.Runs, s.Broken)
+		for _, m := range figures {
 			fmt.Fprintf(t, "\t%.4g", s.Figures[m.name].Mean)
 		}
 		fmt.Fprintln(t)
@@ -324,7 +327,7 @@
 	return t.Flush()
 }
 
-// Summaries reads a folder's.
+// Summaries reads a folder's summary.json.
 func Summaries(dir string) (list []Summary, err error) {
 	b, err := os.ReadFile(filepath.Join(dir, "summary.json"))
 	if err != nil {
@@ -336,31 +339,32 @@
 	return list, nil
 }
 
-// Difference is one figure of one setting in two folders.
+// Difference compares one figure of one setting in two folders.
 type Difference struct {
-	Of     string  `json:"of"`
-	Figure string  `json:"figure"`
-	A      float64 `json:"a"`
-	B      float64 `json:"b"`
-	SE     float64 `json:"standard_error"`
-	Larger bool    `json:"larger_than_spread"` // than three standard errors (Welch, 1947, unequal variances)
+	Setting     string  `json:"of"`
+	Figure      string  `json:"figure"`
+	A           float64 `json:"a"`
+	B           float64 `json:"b"`
+	SE          float64 `json:"standard_error"`
+	Significant bool    `json:"larger_than_spread"` // by more than three standard errors (Welch, 1947, unequal variances)
 }
 
-// Compare tells which figures of the settings that two folders share differ by more than their seeds' spread.
+// Compare compares all figures of the settings that two folders share, and marks those that differ by more than the spread
+// of their seeds.
 func Compare(a, b []Summary) (list []Difference) {
 	for _, x := range a {
-		at := slices.IndexFunc(b, func(y Summary) bool { return y.Of == x.Of })
+		at := slices.IndexFunc(b, func(y Summary) bool { return y.Setting == x.Setting })
 		if at < 0 {
 			continue
 		}
-		for _, m := range measures {
+		for _, m := range figures {
 			f, g := x.Figures[m.name], b[at].Figures[m.name]
-			se := math.Sqrt(f.SD*f.SD/float64(max(1, len(f.All))) + g.SD*g.SD/float64(max(1, len(g.All))))
-			d := Difference{x.Of, m.name, f.Mean, g.Mean, se, false}
-			d.Larger = math.Abs(f.Mean-g.Mean) > 3*se && f.Mean != g.Mean
+			se := math.Sqrt(f.SD*f.SD/float64(max(1, len(f.Values))) + g.SD*g.SD/float64(max(1, len(g.Values))))
+			d := Difference{x.Setting, m.name, f.Mean, g.Mean, se, false}
+			d.Significant = math.Abs(f.Mean-g.Mean) > 3*se && f.Mean != g.Mean
 			list = append(list, d)
 		}
 	}
-	slices.SortStableFunc(list, func(p, q Difference) int { return cmp.Compare(p.Of, q.Of) })
+	slices.SortStableFunc(list, func(p, q Difference) int { return cmp.Compare(p.Setting, q.Setting) })
 	return list
 }
--- a/internal/testbed/model/mesh/mesh_test.go
+++ b/internal/testbed/model/mesh/mesh_test.go
@@ -10,20 +10,20 @@
 	"spindlehitch/internal/controlplane/membership"
 )
 
-func usual() membership.Config {
+func testConfig() membership.Config {
 	s := membership.DefaultConfig
 	s.FleetID = 7
 	return s
 }
 
-// TestLife has fleets join by seeds, lose one by a kill, take it back as a later life, and let one leave: views meet each time, within
-// a time that grows with the logarithm of the size.
-func TestLife(t *testing.T) {
+// TestLifecycle has groups join by seeds, then one node is killed, restarted and leaves. Views must converge each time,
+// within a time that grows with the logarithm of the size.
+func TestLifecycle(t *testing.T) {
 	for _, size := range []int{3, 20, 100} {
-		m := New(Spec{Size: size, Seed: 1, Settings: usual(), Delay: time.Millisecond})
+		m := New(Spec{Size: size, Seed: 1, Settings: testConfig(), Delay: time.Millisecond})
 		meet := func(what string, periods float64) {
 			t.Helper()
-			took, ok := m.Until(100*time.Millisecond, 2*time.Minute, m.Level)
+			took, ok := m.Until(100*time.Millisecond, 2*time.Minute, m.Converged)
 			require.True(t, ok, what)
 			require.Less(t, took.Seconds(), periods, "%s, size %d", what, size)
 		}
@@ -39,44 +39,44 @@
 	}
 }
 
-// TestAgainstPlain runs the same trouble with and without self-distrust and reporters: with them no healthy member is held dead, and a
-// death is found within one and a half times as long.
-func TestAgainstPlain(t *testing.T) {
-	for _, trouble := range []Trouble{Troubles[0], Troubles[1], Troubles[4], Troubles[6]} {
+// TestAgainstPlainSWIM runs the same conditions with and without Lifeguard's extensions (health score and reporters). With
+// them no healthy member is held dead, and a death is detected within one and a half times the time.
+func TestAgainstPlainSWIM(t *testing.T) {
+	for _, trouble := range []Condition{Conditions[0], Conditions[1], Conditions[4], Conditions[6]} {
 		var rows [2]Row
 		for i, plain := range []bool{false, true} {
-			s := usual()
+			s := testConfig()
 			s.DisableLifeguard = plain
 			row, err := Measure(Spec{Size: 40, Seed: 3, Settings: s, Delay: 2 * time.Millisecond}, trouble, 5*time.Minute, 8, nil)
 			require.NoError(t, err)
 			rows[i] = row
 		}
-		require.Zero(t, rows[0].False, trouble.Name)
-		t.Logf("%s: %d false against %d, half after %.1f against %.1f", trouble.Name, rows[0].False, rows[1].False, rows[0].Half, rows[1].Half)
+		require.Zero(t, rows[0].FalseVerdicts, trouble.Name)
+		t.Logf("%s: %d false against %d, half after %.1f against %.1f", trouble.Name, rows[0].FalseVerdicts, rows[1].FalseVerdicts, rows[0].Half, rows[1].Half)
 		if trouble.Paused > 0 && trouble.Loss > 0 {
-			require.Greater(t, rows[1].False, 20, trouble.Name)
-			continue // both at once cost more time: docs/members.md
+			require.Greater(t, rows[1].FalseVerdicts, 20, trouble.Name)
+			continue // pauses and loss together take more time: docs/members.md
 		}
 		require.Less(t, rows[0].Half, 1.5*rows[1].Half, trouble.Name)
 	}
 }
 
-// TestHalves parts a fleet for a minute and joins it: all hold the same view again, and no incarnation is lost.
-func TestHalves(t *testing.T) {
-	m := New(Spec{Size: 20, Seed: 5, Settings: usual(), Delay: time.Millisecond, Joined: true})
-	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.N%2 != to.N%2 }
+// TestPartition partitions a group for a minute: after it heals, all have the same view of all members again.
+func TestPartition(t *testing.T) {
+	m := New(Spec{Size: 20, Seed: 5, Settings: testConfig(), Delay: time.Millisecond, Joined: true})
+	m.Cut = func(from, to *Node, _ membership.Channel) bool { return from.Number%2 != to.Number%2 }
 	m.Run(time.Minute)
-	require.Equal(t, 10, m.Nodes[0].M.Size())
+	require.Equal(t, 10, m.Nodes[0].Member.Size())
 	m.Cut = nil
-	took, ok := m.Until(100*time.Millisecond, time.Minute, m.Level)
+	took, ok := m.Until(100*time.Millisecond, time.Minute, m.Converged)
 	require.True(t, ok)
-	t.Log("views meet after", took)
+	t.Log("views converge after", took)
 }
 
-// TestStorm has a whole fleet join at once: no member sends more than a stated rate.
-func TestStorm(t *testing.T) {
+// TestSimultaneousJoin has a whole group join at once: no member sends more than 150 messages per second.
+func TestSimultaneousJoin(t *testing.T) {
 	const size = 200
-	m := New(Spec{Size: size, Seed: 5, Settings: usual(), Delay: time.Millisecond})
+	m := New(Spec{Size: size, Seed: 5, Settings: testConfig(), Delay: time.Millisecond})
 	for range 60 {
 		before := make([]int, size)
 		for i, n := range m.Nodes {
@@ -84,9 +84,9 @@
 		}
 		m.Run(time.Second)
 		for i, n := range m.Nodes {
-			// Answers to four comparisons of eight pages, as many of our own, and the probes.
+			// Responses to four syncs of eight pages, as many syncs of its own, and the probes.
 			require.Less(t, n.Sent-before[i], 150, "messages of node %d in a second", i)
 		}
 	}
-	require.True(t, m.Level())
+	require.True(t, m.Converged())
 }
--- a/internal/testbed/modelcheck/feed/judge.go
+++ b/internal/testbed/modelcheck/feed/judge.go
@@ -12,37 +12,38 @@
 	key  string
 }
 
-// past is what the judge knows of one history: the state of all keys at each version, by itself.
-type past struct {
-	states []map[key]watchstream.Record // by version; 0: nothing
-	words  map[string]uint64            // the versions at which it was said of another history that this one takes its place
+// history is the reference for one epoch of the log, recorded independently of the code under test: the state of all keys
+// at each version.
+type history struct {
+	states     []map[key]watchstream.Record // by version; at version 0 there are no keys
+	replacedAt map[string]uint64            // by the epoch of another history: the version at which it was declared that this one replaces it
 }
 
-func newPast() *past {
-	return &past{states: []map[key]watchstream.Record{{}}, words: map[string]uint64{}}
+func newHistory() *history {
+	return &history{states: []map[key]watchstream.Record{{}}, replacedAt: map[string]uint64{}}
 }
 
-func (p *past) head() uint64 { return uint64(len(p.states)) - 1 }
+func (hist *history) head() uint64 { return uint64(len(hist.states)) - 1 }
 
-func (p *past) add(c watchstream.Change) {
+func (hist *history) add(c watchstream.Change) {
 	next := map[key]watchstream.Record{}
-	for k, r := range p.states[p.head()] {
+	for k, r := range hist.states[hist.head()] {
 		next[k] = r
 	}
 	for _, x := range c.Puts {
-		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: p.head() + 1, Deleted: x.Deleted, Value: x.Value}
+		next[key{x.Kind, x.Key}] = watchstream.Record{Kind: x.Kind, Key: x.Key, Version: hist.head() + 1, Deleted: x.Deleted, Value: x.Value}
 	}
-	p.states = append(p.states, next)
+	hist.states = append(hist.states, next)
 	if c.Replaces != "" {
-		p.words[c.Replaces] = p.head()
+		hist.replacedAt[c.Replaces] = hist.head()
 	}
 }
 
-// held is live records by key.
-type held map[key]watchstream.Record
+// recordSet is live records by key.
+type recordSet map[key]watchstream.Record
 
-func holds(records ...[]watchstream.Record) held {
-	h := held{}
+func recordsByKey(records ...[]watchstream.Record) recordSet {
+	h := recordSet{}
 	for _, list := range records {
 		for _, r := range list {
 			h[key{r.Kind, r.Key}] = r
@@ -51,23 +52,24 @@
 	return h
 }
 
-// at tells whether what is held of a key is what the history had at that version. Each change's values are its own; what was taken over from
-// an earlier history has that one's versions.
-func (p *past) at(h held, k key, v uint64) bool {
-	is, alive := h[k]
-	was, known := p.states[v][k]
-	known = known && !was.Deleted
-	return alive == known && (!alive || bytes.Equal(is.Value, was.Value))
+// matches reports whether h has the same value of a key as the history at that version. Values are compared rather than
+// versions: each change writes unique values, and records taken over from an earlier history keep that one's versions.
+func (hist *history) matches(h recordSet, k key, v uint64) bool {
+	got, alive := h[k]
+	want, known := hist.states[v][k]
+	known = known && !want.Deleted
+	return alive == known && (!alive || bytes.Equal(got.Value, want.Value))
 }
 
-// since tells whether what is held of each key is what the history had at that version or at a later one; of configuration, of all keys
-// at one and the same, but for a relay's, which nobody has in force, and where it is said that what there is is of an earlier history.
-func (p *past) since(h held, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
-	if pos.Targets > p.head() || pos.Config > p.head() {
-		return fmt.Errorf("broken: %s is said to have %v, and the log is at %d", scope.Name, pos, p.head())
+// checkSince checks that h has each key as the history had it at the position or at a later version. All configuration keys
+// must match at one common version, except at a relay, which has no configuration in force, and where earlier says that
+// the configuration in force is of an earlier history.
+func (hist *history) checkSince(h recordSet, scope watchstream.Scope, pos watchstream.Position, earlier bool) error {
+	if pos.Targets > hist.head() || pos.Config > hist.head() {
+		return fmt.Errorf("broken: %s claims position %v, but the log is at %d", scope.Name, pos, hist.head())
 	}
 	keys := map[key]bool{}
-	for k := range p.states[p.head()] {
+	for k := range hist.states[hist.head()] {
 		keys[k] = true
 	}
 	for k := range h {
@@ -78,46 +80,46 @@
 		if k.kind == watchstream.Config {
 			from = pos.Config
 		}
-		for v := from; v <= p.head() && !ok; v++ {
-			ok = p.at(h, k, v)
+		for v := from; v <= hist.head() && !ok; v++ {
+			ok = hist.matches(h, k, v)
 		}
 		if !ok {
-			return fmt.Errorf("broken: %s has %v %q as the log never had it since version %d", scope.Name, k.kind, k.key, from)
+			return fmt.Errorf("broken: %s has a value of %v %q that the log did not have at version %d or later", scope.Name, k.kind, k.key, from)
 		}
 	}
-	for v := pos.Config; v <= p.head(); v++ {
-		if scope.All || earlier || p.config(h, scope, v) {
+	for v := pos.Config; v <= hist.head(); v++ {
+		if scope.All || earlier || hist.configMatches(h, scope, v) {
 			return nil
 		}
 	}
-	return fmt.Errorf("broken: %s has a configuration that the log never had since version %d", scope.Name, pos.Config)
+	return fmt.Errorf("broken: %s has a configuration that the log did not have at version %d or later", scope.Name, pos.Config)
 }
 
-// config tells whether the layers of the scope are as the history had them at that version.
-func (p *past) config(h held, scope watchstream.Scope, v uint64) bool {
-	for k := range p.states[p.head()] {
-		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
+// configMatches reports whether h has the configuration layers of the scope as the history had them at that version.
+func (hist *history) configMatches(h recordSet, scope watchstream.Scope, v uint64) bool {
+	for k := range hist.states[hist.head()] {
+		if k.kind == watchstream.Config && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
 			return false
 		}
 	}
 	for k := range h {
-		if k.kind == watchstream.Config && !p.at(h, k, v) {
+		if k.kind == watchstream.Config && !hist.matches(h, k, v) {
 			return false
 		}
 	}
 	return true
 }
 
-// exact tells whether what is held is the log's state of that version.
-func (p *past) exact(h held, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
-	for k := range p.states[p.head()] {
-		if k.kind == kind && scope.Includes(k.kind, k.key) && !p.at(h, k, v) {
-			return fmt.Errorf("broken: %s is at version %d and doesn't have the log's state of %q", scope.Name, v, k.key)
+// checkExact checks that h has exactly the history's records of that kind in the scope at that version.
+func (hist *history) checkExact(h recordSet, scope watchstream.Scope, kind watchstream.Kind, v uint64) error {
+	for k := range hist.states[hist.head()] {
+		if k.kind == kind && scope.Includes(k.kind, k.key) && !hist.matches(h, k, v) {
+			return fmt.Errorf("broken: %s is at version %d and has %q in another state than the log", scope.Name, v, k.key)
 		}
 	}
 	for k := range h {
-		if k.kind == kind && !p.at(h, k, v) {
-			return fmt.Errorf("broken: %s is at version %d and has %q, which the log doesn't", scope.Name, v, k.key)
+		if k.kind == kind && !hist.matches(h, k, v) {
+			return fmt.Errorf("broken: %s is at version %d and has %q, which the log does not have", scope.Name, v, k.key)
 		}
 	}
 	return nil
--- a/internal/testbed/scale/slope/members.go
+++ b/internal/testbed/scale/slope/members.go
@@ -36,13 +36,13 @@
 			held := max(0, heapBytes()-before)
 			each := float64(size) * period(size).Seconds()
 			bytes, sent := 0, 0
-			m.Bytes = encodedSize // counted in a second run, so that encoding costs are not attributed to the members
+			m.MessageSize = encodedSize // counted in a second run, so that encoding costs are not attributed to the members
 			for _, n := range m.Nodes {
 				n.Sent = 0
 			}
 			m.Run(5 * time.Second)
 			for _, n := range m.Nodes {
-				bytes += int(n.SentB)
+				bytes += int(n.SentBytes)
 				sent += n.Sent
 			}
 			runtime.KeepAlive(m)
