--- a/internal/testbed/scale/slope/figures.go
+++ b/internal/testbed/scale/slope/figures.go
@@ -23,7 +23,7 @@
 	mechFeed             = "the feed: internal/controlplane/watchstream/distribution, internal/controlplane/watchstream"
 	mechSchedulerChange  = "what a change costs the module: root package"
 	mechSchedulerRequest = "what a request costs the module: root package"
-	mechListDecode       = "how a list is read: internal/datapath/listing" // the earlier path of internal/datapath/targetlist; TestPage compares the text with docs/CAPACITY.md
+	mechListDecode       = "how a list is read: internal/datapath/targetlist"
 	mechQuota            = "fleet-wide budgets: internal/controlplane/quota/quotasession, internal/controlplane/quota/allocator"
 	mechLeases           = "leases: internal/controlplane/lease/lessor"
 	mechMembership       = "members: internal/controlplane/membership/transport, internal/controlplane/membership"
--- a/internal/testbed/scale/slope/tables.go
+++ b/internal/testbed/scale/slope/tables.go
@@ -97,7 +97,7 @@
 		{"discovery to initiators that start, in all", "a whole list", func(c costModel, s Size) float64 { return c.costAt("list.line", s.Targets) }, "list.line",
 			func(_ costModel, s Size, l Limits) [4]float64 {
 				return [4]float64{s.InitiatorRestarts / day, s.InitiatorRestarts / l.RestartWindow, s.Initiators / s.Zones / minute, 0}
-			}, "internal/datapath/discovery, internal/datapath/listing", FeedOff}, // as in howLine
+			}, "internal/datapath/discovery, internal/datapath/targetlist", FeedOff},
 		{"an agent and each initiator", "a watch with nothing new", func(c costModel, _ Size) float64 { return c.perUnit("agent.follow.wire") }, "agent.follow.wire",
 			func(costModel, Size, Limits) [4]float64 { return constantRates(1) }, "internal/controlplane/agent", FeedOff},
 		{"an agent to each initiator", "its configuration, whole", func(c costModel, s Size) float64 { return c.costAt("agent.answer", s.ConfigBytes) }, "agent.answer",
