--- a/internal/controlplane/lease/casfile/casfile.go
+++ b/internal/controlplane/lease/casfile/casfile.go
@@ -34,7 +34,7 @@
 // Errors of Read and Update.
 var (
 	ErrCorrupt    = errors.New("damaged")
-	ErrContention = errors.New("too many concurrent changes")
+	ErrContention = errors.New("changed by others each time")
 )
 
 // record is the content of one record file.
@@ -91,7 +91,7 @@
 		}
 		switch {
 		case r.Format != recordFormat:
-			return state, 0, fmt.Errorf("%s: unsupported format %d, expected %d", recordPath(dir, n), r.Format, recordFormat)
+			return state, 0, fmt.Errorf("%s: format %d, this program reads %d", recordPath(dir, n), r.Format, recordFormat)
 		case r.Number != n || crc32.Checksum(r.State, castagnoli) != r.Sum:
 			return state, 0, fmt.Errorf("%s: %w", recordPath(dir, n), ErrCorrupt)
 		}
--- a/internal/controlplane/lease/fencing/fencing.go
+++ b/internal/controlplane/lease/fencing/fencing.go
@@ -21,7 +21,7 @@
 
 // Error names the rejected operation and the newest one that the resource has seen.
 func (r *RejectedError) Error() string {
-	return fmt.Sprintf("rejected operation %d under token %d: the resource has seen operation %d under token %d", r.Operation, r.Token, r.Current.Operation, r.Current.Token)
+	return fmt.Sprintf("refused: act %d under token %d, the place has seen act %d under token %d", r.Operation, r.Token, r.Current.Operation, r.Current.Token)
 }
 
 // Begin begins an operation. It ends any earlier operation, whose changes are rejected from then on.
--- a/internal/controlplane/lease/leasework/operation.go
+++ b/internal/controlplane/lease/leasework/operation.go
@@ -29,7 +29,7 @@
 }
 
 // errExpired is returned by a Job whose operation or lease ended before its work was complete.
-var errExpired = errors.New("the operation or its lease has expired")
+var errExpired = errors.New("the act or its lease is over")
 
 // Job runs the operations of one kind of task. An error that is a *fencing.RejectedError means that
 // the resource has seen a newer token; any other error is a failure.
