--- a/internal/testbed/scale/slope/race_test.go
+++ b/internal/testbed/scale/slope/race_test.go
@@ -3,4 +3,4 @@
 package slope
 
 // raceEnabled reports whether the race detector is on. Its cost in time and memory would distort the slopes.
-const raced = true
+const raceEnabled = true
